--- a/crates/agent/src/follow.rs
+++ b/crates/agent/src/follow.rs
@@ -32,11 +32,25 @@
     }
 }
 
-async fn followed(agent: &Rc<Agent>, network: &dyn Network, list: &Address, known: &mut Known) -> String {
-    let Ok(mut stream) = network.dial(list).await else { return "no connection".into() };
+async fn followed(
+    agent: &Rc<Agent>,
+    network: &dyn Network,
+    list: &Address,
+    known: &mut Known,
+) -> String {
+    let Ok(mut stream) = network.dial(list).await else {
+        return "no connection".into();
+    };
     // Followers are told apart by their numbers; an agent must not pass for a controller.
     let (controller, incarnation) = (u32::MAX - agent.seat.me, agent.seat.seed);
-    if let Err(e) = stream.write_all(&encode(&Follow { version: 1, controller, incarnation })).await {
+    if let Err(e) = stream
+        .write_all(&encode(&Follow {
+            version: 1,
+            controller,
+            incarnation,
+        }))
+        .await
+    {
         return e.to_string();
     }
     let mut read = BytesMut::new();
@@ -64,7 +78,10 @@
             Err(e) => return e.to_string(),
         };
         for e in entries {
-            if known.get(&e.invoker).is_some_and(|(k, _)| k.incarnation != e.incarnation) {
+            if known
+                .get(&e.invoker)
+                .is_some_and(|(k, _)| k.incarnation != e.incarnation)
+            {
                 agent.state.borrow_mut().fetcher.restarted(e.invoker);
             }
             match e.life {
@@ -82,8 +99,16 @@
         let age = e.age_tenths + (now - heard);
         let risen = (RISEN_FIRST + age as f64 / RISES_IN_TENTHS).min(1.0);
         let ready = e.life == Life::Ready;
-        let member = Member { invoker: e.invoker, size: f64::from(e.size), risen, ready };
-        Some(Peer { member, address: e.agent.as_ref()?.parse().ok()? })
+        let member = Member {
+            invoker: e.invoker,
+            size: f64::from(e.size),
+            risen,
+            ready,
+        };
+        Some(Peer {
+            member,
+            address: e.agent.as_ref()?.parse().ok()?,
+        })
     };
     let peers: Vec<Peer> = known.values().filter_map(peer).collect();
     agent.listed(&peers);
--- a/crates/agent/src/http.rs
+++ b/crates/agent/src/http.rs
@@ -40,7 +40,10 @@
 
 impl Pool {
     pub fn new(network: Rc<dyn Network>) -> Self {
-        Self { network, kept: RefCell::default() }
+        Self {
+            network,
+            kept: RefCell::default(),
+        }
     }
 
     pub fn clear(&self) {
@@ -60,8 +63,12 @@
             }
         }
         let dialled = tokio::time::timeout(CONNECT, self.network.dial(to)).await;
-        let stream = dialled.map_err(|_| "no connection".to_owned())?.map_err(|e| e.to_string())?;
-        let (sender, connection) = handshake(TokioIo::new(stream)).await.map_err(|e| e.to_string())?;
+        let stream = dialled
+            .map_err(|_| "no connection".to_owned())?
+            .map_err(|e| e.to_string())?;
+        let (sender, connection) = handshake(TokioIo::new(stream))
+            .await
+            .map_err(|e| e.to_string())?;
         tokio::task::spawn_local(async move {
             let _ = connection.await;
         });
@@ -69,7 +76,14 @@
     }
 
     /// At the most so many bytes of body are taken.
-    pub async fn get(&self, to: &Address, path: &str, accept: &str, stated: Option<u64>, most: u64) -> Got {
+    pub async fn get(
+        &self,
+        to: &Address,
+        path: &str,
+        accept: &str,
+        stated: Option<u64>,
+        most: u64,
+    ) -> Got {
         match self.got(to, path, accept, stated, most).await {
             Ok(got) => got,
             Err(why) => Got::Broken(why),
@@ -85,21 +99,35 @@
         most: u64,
     ) -> Result<Got, String> {
         let mut connection = self.connection(to).await?;
-        let mut request = Request::get(path).header(header::HOST, "saltdrum").header(header::ACCEPT, accept);
+        let mut request = Request::get(path)
+            .header(header::HOST, "saltdrum")
+            .header(header::ACCEPT, accept);
         if let Some(bytes) = stated {
             request = request.header(STATED_BYTES, bytes);
         }
         let request = request.body(Empty::new()).map_err(|e| e.to_string())?;
         let answered = tokio::time::timeout(BEGINS, connection.send_request(request)).await;
-        let mut response = answered.map_err(|_| "no answer".to_owned())?.map_err(|e| e.to_string())?;
-        let named = |name: &str| response.headers().get(name)?.to_str().ok()?.parse::<u64>().ok();
+        let mut response = answered
+            .map_err(|_| "no answer".to_owned())?
+            .map_err(|e| e.to_string())?;
+        let named = |name: &str| {
+            response
+                .headers()
+                .get(name)?
+                .to_str()
+                .ok()?
+                .parse::<u64>()
+                .ok()
+        };
         match response.status() {
             StatusCode::OK => {}
             StatusCode::NOT_FOUND => return Ok(Got::Absent),
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
                 let ms = named(RETRY_AFTER_MS).map(|ms| ms.saturating_mul(MILLI));
                 let seconds = named("retry-after").map(|s| s.saturating_mul(SECOND));
-                return Ok(Got::Refused(ms.or(seconds).unwrap_or(COME_BACK).min(COME_BACK_MOST)));
+                return Ok(Got::Refused(
+                    ms.or(seconds).unwrap_or(COME_BACK).min(COME_BACK_MOST),
+                ));
             }
             other => return Err(format!("status {other}")),
         }
@@ -109,7 +137,9 @@
         let mut bytes = Vec::new();
         loop {
             let frame = tokio::time::timeout(SILENT, response.body_mut().frame()).await;
-            let Some(frame) = frame.map_err(|_| "silence in mid-body".to_owned())? else { break };
+            let Some(frame) = frame.map_err(|_| "silence in mid-body".to_owned())? else {
+                break;
+            };
             if let Ok(data) = frame.map_err(|e| e.to_string())?.into_data() {
                 if (bytes.len() + data.len()) as u64 > most {
                     return Err(format!("a body of more than the stated {most} bytes"));
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -14,7 +14,9 @@
 use saltdrum::port::{InvokerId, Tenths};
 use saltdrum_layers::cache::Cache;
 use saltdrum_layers::manifest::{MANIFEST_MOST_BYTES, MANIFEST_TYPE};
-use saltdrum_layers::plan::{Ask, Ended, Fetcher, LoadId, Member, Need, STORE_OVER_PEER, Serving, Source};
+use saltdrum_layers::plan::{
+    Ask, Ended, Fetcher, LoadId, Member, Need, STORE_OVER_PEER, Serving, Source,
+};
 use saltdrum_layers::{Chunk, Digest, Manifest, cut};
 use saltdrum_link::{Address, Clock, Network};
 use std::cell::{Cell, RefCell};
@@ -90,14 +92,19 @@
 
 impl Drop for Loaded {
     fn drop(&mut self) {
-        self.manifest.chunks.iter().for_each(|c| self.agent.unclaim(&c.digest));
+        self.manifest
+            .chunks
+            .iter()
+            .for_each(|c| self.agent.unclaim(&c.digest));
     }
 }
 
 impl Loaded {
     /// One of its chunks, unpacked. `None` only where the disk has lost it since.
     pub fn read(&self, chunk: &Chunk) -> Option<Vec<u8>> {
-        self.agent.held(chunk).and_then(|stored| cut::unpack(chunk, &stored).ok())
+        self.agent
+            .held(chunk)
+            .and_then(|stored| cut::unpack(chunk, &stored).ok())
     }
 }
 
@@ -147,7 +154,9 @@
             state.whole.remove(&self.load);
             state.fetcher.abandon(self.load);
             state.wanted.retain(|digest, _| state.fetcher.wants(digest));
-            state.damaged_at_store.retain(|digest, _| state.fetcher.wants(digest));
+            state
+                .damaged_at_store
+                .retain(|digest, _| state.fetcher.wants(digest));
         }
         self.agent.go_on();
     }
@@ -190,17 +199,31 @@
         };
         let (pool, state) = (Pool::new(network), RefCell::new(state));
         let (moved, counts, tasks) = (Notify::new(), Counts::default(), RefCell::default());
-        Rc::new(Self { seat, cache, clock, pool, state, moved, counts, tasks })
+        Rc::new(Self {
+            seat,
+            cache,
+            clock,
+            pool,
+            state,
+            moved,
+            counts,
+            tasks,
+        })
     }
 
     /// The list of invokers as it is now, ourselves among them.
     pub fn listed(self: &Rc<Self>, peers: &[Peer]) {
         let state = &mut *self.state.borrow_mut();
-        state.peers = peers.iter().map(|p| (p.member.invoker, p.address.clone())).collect();
+        state.peers = peers
+            .iter()
+            .map(|p| (p.member.invoker, p.address.clone()))
+            .collect();
         let mine = peers.iter().find(|p| p.member.invoker == self.seat.me);
         state.draining = mine.is_some_and(|p| !p.member.ready);
         state.risen = mine.map_or(1.0, |p| p.member.risen);
-        state.fetcher.listed(peers.iter().map(|p| p.member).collect());
+        state
+            .fetcher
+            .listed(peers.iter().map(|p| p.member).collect());
     }
 
     /// Share of our cores that invocations use, 0 to 1: the busier, the less is served to peers.
@@ -213,7 +236,11 @@
         let (digest, manifest) = self.manifest(repository, reference).await?;
         manifest.chunks.iter().for_each(|c| self.claim(&c.digest));
         // From here on the claims are given back however this ends.
-        let loaded = Loaded { digest, manifest, agent: self.clone() };
+        let loaded = Loaded {
+            digest,
+            manifest,
+            agent: self.clone(),
+        };
         let mut needs = Vec::new();
         for chunk in &loaded.manifest.chunks {
             if needs.iter().any(|n: &Need| n.digest == chunk.digest) {
@@ -222,7 +249,10 @@
             if self.held(chunk).is_some() {
                 add(&self.counts.from_cache, 1);
             } else {
-                needs.push(Need { digest: chunk.digest, bytes: chunk.stored_bytes });
+                needs.push(Need {
+                    digest: chunk.digest,
+                    bytes: chunk.stored_bytes,
+                });
                 let known = (chunk.clone(), repository.to_owned());
                 self.state.borrow_mut().wanted.insert(chunk.digest, known);
             }
@@ -234,11 +264,21 @@
                 return Err(Fault::Corrupt { model: format!("{repository}:{reference}"), chunk });
             }
         }
-        let lacking =
-            |c: &&Chunk| !self.cache.holds(&c.digest) && !self.state.borrow().unkept.contains_key(&c.digest);
-        let bytes = loaded.manifest.chunks.iter().filter(lacking).map(|c| c.stored_bytes).sum();
+        let lacking = |c: &&Chunk| {
+            !self.cache.holds(&c.digest) && !self.state.borrow().unkept.contains_key(&c.digest)
+        };
+        let bytes = loaded
+            .manifest
+            .chunks
+            .iter()
+            .filter(lacking)
+            .map(|c| c.stored_bytes)
+            .sum();
         if bytes > 0 {
-            return Err(Fault::NoRoom { model: format!("{repository}:{reference}"), bytes });
+            return Err(Fault::NoRoom {
+                model: format!("{repository}:{reference}"),
+                bytes,
+            });
         }
         Ok(loaded)
     }
@@ -259,7 +299,9 @@
 
     fn unclaim(&self, digest: &Digest) {
         let state = &mut *self.state.borrow_mut();
-        let Some(claims) = state.claims.get_mut(digest) else { return };
+        let Some(claims) = state.claims.get_mut(digest) else {
+            return;
+        };
         *claims -= 1;
         if *claims == 0 {
             state.claims.remove(digest);
@@ -298,7 +340,12 @@
             let moved = self.moved.notified();
             let found = {
                 let state = self.state.borrow();
-                let bad = |n: &&Need| state.damaged_at_store.get(&n.digest).is_some_and(|t| *t >= after);
+                let bad = |n: &&Need| {
+                    state
+                        .damaged_at_store
+                        .get(&n.digest)
+                        .is_some_and(|t| *t >= after)
+                };
                 needs.iter().find(bad).map(|n| n.digest)
             };
             if let Some(digest) = found {
@@ -310,8 +357,14 @@
 
     /// As `wait_for`, for one chunk that a peer wants of us as its home.
     pub(crate) async fn fetch_for_peer(self: &Rc<Self>, chunk: Chunk, repository: &str) {
-        let needs = [Need { digest: chunk.digest, bytes: chunk.stored_bytes }];
-        self.state.borrow_mut().wanted.insert(chunk.digest, (chunk, repository.to_owned()));
+        let needs = [Need {
+            digest: chunk.digest,
+            bytes: chunk.stored_bytes,
+        }];
+        self.state
+            .borrow_mut()
+            .wanted
+            .insert(chunk.digest, (chunk, repository.to_owned()));
         tokio::select! {
             biased;
             () = self.wait_for(&needs) => {}
@@ -320,7 +373,11 @@
         }
     }
 
-    async fn manifest(&self, repository: &str, reference: &str) -> Result<(Digest, Manifest), Fault> {
+    async fn manifest(
+        &self,
+        repository: &str,
+        reference: &str,
+    ) -> Result<(Digest, Manifest), Fault> {
         let model = format!("{repository}:{reference}");
         let path = format!("/v2/{repository}/manifests/{reference}");
         let mut wait = MANIFEST_WAIT;
@@ -328,7 +385,13 @@
         for _ in 0..MANIFEST_TRIES {
             match self
                 .pool
-                .get(&self.seat.store, &path, MANIFEST_TYPE, None, MANIFEST_MOST_BYTES as u64)
+                .get(
+                    &self.seat.store,
+                    &path,
+                    MANIFEST_TYPE,
+                    None,
+                    MANIFEST_MOST_BYTES as u64,
+                )
                 .await
             {
                 Got::Bytes(bytes) => {
@@ -338,9 +401,10 @@
                         last = format!("its bytes have digest {digest}");
                     } else {
                         let read = Manifest::read(&bytes);
-                        return read
-                            .map(|m| (digest, m))
-                            .map_err(|e| Fault::Manifest { model, why: e.to_string() });
+                        return read.map(|m| (digest, m)).map_err(|e| Fault::Manifest {
+                            model,
+                            why: e.to_string(),
+                        });
                     }
                 }
                 Got::Absent => return Err(Fault::Unknown { model }),
@@ -410,7 +474,17 @@
         };
         let path = format!("/v2/{repository}/blobs/{}", chunk.digest);
         let stated = matches!(ask.source, Source::Peer(_)).then_some(chunk.stored_bytes);
-        match self.pool.get(&address, &path, "application/octet-stream", stated, chunk.stored_bytes).await {
+        match self
+            .pool
+            .get(
+                &address,
+                &path,
+                "application/octet-stream",
+                stated,
+                chunk.stored_bytes,
+            )
+            .await
+        {
             Got::Bytes(bytes) => match cut::verify(&chunk, &bytes) {
                 Ok(()) => self.ended(ask, Ended::Well, Some((chunk, bytes))),
                 Err(cut::Damage::Length { .. }) => self.ended(ask, Ended::Broken, None),
@@ -463,7 +537,10 @@
             if how == Ended::Well {
                 state.wanted.remove(&ask.digest);
             }
-            whole.into_iter().filter_map(|load| state.whole.remove(&load)).collect::<Vec<_>>()
+            whole
+                .into_iter()
+                .filter_map(|load| state.whole.remove(&load))
+                .collect::<Vec<_>>()
         };
         for to in whole {
             // Whoever has given its load up hears nothing.
--- a/crates/agent/src/peers.rs
+++ b/crates/agent/src/peers.rs
@@ -66,7 +66,10 @@
 }
 
 fn plain(status: StatusCode) -> Response<Sending> {
-    let mut response = Response::new(Sending { bytes: None, _slot: None });
+    let mut response = Response::new(Sending {
+        bytes: None,
+        _slot: None,
+    });
     *response.status_mut() = status;
     response
 }
@@ -91,7 +94,9 @@
                     let this = this.clone();
                     async move { Ok::<_, Infallible>(this.answer(request).await) }
                 });
-                let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), answer).await;
+                let _ = http1::Builder::new()
+                    .serve_connection(TokioIo::new(stream), answer)
+                    .await;
             });
         }
     }
@@ -103,12 +108,21 @@
         let Some((repository, digest)) = asked_for(request.uri().path()) else {
             return plain(StatusCode::NOT_FOUND);
         };
-        let stated = request.headers().get(STATED_BYTES).and_then(|v| v.to_str().ok()?.parse::<u64>().ok());
-        let Some(stored_bytes) = stated.filter(|n| (1..=CHUNK_MOST_BYTES + 1_024).contains(n)) else {
+        let stated = request
+            .headers()
+            .get(STATED_BYTES)
+            .and_then(|v| v.to_str().ok()?.parse::<u64>().ok());
+        let Some(stored_bytes) = stated.filter(|n| (1..=CHUNK_MOST_BYTES + 1_024).contains(n))
+        else {
             return plain(StatusCode::BAD_REQUEST);
         };
         // Only length and digest matter for handing it on.
-        let chunk = Chunk { digest, stored_bytes, bytes: stored_bytes, packing: Packing::Plain };
+        let chunk = Chunk {
+            digest,
+            stored_bytes,
+            bytes: stored_bytes,
+            packing: Packing::Plain,
+        };
         let held = self.held(&chunk);
         let verdict = {
             let state = &mut *self.state.borrow_mut();
@@ -119,7 +133,9 @@
             Verdict::Absent => return plain(StatusCode::NOT_FOUND),
             Verdict::Later(wait) => {
                 let mut response = plain(StatusCode::TOO_MANY_REQUESTS);
-                response.headers_mut().insert(RETRY_AFTER_MS, (wait / MILLI).into());
+                response
+                    .headers_mut()
+                    .insert(RETRY_AFTER_MS, (wait / MILLI).into());
                 return response;
             }
             Verdict::InLine | Verdict::FetchAndServe => Place(self.clone(), false),
@@ -140,7 +156,10 @@
             let opens = {
                 let state = &mut *self.state.borrow_mut();
                 let (risen, busy) = (state.risen, state.busy);
-                if state.serving.may_send(self.clock.now(), stored_bytes, risen, busy) {
+                if state
+                    .serving
+                    .may_send(self.clock.now(), stored_bytes, risen, busy)
+                {
                     break;
                 }
                 state.serving.opens()
@@ -155,6 +174,9 @@
         let slot = Slot(self.clone());
         self.state.borrow_mut().forget_unclaimed(&digest);
         let bytes = Bytes::from(Rc::unwrap_or_clone(bytes));
-        Response::new(Sending { bytes: Some(bytes), _slot: Some(slot) })
+        Response::new(Sending {
+            bytes: Some(bytes),
+            _slot: Some(slot),
+        })
     }
 }
--- a/crates/agent/tests/fleet.rs
+++ b/crates/agent/tests/fleet.rs
@@ -28,27 +28,53 @@
 }
 
 impl Fleet {
-    async fn up(network: Rc<dyn Network>, n: u32, cache_bytes: u64, any: fn(u32) -> Address) -> Self {
+    async fn up(
+        network: Rc<dyn Network>,
+        n: u32,
+        cache_bytes: u64,
+        any: fn(u32) -> Address,
+    ) -> Self {
         let registry = Registry::new(64, 5);
         let store = registry.open(&*network, &any(0)).await.unwrap();
         let folder = tempfile::tempdir().unwrap();
         let clock = Clock::start();
-        let mut fleet =
-            Self { network, clock, folder, registry, store, agents: vec![], peers: vec![], cache_bytes };
+        let mut fleet = Self {
+            network,
+            clock,
+            folder,
+            registry,
+            store,
+            agents: vec![],
+            peers: vec![],
+            cache_bytes,
+        };
         for me in 1..=n {
             let (agent, serving, address) = fleet.agent(me, &any(me)).await;
-            let member = Member { invoker: me, size: 1.0, risen: 1.0, ready: true };
+            let member = Member {
+                invoker: me,
+                size: 1.0,
+                risen: 1.0,
+                ready: true,
+            };
             fleet.peers.push(Peer { member, address });
             fleet.agents.push((agent, serving));
         }
-        fleet.agents.iter().for_each(|(a, _)| a.listed(&fleet.peers));
+        fleet
+            .agents
+            .iter()
+            .for_each(|(a, _)| a.listed(&fleet.peers));
         fleet
     }
 
     async fn agent(&self, me: u32, at: &Address) -> (Rc<Agent>, JoinHandle<()>, Address) {
         let folder = self.folder.path().join(me.to_string());
         let cache = Cache::open(&folder, self.cache_bytes, Rc::new(RealDisk)).unwrap();
-        let seat = Seat { me, seed: me.into(), store: self.store.clone(), serve_bytes_per_second: 200e6 };
+        let seat = Seat {
+            me,
+            seed: me.into(),
+            store: self.store.clone(),
+            serve_bytes_per_second: 200e6,
+        };
         let agent = Agent::new(seat, cache, self.network.clone(), self.clock);
         let (door, address) = self.network.listen(at).await.unwrap();
         (agent.clone(), spawn_local(agent.serve(door)), address)
@@ -62,7 +88,11 @@
             .iter()
             .map(|(a, _)| {
                 let a = a.clone();
-                spawn_local(async move { a.load("voices/kinyarwanda", reference).await.map(|l| whole(&l)) })
+                spawn_local(async move {
+                    a.load("voices/kinyarwanda", reference)
+                        .await
+                        .map(|l| whole(&l))
+                })
             })
             .collect();
         for load in loads {
@@ -77,14 +107,21 @@
     }
 
     fn damaged(&self) -> u64 {
-        self.agents.iter().map(|(a, _)| a.counts.damaged.get()).sum()
+        self.agents
+            .iter()
+            .map(|(a, _)| a.counts.damaged.get())
+            .sum()
     }
 }
 
 /// Puts it together and gives its digest, so that nothing but the right bytes passes.
 fn whole(loaded: &saltdrum_agent::Loaded) -> saltdrum_layers::Digest {
-    let bytes: Vec<u8> =
-        loaded.manifest.chunks.iter().flat_map(|c| loaded.read(c).expect("it is here")).collect();
+    let bytes: Vec<u8> = loaded
+        .manifest
+        .chunks
+        .iter()
+        .flat_map(|c| loaded.read(c).expect("it is here"))
+        .collect();
     saltdrum_layers::Digest::of(&bytes)
 }
 
@@ -93,8 +130,11 @@
 }
 
 fn virtually(play: impl Future<Output = ()>) {
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_time()
+        .start_paused(true)
+        .build()
+        .unwrap();
     LocalSet::new().block_on(&runtime, play);
 }
 
@@ -108,19 +148,32 @@
 fn twelve_that_want_one_model_ask_the_store_about_once_a_chunk() {
     virtually(async {
         let f = fleet(12, 1 << 30).await;
-        let manifest = f.registry.push("voices/kinyarwanda", "current", &model(1, MODEL)).unwrap();
+        let manifest = f
+            .registry
+            .push("voices/kinyarwanda", "current", &model(1, MODEL))
+            .unwrap();
         f.herd("current").await;
         assert!(f.requests_a_chunk() <= 1.2, "{}", f.requests_a_chunk());
         let alone = 12 * manifest.stored_bytes();
-        assert!(f.registry.bytes_sent.get() * 10 < alone, "{} of {alone}", f.registry.bytes_sent.get());
+        assert!(
+            f.registry.bytes_sent.get() * 10 < alone,
+            "{} of {alone}",
+            f.registry.bytes_sent.get()
+        );
         // A second version that shares most.
         let mut second = model(1, MODEL);
         second.splice(5_000_000..5_010_000, model(2, 20_000));
-        f.registry.push("voices/kinyarwanda", "next", &second).unwrap();
+        f.registry
+            .push("voices/kinyarwanda", "next", &second)
+            .unwrap();
         let before = f.registry.bytes_sent.get();
         f.herd("next").await;
         let fetched = f.registry.bytes_sent.get() - before;
-        assert!(fetched * 5 < manifest.stored_bytes(), "{fetched} of {}", manifest.stored_bytes());
+        assert!(
+            fetched * 5 < manifest.stored_bytes(),
+            "{fetched} of {}",
+            manifest.stored_bytes()
+        );
     });
 }
 
@@ -128,13 +181,18 @@
 fn a_store_that_refuses_cuts_stalls_and_lies_stops_nobody() {
     virtually(async {
         let f = fleet(8, 1 << 30).await;
-        f.registry.push("voices/kinyarwanda", "current", &model(3, MODEL)).unwrap();
+        f.registry
+            .push("voices/kinyarwanda", "current", &model(3, MODEL))
+            .unwrap();
         {
             let faults = &mut *f.registry.faults.borrow_mut();
             (faults.refuses, faults.cuts, faults.stalls, faults.lies) = (0.4, 0.1, 0.05, 0.1);
         }
         let took = f.herd("current").await;
-        assert!(f.registry.refused.get() > 3 && took < Duration::from_secs(60), "{took:?}");
+        assert!(
+            f.registry.refused.get() > 3 && took < Duration::from_secs(60),
+            "{took:?}"
+        );
     });
 }
 
@@ -143,10 +201,15 @@
 fn a_store_that_trickles_holds_nobody_for_long() {
     virtually(async {
         let f = fleet(5, 1 << 30).await;
-        f.registry.push("voices/kinyarwanda", "current", &model(8, MODEL)).unwrap();
+        f.registry
+            .push("voices/kinyarwanda", "current", &model(8, MODEL))
+            .unwrap();
         f.registry.faults.borrow_mut().trickles = 0.3;
         let took = f.herd("current").await;
-        assert!(took > Duration::from_secs(9) && took < Duration::from_secs(60), "{took:?}");
+        assert!(
+            took > Duration::from_secs(9) && took < Duration::from_secs(60),
+            "{took:?}"
+        );
     });
 }
 
@@ -155,19 +218,35 @@
     virtually(async {
         let f = fleet(6, 1 << 30).await;
         let bytes = model(4, MODEL);
-        let manifest = f.registry.push("voices/kinyarwanda", "current", &bytes).unwrap();
+        let manifest = f
+            .registry
+            .push("voices/kinyarwanda", "current", &bytes)
+            .unwrap();
         let bad = manifest.chunks[2].digest;
         f.registry.faults.borrow_mut().damaged.insert(bad);
         let (a, _) = &f.agents[0];
-        let given_up =
-            tokio::time::timeout(Duration::from_secs(8), a.load("voices/kinyarwanda", "current")).await;
-        let told = given_up.expect("it is told within seconds").err().expect("it can't be had");
-        assert!(matches!(&told, saltdrum_agent::Fault::Corrupt { chunk, .. } if *chunk == bad), "{told}");
+        let given_up = tokio::time::timeout(
+            Duration::from_secs(8),
+            a.load("voices/kinyarwanda", "current"),
+        )
+        .await;
+        let told = given_up
+            .expect("it is told within seconds")
+            .err()
+            .expect("it can't be had");
+        assert!(
+            matches!(&told, saltdrum_agent::Fault::Corrupt { chunk, .. } if *chunk == bad),
+            "{told}"
+        );
         assert!(f.damaged() >= 1 && f.agents.iter().all(|(a, _)| !a.cache.holds(&bad)));
         f.registry.faults.borrow_mut().damaged.clear();
         f.herd("current").await;
         // On disk, at one who then is asked to load again.
-        let path = f.folder.path().join("1/chunks").join(manifest.chunks[0].digest.hex());
+        let path = f
+            .folder
+            .path()
+            .join("1/chunks")
+            .join(manifest.chunks[0].digest.hex());
         let mut bent = std::fs::read(&path).unwrap();
         bent[9] ^= 1;
         std::fs::write(&path, bent).unwrap();
@@ -181,12 +260,18 @@
 fn homes_that_die_in_mid_transfer_are_gone_round_and_come_back_with_what_they_had() {
     virtually(async {
         let mut f = fleet(9, 1 << 30).await;
-        f.registry.push("voices/kinyarwanda", "current", &model(5, MODEL)).unwrap();
+        f.registry
+            .push("voices/kinyarwanda", "current", &model(5, MODEL))
+            .unwrap();
         let loads: Vec<_> = f.agents[3..]
             .iter()
             .map(|(a, _)| {
                 let a = a.clone();
-                spawn_local(async move { a.load("voices/kinyarwanda", "current").await.map(|l| whole(&l)) })
+                spawn_local(async move {
+                    a.load("voices/kinyarwanda", "current")
+                        .await
+                        .map(|l| whole(&l))
+                })
             })
             .collect();
         tokio::time::sleep(Duration::from_millis(60)).await;
@@ -206,7 +291,10 @@
         let before = f.registry.bytes_sent.get();
         f.herd("current").await;
         let refetched = f.registry.bytes_sent.get() - before;
-        assert!(refetched * 20 < MODEL as u64 * 3, "{refetched} bytes from the store again");
+        assert!(
+            refetched * 20 < MODEL as u64 * 3,
+            "{refetched} bytes from the store again"
+        );
     });
 }
 
@@ -215,7 +303,9 @@
     virtually(async {
         let f = fleet(3, 2 << 20).await;
         let bytes = model(6, MODEL);
-        f.registry.push("voices/kinyarwanda", "current", &bytes).unwrap();
+        f.registry
+            .push("voices/kinyarwanda", "current", &bytes)
+            .unwrap();
         let (a, _) = &f.agents[0];
         let loaded = a.load("voices/kinyarwanda", "current").await.unwrap();
         assert_eq!(whole(&loaded), saltdrum_layers::Digest::of(&bytes));
@@ -231,23 +321,51 @@
         let f = fleet(1, 1 << 30).await;
         let (a, _) = &f.agents[0];
         let fault = a.load("voices/none", "current").await.err().unwrap();
-        assert_eq!(fault, Fault::Unknown { model: "voices/none:current".into() });
-        f.registry.push_manifest("voices/kinyarwanda", "bent", b"{\"schemaVersion\":2}".to_vec());
-        let fault = a.load("voices/kinyarwanda", "bent").await.err().unwrap().to_string();
-        assert!(fault.starts_with("model voices/kinyarwanda:bent: manifest: missing field"), "{fault}");
-        f.registry.push_manifest("voices/kinyarwanda", "huge", vec![b'7'; 5 << 20]);
-        let fault = a.load("voices/kinyarwanda", "huge").await.err().unwrap().to_string();
+        assert_eq!(
+            fault,
+            Fault::Unknown {
+                model: "voices/none:current".into()
+            }
+        );
+        f.registry.push_manifest(
+            "voices/kinyarwanda",
+            "bent",
+            b"{\"schemaVersion\":2}".to_vec(),
+        );
+        let fault = a
+            .load("voices/kinyarwanda", "bent")
+            .await
+            .err()
+            .unwrap()
+            .to_string();
+        assert!(
+            fault.starts_with("model voices/kinyarwanda:bent: manifest: missing field"),
+            "{fault}"
+        );
+        f.registry
+            .push_manifest("voices/kinyarwanda", "huge", vec![b'7'; 5 << 20]);
+        let fault = a
+            .load("voices/kinyarwanda", "huge")
+            .await
+            .err()
+            .unwrap()
+            .to_string();
         assert!(fault.contains("a body of more than the stated"), "{fault}");
     });
 }
 
 #[test]
 fn a_fleet_on_sockets() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     LocalSet::new().block_on(&runtime, async {
         let any = |_| Address::Tcp("127.0.0.1:0".into());
         let f = Fleet::up(Rc::new(Sockets), 6, 1 << 30, any).await;
-        f.registry.push("voices/kinyarwanda", "current", &model(7, 4 << 20)).unwrap();
+        f.registry
+            .push("voices/kinyarwanda", "current", &model(7, 4 << 20))
+            .unwrap();
         f.herd("current").await;
         assert!(f.requests_a_chunk() < 2.0, "{}", f.requests_a_chunk());
     });
--- a/crates/cli/src/collection.rs
+++ b/crates/cli/src/collection.rs
@@ -48,8 +48,16 @@
 
     fn stewards(&self, fleet: &str) -> Result<Vec<Caller>, String> {
         let caller = |at: &String| Ok(Caller::new(Rc::new(Sockets), at.parse::<Address>()?, fleet));
-        let callers = self.stewards.iter().map(caller).collect::<Result<Vec<_>, String>>()?;
-        if callers.is_empty() { Err("--steward: at least one is expected".into()) } else { Ok(callers) }
+        let callers = self
+            .stewards
+            .iter()
+            .map(caller)
+            .collect::<Result<Vec<_>, String>>()?;
+        if callers.is_empty() {
+            Err("--steward: at least one is expected".into())
+        } else {
+            Ok(callers)
+        }
     }
 }
 
@@ -62,12 +70,17 @@
         (Some(tasks), Some(fleet)) => {
             let (incarnation, stewards) = (fastrand::u64(1..1 << 48), said.stewards(fleet)?);
             let listen: Address = tasks.parse()?;
-            Some((CollectionResource::new(fleet, incarnation, stewards, registry.clone()), listen))
+            Some((
+                CollectionResource::new(fleet, incarnation, stewards, registry.clone()),
+                listen,
+            ))
         }
         _ => None,
     };
     Ok(async move {
-        let Some((resource, listen)) = resource else { return std::future::pending().await };
+        let Some((resource, listen)) = resource else {
+            return std::future::pending().await;
+        };
         let served = server::serve(resource, Rc::new(Sockets), &listen, Clock::start()).await;
         served.map_err(|e| format!("{listen}: {e}"))
     })
@@ -90,23 +103,35 @@
 impl Collects {
     /// The fleet-wide tasks that this controller offers.
     pub fn tasks(&self) -> BTreeSet<String> {
-        self.collect_registry.iter().map(|_| TASK.to_owned()).collect()
+        self.collect_registry
+            .iter()
+            .map(|_| TASK.to_owned())
+            .collect()
     }
 
     pub fn holder(&self, with: Option<&Membership>) -> Result<Option<Holder>, String> {
         match (&self.collect_registry, with) {
-            (Some(at), Some(with)) => {
-                Ok(Some(holder_of(with, BTreeMap::from([(RESOURCE.to_owned(), at.parse()?)]))))
-            }
+            (Some(at), Some(with)) => Ok(Some(holder_of(
+                with,
+                BTreeMap::from([(RESOURCE.to_owned(), at.parse()?)]),
+            ))),
             _ => Ok(None),
         }
     }
 
     /// Collects whenever the lease is held; never ends.
     pub async fn run(&self, holder: Option<Holder>) {
-        let Some(holder) = holder else { return std::future::pending().await };
+        let Some(holder) = holder else {
+            return std::future::pending().await;
+        };
         let (every, grace_ms) = (self.collect_every_s * SECOND, self.collect_grace_s * 1_000);
-        holder.run(&Collection { clock: holder.clock, every, grace_ms }).await;
+        holder
+            .run(&Collection {
+                clock: holder.clock,
+                every,
+                grace_ms,
+            })
+            .await;
     }
 }
 
@@ -122,13 +147,22 @@
     }
 
     async fn step(&self, effects: &Effects<'_>) -> Result<(), EffectFault> {
-        let what = CollectBlobs { grace_ms: self.grace_ms };
+        let what = CollectBlobs {
+            grace_ms: self.grace_ms,
+        };
         let done: Collected = effects.make(RESOURCE, "collect", what).await?;
-        tracing::info!(gone = done.gone, bytes = done.bytes, epoch = effects.epoch(), "collected");
+        tracing::info!(
+            gone = done.gone,
+            bytes = done.bytes,
+            epoch = effects.epoch(),
+            "collected"
+        );
         // A lease that is lost meanwhile is noticed before the next collection.
         let next = self.clock.now() + self.every;
         while self.clock.now() < next && effects.is_held() {
-            self.clock.sleep_until(next.min(self.clock.now() + QUIET_AFTER)).await;
+            self.clock
+                .sleep_until(next.min(self.clock.now() + QUIET_AFTER))
+                .await;
         }
         Ok(())
     }
@@ -147,12 +181,31 @@
     let registry = Caller::new(Rc::new(Sockets), tasks.parse()?, fleet);
     on_this_thread(async {
         let (lease, epoch) = paused_epoch(&said.stewards(fleet)?).await?;
-        let asked = Seal { lease: lease.clone(), epoch };
-        let sealed: Sealed = registry.call("seal", &asked, PATIENCE).await.map_err(|e| e.to_string())?;
-        let token = Token { lease, epoch, incarnation: sealed.incarnation };
-        let what = CollectBlobs { grace_ms: grace_s * 1_000 };
-        let effect = Effect { token, by: "operator".to_owned(), what };
-        let done: Collected = registry.call("collect", &effect, PATIENCE).await.map_err(|e| e.to_string())?;
+        let asked = Seal {
+            lease: lease.clone(),
+            epoch,
+        };
+        let sealed: Sealed = registry
+            .call("seal", &asked, PATIENCE)
+            .await
+            .map_err(|e| e.to_string())?;
+        let token = Token {
+            lease,
+            epoch,
+            incarnation: sealed.incarnation,
+        };
+        let what = CollectBlobs {
+            grace_ms: grace_s * 1_000,
+        };
+        let effect = Effect {
+            token,
+            by: "operator".to_owned(),
+            what,
+        };
+        let done: Collected = registry
+            .call("collect", &effect, PATIENCE)
+            .await
+            .map_err(|e| e.to_string())?;
         println!("{} blobs gone, {} bytes", done.gone, done.bytes);
         Ok(0)
     })?
@@ -170,16 +223,19 @@
             }
         };
         let fleet = status.fleet.ok_or("nothing is known of the fleet yet")?;
-        let lease = fleet.leases.iter().find(|(_, lease)| lease.terms.task == TASK);
+        let lease = fleet
+            .leases
+            .iter()
+            .find(|(_, lease)| lease.terms.task == TASK);
         let (name, lease) = lease.ok_or(format!("the fleet has no lease of the task '{TASK}'"))?;
         return match &lease.state {
             LeaseState::Paused { epoch, .. } => Ok((name.clone(), *epoch)),
-            LeaseState::Held { holder, .. } => {
-                Err(format!("{holder} holds the lease '{name}': pause it first, with fleet lease pause"))
-            }
-            LeaseState::Vacant => {
-                Err(format!("the lease '{name}' is vacant: pause it first, with fleet lease pause"))
-            }
+            LeaseState::Held { holder, .. } => Err(format!(
+                "{holder} holds the lease '{name}': pause it first, with fleet lease pause"
+            )),
+            LeaseState::Vacant => Err(format!(
+                "the lease '{name}' is vacant: pause it first, with fleet lease pause"
+            )),
         };
     }
     Err(last)
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,7 +1,9 @@
 //! `saltdrum steward`, `saltdrum fleet`, and how controllers and invokers take part in a fleet.
 
 use crate::leases::{self, LeaseCommand};
-use crate::process::{monotonic_ns, on_this_thread, open_on_disk, until_interrupted, writes_may_fail};
+use crate::process::{
+    monotonic_ns, on_this_thread, open_on_disk, until_interrupted, writes_may_fail,
+};
 use crate::scripts::stated_fleet;
 use clap::{Args, Subcommand};
 use comfy_table::{Table, presets};
@@ -60,10 +62,20 @@
         if self.stewards.is_empty() {
             return Ok(None);
         }
-        let terms = terms.ok_or("--steward: the script states no fleet(...)")?.clone();
-        let stewards = self.stewards.iter().map(|s| s.parse()).collect::<Result<_, String>>()?;
+        let terms = terms
+            .ok_or("--steward: the script states no fleet(...)")?
+            .clone();
+        let stewards = self
+            .stewards
+            .iter()
+            .map(|s| s.parse())
+            .collect::<Result<_, String>>()?;
         let reached_at = self.reached_at.as_ref().map(|a| a.parse()).transpose()?;
-        Ok(Some(Joined { stewards, reached_at, terms }))
+        Ok(Some(Joined {
+            stewards,
+            reached_at,
+            terms,
+        }))
     }
 }
 
@@ -86,7 +98,10 @@
         }
     }
 
-    #[expect(clippy::too_many_arguments, reason = "they are what the fleet is told of a controller")]
+    #[expect(
+        clippy::too_many_arguments,
+        reason = "they are what the fleet is told of a controller"
+    )]
     pub fn controller(
         &self,
         number: u32,
@@ -100,7 +115,11 @@
         let member = MemberId::controller(number);
         let about = About {
             incarnation,
-            site: terms.zones.get(usize::from(zone)).cloned().unwrap_or_default(),
+            site: terms
+                .zones
+                .get(usize::from(zone))
+                .cloned()
+                .unwrap_or_default(),
             cell: 0,
             size: 1.0,
             memory_mb: 0.0,
@@ -116,7 +135,13 @@
             going: going.clone(),
             // Clients on their way hear of it before anything is throttled.
             lead: 2 * terms.deployment.drain_grace,
-            longest: terms.deployment.trigger_types.iter().map(|t| t.client_timeout).max().unwrap_or(0),
+            longest: terms
+                .deployment
+                .trigger_types
+                .iter()
+                .map(|t| t.client_timeout)
+                .max()
+                .unwrap_or(0),
             closes: Rc::default(),
             closed: Rc::default(),
         };
@@ -133,12 +158,20 @@
         let member = MemberId::invoker(entry.invoker);
         let about = About {
             incarnation: entry.incarnation,
-            site: site.terms.zones.get(usize::from(entry.zone)).cloned().unwrap_or_default(),
+            site: site
+                .terms
+                .zones
+                .get(usize::from(entry.zone))
+                .cloned()
+                .unwrap_or_default(),
             cell: entry.cell,
             size: f64::from(entry.size),
             memory_mb: site.terms.kinds[site.stated.kind].memory.0,
             version: env!("CARGO_PKG_VERSION").into(),
-            address: self.reached_at.as_ref().map_or(entry.address, ToString::to_string),
+            address: self
+                .reached_at
+                .as_ref()
+                .map_or(entry.address, ToString::to_string),
             machine: entry.kind,
             zone: entry.zone,
             tasks,
@@ -174,7 +207,10 @@
     }
 
     fn seen(&self) -> Seen {
-        Seen { busy: self.going.look().in_flight as f64 / 1_000.0, last_copies: 0 }
+        Seen {
+            busy: self.going.look().in_flight as f64 / 1_000.0,
+            last_copies: 0,
+        }
     }
 
     fn drain(&self) {
@@ -195,7 +231,9 @@
         let look = self.going.look();
         let longest = Duration::from_micros(self.longest * 100);
         let given_up = self.closed.get().is_some_and(|at| at.elapsed() > longest);
-        self.going.step() == Step::Closed && look.in_flight == 0 && (look.unsent_bytes == 0 || given_up)
+        self.going.step() == Step::Closed
+            && look.in_flight == 0
+            && (look.unsent_bytes == 0 || given_up)
     }
 
     fn turn_back(&self) -> bool {
@@ -225,7 +263,10 @@
 
     fn seen(&self) -> Seen {
         let size = f64::from(self.invoker.entry(Life::Ready).size).max(1.0);
-        Seen { busy: self.invoker.in_hand() as f64 / size, last_copies: 0 }
+        Seen {
+            busy: self.invoker.in_hand() as f64 / size,
+            last_copies: 0,
+        }
     }
 
     fn drain(&self) {
@@ -249,7 +290,9 @@
 
 /// Takes part until it is over; for ever where there is no fleet.
 pub async fn stays_member(part: Option<(Membership, Rc<dyn MemberRole>)>) -> Result<(), String> {
-    let Some((with, part)) = part else { return std::future::pending().await };
+    let Some((with, part)) = part else {
+        return std::future::pending().await;
+    };
     let member = with.member;
     match join(with, Rc::new(Sockets), Clock::start(), part).await {
         Ended::Drained => Ok(()),
@@ -285,8 +328,12 @@
 fn numbered(all: &[String]) -> Result<BTreeMap<u32, String>, String> {
     let mut found = BTreeMap::new();
     for said in all {
-        let (number, at) = said.split_once('=').ok_or(format!("'{said}': NUMBER=ADDRESS is expected"))?;
-        let number = number.parse().map_err(|_| format!("'{said}': a number is expected before '='"))?;
+        let (number, at) = said
+            .split_once('=')
+            .ok_or(format!("'{said}': NUMBER=ADDRESS is expected"))?;
+        let number = number
+            .parse()
+            .map_err(|_| format!("'{said}': a number is expected before '='"))?;
         at.parse::<Address>()?;
         if found.insert(number, at.to_owned()).is_some() {
             return Err(format!("steward {number} is given twice"));
@@ -301,17 +348,42 @@
     if runs.gives_leases_away {
         return faulty_steward(runs, &terms.name, &stewards);
     }
-    let founders: BTreeSet<Voter> = stewards.keys().map(|n| Voter { steward: *n, disk: 0 }).collect();
+    let founders: BTreeSet<Voter> = stewards
+        .keys()
+        .map(|n| Voter {
+            steward: *n,
+            disk: 0,
+        })
+        .collect();
     let config = Config::founding(founders).map_err(|e| format!("--steward: {e}"))?;
-    let mut founding =
-        agreed::Fleet::founded(&terms.name, config, stewards, terms.bounds.clone(), terms.halt_at_lost);
+    let mut founding = agreed::Fleet::founded(
+        &terms.name,
+        config,
+        stewards,
+        terms.bounds.clone(),
+        terms.halt_at_lost,
+    );
     if !terms.leases.is_empty() {
-        let state = Change::Leases { leases: terms.leases.clone(), by: "the script".into() };
+        let state = Change::Leases {
+            leases: terms.leases.clone(),
+            by: "the script".into(),
+        };
         founding.apply(&state).map_err(|e| e.to_string())?;
     }
-    let disk = if runs.found { 0 } else { fastrand::u64(1..1 << 48) };
-    let voter = Voter { steward: runs.number, disk };
-    let new = Identity { schema: SCHEMA, fleet: terms.name.clone(), voter };
+    let disk = if runs.found {
+        0
+    } else {
+        fastrand::u64(1..1 << 48)
+    };
+    let voter = Voter {
+        steward: runs.number,
+        disk,
+    };
+    let new = Identity {
+        schema: SCHEMA,
+        fleet: terms.name.clone(),
+        voter,
+    };
     let seat = CoordinatorConfig {
         number: runs.number,
         life: fastrand::u64(1..1 << 48),
@@ -337,7 +409,10 @@
     let honest = stewards.iter().find(|(number, _)| **number != runs.number);
     let (_, honest) = honest.ok_or("an honest steward is expected beside it")?;
     let honest = Caller::new(Rc::new(Sockets), honest.parse()?, fleet);
-    let faulty = Rc::new(FaultySteward { fleet: fleet.to_owned(), honest });
+    let faulty = Rc::new(FaultySteward {
+        fleet: fleet.to_owned(),
+        honest,
+    });
     let listen: Address = runs.listen.parse()?;
     on_this_thread(async {
         tokio::select! {
@@ -493,7 +568,10 @@
                 Err(Fault::Told { code, message }) if code == saltdrum_steward::wire::REFUSED => {
                     return Err(message);
                 }
-                Err(Fault::Told { code: UNSETTLED, message }) => last = message,
+                Err(Fault::Told {
+                    code: UNSETTLED,
+                    message,
+                }) => last = message,
                 Err(why) => last = why.to_string(),
             }
         }
@@ -516,14 +594,19 @@
 /// A table without borders, with these titles.
 pub fn table(head: &[&str]) -> Table {
     let mut table = Table::new();
-    table.load_preset(presets::NOTHING).set_header(head.iter().copied());
+    table
+        .load_preset(presets::NOTHING)
+        .set_header(head.iter().copied());
     table
 }
 
 fn print_status(s: &Status) {
     let votes = if s.votes { "votes" } else { "does not vote" };
     let Some(fleet) = &s.fleet else {
-        println!("steward {} {votes}, and knows nothing of the fleet yet", s.steward);
+        println!(
+            "steward {} {votes}, and knows nothing of the fleet yet",
+            s.steward
+        );
         return;
     };
     println!(
@@ -532,14 +615,22 @@
     );
     let mut counts: BTreeMap<(String, &str), usize> = BTreeMap::new();
     for (id, m) in &fleet.members {
-        let kind = id.to_string().split('-').next().unwrap_or_default().to_owned();
+        let kind = id
+            .to_string()
+            .split('-')
+            .next()
+            .unwrap_or_default()
+            .to_owned();
         *counts.entry((kind, m.phase.word())).or_default() += 1;
     }
     for ((kind, phase), n) in counts {
         println!("  {n} {kind}s {phase}");
     }
     if let Some(h) = &fleet.halt {
-        println!("HALTED at revision {} by {}: {}; ends by {}", h.revision, h.by, h.why, h.ends);
+        println!(
+            "HALTED at revision {} by {}: {}; ends by {}",
+            h.revision, h.by, h.why, h.ends
+        );
     }
     let out: Vec<_> = fleet.out().collect();
     if !out.is_empty() {
@@ -558,7 +649,12 @@
         println!("{t}");
     }
     for (id, a) in &fleet.asks {
-        let n = [a.waiting.len(), a.under_way.len(), a.finished.len(), a.withdrawn.len()];
+        let n = [
+            a.waiting.len(),
+            a.under_way.len(),
+            a.finished.len(),
+            a.withdrawn.len(),
+        ];
         println!(
             "ask '{id}' by {}: {} waiting, {} under way, {} finished, {} withdrawn",
             a.by, n[0], n[1], n[2], n[3]
@@ -578,17 +674,22 @@
             && let Some(ask) = fleet.asks.get(id)
         {
             let n = ask.waiting.len() + ask.under_way.len();
-            let away = ask
-                .under_way
-                .iter()
-                .filter(|m| fleet.members.get(m).is_some_and(|m| matches!(m.phase, Phase::Away { .. })));
+            let away = ask.under_way.iter().filter(|m| {
+                fleet
+                    .members
+                    .get(m)
+                    .is_some_and(|m| matches!(m.phase, Phase::Away { .. }))
+            });
             let now = format!(
                 "{} finished, {} under way ({} away), {} waiting{}",
                 ask.finished.len(),
                 ask.under_way.len(),
                 away.count(),
                 ask.waiting.len(),
-                s.waits_for.as_ref().filter(|_| n > 0).map_or(String::new(), |w| format!("; {w}")),
+                s.waits_for
+                    .as_ref()
+                    .filter(|_| n > 0)
+                    .map_or(String::new(), |w| format!("; {w}")),
             );
             if now != last {
                 println!("{now}");
@@ -615,7 +716,11 @@
                 Ok(0)
             }
             Fleet::History { to, json } => {
-                let fleet = to.status().await?.fleet.ok_or("nothing is known of the fleet yet")?;
+                let fleet = to
+                    .status()
+                    .await?
+                    .fleet
+                    .ok_or("nothing is known of the fleet yet")?;
                 for event in &fleet.history {
                     match json {
                         true => println!("{}", json!(event)),
@@ -624,14 +729,35 @@
                 }
                 Ok(0)
             }
-            Fleet::Leases { to, json, resources } => leases::show(to, *json, resources).await,
+            Fleet::Leases {
+                to,
+                json,
+                resources,
+            } => leases::show(to, *json, resources).await,
             Fleet::Lease { by, what } => by.to.change(what.change(&by.by)?).await,
-            Fleet::Drain { by, members, dry_run: true, .. } => {
-                let batches: Vec<Batch> = by.to.ask("dry_run", &DryRun { members: members.clone() }).await?;
+            Fleet::Drain {
+                by,
+                members,
+                dry_run: true,
+                ..
+            } => {
+                let batches: Vec<Batch> = by
+                    .to
+                    .ask(
+                        "dry_run",
+                        &DryRun {
+                            members: members.clone(),
+                        },
+                    )
+                    .await?;
                 let mut t = table(&["step", "out together", "what limits it"]);
                 for (n, b) in batches.iter().enumerate() {
                     let go: Vec<String> = b.go.iter().map(ToString::to_string).collect();
-                    t.add_row([(n + 1).to_string(), go.join(" "), b.limit.clone().unwrap_or_default()]);
+                    t.add_row([
+                        (n + 1).to_string(),
+                        go.join(" "),
+                        b.limit.clone().unwrap_or_default(),
+                    ]);
                 }
                 println!(
                     "{t}\n{} steps: at best that many times one member's drain and return",
@@ -639,25 +765,60 @@
                 );
                 Ok(0)
             }
-            Fleet::Drain { by, id, members, wait, .. } => {
-                let ask = Change::Ask { id: id.clone(), members: members.clone(), by: by.by.clone() };
+            Fleet::Drain {
+                by,
+                id,
+                members,
+                wait,
+                ..
+            } => {
+                let ask = Change::Ask {
+                    id: id.clone(),
+                    members: members.clone(),
+                    by: by.by.clone(),
+                };
                 by.to.change(ask).await?;
-                if *wait { wait_for(&by.to, id).await } else { Ok(0) }
+                if *wait {
+                    wait_for(&by.to, id).await
+                } else {
+                    Ok(0)
+                }
             }
             Fleet::Back { by, members } => {
-                by.to.change(Change::Withdraw { members: members.clone(), by: by.by.clone() }).await
+                by.to
+                    .change(Change::Withdraw {
+                        members: members.clone(),
+                        by: by.by.clone(),
+                    })
+                    .await
             }
             Fleet::Halt { by, why } => {
                 let ends = "an operator's resume".to_owned();
-                by.to.change(Change::Halt { by: by.by.clone(), why: why.clone(), ends }).await
+                by.to
+                    .change(Change::Halt {
+                        by: by.by.clone(),
+                        why: why.clone(),
+                        ends,
+                    })
+                    .await
             }
             Fleet::Resume { by } => by.to.change(Change::Resume { by: by.by.clone() }).await,
             Fleet::Forget { by, member } => {
-                by.to.change(Change::Forget { member: *member, by: by.by.clone() }).await
+                by.to
+                    .change(Change::Forget {
+                        member: *member,
+                        by: by.by.clone(),
+                    })
+                    .await
             }
             Fleet::Bounds { by, deployment } => {
                 let bounds: Vec<Bound> = stated_fleet(deployment)?.bounds;
-                by.to.change(Change::Bounds { bounds, by: by.by.clone() }).await
+                by.to
+                    .change(Change::Bounds {
+                        bounds,
+                        by: by.by.clone(),
+                    })
+                    .await
             }
             Fleet::Stewards { by, voters } => {
                 let (mut all, mut at) = (BTreeSet::new(), BTreeMap::new());
@@ -666,7 +827,13 @@
                     all.insert(voter);
                     at.insert(voter.steward, address);
                 }
-                by.to.change(Change::Stewards { voters: all, at, by: by.by.clone() }).await
+                by.to
+                    .change(Change::Stewards {
+                        voters: all,
+                        at,
+                        by: by.by.clone(),
+                    })
+                    .await
             }
         }
     })?
@@ -675,7 +842,10 @@
 fn voter(said: &str) -> Result<(Voter, String), String> {
     let fault = || format!("'{said}': steward-N/DISK=ADDRESS is expected");
     let (voter, at) = said.split_once('=').ok_or_else(fault)?;
-    let (number, disk) = voter.strip_prefix("steward-").and_then(|v| v.split_once('/')).ok_or_else(fault)?;
+    let (number, disk) = voter
+        .strip_prefix("steward-")
+        .and_then(|v| v.split_once('/'))
+        .ok_or_else(fault)?;
     let steward = number.parse().map_err(|_| fault())?;
     let disk = u64::from_str_radix(disk, 16).map_err(|_| fault())?;
     at.parse::<Address>()?;
--- a/crates/cli/src/key_file.rs
+++ b/crates/cli/src/key_file.rs
@@ -10,21 +10,31 @@
 
 /// An error where there is something at this path already.
 pub fn is_free(path: &Path) -> io::Result<()> {
-    if path.exists() { Err(io::ErrorKind::AlreadyExists.into()) } else { Ok(()) }
+    if path.exists() {
+        Err(io::ErrorKind::AlreadyExists.into())
+    } else {
+        Ok(())
+    }
 }
 
 /// Writes the key beside its place, and brings it to disk.
 pub fn write_unfinished(path: &Path, key: &str) -> io::Result<()> {
     let unfinished = file::unfinished(path);
     file::remove_if_there(&unfinished)?;
-    let mut file = OpenOptions::new().write(true).create_new(true).mode(OWNER_ALONE).open(unfinished)?;
+    let mut file = OpenOptions::new()
+        .write(true)
+        .create_new(true)
+        .mode(OWNER_ALONE)
+        .open(unfinished)?;
     file.write_all(format!("{key}\n").as_bytes())?;
     file.sync_all()
 }
 
 /// The key that was written beside its place.
 pub fn read_unfinished(path: &Path) -> io::Result<String> {
-    Ok(fs::read_to_string(file::unfinished(path))?.trim().to_owned())
+    Ok(fs::read_to_string(file::unfinished(path))?
+        .trim()
+        .to_owned())
 }
 
 /// Puts what was written beside its place there.
--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -62,41 +62,70 @@
 }
 
 fn jobs(said: Option<usize>) -> usize {
-    said.or_else(|| std::thread::available_parallelism().ok().map(usize::from)).unwrap_or(1)
+    said.or_else(|| std::thread::available_parallelism().ok().map(usize::from))
+        .unwrap_or(1)
 }
 
 /// 0: done. 1: a run failed, or a day was found that does. 2: bad input.
 pub fn run(what: &Lab) -> Result<u8, String> {
     match what {
-        Lab::Run { experiment, out, jobs: n } => {
-            let text =
-                fs::read_to_string(experiment).map_err(|e| format!("{}: {e}", experiment.display()))?;
+        Lab::Run {
+            experiment,
+            out,
+            jobs: n,
+        } => {
+            let text = fs::read_to_string(experiment)
+                .map_err(|e| format!("{}: {e}", experiment.display()))?;
             let x = Experiment::load(experiment, &text).map_err(|e| e.to_string())?;
             let began = Instant::now();
-            let sitting = run::run(&x, out, jobs(*n), |over, all, name| eprintln!("{over}/{all} {name}"))?;
+            let sitting = run::run(&x, out, jobs(*n), |over, all, name| {
+                eprintln!("{over}/{all} {name}")
+            })?;
             let seconds = began.elapsed().as_secs_f64();
             let (played, found, digest) = (sitting.played, sitting.found, &sitting.digest);
-            println!("{played} runs played in {seconds:.1} s, {found} were there; results {digest}");
+            println!(
+                "{played} runs played in {seconds:.1} s, {found} were there; results {digest}"
+            );
             sitting.failed.iter().for_each(|f| println!("FAILED {f}"));
             Ok(u8::from(!sitting.failed.is_empty()))
         }
-        Lab::Report { results, html, json } => {
+        Lab::Report {
+            results,
+            html,
+            json,
+        } => {
             let report = report::of(results)?;
             if let Some(path) = html {
                 fs::write(path, report.html()?).map_err(|e| format!("{}: {e}", path.display()))?;
             }
             if *json {
-                println!("{}", serde_json::to_string_pretty(&report).map_err(|e| e.to_string())?);
+                println!(
+                    "{}",
+                    serde_json::to_string_pretty(&report).map_err(|e| e.to_string())?
+                );
             } else {
                 print!("{}", report.text());
             }
             Ok(0)
         }
-        Lab::Hunt { day, days, seed, cuts, least_value, rule, jobs: n, out, plant } => {
+        Lab::Hunt {
+            day,
+            days,
+            seed,
+            cuts,
+            least_value,
+            rule,
+            jobs: n,
+            out,
+            plant,
+        } => {
             let (script, _) = crate::run::day(day)?;
             let base = Script::read(day, &script).map_err(|e| e.to_string())?;
             let cover = planted(plant.as_deref())?;
-            let bounds = Bounds { least_value: *least_value, only_rule: *rule };
+            let bounds = Bounds {
+                least_value: *least_value,
+                only_rule: *rule,
+            };
             let began = Instant::now();
             let found = hunt(&base, cover, bounds, *seed, *days, *cuts, jobs(*n))?;
             let seconds = began.elapsed().as_secs_f64();
@@ -107,8 +136,15 @@
                 }
                 Some(f) => {
                     tell_found(out, &f)?;
-                    println!("day {} (seed {}) failed; {seconds:.1} s in all: {}", f.days, f.seed, f.why);
-                    println!("cut down with {} further days to {}", f.shrunk.played, out.display());
+                    println!(
+                        "day {} (seed {}) failed; {seconds:.1} s in all: {}",
+                        f.days, f.seed, f.why
+                    );
+                    println!(
+                        "cut down with {} further days to {}",
+                        f.shrunk.played,
+                        out.display()
+                    );
                     Ok(1)
                 }
             }
@@ -118,20 +154,32 @@
 
 fn tell_found(out: &Path, found: &saltdrum_lab::hunt::Found) -> Result<(), String> {
     let why = found.why.replace('\n', " ");
-    let text = format!("# Found by a search, cut down. It fails with {why}\n{}", found.shrunk.script.text());
+    let text = format!(
+        "# Found by a search, cut down. It fails with {why}\n{}",
+        found.shrunk.script.text()
+    );
     fs::write(out, text).map_err(|e| format!("{}: {e}", out.display()))
 }
 
 fn planted(name: Option<&str>) -> Result<Cover, String> {
-    let Some(name) = name else { return Ok(Cover::of(serve)) };
+    let Some(name) = name else {
+        return Ok(Cover::of(serve));
+    };
     if name == "skips-digests" {
-        return Ok(Cover { serve, brings: Some(careless) });
+        return Ok(Cover {
+            serve,
+            brings: Some(careless),
+        });
     }
     if let Some((_, serve)) = POLICIES.iter().find(|p| p.0 == name) {
         return Ok(Cover::of(*serve));
     }
     let fault = FAULTS.iter().find(|f| f.0 == name).ok_or_else(|| {
-        let known: Vec<&str> = FAULTS.iter().map(|f| f.0).chain(["skips-digests"]).collect();
+        let known: Vec<&str> = FAULTS
+            .iter()
+            .map(|f| f.0)
+            .chain(["skips-digests"])
+            .collect();
         format!("--plant {name}: one of {} is expected", known.join(", "))
     })?;
     // A seat takes a plain function, so each fault has one of its own.
--- a/crates/cli/src/layers.rs
+++ b/crates/cli/src/layers.rs
@@ -28,7 +28,10 @@
     /// Looks at every byte that a tag leads to.
     Verify { folder: PathBuf },
     /// Lists the tags, or the chunks of one.
-    Show { folder: PathBuf, tag: Option<String> },
+    Show {
+        folder: PathBuf,
+        tag: Option<String>,
+    },
     /// Fetches models for one invoker and serves what it holds to peers, until interrupted.
     Agent {
         /// The invoker's number on the list.
@@ -52,7 +55,11 @@
         door: String,
     },
     /// What two models share.
-    Diff { folder: PathBuf, first: String, second: String },
+    Diff {
+        folder: PathBuf,
+        first: String,
+        second: String,
+    },
 }
 
 fn mb(bytes: u64) -> f64 {
@@ -67,7 +74,10 @@
         Layers::Pack { model, into, tag } => {
             let m = open(into)?.pack(model, tag).map_err(text)?;
             let (bytes, stored) = (mb(m.bytes()), mb(m.stored_bytes()));
-            println!("{tag}: {} chunks, {bytes:.1} MB, {stored:.1} MB stored", m.chunks.len());
+            println!(
+                "{tag}: {} chunks, {bytes:.1} MB, {stored:.1} MB stored",
+                m.chunks.len()
+            );
         }
         Layers::Unpack { folder, tag, to } => {
             let file = File::create(to).map_err(|e| format!("{}: {e}", to.display()))?;
@@ -92,15 +102,37 @@
                 println!("{tag} {digest}");
             }
         }
-        Layers::Show { folder, tag: Some(tag) } => {
+        Layers::Show {
+            folder,
+            tag: Some(tag),
+        } => {
             let (digest, m) = open(folder)?.manifest(tag).map_err(text)?;
-            println!("{tag} {digest}: {} chunks, {:.1} MB", m.chunks.len(), mb(m.bytes()));
+            println!(
+                "{tag} {digest}: {} chunks, {:.1} MB",
+                m.chunks.len(),
+                mb(m.bytes())
+            );
             for c in &m.chunks {
-                let packing = if c.packing == Packing::Zstd { "zstd" } else { "plain" };
-                println!("{} {:>9} {:>9} {packing}", c.digest, c.bytes, c.stored_bytes);
+                let packing = if c.packing == Packing::Zstd {
+                    "zstd"
+                } else {
+                    "plain"
+                };
+                println!(
+                    "{} {:>9} {:>9} {packing}",
+                    c.digest, c.bytes, c.stored_bytes
+                );
             }
         }
-        Layers::Agent { me, listen, store, list, folder, cache_mb, door } => {
+        Layers::Agent {
+            me,
+            listen,
+            store,
+            list,
+            folder,
+            cache_mb,
+            door,
+        } => {
             return crate::run::agent(&crate::run::AgentSeat {
                 me: *me,
                 listen,
@@ -111,7 +143,11 @@
                 door,
             });
         }
-        Layers::Diff { folder, first, second } => {
+        Layers::Diff {
+            folder,
+            first,
+            second,
+        } => {
             let d = open(folder)?.diff(first, second).map_err(text)?;
             println!("both {:.1} MB", mb(d.shared_bytes));
             println!("only {first} {:.1} MB", mb(d.only_first_bytes));
--- a/crates/cli/src/leases.rs
+++ b/crates/cli/src/leases.rs
@@ -1,7 +1,9 @@
 //! Leases of fleet-wide tasks on the command line: a journal as a process, the task `count`, and what operators ask.
 
 use crate::fleet::{To, table};
-use crate::process::{monotonic_ns, on_this_thread, open_on_disk, until_interrupted, writes_may_fail};
+use crate::process::{
+    monotonic_ns, on_this_thread, open_on_disk, until_interrupted, writes_may_fail,
+};
 use crate::scripts::stated_fleet;
 use clap::{Args, Subcommand};
 use redb::Database;
@@ -59,7 +61,11 @@
 pub fn journal(runs: &RunsJournal) -> Done {
     let fleet = stated_fleet(&runs.deployment)?.name;
     let listen: Address = runs.listen.parse()?;
-    let stewards: Vec<Address> = runs.stewards.iter().map(|s| s.parse()).collect::<Result<_, String>>()?;
+    let stewards: Vec<Address> = runs
+        .stewards
+        .iter()
+        .map(|s| s.parse())
+        .collect::<Result<_, String>>()?;
     if let Some(fault) = &runs.fault {
         return faulty_journal(runs, fault, &fleet, &listen);
     }
@@ -81,11 +87,14 @@
 }
 
 fn faulty_journal(runs: &RunsJournal, fault: &str, fleet: &str, listen: &Address) -> Done {
-    let known = JOURNAL_FAULTS.iter().find(|(name, _)| *name == fault).map(|(_, fault)| *fault);
+    let known = JOURNAL_FAULTS
+        .iter()
+        .find(|(name, _)| *name == fault)
+        .map(|(_, fault)| *fault);
     let fault = known.ok_or_else(|| format!("--fault '{fault}': no such fault"))?;
     let database = Database::create(&runs.disk).map_err(|e| e.to_string())?;
-    let journal =
-        FaultyJournal::open(fault, fleet, database, Box::new(tell_effect)).map_err(|e| e.to_string())?;
+    let journal = FaultyJournal::open(fault, fleet, database, Box::new(tell_effect))
+        .map_err(|e| e.to_string())?;
     on_this_thread(async {
         tokio::select! {
             biased;
@@ -106,7 +115,9 @@
 /// NAME=ADDRESS, as often as there are resources.
 fn named(all: &[String]) -> Result<BTreeMap<String, Address>, String> {
     let one = |said: &String| {
-        let (name, at) = said.split_once('=').ok_or(format!("'{said}': NAME=ADDRESS is expected"))?;
+        let (name, at) = said
+            .split_once('=')
+            .ok_or(format!("'{said}': NAME=ADDRESS is expected"))?;
         Ok((name.to_owned(), at.parse::<Address>()?))
     };
     all.iter().map(one).collect()
@@ -124,7 +135,10 @@
         by: format!("{}/{:x}", with.member, with.about.incarnation),
         clock: Clock::start(),
         watch: with.leases.clone(),
-        resources: resources.into_iter().map(|(name, at)| (name, caller(at))).collect(),
+        resources: resources
+            .into_iter()
+            .map(|(name, at)| (name, caller(at)))
+            .collect(),
         quiet_after: QUIET_AFTER,
     }
 }
@@ -132,10 +146,22 @@
 /// Does the task `count` whenever its lease is held; never ends. `acts_before_seals`: planted.
 pub async fn counts(holder: Option<Holder>, acts_before_seals: bool) {
     match holder {
-        Some(Holder { by, clock, watch, resources, .. }) if acts_before_seals => {
+        Some(Holder {
+            by,
+            clock,
+            watch,
+            resources,
+            ..
+        }) if acts_before_seals => {
             acts_before_all_seals(by, COUNT, clock, watch, resources).await;
         }
-        Some(holder) => holder.run(&Count { clock: holder.clock }).await,
+        Some(holder) => {
+            holder
+                .run(&Count {
+                    clock: holder.clock,
+                })
+                .await
+        }
         None => std::future::pending().await,
     }
 }
@@ -180,33 +206,69 @@
     pub fn change(&self, by: &str) -> Result<Change, String> {
         let by = by.to_owned();
         Ok(match self {
-            Self::Pause { lease, why } => {
-                Change::PauseLease { lease: LeaseName(lease.clone()), by, why: why.clone() }
-            }
-            Self::Resume { lease } => Change::ResumeLease { lease: LeaseName(lease.clone()), by },
-            Self::State { deployment } => Change::Leases { leases: stated_fleet(deployment)?.leases, by },
+            Self::Pause { lease, why } => Change::PauseLease {
+                lease: LeaseName(lease.clone()),
+                by,
+                why: why.clone(),
+            },
+            Self::Resume { lease } => Change::ResumeLease {
+                lease: LeaseName(lease.clone()),
+                by,
+            },
+            Self::State { deployment } => Change::Leases {
+                leases: stated_fleet(deployment)?.leases,
+                by,
+            },
         })
     }
 }
 
 /// Shows who holds what, since when and why not.
 pub async fn show(to: &To, as_json: bool, resources: &[String]) -> Done {
-    let fleet = to.status().await?.fleet.ok_or("nothing is known of the fleet yet")?;
+    let fleet = to
+        .status()
+        .await?
+        .fleet
+        .ok_or("nothing is known of the fleet yet")?;
     let sealed = sealed_epochs(to, resources).await?;
     if as_json {
-        println!("{}", json!({"revision": fleet.revision, "leases": fleet.leases, "sealed": sealed}));
+        println!(
+            "{}",
+            json!({"revision": fleet.revision, "leases": fleet.leases, "sealed": sealed})
+        );
         return Ok(0);
     }
-    let mut shown = table(&["lease", "is", "epoch", "since revision", "grants", "resources"]);
+    let mut shown = table(&[
+        "lease",
+        "is",
+        "epoch",
+        "since revision",
+        "grants",
+        "resources",
+    ]);
     for (name, lease) in &fleet.leases {
-        let resources = lease.terms.resources.iter().map(|resource| match sealed.get(resource) {
-            Some(told) => format!("{resource} (sealed: {told})"),
-            None => resource.clone(),
-        });
+        let resources = lease
+            .terms
+            .resources
+            .iter()
+            .map(|resource| match sealed.get(resource) {
+                Some(told) => format!("{resource} (sealed: {told})"),
+                None => resource.clone(),
+            });
         let resources = resources.collect::<Vec<_>>().join(", ");
-        let (epoch, since, grants) =
-            (lease.epoch.to_string(), lease.since.to_string(), lease.grants.to_string());
-        shown.add_row([name.to_string(), described(lease, &fleet), epoch, since, grants, resources]);
+        let (epoch, since, grants) = (
+            lease.epoch.to_string(),
+            lease.since.to_string(),
+            lease.grants.to_string(),
+        );
+        shown.add_row([
+            name.to_string(),
+            described(lease, &fleet),
+            epoch,
+            since,
+            grants,
+            resources,
+        ]);
     }
     println!("{shown}");
     Ok(0)
@@ -218,7 +280,11 @@
         LeaseState::Paused { by, why, .. } => format!("paused by {by}: {why}"),
         LeaseState::Vacant => {
             let task = &lease.terms.task;
-            let offering = fleet.members.values().filter(|m| m.about.tasks.contains(task)).count();
+            let offering = fleet
+                .members
+                .values()
+                .filter(|m| m.about.tasks.contains(task))
+                .count();
             match offering {
                 0 => format!("vacant: no member offers the task '{task}'"),
                 n => format!("vacant: none of {n} members that offer '{task}' is up"),
@@ -231,8 +297,9 @@
 async fn sealed_epochs(to: &To, resources: &[String]) -> Result<BTreeMap<String, String>, String> {
     let mut all = BTreeMap::new();
     for (name, at) in named(resources)? {
-        let told =
-            Caller::new(Rc::new(Sockets), at, &to.fleet).call::<Json>("status", json!({}), PATIENCE).await;
+        let told = Caller::new(Rc::new(Sockets), at, &to.fleet)
+            .call::<Json>("status", json!({}), PATIENCE)
+            .await;
         let told = told.map_or_else(|fault| fault.to_string(), |told| told["sealed"].to_string());
         all.insert(name, told);
     }
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -62,8 +62,9 @@
         None => drawn(&day),
         Some(path) => {
             let one = |text: &String| -> Result<(String, Tenths), String> {
-                let (source, by) =
-                    text.split_once('=').ok_or_else(|| format!("--ahead {text}: SOURCE=SPAN is expected"))?;
+                let (source, by) = text
+                    .split_once('=')
+                    .ok_or_else(|| format!("--ahead {text}: SOURCE=SPAN is expected"))?;
                 Ok((source.to_owned(), span(by)?.0))
             };
             let ahead: BTreeMap<_, _> = said.ahead.iter().map(one).collect::<Result<_, _>>()?;
@@ -88,7 +89,11 @@
             ("version", env!("CARGO_PKG_VERSION").to_owned()),
         ];
         trace::write(path, &entries, &made_by).map_err(|e| e.to_string())?;
-        println!("{} invocations written to {}", entries.len(), path.display());
+        println!(
+            "{} invocations written to {}",
+            entries.len(),
+            path.display()
+        );
     }
     if said.to.is_empty() {
         return match said.out {
@@ -96,11 +101,27 @@
             None => Err("--to or --out is expected".into()),
         };
     }
-    let doors: Vec<Address> = said.to.iter().map(|t| t.parse()).collect::<Result<_, _>>()?;
-    let patience = Patience { retries: said.retries.unwrap_or(day.retries), backoff: day.backoff };
+    let doors: Vec<Address> = said
+        .to
+        .iter()
+        .map(|t| t.parse())
+        .collect::<Result<_, _>>()?;
+    let patience = Patience {
+        retries: said.retries.unwrap_or(day.retries),
+        backoff: day.backoff,
+    };
     let terms = Rc::new(day.terms.clone());
     let played = crate::process::on_this_thread(async {
-        drive(Rc::new(Sockets), Clock::start(), terms, &doors, said.connections, patience, entries).await
+        drive(
+            Rc::new(Sockets),
+            Clock::start(),
+            terms,
+            &doors,
+            said.connections,
+            patience,
+            entries,
+        )
+        .await
     })?;
     tell(&day, &played, said.json)
 }
@@ -146,7 +167,10 @@
         let all: Vec<_> = rows.iter().map(row).collect();
         let facts = json!({"rows": all, "lag": {"worst_ms": ms(played.lag.worst),
             "stood_ms": ms(played.lag.stood), "late": played.lag.late}, "verdict": verdict});
-        println!("{}", serde_json::to_string_pretty(&facts).map_err(|e| e.to_string())?);
+        println!(
+            "{}",
+            serde_json::to_string_pretty(&facts).map_err(|e| e.to_string())?
+        );
     } else {
         let mut t = Table::new();
         let head = [
@@ -162,18 +186,30 @@
             "p99 ms",
             "most ms",
         ];
-        t.load_preset(presets::UTF8_HORIZONTAL_ONLY).set_header(head);
+        t.load_preset(presets::UTF8_HORIZONTAL_ONLY)
+            .set_header(head);
         for (name, r) in &rows {
-            let mut cells = vec![(*name).to_owned(), r.counts[0].to_string(), r.in_time.to_string()];
+            let mut cells = vec![
+                (*name).to_owned(),
+                r.counts[0].to_string(),
+                r.in_time.to_string(),
+            ];
             cells.extend(r.counts[1..].iter().map(ToString::to_string));
             cells.push(r.tries.to_string());
             cells.extend([0.5, 0.99, 1.0].map(|q| format!("{:.1}", r.latencies.at(q))));
             t.add_row(cells);
         }
-        t.column_iter_mut().skip(1).for_each(|c| c.set_cell_alignment(CellAlignment::Right));
+        t.column_iter_mut()
+            .skip(1)
+            .for_each(|c| c.set_cell_alignment(CellAlignment::Right));
         let lag = &played.lag;
         println!("{t}\nlatency counts from when an invocation was to be sent");
-        println!("generator: {} of {} late, worst {:.1} ms", lag.late, lag.sent, ms(lag.worst));
+        println!(
+            "generator: {} of {} late, worst {:.1} ms",
+            lag.late,
+            lag.sent,
+            ms(lag.worst)
+        );
     }
     match verdict {
         Verdict::Counts => Ok(0),
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,6 +1,9 @@
 //! The command line: arguments, logs and exit codes, nothing else.
 
-#![expect(clippy::disallowed_methods, reason = "seeds and times of what runs for real come from here")]
+#![expect(
+    clippy::disallowed_methods,
+    reason = "seeds and times of what runs for real come from here"
+)]
 
 #[cfg(feature = "whole")]
 mod collection;
@@ -253,7 +256,9 @@
     let args = Args::parse();
     let filter = tracing_subscriber::EnvFilter::try_from_env("SALTDRUM_LOG")
         .unwrap_or_else(|_| tracing_subscriber::EnvFilter::new("warn"));
-    let logs = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
+    let logs = tracing_subscriber::fmt()
+        .with_env_filter(filter)
+        .with_writer(std::io::stderr);
     let logs = logs.with_ansi(std::io::IsTerminal::is_terminal(&std::io::stderr()));
     if args.log_json {
         logs.json().init();
@@ -278,7 +283,12 @@
             baseline,
         } => {
             let make: Make = if baseline { at_random } else { by_design };
-            let names = run::Names { registry, key: registry_key, copies: registry_copies, passage_s };
+            let names = run::Names {
+                registry,
+                key: registry_key,
+                copies: registry_copies,
+                passage_s,
+            };
             run::serve(
                 &deployment,
                 &lists,
@@ -308,8 +318,18 @@
             count_on,
             acts_before_seals,
         }) => {
-            let faults = saltdrum_standin::Faults { hangs, errors, loses_answers, ..Default::default() };
-            let names = run::Names { registry, key: registry_key, copies: None, passage_s: 0 };
+            let faults = saltdrum_standin::Faults {
+                hangs,
+                errors,
+                loses_answers,
+                ..Default::default()
+            };
+            let names = run::Names {
+                registry,
+                key: registry_key,
+                copies: None,
+                passage_s: 0,
+            };
             run::invoker(
                 &deployment,
                 number,
@@ -327,19 +347,49 @@
         #[cfg(feature = "whole")]
         What::Standin(Standin::Store { listen, limit }) => run::store(&listen, limit),
         #[cfg(feature = "whole")]
-        What::Standin(Standin::Registry { folder, listen, limit }) => run::registry(&folder, &listen, limit),
+        What::Standin(Standin::Registry {
+            folder,
+            listen,
+            limit,
+        }) => run::registry(&folder, &listen, limit),
         #[cfg(feature = "whole")]
-        What::Standin(Standin::List { deployment, listen, invokers }) => {
-            run::list(&deployment, &listen, &invokers)
-        }
+        What::Standin(Standin::List {
+            deployment,
+            listen,
+            invokers,
+        }) => run::list(&deployment, &listen, &invokers),
         #[cfg(feature = "whole")]
-        What::Play { day, virtually, json, record } => run::play(&day, virtually, json, record.as_deref()),
+        What::Play {
+            day,
+            virtually,
+            json,
+            record,
+        } => run::play(&day, virtually, json, record.as_deref()),
         #[cfg(feature = "whole")]
         What::Check { record, json } => run::check(&record, json),
         #[cfg(feature = "whole")]
-        What::Call { to, function, tenant, trigger, input, time_left_ms, token, passage, version } => {
+        What::Call {
+            to,
+            function,
+            tenant,
+            trigger,
+            input,
+            time_left_ms,
+            token,
+            passage,
+            version,
+        } => {
             let passage = (passage, version);
-            run::call(&to, &function, &tenant, &trigger, &input, time_left_ms, token, passage)
+            run::call(
+                &to,
+                &function,
+                &tenant,
+                &trigger,
+                &input,
+                time_left_ms,
+                token,
+                passage,
+            )
         }
         #[cfg(feature = "scale")]
         What::Scale(what) => scale::run(&what),
--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -15,23 +15,35 @@
 const STEP_LEAST_MS: i64 = 100;
 
 pub fn run() -> Result<u8, String> {
-    let config = var("RELAY_CONFIG").map_err(|e| format!("RELAY_CONFIG: {e}: a file is expected"))?;
+    let config =
+        var("RELAY_CONFIG").map_err(|e| format!("RELAY_CONFIG: {e}: a file is expected"))?;
     let (listen, name) = (var("RELAY_LISTEN").ok(), var("RELAY_NAME").ok());
-    let life = Life { config: config.into(), listen, name, wall_clock: Rc::new(unix_ms) };
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
+    let life = Life {
+        config: config.into(),
+        listen,
+        name,
+        wall_clock: Rc::new(unix_ms),
+    };
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(|e| e.to_string())?;
     let clock = Clock::start();
     let served = async {
         tokio::task::spawn_local(watch_wall_clock(clock));
         serve(life, Rc::new(Sockets), clock, by_design).await
     };
-    tokio::task::LocalSet::new().block_on(&runtime, served).map_err(|e| e.to_string())?;
+    tokio::task::LocalSet::new()
+        .block_on(&runtime, served)
+        .map_err(|e| e.to_string())?;
     Ok(0)
 }
 
 /// Milliseconds since the Unix epoch, by the wall clock.
 fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |since| since.as_millis() as u64)
 }
 
 /// Logs steps of the wall clock. Nothing is decided by it: every wait and deadline is measured on the monotonic clock.
--- a/crates/cli/src/process.rs
+++ b/crates/cli/src/process.rs
@@ -50,7 +50,9 @@
 
 /// Runs something to its end on this thread alone.
 pub fn on_this_thread<T>(work: impl Future<Output = T>) -> Result<T, String> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     Ok(LocalSet::new().block_on(&runtime.map_err(|e| e.to_string())?, work))
 }
 
@@ -70,5 +72,7 @@
     const SIGXFSZ: i32 = 25;
     let kind = tokio::signal::unix::SignalKind::from_raw(SIGXFSZ);
     // Handled for as long as the process lives, also once nobody listens.
-    tokio::signal::unix::signal(kind).map(drop).map_err(|e| e.to_string())
+    tokio::signal::unix::signal(kind)
+        .map(drop)
+        .map_err(|e| e.to_string())
 }
--- a/crates/cli/src/registry.rs
+++ b/crates/cli/src/registry.rs
@@ -194,7 +194,9 @@
 }
 
 fn now_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_millis() as u64)
 }
 
 fn chance() -> Result<[u8; 32], String> {
@@ -216,15 +218,21 @@
         let chance = chance()?;
         let found = |store: &mut Store| {
             let key_text = service::found(store, id, chance, now_ms())?;
-            key_file::write_unfinished(key, &key_text)
-                .map_err(|e| store::Fault::Disk { place: key.display().to_string(), why: e.into() })
+            key_file::write_unfinished(key, &key_text).map_err(|e| store::Fault::Disk {
+                place: key.display().to_string(),
+                why: e.into(),
+            })
         };
         Store::make_file(&path, found).map_err(|e| e.to_string())?;
     } else if !opens(&path, &key_file::read_unfinished(key).unwrap_or_default())? {
         return Err(format!("{}: there is a registry already", path.display()));
     }
     key_file::finish(key).map_err(text)?;
-    println!("{}: a registry; the key of '{id}' is in {}", path.display(), key.display());
+    println!(
+        "{}: a registry; the key of '{id}' is in {}",
+        path.display(),
+        key.display()
+    );
     Ok(0)
 }
 
@@ -238,11 +246,15 @@
 }
 
 pub fn read_key(path: &Path) -> Result<String, String> {
-    Ok(fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?.trim().to_owned())
+    Ok(fs::read_to_string(path)
+        .map_err(|e| format!("{}: {e}", path.display()))?
+        .trim()
+        .to_owned())
 }
 
 fn name(text: &str) -> Result<Name, String> {
-    text.parse().map_err(|e: saltdrum_registry::names::BadName| e.to_string())
+    text.parse()
+        .map_err(|e: saltdrum_registry::names::BadName| e.to_string())
 }
 
 fn space(tenant: Option<&str>) -> Result<Namespace, String> {
@@ -252,11 +264,19 @@
 async fn dial(to: &To) -> Result<Caller, String> {
     let at: Address = to.to.parse()?;
     let network: Rc<dyn Network> = Rc::new(Sockets);
-    Caller::dial(&network, &at, &read_key(&to.key)?).await.map_err(|e| e.to_string())
+    Caller::dial(&network, &at, &read_key(&to.key)?)
+        .await
+        .map_err(|e| e.to_string())
 }
 
 fn call(to: &To, method: &str, params: Json) -> Result<Json, String> {
-    on_this_thread(async { dial(to).await?.call(method, params).await.map_err(|e| e.to_string()) })?
+    on_this_thread(async {
+        dial(to)
+            .await?
+            .call(method, params)
+            .await
+            .map_err(|e| e.to_string())
+    })?
 }
 
 fn change(to: &To, change: Json) -> Result<u8, String> {
@@ -270,7 +290,9 @@
     let shown = call(&which.to, "show", json!({}))?;
     let at = json!(space(which.tenant.as_deref())?);
     let all = shown["aliases"].as_array().cloned().unwrap_or_default();
-    let is = all.into_iter().find(|a| a["alias"] == which.alias.as_str() && a["space"] == at);
+    let is = all
+        .into_iter()
+        .find(|a| a["alias"] == which.alias.as_str() && a["space"] == at);
     let is = is.ok_or_else(|| format!("alias '{}' is not known", which.alias))?["is"].clone();
     let changed = is["changed"].as_u64().unwrap_or(0);
     Ok((is, which.expect.unwrap_or(changed)))
@@ -279,7 +301,10 @@
 fn of(which: &Which, kind: &str) -> Result<u8, String> {
     let (_, expect) = found(which)?;
     let space = space(which.tenant.as_deref())?;
-    change(&which.to, json!({"change": kind, "space": space, "alias": which.alias, "expect": expect}))
+    change(
+        &which.to,
+        json!({"change": kind, "space": space, "alias": which.alias, "expect": expect}),
+    )
 }
 
 /// 0: done. 1: something is wrong with what is kept. 2: bad input, or refused.
@@ -287,11 +312,18 @@
     let fault = |e: store::Fault| e.to_string();
     match what {
         Registry::Init { folder, key, id } => init(folder, key, &name(id)?),
-        Registry::Serve { folder, listen, tasks } => {
+        Registry::Serve {
+            folder,
+            listen,
+            tasks,
+        } => {
             let at: Address = listen.parse()?;
             let path = folder.join(FILE);
             if !path.exists() {
-                return Err(format!("{}: no registry is here; registry init makes one", path.display()));
+                return Err(format!(
+                    "{}: no registry is here; registry init makes one",
+                    path.display()
+                ));
             }
             on_this_thread(async {
                 let store = open_on_disk(|| Store::open_file(&path)).await?;
@@ -309,7 +341,16 @@
             })??;
             Ok(0)
         }
-        Registry::Push { to, model, version, file, folder, memory_mb, lanes, triggers } => {
+        Registry::Push {
+            to,
+            model,
+            version,
+            file,
+            folder,
+            memory_mb,
+            lanes,
+            triggers,
+        } => {
             let (model, version) = (name(model)?, name(version)?);
             let read = || File::open(file).map_err(|e| format!("{}: {e}", file.display()));
             let mut digests = BTreeSet::new();
@@ -324,9 +365,13 @@
             let layout = Layout::open(folder).map_err(|e| e.to_string())?;
             on_this_thread(async {
                 let mut caller = dial(to).await?;
-                let begun =
-                    caller.call("begin", json!({ "digests": digests })).await.map_err(|e| e.to_string())?;
-                layout.pack(file, &format!("{model}_{version}")).map_err(|e| e.to_string())?;
+                let begun = caller
+                    .call("begin", json!({ "digests": digests }))
+                    .await
+                    .map_err(|e| e.to_string())?;
+                layout
+                    .pack(file, &format!("{model}_{version}"))
+                    .map_err(|e| e.to_string())?;
                 let push = json!({"lease": begun["lease"], "model": model, "name": version, "manifest": digest.to_string(),
                     "memory_mb": memory_mb, "lanes": lanes, "trigger_types": triggers});
                 let told = caller.call("push", push).await.map_err(|e| e.to_string())?;
@@ -344,7 +389,10 @@
             let text = |v: &Json| v.as_str().unwrap_or("-").to_owned();
             let list = |key: &str| shown[key].as_array().cloned().unwrap_or_default();
             for v in list("versions") {
-                let (is, name) = (&v["version"], format!("{}@{}", text(&v["model"]), text(&v["name"])));
+                let (is, name) = (
+                    &v["version"],
+                    format!("{}@{}", text(&v["model"]), text(&v["name"])),
+                );
                 println!(
                     "{name}  {}  {} MB, {} lanes  {}",
                     text(&v["standing"]),
@@ -356,7 +404,11 @@
             for a in list("aliases") {
                 let is = &a["is"];
                 let stage = is["stage"].as_object().map(|s| {
-                    format!(", {} of a thousand passages begin with {}", s["per_mille"], text(&s["to"]))
+                    format!(
+                        ", {} of a thousand passages begin with {}",
+                        s["per_mille"],
+                        text(&s["to"])
+                    )
                 });
                 println!(
                     "{} -> {}@{}  changed at {}, before {}{}  ({})",
@@ -378,7 +430,11 @@
             println!("{:#}", call(to, "status", json!({}))?);
             Ok(0)
         }
-        Registry::Alias { which, model, version } => {
+        Registry::Alias {
+            which,
+            model,
+            version,
+        } => {
             let (space, alias) = (space(which.tenant.as_deref())?, &which.alias);
             change(
                 &which.to,
@@ -386,7 +442,13 @@
                 "version": version, "expect": 0, "stage": null}),
             )
         }
-        Registry::Move { which, version, stage, errors, answers } => {
+        Registry::Move {
+            which,
+            version,
+            stage,
+            errors,
+            answers,
+        } => {
             let (is, expect) = found(which)?;
             let stage = stage.map(|share| {
                 json!({"to": version, "per_mille": share, "errors_per_mille": errors, "answers": answers})
@@ -400,12 +462,14 @@
         }
         Registry::Rollback { which } => of(which, "roll-back"),
         Registry::Unalias { which } => of(which, "drop-alias"),
-        Registry::Withdraw { to, model, version } => {
-            change(to, json!({"change": "withdraw", "model": model, "name": version}))
-        }
-        Registry::Delete { to, model, version } => {
-            change(to, json!({"change": "delete", "model": model, "name": version}))
-        }
+        Registry::Withdraw { to, model, version } => change(
+            to,
+            json!({"change": "withdraw", "model": model, "name": version}),
+        ),
+        Registry::Delete { to, model, version } => change(
+            to,
+            json!({"change": "delete", "model": model, "name": version}),
+        ),
         Registry::History { to, after, most } => {
             let told = call(to, "history", json!({"after": after, "most": most}))?;
             for e in told["entries"].as_array().cloned().unwrap_or_default() {
@@ -424,11 +488,22 @@
             let role: Role = serde_json::from_value(json!(role)).map_err(|e| e.to_string())?;
             let (text, hash) = keys::make(&id, chance()?);
             key_file::write(out, &text).map_err(|e| format!("{}: {e}", out.display()))?;
-            change(to, json!({"change": "add-key", "id": id, "role": role, "hash": hash}))
+            change(
+                to,
+                json!({"change": "add-key", "id": id, "role": role, "hash": hash}),
+            )
         }
         Registry::Unkey { to, id } => change(to, json!({"change": "withdraw-key", "id": id})),
-        Registry::Gc { to: _, grace_s, tasks } if tasks.is_said() => collection::by_hand(tasks, *grace_s),
-        Registry::Gc { to, grace_s, tasks: _ } => {
+        Registry::Gc {
+            to: _,
+            grace_s,
+            tasks,
+        } if tasks.is_said() => collection::by_hand(tasks, *grace_s),
+        Registry::Gc {
+            to,
+            grace_s,
+            tasks: _,
+        } => {
             let told = call(to, "collect", json!({"grace_ms": grace_s * 1_000}))?;
             println!("{} blobs gone, {} bytes", told["gone"], told["bytes"]);
             Ok(0)
@@ -436,8 +511,14 @@
         Registry::Verify { to } => {
             let told = call(to, "verify", json!({}))?;
             let wrong = told["wrong"].as_array().cloned().unwrap_or_default();
-            println!("{} entries, their chain holds; {} wrong", told["entries"], wrong.len());
-            wrong.iter().for_each(|w| println!("{}", w.as_str().unwrap_or("-")));
+            println!(
+                "{} entries, their chain holds; {} wrong",
+                told["entries"],
+                wrong.len()
+            );
+            wrong
+                .iter()
+                .for_each(|w| println!("{}", w.as_str().unwrap_or("-")));
             Ok(u8::from(!wrong.is_empty()))
         }
         Registry::Backup { to, file } => {
@@ -448,7 +529,8 @@
         }
         Registry::Restore { file, folder, over } => {
             Layout::open(folder).map_err(|e| e.to_string())?;
-            let head = store::restore(file, &folder.join(FILE), *over, "restore", now_ms()).map_err(fault)?;
+            let head = store::restore(file, &folder.join(FILE), *over, "restore", now_ms())
+                .map_err(fault)?;
             println!("restored; it goes on at revision {}", head.revision());
             Ok(0)
         }
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -40,25 +40,46 @@
 
 impl Names {
     fn following(&self, who: String, copy: &str) -> Result<Option<Following>, String> {
-        let (Some(registry), Some(key)) = (&self.registry, &self.key) else { return Ok(None) };
+        let (Some(registry), Some(key)) = (&self.registry, &self.key) else {
+            return Ok(None);
+        };
         if let Some(folder) = &self.copies {
             fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
         }
         let copy = self.copies.as_ref().map(|folder| folder.join(copy));
-        Ok(Some(Following { registry: registry.parse()?, key: crate::registry::read_key(key)?, who, copy }))
+        Ok(Some(Following {
+            registry: registry.parse()?,
+            key: crate::registry::read_key(key)?,
+            who,
+            copy,
+        }))
     }
 
     fn at(&self, controller: u32) -> Result<Option<NamesAt>, String> {
-        let (who, copy) = (format!("controller-{controller}"), format!("names-{controller}"));
-        let Some(following) = self.following(who, &copy)? else { return Ok(None) };
+        let (who, copy) = (
+            format!("controller-{controller}"),
+            format!("names-{controller}"),
+        );
+        let Some(following) = self.following(who, &copy)? else {
+            return Ok(None);
+        };
         // The clock of a controller reads an hour at its start.
-        let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64);
+        let now = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0, |d| d.as_millis() as u64);
         let epoch_ms = now - now.min(Clock::start().now() / 10);
-        Ok(Some(NamesAt { following, passage: self.passage_s * SECOND, epoch_ms }))
+        Ok(Some(NamesAt {
+            following,
+            passage: self.passage_s * SECOND,
+            epoch_ms,
+        }))
     }
 }
 
-#[expect(clippy::too_many_arguments, reason = "they are what the command line says")]
+#[expect(
+    clippy::too_many_arguments,
+    reason = "they are what the command line says"
+)]
 pub fn serve(
     deployment: &Path,
     lists: &[String],
@@ -78,17 +99,23 @@
             "{place}: no function(...) is stated, and no --registry: nothing could be invoked"
         ));
     }
-    let lists: Vec<Address> = lists.iter().map(|l| l.parse()).collect::<Result<_, String>>()?;
+    let lists: Vec<Address> = lists
+        .iter()
+        .map(|l| l.parse())
+        .collect::<Result<_, String>>()?;
     let joined = joins.checked(fleet.as_ref())?;
     let zone = match zone {
         None => 0,
-        Some(name) => {
-            terms.zones.iter().position(|z| z == name).ok_or(format!("no zone is named '{name}'"))?
-        }
+        Some(name) => terms
+            .zones
+            .iter()
+            .position(|z| z == name)
+            .ok_or(format!("no zone is named '{name}'"))?,
     };
     let mut threads = Vec::new();
     for (n, clients) in clients.iter().enumerate() {
-        let (clients, lists, terms): (Address, _, _) = (clients.parse()?, lists.clone(), terms.clone());
+        let (clients, lists, terms): (Address, _, _) =
+            (clients.parse()?, lists.clone(), terms.clone());
         let collects = collects.clone();
         let joined = joined.clone();
         let controller = first + n as u32;
@@ -131,12 +158,17 @@
         }));
     }
     for thread in threads {
-        thread.join().map_err(|_| "a controller panicked".to_owned())??;
+        thread
+            .join()
+            .map_err(|_| "a controller panicked".to_owned())??;
     }
     Ok(0)
 }
 
-#[expect(clippy::too_many_arguments, reason = "they are what the command line says")]
+#[expect(
+    clippy::too_many_arguments,
+    reason = "they are what the command line says"
+)]
 pub fn invoker(
     deployment: &Path,
     number: u32,
@@ -153,8 +185,14 @@
     let joined = joins.checked(fleet.as_ref())?;
     let terms = Rc::new(terms);
     let stated = terms.invokers.iter().find(|i| i.invoker == number).cloned();
-    let stated = stated.ok_or(format!("invoker {number}: the deployment states {}", terms.invokers.len()))?;
-    let (at, store) = (RefCell::new(listen.parse()?), store.map(str::parse).transpose()?);
+    let stated = stated.ok_or(format!(
+        "invoker {number}: the deployment states {}",
+        terms.invokers.len()
+    ))?;
+    let (at, store) = (
+        RefCell::new(listen.parse()?),
+        store.map(str::parse).transpose()?,
+    );
     on_this_thread(async {
         let (clock, turns, record) = (Clock::start(), Turns::default(), Record::default());
         tokio::task::spawn_local(turning(turns.clone(), clock, |_, _| ()));
@@ -180,10 +218,15 @@
             // Below the sign bit: JSON readers elsewhere take no more.
             invoker.next_life(fastrand::u64(2..1 << 48));
         }
-        let address =
-            invoker.start(joined.is_some() && joins.cold, &[]).await.map_err(|e| format!("{listen}: {e}"))?;
+        let address = invoker
+            .start(joined.is_some() && joins.cold, &[])
+            .await
+            .map_err(|e| format!("{listen}: {e}"))?;
         println!("invoker {number} at {address}");
-        let tasks: BTreeSet<String> = (!count_on.is_empty()).then(|| COUNT.to_owned()).into_iter().collect();
+        let tasks: BTreeSet<String> = (!count_on.is_empty())
+            .then(|| COUNT.to_owned())
+            .into_iter()
+            .collect();
         let part = joined.map(|j| j.invoker(&invoker, tasks));
         let holder = match &part {
             Some((with, _)) if !count_on.is_empty() => Some(holder(with, count_on)?),
@@ -221,7 +264,8 @@
     let at: Address = listen.parse()?;
     on_this_thread(async {
         let record = Record::default();
-        let opened = Store::open(Rc::new(Sockets), Clock::start(), record.clone(), &at, limit).await;
+        let opened =
+            Store::open(Rc::new(Sockets), Clock::start(), record.clone(), &at, limit).await;
         let (_store, address) = opened.map_err(|e| format!("{listen}: {e}"))?;
         println!("store at {address}");
         print_until_interrupted(&record).await;
@@ -233,16 +277,22 @@
     let (terms, at): (Terms, Address) = (terms(deployment)?, listen.parse()?);
     let mut entries = Vec::new();
     for said in invokers {
-        let (number, at) = said.split_once('=').ok_or(format!("'{said}': NUMBER=ADDRESS is expected"))?;
+        let (number, at) = said
+            .split_once('=')
+            .ok_or(format!("'{said}': NUMBER=ADDRESS is expected"))?;
         let (address, agent) = match at.split_once(',') {
             None => (at, None),
             Some((address, agent)) => (address, Some(agent.parse::<Address>()?.to_string())),
         };
-        let number: u32 = number.parse().map_err(|_| format!("'{said}': a number is expected before '='"))?;
+        let number: u32 = number
+            .parse()
+            .map_err(|_| format!("'{said}': a number is expected before '='"))?;
         let address: Address = address.parse()?;
         let stated = terms.invokers.iter().find(|i| i.invoker == number);
-        let stated =
-            stated.ok_or(format!("invoker {number}: the deployment states {}", terms.invokers.len()))?;
+        let stated = stated.ok_or(format!(
+            "invoker {number}: the deployment states {}",
+            terms.invokers.len()
+        ))?;
         entries.push(Entry {
             invoker: number,
             address: address.to_string(),
@@ -282,7 +332,10 @@
         None if name.ends_with(".star") => (name.to_owned(), text(Path::new(name))?),
         None => {
             let names: Vec<&str> = DAYS.iter().map(|d| d.0).collect();
-            return Err(format!("'{name}': a script.star or one of {} is expected", names.join(", ")));
+            return Err(format!(
+                "'{name}': a script.star or one of {} is expected",
+                names.join(", ")
+            ));
         }
     };
     let day = Day::load(&file, &script).map_err(|e| e.to_string())?;
@@ -312,14 +365,18 @@
 
 pub fn check(path: &Path, json: bool) -> Done {
     let file = fs::File::open(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    let lines = record::read(BufReader::new(file)).map_err(|e| format!("{}: {e}", path.display()))?;
+    let lines =
+        record::read(BufReader::new(file)).map_err(|e| format!("{}: {e}", path.display()))?;
     tell(&path.to_string_lossy(), &lines, json)
 }
 
 fn tell(name: &str, lines: &[record::Line], json: bool) -> Done {
     let summary = summary::sum_up(name, lines, rules::check(lines)?);
     if json {
-        println!("{}", serde_json::to_string_pretty(&summary).map_err(|e| e.to_string())?);
+        println!(
+            "{}",
+            serde_json::to_string_pretty(&summary).map_err(|e| e.to_string())?
+        );
     } else {
         print!("{}", summary.text());
     }
@@ -330,7 +387,10 @@
 fn ask(to: &str, line: String) -> Result<String, String> {
     let address: Address = to.parse()?;
     on_this_thread(async {
-        let stream = Sockets.dial(&address).await.map_err(|e| format!("{address}: {e}"))?;
+        let stream = Sockets
+            .dial(&address)
+            .await
+            .map_err(|e| format!("{address}: {e}"))?;
         let mut stream = tokio::io::BufStream::new(stream);
         let mut answer = String::new();
         let told = async {
@@ -347,7 +407,10 @@
     })?
 }
 
-#[expect(clippy::too_many_arguments, reason = "they are what the command line says")]
+#[expect(
+    clippy::too_many_arguments,
+    reason = "they are what the command line says"
+)]
 pub fn call(
     to: &str,
     function: &str,
@@ -358,9 +421,9 @@
     token: Option<String>,
     (passage, version): (Option<String>, Option<String>),
 ) -> Done {
-    let input: serde_json::Value = serde_json::from_str(input).map_err(|e| format!("--input: {e}"))?;
-    let mut params =
-        serde_json::json!({"function": function, "tenant": tenant, "trigger": trigger, "input": input});
+    let input: serde_json::Value =
+        serde_json::from_str(input).map_err(|e| format!("--input: {e}"))?;
+    let mut params = serde_json::json!({"function": function, "tenant": tenant, "trigger": trigger, "input": input});
     if let Some(left) = time_left_ms {
         params["time_left_ms"] = left.into();
     }
@@ -380,28 +443,43 @@
 }
 
 pub fn status(to: &str) -> Done {
-    print!("{}", ask(to, r#"{"jsonrpc":"2.0","id":1,"method":"status"}"#.into())?);
+    print!(
+        "{}",
+        ask(to, r#"{"jsonrpc":"2.0","id":1,"method":"status"}"#.into())?
+    );
     Ok(0)
 }
 
 /// A registry over a folder of packed models.
 pub fn registry(folder: &Path, listen: &str, limit: usize) -> Done {
-    let (layout, at): (_, Address) = (Layout::open(folder).map_err(|e| e.to_string())?, listen.parse()?);
+    let (layout, at): (_, Address) = (
+        Layout::open(folder).map_err(|e| e.to_string())?,
+        listen.parse()?,
+    );
     let registry = Registry::new(limit, fastrand::u64(..));
     for (tag, digest) in layout.tags().map_err(|e| e.to_string())? {
         let (_, manifest) = layout.manifest(&tag).map_err(|e| e.to_string())?;
-        let read = |d| fs::read(layout.path(d)).map_err(|e| format!("{}: {e}", layout.path(d).display()));
+        let read =
+            |d| fs::read(layout.path(d)).map_err(|e| format!("{}: {e}", layout.path(d).display()));
         for chunk in &manifest.chunks {
             registry.push_blob(chunk.digest, read(&chunk.digest)?);
         }
-        let (repository, tag) = tag.rsplit_once(':').ok_or(format!("tag '{tag}': NAME:TAG is expected"))?;
+        let (repository, tag) = tag
+            .rsplit_once(':')
+            .ok_or(format!("tag '{tag}': NAME:TAG is expected"))?;
         registry.push_manifest(repository, tag, read(&digest)?);
     }
     on_this_thread(async {
-        let address = registry.open(&Sockets, &at).await.map_err(|e| format!("{listen}: {e}"))?;
+        let address = registry
+            .open(&Sockets, &at)
+            .await
+            .map_err(|e| format!("{listen}: {e}"))?;
         println!("registry at {address}");
         until_interrupted().await;
-        println!("{} blob requests", registry.requests.borrow().values().sum::<u32>());
+        println!(
+            "{} blob requests",
+            registry.requests.borrow().values().sum::<u32>()
+        );
         Ok(0)
     })?
 }
@@ -426,12 +504,22 @@
         let clock = Clock::start();
         let cache = Cache::open(at.folder, at.cache_mb * 1_000_000, Rc::new(RealDisk));
         let cache = cache.map_err(|e| format!("{}: {e}", at.folder.display()))?;
-        let seat =
-            saltdrum_agent::Seat { me: at.me, seed: fastrand::u64(..), store, serve_bytes_per_second: 200e6 };
+        let seat = saltdrum_agent::Seat {
+            me: at.me,
+            seed: fastrand::u64(..),
+            store,
+            serve_bytes_per_second: 200e6,
+        };
         let network: Rc<dyn Network> = Rc::new(Sockets);
         let agent = saltdrum_agent::Agent::new(seat, cache, network.clone(), clock);
-        let opened = network.listen(&listen).await.map_err(|e| format!("{listen}: {e}"))?;
-        let (mut orders, _) = network.listen(&door).await.map_err(|e| format!("{door}: {e}"))?;
+        let opened = network
+            .listen(&listen)
+            .await
+            .map_err(|e| format!("{listen}: {e}"))?;
+        let (mut orders, _) = network
+            .listen(&door)
+            .await
+            .map_err(|e| format!("{door}: {e}"))?;
         println!("agent {} at {}", at.me, opened.1);
         tokio::task::spawn_local(agent.clone().serve(opened.0));
         tokio::task::spawn_local(saltdrum_agent::follow(agent.clone(), network, list));
@@ -487,9 +575,12 @@
                     }
                 }
             }
-            Ok(rpc::Line::Batch(_)) => {
-                rpc::error(&rpc::Id::null(), rpc::INVALID_REQUEST, "no batches here", None)
-            }
+            Ok(rpc::Line::Batch(_)) => rpc::error(
+                &rpc::Id::null(),
+                rpc::INVALID_REQUEST,
+                "no batches here",
+                None,
+            ),
             Ok(rpc::Line::Single(Err(r))) | Err(r) => rpc::error(&r.id, r.code, &r.why, None),
         };
         line.clear();
--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/scale.rs
@@ -137,8 +137,12 @@
     ("fleet B", "/fleet_bytes"),
 ];
 
-const NODE: [Column; 4] =
-    [("lines", "/lines"), ("% of a core", "/share"), ("MB", "/memory_mb"), ("start, CPU ms", "/start_ms")];
+const NODE: [Column; 4] = [
+    ("lines", "/lines"),
+    ("% of a core", "/share"),
+    ("MB", "/memory_mb"),
+    ("start, CPU ms", "/start_ms"),
+];
 
 fn number(row: &Value, at: &str) -> f64 {
     let n = row.pointer(at).and_then(Value::as_f64).unwrap_or(f64::NAN);
@@ -163,17 +167,26 @@
     let binary = std::env::current_exe().map_err(|e| e.to_string())?;
     let mut rows: Vec<Value> = Vec::new();
     if !json {
-        println!("| {} |", columns.iter().map(|c| c.0).collect::<Vec<_>>().join(" | "));
+        println!(
+            "| {} |",
+            columns.iter().map(|c| c.0).collect::<Vec<_>>().join(" | ")
+        );
         println!("|{}", " --- |".repeat(columns.len()));
     }
     for size in sizes {
-        let child = Command::new(&binary).args(&size).stdout(Stdio::piped()).spawn();
-        let done = child.and_then(|c| c.wait_with_output()).map_err(|e| e.to_string())?;
+        let child = Command::new(&binary)
+            .args(&size)
+            .stdout(Stdio::piped())
+            .spawn();
+        let done = child
+            .and_then(|c| c.wait_with_output())
+            .map_err(|e| e.to_string())?;
         let text = String::from_utf8_lossy(&done.stdout).into_owned();
         if !done.status.success() {
             return Err(format!("{}: {}", size.join(" "), done.status));
         }
-        let row: Value = serde_json::from_str(&text).map_err(|e| format!("{}: {e}", size.join(" ")))?;
+        let row: Value =
+            serde_json::from_str(&text).map_err(|e| format!("{}: {e}", size.join(" ")))?;
         if json {
             print!("{text}");
         } else {
@@ -183,7 +196,10 @@
         rows.push(row);
     }
     for (title, at) in columns.iter().skip(1).filter(|_| !json && rows.len() > 1) {
-        let points: Vec<(f64, f64)> = rows.iter().map(|r| (number(r, columns[0].1), number(r, at))).collect();
+        let points: Vec<(f64, f64)> = rows
+            .iter()
+            .map(|r| (number(r, columns[0].1), number(r, at)))
+            .collect();
         if let Some(f) = fit(&points).filter(|f| f.slope.abs() > 0.0 && f.slope.is_finite()) {
             let exponent = f.exponent.map_or("-".into(), |e| format!("{e:.2}"));
             println!(
@@ -199,7 +215,9 @@
 }
 
 fn words(said: &[(&str, String)]) -> Vec<String> {
-    said.iter().flat_map(|(name, value)| [format!("--{name}"), value.clone()]).collect()
+    said.iter()
+        .flat_map(|(name, value)| [format!("--{name}"), value.clone()])
+        .collect()
 }
 
 pub fn run(what: &Scale) -> Result<u8, String> {
@@ -209,13 +227,26 @@
             for invokers in &c.invokers {
                 for functions in &c.functions {
                     let (rate, skew, seed) = (c.rate, c.skew, c.seed);
-                    let load = Load { invokers: *invokers, functions: *functions, rate, skew, seed };
+                    let load = Load {
+                        invokers: *invokers,
+                        functions: *functions,
+                        rate,
+                        skew,
+                        seed,
+                    };
                     if c.shown.here {
-                        let (load_s, quiet_s, event_every_s) = (c.load_s, c.quiet_s, c.event_every_s);
-                        let course = Course { load_s, quiet_s, event_every_s, zone: c.zone };
+                        let (load_s, quiet_s, event_every_s) =
+                            (c.load_s, c.quiet_s, c.event_every_s);
+                        let course = Course {
+                            load_s,
+                            quiet_s,
+                            event_every_s,
+                            zone: c.zone,
+                        };
                         return told(&controller::run(&load, &course));
                     }
-                    let mut size: Vec<String> = ["scale", "controller", "--here"].map(String::from).into();
+                    let mut size: Vec<String> =
+                        ["scale", "controller", "--here"].map(String::from).into();
                     size.extend(words(&[
                         ("invokers", invokers.to_string()),
                         ("functions", functions.to_string()),
@@ -236,10 +267,19 @@
             if m.shown.here {
                 let (members, followers, leases) = (m.members[0], m.followers[0], m.leases[0]);
                 let (rest_s, seed) = (m.rest_s, m.seed);
-                return told(&members::run(&members::Size { members, followers, leases, rest_s, seed }));
+                return told(&members::run(&members::Size {
+                    members,
+                    followers,
+                    leases,
+                    rest_s,
+                    seed,
+                }));
             }
-            let followers_and_leases =
-                || m.followers.iter().flat_map(|f| m.leases.iter().map(move |leases| (*f, *leases)));
+            let followers_and_leases = || {
+                m.followers
+                    .iter()
+                    .flat_map(|f| m.leases.iter().map(move |leases| (*f, *leases)))
+            };
             let size = |members: u32, followers: u32, leases: u32| {
                 let mut size: Vec<String> = ["scale", "members", "--here"].map(String::from).into();
                 size.extend(words(&[
@@ -255,7 +295,12 @@
                 let members = *members;
                 followers_and_leases().map(move |(followers, leases)| (members, followers, leases))
             };
-            let sizes = m.members.iter().flat_map(of).map(|(m, f, l)| size(m, f, l)).collect();
+            let sizes = m
+                .members
+                .iter()
+                .flat_map(of)
+                .map(|(m, f, l)| size(m, f, l))
+                .collect();
             sweep(sizes, &MEMBERS, m.shown.json)
         }
         Scale::Node(n) => {
@@ -267,7 +312,10 @@
                     return told(&real::run(&binary, folder.path(), *lines, n.seconds)?);
                 }
                 let mut size: Vec<String> = ["scale", "node", "--here"].map(String::from).into();
-                size.extend(words(&[("lines", lines.to_string()), ("seconds", n.seconds.to_string())]));
+                size.extend(words(&[
+                    ("lines", lines.to_string()),
+                    ("seconds", n.seconds.to_string()),
+                ]));
                 sizes.push(size);
             }
             sweep(sizes, &NODE, n.shown.json)
--- a/crates/cli/src/scripts.rs
+++ b/crates/cli/src/scripts.rs
@@ -17,9 +17,13 @@
 
 /// The deployment, and what its script says of its fleet.
 pub fn fleet_terms(path: &Path) -> Result<(Terms, Option<FleetTerms>), String> {
-    let (terms, mut rest) = Terms::load(&path.to_string_lossy(), &text(path)?).map_err(|e| e.to_string())?;
+    let (terms, mut rest) =
+        Terms::load(&path.to_string_lossy(), &text(path)?).map_err(|e| e.to_string())?;
     let fleet = FleetTerms::take(&mut rest).map_err(|e| e.to_string())?;
-    match rest.iter().find(|s| !matches!(s.what, "day" | "traffic" | "trouble" | "trial" | "step")) {
+    match rest
+        .iter()
+        .find(|s| !matches!(s.what, "day" | "traffic" | "trouble" | "trial" | "step"))
+    {
         Some(s) => Err(s.fault("does not describe a deployment").to_string()),
         None => Ok((terms, fleet)),
     }
@@ -27,5 +31,7 @@
 
 /// What the script says of its fleet, which it has to.
 pub fn stated_fleet(path: &Path) -> Result<FleetTerms, String> {
-    fleet_terms(path)?.1.ok_or_else(|| format!("{}: no fleet(...) is stated", path.display()))
+    fleet_terms(path)?
+        .1
+        .ok_or_else(|| format!("{}: no fleet(...) is stated", path.display()))
 }
--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -34,12 +34,16 @@
 fn load(name: &str) -> Result<Trial, String> {
     let (file, text) = match TRIALS.iter().find(|t| t.0 == name) {
         Some((name, text)) => (format!("{name}.star"), (*text).to_owned()),
-        None if name.ends_with(".star") => {
-            (name.to_owned(), std::fs::read_to_string(name).map_err(|e| format!("{name}: {e}"))?)
-        }
+        None if name.ends_with(".star") => (
+            name.to_owned(),
+            std::fs::read_to_string(name).map_err(|e| format!("{name}: {e}"))?,
+        ),
         None => {
             let names: Vec<&str> = TRIALS.iter().map(|t| t.0).collect();
-            return Err(format!("'{name}': a script.star or one of {} is expected", names.join(", ")));
+            return Err(format!(
+                "'{name}': a script.star or one of {} is expected",
+                names.join(", ")
+            ));
         }
     };
     Trial::load(&file, &text).map_err(|e| e.to_string())
@@ -68,7 +72,13 @@
         }
         let failed: Vec<&String> = lines
             .iter()
-            .filter_map(|l| if let Line::Failed { why, .. } = l { Some(why) } else { None })
+            .filter_map(|l| {
+                if let Line::Failed { why, .. } = l {
+                    Some(why)
+                } else {
+                    None
+                }
+            })
             .collect();
         let broken = verdicts.iter().any(|v| !v.broken.is_empty());
         let unclear = cannot_tell(&lines) && (broken || !failed.is_empty());
@@ -86,10 +96,18 @@
 }
 
 fn tell(trial: &Trial, lines: &[Line], verdicts: &[Verdict], failed: &[&String], as_json: bool) {
-    let told =
-        |word: &str| lines.iter().filter(|l| matches!(l, Line::Told { what, .. } if what == word)).count();
-    let how =
-        |which: How| lines.iter().filter(|l| matches!(l, Line::Invoked { how, .. } if *how == which)).count();
+    let told = |word: &str| {
+        lines
+            .iter()
+            .filter(|l| matches!(l, Line::Told { what, .. } if what == word))
+            .count()
+    };
+    let how = |which: How| {
+        lines
+            .iter()
+            .filter(|l| matches!(l, Line::Invoked { how, .. } if *how == which))
+            .count()
+    };
     if as_json {
         let facts = json!({
             "trial": trial.name, "seed": trial.seed, "rules": verdicts, "failed": failed,
@@ -111,7 +129,11 @@
             );
         }
     }
-    println!("  drains: {} begun, {} ended", told("began"), told("drained"));
+    println!(
+        "  drains: {} begun, {} ended",
+        told("began"),
+        told("drained")
+    );
     println!(
         "  invocations: {} succeeded, {} throttled, {} errored, {} lost",
         how(How::Succeeded),
@@ -120,15 +142,31 @@
         how(How::Lost)
     );
     for v in verdicts {
-        println!("  {}: {}", v.rule, if v.broken.is_empty() { "kept" } else { "BROKEN" });
+        println!(
+            "  {}: {}",
+            v.rule,
+            if v.broken.is_empty() {
+                "kept"
+            } else {
+                "BROKEN"
+            }
+        );
         v.broken.iter().for_each(|b| println!("    {b}"));
     }
-    failed.iter().for_each(|why| println!("  step failed: {why}"));
+    failed
+        .iter()
+        .for_each(|why| println!("  step failed: {why}"));
 }
 
 /// Effects of fleet-wide tasks that were accepted, and of how many grants.
 fn effects_and_epochs(lines: &[Line]) -> (usize, usize) {
-    let epoch = |line: &Line| if let Line::Effect { epoch, .. } = line { Some(*epoch) } else { None };
+    let epoch = |line: &Line| {
+        if let Line::Effect { epoch, .. } = line {
+            Some(*epoch)
+        } else {
+            None
+        }
+    };
     let epochs: Vec<u64> = lines.iter().filter_map(epoch).collect();
     (epochs.len(), epochs.iter().collect::<BTreeSet<_>>().len())
 }
@@ -142,8 +180,14 @@
     let mut effects: Vec<(u64, u64)> = lines.iter().filter_map(effect).collect();
     effects.sort_unstable();
     let handovers = effects.windows(2).filter(|pair| pair[0].1 != pair[1].1);
-    let mut gaps_ms: Vec<f64> = handovers.map(|pair| (pair[1].0 - pair[0].0) as f64 / 1e6).collect();
+    let mut gaps_ms: Vec<f64> = handovers
+        .map(|pair| (pair[1].0 - pair[0].0) as f64 / 1e6)
+        .collect();
     gaps_ms.sort_by(f64::total_cmp);
-    let of = |share: usize| gaps_ms.get(gaps_ms.len().saturating_sub(1) * share / 100).copied();
+    let of = |share: usize| {
+        gaps_ms
+            .get(gaps_ms.len().saturating_sub(1) * share / 100)
+            .copied()
+    };
     Some((of(50)?, of(99)?))
 }
--- a/crates/cli/tests/collection.rs
+++ b/crates/cli/tests/collection.rs
@@ -33,7 +33,9 @@
 
 impl Site {
     fn new() -> Self {
-        let site = Self { folder: tempfile::tempdir().unwrap() };
+        let site = Self {
+            folder: tempfile::tempdir().unwrap(),
+        };
         fs::write(site.folder.path().join("site.star"), SCRIPT).unwrap();
         site.does("registry init blobs --key owner.key");
         site
@@ -41,12 +43,20 @@
 
     fn command(&self, words: &str) -> Command {
         let mut command = Command::new(env!("CARGO_BIN_EXE_saltdrum"));
-        command.current_dir(self.folder.path()).args(words.split_whitespace());
+        command
+            .current_dir(self.folder.path())
+            .args(words.split_whitespace());
         command
     }
 
     fn starts(&self, words: &str) -> Running {
-        Running(self.command(words).stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap())
+        Running(
+            self.command(words)
+                .stdout(Stdio::null())
+                .stderr(Stdio::null())
+                .spawn()
+                .unwrap(),
+        )
     }
 
     fn says(&self, words: &str) -> Output {
@@ -55,14 +65,22 @@
 
     fn does(&self, words: &str) -> String {
         let out = self.says(words);
-        let (told, why) = (String::from_utf8_lossy(&out.stdout), String::from_utf8_lossy(&out.stderr));
+        let (told, why) = (
+            String::from_utf8_lossy(&out.stdout),
+            String::from_utf8_lossy(&out.stderr),
+        );
         assert!(out.status.success(), "{words}: {told}{why}");
         told.into_owned()
     }
 
     fn refuses(&self, words: &str) -> String {
         let out = self.says(words);
-        assert_eq!(out.status.code(), Some(2), "{words}: {}", String::from_utf8_lossy(&out.stdout));
+        assert_eq!(
+            out.status.code(),
+            Some(2),
+            "{words}: {}",
+            String::from_utf8_lossy(&out.stdout)
+        );
         String::from_utf8_lossy(&out.stderr).into_owned()
     }
 
@@ -75,7 +93,10 @@
 
     /// A blob that no version names.
     fn blob(&self, n: u8) -> PathBuf {
-        let path = self.folder.path().join(format!("blobs/blobs/sha256/{}", format!("{n:02x}").repeat(32)));
+        let path = self.folder.path().join(format!(
+            "blobs/blobs/sha256/{}",
+            format!("{n:02x}").repeat(32)
+        ));
         fs::write(&path, b"nobody's").unwrap();
         path
     }
@@ -84,7 +105,9 @@
     fn holder(&self) -> Option<String> {
         let out = self.says("fleet leases --json --fleet museums --to unix:steward");
         let told: serde_json::Value = serde_json::from_slice(&out.stdout).ok()?;
-        told["leases"]["collection"]["state"]["holder"].as_str().map(str::to_owned)
+        told["leases"]["collection"]["state"]["holder"]
+            .as_str()
+            .map(str::to_owned)
     }
 }
 
@@ -106,9 +129,12 @@
          --steward 1=unix:steward --found",
     );
     let fleet = "--fleet museums --steward unix:steward --tasks unix:tasks";
-    let _registry = site.starts(&format!("registry serve blobs --listen unix:registry {fleet}"));
-    let _invoker =
-        site.starts("standin invoker site.star --number 1 --listen unix:invoker --steward unix:steward");
+    let _registry = site.starts(&format!(
+        "registry serve blobs --listen unix:registry {fleet}"
+    ));
+    let _invoker = site.starts(
+        "standin invoker site.star --number 1 --listen unix:invoker --steward unix:steward",
+    );
     let mut controllers = [Some(site.controller(1)), Some(site.controller(2))];
     until("a holder", || site.holder().is_some());
     let first = site.blob(1);
@@ -118,7 +144,9 @@
     let held = site.holder().unwrap();
     let number: usize = held.strip_prefix("controller-").unwrap().parse().unwrap();
     controllers[number - 1] = None;
-    until("another holder", || site.holder().is_some_and(|holder| holder != held));
+    until("another holder", || {
+        site.holder().is_some_and(|holder| holder != held)
+    });
     let second = site.blob(2);
     until("the second collection", || !second.exists());
 
@@ -126,9 +154,14 @@
     let to = "--to unix:registry --key owner.key";
     let by_hand = format!("registry gc {to} --grace-s 0 {fleet}");
     assert!(site.refuses(&by_hand).contains("holds the lease"));
-    assert!(site.refuses(&format!("registry gc {to} --grace-s 0")).contains("holder"));
+    assert!(
+        site.refuses(&format!("registry gc {to} --grace-s 0"))
+            .contains("holder")
+    );
     let at = "--fleet museums --to unix:steward";
-    site.does(&format!("fleet lease {at} pause collection --why maintenance"));
+    site.does(&format!(
+        "fleet lease {at} pause collection --why maintenance"
+    ));
     let third = site.blob(3);
     assert!(site.does(&by_hand).starts_with("1 blobs gone"));
     assert!(!third.exists());
@@ -137,5 +170,8 @@
     assert!(fourth.exists(), "nobody collects while it is paused");
     site.does(&format!("fleet lease {at} resume collection"));
     until("the collection after the pause", || !fourth.exists());
-    assert!(site.does(&format!("fleet leases {at}")).contains("held by controller-"));
+    assert!(
+        site.does(&format!("fleet leases {at}"))
+            .contains("held by controller-")
+    );
 }
--- a/crates/cli/tests/disks.rs
+++ b/crates/cli/tests/disks.rs
@@ -21,8 +21,7 @@
 const SERVE: &str = "registry serve models --listen unix:socket";
 const STEWARD: &str =
     "steward SCRIPT --number 1 --found --steward 1=unix:socket --listen unix:socket --disk disk";
-const JOURNAL: &str =
-    "standin journal SCRIPT --name journal-1 --steward unix:steward --listen unix:socket --disk disk";
+const JOURNAL: &str = "standin journal SCRIPT --name journal-1 --steward unix:steward --listen unix:socket --disk disk";
 
 /// Ends with the test, however that ends.
 struct Running(Child);
@@ -42,7 +41,10 @@
 
 impl Site {
     fn new(library: &Path) -> Self {
-        Self { folder: tempfile::tempdir().unwrap(), library: library.to_owned() }
+        Self {
+            folder: tempfile::tempdir().unwrap(),
+            library: library.to_owned(),
+        }
     }
 
     fn at(&self, name: &str) -> PathBuf {
@@ -51,9 +53,18 @@
 
     fn command(&self, words: &str) -> Command {
         let mut command = Command::new(env!("CARGO_BIN_EXE_saltdrum"));
-        let script = concat!(env!("CARGO_MANIFEST_DIR"), "/../trial/trials/lease-drained.star");
-        command.args(words.split_whitespace().map(|word| if word == "SCRIPT" { script } else { word }));
-        command.current_dir(self.folder.path()).env("LD_PRELOAD", &self.library);
+        let script = concat!(
+            env!("CARGO_MANIFEST_DIR"),
+            "/../trial/trials/lease-drained.star"
+        );
+        command.args(
+            words
+                .split_whitespace()
+                .map(|word| if word == "SCRIPT" { script } else { word }),
+        );
+        command
+            .current_dir(self.folder.path())
+            .env("LD_PRELOAD", &self.library);
         command.env("FAULTS_DISK_FAILS", self.at("fails"));
         command.stdout(Stdio::null()).stderr(Stdio::null());
         command
@@ -97,12 +108,24 @@
     for call in 1..CALLS_MOST {
         let site = Site::new(library);
         let mut command = site.command(words);
-        let mut first = Running(command.env("FAULTS_DISK_DIES_AT", call.to_string()).spawn().unwrap());
+        let mut first = Running(
+            command
+                .env("FAULTS_DISK_DIES_AT", call.to_string())
+                .spawn()
+                .unwrap(),
+        );
         if site.comes_up(&mut first) {
-            assert!(call > 5, "only {call} calls until it was up: the library sees none");
+            assert!(
+                call > 5,
+                "only {call} calls until it was up: the library sees none"
+            );
             return never_again;
         }
-        assert_eq!(first.0.wait().unwrap().signal(), Some(KILLED), "at call {call}");
+        assert_eq!(
+            first.0.wait().unwrap().signal(),
+            Some(KILLED),
+            "at call {call}"
+        );
         let mut again = site.starts(words);
         if !site.comes_up(&mut again) {
             never_again.push(call);
@@ -116,15 +139,24 @@
     let (init, mut never_again) = ("registry init models --key owner.key", Vec::new());
     for call in 1..CALLS_MOST {
         let site = Site::new(library);
-        let status = site.command(init).env("FAULTS_DISK_DIES_AT", call.to_string()).status().unwrap();
+        let status = site
+            .command(init)
+            .env("FAULTS_DISK_DIES_AT", call.to_string())
+            .status()
+            .unwrap();
         if status.success() {
-            assert!(call > 5, "only {call} calls until it was made: the library sees none");
+            assert!(
+                call > 5,
+                "only {call} calls until it was made: the library sees none"
+            );
             return never_again;
         }
         assert_eq!(status.signal(), Some(KILLED), "at call {call}");
         site.says(init);
         let mut served = site.starts(SERVE);
-        if !site.comes_up(&mut served) || !site.says(&format!("registry status {TO}")).status.success() {
+        if !site.comes_up(&mut served)
+            || !site.says(&format!("registry status {TO}")).status.success()
+        {
             never_again.push(call);
         }
     }
@@ -138,8 +170,15 @@
     let steward = killed_at_each_call_of_a_start(&library, STEWARD);
     let journal = killed_at_each_call_of_a_start(&library, JOURNAL);
     let registry = killed_at_each_call_while_a_registry_is_made(&library);
-    let never_again = [("steward", steward), ("journal", journal), ("registry", registry)];
-    assert!(never_again.iter().all(|(_, calls)| calls.is_empty()), "killed at these calls: {never_again:?}");
+    let never_again = [
+        ("steward", steward),
+        ("journal", journal),
+        ("registry", registry),
+    ];
+    assert!(
+        never_again.iter().all(|(_, calls)| calls.is_empty()),
+        "killed at these calls: {never_again:?}"
+    );
 }
 
 /// Starts on a disk that takes nothing for a while: it comes up once the disk takes something again.
@@ -147,7 +186,10 @@
     site.set_failing(true);
     let mut process = site.starts(words);
     std::thread::sleep(FAILING);
-    assert!(process.0.try_wait().unwrap().is_none(), "it has given up: {words}");
+    assert!(
+        process.0.try_wait().unwrap().is_none(),
+        "it has given up: {words}"
+    );
     site.set_failing(false);
     assert!(site.comes_up(&mut process), "it does not come up: {words}");
     process
@@ -171,25 +213,40 @@
     fs::write(site.at("model"), vec![7; 300_000]).unwrap();
     let push = |version: &str| {
         let rest = "--folder models --memory-mb 900 --lanes 4 --trigger narrate";
-        site.says(&format!("registry push {TO} voice {version} model {rest}")).status.success()
+        site.says(&format!("registry push {TO} voice {version} model {rest}"))
+            .status
+            .success()
     };
-    assert!(site.says("registry init models --key owner.key").status.success());
+    assert!(
+        site.says("registry init models --key owner.key")
+            .status
+            .success()
+    );
     let mut running = comes_up_once_the_disk_does(&site, SERVE);
     assert!(push("v1"));
     site.set_failing(true);
     assert!(!push("v2"), "nothing is told that is not on disk");
-    assert!(site.says(&format!("registry show {TO}")).status.success(), "it goes on telling what it has");
+    assert!(
+        site.says(&format!("registry show {TO}")).status.success(),
+        "it goes on telling what it has"
+    );
     site.set_failing(false);
     assert!(push("v3"), "it goes on where it was");
     site.set_failing(true);
     drop(std::mem::replace(&mut running, site.starts(SERVE)));
     std::thread::sleep(FAILING);
     site.set_failing(false);
-    assert!(site.comes_up(&mut running), "killed on a disk that fails, it comes back with the disk");
+    assert!(
+        site.comes_up(&mut running),
+        "killed on a disk that fails, it comes back with the disk"
+    );
     let mut show = site.command(&format!("registry show {TO}"));
     let shown = show.stdout(Stdio::piped()).output().unwrap().stdout;
     let shown = String::from_utf8(shown).unwrap();
-    assert!(shown.contains("voice@v1") && shown.contains("voice@v3"), "{shown}");
+    assert!(
+        shown.contains("voice@v1") && shown.contains("voice@v3"),
+        "{shown}"
+    );
     let verified = site.says(&format!("registry verify {TO}"));
     assert!(verified.status.success(), "what is kept is whole");
 }
--- a/crates/cli/tests/fault_mix.rs
+++ b/crates/cli/tests/fault_mix.rs
@@ -3,7 +3,10 @@
 //!
 //! `FAULT_MIX_SEEDS=7..19` plays others.
 
-#![expect(clippy::disallowed_methods, reason = "processes run in this machine's time")]
+#![expect(
+    clippy::disallowed_methods,
+    reason = "processes run in this machine's time"
+)]
 
 #[path = "fault_mix/record.rs"]
 mod record;
@@ -12,7 +15,8 @@
 mod preloaded;
 
 use node_peers::{
-    Running, ask_with, configuration, dial, drain_event, field, frame, free_address, saltdrum, write,
+    Running, ask_with, configuration, dial, drain_event, field, frame, free_address, saltdrum,
+    write,
 };
 use record::{Attempt, Code, DRAIN_GRACE, Effect, ORDER_WINDOW, Record, Request, SLACK};
 use rustix::process::Signal;
@@ -57,12 +61,18 @@
     match (rng.u32(..100), is_order) {
         (0..3, _) => (soon, None),
         (3..5, _) => (random_ms(rng, 500, 3_000), None),
-        (5..15, true) => (soon, Some("503 Service Unavailable\r\nX-Unrun: 1\r\nX-Units: 0")),
+        (5..15, true) => (
+            soon,
+            Some("503 Service Unavailable\r\nX-Unrun: 1\r\nX-Units: 0"),
+        ),
         (_, true) => (random_ms(rng, 50, 400), Some("200 OK\r\nX-Units: 1")),
         (5..15, false) => (soon, Some("503 Service Unavailable\r\nX-Unrun: 1")),
         (15..45, false) => (soon, Some("404 Not Found")),
         (45..50, false) => (soon, Some("500 Internal Server Error\r\nX-How: resident")),
-        (50..55, false) => (random_ms(rng, 300, 2_500), Some("200 OK\r\nX-How: resident")),
+        (50..55, false) => (
+            random_ms(rng, 300, 2_500),
+            Some("200 OK\r\nX-How: resident"),
+        ),
         _ => (soon, Some("200 OK\r\nX-How: resident")),
     }
 }
@@ -78,7 +88,9 @@
         stream.set_read_timeout(Some(left)).unwrap();
         match stream.peek(&mut byte) {
             Ok(1..) => sleep(left.min(Duration::from_millis(1))),
-            Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => return false,
+            Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
+                return false;
+            }
             _ => return true,
         }
     }
@@ -94,12 +106,12 @@
 ) -> bool {
     let arrived = Instant::now();
     let is_order = head.starts_with("PUT");
-    let (takes, answer) = if head.starts_with("DELETE") || head.contains("healthz") || head.contains("/busy")
-    {
-        (Duration::ZERO, Some("204 No Content"))
-    } else {
-        end_of(rng, is_order)
-    };
+    let (takes, answer) =
+        if head.starts_with("DELETE") || head.contains("healthz") || head.contains("/busy") {
+            (Duration::ZERO, Some("204 No Content"))
+        } else {
+            end_of(rng, is_order)
+        };
     if is_order && !head.starts_with("PUT /") {
         return false;
     }
@@ -113,13 +125,32 @@
         let id = u64::from_str_radix(id, 16).unwrap();
         let provably_never_ran = never_ran && !given_up;
         let ended = Instant::now();
-        let attempt = Attempt { id, arrived, ended, told_limit, provably_never_ran, invoker };
+        let attempt = Attempt {
+            id,
+            arrived,
+            ended,
+            told_limit,
+            provably_never_ran,
+            invoker,
+        };
         seen.lock().unwrap().attempts.push(attempt);
     }
-    let Some(answer) = answer.filter(|_| !given_up) else { return false };
-    let body = if answer.starts_with("200") && !is_order { "done" } else { "" };
+    let Some(answer) = answer.filter(|_| !given_up) else {
+        return false;
+    };
+    let body = if answer.starts_with("200") && !is_order {
+        "done"
+    } else {
+        ""
+    };
     stream
-        .write_all(format!("HTTP/1.1 {answer}\r\nContent-Length: {}\r\n\r\n{body}", body.len()).as_bytes())
+        .write_all(
+            format!(
+                "HTTP/1.1 {answer}\r\nContent-Length: {}\r\n\r\n{body}",
+                body.len()
+            )
+            .as_bytes(),
+        )
         .is_ok()
 }
 
@@ -128,14 +159,18 @@
     let at = door.local_addr().unwrap().to_string();
     spawn(move || {
         for (n, stream) in (0..).zip(door.incoming()) {
-            let (Ok(mut stream), seen) = (stream, seen.clone()) else { return };
+            let (Ok(mut stream), seen) = (stream, seen.clone()) else {
+                return;
+            };
             let mut rng = fastrand::Rng::with_seed(seed ^ (n << 8) ^ number as u64);
             spawn(move || {
                 let (mut read, mut bytes) = (Vec::new(), [0; 4_096]);
                 stream.set_nodelay(true).unwrap();
                 loop {
                     stream.set_read_timeout(None).unwrap();
-                    let Ok(n @ 1..) = stream.read(&mut bytes) else { return };
+                    let Ok(n @ 1..) = stream.read(&mut bytes) else {
+                        return;
+                    };
                     read.extend_from_slice(&bytes[..n]);
                     if read.ends_with(b"\r\n\r\n") {
                         let head = String::from_utf8(std::mem::take(&mut read)).unwrap();
@@ -160,7 +195,9 @@
     spawn(move || {
         for (n, stream) in (0..).zip(door.incoming()) {
             let mut rng = fastrand::Rng::with_seed(seed ^ n);
-            let (Ok(mut stream), events, seen) = (stream, events.clone(), seen.clone()) else { return };
+            let (Ok(mut stream), events, seen) = (stream, events.clone(), seen.clone()) else {
+                return;
+            };
             spawn(move || {
                 let mut last = [0; 8];
                 if stream.read_exact(&mut last).is_err() {
@@ -172,9 +209,14 @@
                     let all = events.lock().unwrap().clone();
                     let new = &all[last as usize - 1..];
                     last = all.len() as u64 + 1;
-                    let frames: Vec<u8> = new.iter().flat_map(|(frame, _)| frame).copied().collect();
+                    let frames: Vec<u8> =
+                        new.iter().flat_map(|(frame, _)| frame).copied().collect();
                     let empty = [&9u32.to_be_bytes()[..], &last.to_be_bytes(), &[0]].concat();
-                    if stream.write_all(&frames).and_then(|()| stream.write_all(&empty)).is_err() {
+                    if stream
+                        .write_all(&frames)
+                        .and_then(|()| stream.write_all(&empty))
+                        .is_err()
+                    {
                         return;
                     }
                     let told = Instant::now() + DRAIN_GRACE + SLACK;
@@ -192,7 +234,12 @@
 fn request(stream: u32, id: u64, class: &str, function: u64, limit: Duration) -> Vec<u8> {
     let (txn, unique) = (format!("{id:016x}"), format!("{id:032x}"));
     let (limit, function) = (limit.as_millis().to_string(), format!("{function:016x}"));
-    let mut fields = vec![("verb", class), ("txn", &txn), ("limit", &limit), ("item", &function)];
+    let mut fields = vec![
+        ("verb", class),
+        ("txn", &txn),
+        ("limit", &limit),
+        ("item", &function),
+    ];
     if class == "charge" {
         fields.push(("unique", &unique));
     }
@@ -251,7 +298,9 @@
         assert_eq!(frame[4], ANSWER);
         let stream = u32::from_be_bytes(frame[5..9].try_into().unwrap()) as usize;
         // On stream 0 it is an error that belongs to no request.
-        let Some(id) = stream.checked_sub(1).map(|n| self.ids[n]) else { return Some(Heard::Frame) };
+        let Some(id) = stream.checked_sub(1).map(|n| self.ids[n]) else {
+            return Some(Heard::Frame);
+        };
         let code = match frame[9] {
             79 => Code::Served,
             66 => Code::Refused,
@@ -259,7 +308,11 @@
             other => panic!("code {other}"),
         };
         let mut seen = self.seen.lock().unwrap();
-        seen.requests.get_mut(&id).unwrap().answers.push((Instant::now(), code));
+        seen.requests
+            .get_mut(&id)
+            .unwrap()
+            .answers
+            .push((Instant::now(), code));
         Some(Heard::Answer(id))
     }
 
@@ -270,13 +323,27 @@
         self.ids.push(id);
         let stream = self.ids.len() as u32;
         let asked = Instant::now();
-        let request_made =
-            Request { asked, limit, effect, answers: Vec::new(), left: None, is_dropped: false };
+        let request_made = Request {
+            asked,
+            limit,
+            effect,
+            answers: Vec::new(),
+            left: None,
+            is_dropped: false,
+        };
         self.seen.lock().unwrap().requests.insert(id, request_made);
         let bytes = request(stream, id, class, 0x100 + rng.u64(..FUNCTIONS), limit);
-        let pieces = if rng.u32(..10) == 0 { rng.usize(1..bytes.len()) } else { bytes.len() };
+        let pieces = if rng.u32(..10) == 0 {
+            rng.usize(1..bytes.len())
+        } else {
+            bytes.len()
+        };
         let written = self.stream.write_all(&bytes[..pieces]).and_then(|()| {
-            sleep(if pieces < bytes.len() { random_ms(rng, 1, 60) } else { Duration::ZERO });
+            sleep(if pieces < bytes.len() {
+                random_ms(rng, 1, 60)
+            } else {
+                Duration::ZERO
+            });
             self.stream.write_all(&bytes[pieces..])
         });
         let in_machine = Instant::now();
@@ -344,7 +411,11 @@
         sleep(random_ms(rng, 200, 2_500));
         let began = Instant::now();
         running.signal(Signal::STOP);
-        sleep(if rng.bool() { random_ms(rng, 20, 400) } else { random_ms(rng, 400, 4_000) });
+        sleep(if rng.bool() {
+            random_ms(rng, 20, 400)
+        } else {
+            random_ms(rng, 400, 4_000)
+        });
         for _ in 0..if rng.bool() { rng.u32(1..20) } else { 0 } {
             running.signal(Signal::CONT);
             sleep(Duration::from_millis(1));
@@ -352,7 +423,10 @@
             sleep(random_ms(rng, 5, 80));
         }
         running.signal(Signal::CONT);
-        seen.lock().unwrap().stops.push((began, Instant::now() + MARGIN));
+        seen.lock()
+            .unwrap()
+            .stops
+            .push((began, Instant::now() + MARGIN));
         if rng.u32(..4) == 0 {
             running.signal(Signal::HUP);
         }
@@ -367,7 +441,10 @@
         if ends.load(Ordering::Relaxed) {
             return;
         }
-        events.lock().unwrap().push((drain_event(number, invoker as u32 + 1, &addresses[invoker]), invoker));
+        events.lock().unwrap().push((
+            drain_event(number, invoker as u32 + 1, &addresses[invoker]),
+            invoker,
+        ));
     }
 }
 
@@ -376,10 +453,15 @@
     let folder = tempfile::tempdir().unwrap();
     let (seen, ends): (Shared, Arc<AtomicBool>) = Default::default();
     let events = Events::default();
-    let addresses: Vec<_> = (0..INVOKERS).map(|n| invoker(n, rng.u64(..), seen.clone())).collect();
+    let addresses: Vec<_> = (0..INVOKERS)
+        .map(|n| invoker(n, rng.u64(..), seen.clone()))
+        .collect();
     let listen = free_address();
-    let mut settings =
-        configuration(&listen, &feed(events.clone(), rng.u64(..), seen.clone()), &addresses[0]);
+    let mut settings = configuration(
+        &listen,
+        &feed(events.clone(), rng.u64(..), seen.clone()),
+        &addresses[0],
+    );
     settings["limits"]["sockets"] = json!(512);
     let known = &mut settings["known"]["events"][0]["members"]["members"];
     let entry = known[0].clone();
@@ -408,7 +490,9 @@
     let every = *rng.choice(&[3, 7, 20, 100]).unwrap();
     let hour = 3_600_000i64;
     let step = |rng: &mut fastrand::Rng| *rng.choice(&[0, hour, -hour, 4_000, -4_000]).unwrap();
-    let steps: Vec<_> = (1..10).map(|n| format!("{}:{}", n * 1_300, step(&mut rng))).collect();
+    let steps: Vec<_> = (1..10)
+        .map(|n| format!("{}:{}", n * 1_300, step(&mut rng)))
+        .collect();
     node.env("LD_PRELOAD", library)
         .env("FAULTS_EVERY", every.to_string())
         .env("FAULTS_STEPS", steps.join(","));
@@ -426,17 +510,25 @@
         threads.push(spawn(move || client(listen, seed, next, seen, ends)));
     }
     let (drain_seed, their_ends) = (rng.u64(..), ends.clone());
-    threads.push(spawn(move || drains(&events, &addresses, drain_seed, &their_ends)));
+    threads.push(spawn(move || {
+        drains(&events, &addresses, drain_seed, &their_ends)
+    }));
     stops(&running, Instant::now() + LASTS, &mut rng, &seen);
     running.signal(Signal::TERM);
     let termed = Instant::now();
     sleep(COMES_AFTER_TERM);
     ends.store(true, Ordering::Relaxed);
-    threads.into_iter().for_each(|thread| thread.join().unwrap());
+    threads
+        .into_iter()
+        .for_each(|thread| thread.join().unwrap());
     while running.0.try_wait().unwrap().is_none() && termed.elapsed() < KILLED_AFTER {
         sleep(Duration::from_millis(10));
     }
-    let ended = running.0.try_wait().unwrap().and_then(|status| status.code());
+    let ended = running
+        .0
+        .try_wait()
+        .unwrap()
+        .and_then(|status| status.code());
     assert_eq!(ended, Some(0), "seed {seed}: it has not ended by itself");
     std::mem::take(&mut seen.lock().unwrap())
 }
@@ -458,12 +550,19 @@
         })
         .collect();
     // All of them end before any is judged: a process that is stopped would outlive the test.
-    let records: Vec<_> = plays.into_iter().map(|(seed, play)| (seed, play.join())).collect();
+    let records: Vec<_> = plays
+        .into_iter()
+        .map(|(seed, play)| (seed, play.join()))
+        .collect();
     let mut all = Vec::new();
     for (seed, record) in records {
         let record = record.unwrap_or_else(|_| panic!("seed {seed}: the play broke off"));
-        let served =
-            record.requests.values().flat_map(|r| &r.answers).filter(|a| a.1 == Code::Served).count();
+        let served = record
+            .requests
+            .values()
+            .flat_map(|r| &r.answers)
+            .filter(|a| a.1 == Code::Served)
+            .count();
         eprintln!(
             "seed {seed}: {} requests, {served} served, {} attempts, {} orders",
             record.requests.len(),
@@ -471,7 +570,12 @@
             record.orders.len()
         );
         assert!(served > 100, "seed {seed}: the play serves next to nothing");
-        all.extend(record.breaks().into_iter().map(|broken| format!("seed {seed}: {broken}")));
+        all.extend(
+            record
+                .breaks()
+                .into_iter()
+                .map(|broken| format!("seed {seed}: {broken}")),
+        );
     }
     assert!(all.is_empty(), "{} breaks:\n{}", all.len(), all.join("\n"));
 }
--- a/crates/cli/tests/fault_mix/record.rs
+++ b/crates/cli/tests/fault_mix/record.rs
@@ -75,7 +75,9 @@
 impl Record {
     /// Whether the process ran all the time from one moment to another.
     fn ran(&self, from: Instant, to: Instant) -> bool {
-        self.stops.iter().all(|(began, ended)| *ended <= from || *began >= to)
+        self.stops
+            .iter()
+            .all(|(began, ended)| *ended <= from || *began >= to)
     }
 
     /// What broke a rule, in words.
@@ -94,11 +96,21 @@
                 breaks.push(format!("{id}: {} answers", request.answers.len()));
             }
             let over = request.asked + request.limit + SLACK;
-            let is_owed = request.left.is_none_or(|left| left >= over) && self.ran(request.asked, over);
-            let in_time = request.answers.first().is_some_and(|answer| answer.0 <= over);
+            let is_owed =
+                request.left.is_none_or(|left| left >= over) && self.ran(request.asked, over);
+            let in_time = request
+                .answers
+                .first()
+                .is_some_and(|answer| answer.0 <= over);
             if is_owed && !in_time {
-                let took = request.answers.first().map(|answer| answer.0 - request.asked);
-                breaks.push(format!("{id}: limit {:?}, answered after {took:?}", request.limit));
+                let took = request
+                    .answers
+                    .first()
+                    .map(|answer| answer.0 - request.asked);
+                breaks.push(format!(
+                    "{id}: limit {:?}, answered after {took:?}",
+                    request.limit
+                ));
             }
             if request.is_dropped && request.answers.is_empty() && request.left.is_none() {
                 breaks.push(format!("{id}: its connection ended without an answer"));
@@ -114,8 +126,14 @@
         for (id, attempts) in by_request {
             let request = &self.requests[&id];
             let first_that_may_have_run = attempts.iter().find(|a| !a.provably_never_ran);
-            let refused = request.answers.iter().any(|answer| answer.1 == Code::Refused);
-            if refused && first_that_may_have_run.is_some() && request.effect == Effect::NonIdempotent {
+            let refused = request
+                .answers
+                .iter()
+                .any(|answer| answer.1 == Code::Refused);
+            if refused
+                && first_that_may_have_run.is_some()
+                && request.effect == Effect::NonIdempotent
+            {
                 breaks.push(format!("{id}: refused, and may have run"));
             }
             for (before, after) in attempts.iter().zip(attempts.iter().skip(1)) {
@@ -123,14 +141,19 @@
                 if both_out > SEEN_LATE {
                     breaks.push(format!("{id}: two out for {both_out:?}"));
                 }
-                let Some(first) = first_that_may_have_run.filter(|first| first.arrived < after.arrived)
+                let Some(first) =
+                    first_that_may_have_run.filter(|first| first.arrived < after.arrived)
                 else {
                     continue;
                 };
                 let late = after.arrived > first.arrived + REPEAT_WINDOW + SLACK;
                 match request.effect {
-                    Effect::NonIdempotent => breaks.push(format!("{id}: repeated, and may have run")),
-                    Effect::Tokened if late => breaks.push(format!("{id}: repeated after its window")),
+                    Effect::NonIdempotent => {
+                        breaks.push(format!("{id}: repeated, and may have run"))
+                    }
+                    Effect::Tokened if late => {
+                        breaks.push(format!("{id}: repeated after its window"))
+                    }
                     _ => {}
                 }
             }
@@ -142,24 +165,40 @@
             let (id, request) = (attempt.id, &self.requests[&attempt.id]);
             let left = (request.asked + request.limit).saturating_duration_since(attempt.arrived);
             if attempt.told_limit > left + LIMIT_SLACK {
-                breaks.push(format!("{id}: told of {:?}, {left:?} are left", attempt.told_limit));
+                breaks.push(format!(
+                    "{id}: told of {:?}, {left:?} are left",
+                    attempt.told_limit
+                ));
             }
-            let gone = request.left.map(|left| attempt.arrived.saturating_duration_since(left));
+            let gone = request
+                .left
+                .map(|left| attempt.arrived.saturating_duration_since(left));
             if let Some(gone) = gone.filter(|gone| *gone > GONE_SLACK) {
                 breaks.push(format!("{id}: sent on {gone:?} after its client left"));
             }
         }
-        let new_work = self.attempts.iter().map(|a| (a.arrived, a.invoker)).chain(self.orders.clone());
+        let new_work = self
+            .attempts
+            .iter()
+            .map(|a| (a.arrived, a.invoker))
+            .chain(self.orders.clone());
         for (arrived, invoker) in new_work {
             if let Some(until) = self.drained.get(&invoker).filter(|until| arrived > **until) {
-                breaks.push(format!("invoker {invoker}: new work {:?} after its grace", arrived - *until));
+                breaks.push(format!(
+                    "invoker {invoker}: new work {:?} after its grace",
+                    arrived - *until
+                ));
             }
         }
     }
 
     fn load_orders(&self, breaks: &mut Vec<String>) {
         for (at, _) in &self.orders {
-            let orders = self.orders.iter().filter(|o| o.0 <= *at && o.0 + ORDER_WINDOW > *at).count();
+            let orders = self
+                .orders
+                .iter()
+                .filter(|o| o.0 <= *at && o.0 + ORDER_WINDOW > *at)
+                .count();
             let came = |r: &&Request| r.asked <= *at && r.asked + ORDER_WINDOW + SLACK > *at;
             let requests = self.requests.values().filter(came).count();
             let most = (ORDERS_FREE + ORDERS_SHARE * requests as f64) * WIDENED + WIDENED_ORDERS;
--- a/crates/cli/tests/layers.rs
+++ b/crates/cli/tests/layers.rs
@@ -17,7 +17,10 @@
 "#;
 
 fn run(args: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_saltdrum")).args(args).output().unwrap()
+    Command::new(env!("CARGO_BIN_EXE_saltdrum"))
+        .args(args)
+        .output()
+        .unwrap()
 }
 
 /// A process that ends with the test, by a kill that it can't see coming.
@@ -59,50 +62,107 @@
     let mut rng = fastrand::Rng::with_seed(1);
     let model: Vec<u8> = (0..6 << 20).map(|_| rng.u8(..)).collect();
     std::fs::write(at("voice.bin"), &model).unwrap();
-    let packed = run(&["layers", "pack", &text("voice.bin"), "--into", &text("models"), "--tag", "voice:7"]);
+    let packed = run(&[
+        "layers",
+        "pack",
+        &text("voice.bin"),
+        "--into",
+        &text("models"),
+        "--tag",
+        "voice:7",
+    ]);
     assert!(packed.status.success(), "{packed:?}");
-    assert_eq!(run(&["layers", "verify", &text("models")]).status.code(), Some(0));
-    run(&["layers", "unpack", &text("models"), "voice:7", "--to", &text("back.bin")]);
+    assert_eq!(
+        run(&["layers", "verify", &text("models")]).status.code(),
+        Some(0)
+    );
+    run(&[
+        "layers",
+        "unpack",
+        &text("models"),
+        "voice:7",
+        "--to",
+        &text("back.bin"),
+    ]);
     assert!(std::fs::read(at("back.bin")).unwrap() == model);
 
-    let _registry =
-        start(&["standin", "registry", &text("models"), "--listen", &unix("registry")], &at("registry"));
-    let lines: Vec<String> =
-        (1..4).map(|n| format!("{n}={},{}", unix("none"), unix(&format!("a{n}")))).collect();
+    let _registry = start(
+        &[
+            "standin",
+            "registry",
+            &text("models"),
+            "--listen",
+            &unix("registry"),
+        ],
+        &at("registry"),
+    );
+    let lines: Vec<String> = (1..4)
+        .map(|n| format!("{n}={},{}", unix("none"), unix(&format!("a{n}"))))
+        .collect();
     let (terms, listen) = (text("terms.star"), unix("list"));
     let mut list = vec!["standin", "list", &terms, "--listen", &listen];
-    lines.iter().for_each(|l| list.extend(["--invoker", l.as_str()]));
+    lines
+        .iter()
+        .for_each(|l| list.extend(["--invoker", l.as_str()]));
     let _list = start(&list, &at("list"));
     let agent = |n: u32| {
         let (me, a, door) = (n.to_string(), unix(&format!("a{n}")), format!("door{n}"));
         let (store, cache, order) = (unix("registry"), text(&format!("cache{n}")), unix(&door));
-        let args = ["layers", "agent", "--me", &me, "--listen", &a, "--store", &store, "--list", &listen];
-        start(&[&args[..], &["--folder", &cache, "--door", &order]].concat(), &at(&door))
+        let args = [
+            "layers", "agent", "--me", &me, "--listen", &a, "--store", &store, "--list", &listen,
+        ];
+        start(
+            &[&args[..], &["--folder", &cache, "--door", &order]].concat(),
+            &at(&door),
+        )
     };
     let mut agents: Vec<Running> = (1..4).map(agent).collect();
     std::thread::sleep(Duration::from_millis(400));
     let load = |n: u32| {
-        let told = ask(&at(&format!("door{n}")), "load", json!({"model": "voice", "reference": "7"}));
+        let told = ask(
+            &at(&format!("door{n}")),
+            "load",
+            json!({"model": "voice", "reference": "7"}),
+        );
         assert_eq!(told["result"]["bytes"], json!(model.len()), "{told}");
         told["result"]["chunks"].as_u64().unwrap()
     };
     let count = |n: u32, name: &str| {
-        ask(&at(&format!("door{n}")), "status", json!({}))["result"][name].as_u64().unwrap()
+        ask(&at(&format!("door{n}")), "status", json!({}))["result"][name]
+            .as_u64()
+            .unwrap()
     };
     let chunks = load(1);
     load(2);
     load(3);
     let from_store: u64 = (1..4).map(|n| count(n, "from_store")).sum();
-    assert!(from_store * 2 < 3 * chunks, "{from_store} from the store for {chunks} chunks and three agents");
+    assert!(
+        from_store * 2 < 3 * chunks,
+        "{from_store} from the store for {chunks} chunks and three agents"
+    );
 
     drop(agents.remove(1));
     agents.push(agent(2));
     load(2);
-    assert_eq!((count(2, "from_cache"), count(2, "from_store")), (chunks, 0), "what it had is there");
+    assert_eq!(
+        (count(2, "from_cache"), count(2, "from_store")),
+        (chunks, 0),
+        "what it had is there"
+    );
 
-    let told = ask(&at("door1"), "load", json!({"model": "none", "reference": "7"}));
-    assert_eq!(told["error"]["message"], json!("model none:7: the store has no such manifest"));
+    let told = ask(
+        &at("door1"),
+        "load",
+        json!({"model": "none", "reference": "7"}),
+    );
+    assert_eq!(
+        told["error"]["message"],
+        json!("model none:7: the store has no such manifest")
+    );
     let bad = run(&["layers", "show", &text("models"), "voice:8"]);
     assert_eq!(bad.status.code(), Some(2));
-    assert!(String::from_utf8_lossy(&bad.stderr).contains("no model is tagged 'voice:8'; there are voice:7"));
+    assert!(
+        String::from_utf8_lossy(&bad.stderr)
+            .contains("no model is tagged 'voice:8'; there are voice:7")
+    );
 }
--- a/crates/cli/tests/node_peers/mod.rs
+++ b/crates/cli/tests/node_peers/mod.rs
@@ -21,7 +21,11 @@
 
 pub fn saltdrum(config: &Path) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_saltdrum"));
-    command.arg("node").env("RELAY_CONFIG", config).env_remove("RELAY_LISTEN").env_remove("RELAY_NAME");
+    command
+        .arg("node")
+        .env("RELAY_CONFIG", config)
+        .env_remove("RELAY_LISTEN")
+        .env_remove("RELAY_NAME");
     command
 }
 
@@ -122,8 +126,20 @@
 
 /// A request for a function, whose client waits so long.
 pub fn ask_for(stream: u32, txn: u64, function: u64, limit_ms: u64) -> Vec<u8> {
-    let (txn, limit, function) = (format!("{txn:016x}"), limit_ms.to_string(), format!("{function:016x}"));
-    ask_with(stream, &[("verb", "look"), ("txn", &txn), ("limit", &limit), ("item", &function)])
+    let (txn, limit, function) = (
+        format!("{txn:016x}"),
+        limit_ms.to_string(),
+        format!("{function:016x}"),
+    );
+    ask_with(
+        stream,
+        &[
+            ("verb", "look"),
+            ("txn", &txn),
+            ("limit", &limit),
+            ("item", &function),
+        ],
+    )
 }
 
 /// A request with these fields and no body.
@@ -140,12 +156,20 @@
 
 /// A frame of a client.
 pub fn frame(kind: u8, stream: u32, payload: &[u8]) -> Vec<u8> {
-    [&(payload.len() as u32 + 5).to_be_bytes()[..], &[kind], &stream.to_be_bytes(), payload].concat()
+    [
+        &(payload.len() as u32 + 5).to_be_bytes()[..],
+        &[kind],
+        &stream.to_be_bytes(),
+        payload,
+    ]
+    .concat()
 }
 
 /// The event of the feed after `number` that says that an invoker, at this address, drains.
 pub fn drain_event(number: u64, invoker: u32, address: &str) -> Vec<u8> {
-    let SocketAddr::V4(at) = address.parse().unwrap() else { panic!("{address}: IPv4 is expected") };
+    let SocketAddr::V4(at) = address.parse().unwrap() else {
+        panic!("{address}: IPv4 is expected")
+    };
     let record = [
         &invoker.to_be_bytes()[..],
         &at.ip().octets(),
@@ -157,13 +181,22 @@
     ]
     .concat();
     let length = 9 + record.len() as u32;
-    [&length.to_be_bytes()[..], &(number + 1).to_be_bytes(), &[2], &record].concat()
+    [
+        &length.to_be_bytes()[..],
+        &(number + 1).to_be_bytes(),
+        &[2],
+        &record,
+    ]
+    .concat()
 }
 
 /// The value of a field in an HTTP head.
 pub fn field<'a>(head: &'a str, name: &str) -> Option<&'a str> {
-    head.lines()
-        .find_map(|line| line.split_once(": ").filter(|f| f.0.eq_ignore_ascii_case(name)).map(|f| f.1))
+    head.lines().find_map(|line| {
+        line.split_once(": ")
+            .filter(|f| f.0.eq_ignore_ascii_case(name))
+            .map(|f| f.1)
+    })
 }
 
 /// The next frame: its type, its stream and its payload.
@@ -173,7 +206,11 @@
     let length = u32::from_be_bytes(head[..4].try_into().unwrap()) as usize;
     let mut payload = vec![0; length - 5];
     stream.read_exact(&mut payload).unwrap();
-    (head[4], u32::from_be_bytes(head[5..].try_into().unwrap()), payload)
+    (
+        head[4],
+        u32::from_be_bytes(head[5..].try_into().unwrap()),
+        payload,
+    )
 }
 
 pub fn dial(at: &str) -> TcpStream {
@@ -188,5 +225,9 @@
 }
 
 pub fn free_address() -> String {
-    TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().to_string()
+    TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap()
+        .to_string()
 }
--- a/crates/cli/tests/preloaded/mod.rs
+++ b/crates/cli/tests/preloaded/mod.rs
@@ -8,7 +8,13 @@
     let (source, library) = ("tests/faults/preload.rs", folder.join("libpreload.so"));
     let source = Path::new(env!("CARGO_MANIFEST_DIR")).join(source);
     let mut rustc = Command::new(std::env::var("RUSTC").unwrap_or_else(|_| "rustc".into()));
-    rustc.args(["--edition", "2024", "--crate-type", "cdylib", "-o"]).arg(&library).arg(source);
-    assert!(rustc.status().unwrap().success(), "the library can't be built");
+    rustc
+        .args(["--edition", "2024", "--crate-type", "cdylib", "-o"])
+        .arg(&library)
+        .arg(source);
+    assert!(
+        rustc.status().unwrap().success(),
+        "the library can't be built"
+    );
     library
 }
--- a/crates/cli/tests/processes.rs
+++ b/crates/cli/tests/processes.rs
@@ -49,9 +49,16 @@
         self.signal(Signal::STOP);
         let stopped = |task: std::io::Result<std::fs::DirEntry>| {
             let stat = std::fs::read_to_string(task.unwrap().path().join("stat")).unwrap();
-            stat.rsplit(')').next().unwrap().trim_start().starts_with('T')
+            stat.rsplit(')')
+                .next()
+                .unwrap()
+                .trim_start()
+                .starts_with('T')
         };
-        while !std::fs::read_dir(format!("/proc/{}/task", self.0.id())).unwrap().all(stopped) {
+        while !std::fs::read_dir(format!("/proc/{}/task", self.0.id()))
+            .unwrap()
+            .all(stopped)
+        {
             std::thread::sleep(Duration::from_millis(1));
         }
     }
@@ -70,7 +77,10 @@
     /// Everything up; the controller is the last.
     fn up() -> Self {
         let folder = tempfile::tempdir().unwrap();
-        let mut site = Self { folder, running: Vec::new() };
+        let mut site = Self {
+            folder,
+            running: Vec::new(),
+        };
         std::fs::write(site.folder.path().join("terms.star"), TERMS).unwrap();
         let at = |name: &str| format!("unix:{}", site.folder.path().join(name).display());
         let terms = site.folder.path().join("terms.star").display().to_string();
@@ -81,17 +91,45 @@
             ("store", vec!["standin", "store", "--listen", &store]),
             (
                 "i1",
-                vec!["standin", "invoker", &terms, "--number", "1", "--listen", &first, "--store", &store],
+                vec![
+                    "standin", "invoker", &terms, "--number", "1", "--listen", &first, "--store",
+                    &store,
+                ],
             ),
             (
                 "i2",
-                vec!["standin", "invoker", &terms, "--number", "2", "--listen", &second, "--store", &store],
+                vec![
+                    "standin", "invoker", &terms, "--number", "2", "--listen", &second, "--store",
+                    &store,
+                ],
             ),
             (
                 "list",
-                vec!["standin", "list", &terms, "--listen", &list, "--invoker", &one, "--invoker", &two],
+                vec![
+                    "standin",
+                    "list",
+                    &terms,
+                    "--listen",
+                    &list,
+                    "--invoker",
+                    &one,
+                    "--invoker",
+                    &two,
+                ],
+            ),
+            (
+                "clients",
+                vec![
+                    "serve",
+                    &terms,
+                    "--list",
+                    &list,
+                    "--clients",
+                    &clients,
+                    "--seed",
+                    "3",
+                ],
             ),
-            ("clients", vec!["serve", &terms, "--list", &list, "--clients", &clients, "--seed", "3"]),
         ];
         for (name, args) in all {
             let socket = site.folder.path().join(name);
@@ -116,19 +154,35 @@
 fn a_controller_that_was_stopped_sends_nothing_past_a_client_timeout() {
     let site = Site::up();
     let clients = site.clients();
-    let call = ["call", "--to", &clients, "--function", "voice", "--tenant", "hill", "--trigger", "narrate"];
+    let call = [
+        "call",
+        "--to",
+        &clients,
+        "--function",
+        "voice",
+        "--tenant",
+        "hill",
+        "--trigger",
+        "narrate",
+    ];
     let got = run(&call);
     assert!(got.status.success(), "{got:?}");
     let mut client = UnixStream::connect(site.folder.path().join("clients")).unwrap();
     for n in 0..10 {
-        client.write_all(invoke(json!(n), 1_000, 1_600).as_bytes()).unwrap();
+        client
+            .write_all(invoke(json!(n), 1_000, 1_600).as_bytes())
+            .unwrap();
     }
     std::thread::sleep(Duration::from_millis(100));
     let controller = site.running.last().unwrap();
     controller.stop();
     for n in 10..20 {
-        client.write_all(invoke(json!(n), 10, 1_500).as_bytes()).unwrap();
-        client.write_all(invoke(json!(n + 10), 10, 7_000).as_bytes()).unwrap();
+        client
+            .write_all(invoke(json!(n), 10, 1_500).as_bytes())
+            .unwrap();
+        client
+            .write_all(invoke(json!(n + 10), 10, 7_000).as_bytes())
+            .unwrap();
     }
     std::thread::sleep(Duration::from_secs(2));
     controller.signal(Signal::CONT);
@@ -140,13 +194,26 @@
         answered.push(reply["id"].as_u64().unwrap());
     }
     answered.sort_unstable();
-    assert_eq!(answered, (20..30).collect::<Vec<u64>>(), "those still waited for, and no others");
-    client.write_all(b"{\"jsonrpc\":\"2.0\",\"id\":\"s\",\"method\":\"status\"}\n").unwrap();
+    assert_eq!(
+        answered,
+        (20..30).collect::<Vec<u64>>(),
+        "those still waited for, and no others"
+    );
+    client
+        .write_all(b"{\"jsonrpc\":\"2.0\",\"id\":\"s\",\"method\":\"status\"}\n")
+        .unwrap();
     let reply: Value = serde_json::from_str(&lines.next().unwrap().unwrap()).unwrap();
     assert_eq!(reply["id"], "s", "nothing else was on its way: {reply}");
     let count = |name: &str| reply["result"][name].as_u64().unwrap();
     // A slow machine may have stopped it before it read the first ten: those are stale then as well.
-    assert_eq!((count("taken") + count("stale"), count("stale") + count("too_late")), (31, 20), "{reply}");
+    assert_eq!(
+        (
+            count("taken") + count("stale"),
+            count("stale") + count("too_late")
+        ),
+        (31, 20),
+        "{reply}"
+    );
     assert!(count("stale") >= 10, "{reply}");
 }
 
@@ -155,7 +222,9 @@
     let mut site = Site::up();
     let mut client = UnixStream::connect(site.folder.path().join("clients")).unwrap();
     for n in 0..6 {
-        client.write_all(invoke(json!(n), 1_500, 7_000).as_bytes()).unwrap();
+        client
+            .write_all(invoke(json!(n), 1_500, 7_000).as_bytes())
+            .unwrap();
     }
     std::thread::sleep(Duration::from_millis(700));
     drop(site.running.remove(1));
@@ -175,7 +244,14 @@
     let folder = tempfile::tempdir().unwrap();
     let at = |name: &str| folder.path().join(name).display().to_string();
     let record = at("record.jsonl");
-    let played = run(&["play", "misses-burn-tries", "--virtual", "--json", "--record", &record]);
+    let played = run(&[
+        "play",
+        "misses-burn-tries",
+        "--virtual",
+        "--json",
+        "--record",
+        &record,
+    ]);
     assert_eq!(played.status.code(), Some(0), "{played:?}");
     let facts: Value = serde_json::from_slice(&played.stdout).unwrap();
     assert_eq!(facts["rules"].as_array().unwrap().len(), 5);
@@ -191,22 +267,44 @@
     std::fs::write(at("twice.jsonl"), format!("{lines}{answer}\n")).unwrap();
     let broken = run(&["check", &at("twice.jsonl")]);
     assert_eq!(broken.status.code(), Some(1));
-    assert!(String::from_utf8_lossy(&broken.stdout).contains("rule 1 (one final answer in time): BROKEN"));
+    assert!(
+        String::from_utf8_lossy(&broken.stdout)
+            .contains("rule 1 (one final answer in time): BROKEN")
+    );
     std::fs::write(at("torn.jsonl"), &lines[..lines.len() - 9]).unwrap();
     std::fs::write(at("day.star"), "day(\"x\", length = 5)\n").unwrap();
     for (args, say) in [
         (vec!["check", &at("torn.jsonl")], "line "),
         (vec!["check", &at("none")], "No such file"),
-        (vec!["play", &at("day.star")], "day.star:1: no deployment(...) is stated"),
-        (vec!["play", "sunny"], "'sunny': a script.star or one of bad-day"),
         (
-            vec!["call", "--to", "udp:1", "--function", "f", "--tenant", "t", "--trigger", "g"],
+            vec!["play", &at("day.star")],
+            "day.star:1: no deployment(...) is stated",
+        ),
+        (
+            vec!["play", "sunny"],
+            "'sunny': a script.star or one of bad-day",
+        ),
+        (
+            vec![
+                "call",
+                "--to",
+                "udp:1",
+                "--function",
+                "f",
+                "--tenant",
+                "t",
+                "--trigger",
+                "g",
+            ],
             "tcp:HOST:PORT",
         ),
         (vec!["status", "--to", "unix:/nowhere"], "unix:/nowhere"),
     ] {
         let got = run(&args);
         let text = String::from_utf8_lossy(&got.stderr).into_owned();
-        assert!(got.status.code() == Some(2) && text.contains(say), "{args:?}: {got:?}");
+        assert!(
+            got.status.code() == Some(2) && text.contains(say),
+            "{args:?}: {got:?}"
+        );
     }
 }
--- a/crates/cli/tests/registry.rs
+++ b/crates/cli/tests/registry.rs
@@ -31,25 +31,38 @@
     }
 
     fn say(&self, words: &str) -> Output {
-        self.command().args(words.split_whitespace()).output().unwrap()
+        self.command()
+            .args(words.split_whitespace())
+            .output()
+            .unwrap()
     }
 
     fn does(&self, words: &str) -> String {
         let out = self.say(words);
-        let (told, why) = (String::from_utf8_lossy(&out.stdout), String::from_utf8_lossy(&out.stderr));
+        let (told, why) = (
+            String::from_utf8_lossy(&out.stdout),
+            String::from_utf8_lossy(&out.stderr),
+        );
         assert!(out.status.success(), "{words}: {told}{why}");
         told.into_owned()
     }
 
     fn refuses(&self, words: &str) -> String {
         let out = self.say(words);
-        assert_eq!(out.status.code(), Some(2), "{words}: {}", String::from_utf8_lossy(&out.stdout));
+        assert_eq!(
+            out.status.code(),
+            Some(2),
+            "{words}: {}",
+            String::from_utf8_lossy(&out.stdout)
+        );
         String::from_utf8_lossy(&out.stderr).into_owned()
     }
 
     fn serve(&self, folder: &str) -> Running {
         let mut command = self.command();
-        command.args(["serve", folder, "--listen", "unix:registry.sock"]).stdout(Stdio::null());
+        command
+            .args(["serve", folder, "--listen", "unix:registry.sock"])
+            .stdout(Stdio::null());
         let running = Running(command.spawn().unwrap());
         for _ in 0..400 {
             if self.say(&format!("status {TO}")).status.success() {
@@ -72,7 +85,9 @@
 
 #[test]
 fn published_moved_killed_and_restored() {
-    let site = Site { folder: tempfile::tempdir().unwrap() };
+    let site = Site {
+        folder: tempfile::tempdir().unwrap(),
+    };
     let mut rng = fastrand::Rng::with_seed(4);
     let noise = |n: usize, rng: &mut fastrand::Rng| (0..n).map(|_| rng.u8(..)).collect::<Vec<u8>>();
     let first = noise(900_000, &mut rng);
@@ -80,7 +95,10 @@
     fs::write(site.at("first"), first).unwrap();
     fs::write(site.at("second"), second).unwrap();
     site.does("init models --key owner.key");
-    assert!(site.refuses("init models --key other.key").contains("already"));
+    assert!(
+        site.refuses("init models --key other.key")
+            .contains("already")
+    );
     let mut running = site.serve("models");
     let push = |version: &str, file: &str| {
         format!(
@@ -89,38 +107,75 @@
     };
     site.does(&push("v1", "first"));
     site.does(&format!("alias {TO} voice-current voice v1"));
-    assert!(site.refuses(&format!("move {TO} voice-current v2")).contains("is not known"));
+    assert!(
+        site.refuses(&format!("move {TO} voice-current v2"))
+            .contains("is not known")
+    );
     site.does(&push("v2", "second"));
-    assert!(site.does(&push("v2", "second")).contains("revision 4"), "the same once more is no fault");
-    assert!(site.refuses(&push("v2", "first")).contains("a version never changes"));
+    assert!(
+        site.does(&push("v2", "second")).contains("revision 4"),
+        "the same once more is no fault"
+    );
+    assert!(
+        site.refuses(&push("v2", "first"))
+            .contains("a version never changes")
+    );
     assert!(site.refuses(&push("V3", "first")).contains("lower-case"));
     site.does(&format!("move {TO} voice-current v2"));
     // Killed outright: what was told is there.
     drop(running);
     running = site.serve("models");
-    assert!(site.does(&format!("show {TO}")).contains("voice-current -> voice@v2"));
+    assert!(
+        site.does(&format!("show {TO}"))
+            .contains("voice-current -> voice@v2")
+    );
     site.does(&format!("backup {TO} backup.lines"));
     site.does(&format!("rollback {TO} voice-current"));
     let stale = site.refuses(&format!("move {TO} voice-current v2 --expect 5"));
     assert!(stale.contains("someone else moved it"), "{stale}");
     assert!(site.does(&format!("verify {TO}")).contains("0 wrong"));
-    assert!(site.refuses(&format!("delete {TO} voice v2")).contains("is named by alias"));
+    assert!(
+        site.refuses(&format!("delete {TO} voice v2"))
+            .contains("is named by alias")
+    );
     site.does(&format!("unalias {TO} voice-current"));
     site.does(&format!("delete {TO} voice v2"));
-    assert!(site.does(&format!("gc {TO} --grace-s 0")).contains("blobs gone"));
-    assert!(site.does(&format!("verify {TO}")).contains("0 wrong"), "what v1 shares is still there");
-    let blobs = fs::read_dir(site.at("models/blobs/sha256")).unwrap().map(|e| e.unwrap().path());
-    let largest = blobs.max_by_key(|p| fs::metadata(p).unwrap().len()).unwrap();
+    assert!(
+        site.does(&format!("gc {TO} --grace-s 0"))
+            .contains("blobs gone")
+    );
+    assert!(
+        site.does(&format!("verify {TO}")).contains("0 wrong"),
+        "what v1 shares is still there"
+    );
+    let blobs = fs::read_dir(site.at("models/blobs/sha256"))
+        .unwrap()
+        .map(|e| e.unwrap().path());
+    let largest = blobs
+        .max_by_key(|p| fs::metadata(p).unwrap().len())
+        .unwrap();
     bend(&largest);
     let out = site.say(&format!("verify {TO}"));
     assert_eq!(out.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&out.stdout).contains("voice@v1: chunk"));
     drop(running);
     // The backup knows nothing of what came after; it goes over it.
-    assert!(site.refuses("restore backup.lines models --over 40").contains("already"));
-    assert!(site.refuses("restore backup.lines again --over 2").contains("must go over revision 5"));
+    assert!(
+        site.refuses("restore backup.lines models --over 40")
+            .contains("already")
+    );
+    assert!(
+        site.refuses("restore backup.lines again --over 2")
+            .contains("must go over revision 5")
+    );
     site.does("restore backup.lines again --over 40");
     let _running = site.serve("again");
-    assert!(site.does(&format!("show {TO}")).starts_with("revision 41\n"));
-    assert!(site.does(&format!("history {TO} --after 5")).contains("\"restored\""));
+    assert!(
+        site.does(&format!("show {TO}"))
+            .starts_with("revision 41\n")
+    );
+    assert!(
+        site.does(&format!("history {TO} --after 5"))
+            .contains("\"restored\"")
+    );
 }
--- a/crates/cli/tests/stalls.rs
+++ b/crates/cli/tests/stalls.rs
@@ -3,12 +3,16 @@
 //!
 //! Reproduction of `docs/incidents/agap-stopped-controllers-order-too-much.md`.
 
-#![expect(clippy::disallowed_methods, reason = "processes run in this machine's time")]
+#![expect(
+    clippy::disallowed_methods,
+    reason = "processes run in this machine's time"
+)]
 
 mod node_peers;
 
 use node_peers::{
-    Running, ask_for, configuration, dial, drain_event, feed, field, free_address, hear, saltdrum, write,
+    Running, ask_for, configuration, dial, drain_event, feed, field, free_address, hear, saltdrum,
+    write,
 };
 use rustix::process::Signal;
 use serde_json::json;
@@ -70,7 +74,8 @@
     }
     if let (Some(txn), Some(limit)) = (field(head, "x-txn"), field(head, "x-limit-ms")) {
         let limit = Duration::from_millis(limit.parse().unwrap());
-        seen.attempted.push((now, u64::from_str_radix(txn, 16).unwrap(), limit));
+        seen.attempted
+            .push((now, u64::from_str_radix(txn, 16).unwrap(), limit));
     }
     match lacks_all.load(Ordering::Relaxed) {
         true => b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n",
@@ -101,7 +106,11 @@
 }
 
 /// Asks at a steady pace, each time on a connection of its own, which it closes when answered or when its time is over.
-fn ask_steadily(listen: String, seen: Record, ends: Arc<AtomicBool>) -> std::thread::JoinHandle<()> {
+fn ask_steadily(
+    listen: String,
+    seen: Record,
+    ends: Arc<AtomicBool>,
+) -> std::thread::JoinHandle<()> {
     spawn(move || {
         let (began, mut open) = (Instant::now(), Vec::<(Instant, TcpStream)>::new());
         for n in 1u64.. {
@@ -109,13 +118,22 @@
                 return;
             }
             let mut stream = TcpStream::connect(&listen).unwrap();
-            stream.write_all(&ask_for(1, n, 0x100 + n % FUNCTIONS, LIMIT.as_millis() as u64)).unwrap();
+            stream
+                .write_all(&ask_for(
+                    1,
+                    n,
+                    0x100 + n % FUNCTIONS,
+                    LIMIT.as_millis() as u64,
+                ))
+                .unwrap();
             let now = Instant::now();
             seen.lock().unwrap().asked.insert(n, now);
             stream.set_nonblocking(true).unwrap();
             open.push((now, stream));
             let waits = |e: std::io::Error| e.kind() == ErrorKind::WouldBlock;
-            open.retain_mut(|(asked, s)| asked.elapsed() < LIMIT && s.read(&mut [0; 512]).is_err_and(waits));
+            open.retain_mut(|(asked, s)| {
+                asked.elapsed() < LIMIT && s.read(&mut [0; 512]).is_err_and(waits)
+            });
             sleep((began + ASKED_EVERY * n as u32).saturating_duration_since(Instant::now()));
         }
     })
@@ -165,8 +183,16 @@
     fn orders_past_the_budget(&self) -> Vec<(Duration, usize, f64)> {
         let first = *self.asked.values().next().unwrap();
         let past = self.ordered.iter().filter_map(|at| {
-            let orders = self.ordered.iter().filter(|o| **o <= *at && **o + WINDOW > *at).count();
-            let taken = self.asked.values().filter(|t| **t <= *at && **t + WINDOW + SLACK > *at).count();
+            let orders = self
+                .ordered
+                .iter()
+                .filter(|o| **o <= *at && **o + WINDOW > *at)
+                .count();
+            let taken = self
+                .asked
+                .values()
+                .filter(|t| **t <= *at && **t + WINDOW + SLACK > *at)
+                .count();
             let most = (ORDERS_FREE + ORDERS_SHARE * taken as f64) * WIDENED + WIDENED_ORDERS;
             (orders as f64 > most).then_some((*at - first, orders, most))
         });
@@ -184,16 +210,26 @@
 }
 
 /// A stop that is shorter than the window, one that is longer, and one after which nobody waits any more.
-const STOPS: [Duration; 3] =
-    [Duration::from_millis(1_500), Duration::from_secs(4), Duration::from_millis(7_500)];
+const STOPS: [Duration; 3] = [
+    Duration::from_millis(1_500),
+    Duration::from_secs(4),
+    Duration::from_millis(7_500),
+];
 
 #[test]
 fn load_orders_after_a_stop_keep_the_budget_of_what_came_within_the_window() {
     for stopped in STOPS {
         let seen = play(stopped);
         let past = seen.orders_past_the_budget();
-        let (orders, first, worst) = (seen.ordered.len(), past.first(), past.iter().map(|p| p.1).max());
-        assert!(orders > 20, "{orders} orders: the play does not ask for enough");
+        let (orders, first, worst) = (
+            seen.ordered.len(),
+            past.first(),
+            past.iter().map(|p| p.1).max(),
+        );
+        assert!(
+            orders > 20,
+            "{orders} orders: the play does not ask for enough"
+        );
         assert!(
             past.is_empty(),
             "stopped {stopped:?}: {} of {orders} orders, {first:?}, up to {worst:?}",
@@ -230,10 +266,19 @@
                 let mut last = u64::from_be_bytes(last);
                 loop {
                     let all = events.lock().unwrap().clone();
-                    let new: Vec<u8> = all.iter().skip(last as usize - 1).flatten().copied().collect();
+                    let new: Vec<u8> = all
+                        .iter()
+                        .skip(last as usize - 1)
+                        .flatten()
+                        .copied()
+                        .collect();
                     last = all.len() as u64 + 1;
                     let empty = [&9u32.to_be_bytes()[..], &last.to_be_bytes(), &[0]].concat();
-                    if stream.write_all(&new).and_then(|()| stream.write_all(&empty)).is_err() {
+                    if stream
+                        .write_all(&new)
+                        .and_then(|()| stream.write_all(&empty))
+                        .is_err()
+                    {
                         return;
                     }
                     sleep(FEED_SAYS_EVERY);
@@ -265,7 +310,10 @@
     let (drained, other, ends): (Record, Record, Arc<AtomicBool>) = Default::default();
     let lacks_all = Arc::new(AtomicBool::new(false));
     let events: Arc<Mutex<Vec<Vec<u8>>>> = Arc::default();
-    let (at, other_at) = (invoker(drained.clone(), lacks_all.clone()), invoker(other.clone(), lacks_all));
+    let (at, other_at) = (
+        invoker(drained.clone(), lacks_all.clone()),
+        invoker(other.clone(), lacks_all),
+    );
     let listen = free_address();
     let mut settings = configuration(&listen, &telling_feed(events.clone()), &at);
     settings["limits"]["sockets"] = json!(2_048);
@@ -289,9 +337,18 @@
     clients.join().unwrap();
     drop(running);
     let (arrived, served) = (drained.lock().unwrap(), other.lock().unwrap());
-    assert!(served.attempted.iter().any(|a| a.0 > told + stopped), "nothing is served");
-    let all = arrived.ordered.iter().copied().chain(arrived.attempted.iter().map(|a| a.0));
-    all.filter(|at| *at > told + DRAIN_GRACE + SLACK).map(|at| at - told).collect()
+    assert!(
+        served.attempted.iter().any(|a| a.0 > told + stopped),
+        "nothing is served"
+    );
+    let all = arrived
+        .ordered
+        .iter()
+        .copied()
+        .chain(arrived.attempted.iter().map(|a| a.0));
+    all.filter(|at| *at > told + DRAIN_GRACE + SLACK)
+        .map(|at| at - told)
+        .collect()
 }
 
 /// The platform kills no sooner than the longest client timeout, counted as 3 s where it is longer, and 0.7 s after SIGTERM.
@@ -310,7 +367,9 @@
     let config = write(folder.path(), &settings.to_string());
     let mut running = Running(saltdrum(&config).stdout(Stdio::null()).spawn().unwrap());
     let mut client = dial(&listen);
-    client.write_all(&ask_for(1, 1, 0x101, LIMIT.as_millis() as u64)).unwrap();
+    client
+        .write_all(&ask_for(1, 1, 0x101, LIMIT.as_millis() as u64))
+        .unwrap();
     // It is out: the invoker has been reached.
     let mut reached = silent.accept().unwrap().0;
     reached.read_exact(&mut [0; 4]).unwrap();
@@ -326,7 +385,11 @@
             break;
         }
     }
-    assert!(told.elapsed() < KILLED_AFTER, "it is answered {:?} after the end was told", told.elapsed());
+    assert!(
+        told.elapsed() < KILLED_AFTER,
+        "it is answered {:?} after the end was told",
+        told.elapsed()
+    );
     drop(client);
     assert!(running.0.wait().unwrap().success());
 }
--- a/crates/cli/tests/system_calls.rs
+++ b/crates/cli/tests/system_calls.rs
@@ -25,7 +25,9 @@
     for n in 0..EACH_ASKS {
         for (c, client) in (0..).zip(&mut clients) {
             let txn = u64::from(from + n * CLIENTS + c);
-            client.write_all(&ask_for(n + 1, txn, 0x100 + txn % 7, LIMIT_MS)).unwrap();
+            client
+                .write_all(&ask_for(n + 1, txn, 0x100 + txn % 7, LIMIT_MS))
+                .unwrap();
         }
         for client in &mut clients {
             let (kind, stream, payload) = hear(client);
@@ -39,12 +41,14 @@
 #[test]
 fn whatever_calls_fail_all_that_was_taken_is_answered() {
     let folder = tempfile::tempdir().unwrap();
-    let (listen, invoker, (feed, asked)) = (free_address(), invoker(Duration::from_millis(2)), feed());
+    let (listen, invoker, (feed, asked)) =
+        (free_address(), invoker(Duration::from_millis(2)), feed());
     let mut settings = configuration(&listen, &feed, &invoker);
     settings["limits"]["sockets"] = json!(512);
     let config = write(folder.path(), &settings.to_string());
     let mut node = saltdrum(&config);
-    node.env("LD_PRELOAD", preloaded::library(folder.path())).env("FAULTS_EVERY", "3");
+    node.env("LD_PRELOAD", preloaded::library(folder.path()))
+        .env("FAULTS_EVERY", "3");
     // An hour ahead, two back, and where it was.
     node.env("FAULTS_STEPS", "300:3600000,700:-7200000,1100:0");
     let mut running = Running(node.stdout(Stdio::null()).spawn().unwrap());
