--- a/crates/cli/tests/trials.rs
+++ b/crates/cli/tests/trials.rs
@@ -30,8 +30,15 @@
         let told = String::from_utf8_lossy(&played.stdout);
         // 3: the machine stood still at a moment that decides, three times over. It tells nothing.
         let code = played.status.code();
-        assert!(matches!(code, Some(0 | 3)), "{name}: {told}\n{}", String::from_utf8_lossy(&played.stderr));
-        let begun = std::fs::read_to_string(&record).unwrap().matches("\"began\"").count();
+        assert!(
+            matches!(code, Some(0 | 3)),
+            "{name}: {told}\n{}",
+            String::from_utf8_lossy(&played.stderr)
+        );
+        let begun = std::fs::read_to_string(&record)
+            .unwrap()
+            .matches("\"began\"")
+            .count();
         assert!(code == Some(3) || begun > 0, "{name}: no drain was tried");
     }
 }
@@ -51,10 +58,17 @@
         let played = saltdrum(&["trial", name, "--json"]);
         let told = String::from_utf8_lossy(&played.stdout);
         let code = played.status.code();
-        assert!(matches!(code, Some(0 | 3)), "{name}: {told}\n{}", String::from_utf8_lossy(&played.stderr));
+        assert!(
+            matches!(code, Some(0 | 3)),
+            "{name}: {told}\n{}",
+            String::from_utf8_lossy(&played.stderr)
+        );
         let facts: serde_json::Value = serde_json::from_str(&told).unwrap();
         let count = |what: &str| facts[what].as_u64().unwrap();
-        assert!(code == Some(3) || (count("epochs") >= 2 && count("effects") >= 40), "{name}: {facts}");
+        assert!(
+            code == Some(3) || (count("epochs") >= 2 && count("effects") >= 40),
+            "{name}: {facts}"
+        );
     }
 }
 
@@ -86,9 +100,18 @@
     for (planted, steps) in [
         ("steward_gives_away = True", given_away),
         ("acts_before_seals = True", successor_seals_one),
-        ("acts_before_seals = True, journal_fault = \"drops-the-epoch\"", holder_wakes),
-        ("acts_before_seals = True, journal_fault = \"forgets-its-epoch\"", on_an_old_disk),
-        ("acts_before_seals = True, journal_fault = \"believes-its-disk\"", on_an_old_disk),
+        (
+            "acts_before_seals = True, journal_fault = \"drops-the-epoch\"",
+            holder_wakes,
+        ),
+        (
+            "acts_before_seals = True, journal_fault = \"forgets-its-epoch\"",
+            on_an_old_disk,
+        ),
+        (
+            "acts_before_seals = True, journal_fault = \"believes-its-disk\"",
+            on_an_old_disk,
+        ),
     ] {
         std::fs::write(&script, planted_lease_trial(planted, steps)).unwrap();
         let played = saltdrum(&["trial", &script, "--json"]);
@@ -98,9 +121,16 @@
             rule.starts_with("no effect of an earlier") || rule.starts_with("the effects of one")
         };
         let rules = facts["rules"].as_array().unwrap();
-        let rules = rules.iter().filter(|rule| of_leases(rule["rule"].as_str().unwrap()));
-        let found: usize = rules.map(|rule| rule["broken"].as_array().unwrap().len()).sum();
-        assert!(played.status.code() == Some(3) || found > 0, "{planted}: not found: {facts}");
+        let rules = rules
+            .iter()
+            .filter(|rule| of_leases(rule["rule"].as_str().unwrap()));
+        let found: usize = rules
+            .map(|rule| rule["broken"].as_array().unwrap().len())
+            .sum();
+        assert!(
+            played.status.code() == Some(3) || found > 0,
+            "{planted}: not found: {facts}"
+        );
     }
 }
 
@@ -110,27 +140,58 @@
     let script = folder.path().join("odd.star").display().to_string();
     let lead = include_str!("../../trial/trials/one-drain.star");
     for (text, say) in [
-        (lead.replace("\"invoker-4\"", "\"invoker-9\""), "no process is named 'invoker-9' here"),
-        (lead.replace("step(\"all_up\")", "step(\"dance\")"), "'dance' is no step"),
+        (
+            lead.replace("\"invoker-4\"", "\"invoker-9\""),
+            "no process is named 'invoker-9' here",
+        ),
+        (
+            lead.replace("step(\"all_up\")", "step(\"dance\")"),
+            "'dance' is no step",
+        ),
         (lead.replace("out = 1", "outs = 1"), "unknown field `outs`"),
-        (lead.replace("per_second = 60", "stewards = 2"), "an odd number up to 9"),
-        (lead.replace("fleet(\"museums\"", "fleet(\"the museums\""), "letters, digits and '-'"),
+        (
+            lead.replace("per_second = 60", "stewards = 2"),
+            "an odd number up to 9",
+        ),
+        (
+            lead.replace("fleet(\"museums\"", "fleet(\"the museums\""),
+            "letters, digits and '-'",
+        ),
     ] {
         std::fs::write(&script, text).unwrap();
         let got = saltdrum(&["trial", &script]);
         let told = String::from_utf8_lossy(&got.stderr).into_owned();
-        assert!(got.status.code() == Some(2) && told.contains(say), "{say}: {got:?}");
+        assert!(
+            got.status.code() == Some(2) && told.contains(say),
+            "{say}: {got:?}"
+        );
     }
     for (args, say) in [
         (vec!["trial", "sunny"], "one of one-drain"),
-        (vec!["fleet", "status", "--fleet", "x", "--to", "unix:/nowhere"], "unix:/nowhere"),
         (
-            vec!["fleet", "drain", "--fleet", "x", "--to", "unix:/nowhere", "--id", "a", "invoker-0"],
+            vec!["fleet", "status", "--fleet", "x", "--to", "unix:/nowhere"],
+            "unix:/nowhere",
+        ),
+        (
+            vec![
+                "fleet",
+                "drain",
+                "--fleet",
+                "x",
+                "--to",
+                "unix:/nowhere",
+                "--id",
+                "a",
+                "invoker-0",
+            ],
             "is expected",
         ),
     ] {
         let got = saltdrum(&args);
         let told = String::from_utf8_lossy(&got.stderr).into_owned();
-        assert!(got.status.code() == Some(2) && told.contains(say), "{args:?}: {got:?}");
+        assert!(
+            got.status.code() == Some(2) && told.contains(say),
+            "{args:?}: {got:?}"
+        );
     }
 }
--- a/crates/controller/src/clients.rs
+++ b/crates/controller/src/clients.rs
@@ -115,7 +115,11 @@
     loop {
         match arrivals.accept(&mut *door).await {
             Ok(stream) => {
-                drop(tokio::task::spawn_local(attend(front.clone(), stream, arrivals.earliest())));
+                drop(tokio::task::spawn_local(attend(
+                    front.clone(),
+                    stream,
+                    arrivals.earliest(),
+                )));
             }
             Err(e) => {
                 // Out of descriptors, most likely: those in hand go on.
@@ -161,14 +165,21 @@
     while steps.changed().await.is_ok() {
         let step = *steps.borrow_and_update();
         if step == Step::LeadingAway {
-            client.put(r#"{"jsonrpc":"2.0","method":"going","params":{}}"#.into(), ANY_TIME);
+            client.put(
+                r#"{"jsonrpc":"2.0","method":"going","params":{}}"#.into(),
+                ANY_TIME,
+            );
         }
     }
     std::future::pending().await
 }
 
 /// Reads lines until the client leaves, and says why it did.
-async fn listen(front: &Rc<Front>, client: &Rc<Client>, mut read: Read<saltdrum_link::Half>) -> String {
+async fn listen(
+    front: &Rc<Front>,
+    client: &Rc<Client>,
+    mut read: Read<saltdrum_link::Half>,
+) -> String {
     let mut searched = 0;
     loop {
         let earliest = match read.more().await {
@@ -192,7 +203,10 @@
         searched = read.bytes.len();
         if searched > rpc::LINE_MOST_BYTES {
             let why = format!("line of over {} bytes", rpc::LINE_MOST_BYTES);
-            client.put(rpc::error(&Id::null(), rpc::PARSE_ERROR, &why, None), ANY_TIME);
+            client.put(
+                rpc::error(&Id::null(), rpc::PARSE_ERROR, &why, None),
+                ANY_TIME,
+            );
             client.outbox.close();
             info!(why, "client cut off");
             std::future::pending::<()>().await;
@@ -205,10 +219,16 @@
         Err(r) => client.put(rpc::error(&r.id, r.code, &r.why, None), ANY_TIME),
         Ok(Line::Single(part)) => answer(front, client, part, None, None, earliest),
         Ok(Line::Batch(parts)) => {
-            let batch = Batch { owed: parts.len(), until: ANY_TIME, ..Default::default() };
+            let batch = Batch {
+                owed: parts.len(),
+                until: ANY_TIME,
+                ..Default::default()
+            };
             let batch = Rc::new(RefCell::new(batch));
             let waits = parts.iter().flatten().filter_map(least_wait);
-            let least = waits.min_by(f64::total_cmp).map(|ms| (ms * 10.0).max(0.0) as Tenths);
+            let least = waits
+                .min_by(f64::total_cmp)
+                .map(|ms| (ms * 10.0).max(0.0) as Tenths);
             for part in parts {
                 answer(front, client, part, Some(batch.clone()), least, earliest);
             }
@@ -217,7 +237,9 @@
 }
 
 fn least_wait(call: &Call) -> Option<f64> {
-    serde_json::from_str::<rpc::Invoke>(call.params.as_ref()?.get()).ok()?.time_left_ms
+    serde_json::from_str::<rpc::Invoke>(call.params.as_ref()?.get())
+        .ok()?
+        .time_left_ms
 }
 
 fn answer(
@@ -230,9 +252,20 @@
 ) {
     let call = match part {
         Ok(call) => call,
-        Err(r) => return Reply { client: client.clone(), id: Some(r.id), batch }.refuse(r.code, &r.why),
+        Err(r) => {
+            return Reply {
+                client: client.clone(),
+                id: Some(r.id),
+                batch,
+            }
+            .refuse(r.code, &r.why);
+        }
+    };
+    let reply = Reply {
+        client: client.clone(),
+        id: call.id,
+        batch,
     };
-    let reply = Reply { client: client.clone(), id: call.id, batch };
     match call.method.as_str() {
         "invoke" => {
             let params = call.params.as_ref().map_or("{}", |p| p.get());
@@ -245,7 +278,9 @@
                         ANY_TIME,
                     );
                 }
-                Ok(invoke) => front.tell(|state| front::invoke(state, invoke, least_left, earliest, reply)),
+                Ok(invoke) => {
+                    front.tell(|state| front::invoke(state, invoke, least_left, earliest, reply))
+                }
                 Err(e) => reply.refuse(rpc::INVALID_PARAMS, &e.to_string()),
             }
         }
@@ -253,8 +288,9 @@
             let status = front::status(front);
             reply.put(|id| rpc::result(id, &status), ANY_TIME);
         }
-        other => {
-            reply.refuse(rpc::METHOD_NOT_FOUND, &format!("method '{other}': invoke or status is expected"))
-        }
+        other => reply.refuse(
+            rpc::METHOD_NOT_FOUND,
+            &format!("method '{other}': invoke or status is expected"),
+        ),
     }
 }
--- a/crates/controller/src/decides.rs
+++ b/crates/controller/src/decides.rs
@@ -80,7 +80,14 @@
 
 fn relay(pick: Pick, seed: u64) -> Box<dyn Decides> {
     let (ready, picks, out, inv) = Default::default();
-    Box::new(Relay { pick, rng: fastrand::Rng::with_seed(seed), ready, picks, out, inv })
+    Box::new(Relay {
+        pick,
+        rng: fastrand::Rng::with_seed(seed),
+        ready,
+        picks,
+        out,
+        inv,
+    })
 }
 
 /// Puts up a relay that picks at random.
@@ -101,9 +108,13 @@
 impl Relay {
     fn one(&mut self, function: FnId) -> InvokerId {
         let first = self.rng.usize(..self.picks.len());
-        let turned = self.picks[first..].iter().chain(&self.picks[..first]).copied();
+        let turned = self.picks[first..]
+            .iter()
+            .chain(&self.picks[..first])
+            .copied();
         let out = |i: &InvokerId| self.out.get(i).copied().unwrap_or(0);
-        let rank = |i: &InvokerId| fastrand::Rng::with_seed(function ^ (u64::from(*i) << 32)).u64(..);
+        let rank =
+            |i: &InvokerId| fastrand::Rng::with_seed(function ^ (u64::from(*i) << 32)).u64(..);
         match self.pick {
             Pick::Random => self.picks[first],
             Pick::FewestOut => turned.min_by_key(out).unwrap_or(self.picks[first]),
--- a/crates/controller/src/desk.rs
+++ b/crates/controller/src/desk.rs
@@ -187,7 +187,14 @@
         seat: R::Seat,
     ) -> Self {
         let (state, turns) = (RefCell::new(State { module, desk }), Turns::default());
-        Self { state, clock, network, turns, seat, earlier: Notify::new() }
+        Self {
+            state,
+            clock,
+            network,
+            turns,
+            seat,
+            earlier: Notify::new(),
+        }
     }
 
     /// Lets `then` work on the state, and does what it leaves behind.
@@ -291,7 +298,9 @@
 
     /// Sends the one final answer, if the client still waits for it.
     fn answer(&mut self, id: InvId, how: Final) {
-        let Some(inv) = self.invs.get_mut(&id) else { return };
+        let Some(inv) = self.invs.get_mut(&id) else {
+            return;
+        };
         let Some(owed) = inv.owed.take() else { return };
         let _in = inv.span.clone().entered();
         let counts = &mut self.counts;
@@ -329,7 +338,11 @@
 
     /// Nothing is out for it and nothing owed: it is forgotten.
     fn forget_ended(&mut self, id: InvId) {
-        if self.invs.get(&id).is_some_and(|inv| inv.owed.is_none() && inv.out.is_empty()) {
+        if self
+            .invs
+            .get(&id)
+            .is_some_and(|inv| inv.owed.is_none() && inv.out.is_empty())
+        {
             self.invs.remove(&id);
         }
     }
@@ -348,25 +361,47 @@
         let (id, function, expires) = (invocation.id, invocation.function, invocation.expires);
         self.desk.counts.taken += 1;
         let (owed, out) = (Some(owed), BTreeMap::new());
-        self.desk.invs.insert(id, Inv { carried, function, expires, gone, owed, hops: 0, out, span });
-        self.module.invoked(self.desk.now, invocation, &mut self.desk);
+        self.desk.invs.insert(
+            id,
+            Inv {
+                carried,
+                function,
+                expires,
+                gone,
+                owed,
+                hops: 0,
+                out,
+                span,
+            },
+        );
+        self.module
+            .invoked(self.desk.now, invocation, &mut self.desk);
         self.desk.forget_ended(id);
     }
 
     /// The client that waited for it has hung up.
     pub fn left(&mut self, id: InvId) {
         let desk = &mut self.desk;
-        let Some(inv) = desk.invs.get_mut(&id) else { return };
+        let Some(inv) = desk.invs.get_mut(&id) else {
+            return;
+        };
         desk.counts.left += u64::from(inv.owed.take().is_some());
-        let out: Vec<(u8, InvokerId, u64)> =
-            inv.out.iter().map(|(hop, o)| (*hop, o.invoker, o.dispatch)).collect();
+        let out: Vec<(u8, InvokerId, u64)> = inv
+            .out
+            .iter()
+            .map(|(hop, o)| (*hop, o.invoker, o.dispatch))
+            .collect();
         for (hop, invoker, dispatch) in out {
             if desk.reach.withdraw(invoker, dispatch) {
-                desk.after(Box::new(move |state| state.ended(id, hop, Outcome::NotSent, &Told::default())));
+                desk.after(Box::new(move |state| {
+                    state.ended(id, hop, Outcome::NotSent, &Told::default())
+                }));
             } else if desk.may_cancel && desk.reach.cancel(invoker, dispatch) {
                 // Left to its time-out, it would look as if the invoker were late.
                 let told = Told::default();
-                desk.after(Box::new(move |state| state.ended(id, hop, Outcome::Cancelled, &told)));
+                desk.after(Box::new(move |state| {
+                    state.ended(id, hop, Outcome::Cancelled, &told)
+                }));
             }
         }
         self.module.left(self.desk.now, id);
@@ -383,8 +418,14 @@
 
     /// Answers an invocation at once, as nobody will be able to later: refused where it was never sent on.
     pub fn give_up(&mut self, id: InvId) {
-        let Some(inv) = self.desk.invs.get(&id) else { return };
-        let how = if inv.hops == 0 { Final::Throttled(0) } else { Final::Errored("given up") };
+        let Some(inv) = self.desk.invs.get(&id) else {
+            return;
+        };
+        let how = if inv.hops == 0 {
+            Final::Throttled(0)
+        } else {
+            Final::Errored("given up")
+        };
         self.desk.answer(id, how);
         self.left(id);
     }
@@ -392,11 +433,17 @@
     /// One dispatch has ended: the client hears of a success, the module of everything.
     pub fn ended(&mut self, id: InvId, hop: u8, outcome: Outcome, told: &Told) {
         let desk = &mut self.desk;
-        let Some(inv) = desk.invs.get_mut(&id) else { return };
-        let Some(out) = inv.out.remove(&hop) else { return };
-        out.span.in_scope(|| debug!(?outcome, took_ms = (desk.now - out.sent) / MILLI));
+        let Some(inv) = desk.invs.get_mut(&id) else {
+            return;
+        };
+        let Some(out) = inv.out.remove(&hop) else {
+            return;
+        };
+        out.span
+            .in_scope(|| debug!(?outcome, took_ms = (desk.now - out.sent) / MILLI));
         desk.timers.remove(&out.timer);
-        desk.reach.ended(out.invoker, out.dispatch, &inv.carried, outcome, told);
+        desk.reach
+            .ended(out.invoker, out.dispatch, &inv.carried, outcome, told);
         if outcome == Outcome::Succeeded {
             desk.answer(id, Final::Succeeded(&told.output));
         }
@@ -419,7 +466,9 @@
     /// An order to hold has ended.
     pub fn held(&mut self, invoker: InvokerId, order: u64, outcome: HoldOutcome, standing: u8) {
         let left = self.desk.reach.order_left(order);
-        let Some(o) = self.desk.orders.remove(&(invoker, order)) else { return };
+        let Some(o) = self.desk.orders.remove(&(invoker, order)) else {
+            return;
+        };
         self.desk.timers.remove(&o.timer);
         self.desk.reach.held(invoker, order);
         let took = self.desk.now - o.sent;
@@ -433,7 +482,14 @@
             took_ms = took / MILLI,
             "order to load has ended"
         );
-        let answer = HoldAnswer { invoker, function: o.function, outcome, standing, took, left };
+        let answer = HoldAnswer {
+            invoker,
+            function: o.function,
+            outcome,
+            standing,
+            took,
+            left,
+        };
         self.module.held(self.desk.now, answer, &mut self.desk);
     }
 }
@@ -444,16 +500,32 @@
     }
 
     fn dispatch_by(&mut self, id: InvId, invoker: InvokerId, time_out: Tenths, leave_by: Tenths) {
-        let Some(inv) = self.invs.get_mut(&id) else { return };
+        let Some(inv) = self.invs.get_mut(&id) else {
+            return;
+        };
         let hop = inv.hops;
         inv.hops = inv.hops.saturating_add(1);
         self.counts.dispatches += 1;
         let span = info_span!(parent: &inv.span, "dispatch", hop, invoker);
         let last = inv.expires.saturating_sub(LAST_WORD);
-        let until = if time_out == 0 { last } else { last.min(self.now + time_out) };
+        let until = if time_out == 0 {
+            last
+        } else {
+            last.min(self.now + time_out)
+        };
         let (function, carried, now, gone) = (inv.function, &inv.carried, self.now, inv.gone);
         let leave_by = leave_by.min(until);
-        let sending = Sending { inv: id, hop, invoker, function, carried, now, until, leave_by, gone };
+        let sending = Sending {
+            inv: id,
+            hop,
+            invoker,
+            function,
+            carried,
+            now,
+            until,
+            leave_by,
+            gone,
+        };
         let sent = match inv.owed {
             None => Err(Outcome::NotSent),
             Some(_) => self.reach.dispatch(&sending),
@@ -461,16 +533,31 @@
         span.in_scope(|| debug!(?sent));
         let timer = (until, self.timer + 1);
         let dispatch = sent.unwrap_or(0);
-        inv.out.insert(hop, Out { invoker, dispatch, sent: self.now, timer, span });
+        inv.out.insert(
+            hop,
+            Out {
+                invoker,
+                dispatch,
+                sent: self.now,
+                timer,
+                span,
+            },
+        );
         if let Err(outcome) = sent {
-            return self.after(Box::new(move |state| state.ended(id, hop, outcome, &Told::default())));
+            return self.after(Box::new(move |state| {
+                state.ended(id, hop, outcome, &Told::default())
+            }));
         }
         self.later(
             until,
             Box::new(move |state| {
                 // What has not left by now never will.
                 let never = state.desk.reach.withdraw(invoker, dispatch);
-                let outcome = if never { Outcome::NotSent } else { Outcome::TimedOut };
+                let outcome = if never {
+                    Outcome::NotSent
+                } else {
+                    Outcome::TimedOut
+                };
                 state.ended(id, hop, outcome, &Told::default());
             }),
         );
@@ -485,13 +572,21 @@
     }
 
     fn cancel(&mut self, id: InvId, hop: u8) {
-        let Some(out) = self.invs.get(&id).and_then(|inv| inv.out.get(&hop)) else { return };
+        let Some(out) = self.invs.get(&id).and_then(|inv| inv.out.get(&hop)) else {
+            return;
+        };
         let never = self.reach.withdraw(out.invoker, out.dispatch);
         if !never {
             self.reach.cancel(out.invoker, out.dispatch);
         }
-        let outcome = if never { Outcome::NotSent } else { Outcome::Cancelled };
-        self.after(Box::new(move |state| state.ended(id, hop, outcome, &Told::default())));
+        let outcome = if never {
+            Outcome::NotSent
+        } else {
+            Outcome::Cancelled
+        };
+        self.after(Box::new(move |state| {
+            state.ended(id, hop, outcome, &Told::default())
+        }));
     }
 
     fn hold(&mut self, invoker: InvokerId, function: FnId, count: u8) {
@@ -499,15 +594,42 @@
         let (at, sent) = (self.now + self.order_timeout, self.now);
         match self.reach.hold(sent, invoker, function, count) {
             Ok(order) => {
-                debug!(invoker, function = format_args!("{function:016x}"), count, order, "order to load");
-                let due = move |state: &mut State<R>| state.held(invoker, order, HoldOutcome::TimedOut, 0);
+                debug!(
+                    invoker,
+                    function = format_args!("{function:016x}"),
+                    count,
+                    order,
+                    "order to load"
+                );
+                let due = move |state: &mut State<R>| {
+                    state.held(invoker, order, HoldOutcome::TimedOut, 0)
+                };
                 let timer = self.later(at, Box::new(due));
-                self.orders.insert((invoker, order), Order { function, sent, timer });
+                self.orders.insert(
+                    (invoker, order),
+                    Order {
+                        function,
+                        sent,
+                        timer,
+                    },
+                );
             }
             Err(outcome) => self.after(Box::new(move |state| {
                 let id = format_args!("{function:016x}");
-                debug!(invoker, function = id, ?outcome, "an order to load can't leave");
-                let answer = HoldAnswer { invoker, function, outcome, standing: 0, took: 0, left: None };
+                debug!(
+                    invoker,
+                    function = id,
+                    ?outcome,
+                    "an order to load can't leave"
+                );
+                let answer = HoldAnswer {
+                    invoker,
+                    function,
+                    outcome,
+                    standing: 0,
+                    took: 0,
+                    left: None,
+                };
                 state.module.held(state.desk.now, answer, &mut state.desk);
             })),
         }
@@ -522,7 +644,8 @@
     }
 
     fn wake(&mut self, at: Tenths, token: u64) {
-        let due = move |state: &mut State<R>| state.module.woken(state.desk.now, token, &mut state.desk);
+        let due =
+            move |state: &mut State<R>| state.module.woken(state.desk.now, token, &mut state.desk);
         self.later(at, Box::new(due));
     }
 
--- a/crates/controller/src/front.rs
+++ b/crates/controller/src/front.rs
@@ -86,7 +86,10 @@
                 reply.result(id, &result, until);
             }
             Final::Throttled(wait) => {
-                let data = format!(r#"{{"come_back_ms":{},"dispatches":{hops}{of_passage}}}"#, wait / MILLI);
+                let data = format!(
+                    r#"{{"come_back_ms":{},"dispatches":{hops}{of_passage}}}"#,
+                    wait / MILLI
+                );
                 reply.error(id, rpc::THROTTLED, "throttled", Some(&data), until);
             }
             Final::Errored(why) => {
@@ -118,14 +121,23 @@
             trigger: &call.trigger,
             left_tenths: s.gone - s.now.min(s.gone),
             token: call.token.as_deref(),
-            input: call.input.as_ref().map_or(&b"null"[..], |i| i.get().as_bytes()).into(),
+            input: call
+                .input
+                .as_ref()
+                .map_or(&b"null"[..], |i| i.get().as_bytes())
+                .into(),
         };
-        let link = self.links.get_mut(&s.invoker).ok_or(Outcome::NoConnection)?;
+        let link = self
+            .links
+            .get_mut(&s.invoker)
+            .ok_or(Outcome::NoConnection)?;
         link.dispatch(frame, s.leave_by, s.inv, s.hop)
     }
 
     fn withdraw(&mut self, invoker: InvokerId, dispatch: u64) -> bool {
-        self.links.get_mut(&invoker).is_some_and(|link| link.withdraw(dispatch))
+        self.links
+            .get_mut(&invoker)
+            .is_some_and(|link| link.withdraw(dispatch))
     }
 
     fn cancel(&mut self, invoker: InvokerId, dispatch: u64) -> bool {
@@ -136,7 +148,14 @@
         false
     }
 
-    fn ended(&mut self, invoker: InvokerId, dispatch: u64, carried: &Carried, outcome: Outcome, told: &Told) {
+    fn ended(
+        &mut self,
+        invoker: InvokerId,
+        dispatch: u64,
+        carried: &Carried,
+        outcome: Outcome,
+        told: &Told,
+    ) {
         // By dispatches, not by final answers: what erred may have been answered well by another try, or throttled.
         let well = match outcome {
             Outcome::Succeeded => Some(true),
@@ -152,10 +171,17 @@
         }
     }
 
-    fn hold(&mut self, _: Tenths, invoker: InvokerId, function: FnId, count: u8) -> Result<u64, HoldOutcome> {
+    fn hold(
+        &mut self,
+        _: Tenths,
+        invoker: InvokerId,
+        function: FnId,
+        count: u8,
+    ) -> Result<u64, HoldOutcome> {
         let name = self.functions.get(&function).cloned().unwrap_or_default();
         let link = self.links.get_mut(&invoker);
-        link.and_then(|link| link.hold(function, name, count)).ok_or(HoldOutcome::Unreachable)
+        link.and_then(|link| link.hold(function, name, count))
+            .ok_or(HoldOutcome::Unreachable)
     }
 
     fn held(&mut self, invoker: InvokerId, order: u64) {
@@ -208,8 +234,11 @@
     let trigger = terms.trigger_names.iter().position(|n| *n == call.trigger);
     let tenant = terms.tenant_names.iter().position(|n| *n == call.tenant);
     let (Some(trigger), Some(tenant)) = (trigger, tenant) else {
-        let what =
-            if trigger.is_none() { bad("trigger", &call.trigger) } else { bad("tenant", &call.tenant) };
+        let what = if trigger.is_none() {
+            bad("trigger", &call.trigger)
+        } else {
+            bad("tenant", &call.tenant)
+        };
         return reply.refuse(rpc::INVALID_PARAMS, &what);
     };
     let (function, memory, lanes, load_hint, runs) = match terms.functions.get(&call.function) {
@@ -225,8 +254,14 @@
             };
             match names.fix(now, &call.tenant, &call.trigger, &call.function, &said) {
                 Ok(runs) => {
-                    desk.reach.functions.entry(runs.function).or_insert_with(|| runs.name.clone());
-                    let kept = Runs { name: runs.name, fixed: runs.fixed };
+                    desk.reach
+                        .functions
+                        .entry(runs.function)
+                        .or_insert_with(|| runs.name.clone());
+                    let kept = Runs {
+                        name: runs.name,
+                        fixed: runs.fixed,
+                    };
                     (runs.function, runs.memory, runs.lanes, None, Some(kept))
                 }
                 Err(why @ (Unfixed::Withdrawn(_) | Unfixed::Over(_))) => {
@@ -250,7 +285,10 @@
     reply.opened(id);
     // Short waits keep their larger part for the work.
     let expires = gone - terms.answer_margin.min(left / 4);
-    let work_hint = call.work_hint_ms.filter(|ms| *ms > 0.0).map(|ms| (ms * MILLI as f64) as Tenths);
+    let work_hint = call
+        .work_hint_ms
+        .filter(|ms| *ms > 0.0)
+        .map(|ms| (ms * MILLI as f64) as Tenths);
     let invocation = Invocation {
         id,
         trigger,
@@ -263,11 +301,25 @@
         lanes,
         load_hint,
     };
-    let span = info_span!("invocation", id, function = call.function, tenant = call.tenant);
+    let span = info_span!(
+        "invocation",
+        id,
+        function = call.function,
+        tenant = call.tenant
+    );
     let of_passage = runs.as_ref().map_or_else(String::new, |r: &Runs| {
-        format!(r#","version":"{}","passage_until_ms":{}"#, r.name, r.fixed.until_ms)
+        format!(
+            r#","version":"{}","passage_until_ms":{}"#,
+            r.name, r.fixed.until_ms
+        )
     });
-    state.taken(invocation, gone, Carried { call, runs }, Caller { reply, of_passage }, span);
+    state.taken(
+        invocation,
+        gone,
+        Carried { call, runs },
+        Caller { reply, of_passage },
+        span,
+    );
 }
 
 fn time_left(call: &rpc::Invoke, most: Tenths) -> Result<Tenths, String> {
@@ -280,17 +332,34 @@
 
 /// Runs one controller until the future is dropped, which is as sudden as a kill. Fails when it can't listen. `make`
 /// is [`by_design`](crate::by_design) but for measurements.
-pub async fn serve(seat: Seat, network: Rc<dyn Network>, clock: Clock, make: Make) -> std::io::Result<()> {
+pub async fn serve(
+    seat: Seat,
+    network: Rc<dyn Network>,
+    clock: Clock,
+    make: Make,
+) -> std::io::Result<()> {
     let local = tokio::task::LocalSet::new();
     local.run_until(run(seat, network, clock, make)).await
 }
 
-async fn run(seat: Seat, network: Rc<dyn Network>, clock: Clock, make: Make) -> std::io::Result<()> {
+async fn run(
+    seat: Seat,
+    network: Rc<dyn Network>,
+    clock: Clock,
+    make: Make,
+) -> std::io::Result<()> {
     let (now, terms) = (clock.now(), seat.terms.clone());
-    let deployment = Deployment { zone: seat.zone, ..terms.deployment.clone() };
+    let deployment = Deployment {
+        zone: seat.zone,
+        ..terms.deployment.clone()
+    };
     let order_timeout = terms.order_timeout;
     let reach = Links {
-        functions: terms.functions.values().map(|f| (f.id, f.name.clone())).collect(),
+        functions: terms
+            .functions
+            .values()
+            .map(|f| (f.id, f.name.clone()))
+            .collect(),
         terms,
         links: BTreeMap::new(),
         dials: Dials::new(now),
@@ -310,7 +379,13 @@
                 let links_up = r.links.values().filter(|l| l.is_up()).count();
                 let unsent_bytes = front.seat.going.unsent_bytes();
                 let in_flight = state.desk.in_flight();
-                Look { in_flight, unsent_bytes, links: r.links.len(), links_up, listed: r.listed }
+                Look {
+                    in_flight,
+                    unsent_bytes,
+                    links: r.links.len(),
+                    links_up,
+                    listed: r.listed,
+                }
             })
         })
     });
--- a/crates/controller/src/going.rs
+++ b/crates/controller/src/going.rs
@@ -57,7 +57,12 @@
 impl Default for Going {
     fn default() -> Self {
         let (look, outboxes, clients) = Default::default();
-        Self { step: Rc::new(watch::channel(Step::Serving).0), look, outboxes, clients }
+        Self {
+            step: Rc::new(watch::channel(Step::Serving).0),
+            look,
+            outboxes,
+            clients,
+        }
     }
 }
 
@@ -72,18 +77,28 @@
 
     /// Nothing before the controller runs.
     pub fn look(&self) -> Look {
-        self.look.borrow().as_ref().map_or_else(Look::default, |look| look())
+        self.look
+            .borrow()
+            .as_ref()
+            .map_or_else(Look::default, |look| look())
     }
 
     pub(crate) fn sends(&self, outbox: &Outbox) -> Sends {
         self.clients.set(self.clients.get() + 1);
         let client = self.clients.get();
         self.outboxes.borrow_mut().insert(client, outbox.clone());
-        Sends { outboxes: self.outboxes.clone(), client }
+        Sends {
+            outboxes: self.outboxes.clone(),
+            client,
+        }
     }
 
     pub(crate) fn unsent_bytes(&self) -> usize {
-        self.outboxes.borrow().values().map(Outbox::waiting_bytes).sum()
+        self.outboxes
+            .borrow()
+            .values()
+            .map(Outbox::waiting_bytes)
+            .sum()
     }
 
     pub(crate) fn seen_by(&self, look: impl Fn() -> Look + 'static) {
--- a/crates/controller/src/links.rs
+++ b/crates/controller/src/links.rs
@@ -76,7 +76,11 @@
     }
 
     fn put(&mut self, frame: Bytes, until: Tenths) -> Option<Ticket> {
-        if self.phase == Phase::Down { None } else { self.outbox.put(frame, until) }
+        if self.phase == Phase::Down {
+            None
+        } else {
+            self.outbox.put(frame, until)
+        }
     }
 
     pub fn dispatch(
@@ -90,7 +94,10 @@
             return Err(Outcome::NoConnection);
         }
         self.last += 1;
-        let frame = wire::DispatchOut { dispatch: self.last, ..frame };
+        let frame = wire::DispatchOut {
+            dispatch: self.last,
+            ..frame
+        };
         let ticket = self.put(frame.encode(), until.min(self.cutoff));
         let Some(ticket) = ticket else {
             self.last -= 1;
@@ -103,7 +110,15 @@
     pub fn hold(&mut self, function: FnId, name: String, count: u8) -> Option<u64> {
         let order = self.last + 1;
         let until = if count > 0 { self.cutoff } else { Tenths::MAX };
-        let ticket = self.put(encode(&wire::Hold { order, function, name, count }), until)?;
+        let ticket = self.put(
+            encode(&wire::Hold {
+                order,
+                function,
+                name,
+                count,
+            }),
+            until,
+        )?;
         self.last = order;
         self.orders.insert(order, ticket);
         Some(order)
@@ -124,7 +139,9 @@
 
     /// Takes a frame back that has not begun to leave.
     pub fn withdraw(&mut self, dispatch: u64) -> bool {
-        let Some(ticket) = self.out.get(&dispatch).map(|s| s.ticket) else { return false };
+        let Some(ticket) = self.out.get(&dispatch).map(|s| s.ticket) else {
+            return false;
+        };
         self.outbox.withdraw(0, |t| t == ticket).contains(&ticket)
     }
 
@@ -151,10 +168,21 @@
 /// The time of [`Link::cut_at`] has come.
 pub(crate) fn cut_off(state: &mut State, invoker: InvokerId) {
     let now = state.desk.now;
-    let Some(link) = state.desk.reach.links.get_mut(&invoker).filter(|l| now >= l.cutoff) else { return };
+    let Some(link) = state
+        .desk
+        .reach
+        .links
+        .get_mut(&invoker)
+        .filter(|l| now >= l.cutoff)
+    else {
+        return;
+    };
     let gone = link.outbox.withdraw(now, |t| link.is_new_work(t));
     if link.outbox.begun().is_some_and(|t| link.is_new_work(t)) {
-        warn!(invoker, "a frame is stuck half-way to an invoker that drains: the link is cut");
+        warn!(
+            invoker,
+            "a frame is stuck half-way to an invoker that drains: the link is cut"
+        );
         link.broken.notify_one();
     }
     not_sent(state, invoker, &gone);
@@ -162,31 +190,60 @@
 
 /// Frames that were withdrawn: their dispatches never ran, their orders reached nobody.
 fn not_sent(state: &mut State, invoker: InvokerId, tickets: &[Ticket]) {
-    let Some(link) = state.desk.reach.links.get(&invoker) else { return };
-    let out: Vec<(InvId, u8)> =
-        link.out.values().filter(|s| tickets.contains(&s.ticket)).map(|s| (s.inv, s.hop)).collect();
-    let orders: Vec<u64> =
-        link.orders.iter().filter(|(_, o)| tickets.contains(o)).map(|(id, _)| *id).collect();
-    out.into_iter().for_each(|(inv, hop)| state.ended(inv, hop, Outcome::NotSent, &Told::default()));
-    orders.into_iter().for_each(|order| state.held(invoker, order, HoldOutcome::Unreachable, 0));
+    let Some(link) = state.desk.reach.links.get(&invoker) else {
+        return;
+    };
+    let out: Vec<(InvId, u8)> = link
+        .out
+        .values()
+        .filter(|s| tickets.contains(&s.ticket))
+        .map(|s| (s.inv, s.hop))
+        .collect();
+    let orders: Vec<u64> = link
+        .orders
+        .iter()
+        .filter(|(_, o)| tickets.contains(o))
+        .map(|(id, _)| *id)
+        .collect();
+    out.into_iter()
+        .for_each(|(inv, hop)| state.ended(inv, hop, Outcome::NotSent, &Told::default()));
+    orders
+        .into_iter()
+        .for_each(|order| state.held(invoker, order, HoldOutcome::Unreachable, 0));
 }
 
 /// The connection is gone, or never came: each dispatch ends by what is known of its frame.
 fn lost(state: &mut State, invoker: InvokerId) {
     let now = state.desk.now;
-    let Some(link) = state.desk.reach.links.get_mut(&invoker) else { return };
+    let Some(link) = state.desk.reach.links.get_mut(&invoker) else {
+        return;
+    };
     link.redial.lost(now);
     link.phase = Phase::Down;
     link.outbox.close();
     link.last = 0;
     link.given_up = Default::default();
-    let out: Vec<(InvId, u8, bool)> =
-        link.out.values().map(|s| (s.inv, s.hop, link.outbox.has_left(s.ticket))).collect();
+    let out: Vec<(InvId, u8, bool)> = link
+        .out
+        .values()
+        .map(|s| (s.inv, s.hop, link.outbox.has_left(s.ticket)))
+        .collect();
     let orders: Vec<u64> = link.orders.keys().copied().collect();
     for (inv, hop, left) in out {
-        state.ended(inv, hop, if left { Outcome::Reset } else { Outcome::NoConnection }, &Told::default());
+        state.ended(
+            inv,
+            hop,
+            if left {
+                Outcome::Reset
+            } else {
+                Outcome::NoConnection
+            },
+            &Told::default(),
+        );
     }
-    orders.into_iter().for_each(|order| state.held(invoker, order, HoldOutcome::Unreachable, 0));
+    orders
+        .into_iter()
+        .for_each(|order| state.held(invoker, order, HoldOutcome::Unreachable, 0));
     if let Some(link) = state.desk.reach.links.get_mut(&invoker) {
         link.out.clear();
         link.given_up = Default::default();
@@ -214,7 +271,14 @@
         });
         let Some((wait, changed)) = plan else {
             // Gone: until the list names it again.
-            let changed = front.tell(|state| state.desk.reach.links.get(&invoker).map(|l| l.changed.clone()));
+            let changed = front.tell(|state| {
+                state
+                    .desk
+                    .reach
+                    .links
+                    .get(&invoker)
+                    .map(|l| l.changed.clone())
+            });
             match changed {
                 Some(changed) => changed.notified().await,
                 None => return,
@@ -227,9 +291,18 @@
             () = changed.notified() => continue,
         }
         let (address, outbox, broken) = front.tell(|state| {
-            let link = state.desk.reach.links.get_mut(&invoker).expect("links stay");
+            let link = state
+                .desk
+                .reach
+                .links
+                .get_mut(&invoker)
+                .expect("links stay");
             begin(link);
-            (link.entry.address.clone(), link.outbox.clone(), link.broken.clone())
+            (
+                link.entry.address.clone(),
+                link.outbox.clone(),
+                link.broken.clone(),
+            )
         });
         let why = tokio::select! {
             biased;
@@ -253,7 +326,12 @@
 }
 
 /// Dials, shakes hands and serves the link; says why it ended.
-async fn connected(front: &Rc<Front>, invoker: InvokerId, address: &str, outbox: &Outbox) -> String {
+async fn connected(
+    front: &Rc<Front>,
+    invoker: InvokerId,
+    address: &str,
+    outbox: &Outbox,
+) -> String {
     let within = Duration::from_micros(front.seat.terms.connect_timeout * 100);
     let shaken = tokio::time::timeout(within, shake_hands(front, invoker, address)).await;
     let (stream, read, welcome) = match shaken {
@@ -281,7 +359,11 @@
     address: &str,
 ) -> Result<(Stream, BytesMut, wire::Welcome), String> {
     let address: Address = address.parse()?;
-    let mut stream = front.network.dial(&address).await.map_err(|e| e.to_string())?;
+    let mut stream = front
+        .network
+        .dial(&address)
+        .await
+        .map_err(|e| e.to_string())?;
     let hello = wire::Hello {
         version_least: wire::VERSION_LEAST,
         version_most: wire::VERSION,
@@ -289,32 +371,48 @@
         incarnation: front.seat.incarnation,
         invoker,
     };
-    stream.write_all(&encode(&hello)).await.map_err(|e| e.to_string())?;
+    stream
+        .write_all(&encode(&hello))
+        .await
+        .map_err(|e| e.to_string())?;
     let mut read = BytesMut::new();
     let (kind, body) = loop {
         if let Some(frame) = cut(&mut read).map_err(|e| e.to_string())? {
             break frame;
         }
-        if stream.read_buf(&mut read).await.map_err(|e| e.to_string())? == 0 {
+        if stream
+            .read_buf(&mut read)
+            .await
+            .map_err(|e| e.to_string())?
+            == 0
+        {
             return Err("hung up in the handshake".into());
         }
     };
     match wire::FromInvoker::read(kind, &body).map_err(|e| e.to_string())? {
-        wire::FromInvoker::Welcome(w) if w.invoker != invoker => {
-            Err(format!("invoker {} is here, {invoker} was expected", w.invoker))
-        }
-        wire::FromInvoker::Welcome(w) if w.version != wire::VERSION => {
-            Err(format!("version {} was chosen, {} was offered", w.version, wire::VERSION))
-        }
+        wire::FromInvoker::Welcome(w) if w.invoker != invoker => Err(format!(
+            "invoker {} is here, {invoker} was expected",
+            w.invoker
+        )),
+        wire::FromInvoker::Welcome(w) if w.version != wire::VERSION => Err(format!(
+            "version {} was chosen, {} was offered",
+            w.version,
+            wire::VERSION
+        )),
         wire::FromInvoker::Welcome(w) => Ok((stream, read, w)),
         wire::FromInvoker::Unwelcome(u) => Err(format!("unwelcome: {}", u.why)),
-        _ => Err(format!("kind {kind} in the handshake: {} is expected", wire::Welcome::NAME)),
+        _ => Err(format!(
+            "kind {kind} in the handshake: {} is expected",
+            wire::Welcome::NAME
+        )),
     }
 }
 
 fn up(state: &mut State, invoker: InvokerId, welcome: &wire::Welcome) {
     let now = state.desk.now;
-    let Some(link) = state.desk.reach.links.get_mut(&invoker) else { return };
+    let Some(link) = state.desk.reach.links.get_mut(&invoker) else {
+        return;
+    };
     link.phase = Phase::Up;
     link.redial.up(now);
     debug!(invoker, "link up");
@@ -327,7 +425,12 @@
     }
 }
 
-async fn hear(front: &Rc<Front>, invoker: InvokerId, mut input: Half, mut read: BytesMut) -> String {
+async fn hear(
+    front: &Rc<Front>,
+    invoker: InvokerId,
+    mut input: Half,
+    mut read: BytesMut,
+) -> String {
     loop {
         loop {
             let frame = match cut(&mut read) {
@@ -336,7 +439,8 @@
                 Err(e) => return e.to_string(),
             };
             let told = wire::FromInvoker::read(frame.0, &frame.1).map_err(|e| e.to_string());
-            let told = told.and_then(|message| front.tell(|state| hear_one(state, invoker, message)));
+            let told =
+                told.and_then(|message| front.tell(|state| hear_one(state, invoker, message)));
             if let Err(why) = told {
                 warn!(invoker, why, "an invoker broke the protocol");
                 return why;
@@ -350,23 +454,36 @@
     }
 }
 
-fn hear_one(state: &mut State, invoker: InvokerId, message: wire::FromInvoker) -> Result<(), String> {
-    let Some(link) = state.desk.reach.links.get_mut(&invoker) else { return Ok(()) };
+fn hear_one(
+    state: &mut State,
+    invoker: InvokerId,
+    message: wire::FromInvoker,
+) -> Result<(), String> {
+    let Some(link) = state.desk.reach.links.get_mut(&invoker) else {
+        return Ok(());
+    };
     match message {
         wire::FromInvoker::Answer(a) => {
             let Some(sent) = link.out.get(&a.dispatch) else {
                 if link.given_up.remove(&a.dispatch) {
                     return Ok(());
                 }
-                return Err(format!("an answer for dispatch {}, which is not out", a.dispatch));
+                return Err(format!(
+                    "an answer for dispatch {}, which is not out",
+                    a.dispatch
+                ));
             };
             if !link.outbox.has_left(sent.ticket) {
-                return Err(format!("an answer for dispatch {}, which has not left", a.dispatch));
+                return Err(format!(
+                    "an answer for dispatch {}, which has not left",
+                    a.dispatch
+                ));
             }
             let (inv, hop) = (sent.inv, sent.hop);
             let outcome = match a.ended {
                 wire::Ended::Succeeded
-                    if serde_json::from_slice::<&serde_json::value::RawValue>(&a.output).is_err() =>
+                    if serde_json::from_slice::<&serde_json::value::RawValue>(&a.output)
+                        .is_err() =>
                 {
                     warn!(invoker, inv, "a result that is not JSON");
                     Outcome::Errored
--- a/crates/controller/src/list.rs
+++ b/crates/controller/src/list.rs
@@ -13,7 +13,10 @@
 use tracing::{info, warn};
 
 pub(crate) async fn follow(front: Rc<Front>) {
-    let (mut redial, mut rng) = (Redial::default(), fastrand::Rng::with_seed(front.seat.seed ^ 0x1157));
+    let (mut redial, mut rng) = (
+        Redial::default(),
+        fastrand::Rng::with_seed(front.seat.seed ^ 0x1157),
+    );
     // Controllers begin with different ones where there are several.
     let mut at = front.seat.controller as usize % front.seat.lists.len().max(1);
     while let Some(list) = front.seat.lists.get(at) {
@@ -34,7 +37,14 @@
         Err(e) => return e.to_string(),
     };
     let (controller, incarnation) = (front.seat.controller, front.seat.incarnation);
-    if let Err(e) = stream.write_all(&encode(&wire::Follow { version: 1, controller, incarnation })).await {
+    if let Err(e) = stream
+        .write_all(&encode(&wire::Follow {
+            version: 1,
+            controller,
+            incarnation,
+        }))
+        .await
+    {
         return e.to_string();
     }
     redial.up(front.clock.now());
@@ -56,9 +66,14 @@
         let (whole, settled, entries) = match (message, revision) {
             (Ok(wire::FromList::Whole(w)), None) => {
                 // Lists of one fleet count its revisions: one that lags behind another must not turn it back.
-                let known = front.see(|state| state.desk.reach.list_revision).unwrap_or(0);
+                let known = front
+                    .see(|state| state.desk.reach.list_revision)
+                    .unwrap_or(0);
                 if front.seat.lists.len() > 1 && w.revision < known {
-                    return format!("revision {} where {known} is known: it lags behind", w.revision);
+                    return format!(
+                        "revision {} where {known} is known: it lags behind",
+                        w.revision
+                    );
                 }
                 revision = Some(w.revision);
                 (true, w.settled, w.entries)
@@ -67,9 +82,14 @@
                 revision = Some(c.revision);
                 (false, true, c.entries)
             }
-            (Ok(wire::FromList::Whole(_)), Some(_)) => return "the whole list a second time".into(),
+            (Ok(wire::FromList::Whole(_)), Some(_)) => {
+                return "the whole list a second time".into();
+            }
             (Ok(wire::FromList::Change(c)), last) => {
-                return format!("revision {} after {last:?}: the next was expected", c.revision);
+                return format!(
+                    "revision {} after {last:?}: the next was expected",
+                    c.revision
+                );
             }
             (Err(e), _) => return e.to_string(),
         };
@@ -88,7 +108,10 @@
 /// What the list says reaches the links first, so that nothing the module then does meets an old one. It came at `came` or
 /// later, however late it is read, and what drains is cut off by that. Gives invokers that were not known.
 fn told(state: &mut State, came: Tenths, whole: bool, entries: Vec<wire::Entry>) -> Vec<InvokerId> {
-    let (now, grace) = (state.desk.now, state.desk.reach.terms.deployment.drain_grace);
+    let (now, grace) = (
+        state.desk.now,
+        state.desk.reach.terms.deployment.drain_grace,
+    );
     let (mut new, mut all, mut cut) = (Vec::new(), Vec::new(), Vec::new());
     if whole {
         for link in state.desk.reach.links.values_mut() {
@@ -131,7 +154,9 @@
         if let Some(link) = state.desk.reach.links.get_mut(&invoker) {
             link.cut_at(at);
         }
-        state.desk.later(at, Box::new(move |state| cut_off(state, invoker)));
+        state
+            .desk
+            .later(at, Box::new(move |state| cut_off(state, invoker)));
     }
     new
 }
--- a/crates/controller/src/names.rs
+++ b/crates/controller/src/names.rs
@@ -74,9 +74,13 @@
         name: &str,
         said: &Said,
     ) -> Result<Runs, Unfixed> {
-        let fixed = self.passages.fix(&self.book, self.epoch_ms + now / MILLI, tenant, name, said)?;
+        let fixed =
+            self.passages
+                .fix(&self.book, self.epoch_ms + now / MILLI, tenant, name, said)?;
         let told = function_name(&fixed.model, &fixed.version);
-        let Some(version) = offered(&self.book, &fixed) else { return Err(Unfixed::Unknown(told)) };
+        let Some(version) = offered(&self.book, &fixed) else {
+            return Err(Unfixed::Unknown(told));
+        };
         if !version.trigger_types.iter().any(|t| t == trigger) {
             return Err(Unfixed::Unknown(format!("{told} for trigger '{trigger}'")));
         }
@@ -91,7 +95,10 @@
 
     /// The end of a dispatch on one side of a stage.
     pub fn count(&mut self, staged: &Staged, well: bool) {
-        let key = Staged { new: true, ..staged.clone() };
+        let key = Staged {
+            new: true,
+            ..staged.clone()
+        };
         if self.stages.len() >= STAGES_MOST && !self.stages.contains_key(&key) {
             return;
         }
@@ -153,7 +160,9 @@
     loop {
         tokio::time::sleep(TELL_EVERY).await;
         let news: Vec<(Staged, Tally)> = front.tell(|state| {
-            let Some(names) = &mut state.desk.reach.names else { return Vec::new() };
+            let Some(names) = &mut state.desk.reach.names else {
+                return Vec::new();
+            };
             let news = names.stages.iter().filter(|(_, c)| c.tally != c.told);
             news.map(|(s, c)| (s.clone(), c.tally)).collect()
         });
@@ -162,14 +171,19 @@
         }
         match tokio::time::timeout(TOLD_WITHIN, told(front, of, &news)).await {
             Ok(Ok(())) => front.tell(|state| {
-                let Some(names) = &mut state.desk.reach.names else { return };
+                let Some(names) = &mut state.desk.reach.names else {
+                    return;
+                };
                 for (stage, tally) in &news {
                     if let Some(counted) = names.stages.get_mut(stage) {
                         counted.told = *tally;
                     }
                 }
             }),
-            Ok(Err(why)) => warn!(why, "counts of a stage could not be told; they are told again"),
+            Ok(Err(why)) => warn!(
+                why,
+                "counts of a stage could not be told; they are told again"
+            ),
             Err(_) => warn!("counts of a stage could not be told in time; they are told again"),
         }
     }
@@ -183,7 +197,10 @@
             "space": stage.space, "alias": stage.alias, "changed": stage.changed,
             "controller": front.seat.controller, "incarnation": front.seat.incarnation, "tally": tally,
         });
-        let answer = caller.call("tally", said).await.map_err(|e| e.to_string())?;
+        let answer = caller
+            .call("tally", said)
+            .await
+            .map_err(|e| e.to_string())?;
         if answer["over"] == json!(true) {
             info!(alias = %stage.alias, "the stage is over");
         }
--- a/crates/controller/src/redial.rs
+++ b/crates/controller/src/redial.rs
@@ -49,8 +49,15 @@
 
     /// The dial failed, or the link it made is gone.
     pub fn lost(&mut self, now: Tenths) {
-        let well = self.up_since.take().is_some_and(|since| now >= since + WELL_AFTER);
-        self.failures = if well { 1 } else { self.failures.saturating_add(1) };
+        let well = self
+            .up_since
+            .take()
+            .is_some_and(|since| now >= since + WELL_AFTER);
+        self.failures = if well {
+            1
+        } else {
+            self.failures.saturating_add(1)
+        };
     }
 
     /// The invoker is said to have started anew: what failed before says nothing.
@@ -84,8 +91,14 @@
 
 impl Dials {
     pub fn new(now: Tenths) -> Self {
-        let full = Budget { left: DIALS_BURST, at: now };
-        Self { first: full.clone(), again: full }
+        let full = Budget {
+            left: DIALS_BURST,
+            at: now,
+        };
+        Self {
+            first: full.clone(),
+            again: full,
+        }
     }
 
     /// Takes the dial of a link that has not failed; gives how long to wait with it.
@@ -95,7 +108,10 @@
 
     /// Takes a repeated dial, of a controller with so many links; gives how long to wait with it.
     pub fn again(&mut self, now: Tenths, links: usize) -> Tenths {
-        self.again.take(now, REDIALS_PER_SECOND.max(REDIALS_PER_LINK_AND_SECOND * links as f64))
+        self.again.take(
+            now,
+            REDIALS_PER_SECOND.max(REDIALS_PER_LINK_AND_SECOND * links as f64),
+        )
     }
 }
 
@@ -132,8 +148,14 @@
         }
         let (first, late) = (dialled[0], dialled[50..].iter().max().copied().unwrap_or(0));
         assert!(first <= 48 * 84 * 2, "{first} dials in the first 100 ms");
-        assert!(late * 8 < 48 * 84, "{late} dials in a later 100 ms: controllers fell into step");
-        assert!(dialled[50..].iter().all(|n| *n > 0), "it is still tried: {dialled:?}");
+        assert!(
+            late * 8 < 48 * 84,
+            "{late} dials in a later 100 ms: controllers fell into step"
+        );
+        assert!(
+            dialled[50..].iter().all(|n| *n > 0),
+            "it is still tried: {dialled:?}"
+        );
     }
 
     #[test]
@@ -168,7 +190,10 @@
         assert!(vain > Some(SECOND), "{vain:?}");
         let last = (0..1_008).map(|_| dials.first(0)).max().unwrap();
         assert!((SECOND / 2..SECOND).contains(&last), "{last}");
-        let round = (0..1_008).map(|_| dials.again(20 * SECOND, 1_008)).max().unwrap();
+        let round = (0..1_008)
+            .map(|_| dials.again(20 * SECOND, 1_008))
+            .max()
+            .unwrap();
         assert!(round <= MOST, "{round}");
     }
 }
--- a/crates/controller/tests/sockets.rs
+++ b/crates/controller/tests/sockets.rs
@@ -104,15 +104,30 @@
 async fn shaken(door: &mut Box<dyn saltdrum_link::Listener>) -> (Stream, BytesMut) {
     let (mut stream, mut read) = (door.accept().await.unwrap(), BytesMut::new());
     let hello = frame(&mut stream, &mut read).await.unwrap();
-    assert!(matches!(wire::FromController::read(hello.0, &hello.1), Ok(wire::FromController::Hello(_))));
-    let welcome = wire::Welcome { version: 1, invoker: 1, incarnation: 1, age_tenths: 900_000 };
+    assert!(matches!(
+        wire::FromController::read(hello.0, &hello.1),
+        Ok(wire::FromController::Hello(_))
+    ));
+    let welcome = wire::Welcome {
+        version: 1,
+        invoker: 1,
+        incarnation: 1,
+        age_tenths: 900_000,
+    };
     stream.write_all(&encode(&welcome)).await.unwrap();
     (stream, read)
 }
 
 fn answer(dispatch: u64, ended: Ended, output: &str) -> Bytes {
     let output = output.as_bytes().to_vec().into();
-    encode(&wire::Answer { dispatch, ended, found: None, crowd: None, load: wire::Load::default(), output })
+    encode(&wire::Answer {
+        dispatch,
+        ended,
+        found: None,
+        crowd: None,
+        load: wire::Load::default(),
+        output,
+    })
 }
 
 async fn list_of(network: &Memory, changes: &'static [(u64, list::Life)]) {
@@ -121,12 +136,19 @@
         loop {
             let (mut stream, mut read) = (door.accept().await.unwrap(), BytesMut::new());
             frame(&mut stream, &mut read).await;
-            let whole = list::Whole { revision: 1, settled: true, entries: vec![entry(list::Life::Ready)] };
+            let whole = list::Whole {
+                revision: 1,
+                settled: true,
+                entries: vec![entry(list::Life::Ready)],
+            };
             stream.write_all(&encode(&whole)).await.unwrap();
             spawn_local(async move {
                 for (n, (after_ms, life)) in changes.iter().enumerate() {
                     tokio::time::sleep(Duration::from_millis(*after_ms)).await;
-                    let change = list::Change { revision: 2 + n as u64, entries: vec![entry(*life)] };
+                    let change = list::Change {
+                        revision: 2 + n as u64,
+                        entries: vec![entry(*life)],
+                    };
                     if stream.write_all(&encode(&change)).await.is_err() {
                         return;
                     }
@@ -143,11 +165,17 @@
 
 impl Client {
     async fn new(network: &Memory) -> Self {
-        Self { stream: BufReader::new(network.dial(&at("clients")).await.unwrap()) }
+        Self {
+            stream: BufReader::new(network.dial(&at("clients")).await.unwrap()),
+        }
     }
 
     async fn say(&mut self, text: &str) -> bool {
-        self.stream.get_mut().write_all(format!("{text}\n").as_bytes()).await.is_ok()
+        self.stream
+            .get_mut()
+            .write_all(format!("{text}\n").as_bytes())
+            .await
+            .is_ok()
     }
 
     async fn hear(&mut self) -> Value {
@@ -159,7 +187,10 @@
     async fn invoke(&mut self, id: Value, hint_ms: f64, left_ms: f64) -> bool {
         let params = json!({"function": "voice", "tenant": "hill", "trigger": "narrate",
             "work_hint_ms": hint_ms, "time_left_ms": left_ms});
-        self.say(&json!({"jsonrpc": "2.0", "id": id, "method": "invoke", "params": params}).to_string()).await
+        self.say(
+            &json!({"jsonrpc": "2.0", "id": id, "method": "invoke", "params": params}).to_string(),
+        )
+        .await
     }
 }
 
@@ -172,8 +203,11 @@
     change: impl FnOnce(&mut Seat),
     play: impl FnOnce(Memory) -> F,
 ) {
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_time()
+        .start_paused(true)
+        .build()
+        .unwrap();
     LocalSet::new().block_on(&runtime, async move {
         let (network, clock) = (Memory::default(), Clock::start());
         let mut seat = Seat {
@@ -211,7 +245,12 @@
         let (mut stream, mut read) = shaken(&mut door).await;
         let mut client = Client::new(&network).await;
         let ends = [
-            (Ended::Succeeded, "{\"a\":1}", Outcome::Succeeded, "/result/output/a"),
+            (
+                Ended::Succeeded,
+                "{\"a\":1}",
+                Outcome::Succeeded,
+                "/result/output/a",
+            ),
             (Ended::Succeeded, "{\"a\":", Outcome::Errored, "/error/code"),
             (Ended::Errored, "oh", Outcome::Errored, "/error/code"),
             (Ended::Full, "", Outcome::Full, "/error/data/come_back_ms"),
@@ -221,13 +260,20 @@
         for (n, (ended, output, outcome, says)) in ends.into_iter().enumerate() {
             client.invoke(json!(n), 0.0, 2_000.0).await;
             let (kind, body) = frame(&mut stream, &mut read).await.unwrap();
-            let Ok(wire::FromController::Dispatch(d)) = wire::FromController::read(kind, &body) else {
+            let Ok(wire::FromController::Dispatch(d)) = wire::FromController::read(kind, &body)
+            else {
                 panic!()
             };
             assert_eq!(d.dispatch, n as u64 + 1, "numbered without gaps");
-            stream.write_all(&answer(d.dispatch, ended, output)).await.unwrap();
+            stream
+                .write_all(&answer(d.dispatch, ended, output))
+                .await
+                .unwrap();
             let reply = client.hear().await;
-            assert!(reply["id"] == json!(n) && reply.pointer(says).is_some(), "{ended:?}: {reply}");
+            assert!(
+                reply["id"] == json!(n) && reply.pointer(says).is_some(),
+                "{ended:?}: {reply}"
+            );
             assert_eq!(told(), [(outcome, outcome == Outcome::Succeeded)]);
         }
         // Cancelled before its frame left: it never ran.
@@ -238,7 +284,11 @@
         let began = tokio::time::Instant::now();
         client.invoke(json!(8), 0.0, 2_000.0).await;
         assert_eq!(client.hear().await["error"]["code"], json!(-32_002));
-        assert!((1_800..2_000).contains(&began.elapsed().as_millis()), "in time: {:?}", began.elapsed());
+        assert!(
+            (1_800..2_000).contains(&began.elapsed().as_millis()),
+            "in time: {:?}",
+            began.elapsed()
+        );
         assert_eq!(told(), [(Outcome::TimedOut, false)]);
         // The link breaks after the frame has left, and then nobody is there.
         client.invoke(json!(9), 0.2, 2_000.0).await;
@@ -247,12 +297,21 @@
         drop((stream, door));
         client.hear().await;
         a_moment().await;
-        assert_eq!((told(), HELD.take()), (vec![(Outcome::Reset, false)], vec![HoldOutcome::Unreachable]));
+        assert_eq!(
+            (told(), HELD.take()),
+            (
+                vec![(Outcome::Reset, false)],
+                vec![HoldOutcome::Unreachable]
+            )
+        );
         client.invoke(json!(10), 0.2, 2_000.0).await;
         client.hear().await;
         assert_eq!(
             (told(), HELD.take()),
-            (vec![(Outcome::NoConnection, false)], vec![HoldOutcome::Unreachable])
+            (
+                vec![(Outcome::NoConnection, false)],
+                vec![HoldOutcome::Unreachable]
+            )
         );
     });
 }
@@ -266,24 +325,51 @@
         let mut client = Client::new(&network).await;
         client.invoke(json!("x"), 0.0, 2_000.0).await;
         frame(&mut stream, &mut read).await.unwrap();
-        stream.write_all(&answer(77, Ended::Succeeded, "1")).await.unwrap();
-        assert_eq!(client.hear().await["error"]["code"], json!(-32_002), "it may have run");
-        assert_eq!(frame(&mut stream, &mut read).await, None, "the liar is cut off");
+        stream
+            .write_all(&answer(77, Ended::Succeeded, "1"))
+            .await
+            .unwrap();
+        assert_eq!(
+            client.hear().await["error"]["code"],
+            json!(-32_002),
+            "it may have run"
+        );
+        assert_eq!(
+            frame(&mut stream, &mut read).await,
+            None,
+            "the liar is cut off"
+        );
         let (mut stream, mut read) = shaken(&mut door).await;
         client.invoke(json!("y"), 0.0, 2_000.0).await;
         frame(&mut stream, &mut read).await.unwrap();
         for _ in 0..2 {
-            stream.write_all(&answer(1, Ended::Succeeded, "1")).await.unwrap();
+            stream
+                .write_all(&answer(1, Ended::Succeeded, "1"))
+                .await
+                .unwrap();
         }
         assert_eq!(client.hear().await["result"]["output"], json!(1));
-        assert_eq!(frame(&mut stream, &mut read).await, None, "nobody answers twice");
+        assert_eq!(
+            frame(&mut stream, &mut read).await,
+            None,
+            "nobody answers twice"
+        );
         let (mut stream, mut read) = shaken(&mut door).await;
         stream.write_all(&[9, 0, 0, 0, 200, 1, 2]).await.unwrap();
         drop(stream.shutdown().await);
-        assert_eq!(frame(&mut stream, &mut read).await, None, "half a frame is no frame");
-        client.say(r#"{"jsonrpc":"2.0","id":1,"method":"status"}"#).await;
+        assert_eq!(
+            frame(&mut stream, &mut read).await,
+            None,
+            "half a frame is no frame"
+        );
+        client
+            .say(r#"{"jsonrpc":"2.0","id":1,"method":"status"}"#)
+            .await;
         let status = client.hear().await;
-        assert!(status["result"]["taken"] == 2 && status["result"]["in_flight"] == 0, "{status}");
+        assert!(
+            status["result"]["taken"] == 2 && status["result"]["in_flight"] == 0,
+            "{status}"
+        );
     });
 }
 
@@ -297,7 +383,8 @@
         let mut client = Client::new(&network).await;
         let big = "x".repeat(30_000);
         for id in 0..6 {
-            let params = json!({"function": "voice", "tenant": "hill", "trigger": "narrate", "input": big});
+            let params =
+                json!({"function": "voice", "tenant": "hill", "trigger": "narrate", "input": big});
             let call = json!({"jsonrpc": "2.0", "id": id, "method": "invoke", "params": params});
             client.say(&call.to_string()).await;
         }
@@ -329,10 +416,21 @@
         let note = json!({"jsonrpc": "2.0", "method": "invoke", "params": params(900.0)});
         let began = tokio::time::Instant::now();
         client
-            .say(&json!([call(json!("a"), 3_000.0), call(json!(null), 1_000.0), note, 5]).to_string())
+            .say(
+                &json!([
+                    call(json!("a"), 3_000.0),
+                    call(json!(null), 1_000.0),
+                    note,
+                    5
+                ])
+                .to_string(),
+            )
             .await;
         frame(&mut stream, &mut read).await.unwrap();
-        stream.write_all(&answer(1, Ended::Succeeded, "\"first\"")).await.unwrap();
+        stream
+            .write_all(&answer(1, Ended::Succeeded, "\"first\""))
+            .await
+            .unwrap();
         let got = client.hear().await;
         assert!(
             began.elapsed() < Duration::from_millis(900),
@@ -341,12 +439,24 @@
         );
         let ids: Vec<&Value> = got.as_array().unwrap().iter().map(|r| &r["id"]).collect();
         assert_eq!(ids.len(), 3, "a notification has no answer: {got}");
-        assert!(got.to_string().contains("first") && got.to_string().contains("-32600"), "{got}");
-        client.say(&json!([{"jsonrpc": "2.0", "method": "status"}]).to_string()).await;
+        assert!(
+            got.to_string().contains("first") && got.to_string().contains("-32600"),
+            "{got}"
+        );
+        client
+            .say(&json!([{"jsonrpc": "2.0", "method": "status"}]).to_string())
+            .await;
         client.say(r#"{"jsonrpc":"2.0","id":"z","method":"invoke","params":{"function":"voice","tenant":"hil","trigger":"narrate"}}"#).await;
         let got = client.hear().await;
-        assert_eq!(got["id"], json!("z"), "nothing came for the batch of notifications");
-        assert_eq!(got["error"]["message"], json!("tenant 'hil': not one of this deployment"));
+        assert_eq!(
+            got["id"],
+            json!("z"),
+            "nothing came for the batch of notifications"
+        );
+        assert_eq!(
+            got["error"]["message"],
+            json!("tenant 'hil': not one of this deployment")
+        );
     });
 }
 
@@ -365,7 +475,10 @@
             wire::FromController::read(kind, &body),
             Ok(wire::FromController::Cancel(wire::Cancel { dispatch: 1 }))
         );
-        stream.write_all(&answer(1, Ended::Cancelled, "")).await.unwrap();
+        stream
+            .write_all(&answer(1, Ended::Cancelled, ""))
+            .await
+            .unwrap();
         a_moment().await;
         assert_eq!(told(), [(Outcome::Cancelled, true)]);
         let mut silent = Client::new(&network).await;
@@ -377,20 +490,33 @@
                 break;
             }
             let (kind, body) = frame(&mut stream, &mut read).await.unwrap();
-            let Ok(wire::FromController::Dispatch(d)) = wire::FromController::read(kind, &body) else {
+            let Ok(wire::FromController::Dispatch(d)) = wire::FromController::read(kind, &body)
+            else {
                 panic!()
             };
             let big = format!("\"{}\"", "y".repeat(60_000));
-            stream.write_all(&answer(d.dispatch, Ended::Succeeded, &big)).await.unwrap();
+            stream
+                .write_all(&answer(d.dispatch, Ended::Succeeded, &big))
+                .await
+                .unwrap();
         }
         assert!(cut_off);
         a_moment().await;
-        other.say(r#"{"jsonrpc":"2.0","id":1,"method":"status"}"#).await;
+        other
+            .say(r#"{"jsonrpc":"2.0","id":1,"method":"status"}"#)
+            .await;
         let status = other.hear().await;
-        assert_eq!(status["result"]["in_flight"], 0, "cut off at its bound: {status}");
+        assert_eq!(
+            status["result"]["in_flight"], 0,
+            "cut off at its bound: {status}"
+        );
         let mut rest = Vec::new();
         let _ = silent.stream.read_to_end(&mut rest).await;
-        assert!(rest.len() < 400_000, "what it was cut off from is gone: {}", rest.len());
+        assert!(
+            rest.len() < 400_000,
+            "what it was cut off from is gone: {}",
+            rest.len()
+        );
     });
 }
 
@@ -403,8 +529,16 @@
             for (n, settled) in [true, false, true].into_iter().enumerate() {
                 let (mut stream, mut read) = (door.accept().await.unwrap(), BytesMut::new());
                 frame(&mut stream, &mut read).await;
-                let entries = if n == 0 { vec![entry(list::Life::Ready)] } else { Vec::new() };
-                let whole = list::Whole { revision: 1, settled, entries };
+                let entries = if n == 0 {
+                    vec![entry(list::Life::Ready)]
+                } else {
+                    Vec::new()
+                };
+                let whole = list::Whole {
+                    revision: 1,
+                    settled,
+                    entries,
+                };
                 stream.write_all(&encode(&whole)).await.unwrap();
                 tokio::time::sleep(Duration::from_secs(1)).await;
             }
@@ -415,8 +549,13 @@
         let (mut stream, mut read) = shaken(&mut inv_door).await;
         spawn_local(async move {
             while let Some((kind, body)) = frame(&mut stream, &mut read).await {
-                if let Ok(wire::FromController::Dispatch(d)) = wire::FromController::read(kind, &body) {
-                    stream.write_all(&answer(d.dispatch, Ended::Succeeded, "1")).await.unwrap();
+                if let Ok(wire::FromController::Dispatch(d)) =
+                    wire::FromController::read(kind, &body)
+                {
+                    stream
+                        .write_all(&answer(d.dispatch, Ended::Succeeded, "1"))
+                        .await
+                        .unwrap();
                 }
             }
         });
@@ -427,7 +566,10 @@
             served.push(client.hear().await["result"].is_object());
             a_moment().await;
         }
-        assert!(served[..20].iter().all(|s| *s), "lost, then not settled: {served:?}");
+        assert!(
+            served[..20].iter().all(|s| *s),
+            "lost, then not settled: {served:?}"
+        );
         assert!(!served[29], "settled and without it: it is gone");
     });
 }
@@ -449,23 +591,39 @@
             handle.to(Step::LeadingAway);
             assert_eq!(client.hear().await["method"], "going");
             let mut late = Client::new(&network).await;
-            assert_eq!(late.hear().await["method"], "going", "who comes now is told at once");
+            assert_eq!(
+                late.hear().await["method"],
+                "going",
+                "who comes now is told at once"
+            );
             client.invoke(json!(2), 0.0, 2_000.0).await;
             frame(&mut stream, &mut read).await.unwrap();
             handle.to(Step::Closed);
             client.invoke(json!(3), 0.0, 2_000.0).await;
             let refused = client.hear().await;
-            assert_eq!((&refused["id"], &refused["error"]["data"]["going"]), (&json!(3), &json!(true)));
+            assert_eq!(
+                (&refused["id"], &refused["error"]["data"]["going"]),
+                (&json!(3), &json!(true))
+            );
             assert_eq!((handle.look().in_flight, handle.look().listed), (2, true));
             for dispatch in [1, 2] {
-                stream.write_all(&answer(dispatch, Ended::Succeeded, "1")).await.unwrap();
+                stream
+                    .write_all(&answer(dispatch, Ended::Succeeded, "1"))
+                    .await
+                    .unwrap();
                 assert_eq!(client.hear().await["id"], json!(dispatch));
             }
-            assert_eq!((handle.look().in_flight, handle.look().unsent_bytes), (0, 0));
+            assert_eq!(
+                (handle.look().in_flight, handle.look().unsent_bytes),
+                (0, 0)
+            );
             handle.to(Step::Serving);
             client.invoke(json!(4), 0.0, 2_000.0).await;
             frame(&mut stream, &mut read).await.unwrap();
-            stream.write_all(&answer(3, Ended::Succeeded, "1")).await.unwrap();
+            stream
+                .write_all(&answer(3, Ended::Succeeded, "1"))
+                .await
+                .unwrap();
             assert_eq!(client.hear().await["id"], json!(4), "it has turned back");
         },
     );
@@ -483,7 +641,9 @@
             a_moment().await;
             let mut client = Client::new(&network).await;
             for n in 0..3_000 {
-                client.say(&json!({"jsonrpc": "2.0", "id": n, "method": "status"}).to_string()).await;
+                client
+                    .say(&json!({"jsonrpc": "2.0", "id": n, "method": "status"}).to_string())
+                    .await;
             }
             a_moment().await;
             assert!(handle.look().unsent_bytes > 0, "it reads nothing");
@@ -502,7 +662,10 @@
         |network| async move {
             let (mut door, _) = network.listen(&at("invoker")).await.unwrap();
             a_moment().await;
-            assert!(network.dial(&at("clients")).await.is_err(), "no list, no door");
+            assert!(
+                network.dial(&at("clients")).await.is_err(),
+                "no list, no door"
+            );
             list_of(&network, &[]).await;
             let _invoker = shaken(&mut door).await;
             tokio::time::sleep(Duration::from_millis(100)).await;
--- a/crates/day/examples/beside-relay.rs
+++ b/crates/day/examples/beside-relay.rs
@@ -5,7 +5,10 @@
 //! The controller is a process of its own; invokers that answer at once, the list and the clients share this one's
 //! threads. Rounds alternate, and what is quoted is the median of each figure and of its ratio within a round.
 
-#![expect(clippy::disallowed_methods, reason = "it is this machine's time that is asked for")]
+#![expect(
+    clippy::disallowed_methods,
+    reason = "it is this machine's time that is asked for"
+)]
 
 use bytes::BytesMut;
 use hdrhistogram::Histogram;
@@ -51,15 +54,24 @@
 /// Invokers that answer at once, or not at all while they are told to hold back. Two threads, so that they are not what
 /// gives out first; the list is on this one.
 fn invokers(count: usize, holds_back: Arc<AtomicBool>, told: mpsc::Sender<String>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     let (to, from) = mpsc::channel();
     for part in 0..2 {
         let (to, holds_back) = (to.clone(), holds_back.clone());
         std::thread::spawn(move || {
-            let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+            let runtime = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build()
+                .unwrap();
             LocalSet::new().block_on(&runtime, async move {
                 for n in (1..=count as u32).filter(|n| n % 2 == part) {
-                    let (door, at) = Sockets.listen(&Address::Tcp("127.0.0.1:0".into())).await.unwrap();
+                    let (door, at) = Sockets
+                        .listen(&Address::Tcp("127.0.0.1:0".into()))
+                        .await
+                        .unwrap();
                     spawn_local(one_invoker(n, door, holds_back.clone()));
                     to.send((n, at.to_string())).unwrap();
                 }
@@ -113,13 +125,20 @@
                                 ended: wire::Ended::Succeeded,
                                 found: Some(wire::Found::Warm),
                                 crowd: Some(0),
-                                load: wire::Load { cores_busy: Some(0.1), waiting: Some(0.0) },
+                                load: wire::Load {
+                                    cores_busy: Some(0.1),
+                                    waiting: Some(0.0),
+                                },
                                 output: b"{\"heard\":true}".to_vec().into(),
                             }));
                         }
                         wire::FromController::Hold(h) => {
                             let ended = wire::HoldEnded::Standing;
-                            out.extend(encode(&wire::Held { order: h.order, ended, standing: 1 }));
+                            out.extend(encode(&wire::Held {
+                                order: h.order,
+                                ended,
+                                standing: 1,
+                            }));
                         }
                         _ => {}
                     }
@@ -151,7 +170,12 @@
 /// Clock ticks of a process, user and system, as seconds.
 fn cpu(pid: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap();
-    let fields: Vec<&str> = stat.rsplit(')').next().unwrap().split_whitespace().collect();
+    let fields: Vec<&str> = stat
+        .rsplit(')')
+        .next()
+        .unwrap()
+        .split_whitespace()
+        .collect();
     (fields[11].parse::<f64>().unwrap() + fields[12].parse::<f64>().unwrap()) / 100.0
 }
 
@@ -169,8 +193,11 @@
         let (input, mut output) = UnixStream::connect(path).await.unwrap().into_split();
         let counts = counts.clone();
         tasks.push(spawn_local(async move {
-            let (mut input, mut line, mut id) =
-                (BufReader::with_capacity(1 << 16, input), Vec::new(), c << 32);
+            let (mut input, mut line, mut id) = (
+                BufReader::with_capacity(1 << 16, input),
+                Vec::new(),
+                c << 32,
+            );
             let mut out = String::new();
             (0..IN_FLIGHT / CONNECTIONS).for_each(|n| out += &call(id + n));
             id += IN_FLIGHT / CONNECTIONS;
@@ -221,8 +248,12 @@
         spawn_local(async move {
             let (mut input, mut line) = (BufReader::with_capacity(1 << 16, input), String::new());
             while input.read_line(&mut line).await.unwrap_or(0) > 0 {
-                let id =
-                    line[line.find("\"id\":").unwrap() + 5..].split(',').next().unwrap().parse().unwrap();
+                let id = line[line.find("\"id\":").unwrap() + 5..]
+                    .split(',')
+                    .next()
+                    .unwrap()
+                    .parse()
+                    .unwrap();
                 if let Some(at) = due.borrow_mut().remove(&id) {
                     *times.borrow_mut() += (at.elapsed().as_micros() as u64).max(1);
                 }
@@ -236,7 +267,8 @@
     while at < SPAN.as_secs_f64() {
         let now = began.elapsed().as_secs_f64();
         while at <= now {
-            due.borrow_mut().insert(id, began + Duration::from_secs_f64(at));
+            due.borrow_mut()
+                .insert(id, began + Duration::from_secs_f64(at));
             out[id % CONNECTIONS] += &call(id);
             id += 1;
             at += -rng.f64().max(1e-12).ln() / per_second;
@@ -268,7 +300,11 @@
     let mut asking = BufReader::new(UnixStream::connect(path).await.unwrap());
     let mut answer = String::new();
     for _ in 0..100 {
-        asking.get_mut().write_all(b"{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"status\"}\n").await.unwrap();
+        asking
+            .get_mut()
+            .write_all(b"{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"status\"}\n")
+            .await
+            .unwrap();
         answer.clear();
         asking.read_line(&mut answer).await.unwrap();
         if answer.contains(&format!("\"in_flight\":{WAITING}")) {
@@ -297,17 +333,36 @@
 }
 
 fn serve(folder: &Path, list: &str, count: usize, baseline: bool) -> (Server, std::path::PathBuf) {
-    let (script, socket) = (folder.join("terms.star"), folder.join(format!("c-{baseline}.sock")));
+    let (script, socket) = (
+        folder.join("terms.star"),
+        folder.join(format!("c-{baseline}.sock")),
+    );
     std::fs::write(&script, terms(count)).unwrap();
     let _ = std::fs::remove_file(&socket);
-    let binary = std::env::current_exe().unwrap().parent().unwrap().parent().unwrap().join("saltdrum");
+    let binary = std::env::current_exe()
+        .unwrap()
+        .parent()
+        .unwrap()
+        .parent()
+        .unwrap()
+        .join("saltdrum");
     let mut command = Command::new(binary);
-    command.arg("serve").arg(&script).args(["--list", list, "--seed", "1"]);
-    command.arg("--clients").arg(format!("unix:{}", socket.display())).stdout(Stdio::null());
+    command
+        .arg("serve")
+        .arg(&script)
+        .args(["--list", list, "--seed", "1"]);
+    command
+        .arg("--clients")
+        .arg(format!("unix:{}", socket.display()))
+        .stdout(Stdio::null());
     if baseline {
         command.arg("--baseline");
     }
-    let server = Server(command.spawn().expect("target/release/saltdrum: build it first"));
+    let server = Server(
+        command
+            .spawn()
+            .expect("target/release/saltdrum: build it first"),
+    );
     while !socket.exists() {
         std::thread::sleep(Duration::from_millis(20));
     }
@@ -321,14 +376,23 @@
 }
 
 fn main() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     let folder = std::env::temp_dir().join(format!("saltdrum-beside-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let mut cpu_by_size = Vec::new();
     // Sizes may be named: `beside-relay 12 84`.
-    let named: Vec<usize> =
-        std::env::args().skip(1).map(|a| a.parse().expect("a number of invokers")).collect();
-    let sizes = if named.is_empty() { vec![12, 84] } else { named };
+    let named: Vec<usize> = std::env::args()
+        .skip(1)
+        .map(|a| a.parse().expect("a number of invokers"))
+        .collect();
+    let sizes = if named.is_empty() {
+        vec![12, 84]
+    } else {
+        named
+    };
     for count in sizes {
         let holds_back = Arc::new(AtomicBool::new(false));
         let (told, heard) = mpsc::channel();
@@ -344,7 +408,11 @@
                     figures.0 = saturate(socket, server.0.id()).await;
                 }
                 // Saturation fills batches that a steady stream does not: the lower of both is what both can do.
-                let half = round.iter().map(|f| f.0.per_second).fold(f64::INFINITY, f64::min) / 2.0;
+                let half = round
+                    .iter()
+                    .map(|f| f.0.per_second)
+                    .fold(f64::INFINITY, f64::min)
+                    / 2.0;
                 for (figures, (server, socket)) in round.iter_mut().zip(&servers) {
                     figures.1 = steady(socket, server.0.id(), half).await;
                     figures.2 = memory(socket, server.0.id(), &holds_back).await;
@@ -366,12 +434,20 @@
             ("memory of 10,000 waiting, MB", |x| x.2),
         ];
         for (name, f) in rows {
-            println!("{name:<34} {:>10.2} {:>9.2} {:>7.2}", of(0, f), of(1, f), ratio(f));
+            println!(
+                "{name:<34} {:>10.2} {:>9.2} {:>7.2}",
+                of(0, f),
+                of(1, f),
+                ratio(f)
+            );
         }
         cpu_by_size.push(of(0, |x| x.0.cpu_us));
     }
     if let [small, .., large] = cpu_by_size[..] {
-        println!("CPU an invocation, largest over smallest: {:.2}", large / small);
+        println!(
+            "CPU an invocation, largest over smallest: {:.2}",
+            large / small
+        );
     }
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/crates/day/src/check.rs
+++ b/crates/day/src/check.rs
@@ -94,32 +94,70 @@
         for line in lines {
             match line.clone() {
                 Line::Stated(stated) => s.stated = Some(stated),
-                Line::Sent { at, who, of, trigger, timeout, work, .. } => {
+                Line::Sent {
+                    at,
+                    who,
+                    of,
+                    trigger,
+                    timeout,
+                    work,
+                    ..
+                } => {
                     let mean = s.work.entry(trigger.clone()).or_default();
                     *mean = (mean.0 + work as f64, mean.1 + 1.0);
                     let t = s.tries.entry(of).or_default();
                     (t.sent, t.who, t.trigger, t.timeout) = (at, Some(who), trigger, timeout);
                 }
-                Line::Final { at, earliest, of, how } => {
-                    s.tries.entry(of).or_default().finals.push((at, earliest, how));
+                Line::Final {
+                    at,
+                    earliest,
+                    of,
+                    how,
+                } => {
+                    s.tries
+                        .entry(of)
+                        .or_default()
+                        .finals
+                        .push((at, earliest, how));
                 }
                 Line::HungUp { of, .. } => s.tries.entry(of).or_default().hung_up = true,
                 Line::CutOff { at, of } => s.tries.entry(of).or_default().cut_off = Some(at),
                 Line::ReadsSlowly { of, .. } => s.tries.entry(of).or_default().reads_slowly = true,
-                Line::Dispatched { at, earliest, invoker, who, invocation, hop, of, trigger } => {
-                    s.dispatches.entry((who, invocation)).or_default().push(Dispatch {
-                        at,
-                        earliest,
-                        invoker,
-                        hop,
-                        of,
-                        trigger,
-                        ran: None,
-                        ended: None,
-                        cancelled: false,
-                    });
+                Line::Dispatched {
+                    at,
+                    earliest,
+                    invoker,
+                    who,
+                    invocation,
+                    hop,
+                    of,
+                    trigger,
+                } => {
+                    s.dispatches
+                        .entry((who, invocation))
+                        .or_default()
+                        .push(Dispatch {
+                            at,
+                            earliest,
+                            invoker,
+                            hop,
+                            of,
+                            trigger,
+                            ran: None,
+                            ended: None,
+                            cancelled: false,
+                        });
                 }
-                Line::Ran { at, invoker, who, invocation, hop, of, repeat, .. } => {
+                Line::Ran {
+                    at,
+                    invoker,
+                    who,
+                    invocation,
+                    hop,
+                    of,
+                    repeat,
+                    ..
+                } => {
                     if let Some(d) = s.find(who, invocation, invoker, hop) {
                         d.ran = Some(at);
                     }
@@ -127,23 +165,60 @@
                         s.runs.entry(of.n).or_default().push((at, invoker, of));
                     }
                 }
-                Line::Ended { at, invoker, who, invocation, hop, ended, told, .. } => {
+                Line::Ended {
+                    at,
+                    invoker,
+                    who,
+                    invocation,
+                    hop,
+                    ended,
+                    told,
+                    ..
+                } => {
                     if let Some(d) = s.find(who, invocation, invoker, hop) {
                         d.ended = Some((at, ended, told));
                     }
                 }
-                Line::Cancelled { invoker, who, invocation, hop, .. } => {
+                Line::Cancelled {
+                    invoker,
+                    who,
+                    invocation,
+                    hop,
+                    ..
+                } => {
                     if let Some(d) = s.find(who, invocation, invoker, hop) {
                         d.cancelled = true;
                     }
                 }
-                Line::Ordered { at, earliest, invoker, who, function, count } if count > 0 => {
+                Line::Ordered {
+                    at,
+                    earliest,
+                    invoker,
+                    who,
+                    function,
+                    count,
+                } if count > 0 => {
                     s.orders.push((at, earliest, invoker, who, function));
                 }
-                Line::Told { at, who, invoker, life, .. } => {
-                    s.told.entry((who, invoker)).or_default().push((at, life == "ready", life));
+                Line::Told {
+                    at,
+                    who,
+                    invoker,
+                    life,
+                    ..
+                } => {
+                    s.told
+                        .entry((who, invoker))
+                        .or_default()
+                        .push((at, life == "ready", life));
                 }
-                Line::Invoker { at, invoker, up, cold, .. } => {
+                Line::Invoker {
+                    at,
+                    invoker,
+                    up,
+                    cold,
+                    ..
+                } => {
                     s.lives.entry(invoker).or_default().push((at, up, cold));
                 }
                 Line::Controller { at, who, up: false } => {
@@ -156,13 +231,17 @@
             }
         }
         // A stuck invoker reads an earlier dispatch after a later one has come elsewhere.
-        s.dispatches.values_mut().for_each(|all| all.sort_by_key(|d| d.hop));
+        s.dispatches
+            .values_mut()
+            .for_each(|all| all.sort_by_key(|d| d.hop));
         s
     }
 
     fn find(&mut self, who: Who, invocation: u32, invoker: u32, hop: u8) -> Option<&mut Dispatch> {
         let all = self.dispatches.get_mut(&(who, invocation))?;
-        all.iter_mut().rev().find(|d| d.invoker == invoker && d.hop == hop)
+        all.iter_mut()
+            .rev()
+            .find(|d| d.invoker == invoker && d.hop == hop)
     }
 
     /// Whether the stage, or this controller, stood still somewhere in the span.
@@ -183,14 +262,22 @@
 
 impl Findings {
     fn found(&mut self, sure: bool, at: Tenths, text: String) {
-        if sure { &mut self.broken } else { &mut self.cannot_tell }.push(Finding { at, text });
+        if sure {
+            &mut self.broken
+        } else {
+            &mut self.cannot_tell
+        }
+        .push(Finding { at, text });
     }
 }
 
 /// Judges all five rules. A record that does not state the deployment can't be judged.
 pub fn check(lines: &[Line]) -> Result<Vec<Verdict>, String> {
     let seen = Seen::of(lines);
-    let stated = seen.stated.clone().ok_or("the record does not state the deployment in its first line")?;
+    let stated = seen
+        .stated
+        .clone()
+        .ok_or("the record does not state the deployment in its first line")?;
     let rules: [(&str, Rule); 5] = [
         ("one final answer in time", one_answer),
         ("no double effect", no_double_effect),
@@ -206,7 +293,14 @@
             (true, true) => State::Kept,
         };
         let (broken, cannot_tell) = (f.broken, f.cannot_tell);
-        Verdict { rule: n as u8 + 1, name, state, looked_at: f.looked_at, broken, cannot_tell }
+        Verdict {
+            rule: n as u8 + 1,
+            name,
+            state,
+            looked_at: f.looked_at,
+            broken,
+            cannot_tell,
+        }
     };
     Ok(rules.iter().enumerate().map(judge).collect())
 }
@@ -220,18 +314,24 @@
     let seen = Seen::of(lines);
     let mut found = Vec::new();
     for line in lines {
-        let Line::HungUp { at: left, of } = line else { continue };
+        let Line::HungUp { at: left, of } = line else {
+            continue;
+        };
         let sent_on = seen.dispatches.values().flatten().filter(|d| d.of == *of);
-        found.extend(sent_on.filter(|d| d.earliest > left + LEFT_TERM).map(|d| Finding {
-            at: d.at,
-            text: format!(
-                "invocation {}.{} was sent on to {} {} ms after its client had left",
-                of.n,
-                of.attempt,
-                d.invoker,
-                ms(d.earliest - left)
-            ),
-        }));
+        found.extend(
+            sent_on
+                .filter(|d| d.earliest > left + LEFT_TERM)
+                .map(|d| Finding {
+                    at: d.at,
+                    text: format!(
+                        "invocation {}.{} was sent on to {} {} ms after its client had left",
+                        of.n,
+                        of.attempt,
+                        d.invoker,
+                        ms(d.earliest - left)
+                    ),
+                }),
+        );
     }
     found
 }
@@ -246,8 +346,10 @@
                 made.insert((*of, output.as_str()));
             }
             Line::Output { at, of, output } if !made.contains(&(*of, output.as_str())) => {
-                let text =
-                    format!("invocation {}.{} was answered '{output}', made for another", of.n, of.attempt);
+                let text = format!(
+                    "invocation {}.{} was answered '{output}', made for another",
+                    of.n, of.attempt
+                );
                 found.push(Finding { at: *at, text });
             }
             _ => {}
@@ -265,12 +367,22 @@
     for (of, t) in &seen.tries {
         let Some(who) = t.who else { continue };
         f.looked_at += 1;
-        let name = format!("invocation {}.{} at controller {}", of.n, of.attempt, who.controller);
+        let name = format!(
+            "invocation {}.{} at controller {}",
+            of.n, of.attempt, who.controller
+        );
         let due = t.sent + t.timeout;
         if t.finals.len() > 1 {
-            let all: Vec<String> =
-                t.finals.iter().map(|(at, _, how)| format!("{how:?} at {} ms", ms(*at))).collect();
-            f.found(true, t.finals[1].0, format!("{name} got {}", all.join(" and ")));
+            let all: Vec<String> = t
+                .finals
+                .iter()
+                .map(|(at, _, how)| format!("{how:?} at {} ms", ms(*at)))
+                .collect();
+            f.found(
+                true,
+                t.finals[1].0,
+                format!("{name} got {}", all.join(" and ")),
+            );
         }
         let killed = seen.killed.get(&who).is_some_and(|at| *at <= due + SLACK);
         match t.finals.first() {
@@ -288,18 +400,28 @@
                 );
             }
             Some(_) => {}
-            None if t.hung_up || t.cut_off.is_some_and(|at| killed && at <= due + SLACK) || killed => {}
+            None if t.hung_up
+                || t.cut_off.is_some_and(|at| killed && at <= due + SLACK)
+                || killed => {}
             None => {
                 let sure = !seen.was_disturbed(
                     Some(who),
                     due.saturating_sub(t.timeout / 4 + DISTURBED),
                     due + DISTURBED,
                 ) && !t.reads_slowly;
-                let how = if t.cut_off.is_some() { "was cut off" } else { "got no answer" };
+                let how = if t.cut_off.is_some() {
+                    "was cut off"
+                } else {
+                    "got no answer"
+                };
                 f.found(
                     sure,
                     due,
-                    format!("{name}, sent at {} ms with {} ms to go, {how}", ms(t.sent), ms(t.timeout)),
+                    format!(
+                        "{name}, sent at {} ms with {} ms to go, {how}",
+                        ms(t.sent),
+                        ms(t.timeout)
+                    ),
                 );
             }
         }
@@ -312,18 +434,27 @@
     let trigger = |name: &str| stated.triggers.iter().find(|t| t.name == name);
     let place = |invoker: u32| stated.places.iter().find(|p| p.invoker == invoker);
     for (of, t) in &seen.tries {
-        let Some(terms) = trigger(&t.trigger).filter(|t| t.effect != "idempotent") else { continue };
+        let Some(terms) = trigger(&t.trigger).filter(|t| t.effect != "idempotent") else {
+            continue;
+        };
         f.looked_at += 1;
         let runs = seen.runs.get(&of.n).map(Vec::as_slice).unwrap_or_default();
         if of.attempt == 0 && runs.len() > 1 {
             let all: Vec<String> = runs
                 .iter()
-                .map(|(at, invoker, of)| format!("invoker {invoker} at {} ms (try {})", ms(*at), of.attempt))
+                .map(|(at, invoker, of)| {
+                    format!("invoker {invoker} at {} ms (try {})", ms(*at), of.attempt)
+                })
                 .collect();
             f.found(
                 true,
                 runs[1].0,
-                format!("{} invocation {} took effect at {}", terms.effect, of.n, all.join(" and ")),
+                format!(
+                    "{} invocation {} took effect at {}",
+                    terms.effect,
+                    of.n,
+                    all.join(" and ")
+                ),
             );
         }
         let ran = runs.iter().find(|(.., by)| by == of);
@@ -344,7 +475,9 @@
     for ((who, invocation), all) in &seen.dispatches {
         for (i, later) in all.iter().enumerate().skip(1) {
             f.looked_at += 1;
-            let Some(terms) = trigger(&later.trigger) else { continue };
+            let Some(terms) = trigger(&later.trigger) else {
+                continue;
+            };
             for earlier in &all[..i] {
                 let name = format!(
                     "invocation {}.{} (number {invocation} of controller {}): dispatch {} came to invoker {} at {} ms",
@@ -361,11 +494,18 @@
                     earlier.invoker,
                     ms(earlier.at)
                 );
-                let ended = earlier.ended.as_ref().filter(|(at, _, told)| *told && *at <= later.at);
+                let ended = earlier
+                    .ended
+                    .as_ref()
+                    .filter(|(at, _, told)| *told && *at <= later.at);
                 let never_ran = ended.is_some_and(|(_, how, _)| how == "full" || how == "miss");
                 let sure = !seen.was_disturbed(Some(*who), earlier.at, later.at);
                 if !never_ran && terms.effect == "non-idempotent" {
-                    f.found(true, later.at, format!("non-idempotent {name}, though {before}"));
+                    f.found(
+                        true,
+                        later.at,
+                        format!("non-idempotent {name}, though {before}"),
+                    );
                 }
                 if !never_ran && terms.effect == "tokened" {
                     let group = |w: u32| {
@@ -391,10 +531,16 @@
                     }
                 }
                 // An answer on the same link after the later dispatch came, and no cancel: it was still out.
-                let still_out =
-                    earlier.ended.as_ref().is_some_and(|(at, _, told)| *told && *at > later.at + SLACK);
+                let still_out = earlier
+                    .ended
+                    .as_ref()
+                    .is_some_and(|(at, _, told)| *told && *at > later.at + SLACK);
                 if still_out && !earlier.cancelled && !stated.parallel_dispatches {
-                    f.found(sure, later.at, format!("{name}, while {before} and was still out"));
+                    f.found(
+                        sure,
+                        later.at,
+                        format!("{name}, while {before} and was still out"),
+                    );
                 }
             }
         }
@@ -406,22 +552,46 @@
     let mut f = Findings::default();
     let dispatches = seen.dispatches.iter().flat_map(|((who, inv), all)| {
         all.iter().map(move |d| {
-            (d.at, d.earliest, d.invoker, *who, format!("dispatch {} of invocation {inv}", d.hop))
+            (
+                d.at,
+                d.earliest,
+                d.invoker,
+                *who,
+                format!("dispatch {} of invocation {inv}", d.hop),
+            )
         })
     });
-    let orders = seen.orders.iter().map(|(at, earliest, invoker, who, function)| {
-        (*at, *earliest, *invoker, *who, format!("an order to load {function:x}"))
-    });
+    let orders = seen
+        .orders
+        .iter()
+        .map(|(at, earliest, invoker, who, function)| {
+            (
+                *at,
+                *earliest,
+                *invoker,
+                *who,
+                format!("an order to load {function:x}"),
+            )
+        });
     for (at, earliest, invoker, who, what) in dispatches.chain(orders) {
         f.looked_at += 1;
-        let told = seen.told.get(&(who, invoker)).map(Vec::as_slice).unwrap_or_default();
+        let told = seen
+            .told
+            .get(&(who, invoker))
+            .map(Vec::as_slice)
+            .unwrap_or_default();
         // The latest news that was older than the grace when this came, and nothing better since.
-        let old = told.iter().rposition(|(t, ..)| t + stated.drain_grace + SLACK < earliest);
+        let old = told
+            .iter()
+            .rposition(|(t, ..)| t + stated.drain_grace + SLACK < earliest);
         let Some(old) = old else { continue };
         let better = told[old..].iter().any(|(t, ready, _)| *ready && *t <= at);
         if !better {
             // The first of an unbroken run of bad news counts: it was told then.
-            let first = told[..=old].iter().rposition(|(_, ready, _)| *ready).map_or(0, |r| r + 1);
+            let first = told[..=old]
+                .iter()
+                .rposition(|(_, ready, _)| *ready)
+                .map_or(0, |r| r + 1);
             let (t, _, life) = &told[first];
             let sure = !seen.was_disturbed(Some(who), *t, at);
             let late = ms(earliest.saturating_sub(*t));
@@ -433,14 +603,25 @@
 
 fn cold(seen: &Seen, stated: &Stated) -> Findings {
     let mut f = Findings::default();
-    let mean = |trigger: &str| seen.work.get(trigger).map_or(0.0, |(sum, n)| sum / n.max(1.0));
+    let mean = |trigger: &str| {
+        seen.work
+            .get(trigger)
+            .map_or(0.0, |(sum, n)| sum / n.max(1.0))
+    };
     let mut sent: BTreeMap<u32, Vec<(Tenths, f64)>> = BTreeMap::new();
     for d in seen.dispatches.values().flatten() {
-        sent.entry(d.invoker).or_default().push((d.at, mean(&d.trigger)));
+        sent.entry(d.invoker)
+            .or_default()
+            .push((d.at, mean(&d.trigger)));
     }
-    sent.values_mut().for_each(|all| all.sort_by_key(|(at, _)| *at));
+    sent.values_mut()
+        .for_each(|all| all.sort_by_key(|(at, _)| *at));
     for (invoker, lives) in &seen.lives {
-        let pace = stated.places.iter().find(|p| p.invoker == *invoker).map_or(1.0, |p| p.pace);
+        let pace = stated
+            .places
+            .iter()
+            .find(|p| p.invoker == *invoker)
+            .map_or(1.0, |p| p.pace);
         for (n, (start, up, is_cold)) in lives.iter().enumerate() {
             if !up || !is_cold {
                 continue;
@@ -451,12 +632,19 @@
                 .map_or(Tenths::MAX, |l| l.0)
                 .min(start + stated.cold_time);
             let all = sent.get(invoker).map(Vec::as_slice).unwrap_or_default();
-            let life: Vec<(Tenths, f64)> =
-                all.iter().filter(|(at, _)| at >= start && *at < end).copied().collect();
+            let life: Vec<(Tenths, f64)> = all
+                .iter()
+                .filter(|(at, _)| at >= start && *at < end)
+                .copied()
+                .collect();
             for (i, (at, work)) in life.iter().enumerate() {
                 f.looked_at += 1;
                 let from = at.saturating_sub(stated.tip_window);
-                let sum: f64 = life[..=i].iter().filter(|(t, _)| *t > from).map(|(_, w)| w).sum();
+                let sum: f64 = life[..=i]
+                    .iter()
+                    .filter(|(t, _)| *t > from)
+                    .map(|(_, w)| w)
+                    .sum();
                 let age = (at - start) as f64 / stated.cold_time.max(1) as f64;
                 let risen = (stated.cold_share + (1.0 - stated.cold_share) * age).min(1.0);
                 let bound = stated.tip_factor * risen * pace * stated.tip_window as f64;
@@ -477,18 +665,30 @@
     }
     let all: BTreeSet<Who> = seen.orders.iter().map(|o| o.3).collect();
     for who in all {
-        let mut orders: Vec<(Tenths, Tenths)> =
-            seen.orders.iter().filter(|o| o.3 == who).map(|o| (o.1, o.0)).collect();
+        let mut orders: Vec<(Tenths, Tenths)> = seen
+            .orders
+            .iter()
+            .filter(|o| o.3 == who)
+            .map(|o| (o.1, o.0))
+            .collect();
         orders.sort_unstable();
-        let mut sent: Vec<Tenths> =
-            seen.tries.values().filter(|t| t.who == Some(who)).map(|t| t.sent).collect();
+        let mut sent: Vec<Tenths> = seen
+            .tries
+            .values()
+            .filter(|t| t.who == Some(who))
+            .map(|t| t.sent)
+            .collect();
         sent.sort_unstable();
         for (i, (earliest, at)) in orders.iter().enumerate() {
             f.looked_at += 1;
             // Those that surely were within one window, against all that may have been taken within it.
-            let within = orders[..=i].iter().filter(|(e, _)| e + stated.order_window > *at + SLACK).count();
+            let within = orders[..=i]
+                .iter()
+                .filter(|(e, _)| e + stated.order_window > *at + SLACK)
+                .count();
             let from = earliest.saturating_sub(stated.order_window + SLACK);
-            let taken = sent.partition_point(|t| *t <= at + SLACK) - sent.partition_point(|t| *t < from);
+            let taken =
+                sent.partition_point(|t| *t <= at + SLACK) - sent.partition_point(|t| *t < from);
             let most = stated.orders_free + stated.orders_share * taken as f64;
             if within as f64 > most + 1e-9 {
                 let sure = !seen.was_disturbed(Some(who), from, *at);
--- a/crates/day/src/clients.rs
+++ b/crates/day/src/clients.rs
@@ -83,7 +83,17 @@
         record: Record,
     ) -> Rc<Self> {
         let (fronts, lines, next, passages) = Default::default();
-        Rc::new(Self { day, network, clock, turns, record, fronts, lines, next, passages })
+        Rc::new(Self {
+            day,
+            network,
+            clock,
+            turns,
+            record,
+            fronts,
+            lines,
+            next,
+            passages,
+        })
     }
 
     fn next_front(&self) -> Option<(Who, Address)> {
@@ -104,12 +114,16 @@
             return self.invoke_once(n, &a, None).await;
         }
         self.passages.set(self.passages.get() + 1);
-        let mut passage = Passage { name: format!("{n}"), ..Default::default() };
+        let mut passage = Passage {
+            name: format!("{n}"),
+            ..Default::default()
+        };
         for part in 0..u64::from(self.day.passage) {
             if part > 0 {
                 tokio::time::sleep(PAUSE).await;
             }
-            self.invoke_once(n * 1_000 + part, &a, Some(&mut passage)).await;
+            self.invoke_once(n * 1_000 + part, &a, Some(&mut passage))
+                .await;
             if passage.over {
                 break;
             }
@@ -122,11 +136,17 @@
         let function = &terms.functions[&a.function];
         let stated = &terms.deployment.trigger_types[function.trigger];
         let first = self.clock.now();
-        let patience = Patience { retries: self.day.retries, backoff: self.day.backoff };
+        let patience = Patience {
+            retries: self.day.retries,
+            backoff: self.day.backoff,
+        };
         for attempt in 0.. {
             let of = Try { n, attempt };
             let mut rng = fastrand::Rng::with_seed(self.day.seed ^ id_of(of));
-            let end = match self.one_try(of, a, stated.client_timeout, passage.as_deref()).await {
+            let end = match self
+                .one_try(of, a, stated.client_timeout, passage.as_deref())
+                .await
+            {
                 Err(()) => End::Unsent,
                 Ok(None) => {
                     // Nothing was heard, and what may have spoken is not known: that passage is over before it began.
@@ -154,7 +174,9 @@
             };
             match patience.then(stated, attempt, self.clock.now() - first, end, rng.f64()) {
                 Then::Over => return,
-                Then::AgainAfter(wait) => tokio::time::sleep(Duration::from_micros(wait * 100)).await,
+                Then::AgainAfter(wait) => {
+                    tokio::time::sleep(Duration::from_micros(wait * 100)).await
+                }
             }
         }
     }
@@ -172,8 +194,16 @@
         let line = if alone {
             self.connect(who, &address, a.reads_late).await?
         } else {
-            let key = (who.controller, self.next.get() as u32 / 7 % self.day.connections);
-            let open = self.lines.borrow().get(&key).filter(|l| l.open.get() && l.who == who).cloned();
+            let key = (
+                who.controller,
+                self.next.get() as u32 / 7 % self.day.connections,
+            );
+            let open = self
+                .lines
+                .borrow()
+                .get(&key)
+                .filter(|l| l.open.get() && l.who == who)
+                .cloned();
             match open {
                 Some(line) => line,
                 None => {
@@ -188,7 +218,8 @@
         let stated = &self.day.terms.deployment.trigger_types[function.trigger];
         let tenant = &self.day.terms.tenant_names[a.tenant];
         let token = (stated.effect == Effect::Tokened).then(|| format!("token-{}", of.n));
-        let input = json!({"n": of.n, "attempt": of.attempt, "work_ms": a.work as f64 / MILLI as f64});
+        let input =
+            json!({"n": of.n, "attempt": of.attempt, "work_ms": a.work as f64 / MILLI as f64});
         let mut call = json!({
             "jsonrpc": "2.0", "id": id_of(of), "method": "invoke",
             "params": {"function": a.function, "tenant": tenant, "trigger": trigger, "input": input,
@@ -209,7 +240,11 @@
         let (to, answer) = oneshot::channel();
         line.waiting.borrow_mut().insert(id_of(of), to);
         let at = self.clock.now();
-        if line.outbox.put(Bytes::from(format!("{call}\n")), at + timeout).is_none() {
+        if line
+            .outbox
+            .put(Bytes::from(format!("{call}\n")), at + timeout)
+            .is_none()
+        {
             return Err(());
         }
         self.record.note(Line::Sent {
@@ -229,7 +264,10 @@
             tokio::time::sleep(Duration::from_micros(after * 100)).await;
             let answered = !line.waiting.borrow().contains_key(&id_of(of));
             if !answered {
-                self.record.note(Line::HungUp { at: self.clock.now(), of });
+                self.record.note(Line::HungUp {
+                    at: self.clock.now(),
+                    of,
+                });
             }
             line.outbox.close();
             self.passages.set(self.passages.get().saturating_sub(1));
@@ -257,7 +295,12 @@
         let (input, mut output) = halves(stream);
         let (outbox, waiting) = (Outbox::new(64 << 20), Waiting::default());
         let open = Rc::new(Cell::new(true));
-        let line = Connection { who, outbox: outbox.clone(), waiting: waiting.clone(), open: open.clone() };
+        let line = Connection {
+            who,
+            outbox: outbox.clone(),
+            waiting: waiting.clone(),
+            open: open.clone(),
+        };
         let this = self.clone();
         tokio::task::spawn_local(async move {
             let clock = this.clock;
@@ -272,15 +315,26 @@
             let left = std::mem::take(&mut *waiting.borrow_mut());
             if !said_goodbye {
                 for id in left.keys() {
-                    let of = Try { n: id / 16, attempt: (id % 16) as u32 };
-                    this.record.note(Line::CutOff { at: clock.now(), of });
+                    let of = Try {
+                        n: id / 16,
+                        attempt: (id % 16) as u32,
+                    };
+                    this.record.note(Line::CutOff {
+                        at: clock.now(),
+                        of,
+                    });
                 }
             }
         });
         Ok(line)
     }
 
-    async fn listen(&self, read: &mut Read<saltdrum_link::Half>, waiting: &Waiting, late: Option<Tenths>) {
+    async fn listen(
+        &self,
+        read: &mut Read<saltdrum_link::Half>,
+        waiting: &Waiting,
+        late: Option<Tenths>,
+    ) {
         if let Some(late) = late {
             tokio::time::sleep(Duration::from_micros(late * 100)).await;
         }
@@ -293,14 +347,21 @@
     }
 
     fn hear(&self, line: &BytesMut, earliest: Tenths, waiting: &Waiting) {
-        let Ok(reply) = serde_json::from_slice::<rpc::Reply>(line) else { return };
-        let Ok(id) = reply.id.get().parse::<u64>() else { return };
+        let Ok(reply) = serde_json::from_slice::<rpc::Reply>(line) else {
+            return;
+        };
+        let Ok(id) = reply.id.get().parse::<u64>() else {
+            return;
+        };
         let how = match &reply.error {
             None => How::Succeeded,
             Some(e) if e.code == rpc::THROTTLED => How::Throttled,
             Some(_) => How::Errored,
         };
-        let come_back = reply.error.as_ref().and_then(|e| e.data.get("come_back_ms")?.as_u64());
+        let come_back = reply
+            .error
+            .as_ref()
+            .and_then(|e| e.data.get("come_back_ms")?.as_u64());
         let told = match (&reply.error, reply.result) {
             (Some(e), _) => e.data.clone(),
             (None, Some(result)) => serde_json::from_str(result.get()).unwrap_or_default(),
@@ -308,20 +369,41 @@
         };
         let holds = || {
             let version = told.get("version")?.as_str()?.to_owned();
-            Some(Holds { version, until_ms: told.get("passage_until_ms")?.as_u64()? })
+            Some(Holds {
+                version,
+                until_ms: told.get("passage_until_ms")?.as_u64()?,
+            })
         };
-        let over = reply.error.as_ref().is_some_and(|e| e.code == rpc::PASSAGE_OVER);
+        let over = reply
+            .error
+            .as_ref()
+            .is_some_and(|e| e.code == rpc::PASSAGE_OVER);
         let come_back = come_back.unwrap_or(0) * MILLI;
-        let of = Try { n: id / 16, attempt: (id % 16) as u32 };
-        self.record.note(Line::Final { at: self.clock.now(), earliest, of, how });
+        let of = Try {
+            n: id / 16,
+            attempt: (id % 16) as u32,
+        };
+        self.record.note(Line::Final {
+            at: self.clock.now(),
+            earliest,
+            of,
+            how,
+        });
         if let Some(to) = waiting.borrow_mut().remove(&id) {
-            let _ = to.send(Told { how, come_back, holds: holds(), over });
+            let _ = to.send(Told {
+                how,
+                come_back,
+                holds: holds(),
+                over,
+            });
         }
     }
 
     /// Lines that no client should write; the connection they come on is the only one to suffer.
     pub async fn talk_nonsense(&self) {
-        let Some((_, address)) = self.next_front() else { return };
+        let Some((_, address)) = self.next_front() else {
+            return;
+        };
         let nonsense: [&[u8]; 6] = [
             b"{\"jsonrpc\":\"2.0\",\"method\":\"invoke\",\"id\":1,\"params\":{\"function\":3}}\n",
             b"{\"jsonrpc\":\"2.0\",\"method\":\"fly\",\"id\":2}\n",
@@ -331,7 +413,9 @@
             &[b'x'; 100_000],
         ];
         for bytes in nonsense {
-            let Ok(mut stream) = self.network.dial(&address).await else { return };
+            let Ok(mut stream) = self.network.dial(&address).await else {
+                return;
+            };
             if bytes.len() > 90_000 {
                 for _ in 0..12 {
                     let _ = stream.write_all(bytes).await;
--- a/crates/day/src/lib.rs
+++ b/crates/day/src/lib.rs
@@ -19,9 +19,18 @@
 /// Days that come with the program, by name.
 pub const DAYS: &[(&str, &str)] = &[
     ("bad-day", include_str!("../days/bad-day.star")),
-    ("most-of-a-fleet-goes", include_str!("../days/most-of-a-fleet-goes.star")),
-    ("one-tenant-floods", include_str!("../days/one-tenant-floods.star")),
-    ("misses-burn-tries", include_str!("../days/misses-burn-tries.star")),
+    (
+        "most-of-a-fleet-goes",
+        include_str!("../days/most-of-a-fleet-goes.star"),
+    ),
+    (
+        "one-tenant-floods",
+        include_str!("../days/one-tenant-floods.star"),
+    ),
+    (
+        "misses-burn-tries",
+        include_str!("../days/misses-burn-tries.star"),
+    ),
     ("layers-day", include_str!("../days/layers-day.star")),
     ("bad-network", include_str!("../days/bad-network.star")),
     ("models-day", include_str!("../days/models-day.star")),
--- a/crates/day/src/passages.rs
+++ b/crates/day/src/passages.rs
@@ -19,14 +19,26 @@
 pub fn look(lines: &[Line]) -> Option<Passages> {
     let mut all = BTreeMap::<&str, Vec<(u64, u64, u32)>>::new();
     for line in lines {
-        if let Line::Spoke { at, invoker, function, passage, .. } = line {
-            all.entry(passage).or_default().push((*at, *function, *invoker));
+        if let Line::Spoke {
+            at,
+            invoker,
+            function,
+            passage,
+            ..
+        } = line
+        {
+            all.entry(passage)
+                .or_default()
+                .push((*at, *function, *invoker));
         }
     }
     if all.is_empty() {
         return None;
     }
-    let mut found = Passages { passages: all.len(), ..Default::default() };
+    let mut found = Passages {
+        passages: all.len(),
+        ..Default::default()
+    };
     let mut functions = std::collections::BTreeSet::new();
     for (passage, spoke) in all {
         found.invocations += spoke.len();
--- a/crates/day/src/script.rs
+++ b/crates/day/src/script.rs
@@ -272,22 +272,35 @@
         if self.at_once > 0 {
             // A class is told to press play; nobody does within the same moment.
             let spread = self.lasts.map_or(SECOND / 2, |s| s.0);
-            return Ok(Shape::Group { count: self.at_once, spread });
+            return Ok(Shape::Group {
+                count: self.at_once,
+                spread,
+            });
         }
         let times = |least: f64, most: f64, usual: f64| match self.times.unwrap_or(usual) {
             n if (least..=most).contains(&n) => Ok(n),
-            n => Err(format!("times {n}: {least} to {most} are expected for this shape")),
+            n => Err(format!(
+                "times {n}: {least} to {most} are expected for this shape"
+            )),
         };
         let lasts = |usual: Tenths| self.lasts.map_or(usual, |s| s.0);
         match self.shape.as_deref() {
             None | Some("steady") => Ok(Shape::Steady),
-            Some("bursty") => Ok(Shape::Bursty { times: times(1.0, 100.0, 5.0)?, lasts: lasts(SECOND) }),
-            Some("afternoon") => Ok(Shape::Afternoon { least: times(0.0, 1.0, 0.2)? }),
+            Some("bursty") => Ok(Shape::Bursty {
+                times: times(1.0, 100.0, 5.0)?,
+                lasts: lasts(SECOND),
+            }),
+            Some("afternoon") => Ok(Shape::Afternoon {
+                least: times(0.0, 1.0, 0.2)?,
+            }),
             Some("ramp") => Ok(Shape::Ramp),
-            Some("season") => Ok(Shape::Season { swing: times(0.0, 1.0, 0.5)?, period: lasts(20 * SECOND) }),
-            Some(other) => {
-                Err(format!("shape '{other}': one of steady, bursty, afternoon, ramp, season is expected"))
-            }
+            Some("season") => Ok(Shape::Season {
+                swing: times(0.0, 1.0, 0.5)?,
+                period: lasts(20 * SECOND),
+            }),
+            Some(other) => Err(format!(
+                "shape '{other}': one of steady, bursty, afternoon, ramp, season is expected"
+            )),
         }
     }
 }
@@ -343,7 +356,13 @@
     /// Reads a script's text; `file` is its name in faults.
     pub fn load(file: &str, text: &str) -> Result<Self, Fault> {
         let (terms, rest) = Terms::load(file, text)?;
-        let at = |why: &str| Fault { place: script::Place { file: file.into(), line: 1 }, why: why.into() };
+        let at = |why: &str| Fault {
+            place: script::Place {
+                file: file.into(),
+                line: 1,
+            },
+            why: why.into(),
+        };
         let mut days = rest.iter().filter(|s| s.what == "day");
         let stated = days.next().ok_or_else(|| at("no day(...) is stated"))?;
         if let Some(second) = days.next() {
@@ -358,7 +377,9 @@
             "alone" => Layers::Alone,
             "shared" => Layers::Shared,
             other => {
-                return Err(stated.fault(format!("layers '{other}': one of off, alone, shared is expected")));
+                return Err(stated.fault(format!(
+                    "layers '{other}': one of off, alone, shared is expected"
+                )));
             }
         };
         if !(0.1..=64.0).contains(&said.model.0) {
@@ -370,8 +391,14 @@
         if said.versions < 2 && said.moves.0 > 0 {
             return Err(stated.fault("moves: at least two versions are expected"));
         }
-        if let Some(odd) = terms.functions.keys().find(|f| said.versions > 0 && f.parse::<Name>().is_err()) {
-            return Err(stated.fault(format!("versions: function '{odd}' can't be the name of a model")));
+        if let Some(odd) = terms
+            .functions
+            .keys()
+            .find(|f| said.versions > 0 && f.parse::<Name>().is_err())
+        {
+            return Err(stated.fault(format!(
+                "versions: function '{odd}' can't be the name of a model"
+            )));
         }
         let mut day = Self {
             versions: said.versions,
@@ -420,13 +447,22 @@
             day.troubles.push(trouble);
         }
         day.troubles.sort_by_key(|t| t.at);
-        if day.traffic.is_empty() { Err(at("no traffic(...) is stated")) } else { Ok(day) }
+        if day.traffic.is_empty() {
+            Err(at("no traffic(...) is stated"))
+        } else {
+            Ok(day)
+        }
     }
 
     fn one_traffic(&self, s: &Statement) -> Result<Traffic, Fault> {
         let said: SaidTraffic = s.read()?;
-        let tenant = self.terms.tenant_names.iter().position(|t| *t == said.tenant);
-        let tenant = tenant.ok_or_else(|| s.fault(format!("no tenant is named '{}'", said.tenant)))?;
+        let tenant = self
+            .terms
+            .tenant_names
+            .iter()
+            .position(|t| *t == said.tenant);
+        let tenant =
+            tenant.ok_or_else(|| s.fault(format!("no tenant is named '{}'", said.tenant)))?;
         known(s, &self.terms, &said.functions)?;
         if said.functions.is_empty() || (said.per_second <= 0.0) == (said.at_once == 0) {
             return Err(s.fault("functions and either per_second or at_once are expected"));
@@ -451,17 +487,26 @@
         let known_kind = KINDS.iter().find(|(name, _)| *name == said.name);
         let (name, kind) = *known_kind.ok_or_else(|| {
             let all: Vec<&str> = KINDS.iter().map(|k| k.0).collect();
-            s.fault(format!("'{}' is no trouble; known are {}", said.name, all.join(", ")))
+            s.fault(format!(
+                "'{}' is no trouble; known are {}",
+                said.name,
+                all.join(", ")
+            ))
         })?;
         known(s, &self.terms, &said.functions)?;
         if self.versions == 0
-            && matches!(kind, Kind::RegistryLost | Kind::RegistryCut | Kind::Withdrawn | Kind::VersionErrs)
+            && matches!(
+                kind,
+                Kind::RegistryLost | Kind::RegistryCut | Kind::Withdrawn | Kind::VersionErrs
+            )
         {
             return Err(s.fault(format!("{name}: versions are expected in day(...)")));
         }
         let need = |what: &str| s.fault(format!("{name}: {what} is expected"));
-        if !matches!(kind, Kind::Flush | Kind::BadInput | Kind::Deploy | Kind::Withdrawn)
-            && said.lasts.is_none()
+        if !matches!(
+            kind,
+            Kind::Flush | Kind::BadInput | Kind::Deploy | Kind::Withdrawn
+        ) && said.lasts.is_none()
         {
             return Err(need("lasts"));
         }
@@ -511,7 +556,11 @@
         if kind == Kind::RefusedForRoom && said.tenant.is_none() {
             return Err(need("tenant"));
         }
-        if let Some(tenant) = said.tenant.iter().find(|t| !self.terms.tenant_names.contains(t)) {
+        if let Some(tenant) = said
+            .tenant
+            .iter()
+            .find(|t| !self.terms.tenant_names.contains(t))
+        {
             return Err(s.fault(format!("no tenant is named '{tenant}'")));
         }
         let zone = match &said.zone {
@@ -529,7 +578,11 @@
             return Err(s.fault(format!("invoker {bad}: 1 to {most} are stated")));
         }
         let most = self.terms.deployment.controllers;
-        let all = if kind == Kind::LineSlow { (1..=most).collect() } else { Vec::new() };
+        let all = if kind == Kind::LineSlow {
+            (1..=most).collect()
+        } else {
+            Vec::new()
+        };
         let controllers = said.controllers.unwrap_or(all);
         if let Some(bad) = controllers.iter().find(|c| !(1..=most).contains(c)) {
             return Err(s.fault(format!("controller {bad}: 1 to {most} are stated")));
--- a/crates/day/src/stage.rs
+++ b/crates/day/src/stage.rs
@@ -53,8 +53,14 @@
 }
 
 enum Chair {
-    Thread { stop: mpsc::UnboundedSender<Duration>, thread: std::thread::JoinHandle<Vec<Line>> },
-    Task { hold: Hold, task: JoinHandle<()> },
+    Thread {
+        stop: mpsc::UnboundedSender<Duration>,
+        thread: std::thread::JoinHandle<Vec<Line>>,
+    },
+    Task {
+        hold: Hold,
+        task: JoinHandle<()>,
+    },
 }
 
 /// Runs a controller in its seat until dropped.
@@ -80,16 +86,40 @@
 impl Cover {
     /// A controller alone; models come through the agents.
     pub fn of(serve: Serve) -> Self {
-        Self { serve, brings: None }
+        Self {
+            serve,
+            brings: None,
+        }
     }
 }
 
 /// Controllers by how they decide: the design, and baselines for comparison.
 pub const POLICIES: &[(&str, Serve)] = &[
     ("design", serve),
-    ("random", |s, n, c| Box::pin(saltdrum_controller::serve(s, n, c, saltdrum_controller::at_random))),
-    ("fewest-out", |s, n, c| Box::pin(saltdrum_controller::serve(s, n, c, saltdrum_controller::fewest_out))),
-    ("rendezvous", |s, n, c| Box::pin(saltdrum_controller::serve(s, n, c, saltdrum_controller::rendezvous))),
+    ("random", |s, n, c| {
+        Box::pin(saltdrum_controller::serve(
+            s,
+            n,
+            c,
+            saltdrum_controller::at_random,
+        ))
+    }),
+    ("fewest-out", |s, n, c| {
+        Box::pin(saltdrum_controller::serve(
+            s,
+            n,
+            c,
+            saltdrum_controller::fewest_out,
+        ))
+    }),
+    ("rendezvous", |s, n, c| {
+        Box::pin(saltdrum_controller::serve(
+            s,
+            n,
+            c,
+            saltdrum_controller::rendezvous,
+        ))
+    }),
 ];
 
 struct Stage {
@@ -126,7 +156,12 @@
 
 impl Names {
     fn following(&self, who: String, copy: Option<PathBuf>) -> Following {
-        Following { registry: self.address.clone(), key: self.key.clone(), who, copy }
+        Following {
+            registry: self.address.clone(),
+            key: self.key.clone(),
+            who,
+            copy,
+        }
     }
 
     async fn start(&self, network: &dyn Network, clock: Clock) -> io::Result<()> {
@@ -153,13 +188,16 @@
             None => Ledger::open_file(&self.ledger).and_then(|ledger| ledger.after(0, usize::MAX)),
         };
         let entries = entries.map_err(io::Error::other)?;
-        let count = |of: fn(&Change) -> bool| entries.iter().filter(|e| of(&e.change)).count() as u64;
+        let count =
+            |of: fn(&Change) -> bool| entries.iter().filter(|e| of(&e.change)).count() as u64;
         Ok(Line::Registry {
             at,
             revision: entries.last().map_or(0, |e| e.revision),
             moves: count(|c| matches!(c, Change::Move { expect: 1.., .. })),
             stages_well: count(|c| matches!(c, Change::EndStage { well: true, .. })),
-            corrupt: life.as_ref().map_or_else(Vec::new, |(registry, _)| registry.corrupt()),
+            corrupt: life
+                .as_ref()
+                .map_or_else(Vec::new, |(registry, _)| registry.corrupt()),
             stages_stopped: count(|c| matches!(c, Change::EndStage { well: false, .. })),
         })
     }
@@ -176,7 +214,8 @@
 }
 
 fn name(text: &str) -> Name {
-    text.parse().expect("it was looked at when the script was read")
+    text.parse()
+        .expect("it was looked at when the script was read")
 }
 
 /// A model for each function, in versions, pushed to the store and the ledger, with an alias for the first.
@@ -212,13 +251,31 @@
                 lanes: f.lanes as u32,
                 trigger_types: vec![day.terms.trigger_names[f.trigger].clone()],
             };
-            all.push(Change::Push { model: name(&f.name), name: name(&tag), version });
+            all.push(Change::Push {
+                model: name(&f.name),
+                name: name(&tag),
+                version,
+            });
         }
         let (space, alias) = (Namespace::All, name(&format!("{}-current", f.name)));
         let (model, version) = (name(&f.name), name("v1"));
-        all.push(Change::Move { space, alias, model, version, expect: 0, stage: None });
+        all.push(Change::Move {
+            space,
+            alias,
+            model,
+            version,
+            expect: 0,
+            stage: None,
+        });
     }
-    let asked = all.into_iter().map(|change| Asked { who: "stage".into(), at_ms: 0, change }).collect();
+    let asked = all
+        .into_iter()
+        .map(|change| Asked {
+            who: "stage".into(),
+            at_ms: 0,
+            change,
+        })
+        .collect();
     for told in ledger.take(asked).map_err(io::Error::other)? {
         told.map_err(io::Error::other)?;
     }
@@ -227,7 +284,9 @@
 
 /// Plays a day on the machine's sockets.
 pub fn play_on_sockets(day: &Day, folder: &Path) -> io::Result<Vec<Line>> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     LocalSet::new().block_on(&runtime, play(day.clone(), Some(folder), Cover::of(serve)))
 }
 
@@ -238,7 +297,10 @@
 
 /// As [`play_virtually`], with others in the places of the real ones.
 pub fn play_covered(day: &Day, cover: Cover) -> io::Result<Vec<Line>> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_time()
+        .start_paused(true)
+        .build()?;
     LocalSet::new().block_on(&runtime, play(day.clone(), None, cover))
 }
 
@@ -269,7 +331,12 @@
         pace: f64::from(terms.size(i.kind)),
     };
     record::Stated {
-        triggers: d.trigger_types.iter().zip(&terms.trigger_names).map(trigger).collect(),
+        triggers: d
+            .trigger_types
+            .iter()
+            .zip(&terms.trigger_names)
+            .map(trigger)
+            .collect(),
         places: terms.invokers.iter().map(place).collect(),
         parallel_dispatches: d.parallel_dispatches,
         drain_grace: d.drain_grace,
@@ -290,7 +357,10 @@
         Some(folder) => Cast::Threads(folder.to_owned()),
         None => {
             let n = &day.network;
-            let line = Wire { delay: n.delay, jitter: n.jitter };
+            let line = Wire {
+                delay: n.delay,
+                jitter: n.jitter,
+            };
             let lines = Lines::new(line, n.bytes_per_second, day.seed ^ 0xe7e4);
             Cast::Virtual(Ether::new(clock, lines, turns.clone()))
         }
@@ -298,21 +368,38 @@
     record.note(Line::Stated(stated(&day.terms)));
     let noted = record.clone();
     tokio::task::spawn_local(turning(turns.clone(), clock, move |now, gap| {
-        noted.note(Line::Disturbed { at: now - gap, until: now, thread: "stage".into() });
+        noted.note(Line::Disturbed {
+            at: now - gap,
+            until: now,
+            thread: "stage".into(),
+        });
     }));
     let any = |name: &str| match &cast {
         Cast::Threads(_) => Address::Tcp("127.0.0.1:0".into()),
         Cast::Virtual(_) => Address::Memory(name.into()),
     };
-    let (store, store_address) =
-        Store::open(cast.host("store"), clock, record.clone(), &any("store"), day.store_limit).await?;
-    let (list, list_address) = List::open(cast.host("list"), clock, record.clone(), &any("list")).await?;
+    let (store, store_address) = Store::open(
+        cast.host("store"),
+        clock,
+        record.clone(),
+        &any("store"),
+        day.store_limit,
+    )
+    .await?;
+    let (list, list_address) =
+        List::open(cast.host("list"), clock, record.clone(), &any("list")).await?;
     let registry = Registry::new(day.store_limit, day.seed);
-    let registry_address = registry.open(&*cast.host("store"), &any("registry")).await?;
+    let registry_address = registry
+        .open(&*cast.host("store"), &any("registry"))
+        .await?;
     // What folders hold is gone with the day.
-    let cellar = tempfile::Builder::new().prefix("saltdrum-layers-").tempdir()?;
+    let cellar = tempfile::Builder::new()
+        .prefix("saltdrum-layers-")
+        .tempdir()?;
     let names_address = match &cast {
-        Cast::Threads(folder) => Address::Unix(folder.join("registry.sock").to_string_lossy().into_owned()),
+        Cast::Threads(folder) => {
+            Address::Unix(folder.join("registry.sock").to_string_lossy().into_owned())
+        }
         Cast::Virtual(_) => Address::Memory("names".into()),
     };
     let mut models = BTreeMap::new();
@@ -324,9 +411,15 @@
             models.insert(f.name.clone(), model);
         }
         // One model at full pace takes as long as the fetch of a mean load.
-        let loads = day.terms.functions.values().map(|f| f.load.unwrap_or(SECOND) as f64 / SECOND as f64);
+        let loads = day
+            .terms
+            .functions
+            .values()
+            .map(|f| f.load.unwrap_or(SECOND) as f64 / SECOND as f64);
         let mean = loads.sum::<f64>() / day.terms.functions.len() as f64;
-        registry.bytes_per_second.set(day.model_bytes as f64 / (FETCH_SHARE * mean));
+        registry
+            .bytes_per_second
+            .set(day.model_bytes as f64 / (FETCH_SHARE * mean));
         registry.full_pace.set(FULL_PACE);
     }
     let names = if day.versions == 0 {
@@ -334,11 +427,20 @@
     } else {
         let ledger = cellar.path().join("registry.redb");
         let key = versions(&day, &ledger, &registry, &mut models)?;
-        let names = Names { ledger, address: names_address, key, life: RefCell::default() };
+        let names = Names {
+            ledger,
+            address: names_address,
+            key,
+            life: RefCell::default(),
+        };
         names.start(&*cast.host("registry"), clock).await?;
         Some(names)
     };
-    let (terms, tokens, models) = (Rc::new(day.terms.clone()), Tokens::default(), Rc::new(models));
+    let (terms, tokens, models) = (
+        Rc::new(day.terms.clone()),
+        Tokens::default(),
+        Rc::new(models),
+    );
     let mut invokers = BTreeMap::new();
     for stated in &day.terms.invokers {
         let own = clock_of(&day, &cast, clock, 0x1c10c, stated.invoker);
@@ -355,7 +457,9 @@
             tokens: tokens.clone(),
             seed: day.seed ^ (u64::from(stated.invoker) << 32),
             fetch_share: FETCH_SHARE,
-            versions: names.as_ref().map(|n| n.following(format!("invoker-{}", stated.invoker), None)),
+            versions: names
+                .as_ref()
+                .map(|n| n.following(format!("invoker-{}", stated.invoker), None)),
             layers: (day.layers != Layers::Off).then(|| invoker::Layers {
                 folder: cellar.path().join(stated.invoker.to_string()),
                 cache_bytes: 1 << 30,
@@ -370,13 +474,25 @@
         // It has been up for long: some of what is asked for stands already.
         let all: Vec<u64> = day.terms.functions.values().map(|f| f.id).collect();
         let first = stated.invoker as usize * 5 % all.len();
-        let held: Vec<u64> = all.iter().cycle().skip(first).take(all.len().div_ceil(2)).copied().collect();
+        let held: Vec<u64> = all
+            .iter()
+            .cycle()
+            .skip(first)
+            .take(all.len().div_ceil(2))
+            .copied()
+            .collect();
         invoker.start(false, &held).await?;
         list.say(invoker.entry(Life::Ready));
         invokers.insert(stated.invoker, invoker);
     }
     let day = Rc::new(day);
-    let clients = Clients::new(day.clone(), cast.host("clients"), clock, turns, record.clone());
+    let clients = Clients::new(
+        day.clone(),
+        cast.host("clients"),
+        clock,
+        turns,
+        record.clone(),
+    );
     let stage = Rc::new(Stage {
         serve: cover.serve,
         start: clock.now() + SECOND / 2,
@@ -473,7 +589,11 @@
             opens_when_ready: false,
         };
         let seed = self.day.seed ^ (u64::from(controller) << 40) ^ (incarnation << 56);
-        let (terms, list, clock) = (self.day.terms.clone(), self.list_address.clone(), self.clock);
+        let (terms, list, clock) = (
+            self.day.terms.clone(),
+            self.list_address.clone(),
+            self.clock,
+        );
         let serve = self.serve;
         let chair = match &self.cast {
             Cast::Threads(_) => {
@@ -522,7 +642,11 @@
                 let living = async move {
                     let watch = turning(Turns::default(), clock, move |now, gap| {
                         let thread = format!("controller-{controller}");
-                        noted.note(Line::Disturbed { at: now - gap, until: now, thread });
+                        noted.note(Line::Disturbed {
+                            at: now - gap,
+                            until: now,
+                            thread,
+                        });
                     });
                     tokio::select! {
                         biased;
@@ -539,8 +663,15 @@
             }
         };
         self.chairs.borrow_mut().insert(controller, chair);
-        let who = Who { controller, incarnation };
-        self.record.note(Line::Controller { at: self.clock.now(), who, up: true });
+        let who = Who {
+            controller,
+            incarnation,
+        };
+        self.record.note(Line::Controller {
+            at: self.clock.now(),
+            who,
+            up: true,
+        });
         let mut fronts = self.clients.fronts.borrow_mut();
         fronts.retain(|(w, ..)| w.controller != controller);
         fronts.push((who, address, true));
@@ -550,9 +681,18 @@
 
     /// Ends a controller's life as a kill does: sockets close, nothing is said.
     fn kill(&self, controller: u32) {
-        let Some(chair) = self.chairs.borrow_mut().remove(&controller) else { return };
-        let who = Who { controller, incarnation: self.lives.borrow()[&controller] };
-        self.record.note(Line::Controller { at: self.clock.now(), who, up: false });
+        let Some(chair) = self.chairs.borrow_mut().remove(&controller) else {
+            return;
+        };
+        let who = Who {
+            controller,
+            incarnation: self.lives.borrow()[&controller],
+        };
+        self.record.note(Line::Controller {
+            at: self.clock.now(),
+            who,
+            up: false,
+        });
         match chair {
             Chair::Thread { stop, thread } => {
                 drop(stop);
@@ -560,7 +700,13 @@
             }
             Chair::Task { task, .. } => task.abort(),
         }
-        for front in self.clients.fronts.borrow_mut().iter_mut().filter(|f| f.0 == who) {
+        for front in self
+            .clients
+            .fronts
+            .borrow_mut()
+            .iter_mut()
+            .filter(|f| f.0 == who)
+        {
             front.2 = false;
         }
     }
@@ -577,7 +723,10 @@
     /// Does something to the lines between the struck controllers and invokers, one way or both.
     fn lines(&self, t: &Trouble, change: impl Fn(&Ether, &str, &str)) {
         let Cast::Virtual(ether) = &self.cast else {
-            return warn!(t.name, "the machine's own sockets can't be told to: left out");
+            return warn!(
+                t.name,
+                "the machine's own sockets can't be told to: left out"
+            );
         };
         for c in t.controllers.iter().map(|c| format!("controller-{c}")) {
             for i in t.invokers.iter().map(|i| format!("invoker-{i}")) {
@@ -602,11 +751,16 @@
                         format!(" of controllers {:?}", t.controllers)
                     }
                     Kind::LineCut | Kind::LineSlow => {
-                        format!(" of controllers {:?} and invokers {:?}", t.controllers, t.invokers)
+                        format!(
+                            " of controllers {:?} and invokers {:?}",
+                            t.controllers, t.invokers
+                        )
                     }
                     Kind::HotFunction => format!(" {:?}", t.functions),
                     Kind::RefusedForRoom => format!(" of {}", t.tenant.clone().unwrap_or_default()),
-                    _ if t.invokers.len() < this.invokers.len() => format!(" of invokers {:?}", t.invokers),
+                    _ if t.invokers.len() < this.invokers.len() => {
+                        format!(" of invokers {:?}", t.invokers)
+                    }
                     _ => String::new(),
                 };
                 let text = format!("{}{struck}", t.name);
@@ -625,8 +779,17 @@
             tokio::task::spawn_local(self.clients.clone().invoke(n as u64 + 1, arrival));
         }
         self.clock.sleep_until(self.at(self.day.length)).await;
-        self.record.note(Line::Over { at: self.clock.now() });
-        let longest = self.day.terms.deployment.trigger_types.iter().map(|t| t.client_timeout).max();
+        self.record.note(Line::Over {
+            at: self.clock.now(),
+        });
+        let longest = self
+            .day
+            .terms
+            .deployment
+            .trigger_types
+            .iter()
+            .map(|t| t.client_timeout)
+            .max();
         let tries = u64::from(self.day.retries) + 1;
         let rest = tries * (longest.unwrap_or(0) + 4 * self.day.backoff) + SECOND;
         tokio::time::sleep(Duration::from_micros(rest * 100)).await;
@@ -638,11 +801,15 @@
     }
 
     async fn ask(&self, change: Change) -> Result<(), String> {
-        let Some(names) = &self.names else { return Ok(()) };
+        let Some(names) = &self.names else {
+            return Ok(());
+        };
         let dialled = Caller::dial(&self.cast.host("admin"), &names.address, &names.key).await;
         let mut caller = dialled.map_err(|e| e.to_string())?;
         let asked = caller.call("change", serde_json::json!({ "change": change }));
-        let told = tokio::time::timeout(Duration::from_secs(2), asked).await.map_err(|e| e.to_string())?;
+        let told = tokio::time::timeout(Duration::from_secs(2), asked)
+            .await
+            .map_err(|e| e.to_string())?;
         told.map(|_| ()).map_err(|e| e.to_string())
     }
 
@@ -657,23 +824,53 @@
             self.clock.sleep_until(period).await;
             for f in &functions {
                 let alias = name(&format!("{f}-current"));
-                let life = self.names.as_ref().and_then(|n| Some(n.life.borrow().as_ref()?.0.clone()));
+                let life = self
+                    .names
+                    .as_ref()
+                    .and_then(|n| Some(n.life.borrow().as_ref()?.0.clone()));
                 // Lost for now: nobody can move anything.
-                let Some(book) = life.map(|registry| registry.book()) else { break };
-                let Some(is) = book.alias(&Namespace::All, &alias).cloned() else { continue };
-                let at: u32 = is.version.to_string().trim_start_matches('v').parse().unwrap_or(1);
+                let Some(book) = life.map(|registry| registry.book()) else {
+                    break;
+                };
+                let Some(is) = book.alias(&Namespace::All, &alias).cloned() else {
+                    continue;
+                };
+                let at: u32 = is
+                    .version
+                    .to_string()
+                    .trim_start_matches('v')
+                    .parse()
+                    .unwrap_or(1);
                 let version = name(&format!("v{}", at % self.day.versions + 1));
                 let (space, model, expect) = (Namespace::All, is.model.clone(), is.changed);
-                let stage =
-                    |to: &Name| Trial { to: to.clone(), per_mille: 100, errors_per_mille: 100, answers: 40 };
+                let stage = |to: &Name| Trial {
+                    to: to.clone(),
+                    per_mille: 100,
+                    errors_per_mille: 100,
+                    answers: 40,
+                };
                 let change = match (&is.stage, self.day.staged) {
                     // Still on trial: there are too few answers to tell.
                     (Some(_), _) => continue,
                     (None, true) => {
                         let stage = Some(stage(&version));
-                        Change::Move { space, alias, model, version, expect, stage }
+                        Change::Move {
+                            space,
+                            alias,
+                            model,
+                            version,
+                            expect,
+                            stage,
+                        }
                     }
-                    (None, false) => Change::Move { space, alias, model, version, expect, stage: None },
+                    (None, false) => Change::Move {
+                        space,
+                        alias,
+                        model,
+                        version,
+                        expect,
+                        stage: None,
+                    },
                 };
                 if let Err(why) = self.ask(change).await {
                     info!(f, why, "an alias was not moved");
@@ -702,15 +899,21 @@
                     risen: (d.cold_share + (1.0 - d.cold_share) * age).min(1.0),
                     ready: *life == Life::Ready,
                 };
-                Some(Peer { member, address: i.site.layers.as_ref()?.at.borrow().clone() })
+                Some(Peer {
+                    member,
+                    address: i.site.layers.as_ref()?.at.borrow().clone(),
+                })
             };
             let all: Vec<Peer> = self.known.borrow().iter().filter_map(peer).collect();
             for (id, i) in &self.invokers {
                 match self.day.layers {
                     Layers::Shared => i.peers(&all),
-                    _ => {
-                        i.peers(&all.iter().filter(|p| p.member.invoker == *id).cloned().collect::<Vec<_>>())
-                    }
+                    _ => i.peers(
+                        &all.iter()
+                            .filter(|p| p.member.invoker == *id)
+                            .cloned()
+                            .collect::<Vec<_>>(),
+                    ),
                 }
             }
             self.sleep(SECOND / 2).await;
@@ -764,7 +967,9 @@
     }
 
     fn fault(&self, invokers: &[u32], change: impl Fn(&mut saltdrum_standin::Faults)) {
-        invokers.iter().for_each(|i| self.invokers[i].fault(|f, _| change(f)));
+        invokers
+            .iter()
+            .for_each(|i| self.invokers[i].fault(|f, _| change(f)));
     }
 
     /// Plays a trouble from its begin to its end.
@@ -806,7 +1011,10 @@
             }
             Kind::RegistryCut => {
                 let Cast::Virtual(ether) = &self.cast else {
-                    return warn!(t.name, "the machine's own sockets can't be told to: left out");
+                    return warn!(
+                        t.name,
+                        "the machine's own sockets can't be told to: left out"
+                    );
                 };
                 let both = |change: &dyn Fn(&Ether, &str, &str)| {
                     for c in t.controllers.iter().map(|c| format!("controller-{c}")) {
@@ -821,17 +1029,29 @@
             // The second version of a model, wherever it runs.
             Kind::VersionErrs => {
                 let begin = t.functions.first().map(|f| format!("{f}@v2"));
-                self.fault(&t.invokers, |f| f.fails = begin.clone().map(|b| (b, t.part)));
+                self.fault(&t.invokers, |f| {
+                    f.fails = begin.clone().map(|b| (b, t.part))
+                });
                 self.sleep(t.lasts).await;
                 self.fault(&t.invokers, |f| f.fails = None);
             }
             Kind::Withdrawn => {
                 for f in &t.functions {
-                    let life = self.names.as_ref().and_then(|n| Some(n.life.borrow().as_ref()?.0.clone()));
-                    let Some(book) = life.map(|registry| registry.book()) else { continue };
+                    let life = self
+                        .names
+                        .as_ref()
+                        .and_then(|n| Some(n.life.borrow().as_ref()?.0.clone()));
+                    let Some(book) = life.map(|registry| registry.book()) else {
+                        continue;
+                    };
                     let alias = book.alias(&Namespace::All, &name(&format!("{f}-current")));
-                    let Some(before) = alias.and_then(|a| a.before.clone()) else { continue };
-                    let change = Change::Withdraw { model: name(f), name: before };
+                    let Some(before) = alias.and_then(|a| a.before.clone()) else {
+                        continue;
+                    };
+                    let change = Change::Withdraw {
+                        model: name(f),
+                        name: before,
+                    };
                     if let Err(why) = self.ask(change).await {
                         warn!(f, why, "a version was not withdrawn");
                     }
@@ -839,10 +1059,12 @@
             }
             // Of certain models only: their latest versions' own chunks, for which nobody has another source.
             Kind::StoreDamages
-                if t.functions.len() < self.day.terms.functions.len() && !t.functions.is_empty() =>
+                if t.functions.len() < self.day.terms.functions.len()
+                    && !t.functions.is_empty() =>
             {
                 for f in &t.functions {
-                    self.registry.damage_model(f, &format!("v{}", self.day.versions));
+                    self.registry
+                        .damage_model(f, &format!("v{}", self.day.versions));
                 }
                 self.sleep(t.lasts).await;
                 self.registry.faults.borrow_mut().damaged.clear();
@@ -933,7 +1155,10 @@
                 self.lines(&t, Ether::heal);
             }
             Kind::LineSlow => {
-                let line = Wire { delay: t.delay, jitter: t.delay / 2 };
+                let line = Wire {
+                    delay: t.delay,
+                    jitter: t.delay / 2,
+                };
                 self.lines(&t, |ether, from, to| ether.slow(from, to, line));
                 self.sleep(t.lasts).await;
                 self.lines(&t, |ether, from, to| ether.quicken(from, to, line));
@@ -999,9 +1224,18 @@
             }
         }
         for thread in self.ended.borrow_mut().drain(..) {
-            lines.extend(thread.join().map_err(|_| io::Error::other("a controller's thread panicked"))?);
+            lines.extend(
+                thread
+                    .join()
+                    .map_err(|_| io::Error::other("a controller's thread panicked"))?,
+            );
         }
-        for i in self.invokers.iter().filter(|(_, i)| i.is_up()).map(|(id, _)| *id) {
+        for i in self
+            .invokers
+            .iter()
+            .filter(|(_, i)| i.is_up())
+            .map(|(id, _)| *id)
+        {
             self.crash(i);
         }
         if let Some(names) = &self.names {
@@ -1010,7 +1244,13 @@
         }
         if self.day.layers != Layers::Off {
             let requests = self.registry.requests.borrow();
-            let [from_cache, from_peers, from_store, bytes_from_store, damaged] = self.layers.get();
+            let [
+                from_cache,
+                from_peers,
+                from_store,
+                bytes_from_store,
+                damaged,
+            ] = self.layers.get();
             lines.push(Line::Layers {
                 at: self.clock.now(),
                 chunks: requests.len() as u64,
--- a/crates/day/src/summary.rs
+++ b/crates/day/src/summary.rs
@@ -109,7 +109,11 @@
 }
 
 fn share(in_time: usize, of: usize) -> f64 {
-    if of == 0 { f64::NAN } else { in_time as f64 / of as f64 }
+    if of == 0 {
+        f64::NAN
+    } else {
+        in_time as f64 / of as f64
+    }
 }
 
 /// Sums up a record.
@@ -130,7 +134,14 @@
                 objective.extend(s.triggers.iter().map(|t| (t.name.clone(), t.objective)));
                 value.extend(s.triggers.iter().map(|t| (t.name.clone(), t.billed_value)));
             }
-            Line::Sent { at, who, of, tenant, trigger, .. } => {
+            Line::Sent {
+                at,
+                who,
+                of,
+                tenant,
+                trigger,
+                ..
+            } => {
                 start = start.min(*at);
                 tries.sent += 1;
                 fates.entry(*of).or_insert(0);
@@ -181,7 +192,12 @@
                     unsound,
                 });
             }
-            Line::Registry { moves: m, stages_well, stages_stopped, .. } => {
+            Line::Registry {
+                moves: m,
+                stages_well,
+                stages_stopped,
+                ..
+            } => {
                 moves = Some((*m, *stages_well, *stages_stopped));
             }
             Line::Copied { sound, .. } => {
@@ -211,10 +227,16 @@
     };
     let mut rows: BTreeMap<(String, String), (Row, Histogram<u64>)> = BTreeMap::new();
     for one in all.values() {
-        let (row, times) = rows.entry((one.tenant.clone(), one.trigger.clone())).or_insert_with(|| {
-            let row = Row { tenant: one.tenant.clone(), trigger: one.trigger.clone(), ..Default::default() };
-            (row, Histogram::new(3).expect("three digits are allowed"))
-        });
+        let (row, times) = rows
+            .entry((one.tenant.clone(), one.trigger.clone()))
+            .or_insert_with(|| {
+                let row = Row {
+                    tenant: one.tenant.clone(),
+                    trigger: one.trigger.clone(),
+                    ..Default::default()
+                };
+                (row, Histogram::new(3).expect("three digits are allowed"))
+            });
         row.taken += 1;
         match (one.how, one.hung_up) {
             (Some(How::Succeeded), _) => {
@@ -233,16 +255,24 @@
     }
     let rows = rows.into_values().map(|(row, times)| {
         let at = |q: f64| times.value_at_quantile(q) as f64 / MILLI as f64;
-        Row { p50_ms: at(0.5), p99_ms: at(0.99), ..row }
+        Row {
+            p50_ms: at(0.5),
+            p99_ms: at(0.99),
+            ..row
+        }
     });
     let of_interest: Vec<&One> = all.values().filter(|one| !one.hung_up).collect();
     let mut troubles = Vec::new();
     let mut spans = Vec::new();
     for line in lines {
-        let Line::Trouble { at, until, text } = line else { continue };
+        let Line::Trouble { at, until, text } = line else {
+            continue;
+        };
         spans.push((*at, *until));
-        let during: Vec<&&One> =
-            of_interest.iter().filter(|o| o.first >= *at && o.first < (*until).max(at + 10_000)).collect();
+        let during: Vec<&&One> = of_interest
+            .iter()
+            .filter(|o| o.first >= *at && o.first < (*until).max(at + 10_000))
+            .collect();
         troubles.push(Struck {
             at_ms: at.saturating_sub(start) as f64 / MILLI as f64,
             lasts_ms: until.saturating_sub(*at) as f64 / MILLI as f64,
@@ -254,8 +284,10 @@
     let worth = |one: &&One| value.get(&one.trigger).copied().unwrap_or(1.0);
     let offered: f64 = of_interest.iter().map(worth).sum();
     let earned: f64 = of_interest.iter().filter(|o| in_time(o)).map(worth).sum();
-    let calm: Vec<&&One> =
-        of_interest.iter().filter(|o| spans.iter().all(|(a, b)| o.first < *a || o.first >= *b)).collect();
+    let calm: Vec<&&One> = of_interest
+        .iter()
+        .filter(|o| spans.iter().all(|(a, b)| o.first < *a || o.first >= *b))
+        .collect();
     let at = |q: f64| load_times.value_at_quantile(q) as f64 / MILLI as f64;
     (loads.p50_ms, loads.p99_ms) = (at(0.5), at(0.99));
     Summary {
@@ -266,7 +298,10 @@
         day: day.into(),
         rows: rows.collect(),
         in_time_calm: share(calm.iter().filter(|o| in_time(o)).count(), calm.len()),
-        in_time: share(of_interest.iter().filter(|o| in_time(o)).count(), of_interest.len()),
+        in_time: share(
+            of_interest.iter().filter(|o| in_time(o)).count(),
+            of_interest.len(),
+        ),
         value_in_time: earned / offered.max(1e-9),
         troubles,
         tries,
@@ -276,7 +311,8 @@
 
 fn table(head: &[&str]) -> Table {
     let mut t = Table::new();
-    t.load_preset(presets::UTF8_HORIZONTAL_ONLY).set_header(head.to_vec());
+    t.load_preset(presets::UTF8_HORIZONTAL_ONLY)
+        .set_header(head.to_vec());
     t
 }
 
@@ -290,7 +326,10 @@
     /// Broken beats undecided beats kept.
     pub fn state(&self) -> State {
         let any = |s| self.rules.iter().any(|r| r.state == s);
-        [State::Broken, State::CannotTell].into_iter().find(|s| any(*s)).unwrap_or(State::Kept)
+        [State::Broken, State::CannotTell]
+            .into_iter()
+            .find(|s| any(*s))
+            .unwrap_or(State::Kept)
     }
 
     /// Tables for a person.
@@ -309,7 +348,15 @@
             "p99 ms",
         ]);
         for r in &self.rows {
-            let counts = [r.taken, r.succeeded, r.late, r.throttled, r.errored, r.hung_up, r.lost];
+            let counts = [
+                r.taken,
+                r.succeeded,
+                r.late,
+                r.throttled,
+                r.errored,
+                r.hung_up,
+                r.lost,
+            ];
             let mut row = vec![r.tenant.clone(), r.trigger.clone()];
             row.extend(counts.iter().map(ToString::to_string));
             row.extend([format!("{:.0}", r.p50_ms), format!("{:.0}", r.p99_ms)]);
@@ -329,7 +376,10 @@
                 ]);
             }
             right_from(&mut t, 3);
-            out += &format!("{t}\nin time while calm {:.1}%, ", 100.0 * self.in_time_calm);
+            out += &format!(
+                "{t}\nin time while calm {:.1}%, ",
+                100.0 * self.in_time_calm
+            );
         }
         let n = &self.tries;
         out += &format!(
@@ -369,14 +419,19 @@
             );
         }
         if let Some((moves, well, stopped)) = self.moves {
-            out += &format!("{moves} moves of aliases; {well} stages ended well, {stopped} were stopped\n");
+            out += &format!(
+                "{moves} moves of aliases; {well} stages ended well, {stopped} were stopped\n"
+            );
         }
         if let Some((passages, longer, mixed)) = &self.passages {
             out += &format!(
                 "{passages} passages, {longer} of more than one invocation, {} MIXED\n",
                 mixed.len()
             );
-            mixed.iter().take(5).for_each(|m| out += &format!("  {m}\n"));
+            mixed
+                .iter()
+                .take(5)
+                .for_each(|m| out += &format!("  {m}\n"));
         }
         for r in &self.rules {
             let state = match r.state {
@@ -384,9 +439,14 @@
                 State::CannotTell => "cannot tell",
                 State::Broken => "BROKEN",
             };
-            out += &format!("rule {} ({}): {state}, {} cases\n", r.rule, r.name, r.looked_at);
+            out += &format!(
+                "rule {} ({}): {state}, {} cases\n",
+                r.rule, r.name, r.looked_at
+            );
             for (what, all) in [("broken", &r.broken), ("cannot tell", &r.cannot_tell)] {
-                all.iter().take(5).for_each(|f| out += &format!("  {what}: {}\n", f.text));
+                all.iter()
+                    .take(5)
+                    .for_each(|f| out += &format!("  {what}: {}\n", f.text));
                 if all.len() > 5 {
                     out += &format!("  {what}: {} more\n", all.len() - 5);
                 }
--- a/crates/day/src/traffic.rs
+++ b/crates/day/src/traffic.rs
@@ -50,7 +50,14 @@
         let sigma = (1.0 + t.spread * t.spread).ln().sqrt();
         let work = t.work as f64 * (sigma * normal(rng) - 0.5 * sigma * sigma).exp();
         let work = (work as Tenths).max(1);
-        all.push(Arrival { at, tenant: t.tenant, function, work, hangs_up: None, reads_late: None });
+        all.push(Arrival {
+            at,
+            tenant: t.tenant,
+            function,
+            work,
+            hangs_up: None,
+            reads_late: None,
+        });
     }
 }
 
--- a/crates/day/tests/days.rs
+++ b/crates/day/tests/days.rs
@@ -1,7 +1,9 @@
 //! Whole days through the real controller: on loopback sockets, and in virtual time.
 
 use proptest::prelude::*;
-use saltdrum_day::{DAYS, Day, State, check::check, play_on_sockets, play_virtually, serve, summary};
+use saltdrum_day::{
+    DAYS, Day, State, check::check, play_on_sockets, play_virtually, serve, summary,
+};
 use saltdrum_standin::record::{Line, Try, write};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -31,12 +33,30 @@
     let folder = tempfile::tempdir().unwrap();
     let lines = play_on_sockets(&builtin("bad-day"), folder.path()).unwrap();
     let s = holds("bad day", &lines);
-    assert!(s.tries.sent > 5_000 && s.tries.hung_up > 0 && s.tries.fetches_refused > 0, "{}", s.text());
-    assert!(s.rules[..4].iter().all(|r| r.looked_at > 50), "{}", s.text());
-    assert!(s.in_time > 0.5, "most is served, whatever the machine does: {}", s.text());
+    assert!(
+        s.tries.sent > 5_000 && s.tries.hung_up > 0 && s.tries.fetches_refused > 0,
+        "{}",
+        s.text()
+    );
+    assert!(
+        s.rules[..4].iter().all(|r| r.looked_at > 50),
+        "{}",
+        s.text()
+    );
+    assert!(
+        s.in_time > 0.5,
+        "most is served, whatever the machine does: {}",
+        s.text()
+    );
     let lives: BTreeSet<_> = lines
         .iter()
-        .filter_map(|l| if let Line::Controller { who, up: true, .. } = l { Some(*who) } else { None })
+        .filter_map(|l| {
+            if let Line::Controller { who, up: true, .. } = l {
+                Some(*who)
+            } else {
+                None
+            }
+        })
         .collect();
     assert_eq!(lives.len(), 4, "three controllers, one of which came back");
 }
@@ -50,10 +70,17 @@
     let mut seen = 0;
     for line in &lines {
         match line {
-            Line::Ordered { invoker, function, count: 1.., .. } => {
+            Line::Ordered {
+                invoker,
+                function,
+                count: 1..,
+                ..
+            } => {
                 waiting.insert((*invoker, *function));
             }
-            Line::Loaded { invoker, function, .. } => {
+            Line::Loaded {
+                invoker, function, ..
+            } => {
                 waiting.remove(&(*invoker, *function));
             }
             Line::Told { invoker, life, .. } if life == "draining" => {
@@ -68,7 +95,10 @@
 #[test]
 fn the_same_seed_gives_the_same_day_and_another_seed_another() {
     let play = |seed| {
-        let day = Day { seed, ..builtin("answers-lost") };
+        let day = Day {
+            seed,
+            ..builtin("answers-lost")
+        };
         bytes(&play_virtually(&day, serve).unwrap())
     };
     let first = play(21);
@@ -82,8 +112,13 @@
     network: std::rc::Rc<dyn saltdrum_link::Network>,
     clock: saltdrum_link::Clock,
 ) -> std::pin::Pin<Box<dyn Future<Output = std::io::Result<()>>>> {
-    #[expect(clippy::disallowed_methods, reason = "the mistake that is to be caught")]
-    let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
+    #[expect(
+        clippy::disallowed_methods,
+        reason = "the mistake that is to be caught"
+    )]
+    let now = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .unwrap();
     seat.seed ^= now.as_nanos() as u64;
     serve(seat, network, clock)
 }
@@ -102,13 +137,25 @@
     let play = || {
         let mut day = Day::load("ties", script).unwrap();
         let mut more = day.traffic[0].clone();
-        more.shape = saltdrum_load::Shape::Group { count: 50, spread: 5_000 };
+        more.shape = saltdrum_load::Shape::Group {
+            count: 50,
+            spread: 5_000,
+        };
         day.traffic = vec![more; 6];
         day.traffic.iter_mut().for_each(|t| t.spread = 0.0);
         let lines = play_virtually(&day, serve).unwrap();
-        let at = |l: &Line| if let Line::Sent { at, .. } = l { Some(*at) } else { None };
+        let at = |l: &Line| {
+            if let Line::Sent { at, .. } = l {
+                Some(*at)
+            } else {
+                None
+            }
+        };
         let sent: Vec<_> = lines.iter().filter_map(at).collect();
-        (sent.windows(2).filter(|w| w[0] == w[1]).count(), bytes(&lines))
+        (
+            sent.windows(2).filter(|w| w[0] == w[1]).count(),
+            bytes(&lines),
+        )
     };
     let (ties, first) = play();
     assert!(ties > 50, "only {ties} were sent in the moment of another");
@@ -119,7 +166,11 @@
 fn days_that_come_with_the_program_keep_the_rules_in_virtual_time() {
     for (name, _) in DAYS {
         let s = holds(name, &play_virtually(&builtin(name), serve).unwrap());
-        assert!(s.rules[1..].iter().all(|r| r.state == State::Kept), "{}", s.text());
+        assert!(
+            s.rules[1..].iter().all(|r| r.state == State::Kept),
+            "{}",
+            s.text()
+        );
         // A controller that is stopped for 2 s can leave one whose time ran out meanwhile; `holds` has it told by rule 1.
         assert!(s.rules[0].cannot_tell.len() <= 1, "{}", s.text());
         assert!(s.in_time > 0.6, "{}", s.text());
@@ -137,14 +188,22 @@
         match line {
             Line::Sent { of, trigger, .. } => drop(triggers.insert(*of, trigger)),
             Line::Ended { told: false, .. } => lost += 1,
-            Line::Dispatched { hop: 1.., trigger, .. } if trigger == "note" => again += 1,
-            Line::Ran { of, repeat: false, .. } if triggers[of] != "score" => {
+            Line::Dispatched {
+                hop: 1.., trigger, ..
+            } if trigger == "note" => again += 1,
+            Line::Ran {
+                of, repeat: false, ..
+            } if triggers[of] != "score" => {
                 *effects.entry(of.n).or_default() += 1;
             }
             _ => {}
         }
     }
-    assert!(lost > 50 && again > 5 && effects.len() > 800, "{lost} {again} {}", effects.len());
+    assert!(
+        lost > 50 && again > 5 && effects.len() > 800,
+        "{lost} {again} {}",
+        effects.len()
+    );
     assert!(effects.values().all(|n| *n == 1));
 }
 
@@ -175,8 +234,12 @@
     let folder = tempfile::tempdir().unwrap();
     let real = holds("sockets", &play_on_sockets(&day, folder.path()).unwrap());
     let virtually = holds("virtual", &play_virtually(&day, serve).unwrap());
-    let taken =
-        |s: &summary::Summary| s.rows.iter().map(|r| (r.trigger.clone(), r.taken)).collect::<Vec<_>>();
+    let taken = |s: &summary::Summary| {
+        s.rows
+            .iter()
+            .map(|r| (r.trigger.clone(), r.taken))
+            .collect::<Vec<_>>()
+    };
     assert_eq!(taken(&real), taken(&virtually));
     for s in [real, virtually] {
         assert!(s.in_time > 0.75, "{}", s.text());
@@ -207,18 +270,22 @@
         Just("controller_crash"),
         Just("controller_roll"),
     ];
-    (kinds, 0u32..5_000, 200u32..3_000, 1u32..100, invokers).prop_map(|(kind, at, lasts, part, invokers)| {
-        let extra = match kind {
-            "controller_crash" | "controller_roll" => "controllers = [1]".to_owned(),
-            "refused_for_room" => "tenant = \"hill\", part = 0.5".to_owned(),
-            "client_hang_ups" => "part = 0.1, delay = \"600ms\"".to_owned(),
-            "heavy_tail" => "part = 0.05, times = 10".to_owned(),
-            _ => format!("invokers = {invokers:?}, part = 0.{part:02}, times = 4, delay = \"1200ms\"")
+    (kinds, 0u32..5_000, 200u32..3_000, 1u32..100, invokers).prop_map(
+        |(kind, at, lasts, part, invokers)| {
+            let extra = match kind {
+                "controller_crash" | "controller_roll" => "controllers = [1]".to_owned(),
+                "refused_for_room" => "tenant = \"hill\", part = 0.5".to_owned(),
+                "client_hang_ups" => "part = 0.1, delay = \"600ms\"".to_owned(),
+                "heavy_tail" => "part = 0.05, times = 10".to_owned(),
+                _ => format!(
+                    "invokers = {invokers:?}, part = 0.{part:02}, times = 4, delay = \"1200ms\""
+                )
                 .replace('{', "[")
                 .replace('}', "]"),
-        };
-        format!("trouble(\"{kind}\", at = \"{at}ms\", lasts = \"{lasts}ms\", {extra})\n")
-    })
+            };
+            format!("trouble(\"{kind}\", at = \"{at}ms\", lasts = \"{lasts}ms\", {extra})\n")
+        },
+    )
 }
 
 proptest! {
@@ -252,8 +319,14 @@
             "trouble(\"crash\", at = \"1s\", lasts = \"1s\")",
             "short.star:16: trouble: crash: invokers = [...] is expected",
         ),
-        ("trouble(\"hang\", at = 3, lasts = \"1s\")", "short.star:16: trouble: at = 3: a unit is missing"),
-        ("trouble(\"hang\", at = \"1s\", invokers = [1])", "short.star:16: trouble: hang: lasts is expected"),
+        (
+            "trouble(\"hang\", at = 3, lasts = \"1s\")",
+            "short.star:16: trouble: at = 3: a unit is missing",
+        ),
+        (
+            "trouble(\"hang\", at = \"1s\", invokers = [1])",
+            "short.star:16: trouble: hang: lasts is expected",
+        ),
         (
             "trouble(\"hang\", at = \"1s\", lasts = \"1s\", invokers = [9])",
             "short.star:16: trouble: invoker 9: 1 to 4",
@@ -262,9 +335,14 @@
             "traffic(tenant = \"hill\", functions = [\"x\"], per_second = 1, work = \"1s\")",
             "short.star:16: traffic: no function",
         ),
-        ("day(\"again\", length = \"1s\")", "short.star:16: day: stated a second time"),
+        (
+            "day(\"again\", length = \"1s\")",
+            "short.star:16: day: stated a second time",
+        ),
     ] {
-        let got = Day::load("short.star", &format!("{SHORT}{line}\n")).unwrap_err().to_string();
+        let got = Day::load("short.star", &format!("{SHORT}{line}\n"))
+            .unwrap_err()
+            .to_string();
         assert!(got.starts_with(say), "{got}");
     }
 }
@@ -281,8 +359,20 @@
     let (shared, loads) = play(script);
     let (alone, _) = play(&script.replace("layers = \"shared\"", "layers = \"alone\""));
     // Crashes, a store that refuses and a list that is lost are in the day: a herd alone stays under 1.2.
-    assert!(shared.store_requests * 10 <= shared.chunks * 13, "{shared:?}");
-    assert!(shared.store_requests * 2 < alone.store_requests, "{shared:?}\n{alone:?}");
-    assert!(loads.failed == 0 && loads.ended_well > 40 && shared.from_peers > 100, "{loads:?} {shared:?}");
-    assert!((shared.store_requests as usize) < 2 * loads.ended_well, "{loads:?} {shared:?}");
+    assert!(
+        shared.store_requests * 10 <= shared.chunks * 13,
+        "{shared:?}"
+    );
+    assert!(
+        shared.store_requests * 2 < alone.store_requests,
+        "{shared:?}\n{alone:?}"
+    );
+    assert!(
+        loads.failed == 0 && loads.ended_well > 40 && shared.from_peers > 100,
+        "{loads:?} {shared:?}"
+    );
+    assert!(
+        (shared.store_requests as usize) < 2 * loads.ended_well,
+        "{loads:?} {shared:?}"
+    );
 }
--- a/crates/day/tests/planted.rs
+++ b/crates/day/tests/planted.rs
@@ -34,7 +34,10 @@
     assert_eq!(v.state, State::Broken, "rule {rule}: {v:?}");
     let text = &v.broken[0].text;
     assert!(
-        names.iter().all(|n| v.broken.iter().any(|f| f.text.contains(n))) && text.contains(" ms"),
+        names
+            .iter()
+            .all(|n| v.broken.iter().any(|f| f.text.contains(n)))
+            && text.contains(" ms"),
         "{text}"
     );
 }
@@ -54,49 +57,73 @@
 
 #[test]
 fn two_answers() {
-    caught(1, &["invocation", "controller", "Succeeded at"], |s, n, c| rogue(Fault::AnswersTwice, s, n, c));
+    caught(
+        1,
+        &["invocation", "controller", "Succeeded at"],
+        |s, n, c| rogue(Fault::AnswersTwice, s, n, c),
+    );
 }
 
 #[test]
 fn no_answer() {
-    caught(1, &["invocation", "got no answer"], |s, n, c| rogue(Fault::AnswersNotAll, s, n, c));
+    caught(1, &["invocation", "got no answer"], |s, n, c| {
+        rogue(Fault::AnswersNotAll, s, n, c)
+    });
 }
 
 #[test]
 fn an_answer_past_the_client_timeout() {
-    caught(1, &["ms after its client timeout"], |s, n, c| rogue(Fault::AnswersLate, s, n, c));
+    caught(1, &["ms after its client timeout"], |s, n, c| {
+        rogue(Fault::AnswersLate, s, n, c)
+    });
 }
 
 #[test]
 fn an_effect_twice() {
-    caught(2, &["non-idempotent invocation", "tokened invocation", "outside the cell"], |s, n, c| {
-        rogue(Fault::RunsTwice, s, n, c)
-    });
+    caught(
+        2,
+        &[
+            "non-idempotent invocation",
+            "tokened invocation",
+            "outside the cell",
+        ],
+        |s, n, c| rogue(Fault::RunsTwice, s, n, c),
+    );
 }
 
 #[test]
 fn a_throttle_for_what_ran() {
-    caught(2, &["ran on invoker", "was throttled"], |s, n, c| rogue(Fault::ThrottlesWhatRan, s, n, c));
+    caught(2, &["ran on invoker", "was throttled"], |s, n, c| {
+        rogue(Fault::ThrottlesWhatRan, s, n, c)
+    });
 }
 
 #[test]
 fn two_dispatches_out() {
-    caught(2, &["was still out"], |s, n, c| rogue(Fault::TwoOut, s, n, c));
+    caught(2, &["was still out"], |s, n, c| {
+        rogue(Fault::TwoOut, s, n, c)
+    });
 }
 
 #[test]
 fn work_for_an_invoker_that_drains() {
-    caught(3, &["dispatch", "came to invoker", "was told it was draining"], |s, n, c| {
-        rogue(Fault::IgnoresDrains, s, n, c)
-    });
+    caught(
+        3,
+        &["dispatch", "came to invoker", "was told it was draining"],
+        |s, n, c| rogue(Fault::IgnoresDrains, s, n, c),
+    );
 }
 
 #[test]
 fn a_cold_invoker_pushed_over() {
-    caught(4, &["invoker", "of work within"], |s, n, c| rogue(Fault::FloodsColdOnes, s, n, c));
+    caught(4, &["invoker", "of work within"], |s, n, c| {
+        rogue(Fault::FloodsColdOnes, s, n, c)
+    });
 }
 
 #[test]
 fn orders_beyond_the_ration() {
-    caught(5, &["controller", "orders to load within"], |s, n, c| rogue(Fault::LoadsAtWill, s, n, c));
+    caught(5, &["controller", "orders to load within"], |s, n, c| {
+        rogue(Fault::LoadsAtWill, s, n, c)
+    });
 }
--- a/crates/deployment/src/script.rs
+++ b/crates/deployment/src/script.rs
@@ -39,7 +39,10 @@
 
 impl Statement {
     pub fn fault(&self, why: impl fmt::Display) -> Fault {
-        Fault { place: self.place.clone(), why: format!("{}: {why}", self.what) }
+        Fault {
+            place: self.place.clone(),
+            why: format!("{}: {why}", self.what),
+        }
     }
 
     /// The arguments as a typed value; unknown and missing ones are faults.
@@ -51,7 +54,8 @@
                     Json::String(s) => s.clone(),
                     other => other.to_string(),
                 };
-                e.to_string().contains(&format!("'{said}'")) || e.to_string().starts_with(&format!("{said}:"))
+                e.to_string().contains(&format!("'{said}'"))
+                    || e.to_string().starts_with(&format!("{said}:"))
             });
             match told {
                 Some((name, _)) => self.fault(format!("{name} = {e}")),
@@ -78,12 +82,25 @@
     if let Some(first) = first {
         said.insert("name".into(), first.to_json_value()?);
     }
-    for (name, value) in DictRef::from_value(named).iter().flat_map(|d| d.iter().collect::<Vec<_>>()) {
-        said.insert(name.unpack_str().unwrap_or_default().to_owned(), value.to_json_value()?);
+    for (name, value) in DictRef::from_value(named)
+        .iter()
+        .flat_map(|d| d.iter().collect::<Vec<_>>())
+    {
+        said.insert(
+            name.unpack_str().unwrap_or_default().to_owned(),
+            value.to_json_value()?,
+        );
     }
     let kept = eval.extra.and_then(|e| e.downcast_ref::<Said>());
-    let statement = Statement { what, said, place: place.unwrap_or_default() };
-    kept.expect("scripts run with a place to keep what they say").0.borrow_mut().push(statement);
+    let statement = Statement {
+        what,
+        said,
+        place: place.unwrap_or_default(),
+    };
+    kept.expect("scripts run with a place to keep what they say")
+        .0
+        .borrow_mut()
+        .push(statement);
     Ok(NoneType)
 }
 
@@ -129,12 +146,22 @@
 pub fn run(file: &str, text: &str) -> Result<Vec<Statement>, Fault> {
     let fault = |e: starlark::Error| {
         let (at, line) = match e.span() {
-            Some(span) => (span.file.filename().to_owned(), span.resolve_span().begin.line + 1),
+            Some(span) => (
+                span.file.filename().to_owned(),
+                span.resolve_span().begin.line + 1,
+            ),
             None => (file.to_owned(), 1),
         };
-        Fault { place: Place { file: at, line }, why: e.without_diagnostic().to_string() }
+        Fault {
+            place: Place { file: at, line },
+            why: e.without_diagnostic().to_string(),
+        }
+    };
+    let dialect = Dialect {
+        enable_top_level_stmt: true,
+        enable_load: false,
+        ..Dialect::Standard
     };
-    let dialect = Dialect { enable_top_level_stmt: true, enable_load: false, ..Dialect::Standard };
     let ast = AstModule::parse(file, text.to_owned(), &dialect).map_err(fault)?;
     let globals: Globals =
         GlobalsBuilder::extended_by(&[LibraryExtension::Json, LibraryExtension::StructType])
--- a/crates/deployment/src/terms.rs
+++ b/crates/deployment/src/terms.rs
@@ -188,16 +188,28 @@
 }
 
 fn word<T: Copy>(s: &Statement, name: &str, said: &str, words: &[(&str, T)]) -> Result<T, Fault> {
-    words.iter().find(|(word, _)| *word == said).map(|(_, is)| *is).ok_or_else(|| {
-        let known: Vec<&str> = words.iter().map(|w| w.0).collect();
-        s.fault(format!("{name} '{said}': one of {} is expected", known.join(", ")))
-    })
+    words
+        .iter()
+        .find(|(word, _)| *word == said)
+        .map(|(_, is)| *is)
+        .ok_or_else(|| {
+            let known: Vec<&str> = words.iter().map(|w| w.0).collect();
+            s.fault(format!(
+                "{name} '{said}': one of {} is expected",
+                known.join(", ")
+            ))
+        })
 }
 
 /// The same name is the same function at every controller and invoker.
 pub fn function_id(name: &str) -> FnId {
     let digest = blake3::hash(name.as_bytes());
-    u64::from_le_bytes(*digest.as_bytes().first_chunk().expect("a digest has 32 bytes"))
+    u64::from_le_bytes(
+        *digest
+            .as_bytes()
+            .first_chunk()
+            .expect("a digest has 32 bytes"),
+    )
 }
 
 fn named<T>(
@@ -214,7 +226,8 @@
 
 fn share(s: &Statement, name: &str, x: f64, least: f64, most: f64) -> Result<f64, Fault> {
     let fits = x.is_finite() && (least..=most).contains(&x);
-    fits.then_some(x).ok_or_else(|| s.fault(format!("{name} = {x}: {least} to {most} is expected")))
+    fits.then_some(x)
+        .ok_or_else(|| s.fault(format!("{name} = {x}: {least} to {most} is expected")))
 }
 
 impl Terms {
@@ -240,17 +253,26 @@
                 "tenant" => {
                     let said: SaidTenant = s.read()?;
                     share(&s, "quota_per_s", said.quota_per_s, 0.0, 1e9)?;
-                    t.deployment.tenants.push(Tenant { quota: said.quota_per_s });
+                    t.deployment.tenants.push(Tenant {
+                        quota: said.quota_per_s,
+                    });
                     t.tenant_names.push(said.name);
                 }
                 "function" => {
                     let said: SaidFunction = s.read()?;
-                    let trigger = named(&s, "trigger_type", &said.trigger, &t.trigger_names, |n| n)?;
+                    let trigger =
+                        named(&s, "trigger_type", &said.trigger, &t.trigger_names, |n| n)?;
                     let (id, name) = (function_id(&said.name), said.name);
                     let lanes = share(&s, "lanes", said.lanes, 1.0, 1_024.0)?;
                     let load = said.load_time.map(|l| l.0);
-                    let function =
-                        Function { name: name.clone(), id, trigger, memory: said.memory.0, lanes, load };
+                    let function = Function {
+                        name: name.clone(),
+                        id,
+                        trigger,
+                        memory: said.memory.0,
+                        lanes,
+                        load,
+                    };
                     if t.functions.insert(name, function).is_some() {
                         return Err(s.fault("a function of this name is stated above"));
                     }
@@ -266,19 +288,34 @@
             ("tenant", t.tenant_names.is_empty()),
         ];
         if let Some((what, _)) = missing.iter().find(|m| m.1) {
-            let place = crate::script::Place { file: file.into(), line: 1 };
-            return Err(Fault { place, why: format!("no {what}(...) is stated") });
+            let place = crate::script::Place {
+                file: file.into(),
+                line: 1,
+            };
+            return Err(Fault {
+                place,
+                why: format!("no {what}(...) is stated"),
+            });
         }
         Ok((t, rest))
     }
 
     fn deployment(&mut self, s: &Statement) -> Result<(), Fault> {
         let said: SaidDeployment = s.read()?;
-        let misses = word(s, "on_miss", &said.on_miss, &[("load", false), ("miss", true)])?;
+        let misses = word(
+            s,
+            "on_miss",
+            &said.on_miss,
+            &[("load", false), ("miss", true)],
+        )?;
         share(s, "cold_share", said.cold_share, 0.0, 1.0)?;
         share(s, "tip_factor", said.tip_factor, 0.01, 1e6)?;
         share(s, "controllers", said.controllers.into(), 1.0, 10_000.0)?;
-        self.zones = if said.zones.is_empty() { vec!["one".into()] } else { said.zones };
+        self.zones = if said.zones.is_empty() {
+            vec!["one".into()]
+        } else {
+            said.zones
+        };
         (self.answer_margin, self.order_timeout) = (said.answer_margin.0, said.order_timeout.0);
         self.connect_timeout = said.connect_timeout.0;
         self.deployment = Deployment {
@@ -312,7 +349,11 @@
             ("tokened", Effect::Tokened),
             ("non-idempotent", Effect::NonIdempotent),
         ];
-        let scopes = [("all", Scope::All), ("zone", Scope::Zone), ("cell", Scope::Cell)];
+        let scopes = [
+            ("all", Scope::All),
+            ("zone", Scope::Zone),
+            ("cell", Scope::Cell),
+        ];
         self.deployment.trigger_types.push(TriggerType {
             objective: said.objective.0,
             client_timeout: said.client_timeout.0,
@@ -338,7 +379,12 @@
         for n in 0..said.count {
             let invoker = self.invokers.len() as u32 + 1;
             let cell = first_cell + (n / said.cell_size.max(1)) as u16;
-            self.invokers.push(Stated { invoker, kind, zone: zone as u8, cell });
+            self.invokers.push(Stated {
+                invoker,
+                kind,
+                zone: zone as u8,
+                cell,
+            });
         }
         Ok(())
     }
--- a/crates/deployment/src/units.rs
+++ b/crates/deployment/src/units.rs
@@ -12,16 +12,30 @@
 pub struct Memory(pub f64);
 
 fn amount(text: &str, units: &[(&str, f64)], example: &str) -> Result<f64, String> {
-    let split = text.find(|c: char| !c.is_ascii_digit() && c != '.' && c != '-').unwrap_or(text.len());
+    let split = text
+        .find(|c: char| !c.is_ascii_digit() && c != '.' && c != '-')
+        .unwrap_or(text.len());
     let (number, unit) = text.split_at(split);
-    let n: f64 =
-        number.parse().map_err(|_| format!("'{text}': a number and a unit are expected, as in {example}"))?;
+    let n: f64 = number
+        .parse()
+        .map_err(|_| format!("'{text}': a number and a unit are expected, as in {example}"))?;
     let names: Vec<&str> = units.iter().map(|u| u.0).collect();
-    let factor = units.iter().find(|u| u.0 == unit).map(|u| u.1).ok_or_else(|| match unit {
-        "" => format!("'{text}': a unit is missing, as in {example}"),
-        _ => format!("'{text}': unknown unit '{unit}', one of {} is expected", names.join(", ")),
-    })?;
-    if n < 0.0 { Err(format!("'{text}': cannot be negative")) } else { Ok(n * factor) }
+    let factor = units
+        .iter()
+        .find(|u| u.0 == unit)
+        .map(|u| u.1)
+        .ok_or_else(|| match unit {
+            "" => format!("'{text}': a unit is missing, as in {example}"),
+            _ => format!(
+                "'{text}': unknown unit '{unit}', one of {} is expected",
+                names.join(", ")
+            ),
+        })?;
+    if n < 0.0 {
+        Err(format!("'{text}': cannot be negative"))
+    } else {
+        Ok(n * factor)
+    }
 }
 
 /// Reads a span, rounded down to whole tenths of a millisecond.
@@ -44,10 +58,12 @@
 fn text<'de, D: Deserializer<'de>>(d: D, example: &str) -> Result<String, D::Error> {
     match serde_json::Value::deserialize(d)? {
         serde_json::Value::String(text) => Ok(text),
-        serde_json::Value::Number(n) => {
-            Err(D::Error::custom(format!("{n}: a unit is missing, as in {example}")))
-        }
-        other => Err(D::Error::custom(format!("{other}: text is expected, as in {example}"))),
+        serde_json::Value::Number(n) => Err(D::Error::custom(format!(
+            "{n}: a unit is missing, as in {example}"
+        ))),
+        other => Err(D::Error::custom(format!(
+            "{other}: text is expected, as in {example}"
+        ))),
     }
 }
 
--- a/crates/deployment/tests/scripts.rs
+++ b/crates/deployment/tests/scripts.rs
@@ -19,40 +19,75 @@
     let (terms, rest) = Terms::load("day.star", GOOD).unwrap();
     assert_eq!(terms.deployment.tip_window, 15_000);
     assert_eq!(terms.kinds[0].memory.0, 42_000.0);
-    assert_eq!(terms.invokers.iter().map(|i| i.cell).collect::<Vec<_>>(), [0, 0, 0, 1]);
+    assert_eq!(
+        terms.invokers.iter().map(|i| i.cell).collect::<Vec<_>>(),
+        [0, 0, 0, 1]
+    );
     assert_eq!(terms.functions.len(), 3);
-    assert_eq!((rest.len(), rest[0].what, rest[0].place.line), (1, "trouble", 9));
+    assert_eq!(
+        (rest.len(), rest[0].what, rest[0].place.line),
+        (1, "trouble", 9)
+    );
 }
 
 #[test]
 fn faults_name_file_line_and_what_was_expected() {
     let fault = |from: &str, to: &str| {
         assert!(GOOD.contains(from), "{from}");
-        Terms::load("day.star", &GOOD.replace(from, to)).unwrap_err().to_string()
+        Terms::load("day.star", &GOOD.replace(from, to))
+            .unwrap_err()
+            .to_string()
     };
     for (from, to, say) in [
-        ("\"9s\"", "9", "day.star:2: deployment: keep_alive = 9: a unit is missing, as in \"250ms\""),
-        ("\"9s\"", "\"-9s\"", "day.star:2: deployment: keep_alive = '-9s': cannot be negative"),
+        (
+            "\"9s\"",
+            "9",
+            "day.star:2: deployment: keep_alive = 9: a unit is missing, as in \"250ms\"",
+        ),
+        (
+            "\"9s\"",
+            "\"-9s\"",
+            "day.star:2: deployment: keep_alive = '-9s': cannot be negative",
+        ),
         (
             "\"9s\"",
             "\"9 parsecs\"",
             "day.star:2: deployment: keep_alive = '9 parsecs': unknown unit ' parsecs'",
         ),
-        ("keep_alive", "keep_alife", "day.star:2: deployment: unknown field `keep_alife`"),
-        ("kind = \"big\"", "kind = \"bug\"", "day.star:5: invokers: no machine is named 'bug'"),
-        ("tenant(", "tennant(", "day.star:7: Variable `tennant` not found"),
+        (
+            "keep_alive",
+            "keep_alife",
+            "day.star:2: deployment: unknown field `keep_alife`",
+        ),
+        (
+            "kind = \"big\"",
+            "kind = \"bug\"",
+            "day.star:5: invokers: no machine is named 'bug'",
+        ),
+        (
+            "tenant(",
+            "tennant(",
+            "day.star:7: Variable `tennant` not found",
+        ),
         (
             "objective = \"1.2s\",",
             "effect = \"sometimes\", objective = \"1s\",",
             "day.star:6: trigger_type: effect",
         ),
-        ("cold_share = 0.2", "cold_share = 2", "day.star:2: deployment: cold_share = 2: 0 to 1 is expected"),
+        (
+            "cold_share = 0.2",
+            "cold_share = 2",
+            "day.star:2: deployment: cold_share = 2: 0 to 1 is expected",
+        ),
         ("range(3)]", "range(3)", "day.star:"),
     ] {
         let got = fault(from, to);
         assert!(got.starts_with(say), "{got}\n  instead of\n{say}");
     }
-    assert_eq!(Terms::load("d", "").unwrap_err().to_string(), "d:1: no deployment(...) is stated");
+    assert_eq!(
+        Terms::load("d", "").unwrap_err().to_string(),
+        "d:1: no deployment(...) is stated"
+    );
 }
 
 proptest! {
--- a/crates/durable/src/database.rs
+++ b/crates/durable/src/database.rs
@@ -33,7 +33,10 @@
 pub fn open(path: &Path, cache_bytes: usize) -> Result<Database, DatabaseError> {
     if !is_there(path).map_err(disk)? {
         let made = file::make_whole(path, |unfinished| {
-            Database::builder().create(unfinished).map(drop).map_err(Unmade)
+            Database::builder()
+                .create(unfinished)
+                .map(drop)
+                .map_err(Unmade)
         });
         made.map_err(|Unmade(error)| error)?;
     }
--- a/crates/durable/src/failure.rs
+++ b/crates/durable/src/failure.rs
@@ -17,7 +17,10 @@
 impl DiskFailure {
     /// A failure that trying again does not mend.
     pub fn lasting(why: impl Into<String>) -> Self {
-        Self { why: why.into(), may_pass: false }
+        Self {
+            why: why.into(),
+            may_pass: false,
+        }
     }
 }
 
@@ -31,13 +34,19 @@
 
 /// Whether the same call may succeed a while later.
 pub fn may_pass(error: &io::Error) -> bool {
-    let is_full = matches!(error.kind(), io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded);
+    let is_full = matches!(
+        error.kind(),
+        io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded
+    );
     is_full || error.raw_os_error() == Some(EIO)
 }
 
 impl From<io::Error> for DiskFailure {
     fn from(error: io::Error) -> Self {
-        Self { may_pass: may_pass(&error), why: error.to_string() }
+        Self {
+            may_pass: may_pass(&error),
+            why: error.to_string(),
+        }
     }
 }
 
@@ -49,7 +58,10 @@
             redb::Error::PreviousIo => true,
             _ => false,
         };
-        Self { may_pass, why: error.to_string() }
+        Self {
+            may_pass,
+            why: error.to_string(),
+        }
     }
 }
 
@@ -64,4 +76,10 @@
     };
 }
 
-from_errors_of!(CommitError, DatabaseError, StorageError, TableError, TransactionError);
+from_errors_of!(
+    CommitError,
+    DatabaseError,
+    StorageError,
+    TableError,
+    TransactionError
+);
--- a/crates/durable/src/file.rs
+++ b/crates/durable/src/file.rs
@@ -55,7 +55,10 @@
 pub fn write_whole(path: &Path, bytes: &[u8]) -> io::Result<()> {
     static WRITTEN: AtomicU64 = AtomicU64::new(0);
     let number = WRITTEN.fetch_add(1, Ordering::Relaxed);
-    let unfinished = beside(path, &format!(".{}-{number}{UNFINISHED}", std::process::id()));
+    let unfinished = beside(
+        path,
+        &format!(".{}-{number}{UNFINISHED}", std::process::id()),
+    );
     let written = write_synced(&unfinished, bytes);
     finish(&unfinished, path, written)
 }
@@ -67,7 +70,11 @@
     file.sync_all()
 }
 
-fn finish<T, E: From<io::Error>>(unfinished: &Path, path: &Path, made: Result<T, E>) -> Result<T, E> {
+fn finish<T, E: From<io::Error>>(
+    unfinished: &Path,
+    path: &Path,
+    made: Result<T, E>,
+) -> Result<T, E> {
     let finished = made.and_then(|made| Ok(rename(unfinished, path).map(|()| made)?));
     if finished.is_err() {
         // A full disk is not to keep what nobody will look at.
