--- a/crates/durable/src/file/tests.rs
+++ b/crates/durable/src/file/tests.rs
@@ -19,7 +19,10 @@
         Err(io::ErrorKind::StorageFull.into())
     });
     assert!(failed.is_err());
-    assert_eq!((fs::read(&path).unwrap(), names(folder.path())), (b"first".to_vec(), vec!["file".into()]));
+    assert_eq!(
+        (fs::read(&path).unwrap(), names(folder.path())),
+        (b"first".to_vec(), vec!["file".into()])
+    );
 }
 
 #[test]
@@ -28,5 +31,8 @@
     let path = folder.path().join("file");
     fs::write(unfinished(&path), b"more than is written now").unwrap();
     make_whole(&path, |unfinished| write_synced(unfinished, b"new")).unwrap();
-    assert_eq!((fs::read(&path).unwrap(), names(folder.path())), (b"new".to_vec(), vec!["file".into()]));
+    assert_eq!(
+        (fs::read(&path).unwrap(), names(folder.path())),
+        (b"new".to_vec(), vec!["file".into()])
+    );
 }
--- a/crates/ether/src/lines.rs
+++ b/crates/ether/src/lines.rs
@@ -41,7 +41,14 @@
     pub fn new(usual: Line, bytes_per_second: f64, seed: u64) -> Self {
         let rng = fastrand::Rng::with_seed(seed);
         let (slowed, cuts, free) = Default::default();
-        Self { usual, bytes_per_second, slowed, cuts, free, rng }
+        Self {
+            usual,
+            bytes_per_second,
+            slowed,
+            cuts,
+            free,
+            rng,
+        }
     }
 
     fn crossing(&mut self, from: Host, to: Host) -> Tenths {
@@ -49,9 +56,19 @@
         if from == to {
             return 0;
         }
-        let line = self.slowed.get(&(from, to)).into_iter().flatten().max_by_key(|l| l.delay + l.jitter);
+        let line = self
+            .slowed
+            .get(&(from, to))
+            .into_iter()
+            .flatten()
+            .max_by_key(|l| l.delay + l.jitter);
         let line = line.copied().unwrap_or(self.usual);
-        line.delay + if line.jitter > 0 { self.rng.u64(0..=line.jitter) } else { 0 }
+        line.delay
+            + if line.jitter > 0 {
+                self.rng.u64(0..=line.jitter)
+            } else {
+                0
+            }
     }
 
     /// A write of so many bytes.
@@ -115,21 +132,49 @@
 
     #[test]
     fn a_way_out_is_shared_in_turn_and_lines_add_their_delay() {
-        let mut l = Lines::new(Line { delay: 20, jitter: 0 }, 1e6, 1);
+        let mut l = Lines::new(
+            Line {
+                delay: 20,
+                jitter: 0,
+            },
+            1e6,
+            1,
+        );
         assert_eq!(l.send(100, 1, 2, 1_000), Passage::Arrives(100 + 10 + 20));
-        assert_eq!(l.send(100, 1, 3, 1_000), Passage::Arrives(100 + 20 + 20), "behind the first");
-        assert_eq!(l.send(100, 2, 3, 1_000), Passage::Arrives(100 + 10 + 20), "another host's way is free");
+        assert_eq!(
+            l.send(100, 1, 3, 1_000),
+            Passage::Arrives(100 + 20 + 20),
+            "behind the first"
+        );
+        assert_eq!(
+            l.send(100, 2, 3, 1_000),
+            Passage::Arrives(100 + 10 + 20),
+            "another host's way is free"
+        );
         assert_eq!(l.send(100, 2, 2, 1 << 30), Passage::Arrives(100));
         // Small writes share what they don't use: 1,000 of 50 bytes take the time of 50,000.
         let last = (0..1_000).map(|_| l.send(10_000, 4, 1, 50)).last();
         assert_eq!(last, Some(Passage::Arrives(10_000 + 500 + 20)));
-        let (slow, slower) = (Line { delay: 500, jitter: 0 }, Line { delay: 900, jitter: 0 });
+        let (slow, slower) = (
+            Line {
+                delay: 500,
+                jitter: 0,
+            },
+            Line {
+                delay: 900,
+                jitter: 0,
+            },
+        );
         l.slow(1, 2, slow);
         l.slow(1, 2, slower);
         assert_eq!(l.send(200, 1, 2, 0), Passage::Arrives(1_100));
         assert_eq!(l.send(200, 2, 1, 0), Passage::Arrives(220), "one way only");
         l.quicken(1, 2, slower);
-        assert_eq!(l.send(300, 1, 2, 0), Passage::Arrives(800), "the other trouble is still on");
+        assert_eq!(
+            l.send(300, 1, 2, 0),
+            Passage::Arrives(800),
+            "the other trouble is still on"
+        );
         l.quicken(1, 2, slow);
         assert_eq!(l.send(300, 1, 2, 0), Passage::Arrives(320));
     }
@@ -139,7 +184,10 @@
         let mut l = Lines::new(Line::default(), 0.0, 1);
         l.cut(1, 2);
         l.cut(1, 2);
-        assert_eq!((l.send(5, 1, 2, 9), l.send(5, 2, 1, 9)), (Passage::Held, Passage::Arrives(5)));
+        assert_eq!(
+            (l.send(5, 1, 2, 9), l.send(5, 2, 1, 9)),
+            (Passage::Held, Passage::Arrives(5))
+        );
         assert!(!l.heal(1, 2) && l.is_cut(1, 2));
         assert!(l.heal(1, 2) && !l.is_cut(1, 2));
         assert!(!l.heal(1, 2), "nothing is left to heal");
@@ -148,7 +196,14 @@
     #[test]
     fn jitter_stays_within_its_bound_and_is_the_seeds() {
         let draw = |seed| {
-            let mut l = Lines::new(Line { delay: 10, jitter: 30 }, 0.0, seed);
+            let mut l = Lines::new(
+                Line {
+                    delay: 10,
+                    jitter: 30,
+                },
+                0.0,
+                seed,
+            );
             let one = |_| match l.send(0, 1, 2, 1) {
                 Passage::Arrives(at) => at,
                 Passage::Held => panic!("nothing is cut"),
--- a/crates/ether/src/stop.rs
+++ b/crates/ether/src/stop.rs
@@ -13,7 +13,8 @@
 impl Hold {
     pub fn stop(&self, span: Duration) {
         let until = Instant::now() + span;
-        self.0.set(Some(self.0.get().map_or(until, |at| at.max(until))));
+        self.0
+            .set(Some(self.0.get().map_or(until, |at| at.max(until))));
     }
 }
 
@@ -42,5 +43,9 @@
 
 /// Runs as `inner` does, but not while held. `inner` must spawn nothing outside itself.
 pub fn stoppable<F: Future>(hold: Hold, inner: F) -> impl Future<Output = F::Output> {
-    Stoppable { inner: Box::pin(inner), hold, over: Box::pin(sleep_until(Instant::now())) }
+    Stoppable {
+        inner: Box::pin(inner),
+        hold,
+        over: Box::pin(sleep_until(Instant::now())),
+    }
 }
--- a/crates/ether/src/streams.rs
+++ b/crates/ether/src/streams.rs
@@ -79,7 +79,14 @@
     /// `turns` are those of whoever reads as a stand-in: what it reads came when it was written.
     pub fn new(clock: Clock, lines: Lines, turns: Turns) -> Self {
         let (hosts, doors, ways) = Default::default();
-        Self { clock, lines: Rc::new(RefCell::new(lines)), hosts, doors, ways, turns }
+        Self {
+            clock,
+            lines: Rc::new(RefCell::new(lines)),
+            hosts,
+            doors,
+            ways,
+            turns,
+        }
     }
 
     fn number(&self, name: &str) -> Host {
@@ -90,12 +97,17 @@
 
     /// The network as this host sees it.
     pub fn host(&self, name: &str) -> Rc<dyn Network> {
-        Rc::new(Seen { ether: self.clone(), here: self.number(name) })
+        Rc::new(Seen {
+            ether: self.clone(),
+            here: self.number(name),
+        })
     }
 
     /// Lets nothing pass any more, one way. Streams stay open, as they do on a real network.
     pub fn cut(&self, from: &str, to: &str) {
-        self.lines.borrow_mut().cut(self.number(from), self.number(to));
+        self.lines
+            .borrow_mut()
+            .cut(self.number(from), self.number(to));
     }
 
     /// What was held arrives now.
@@ -108,8 +120,15 @@
         let ways = self.ways.borrow().get(&pair).cloned().unwrap_or_default();
         for way in ways.iter().filter_map(Weak::upgrade) {
             let way = &mut *way.borrow_mut();
-            let at = self.lines.borrow_mut().after_heal(now, pair.0, pair.1).max(way.last);
-            way.parts.iter_mut().filter(|p| p.arrives.is_none()).for_each(|p| p.arrives = Some(at));
+            let at = self
+                .lines
+                .borrow_mut()
+                .after_heal(now, pair.0, pair.1)
+                .max(way.last);
+            way.parts
+                .iter_mut()
+                .filter(|p| p.arrives.is_none())
+                .for_each(|p| p.arrives = Some(at));
             if way.ends == Some(None) {
                 way.ends = Some(Some(at));
             }
@@ -120,11 +139,15 @@
 
     /// Another line in place of the usual one, one way, until it is quickened by the same.
     pub fn slow(&self, from: &str, to: &str, line: Line) {
-        self.lines.borrow_mut().slow(self.number(from), self.number(to), line);
+        self.lines
+            .borrow_mut()
+            .slow(self.number(from), self.number(to), line);
     }
 
     pub fn quicken(&self, from: &str, to: &str, line: Line) {
-        self.lines.borrow_mut().quicken(self.number(from), self.number(to), line);
+        self.lines
+            .borrow_mut()
+            .quicken(self.number(from), self.number(to), line);
     }
 
     fn way(&self, from: Host, to: Host) -> SharedWay {
@@ -150,7 +173,13 @@
 
     fn end(&self, reads: SharedWay, writes: SharedWay) -> Stream {
         let sleep = || Box::pin(sleep_until(Instant::now()));
-        Box::new(End { ether: self.clone(), reads, writes, read_due: sleep(), write_due: sleep() })
+        Box::new(End {
+            ether: self.clone(),
+            reads,
+            writes,
+            read_due: sleep(),
+            write_due: sleep(),
+        })
     }
 }
 
@@ -168,7 +197,9 @@
             let there = loop {
                 // Nobody can tell a silent host from one that is not there.
                 let there = ether.doors.borrow().get(address).map(|(host, _)| *host);
-                let Some(there) = there else { return Err(io::ErrorKind::ConnectionRefused.into()) };
+                let Some(there) = there else {
+                    return Err(io::ErrorKind::ConnectionRefused.into());
+                };
                 let crosses = {
                     let lines = &mut *ether.lines.borrow_mut();
                     let cut = lines.is_cut(self.here, there) || lines.is_cut(there, self.here);
@@ -185,21 +216,34 @@
                         tokio::time::sleep(Duration::from_micros(span * 100)).await;
                         break there;
                     }
-                    None if Instant::now() >= given_up => return Err(io::ErrorKind::TimedOut.into()),
+                    None if Instant::now() >= given_up => {
+                        return Err(io::ErrorKind::TimedOut.into());
+                    }
                     None => tokio::time::sleep(DIAL_LOOKS).await,
                 }
             };
             let (to, from) = (ether.way(self.here, there), ether.way(there, self.here));
             let theirs = ether.end(to.clone(), from.clone());
-            let met = ether.doors.borrow().get(address).is_some_and(|(_, door)| door.send(theirs).is_ok());
-            if met { Ok(ether.end(from, to)) } else { Err(io::ErrorKind::ConnectionRefused.into()) }
+            let met = ether
+                .doors
+                .borrow()
+                .get(address)
+                .is_some_and(|(_, door)| door.send(theirs).is_ok());
+            if met {
+                Ok(ether.end(from, to))
+            } else {
+                Err(io::ErrorKind::ConnectionRefused.into())
+            }
         })
     }
 
     fn listen<'a>(&'a self, address: &'a Address) -> Later<'a, (Box<dyn Listener>, Address)> {
         Box::pin(async move {
             let mut doors = self.ether.doors.borrow_mut();
-            if doors.get(address).is_some_and(|(_, door)| !door.is_closed()) {
+            if doors
+                .get(address)
+                .is_some_and(|(_, door)| !door.is_closed())
+            {
                 return Err(io::ErrorKind::AddrInUse.into());
             }
             let (to, from) = mpsc::unbounded_channel();
@@ -247,7 +291,11 @@
         }
         let now = clock.now();
         let mut first = None;
-        while let Some(part) = way.parts.front_mut().filter(|p| p.arrives.is_some_and(|at| at <= now)) {
+        while let Some(part) = way
+            .parts
+            .front_mut()
+            .filter(|p| p.arrives.is_some_and(|at| at <= now))
+        {
             let n = part.bytes.len().min(buf.remaining());
             if n == 0 {
                 break;
@@ -269,7 +317,11 @@
 }
 
 impl AsyncWrite for End {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let this = &mut *self;
         let (clock, way) = (this.ether.clock, &mut *this.writes.borrow_mut());
         let now = clock.now();
@@ -291,7 +343,11 @@
             }
             Passage::Held => None,
         };
-        way.parts.push_back(Part { written: now, arrives, bytes: Bytes::copy_from_slice(&bytes[..n]) });
+        way.parts.push_back(Part {
+            written: now,
+            arrives,
+            bytes: Bytes::copy_from_slice(&bytes[..n]),
+        });
         way.bytes += n;
         way.wake_reader();
         Poll::Ready(Ok(n))
@@ -311,7 +367,11 @@
     fn close_writes(&self) {
         let way = &mut *self.writes.borrow_mut();
         if way.ends.is_none() {
-            let passage = self.ether.lines.borrow_mut().send(self.ether.clock.now(), way.from, way.to, 0);
+            let passage =
+                self.ether
+                    .lines
+                    .borrow_mut()
+                    .send(self.ether.clock.now(), way.from, way.to, 0);
             way.ends = Some(match passage {
                 Passage::Arrives(at) => Some(at.max(way.last)),
                 Passage::Held => None,
@@ -353,7 +413,10 @@
 
     #[tokio::test(start_paused = true)]
     async fn bytes_take_their_time_and_keep_their_order() {
-        let e = ether(Line { delay: 50, jitter: 70 });
+        let e = ether(Line {
+            delay: 50,
+            jitter: 70,
+        });
         let (mut a, mut b) = pair(&e).await;
         let began = e.clock.now();
         for n in 0..100u8 {
@@ -364,12 +427,19 @@
         let mut read = Vec::new();
         b.read_to_end(&mut read).await.unwrap();
         assert_eq!(read, (0..100).collect::<Vec<u8>>());
-        assert!((1_040..=1_140).contains(&(e.clock.now() - began)), "{}", e.clock.now() - began);
+        assert!(
+            (1_040..=1_140).contains(&(e.clock.now() - began)),
+            "{}",
+            e.clock.now() - began
+        );
     }
 
     #[tokio::test(start_paused = true)]
     async fn a_cut_one_way_holds_what_is_written_until_it_heals() {
-        let e = ether(Line { delay: 10, jitter: 0 });
+        let e = ether(Line {
+            delay: 10,
+            jitter: 0,
+        });
         let (mut a, mut b) = pair(&e).await;
         e.cut("here", "there");
         a.write_all(b"held").await.unwrap();
@@ -377,7 +447,11 @@
         let mut six = [0; 6];
         a.read_exact(&mut six).await.unwrap();
         let mut four = [0; 4];
-        assert!(tokio::time::timeout(Duration::from_secs(9), b.read_exact(&mut four)).await.is_err());
+        assert!(
+            tokio::time::timeout(Duration::from_secs(9), b.read_exact(&mut four))
+                .await
+                .is_err()
+        );
         e.heal("here", "there");
         b.read_exact(&mut four).await.unwrap();
         assert_eq!((&six, &four), (b"passes", b"held"));
@@ -390,18 +464,29 @@
         e.cut("here", "there");
         drop(a);
         let mut one = [0; 1];
-        assert!(tokio::time::timeout(Duration::from_secs(5), b.read(&mut one)).await.is_err());
-        assert!(b.write_all(b"into the void").await.is_ok(), "nobody has said that it is gone");
+        assert!(
+            tokio::time::timeout(Duration::from_secs(5), b.read(&mut one))
+                .await
+                .is_err()
+        );
+        assert!(
+            b.write_all(b"into the void").await.is_ok(),
+            "nobody has said that it is gone"
+        );
         e.heal("here", "there");
         assert_eq!(b.read(&mut one).await.unwrap(), 0);
     }
 
     #[tokio::test(start_paused = true)]
     async fn a_stuck_reader_fills_the_window_and_its_end_frees_the_writer() {
-        let e = ether(Line { delay: 20, jitter: 0 });
+        let e = ether(Line {
+            delay: 20,
+            jitter: 0,
+        });
         let (mut a, b) = pair(&e).await;
         let mut sent = 0;
-        while let Ok(n) = tokio::time::timeout(Duration::from_secs(1), a.write(&[7; 10_000])).await {
+        while let Ok(n) = tokio::time::timeout(Duration::from_secs(1), a.write(&[7; 10_000])).await
+        {
             sent += n.unwrap();
         }
         assert_eq!(sent, WINDOW);
@@ -419,7 +504,10 @@
         e.cut("there", "here");
         let began = Instant::now();
         let refused = here.dial(&at).await.err().unwrap();
-        assert_eq!((refused.kind(), began.elapsed()), (io::ErrorKind::TimedOut, DIAL_PATIENCE));
+        assert_eq!(
+            (refused.kind(), began.elapsed()),
+            (io::ErrorKind::TimedOut, DIAL_PATIENCE)
+        );
         let (dialled, ()) = tokio::join!(here.dial(&at), async {
             tokio::time::sleep(Duration::from_secs(1)).await;
             e.heal("there", "here");
--- a/crates/fleet/examples/suspicion.rs
+++ b/crates/fleet/examples/suspicion.rs
@@ -29,11 +29,25 @@
 
 /// Plays a member; `killed` after a minute, or never. Gives when the levels were reached for the first time after that, in
 /// tenths, and how often each was reached while it lived.
-fn play(seed: u64, jitter: u64, alone: bool, killed: bool, levels: &[f64]) -> (Vec<Option<u64>>, Vec<u64>) {
+fn play(
+    seed: u64,
+    jitter: u64,
+    alone: bool,
+    killed: bool,
+    levels: &[f64],
+) -> (Vec<Option<u64>>, Vec<u64>) {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let line = |_| Line { silence: ArrivalWindow::new(0, EVERY), due: Vec::new(), jitter };
+    let line = |_| Line {
+        silence: ArrivalWindow::new(0, EVERY),
+        due: Vec::new(),
+        jitter,
+    };
     let mut lines: Vec<Line> = (0..if alone { 1 } else { 3 }).map(line).collect();
-    let (dies, ends) = if killed { (600_000, 900_000) } else { (u64::MAX, HOURS * 36_000_000) };
+    let (dies, ends) = if killed {
+        (600_000, 900_000)
+    } else {
+        (u64::MAX, HOURS * 36_000_000)
+    };
     let (mut noticed, mut accused) = (vec![None; levels.len()], vec![0; levels.len()]);
     let mut over = vec![false; levels.len()];
     let (mut now, mut next) = (0, EVERY);
@@ -41,7 +55,13 @@
         now += LOOK;
         while next <= now && next < dies {
             for line in &mut lines {
-                line.due.push(next + if line.jitter > 0 { rng.u64(..=line.jitter) } else { 0 });
+                line.due.push(
+                    next + if line.jitter > 0 {
+                        rng.u64(..=line.jitter)
+                    } else {
+                        0
+                    },
+                );
             }
             next += EVERY;
         }
@@ -69,15 +89,25 @@
             "| level | kill noticed, median ms | slowest of 200 | accused an hour, one steward | two of three |"
         );
         println!("| --- | --- | --- | --- | --- |");
-        let kills: Vec<Vec<Option<u64>>> =
-            (0..200).map(|seed| play(seed, jitter_ms * 10, false, true, &levels).0).collect();
+        let kills: Vec<Vec<Option<u64>>> = (0..200)
+            .map(|seed| play(seed, jitter_ms * 10, false, true, &levels).0)
+            .collect();
         let one = play(1, jitter_ms * 10, true, false, &levels).1;
         let three = play(1, jitter_ms * 10, false, false, &levels).1;
         for (n, level) in levels.iter().enumerate() {
-            let mut took: Vec<u64> = kills.iter().map(|k| k[n].unwrap_or(u64::MAX) / 10).collect();
+            let mut took: Vec<u64> = kills
+                .iter()
+                .map(|k| k[n].unwrap_or(u64::MAX) / 10)
+                .collect();
             took.sort_unstable();
             let rate = |all: &[u64]| all[n] as f64 / HOURS as f64;
-            println!("| {level} | {} | {} | {:.2} | {:.2} |", took[100], took[199], rate(&one), rate(&three));
+            println!(
+                "| {level} | {} | {} | {:.2} | {:.2} |",
+                took[100],
+                took[199],
+                rate(&one),
+                rate(&three)
+            );
         }
     }
 }
--- a/crates/fleet/src/bounds.rs
+++ b/crates/fleet/src/bounds.rs
@@ -52,7 +52,11 @@
 
 impl fmt::Display for Over {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} of {}: {} where {} is the bound", self.bound, self.group, self.found, self.allowed)
+        write!(
+            f,
+            "{} of {}: {} where {} is the bound",
+            self.bound, self.group, self.found, self.allowed
+        )
     }
 }
 
@@ -80,7 +84,10 @@
 
 impl Bound {
     pub fn fits(&self) -> Result<(), Unfit> {
-        let least = [("least_size", self.least_size), ("least_memory", self.least_memory_mb)];
+        let least = [
+            ("least_size", self.least_size),
+            ("least_memory", self.least_memory_mb),
+        ];
         if self.out.is_none() && self.share.is_none() && least.iter().all(|l| l.1.is_none()) {
             return Err(Unfit::Nothing);
         }
@@ -96,7 +103,8 @@
     }
 
     fn covers(&self, id: &MemberId, m: &Member) -> bool {
-        self.kind.is_none_or(|k| k == id.kind) && self.site.as_ref().is_none_or(|s| *s == m.about.site)
+        self.kind.is_none_or(|k| k == id.kind)
+            && self.site.as_ref().is_none_or(|s| *s == m.about.site)
     }
 
     fn group(&self, m: &Member) -> (String, u16) {
@@ -122,7 +130,12 @@
     }
 
     /// Where this bound does not hold, of the groups that `of` is in; of all where it is none. `leaves` counts as out.
-    fn broken(&self, fleet: &Fleet, of: Option<&MemberId>, leaves: Option<&MemberId>) -> Option<Over> {
+    fn broken(
+        &self,
+        fleet: &Fleet,
+        of: Option<&MemberId>,
+        leaves: Option<&MemberId>,
+    ) -> Option<Over> {
         let only = match of {
             None => None,
             Some(id) => {
@@ -148,34 +161,58 @@
         groups.iter().find_map(|(group, c)| {
             let over = |bound: &str, found: f64, allowed: f64, broken: bool| {
                 let bound = bound.to_owned();
-                broken.then(|| Over { bound, group: self.name(group), found, allowed })
+                broken.then(|| Over {
+                    bound,
+                    group: self.name(group),
+                    found,
+                    allowed,
+                })
             };
             // A hair above, as three tenths of ten are a little under three in binary.
             let share = self.share.map(|s| (s * f64::from(c.all) + 1e-9).floor());
             let out = f64::from(c.out);
             None.or_else(|| self.out.and_then(|m| over("out", out, m.into(), c.out > m)))
                 .or_else(|| share.and_then(|m| over("share out", out, m, out > m)))
-                .or_else(|| self.least_size.and_then(|m| over("size up", c.size, m, c.size < m)))
-                .or_else(|| self.least_memory_mb.and_then(|m| over("MB up", c.memory_mb, m, c.memory_mb < m)))
+                .or_else(|| {
+                    self.least_size
+                        .and_then(|m| over("size up", c.size, m, c.size < m))
+                })
+                .or_else(|| {
+                    self.least_memory_mb
+                        .and_then(|m| over("MB up", c.memory_mb, m, c.memory_mb < m))
+                })
         })
     }
 }
 
 /// What stands against this member's going out now, if anything; it may be out already.
 pub fn against(fleet: &Fleet, member: &MemberId) -> Option<Over> {
-    fleet.bounds.iter().find_map(|b| b.broken(fleet, Some(member), Some(member)))
+    fleet
+        .bounds
+        .iter()
+        .find_map(|b| b.broken(fleet, Some(member), Some(member)))
 }
 
 /// Where a bound does not hold as things are.
 pub fn broken(fleet: &Fleet) -> Option<Over> {
-    fleet.bounds.iter().find_map(|b| b.broken(fleet, None, None))
+    fleet
+        .bounds
+        .iter()
+        .find_map(|b| b.broken(fleet, None, None))
 }
 
 /// Whether each of them could go if everybody else were up.
 pub fn ever(fleet: &Fleet, members: &[MemberId]) -> Result<(), Unfit> {
     let mut calm = fleet.clone();
-    calm.members.values_mut().for_each(|m| m.phase = crate::fleet::Phase::Up);
+    calm.members
+        .values_mut()
+        .for_each(|m| m.phase = crate::fleet::Phase::Up);
     members.iter().try_for_each(|member| {
-        against(&calm, member).map_or(Ok(()), |over| Err(Unfit::Never { member: *member, over }))
+        against(&calm, member).map_or(Ok(()), |over| {
+            Err(Unfit::Never {
+                member: *member,
+                over,
+            })
+        })
     })
 }
--- a/crates/fleet/src/change.rs
+++ b/crates/fleet/src/change.rs
@@ -145,13 +145,20 @@
     #[error("{member}: this life of it ({incarnation:x}) was replaced")]
     Replaced { member: MemberId, incarnation: u64 },
     #[error("{member} is {found}: {expected} is expected")]
-    Phase { member: MemberId, found: &'static str, expected: &'static str },
+    Phase {
+        member: MemberId,
+        found: &'static str,
+        expected: &'static str,
+    },
     #[error("{member}: grant {grant} is not its own any more")]
     NoGrant { member: MemberId, grant: Grant },
     #[error("halted by {by}: {why}")]
     Halted { by: String, why: String },
     #[error("no room for {member}: {over}")]
-    NoRoom { member: MemberId, over: bounds::Over },
+    NoRoom {
+        member: MemberId,
+        over: bounds::Over,
+    },
     #[error("{member}: nobody asked for its drain")]
     NotAsked { member: MemberId },
     #[error("{member} belongs to ask '{id}' already")]
@@ -159,13 +166,25 @@
     #[error("ask '{0}' is known with other members")]
     OtherAsk(String),
     #[error("{place} = '{found}': {expected} is expected")]
-    Value { place: &'static str, found: String, expected: &'static str },
+    Value {
+        place: &'static str,
+        found: String,
+        expected: &'static str,
+    },
     #[error("{place}: {found} is more than {most}")]
-    Many { place: &'static str, found: usize, most: usize },
+    Many {
+        place: &'static str,
+        found: usize,
+        most: usize,
+    },
     #[error("{0}: no such lease")]
     UnknownLease(LeaseName),
     #[error("lease {lease}: epoch {expected} is expected, {found} was given")]
-    Epoch { lease: LeaseName, expected: Epoch, found: Epoch },
+    Epoch {
+        lease: LeaseName,
+        expected: Epoch,
+        found: Epoch,
+    },
     #[error(transparent)]
     Lease(#[from] lease::Unfit),
     #[error(transparent)]
@@ -174,14 +193,24 @@
     Stewards(#[from] register::Unfit),
 }
 
-const CHANGED: Result<Done, Refusal> = Ok(Done { changed: true, grant: None });
-const ALREADY: Result<Done, Refusal> = Ok(Done { changed: false, grant: None });
+const CHANGED: Result<Done, Refusal> = Ok(Done {
+    changed: true,
+    grant: None,
+});
+const ALREADY: Result<Done, Refusal> = Ok(Done {
+    changed: false,
+    grant: None,
+});
 
 pub(crate) fn text(place: &'static str, found: &str, most: usize) -> Result<(), Refusal> {
     let plain = found.chars().all(|c| !c.is_control());
     if found.is_empty() || found.len() > most || !plain {
         let found = found.chars().take(80).collect();
-        return Err(Refusal::Value { place, found, expected: "plain text of a stated length" });
+        return Err(Refusal::Value {
+            place,
+            found,
+            expected: "plain text of a stated length",
+        });
     }
     Ok(())
 }
@@ -193,7 +222,10 @@
         if done.changed {
             self.revision += 1;
             let revision = self.revision;
-            self.history.push_back(Event { revision, what: told(change, done.grant) });
+            self.history.push_back(Event {
+                revision,
+                what: told(change, done.grant),
+            });
             self.halt_when_many_are_lost();
             self.hand_over_leases();
             let too_many = self.history.len().saturating_sub(HISTORY_MOST);
@@ -211,7 +243,10 @@
         let m = self.member(member)?;
         match m.about.incarnation == incarnation {
             true => Ok(m),
-            false => Err(Refusal::Replaced { member, incarnation }),
+            false => Err(Refusal::Replaced {
+                member,
+                incarnation,
+            }),
         }
     }
 
@@ -225,14 +260,32 @@
     fn change(&mut self, change: &Change) -> Result<Done, Refusal> {
         match change {
             Change::Join { member, about } => self.join(*member, about),
-            Change::Proven { member, incarnation } => self.proven(*member, *incarnation),
-            Change::Begin { member, incarnation, grant } => self.begin(*member, *incarnation, *grant),
-            Change::Leave { member, incarnation } => self.leave(*member, *incarnation),
-            Change::TurnedBack { member, incarnation, grant } => {
-                self.turned_back(*member, *incarnation, *grant)
-            }
-            Change::Silent { member, incarnation } => self.silent(*member, *incarnation),
-            Change::Heard { member, incarnation } => self.heard(*member, *incarnation),
+            Change::Proven {
+                member,
+                incarnation,
+            } => self.proven(*member, *incarnation),
+            Change::Begin {
+                member,
+                incarnation,
+                grant,
+            } => self.begin(*member, *incarnation, *grant),
+            Change::Leave {
+                member,
+                incarnation,
+            } => self.leave(*member, *incarnation),
+            Change::TurnedBack {
+                member,
+                incarnation,
+                grant,
+            } => self.turned_back(*member, *incarnation, *grant),
+            Change::Silent {
+                member,
+                incarnation,
+            } => self.silent(*member, *incarnation),
+            Change::Heard {
+                member,
+                incarnation,
+            } => self.heard(*member, *incarnation),
             Change::Grant { member } => self.grant(*member),
             Change::TakeBack { grant } => self.take_back(*grant),
             Change::Ask { id, members, by } => self.ask(id, members, by),
@@ -260,7 +313,10 @@
     };
     match change {
         Change::Join { member, about } => {
-            format!("{member} joined in site {}, life {:x}, {}", about.site, about.incarnation, about.version)
+            format!(
+                "{member} joined in site {}, life {:x}, {}",
+                about.site, about.incarnation, about.version
+            )
         }
         Change::Proven { member, .. } => format!("{member} is up"),
         Change::Begin { member, grant, .. } => format!("{member} began to drain, grant {grant}"),
@@ -270,7 +326,9 @@
         Change::Heard { member, .. } => format!("{member} speaks again"),
         Change::Grant { member } => format!("{member} may go, grant {}", grant.unwrap_or(0)),
         Change::TakeBack { grant } => format!("grant {grant} taken back"),
-        Change::Ask { id, members, by } => format!("{by} asks, as '{id}', to drain {}", some(members)),
+        Change::Ask { id, members, by } => {
+            format!("{by} asks, as '{id}', to drain {}", some(members))
+        }
         Change::Withdraw { members, by } => format!("{by} withdraws {}", some(members)),
         Change::Halt { by, why, .. } => format!("halt by {by}: {why}"),
         Change::Resume { by } => format!("resumed by {by}"),
--- a/crates/fleet/src/change/drains.rs
+++ b/crates/fleet/src/change/drains.rs
@@ -18,14 +18,22 @@
         }
     }
 
-    pub(super) fn begin(&mut self, id: MemberId, incarnation: u64, grant: Grant) -> Result<Done, Refusal> {
+    pub(super) fn begin(
+        &mut self,
+        id: MemberId,
+        incarnation: u64,
+        grant: Grant,
+    ) -> Result<Done, Refusal> {
         match self.living(id, incarnation)?.phase {
             Phase::Draining { grant: held } if held == grant => return ALREADY,
             Phase::Granted { grant: held } if held == grant => {}
             _ => return Err(Refusal::NoGrant { member: id, grant }),
         }
         if let Some(h) = &self.halt {
-            return Err(Refusal::Halted { by: h.by.clone(), why: h.why.clone() });
+            return Err(Refusal::Halted {
+                by: h.by.clone(),
+                why: h.why.clone(),
+            });
         }
         // It is counted since it was granted. Others may have been lost since then, though.
         if let Some(over) = bounds::against(self, &id) {
@@ -52,13 +60,23 @@
     pub(super) fn grant(&mut self, id: MemberId) -> Result<Done, Refusal> {
         let phase = &self.member(id)?.phase;
         if let Some(grant) = phase.grant() {
-            return Ok(Done { changed: false, grant: Some(grant) });
+            return Ok(Done {
+                changed: false,
+                grant: Some(grant),
+            });
         }
         if *phase != Phase::Up {
-            return Err(Refusal::Phase { member: id, found: phase.word(), expected: "up" });
+            return Err(Refusal::Phase {
+                member: id,
+                found: phase.word(),
+                expected: "up",
+            });
         }
         if let Some(h) = &self.halt {
-            return Err(Refusal::Halted { by: h.by.clone(), why: h.why.clone() });
+            return Err(Refusal::Halted {
+                by: h.by.clone(),
+                why: h.why.clone(),
+            });
         }
         if let Some(over) = bounds::against(self, &id) {
             return Err(Refusal::NoRoom { member: id, over });
@@ -70,10 +88,18 @@
         self.grants += 1;
         let grant = self.grants;
         self.enter(id, Phase::Granted { grant })?;
-        Ok(Done { changed: true, grant: Some(grant) })
+        Ok(Done {
+            changed: true,
+            grant: Some(grant),
+        })
     }
 
-    pub(super) fn ask(&mut self, id: &str, members: &[MemberId], by: &str) -> Result<Done, Refusal> {
+    pub(super) fn ask(
+        &mut self,
+        id: &str,
+        members: &[MemberId],
+        by: &str,
+    ) -> Result<Done, Refusal> {
         text("id", id, ID_MOST_BYTES)?;
         text("by", by, TEXT_MOST_BYTES)?;
         let mut asked = Vec::new();
@@ -84,26 +110,53 @@
         }
         if asked.is_empty() {
             let expected = "at least one member";
-            return Err(Refusal::Value { place: "members", found: String::new(), expected });
+            return Err(Refusal::Value {
+                place: "members",
+                found: String::new(),
+                expected,
+            });
         }
         if let Some(known) = self.asks.get(id) {
-            let all = [&known.waiting, &known.under_way, &known.finished, &known.withdrawn];
+            let all = [
+                &known.waiting,
+                &known.under_way,
+                &known.finished,
+                &known.withdrawn,
+            ];
             let all: BTreeSet<_> = all.into_iter().flatten().copied().collect();
             let same = all == asked.iter().copied().collect();
-            return if same { ALREADY } else { Err(Refusal::OtherAsk(id.to_owned())) };
+            return if same {
+                ALREADY
+            } else {
+                Err(Refusal::OtherAsk(id.to_owned()))
+            };
         }
         for m in &asked {
             self.member(*m)?;
-            let other = self.asks.iter().find(|(_, a)| a.waiting.contains(m) || a.under_way.contains(m));
+            let other = self
+                .asks
+                .iter()
+                .find(|(_, a)| a.waiting.contains(m) || a.under_way.contains(m));
             if let Some((id, _)) = other {
-                return Err(Refusal::AskedElsewhere { member: *m, id: id.clone() });
+                return Err(Refusal::AskedElsewhere {
+                    member: *m,
+                    id: id.clone(),
+                });
             }
         }
         bounds::ever(self, &asked)?;
         if self.asks.len() >= ASKS_MOST {
-            let over = self.asks.iter().filter(|(_, a)| a.is_over()).min_by_key(|(_, a)| a.revision);
+            let over = self
+                .asks
+                .iter()
+                .filter(|(_, a)| a.is_over())
+                .min_by_key(|(_, a)| a.revision);
             let Some(oldest) = over.map(|(id, _)| id.clone()) else {
-                return Err(Refusal::Many { place: "asks", found: ASKS_MOST + 1, most: ASKS_MOST });
+                return Err(Refusal::Many {
+                    place: "asks",
+                    found: ASKS_MOST + 1,
+                    most: ASKS_MOST,
+                });
             };
             self.asks.remove(&oldest);
         }
@@ -142,18 +195,29 @@
                 self.enter(*id, Phase::Up)?;
             }
         }
-        Ok(Done { changed, grant: None })
+        Ok(Done {
+            changed,
+            grant: None,
+        })
     }
 
     /// Whether a member that drains may go back to serving: nobody waits for its end any more.
     pub fn may_turn_back(&self, id: &MemberId) -> bool {
-        let draining = self.members.get(id).is_some_and(|m| matches!(m.phase, Phase::Draining { .. }));
+        let draining = self
+            .members
+            .get(id)
+            .is_some_and(|m| matches!(m.phase, Phase::Draining { .. }));
         draining && !self.asks.values().any(|a| a.under_way.contains(id))
     }
 
     pub(super) fn take_back(&mut self, grant: Grant) -> Result<Done, Refusal> {
-        let held = self.members.iter().find(|(_, m)| m.phase == Phase::Granted { grant });
-        let Some(id) = held.map(|(id, _)| *id) else { return ALREADY };
+        let held = self
+            .members
+            .iter()
+            .find(|(_, m)| m.phase == Phase::Granted { grant });
+        let Some(id) = held.map(|(id, _)| *id) else {
+            return ALREADY;
+        };
         self.back_to_waiting(id);
         self.enter(id, Phase::Up)
     }
@@ -165,13 +229,22 @@
             return ALREADY;
         }
         let revision = self.revision + 1;
-        self.halt = Some(Halt { by: by.into(), why: why.into(), ends: ends.into(), revision });
+        self.halt = Some(Halt {
+            by: by.into(),
+            why: why.into(),
+            ends: ends.into(),
+            revision,
+        });
         CHANGED
     }
 
     pub(super) fn resume_drains(&mut self, by: &str) -> Result<Done, Refusal> {
         text("by", by, TEXT_MOST_BYTES)?;
-        if self.halt.take().is_some() { CHANGED } else { ALREADY }
+        if self.halt.take().is_some() {
+            CHANGED
+        } else {
+            ALREADY
+        }
     }
 
     /// Halts itself where it was told to.
@@ -179,15 +252,27 @@
         let lost = self.lost();
         if self.halt.is_none() && self.halt_at_lost > 0 && lost > self.halt_at_lost {
             let why = format!("{lost} members are lost, more than {}", self.halt_at_lost);
-            self.halted("the fleet", &why, "an operator's resume, once they are back or forgotten");
+            self.halted(
+                "the fleet",
+                &why,
+                "an operator's resume, once they are back or forgotten",
+            );
         }
     }
 
     fn halted(&mut self, by: &str, why: &str, ends: &str) {
         self.revision += 1;
         let revision = self.revision;
-        let halt = Halt { by: by.into(), why: why.into(), ends: ends.into(), revision };
-        self.history.push_back(Event { revision, what: format!("halt by {by}: {why}") });
+        let halt = Halt {
+            by: by.into(),
+            why: why.into(),
+            ends: ends.into(),
+            revision,
+        };
+        self.history.push_back(Event {
+            revision,
+            what: format!("halt by {by}: {why}"),
+        });
         self.halt = Some(halt);
     }
 }
--- a/crates/fleet/src/change/leases.rs
+++ b/crates/fleet/src/change/leases.rs
@@ -14,29 +14,51 @@
     ) -> Result<Done, Refusal> {
         text("by", by, TEXT_MOST_BYTES)?;
         if leases.len() > LEASES_MOST {
-            return Err(Refusal::Many { place: "leases", found: leases.len(), most: LEASES_MOST });
+            return Err(Refusal::Many {
+                place: "leases",
+                found: leases.len(),
+                most: LEASES_MOST,
+            });
         }
-        leases.iter().try_for_each(|(name, terms)| terms.fits(name))?;
-        let stated: BTreeMap<_, _> = self.leases.iter().map(|(name, l)| (name, &l.terms)).collect();
+        leases
+            .iter()
+            .try_for_each(|(name, terms)| terms.fits(name))?;
+        let stated: BTreeMap<_, _> = self
+            .leases
+            .iter()
+            .map(|(name, l)| (name, &l.terms))
+            .collect();
         if stated.into_iter().eq(leases.iter()) {
             return ALREADY;
         }
         let since = self.revision + 1;
-        self.leases.retain(|name, lease| leases.get(name) == Some(&lease.terms));
+        self.leases
+            .retain(|name, lease| leases.get(name) == Some(&lease.terms));
         for (name, terms) in leases {
-            self.leases.entry(name.clone()).or_insert_with(|| Lease::vacant(terms.clone(), since));
+            self.leases
+                .entry(name.clone())
+                .or_insert_with(|| Lease::vacant(terms.clone(), since));
         }
         CHANGED
     }
 
-    pub(super) fn pause_lease(&mut self, name: &LeaseName, by: &str, why: &str) -> Result<Done, Refusal> {
+    pub(super) fn pause_lease(
+        &mut self,
+        name: &LeaseName,
+        by: &str,
+        why: &str,
+    ) -> Result<Done, Refusal> {
         text("by", by, TEXT_MOST_BYTES)?;
         text("why", why, TEXT_MOST_BYTES)?;
         if matches!(self.lease(name)?.state, LeaseState::Paused { .. }) {
             return ALREADY;
         }
         let epoch = self.next_epoch();
-        let state = LeaseState::Paused { by: by.to_owned(), why: why.to_owned(), epoch };
+        let state = LeaseState::Paused {
+            by: by.to_owned(),
+            why: why.to_owned(),
+            epoch,
+        };
         self.enter_lease(name, state, epoch, self.revision + 1);
         CHANGED
     }
@@ -53,11 +75,19 @@
     }
 
     /// Tells whether the epoch is the lease's last, by a round of its own: whoever asks reads what a quorum holds.
-    pub(super) fn confirm_epoch(&mut self, name: &LeaseName, found: Epoch) -> Result<Done, Refusal> {
+    pub(super) fn confirm_epoch(
+        &mut self,
+        name: &LeaseName,
+        found: Epoch,
+    ) -> Result<Done, Refusal> {
         let expected = self.lease(name)?.epoch;
         match expected == found {
             true => ALREADY,
-            false => Err(Refusal::Epoch { lease: name.clone(), expected, found }),
+            false => Err(Refusal::Epoch {
+                lease: name.clone(),
+                expected,
+                found,
+            }),
         }
     }
 
@@ -67,35 +97,58 @@
             let epoch = self.leases[&name].epoch;
             self.enter_lease(&name, LeaseState::Vacant, epoch, self.revision);
         }
-        let vacant = self.leases.iter().filter(|(_, lease)| lease.state == LeaseState::Vacant);
+        let vacant = self
+            .leases
+            .iter()
+            .filter(|(_, lease)| lease.state == LeaseState::Vacant);
         let vacant: Vec<LeaseName> = vacant.map(|(name, _)| name.clone()).collect();
         for name in vacant {
-            let Some((holder, incarnation)) = self.leases[&name].successor(&name, self.members.iter()) else {
+            let Some((holder, incarnation)) =
+                self.leases[&name].successor(&name, self.members.iter())
+            else {
                 continue;
             };
             let epoch = self.next_epoch();
             // One line of the history, one revision.
             self.revision += 1;
-            let state = LeaseState::Held { holder, incarnation, epoch };
+            let state = LeaseState::Held {
+                holder,
+                incarnation,
+                epoch,
+            };
             self.enter_lease(&name, state, epoch, self.revision);
             let what = format!("lease {name} goes to {holder}, epoch {epoch}");
-            self.history.push_back(Event { revision: self.revision, what });
+            self.history.push_back(Event {
+                revision: self.revision,
+                what,
+            });
         }
     }
 
     /// Leases whose holders may not go on.
     fn lost_leases(&self) -> Vec<LeaseName> {
         let is_lost = |lease: &Lease| match lease.state {
-            LeaseState::Held { holder, incarnation, .. } => {
-                self.members.get(&holder).is_none_or(|member| !lease.stays_with(member, incarnation))
-            }
+            LeaseState::Held {
+                holder,
+                incarnation,
+                ..
+            } => self
+                .members
+                .get(&holder)
+                .is_none_or(|member| !lease.stays_with(member, incarnation)),
             LeaseState::Vacant | LeaseState::Paused { .. } => false,
         };
-        self.leases.iter().filter(|(_, lease)| is_lost(lease)).map(|(name, _)| name.clone()).collect()
+        self.leases
+            .iter()
+            .filter(|(_, lease)| is_lost(lease))
+            .map(|(name, _)| name.clone())
+            .collect()
     }
 
     fn lease(&self, name: &LeaseName) -> Result<&Lease, Refusal> {
-        self.leases.get(name).ok_or_else(|| Refusal::UnknownLease(name.clone()))
+        self.leases
+            .get(name)
+            .ok_or_else(|| Refusal::UnknownLease(name.clone()))
     }
 
     /// One counter for all leases: a lease that is stated again after it was gone can't use an epoch again.
@@ -105,7 +158,9 @@
     }
 
     fn enter_lease(&mut self, name: &LeaseName, state: LeaseState, epoch: Epoch, since: u64) {
-        let Some(lease) = self.leases.get_mut(name) else { return };
+        let Some(lease) = self.leases.get_mut(name) else {
+            return;
+        };
         lease.grants += u64::from(matches!(state, LeaseState::Held { .. }));
         (lease.state, lease.epoch, lease.since) = (state, epoch, since);
     }
--- a/crates/fleet/src/change/membership.rs
+++ b/crates/fleet/src/change/membership.rs
@@ -16,25 +16,51 @@
         let sizes = [about.size, about.memory_mb];
         if about.incarnation == 0 || sizes.iter().any(|x| !x.is_finite() || *x < 0.0) {
             let found = format!("{about:?}").chars().take(80).collect();
-            return Err(Refusal::Value { place: "about", found, expected: "a life and sizes of 0 or more" });
+            return Err(Refusal::Value {
+                place: "about",
+                found,
+                expected: "a life and sizes of 0 or more",
+            });
         }
         if about.tasks.len() > lease::TASKS_MOST {
             let (found, most) = (about.tasks.len(), lease::TASKS_MOST);
-            return Err(Refusal::Many { place: "tasks", found, most });
+            return Err(Refusal::Many {
+                place: "tasks",
+                found,
+                most,
+            });
         }
-        about.tasks.iter().try_for_each(|task| text("task", task, ID_MOST_BYTES))?;
+        about
+            .tasks
+            .iter()
+            .try_for_each(|task| text("task", task, ID_MOST_BYTES))?;
         let since = self.revision + 1;
         let Some(m) = self.members.get_mut(&id) else {
             if self.members.len() >= MEMBERS_MOST {
                 let (found, most) = (self.members.len() + 1, MEMBERS_MOST);
-                return Err(Refusal::Many { place: "members", found, most });
+                return Err(Refusal::Many {
+                    place: "members",
+                    found,
+                    most,
+                });
             }
             let phase = Phase::Starting { planned: false };
-            self.members.insert(id, Member { about: about.clone(), phase, since, past: Vec::new() });
+            self.members.insert(
+                id,
+                Member {
+                    about: about.clone(),
+                    phase,
+                    since,
+                    past: Vec::new(),
+                },
+            );
             return CHANGED;
         };
         if m.past.contains(&about.incarnation) {
-            return Err(Refusal::Replaced { member: id, incarnation: about.incarnation });
+            return Err(Refusal::Replaced {
+                member: id,
+                incarnation: about.incarnation,
+            });
         }
         if m.about.incarnation == about.incarnation {
             return ALREADY;
@@ -60,7 +86,11 @@
             Phase::Up => return ALREADY,
             ref other => {
                 let found = other.word();
-                return Err(Refusal::Phase { member: id, found, expected: "starting" });
+                return Err(Refusal::Phase {
+                    member: id,
+                    found,
+                    expected: "starting",
+                });
             }
         };
         if planned {
@@ -103,10 +133,16 @@
 
     pub(super) fn forget(&mut self, id: MemberId, by: &str) -> Result<Done, Refusal> {
         text("by", by, TEXT_MOST_BYTES)?;
-        let Some(m) = self.members.get(&id) else { return ALREADY };
+        let Some(m) = self.members.get(&id) else {
+            return ALREADY;
+        };
         if !matches!(m.phase, Phase::Lost { .. } | Phase::Away { .. }) {
             let found = m.phase.word();
-            return Err(Refusal::Phase { member: id, found, expected: "lost or away" });
+            return Err(Refusal::Phase {
+                member: id,
+                found,
+                expected: "lost or away",
+            });
         }
         self.members.remove(&id);
         for ask in self.asks.values_mut() {
--- a/crates/fleet/src/change/settings.rs
+++ b/crates/fleet/src/change/settings.rs
@@ -13,7 +13,11 @@
         text("by", by, TEXT_MOST_BYTES)?;
         bounds.iter().try_for_each(Bound::fits)?;
         if bounds.len() > BOUNDS_MOST {
-            return Err(Refusal::Many { place: "bounds", found: bounds.len(), most: BOUNDS_MOST });
+            return Err(Refusal::Many {
+                place: "bounds",
+                found: bounds.len(),
+                most: BOUNDS_MOST,
+            });
         }
         if self.bounds == bounds {
             return ALREADY;
@@ -31,7 +35,11 @@
         text("by", by, TEXT_MOST_BYTES)?;
         if let Some(v) = voters.iter().find(|v| !at.contains_key(&v.steward)) {
             let found = format!("steward-{}", v.steward);
-            return Err(Refusal::Value { place: "voters", found, expected: "an address for each" });
+            return Err(Refusal::Value {
+                place: "voters",
+                found,
+                expected: "an address for each",
+            });
         }
         let done = Config::founding(voters.clone())?;
         if self.config == done {
@@ -48,7 +56,8 @@
         }
         self.config = seen.settled()?;
         let voters = self.config.voters();
-        self.stewards.retain(|n, _| voters.iter().any(|v| v.steward == *n));
+        self.stewards
+            .retain(|n, _| voters.iter().any(|v| v.steward == *n));
         CHANGED
     }
 }
--- a/crates/fleet/src/fence.rs
+++ b/crates/fleet/src/fence.rs
@@ -64,7 +64,12 @@
 impl Fence {
     /// A resource that has just started: `incarnation` was never used before, `durable` is what its disk has.
     pub fn started(lease: LeaseName, incarnation: u64, durable: Epoch) -> Self {
-        Self { lease, incarnation, durable, sealed: None }
+        Self {
+            lease,
+            incarnation,
+            durable,
+            sealed: None,
+        }
     }
 
     /// The life of the resource that this fence belongs to.
@@ -88,7 +93,11 @@
             return Ok(SealStep::Done);
         }
         self.is_not_older(epoch)?;
-        Ok(if self.sealed.is_none() { SealStep::Confirm } else { SealStep::Write })
+        Ok(if self.sealed.is_none() {
+            SealStep::Confirm
+        } else {
+            SealStep::Write
+        })
     }
 
     /// A quorum has confirmed the epoch. Another seal may have come first.
@@ -102,7 +111,11 @@
 
     /// The epoch is on the disk. Writes of one fence come one after the other.
     pub fn written(&mut self, epoch: Epoch) {
-        assert!(epoch >= self.durable, "epoch {epoch} was written over {}", self.durable);
+        assert!(
+            epoch >= self.durable,
+            "epoch {epoch} was written over {}",
+            self.durable
+        );
         (self.durable, self.sealed) = (epoch, Some(epoch));
     }
 
@@ -114,21 +127,33 @@
     /// Whether an effect may be made. To be checked in the same transaction as the effect.
     pub fn admit(&self, token: &Token) -> Result<(), Rejection> {
         if token.lease != self.lease {
-            return Err(Rejection::Lease { expected: self.lease.clone() });
+            return Err(Rejection::Lease {
+                expected: self.lease.clone(),
+            });
         }
         let expected = self.sealed.ok_or(Rejection::Unsealed)?;
         if token.epoch != expected {
-            return Err(Rejection::Epoch { expected, found: token.epoch });
+            return Err(Rejection::Epoch {
+                expected,
+                found: token.epoch,
+            });
         }
         if token.incarnation != self.incarnation {
-            return Err(Rejection::Incarnation { expected: self.incarnation, found: token.incarnation });
+            return Err(Rejection::Incarnation {
+                expected: self.incarnation,
+                found: token.incarnation,
+            });
         }
         Ok(())
     }
 
     fn is_not_older(&self, found: Epoch) -> Result<(), Rejection> {
         let expected = self.sealed.unwrap_or(0).max(self.durable);
-        if found < expected { Err(Rejection::Epoch { expected, found }) } else { Ok(()) }
+        if found < expected {
+            Err(Rejection::Epoch { expected, found })
+        } else {
+            Ok(())
+        }
     }
 }
 
@@ -146,7 +171,12 @@
     /// A grant of which nothing was done yet.
     pub fn granted(lease: LeaseName, epoch: Epoch, resources: &BTreeSet<ResourceName>) -> Self {
         let seals = resources.iter().map(|name| (name.clone(), None)).collect();
-        Self { lease, epoch, seals, is_over: false }
+        Self {
+            lease,
+            epoch,
+            seals,
+            is_over: false,
+        }
     }
 
     /// The lease that was granted.
@@ -171,7 +201,10 @@
 
     /// Resources that are to be sealed before anything else is done.
     pub fn unsealed(&self) -> impl Iterator<Item = &ResourceName> {
-        self.seals.iter().filter(|(_, life)| life.is_none()).map(|(name, _)| name)
+        self.seals
+            .iter()
+            .filter(|(_, life)| life.is_none())
+            .map(|(name, _)| name)
     }
 
     /// A resource says that it is sealed to this epoch, in this life of it.
@@ -192,7 +225,12 @@
     /// What an effect on a resource has to carry; none while any resource of the task is not sealed.
     pub fn token(&self, resource: &str) -> Option<Token> {
         let all_are_sealed = self.seals.values().all(Option::is_some);
-        let incarnation = (*self.seals.get(resource)?).filter(|_| all_are_sealed && !self.is_over)?;
-        Some(Token { lease: self.lease.clone(), epoch: self.epoch, incarnation })
+        let incarnation =
+            (*self.seals.get(resource)?).filter(|_| all_are_sealed && !self.is_over)?;
+        Some(Token {
+            lease: self.lease.clone(),
+            epoch: self.epoch,
+            incarnation,
+        })
     }
 }
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -24,11 +24,17 @@
 
 impl MemberId {
     pub fn controller(number: u32) -> Self {
-        Self { kind: Kind::Controller, number }
+        Self {
+            kind: Kind::Controller,
+            number,
+        }
     }
 
     pub fn invoker(number: u32) -> Self {
-        Self { kind: Kind::Invoker, number }
+        Self {
+            kind: Kind::Invoker,
+            number,
+        }
     }
 }
 
@@ -58,7 +64,10 @@
             _ => return Err(fault()),
         };
         let digits = number.bytes().all(|b| b.is_ascii_digit()) && !number.starts_with('0');
-        Ok(Self { kind, number: number.parse().ok().filter(|_| digits).ok_or_else(fault)? })
+        Ok(Self {
+            kind,
+            number: number.parse().ok().filter(|_| digits).ok_or_else(fault)?,
+        })
     }
 }
 
@@ -121,7 +130,9 @@
 
     pub fn grant(&self) -> Option<Grant> {
         match self {
-            Self::Granted { grant } | Self::Draining { grant } | Self::Away { grant } => Some(*grant),
+            Self::Granted { grant } | Self::Draining { grant } | Self::Away { grant } => {
+                Some(*grant)
+            }
             _ => None,
         }
     }
@@ -271,10 +282,16 @@
     }
 
     pub fn planned_out(&self) -> usize {
-        self.members.values().filter(|m| m.phase.is_planned()).count()
+        self.members
+            .values()
+            .filter(|m| m.phase.is_planned())
+            .count()
     }
 
     pub fn lost(&self) -> usize {
-        self.members.values().filter(|m| matches!(m.phase, Phase::Lost { .. })).count()
+        self.members
+            .values()
+            .filter(|m| matches!(m.phase, Phase::Lost { .. }))
+            .count()
     }
 }
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -66,18 +66,29 @@
         text("lease", &lease.0, ID_MOST_BYTES)?;
         text("task", &self.task, ID_MOST_BYTES)?;
         if self.resources.is_empty() {
-            return Err(Unfit::NoResource { lease: lease.clone() }.into());
+            return Err(Unfit::NoResource {
+                lease: lease.clone(),
+            }
+            .into());
         }
         if self.resources.len() > RESOURCES_MOST {
             let (found, most) = (self.resources.len(), RESOURCES_MOST);
-            return Err(Refusal::Many { place: "resources", found, most });
+            return Err(Refusal::Many {
+                place: "resources",
+                found,
+                most,
+            });
         }
-        self.resources.iter().try_for_each(|name| text("resource", name, TEXT_MOST_BYTES))
+        self.resources
+            .iter()
+            .try_for_each(|name| text("resource", name, TEXT_MOST_BYTES))
     }
 
     /// Whether a member may be given the lease now.
     fn may_be_given_to(&self, id: &MemberId, member: &Member) -> bool {
-        id.kind == self.eligible && member.phase == Phase::Up && member.about.tasks.contains(&self.task)
+        id.kind == self.eligible
+            && member.phase == Phase::Up
+            && member.about.tasks.contains(&self.task)
     }
 }
 
@@ -116,15 +127,23 @@
 impl Lease {
     /// A lease that nobody was given yet.
     pub fn vacant(terms: LeaseTerms, since: u64) -> Self {
-        Self { terms, state: LeaseState::Vacant, epoch: 0, since, grants: 0 }
+        Self {
+            terms,
+            state: LeaseState::Vacant,
+            epoch: 0,
+            since,
+            grants: 0,
+        }
     }
 
     /// Its holder, if this member is the one in that life.
     pub fn epoch_held_by(&self, member: MemberId, life: u64) -> Option<Epoch> {
         match self.state {
-            LeaseState::Held { holder, incarnation, epoch } if (holder, incarnation) == (member, life) => {
-                Some(epoch)
-            }
+            LeaseState::Held {
+                holder,
+                incarnation,
+                epoch,
+            } if (holder, incarnation) == (member, life) => Some(epoch),
             _ => None,
         }
     }
--- a/crates/fleet/src/monitor.rs
+++ b/crates/fleet/src/monitor.rs
@@ -82,7 +82,9 @@
         if gap <= STOOD {
             return None;
         }
-        self.lives.values_mut().for_each(|l| l.silence.was_deaf(now));
+        self.lives
+            .values_mut()
+            .for_each(|l| l.silence.was_deaf(now));
         self.peers.clear();
         self.listens_from = now + 2 * self.timeouts.renew;
         Some(gap)
@@ -104,7 +106,11 @@
         if replaced || (known.is_none() && self.lives.len() >= LIVES_MOST) {
             return;
         }
-        let new = || Life { incarnation, silence: ArrivalWindow::new(now, every), seen };
+        let new = || Life {
+            incarnation,
+            silence: ArrivalWindow::new(now, every),
+            seen,
+        };
         let life = self.lives.entry(member).or_insert_with(new);
         if life.incarnation != incarnation {
             *life = new();
@@ -116,12 +122,22 @@
     pub fn opinions(&mut self, now: u64, from: Voter, levels: Option<Levels>, returning: bool) {
         // Whoever claims to be a steward is kept no longer than it counts.
         self.peers.retain(|_, p| Self::is_fresh(now, p));
-        self.peers.insert(from, Peer { at: now, levels, returning });
+        self.peers.insert(
+            from,
+            Peer {
+                at: now,
+                levels,
+                returning,
+            },
+        );
     }
 
     /// How long ago each member was heard here.
     pub fn heard_ago(&self, now: u64) -> BTreeMap<MemberId, u64> {
-        self.lives.iter().map(|(id, l)| (*id, l.silence.since(now))).collect()
+        self.lives
+            .iter()
+            .map(|(id, l)| (*id, l.silence.since(now)))
+            .collect()
     }
 
     /// What this steward makes of each member's silence; none: it is deaf, or has not listened for long enough.
@@ -131,8 +147,15 @@
         }
         let mut levels = Levels::new();
         let (mut there, mut silent) = (0, 0);
-        for (id, m) in fleet.members.iter().filter(|(_, m)| !matches!(m.phase, Phase::Away { .. })) {
-            let life = self.lives.get(id).filter(|l| l.incarnation == m.about.incarnation);
+        for (id, m) in fleet
+            .members
+            .iter()
+            .filter(|(_, m)| !matches!(m.phase, Phase::Away { .. }))
+        {
+            let life = self
+                .lives
+                .get(id)
+                .filter(|l| l.incarnation == m.about.incarnation);
             let level = life.map_or(UNHEARD, |l| l.silence.level(now).min(UNHEARD));
             // Those that are lost tell nothing of whether this steward is deaf.
             if !matches!(m.phase, Phase::Lost { .. }) {
@@ -172,7 +195,11 @@
     /// Whether it is this steward's turn to propose what nobody asked for.
     pub fn leads(&self, now: u64, fleet: &Fleet) -> bool {
         let speaks = |v: &Voter| {
-            *v == self.me || self.peers.get(v).is_some_and(|p| !p.returning && Self::is_fresh(now, p))
+            *v == self.me
+                || self
+                    .peers
+                    .get(v)
+                    .is_some_and(|p| !p.returning && Self::is_fresh(now, p))
         };
         fleet.config.voters().into_iter().find(speaks) == Some(self.me)
     }
@@ -181,7 +208,11 @@
     pub fn late(&mut self, now: u64, fleet: &Fleet) -> Vec<(MemberId, u64)> {
         self.look(now, fleet);
         let mut late = Vec::new();
-        for (id, m) in fleet.members.iter().filter(|(_, m)| matches!(m.phase, Phase::Draining { .. })) {
+        for (id, m) in fleet
+            .members
+            .iter()
+            .filter(|(_, m)| matches!(m.phase, Phase::Draining { .. }))
+        {
             let waited = now - self.since[id].1;
             if waited > self.timeouts.drain_for && self.late.insert((*id, m.since)) {
                 late.push((*id, waited));
@@ -193,7 +224,8 @@
     /// Notes since when members are in their phases.
     fn look(&mut self, now: u64, fleet: &Fleet) {
         self.since.retain(|id, _| fleet.members.contains_key(id));
-        self.late.retain(|(id, since)| fleet.members.get(id).is_some_and(|m| m.since == *since));
+        self.late
+            .retain(|(id, since)| fleet.members.get(id).is_some_and(|m| m.since == *since));
         for (id, m) in &fleet.members {
             let entry = self.since.entry(*id).or_insert((m.since, now));
             if entry.0 != m.since {
@@ -214,31 +246,47 @@
             match &m.phase {
                 Phase::Away { .. } | Phase::Draining { .. } => {}
                 // Well below what it was lost for, so that it does not go back and forth.
-                Phase::Lost { .. } if level.is_some_and(|l| l < self.timeouts.suspect_level / 2.0) => {
-                    changes.push(Change::Heard { member, incarnation });
+                Phase::Lost { .. }
+                    if level.is_some_and(|l| l < self.timeouts.suspect_level / 2.0) =>
+                {
+                    changes.push(Change::Heard {
+                        member,
+                        incarnation,
+                    });
                 }
                 Phase::Lost { .. } => {}
-                _ if is_silent => changes.push(Change::Silent { member, incarnation }),
+                _ if is_silent => changes.push(Change::Silent {
+                    member,
+                    incarnation,
+                }),
                 Phase::Granted { grant } if waited > self.timeouts.grant_for => {
                     changes.push(Change::TakeBack { grant: *grant });
                 }
                 Phase::Starting { planned: true }
-                    if (1..waited).contains(&self.timeouts.prove_within) && fleet.halt.is_none() =>
+                    if (1..waited).contains(&self.timeouts.prove_within)
+                        && fleet.halt.is_none() =>
                 {
                     let why = format!("{id} came back and is not proven after {} ms", waited / 10);
                     let ends = "an operator's resume, once it is up, lost or forgotten".into();
-                    changes.push(Change::Halt { by: "the fleet".into(), why, ends });
+                    changes.push(Change::Halt {
+                        by: "the fleet".into(),
+                        why,
+                        ends,
+                    });
                 }
                 _ => {}
             }
         }
         if fleet.config.is_changing() {
             // That both sets hold it is known: it was agreed.
-            changes.push(Change::Settle { seen: fleet.config.clone() });
+            changes.push(Change::Settle {
+                seen: fleet.config.clone(),
+            });
         }
         // Grants wait until the losses that are known are counted.
         if changes.is_empty() && mine.is_some() {
-            let seen: BTreeMap<MemberId, Seen> = self.lives.iter().map(|(id, l)| (*id, l.seen)).collect();
+            let seen: BTreeMap<MemberId, Seen> =
+                self.lives.iter().map(|(id, l)| (*id, l.seen)).collect();
             let mut after = fleet.clone();
             while let Some(member) = next(&after, &seen) {
                 if after.apply(&Change::Grant { member }).is_err() {
--- a/crates/fleet/src/next.rs
+++ b/crates/fleet/src/next.rs
@@ -15,16 +15,26 @@
 }
 
 /// How much a member's going is to be avoided, worst first.
-fn weight(fleet: &Fleet, id: &MemberId, seen: Seen, place: usize) -> (bool, u32, u32, usize, u32, usize) {
+fn weight(
+    fleet: &Fleet,
+    id: &MemberId,
+    seen: Seen,
+    place: usize,
+) -> (bool, u32, u32, usize, u32, usize) {
     let m = &fleet.members[id];
     let beside = |same: &dyn Fn(&crate::fleet::Member) -> bool| {
-        fleet.out().filter(|(other, o)| other.kind == id.kind && same(o)).count() as u32
+        fleet
+            .out()
+            .filter(|(other, o)| other.kind == id.kind && same(o))
+            .count() as u32
     };
     let cell = beside(&|o| o.about.site == m.about.site && o.about.cell == m.about.cell);
     let site = beside(&|o| o.about.site == m.about.site);
     // Sites in turn: one that has given more waits for the others.
     let given = fleet.asks.values().flat_map(|a| &a.finished);
-    let given = given.filter(|f| f.kind == id.kind && site_of(fleet, f) == Some(&m.about.site)).count();
+    let given = given
+        .filter(|f| f.kind == id.kind && site_of(fleet, f) == Some(&m.about.site))
+        .count();
     // In tenths, so that what is nearly alike goes in the order in which it was asked for.
     let busy = (seen.busy.clamp(0.0, 10.0) * 10.0) as u32;
     (seen.last_copies > 0, cell, site, given, busy, place)
@@ -58,7 +68,9 @@
     let waiting = fleet.asks.values().flat_map(|a| &a.waiting);
     let mut why = None;
     for id in waiting {
-        let Some(m) = fleet.members.get(id) else { continue };
+        let Some(m) = fleet.members.get(id) else {
+            continue;
+        };
         if m.phase != Phase::Up {
             why = why.or_else(|| Some(format!("{id} is {}", m.phase.word())));
         } else if let Some(over) = bounds::against(fleet, id) {
@@ -81,7 +93,11 @@
 pub fn dry_run(fleet: &Fleet, members: &[MemberId]) -> Result<Vec<Batch>, crate::change::Refusal> {
     let mut fleet = fleet.clone();
     fleet.halt = None;
-    let ask = Change::Ask { id: "dry run".into(), members: members.to_vec(), by: "dry run".into() };
+    let ask = Change::Ask {
+        id: "dry run".into(),
+        members: members.to_vec(),
+        by: "dry run".into(),
+    };
     fleet.apply(&ask)?;
     let (mut batches, seen) = (Vec::new(), BTreeMap::new());
     loop {
@@ -97,13 +113,23 @@
         for id in &go {
             let incarnation = fleet.members[id].about.incarnation;
             let grant = fleet.members[id].phase.grant().unwrap_or(0);
-            fleet.apply(&Change::Begin { member: *id, incarnation, grant })?;
-            fleet.apply(&Change::Leave { member: *id, incarnation })?;
+            fleet.apply(&Change::Begin {
+                member: *id,
+                incarnation,
+                grant,
+            })?;
+            fleet.apply(&Change::Leave {
+                member: *id,
+                incarnation,
+            })?;
             let mut about = fleet.members[id].about.clone();
             about.incarnation = incarnation.wrapping_add(1).max(1);
             let incarnation = about.incarnation;
             fleet.apply(&Change::Join { member: *id, about })?;
-            fleet.apply(&Change::Proven { member: *id, incarnation })?;
+            fleet.apply(&Change::Proven {
+                member: *id,
+                incarnation,
+            })?;
         }
         batches.push(Batch { go, limit });
     }
--- a/crates/fleet/src/recovery.rs
+++ b/crates/fleet/src/recovery.rs
@@ -46,7 +46,13 @@
     /// `founding`: who holds a fleet of which nothing else is known.
     pub fn new(me: Voter, mine: Acceptor<V>, founding: Config) -> Self {
         let life = mine.life + 1;
-        Self { me, mine, founding, life, heard: BTreeMap::new() }
+        Self {
+            me,
+            mine,
+            founding,
+            life,
+            heard: BTreeMap::new(),
+        }
     }
 
     pub fn heard(&mut self, from: Voter, what: Heard<V>) {
@@ -70,20 +76,38 @@
     /// The latest config that anybody has accepted a value with.
     pub fn config(&self) -> Config {
         let all = self.heard.values().map(|h| &h.acceptor).chain([&self.mine]);
-        let latest = all.filter_map(|a| a.accepted.as_ref()).max_by_key(|a| a.ballot);
+        let latest = all
+            .filter_map(|a| a.accepted.as_ref())
+            .max_by_key(|a| a.ballot);
         latest.map_or_else(|| self.founding.clone(), |a| a.value.config().clone())
     }
 
     pub fn verdict(&self) -> Verdict {
         let config = self.config();
-        let known = self.heard.values().map(|h| h.writes_of_yours).max().unwrap_or(0);
+        let known = self
+            .heard
+            .values()
+            .map(|h| h.writes_of_yours)
+            .max()
+            .unwrap_or(0);
         let all: BTreeSet<Voter> = self.heard.keys().copied().collect();
-        let sure: BTreeSet<Voter> =
-            self.heard.iter().filter(|(_, h)| !h.returning).map(|(v, _)| *v).collect();
-        let everybody = config.voters().iter().all(|v| *v == self.me || all.contains(v));
+        let sure: BTreeSet<Voter> = self
+            .heard
+            .iter()
+            .filter(|(_, h)| !h.returning)
+            .map(|(v, _)| *v)
+            .collect();
+        let everybody = config
+            .voters()
+            .iter()
+            .all(|v| *v == self.me || all.contains(v));
         if !config.holds(self.me) {
             // As far as those know who answered, its vote counts nowhere; a majority of them would know better.
-            return if config.is_quorum(&all) { Verdict::Vote } else { Verdict::Wait };
+            return if config.is_quorum(&all) {
+                Verdict::Vote
+            } else {
+                Verdict::Wait
+            };
         }
         // With all that could have counted its votes heard since it started, it needs no disk of its own. With everybody
         // here and nobody sure, what a majority held is among what they all have.
@@ -91,7 +115,10 @@
             return Verdict::Vote;
         }
         if known > self.mine.writes {
-            return Verdict::OldDisk { mine: self.mine.writes, heard: known };
+            return Verdict::OldDisk {
+                mine: self.mine.writes,
+                heard: known,
+            };
         }
         if self.mine.writes == 0 {
             // Nothing tells a first start from one on an empty disk.
@@ -100,19 +127,31 @@
         // Its disk is as others knew it. With it they have to be able to decide, or its vote would be of no use.
         let mut with_me = all;
         with_me.insert(self.me);
-        if config.is_quorum(&with_me) { Verdict::Vote } else { Verdict::Wait }
+        if config.is_quorum(&with_me) {
+            Verdict::Vote
+        } else {
+            Verdict::Wait
+        }
     }
 
     /// What it holds from now on: no promise below anybody's, and the latest value that anybody has.
     pub fn adopt(self) -> Acceptor<V> {
         let mut mine = self.mine;
-        let known = self.heard.values().map(|h| h.writes_of_yours).max().unwrap_or(0);
+        let known = self
+            .heard
+            .values()
+            .map(|h| h.writes_of_yours)
+            .max()
+            .unwrap_or(0);
         mine.life = self.life;
         mine.writes += 1;
         for h in self.heard.into_values() {
             mine.lives.learn_all(&h.acceptor.lives);
             mine.promised = mine.promised.max(h.acceptor.promised);
-            let latest = mine.accepted.as_ref().map_or(Ballot::default(), |a| a.ballot);
+            let latest = mine
+                .accepted
+                .as_ref()
+                .map_or(Ballot::default(), |a| a.ballot);
             if let Some(a) = h.acceptor.accepted.filter(|a| a.ballot > latest) {
                 mine.accepted = Some(a);
             }
--- a/crates/fleet/src/register.rs
+++ b/crates/fleet/src/register.rs
@@ -25,7 +25,9 @@
 
 /// Rounds in their order. Two rounds never have the same: a proposer uses each number once, whatever it forgets (the
 /// shell draws `life` anew at each start).
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Ballot {
     pub number: u64,
     pub steward: u32,
@@ -35,7 +37,11 @@
 impl Ballot {
     /// The least of this proposer that is above another.
     pub fn above(other: Ballot, steward: u32, life: u64) -> Self {
-        Self { number: other.number + 1, steward, life }
+        Self {
+            number: other.number + 1,
+            steward,
+            life,
+        }
     }
 }
 
@@ -67,7 +73,10 @@
     /// Of a fleet that is being founded.
     pub fn founding(voters: BTreeSet<Voter>) -> Result<Self, Unfit> {
         Self::fits(&voters)?;
-        Ok(Self { now: voters, next: None })
+        Ok(Self {
+            now: voters,
+            next: None,
+        })
     }
 
     fn fits(voters: &BTreeSet<Voter>) -> Result<(), Unfit> {
@@ -86,14 +95,20 @@
             return Err(Unfit::UnderWay);
         }
         Self::fits(&next)?;
-        Ok(Self { now: self.now.clone(), next: Some(next) })
+        Ok(Self {
+            now: self.now.clone(),
+            next: Some(next),
+        })
     }
 
     /// The change is over. To be put only by whoever knows that a value with this very config is held by a quorum:
     /// before that, those who know the old set alone could go on without the new one.
     pub fn settled(&self) -> Result<Self, Unfit> {
         let next = self.next.clone().ok_or(Unfit::NotUnderWay)?;
-        Ok(Self { now: next, next: None })
+        Ok(Self {
+            now: next,
+            next: None,
+        })
     }
 
     pub fn is_changing(&self) -> bool {
@@ -105,7 +120,11 @@
     }
 
     pub fn voters(&self) -> BTreeSet<Voter> {
-        self.now.iter().chain(self.next.iter().flatten()).copied().collect()
+        self.now
+            .iter()
+            .chain(self.next.iter().flatten())
+            .copied()
+            .collect()
     }
 
     pub fn holds(&self, voter: Voter) -> bool {
@@ -119,7 +138,13 @@
         let sets = [Some(&self.now), self.next.as_ref()];
         let mut mine = sets.into_iter().flatten().filter(|set| set.contains(&away));
         // Those that did not answer are, with it, no majority.
-        mine.all(|set| set.iter().filter(|v| **v == away || !others.contains(v)).count() * 2 <= set.len())
+        mine.all(|set| {
+            set.iter()
+                .filter(|v| **v == away || !others.contains(v))
+                .count()
+                * 2
+                <= set.len()
+        })
     }
 }
 
@@ -197,14 +222,24 @@
 
 impl<V> Default for Acceptor<V> {
     fn default() -> Self {
-        Self { promised: Ballot::default(), accepted: None, writes: 0, life: 0, lives: Lives::default() }
+        Self {
+            promised: Ballot::default(),
+            accepted: None,
+            writes: 0,
+            life: 0,
+            lives: Lives::default(),
+        }
     }
 }
 
 impl<V: Value> Acceptor<V> {
     /// Goes with each vote.
     pub fn mark(&self, me: Voter) -> Mark {
-        Mark { from: me, life: self.life, lives: self.lives.clone() }
+        Mark {
+            from: me,
+            life: self.life,
+            lives: self.lives.clone(),
+        }
     }
 
     /// Another voter begins a life. Gives the latest that was known of it before.
@@ -260,7 +295,15 @@
     /// `config`: the latest that the proposer has seen in any value, or the founding one.
     pub fn new(ballot: Ballot, config: Config) -> Self {
         let (promised, accepted, lives) = Default::default();
-        Self { ballot, config, promised, latest: None, put: None, accepted, lives }
+        Self {
+            ballot,
+            config,
+            promised,
+            latest: None,
+            put: None,
+            accepted,
+            lives,
+        }
     }
 
     /// Whose promises are asked for; more when a promise shows other stewards.
@@ -291,7 +334,11 @@
 
     /// Those whose life has not ended since they spoke, as far as anybody who spoke knows.
     fn living(&self, spoke: &BTreeMap<Voter, u64>) -> BTreeSet<Voter> {
-        spoke.iter().filter(|(v, life)| **life >= self.lives.of(**v)).map(|(v, _)| *v).collect()
+        spoke
+            .iter()
+            .filter(|(v, life)| **life >= self.lives.of(**v))
+            .map(|(v, _)| *v)
+            .collect()
     }
 
     pub fn is_read(&self) -> bool {
@@ -300,14 +347,25 @@
 
     /// What a quorum holds, or may hold; none: nothing was ever put.
     pub fn read(&self) -> Option<&Accepted<V>> {
-        debug_assert!(self.is_read(), "nothing is read before a quorum has promised");
+        debug_assert!(
+            self.is_read(),
+            "nothing is read before a quorum has promised"
+        );
         self.latest.as_ref()
     }
 
     /// Says what is to stand in the place of what was read; gives who has to be asked to accept it.
     pub fn put(&mut self, value: V) -> BTreeSet<Voter> {
-        assert!(self.is_read() && self.put.is_none(), "one value, after a quorum has promised");
-        let to = self.config.voters().union(&value.config().voters()).copied().collect();
+        assert!(
+            self.is_read() && self.put.is_none(),
+            "one value, after a quorum has promised"
+        );
+        let to = self
+            .config
+            .voters()
+            .union(&value.config().voters())
+            .copied()
+            .collect();
         self.put = Some(value);
         to
     }
@@ -324,7 +382,10 @@
         self.hear(by);
         self.accepted.insert(by.from, by.life);
         let accepted = self.living(&self.accepted);
-        let put = self.put.as_ref().is_some_and(|put| put.config().is_quorum(&accepted));
+        let put = self
+            .put
+            .as_ref()
+            .is_some_and(|put| put.config().is_quorum(&accepted));
         // Whether what was read is still held by those who promised is part of it.
         put && self.config.is_quorum(&accepted) && self.is_read()
     }
--- a/crates/fleet/src/suspicion.rs
+++ b/crates/fleet/src/suspicion.rs
@@ -21,7 +21,12 @@
 
 impl ArrivalWindow {
     pub fn new(now: u64, promised: u64) -> Self {
-        Self { last: now, spans: VecDeque::new(), promised: promised as f64, deaf: false }
+        Self {
+            last: now,
+            spans: VecDeque::new(),
+            promised: promised as f64,
+            deaf: false,
+        }
     }
 
     pub fn heard(&mut self, now: u64) {
@@ -56,7 +61,11 @@
         // The logistic curve of the same spread.
         let x = y * std::f64::consts::PI / 3f64.sqrt();
         // log10(1 + e^x), without running over.
-        if x > 30.0 { x / std::f64::consts::LN_10 } else { x.exp().ln_1p() / std::f64::consts::LN_10 }
+        if x > 30.0 {
+            x / std::f64::consts::LN_10
+        } else {
+            x.exp().ln_1p() / std::f64::consts::LN_10
+        }
     }
 }
 
--- a/crates/fleet/tests/all/every_order.rs
+++ b/crates/fleet/tests/all/every_order.rs
@@ -54,7 +54,10 @@
             proven: None,
         });
         World {
-            acceptors: acceptors.into_iter().map(|a| (voter(a), Acceptor::default())).collect(),
+            acceptors: acceptors
+                .into_iter()
+                .map(|a| (voter(a), Acceptor::default()))
+                .collect(),
             proposers: proposers.collect(),
             sent: Vec::new(),
             seen: Vec::new(),
@@ -74,7 +77,12 @@
 
     /// Gives up whatever it did, as one does that is killed, and begins anew.
     fn begin(&mut self, p: usize) {
-        let highest = self.acceptors.values().map(|a| a.promised).max().unwrap_or_default();
+        let highest = self
+            .acceptors
+            .values()
+            .map(|a| a.promised)
+            .max()
+            .unwrap_or_default();
         let p = &mut self.proposers[p];
         let below = p.round.as_ref().map_or(highest, |r| r.ballot.max(highest));
         (p.rounds_left, p.tries) = (p.rounds_left - 1, p.tries + 1);
@@ -83,8 +91,13 @@
         let (asks, line) = (round.asks(), p.steward * 10 + p.tries);
         p.round = Some(round);
         let begun = self.steps;
-        self.seen.push(Seen { line, begun, told: None });
-        asks.into_iter().for_each(|to| self.send(Some(to), Message::Prepare(ballot)));
+        self.seen.push(Seen {
+            line,
+            begun,
+            told: None,
+        });
+        asks.into_iter()
+            .for_each(|to| self.send(Some(to), Message::Prepare(ballot)));
     }
 
     fn deliver(&mut self, at: usize) {
@@ -92,14 +105,25 @@
         match message {
             Message::Prepare(ballot) => {
                 let to = to.expect("prepares go to acceptors");
-                let told = self.acceptors.get_mut(&to).unwrap().prepare(ballot).map(|a| a.cloned());
+                let told = self
+                    .acceptors
+                    .get_mut(&to)
+                    .unwrap()
+                    .prepare(ballot)
+                    .map(|a| a.cloned());
                 if let Ok(accepted) = told {
                     self.send(None, Message::Promise(ballot, to, accepted));
                 }
             }
             Message::Accept(ballot, value) => {
                 let to = to.expect("accepts go to acceptors");
-                if self.acceptors.get_mut(&to).unwrap().accept(ballot, value).is_ok() {
+                if self
+                    .acceptors
+                    .get_mut(&to)
+                    .unwrap()
+                    .accept(ballot, value)
+                    .is_ok()
+                {
                     self.send(None, Message::Accepted(ballot, to));
                 }
             }
@@ -110,8 +134,10 @@
 
     fn promised(&mut self, ballot: Ballot, from: Voter, accepted: Option<Accepted<Lines>>) {
         let next = self.next.clone();
-        let Some(p) =
-            self.proposers.iter_mut().find(|p| p.round.as_ref().is_some_and(|r| r.ballot == ballot))
+        let Some(p) = self
+            .proposers
+            .iter_mut()
+            .find(|p| p.round.as_ref().is_some_and(|r| r.ballot == ballot))
         else {
             return;
         };
@@ -120,8 +146,13 @@
         let round = p.round.as_mut().unwrap();
         let before = round.asks();
         if round.promised(&mark(from), accepted) {
-            let mut value =
-                round.read().map_or(Lines { config: founding, lines: vec![] }, |a| a.value.clone());
+            let mut value = round.read().map_or(
+                Lines {
+                    config: founding,
+                    lines: vec![],
+                },
+                |a| a.value.clone(),
+            );
             value.lines.push(line);
             if value.config.is_changing() && proven.as_ref() == Some(&value.config) {
                 value.config = value.config.settled().unwrap();
@@ -131,17 +162,21 @@
                 value.config = value.config.changing_to(next).unwrap();
             }
             let to = round.put(value.clone());
-            to.into_iter().for_each(|to| self.send(Some(to), Message::Accept(ballot, value.clone())));
+            to.into_iter()
+                .for_each(|to| self.send(Some(to), Message::Accept(ballot, value.clone())));
         } else {
             let more: Vec<Voter> = round.asks().difference(&before).copied().collect();
-            more.into_iter().for_each(|to| self.send(Some(to), Message::Prepare(ballot)));
+            more.into_iter()
+                .for_each(|to| self.send(Some(to), Message::Prepare(ballot)));
         }
     }
 
     fn accepted(&mut self, ballot: Ballot, from: Voter) {
         let steps = self.steps;
-        let Some(p) =
-            self.proposers.iter_mut().find(|p| p.round.as_ref().is_some_and(|r| r.ballot == ballot))
+        let Some(p) = self
+            .proposers
+            .iter_mut()
+            .find(|p| p.round.as_ref().is_some_and(|r| r.ballot == ballot))
         else {
             return;
         };
@@ -157,10 +192,15 @@
     /// Whether a message that comes now, or again, changes nothing for good: worlds that differ in such alone are one.
     fn is_dead(&self, to: Option<Voter>, message: &Message) -> bool {
         let round = |ballot: &Ballot| {
-            self.proposers.iter().filter_map(|p| p.round.as_ref()).find(|r| r.ballot == *ballot)
+            self.proposers
+                .iter()
+                .filter_map(|p| p.round.as_ref())
+                .find(|r| r.ballot == *ballot)
         };
         match message {
-            Message::Prepare(b) => self.acceptors[&to.unwrap()].promised >= *b || round(b).is_none(),
+            Message::Prepare(b) => {
+                self.acceptors[&to.unwrap()].promised >= *b || round(b).is_none()
+            }
             Message::Accept(b, _) => {
                 let a = &self.acceptors[&to.unwrap()];
                 a.promised > *b || a.accepted.as_ref().is_some_and(|a| a.ballot == *b)
@@ -174,7 +214,10 @@
 
     fn bury(&mut self) {
         let sent = std::mem::take(&mut self.sent);
-        self.sent = sent.into_iter().filter(|(to, m)| !self.is_dead(*to, m)).collect();
+        self.sent = sent
+            .into_iter()
+            .filter(|(to, m)| !self.is_dead(*to, m))
+            .collect();
     }
 
     /// What could happen next, each as the world after it.
@@ -210,7 +253,11 @@
     /// All but the count of steps, and with what was told when, as that is what is judged.
     fn key(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
-        let order: Vec<_> = self.seen.iter().map(|s| (s.line, s.told.as_ref().map(|t| &t.1))).collect();
+        let order: Vec<_> = self
+            .seen
+            .iter()
+            .map(|s| (s.line, s.told.as_ref().map(|t| &t.1)))
+            .collect();
         let mut sent: Vec<u64> = self
             .sent
             .iter()
@@ -229,7 +276,15 @@
             .filter(|(a, b)| a.told.as_ref().is_some_and(|t| t.0 < b.begun))
             .map(|(a, b)| (a.line, b.line))
             .collect();
-        (&self.acceptors, &self.proposers, sent, order, before, self.forgets).hash(&mut hasher);
+        (
+            &self.acceptors,
+            &self.proposers,
+            sent,
+            order,
+            before,
+            self.forgets,
+        )
+            .hash(&mut hasher);
         hasher.finish()
     }
 }
@@ -248,7 +303,10 @@
             open.push(next);
         }
     }
-    assert!(known.len() < most, "more than {most} worlds: it is no small case any more");
+    assert!(
+        known.len() < most,
+        "more than {most} worlds: it is no small case any more"
+    );
     Ok(known.len())
 }
 
--- a/crates/fleet/tests/all/fence_orders.rs
+++ b/crates/fleet/tests/all/fence_orders.rs
@@ -91,7 +91,10 @@
 
 impl World {
     fn new(handovers: u8, restarts: u8, planted: Planted) -> Self {
-        let resource = || Resource { fence: Fence::started(lease(), 1, 0), older: BTreeSet::from([0]) };
+        let resource = || Resource {
+            fence: Fence::started(lease(), 1, 0),
+            older: BTreeSet::from([0]),
+        };
         let mut world = Self {
             granted: Vec::new(),
             holdings: [None, None],
@@ -113,7 +116,10 @@
         self.granted.push((member, epoch));
         self.sent.insert(Message::Granted { member, epoch });
         if self.planted == Planted::GivesAwayAlone {
-            self.sent.insert(Message::Granted { member: 1 - member, epoch });
+            self.sent.insert(Message::Granted {
+                member: 1 - member,
+                epoch,
+            });
         }
     }
 
@@ -129,7 +135,12 @@
         }
         for (n, resource) in self.resources.iter().enumerate() {
             if self.restarts_left > 0 {
-                for disk in resource.older.iter().copied().chain([resource.fence.durable()]) {
+                for disk in resource
+                    .older
+                    .iter()
+                    .copied()
+                    .chain([resource.fence.durable()])
+                {
                     let mut world = self.clone();
                     world.restarts_left -= 1;
                     let life = resource.fence.incarnation() + 1;
@@ -155,19 +166,46 @@
     fn deliver(&mut self, message: Message) {
         match message {
             Message::Granted { member, epoch } => self.heard(member, epoch),
-            Message::Seal { member, epoch, resource } => self.asked_to_seal(member, epoch, resource),
-            Message::Confirmed { member, epoch, resource, life } => {
+            Message::Seal {
+                member,
+                epoch,
+                resource,
+            } => self.asked_to_seal(member, epoch, resource),
+            Message::Confirmed {
+                member,
+                epoch,
+                resource,
+                life,
+            } => {
                 let fence = &self.resources[resource].fence;
                 if fence.incarnation() == life && fence.confirmed(epoch) == Ok(SealStep::Write) {
                     self.write(member, epoch, resource);
                 }
             }
-            Message::Sealed { member, epoch, resource, life } => {
-                let holding = self.holdings[member].as_mut().filter(|h| h.epoch() == epoch);
-                holding.into_iter().for_each(|h| h.sealed(RESOURCES[resource], life));
+            Message::Sealed {
+                member,
+                epoch,
+                resource,
+                life,
+            } => {
+                let holding = self.holdings[member]
+                    .as_mut()
+                    .filter(|h| h.epoch() == epoch);
+                holding
+                    .into_iter()
+                    .for_each(|h| h.sealed(RESOURCES[resource], life));
             }
-            Message::Effect { member, epoch, resource, life } => {
-                let token = Token { lease: lease(), epoch, incarnation: life };
+            Message::Effect {
+                member,
+                epoch,
+                resource,
+                life,
+            } => {
+                let token = Token {
+                    lease: lease(),
+                    epoch,
+                    incarnation: life,
+                };
                 let drops = self.planted == Planted::DropsTheEpoch;
                 if drops || self.resources[resource].fence.admit(&token).is_ok() {
                     self.last_accepted = self.last_accepted.max(Some((epoch, member)));
@@ -178,12 +216,19 @@
 
     /// A member hears that it holds the lease: it seals all.
     fn heard(&mut self, member: usize, epoch: Epoch) {
-        if self.holdings[member].as_ref().is_some_and(|h| h.epoch() >= epoch) {
+        if self.holdings[member]
+            .as_ref()
+            .is_some_and(|h| h.epoch() >= epoch)
+        {
             return;
         }
         self.holdings[member] = Some(Holding::granted(lease(), epoch, &resource_names()));
         for resource in 0..RESOURCES.len() {
-            self.sent.insert(Message::Seal { member, epoch, resource });
+            self.sent.insert(Message::Seal {
+                member,
+                epoch,
+                resource,
+            });
         }
     }
 
@@ -192,11 +237,21 @@
         let life = fence.incarnation();
         match fence.seal(epoch) {
             Ok(SealStep::Done) => {
-                self.sent.insert(Message::Sealed { member, epoch, resource, life });
+                self.sent.insert(Message::Sealed {
+                    member,
+                    epoch,
+                    resource,
+                    life,
+                });
             }
             Ok(SealStep::Confirm) if self.planted != Planted::BelievesItsDisk => {
                 if self.granted.last().is_some_and(|g| g.1 == epoch) {
-                    self.sent.insert(Message::Confirmed { member, epoch, resource, life });
+                    self.sent.insert(Message::Confirmed {
+                        member,
+                        epoch,
+                        resource,
+                        life,
+                    });
                 }
             }
             Ok(_) => self.write(member, epoch, resource),
@@ -209,29 +264,51 @@
         let life = of.fence.incarnation();
         of.older.insert(of.fence.durable());
         of.fence.written(epoch);
-        self.sent.insert(Message::Sealed { member, epoch, resource, life });
+        self.sent.insert(Message::Sealed {
+            member,
+            epoch,
+            resource,
+            life,
+        });
     }
 
     fn act(&mut self, member: usize) {
-        let Some(holding) = &self.holdings[member] else { return };
+        let Some(holding) = &self.holdings[member] else {
+            return;
+        };
         for (resource, name) in RESOURCES.iter().enumerate() {
             let mut token = holding.token(name);
-            if self.planted == Planted::ActsBeforeAllSeals && !holding.unsealed().any(|u| u == name) {
-                let mut alone =
-                    Holding::granted(lease(), holding.epoch(), &BTreeSet::from([(*name).to_owned()]));
+            if self.planted == Planted::ActsBeforeAllSeals && !holding.unsealed().any(|u| u == name)
+            {
+                let mut alone = Holding::granted(
+                    lease(),
+                    holding.epoch(),
+                    &BTreeSet::from([(*name).to_owned()]),
+                );
                 let sealed = self.sent.iter().find_map(|m| match m {
-                    Message::Sealed { member: of, epoch, resource: at, life }
-                        if (*of, *epoch, *at) == (member, holding.epoch(), resource) =>
-                    {
-                        Some(*life)
-                    }
+                    Message::Sealed {
+                        member: of,
+                        epoch,
+                        resource: at,
+                        life,
+                    } if (*of, *epoch, *at) == (member, holding.epoch(), resource) => Some(*life),
                     _ => None,
                 });
                 sealed.into_iter().for_each(|life| alone.sealed(name, life));
                 token = alone.token(name);
             }
-            if let Some(Token { epoch, incarnation: life, .. }) = token {
-                self.sent.insert(Message::Effect { member, epoch, resource, life });
+            if let Some(Token {
+                epoch,
+                incarnation: life,
+                ..
+            }) = token
+            {
+                self.sent.insert(Message::Effect {
+                    member,
+                    epoch,
+                    resource,
+                    life,
+                });
             }
         }
     }
@@ -245,12 +322,25 @@
 
 /// Whether an effect that is accepted now comes after one of a later grant, or of another holder of the same epoch.
 fn is_overlap(before: &World, message: &Message) -> bool {
-    let Message::Effect { member, epoch, resource, life } = message else { return false };
-    let token = Token { lease: lease(), epoch: *epoch, incarnation: *life };
+    let Message::Effect {
+        member,
+        epoch,
+        resource,
+        life,
+    } = message
+    else {
+        return false;
+    };
+    let token = Token {
+        lease: lease(),
+        epoch: *epoch,
+        incarnation: *life,
+    };
     let drops = before.planted == Planted::DropsTheEpoch;
     let accepted = drops || before.resources[*resource].fence.admit(&token).is_ok();
-    let earlier =
-        before.last_accepted.is_some_and(|(last, of)| *epoch < last || (*epoch == last && *member != of));
+    let earlier = before
+        .last_accepted
+        .is_some_and(|(last, of)| *epoch < last || (*epoch == last && *member != of));
     accepted && earlier
 }
 
@@ -259,7 +349,10 @@
     let (mut seen, mut open) = (BTreeSet::from([first.digest()]), vec![first]);
     while let Some(world) = open.pop() {
         if let Some(effect) = world.sent.iter().find(|m| is_overlap(&world, m)) {
-            return Err(format!("{effect:?} after {:?}, in {world:?}", world.last_accepted));
+            return Err(format!(
+                "{effect:?} after {:?}, in {world:?}",
+                world.last_accepted
+            ));
         }
         for next in world.next() {
             if seen.insert(next.digest()) {
@@ -285,8 +378,17 @@
 #[test]
 fn each_planted_fault_is_found() {
     use Planted::*;
-    let all = [ActsBeforeAllSeals, BelievesItsDisk, DropsTheEpoch, GivesAwayAlone, ReusesEpochs];
+    let all = [
+        ActsBeforeAllSeals,
+        BelievesItsDisk,
+        DropsTheEpoch,
+        GivesAwayAlone,
+        ReusesEpochs,
+    ];
     for planted in all {
-        assert!(explore(World::new(1, 1, planted)).is_err(), "{planted:?} was not found");
+        assert!(
+            explore(World::new(1, 1, planted)).is_err(),
+            "{planted:?} was not found"
+        );
     }
 }
--- a/crates/fleet/tests/all/many_orders.rs
+++ b/crates/fleet/tests/all/many_orders.rs
@@ -18,7 +18,12 @@
 
 enum Message {
     Prepare(Voter, usize, Ballot),
-    Promise(Mark, usize, Ballot, Option<saltdrum_fleet::register::Accepted<Lines>>),
+    Promise(
+        Mark,
+        usize,
+        Ballot,
+        Option<saltdrum_fleet::register::Accepted<Lines>>,
+    ),
     Accept(Voter, usize, Ballot, Lines),
     Accepted(Mark, usize, Ballot),
 }
@@ -53,10 +58,17 @@
 impl Play {
     fn new(seed: u64, planted: Planted) -> Self {
         let founding = Config::founding(voters([1, 2, 3])).unwrap();
-        let steward =
-            || Steward { acceptor: Acceptor::default(), copy: Acceptor::default(), returning: false };
-        let proposer =
-            || Proposer { config: founding.clone(), round: None, highest: Ballot::default(), proven: None };
+        let steward = || Steward {
+            acceptor: Acceptor::default(),
+            copy: Acceptor::default(),
+            returning: false,
+        };
+        let proposer = || Proposer {
+            config: founding.clone(),
+            round: None,
+            highest: Ballot::default(),
+            proven: None,
+        };
         Self {
             rng: fastrand::Rng::with_seed(seed),
             planted,
@@ -77,8 +89,13 @@
         let round = Round::new(ballot, proposer.config.clone());
         let asks = round.asks();
         proposer.round = Some((round, line));
-        self.seen.push(Seen { line, begun: self.step, told: None });
-        self.messages.extend(asks.into_iter().map(|v| Message::Prepare(v, p, ballot)));
+        self.seen.push(Seen {
+            line,
+            begun: self.step,
+            told: None,
+        });
+        self.messages
+            .extend(asks.into_iter().map(|v| Message::Prepare(v, p, ballot)));
     }
 
     fn deliver(&mut self, message: Message) {
@@ -92,7 +109,8 @@
                     Ok(accepted) => {
                         let accepted = accepted.cloned();
                         let mark = steward.acceptor.mark(v);
-                        self.messages.push(Message::Promise(mark, p, ballot, accepted));
+                        self.messages
+                            .push(Message::Promise(mark, p, ballot, accepted));
                     }
                     Err(by) => self.proposers[p].highest = self.proposers[p].highest.max(by),
                 }
@@ -100,21 +118,28 @@
             Message::Accept(v, p, ballot, value) => {
                 let steward = self.stewards.get_mut(&v).unwrap();
                 if !steward.returning && steward.acceptor.accept(ballot, value).is_ok() {
-                    self.messages.push(Message::Accepted(steward.acceptor.mark(v), p, ballot));
+                    self.messages
+                        .push(Message::Accepted(steward.acceptor.mark(v), p, ballot));
                 }
             }
             Message::Promise(v, p, ballot, accepted) => {
-                let Some((round, line)) = &mut self.proposers[p].round else { return };
+                let Some((round, line)) = &mut self.proposers[p].round else {
+                    return;
+                };
                 if round.ballot != ballot || round.value().is_some() {
                     return;
                 }
                 let before = round.asks();
                 if !round.promised(&v, accepted) {
                     let more: Vec<Voter> = round.asks().difference(&before).copied().collect();
-                    self.messages.extend(more.into_iter().map(|v| Message::Prepare(v, p, ballot)));
+                    self.messages
+                        .extend(more.into_iter().map(|v| Message::Prepare(v, p, ballot)));
                     return;
                 }
-                let none = || Lines { config: self.founding.clone(), lines: Vec::new() };
+                let none = || Lines {
+                    config: self.founding.clone(),
+                    lines: Vec::new(),
+                };
                 let mut value = round.read().map_or_else(none, |a| a.value.clone());
                 value.lines.push(*line);
                 if value.config.is_changing() {
@@ -126,11 +151,21 @@
                     let next = voters(SETS[self.rng.usize(..SETS.len())].iter().copied());
                     value.config = value.config.changing_to(next).unwrap();
                 }
-                let to = self.proposers[p].round.as_mut().unwrap().0.put(value.clone());
-                self.messages.extend(to.into_iter().map(|v| Message::Accept(v, p, ballot, value.clone())));
+                let to = self.proposers[p]
+                    .round
+                    .as_mut()
+                    .unwrap()
+                    .0
+                    .put(value.clone());
+                self.messages.extend(
+                    to.into_iter()
+                        .map(|v| Message::Accept(v, p, ballot, value.clone())),
+                );
             }
             Message::Accepted(v, p, ballot) => {
-                let Some((round, line)) = &mut self.proposers[p].round else { return };
+                let Some((round, line)) = &mut self.proposers[p].round else {
+                    return;
+                };
                 if round.ballot == ballot && round.accepted(&v) {
                     let (value, line) = (round.value().unwrap().clone(), *line);
                     let proposer = &mut self.proposers[p];
@@ -153,14 +188,16 @@
         }
         steward.returning = self.planted != Planted::Forgetful;
         // What was on its way to the old process is gone.
-        self.messages
-            .retain(|m| !matches!(m, Message::Prepare(to, ..) | Message::Accept(to, ..) if *to == v));
+        self.messages.retain(
+            |m| !matches!(m, Message::Prepare(to, ..) | Message::Accept(to, ..) if *to == v),
+        );
     }
 
     fn ask_back(&mut self, v: Voter) {
         let mine = self.stewards[&v].acceptor.clone();
         // Nothing is known of how often it wrote: the others' own state alone has to do.
-        let mut returning = Returning::new(v, Acceptor { writes: 0, ..mine }, self.founding.clone());
+        let mut returning =
+            Returning::new(v, Acceptor { writes: 0, ..mine }, self.founding.clone());
         // What is asked and answered may be lost; a second time finds the life known already, and takes the next.
         for _ in 0..3 {
             for (other, s) in self.stewards.iter_mut().filter(|(other, _)| **other != v) {
@@ -170,7 +207,12 @@
                 let life_before = s.acceptor.life_begins(v, returning.life());
                 let acceptor = s.acceptor.clone();
                 if self.rng.u8(..6) > 0 {
-                    let heard = Heard { returning: s.returning, acceptor, life_before, writes_of_yours: 0 };
+                    let heard = Heard {
+                        returning: s.returning,
+                        acceptor,
+                        life_before,
+                        writes_of_yours: 0,
+                    };
                     returning.heard(*other, heard);
                 }
             }
@@ -226,7 +268,9 @@
 fn first_wrong(planted: Planted, seeds: u64) -> Result<usize, String> {
     let mut told = 0;
     for seed in 0..seeds {
-        told += Play::new(seed, planted).play(1_500).map_err(|why| format!("seed {seed}: {why}"))?;
+        told += Play::new(seed, planted)
+            .play(1_500)
+            .map_err(|why| format!("seed {seed}: {why}"))?;
     }
     Ok(told)
 }
--- a/crates/fleet/tests/all/monitor.rs
+++ b/crates/fleet/tests/all/monitor.rs
@@ -10,7 +10,13 @@
 const EVERY: u64 = 1_000;
 
 fn timeouts() -> Timeouts {
-    Timeouts { renew: EVERY, suspect_level: 8.0, grant_for: 20_000, drain_for: 50_000, prove_within: 30_000 }
+    Timeouts {
+        renew: EVERY,
+        suspect_level: 8.0,
+        grant_for: 20_000,
+        drain_for: 50_000,
+        prove_within: 30_000,
+    }
 }
 
 /// Steward 1 beside two others, whose opinions are given; members renew with it but for those in `silent`.
@@ -49,7 +55,8 @@
                 }
             }
             for other in [2, 3] {
-                self.monitor.opinions(self.now, voter(other), others(&self.fleet), false);
+                self.monitor
+                    .opinions(self.now, voter(other), others(&self.fleet), false);
             }
         }
     }
@@ -72,7 +79,10 @@
 }
 
 fn silent(number: u32) -> Change {
-    Change::Silent { member: MemberId::invoker(number), incarnation: 1 }
+    Change::Silent {
+        member: MemberId::invoker(number),
+        incarnation: 1,
+    }
 }
 
 #[test]
@@ -86,7 +96,13 @@
     assert_eq!(play.owed(), [], "still silent by all");
     // The others hear it again; this one never does.
     play.on(3, &[3], nobody);
-    assert_eq!(play.owed(), [Change::Heard { member: MemberId::invoker(3), incarnation: 1 }]);
+    assert_eq!(
+        play.owed(),
+        [Change::Heard {
+            member: MemberId::invoker(3),
+            incarnation: 1
+        }]
+    );
     let mut deaf = Play::new(5);
     deaf.on(20, &[3], |_| None);
     assert_eq!(deaf.owed(), [], "two that do not know are no majority");
@@ -109,14 +125,25 @@
     let before = play.monitor.levels(play.now + 900, &play.fleet);
     play.now += 60_000;
     assert_eq!(play.monitor.turn(play.now), Some(60_000));
-    assert_eq!(play.monitor.levels(play.now, &play.fleet), None, "it has not listened yet");
+    assert_eq!(
+        play.monitor.levels(play.now, &play.fleet),
+        None,
+        "it has not listened yet"
+    );
     assert!(
         play.monitor.leads(play.now, &play.fleet),
         "whom it heard before it slept is not known to be there"
     );
     play.on(3, &[], nobody);
-    assert_eq!(play.monitor.levels(play.now, &play.fleet), Some(Levels::new()));
-    assert_eq!(play.monitor.levels(play.now + 900, &play.fleet), before, "as unusual as it was before");
+    assert_eq!(
+        play.monitor.levels(play.now, &play.fleet),
+        Some(Levels::new())
+    );
+    assert_eq!(
+        play.monitor.levels(play.now + 900, &play.fleet),
+        before,
+        "as unusual as it was before"
+    );
     play.on(20, &[2], suspect(2));
     assert_eq!(play.owed(), [silent(2)], "it can accuse again");
 }
@@ -131,17 +158,30 @@
     assert_eq!(play.owed(), []);
     play.on(21, &[], nobody);
     assert_eq!(play.owed(), [Change::TakeBack { grant: 1 }]);
-    play.make(&Change::Begin { member, incarnation: 1, grant: 1 });
+    play.make(&Change::Begin {
+        member,
+        incarnation: 1,
+        grant: 1,
+    });
     assert_eq!(play.monitor.late(play.now, &play.fleet), []);
     play.on(51, &[], nobody);
     assert_eq!(play.monitor.late(play.now, &play.fleet), [(member, 51_000)]);
     assert_eq!(play.monitor.late(play.now, &play.fleet), [], "told once");
-    play.make(&Change::Leave { member, incarnation: 1 });
-    play.make(&Change::Join { member, about: about(2, 1) });
+    play.make(&Change::Leave {
+        member,
+        incarnation: 1,
+    });
+    play.make(&Change::Join {
+        member,
+        about: about(2, 1),
+    });
     assert_eq!(play.owed(), []);
     play.on(31, &[], nobody);
     let halt = play.owed();
-    assert!(matches!(&halt[..], [Change::Halt { why, .. }] if why.contains("invoker-1")), "{halt:?}");
+    assert!(
+        matches!(&halt[..], [Change::Halt { why, .. }] if why.contains("invoker-1")),
+        "{halt:?}"
+    );
 }
 
 #[test]
@@ -153,5 +193,8 @@
     assert!(monitor.leads(0, &fleet), "it returns");
     monitor.opinions(0, voter(1), None, false);
     assert!(!monitor.leads(0, &fleet));
-    assert!(monitor.leads(20_000, &fleet), "it has said nothing for long");
+    assert!(
+        monitor.leads(20_000, &fleet),
+        "it has said nothing for long"
+    );
 }
--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -28,7 +28,11 @@
 impl Difference {
     /// Of pairs (variant, base). Pairs of which one is not a number are left out.
     pub fn of(pairs: &[(f64, f64)]) -> Option<Self> {
-        let all: Vec<f64> = pairs.iter().map(|(a, b)| a - b).filter(|d| d.is_finite()).collect();
+        let all: Vec<f64> = pairs
+            .iter()
+            .map(|(a, b)| a - b)
+            .filter(|d| d.is_finite())
+            .collect();
         if all.is_empty() {
             return None;
         }
@@ -36,7 +40,9 @@
         let mean = all.iter().sum::<f64>() / n;
         let interval = (all.len() > 1).then(|| {
             let variance = all.iter().map(|d| (d - mean).powi(2)).sum::<f64>() / (n - 1.0);
-            let t = StudentsT::new(0.0, 1.0, n - 1.0).expect("one degree at least").inverse_cdf(0.975);
+            let t = StudentsT::new(0.0, 1.0, n - 1.0)
+                .expect("one degree at least")
+                .inverse_cdf(0.975);
             let half = t * (variance / n).sqrt();
             (mean - half, mean + half)
         });
@@ -67,9 +73,13 @@
     #[test]
     fn the_interval_is_the_textbooks() {
         // Differences 1, 2, 3, 4, 5: mean 3, t(4, 0.975) = 2.776, half width 2.776 * sqrt(2.5 / 5) = 1.963.
-        let d = Difference::of(&[(1.0, 0.0), (3.0, 1.0), (5.0, 2.0), (7.0, 3.0), (9.0, 4.0)]).unwrap();
+        let d =
+            Difference::of(&[(1.0, 0.0), (3.0, 1.0), (5.0, 2.0), (7.0, 3.0), (9.0, 4.0)]).unwrap();
         let (low, high) = d.interval.unwrap();
-        assert!((low - 1.037).abs() < 1e-3 && (high - 4.963).abs() < 1e-3, "{low} {high}");
+        assert!(
+            (low - 1.037).abs() < 1e-3 && (high - 4.963).abs() < 1e-3,
+            "{low} {high}"
+        );
         assert_eq!((d.word(), d.higher, d.pairs), (Word::Higher, 5, 5));
     }
 
@@ -77,9 +87,18 @@
     fn nothing_is_said_of_what_cannot_be_told() {
         assert_eq!(Difference::of(&[]), None);
         assert_eq!(Difference::of(&[(f64::NAN, 1.0)]), None);
-        assert_eq!(Difference::of(&[(2.0, 1.0)]).unwrap().word(), Word::CannotTell);
-        assert_eq!(Difference::of(&[(1.0, 1.0), (1.0, 1.0)]).unwrap().word(), Word::Same);
-        assert_eq!(Difference::of(&[(2.0, 1.0), (1.0, 2.0)]).unwrap().word(), Word::CannotTell);
+        assert_eq!(
+            Difference::of(&[(2.0, 1.0)]).unwrap().word(),
+            Word::CannotTell
+        );
+        assert_eq!(
+            Difference::of(&[(1.0, 1.0), (1.0, 1.0)]).unwrap().word(),
+            Word::Same
+        );
+        assert_eq!(
+            Difference::of(&[(2.0, 1.0), (1.0, 2.0)]).unwrap().word(),
+            Word::CannotTell
+        );
     }
 
     /// Of 400 comparisons of a thing with itself about one in twenty looks like a difference, and not more.
@@ -89,9 +108,13 @@
         let mut noise = || (0..12).map(|_| rng.f64()).sum::<f64>();
         let seen = |shift: f64, noise: &mut dyn FnMut() -> f64| {
             let pairs = |noise: &mut dyn FnMut() -> f64| {
-                (0..8).map(|_| (noise() + shift, noise())).collect::<Vec<_>>()
+                (0..8)
+                    .map(|_| (noise() + shift, noise()))
+                    .collect::<Vec<_>>()
             };
-            (0..400).filter(|_| Difference::of(&pairs(noise)).unwrap().word() != Word::CannotTell).count()
+            (0..400)
+                .filter(|_| Difference::of(&pairs(noise)).unwrap().word() != Word::CannotTell)
+                .count()
         };
         let (same, shifted) = (seen(0.0, &mut noise), seen(4.0, &mut noise));
         assert!((8..=34).contains(&same), "{same} of 400");
--- a/crates/lab/src/draw.rs
+++ b/crates/lab/src/draw.rs
@@ -47,14 +47,20 @@
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x6a75);
     let mut script = base.clone().seeded(seed);
     script.statements.retain(|s| s.what != "trouble");
-    let (invokers, controllers) = (day.terms.invokers.len() as u32, day.terms.deployment.controllers);
+    let (invokers, controllers) = (
+        day.terms.invokers.len() as u32,
+        day.terms.deployment.controllers,
+    );
     let ms = |tenths: u64| json!(format!("{}ms", tenths / 10));
     for _ in 0..rng.usize(1..=6) {
         let (name, arguments) = KINDS[rng.usize(..KINDS.len())];
         let mut said = Map::new();
         said.insert("name".into(), json!(name));
         said.insert("at".into(), ms(rng.u64(0..day.length.max(1) * 8 / 10)));
-        said.insert("lasts".into(), ms(rng.u64(SECOND / 5..=(day.length / 4).max(SECOND))));
+        said.insert(
+            "lasts".into(),
+            ms(rng.u64(SECOND / 5..=(day.length / 4).max(SECOND))),
+        );
         for argument in arguments {
             let value = match *argument {
                 "invokers" => some_of(invokers, &mut rng),
@@ -71,7 +77,11 @@
             };
             said.insert((*argument).to_owned(), value);
         }
-        script.statements.push(Statement { what: "trouble", said, place: Place::default() });
+        script.statements.push(Statement {
+            what: "trouble",
+            said,
+            place: Place::default(),
+        });
     }
     script
 }
@@ -90,7 +100,9 @@
         for seed in 0..300 {
             let drawn = troubled(&base, &day, seed);
             assert_eq!(drawn.text(), troubled(&base, &day, seed).text());
-            let day = drawn.day().unwrap_or_else(|e| panic!("{e}\n{}", drawn.text()));
+            let day = drawn
+                .day()
+                .unwrap_or_else(|e| panic!("{e}\n{}", drawn.text()));
             seen.extend(day.troubles.iter().map(|t| t.name));
         }
         assert_eq!(seen.len(), KINDS.len(), "{seen:?}");
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -82,21 +82,37 @@
     /// Reads a script. Days are names of days that come with the program, or files beside `file`.
     pub fn load(file: &Path, text: &str) -> Result<Self, Fault> {
         let name = file.display().to_string();
-        let nowhere =
-            |why: &str| Fault { place: script::Place { file: name.clone(), line: 1 }, why: why.into() };
+        let nowhere = |why: &str| Fault {
+            place: script::Place {
+                file: name.clone(),
+                line: 1,
+            },
+            why: why.into(),
+        };
         let statements = script::run(&name, text)?;
-        if let Some(other) = statements.iter().find(|s| !matches!(s.what, "experiment" | "variant")) {
-            return Err(other.fault("belongs to a day; experiment(...) and variant(...) are expected here"));
+        if let Some(other) = statements
+            .iter()
+            .find(|s| !matches!(s.what, "experiment" | "variant"))
+        {
+            return Err(
+                other.fault("belongs to a day; experiment(...) and variant(...) are expected here")
+            );
         }
         let mut stated = statements.iter().filter(|s| s.what == "experiment");
-        let first = stated.next().ok_or_else(|| nowhere("no experiment(...) is stated"))?;
+        let first = stated
+            .next()
+            .ok_or_else(|| nowhere("no experiment(...) is stated"))?;
         if let Some(second) = stated.next() {
             return Err(second.fault("stated a second time"));
         }
         let said: SaidExperiment = first.read()?;
-        if said.days.is_empty() || said.seeds == 0 || said.sizes.iter().any(|s| !(0.1..=1_000.0).contains(s))
+        if said.days.is_empty()
+            || said.seeds == 0
+            || said.sizes.iter().any(|s| !(0.1..=1_000.0).contains(s))
         {
-            return Err(first.fault("days, at least one seed and sizes of 0.1 to 1000 are expected"));
+            return Err(
+                first.fault("days, at least one seed and sizes of 0.1 to 1000 are expected")
+            );
         }
         let mut days = Vec::new();
         for day in &said.days {
@@ -104,8 +120,9 @@
                 Some((name, text)) => (format!("{name}.star"), (*text).to_owned()),
                 None => {
                     let path = file.parent().unwrap_or(Path::new(".")).join(day);
-                    let text = std::fs::read_to_string(&path)
-                        .map_err(|e| first.fault(format!("day '{day}': {}: {e}", path.display())))?;
+                    let text = std::fs::read_to_string(&path).map_err(|e| {
+                        first.fault(format!("day '{day}': {}: {e}", path.display()))
+                    })?;
                     (path.display().to_string(), text)
                 }
             };
@@ -143,7 +160,12 @@
             .into_iter()
             .filter(|(_, change)| !change.is_empty())
             .collect();
-            let variant = Variant { name: said.name, policy: said.policy, program: said.program, changes };
+            let variant = Variant {
+                name: said.name,
+                policy: said.policy,
+                program: said.program,
+                changes,
+            };
             // What does not load must not be found out after an hour of other runs.
             for (_, script) in &days {
                 variant
@@ -157,24 +179,43 @@
             return Err(nowhere("no variant(...) is stated"));
         }
         let seeds = (said.first_seed..said.first_seed + said.seeds).collect();
-        Ok(Self { name: said.name, days, seeds, sizes: said.sizes, variants })
+        Ok(Self {
+            name: said.name,
+            days,
+            seeds,
+            sizes: said.sizes,
+            variants,
+        })
     }
 
     pub fn cells(&self) -> Vec<Cell> {
-        cells(self.sizes.len(), self.days.len(), self.seeds.len(), self.variants.len())
+        cells(
+            self.sizes.len(),
+            self.days.len(),
+            self.seeds.len(),
+            self.variants.len(),
+        )
     }
 
     /// The script that a run plays.
     pub fn script(&self, cell: Cell) -> Script {
         let (size, (_, script)) = (self.sizes[cell.size], &self.days[cell.day]);
-        let scaled = if size == 1.0 { script.clone() } else { script.clone().scaled(size) };
-        self.variants[cell.variant].of(scaled).seeded(self.seeds[cell.seed])
+        let scaled = if size == 1.0 {
+            script.clone()
+        } else {
+            script.clone().scaled(size)
+        };
+        self.variants[cell.variant]
+            .of(scaled)
+            .seeded(self.seeds[cell.seed])
     }
 }
 
 impl Variant {
     fn of(&self, script: Script) -> Script {
-        self.changes.iter().fold(script, |script, (what, said)| script.with(what, said))
+        self.changes
+            .iter()
+            .fold(script, |script, (what, said)| script.with(what, said))
     }
 }
 
@@ -195,9 +236,22 @@
         .unwrap();
         assert_eq!(x.cells().len(), 2 * 2 * 3 * 2);
         for pair in x.cells().chunks(2) {
-            let (a, b) = (x.script(pair[0]).day().unwrap(), x.script(pair[1]).day().unwrap());
-            assert_eq!((b.retries, b.terms.deployment.dispatch_limit, a.seed == b.seed), (4, 2, true));
-            assert_eq!(saltdrum_day::traffic::draw(&a), saltdrum_day::traffic::draw(&b));
+            let (a, b) = (
+                x.script(pair[0]).day().unwrap(),
+                x.script(pair[1]).day().unwrap(),
+            );
+            assert_eq!(
+                (
+                    b.retries,
+                    b.terms.deployment.dispatch_limit,
+                    a.seed == b.seed
+                ),
+                (4, 2, true)
+            );
+            assert_eq!(
+                saltdrum_day::traffic::draw(&a),
+                saltdrum_day::traffic::draw(&b)
+            );
         }
     }
 
@@ -205,8 +259,14 @@
     fn what_is_wrong_is_said_with_its_line() {
         let cases = [
             ("variant('a')", "x.star:1: no experiment(...) is stated"),
-            ("experiment('x', days = ['bad-day'])", "x.star:1: no variant(...) is stated"),
-            ("experiment('x', days = ['none.star'])\nvariant('a')", "x.star:1: experiment: day 'none.star'"),
+            (
+                "experiment('x', days = ['bad-day'])",
+                "x.star:1: no variant(...) is stated",
+            ),
+            (
+                "experiment('x', days = ['none.star'])\nvariant('a')",
+                "x.star:1: experiment: day 'none.star'",
+            ),
             (
                 "experiment('x', days = ['bad-day'])\nvariant('a', policy = 'luck')",
                 "x.star:2: variant: policy 'luck'",
@@ -219,7 +279,10 @@
                 "experiment('x', days = ['bad-day'])\nvariant('a')\nvariant('a')",
                 "x.star:3: variant: 'a' is stated",
             ),
-            ("experiment('x', days = ['bad-day'])\nmachine('a')", "x.star:2: machine: belongs to a day"),
+            (
+                "experiment('x', days = ['bad-day'])\nmachine('a')",
+                "x.star:2: machine: belongs to a day",
+            ),
         ];
         for (text, want) in cases {
             let told = load(text).unwrap_err();
--- a/crates/lab/src/facts.rs
+++ b/crates/lab/src/facts.rs
@@ -107,15 +107,27 @@
     let digest = blake3::hash(&bytes).to_hex().to_string();
     let (mut objective, mut all) = (BTreeMap::new(), BTreeMap::<u64, Row>::new());
     let mut invokers = BTreeMap::<u32, Invoker>::new();
-    let first =
-        lines.iter().find_map(|l| if let Line::Sent { at, .. } = l { Some(*at) } else { None }).unwrap_or(0);
+    let first = lines
+        .iter()
+        .find_map(|l| {
+            if let Line::Sent { at, .. } = l {
+                Some(*at)
+            } else {
+                None
+            }
+        })
+        .unwrap_or(0);
     let seconds = |at: Tenths| (at as f64 - first as f64) / (1_000.0 * MILLI as f64);
     let mut troubles = Vec::new();
     let mut hung_up = std::collections::BTreeSet::new();
     for line in lines {
         match line {
             Line::Stated(s) => {
-                objective = s.triggers.iter().map(|t| (t.name.clone(), t.objective)).collect();
+                objective = s
+                    .triggers
+                    .iter()
+                    .map(|t| (t.name.clone(), t.objective))
+                    .collect();
                 let none = |p: &saltdrum_standin::record::Place| Invoker {
                     invoker: p.invoker,
                     dispatches: 0,
@@ -123,10 +135,24 @@
                 };
                 invokers = s.places.iter().map(|p| (p.invoker, none(p))).collect();
             }
-            Line::Sent { at, of, tenant, trigger, function, .. } => {
+            Line::Sent {
+                at,
+                of,
+                tenant,
+                trigger,
+                function,
+                ..
+            } => {
                 let row = all.entry(of.n).or_insert_with(|| {
-                    let (tenant, trigger, function) = (tenant.clone(), trigger.clone(), function.clone());
-                    Row { at: *at, tenant, trigger, function, ..Default::default() }
+                    let (tenant, trigger, function) =
+                        (tenant.clone(), trigger.clone(), function.clone());
+                    Row {
+                        at: *at,
+                        tenant,
+                        trigger,
+                        function,
+                        ..Default::default()
+                    }
                 });
                 (row.took, row.tries) = (None, of.attempt + 1);
                 row.how = "lost".into();
@@ -146,10 +172,14 @@
                     row.invoker = *invoker;
                 }
             }
-            Line::Fetched { invoker, .. } => drop(invokers.entry(*invoker).and_modify(|i| i.fetches += 1)),
-            Line::Trouble { at, until, text } => {
-                troubles.push(Struck { from_s: seconds(*at), to_s: seconds(*until), what: text.clone() })
+            Line::Fetched { invoker, .. } => {
+                drop(invokers.entry(*invoker).and_modify(|i| i.fetches += 1))
             }
+            Line::Trouble { at, until, text } => troubles.push(Struck {
+                from_s: seconds(*at),
+                to_s: seconds(*until),
+                what: text.clone(),
+            }),
             _ => {}
         }
     }
@@ -170,13 +200,24 @@
     let counted = rows.iter().filter(|r| r.how != "hung up").count().max(1) as f64;
     let share = |how: &str| rows.iter().filter(|r| r.how == how).count() as f64 / counted;
     let mut latencies = saltdrum_load::Latencies::default();
-    rows.iter().filter(|r| r.how == "succeeded").filter_map(|r| r.took).for_each(|t| latencies.add(t));
+    rows.iter()
+        .filter(|r| r.how == "succeeded")
+        .filter_map(|r| r.took)
+        .for_each(|t| latencies.add(t));
     let invokers: Vec<Invoker> = invokers.into_values().collect();
-    let mean = invokers.iter().map(|i| i.dispatches).sum::<u64>() as f64 / invokers.len().max(1) as f64;
+    let mean =
+        invokers.iter().map(|i| i.dispatches).sum::<u64>() as f64 / invokers.len().max(1) as f64;
     let busiest = invokers.iter().map(|i| i.dispatches).max().unwrap_or(0) as f64 / mean;
-    let store = summary.layers.as_ref().map_or(summary.tries.fetches as f64, |l| l.store_requests as f64);
+    let store = summary
+        .layers
+        .as_ref()
+        .map_or(summary.tries.fetches as f64, |l| l.store_requests as f64);
     let rules = summary.rules.iter().map(|v| {
-        let found = v.broken.first().or(v.cannot_tell.first()).map_or(String::new(), |f| f.text.clone());
+        let found = v
+            .broken
+            .first()
+            .or(v.cannot_tell.first())
+            .map_or(String::new(), |f| f.text.clone());
         (v.rule, format!("{:?}", v.state).to_lowercase(), found)
     });
     let figures = [
@@ -188,21 +229,66 @@
         ("errored", share("errored")),
         ("dispatches", summary.tries.dispatches as f64 / counted),
         ("store", store),
-        ("load_p99_ms", if summary.loads.ended_well > 0 { summary.loads.p99_ms } else { f64::NAN }),
+        (
+            "load_p99_ms",
+            if summary.loads.ended_well > 0 {
+                summary.loads.p99_ms
+            } else {
+                f64::NAN
+            },
+        ),
         ("busiest", busiest),
-        ("broken", summary.rules.iter().filter(|v| v.state == State::Broken).count() as f64),
-        ("unsound", summary.layers.as_ref().map_or(f64::NAN, |l| l.unsound as f64)),
-        ("mixed", summary.passages.as_ref().map_or(f64::NAN, |p| p.2.len() as f64)),
+        (
+            "broken",
+            summary
+                .rules
+                .iter()
+                .filter(|v| v.state == State::Broken)
+                .count() as f64,
+        ),
+        (
+            "unsound",
+            summary
+                .layers
+                .as_ref()
+                .map_or(f64::NAN, |l| l.unsound as f64),
+        ),
+        (
+            "mixed",
+            summary
+                .passages
+                .as_ref()
+                .map_or(f64::NAN, |p| p.2.len() as f64),
+        ),
         ("cpu_us", cost.map_or(f64::NAN, |c| c.all_s * 1e6 / counted)),
-        ("controllers_us", cost.map_or(f64::NAN, |c| c.controllers_s * 1e6 / counted)),
+        (
+            "controllers_us",
+            cost.map_or(f64::NAN, |c| c.controllers_s * 1e6 / counted),
+        ),
     ];
-    let measures = figures.into_iter().map(|(k, v)| (k.to_owned(), v.is_finite().then_some(v))).collect();
-    Ok((rows, Facts { measures, invokers, troubles, slow, rules: rules.collect(), digest }))
+    let measures = figures
+        .into_iter()
+        .map(|(k, v)| (k.to_owned(), v.is_finite().then_some(v)))
+        .collect();
+    Ok((
+        rows,
+        Facts {
+            measures,
+            invokers,
+            troubles,
+            slow,
+            rules: rules.collect(),
+            digest,
+        },
+    ))
 }
 
 /// The invocations that took longest, with what became of each of their dispatches.
 fn slowest(lines: &[Line], all: &BTreeMap<u64, Row>, first: Tenths) -> Vec<Slow> {
-    let mut order: Vec<(Tenths, u64)> = all.iter().filter_map(|(n, row)| Some((row.took?, *n))).collect();
+    let mut order: Vec<(Tenths, u64)> = all
+        .iter()
+        .filter_map(|(n, row)| Some((row.took?, *n)))
+        .collect();
     order.sort_unstable_by(|a, b| b.cmp(a));
     let ms = |t: Tenths| t as f64 / MILLI as f64;
     let mut told: BTreeMap<u64, Slow> = order
@@ -215,21 +301,49 @@
                 "{} of {} for {}, at {begun:.1} s: {}",
                 row.function, row.trigger, row.tenant, row.how
             );
-            (n, Slow { what, took_ms: ms(took), steps: Vec::new() })
+            (
+                n,
+                Slow {
+                    what,
+                    took_ms: ms(took),
+                    steps: Vec::new(),
+                },
+            )
         })
         .collect();
     for line in lines {
         let (of, at, text): (Try, Tenths, String) = match line {
-            Line::Sent { at, of, who, .. } => (*of, *at, format!("sent to controller {}", who.controller)),
-            Line::Dispatched { at, of, invoker, hop, .. } => {
-                (*of, *at, format!("dispatch {hop} reaches invoker {invoker}"))
+            Line::Sent { at, of, who, .. } => {
+                (*of, *at, format!("sent to controller {}", who.controller))
             }
-            Line::Ran { at, of, invoker, .. } => (*of, *at, format!("runs on invoker {invoker}")),
-            Line::Ended { at, of, invoker, ended, told, .. } => {
+            Line::Dispatched {
+                at,
+                of,
+                invoker,
+                hop,
+                ..
+            } => (
+                *of,
+                *at,
+                format!("dispatch {hop} reaches invoker {invoker}"),
+            ),
+            Line::Ran {
+                at, of, invoker, ..
+            } => (*of, *at, format!("runs on invoker {invoker}")),
+            Line::Ended {
+                at,
+                of,
+                invoker,
+                ended,
+                told,
+                ..
+            } => {
                 let lost = if *told { "" } else { ", answer lost" };
                 (*of, *at, format!("{ended} on invoker {invoker}{lost}"))
             }
-            Line::Final { at, of, how, .. } => (*of, *at, format!("answered: {how:?}").to_lowercase()),
+            Line::Final { at, of, how, .. } => {
+                (*of, *at, format!("answered: {how:?}").to_lowercase())
+            }
             _ => continue,
         };
         if let Some(slow) = told.get_mut(&of.n) {
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -37,8 +37,10 @@
         Ok(all) => all,
         Err(why) => return Some(("record".into(), why)),
     };
-    if let Some((rule, _, found)) =
-        facts.rules.iter().find(|r| r.1 == "broken" && bounds.only_rule.is_none_or(|n| n == r.0))
+    if let Some((rule, _, found)) = facts
+        .rules
+        .iter()
+        .find(|r| r.1 == "broken" && bounds.only_rule.is_none_or(|n| n == r.0))
     {
         return Some((format!("rule {rule}"), found.clone()));
     }
@@ -46,14 +48,23 @@
         return None;
     }
     if let Some(n) = facts.measures["unsound"].filter(|n| *n > 0.0) {
-        return Some(("copy".into(), format!("{n} copies were not their model, and were used")));
+        return Some((
+            "copy".into(),
+            format!("{n} copies were not their model, and were used"),
+        ));
     }
     if let Some(n) = facts.measures["mixed"].filter(|n| *n > 0.0) {
-        return Some(("mixed".into(), format!("{n} passages were answered by several versions")));
+        return Some((
+            "mixed".into(),
+            format!("{n} passages were answered by several versions"),
+        ));
     }
     let value = facts.measures["value"]?;
     let short = bounds.least_value.filter(|least| value < *least)?;
-    Some(("value".into(), format!("billed value in time {value:.3}, at least {short:.3} is expected")))
+    Some((
+        "value".into(),
+        format!("billed value in time {value:.3}, at least {short:.3} is expected"),
+    ))
 }
 
 /// Plays days `seed`, `seed + 1` and so on, `days` at the most, on so many threads. The first by its number that fails is
@@ -80,15 +91,22 @@
             };
             let all: Vec<_> = (first..days.min(first + threads)).map(play).collect();
             // A judge that panics must not pass for a day that kept everything.
-            all.into_iter().map(|t| t.join().map_err(|_| "judging a day panicked".to_owned())).collect()
+            all.into_iter()
+                .map(|t| t.join().map_err(|_| "judging a day panicked".to_owned()))
+                .collect()
         });
         if let Some((n, seed, (kind, _))) = found?.into_iter().flatten().next() {
             let failing = troubled(base, &day, seed);
             let same = |s: &Script| fails(s, cover, bounds).is_some_and(|(k, _)| k == kind);
             let shrunk = shrink(failing, cuts, same);
-            let why =
-                fails(&shrunk.script, cover, bounds).map_or(kind, |(kind, why)| format!("{kind}: {why}"));
-            return Ok(Some(Found { seed, why, shrunk, days: n + 1 }));
+            let why = fails(&shrunk.script, cover, bounds)
+                .map_or(kind, |(kind, why)| format!("{kind}: {why}"));
+            return Ok(Some(Found {
+                seed,
+                why,
+                shrunk,
+                days: n + 1,
+            }));
         }
     }
     Ok(None)
--- a/crates/lab/src/plan.rs
+++ b/crates/lab/src/plan.rs
@@ -17,7 +17,12 @@
     for seed in 0..seeds {
         for size in 0..sizes {
             for day in 0..days {
-                all.extend((0..variants).map(|variant| Cell { size, day, seed, variant }));
+                all.extend((0..variants).map(|variant| Cell {
+                    size,
+                    day,
+                    seed,
+                    variant,
+                }));
             }
         }
     }
@@ -37,7 +42,10 @@
 
 impl Progress {
     /// `finished` are the keys of results that are there already and whole.
-    pub fn new(cells: impl IntoIterator<Item = (Cell, String)>, finished: &BTreeSet<String>) -> Self {
+    pub fn new(
+        cells: impl IntoIterator<Item = (Cell, String)>,
+        finished: &BTreeSet<String>,
+    ) -> Self {
         let mut p = Self::default();
         for (cell, key) in cells {
             if finished.contains(&key) {
@@ -70,7 +78,11 @@
     /// Done or failed, of all; and how many of them were there before.
     pub fn told(&self) -> (usize, usize, usize) {
         let over = self.done.len() + self.failed.len();
-        (over, over + self.waiting.len() + self.under_way.len(), self.found)
+        (
+            over,
+            over + self.waiting.len() + self.under_way.len(),
+            self.found,
+        )
     }
 }
 
@@ -85,10 +97,14 @@
     #[test]
     fn variants_of_one_pair_follow_each_other() {
         let all = cells(2, 3, 4, 5);
-        assert_eq!((all.len(), all.iter().collect::<BTreeSet<_>>().len()), (120, 120));
+        assert_eq!(
+            (all.len(), all.iter().collect::<BTreeSet<_>>().len()),
+            (120, 120)
+        );
         for pair in all.chunks(5) {
             assert!(
-                pair.iter().all(|c| (c.size, c.day, c.seed) == (pair[0].size, pair[0].day, pair[0].seed))
+                pair.iter()
+                    .all(|c| (c.size, c.day, c.seed) == (pair[0].size, pair[0].day, pair[0].seed))
             );
         }
     }
@@ -113,7 +129,11 @@
             }
             let p = Progress::new(keyed(&all), &finished);
             assert_eq!(p.told(), (all.len(), all.len(), all.len()));
-            assert_eq!((played.len(), p.done.len()), (all.len(), all.len()), "killed after {killed_after}");
+            assert_eq!(
+                (played.len(), p.done.len()),
+                (all.len(), all.len()),
+                "killed after {killed_after}"
+            );
         }
     }
 
@@ -124,6 +144,9 @@
         let (first, _) = p.take().unwrap();
         p.ended(first, Err("it panicked".into()));
         assert_eq!((p.take().unwrap().0, p.take()), (all[1], None));
-        assert_eq!((p.told(), &p.failed[&first]), ((1, 2, 0), &"it panicked".to_owned()));
+        assert_eq!(
+            (p.told(), &p.failed[&first]),
+            ((1, 2, 0), &"it panicked".to_owned())
+        );
     }
 }
--- a/crates/lab/src/plots.rs
+++ b/crates/lab/src/plots.rs
@@ -11,13 +11,20 @@
 const SIZE: (u32, u32) = (860, 300);
 const FONT: (&str, u32) = ("sans-serif", 13);
 /// Dark enough each to print; dash and letter tell them apart.
-const INKS: [RGBColor; 4] =
-    [RGBColor(0, 60, 130), RGBColor(150, 60, 0), RGBColor(0, 100, 70), RGBColor(90, 30, 110)];
+const INKS: [RGBColor; 4] = [
+    RGBColor(0, 60, 130),
+    RGBColor(150, 60, 0),
+    RGBColor(0, 100, 70),
+    RGBColor(90, 30, 110),
+];
 /// Length and gap of dashes; no gap is a whole line.
 const DASHES: [(u32, u32); 4] = [(0, 0), (10, 4), (3, 3), (14, 8)];
 const POINTS: usize = 400;
 
-fn drawn(size: (u32, u32), draw: impl FnOnce(&Area) -> Result<(), String>) -> Result<String, String> {
+fn drawn(
+    size: (u32, u32),
+    draw: impl FnOnce(&Area) -> Result<(), String>,
+) -> Result<String, String> {
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, size).into_drawing_area();
@@ -62,12 +69,20 @@
     let (low, high) = lines
         .filter(|v| v.is_finite() && **v > 0.0)
         .fold((f64::MAX, 0.0_f64), |(a, b), v| (a.min(*v), b.max(*v)));
-    if low > high { (1.0, 10.0) } else { (low * 0.8, (high * 1.3).max(low * 2.0)) }
+    if low > high {
+        (1.0, 10.0)
+    } else {
+        (low * 0.8, (high * 1.3).max(low * 2.0))
+    }
 }
 
 /// Lines over time, with troubles as numbered bands.
 pub fn over_time(lines: &[Line], troubles: &[Struck]) -> Result<String, String> {
-    let most = lines.iter().flat_map(|l| &l.1).map(|p| p.0).fold(1.0, f64::max);
+    let most = lines
+        .iter()
+        .flat_map(|l| &l.1)
+        .map(|p| p.0)
+        .fold(1.0, f64::max);
     let (low, high) = bounds(lines.iter().flat_map(|l| &l.1).map(|p| &p.1));
     drawn(SIZE, |area| {
         let mut chart = ChartBuilder::on(area)
@@ -78,7 +93,10 @@
             .map_err(|e| e.to_string())?;
         let bands = troubles.iter().map(|t| {
             let to = t.to_s.max(t.from_s + most / 200.0).min(most + 1.0);
-            Rectangle::new([(t.from_s.min(most), low), (to, high * 1.4)], BLACK.mix(0.07).filled())
+            Rectangle::new(
+                [(t.from_s.min(most), low), (to, high * 1.4)],
+                BLACK.mix(0.07).filled(),
+            )
         });
         chart.draw_series(bands).map_err(|e| e.to_string())?;
         chart
@@ -95,7 +113,11 @@
         let rows = 4;
         let numbers = troubles.iter().enumerate().map(|(n, t)| {
             let y = high * 1.35 * 0.88_f64.powi((n % rows) as i32);
-            Text::new((n + 1).to_string(), (t.from_s.min(most), y), (FONT.0, 11).into_font().color(&BLACK))
+            Text::new(
+                (n + 1).to_string(),
+                (t.from_s.min(most), y),
+                (FONT.0, 11).into_font().color(&BLACK),
+            )
         });
         chart.draw_series(numbers).map_err(|e| e.to_string())?;
         lines!(chart, lines);
@@ -128,15 +150,28 @@
 }
 
 /// Something counted by invoker, the most first.
-pub fn by_invoker(all: &[(char, Vec<(u64, u64)>)], of: fn(&(u64, u64)) -> u64) -> Result<String, String> {
+pub fn by_invoker(
+    all: &[(char, Vec<(u64, u64)>)],
+    of: fn(&(u64, u64)) -> u64,
+) -> Result<String, String> {
     let sorted = |counts: &Vec<(u64, u64)>| {
         let mut counts: Vec<u64> = counts.iter().map(of).collect();
         counts.sort_unstable_by(|a, b| b.cmp(a));
-        counts.into_iter().enumerate().map(|(n, c)| (n as f64 + 1.0, c as f64)).collect::<Vec<_>>()
+        counts
+            .into_iter()
+            .enumerate()
+            .map(|(n, c)| (n as f64 + 1.0, c as f64))
+            .collect::<Vec<_>>()
     };
-    let lines: Vec<Line> = all.iter().map(|(letter, counts)| (*letter, sorted(counts))).collect();
+    let lines: Vec<Line> = all
+        .iter()
+        .map(|(letter, counts)| (*letter, sorted(counts)))
+        .collect();
     let points = || lines.iter().flat_map(|l| &l.1);
-    let (wide, high) = (points().map(|p| p.0).fold(2.0, f64::max), points().map(|p| p.1).fold(1.0, f64::max));
+    let (wide, high) = (
+        points().map(|p| p.0).fold(2.0, f64::max),
+        points().map(|p| p.1).fold(1.0, f64::max),
+    );
     drawn((SIZE.0, 220), |area| {
         let mut chart = ChartBuilder::on(area)
             .margin(8)
@@ -161,20 +196,33 @@
 
 /// Differences to the first variant in parts of its mean, with their intervals.
 pub fn differences(columns: &[Column]) -> Result<String, String> {
-    let Some((base, others)) = columns.split_first() else { return Ok(String::new()) };
+    let Some((base, others)) = columns.split_first() else {
+        return Ok(String::new());
+    };
     let mut rows = Vec::new();
     for c in others {
         for (f, b) in c.figures.iter().zip(&base.figures) {
-            let (Some(d), Some(mean)) = (&f.difference, b.mean.filter(|m| m.abs() > 1e-9)) else { continue };
+            let (Some(d), Some(mean)) = (&f.difference, b.mean.filter(|m| m.abs() > 1e-9)) else {
+                continue;
+            };
             let (low, high) = d.interval.unwrap_or((d.mean, d.mean));
             let part = |v: f64| (100.0 * v / mean).clamp(-100.0, 100.0);
-            rows.push((format!("{} {}", c.letter, f.title), part(low), part(d.mean), part(high)));
+            rows.push((
+                format!("{} {}", c.letter, f.title),
+                part(low),
+                part(d.mean),
+                part(high),
+            ));
         }
     }
     if rows.is_empty() {
         return Ok(String::new());
     }
-    let wide = rows.iter().map(|r| r.1.abs().max(r.3.abs())).fold(1.0, f64::max) * 1.1;
+    let wide = rows
+        .iter()
+        .map(|r| r.1.abs().max(r.3.abs()))
+        .fold(1.0, f64::max)
+        * 1.1;
     let count = rows.len() as f64;
     drawn((SIZE.0, 70 + 20 * rows.len() as u32), |area| {
         let mut chart = ChartBuilder::on(area)
@@ -198,10 +246,13 @@
             let y = count - n as f64 - 0.5;
             let whisker = PathElement::new(vec![(*low, y), (*high, y)], BLACK.stroke_width(2));
             chart.draw_series([whisker]).map_err(|e| e.to_string())?;
-            chart.draw_series([Circle::new((*mean, y), 4, BLACK.filled())]).map_err(|e| e.to_string())?;
+            chart
+                .draw_series([Circle::new((*mean, y), 4, BLACK.filled())])
+                .map_err(|e| e.to_string())?;
             let (_, top) = chart.backend_coord(&(0.0, y));
             let text = FONT.into_font().color(&BLACK);
-            area.draw(&Text::new(title.clone(), (10, top - 7), text)).map_err(|e| e.to_string())?;
+            area.draw(&Text::new(title.clone(), (10, top - 7), text))
+                .map_err(|e| e.to_string())?;
         }
         Ok(())
     })
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -80,7 +80,11 @@
 type Pair = (String, String, u64);
 
 fn pair(run: &Run) -> Pair {
-    (run.made.day.clone(), run.made.size.to_string(), run.made.seed)
+    (
+        run.made.day.clone(),
+        run.made.size.to_string(),
+        run.made.seed,
+    )
 }
 
 fn verdict(m: &Measure, word: Word) -> &'static str {
@@ -95,7 +99,10 @@
 /// Of these runs, each variant's figures beside the first variant's on the same pairs.
 fn columns(variants: &[String], runs: &[&Run]) -> Vec<Column> {
     let of = |v: &String| -> BTreeMap<Pair, &Run> {
-        runs.iter().filter(|r| r.made.variant == *v).map(|r| (pair(r), *r)).collect()
+        runs.iter()
+            .filter(|r| r.made.variant == *v)
+            .map(|r| (pair(r), *r))
+            .collect()
     };
     let base = of(&variants[0]);
     let column = |(n, v): (usize, &String)| {
@@ -104,14 +111,27 @@
             let get = |r: &Run| r.facts.measures.get(m.key).copied().flatten();
             let all: Vec<f64> = mine.values().filter_map(|r| get(r)).collect();
             let mean = (!all.is_empty()).then(|| all.iter().sum::<f64>() / all.len() as f64);
-            let pairs: Vec<(f64, f64)> =
-                mine.iter().filter_map(|(p, r)| Some((get(r)?, get(base.get(p)?)?))).collect();
+            let pairs: Vec<(f64, f64)> = mine
+                .iter()
+                .filter_map(|(p, r)| Some((get(r)?, get(base.get(p)?)?)))
+                .collect();
             let difference = (n > 0).then(|| Difference::of(&pairs)).flatten();
             let word = difference.as_ref().map(Difference::word);
             let verdict = word.map_or("", |w| verdict(m, w));
-            Figure { key: m.key, title: m.title, mean, difference, word, verdict }
+            Figure {
+                key: m.key,
+                title: m.title,
+                mean,
+                difference,
+                word,
+                verdict,
+            }
         };
-        Column { letter: letter(n), variant: v.clone(), figures: MEASURES.iter().map(figure).collect() }
+        Column {
+            letter: letter(n),
+            variant: v.clone(),
+            figures: MEASURES.iter().map(figure).collect(),
+        }
     };
     variants.iter().enumerate().map(column).collect()
 }
@@ -137,7 +157,10 @@
             count[at] += 1;
             if let (Some(took), "succeeded") = (row.took, row.how.as_str()) {
                 all.add(took);
-                seconds.entry(row.at / saltdrum::port::SECOND).or_default().add(took);
+                seconds
+                    .entry(row.at / saltdrum::port::SECOND)
+                    .or_default()
+                    .add(took);
             }
         }
         tenants.extend(counts.iter().map(|(tenant, c)| {
@@ -153,11 +176,20 @@
                 lost: part(5),
             }
         }));
-        over_time.push((letter(n), seconds.iter().map(|(s, l)| (*s as f64, l.at(0.99))).collect::<Vec<_>>()));
+        over_time.push((
+            letter(n),
+            seconds
+                .iter()
+                .map(|(s, l)| (*s as f64, l.at(0.99)))
+                .collect::<Vec<_>>(),
+        ));
         let total = all.count().max(1) as f64;
         spread.push((
             letter(n),
-            all.steps().into_iter().map(|(ms, n)| (ms, n as f64 / total)).collect::<Vec<_>>(),
+            all.steps()
+                .into_iter()
+                .map(|(ms, n)| (ms, n as f64 / total))
+                .collect::<Vec<_>>(),
         ));
         let mut invokers: BTreeMap<u32, (u64, u64)> = BTreeMap::new();
         for i in mine.iter().flat_map(|r| &r.facts.invokers) {
@@ -166,40 +198,84 @@
         }
         by_invoker.push((letter(n), invokers.into_values().collect::<Vec<_>>()));
         for rule in 1..=5u8 {
-            let of: Vec<_> = mine.iter().flat_map(|r| &r.facts.rules).filter(|r| r.0 == rule).collect();
+            let of: Vec<_> = mine
+                .iter()
+                .flat_map(|r| &r.facts.rules)
+                .filter(|r| r.0 == rule)
+                .collect();
             let count = |state: &str| of.iter().filter(|r| r.1 == state).count();
-            let first = of.iter().find(|r| !r.2.is_empty()).map_or(String::new(), |r| r.2.clone());
-            rules.push((letter(n), rule, count("kept"), count("cannottell"), count("broken"), first));
+            let first = of
+                .iter()
+                .find(|r| !r.2.is_empty())
+                .map_or(String::new(), |r| r.2.clone());
+            rules.push((
+                letter(n),
+                rule,
+                count("kept"),
+                count("cannottell"),
+                count("broken"),
+                first,
+            ));
         }
         let mut slowest: Vec<_> = mine
             .iter()
-            .flat_map(|r| r.facts.slow.iter().map(|s| (letter(n), r.made.seed, s.clone())))
+            .flat_map(|r| {
+                r.facts
+                    .slow
+                    .iter()
+                    .map(|s| (letter(n), r.made.seed, s.clone()))
+            })
             .collect();
         slowest.sort_by(|a, b| b.2.took_ms.total_cmp(&a.2.took_ms));
         slow.extend(slowest.into_iter().take(3));
     }
     let struck = runs.first().map_or(&[][..], |r| &r.facts.troubles);
     let troubles = struck.iter().enumerate();
-    let troubles =
-        troubles.map(|(n, t)| (n + 1, format!("{} ({:.1} to {:.1} s)", t.what, t.from_s, t.to_s))).collect();
+    let troubles = troubles
+        .map(|(n, t)| {
+            (
+                n + 1,
+                format!("{} ({:.1} to {:.1} s)", t.what, t.from_s, t.to_s),
+            )
+        })
+        .collect();
     let columns = columns(&listed.variants, runs);
     let plots = vec![
-        ("p99 latency of each second, ms".to_owned(), plots::over_time(&over_time, struck)?),
-        ("Share of invocations answered within, ms".to_owned(), plots::distribution(&spread)?),
-        ("Dispatches by invoker, busiest first".to_owned(), plots::by_invoker(&by_invoker, |i| i.0)?),
+        (
+            "p99 latency of each second, ms".to_owned(),
+            plots::over_time(&over_time, struck)?,
+        ),
+        (
+            "Share of invocations answered within, ms".to_owned(),
+            plots::distribution(&spread)?,
+        ),
+        (
+            "Dispatches by invoker, busiest first".to_owned(),
+            plots::by_invoker(&by_invoker, |i| i.0)?,
+        ),
         (
             "Fetches from the store by invoker, most first".to_owned(),
             plots::by_invoker(&by_invoker, |i| i.1)?,
         ),
     ];
-    Ok(Section { day: day.to_owned(), size, columns, tenants, rules, slow, troubles, plots })
+    Ok(Section {
+        day: day.to_owned(),
+        size,
+        columns,
+        tenants,
+        rules,
+        slow,
+        troubles,
+        plots,
+    })
 }
 
 /// Reads a folder of results.
 pub fn of(folder: &Path) -> Result<Report, String> {
     let path = folder.join(LIST);
     let text = fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
-    let listed: Listed = serde_json::from_str(&text).map_err(|e| format!("{}: {e}", path.display()))?;
+    let listed: Listed =
+        serde_json::from_str(&text).map_err(|e| format!("{}: {e}", path.display()))?;
     let (whole, bad) = results::find(folder).map_err(|e| e.to_string())?;
     let mut problems: Vec<String> = bad.iter().map(ToString::to_string).collect();
     let mut runs = Vec::new();
@@ -220,8 +296,11 @@
     let mut sections = Vec::new();
     for size in &listed.sizes {
         for day in &listed.days {
-            let here: Vec<&Run> =
-                all.iter().filter(|r| r.made.day == *day && r.made.size == *size).copied().collect();
+            let here: Vec<&Run> = all
+                .iter()
+                .filter(|r| r.made.day == *day && r.made.size == *size)
+                .copied()
+                .collect();
             if !here.is_empty() {
                 sections.push(section(&listed, day, *size, &here)?);
             }
@@ -253,20 +332,37 @@
     let mean = f.mean.map_or("-".to_owned(), plain);
     let Some(d) = &f.difference else { return mean };
     let sign = if d.mean >= 0.0 { "+" } else { "" };
-    let between = d.interval.map_or(String::new(), |(a, b)| format!(" [{}, {}]", plain(a), plain(b)));
-    let verdict = if f.verdict.is_empty() { "cannot tell" } else { f.verdict };
-    format!("{mean}\n{sign}{}{between}\n{verdict}, {}+ {}- of {}", plain(d.mean), d.higher, d.lower, d.pairs)
+    let between = d.interval.map_or(String::new(), |(a, b)| {
+        format!(" [{}, {}]", plain(a), plain(b))
+    });
+    let verdict = if f.verdict.is_empty() {
+        "cannot tell"
+    } else {
+        f.verdict
+    };
+    format!(
+        "{mean}\n{sign}{}{between}\n{verdict}, {}+ {}- of {}",
+        plain(d.mean),
+        d.higher,
+        d.lower,
+        d.pairs
+    )
 }
 
 fn table(columns: &[Column]) -> Table {
     let mut t = Table::new();
-    let head = columns.iter().map(|c| format!("{} {}", c.letter, c.variant));
-    t.load_preset(presets::UTF8_HORIZONTAL_ONLY).set_header(std::iter::once(String::new()).chain(head));
+    let head = columns
+        .iter()
+        .map(|c| format!("{} {}", c.letter, c.variant));
+    t.load_preset(presets::UTF8_HORIZONTAL_ONLY)
+        .set_header(std::iter::once(String::new()).chain(head));
     for (n, m) in MEASURES.iter().enumerate() {
         let cells = columns.iter().map(|c| told(&c.figures[n]));
         t.add_row(std::iter::once(m.title.to_owned()).chain(cells));
     }
-    t.column_iter_mut().skip(1).for_each(|c| c.set_cell_alignment(CellAlignment::Right));
+    t.column_iter_mut()
+        .skip(1)
+        .for_each(|c| c.set_cell_alignment(CellAlignment::Right));
     t
 }
 
@@ -274,7 +370,9 @@
     /// Tables for a terminal.
     pub fn text(&self) -> String {
         let mut out = format!("{}: {} of {} runs\n", self.experiment, self.runs, self.of);
-        self.problems.iter().for_each(|p| out += &format!("problem: {p}\n"));
+        self.problems
+            .iter()
+            .for_each(|p| out += &format!("problem: {p}\n"));
         out += "mean; below it the difference to the first variant on the same days, with its 95% interval\n";
         out += &format!("all days\n{}\n", table(&self.overall));
         if self.sections.len() > 1 {
@@ -296,12 +394,15 @@
     /// One page that needs nothing else.
     pub fn html(&self) -> Result<String, String> {
         let mut env = minijinja::Environment::new();
-        env.add_template("report.html", include_str!("report.html")).map_err(|e| e.to_string())?;
+        env.add_template("report.html", include_str!("report.html"))
+            .map_err(|e| e.to_string())?;
         env.add_filter("plain", plain);
         env.add_filter("percent", |n: f64| format!("{:.1}%", n * 100.0));
         let plots: Vec<&Vec<(String, String)>> = self.sections.iter().map(|s| &s.plots).collect();
         let forest = plots::differences(&self.overall)?;
         let said = minijinja::context! { report => self, plots => plots, forest => forest };
-        env.get_template("report.html").and_then(|t| t.render(said)).map_err(|e| e.to_string())
+        env.get_template("report.html")
+            .and_then(|t| t.render(said))
+            .map_err(|e| e.to_string())
     }
 }
--- a/crates/lab/src/results.rs
+++ b/crates/lab/src/results.rs
@@ -65,7 +65,11 @@
         rows.iter().for_each(|r| b.append_value(of(r)));
         Arc::new(b.finish())
     };
-    let (mut at, mut took, mut in_time) = (UInt64Builder::new(), UInt64Builder::new(), BooleanBuilder::new());
+    let (mut at, mut took, mut in_time) = (
+        UInt64Builder::new(),
+        UInt64Builder::new(),
+        BooleanBuilder::new(),
+    );
     for r in rows {
         at.append_value(r.at * 100);
         took.append_option(r.took.map(|t| t * 100));
@@ -86,17 +90,26 @@
     let json = |e: serde_json::Error| e.to_string();
     let said = vec![
         KeyValue::new(VERSION_KEY.into(), VERSION.to_string()),
-        KeyValue::new("saltdrum.made".into(), serde_json::to_string(made).map_err(json)?),
-        KeyValue::new("saltdrum.facts".into(), serde_json::to_string(facts).map_err(json)?),
+        KeyValue::new(
+            "saltdrum.made".into(),
+            serde_json::to_string(made).map_err(json)?,
+        ),
+        KeyValue::new(
+            "saltdrum.facts".into(),
+            serde_json::to_string(facts).map_err(json)?,
+        ),
     ];
     let properties = WriterProperties::builder()
         .set_compression(Compression::ZSTD(ZstdLevel::default()))
         .set_key_value_metadata(Some(said))
         .build();
     let mut bytes = Vec::new();
-    let mut writer =
-        ArrowWriter::try_new(&mut bytes, batch.schema(), Some(properties)).map_err(|e| e.to_string())?;
-    writer.write(&batch).and_then(|()| writer.close().map(drop)).map_err(|e| e.to_string())?;
+    let mut writer = ArrowWriter::try_new(&mut bytes, batch.schema(), Some(properties))
+        .map_err(|e| e.to_string())?;
+    writer
+        .write(&batch)
+        .and_then(|()| writer.close().map(drop))
+        .map_err(|e| e.to_string())?;
     Ok(bytes)
 }
 
@@ -107,7 +120,10 @@
 /// Keeps a run. Whatever goes wrong, runs that are there stay as they are.
 pub fn keep(folder: &Path, made: &Made, facts: &Facts, rows: &[Row]) -> Result<(), Fault> {
     let half = folder.join(format!("{}.half", made.key));
-    let fault = |why: String| Fault { file: half.clone(), why };
+    let fault = |why: String| Fault {
+        file: half.clone(),
+        why,
+    };
     let bytes = bytes_of(made, facts, rows).map_err(fault)?;
     let path = folder.join(format!("{}-{}.parquet", made.key, digest(&bytes)));
     let kept = (|| {
@@ -124,21 +140,34 @@
 
 /// Runs in a folder that are whole, by key; and what is wrong with others.
 pub fn find(folder: &Path) -> Result<(BTreeMap<String, PathBuf>, Vec<Fault>), Fault> {
-    let fault = |e: std::io::Error| Fault { file: folder.to_owned(), why: e.to_string() };
+    let fault = |e: std::io::Error| Fault {
+        file: folder.to_owned(),
+        why: e.to_string(),
+    };
     let (mut whole, mut bad) = (BTreeMap::new(), Vec::new());
     for entry in fs::read_dir(folder).map_err(fault)? {
         let path = entry.map_err(fault)?.path();
         if path.extension().is_none_or(|e| e != "parquet") {
             continue;
         }
-        let name = path.file_stem().unwrap_or_default().to_string_lossy().into_owned();
-        let Some((key, said)) = name.split_once('-') else { continue };
+        let name = path
+            .file_stem()
+            .unwrap_or_default()
+            .to_string_lossy()
+            .into_owned();
+        let Some((key, said)) = name.split_once('-') else {
+            continue;
+        };
         match fs::read(&path) {
             Ok(bytes) if digest(&bytes) == said => drop(whole.insert(key.to_owned(), path)),
-            Ok(_) => {
-                bad.push(Fault { file: path, why: "damaged: its bytes are not those its name says".into() })
-            }
-            Err(e) => bad.push(Fault { file: path, why: e.to_string() }),
+            Ok(_) => bad.push(Fault {
+                file: path,
+                why: "damaged: its bytes are not those its name says".into(),
+            }),
+            Err(e) => bad.push(Fault {
+                file: path,
+                why: e.to_string(),
+            }),
         }
     }
     bad.sort_by(|a, b| a.file.cmp(&b.file));
@@ -147,17 +176,30 @@
 
 /// Reads a run back.
 pub fn read(path: &Path) -> Result<Run, Fault> {
-    let fault = |why: &dyn std::fmt::Display| Fault { file: path.to_owned(), why: why.to_string() };
+    let fault = |why: &dyn std::fmt::Display| Fault {
+        file: path.to_owned(),
+        why: why.to_string(),
+    };
     let file = fs::File::open(path).map_err(|e| fault(&e))?;
     let reader = ParquetRecordBatchReaderBuilder::try_new(file).map_err(|e| fault(&e))?;
-    let said = reader.metadata().file_metadata().key_value_metadata().cloned().unwrap_or_default();
+    let said = reader
+        .metadata()
+        .file_metadata()
+        .key_value_metadata()
+        .cloned()
+        .unwrap_or_default();
     let said = |key: &str| {
-        let found = said.iter().find(|kv| kv.key == key).and_then(|kv| kv.value.clone());
+        let found = said
+            .iter()
+            .find(|kv| kv.key == key)
+            .and_then(|kv| kv.value.clone());
         found.ok_or_else(|| fault(&format!("its footer says no {key}")))
     };
     let version = said(VERSION_KEY)?;
     if version != VERSION.to_string() {
-        return Err(fault(&format!("run version {version}: {VERSION} is known here")));
+        return Err(fault(&format!(
+            "run version {version}: {VERSION} is known here"
+        )));
     }
     let made = serde_json::from_str(&said("saltdrum.made")?).map_err(|e| fault(&e))?;
     let facts = serde_json::from_str(&said("saltdrum.facts")?).map_err(|e| fault(&e))?;
@@ -165,20 +207,41 @@
     for batch in reader.build().map_err(|e| fault(&e))? {
         let batch = batch.map_err(|e| fault(&e))?;
         let column = |name: &str| {
-            batch.column_by_name(name).ok_or_else(|| fault(&format!("column '{name}' is missing")))
+            batch
+                .column_by_name(name)
+                .ok_or_else(|| fault(&format!("column '{name}' is missing")))
+        };
+        let wrong = |name: &str| {
+            fault(&format!(
+                "column '{name}' is of another type than is expected"
+            ))
         };
-        let wrong = |name: &str| fault(&format!("column '{name}' is of another type than is expected"));
         let text = |name: &str| -> Result<Vec<String>, Fault> {
-            let c = column(name)?.as_dictionary_opt::<Int32Type>().ok_or_else(|| wrong(name))?;
-            let words = c.values().as_string_opt::<i32>().ok_or_else(|| wrong(name))?;
+            let c = column(name)?
+                .as_dictionary_opt::<Int32Type>()
+                .ok_or_else(|| wrong(name))?;
+            let words = c
+                .values()
+                .as_string_opt::<i32>()
+                .ok_or_else(|| wrong(name))?;
             let word = |k: Option<usize>| k.map_or(String::new(), |k| words.value(k).to_owned());
             Ok(c.keys_iter().map(word).collect())
         };
-        let long = |name: &str| column(name)?.as_primitive_opt::<UInt64Type>().ok_or_else(|| wrong(name));
-        let short = |name: &str| column(name)?.as_primitive_opt::<UInt32Type>().ok_or_else(|| wrong(name));
+        let long = |name: &str| {
+            column(name)?
+                .as_primitive_opt::<UInt64Type>()
+                .ok_or_else(|| wrong(name))
+        };
+        let short = |name: &str| {
+            column(name)?
+                .as_primitive_opt::<UInt32Type>()
+                .ok_or_else(|| wrong(name))
+        };
         let (at, took) = (long("at_us")?, long("took_us")?);
         let (tries, invoker) = (short("tries")?, short("invoker")?);
-        let in_time = column("in_time")?.as_boolean_opt().ok_or_else(|| wrong("in_time"))?;
+        let in_time = column("in_time")?
+            .as_boolean_opt()
+            .ok_or_else(|| wrong("in_time"))?;
         let (tenant, trigger) = (text("tenant")?, text("trigger")?);
         let (function, how) = (text("function")?, text("how")?);
         for n in 0..batch.num_rows() {
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -42,8 +42,17 @@
 
 /// All that a run's result hangs on: script, policy, and the program's bytes.
 fn key(script: &str, v: &Variant, programs: &BTreeMap<String, String>) -> String {
-    let program = v.program.as_ref().map_or(String::new(), |p| p.display().to_string());
-    let said = [script, &v.policy, &programs[&program], env!("CARGO_PKG_VERSION")].join("\0");
+    let program = v
+        .program
+        .as_ref()
+        .map_or(String::new(), |p| p.display().to_string());
+    let said = [
+        script,
+        &v.policy,
+        &programs[&program],
+        env!("CARGO_PKG_VERSION"),
+    ]
+    .join("\0");
     blake3::hash(said.as_bytes()).to_hex()[..24].to_owned()
 }
 
@@ -56,24 +65,43 @@
     let (script, v) = (x.script(cell), &x.variants[cell.variant]);
     let Some(program) = &v.program else {
         let day = script.day().map_err(|e| e.to_string())?;
-        let serve =
-            POLICIES.iter().find(|(name, _)| *name == v.policy).expect("it was looked for at reading").1;
+        let serve = POLICIES
+            .iter()
+            .find(|(name, _)| *name == v.policy)
+            .expect("it was looked for at reading")
+            .1;
         let before = cpu_s();
         let (lines, controllers_s) = metered(serve, |serve| play_virtually(&day, serve));
         return Ok((
             lines.map_err(|e| e.to_string())?,
-            Some(Cost { all_s: cpu_s() - before, controllers_s }),
+            Some(Cost {
+                all_s: cpu_s() - before,
+                controllers_s,
+            }),
         ));
     };
     let folder = tempfile::tempdir().map_err(|e| e.to_string())?;
     let (day, kept) = (folder.path().join("day.star"), folder.path().join("record"));
     fs::write(&day, script.text()).map_err(|e| e.to_string())?;
     let mut command = Command::new(program);
-    command.arg("play").arg(&day).arg("--virtual").arg("--json").arg("--record").arg(&kept);
-    let told = command.output().map_err(|e| format!("{}: {e}", program.display()))?;
+    command
+        .arg("play")
+        .arg(&day)
+        .arg("--virtual")
+        .arg("--json")
+        .arg("--record")
+        .arg(&kept);
+    let told = command
+        .output()
+        .map_err(|e| format!("{}: {e}", program.display()))?;
     if !matches!(told.status.code(), Some(0 | 1 | 3)) {
         let why = String::from_utf8_lossy(&told.stderr);
-        return Err(format!("{}: {}: {}", program.display(), told.status, why.trim()));
+        return Err(format!(
+            "{}: {}: {}",
+            program.display(),
+            told.status,
+            why.trim()
+        ));
     }
     let file = fs::File::open(&kept).map_err(|e| e.to_string())?;
     Ok((record::read(BufReader::new(file))?, None))
@@ -112,7 +140,12 @@
     let keyed: Vec<(Cell, String)> = x
         .cells()
         .into_iter()
-        .map(|c| (c, key(&x.script(c).text(), &x.variants[c.variant], &programs)))
+        .map(|c| {
+            (
+                c,
+                key(&x.script(c).text(), &x.variants[c.variant], &programs),
+            )
+        })
         .collect();
     let listed = Listed {
         experiment: x.name.clone(),
@@ -128,16 +161,23 @@
         .and_then(|()| fs::rename(&half, &list))
         .map_err(|e| format!("{}: {e}", list.display()))?;
     let (whole, bad) = results::find(folder).map_err(|e| e.to_string())?;
-    bad.iter().for_each(|e| tracing::warn!("{e}; it is played again"));
+    bad.iter()
+        .for_each(|e| tracing::warn!("{e}; it is played again"));
     let finished: BTreeSet<String> = whole.into_keys().collect();
     let progress = Mutex::new(Progress::new(keyed, &finished));
-    let held = || progress.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+    let held = || {
+        progress
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
+    };
     let found = held().told().2;
     std::thread::scope(|scope| {
         for _ in 0..threads.max(1) {
             scope.spawn(|| {
                 loop {
-                    let Some((cell, key)) = held().take() else { return };
+                    let Some((cell, key)) = held().take() else {
+                        return;
+                    };
                     let played = catch_unwind(AssertUnwindSafe(|| one(x, cell, &key, folder)));
                     let played = played.unwrap_or_else(|_| Err("it panicked".into()));
                     held().ended(cell, played);
@@ -146,15 +186,23 @@
                     tell(
                         over,
                         all,
-                        &format!("{day}, seed {}, size {}, {v}", x.seeds[cell.seed], x.sizes[cell.size]),
+                        &format!(
+                            "{day}, seed {}, size {}, {v}",
+                            x.seeds[cell.seed], x.sizes[cell.size]
+                        ),
                     );
                 }
             });
         }
     });
-    let progress = progress.into_inner().unwrap_or_else(std::sync::PoisonError::into_inner);
+    let progress = progress
+        .into_inner()
+        .unwrap_or_else(std::sync::PoisonError::into_inner);
     let failed = progress.failed.iter().map(|(c, why)| {
-        format!("{}, seed {}, {}: {why}", x.days[c.day].0, x.seeds[c.seed], x.variants[c.variant].name)
+        format!(
+            "{}, seed {}, {}: {why}",
+            x.days[c.day].0, x.seeds[c.seed], x.variants[c.variant].name
+        )
     });
     Ok(Sitting {
         played: progress.done.len() - found,
@@ -170,7 +218,8 @@
     let mut all = blake3::Hasher::new();
     for path in keys.iter().filter_map(|key| whole.get(key)) {
         let run = results::read(path).map_err(|e| e.to_string())?;
-        all.update(run.made.key.as_bytes()).update(run.facts.digest.as_bytes());
+        all.update(run.made.key.as_bytes())
+            .update(run.facts.digest.as_bytes());
     }
     Ok(all.finalize().to_hex()[..16].to_owned())
 }
--- a/crates/lab/src/script.rs
+++ b/crates/lab/src/script.rs
@@ -18,9 +18,13 @@
         Json::Bool(true) => "True".into(),
         Json::Bool(false) => "False".into(),
         Json::Array(of) => all(of.iter().map(starlark).collect(), '[', ']'),
-        Json::Object(of) => {
-            all(of.iter().map(|(k, v)| format!("{}: {}", json!(k), starlark(v))).collect(), '{', '}')
-        }
+        Json::Object(of) => all(
+            of.iter()
+                .map(|(k, v)| format!("{}: {}", json!(k), starlark(v)))
+                .collect(),
+            '{',
+            '}',
+        ),
         plain => plain.to_string(),
     }
 }
@@ -37,24 +41,39 @@
 /// So many stand-ins for each that is named: those with the same place in each copy of the fleet.
 fn copies(value: &Json, of: u64, by: f64) -> Json {
     let whole = by.floor().max(1.0) as u64;
-    let (Some(named), true) = (value.as_array(), by >= 1.0) else { return value.clone() };
-    let each = |n: &Json| n.as_u64().map(|n| (0..whole).map(move |k| json!(n + k * of)));
+    let (Some(named), true) = (value.as_array(), by >= 1.0) else {
+        return value.clone();
+    };
+    let each = |n: &Json| {
+        n.as_u64()
+            .map(|n| (0..whole).map(move |k| json!(n + k * of)))
+    };
     Json::Array(named.iter().filter_map(each).flatten().collect())
 }
 
 impl Script {
     /// Runs a script's text; `file` is its name in faults.
     pub fn read(file: &str, text: &str) -> Result<Self, Fault> {
-        Ok(Self { statements: script::run(file, text)?, file: file.to_owned() })
+        Ok(Self {
+            statements: script::run(file, text)?,
+            file: file.to_owned(),
+        })
     }
 
     /// Its statements, one a line.
     pub fn text(&self) -> String {
         let one = |s: &Statement| {
             let name = s.said.get("name").map(starlark);
-            let rest =
-                s.said.iter().filter(|(k, _)| *k != "name").map(|(k, v)| format!("{k} = {}", starlark(v)));
-            format!("{}({})\n", s.what, name.into_iter().chain(rest).collect::<Vec<_>>().join(", "))
+            let rest = s
+                .said
+                .iter()
+                .filter(|(k, _)| *k != "name")
+                .map(|(k, v)| format!("{k} = {}", starlark(v)));
+            format!(
+                "{}({})\n",
+                s.what,
+                name.into_iter().chain(rest).collect::<Vec<_>>().join(", ")
+            )
         };
         self.statements.iter().map(one).collect()
     }
@@ -66,8 +85,15 @@
     /// Other arguments for every statement of a kind; one that is not there is added.
     pub fn with(mut self, what: &'static str, said: &Map<String, Json>) -> Self {
         if !self.statements.iter().any(|s| s.what == what) {
-            let place = script::Place { file: self.file.clone(), line: 0 };
-            self.statements.push(Statement { what, said: Map::new(), place });
+            let place = script::Place {
+                file: self.file.clone(),
+                line: 0,
+            };
+            self.statements.push(Statement {
+                what,
+                said: Map::new(),
+                place,
+            });
         }
         for s in self.statements.iter_mut().filter(|s| s.what == what) {
             s.said.extend(said.clone());
@@ -86,10 +112,19 @@
 
     /// A fleet of so many times the size under so many times the load. Troubles strike the same share of it.
     pub fn scaled(mut self, by: f64) -> Self {
-        let (invokers, controllers) =
-            (self.number("invokers", "count"), self.number("deployment", "controllers"));
-        if !self.statements.iter().any(|s| s.what == "day" && s.said.contains_key("store_limit")) {
-            self = self.with("day", &Map::from_iter([("store_limit".to_owned(), json!(24))]));
+        let (invokers, controllers) = (
+            self.number("invokers", "count"),
+            self.number("deployment", "controllers"),
+        );
+        if !self
+            .statements
+            .iter()
+            .any(|s| s.what == "day" && s.said.contains_key("store_limit"))
+        {
+            self = self.with(
+                "day",
+                &Map::from_iter([("store_limit".to_owned(), json!(24))]),
+            );
         }
         for s in &mut self.statements {
             for (argument, value) in s.said.iter_mut() {
@@ -120,19 +155,42 @@
         for (name, text) in DAYS {
             let script = Script::read(name, text).unwrap();
             let told = |day: &Day| format!("{day:?}");
-            assert_eq!(told(&script.day().unwrap()), told(&Day::load(name, text).unwrap()));
+            assert_eq!(
+                told(&script.day().unwrap()),
+                told(&Day::load(name, text).unwrap())
+            );
         }
     }
 
     #[test]
     fn a_scaled_day_has_as_many_times_of_all() {
         let script = Script::read("bad", DAYS[0].1).unwrap();
-        let (one, three) = (script.clone().day().unwrap(), script.scaled(3.0).day().unwrap());
-        assert_eq!((one.terms.invokers.len(), three.terms.invokers.len()), (12, 36));
-        assert_eq!((one.terms.deployment.controllers, three.terms.deployment.controllers), (3, 9));
+        let (one, three) = (
+            script.clone().day().unwrap(),
+            script.scaled(3.0).day().unwrap(),
+        );
+        assert_eq!(
+            (one.terms.invokers.len(), three.terms.invokers.len()),
+            (12, 36)
+        );
+        assert_eq!(
+            (
+                one.terms.deployment.controllers,
+                three.terms.deployment.controllers
+            ),
+            (3, 9)
+        );
         assert!((three.traffic[0].per_second / one.traffic[0].per_second - 3.0).abs() < 1e-9);
-        let struck = |day: &Day| day.troubles.iter().map(|t| t.invokers.len()).collect::<Vec<_>>();
-        assert_eq!(struck(&three), struck(&one).iter().map(|n| n * 3).collect::<Vec<_>>());
+        let struck = |day: &Day| {
+            day.troubles
+                .iter()
+                .map(|t| t.invokers.len())
+                .collect::<Vec<_>>()
+        };
+        assert_eq!(
+            struck(&three),
+            struck(&one).iter().map(|n| n * 3).collect::<Vec<_>>()
+        );
         assert_eq!(three.troubles[1].invokers, [2, 14, 26, 11, 23, 35]);
     }
 }
--- a/crates/lab/src/shrink.rs
+++ b/crates/lab/src/shrink.rs
@@ -26,7 +26,14 @@
 fn optional(s: &Statement) -> bool {
     matches!(
         s.what,
-        "trouble" | "traffic" | "network" | "invokers" | "machine" | "function" | "tenant" | "trigger_type"
+        "trouble"
+            | "traffic"
+            | "network"
+            | "invokers"
+            | "machine"
+            | "function"
+            | "tenant"
+            | "trigger_type"
     )
 }
 
@@ -74,7 +81,9 @@
             let mut end = best.statements.len();
             while end > 0 {
                 let begin = end.saturating_sub(part);
-                let drop: Vec<usize> = (begin..end).filter(|n| optional(&best.statements[*n])).collect();
+                let drop: Vec<usize> = (begin..end)
+                    .filter(|n| optional(&best.statements[*n]))
+                    .collect();
                 if !drop.is_empty() {
                     try_it(without(&best, &drop), &mut best);
                 }
@@ -84,11 +93,15 @@
         }
         for n in 0..best.statements.len() {
             let what = best.statements[n].what;
-            let Some((_, arguments)) = HALVED.iter().find(|h| h.0 == what) else { continue };
+            let Some((_, arguments)) = HALVED.iter().find(|h| h.0 == what) else {
+                continue;
+            };
             for argument in *arguments {
                 while let Some(less) = best.statements[n].said.get(*argument).and_then(half) {
                     let mut candidate = best.clone();
-                    candidate.statements[n].said.insert((*argument).to_owned(), less);
+                    candidate.statements[n]
+                        .said
+                        .insert((*argument).to_owned(), less);
                     if !try_it(candidate, &mut best) {
                         break;
                     }
@@ -96,7 +109,10 @@
             }
         }
         if best.text() == before {
-            return Shrunk { script: best, played };
+            return Shrunk {
+                script: best,
+                played,
+            };
         }
     }
 }
@@ -112,19 +128,32 @@
         // Fails as long as there is a flush and a store that is slow for at least 400 ms, and three invokers.
         let fails = |s: &Script| {
             let day = s.day().unwrap();
-            let has = |name, least| day.troubles.iter().any(|t| t.name == name && t.lasts >= least);
+            let has = |name, least| {
+                day.troubles
+                    .iter()
+                    .any(|t| t.name == name && t.lasts >= least)
+            };
             has("flush", 0) && has("store_slow", 4_000) && day.terms.invokers.len() >= 3
         };
         let shrunk = shrink(bad, 400, fails);
         let day = shrunk.script.day().unwrap();
         assert_eq!(day.troubles.len(), 2, "{}", shrunk.script.text());
-        assert_eq!((day.traffic.len(), day.terms.deployment.controllers), (1, 1), "{}", shrunk.script.text());
+        assert_eq!(
+            (day.traffic.len(), day.terms.deployment.controllers),
+            (1, 1),
+            "{}",
+            shrunk.script.text()
+        );
         assert!(
             (3..6).contains(&day.terms.invokers.len()) && day.length < 10_000,
             "{}",
             shrunk.script.text()
         );
-        assert!(day.troubles.iter().all(|t| t.lasts < 8_000) && shrunk.played < 400, "{}", shrunk.played);
+        assert!(
+            day.troubles.iter().all(|t| t.lasts < 8_000) && shrunk.played < 400,
+            "{}",
+            shrunk.played
+        );
     }
 
     #[test]
--- a/crates/lab/tests/lab.rs
+++ b/crates/lab/tests/lab.rs
@@ -36,7 +36,10 @@
     let folder = tempfile::tempdir().unwrap();
     let x = experiment(folder.path(), TWO);
     let at = |name: &str| folder.path().join(name);
-    let (one, four) = (run::run(&x, &at("one"), 1, |_, _, _| ()), run::run(&x, &at("four"), 4, |_, _, _| ()));
+    let (one, four) = (
+        run::run(&x, &at("one"), 1, |_, _, _| ()),
+        run::run(&x, &at("four"), 4, |_, _, _| ()),
+    );
     let (one, four) = (one.unwrap(), four.unwrap());
     assert_eq!((one.played, four.played, one.failed.len()), (6, 6, 0));
     assert_eq!(one.digest, four.digest);
@@ -50,7 +53,10 @@
     bytes.truncate(bytes.len() / 2);
     fs::write(damaged, bytes).unwrap();
     let again = run::run(&x, &at("four"), 4, |_, _, _| ()).unwrap();
-    assert_eq!((again.played, again.found, &again.digest), (2, 4, &one.digest));
+    assert_eq!(
+        (again.played, again.found, &again.digest),
+        (2, 4, &one.digest)
+    );
     let third = run::run(&x, &at("four"), 2, |_, _, _| ()).unwrap();
     assert_eq!((third.played, third.found), (0, 6));
 }
@@ -58,24 +64,42 @@
 #[test]
 fn a_run_is_read_back_as_it_was_kept_and_a_bad_file_is_told() {
     let folder = tempfile::tempdir().unwrap();
-    let x =
-        experiment(folder.path(), "experiment('one', days = ['small.star'], seeds = 1)\nvariant('design')\n");
+    let x = experiment(
+        folder.path(),
+        "experiment('one', days = ['small.star'], seeds = 1)\nvariant('design')\n",
+    );
     run::run(&x, folder.path(), 1, |_, _, _| ()).unwrap();
     let (whole, _) = results::find(folder.path()).unwrap();
     let path = whole.values().next().unwrap();
     let kept = results::read(path).unwrap();
     // The script that made it makes it again.
-    let day = Script::read("again", &kept.made.script).unwrap().day().unwrap();
+    let day = Script::read("again", &kept.made.script)
+        .unwrap()
+        .day()
+        .unwrap();
     let lines = saltdrum_day::play_virtually(&day, saltdrum_day::serve).unwrap();
     let (rows, facts) = saltdrum_lab::facts::of(&lines, None).unwrap();
     assert!(kept.rows == rows && rows.len() > 200 && facts.digest == kept.facts.digest);
     assert_eq!(kept.facts.slow.len(), 6);
-    assert!(kept.facts.slow[0].steps.iter().any(|s| s.contains("dispatch")), "{:?}", kept.facts.slow[0]);
-    for (bytes, want) in [(&b"PAR1 and nothing"[..], "Parquet error"), (b"", "Parquet file too small")] {
+    assert!(
+        kept.facts.slow[0]
+            .steps
+            .iter()
+            .any(|s| s.contains("dispatch")),
+        "{:?}",
+        kept.facts.slow[0]
+    );
+    for (bytes, want) in [
+        (&b"PAR1 and nothing"[..], "Parquet error"),
+        (b"", "Parquet file too small"),
+    ] {
         let bad = folder.path().join("bad.parquet");
         fs::write(&bad, bytes).unwrap();
         let told = results::read(&bad).unwrap_err().to_string();
-        assert!(told.contains("bad.parquet") && told.contains(want), "{told}");
+        assert!(
+            told.contains("bad.parquet") && told.contains(want),
+            "{told}"
+        );
     }
     let text = fs::read(path).unwrap();
     let at = text.windows(12).position(|w| w == b"saltdrum.run").unwrap();
@@ -83,8 +107,13 @@
     let one = (at + 12..at + 20).find(|n| later[*n] == b'1').unwrap();
     later[one] = b'7';
     fs::write(folder.path().join("later.parquet"), later).unwrap();
-    let told = results::read(&folder.path().join("later.parquet")).unwrap_err().to_string();
-    assert!(told.ends_with("later.parquet: run version 7: 1 is known here"), "{told}");
+    let told = results::read(&folder.path().join("later.parquet"))
+        .unwrap_err()
+        .to_string();
+    assert!(
+        told.ends_with("later.parquet: run version 7: 1 is known here"),
+        "{told}"
+    );
 }
 
 /// A full disk is stood in for by a folder that is no folder: what is there stays.
@@ -96,18 +125,30 @@
     let (before, _) = results::find(folder.path()).unwrap();
     let one = results::read(before.values().next().unwrap()).unwrap();
     let nowhere = folder.path().join("small.star");
-    let told = results::keep(&nowhere, &one.made, &one.facts, &one.rows).unwrap_err().to_string();
-    assert!(told.contains("small.star") && told.contains(".half"), "{told}");
+    let told = results::keep(&nowhere, &one.made, &one.facts, &one.rows)
+        .unwrap_err()
+        .to_string();
+    assert!(
+        told.contains("small.star") && told.contains(".half"),
+        "{told}"
+    );
     assert_eq!(results::find(folder.path()).unwrap().0, before);
 }
 
 #[test]
 fn a_day_that_goes_below_its_bound_is_found_and_one_that_keeps_all_is_not() {
     let base = Script::read("small", SMALL).unwrap();
-    let of = |least| Bounds { least_value: Some(least), only_rule: None };
+    let of = |least| Bounds {
+        least_value: Some(least),
+        only_rule: None,
+    };
     let real = Cover::of(saltdrum_day::serve);
     let found = hunt(&base, real, of(0.9), 1, 40, 40, 4).unwrap().unwrap();
-    assert!(found.why.starts_with("value: billed value"), "{}", found.why);
+    assert!(
+        found.why.starts_with("value: billed value"),
+        "{}",
+        found.why
+    );
     assert!(hunt(&base, real, of(0.0), 1, 12, 40, 4).unwrap().is_none());
 }
 
@@ -116,20 +157,47 @@
 
 fn planted(rule: u8, serve: Serve) {
     let base = Script::read("small", SMALL).unwrap();
-    let found =
-        hunt(&base, Cover::of(serve), Bounds { only_rule: Some(rule), least_value: None }, 1, BUDGET, 120, 4)
-            .unwrap()
-            .unwrap();
-    assert!(found.why.starts_with(&format!("rule {rule}: ")), "{}", found.why);
+    let found = hunt(
+        &base,
+        Cover::of(serve),
+        Bounds {
+            only_rule: Some(rule),
+            least_value: None,
+        },
+        1,
+        BUDGET,
+        120,
+        4,
+    )
+    .unwrap()
+    .unwrap();
+    assert!(
+        found.why.starts_with(&format!("rule {rule}: ")),
+        "{}",
+        found.why
+    );
     let again = Script::read("shrunk.star", &found.shrunk.script.text()).unwrap();
     let day = again.day().unwrap();
-    assert!(day.troubles.len() <= 1 && day.traffic.len() == 1, "{}", again.text());
+    assert!(
+        day.troubles.len() <= 1 && day.traffic.len() == 1,
+        "{}",
+        again.text()
+    );
     let lines = saltdrum_day::play_virtually(&day, serve).unwrap();
     let broken = saltdrum_day::check::check(&lines).unwrap();
-    assert!(broken.iter().any(|v| v.state == saltdrum_day::State::Broken), "{}", again.text());
+    assert!(
+        broken
+            .iter()
+            .any(|v| v.state == saltdrum_day::State::Broken),
+        "{}",
+        again.text()
+    );
     let kept = saltdrum_day::play_virtually(&day, saltdrum_day::serve).unwrap();
     let kept = saltdrum_day::check::check(&kept).unwrap();
-    assert!(kept.iter().all(|v| v.state != saltdrum_day::State::Broken), "the real one keeps them");
+    assert!(
+        kept.iter().all(|v| v.state != saltdrum_day::State::Broken),
+        "the real one keeps them"
+    );
 }
 
 #[test]
@@ -162,7 +230,13 @@
 
 fn copies(day: &saltdrum_day::Day, cover: Cover) -> (usize, usize) {
     let lines = saltdrum_day::play_covered(day, cover).unwrap();
-    let of = |l: &Line| if let Line::Copied { sound, .. } = l { Some(*sound) } else { None };
+    let of = |l: &Line| {
+        if let Line::Copied { sound, .. } = l {
+            Some(*sound)
+        } else {
+            None
+        }
+    };
     let all: Vec<bool> = lines.iter().filter_map(of).collect();
     (all.len(), all.iter().filter(|sound| !**sound).count())
 }
@@ -170,8 +244,13 @@
 #[test]
 fn a_cache_that_skips_a_digest_is_found() {
     let base = Script::read("layers", WITH_LAYERS).unwrap();
-    let planted = Cover { serve: saltdrum_day::serve, brings: Some(careless) };
-    let found = hunt(&base, planted, Bounds::default(), 1, BUDGET, 60, 4).unwrap().unwrap();
+    let planted = Cover {
+        serve: saltdrum_day::serve,
+        brings: Some(careless),
+    };
+    let found = hunt(&base, planted, Bounds::default(), 1, BUDGET, 60, 4)
+        .unwrap()
+        .unwrap();
     assert!(found.why.starts_with("copy: "), "{}", found.why);
     let day = found.shrunk.script.day().unwrap();
     assert!(copies(&day, planted).1 > 0);
@@ -194,11 +273,21 @@
     let day = saltdrum_day::Day::load("torn", &text).unwrap();
     let (mut damaged, mut all) = (0, 0);
     for seed in 0..6 {
-        let day = saltdrum_day::Day { seed, ..day.clone() };
+        let day = saltdrum_day::Day {
+            seed,
+            ..day.clone()
+        };
         let lines = saltdrum_day::play_virtually(&day, saltdrum_day::serve).unwrap();
         let verdicts = saltdrum_day::check::check(&lines).unwrap();
-        assert!(verdicts.iter().all(|v| v.state != saltdrum_day::State::Broken), "seed {seed}");
-        let sum = saltdrum_day::summary::sum_up("torn", &lines, verdicts).layers.unwrap();
+        assert!(
+            verdicts
+                .iter()
+                .all(|v| v.state != saltdrum_day::State::Broken),
+            "seed {seed}"
+        );
+        let sum = saltdrum_day::summary::sum_up("torn", &lines, verdicts)
+            .layers
+            .unwrap();
         assert_eq!(sum.unsound, 0, "seed {seed}");
         (damaged, all) = (damaged + sum.damaged, all + sum.copies);
     }
@@ -215,36 +304,70 @@
         DAYS.iter().map(|d| d.0).collect::<Vec<_>>()
     );
     let folder = tempfile::tempdir().unwrap();
-    assert_eq!(experiment(folder.path(), &text).cells().len(), DAYS.len() * 4);
+    assert_eq!(
+        experiment(folder.path(), &text).cells().len(),
+        DAYS.len() * 4
+    );
 }
 
 /// Days that searches found with planted controllers, cut down: they still tell the planted from the real one.
 #[test]
 fn found_days_still_fail_with_the_planted_controller_and_not_with_the_real_one() {
     let found: [(&str, &str, u8, Serve); 9] = [
-        ("answers-twice", include_str!("found/answers-twice.star"), 1, |s, n, c| {
-            rogue(Fault::AnswersTwice, s, n, c)
-        }),
-        ("answers-not-all", include_str!("found/answers-not-all.star"), 1, |s, n, c| {
-            rogue(Fault::AnswersNotAll, s, n, c)
-        }),
-        ("answers-late", include_str!("found/answers-late.star"), 1, |s, n, c| {
-            rogue(Fault::AnswersLate, s, n, c)
-        }),
-        ("runs-twice", include_str!("found/runs-twice.star"), 2, |s, n, c| rogue(Fault::RunsTwice, s, n, c)),
-        ("throttles-what-ran", include_str!("found/throttles-what-ran.star"), 2, |s, n, c| {
-            rogue(Fault::ThrottlesWhatRan, s, n, c)
-        }),
-        ("two-out", include_str!("found/two-out.star"), 2, |s, n, c| rogue(Fault::TwoOut, s, n, c)),
-        ("ignores-drains", include_str!("found/ignores-drains.star"), 3, |s, n, c| {
-            rogue(Fault::IgnoresDrains, s, n, c)
-        }),
-        ("loads-at-will", include_str!("found/loads-at-will.star"), 5, |s, n, c| {
-            rogue(Fault::LoadsAtWill, s, n, c)
-        }),
-        ("floods-cold-ones", include_str!("found/floods-cold-ones.star"), 4, |s, n, c| {
-            rogue(Fault::FloodsColdOnes, s, n, c)
-        }),
+        (
+            "answers-twice",
+            include_str!("found/answers-twice.star"),
+            1,
+            |s, n, c| rogue(Fault::AnswersTwice, s, n, c),
+        ),
+        (
+            "answers-not-all",
+            include_str!("found/answers-not-all.star"),
+            1,
+            |s, n, c| rogue(Fault::AnswersNotAll, s, n, c),
+        ),
+        (
+            "answers-late",
+            include_str!("found/answers-late.star"),
+            1,
+            |s, n, c| rogue(Fault::AnswersLate, s, n, c),
+        ),
+        (
+            "runs-twice",
+            include_str!("found/runs-twice.star"),
+            2,
+            |s, n, c| rogue(Fault::RunsTwice, s, n, c),
+        ),
+        (
+            "throttles-what-ran",
+            include_str!("found/throttles-what-ran.star"),
+            2,
+            |s, n, c| rogue(Fault::ThrottlesWhatRan, s, n, c),
+        ),
+        (
+            "two-out",
+            include_str!("found/two-out.star"),
+            2,
+            |s, n, c| rogue(Fault::TwoOut, s, n, c),
+        ),
+        (
+            "ignores-drains",
+            include_str!("found/ignores-drains.star"),
+            3,
+            |s, n, c| rogue(Fault::IgnoresDrains, s, n, c),
+        ),
+        (
+            "loads-at-will",
+            include_str!("found/loads-at-will.star"),
+            5,
+            |s, n, c| rogue(Fault::LoadsAtWill, s, n, c),
+        ),
+        (
+            "floods-cold-ones",
+            include_str!("found/floods-cold-ones.star"),
+            4,
+            |s, n, c| rogue(Fault::FloodsColdOnes, s, n, c),
+        ),
     ];
     for (name, text, rule, serve) in found {
         let day = saltdrum_day::Day::load(name, text).unwrap();
