--- a/crates/layers/src/cache.rs
+++ b/crates/layers/src/cache.rs
@@ -63,7 +63,10 @@
     fn list(&self, path: &Path) -> io::Result<Vec<(String, u64)>> {
         let entry = |e: io::Result<fs::DirEntry>| {
             let e = e?;
-            Ok((e.file_name().to_string_lossy().into_owned(), e.metadata()?.len()))
+            Ok((
+                e.file_name().to_string_lossy().into_owned(),
+                e.metadata()?.len(),
+            ))
         };
         fs::read_dir(path)?.map(entry).collect()
     }
@@ -118,7 +121,10 @@
             disk.open_index(&path)
         });
         let index = index.ok();
-        let known = index.as_ref().and_then(|i| read_index(i).ok()).unwrap_or_default();
+        let known = index
+            .as_ref()
+            .and_then(|i| read_index(i).ok())
+            .unwrap_or_default();
         let mut shelf = Shelf::new(most_bytes);
         let mut unremoved = BTreeSet::new();
         let mut discard = |file: PathBuf| {
@@ -137,7 +143,11 @@
             let kept = match known.get(&digest) {
                 Some(kept) if kept.bytes == length => *kept,
                 // Renamed, but its line was not written any more. Its digest is looked at when it is read.
-                _ => Kept { bytes: length, cost: 1.0, sharers: 1 },
+                _ => Kept {
+                    bytes: length,
+                    cost: 1.0,
+                    sharers: 1,
+                },
             };
             match shelf.admit(digest, kept) {
                 Some(gone) => gone.iter().for_each(|d| discard(chunks.join(d.hex()))),
@@ -172,7 +182,12 @@
     }
 
     pub fn digests(&self) -> Vec<Digest> {
-        self.shelf.borrow().digests().filter(|d| !self.unreadable.borrow().contains(d)).copied().collect()
+        self.shelf
+            .borrow()
+            .digests()
+            .filter(|d| !self.unreadable.borrow().contains(d))
+            .copied()
+            .collect()
     }
 
     /// A copy that stands, or a load, uses it: it stays.
@@ -191,7 +206,9 @@
             return None;
         }
         // A byte more than stated is enough to see that the file is longer.
-        let read = self.disk.read(&self.path(&chunk.digest), chunk.stored_bytes + 1);
+        let read = self
+            .disk
+            .read(&self.path(&chunk.digest), chunk.stored_bytes + 1);
         let bytes = match read {
             Ok(bytes) if cut::verify(chunk, &bytes).is_ok() => bytes,
             Ok(_) => {
@@ -213,9 +230,19 @@
     }
 
     /// Keeps a chunk if it can. False: it could not; the caller uses its bytes all the same.
-    pub fn put(&self, chunk: &Chunk, bytes: &[u8], cost: f64, sharers: u32) -> Result<bool, cut::Damage> {
+    pub fn put(
+        &self,
+        chunk: &Chunk,
+        bytes: &[u8],
+        cost: f64,
+        sharers: u32,
+    ) -> Result<bool, cut::Damage> {
         cut::verify(chunk, bytes)?;
-        let kept = Kept { bytes: chunk.stored_bytes, cost, sharers };
+        let kept = Kept {
+            bytes: chunk.stored_bytes,
+            cost,
+            sharers,
+        };
         if self.holds(&chunk.digest) {
             self.shelf.borrow_mut().used(&chunk.digest);
             return Ok(true);
@@ -239,7 +266,10 @@
     /// Writes a chunk's file, whole or not at all.
     fn write(&self, digest: &Digest, bytes: &[u8]) -> io::Result<()> {
         self.parts.set(self.parts.get() + 1);
-        let part = self.folder.join("chunks").join(format!("{}.part", self.parts.get()));
+        let part = self
+            .folder
+            .join("chunks")
+            .join(format!("{}.part", self.parts.get()));
         let written = self.disk.write_new(&part, bytes);
         let renamed = written.and_then(|()| self.disk.rename(&part, &self.path(digest)));
         if renamed.is_err() {
@@ -293,14 +323,20 @@
 
     fn forget(&self, digests: &[Digest]) {
         if !digests.is_empty() {
-            self.write_index(|table| digests.iter().try_for_each(|d| table.remove(d.bytes()).map(|_| ())));
+            self.write_index(|table| {
+                digests
+                    .iter()
+                    .try_for_each(|d| table.remove(d.bytes()).map(|_| ()))
+            });
         }
     }
 
     /// An index that can't be written is given up for this life: the files are the truth.
     fn write_index(
         &self,
-        change: impl FnOnce(&mut redb::Table<&[u8; 32], (u64, f64, u32)>) -> Result<(), redb::StorageError>,
+        change: impl FnOnce(
+            &mut redb::Table<&[u8; 32], (u64, f64, u32)>,
+        ) -> Result<(), redb::StorageError>,
     ) {
         let mut index = self.index.borrow_mut();
         let Some(db) = index.as_ref() else { return };
@@ -321,7 +357,10 @@
     pub fn sync(&self) {
         let mut index = self.index.borrow_mut();
         let Some(db) = index.as_ref() else { return };
-        let synced = db.begin_write().map_err(redb::Error::from).and_then(|t| Ok(t.commit()?));
+        let synced = db
+            .begin_write()
+            .map_err(redb::Error::from)
+            .and_then(|t| Ok(t.commit()?));
         if synced.is_err() {
             *index = None;
         }
@@ -342,8 +381,19 @@
     for line in table.iter()? {
         let (digest, kept) = line?;
         let (bytes, cost, sharers) = kept.value();
-        let cost = if cost.is_finite() { cost.clamp(0.1, 1e3) } else { 1.0 };
-        all.insert(Digest::from_bytes(*digest.value()), Kept { bytes, cost, sharers });
+        let cost = if cost.is_finite() {
+            cost.clamp(0.1, 1e3)
+        } else {
+            1.0
+        };
+        all.insert(
+            Digest::from_bytes(*digest.value()),
+            Kept {
+                bytes,
+                cost,
+                sharers,
+            },
+        );
     }
     Ok(all)
 }
--- a/crates/layers/src/cut.rs
+++ b/crates/layers/src/cut.rs
@@ -15,22 +15,37 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Damage {
     #[error("chunk {digest}: {got} bytes came, {expected} were stated")]
-    Length { digest: Digest, got: usize, expected: u64 },
+    Length {
+        digest: Digest,
+        got: usize,
+        expected: u64,
+    },
     #[error("chunk {expected}: its bytes have digest {got}")]
     Digest { got: Digest, expected: Digest },
     #[error("chunk {digest}: its digest held, but it does not unpack to {expected} bytes: {why}")]
-    Unpacks { digest: Digest, expected: u64, why: String },
+    Unpacks {
+        digest: Digest,
+        expected: u64,
+        why: String,
+    },
 }
 
 /// Cuts and packs; `keep` gets each chunk as it is to be stored. The same bytes give the same chunks.
-pub fn pack(model: impl Read, mut keep: impl FnMut(&Chunk, &[u8]) -> io::Result<()>) -> io::Result<Manifest> {
+pub fn pack(
+    model: impl Read,
+    mut keep: impl FnMut(&Chunk, &[u8]) -> io::Result<()>,
+) -> io::Result<Manifest> {
     let mut manifest = Manifest::default();
     let mut packer = zstd::bulk::Compressor::new(LEVEL)?;
     for piece in StreamCDC::new(model, LEAST, MEAN, CHUNK_MOST_BYTES as usize) {
         let piece = piece.map_err(io::Error::from)?.data;
         let packed = packer.compress(&piece)?;
         let worth = (packed.len() as f64) < piece.len() as f64 * WORTH;
-        let (stored, packing) = if worth { (&packed, Packing::Zstd) } else { (&piece, Packing::Plain) };
+        let (stored, packing) = if worth {
+            (&packed, Packing::Zstd)
+        } else {
+            (&piece, Packing::Plain)
+        };
         let chunk = Chunk {
             digest: Digest::of(stored),
             stored_bytes: stored.len() as u64,
@@ -46,11 +61,18 @@
 /// Whether these are the chunk's bytes, as stored. The only door by which bytes become a chunk.
 pub fn verify(chunk: &Chunk, stored: &[u8]) -> Result<(), Damage> {
     if stored.len() as u64 != chunk.stored_bytes {
-        return Err(Damage::Length { digest: chunk.digest, got: stored.len(), expected: chunk.stored_bytes });
+        return Err(Damage::Length {
+            digest: chunk.digest,
+            got: stored.len(),
+            expected: chunk.stored_bytes,
+        });
     }
     let got = Digest::of(stored);
     if got != chunk.digest {
-        return Err(Damage::Digest { got, expected: chunk.digest });
+        return Err(Damage::Digest {
+            got,
+            expected: chunk.digest,
+        });
     }
     Ok(())
 }
@@ -58,12 +80,15 @@
 /// Verifies and unpacks. Never makes more than the stated bytes, whatever the chunk would unpack to.
 pub fn unpack(chunk: &Chunk, stored: &[u8]) -> Result<Vec<u8>, Damage> {
     verify(chunk, stored)?;
-    let fault = |why: String| Damage::Unpacks { digest: chunk.digest, expected: chunk.bytes, why };
+    let fault = |why: String| Damage::Unpacks {
+        digest: chunk.digest,
+        expected: chunk.bytes,
+        why,
+    };
     let bytes = match chunk.packing {
         Packing::Plain => stored.to_vec(),
-        Packing::Zstd => {
-            zstd::bulk::decompress(stored, chunk.bytes as usize).map_err(|e| fault(e.to_string()))?
-        }
+        Packing::Zstd => zstd::bulk::decompress(stored, chunk.bytes as usize)
+            .map_err(|e| fault(e.to_string()))?,
     };
     match bytes.len() as u64 == chunk.bytes {
         true => Ok(bytes),
--- a/crates/layers/src/digest.rs
+++ b/crates/layers/src/digest.rs
@@ -46,9 +46,15 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let bad =
-            || format!("digest '{text:.80}': sha256: and 64 hexadecimal digits in lower case are expected");
-        let hex = text.strip_prefix("sha256:").filter(|hex| hex.len() == 64).ok_or_else(bad)?;
+        let bad = || {
+            format!(
+                "digest '{text:.80}': sha256: and 64 hexadecimal digits in lower case are expected"
+            )
+        };
+        let hex = text
+            .strip_prefix("sha256:")
+            .filter(|hex| hex.len() == 64)
+            .ok_or_else(bad)?;
         let mut bytes = [0; 32];
         for (byte, pair) in bytes.iter_mut().zip(hex.as_bytes().chunks(2)) {
             let digit = |c: u8| match c {
@@ -56,7 +62,10 @@
                 b'a'..=b'f' => Some(c - b'a' + 10),
                 _ => None,
             };
-            *byte = digit(pair[0]).zip(digit(pair[1])).map(|(a, b)| 16 * a + b).ok_or_else(bad)?;
+            *byte = digit(pair[0])
+                .zip(digit(pair[1]))
+                .map(|(a, b)| 16 * a + b)
+                .ok_or_else(bad)?;
         }
         Ok(Self(bytes))
     }
@@ -70,6 +79,8 @@
 
 impl<'de> Deserialize<'de> for Digest {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        String::deserialize(d)?.parse().map_err(serde::de::Error::custom)
+        String::deserialize(d)?
+            .parse()
+            .map_err(serde::de::Error::custom)
     }
 }
--- a/crates/layers/src/layout.rs
+++ b/crates/layers/src/layout.rs
@@ -70,13 +70,15 @@
 impl Layout {
     /// Opens a folder, or makes one.
     pub fn open(folder: &Path) -> Result<Self, Fault> {
-        let layout = Self { folder: folder.to_owned() };
+        let layout = Self {
+            folder: folder.to_owned(),
+        };
         let marker = folder.join(MARKER);
         // A kill in an earlier version may have left a part of it.
         let is_whole = |found: Vec<u8>| serde_json::from_slice::<IgnoredAny>(&found).is_ok();
         if !fs::read(&marker).is_ok_and(is_whole) {
-            let made =
-                fs::create_dir_all(layout.blobs()).and_then(|()| file::write_whole(&marker, MARKER_CONTENT));
+            let made = fs::create_dir_all(layout.blobs())
+                .and_then(|()| file::write_whole(&marker, MARKER_CONTENT));
             made.map_err(|why| Fault::File { path: marker, why })?;
         }
         Ok(layout)
@@ -94,32 +96,43 @@
     fn put_blob(&self, digest: &Digest, bytes: &[u8]) -> io::Result<()> {
         let path = self.path(digest);
         let there = fs::metadata(&path).is_ok_and(|m| m.len() == bytes.len() as u64);
-        if there { Ok(()) } else { file::write_whole(&path, bytes) }
+        if there {
+            Ok(())
+        } else {
+            file::write_whole(&path, bytes)
+        }
     }
 
     fn index(&self) -> Result<Index, Fault> {
         let path = self.folder.join("index.json");
         match fs::read(&path) {
-            Ok(bytes) => {
-                serde_json::from_slice(&bytes).map_err(|e| Fault::Shape { path, why: e.to_string() })
-            }
-            Err(e) if e.kind() == io::ErrorKind::NotFound => {
-                Ok(Index { schema_version: 2, ..Default::default() })
-            }
+            Ok(bytes) => serde_json::from_slice(&bytes).map_err(|e| Fault::Shape {
+                path,
+                why: e.to_string(),
+            }),
+            Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(Index {
+                schema_version: 2,
+                ..Default::default()
+            }),
             Err(why) => Err(Fault::File { path, why }),
         }
     }
 
     /// Packs a model's file under a tag, which moves if it was there.
     pub fn pack(&self, model: &Path, tag: &str) -> Result<Manifest, Fault> {
-        let file = |why| Fault::File { path: model.to_owned(), why };
+        let file = |why| Fault::File {
+            path: model.to_owned(),
+            why,
+        };
         let reader = BufReader::with_capacity(1 << 20, File::open(model).map_err(file)?);
-        let manifest =
-            cut::pack(reader, |chunk, stored| self.put_blob(&chunk.digest, stored)).map_err(file)?;
+        let manifest = cut::pack(reader, |chunk, stored| self.put_blob(&chunk.digest, stored))
+            .map_err(file)?;
         let bytes = manifest.write();
         let digest = Digest::of(&bytes);
         let mut index = self.index()?;
-        index.manifests.retain(|e| e.annotations.get(REF_NAME).is_none_or(|t| t != tag));
+        index
+            .manifests
+            .retain(|e| e.annotations.get(REF_NAME).is_none_or(|t| t != tag));
         index.manifests.push(Entry {
             media_type: MANIFEST_TYPE.into(),
             digest,
@@ -148,12 +161,26 @@
     /// The manifest under a tag, its digest checked.
     pub fn manifest(&self, tag: &str) -> Result<(Digest, Manifest), Fault> {
         let tags = self.tags()?;
-        let known = || tags.keys().map(String::as_str).collect::<Vec<_>>().join(", ");
-        let digest = *tags.get(tag).ok_or_else(|| Fault::Tag { tag: tag.into(), known: known() })?;
+        let known = || {
+            tags.keys()
+                .map(String::as_str)
+                .collect::<Vec<_>>()
+                .join(", ")
+        };
+        let digest = *tags.get(tag).ok_or_else(|| Fault::Tag {
+            tag: tag.into(),
+            known: known(),
+        })?;
         let path = self.path(&digest);
-        let bytes = fs::read(&path).map_err(|why| Fault::File { path: path.clone(), why })?;
+        let bytes = fs::read(&path).map_err(|why| Fault::File {
+            path: path.clone(),
+            why,
+        })?;
         if Digest::of(&bytes) != digest {
-            return Err(Fault::Shape { path, why: "its bytes do not have this digest".into() });
+            return Err(Fault::Shape {
+                path,
+                why: "its bytes do not have this digest".into(),
+            });
         }
         Ok((digest, Manifest::read(&bytes)?))
     }
@@ -162,7 +189,8 @@
         let path = self.path(&chunk.digest);
         let mut bytes = Vec::new();
         // One byte more than stated tells of a longer file without reading all of it.
-        let read = File::open(&path).and_then(|f| f.take(chunk.stored_bytes + 1).read_to_end(&mut bytes));
+        let read =
+            File::open(&path).and_then(|f| f.take(chunk.stored_bytes + 1).read_to_end(&mut bytes));
         read.map_err(|e| format!("{}: {e}", path.display()))?;
         Ok(bytes)
     }
@@ -172,10 +200,16 @@
         let (_, manifest) = self.manifest(tag)?;
         for chunk in &manifest.chunks {
             let path = self.path(&chunk.digest);
-            let shape = |why| Fault::Shape { path: path.clone(), why };
+            let shape = |why| Fault::Shape {
+                path: path.clone(),
+                why,
+            };
             let stored = self.stored(chunk).map_err(shape)?;
             let bytes = cut::unpack(chunk, &stored).map_err(|e: Damage| shape(e.to_string()))?;
-            to.write_all(&bytes).map_err(|why| Fault::File { path: path.clone(), why })?;
+            to.write_all(&bytes).map_err(|why| Fault::File {
+                path: path.clone(),
+                why,
+            })?;
         }
         Ok(())
     }
@@ -195,8 +229,12 @@
             for chunk in manifest.chunks.iter().filter(|c| seen.insert(c.digest)) {
                 checked.chunks += 1;
                 checked.bytes += chunk.stored_bytes;
-                let fine = self.stored(chunk).and_then(|s| cut::unpack(chunk, &s).map_err(|e| e.to_string()));
-                checked.wrong.extend(fine.err().map(|e| format!("{tag}: {e}")));
+                let fine = self
+                    .stored(chunk)
+                    .and_then(|s| cut::unpack(chunk, &s).map_err(|e| e.to_string()));
+                checked
+                    .wrong
+                    .extend(fine.err().map(|e| format!("{tag}: {e}")));
             }
         }
         Ok(checked)
@@ -204,11 +242,20 @@
 
     pub fn diff(&self, first: &str, second: &str) -> Result<Diff, Fault> {
         let of = |tag| -> Result<BTreeMap<Digest, u64>, Fault> {
-            Ok(self.manifest(tag)?.1.chunks.iter().map(|c| (c.digest, c.stored_bytes)).collect())
+            Ok(self
+                .manifest(tag)?
+                .1
+                .chunks
+                .iter()
+                .map(|c| (c.digest, c.stored_bytes))
+                .collect())
         };
         let (a, b) = (of(first)?, of(second)?);
         let sum = |of: &BTreeMap<Digest, u64>, shared: bool, other: &BTreeMap<Digest, u64>| {
-            of.iter().filter(|(d, _)| other.contains_key(d) == shared).map(|(_, n)| n).sum()
+            of.iter()
+                .filter(|(d, _)| other.contains_key(d) == shared)
+                .map(|(_, n)| n)
+                .sum()
         };
         Ok(Diff {
             shared_bytes: sum(&a, true, &b),
--- a/crates/layers/src/manifest.rs
+++ b/crates/layers/src/manifest.rs
@@ -116,10 +116,17 @@
         if bytes.len() > MANIFEST_MOST_BYTES {
             return Err(Fault::Oversize(bytes.len()));
         }
-        let written: Written = serde_json::from_slice(bytes).map_err(|e| Fault::Shape(e.to_string()))?;
-        let value = |place: &str, why: String| Fault::Value { place: place.into(), why };
+        let written: Written =
+            serde_json::from_slice(bytes).map_err(|e| Fault::Shape(e.to_string()))?;
+        let value = |place: &str, why: String| Fault::Value {
+            place: place.into(),
+            why,
+        };
         if (written.schema_version, written.media_type.as_str()) != (2, MANIFEST_TYPE) {
-            return Err(value("mediaType", format!("schema 2 and {MANIFEST_TYPE} are expected")));
+            return Err(value(
+                "mediaType",
+                format!("schema 2 and {MANIFEST_TYPE} are expected"),
+            ));
         }
         if written.artifact_type != MODEL_TYPE {
             let why = format!("'{:.80}': {MODEL_TYPE} is expected", written.artifact_type);
@@ -136,12 +143,20 @@
             let packing = match blob.media_type.as_str() {
                 PLAIN_TYPE => Packing::Plain,
                 ZSTD_TYPE => Packing::Zstd,
-                other => return Err(value(&at("mediaType"), format!("'{other:.80}': not a chunk of ours"))),
+                other => {
+                    return Err(value(
+                        &at("mediaType"),
+                        format!("'{other:.80}': not a chunk of ours"),
+                    ));
+                }
             };
             let digest: Digest = blob.digest.parse().map_err(|e| value(&at("digest"), e))?;
             let said = blob.annotations.get(BYTES).map_or("", String::as_str);
             let bytes: u64 = said.parse().map_err(|_| {
-                value(&at("annotations"), format!("{BYTES} '{said:.40}': a number of bytes is expected"))
+                value(
+                    &at("annotations"),
+                    format!("{BYTES} '{said:.40}': a number of bytes is expected"),
+                )
             })?;
             if bytes == 0 || bytes > CHUNK_MOST_BYTES {
                 let why = format!("{BYTES} {bytes}: 1 to {CHUNK_MOST_BYTES} are allowed");
@@ -152,15 +167,31 @@
                 Packing::Zstd => blob.size > 0 && blob.size <= bytes + PACKING_MOST_BYTES,
             };
             if !fits {
-                return Err(value(&at("size"), format!("{} for a chunk of {bytes} bytes", blob.size)));
+                return Err(value(
+                    &at("size"),
+                    format!("{} for a chunk of {bytes} bytes", blob.size),
+                ));
             }
-            Ok(Chunk { digest, stored_bytes: blob.size, bytes, packing })
+            Ok(Chunk {
+                digest,
+                stored_bytes: blob.size,
+                bytes,
+                packing,
+            })
         };
-        let chunks: Vec<Chunk> = written.layers.iter().enumerate().map(chunk).collect::<Result<_, _>>()?;
+        let chunks: Vec<Chunk> = written
+            .layers
+            .iter()
+            .enumerate()
+            .map(chunk)
+            .collect::<Result<_, _>>()?;
         let mut seen: BTreeMap<Digest, &Chunk> = BTreeMap::new();
         for (n, c) in chunks.iter().enumerate() {
             if seen.insert(c.digest, c).is_some_and(|other| other != c) {
-                return Err(value(&format!("layers[{n}].digest"), "named above with another size".into()));
+                return Err(value(
+                    &format!("layers[{n}].digest"),
+                    "named above with another size".into(),
+                ));
             }
         }
         Ok(Self { chunks })
--- a/crates/layers/src/plan/evict.rs
+++ b/crates/layers/src/plan/evict.rs
@@ -38,7 +38,13 @@
 
 impl Shelf {
     pub fn new(most_bytes: u64) -> Self {
-        Self { most_bytes, bytes: 0, entries: BTreeMap::new(), floor: 0.0, touches: 0 }
+        Self {
+            most_bytes,
+            bytes: 0,
+            entries: BTreeMap::new(),
+            floor: 0.0,
+            touches: 0,
+        }
     }
 
     pub fn bytes(&self) -> u64 {
@@ -98,12 +104,22 @@
         self.bytes += kept.bytes;
         self.touches += 1;
         let touched = self.touches;
-        self.entries.insert(digest, Entry { kept, priority, touched, pins: 0 });
+        self.entries.insert(
+            digest,
+            Entry {
+                kept,
+                priority,
+                touched,
+                pins: 0,
+            },
+        );
         Some(going.into_iter().map(|(_, d)| d).collect())
     }
 
     pub fn used(&mut self, digest: &Digest) {
-        let Some(kept) = self.entries.get(digest).map(|e| e.kept) else { return };
+        let Some(kept) = self.entries.get(digest).map(|e| e.kept) else {
+            return;
+        };
         let priority = self.priority(&kept);
         self.touches += 1;
         let e = self.entries.get_mut(digest).expect("it was just there");
--- a/crates/layers/src/plan/evict/tests.rs
+++ b/crates/layers/src/plan/evict/tests.rs
@@ -5,13 +5,18 @@
 }
 
 fn kept(bytes: u64, cost: f64, sharers: u32) -> Kept {
-    Kept { bytes, cost, sharers }
+    Kept {
+        bytes,
+        cost,
+        sharers,
+    }
 }
 
 #[test]
 fn the_dear_the_shared_and_the_lately_used_stay() {
     let mut s = Shelf::new(5_000_000);
-    s.admit(digest(0), kept(1_000_000, STORE_OVER_PEER, 1)).unwrap();
+    s.admit(digest(0), kept(1_000_000, STORE_OVER_PEER, 1))
+        .unwrap();
     s.admit(digest(1), kept(1_000_000, 1.0, 3)).unwrap();
     (2..40).for_each(|n| {
         s.admit(digest(n), kept(1_000_000, 1.0, 1));
@@ -20,7 +25,8 @@
     assert!(s.holds(&digest(2)), "used all along");
     assert!(!s.holds(&digest(3)));
     let mut s = Shelf::new(3_000_000);
-    s.admit(digest(0), kept(1_000_000, STORE_OVER_PEER, 1)).unwrap();
+    s.admit(digest(0), kept(1_000_000, STORE_OVER_PEER, 1))
+        .unwrap();
     s.admit(digest(1), kept(1_000_000, 1.0, 4)).unwrap();
     for n in 2..4 {
         assert!(s.admit(digest(n), kept(1_000_000, 1.0, 1)).is_some());
@@ -37,7 +43,10 @@
     }
     assert_eq!(s.admit(digest(9), kept(1_000_000, 99.0, 9)), None);
     s.unpin(&digest(1));
-    assert_eq!(s.admit(digest(9), kept(1_000_000, 99.0, 1)), Some(vec![digest(1)]));
+    assert_eq!(
+        s.admit(digest(9), kept(1_000_000, 99.0, 1)),
+        Some(vec![digest(1)])
+    );
     s.unpin(&digest(0));
     let mut dear_went = None;
     for n in 10..2_000 {
@@ -47,7 +56,10 @@
             break;
         }
     }
-    assert!(dear_went.is_some_and(|n| n > 60), "{dear_went:?}: dear, but nobody wanted it any more");
+    assert!(
+        dear_went.is_some_and(|n| n > 60),
+        "{dear_went:?}: dear, but nobody wanted it any more"
+    );
 }
 
 /// Whatever is asked of it: bytes add up and stay within the bound.
--- a/crates/layers/src/plan/fetch.rs
+++ b/crates/layers/src/plan/fetch.rs
@@ -150,12 +150,16 @@
 
     /// The list of invokers as it is now, ourselves among them.
     pub fn listed(&mut self, members: Vec<Member>) {
-        let gone = self.members.iter().filter(|m| !members.iter().any(|n| n.invoker == m.invoker));
+        let gone = self
+            .members
+            .iter()
+            .filter(|m| !members.iter().any(|n| n.invoker == m.invoker));
         gone.for_each(|m| self.suspects.forget(Source::Peer(m.invoker)));
         self.limits.retain(|source, _| match source {
             Source::Store => true,
             Source::Peer(p) => {
-                self.out.values().any(|o| o.source == *source) || members.iter().any(|m| m.invoker == *p)
+                self.out.values().any(|o| o.source == *source)
+                    || members.iter().any(|m| m.invoker == *p)
             }
         });
         self.members = members;
@@ -175,7 +179,10 @@
     pub fn want(&mut self, now: Tenths, load: LoadId, needs: &[Need]) -> bool {
         // It starts beside the others, not ahead of all that they were granted since they began.
         let granted = self.loads.values().map(|l| l.granted).min().unwrap_or(0);
-        let l = self.loads.entry(load).or_insert(Load { missing: BTreeSet::new(), granted });
+        let l = self.loads.entry(load).or_insert(Load {
+            missing: BTreeSet::new(),
+            granted,
+        });
         for (position, need) in needs.iter().enumerate() {
             l.missing.insert(need.digest);
             let w = self.wants.entry(need.digest).or_insert_with(|| Want {
@@ -202,12 +209,20 @@
 
     /// The load is not wanted any more; what nobody else waits for stops.
     pub fn abandon(&mut self, load: LoadId) {
-        let Some(l) = self.loads.remove(&load) else { return };
+        let Some(l) = self.loads.remove(&load) else {
+            return;
+        };
         for digest in l.missing {
-            let Some(w) = self.wants.get_mut(&digest) else { continue };
+            let Some(w) = self.wants.get_mut(&digest) else {
+                continue;
+            };
             w.waiters.remove(&load);
             if w.waiters.is_empty() {
-                let out = self.wants.remove(&digest).map(|w| w.out).unwrap_or_default();
+                let out = self
+                    .wants
+                    .remove(&digest)
+                    .map(|w| w.out)
+                    .unwrap_or_default();
                 out.into_iter().for_each(|attempt| self.cancel(attempt));
             }
         }
@@ -239,7 +254,8 @@
         let mut wake: Option<Tenths> = None;
         let mut sooner = |at: Tenths| wake = Some(wake.map_or(at, |w| w.min(at)).max(now + 1));
         // First chunks first, those that many wait for before them.
-        let mut ready: BTreeMap<LoadId, Vec<(std::cmp::Reverse<usize>, usize, Digest)>> = BTreeMap::new();
+        let mut ready: BTreeMap<LoadId, Vec<(std::cmp::Reverse<usize>, usize, Digest)>> =
+            BTreeMap::new();
         for (digest, w) in self.wants.iter().filter(|(_, w)| w.out.is_empty()) {
             if w.not_before > now {
                 sooner(w.not_before);
@@ -256,7 +272,11 @@
         for queue in ready.values_mut() {
             queue.sort_unstable_by(|a, b| b.cmp(a));
         }
-        while let Some(load) = ready.keys().min_by_key(|l| (self.loads[*l].granted, **l)).copied() {
+        while let Some(load) = ready
+            .keys()
+            .min_by_key(|l| (self.loads[*l].granted, **l))
+            .copied()
+        {
             let queue = ready.get_mut(&load).expect("it was just found");
             let Some((_, _, digest)) = queue.pop() else {
                 ready.remove(&load);
@@ -305,12 +325,24 @@
         self.last += 1;
         let attempt = self.last;
         self.limit(source).asked();
-        self.out.insert(attempt, Out { digest, source, since: now, hedged });
+        self.out.insert(
+            attempt,
+            Out {
+                digest,
+                source,
+                since: now,
+                hedged,
+            },
+        );
         if let Some(w) = self.wants.get_mut(&digest) {
             w.out.push(attempt);
             w.asked_before = true;
         }
-        Ask { attempt, digest, source }
+        Ask {
+            attempt,
+            digest,
+            source,
+        }
     }
 
     /// A first ask is free and earns; a repeat costs. Gives when one will be there, if none is.
@@ -332,15 +364,28 @@
     }
 
     fn choose(&mut self, digest: &Digest, now: Tenths, beside: bool) -> Choice {
-        let w = self.wants.get_mut(digest).expect("only wanted chunks are chosen for");
+        let w = self
+            .wants
+            .get_mut(digest)
+            .expect("only wanted chunks are chosen for");
         if w.homes.0 != self.version {
             w.homes = (self.version, homes(digest, &self.members));
         }
-        let out: Vec<Source> = w.out.iter().filter_map(|a| self.out.get(a)).map(|o| o.source).collect();
+        let out: Vec<Source> = w
+            .out
+            .iter()
+            .filter_map(|a| self.out.get(a))
+            .map(|o| o.source)
+            .collect();
         let rank = w.homes.1.iter().position(|h| *h == self.me);
         // A home asks those before it, so that of all who want the chunk one asks the store.
-        let mut peers: Vec<Source> =
-            w.homes.1.iter().take(rank.unwrap_or(usize::MAX)).map(|h| Source::Peer(*h)).collect();
+        let mut peers: Vec<Source> = w
+            .homes
+            .1
+            .iter()
+            .take(rank.unwrap_or(usize::MAX))
+            .map(|h| Source::Peer(*h))
+            .collect();
         if rank.is_none() && !peers.is_empty() {
             let turn = self.rng.usize(..peers.len());
             peers.rotate_left(turn);
@@ -349,7 +394,10 @@
         let fresh = |s: &Source| !w.tried.contains(s) && !out.contains(s);
         let mut opens: Option<Tenths> = None;
         let mut held_up = false;
-        for peer in peers.iter().filter(|p| fresh(p) && self.suspects.trusted(**p, now)) {
+        for peer in peers
+            .iter()
+            .filter(|p| fresh(p) && self.suspects.trusted(**p, now))
+        {
             let limit = self.limits.get(peer);
             if limit.is_none_or(|l| l.may_ask(now)) {
                 return Choice::Ask(*peer);
@@ -400,8 +448,12 @@
     }
 
     fn give_up(&mut self, now: Tenths) {
-        let late: Vec<u64> =
-            self.out.iter().filter(|(_, o)| now >= o.since + ASK_MOST).map(|(attempt, _)| *attempt).collect();
+        let late: Vec<u64> = self
+            .out
+            .iter()
+            .filter(|(_, o)| now >= o.since + ASK_MOST)
+            .map(|(attempt, _)| *attempt)
+            .collect();
         for attempt in late {
             self.ended(now, attempt, Ended::Broken);
             self.cancels.push(attempt);
@@ -420,7 +472,9 @@
 
     /// An ask has ended. Gives the loads that now have all they wanted.
     pub fn ended(&mut self, now: Tenths, attempt: u64, how: Ended) -> Vec<LoadId> {
-        let Some(out) = self.out.remove(&attempt) else { return Vec::new() };
+        let Some(out) = self.out.remove(&attempt) else {
+            return Vec::new();
+        };
         let (digest, source) = (out.digest, out.source);
         let took = now.saturating_sub(out.since);
         let bytes = self.wants.get(&digest).map_or(0, |w| w.bytes);
@@ -441,7 +495,9 @@
                 self.suspects.damaged(source, now);
             }
         }
-        let Some(w) = self.wants.get_mut(&digest) else { return Vec::new() };
+        let Some(w) = self.wants.get_mut(&digest) else {
+            return Vec::new();
+        };
         w.out.retain(|a| *a != attempt);
         match how {
             Ended::Well => return self.here(digest),
@@ -459,11 +515,15 @@
 
     /// The chunk is here, by whatever way.
     pub fn here(&mut self, digest: Digest) -> Vec<LoadId> {
-        let Some(w) = self.wants.remove(&digest) else { return Vec::new() };
+        let Some(w) = self.wants.remove(&digest) else {
+            return Vec::new();
+        };
         w.out.into_iter().for_each(|attempt| self.cancel(attempt));
         let mut whole = Vec::new();
         for load in w.waiters {
-            let Some(l) = self.loads.get_mut(&load) else { continue };
+            let Some(l) = self.loads.get_mut(&load) else {
+                continue;
+            };
             l.missing.remove(&digest);
             if l.missing.is_empty() {
                 self.loads.remove(&load);
--- a/crates/layers/src/plan/homes.rs
+++ b/crates/layers/src/plan/homes.rs
@@ -30,7 +30,10 @@
 pub fn homes(chunk: &Digest, members: &[Member]) -> Vec<InvokerId> {
     let lead = chunk.lead();
     let mut best: Vec<(f64, InvokerId)> = Vec::with_capacity(HOMES + 1);
-    for m in members.iter().filter(|m| m.ready && (m.risen >= 1.0 || unit(lead, m.invoker, 77) < m.risen)) {
+    for m in members
+        .iter()
+        .filter(|m| m.ready && (m.risen >= 1.0 || unit(lead, m.invoker, 77) < m.risen))
+    {
         let score = -unit(lead, m.invoker, 0).ln() / m.size.max(0.01);
         let at = best.partition_point(|b| (b.0, b.1) < (score, m.invoker));
         if at < HOMES {
@@ -46,7 +49,14 @@
     use super::*;
 
     fn members(n: u32) -> Vec<Member> {
-        (1..=n).map(|invoker| Member { invoker, size: 1.0, risen: 1.0, ready: true }).collect()
+        (1..=n)
+            .map(|invoker| Member {
+                invoker,
+                size: 1.0,
+                risen: 1.0,
+                ready: true,
+            })
+            .collect()
     }
 
     fn chunks(n: u32) -> Vec<Digest> {
@@ -68,7 +78,10 @@
                 assert!(kept.iter().all(|i| b.contains(i)) && !b.contains(&7));
             }
         }
-        assert!(carried[1..].iter().all(|n| (320..480).contains(n)), "400 each on the mean: {carried:?}");
+        assert!(
+            carried[1..].iter().all(|n| (320..480).contains(n)),
+            "400 each on the mean: {carried:?}"
+        );
     }
 
     #[test]
@@ -78,11 +91,17 @@
         for risen in [0.0, 0.2, 0.6, 1.0] {
             let mut all = members(10);
             all[3].risen = risen;
-            let now: Vec<Digest> =
-                chunks(2_000).into_iter().filter(|c| homes(c, &all).contains(&4)).collect();
+            let now: Vec<Digest> = chunks(2_000)
+                .into_iter()
+                .filter(|c| homes(c, &all).contains(&4))
+                .collect();
             assert!(had.iter().all(|c| now.contains(c)));
             assert!(now.len() > before || risen == 0.0, "{risen}: {}", now.len());
-            assert!(now.len() as f64 <= 400.0 * risen * 1.3 + 1.0, "{risen}: {}", now.len());
+            assert!(
+                now.len() as f64 <= 400.0 * risen * 1.3 + 1.0,
+                "{risen}: {}",
+                now.len()
+            );
             (before, had) = (now.len(), now);
         }
     }
--- a/crates/layers/src/plan/limit.rs
+++ b/crates/layers/src/plan/limit.rs
@@ -66,7 +66,11 @@
         if pace > SLOW * quickest {
             self.shrink(now, 0.9);
         } else {
-            let step = if self.window + 1.0 >= self.brink { AT_BRINK } else { 1.0 };
+            let step = if self.window + 1.0 >= self.brink {
+                AT_BRINK
+            } else {
+                1.0
+            };
             self.window = (self.window + step / self.window).min(self.most);
         }
     }
@@ -126,7 +130,10 @@
         let most = 600_000 / 500 * capacity as u32;
         assert!(all * 10 > most * 7, "{all} of {most} served");
         assert!(refused * 3 < all, "{refused} refused, {all} served");
-        assert!(served.iter().min().unwrap() * 3 > *served.iter().max().unwrap(), "{served:?}");
+        assert!(
+            served.iter().min().unwrap() * 3 > *served.iter().max().unwrap(),
+            "{served:?}"
+        );
     }
 
     #[test]
--- a/crates/layers/src/plan/serve.rs
+++ b/crates/layers/src/plan/serve.rs
@@ -34,7 +34,13 @@
 
 impl Serving {
     pub fn new(now: Tenths, bytes_per_second: f64) -> Self {
-        Self { out: 0, line: 0, bytes_per_second, left: bytes_per_second, at: now }
+        Self {
+            out: 0,
+            line: 0,
+            bytes_per_second,
+            left: bytes_per_second,
+            at: now,
+        }
     }
 
     /// A peer asks for a chunk that we hold, or are home to, or neither.
@@ -46,7 +52,11 @@
             return Verdict::Later(COME_BACK);
         }
         self.line += 1;
-        if held { Verdict::InLine } else { Verdict::FetchAndServe }
+        if held {
+            Verdict::InLine
+        } else {
+            Verdict::FetchAndServe
+        }
     }
 
     /// Whether the next in line, whose chunk is here, may be sent; it is then under way. `risen`: our own part of full
@@ -56,7 +66,8 @@
         self.left = (self.left + passed * self.bytes_per_second).min(self.bytes_per_second);
         self.at = self.at.max(now);
         // One slot always: a fleet that is busy all over must still get its models somewhere.
-        let slots = (SLOTS * risen.clamp(0.0, 1.0) * (1.5 - busy).clamp(0.2, 1.0)).max(1.0) as usize;
+        let slots =
+            (SLOTS * risen.clamp(0.0, 1.0) * (1.5 - busy).clamp(0.2, 1.0)).max(1.0) as usize;
         if self.out >= slots || self.left < 0.0 {
             return false;
         }
@@ -96,10 +107,22 @@
             (0..20).for_each(|_| assert_eq!(s.asked(true, false, false), Verdict::InLine));
             (0..20).filter(|_| s.may_send(0, 1, risen, busy)).count()
         };
-        assert_eq!((taken(1.0, 0.2), taken(1.0, 1.0), taken(0.2, 0.0), taken(0.0, 2.0)), (6, 3, 1, 1));
+        assert_eq!(
+            (
+                taken(1.0, 0.2),
+                taken(1.0, 1.0),
+                taken(0.2, 0.0),
+                taken(0.0, 2.0)
+            ),
+            (6, 3, 1, 1)
+        );
         let mut s = Serving::new(0, 1e12);
         assert_eq!(s.asked(false, true, true), Verdict::Absent);
-        assert_eq!(s.asked(true, true, true), Verdict::InLine, "what it holds it may still give");
+        assert_eq!(
+            s.asked(true, true, true),
+            Verdict::InLine,
+            "what it holds it may still give"
+        );
         assert_eq!(s.asked(false, true, false), Verdict::FetchAndServe);
         assert_eq!(s.asked(false, false, false), Verdict::Absent);
     }
@@ -107,8 +130,9 @@
     #[test]
     fn the_line_is_bounded() {
         let mut s = Serving::new(0, 1e12);
-        let later =
-            (0..LINE_MOST + 9).filter(|_| s.asked(true, true, false) == Verdict::Later(COME_BACK)).count();
+        let later = (0..LINE_MOST + 9)
+            .filter(|_| s.asked(true, true, false) == Verdict::Later(COME_BACK))
+            .count();
         assert_eq!(later, 9);
         s.left_line();
         assert_eq!(s.asked(true, true, false), Verdict::InLine);
@@ -126,7 +150,10 @@
                 s.left_line();
             }
         }
-        assert!((90e6..122e6).contains(&(sent as f64)), "10 s at 10 MB/s and a burst of one second: {sent}");
+        assert!(
+            (90e6..122e6).contains(&(sent as f64)),
+            "10 s at 10 MB/s and a burst of one second: {sent}"
+        );
         assert!(s.opens().is_none_or(|at| at < 110_000));
     }
 }
--- a/crates/layers/src/plan/suspect.rs
+++ b/crates/layers/src/plan/suspect.rs
@@ -17,7 +17,9 @@
 
 impl Suspects {
     pub fn trusted(&self, source: Source, now: Tenths) -> bool {
-        self.faults.get(&source).is_none_or(|(_, until)| now >= *until)
+        self.faults
+            .get(&source)
+            .is_none_or(|(_, until)| now >= *until)
     }
 
     pub fn broke(&mut self, source: Source, now: Tenths) {
@@ -57,7 +59,10 @@
         let (mut s, a, b) = (Suspects::default(), Source::Peer(1), Source::Store);
         s.broke(a, 0);
         s.broke(a, 1);
-        assert!(!s.trusted(a, FIRST - 1) && s.trusted(a, FIRST), "two that failed together are one fault");
+        assert!(
+            !s.trusted(a, FIRST - 1) && s.trusted(a, FIRST),
+            "two that failed together are one fault"
+        );
         s.broke(a, FIRST);
         assert!(!s.trusted(a, 3 * FIRST - 1) && s.trusted(a, 3 * FIRST));
         s.damaged(b, 0);
--- a/crates/layers/tests/cache.rs
+++ b/crates/layers/tests/cache.rs
@@ -29,7 +29,11 @@
     }
 
     fn whole(&self, then: impl FnOnce() -> io::Result<()>) -> io::Result<()> {
-        if self.next() > 0 { then() } else { Err(Self::gone()) }
+        if self.next() > 0 {
+            then()
+        } else {
+            Err(Self::gone())
+        }
     }
 }
 
@@ -57,9 +61,17 @@
         RealDisk.list(path)
     }
     fn open_index(&self, path: &Path) -> Result<Database, redb::DatabaseError> {
-        let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path)?;
+        let file = OpenOptions::new()
+            .read(true)
+            .write(true)
+            .create(true)
+            .truncate(false)
+            .open(path)?;
         let file = FileBackend::new(file)?;
-        Database::builder().create_with_backend(DyingIndex { file, dying: self.clone() })
+        Database::builder().create_with_backend(DyingIndex {
+            file,
+            dying: self.clone(),
+        })
     }
 }
 
@@ -77,15 +89,26 @@
         self.file.read(offset, out)
     }
     fn set_len(&self, len: u64) -> Result<(), io::Error> {
-        if self.dying.next() > 0 { self.file.set_len(len) } else { Err(Dying::gone()) }
+        if self.dying.next() > 0 {
+            self.file.set_len(len)
+        } else {
+            Err(Dying::gone())
+        }
     }
     fn sync_data(&self) -> Result<(), io::Error> {
-        if self.dying.next() > 0 { self.file.sync_data() } else { Err(Dying::gone()) }
+        if self.dying.next() > 0 {
+            self.file.sync_data()
+        } else {
+            Err(Dying::gone())
+        }
     }
     fn write(&self, offset: u64, data: &[u8]) -> Result<(), io::Error> {
         match self.dying.next() {
             2.. => self.file.write(offset, data),
-            1 => self.file.write(offset, &data[..data.len() / 2]).and(Err(Dying::gone())),
+            1 => self
+                .file
+                .write(offset, &data[..data.len() / 2])
+                .and(Err(Dying::gone())),
             _ => Err(Dying::gone()),
         }
     }
@@ -96,7 +119,15 @@
     let bytes: Vec<u8> = (0..2_000 + n * 7).map(|_| rng.u8(..)).collect();
     let length = bytes.len() as u64;
     let digest = Digest::of(&bytes);
-    (Chunk { digest, stored_bytes: length, bytes: length, packing: Packing::Plain }, bytes)
+    (
+        Chunk {
+            digest,
+            stored_bytes: length,
+            bytes: length,
+            packing: Packing::Plain,
+        },
+        bytes,
+    )
 }
 
 /// A day in a cache's life: twelve chunks through a cache that holds eight, some read again. Gives those kept and said so.
@@ -123,9 +154,12 @@
     let mut survived = 0;
     for killed_at in 0.. {
         let folder = tempfile::tempdir().unwrap();
-        let dying = Dying { left: Arc::new(AtomicI64::new(killed_at)) };
-        let kept =
-            Cache::open(folder.path(), MOST, Rc::new(dying.clone())).map(|c| live(&c)).unwrap_or_default();
+        let dying = Dying {
+            left: Arc::new(AtomicI64::new(killed_at)),
+        };
+        let kept = Cache::open(folder.path(), MOST, Rc::new(dying.clone()))
+            .map(|c| live(&c))
+            .unwrap_or_default();
         let done = dying.left.load(SeqCst) > 0;
         let back = Cache::open(folder.path(), MOST, Rc::new(RealDisk)).unwrap();
         assert!(back.bytes() <= MOST);
@@ -147,7 +181,10 @@
                 !kept.contains(&n) || got.is_some(),
                 "killed at {killed_at}: chunk {n} was kept and is gone"
             );
-            assert!(!held || got.is_some(), "killed at {killed_at}: {n} is said to be here and is not whole");
+            assert!(
+                !held || got.is_some(),
+                "killed at {killed_at}: {n} is said to be here and is not whole"
+            );
             survived += u32::from(got.is_some());
         }
         // It goes on as if nothing had been.
@@ -179,14 +216,24 @@
         assert_eq!(cache.get(&chunk(n).0), None, "{n}");
         assert!(!cache.holds(&chunk(n).0.digest));
     }
-    assert_eq!((cache.counts.damaged.get(), cache.counts.misses.get()), (2, 1));
+    assert_eq!(
+        (cache.counts.damaged.get(), cache.counts.misses.get()),
+        (2, 1)
+    );
     assert!(cache.get(&chunk(3).0).is_some());
     let (c, bytes) = chunk(0);
-    assert!(cache.put(&c, &bent, 1.0, 1).is_err(), "damaged bytes are not taken in either");
+    assert!(
+        cache.put(&c, &bent, 1.0, 1).is_err(),
+        "damaged bytes are not taken in either"
+    );
     assert_eq!(cache.put(&c, &bytes, 1.0, 1), Ok(true));
     // An index full of nonsense is made anew; the files are the truth.
     drop(cache);
-    fs::write(folder.path().join("index.redb"), b"nonsense, and more of it").unwrap();
+    fs::write(
+        folder.path().join("index.redb"),
+        b"nonsense, and more of it",
+    )
+    .unwrap();
     let cache = Cache::open(folder.path(), MOST, Rc::new(RealDisk)).unwrap();
     assert_eq!(cache.counts.index_rebuilt.get(), 1);
     assert!(cache.get(&chunk(0).0).is_some() && cache.get(&chunk(3).0).is_some());
@@ -222,14 +269,20 @@
 fn a_full_or_unreadable_disk_costs_fetches_and_nothing_else() {
     let folder = tempfile::tempdir().unwrap();
     let (c, bytes) = chunk(1);
-    Cache::open(folder.path(), MOST, Rc::new(RealDisk)).unwrap().put(&c, &bytes, 1.0, 1).unwrap();
+    Cache::open(folder.path(), MOST, Rc::new(RealDisk))
+        .unwrap()
+        .put(&c, &bytes, 1.0, 1)
+        .unwrap();
     let cache = Cache::open(folder.path(), MOST, Rc::new(Full)).unwrap();
     assert_eq!(cache.get(&c), None);
     let (other, bytes) = chunk(2);
     assert_eq!(cache.put(&other, &bytes, 1.0, 1), Ok(false));
     assert!(!cache.holds(&other.digest) && cache.counts.not_kept.get() == 1);
     let cache = Cache::open(folder.path(), MOST, Rc::new(RealDisk)).unwrap();
-    assert!(cache.get(&c).is_some(), "it was only unreadable for a while");
+    assert!(
+        cache.get(&c).is_some(),
+        "it was only unreadable for a while"
+    );
     assert_eq!(cache.digests().len(), 1);
 }
 
@@ -239,7 +292,11 @@
 
 impl Failing {
     fn or(&self, then: impl FnOnce() -> io::Result<()>) -> io::Result<()> {
-        if self.0.get() { Err(io::Error::from_raw_os_error(5)) } else { then() }
+        if self.0.get() {
+            Err(io::Error::from_raw_os_error(5))
+        } else {
+            then()
+        }
     }
 }
 
@@ -272,7 +329,10 @@
 }
 
 fn bytes_in(folder: &Path) -> u64 {
-    fs::read_dir(folder.join("chunks")).unwrap().map(|e| e.unwrap().metadata().unwrap().len()).sum()
+    fs::read_dir(folder.join("chunks"))
+        .unwrap()
+        .map(|e| e.unwrap().metadata().unwrap().len())
+        .sum()
 }
 
 #[test]
@@ -281,7 +341,11 @@
     let disk = Failing::default();
     let cache = Cache::open(folder.path(), MOST, Rc::new(disk.clone())).unwrap();
     // Later ones are dearer, so that they are worth the place of those before.
-    let put = |n: u32| cache.put(&chunk(n).0, &chunk(n).1, f64::from(n + 1), 1).unwrap();
+    let put = |n: u32| {
+        cache
+            .put(&chunk(n).0, &chunk(n).1, f64::from(n + 1), 1)
+            .unwrap()
+    };
     assert!((0..8).all(put));
     disk.0.set(true);
     for n in 0..40 {
@@ -289,13 +353,21 @@
         cache.get(&chunk(n % 8).0);
     }
     let one = chunk(140).0.stored_bytes;
-    assert!(bytes_in(folder.path()) <= MOST + one, "{} bytes of {MOST}", bytes_in(folder.path()));
+    assert!(
+        bytes_in(folder.path()) <= MOST + one,
+        "{} bytes of {MOST}",
+        bytes_in(folder.path())
+    );
     disk.0.set(false);
     for n in 0..20 {
         assert!(put(200 + n), "it keeps again");
         assert!(cache.get(&chunk(200 + n).0).is_some());
     }
-    assert!(bytes_in(folder.path()) <= MOST, "{} bytes of {MOST}", bytes_in(folder.path()));
+    assert!(
+        bytes_in(folder.path()) <= MOST,
+        "{} bytes of {MOST}",
+        bytes_in(folder.path())
+    );
     // What could not be read for a while is fetched and kept again, and evicted like any other.
     let (c, bytes) = chunk(219);
     disk.0.set(true);
@@ -304,5 +376,9 @@
     assert_eq!(cache.put(&c, &bytes, 219.0, 1), Ok(true));
     assert!(cache.get(&c).is_some());
     assert!((300..320).all(put));
-    assert!(bytes_in(folder.path()) <= MOST, "{} bytes of {MOST}", bytes_in(folder.path()));
+    assert!(
+        bytes_in(folder.path()) <= MOST,
+        "{} bytes of {MOST}",
+        bytes_in(folder.path())
+    );
 }
--- a/crates/layers/tests/herd.rs
+++ b/crates/layers/tests/herd.rs
@@ -65,11 +65,23 @@
 }
 
 fn members(ids: impl IntoIterator<Item = InvokerId>) -> Vec<Member> {
-    ids.into_iter().map(|invoker| Member { invoker, size: 1.0, risen: 1.0, ready: true }).collect()
+    ids.into_iter()
+        .map(|invoker| Member {
+            invoker,
+            size: 1.0,
+            risen: 1.0,
+            ready: true,
+        })
+        .collect()
 }
 
 fn model(name: u32, chunks: u32) -> Vec<Need> {
-    (0..chunks).map(|c| Need { digest: Digest::of(format!("{name}/{c}").as_bytes()), bytes: CHUNK }).collect()
+    (0..chunks)
+        .map(|c| Need {
+            digest: Digest::of(format!("{name}/{c}").as_bytes()),
+            bytes: CHUNK,
+        })
+        .collect()
 }
 
 impl World {
@@ -110,7 +122,8 @@
 
     fn at(&mut self, after: Tenths, due: impl FnOnce(&mut World) + 'static) {
         self.seq += 1;
-        self.events.push(Event(self.now + after, self.seq, Box::new(due)));
+        self.events
+            .push(Event(self.now + after, self.seq, Box::new(due)));
     }
 
     fn want(&mut self, after: Tenths, id: InvokerId, load: u64, needs: Vec<Need>) {
@@ -120,7 +133,10 @@
             if !node.alive {
                 return;
             }
-            let missing: Vec<Need> = needs.into_iter().filter(|n| !node.held.contains(&n.digest)).collect();
+            let missing: Vec<Need> = needs
+                .into_iter()
+                .filter(|n| !node.held.contains(&n.digest))
+                .collect();
             if node.fetcher.want(now, load, &missing) {
                 node.done = Some(now);
             }
@@ -160,7 +176,9 @@
         let refuses = self.now < self.refuses_until && self.rng.f64() < self.refuses;
         if refuses || self.store.0 >= self.store.1 {
             self.refused += 1;
-            return self.at(WAY, move |w| w.told(id, attempt, Ended::Refused(200 * MILLI)));
+            return self.at(WAY, move |w| {
+                w.told(id, attempt, Ended::Refused(200 * MILLI))
+            });
         }
         self.store.0 += 1;
         let crowd = (self.store.0 as f64 / self.store.2).max(1.0);
@@ -189,10 +207,19 @@
             }
             Verdict::FetchAndServe => {
                 node.owed.entry(digest).or_default().push((id, attempt));
-                node.fetcher.want(now, digest.lead() | 1 << 63, &[Need { digest, bytes: CHUNK }]);
+                node.fetcher.want(
+                    now,
+                    digest.lead() | 1 << 63,
+                    &[Need {
+                        digest,
+                        bytes: CHUNK,
+                    }],
+                );
                 self.go_on(peer);
             }
-            Verdict::Later(wait) => self.at(WAY, move |w| w.told(id, attempt, Ended::Refused(wait))),
+            Verdict::Later(wait) => {
+                self.at(WAY, move |w| w.told(id, attempt, Ended::Refused(wait)))
+            }
             Verdict::Absent => self.at(WAY, move |w| w.told(id, attempt, Ended::Absent)),
         }
     }
@@ -215,7 +242,8 @@
                 w.told(to, attempt, how);
                 w.send_on(from);
             };
-            self.events.push(Event(now + TRANSFER, self.seq, Box::new(sent)));
+            self.events
+                .push(Event(now + TRANSFER, self.seq, Box::new(sent)));
         }
         if let Some(at) = node.serving.opens().filter(|_| !node.line.is_empty()) {
             self.at(at.max(now + 1) - now, move |w| w.send_on(from));
@@ -252,7 +280,8 @@
                 .flatten()
                 .chain(std::mem::take(&mut node.line))
                 .collect();
-            owed.into_iter().for_each(|(to, attempt)| w.at(WAY, move |w| w.told(to, attempt, Ended::Broken)));
+            owed.into_iter()
+                .for_each(|(to, attempt)| w.at(WAY, move |w| w.told(to, attempt, Ended::Broken)));
         });
     }
 
@@ -268,10 +297,23 @@
 
     /// Each invoker that lives has the model; gives when the last had it.
     fn all_done(&self) -> Tenths {
-        let late: Vec<_> =
-            self.nodes.iter().filter(|(_, n)| n.alive && n.done.is_none()).map(|(id, _)| id).collect();
-        assert!(late.is_empty(), "{} of {} are not done: {late:?}", late.len(), self.nodes.len());
-        self.nodes.values().filter_map(|n| n.done).max().unwrap_or(0)
+        let late: Vec<_> = self
+            .nodes
+            .iter()
+            .filter(|(_, n)| n.alive && n.done.is_none())
+            .map(|(id, _)| id)
+            .collect();
+        assert!(
+            late.is_empty(),
+            "{} of {} are not done: {late:?}",
+            late.len(),
+            self.nodes.len()
+        );
+        self.nodes
+            .values()
+            .filter_map(|n| n.done)
+            .max()
+            .unwrap_or(0)
     }
 
     fn requests_a_chunk(&self) -> f64 {
@@ -290,7 +332,9 @@
 /// As `herd`, but everybody's list names nobody else: each asks the store for itself.
 fn each_alone(n: u32, chunks: u32, seed: u64) -> World {
     let mut w = herd(n, chunks, seed);
-    w.nodes.iter_mut().for_each(|(id, node)| node.fetcher.listed(members([*id])));
+    w.nodes
+        .iter_mut()
+        .for_each(|(id, node)| node.fetcher.listed(members([*id])));
     w
 }
 
@@ -301,7 +345,10 @@
         let mut w = herd(n, 60, 7);
         w.run(120 * SECOND);
         let (took, a_chunk) = (w.all_done(), w.requests_a_chunk());
-        assert!(a_chunk <= 1.2 && w.requests.len() == 60, "{n} invokers: {a_chunk} store requests a chunk");
+        assert!(
+            a_chunk <= 1.2 && w.requests.len() == 60,
+            "{n} invokers: {a_chunk} store requests a chunk"
+        );
         if n == 840 {
             // Each alone would take minutes of the store, and of this test.
             println!("{n} {a_chunk:.2} - {} -", took / MILLI);
@@ -310,10 +357,24 @@
         let mut alone = each_alone(n, 60, 7);
         alone.run(600 * SECOND);
         let baseline = alone.all_done();
-        println!("{n} {a_chunk:.2} {:.2} {} {}", alone.requests_a_chunk(), took / MILLI, baseline / MILLI);
-        assert!(took * 2 < baseline, "{n} invokers: {} ms, alone {} ms", took / MILLI, baseline / MILLI);
+        println!(
+            "{n} {a_chunk:.2} {:.2} {} {}",
+            alone.requests_a_chunk(),
+            took / MILLI,
+            baseline / MILLI
+        );
+        assert!(
+            took * 2 < baseline,
+            "{n} invokers: {} ms, alone {} ms",
+            took / MILLI,
+            baseline / MILLI
+        );
         let part = if n == 12 { 10.0 } else { 40.0 };
-        assert!(a_chunk * part < alone.requests_a_chunk(), "{a_chunk} of {}", alone.requests_a_chunk());
+        assert!(
+            a_chunk * part < alone.requests_a_chunk(),
+            "{a_chunk} of {}",
+            alone.requests_a_chunk()
+        );
     }
 }
 
@@ -328,11 +389,16 @@
             let list = |me: InvokerId| -> Vec<Member> {
                 members(1..=24)
                     .into_iter()
-                    .map(|m| Member { ready: m.invoker != id, ..m })
+                    .map(|m| Member {
+                        ready: m.invoker != id,
+                        ..m
+                    })
                     .filter(|m| m.ready || m.invoker == me)
                     .collect()
             };
-            w.nodes.iter_mut().for_each(|(me, node)| node.fetcher.listed(list(*me)));
+            w.nodes
+                .iter_mut()
+                .for_each(|(me, node)| node.fetcher.listed(list(*me)));
         });
         w.kill(at + 30 * MILLI, id);
     }
@@ -347,7 +413,12 @@
     (w.refuses, w.refuses_until) = (0.5, 10 * SECOND);
     w.run(120 * SECOND);
     w.all_done();
-    assert!(w.refused > 20 && w.requests_a_chunk() < 4.0, "{} refused, {}", w.refused, w.requests_a_chunk());
+    assert!(
+        w.refused > 20 && w.requests_a_chunk() < 4.0,
+        "{} refused, {}",
+        w.refused,
+        w.requests_a_chunk()
+    );
 }
 
 #[test]
@@ -396,7 +467,10 @@
     w.damaged.insert(bad);
     w.run(30 * SECOND);
     let held: Vec<usize> = w.nodes.values().map(|n| n.held.len()).collect();
-    assert!(w.nodes.values().all(|n| n.done.is_none()) && held.iter().all(|n| *n == 19), "{held:?}");
+    assert!(
+        w.nodes.values().all(|n| n.done.is_none()) && held.iter().all(|n| *n == 19),
+        "{held:?}"
+    );
     assert_eq!(w.used_damaged, 0);
     let asked = w.requests[&bad];
     assert!((3..400).contains(&asked), "{asked} times in 30 s by 12");
@@ -415,12 +489,23 @@
     f.want(0, 1, &a);
     f.want(0, 2, &shared);
     let asks = f.next(0).asks;
-    assert!(!asks.is_empty() && asks[0].digest == a[0].digest, "two wait for it");
+    assert!(
+        !asks.is_empty() && asks[0].digest == a[0].digest,
+        "two wait for it"
+    );
     f.abandon(1);
     let next = f.next(1);
-    let stopped: Vec<Digest> =
-        next.cancels.iter().map(|c| asks.iter().find(|k| k.attempt == *c).unwrap().digest).collect();
-    assert!(stopped.iter().all(|d| a[1..].iter().any(|n| n.digest == *d)), "{stopped:?}");
+    let stopped: Vec<Digest> = next
+        .cancels
+        .iter()
+        .map(|c| asks.iter().find(|k| k.attempt == *c).unwrap().digest)
+        .collect();
+    assert!(
+        stopped
+            .iter()
+            .all(|d| a[1..].iter().any(|n| n.digest == *d)),
+        "{stopped:?}"
+    );
     f.abandon(2);
     f.next(2);
     assert!(f.is_idle());
--- a/crates/layers/tests/packing.rs
+++ b/crates/layers/tests/packing.rs
@@ -13,7 +13,9 @@
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut out: Vec<u8> = (0..bytes / 2).map(|_| rng.u8(..)).collect();
     while out.len() < bytes {
-        out.extend_from_slice(format!("layer {} weight {};", rng.u32(..90), rng.u32(..9)).as_bytes());
+        out.extend_from_slice(
+            format!("layer {} weight {};", rng.u32(..90), rng.u32(..9)).as_bytes(),
+        );
     }
     out.truncate(bytes);
     out
@@ -49,10 +51,23 @@
         layout.unpack(tag, &mut out).unwrap();
         assert!(out == *bytes, "{tag}");
     }
-    let Diff { shared_bytes, only_second_bytes, .. } = layout.diff("voice:1", "voice:2").unwrap();
-    assert!(only_second_bytes * 5 < shared_bytes, "{only_second_bytes} new, {shared_bytes} shared");
+    let Diff {
+        shared_bytes,
+        only_second_bytes,
+        ..
+    } = layout.diff("voice:1", "voice:2").unwrap();
+    assert!(
+        only_second_bytes * 5 < shared_bytes,
+        "{only_second_bytes} new, {shared_bytes} shared"
+    );
     assert!(layout.verify().unwrap().wrong.is_empty());
-    assert!(layout.manifest("voice:3").unwrap_err().to_string().contains("there are voice:1, voice:2"));
+    assert!(
+        layout
+            .manifest("voice:3")
+            .unwrap_err()
+            .to_string()
+            .contains("there are voice:1, voice:2")
+    );
     // One byte of one chunk, and a chunk that is gone.
     let path = layout.path(&manifest.chunks[0].digest);
     let mut bytes = fs::read(&path).unwrap();
@@ -60,7 +75,10 @@
     fs::write(&path, bytes).unwrap();
     fs::remove_file(layout.path(&manifest.chunks[1].digest)).unwrap();
     let wrong = layout.verify().unwrap().wrong;
-    assert!(wrong.len() == 2 && wrong[0].contains("its bytes have digest"), "{wrong:?}");
+    assert!(
+        wrong.len() == 2 && wrong[0].contains("its bytes have digest"),
+        "{wrong:?}"
+    );
 }
 
 #[test]
@@ -72,8 +90,17 @@
     let part = first.len() / 20;
     second[11_111_111..11_111_111 + part].copy_from_slice(&weights(8, part));
     let ((_, old), (new, _)) = (packed(&first), packed(&second));
-    let fresh: u64 = new.chunks.iter().filter(|c| !old.contains_key(&c.digest)).map(|c| c.stored_bytes).sum();
-    assert!(fresh * 10 < new.stored_bytes(), "{fresh} of {}", new.stored_bytes());
+    let fresh: u64 = new
+        .chunks
+        .iter()
+        .filter(|c| !old.contains_key(&c.digest))
+        .map(|c| c.stored_bytes)
+        .sum();
+    assert!(
+        fresh * 10 < new.stored_bytes(),
+        "{fresh} of {}",
+        new.stored_bytes()
+    );
 }
 
 #[test]
@@ -86,11 +113,29 @@
         bytes,
         packing: Packing::Zstd,
     };
-    assert!(matches!(unpack(&chunk(1_000), &stored), Err(Damage::Unpacks { .. })));
-    assert!(matches!(unpack(&chunk(9 << 20), &stored), Err(Damage::Unpacks { .. })));
-    assert!(matches!(unpack(&chunk(8 << 20), &stored[1..]), Err(Damage::Length { .. })));
-    let read = Manifest::read(&Manifest { chunks: vec![chunk(8 << 20)] }.write());
-    assert!(read.unwrap_err().to_string().contains(&format!("1 to {CHUNK_MOST_BYTES} are allowed")));
+    assert!(matches!(
+        unpack(&chunk(1_000), &stored),
+        Err(Damage::Unpacks { .. })
+    ));
+    assert!(matches!(
+        unpack(&chunk(9 << 20), &stored),
+        Err(Damage::Unpacks { .. })
+    ));
+    assert!(matches!(
+        unpack(&chunk(8 << 20), &stored[1..]),
+        Err(Damage::Length { .. })
+    ));
+    let read = Manifest::read(
+        &Manifest {
+            chunks: vec![chunk(8 << 20)],
+        }
+        .write(),
+    );
+    assert!(
+        read.unwrap_err()
+            .to_string()
+            .contains(&format!("1 to {CHUNK_MOST_BYTES} are allowed"))
+    );
 }
 
 #[test]
@@ -100,17 +145,35 @@
     let digest = manifest.chunks[0].digest.to_string();
     let size = manifest.chunks[0].stored_bytes;
     for (from, to, say) in [
-        (digest.as_str(), "sha256:../../etc/passwd", "layers[0].digest: digest 'sha256:../../etc/passwd'"),
+        (
+            digest.as_str(),
+            "sha256:../../etc/passwd",
+            "layers[0].digest: digest 'sha256:../../etc/passwd'",
+        ),
         (&digest, &digest[..70], "64 hexadecimal digits"),
         (&digest, &digest.to_uppercase(), "64 hexadecimal digits"),
-        (&format!("\"size\":{size}"), "\"size\":1", "layers[0].size: 1 for a chunk"),
+        (
+            &format!("\"size\":{size}"),
+            "\"size\":1",
+            "layers[0].size: 1 for a chunk",
+        ),
         (&format!("\"size\":{size}"), "\"size\":-1", "invalid value"),
-        ("\"schemaVersion\":2", "\"schemaVersion\":1", "mediaType: schema 2"),
+        (
+            "\"schemaVersion\":2",
+            "\"schemaVersion\":1",
+            "mediaType: schema 2",
+        ),
         ("vnd.saltdrum.model.v1", "vnd.other", "artifactType"),
-        ("vnd.saltdrum.chunk.v1\"", "vnd.oci.layer\"", "not a chunk of ours"),
+        (
+            "vnd.saltdrum.chunk.v1\"",
+            "vnd.oci.layer\"",
+            "not a chunk of ours",
+        ),
     ] {
         assert!(text.contains(from), "{from}");
-        let got = Manifest::read(text.replacen(from, to, 1).as_bytes()).unwrap_err().to_string();
+        let got = Manifest::read(text.replacen(from, to, 1).as_bytes())
+            .unwrap_err()
+            .to_string();
         assert!(got.contains(say), "{got}");
     }
     let long = vec![b' '; (4 << 20) + 1];
--- a/crates/leases/src/guard.rs
+++ b/crates/leases/src/guard.rs
@@ -55,7 +55,11 @@
 impl Guard {
     /// Of a resource that has just started; `incarnation` was never used before.
     pub fn started(incarnation: u64, stewards: Vec<Caller>) -> Self {
-        Self { incarnation, fences: RefCell::default(), stewards }
+        Self {
+            incarnation,
+            fences: RefCell::default(),
+            stewards,
+        }
     }
 
     /// Seals the resource: afterwards it accepts this epoch of the lease alone. Gives the resource's incarnation.
@@ -67,7 +71,12 @@
     ) -> Result<u64, SealFault> {
         let durable = store.sealed_epoch(lease).map_err(SealFault::Unwritable)?;
         let started = || Fence::started(lease.clone(), self.incarnation, durable);
-        let step = self.fences.borrow_mut().entry(lease.clone()).or_insert_with(started).seal(epoch)?;
+        let step = self
+            .fences
+            .borrow_mut()
+            .entry(lease.clone())
+            .or_insert_with(started)
+            .seal(epoch)?;
         let step = match step {
             SealStep::Confirm => {
                 self.confirm(lease, epoch).await?;
@@ -82,7 +91,12 @@
         Ok(self.incarnation)
     }
 
-    fn write(&self, store: &impl SealStore, lease: &LeaseName, epoch: Epoch) -> Result<(), SealFault> {
+    fn write(
+        &self,
+        store: &impl SealStore,
+        lease: &LeaseName,
+        epoch: Epoch,
+    ) -> Result<(), SealFault> {
         let written = store.write_seal(lease, epoch);
         if let Some(fence) = self.fences.borrow_mut().get_mut(lease) {
             match &written {
@@ -98,24 +112,42 @@
     /// Whether an effect may be made now.
     pub fn admit(&self, token: &Token) -> Result<(), Rejection> {
         let fences = self.fences.borrow();
-        fences.get(&token.lease).ok_or(Rejection::Unsealed)?.admit(token)
+        fences
+            .get(&token.lease)
+            .ok_or(Rejection::Unsealed)?
+            .admit(token)
     }
 
     /// Epochs that this life was sealed to.
     pub fn sealed(&self) -> BTreeMap<LeaseName, Epoch> {
         let fences = self.fences.borrow();
-        fences.iter().filter_map(|(lease, fence)| Some((lease.clone(), fence.sealed()?))).collect()
+        fences
+            .iter()
+            .filter_map(|(lease, fence)| Some((lease.clone(), fence.sealed()?)))
+            .collect()
     }
 
     /// Asks stewards, one after the other, to have it agreed that this epoch is the lease's.
     async fn confirm(&self, lease: &LeaseName, epoch: Epoch) -> Result<(), SealFault> {
         let mut last = "no steward is known".to_owned();
         for steward in &self.stewards {
-            let change = Change::ConfirmEpoch { lease: lease.clone(), epoch };
-            match steward.call::<Changed>("change", &Changes { change }, PATIENCE).await {
+            let change = Change::ConfirmEpoch {
+                lease: lease.clone(),
+                epoch,
+            };
+            match steward
+                .call::<Changed>("change", &Changes { change }, PATIENCE)
+                .await
+            {
                 Ok(_) => return Ok(()),
-                Err(Fault::Told { code: REFUSED, message }) => {
-                    return Err(SealFault::Unconfirmed { epoch, why: message });
+                Err(Fault::Told {
+                    code: REFUSED,
+                    message,
+                }) => {
+                    return Err(SealFault::Unconfirmed {
+                        epoch,
+                        why: message,
+                    });
                 }
                 Err(why) => last = why.to_string(),
             }
--- a/crates/leases/src/holder.rs
+++ b/crates/leases/src/holder.rs
@@ -34,7 +34,10 @@
     #[error("lease {lease}, epoch {epoch}: nothing may be done now")]
     NotNow { lease: LeaseName, epoch: Epoch },
     #[error("{resource}: {why}")]
-    Rejected { resource: ResourceName, why: Rejection },
+    Rejected {
+        resource: ResourceName,
+        why: Rejection,
+    },
     /// Whether it was made is not known.
     #[error("{resource}: {why}")]
     Unsettled { resource: ResourceName, why: String },
@@ -77,7 +80,11 @@
 
     async fn use_grant(&self, task: &impl Task, held: &HeldLease) {
         let holding = Holding::granted(held.lease.clone(), held.epoch, &held.resources);
-        let effects = Effects { holder: self, holding: RefCell::new(holding), task: task.name() };
+        let effects = Effects {
+            holder: self,
+            holding: RefCell::new(holding),
+            task: task.name(),
+        };
         while effects.is_held() {
             if effects.holding.borrow().is_over() || self.is_quiet() || !effects.seal_all().await {
                 self.pause().await;
@@ -107,7 +114,10 @@
     /// Whether this very grant is still the member's, as far as it knows.
     pub fn is_held(&self) -> bool {
         let epoch = self.holding.borrow().epoch();
-        self.holder.watch.held(self.task).is_some_and(|held| held.epoch == epoch)
+        self.holder
+            .watch
+            .held(self.task)
+            .is_some_and(|held| held.epoch == epoch)
     }
 
     /// The epoch of the grant that is being used.
@@ -128,14 +138,24 @@
         what: impl Serialize,
     ) -> Result<T, EffectFault> {
         let caller = self.caller(resource)?;
-        let token =
-            self.holding.borrow().token(resource).filter(|_| self.is_held() && !self.holder.is_quiet());
+        let token = self
+            .holding
+            .borrow()
+            .token(resource)
+            .filter(|_| self.is_held() && !self.holder.is_quiet());
         let Some(token) = token else {
             let (lease, epoch) = (self.holding.borrow().lease().clone(), self.epoch());
             return Err(EffectFault::NotNow { lease, epoch });
         };
-        let effect = Effect { token, by: self.holder.by.clone(), what };
-        caller.call(method, &effect, PATIENCE).await.map_err(|fault| self.failed(resource, fault))
+        let effect = Effect {
+            token,
+            by: self.holder.by.clone(),
+            what,
+        };
+        caller
+            .call(method, &effect, PATIENCE)
+            .await
+            .map_err(|fault| self.failed(resource, fault))
     }
 
     /// Asks the resources that are not sealed, one after the other. True: all are.
@@ -152,21 +172,34 @@
 
     async fn seal(&self, resource: &str) -> Result<(), EffectFault> {
         let caller = self.caller(resource)?;
-        let asked = Seal { lease: self.holding.borrow().lease().clone(), epoch: self.epoch() };
-        let sealed: Sealed =
-            caller.call("seal", &asked, PATIENCE).await.map_err(|fault| self.failed(resource, fault))?;
-        self.holding.borrow_mut().sealed(resource, sealed.incarnation);
+        let asked = Seal {
+            lease: self.holding.borrow().lease().clone(),
+            epoch: self.epoch(),
+        };
+        let sealed: Sealed = caller
+            .call("seal", &asked, PATIENCE)
+            .await
+            .map_err(|fault| self.failed(resource, fault))?;
+        self.holding
+            .borrow_mut()
+            .sealed(resource, sealed.incarnation);
         Ok(())
     }
 
     fn caller(&self, resource: &str) -> Result<&Caller, EffectFault> {
-        self.holder.resources.get(resource).ok_or_else(|| EffectFault::Unknown(resource.to_owned()))
+        self.holder
+            .resources
+            .get(resource)
+            .ok_or_else(|| EffectFault::Unknown(resource.to_owned()))
     }
 
     fn failed(&self, resource: &str, fault: Fault) -> EffectFault {
         let resource = resource.to_owned();
         let rejection = match &fault {
-            Fault::Told { code: REJECTED, message } => serde_json::from_str(message).ok(),
+            Fault::Told {
+                code: REJECTED,
+                message,
+            } => serde_json::from_str(message).ok(),
             _ => None,
         };
         match rejection {
@@ -174,7 +207,10 @@
                 self.holding.borrow_mut().rejected(&resource, &why);
                 EffectFault::Rejected { resource, why }
             }
-            None => EffectFault::Unsettled { resource, why: fault.to_string() },
+            None => EffectFault::Unsettled {
+                resource,
+                why: fault.to_string(),
+            },
         }
     }
 }
--- a/crates/leases/src/journal.rs
+++ b/crates/leases/src/journal.rs
@@ -50,13 +50,19 @@
 
     /// The same, of a database that may be elsewhere than in a file.
     pub fn open(opens: Opens) -> Result<Self, DiskFailure> {
-        let disk = Self { opens, database: RefCell::default() };
+        let disk = Self {
+            opens,
+            database: RefCell::default(),
+        };
         disk.with(|_| Ok(()))?;
         Ok(disk)
     }
 
     /// Works on the database, which is opened anew after a failure.
-    fn with<T>(&self, work: impl FnOnce(&Database) -> Result<T, redb::Error>) -> Result<T, DiskFailure> {
+    fn with<T>(
+        &self,
+        work: impl FnOnce(&Database) -> Result<T, redb::Error>,
+    ) -> Result<T, DiskFailure> {
         let mut held = self.database.borrow_mut();
         if held.is_none() {
             let database = (self.opens)()?;
@@ -70,7 +76,9 @@
             create()?;
             *held = Some(database);
         }
-        let Some(database) = held.as_ref() else { return Err(DiskFailure::lasting("not open")) };
+        let Some(database) = held.as_ref() else {
+            return Err(DiskFailure::lasting("not open"));
+        };
         let done = work(database).map_err(DiskFailure::from);
         if done.is_err() {
             *held = None;
@@ -84,7 +92,9 @@
             let transaction = database.begin_write()?;
             let is_sealed = {
                 let seals = transaction.open_table(SEALS)?;
-                let sealed = seals.get(token.lease.0.as_str())?.map(|epoch| epoch.value());
+                let sealed = seals
+                    .get(token.lease.0.as_str())?
+                    .map(|epoch| epoch.value());
                 sealed == Some(token.epoch)
             };
             if !is_sealed {
@@ -111,7 +121,9 @@
     fn sealed_epoch(&self, lease: &LeaseName) -> Result<Epoch, String> {
         self.with(|database| {
             let seals = database.begin_read()?.open_table(SEALS)?;
-            Ok(seals.get(lease.0.as_str())?.map_or(0, |epoch| epoch.value()))
+            Ok(seals
+                .get(lease.0.as_str())?
+                .map_or(0, |epoch| epoch.value()))
         })
         .map_err(|failure| failure.why)
     }
@@ -119,7 +131,9 @@
     fn write_seal(&self, lease: &LeaseName, epoch: Epoch) -> Result<(), String> {
         self.with(|database| {
             let transaction = database.begin_write()?;
-            transaction.open_table(SEALS)?.insert(lease.0.as_str(), epoch)?;
+            transaction
+                .open_table(SEALS)?
+                .insert(lease.0.as_str(), epoch)?;
             transaction.commit()?;
             Ok(())
         })
@@ -158,17 +172,30 @@
         tells: Tells,
     ) -> Rc<Self> {
         let guard = Guard::started(incarnation, stewards);
-        Rc::new(Self { fleet: fleet.to_owned(), guard, disk, tells })
+        Rc::new(Self {
+            fleet: fleet.to_owned(),
+            guard,
+            disk,
+            tells,
+        })
     }
 
     fn append(&self, effect: &Effect<Append>) -> Result<Appended, Refused> {
-        self.guard.admit(&effect.token).map_err(|why| (REJECTED, rejection_text(&why)))?;
+        self.guard
+            .admit(&effect.token)
+            .map_err(|why| (REJECTED, rejection_text(&why)))?;
         let number = self
             .disk
             .append(&effect.token, &effect.what.line)
             .map_err(|failure| (UNWRITABLE, failure.why))?;
-        let number = number.ok_or((UNWRITABLE, "the disk has another seal than this life".to_owned()))?;
-        (self.tells)(&Accepted { token: effect.token.clone(), by: effect.by.clone() });
+        let number = number.ok_or((
+            UNWRITABLE,
+            "the disk has another seal than this life".to_owned(),
+        ))?;
+        (self.tells)(&Accepted {
+            token: effect.token.clone(),
+            by: effect.by.clone(),
+        });
         Ok(Appended { number })
     }
 }
@@ -187,8 +214,13 @@
                 let effect: Effect<Append> = said(call, &self.fleet)?;
                 told(json!(self.append(&effect)?))
             }
-            "status" => told(json!({"sealed": self.guard.sealed(), "lines": self.disk.lines().ok()})),
-            other => Err((rpc::METHOD_NOT_FOUND, format!("method '{other}' is not one of a journal"))),
+            "status" => {
+                told(json!({"sealed": self.guard.sealed(), "lines": self.disk.lines().ok()}))
+            }
+            other => Err((
+                rpc::METHOD_NOT_FOUND,
+                format!("method '{other}' is not one of a journal"),
+            )),
         }
     }
 }
--- a/crates/link/src/arrival.rs
+++ b/crates/link/src/arrival.rs
@@ -57,8 +57,14 @@
     fn wake(self: Arc<Self>) {
         let bound = self.looks.looked_before(self.clock.now());
         // Of several wake-ups before the task has its turn, the first counts.
-        let _ = self.since.compare_exchange(NOT_WOKEN, bound, Ordering::Relaxed, Ordering::Relaxed);
-        let task = self.task.lock().unwrap_or_else(PoisonError::into_inner).take();
+        let _ = self
+            .since
+            .compare_exchange(NOT_WOKEN, bound, Ordering::Relaxed, Ordering::Relaxed);
+        let task = self
+            .task
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .take();
         if let Some(task) = task {
             task.wake();
         }
@@ -75,7 +81,10 @@
 impl Backlog {
     /// Of a source that is never behind, or that a test sets by hand.
     pub fn none() -> Self {
-        Self { unread: Rc::default(), note: None }
+        Self {
+            unread: Rc::default(),
+            note: None,
+        }
     }
 
     /// True from the machine's word that there is something until the source was found empty.
@@ -100,9 +109,21 @@
     /// Of a source that may have had something since `opened`.
     pub fn new(opened: Tenths, clock: Clock, turns: &Turns) -> Self {
         let (since, task) = (AtomicU64::new(NOT_WOKEN), Mutex::default());
-        let note = Arc::new(WakeNote { clock, looks: turns.looks(), since, task });
+        let note = Arc::new(WakeNote {
+            clock,
+            looks: turns.looks(),
+            since,
+            task,
+        });
         let waker = Waker::from(note.clone());
-        Self { note, waker, unread: Rc::default(), empty_at: opened, is_waiting: false, earliest: opened }
+        Self {
+            note,
+            waker,
+            unread: Rc::default(),
+            empty_at: opened,
+            is_waiting: false,
+            earliest: opened,
+        }
     }
 
     /// Asks the source once, through `poll`.
@@ -123,7 +144,11 @@
                 self.note.keep_earlier(woken);
             } else {
                 // Without a call the source is known to be empty as of when the machine was asked last.
-                let empty_at = if is_asked { now } else { self.note.looks.looked_before(now) };
+                let empty_at = if is_asked {
+                    now
+                } else {
+                    self.note.looks.looked_before(now)
+                };
                 (self.empty_at, self.is_waiting) = (self.empty_at.max(empty_at), true);
                 self.unread.set(false);
             }
@@ -151,7 +176,10 @@
 
     /// Tells others whether something was not read yet.
     pub fn backlog(&self) -> Backlog {
-        Backlog { unread: self.unread.clone(), note: Some(self.note.clone()) }
+        Backlog {
+            unread: self.unread.clone(),
+            note: Some(self.note.clone()),
+        }
     }
 }
 
--- a/crates/link/src/network.rs
+++ b/crates/link/src/network.rs
@@ -31,7 +31,9 @@
             Some(("tcp", rest)) if rest.contains(':') => Ok(Self::Tcp(rest.into())),
             Some(("unix", rest)) if !rest.is_empty() => Ok(Self::Unix(rest.into())),
             Some(("memory", rest)) if !rest.is_empty() => Ok(Self::Memory(rest.into())),
-            _ => Err(format!("address '{text}': tcp:HOST:PORT or unix:PATH is expected")),
+            _ => Err(format!(
+                "address '{text}': tcp:HOST:PORT or unix:PATH is expected"
+            )),
         }
     }
 }
@@ -67,15 +69,27 @@
 impl Network for Memory {
     fn dial<'a>(&'a self, address: &'a Address) -> Later<'a, Stream> {
         let (here, there) = tokio::io::duplex(PIPE_BYTES);
-        let met = self.listeners.borrow().get(address).is_some_and(|l| l.send(Box::new(there)).is_ok());
+        let met = self
+            .listeners
+            .borrow()
+            .get(address)
+            .is_some_and(|l| l.send(Box::new(there)).is_ok());
         Box::pin(async move {
-            if met { Ok(Box::new(here) as Stream) } else { Err(io::ErrorKind::ConnectionRefused.into()) }
+            if met {
+                Ok(Box::new(here) as Stream)
+            } else {
+                Err(io::ErrorKind::ConnectionRefused.into())
+            }
         })
     }
 
     fn listen<'a>(&'a self, address: &'a Address) -> Later<'a, (Box<dyn Listener>, Address)> {
         let (to, from) = mpsc::unbounded_channel();
-        let taken = self.listeners.borrow().get(address).is_some_and(|l| !l.is_closed());
+        let taken = self
+            .listeners
+            .borrow()
+            .get(address)
+            .is_some_and(|l| !l.is_closed());
         if !taken {
             self.listeners.borrow_mut().insert(address.clone(), to);
         }
@@ -90,7 +104,11 @@
 
 impl Listener for mpsc::UnboundedReceiver<Stream> {
     fn accept(&mut self) -> Later<'_, Stream> {
-        Box::pin(async move { self.recv().await.ok_or_else(|| io::ErrorKind::ConnectionAborted.into()) })
+        Box::pin(async move {
+            self.recv()
+                .await
+                .ok_or_else(|| io::ErrorKind::ConnectionAborted.into())
+        })
     }
 }
 
@@ -105,13 +123,21 @@
 }
 
 impl AsyncRead for Half {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         Pin::new(&mut *self.0.borrow_mut()).poll_read(cx, buf)
     }
 }
 
 impl AsyncWrite for Half {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         Pin::new(&mut *self.0.borrow_mut()).poll_write(cx, bytes)
     }
 
--- a/crates/link/src/outbox.rs
+++ b/crates/link/src/outbox.rs
@@ -67,7 +67,12 @@
 
 impl Outbox {
     pub fn new(most_bytes: usize) -> Self {
-        Self { inner: Rc::new(RefCell::new(Inner { most_bytes, ..Default::default() })) }
+        Self {
+            inner: Rc::new(RefCell::new(Inner {
+                most_bytes,
+                ..Default::default()
+            })),
+        }
     }
 
     /// Queues a frame; `None` when there is no room for it, or the stream is no more.
@@ -79,7 +84,11 @@
         inner.waiting_bytes += bytes.len();
         inner.last += 1;
         let ticket = inner.last;
-        inner.items.push_back(Item { ticket, bytes, until });
+        inner.items.push_back(Item {
+            ticket,
+            bytes,
+            until,
+        });
         inner.wake();
         Some(ticket)
     }
@@ -93,7 +102,11 @@
     /// Withdraws what may not leave any more, and what `unwanted` names; gives the tickets.
     pub fn withdraw(&self, now: Tenths, unwanted: impl Fn(Ticket) -> bool) -> Vec<Ticket> {
         let (mut inner, mut gone) = (self.inner.borrow_mut(), Vec::new());
-        inner.items.iter_mut().filter(|i| unwanted(i.ticket)).for_each(|i| i.until = 0);
+        inner
+            .items
+            .iter_mut()
+            .filter(|i| unwanted(i.ticket))
+            .for_each(|i| i.until = 0);
         inner.withdraw(now, &mut gone);
         gone
     }
@@ -145,7 +158,11 @@
                 } else if batch.is_empty() {
                     ended = inner.closed;
                     inner.waker = Some(cx.waker().clone());
-                    if ended { Poll::Ready(Ok(0)) } else { Poll::Pending }
+                    if ended {
+                        Poll::Ready(Ok(0))
+                    } else {
+                        Poll::Pending
+                    }
                 } else {
                     Pin::new(&mut *stream).poll_write(cx, &batch)
                 };
--- a/crates/link/src/outbox/tests.rs
+++ b/crates/link/src/outbox/tests.rs
@@ -8,7 +8,9 @@
     let (mut here, mut there) = tokio::io::duplex(10);
     let (outbox, now, gone) = (Outbox::new(1_000), Cell::new(0), RefCell::new(Vec::new()));
     for until in [100, 50, 100] {
-        outbox.put(Bytes::from(vec![until as u8; 6]), until).unwrap();
+        outbox
+            .put(Bytes::from(vec![until as u8; 6]), until)
+            .unwrap();
     }
     {
         let write = outbox.write_to(&mut here, || now.get(), |t| gone.borrow_mut().push(t));
@@ -17,7 +19,11 @@
             assert!(outbox.has_left(1) && !outbox.has_left(2));
             outbox.put(Bytes::from(vec![1; 6]), 60).unwrap();
             now.set(70);
-            assert_eq!(outbox.withdraw(70, |t| t == 3), [3, 4], "the second has begun, the first is gone");
+            assert_eq!(
+                outbox.withdraw(70, |t| t == 3),
+                [3, 4],
+                "the second has begun, the first is gone"
+            );
             let mut read = vec![0; 12];
             there.read_exact(&mut read).await.unwrap();
             assert_eq!(read, [[100; 6], [50; 6]].concat());
--- a/crates/link/src/sockets.rs
+++ b/crates/link/src/sockets.rs
@@ -44,7 +44,8 @@
         Errno::INTR,
         Errno::AGAIN,
     ];
-    e.raw_os_error().is_some_and(|code| LOCAL.iter().any(|local| local.raw_os_error() == code))
+    e.raw_os_error()
+        .is_some_and(|code| LOCAL.iter().any(|local| local.raw_os_error() == code))
 }
 
 /// Whether accept(2) failed by the connection that it would have given: the next one is not harmed.
@@ -61,7 +62,8 @@
         Errno::OPNOTSUPP,
         Errno::TIMEDOUT,
     ];
-    e.raw_os_error().is_some_and(|code| OF_ONE.iter().any(|one| one.raw_os_error() == code))
+    e.raw_os_error()
+        .is_some_and(|code| OF_ONE.iter().any(|one| one.raw_os_error() == code))
 }
 
 /// Tries `call` again for so long while it fails in a way that `passes`.
@@ -103,11 +105,15 @@
             match address {
                 Address::Tcp(at) => {
                     let dial = || TcpStream::connect(at.as_str());
-                    Ok(over_tcp(again(DIAL_RETRIES_MOST, is_local_failure, dial).await?))
+                    Ok(over_tcp(
+                        again(DIAL_RETRIES_MOST, is_local_failure, dial).await?,
+                    ))
                 }
                 Address::Unix(path) => {
                     let dial = || UnixStream::connect(path);
-                    Ok(Box::new(Steady(again(DIAL_RETRIES_MOST, is_local_failure, dial).await?)) as Stream)
+                    Ok(Box::new(Steady(
+                        again(DIAL_RETRIES_MOST, is_local_failure, dial).await?,
+                    )) as Stream)
                 }
                 Address::Memory(_) => Err(io::ErrorKind::Unsupported.into()),
             }
@@ -165,7 +171,8 @@
 impl Listener for TcpListener {
     fn accept(&mut self) -> Later<'_, Stream> {
         Box::pin(async move {
-            let (stream, _) = next_sound_connection(async || TcpListener::accept(self).await).await?;
+            let (stream, _) =
+                next_sound_connection(async || TcpListener::accept(self).await).await?;
             Ok(over_tcp(stream))
         })
     }
@@ -174,7 +181,8 @@
 impl Listener for UnixListener {
     fn accept(&mut self) -> Later<'_, Stream> {
         Box::pin(async move {
-            let (stream, _) = next_sound_connection(async || UnixListener::accept(self).await).await?;
+            let (stream, _) =
+                next_sound_connection(async || UnixListener::accept(self).await).await?;
             Ok(Box::new(Steady(stream)) as Stream)
         })
     }
--- a/crates/link/src/steady.rs
+++ b/crates/link/src/steady.rs
@@ -86,17 +86,28 @@
 }
 
 impl<S: Calls + Unpin> AsyncRead for Steady<S> {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         let socket = &self.0;
-        let got =
-            ready!(poll_call(cx, |cx| socket.poll_readable(cx), || socket.read(buf.initialize_unfilled())))?;
+        let got = ready!(poll_call(
+            cx,
+            |cx| socket.poll_readable(cx),
+            || socket.read(buf.initialize_unfilled())
+        ))?;
         buf.advance(got);
         Poll::Ready(Ok(()))
     }
 }
 
 impl<S: Calls + AsyncWrite + Unpin> AsyncWrite for Steady<S> {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let socket = &self.0;
         poll_call(cx, |cx| socket.poll_writable(cx), || socket.write(bytes))
     }
--- a/crates/link/src/steady/tests.rs
+++ b/crates/link/src/steady/tests.rs
@@ -17,7 +17,12 @@
     fn new(to_read: &[u8], script: &[Option<usize>]) -> Self {
         let script = RefCell::new(script.iter().copied().collect());
         let to_read = RefCell::new(to_read.iter().copied().collect());
-        Self { script, to_read, written: RefCell::default(), is_ready: Cell::new(true) }
+        Self {
+            script,
+            to_read,
+            written: RefCell::default(),
+            is_ready: Cell::new(true),
+        }
     }
 
     /// How many bytes this call moves at the most.
@@ -30,7 +35,11 @@
     }
 
     fn word(&self) -> Poll<io::Result<()>> {
-        if self.is_ready.get() { Poll::Ready(Ok(())) } else { Poll::Pending }
+        if self.is_ready.get() {
+            Poll::Ready(Ok(()))
+        } else {
+            Poll::Pending
+        }
     }
 }
 
@@ -49,7 +58,9 @@
             return Err(io::ErrorKind::WouldBlock.into());
         }
         let moved = most.min(left.len()).min(bytes.len());
-        left.drain(..moved).zip(bytes).for_each(|(from, to)| *to = from);
+        left.drain(..moved)
+            .zip(bytes)
+            .for_each(|(from, to)| *to = from);
         Ok(moved)
     }
     fn write(&self, bytes: &[u8]) -> io::Result<usize> {
@@ -61,7 +72,11 @@
 
 /// It is written through [`Calls`]; flush and shutdown have nothing to do.
 impl AsyncWrite for Scripted {
-    fn poll_write(self: Pin<&mut Self>, _: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        _: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         Poll::Ready(Calls::write(&*self, bytes))
     }
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -72,7 +87,8 @@
     }
 }
 
-const SHORT_AND_INTERRUPTED: [Option<usize>; 7] = [Some(1), None, None, Some(2), Some(1), None, Some(3)];
+const SHORT_AND_INTERRUPTED: [Option<usize>; 7] =
+    [Some(1), None, None, Some(2), Some(1), None, Some(3)];
 
 #[tokio::test]
 async fn all_is_read_over_short_and_interrupted_calls_then_it_waits() {
@@ -82,7 +98,11 @@
     assert_eq!(&got, b"what was sent");
     let mut cx = Context::from_waker(Waker::noop());
     let (mut byte, stream) = ([0], Pin::new(&mut stream));
-    assert!(stream.poll_read(&mut cx, &mut ReadBuf::new(&mut byte)).is_pending());
+    assert!(
+        stream
+            .poll_read(&mut cx, &mut ReadBuf::new(&mut byte))
+            .is_pending()
+    );
 }
 
 #[tokio::test]
--- a/crates/link/src/turns.rs
+++ b/crates/link/src/turns.rs
@@ -40,7 +40,11 @@
     /// been stopped and not yet noted a turn was last asked before the stop; its first turn after a stop may come before the
     /// machine is asked, so only the turn before the last counts.
     pub fn looked_before(&self, now: Tenths) -> Tenths {
-        if now.saturating_sub(self.last()) > STOOD { self.last() } else { self.before() }
+        if now.saturating_sub(self.last()) > STOOD {
+            self.last()
+        } else {
+            self.before()
+        }
     }
 }
 
@@ -76,7 +80,11 @@
     /// How long what the machine tells of at `now` can have waited, at the most: nothing for a thread that has only begun.
     pub fn waited_most(&self, now: Tenths) -> Tenths {
         let before = self.looks.looked_before(now);
-        if before == 0 { 0 } else { now.saturating_sub(before) }
+        if before == 0 {
+            0
+        } else {
+            now.saturating_sub(before)
+        }
     }
 
     pub(crate) fn looks(&self) -> Arc<Looks> {
@@ -111,7 +119,12 @@
     /// For a stream that may have been open, with bytes in it, since `opened`.
     pub fn opened_at(stream: S, opened: Tenths, clock: Clock, turns: Turns) -> Self {
         let arrivals = ArrivalWatch::new(opened, clock, &turns);
-        Self { stream, bytes: BytesMut::new(), arrivals, turns }
+        Self {
+            stream,
+            bytes: BytesMut::new(),
+            arrivals,
+            turns,
+        }
     }
 
     /// Whether there may be bytes, or the stream's end, that were not read yet.
@@ -154,7 +167,11 @@
         })
         .await?;
         let earliest = self.arrivals.earliest();
-        let earliest = self.turns.written.take().map_or(earliest, |written| written.min(earliest));
+        let earliest = self
+            .turns
+            .written
+            .take()
+            .map_or(earliest, |written| written.min(earliest));
         Ok((got > 0).then_some(earliest))
     }
 }
--- a/crates/link/src/turns/tests.rs
+++ b/crates/link/src/turns/tests.rs
@@ -9,7 +9,11 @@
     turns.turn(1_100);
     assert_eq!(turns.looked(), 1_100);
     turns.turn(9_000);
-    assert_eq!(turns.looked(), 1_200, "it stood still: what came meanwhile may not have been asked for");
+    assert_eq!(
+        turns.looked(),
+        1_200,
+        "it stood still: what came meanwhile may not have been asked for"
+    );
 }
 
 #[test]
@@ -19,12 +23,28 @@
     for at in [1_000, 1_100, 1_200] {
         assert_eq!(turns.turn(at), None);
     }
-    assert_eq!(looks.looked_before(1_210), 1_100, "not before the turn before the last");
-    assert_eq!(looks.looked_before(9_000), 1_200, "no turn since: the stop has just ended");
+    assert_eq!(
+        looks.looked_before(1_210),
+        1_100,
+        "not before the turn before the last"
+    );
+    assert_eq!(
+        looks.looked_before(9_000),
+        1_200,
+        "no turn since: the stop has just ended"
+    );
     assert_eq!(turns.turn(21_200), Some(20_000));
-    assert_eq!(looks.looked_before(21_210), 1_200, "the machine may not have been asked since the stop");
+    assert_eq!(
+        looks.looked_before(21_210),
+        1_200,
+        "the machine may not have been asked since the stop"
+    );
     turns.turn(21_300);
-    assert_eq!(looks.looked_before(21_310), 21_200, "it was asked between two turns");
+    assert_eq!(
+        looks.looked_before(21_310),
+        21_200,
+        "it was asked between two turns"
+    );
 }
 
 /// A source that is empty or not, as the test says.
@@ -38,7 +58,11 @@
         let mut cx = Context::from_waker(Waker::noop());
         let polled = watch.poll(&mut cx, |cx| {
             self.waits = Some(cx.waker().clone());
-            if self.has { Poll::Ready(()) } else { Poll::Pending }
+            if self.has {
+                Poll::Ready(())
+            } else {
+                Poll::Pending
+            }
         });
         polled.is_ready()
     }
@@ -68,7 +92,10 @@
     let (turns, clock) = (Turns::default(), Clock::start());
     let began = clock.now();
     let mut watch = ArrivalWatch::new(began, clock, &turns);
-    let mut source = Source { has: false, waits: None };
+    let mut source = Source {
+        has: false,
+        waits: None,
+    };
     assert!(!source.ask(&mut watch));
     turns_to(&turns, clock, began + SECOND).await;
     // A stop of 5 s, in which something comes; the thread is told of it, and stopped twice more before it asks.
@@ -80,10 +107,18 @@
         pass(clock, clock.now() + 100 * MILLI).await;
     }
     assert!(source.ask(&mut watch));
-    assert!(watch.earliest() <= stopped, "{} for {stopped}", watch.earliest());
+    assert!(
+        watch.earliest() <= stopped,
+        "{} for {stopped}",
+        watch.earliest()
+    );
     // What lies behind it in the queue is no younger.
     assert!(source.ask(&mut watch));
-    assert!(watch.earliest() <= stopped, "{} for {stopped}", watch.earliest());
+    assert!(
+        watch.earliest() <= stopped,
+        "{} for {stopped}",
+        watch.earliest()
+    );
 }
 
 /// The other side: an old stop says nothing of what comes long after it to a reader that has waited since before.
@@ -91,14 +126,22 @@
 async fn what_comes_long_after_a_stop_is_new() {
     let (turns, clock) = (Turns::default(), Clock::start());
     let mut watch = ArrivalWatch::new(clock.now(), clock, &turns);
-    let mut source = Source { has: false, waits: None };
+    let mut source = Source {
+        has: false,
+        waits: None,
+    };
     assert!(!source.ask(&mut watch));
     turns_to(&turns, clock, clock.now() + SECOND).await;
     pass(clock, clock.now() + 2 * SECOND).await;
     turns_to(&turns, clock, clock.now() + SECOND).await;
     source.has();
     assert!(source.ask(&mut watch));
-    assert!(clock.now() - watch.earliest() <= 2 * TURN_EVERY, "{} at {}", watch.earliest(), clock.now());
+    assert!(
+        clock.now() - watch.earliest() <= 2 * TURN_EVERY,
+        "{} at {}",
+        watch.earliest(),
+        clock.now()
+    );
 }
 
 /// Found by rereading: a source that puts its reader off, as tokio's do once in a while, was taken for empty.
@@ -106,7 +149,13 @@
 async fn who_is_put_off_has_not_found_the_source_empty() {
     let (turns, clock) = (Turns::default(), Clock::start());
     let mut watch = ArrivalWatch::new(clock.now(), clock, &turns);
-    let (mut source, backlog) = (Source { has: false, waits: None }, watch.backlog());
+    let (mut source, backlog) = (
+        Source {
+            has: false,
+            waits: None,
+        },
+        watch.backlog(),
+    );
     assert!(!source.ask(&mut watch));
     turns_to(&turns, clock, clock.now() + SECOND).await;
     source.has();
@@ -126,11 +175,20 @@
 async fn a_backlog_is_known_from_the_moment_the_machine_tells_of_it() {
     let (turns, clock) = (Turns::default(), Clock::start());
     let mut watch = ArrivalWatch::new(clock.now(), clock, &turns);
-    let (mut source, backlog) = (Source { has: false, waits: None }, watch.backlog());
+    let (mut source, backlog) = (
+        Source {
+            has: false,
+            waits: None,
+        },
+        watch.backlog(),
+    );
     assert!(!source.ask(&mut watch) && !backlog.is_behind());
     source.has();
     assert!(backlog.is_behind(), "told of, not read");
-    assert!(source.ask(&mut watch) && backlog.is_behind(), "read, not to its end");
+    assert!(
+        source.ask(&mut watch) && backlog.is_behind(),
+        "read, not to its end"
+    );
     source.has = false;
     assert!(!source.ask(&mut watch) && !backlog.is_behind());
     source.has();
@@ -148,12 +206,17 @@
 /// stop: nothing. That is no look.
 #[test]
 fn a_socket_that_is_asked_before_the_machine_is_was_not_found_empty() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     runtime.block_on(async {
         let (clock, turns) = (Clock::start(), Turns::default());
         let any = crate::Address::Tcp("127.0.0.1:0".into());
         let (mut door, at) = crate::Network::listen(&crate::Sockets, &any).await.unwrap();
-        let crate::Address::Tcp(at) = at else { unreachable!("it listens on TCP") };
+        let crate::Address::Tcp(at) = at else {
+            unreachable!("it listens on TCP")
+        };
         let mut peer = std::net::TcpStream::connect(at).unwrap();
         let mut read = Read::new(door.accept().await.unwrap(), clock, turns.clone());
         for _ in 0..4 {
@@ -167,6 +230,10 @@
         assert!(!asks_once(&mut read).await, "the machine was not asked yet");
         turns.turn(clock.now());
         let came = read.more().await.unwrap().unwrap();
-        assert!(came <= written, "it came {} ms late", (came - written) / MILLI);
+        assert!(
+            came <= written,
+            "it came {} ms late",
+            (came - written) / MILLI
+        );
     });
 }
--- a/crates/load/src/drive.rs
+++ b/crates/load/src/drive.rs
@@ -81,8 +81,10 @@
     entries: Vec<Entry>,
 ) -> Played {
     let played: Rc<RefCell<Played>> = Rc::default();
-    let all =
-        doors.iter().flat_map(|d| std::iter::repeat_n(d.clone(), connections.max(1))).collect::<Vec<_>>();
+    let all = doors
+        .iter()
+        .flat_map(|d| std::iter::repeat_n(d.clone(), connections.max(1)))
+        .collect::<Vec<_>>();
     let driver = Rc::new(Driver {
         lines: RefCell::new(all.iter().map(|_| None).collect()),
         network,
@@ -134,7 +136,13 @@
 }
 
 impl Driver {
-    async fn invoke(&self, n: u64, intended: Tenths, e: Entry, played: &RefCell<Played>) -> Outcome {
+    async fn invoke(
+        &self,
+        n: u64,
+        intended: Tenths,
+        e: Entry,
+        played: &RefCell<Played>,
+    ) -> Outcome {
         let function = &self.terms.functions[&e.function];
         let trigger = &self.terms.deployment.trigger_types[function.trigger];
         let mut rng = fastrand::Rng::with_seed(n ^ 0x10ad);
@@ -146,17 +154,29 @@
                     sent = Some(at);
                 }
             };
-            let end = self.one_try(n, tries, &e, trigger.client_timeout, lag).await;
+            let end = self
+                .one_try(n, tries, &e, trigger.client_timeout, lag)
+                .await;
             let ago = self.clock.now() - intended;
             match self.patience.then(trigger, tries, ago, end, rng.f64()) {
                 Then::Over => break end,
-                Then::AgainAfter(wait) => tokio::time::sleep(Duration::from_micros(wait * 100)).await,
+                Then::AgainAfter(wait) => {
+                    tokio::time::sleep(Duration::from_micros(wait * 100)).await
+                }
             }
             tries += 1;
         };
         let over = self.clock.now();
         let (tenant, function) = (e.tenant, e.function);
-        Outcome { intended, sent: sent.unwrap_or(over), over, tries: tries + 1, end, tenant, function }
+        Outcome {
+            intended,
+            sent: sent.unwrap_or(over),
+            over,
+            tries: tries + 1,
+            end,
+            tenant,
+            function,
+        }
     }
 
     async fn one_try(
@@ -178,7 +198,8 @@
             },
         };
         let function = &self.terms.functions[&e.function];
-        let tokened = self.terms.deployment.trigger_types[function.trigger].effect == Effect::Tokened;
+        let tokened =
+            self.terms.deployment.trigger_types[function.trigger].effect == Effect::Tokened;
         let id = self.next_id.get();
         self.next_id.set(id + 1);
         let mut call = json!({
@@ -194,7 +215,11 @@
         let (to, answer) = oneshot::channel();
         line.waiting.borrow_mut().insert(id, to);
         let at = self.clock.now();
-        if line.outbox.put(Bytes::from(format!("{call}\n")), at + timeout).is_none() {
+        if line
+            .outbox
+            .put(Bytes::from(format!("{call}\n")), at + timeout)
+            .is_none()
+        {
             line.waiting.borrow_mut().remove(&id);
             return End::Unsent;
         }
@@ -214,7 +239,11 @@
         let (input, mut output) = halves(stream);
         let (outbox, waiting) = (Outbox::new(OUTBOX_BYTES), Waiting::default());
         let open = Rc::new(Cell::new(true));
-        let line = Rc::new(Connection { outbox, waiting, open });
+        let line = Rc::new(Connection {
+            outbox,
+            waiting,
+            open,
+        });
         self.lines.borrow_mut()[place] = Some(line.clone());
         let (clock, turns) = (self.clock, self.turns.clone());
         let kept = line.clone();
@@ -238,12 +267,18 @@
     while let Ok(Some(_)) = read.more().await {
         while let Some(end) = read.bytes.iter().position(|b| *b == b'\n') {
             let line = read.bytes.split_to(end + 1);
-            let Ok(reply) = serde_json::from_slice::<rpc::Reply>(&line) else { continue };
-            let Ok(id) = reply.id.get().parse::<u64>() else { continue };
+            let Ok(reply) = serde_json::from_slice::<rpc::Reply>(&line) else {
+                continue;
+            };
+            let Ok(id) = reply.id.get().parse::<u64>() else {
+                continue;
+            };
             let come_back = |e: &rpc::ReplyError| e.data.get("come_back_ms")?.as_u64();
             let how = match &reply.error {
                 None => End::Succeeded,
-                Some(e) if e.code == rpc::THROTTLED => End::Throttled(come_back(e).unwrap_or(0) * MILLI),
+                Some(e) if e.code == rpc::THROTTLED => {
+                    End::Throttled(come_back(e).unwrap_or(0) * MILLI)
+                }
                 Some(_) => End::Errored,
             };
             if let Some(to) = waiting.borrow_mut().remove(&id) {
--- a/crates/load/src/lag.rs
+++ b/crates/load/src/lag.rs
@@ -45,13 +45,24 @@
     pub fn verdict(&self) -> Verdict {
         let ms = |t: Tenths| t as f64 / MILLI as f64;
         if self.stood > MOST {
-            return Verdict::GeneratorFellBehind(format!("it stood still for {:.0} ms", ms(self.stood)));
+            return Verdict::GeneratorFellBehind(format!(
+                "it stood still for {:.0} ms",
+                ms(self.stood)
+            ));
         }
         if self.worst > MOST {
-            return Verdict::GeneratorFellBehind(format!("it sent one {:.0} ms late", ms(self.worst)));
+            return Verdict::GeneratorFellBehind(format!(
+                "it sent one {:.0} ms late",
+                ms(self.worst)
+            ));
         }
         if self.late as f64 > LATE_SHARE * self.sent as f64 {
-            let why = format!("it sent {} of {} over {:.0} ms late", self.late, self.sent, ms(LATE));
+            let why = format!(
+                "it sent {} of {} over {:.0} ms late",
+                self.late,
+                self.sent,
+                ms(LATE)
+            );
             return Verdict::GeneratorFellBehind(why);
         }
         Verdict::Counts
@@ -69,7 +80,9 @@
         (0..10).for_each(|at| lag.sent(at, at + LATE + 1));
         assert_eq!(lag.verdict(), Verdict::Counts);
         lag.sent(0, LATE + 1);
-        assert!(matches!(lag.verdict(), Verdict::GeneratorFellBehind(why) if why.contains("11 of 10011")));
+        assert!(
+            matches!(lag.verdict(), Verdict::GeneratorFellBehind(why) if why.contains("11 of 10011"))
+        );
     }
 
     #[test]
@@ -77,7 +90,9 @@
         let mut lag = Lag::default();
         (0..10_000).for_each(|at| lag.sent(at, at));
         lag.stood(MOST + 1);
-        assert!(matches!(lag.verdict(), Verdict::GeneratorFellBehind(why) if why.contains("stood still")));
+        assert!(
+            matches!(lag.verdict(), Verdict::GeneratorFellBehind(why) if why.contains("stood still"))
+        );
         let mut lag = Lag::default();
         lag.sent(5, 6 + MOST);
         assert!(
--- a/crates/load/src/latency.rs
+++ b/crates/load/src/latency.rs
@@ -53,7 +53,11 @@
 
     #[test]
     fn merged_runs_are_one_run() {
-        let (mut a, mut b, mut whole) = (Latencies::default(), Latencies::default(), Latencies::default());
+        let (mut a, mut b, mut whole) = (
+            Latencies::default(),
+            Latencies::default(),
+            Latencies::default(),
+        );
         let mut rng = fastrand::Rng::with_seed(2);
         for n in 0..20_000 {
             let took = (10.0_f64.powf(rng.f64() * 7.0)) as Tenths;
--- a/crates/load/src/mend.rs
+++ b/crates/load/src/mend.rs
@@ -39,7 +39,8 @@
     }
     // Those whose clock is ahead go back; nobody goes below 0 for it.
     let most = ahead.values().copied().max().unwrap_or(0);
-    rows.iter_mut().for_each(|(source, at)| *at += most - ahead.get(source).copied().unwrap_or(0));
+    rows.iter_mut()
+        .for_each(|(source, at)| *at += most - ahead.get(source).copied().unwrap_or(0));
     let first = rows.iter().map(|(_, at)| *at).min().unwrap_or(0);
     rows.iter_mut().for_each(|(_, at)| *at -= first);
     done
@@ -55,9 +56,18 @@
 
     #[test]
     fn a_clock_set_back_goes_on_and_other_sources_are_left_alone() {
-        let mut all = rows(&[("a", 500_000), ("b", 500_000), ("a", 500_100), ("a", 90_000), ("a", 90_300)]);
+        let mut all = rows(&[
+            ("a", 500_000),
+            ("b", 500_000),
+            ("a", 500_100),
+            ("a", 90_000),
+            ("a", 90_300),
+        ]);
         let done = mend(&mut all, &BTreeMap::new());
-        assert_eq!(all.iter().map(|r| r.1).collect::<Vec<_>>(), [0, 0, 100, 100, 400]);
+        assert_eq!(
+            all.iter().map(|r| r.1).collect::<Vec<_>>(),
+            [0, 0, 100, 100, 400]
+        );
         assert_eq!(done.set_back, [("a".to_owned(), 3, 410_100)]);
     }
 
@@ -65,7 +75,10 @@
     fn small_disorder_is_no_step_and_known_offsets_are_taken_off() {
         let mut all = rows(&[("a", 20_000), ("a", 15_000), ("b", 1_020_000)]);
         let done = mend(&mut all, &BTreeMap::from([("b".to_owned(), 1_000_000)]));
-        assert_eq!(all.iter().map(|r| r.1).collect::<Vec<_>>(), [5_000, 0, 5_000]);
+        assert_eq!(
+            all.iter().map(|r| r.1).collect::<Vec<_>>(),
+            [5_000, 0, 5_000]
+        );
         assert_eq!((done.disordered, done.set_back.len()), (1, 0));
     }
 }
--- a/crates/load/src/popularity.rs
+++ b/crates/load/src/popularity.rs
@@ -19,14 +19,20 @@
             sum += (rank as f64).powf(-zipf);
             sum
         };
-        Self { sums: (1..=count.max(1)).map(weigh).collect(), turnover }
+        Self {
+            sums: (1..=count.max(1)).map(weigh).collect(),
+            turnover,
+        }
     }
 
     /// A function by its place in the list.
     pub fn draw(&self, at: Tenths, rng: &mut fastrand::Rng) -> usize {
         let total = *self.sums.last().expect("there is at least one");
         let sought = rng.f64() * total;
-        let rank = self.sums.partition_point(|sum| *sum <= sought).min(self.sums.len() - 1);
+        let rank = self
+            .sums
+            .partition_point(|sum| *sum <= sought)
+            .min(self.sums.len() - 1);
         let turns = at.checked_div(self.turnover).unwrap_or(0) as usize;
         (rank + self.sums.len() - turns % self.sums.len()) % self.sums.len()
     }
@@ -47,8 +53,15 @@
         };
         let (now, then, round) = (counts(0), counts(2_500), counts(10_000));
         // 29,290 is 10,000 times the sum of the ten weights.
-        assert!(now[0].abs_diff(10_000) < 300 && now[9].abs_diff(1_000) < 120, "{now:?}");
-        assert_eq!((then[8], then[0]), (now[0], now[2]), "the last but one leads, the first is third");
+        assert!(
+            now[0].abs_diff(10_000) < 300 && now[9].abs_diff(1_000) < 120,
+            "{now:?}"
+        );
+        assert_eq!(
+            (then[8], then[0]),
+            (now[0], now[2]),
+            "the last but one leads, the first is third"
+        );
         assert_eq!(round, now);
     }
 }
--- a/crates/load/src/retry.rs
+++ b/crates/load/src/retry.rs
@@ -34,7 +34,14 @@
 impl Patience {
     /// After try `attempt`, from 0, of an invocation that began `ago`. Nothing that may have had its effect is done
     /// twice.
-    pub fn then(&self, trigger: &TriggerType, attempt: u32, ago: Tenths, end: End, chance: f64) -> Then {
+    pub fn then(
+        &self,
+        trigger: &TriggerType,
+        attempt: u32,
+        ago: Tenths,
+        end: End,
+        chance: f64,
+    ) -> Then {
         if attempt >= self.retries || end == End::Succeeded {
             return Then::Over;
         }
@@ -69,7 +76,11 @@
             billed_value: 1.0,
             late_share: 0.0,
         };
-        Patience { retries: 2, backoff: 1_000 }.then(&trigger, attempt, ago, end, 0.5)
+        Patience {
+            retries: 2,
+            backoff: 1_000,
+        }
+        .then(&trigger, attempt, ago, end, 0.5)
     }
 
     #[test]
@@ -81,7 +92,12 @@
             (Effect::Idempotent, Scope::All, Errored, AgainAfter(1_000)),
             (Effect::NonIdempotent, Scope::All, Unknown, Over),
             (Effect::NonIdempotent, Scope::All, Errored, Over),
-            (Effect::NonIdempotent, Scope::All, Throttled(3_000), AgainAfter(3_000)),
+            (
+                Effect::NonIdempotent,
+                Scope::All,
+                Throttled(3_000),
+                AgainAfter(3_000),
+            ),
             (Effect::NonIdempotent, Scope::All, Unsent, AgainAfter(1_000)),
             (Effect::Tokened, Scope::Cell, Unknown, Over),
             (Effect::Tokened, Scope::All, Unknown, AgainAfter(1_000)),
@@ -89,14 +105,27 @@
             (Effect::Idempotent, Scope::All, Succeeded, Over),
         ];
         for (effect, scope, end, want) in cases {
-            assert_eq!(then(effect, scope, 0, 0, end), want, "{effect:?} {scope:?} {end:?}");
+            assert_eq!(
+                then(effect, scope, 0, 0, end),
+                want,
+                "{effect:?} {scope:?} {end:?}"
+            );
         }
     }
 
     #[test]
     fn patience_ends_and_tokens_grow_old() {
-        assert_eq!(then(Effect::Idempotent, Scope::All, 1, 0, End::Errored), Then::AgainAfter(2_000));
-        assert_eq!(then(Effect::Idempotent, Scope::All, 2, 0, End::Errored), Then::Over);
-        assert_eq!(then(Effect::Tokened, Scope::All, 0, 19_500, End::Unknown), Then::Over);
+        assert_eq!(
+            then(Effect::Idempotent, Scope::All, 1, 0, End::Errored),
+            Then::AgainAfter(2_000)
+        );
+        assert_eq!(
+            then(Effect::Idempotent, Scope::All, 2, 0, End::Errored),
+            Then::Over
+        );
+        assert_eq!(
+            then(Effect::Tokened, Scope::All, 0, 19_500, End::Unknown),
+            Then::Over
+        );
     }
 }
--- a/crates/load/src/shape.rs
+++ b/crates/load/src/shape.rs
@@ -29,7 +29,9 @@
     rng: &mut fastrand::Rng,
 ) -> Vec<Tenths> {
     if let Shape::Group { count, spread } = shape {
-        let mut all: Vec<Tenths> = (0..count).map(|_| from + rng.u64(0..spread.max(1))).collect();
+        let mut all: Vec<Tenths> = (0..count)
+            .map(|_| from + rng.u64(0..spread.max(1)))
+            .collect();
         all.sort_unstable();
         return all;
     }
@@ -48,7 +50,9 @@
     let rate = |at: f64| match shape {
         Shape::Steady | Shape::Group { .. } => 1.0,
         Shape::Bursty { times, .. } => {
-            let within = bursts.iter().any(|(a, b)| (*a..*b).contains(&(at as Tenths)));
+            let within = bursts
+                .iter()
+                .any(|(a, b)| (*a..*b).contains(&(at as Tenths)));
             if within { times.max(1.0) } else { 0.0 }
         }
         Shape::Afternoon { least } => {
@@ -84,7 +88,10 @@
     to: Tenths,
     rng: &mut fastrand::Rng,
 ) -> Vec<(Tenths, Tenths)> {
-    let (lasts, quiet) = (lasts.max(1) as f64, lasts.max(1) as f64 * (times.max(1.0) - 1.0));
+    let (lasts, quiet) = (
+        lasts.max(1) as f64,
+        lasts.max(1) as f64 * (times.max(1.0) - 1.0),
+    );
     let mut draw = |mean: f64| -rng.f64().max(1e-12).ln() * mean;
     let (mut all, mut at) = (Vec::new(), from as f64 + draw(quiet));
     while at < to as f64 {
@@ -100,42 +107,86 @@
     use super::*;
 
     fn drawn(shape: Shape) -> Vec<Tenths> {
-        arrivals(shape, 50.0, 0, 400 * SECOND, &mut fastrand::Rng::with_seed(3))
+        arrivals(
+            shape,
+            50.0,
+            0,
+            400 * SECOND,
+            &mut fastrand::Rng::with_seed(3),
+        )
     }
 
     /// How many came in each tenth of the time.
     fn tenths_of(shape: Shape) -> Vec<usize> {
         let mut counts = vec![0; 10];
-        drawn(shape).iter().for_each(|at| counts[(at / (40 * SECOND)) as usize] += 1);
+        drawn(shape)
+            .iter()
+            .for_each(|at| counts[(at / (40 * SECOND)) as usize] += 1);
         counts
     }
 
     #[test]
     fn every_shape_keeps_its_mean_and_its_own_form() {
         let near = |n: usize, want: f64| (n as f64 - want).abs() < 0.12 * want;
-        for shape in [Shape::Steady, Shape::Ramp, Shape::Season { swing: 0.8, period: 400 * SECOND }] {
-            assert!(near(drawn(shape).len(), 20_000.0), "{shape:?}: {}", drawn(shape).len());
+        for shape in [
+            Shape::Steady,
+            Shape::Ramp,
+            Shape::Season {
+                swing: 0.8,
+                period: 400 * SECOND,
+            },
+        ] {
+            assert!(
+                near(drawn(shape).len(), 20_000.0),
+                "{shape:?}: {}",
+                drawn(shape).len()
+            );
         }
-        let bursty = Shape::Bursty { times: 8.0, lasts: SECOND };
-        assert!((14_000..26_000).contains(&drawn(bursty).len()), "{}", drawn(bursty).len());
+        let bursty = Shape::Bursty {
+            times: 8.0,
+            lasts: SECOND,
+        };
+        assert!(
+            (14_000..26_000).contains(&drawn(bursty).len()),
+            "{}",
+            drawn(bursty).len()
+        );
         let busy = |shape| {
             let mut by_second = vec![0; 400];
-            drawn(shape).iter().for_each(|at| by_second[(at / SECOND) as usize] += 1);
+            drawn(shape)
+                .iter()
+                .for_each(|at| by_second[(at / SECOND) as usize] += 1);
             by_second.iter().filter(|n| **n > 100).count()
         };
-        assert!(busy(bursty) > 20 && busy(Shape::Steady) == 0, "{} bursts", busy(bursty));
+        assert!(
+            busy(bursty) > 20 && busy(Shape::Steady) == 0,
+            "{} bursts",
+            busy(bursty)
+        );
         let ramp = tenths_of(Shape::Ramp);
-        assert!(ramp.windows(2).all(|w| w[0] < w[1]) && near(ramp[9], 3_800.0), "{ramp:?}");
+        assert!(
+            ramp.windows(2).all(|w| w[0] < w[1]) && near(ramp[9], 3_800.0),
+            "{ramp:?}"
+        );
         let afternoon = tenths_of(Shape::Afternoon { least: 0.1 });
-        assert!(afternoon[5] * 4 < afternoon[0] && afternoon[4] * 4 < afternoon[9], "{afternoon:?}");
-        let season = tenths_of(Shape::Season { swing: 0.8, period: 400 * SECOND });
+        assert!(
+            afternoon[5] * 4 < afternoon[0] && afternoon[4] * 4 < afternoon[9],
+            "{afternoon:?}"
+        );
+        let season = tenths_of(Shape::Season {
+            swing: 0.8,
+            period: 400 * SECOND,
+        });
         assert!(season[2] > 3 * season[7], "{season:?}");
     }
 
     #[test]
     fn a_group_comes_together_whatever_the_rate() {
         let group = arrivals(
-            Shape::Group { count: 60, spread: 5_000 },
+            Shape::Group {
+                count: 60,
+                spread: 5_000,
+            },
             0.0,
             90_000,
             0,
--- a/crates/load/src/trace.rs
+++ b/crates/load/src/trace.rs
@@ -41,16 +41,21 @@
 }
 
 fn fault(path: &Path, why: impl ToString) -> Fault {
-    Fault { file: path.display().to_string(), why: why.to_string() }
+    Fault {
+        file: path.display().to_string(),
+        why: why.to_string(),
+    }
 }
 
 fn digest(entries: &[Entry]) -> String {
     let mut all = blake3::Hasher::new();
     for e in entries {
         for text in [&e.tenant, &e.function, &e.source] {
-            all.update(&(text.len() as u64).to_le_bytes()).update(text.as_bytes());
+            all.update(&(text.len() as u64).to_le_bytes())
+                .update(text.as_bytes());
         }
-        all.update(&e.at.to_le_bytes()).update(&e.work.to_le_bytes());
+        all.update(&e.at.to_le_bytes())
+            .update(&e.work.to_le_bytes());
     }
     all.finalize().to_hex().to_string()
 }
@@ -75,7 +80,11 @@
     let batch = RecordBatch::try_from_iter(columns).map_err(|e| bad(&e))?;
     let mut said = vec![KeyValue::new(VERSION_KEY.into(), VERSION.to_string())];
     said.push(KeyValue::new(DIGEST_KEY.into(), digest(entries)));
-    said.extend(made_by.iter().map(|(k, v)| KeyValue::new(format!("saltdrum.{k}"), v.clone())));
+    said.extend(
+        made_by
+            .iter()
+            .map(|(k, v)| KeyValue::new(format!("saltdrum.{k}"), v.clone())),
+    );
     let properties = WriterProperties::builder()
         .set_compression(Compression::ZSTD(ZstdLevel::default()))
         .set_key_value_metadata(Some(said))
@@ -83,8 +92,8 @@
     let half = path.with_extension("half");
     let written = (|| {
         let file = File::create(&half).map_err(|e| e.to_string())?;
-        let mut writer =
-            ArrowWriter::try_new(file, batch.schema(), Some(properties)).map_err(|e| e.to_string())?;
+        let mut writer = ArrowWriter::try_new(file, batch.schema(), Some(properties))
+            .map_err(|e| e.to_string())?;
         writer.write(&batch).map_err(|e| e.to_string())?;
         let file = writer.into_inner().map_err(|e| e.to_string())?;
         file.sync_all().map_err(|e| e.to_string())?;
@@ -101,24 +110,46 @@
     let bad = |e: &dyn std::fmt::Display| fault(path, e);
     let file = File::open(path).map_err(|e| bad(&e))?;
     let reader = ParquetRecordBatchReaderBuilder::try_new(file).map_err(|e| bad(&e))?;
-    let said = reader.metadata().file_metadata().key_value_metadata().cloned().unwrap_or_default();
-    let said = |key: &str| said.iter().find(|kv| kv.key == key).and_then(|kv| kv.value.clone());
+    let said = reader
+        .metadata()
+        .file_metadata()
+        .key_value_metadata()
+        .cloned()
+        .unwrap_or_default();
+    let said = |key: &str| {
+        said.iter()
+            .find(|kv| kv.key == key)
+            .and_then(|kv| kv.value.clone())
+    };
     let (version, digested) = (said(VERSION_KEY), said(DIGEST_KEY));
     // A trace from elsewhere says no version; its columns tell whether it will do.
-    if let Some(version) = version.as_deref().filter(|v| v.parse::<u32>().map_or(true, |v| v > VERSION)) {
-        return Err(fault(path, format!("trace version {version}: {VERSION} is the latest known here")));
+    if let Some(version) = version
+        .as_deref()
+        .filter(|v| v.parse::<u32>().map_or(true, |v| v > VERSION))
+    {
+        return Err(fault(
+            path,
+            format!("trace version {version}: {VERSION} is the latest known here"),
+        ));
     }
     let (mut entries, mut base) = (Vec::new(), 0);
     for batch in reader.build().map_err(|e| bad(&e))? {
         let batch = batch.map_err(|e| fault(path, format!("after row {base}: {e}")))?;
         let column = |name: &str| {
-            batch.column_by_name(name).ok_or_else(|| fault(path, format!("column '{name}' is missing")))
+            batch
+                .column_by_name(name)
+                .ok_or_else(|| fault(path, format!("column '{name}' is missing")))
         };
         let number = |name: &str| -> Result<UInt64Array, Fault> {
             let c = column(name)?;
             let kind = c.data_type().clone();
             let c = c.as_primitive_opt::<UInt64Type>().cloned();
-            c.ok_or_else(|| fault(path, format!("column '{name}' is {kind}: UInt64 is expected")))
+            c.ok_or_else(|| {
+                fault(
+                    path,
+                    format!("column '{name}' is {kind}: UInt64 is expected"),
+                )
+            })
         };
         let text = |name: &str| -> Result<StringArray, Fault> {
             let c = column(name)?;
@@ -128,13 +159,18 @@
         };
         let (at, work) = (number("at_us")?, number("work_us")?);
         let (tenant, function) = (text("tenant")?, text("function")?);
-        let source = batch.column_by_name("source").and_then(|c| c.as_string_opt::<i32>().cloned());
+        let source = batch
+            .column_by_name("source")
+            .and_then(|c| c.as_string_opt::<i32>().cloned());
         for n in 0..batch.num_rows() {
             let row = base + n;
             if at.is_null(n) || work.is_null(n) || tenant.is_null(n) || function.is_null(n) {
                 return Err(fault(path, format!("row {row}: a value is missing")));
             }
-            let source = source.as_ref().filter(|s| !s.is_null(n)).map(|s| s.value(n).to_owned());
+            let source = source
+                .as_ref()
+                .filter(|s| !s.is_null(n))
+                .map(|s| s.value(n).to_owned());
             entries.push(Entry {
                 at: at.value(n) / 100,
                 tenant: tenant.value(n).to_owned(),
@@ -148,9 +184,13 @@
     if digested.is_some_and(|said| said != digest(&entries)) {
         return Err(fault(path, "damaged: what is read is not what was written"));
     }
-    let mut rows: Vec<(String, Tenths)> = entries.iter().map(|e| (e.source.clone(), e.at)).collect();
+    let mut rows: Vec<(String, Tenths)> =
+        entries.iter().map(|e| (e.source.clone(), e.at)).collect();
     let mended = mend(&mut rows, ahead);
-    entries.iter_mut().zip(rows).for_each(|(e, (_, at))| e.at = at);
+    entries
+        .iter_mut()
+        .zip(rows)
+        .for_each(|(e, (_, at))| e.at = at);
     entries.sort_by_key(|e| e.at);
     Ok((entries, mended))
 }
@@ -175,7 +215,10 @@
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("trace.parquet");
         write(&path, &some(), &[("seed", "7".into())]).unwrap();
-        assert_eq!(read(&path, &BTreeMap::new()).unwrap(), (some(), Mended::default()));
+        assert_eq!(
+            read(&path, &BTreeMap::new()).unwrap(),
+            (some(), Mended::default())
+        );
     }
 
     #[test]
@@ -194,11 +237,16 @@
         damaged[600..900].fill(0xee);
         let damaged = why(&damaged);
         assert!(damaged.contains("trace.parquet: damaged"), "{damaged}");
-        let short = RecordBatch::try_from_iter([("at_us", Arc::new(UInt64Array::from(vec![1])) as ArrayRef)])
-            .unwrap();
+        let short = RecordBatch::try_from_iter([(
+            "at_us",
+            Arc::new(UInt64Array::from(vec![1])) as ArrayRef,
+        )])
+        .unwrap();
         let said = vec![KeyValue::new(VERSION_KEY.into(), "2".to_owned())];
         let later = |said| {
-            let with = WriterProperties::builder().set_key_value_metadata(said).build();
+            let with = WriterProperties::builder()
+                .set_key_value_metadata(said)
+                .build();
             let mut bytes = Vec::new();
             let mut w = ArrowWriter::try_new(&mut bytes, short.schema(), Some(with)).unwrap();
             w.write(&short).unwrap();
@@ -206,7 +254,10 @@
             bytes
         };
         let later_version = why(&later(Some(said)));
-        assert!(later_version.contains("trace version 2: 1 is the latest known here"), "{later_version}");
+        assert!(
+            later_version.contains("trace version 2: 1 is the latest known here"),
+            "{later_version}"
+        );
         let lacking = why(&later(None));
         assert!(lacking.contains("column 'work_us' is missing"), "{lacking}");
     }
--- a/crates/load/tests/freeze.rs
+++ b/crates/load/tests/freeze.rs
@@ -34,8 +34,10 @@
                     let mut output = output.clone();
                     tokio::task::spawn_local(async move {
                         tokio::time::sleep(Duration::from_millis(5)).await;
-                        let reply =
-                            format!("{{\"jsonrpc\":\"2.0\",\"id\":{},\"result\":true}}\n", call["id"]);
+                        let reply = format!(
+                            "{{\"jsonrpc\":\"2.0\",\"id\":{},\"result\":true}}\n",
+                            call["id"]
+                        );
                         let _ = output.write_all(reply.as_bytes()).await;
                     });
                 }
@@ -47,11 +49,25 @@
 
 /// 10 s at 200 a second, with the box or the generator held still for 2 s from the fourth second on.
 fn played(box_stops: bool, generator_stops: bool) -> (Played, Tenths) {
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_time()
+        .start_paused(true)
+        .build()
+        .unwrap();
     LocalSet::new().block_on(&runtime, async {
         let clock = Clock::start();
-        let ether = Ether::new(clock, Lines::new(Line { delay: 10, jitter: 0 }, 0.0, 1), Turns::default());
+        let ether = Ether::new(
+            clock,
+            Lines::new(
+                Line {
+                    delay: 10,
+                    jitter: 0,
+                },
+                0.0,
+                1,
+            ),
+            Turns::default(),
+        );
         let at = Address::Memory("box".into());
         let (box_hold, generator_hold) = (Hold::default(), Hold::default());
         let serving = box_of_echoes(ether.host("box"), at.clone());
@@ -65,13 +81,26 @@
             work: 10,
             source: String::new(),
         };
-        let entries =
-            arrivals(Shape::Steady, 200.0, 0, 10 * SECOND, &mut rng).into_iter().map(entry).collect();
+        let entries = arrivals(Shape::Steady, 200.0, 0, 10 * SECOND, &mut rng)
+            .into_iter()
+            .map(entry)
+            .collect();
         let (terms, _) = Terms::load("terms.star", TERMS).unwrap();
-        let patience = Patience { retries: 0, backoff: 1_000 };
+        let patience = Patience {
+            retries: 0,
+            backoff: 1_000,
+        };
         let (begin, doors) = (clock.now(), [at]);
         let driving = LocalSet::new();
-        let driven = drive(ether.host("load"), clock, Rc::new(terms), &doors, 2, patience, entries);
+        let driven = drive(
+            ether.host("load"),
+            clock,
+            Rc::new(terms),
+            &doors,
+            2,
+            patience,
+            entries,
+        );
         let stopping = async {
             tokio::time::sleep(Duration::from_secs(4)).await;
             if box_stops {
@@ -81,7 +110,9 @@
                 generator_hold.stop(Duration::from_secs(2));
             }
         };
-        let running = stoppable(generator_hold.clone(), async { driving.run_until(driven).await });
+        let running = stoppable(generator_hold.clone(), async {
+            driving.run_until(driven).await
+        });
         let (played, ()) = tokio::join!(running, stopping);
         (played, begin + 4 * SECOND)
     })
@@ -90,7 +121,9 @@
 #[test]
 fn a_box_that_freezes_shows_it_in_every_invocation_that_arrived_meanwhile() {
     let (played, frozen) = played(true, false);
-    assert!(played.outcomes.len() > 1_800 && played.outcomes.iter().all(|o| o.end == End::Succeeded));
+    assert!(
+        played.outcomes.len() > 1_800 && played.outcomes.iter().all(|o| o.end == End::Succeeded)
+    );
     let thawed = frozen + 2 * SECOND;
     let mut during = 0;
     for o in &played.outcomes {
@@ -102,10 +135,20 @@
         }
     }
     assert!(during > 300, "{during}");
-    assert_eq!(played.lag.verdict(), Verdict::Counts, "the generator went on: {:?}", played.lag);
+    assert_eq!(
+        played.lag.verdict(),
+        Verdict::Counts,
+        "the generator went on: {:?}",
+        played.lag
+    );
     let mut all = Latencies::default();
     played.outcomes.iter().for_each(|o| all.add(o.took()));
-    assert!(all.at(0.5) < 15.0 && all.at(0.9) > 900.0, "{} {}", all.at(0.5), all.at(0.9));
+    assert!(
+        all.at(0.5) < 15.0 && all.at(0.9) > 900.0,
+        "{} {}",
+        all.at(0.5),
+        all.at(0.9)
+    );
 }
 
 #[test]
@@ -113,8 +156,15 @@
     let (still, _) = played(false, false);
     assert_eq!(still.lag.verdict(), Verdict::Counts, "{:?}", still.lag);
     let (bent, frozen) = played(false, true);
-    assert!(matches!(bent.lag.verdict(), Verdict::GeneratorFellBehind(_)), "{:?}", bent.lag);
+    assert!(
+        matches!(bent.lag.verdict(), Verdict::GeneratorFellBehind(_)),
+        "{:?}",
+        bent.lag
+    );
     // Even so nothing is hidden: the time counts from when each was meant.
-    let late = bent.outcomes.iter().filter(|o| (frozen..frozen + 2 * SECOND).contains(&o.intended));
+    let late = bent
+        .outcomes
+        .iter()
+        .filter(|o| (frozen..frozen + 2 * SECOND).contains(&o.intended));
     assert!(late.clone().count() > 300 && late.clone().all(|o| o.over >= frozen + 2 * SECOND));
 }
--- a/crates/platform-wire/src/config.rs
+++ b/crates/platform-wire/src/config.rs
@@ -42,46 +42,75 @@
 
 fn fault(field: &str, got: impl std::fmt::Display, expected: impl std::fmt::Display) -> Fault {
     let got: String = got.to_string().chars().take(60).collect();
-    Fault { field: field.into(), got, expected: expected.to_string() }
+    Fault {
+        field: field.into(),
+        got,
+        expected: expected.to_string(),
+    }
 }
 
 fn at<'a>(v: &'a Value, path: &str) -> Result<&'a Value, Fault> {
     let mut here = v;
     for step in path.split('.') {
-        here = here.get(step).ok_or_else(|| fault(path, "missing", "the field is needed"))?;
+        here = here
+            .get(step)
+            .ok_or_else(|| fault(path, "missing", "the field is needed"))?;
     }
     Ok(here)
 }
 
 fn text<'a>(v: &'a Value, path: &str) -> Result<&'a str, Fault> {
     let value = at(v, path)?;
-    value.as_str().ok_or_else(|| fault(path, value, "text is expected"))
+    value
+        .as_str()
+        .ok_or_else(|| fault(path, value, "text is expected"))
 }
 
 fn number(v: &Value, path: &str, least: f64, most: f64) -> Result<f64, Fault> {
     let value = at(v, path)?;
     let n = value.as_f64().filter(|n| (least..=most).contains(n));
-    n.ok_or_else(|| fault(path, value, format!("a number from {least} to {most} is expected")))
+    n.ok_or_else(|| {
+        fault(
+            path,
+            value,
+            format!("a number from {least} to {most} is expected"),
+        )
+    })
 }
 
 fn whole(v: &Value, path: &str) -> Result<u64, Fault> {
     let value = at(v, path)?;
-    value.as_u64().ok_or_else(|| fault(path, value, "a whole number is expected"))
+    value
+        .as_u64()
+        .ok_or_else(|| fault(path, value, "a whole number is expected"))
 }
 
 fn address(v: &Value, path: &str) -> Result<SocketAddrV4, Fault> {
     let value = text(v, path)?;
-    value.parse().map_err(|_| fault(path, value, "ADDRESS:PORT is expected"))
+    value
+        .parse()
+        .map_err(|_| fault(path, value, "ADDRESS:PORT is expected"))
 }
 
 /// Nested values as paths; lists of plain values are joined by commas, lists of objects are numbered and counted.
 fn flatten(path: &str, v: &Value, out: &mut Vec<(String, String)>) {
-    let under = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
+    let under = |name: &str| {
+        if path.is_empty() {
+            name.to_owned()
+        } else {
+            format!("{path}.{name}")
+        }
+    };
     match v {
-        Value::Object(inside) => inside.iter().for_each(|(name, v)| flatten(&under(name), v, out)),
+        Value::Object(inside) => inside
+            .iter()
+            .for_each(|(name, v)| flatten(&under(name), v, out)),
         Value::Array(items) if items.iter().any(Value::is_object) => {
             out.push((under("count"), items.len().to_string()));
-            items.iter().enumerate().for_each(|(i, v)| flatten(&under(&i.to_string()), v, out));
+            items
+                .iter()
+                .enumerate()
+                .for_each(|(i, v)| flatten(&under(&i.to_string()), v, out));
         }
         Value::Array(items) => {
             let all: Vec<String> = items.iter().map(plain).collect();
@@ -98,32 +127,52 @@
 
 /// Reads the whole file.
 pub fn read(text_of_file: &str) -> Result<Config, Fault> {
-    let v: Value = serde_json::from_str(text_of_file).map_err(|e| fault("file", e, "JSON is expected"))?;
+    let v: Value =
+        serde_json::from_str(text_of_file).map_err(|e| fault("file", e, "JSON is expected"))?;
     let seed = text(&v, "seed")?;
     let mut pairs = Vec::new();
     flatten("", at(&v, "settings")?, &mut pairs);
-    let pairs = Pairs::of(pairs.iter().map(|(path, value)| (path.as_str(), value.as_str())));
+    let pairs = Pairs::of(
+        pairs
+            .iter()
+            .map(|(path, value)| (path.as_str(), value.as_str())),
+    );
     let of_settings = |e: String| fault("settings", e, "the settings of an instance are expected");
-    let Stated { deployment, report: _ } = saltdrum_stated::read(&pairs).map_err(of_settings)?;
+    let Stated {
+        deployment,
+        report: _,
+    } = saltdrum_stated::read(&pairs).map_err(of_settings)?;
     let trigger_names = (0..deployment.trigger_types.len())
-        .map(|i| pairs.text(&format!("classes.{i}.name")).map(ToOwned::to_owned))
+        .map(|i| {
+            pairs
+                .text(&format!("classes.{i}.name"))
+                .map(ToOwned::to_owned)
+        })
         .collect::<Result<_, _>>()
         .map_err(of_settings)?;
     let tenant_names = (0..deployment.tenants.len())
-        .map(|i| pairs.text(&format!("realms.{i}.name")).map(ToOwned::to_owned))
+        .map(|i| {
+            pairs
+                .text(&format!("realms.{i}.name"))
+                .map(ToOwned::to_owned)
+        })
         .collect::<Result<_, _>>()
         .map_err(of_settings)?;
     let time = |path: &str| pairs.time(path).map_err(of_settings);
     Ok(Config {
         name: text(&v, "name")?.to_owned(),
         listen: address(&v, "listen")?,
-        seed: u64::from_str_radix(seed, 16).map_err(|_| fault("seed", seed, "hex digits are expected"))?,
+        seed: u64::from_str_radix(seed, 16)
+            .map_err(|_| fault("seed", seed, "hex digits are expected"))?,
         limits: Limits {
             memory_mb: number(&v, "limits.memory_mb", 1.0, 1e9)?,
             sockets: number(&v, "limits.sockets", 32.0, 1e7)? as usize,
         },
         feed: address(&v, "feed")?,
-        known: (whole(&v, "known.n")?, known(&v, &pairs.list("zones"), &pairs.list("kinds"))?),
+        known: (
+            whole(&v, "known.n")?,
+            known(&v, &pairs.list("zones"), &pairs.list("kinds"))?,
+        ),
         connect_timeout: time("bounds.connect_timeout_ms")?,
         conn_idle: time("bounds.conn_idle_ms")?,
         order_timeout: time("family_info.load_wait_ms")?,
@@ -135,21 +184,36 @@
 
 /// Only where the feed is now, as a SIGHUP asks for it.
 pub fn read_feed(text_of_file: &str) -> Result<SocketAddrV4, Fault> {
-    let v: Value = serde_json::from_str(text_of_file).map_err(|e| fault("file", e, "JSON is expected"))?;
+    let v: Value =
+        serde_json::from_str(text_of_file).map_err(|e| fault("file", e, "JSON is expected"))?;
     address(&v, "feed")
 }
 
 fn known(v: &Value, zones: &[&str], kinds: &[&str]) -> Result<Vec<(u64, Event)>, Fault> {
     let events = at(v, "known.events")?;
-    let events = events.as_array().ok_or_else(|| fault("known.events", events, "a list is expected"))?;
+    let events = events
+        .as_array()
+        .ok_or_else(|| fault("known.events", events, "a list is expected"))?;
     events
         .iter()
         .map(|e| {
             let lines = at(e, "members.members")?;
-            let lines = lines.as_array().ok_or_else(|| fault("members", lines, "a list is expected"))?;
-            let lines = lines.iter().map(|l| line(l, zones, kinds)).collect::<Result<Vec<_>, _>>()?;
+            let lines = lines
+                .as_array()
+                .ok_or_else(|| fault("members", lines, "a list is expected"))?;
+            let lines = lines
+                .iter()
+                .map(|l| line(l, zones, kinds))
+                .collect::<Result<Vec<_>, _>>()?;
             let complete = at(e, "members.complete")?.as_bool().unwrap_or(false);
-            Ok((whole(e, "n")?, if complete { Event::Whole(lines) } else { Event::Changes(lines) }))
+            Ok((
+                whole(e, "n")?,
+                if complete {
+                    Event::Whole(lines)
+                } else {
+                    Event::Changes(lines)
+                },
+            ))
         })
         .collect()
 }
--- a/crates/platform-wire/src/feed.rs
+++ b/crates/platform-wire/src/feed.rs
@@ -28,8 +28,24 @@
 impl Line {
     /// As the module is told of it; `started` is the start on the controller's own clock.
     pub fn listed(&self, started: Option<saltdrum::port::Tenths>) -> Listed {
-        let Self { invoker, life, zone, kind, cell, size, .. } = *self;
-        Listed { invoker, zone, kind, cell, life, size, started }
+        let Self {
+            invoker,
+            life,
+            zone,
+            kind,
+            cell,
+            size,
+            ..
+        } = *self;
+        Listed {
+            invoker,
+            zone,
+            kind,
+            cell,
+            life,
+            size,
+            started,
+        }
     }
 }
 
@@ -43,12 +59,19 @@
 
 /// Cuts the next whole frame off, with its number; `None`: more bytes are needed.
 pub fn cut(bytes: &mut BytesMut) -> Result<Option<(u64, Event)>, Malformed> {
-    let Some(head) = bytes.get(..4) else { return Ok(None) };
+    let Some(head) = bytes.get(..4) else {
+        return Ok(None);
+    };
     let length = u32::from_be_bytes(head.try_into().expect("four bytes")) as usize;
     let most = HEAD + RECORDS_MOST * RECORD;
     if !(HEAD..=most).contains(&length) || !(length - HEAD).is_multiple_of(RECORD) {
         let (least, most) = (HEAD as u64, most as u64);
-        return Err(Malformed::Length { what: "event", got: length as u64, least, most });
+        return Err(Malformed::Length {
+            what: "event",
+            got: length as u64,
+            least,
+            most,
+        });
     }
     if bytes.len() < 4 + length {
         return Ok(None);
@@ -64,7 +87,13 @@
         0 => Event::Nothing,
         1 => Event::Whole(lines),
         2 => Event::Changes(lines),
-        _ => return Err(Malformed::value("kind of an event", kind, "0, 1 or 2 is expected")),
+        _ => {
+            return Err(Malformed::value(
+                "kind of an event",
+                kind,
+                "0, 1 or 2 is expected",
+            ));
+        }
     };
     Ok(Some((number, event)))
 }
@@ -77,12 +106,27 @@
         0 => Life::Ready,
         1 => Life::Draining,
         2 => Life::Gone,
-        state => return Err(Malformed::value("state of an invoker", state, "0, 1 or 2 is expected")),
+        state => {
+            return Err(Malformed::value(
+                "state of an invoker",
+                state,
+                "0, 1 or 2 is expected",
+            ));
+        }
     };
     let (zone, kind, cell) = (frame.get_u8(), u16::from(frame.get_u8()), frame.get_u16());
     let (size, started) = (f64::from(frame.get_u32()) / 1_000.0, frame.get_u64());
     let started_ms = Some(started).filter(|ms| *ms > 0);
-    Ok(Line { invoker, address, life, zone, kind, cell, size, started_ms })
+    Ok(Line {
+        invoker,
+        address,
+        life,
+        zone,
+        kind,
+        cell,
+        size,
+        started_ms,
+    })
 }
 
 /// Writes a frame, for those who play the feed.
@@ -92,7 +136,9 @@
         Event::Whole(lines) => (1, lines),
         Event::Changes(lines) => (2, lines),
     };
-    let mut out = ((HEAD + lines.len() * RECORD) as u32).to_be_bytes().to_vec();
+    let mut out = ((HEAD + lines.len() * RECORD) as u32)
+        .to_be_bytes()
+        .to_vec();
     out.extend(number.to_be_bytes());
     out.push(kind);
     for l in lines {
@@ -118,8 +164,12 @@
 }
 
 pub fn id_of(text: &str) -> Result<InvokerId, Malformed> {
-    let digits = text.strip_prefix("s-").filter(|d| d.len() == 8 && d.bytes().all(|b| b.is_ascii_hexdigit()));
+    let digits = text
+        .strip_prefix("s-")
+        .filter(|d| d.len() == 8 && d.bytes().all(|b| b.is_ascii_hexdigit()));
     digits
         .and_then(|d| u32::from_str_radix(d, 16).ok())
-        .ok_or_else(|| Malformed::value("id of an invoker", text, "s- and 8 hex digits are expected"))
+        .ok_or_else(|| {
+            Malformed::value("id of an invoker", text, "s- and 8 hex digits are expected")
+        })
 }
--- a/crates/platform-wire/src/frames.rs
+++ b/crates/platform-wire/src/frames.rs
@@ -45,15 +45,26 @@
 
 /// Cuts the next whole frame off; `None`: more bytes are needed. An error means that the connection is of no more use.
 pub fn cut(bytes: &mut BytesMut) -> Result<Option<FromClient>, Malformed> {
-    let Some(head) = bytes.get(..4) else { return Ok(None) };
+    let Some(head) = bytes.get(..4) else {
+        return Ok(None);
+    };
     let length = u32::from_be_bytes(head.try_into().expect("four bytes")) as usize;
     if !(LENGTH_LEAST..=HELD_MOST).contains(&length) {
         let (least, most) = (LENGTH_LEAST as u64, HELD_MOST as u64);
-        return Err(Malformed::Length { what: "frame", got: length as u64, least, most });
+        return Err(Malformed::Length {
+            what: "frame",
+            got: length as u64,
+            least,
+            most,
+        });
     }
     // A type that no client may send is told before its payload is waited for.
     if let Some(kind) = bytes.get(4).filter(|kind| !matches!(kind, 16 | 18 | 32)) {
-        return Err(Malformed::value("frame type", kind, "16, 18 or 32 is expected"));
+        return Err(Malformed::value(
+            "frame type",
+            kind,
+            "16, 18 or 32 is expected",
+        ));
     }
     if bytes.len() < 4 + length {
         return Ok(None);
@@ -62,7 +73,10 @@
     frame.advance(4);
     let (kind, stream) = (frame.get_u8(), frame.get_u32());
     Ok(Some(match kind {
-        16 => FromClient::Invoke { stream, payload: frame },
+        16 => FromClient::Invoke {
+            stream,
+            payload: frame,
+        },
         18 => FromClient::Left { stream },
         _ => FromClient::AskReady { stream },
     }))
@@ -88,28 +102,43 @@
 }
 
 fn text<'a>(bytes: &'a [u8], what: &'static str) -> Result<&'a str, Malformed> {
-    std::str::from_utf8(bytes).map_err(|_| Malformed::value(what, "that is not text", "UTF-8 is expected"))
+    std::str::from_utf8(bytes)
+        .map_err(|_| Malformed::value(what, "that is not text", "UTF-8 is expected"))
 }
 
 /// The names and values at the head of a payload.
 pub fn fields(payload: &mut Bytes) -> Result<Vec<(Bytes, Bytes)>, Malformed> {
     let what = "fields";
-    let count = payload.try_get_u8().map_err(|_| Malformed::Short { what })?;
+    let count = payload
+        .try_get_u8()
+        .map_err(|_| Malformed::Short { what })?;
     let mut all: Vec<(Bytes, Bytes)> = Vec::with_capacity(usize::from(count));
     for _ in 0..count {
-        let size = usize::from(payload.try_get_u8().map_err(|_| Malformed::Short { what })?);
+        let size = usize::from(
+            payload
+                .try_get_u8()
+                .map_err(|_| Malformed::Short { what })?,
+        );
         if payload.len() < size {
             return Err(Malformed::Short { what });
         }
         let name = payload.split_to(size);
-        let size = usize::from(payload.try_get_u16().map_err(|_| Malformed::Short { what })?);
+        let size = usize::from(
+            payload
+                .try_get_u16()
+                .map_err(|_| Malformed::Short { what })?,
+        );
         if payload.len() < size {
             return Err(Malformed::Short { what });
         }
         let value = payload.split_to(size);
         text(&name, "name of a field")?;
         if all.iter().any(|(n, _)| *n == name) {
-            return Err(Malformed::value("field", text(&name, "")?, "given once is expected"));
+            return Err(Malformed::value(
+                "field",
+                text(&name, "")?,
+                "given once is expected",
+            ));
         }
         all.push((name, value));
     }
@@ -126,8 +155,14 @@
 
 /// A plain decimal number: no sign, no exponent, nothing round it.
 fn number(text: &str, what: &'static str, least: f64, most: f64) -> Result<f64, Malformed> {
-    let plain = !text.is_empty() && text.len() <= 24 && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    let n = if plain { text.parse::<f64>().ok() } else { None };
+    let plain = !text.is_empty()
+        && text.len() <= 24
+        && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
+    let n = if plain {
+        text.parse::<f64>().ok()
+    } else {
+        None
+    };
     n.filter(|n| (least..=most).contains(n))
         .ok_or_else(|| Malformed::value(what, text, "a number within its range is expected"))
 }
@@ -140,21 +175,34 @@
 /// Reads the payload of an invocation.
 pub fn request(mut payload: Bytes) -> Result<Request, Malformed> {
     let fields = fields(&mut payload)?;
-    let field = |name: &str| fields.iter().find(|(n, _)| n == name.as_bytes()).map(|(_, value)| value);
+    let field = |name: &str| {
+        fields
+            .iter()
+            .find(|(n, _)| n == name.as_bytes())
+            .map(|(_, value)| value)
+    };
     let stated = |name: &'static str| match field(name) {
         Some(value) => text(value, name),
         None => Err(Malformed::value(name, "left out", "the field is needed")),
     };
     if payload.len() > BODY_MOST {
         let (got, most) = (payload.len() as u64, BODY_MOST as u64);
-        return Err(Malformed::Length { what: "body", got, least: 0, most });
+        return Err(Malformed::Length {
+            what: "body",
+            got,
+            least: 0,
+            most,
+        });
     }
     let token = match field("unique") {
         None => None,
         Some(value) => {
             let token = text(value, "unique")?;
             // It goes on as a header: what would break out of one is no token.
-            if token.is_empty() || token.len() > TOKEN_MOST || !token.bytes().all(|b| b.is_ascii_graphic()) {
+            if token.is_empty()
+                || token.len() > TOKEN_MOST
+                || !token.bytes().all(|b| b.is_ascii_graphic())
+            {
                 return Err(Malformed::value(
                     "unique",
                     token,
@@ -167,7 +215,10 @@
     let mut request = Request {
         trigger: stated("verb")?.to_owned(),
         txn: hex16(stated("txn")?, "txn")?,
-        tenant: field("team").map(|value| text(value, "team")).transpose()?.map(ToOwned::to_owned),
+        tenant: field("team")
+            .map(|value| text(value, "team"))
+            .transpose()?
+            .map(ToOwned::to_owned),
         limit_ms: number(stated("limit")?, "limit", 0.001, LIMIT_MOST_MS)?,
         token,
         function: hex16(stated("item")?, "item")?,
@@ -179,7 +230,8 @@
         body: Bytes::copy_from_slice(&payload),
     };
     if field("cpu").is_some() {
-        request.work_hint_ms = Some(number(stated("cpu")?, "cpu", 0.0, FIGURE_MOST)?).filter(|ms| *ms > 0.0);
+        request.work_hint_ms =
+            Some(number(stated("cpu")?, "cpu", 0.0, FIGURE_MOST)?).filter(|ms| *ms > 0.0);
     }
     if field("extras").is_some() {
         for figure in stated("extras")?.split(';').filter(|f| !f.is_empty()) {
@@ -235,7 +287,11 @@
 }
 
 pub fn readiness(stream: u32, ready: bool) -> Bytes {
-    let code = if ready { Code::Succeeded } else { Code::Throttled };
+    let code = if ready {
+        Code::Succeeded
+    } else {
+        Code::Throttled
+    };
     frame(READINESS, stream, Some(code as u8), &[], &[])
 }
 
--- a/crates/platform-wire/src/http.rs
+++ b/crates/platform-wire/src/http.rs
@@ -48,7 +48,11 @@
         "boot_error" => Some(Found::LoadFailed),
         _ => None,
     });
-    let small = |name| field(name).and_then(|n| n.trim().parse::<u32>().ok()).map(|n| n.min(255) as u8);
+    let small = |name| {
+        field(name)
+            .and_then(|n| n.trim().parse::<u32>().ok())
+            .map(|n| n.min(255) as u8)
+    };
     Notes {
         found,
         crowd: small(AHEAD).filter(|n| *n > 0),
--- a/crates/platform-wire/src/lib.rs
+++ b/crates/platform-wire/src/lib.rs
@@ -12,16 +12,33 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Malformed {
     #[error("{what} of {got} bytes: {least} to {most} are expected")]
-    Length { what: &'static str, got: u64, least: u64, most: u64 },
+    Length {
+        what: &'static str,
+        got: u64,
+        least: u64,
+        most: u64,
+    },
     #[error("{what} {got}: {expected}")]
-    Value { what: &'static str, got: String, expected: &'static str },
+    Value {
+        what: &'static str,
+        got: String,
+        expected: &'static str,
+    },
     #[error("{what}: ends early")]
     Short { what: &'static str },
 }
 
 impl Malformed {
-    pub(crate) fn value(what: &'static str, got: impl std::fmt::Display, expected: &'static str) -> Self {
+    pub(crate) fn value(
+        what: &'static str,
+        got: impl std::fmt::Display,
+        expected: &'static str,
+    ) -> Self {
         // What a stranger sent may be long; enough of it to be known again is kept.
-        Self::Value { what, got: got.to_string().chars().take(40).collect(), expected }
+        Self::Value {
+            what,
+            got: got.to_string().chars().take(40).collect(),
+            expected,
+        }
     }
 }
--- a/crates/platform-wire/tests/codecs.rs
+++ b/crates/platform-wire/tests/codecs.rs
@@ -31,22 +31,27 @@
         any::<u32>(),
         any::<u64>(),
     )
-        .prop_map(|(invoker, ip, port, life, zone, kind, cell, size, started)| Line {
-            invoker,
-            address: SocketAddrV4::new(Ipv4Addr::from(ip), port),
-            life,
-            zone,
-            kind: kind.into(),
-            cell,
-            size: f64::from(size) / 1_000.0,
-            started_ms: Some(started).filter(|ms| *ms > 0),
-        })
+        .prop_map(
+            |(invoker, ip, port, life, zone, kind, cell, size, started)| Line {
+                invoker,
+                address: SocketAddrV4::new(Ipv4Addr::from(ip), port),
+                life,
+                zone,
+                kind: kind.into(),
+                cell,
+                size: f64::from(size) / 1_000.0,
+                started_ms: Some(started).filter(|ms| *ms > 0),
+            },
+        )
 }
 
 fn any_event() -> impl Strategy<Value = (u64, Event)> {
     let lines = || prop::collection::vec(any_line(), 0..5);
-    let event =
-        prop_oneof![Just(Event::Nothing), lines().prop_map(Event::Whole), lines().prop_map(Event::Changes)];
+    let event = prop_oneof![
+        Just(Event::Nothing),
+        lines().prop_map(Event::Whole),
+        lines().prop_map(Event::Changes)
+    ];
     (any::<u64>(), event)
 }
 
@@ -118,10 +123,16 @@
 #[test]
 fn lengths_are_judged_before_anything_is_held() {
     for length in [0u32, 4, 24_577, 60_000_000, u32::MAX] {
-        assert!(frames::cut(&mut BytesMut::from(&length.to_be_bytes()[..])).is_err(), "{length}");
+        assert!(
+            frames::cut(&mut BytesMut::from(&length.to_be_bytes()[..])).is_err(),
+            "{length}"
+        );
     }
     for length in [0u32, 8, 10, 35, u32::MAX] {
-        assert!(feed::cut(&mut BytesMut::from(&length.to_be_bytes()[..])).is_err(), "{length}");
+        assert!(
+            feed::cut(&mut BytesMut::from(&length.to_be_bytes()[..])).is_err(),
+            "{length}"
+        );
     }
 }
 
@@ -138,7 +149,11 @@
         (302, Outcome::Errored, Outcome::Errored),
     ];
     for (status, noted, plain) in outcomes {
-        assert_eq!((http::outcome(status, unrun), http::outcome(status, bare)), (noted, plain), "{status}");
+        assert_eq!(
+            (http::outcome(status, unrun), http::outcome(status, bare)),
+            (noted, plain),
+            "{status}"
+        );
     }
     assert_eq!(http::held(200, bare), HoldOutcome::Standing);
     assert_eq!(http::held(503, unrun), HoldOutcome::NoRoom);
@@ -150,8 +165,14 @@
         "x-units" => Some("2"),
         _ => None,
     });
-    assert_eq!((notes.found, notes.crowd, notes.standing), (Some(Found::JoinedLoad), Some(255), 2));
-    assert_eq!((notes.report.queue, notes.report.util), (Some(7.0), Some(0.61)));
+    assert_eq!(
+        (notes.found, notes.crowd, notes.standing),
+        (Some(Found::JoinedLoad), Some(255), 2)
+    );
+    assert_eq!(
+        (notes.report.queue, notes.report.util),
+        (Some(7.0), Some(0.61))
+    );
     assert_eq!(http::report("util:inf;queue:x").util, None);
 }
 
@@ -159,9 +180,26 @@
 fn a_bad_configuration_names_field_value_and_what_was_expected() {
     let fault = |text: &str| config::read(text).unwrap_err().to_string();
     assert!(fault("{").contains("JSON is expected"));
-    assert!(fault(r#"{"seed":7}"#).starts_with("seed: 7: text"), "{}", fault(r#"{"seed":7}"#));
-    assert_eq!(fault(r#"{"seed":"1f"}"#), "settings: missing: the field is needed");
+    assert!(
+        fault(r#"{"seed":7}"#).starts_with("seed: 7: text"),
+        "{}",
+        fault(r#"{"seed":7}"#)
+    );
+    assert_eq!(
+        fault(r#"{"seed":"1f"}"#),
+        "settings: missing: the field is needed"
+    );
     assert!(fault(r#"{"seed":"1f","settings":{}}"#).contains("classes.count: missing"));
-    assert!(config::read_feed(r#"{"feed":"nowhere"}"#).unwrap_err().to_string().contains("ADDRESS:PORT"));
-    assert_eq!(config::read_feed(r#"{"feed":"10.2.0.1:8500"}"#).unwrap().port(), 8_500);
+    assert!(
+        config::read_feed(r#"{"feed":"nowhere"}"#)
+            .unwrap_err()
+            .to_string()
+            .contains("ADDRESS:PORT")
+    );
+    assert_eq!(
+        config::read_feed(r#"{"feed":"10.2.0.1:8500"}"#)
+            .unwrap()
+            .port(),
+        8_500
+    );
 }
--- a/crates/platform/src/attempt.rs
+++ b/crates/platform/src/attempt.rs
@@ -47,7 +47,11 @@
 
 impl Worded {
     pub fn alone(request: Request<Full<Bytes>>) -> Self {
-        Self { request, body: 0, client: None }
+        Self {
+            request,
+            body: 0,
+            client: None,
+        }
     }
 }
 
@@ -86,27 +90,44 @@
 
 impl From<std::io::Error> for DialFailure {
     fn from(e: std::io::Error) -> Self {
-        Self { why: e.to_string(), is_local: is_local_failure(&e) }
+        Self {
+            why: e.to_string(),
+            is_local: is_local_failure(&e),
+        }
     }
 }
 
 impl Ask {
     async fn dial(&self) -> Result<Line, DialFailure> {
-        let counted = self.counted.take().unwrap_or_else(|| Counted::new(&self.open));
-        let dialled = tokio::time::timeout(self.within, self.front.network.dial(&self.address)).await;
+        let counted = self
+            .counted
+            .take()
+            .unwrap_or_else(|| Counted::new(&self.open));
+        let dialled =
+            tokio::time::timeout(self.within, self.front.network.dial(&self.address)).await;
         let stream = match dialled {
             Ok(Ok(stream)) => stream,
             Ok(Err(e)) => return Err(e.into()),
             Err(_) => {
                 let why = format!("no connection within {} ms", self.within.as_millis());
-                return Err(DialFailure { why, is_local: false });
+                return Err(DialFailure {
+                    why,
+                    is_local: false,
+                });
             }
         };
-        let stream = Box::new(Held { stream, _counted: counted });
+        let stream = Box::new(Held {
+            stream,
+            _counted: counted,
+        });
         let over = Line::over(stream, self.front.clock).await;
-        let line = over.map_err(|e| DialFailure { why: e.to_string(), is_local: false })?;
+        let line = over.map_err(|e| DialFailure {
+            why: e.to_string(),
+            is_local: false,
+        })?;
         let socket = line.socket.clone();
-        self.front.tell(|state| state.desk.reach.dialled(self.job, socket));
+        self.front
+            .tell(|state| state.desk.reach.dialled(self.job, socket));
         Ok(line)
     }
 
@@ -114,7 +135,9 @@
     async fn go(&self, line: Option<Line>, most: usize) -> End {
         if let Some(line) = line {
             match self.over(line, most).await {
-                End::NeverLeft(why) => debug!(invoker = self.invoker, why, "an idle line was broken"),
+                End::NeverLeft(why) => {
+                    debug!(invoker = self.invoker, why, "an idle line was broken")
+                }
                 End::Stale => debug!(invoker = self.invoker, "a request grew old on its way out"),
                 end => return end,
             }
@@ -135,7 +158,9 @@
 
     async fn over(&self, mut line: Line, most: usize) -> End {
         self.readers_are_up_to_date().await;
-        let Some((request, departure)) = self.wording(self.front.clock.now()) else { return End::Stale };
+        let Some((request, departure)) = self.wording(self.front.clock.now()) else {
+            return End::Stale;
+        };
         match line.ask(request, self.worded.body, departure, most).await {
             Ok(whole) => End::Answered(whole, line),
             Err(why) if line.socket.left_whole() => End::Lost(why),
@@ -161,7 +186,9 @@
         let (mut request, mut departure) = (self.worded.request.clone(), self.departure.clone());
         if let Some(client) = &self.worded.client {
             let left_ms = client.until.checked_sub(now).filter(|left| *left > 0)? / MILLI;
-            request.headers_mut().insert(http::LIMIT_MS, HeaderValue::from(left_ms.max(1)));
+            request
+                .headers_mut()
+                .insert(http::LIMIT_MS, HeaderValue::from(left_ms.max(1)));
             if now >= client.leave_by {
                 return None;
             }
@@ -179,7 +206,12 @@
             let notes = http::notes(|name| whole.field(name));
             let outcome = http::outcome(whole.status, |name| whole.field(name));
             let output = whole.body;
-            told = Told { found: notes.found, crowd: notes.crowd, report: notes.report, output };
+            told = Told {
+                found: notes.found,
+                crowd: notes.crowd,
+                report: notes.report,
+                output,
+            };
             (outcome, Some(line))
         }
         End::NeverLeft(why) => {
@@ -201,7 +233,10 @@
             return;
         }
         if let Some(line) = line {
-            state.desk.reach.put_back(state.desk.now, invoker, epoch, line);
+            state
+                .desk
+                .reach
+                .put_back(state.desk.now, invoker, epoch, line);
         }
         state.ended(inv, hop, outcome, &told);
     });
@@ -212,7 +247,11 @@
     let (outcome, standing, line) = match ask.go(line, SMALL_ANSWER).await {
         End::Answered(whole, line) => {
             let standing = http::notes(|name| whole.field(name)).standing;
-            (http::held(whole.status, |name| whole.field(name)), standing, Some(line))
+            (
+                http::held(whole.status, |name| whole.field(name)),
+                standing,
+                Some(line),
+            )
         }
         End::NeverLeft(why) | End::Lost(why) => {
             debug!(invoker, why, "an order was lost");
@@ -220,7 +259,10 @@
         }
         End::Stale => (HoldOutcome::NotSent, 0, None),
         End::Withheld(why) => {
-            info!(invoker, why, "an order was withheld: this machine's own failure");
+            info!(
+                invoker,
+                why, "an order was withheld: this machine's own failure"
+            );
             (HoldOutcome::NotSent, 0, None)
         }
     };
@@ -229,7 +271,10 @@
             return;
         }
         if let Some(line) = line {
-            state.desk.reach.put_back(state.desk.now, invoker, epoch, line);
+            state
+                .desk
+                .reach
+                .put_back(state.desk.now, invoker, epoch, line);
         }
         state.held(invoker, job, outcome, standing);
     });
@@ -271,7 +316,11 @@
     }
 
     impl AsyncWrite for Held {
-        fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, b: &[u8]) -> Poll<io::Result<usize>> {
+        fn poll_write(
+            mut self: Pin<&mut Self>,
+            cx: &mut Context<'_>,
+            b: &[u8],
+        ) -> Poll<io::Result<usize>> {
             Pin::new(&mut self.stream).poll_write(cx, b)
         }
         fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
--- a/crates/platform/src/budget.rs
+++ b/crates/platform/src/budget.rs
@@ -24,7 +24,11 @@
         // Clients keep to a third of the limit; strangers beside them are closed first.
         let clients = (limits.sockets / 3 + left / 20).min(left / 2);
         let bytes = (limits.memory_mb * 1_048_576.0 / 8.0) as usize;
-        Self { clients, lines: left - clients, bytes }
+        Self {
+            clients,
+            lines: left - clients,
+            bytes,
+        }
     }
 }
 
@@ -35,9 +39,18 @@
     #[test]
     fn all_parts_together_stay_under_the_limit() {
         for sockets in [32, 64, 256, 1_024, 4_096] {
-            let b = Budget::of(&Limits { memory_mb: 32.0, sockets });
-            assert!(b.clients + b.lines + SET_ASIDE <= sockets, "{sockets}: {b:?}");
-            assert!(b.clients >= 4 && b.lines >= 4 && b.bytes == 4 << 20, "{sockets}: {b:?}");
+            let b = Budget::of(&Limits {
+                memory_mb: 32.0,
+                sockets,
+            });
+            assert!(
+                b.clients + b.lines + SET_ASIDE <= sockets,
+                "{sockets}: {b:?}"
+            );
+            assert!(
+                b.clients >= 4 && b.lines >= 4 && b.bytes == 4 << 20,
+                "{sockets}: {b:?}"
+            );
             assert!(sockets < 256 || b.clients > sockets / 3, "{sockets}: {b:?}");
         }
     }
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -96,13 +96,17 @@
 
     /// Refuses a request for want of room, with when to come back.
     pub fn refuse(&self, stream: u32) {
-        self.put(frames::answer(stream, Code::Throttled, Some(FULL_COME_BACK_MS), &[]), ANY_TIME);
+        self.put(
+            frames::answer(stream, Code::Throttled, Some(FULL_COME_BACK_MS), &[]),
+            ANY_TIME,
+        );
     }
 
     /// Its connection is to end.
     /// The first reason given is the one that is told.
     pub fn cut_off(&self, reason: CloseReason) {
-        self.close_reason.set(self.close_reason.get().or(Some(reason)));
+        self.close_reason
+            .set(self.close_reason.get().or(Some(reason)));
         self.closing.set(true);
         self.cut.notify_one();
     }
@@ -129,14 +133,22 @@
 
     /// Since when it does nothing that keeps its connection, if so.
     fn idle_since(&self) -> Option<Tenths> {
-        self.open.borrow().is_empty().then(|| self.active.get().unwrap_or(self.came))
+        self.open
+            .borrow()
+            .is_empty()
+            .then(|| self.active.get().unwrap_or(self.came))
     }
 
     /// Why it has had time enough, if so.
     fn overdue(&self, now: Tenths) -> Option<CloseReason> {
         let silent = self.active.get().is_none() && now >= self.came + SILENT_MOST;
-        let stuck = self.partial_since.get().is_some_and(|since| now >= since + PARTIAL_MOST);
-        let idle = self.idle_since().is_some_and(|since| now >= since + IDLE_MOST);
+        let stuck = self
+            .partial_since
+            .get()
+            .is_some_and(|since| now >= since + PARTIAL_MOST);
+        let idle = self
+            .idle_since()
+            .is_some_and(|since| now >= since + IDLE_MOST);
         match (silent, stuck, idle) {
             (true, _, _) => Some(CloseReason::NeverSpoke),
             (_, true, _) => Some(CloseReason::PartialFrame),
@@ -175,7 +187,11 @@
     /// How many connections are being ended.
     #[cfg(test)]
     pub fn going(&self) -> usize {
-        self.all.borrow().values().filter(|c| c.closing.get()).count()
+        self.all
+            .borrow()
+            .values()
+            .filter(|c| c.closing.get())
+            .count()
     }
 
     /// Asks all to bring nothing new on these connections.
@@ -192,7 +208,10 @@
     /// Whether answers wait to leave, or a request has come in part.
     pub fn are_under_way(&self) -> bool {
         let half = |c: &Client| c.partial_since.get().is_some() && !c.closing.get();
-        self.all.borrow().values().any(|c| c.outbox.waiting_bytes() > 0 || half(c))
+        self.all
+            .borrow()
+            .values()
+            .any(|c| c.outbox.waiting_bytes() > 0 || half(c))
     }
 
     pub fn is_shut(&self) -> bool {
@@ -206,7 +225,10 @@
     /// Ends all connections, each once what it is owed has left.
     pub fn close(&self) {
         self.is_closed.set(true);
-        self.all.borrow().values().for_each(|client| client.cut_off(CloseReason::ControllerEnds));
+        self.all
+            .borrow()
+            .values()
+            .for_each(|client| client.cut_off(CloseReason::ControllerEnds));
     }
 
     /// Whether a controller that ends has told its clients so.
@@ -250,7 +272,10 @@
         }
         if is_crowded {
             let going = all.values().find(|c| c.closing.get() && !c.hurried.get());
-            going.or(longest_idle(served)).into_iter().for_each(|client| client.hurry());
+            going
+                .or(longest_idle(served))
+                .into_iter()
+                .for_each(|client| client.hurry());
             return None;
         }
         match longest_idle(served) {
@@ -266,7 +291,8 @@
 /// Of clients with nothing open the one that is idle longest; those first that never said anything.
 fn longest_idle<'a>(clients: impl Iterator<Item = &'a Rc<Client>>) -> Option<&'a Rc<Client>> {
     let idle = clients.filter_map(|c| Some((c.active.get().is_some(), c.idle_since()?, c)));
-    idle.min_by_key(|(spoke, since, _)| (*spoke, *since)).map(|(_, _, client)| client)
+    idle.min_by_key(|(spoke, since, _)| (*spoke, *since))
+        .map(|(_, _, client)| client)
 }
 
 /// Where the one answer to an invocation goes. Whatever becomes of it, its stream and id are free after.
@@ -322,10 +348,17 @@
                     match clients.room(front.seat.budget.clients) {
                         Some(entry) => break entry,
                         // One that was hurried is gone within a turn or two.
-                        None => drop(tokio::time::timeout(DOOR_WAIT, clients.freed.notified()).await),
+                        None => {
+                            drop(tokio::time::timeout(DOOR_WAIT, clients.freed.notified()).await)
+                        }
                     }
                 };
-                drop(tokio::task::spawn_local(attend(front.clone(), stream, opened, entry)));
+                drop(tokio::task::spawn_local(attend(
+                    front.clone(),
+                    stream,
+                    opened,
+                    entry,
+                )));
             }
             Err(e) => {
                 warn!(%e, "can't accept a client");
--- a/crates/platform/src/closes.rs
+++ b/crates/platform/src/closes.rs
@@ -13,7 +13,9 @@
     })
     .await;
     let frames = std::iter::from_fn(|| client.frame());
-    frames.map(|(kind, stream, payload)| (kind, stream, payload.first().copied().unwrap_or(0))).collect()
+    frames
+        .map(|(kind, stream, payload)| (kind, stream, payload.first().copied().unwrap_or(0)))
+        .collect()
 }
 
 /// A connection that is chosen to end with nothing open on it.
@@ -38,7 +40,11 @@
                 client.write(&[&call[..], &noise[..]].concat());
             }
             let heard = heard_until_the_end(&mut client).await;
-            assert_eq!(heard, [(17, 2, code as u8), (17, 0, Code::Errored as u8)], "{dispatched}");
+            assert_eq!(
+                heard,
+                [(17, 2, code as u8), (17, 0, Code::Errored as u8)],
+                "{dispatched}"
+            );
             assert_eq!(stage.in_flight(), 0);
         });
     }
@@ -52,10 +58,20 @@
         let mut client = stage.known().await;
         chosen_to_end(&stage);
         assert_eq!(client.hear().await.0, 48);
-        client.write(&[stage.call(2).0, stage.call(3).0, frames::bare(32, 4).to_vec()].concat());
+        client.write(
+            &[
+                stage.call(2).0,
+                stage.call(3).0,
+                frames::bare(32, 4).to_vec(),
+            ]
+            .concat(),
+        );
         let (refused, not_ready) = (Code::Throttled as u8, Code::Throttled as u8);
         let heard = heard_until_the_end(&mut client).await;
-        assert_eq!(heard, [(17, 2, refused), (17, 3, refused), (33, 4, not_ready)]);
+        assert_eq!(
+            heard,
+            [(17, 2, refused), (17, 3, refused), (33, 4, not_ready)]
+        );
         assert_eq!(stage.front.see(|s| s.desk.counts.taken), 0);
     });
 }
@@ -70,7 +86,10 @@
             clients.push(stage.known().await);
         }
         clients[0].write(&stage.call(2).0);
-        before_their_turn(|| assert_eq!(stage.front.seat.clients.room(1), None, "four may be going")).await;
+        before_their_turn(|| {
+            assert_eq!(stage.front.seat.clients.room(1), None, "four may be going")
+        })
+        .await;
         let heard = heard_until_the_end(&mut clients[0]).await;
         assert_eq!(heard, [(48, 0, 0), (17, 2, Code::Throttled as u8)]);
         assert_eq!(stage.front.see(|s| s.desk.counts.taken), 0);
--- a/crates/platform/src/connection.rs
+++ b/crates/platform/src/connection.rs
@@ -146,16 +146,29 @@
 }
 
 /// Ends what is open on a connection that ends, and answers what still comes for so long on one that we close.
-async fn settle(front: &Rc<Front>, client: &Rc<Client>, read: &mut Read<Half>, end: &End, linger: Duration) {
+async fn settle(
+    front: &Rc<Front>,
+    client: &Rc<Client>,
+    read: &mut Read<Half>,
+    end: &End,
+    linger: Duration,
+) {
     let open: Vec<InvId> = client.open.borrow().values().copied().collect();
     match end {
-        End::Left => open.into_iter().for_each(|id| front.tell(|state| state.left(id))),
+        End::Left => open
+            .into_iter()
+            .for_each(|id| front.tell(|state| state.left(id))),
         End::Malformed(why) => {
-            open.into_iter().for_each(|id| front.tell(|state| state.give_up(id)));
-            client.put(frames::answer(0, Code::Errored, None, why.as_bytes()), ANY_TIME);
+            open.into_iter()
+                .for_each(|id| front.tell(|state| state.give_up(id)));
+            client.put(
+                frames::answer(0, Code::Errored, None, why.as_bytes()),
+                ANY_TIME,
+            );
         }
         End::Closed => {
-            open.into_iter().for_each(|id| front.tell(|state| state.give_up(id)));
+            open.into_iter()
+                .for_each(|id| front.tell(|state| state.give_up(id)));
             if !linger.is_zero() {
                 client.go_away();
                 // Its end is heard of in time, or it is not waited for any more.
@@ -163,7 +176,10 @@
             }
             answer_what_lies(front, client, read).await;
             if client.partial_since.get().is_some() {
-                client.put(frames::answer(0, Code::Errored, None, b"a frame that does not end"), ANY_TIME);
+                client.put(
+                    frames::answer(0, Code::Errored, None, b"a frame that does not end"),
+                    ANY_TIME,
+                );
             }
         }
     }
@@ -198,7 +214,9 @@
                 debug!(stream, reason = ?client.close_reason.get(), "refused: its connection ends");
                 client.refuse(stream);
             }
-            FromClient::AskReady { stream } => client.put(frames::readiness(stream, false), ANY_TIME),
+            FromClient::AskReady { stream } => {
+                client.put(frames::readiness(stream, false), ANY_TIME)
+            }
             FromClient::Left { .. } => {}
         }
     }
@@ -250,7 +268,8 @@
                 }
                 FromClient::Left { stream } => {
                     let id = client.open.borrow().get(&stream).copied();
-                    id.into_iter().for_each(|id| front.tell(|state| state.left(id)));
+                    id.into_iter()
+                        .for_each(|id| front.tell(|state| state.left(id)));
                     Ok(())
                 }
             };
@@ -287,16 +306,24 @@
     }
     client.last_stream.set(stream);
     if client.open.borrow().len() >= frames::OPEN_MOST {
-        debug!(stream, "refused: as many are open on its connection as may be");
+        debug!(
+            stream,
+            "refused: as many are open on its connection as may be"
+        );
         client.refuse(stream);
         return Ok(());
     }
-    let taken = frames::request(payload).map_err(|e| e.to_string()).and_then(|request| {
-        front.tell(|state| invoke(front, state, client, stream, request, earliest, backlog))
-    });
+    let taken = frames::request(payload)
+        .map_err(|e| e.to_string())
+        .and_then(|request| {
+            front.tell(|state| invoke(front, state, client, stream, request, earliest, backlog))
+        });
     if let Err(why) = taken {
         debug!(why, "an invocation that can't be taken");
-        client.put(frames::answer(stream, Code::Errored, None, why.as_bytes()), ANY_TIME);
+        client.put(
+            frames::answer(stream, Code::Errored, None, why.as_bytes()),
+            ANY_TIME,
+        );
     }
     // Who came after SIGTERM came for this one: it hears so only now, or it would take it elsewhere.
     if front.seat.clients.are_ending() {
--- a/crates/platform/src/crossings.rs
+++ b/crates/platform/src/crossings.rs
@@ -67,7 +67,12 @@
     pub fn new(stream: TcpStream) -> Self {
         stream.set_nonblocking(true).unwrap();
         stream.set_nodelay(true).unwrap();
-        Self { stream, read: Vec::new(), ended: false, limit_ms: None }
+        Self {
+            stream,
+            read: Vec::new(),
+            ended: false,
+            limit_ms: None,
+        }
     }
 
     pub fn write(&mut self, bytes: &[u8]) {
@@ -99,7 +104,11 @@
             return None;
         }
         let frame: Vec<u8> = self.read.drain(..4 + length).collect();
-        Some((frame[4], u32::from_be_bytes(frame[5..9].try_into().unwrap()), frame[9..].to_vec()))
+        Some((
+            frame[4],
+            u32::from_be_bytes(frame[5..9].try_into().unwrap()),
+            frame[9..].to_vec(),
+        ))
     }
 
     pub async fn hear(&mut self) -> (u8, u32, Vec<u8>) {
@@ -114,7 +123,9 @@
 
     /// Whether the next frame refuses the request on this stream, with when to come back.
     pub fn is_refused(&mut self, stream: u32) -> bool {
-        let Some((kind, of, payload)) = self.frame() else { return false };
+        let Some((kind, of, payload)) = self.frame() else {
+            return false;
+        };
         let says_when = payload.windows(5).any(|w| w == b"later");
         (kind, of, payload[0]) == (17, stream, Code::Throttled as u8) && says_when
     }
@@ -125,7 +136,9 @@
         let text = String::from_utf8_lossy(&self.read).into_owned();
         let end = text.find("\r\n\r\n")? + 4;
         let field = |name: &str| {
-            let line = text[..end].lines().find(|l| l.to_ascii_lowercase().starts_with(name))?;
+            let line = text[..end]
+                .lines()
+                .find(|l| l.to_ascii_lowercase().starts_with(name))?;
             Some(line[name.len()..].trim().to_owned())
         };
         let length: usize = field("content-length:").map_or(0, |n| n.parse().unwrap());
@@ -149,7 +162,11 @@
 }
 
 pub(crate) fn http(body: &str) -> Vec<u8> {
-    format!("HTTP/1.1 200 OK\r\nX-How: resident\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into()
+    format!(
+        "HTTP/1.1 200 OK\r\nX-How: resident\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
+    .into()
 }
 
 fn door() -> (TcpListener, SocketAddrV4) {
@@ -166,7 +183,9 @@
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     };
-    tokio::time::timeout(LONG, look).await.expect("what was waited for was never seen");
+    tokio::time::timeout(LONG, look)
+        .await
+        .expect("what was waited for was never seen");
 }
 
 /// Acts after the machine has been asked what has come, and before any of the controller's tasks has had a turn since.
@@ -202,18 +221,32 @@
     }
 
     /// With a limit of its own on descriptors.
-    pub async fn with_sockets(make: saltdrum_controller::Make, tenants: &[&str], sockets: usize) -> Self {
+    pub async fn with_sockets(
+        make: saltdrum_controller::Make,
+        tenants: &[&str],
+        sockets: usize,
+    ) -> Self {
         let network = Rc::new(Gated::default());
         let ((invoker, invoker_at), (_feed, feed_at)) = (door(), door());
         let at = door().1;
         let text = configuration_at(at, feed_at, &[(1, invoker_at)], sockets);
         let mut text: serde_json::Value = serde_json::from_str(&text).unwrap();
-        let realm = |name: &&str| serde_json::json!({"name": name, "quota_rps": 10.0, "share": 0.5});
+        let realm =
+            |name: &&str| serde_json::json!({"name": name, "quota_rps": 10.0, "share": 0.5});
         text["settings"]["realms"] = tenants.iter().map(realm).collect();
         let config = config::read(&text.to_string()).unwrap();
         let clock = Clock::start();
-        let front = start(config, wall_clock(clock), network.clone(), clock, make).await.unwrap();
-        Self { network, front, at, invoker, _feed, next: Cell::new(0) }
+        let front = start(config, wall_clock(clock), network.clone(), clock, make)
+            .await
+            .unwrap();
+        Self {
+            network,
+            front,
+            at,
+            invoker,
+            _feed,
+            next: Cell::new(0),
+        }
     }
 
     pub fn client(&self) -> Conn {
@@ -237,7 +270,12 @@
     pub fn call_with(&self, stream: u32, body: &[u8]) -> (Vec<u8>, String) {
         self.next.set(self.next.get() + 1);
         let txn = format!("{:016x}", self.next.get());
-        let fields = [("verb", "book"), ("txn", &txn), ("limit", "2500"), ("item", "00000000000000f1")];
+        let fields = [
+            ("verb", "book"),
+            ("txn", &txn),
+            ("limit", "2500"),
+            ("item", "00000000000000f1"),
+        ];
         (frames::invoke(stream, &fields, body).to_vec(), txn)
     }
 
@@ -293,7 +331,9 @@
         }
         until(|| client.stream.peek(&mut [0]).is_ok()).await;
         drop(client);
-        stage.front.tell(|s| s.ended(1, 0, Outcome::Errored, &Told::default()));
+        stage
+            .front
+            .tell(|s| s.ended(1, 0, Outcome::Errored, &Told::default()));
         until(|| stage.in_flight() == 0).await;
         until(|| stage.clients() == 0).await;
         until(|| {
@@ -353,13 +393,18 @@
         let mut client = stage.known().await;
         let (call, txn) = stage.call(2);
         client.write(&call);
-        before_their_turn(|| assert_eq!(stage.front.seat.clients.room(1), Some(Entry::Served))).await;
+        before_their_turn(|| assert_eq!(stage.front.seat.clients.room(1), Some(Entry::Served)))
+            .await;
         until(|| {
             client.look();
             client.ended
         })
         .await;
-        assert_eq!(client.frame().unwrap().0, 48, "it hears to bring nothing more");
+        assert_eq!(
+            client.frame().unwrap().0,
+            48,
+            "it hears to bring nothing more"
+        );
         assert!(client.is_refused(2), "it was read, and is answered");
         assert_eq!(stage.front.see(|s| s.desk.counts.taken), 0);
         drop(client);
@@ -371,7 +416,10 @@
         let mut line = stage.line().await;
         assert_eq!(line.asked().await, txn);
         line.write(&http("done"));
-        assert_eq!(again.hear().await, (17, 2, [&[79, 0][..], b"done"].concat()));
+        assert_eq!(
+            again.hear().await,
+            (17, 2, [&[79, 0][..], b"done"].concat())
+        );
     });
 }
 
@@ -400,7 +448,10 @@
         .await;
         heard.extend(std::iter::from_fn(|| client.frame()));
         assert_eq!(heard[0], (17, 1, [&[79, 0][..], body.as_bytes()].concat()));
-        assert_eq!((heard[1].0, heard[1].1, heard[1].2[0]), (17, 0, Code::Errored as u8));
+        assert_eq!(
+            (heard[1].0, heard[1].1, heard[1].2[0]),
+            (17, 0, Code::Errored as u8)
+        );
         assert_eq!(heard.len(), 2);
     });
 }
@@ -424,7 +475,10 @@
         assert!(!ending.is_finished());
         line.write(&http("last"));
         ending.await.unwrap();
-        assert_eq!(client.frame(), Some((17, 2, [&[79, 0][..], b"last"].concat())));
+        assert_eq!(
+            client.frame(),
+            Some((17, 2, [&[79, 0][..], b"last"].concat()))
+        );
     });
 }
 
@@ -452,8 +506,14 @@
         ending.await.unwrap();
         for client in &mut clients {
             let heard = [client.frame().unwrap(), client.frame().unwrap()];
-            assert_eq!(heard[0].0, 48, "it hears to bring nothing more, once what it came for is taken");
-            assert_eq!((heard[1].0, heard[1].1, heard[1].2[0]), (17, 1, Code::Succeeded as u8));
+            assert_eq!(
+                heard[0].0, 48,
+                "it hears to bring nothing more, once what it came for is taken"
+            );
+            assert_eq!(
+                (heard[1].0, heard[1].1, heard[1].2[0]),
+                (17, 1, Code::Succeeded as u8)
+            );
         }
         assert!(TcpStream::connect(stage.at).is_err(), "the door is shut");
     });
@@ -510,7 +570,9 @@
             // On the line of the first, or on one of its own: the second answer comes now, before the true one.
             let mut second = None;
             until(|| {
-                let Ok((stream, _)) = stage.invoker.accept() else { return first.request().is_some() };
+                let Ok((stream, _)) = stage.invoker.accept() else {
+                    return first.request().is_some();
+                };
                 second = Some(Conn::new(stream));
                 true
             })
@@ -523,7 +585,11 @@
                 }
                 None => first.write(&http(&txn)),
             }
-            assert_eq!(client.hear().await.2[2..], *txn.as_bytes(), "the answer that was made for it");
+            assert_eq!(
+                client.hear().await.2[2..],
+                *txn.as_bytes(),
+                "the answer that was made for it"
+            );
             until(|| {
                 first.look();
                 first.ended || round > 3
@@ -564,7 +630,11 @@
             until(|| stage.in_flight() == 0).await;
             stage.network.shut.set(false);
             stage.network.opened.notify_waiters();
-            assert_eq!(stage.front.see(|s| s.desk.reach.sizes().jobs), 0, "{leaves:?}");
+            assert_eq!(
+                stage.front.see(|s| s.desk.reach.sizes().jobs),
+                0,
+                "{leaves:?}"
+            );
             // Another's request goes through the same gate, and is all that comes.
             let mut other = stage.client();
             let (call, txn) = stage.call(1);
@@ -584,10 +654,23 @@
         let mut client = stage.known().await;
         let left = |stream| frames::bare(18, stream).to_vec();
         client.write(
-            &[left(2), stage.call(2).0, left(2), left(2), left(9), frames::bare(32, 3).to_vec()].concat(),
+            &[
+                left(2),
+                stage.call(2).0,
+                left(2),
+                left(2),
+                left(9),
+                frames::bare(32, 3).to_vec(),
+            ]
+            .concat(),
         );
         assert_eq!(client.hear().await.0, 33, "all before it was read");
-        assert_eq!(stage.front.see(|s| (s.desk.counts.taken, s.desk.counts.left)), (1, 1));
+        assert_eq!(
+            stage
+                .front
+                .see(|s| (s.desk.counts.taken, s.desk.counts.left)),
+            (1, 1)
+        );
         until(|| stage.in_flight() == 0).await;
         let (call, txn) = stage.call(4);
         client.write(&call);
@@ -622,7 +705,11 @@
                 client.write(&call);
                 assert_eq!(line.asked().await, txn, "on the same line");
                 drop(line);
-                assert_eq!(client.hear().await.2[0], Code::Errored as u8, "it may have run");
+                assert_eq!(
+                    client.hear().await.2[0],
+                    Code::Errored as u8,
+                    "it may have run"
+                );
                 assert!(stage.nothing_came());
             } else {
                 // The close arrives after the machine was last asked: the write meets it.
@@ -660,7 +747,11 @@
         busy.write(&stage.call(2).0);
         let mut line = stage.line().await;
         line.asked().await;
-        assert_eq!(stage.front.seat.clients.room(1), Some(Entry::TurnedAway), "nobody is idle");
+        assert_eq!(
+            stage.front.seat.clients.room(1),
+            Some(Entry::TurnedAway),
+            "nobody is idle"
+        );
         line.write(&http("done"));
         assert_eq!(busy.hear().await.2[0], Code::Succeeded as u8);
     });
@@ -693,19 +784,33 @@
             let stage = Stage::of(|_, _, _, _| Box::new(Whose), tenants).await;
             let mut client = stage.known().await;
             let mut codes = Vec::new();
-            for (n, team) in [Some("b.2"), Some("a hall"), Some("nobody's"), None].into_iter().enumerate() {
+            for (n, team) in [Some("b.2"), Some("a hall"), Some("nobody's"), None]
+                .into_iter()
+                .enumerate()
+            {
                 let (n, txn) = (n as u32 + 2, format!("{n:016x}"));
-                let mut fields =
-                    vec![("verb", "book"), ("txn", &txn), ("limit", "900"), ("item", "00000000000000f1")];
+                let mut fields = vec![
+                    ("verb", "book"),
+                    ("txn", &txn),
+                    ("limit", "900"),
+                    ("item", "00000000000000f1"),
+                ];
                 fields.extend(team.map(|team| ("team", team)));
                 client.write(&frames::invoke(n, &fields, &[]));
                 codes.push(client.hear().await.2[0]);
             }
             let (full, ill) = (Code::Throttled as u8, Code::Errored as u8);
             if tenants.is_empty() {
-                assert_eq!((codes, WHOSE.take()), (vec![full; 4], vec![0; 4]), "the field says nothing");
+                assert_eq!(
+                    (codes, WHOSE.take()),
+                    (vec![full; 4], vec![0; 4]),
+                    "the field says nothing"
+                );
             } else {
-                assert_eq!((codes, WHOSE.take()), (vec![full, full, ill, ill], vec![1, 0]));
+                assert_eq!(
+                    (codes, WHOSE.take()),
+                    (vec![full, full, ill, ill], vec![1, 0])
+                );
             }
         });
     }
@@ -724,7 +829,10 @@
             line.write(&[byte]);
             tokio::task::yield_now().await;
         }
-        assert_eq!(client.hear().await, (17, 2, [&[79, 0][..], b"piecemeal"].concat()));
+        assert_eq!(
+            client.hear().await,
+            (17, 2, [&[79, 0][..], b"piecemeal"].concat())
+        );
     });
 }
 
@@ -739,10 +847,20 @@
         stage.network.shut.set(true);
         client.write(&stage.call(2).0);
         until(|| stage.network.waiting.get() > dials).await;
-        let at = stage.invoker.local_addr().unwrap().to_string().parse().unwrap();
+        let at = stage
+            .invoker
+            .local_addr()
+            .unwrap()
+            .to_string()
+            .parse()
+            .unwrap();
         let draining = Event::Changes(vec![listing(1, at, Life::Draining, None)]);
         crate::feed::hear(&stage.front, stage.front.clock.now(), 2, &draining).unwrap();
-        assert_eq!(client.hear().await.2[0], Code::Throttled as u8, "it never ran");
+        assert_eq!(
+            client.hear().await.2[0],
+            Code::Throttled as u8,
+            "it never ran"
+        );
         stage.network.shut.set(false);
         stage.network.opened.notify_waiters();
         client.write(&[stage.call(4).0, frames::bare(32, 5).to_vec()].concat());
--- a/crates/platform/src/feed.rs
+++ b/crates/platform/src/feed.rs
@@ -35,7 +35,12 @@
 impl Feed {
     pub fn new(address: std::net::SocketAddrV4, last: u64) -> Self {
         let backlog = RefCell::new(Backlog::none());
-        Self { address: RefCell::new(address), moved: Notify::new(), last: Cell::new(last), backlog }
+        Self {
+            address: RefCell::new(address),
+            moved: Notify::new(),
+            last: Cell::new(last),
+            backlog,
+        }
     }
 
     /// Whether there may be events in the machine that were not read yet.
@@ -70,7 +75,11 @@
             }
             why = followed(&front) => why,
         };
-        wait = if feed.last.get() > before { WAIT_FIRST } else { (2 * wait).min(WAIT_MOST) };
+        wait = if feed.last.get() > before {
+            WAIT_FIRST
+        } else {
+            (2 * wait).min(WAIT_MOST)
+        };
         warn!(address = %feed.address.borrow(), why, last = feed.last.get(), "control feed lost; what it said stands");
         tokio::select! {
             biased;
@@ -139,19 +148,31 @@
     let (whole, lines) = match event {
         // It carries the number of the last event: a later one than ours was never told us.
         Event::Nothing if number > last.get() => {
-            return Err(format!("events to {number} after {}: they were expected before", last.get()));
+            return Err(format!(
+                "events to {number} after {}: they were expected before",
+                last.get()
+            ));
         }
         Event::Nothing => return Ok(()),
         // Written twice: heard once.
         _ if number <= last.get() => return Ok(()),
         Event::Changes(_) if number > last.get() + 1 => {
-            return Err(format!("event {number} after {}: the next was expected", last.get()));
+            return Err(format!(
+                "event {number} after {}: the next was expected",
+                last.get()
+            ));
         }
         Event::Whole(lines) => (true, lines),
         Event::Changes(lines) => (false, lines),
     };
     let waited_most_ms = front.clock.now().saturating_sub(came) / MILLI;
-    info!(number, whole, lines = lines.len(), waited_most_ms, "control feed");
+    info!(
+        number,
+        whole,
+        lines = lines.len(),
+        waited_most_ms,
+        "control feed"
+    );
     last.set(number);
     front.tell(|state| tell(front, state, came, whole, lines));
     Ok(())
@@ -167,5 +188,12 @@
     let now = state.desk.now;
     front.seat.look_at_wall_clock(now);
     let started = |unix_ms: u64| front.seat.wall_settings.borrow().start(unix_ms, now);
-    told(state, whole, lines, came, started, front.seat.deployment.drain_grace);
+    told(
+        state,
+        whole,
+        lines,
+        came,
+        started,
+        front.seat.deployment.drain_grace,
+    );
 }
