--- a/crates/platform/src/in_time.rs
+++ b/crates/platform/src/in_time.rs
@@ -2,7 +2,9 @@
 //! and settings at their edges. Those of single turns are in `crossings`.
 
 use crate::life::leave;
-use crate::tests::{RESTED, Stage, TOLD, answer, configuration, feed_at, first, invoker_at, pass, staged};
+use crate::tests::{
+    RESTED, Stage, TOLD, answer, configuration, feed_at, first, invoker_at, pass, staged,
+};
 use bytes::Bytes;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
@@ -36,18 +38,27 @@
 }
 
 fn event() -> (u64, Event) {
-    (2, Event::Changes(vec![listing(1, invoker_at(1), Life::Draining, None)]))
+    (
+        2,
+        Event::Changes(vec![listing(1, invoker_at(1), Life::Draining, None)]),
+    )
 }
 
 async fn plays(mut stream: Stream, does: Does) {
-    let Ok(last) = stream.read_u64().await else { return };
+    let Ok(last) = stream.read_u64().await else {
+        return;
+    };
     let empty = |number| encode(number, &Event::Nothing);
     let (number, event) = event();
     let beats = |n: u64| match does {
         Does::FallsSilent(beats) => (n < beats).then(|| empty(last)),
         Does::SaysNothing | Does::Drips => None,
         Does::TellsNoEvents => Some(empty(number)),
-        Does::Tells => Some(if n == 0 { encode(number, &event) } else { empty(number) }),
+        Does::Tells => Some(if n == 0 {
+            encode(number, &event)
+        } else {
+            empty(number)
+        }),
     };
     if matches!(does, Does::Drips) {
         for byte in encode(number, &event) {
@@ -58,7 +69,9 @@
         }
     }
     for n in 0.. {
-        let Some(bytes) = beats(n) else { return std::future::pending().await };
+        let Some(bytes) = beats(n) else {
+            return std::future::pending().await;
+        };
         if stream.write_all(&bytes).await.is_err() {
             return;
         }
@@ -82,7 +95,11 @@
     pass(silent_after).await;
     let since = stage.clock.now();
     while stage.front.seat.feed.last() < 2 {
-        assert!(stage.clock.now() < since + 30 * SECOND, "never, over {} connections", connections.get());
+        assert!(
+            stage.clock.now() < since + 30 * SECOND,
+            "never, over {} connections",
+            connections.get()
+        );
         pass(1).await;
     }
     assert_eq!(connections.get(), does.len(), "{does:?}");
@@ -95,7 +112,10 @@
 fn what_a_silent_feed_would_have_told_is_known_before_it_counts_as_told() {
     const CASES: [(&[Does], u64); 5] = [
         (&[Does::FallsSilent(3), Does::Tells], 2_010),
-        (&[Does::FallsSilent(3), Does::SaysNothing, Does::Tells], 2_010),
+        (
+            &[Does::FallsSilent(3), Does::SaysNothing, Does::Tells],
+            2_010,
+        ),
         (&[Does::SaysNothing, Does::FallsSilent(1), Does::Tells], 10),
         (&[Does::Drips, Does::Tells], 10),
         (&[Does::TellsNoEvents, Does::Tells], 10),
@@ -118,7 +138,10 @@
         let mut client = stage.client().await;
         let lives = [Life::Draining, Life::Ready, Life::Draining];
         for (n, life) in lives.into_iter().enumerate() {
-            stage.feed.say(2 + n as u64, Event::Changes(vec![listing(1, invoker_at(1), life, None)]));
+            stage.feed.say(
+                2 + n as u64,
+                Event::Changes(vec![listing(1, invoker_at(1), life, None)]),
+            );
             pass(50).await;
         }
         // 150 ms after the first, 50 ms after the last; half the grace is 125 ms.
@@ -127,7 +150,10 @@
         pass(60).await;
         client.ask(&stage.call("book")).await;
         assert_eq!(answer(&mut client).await.code, Code::Throttled as u8);
-        assert_eq!(TOLD.take(), [(Outcome::Succeeded, true), (Outcome::NotSent, false)]);
+        assert_eq!(
+            TOLD.take(),
+            [(Outcome::Succeeded, true), (Outcome::NotSent, false)]
+        );
         assert_eq!(stage.invokers[&1].arrived.borrow().len(), 1);
         assert_eq!(stage.broken(), [0u8; 0]);
     });
@@ -144,14 +170,26 @@
         client.ask(&stage.call("look")).await;
         pass(10).await;
         assert_eq!(old.arrived.borrow().len(), 1, "under way");
-        stage.feed.say(2, Event::Changes(vec![listing(1, invoker_at(1), Life::Gone, None)]));
-        stage.feed.say(3, Event::Changes(vec![listing(1, invoker_at(8), Life::Ready, None)]));
+        stage.feed.say(
+            2,
+            Event::Changes(vec![listing(1, invoker_at(1), Life::Gone, None)]),
+        );
+        stage.feed.say(
+            3,
+            Event::Changes(vec![listing(1, invoker_at(8), Life::Ready, None)]),
+        );
         stage.invoker(1, invoker_at(8));
         assert_eq!(answer(&mut client).await.code, Code::Succeeded as u8);
         pass(RESTED).await;
         client.ask(&stage.call("look")).await;
         assert_eq!(answer(&mut client).await.code, Code::Succeeded as u8);
-        assert_eq!((old.arrived.borrow().len(), stage.invokers[&1].arrived.borrow().len()), (1, 1));
+        assert_eq!(
+            (
+                old.arrived.borrow().len(),
+                stage.invokers[&1].arrived.borrow().len()
+            ),
+            (1, 1)
+        );
     });
 }
 
@@ -176,13 +214,27 @@
         let stage = Stage::with(first, &[1, 2], &text).await;
         stage.invokers[&1].spoilt.set(Spoilt::Silent);
         let mut client = stage.client().await;
-        client.ask(&Call { limit_ms: 12_000, ..stage.call("book") }).await;
+        client
+            .ask(&Call {
+                limit_ms: 12_000,
+                ..stage.call("book")
+            })
+            .await;
         pass(20).await;
         let (front, told) = (stage.front.clone(), stage.clock.now());
         let ending = spawn_local(async move { leave(&front).await });
         pass(500).await;
-        client.ask(&Call { limit_ms: 12_000, ..stage.call("look") }).await;
-        client.stream.write_all(&frames::bare(32, 77)).await.unwrap();
+        client
+            .ask(&Call {
+                limit_ms: 12_000,
+                ..stage.call("look")
+            })
+            .await;
+        client
+            .stream
+            .write_all(&frames::bare(32, 77))
+            .await
+            .unwrap();
         let mut heard = Vec::new();
         while let Some(what) = client.hear().await {
             heard.push(what);
@@ -190,12 +242,25 @@
         let took = (stage.clock.now() - told) / MILLI;
         assert!((3_000..3_650).contains(&took), "{took} ms");
         ending.await.unwrap();
-        assert_eq!(heard[..2], [Heard::GoAway, Heard::Ready { stream: 77, code: Code::Throttled as u8 }]);
+        assert_eq!(
+            heard[..2],
+            [
+                Heard::GoAway,
+                Heard::Ready {
+                    stream: 77,
+                    code: Code::Throttled as u8
+                }
+            ]
+        );
         let codes = heard[2..].iter().map(|h| match h {
             Heard::Answer(a) => a.code,
             other => panic!("{other:?}"),
         });
-        assert_eq!(codes.collect::<Vec<_>>(), [Code::Errored as u8; 2], "both may have run");
+        assert_eq!(
+            codes.collect::<Vec<_>>(),
+            [Code::Errored as u8; 2],
+            "both may have run"
+        );
         assert_eq!(stage.broken(), [0u8; 0]);
     });
 }
@@ -207,10 +272,20 @@
     staged(|| async {
         let stage = Stage::new(by_design, &[1, 2], 256).await;
         let mut client = stage.client().await;
-        let ask = |n: u64| Call { function: 700 + n % 12, limit_ms: 2_500, ..stage.call("look") };
+        let ask = |n: u64| Call {
+            function: 700 + n % 12,
+            limit_ms: 2_500,
+            ..stage.call("look")
+        };
         let orders = || {
-            let of =
-                |w: u32| stage.invokers[&w].arrived.borrow().iter().filter(|a| a.method == "PUT").count();
+            let of = |w: u32| {
+                stage.invokers[&w]
+                    .arrived
+                    .borrow()
+                    .iter()
+                    .filter(|a| a.method == "PUT")
+                    .count()
+            };
             of(1) + of(2)
         };
         for n in 0..120 {
@@ -218,13 +293,19 @@
             answer(&mut client).await;
         }
         let before = orders();
-        stage.invokers.values().for_each(|i| i.spoilt.set(Spoilt::Miss));
+        stage
+            .invokers
+            .values()
+            .for_each(|i| i.spoilt.set(Spoilt::Miss));
         for n in 0..12 {
             client.ask(&ask(n)).await;
         }
         pass(200).await;
         let wave = orders() - before;
-        stage.invokers.values().for_each(|i| i.spoilt.set(Spoilt::No));
+        stage
+            .invokers
+            .values()
+            .for_each(|i| i.spoilt.set(Spoilt::No));
         for _ in 0..12 {
             answer(&mut client).await;
         }
@@ -241,8 +322,13 @@
 /// Every path of the settings, with what it holds.
 fn paths(at: String, v: &Value, all: &mut Vec<String>) {
     match v {
-        Value::Object(inside) => inside.iter().for_each(|(k, v)| paths(format!("{at}/{k}"), v, all)),
-        Value::Array(items) => items.iter().enumerate().for_each(|(i, v)| paths(format!("{at}/{i}"), v, all)),
+        Value::Object(inside) => inside
+            .iter()
+            .for_each(|(k, v)| paths(format!("{at}/{k}"), v, all)),
+        Value::Array(items) => items
+            .iter()
+            .enumerate()
+            .for_each(|(i, v)| paths(format!("{at}/{i}"), v, all)),
         _ => all.push(at),
     }
 }
@@ -285,14 +371,21 @@
         prop_oneof![Just(0), Just(1), Just(2), Just(255)].prop_map(|n: i64| Some(json!(n))),
     ];
     let change = (prop::sample::select(all), value);
-    let seeded =
-        Config { cases: 800, rng_seed: RngSeed::Fixed(29), failure_persistence: None, ..Config::default() };
+    let seeded = Config {
+        cases: 800,
+        rng_seed: RngSeed::Fixed(29),
+        failure_persistence: None,
+        ..Config::default()
+    };
     READ.take();
     let done = TestRunner::new(seeded).run(&prop::collection::vec(change, 1..3), |changes| {
         let text = changed(|c| {
             for (path, value) in &changes {
                 match value {
-                    Some(value) => c.pointer_mut(path).into_iter().for_each(|at| *at = value.clone()),
+                    Some(value) => c
+                        .pointer_mut(path)
+                        .into_iter()
+                        .for_each(|at| *at = value.clone()),
                     None => {
                         let (parent, name) = path.rsplit_once('/').unwrap();
                         if let Some(parent) = c.pointer_mut(parent).and_then(Value::as_object_mut) {
@@ -317,12 +410,18 @@
     });
     done.unwrap();
     let (started, refused) = READ.take();
-    assert!(started > 100 && refused > 100, "{started} started, {refused} refused");
+    assert!(
+        started > 100 && refused > 100,
+        "{started} started, {refused} refused"
+    );
 }
 
 /// One invocation of each type, with a drain among them: each is answered once, within its time and the half second after.
 fn served(text: &str, names: &[String], d: &Deployment) {
-    let (names, timeouts) = (names.to_vec(), d.trigger_types.iter().map(|t| t.client_timeout / MILLI));
+    let (names, timeouts) = (
+        names.to_vec(),
+        d.trigger_types.iter().map(|t| t.client_timeout / MILLI),
+    );
     let timeouts: Vec<u64> = timeouts.collect();
     staged(|| async move {
         let stage = Stage::with(by_design, &[1, 2], text).await;
@@ -332,11 +431,21 @@
             for (name, timeout) in names.iter().zip(&timeouts).filter(|(_, t)| **t > 0) {
                 let token = Some(format!("{:032x}", 100 + owed));
                 let limit_ms = (*timeout).min(800);
-                client.ask(&Call { token, limit_ms, trigger: name.clone(), ..stage.call("look") }).await;
+                client
+                    .ask(&Call {
+                        token,
+                        limit_ms,
+                        trigger: name.clone(),
+                        ..stage.call("look")
+                    })
+                    .await;
                 owed += 1;
             }
             if round == 1 {
-                stage.feed.say(2, Event::Changes(vec![listing(1, invoker_at(1), Life::Draining, None)]));
+                stage.feed.say(
+                    2,
+                    Event::Changes(vec![listing(1, invoker_at(1), Life::Draining, None)]),
+                );
             }
             pass(30).await;
         }
@@ -344,8 +453,13 @@
         for _ in 0..owed {
             let heard = tokio::time::timeout(Duration::from_millis(1_500), client.hear()).await;
             match heard {
-                Ok(Some(Heard::Answer(a))) => assert!(streams.insert(a.stream), "answered twice: {a:?}"),
-                other => panic!("{other:?} with {owed} owed, {} answered, on {text}", streams.len()),
+                Ok(Some(Heard::Answer(a))) => {
+                    assert!(streams.insert(a.stream), "answered twice: {a:?}")
+                }
+                other => panic!(
+                    "{other:?} with {owed} owed, {} answered, on {text}",
+                    streams.len()
+                ),
             }
         }
         let more = tokio::time::timeout(Duration::from_millis(600), client.hear()).await;
@@ -357,8 +471,14 @@
 /// try: the judge finds nothing that was sent on, first attempt or further, over 0.1 s later, and nothing is kept.
 #[test]
 fn who_leaves_at_any_time_is_not_sent_on() {
-    const SPOILT: [Spoilt; 6] =
-        [Spoilt::No, Spoilt::Miss, Spoilt::Full, Spoilt::Silent, Spoilt::ClosedUnread, Spoilt::ShortBody];
+    const SPOILT: [Spoilt; 6] = [
+        Spoilt::No,
+        Spoilt::Miss,
+        Spoilt::Full,
+        Spoilt::Silent,
+        Spoilt::ClosedUnread,
+        Spoilt::ShortBody,
+    ];
     let requests = Rc::new(Cell::new(0));
     for seed in 0..24 {
         let requests = requests.clone();
@@ -366,13 +486,21 @@
             let mut rng = fastrand::Rng::with_seed(seed);
             let stage = Stage::new(by_design, &[1, 2], 256).await;
             for n in 0..60 {
-                stage.invokers.values().for_each(|i| i.spoilt.set(SPOILT[rng.usize(..SPOILT.len())]));
+                stage
+                    .invokers
+                    .values()
+                    .for_each(|i| i.spoilt.set(SPOILT[rng.usize(..SPOILT.len())]));
                 let mut client = stage.client().await;
                 // Not "charge": the stand-ins share no memory of tokens.
                 let trigger = if rng.bool() { "look" } else { "book" };
                 // Few functions, so that some have copies; some that nobody has, which wait for a load.
                 let function = if rng.bool() { 0xf1 } else { 0x1_000 + n };
-                let stream = client.ask(&Call { function, ..stage.call(trigger) }).await;
+                let stream = client
+                    .ask(&Call {
+                        function,
+                        ..stage.call(trigger)
+                    })
+                    .await;
                 pass(rng.u64(0..300)).await;
                 if rng.bool() {
                     client.leave(stream).await;
@@ -382,7 +510,11 @@
             }
             pass(200).await;
             assert_eq!(stage.front.see(|s| s.desk.in_flight()), 0, "seed {seed}");
-            let further = stage.invokers.values().map(|i| i.arrived.borrow().len()).sum::<usize>();
+            let further = stage
+                .invokers
+                .values()
+                .map(|i| i.arrived.borrow().len())
+                .sum::<usize>();
             requests.set(requests.get() + further);
             assert_eq!(stage.broken(), [0u8; 0], "seed {seed}");
         });
@@ -401,10 +533,15 @@
         spawn_local(async move {
             let (mut door, _) = network.listen(&Address::Tcp(at.to_string())).await.unwrap();
             while let Ok(mut stream) = door.accept().await {
-                let Ok(last) = stream.read_u64().await else { continue };
+                let Ok(last) = stream.read_u64().await else {
+                    continue;
+                };
                 seen.borrow_mut().push(last);
-                let noise =
-                    [encode(1, &Event::Nothing), vec![0, 0, 0, 10, 9, 9, 9, 9, 9, 9, 9, 9, 9, 9]].concat();
+                let noise = [
+                    encode(1, &Event::Nothing),
+                    vec![0, 0, 0, 10, 9, 9, 9, 9, 9, 9, 9, 9, 9, 9],
+                ]
+                .concat();
                 let _ = stream.write_all(&Bytes::from(noise)).await;
                 pass(50).await;
             }
@@ -412,7 +549,10 @@
         stage.front.seat.feed.moves(at);
         pass(3_000).await;
         let asked = asked.borrow().clone();
-        assert!((5..40).contains(&asked.len()) && asked.iter().all(|n| *n == 1), "{asked:?}");
+        assert!(
+            (5..40).contains(&asked.len()) && asked.iter().all(|n| *n == 1),
+            "{asked:?}"
+        );
         let mut client = stage.client().await;
         client.ask(&stage.call("look")).await;
         assert_eq!(answer(&mut client).await.code, Code::Succeeded as u8);
--- a/crates/platform/src/life.rs
+++ b/crates/platform/src/life.rs
@@ -48,7 +48,11 @@
     #[error("{place}: {fault}")]
     Config { place: String, fault: config::Fault },
     #[error("{what} {got}: {expected} is expected, as in the configuration")]
-    Differs { what: &'static str, got: String, expected: String },
+    Differs {
+        what: &'static str,
+        got: String,
+        expected: String,
+    },
     #[error("can't listen on {at}: {why}")]
     Listen { at: String, why: std::io::Error },
     #[error("signals: {0}")]
@@ -72,7 +76,9 @@
 impl Seat {
     /// Keeps in mind how the wall clock stands.
     pub(crate) fn look_at_wall_clock(&self, now: Tenths) {
-        self.wall_settings.borrow_mut().seen((self.wall_clock)(), now);
+        self.wall_settings
+            .borrow_mut()
+            .seen((self.wall_clock)(), now);
     }
 }
 
@@ -88,21 +94,35 @@
 
 fn read(life: &Life) -> Result<Config, Failure> {
     let place = life.config.display().to_string();
-    let text = std::fs::read_to_string(&life.config)
-        .map_err(|why| Failure::Unreadable { place: place.clone(), why })?;
+    let text = std::fs::read_to_string(&life.config).map_err(|why| Failure::Unreadable {
+        place: place.clone(),
+        why,
+    })?;
     let config = config::read(&text).map_err(|fault| Failure::Config { place, fault })?;
     let listen = config.listen.to_string();
-    let said = [("RELAY_LISTEN", &life.listen, listen), ("RELAY_NAME", &life.name, config.name.clone())];
+    let said = [
+        ("RELAY_LISTEN", &life.listen, listen),
+        ("RELAY_NAME", &life.name, config.name.clone()),
+    ];
     for (what, got, expected) in said {
         if let Some(got) = got.as_ref().filter(|got| **got != expected) {
-            return Err(Failure::Differs { what, got: got.clone(), expected });
+            return Err(Failure::Differs {
+                what,
+                got: got.clone(),
+                expected,
+            });
         }
     }
     Ok(config)
 }
 
 /// Runs one controller until SIGTERM and its last answer.
-pub async fn serve(life: Life, network: Rc<dyn Network>, clock: Clock, make: Make) -> Result<(), Failure> {
+pub async fn serve(
+    life: Life,
+    network: Rc<dyn Network>,
+    clock: Clock,
+    make: Make,
+) -> Result<(), Failure> {
     let mut reloads = signal(SignalKind::hangup()).map_err(Failure::Signals)?;
     let mut ends = signal(SignalKind::terminate()).map_err(Failure::Signals)?;
     let front = start(read(&life)?, life.wall_clock.clone(), network, clock, make).await?;
@@ -139,9 +159,19 @@
 ) -> Result<Rc<Front>, Failure> {
     let (now, d) = (clock.now(), config.deployment);
     let budget = Budget::of(&config.limits);
-    info!(name = config.name, ?budget, controllers = d.controllers, "starts");
+    info!(
+        name = config.name,
+        ?budget,
+        controllers = d.controllers,
+        "starts"
+    );
     let trigger_names: Rc<[String]> = config.trigger_names.into();
-    let reach = Lines::new(budget, config.connect_timeout, config.conn_idle, trigger_names.clone());
+    let reach = Lines::new(
+        budget,
+        config.connect_timeout,
+        config.conn_idle,
+        trigger_names.clone(),
+    );
     let mut desk = Desk::new(now, reach, &d, config.order_timeout);
     let module = make(now, d.clone(), config.seed, &mut desk);
     let seat = Seat {
@@ -168,7 +198,10 @@
     });
     let (at, opened_at) = (Address::Tcp(config.listen.to_string()), clock.now());
     let listening = front.network.listen(&at).await;
-    let (door, _) = listening.map_err(|why| Failure::Listen { at: at.to_string(), why })?;
+    let (door, _) = listening.map_err(|why| Failure::Listen {
+        at: at.to_string(),
+        why,
+    })?;
     let turns = front.turns.clone();
     spawn_local(turning(turns, clock, |_, gap| {
         let stood_ms = gap / MILLI;
@@ -189,7 +222,9 @@
 /// A file that is bad changes nothing. It may be one that is still being written when the signal comes, and no second
 /// signal tells of its end: so it is read again for a while.
 fn reload(config: &Path, front: &Rc<Front>) {
-    let Err(why) = follow_file(config, front) else { return };
+    let Err(why) = follow_file(config, front) else {
+        return;
+    };
     warn!(%why, "the new configuration is bad: the old one stands");
     let (config, front) = (config.to_owned(), front.clone());
     spawn_local(async move {
@@ -205,8 +240,10 @@
 /// Follows the feed where the file says that it is.
 fn follow_file(config: &Path, front: &Front) -> Result<(), Failure> {
     let place = config.display().to_string();
-    let text =
-        std::fs::read_to_string(config).map_err(|why| Failure::Unreadable { place: place.clone(), why })?;
+    let text = std::fs::read_to_string(config).map_err(|why| Failure::Unreadable {
+        place: place.clone(),
+        why,
+    })?;
     let address = config::read_feed(&text).map_err(|fault| Failure::Config { place, fault })?;
     info!(%address, "configuration read again");
     front.seat.feed.moves(address);
@@ -216,19 +253,38 @@
 /// Takes what still comes, answers all that was taken, then ends.
 pub(crate) async fn leave(front: &Rc<Front>) {
     let clients = &front.seat.clients;
-    let longest = front.seat.deployment.trigger_types.iter().map(|t| t.client_timeout).max().unwrap_or(0);
+    let longest = front
+        .seat
+        .deployment
+        .trigger_types
+        .iter()
+        .map(|t| t.client_timeout)
+        .max()
+        .unwrap_or(0);
     let killed = Duration::from_micros(longest * 100).min(KILLED_AFTER_MOST) + KILLED_AFTER_MORE;
     // A process that was stopped hears late that it is to end; when it is killed counts from when it was told.
     let told_ago = Duration::from_micros(front.turns.waited_most(front.clock.now()) * 100);
-    let killed = if told_ago > HEARD_AT_ONCE { killed.saturating_sub(told_ago) } else { killed };
-    info!(?told_ago, "told to end: takes what still comes, then answers the rest");
+    let killed = if told_ago > HEARD_AT_ONCE {
+        killed.saturating_sub(told_ago)
+    } else {
+        killed
+    };
+    info!(
+        ?told_ago,
+        "told to end: takes what still comes, then answers the rest"
+    );
     clients.go_away();
     let answered = async {
         tokio::time::sleep(STILL_COME).await;
         clients.shut();
         while !is_quiet(front).await {}
     };
-    match tokio::time::timeout(killed.saturating_sub(LAST_ANSWERS).max(STILL_COME), answered).await {
+    match tokio::time::timeout(
+        killed.saturating_sub(LAST_ANSWERS).max(STILL_COME),
+        answered,
+    )
+    .await
+    {
         Ok(()) => info!("all is answered: ends"),
         Err(_) => {
             let owed = front.tell(|state| state.end());
--- a/crates/platform/src/line.rs
+++ b/crates/platform/src/line.rs
@@ -47,7 +47,10 @@
 
 impl Default for Departure {
     fn default() -> Self {
-        Self { cutoff: Rc::new(Cell::new(Tenths::MAX)), fresh_until: Tenths::MAX }
+        Self {
+            cutoff: Rc::new(Cell::new(Tenths::MAX)),
+            fresh_until: Tenths::MAX,
+        }
     }
 }
 
@@ -55,7 +58,16 @@
     fn new(stream: Stream, clock: Clock) -> Self {
         let stream = RefCell::new(Some(stream));
         let (left, head, body, departure, left_at, is_stale) = Default::default();
-        Self { stream, clock, left, head, body, departure, left_at, is_stale }
+        Self {
+            stream,
+            clock,
+            left,
+            head,
+            body,
+            departure,
+            left_at,
+            is_stale,
+        }
     }
 
     /// Another request is to go over it: what left of the one before is no longer counted.
@@ -103,10 +115,15 @@
         for (n, b) in bytes.iter().enumerate() {
             let met = self.head.get();
             if met == HEAD_END.len() {
-                self.body.set(self.body.get().saturating_sub((bytes.len() - n) as u64));
+                self.body
+                    .set(self.body.get().saturating_sub((bytes.len() - n) as u64));
                 return;
             }
-            self.head.set(if *b == HEAD_END[met] { met + 1 } else { usize::from(*b == HEAD_END[0]) });
+            self.head.set(if *b == HEAD_END[met] {
+                met + 1
+            } else {
+                usize::from(*b == HEAD_END[0])
+            });
         }
     }
 
@@ -115,15 +132,22 @@
         let mut byte = [0];
         let mut cx = Context::from_waker(Waker::noop());
         let mut stream = self.stream.borrow_mut();
-        let Some(stream) = stream.as_mut() else { return false };
-        Pin::new(stream).poll_read(&mut cx, &mut ReadBuf::new(&mut byte)).is_pending()
+        let Some(stream) = stream.as_mut() else {
+            return false;
+        };
+        Pin::new(stream)
+            .poll_read(&mut cx, &mut ReadBuf::new(&mut byte))
+            .is_pending()
     }
 }
 
 struct Io(Rc<Socket>);
 
 impl Io {
-    fn with<T>(&self, act: impl FnOnce(Pin<&mut Stream>) -> Poll<io::Result<T>>) -> Poll<io::Result<T>> {
+    fn with<T>(
+        &self,
+        act: impl FnOnce(Pin<&mut Stream>) -> Poll<io::Result<T>>,
+    ) -> Poll<io::Result<T>> {
         match self.0.stream.borrow_mut().as_mut() {
             Some(stream) => act(Pin::new(stream)),
             None => Poll::Ready(Err(io::ErrorKind::BrokenPipe.into())),
@@ -132,13 +156,21 @@
 }
 
 impl AsyncRead for Io {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         self.with(|s| s.poll_read(cx, buf))
     }
 }
 
 impl AsyncWrite for Io {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let socket = &self.0;
         if !socket.has_begun() && !socket.may_begin() {
             return Poll::Ready(Err(io::ErrorKind::TimedOut.into()));
@@ -195,7 +227,11 @@
         builder.max_buf_size(HEAD_MOST).max_headers(HEADERS_MOST);
         let (sender, connection) = builder.handshake(TokioIo::new(Io(socket.clone()))).await?;
         let task = tokio::task::spawn_local(async move { drop(connection.await) }).abort_handle();
-        Ok(Self { socket, sender, task })
+        Ok(Self {
+            socket,
+            sender,
+            task,
+        })
     }
 
     /// Whether another request may go over it.
@@ -212,14 +248,27 @@
         most: usize,
     ) -> Result<Whole, String> {
         self.socket.begin(body, departure);
-        let answer = self.sender.send_request(request).await.map_err(|e| said(&e))?;
+        let answer = self
+            .sender
+            .send_request(request)
+            .await
+            .map_err(|e| said(&e))?;
         let (head, body): (_, Incoming) = Response::into_parts(answer);
-        let body = http_body_util::Limited::new(body, most).collect().await.map_err(|e| e.to_string())?;
-        Ok(Whole { status: head.status.as_u16(), headers: head.headers, body: body.to_bytes() })
+        let body = http_body_util::Limited::new(body, most)
+            .collect()
+            .await
+            .map_err(|e| e.to_string())?;
+        Ok(Whole {
+            status: head.status.as_u16(),
+            headers: head.headers,
+            body: body.to_bytes(),
+        })
     }
 }
 
 fn said(e: &hyper::Error) -> String {
-    let inner = std::error::Error::source(e).map(|s| format!(": {s}")).unwrap_or_default();
+    let inner = std::error::Error::source(e)
+        .map(|s| format!(": {s}"))
+        .unwrap_or_default();
     format!("{e}{inner}")
 }
--- a/crates/platform/src/no_excuse.rs
+++ b/crates/platform/src/no_excuse.rs
@@ -21,7 +21,8 @@
         pass(20).await;
     }
     for n in 0..asked {
-        let heard = tokio::time::timeout(Duration::from_millis(LIMIT_MS + 100), answer(&mut client)).await;
+        let heard =
+            tokio::time::timeout(Duration::from_millis(LIMIT_MS + 100), answer(&mut client)).await;
         heard.map_err(|_| format!("{n} of {asked} are answered"))?;
     }
     Ok(())
@@ -47,7 +48,15 @@
 #[test]
 fn whatever_invokers_do_all_are_answered_in_time() {
     use Spoilt as S;
-    for spoilt in [S::Silent, S::Full, S::Errored, S::Miss, S::Over, S::ClosedUnread, S::ResetAfterReading] {
+    for spoilt in [
+        S::Silent,
+        S::Full,
+        S::Errored,
+        S::Miss,
+        S::Over,
+        S::ClosedUnread,
+        S::ResetAfterReading,
+    ] {
         staged(|| async move {
             let stage = Stage::new(by_design, &[1, 2], 256).await;
             stage.invokers.values().for_each(|i| i.spoilt.set(spoilt));
@@ -61,7 +70,10 @@
 fn without_a_descriptor_left_all_are_answered_in_time() {
     staged(|| async {
         let stage = Stage::new(by_design, &[1, 2], 32).await;
-        stage.invokers.values().for_each(|i| i.spoilt.set(Spoilt::Silent));
+        stage
+            .invokers
+            .values()
+            .for_each(|i| i.spoilt.set(Spoilt::Silent));
         all_are_answered_in_time(&stage, "no descriptor").await;
     });
 }
@@ -74,7 +86,11 @@
         let (mut floods, mut never_reads) = (stage.client().await, stage.client().await);
         let flood = spawn_local(async move {
             for n in 1..20_000u32 {
-                let frame = if n % 2 == 0 { frames::bare(32, n) } else { frames::bare(18, n) };
+                let frame = if n % 2 == 0 {
+                    frames::bare(32, n)
+                } else {
+                    frames::bare(18, n)
+                };
                 if floods.stream.write_all(&frame).await.is_err() {
                     return;
                 }
@@ -85,7 +101,12 @@
         });
         let unread = spawn_local(async move {
             for n in 1..20_000u32 {
-                if never_reads.stream.write_all(&frames::bare(32, n)).await.is_err() {
+                if never_reads
+                    .stream
+                    .write_all(&frames::bare(32, n))
+                    .await
+                    .is_err()
+                {
                     return;
                 }
             }
@@ -94,8 +115,12 @@
         let mut usual = stage.client().await;
         for _ in 0..30 {
             usual.ask(&stage.call("book")).await;
-            let heard = tokio::time::timeout(Duration::from_millis(LIMIT_MS), answer(&mut usual)).await;
-            assert_eq!(heard.expect("an answer in time").code, Code::Succeeded as u8);
+            let heard =
+                tokio::time::timeout(Duration::from_millis(LIMIT_MS), answer(&mut usual)).await;
+            assert_eq!(
+                heard.expect("an answer in time").code,
+                Code::Succeeded as u8
+            );
             pass(10).await;
         }
         flood.abort();
@@ -119,7 +144,12 @@
         }
         let began = stage.clock.now();
         let mut client = stage.client().await;
-        client.ask(&Call { limit_ms: LIMIT_MS, ..stage.call("look") }).await;
+        client
+            .ask(&Call {
+                limit_ms: LIMIT_MS,
+                ..stage.call("look")
+            })
+            .await;
         assert_eq!(answer(&mut client).await.code, Code::Succeeded as u8);
         let took_ms = (stage.clock.now() - began) / saltdrum::port::MILLI;
         assert!(took_ms < 1_000, "{took_ms} ms behind a crowd of {CROWD}");
--- a/crates/platform/src/reach.rs
+++ b/crates/platform/src/reach.rs
@@ -89,7 +89,8 @@
 
     /// A dispatch whose request has left whole.
     fn is_out(&self) -> bool {
-        matches!(self.of, Of::Dispatch { .. }) && self.socket.as_ref().is_some_and(|s| s.left_whole())
+        matches!(self.of, Of::Dispatch { .. })
+            && self.socket.as_ref().is_some_and(|s| s.left_whole())
     }
 }
 
@@ -175,23 +176,37 @@
         let held = self.held.get() + body.len();
         (held <= self.budget.bytes).then(|| {
             self.held.set(held);
-            Carried { trigger, txn, token, body, client_backlog, held: self.held.clone() }
+            Carried {
+                trigger,
+                txn,
+                token,
+                body,
+                client_backlog,
+                held: self.held.clone(),
+            }
         })
     }
 
     #[cfg(test)]
     pub fn sizes(&self) -> Sizes {
         let (pools, lines, jobs) = (self.pools.len(), self.open.get(), self.jobs.len());
-        Sizes { pools, lines, jobs, bytes: self.held.get() }
+        Sizes {
+            pools,
+            lines,
+            jobs,
+            bytes: self.held.get(),
+        }
     }
 
     /// Lets go of idle lines that the invoker would soon close, of those that are broken, and of pools that are gone.
     pub fn sweep(&mut self, now: Tenths) {
         let most = self.conn_idle * IDLE_SHARE.0 / IDLE_SHARE.1;
         for p in self.pools.values_mut() {
-            p.idle.retain(|(since, line)| now < since + most && line.is_reusable());
+            p.idle
+                .retain(|(since, line)| now < since + most && line.is_reusable());
         }
-        self.pools.retain(|_, p| p.life != Life::Gone || p.under_way > 0);
+        self.pools
+            .retain(|_, p| p.life != Life::Gone || p.under_way > 0);
     }
 
     /// Makes room for one more line: the idle line that was idle longest goes, wherever it leads.
@@ -199,14 +214,26 @@
         if self.open.get() < self.budget.lines {
             return true;
         }
-        let longest = self.pools.iter().filter_map(|(w, p)| Some((p.idle.first()?.0, *w))).min();
-        let Some(pool) = longest.and_then(|(_, w)| self.pools.get_mut(&w)) else { return false };
+        let longest = self
+            .pools
+            .iter()
+            .filter_map(|(w, p)| Some((p.idle.first()?.0, *w)))
+            .min();
+        let Some(pool) = longest.and_then(|(_, w)| self.pools.get_mut(&w)) else {
+            return false;
+        };
         pool.idle.remove(0);
         self.open.get() < self.budget.lines
     }
 
     /// Starts a request. `Err`: it never left.
-    fn start(&mut self, now: Tenths, invoker: InvokerId, of: Of, worded: Worded) -> Result<u64, Outcome> {
+    fn start(
+        &mut self,
+        now: Tenths,
+        invoker: InvokerId,
+        of: Of,
+        worded: Worded,
+    ) -> Result<u64, Outcome> {
         let most = self.conn_idle * IDLE_SHARE.0 / IDLE_SHARE.1;
         let new_work = !matches!(of, Of::Order { new_work: false } | Of::Aside);
         let pool = self.pools.get_mut(&invoker).ok_or(Outcome::NoConnection)?;
@@ -233,13 +260,25 @@
         let pool = self.pools.get_mut(&invoker).ok_or(Outcome::NoConnection)?;
         pool.under_way += 1;
         self.last += 1;
-        let cutoff = if new_work { pool.cutoff.clone() } else { Rc::new(Cell::new(Tenths::MAX)) };
+        let cutoff = if new_work {
+            pool.cutoff.clone()
+        } else {
+            Rc::new(Cell::new(Tenths::MAX))
+        };
         // A decision that could not leave by then is made anew: what it rests on has changed.
         let leaves_by = now + self.connect_timeout + FRESH;
-        let fresh_until = if matches!(of, Of::Dispatch { .. }) { Tenths::MAX } else { leaves_by };
-        let departure = Departure { cutoff, fresh_until };
+        let fresh_until = if matches!(of, Of::Dispatch { .. }) {
+            Tenths::MAX
+        } else {
+            leaves_by
+        };
+        let departure = Departure {
+            cutoff,
+            fresh_until,
+        };
         // At once: who takes it back before its task had a turn must not be told of the request before.
-        line.iter().for_each(|l| l.socket.begin(worded.body, departure.clone()));
+        line.iter()
+            .for_each(|l| l.socket.begin(worded.body, departure.clone()));
         let ask = Ask {
             front,
             invoker,
@@ -258,7 +297,15 @@
             Of::Order { .. } => tokio::task::spawn_local(order(ask, line)),
             Of::Aside => tokio::task::spawn_local(aside(ask, line)),
         };
-        self.jobs.insert(self.last, Job { invoker, of, socket, task: task.abort_handle() });
+        self.jobs.insert(
+            self.last,
+            Job {
+                invoker,
+                of,
+                socket,
+                task: task.abort_handle(),
+            },
+        );
         Ok(self.last)
     }
 
@@ -271,7 +318,9 @@
 
     /// A request has come to its end by itself: false when it was given up before.
     pub(crate) fn finish(&mut self, job: u64) -> bool {
-        let Some(ended) = self.jobs.remove(&job) else { return false };
+        let Some(ended) = self.jobs.remove(&job) else {
+            return false;
+        };
         if let Some(pool) = self.pools.get_mut(&ended.invoker) {
             pool.under_way -= 1;
         }
@@ -283,7 +332,9 @@
 
     /// Gives a request up: its connection is closed at once.
     fn give_up(&mut self, job: u64) {
-        let Some(job) = self.jobs.remove(&job) else { return };
+        let Some(job) = self.jobs.remove(&job) else {
+            return;
+        };
         if let Some(pool) = self.pools.get_mut(&job.invoker) {
             pool.under_way -= 1;
         }
@@ -294,7 +345,10 @@
     }
 
     pub(crate) fn put_back(&mut self, now: Tenths, invoker: InvokerId, epoch: u32, line: Line) {
-        if let Some(pool) = self.pools.get_mut(&invoker).filter(|p| p.epoch == epoch && p.life != Life::Gone)
+        if let Some(pool) = self
+            .pools
+            .get_mut(&invoker)
+            .filter(|p| p.epoch == epoch && p.life != Life::Gone)
         {
             pool.idle.push((now, line));
         }
@@ -321,15 +375,35 @@
         if !c.body.is_empty() {
             request = request.header("content-length", c.body.len());
         }
-        let request = request.body(Full::new(c.body.clone())).map_err(|_| Outcome::NotSent)?;
+        let request = request
+            .body(Full::new(c.body.clone()))
+            .map_err(|_| Outcome::NotSent)?;
         let (until, leave_by) = (s.until, s.leave_by);
-        let client = Some(Waiting { until, leave_by, backlog: c.client_backlog.clone() });
-        let worded = Worded { request, body: c.body.len(), client };
-        self.start(s.now, s.invoker, Of::Dispatch { inv: s.inv, hop: s.hop }, worded)
+        let client = Some(Waiting {
+            until,
+            leave_by,
+            backlog: c.client_backlog.clone(),
+        });
+        let worded = Worded {
+            request,
+            body: c.body.len(),
+            client,
+        };
+        self.start(
+            s.now,
+            s.invoker,
+            Of::Dispatch {
+                inv: s.inv,
+                hop: s.hop,
+            },
+            worded,
+        )
     }
 
     fn withdraw(&mut self, _: InvokerId, dispatch: u64) -> bool {
-        let Some(job) = self.jobs.get(&dispatch) else { return false };
+        let Some(job) = self.jobs.get(&dispatch) else {
+            return false;
+        };
         let never = job.socket.as_ref().is_none_or(|s| !s.left_whole());
         if never {
             self.give_up(dispatch);
@@ -354,17 +428,27 @@
         count: u8,
     ) -> Result<u64, HoldOutcome> {
         let uri = format!("{}/{count}", http::function_path(function));
-        let request = Request::builder().method("PUT").uri(uri).header("host", "invoker");
-        let request = request.body(Full::default()).map_err(|_| HoldOutcome::NotSent)?;
-        let of = Of::Order { new_work: count > 0 };
-        self.start(now, invoker, of, Worded::alone(request)).map_err(|outcome| match outcome {
-            Outcome::NoConnection => HoldOutcome::Unreachable,
-            _ => HoldOutcome::NotSent,
-        })
+        let request = Request::builder()
+            .method("PUT")
+            .uri(uri)
+            .header("host", "invoker");
+        let request = request
+            .body(Full::default())
+            .map_err(|_| HoldOutcome::NotSent)?;
+        let of = Of::Order {
+            new_work: count > 0,
+        };
+        self.start(now, invoker, of, Worded::alone(request))
+            .map_err(|outcome| match outcome {
+                Outcome::NoConnection => HoldOutcome::Unreachable,
+                _ => HoldOutcome::NotSent,
+            })
     }
 
     fn order_left(&self, order: u64) -> Option<Tenths> {
-        self.jobs.get(&order).map_or_else(|| self.orders_left.get(&order).copied(), Job::left_at)
+        self.jobs
+            .get(&order)
+            .map_or_else(|| self.orders_left.get(&order).copied(), Job::left_at)
     }
 
     fn held(&mut self, _: InvokerId, order: u64) {
@@ -373,7 +457,9 @@
     }
 
     fn unload(&mut self, now: Tenths, invoker: InvokerId, function: FnId) {
-        let request = Request::builder().method("DELETE").uri(http::function_path(function));
+        let request = Request::builder()
+            .method("DELETE")
+            .uri(http::function_path(function));
         if let Ok(request) = request.header("host", "invoker").body(Full::default()) {
             let _ = self.start(now, invoker, Of::Aside, Worded::alone(request));
         }
@@ -428,7 +514,9 @@
         }
         (pool.address, pool.life) = (l.address, l.life);
         // Told again, a start is the same: a later one would be another start.
-        let known = pool.started.filter(|(unix_ms, _)| Some(*unix_ms) == l.started_ms);
+        let known = pool
+            .started
+            .filter(|(unix_ms, _)| Some(*unix_ms) == l.started_ms);
         pool.started = known.or_else(|| l.started_ms.map(|unix_ms| (unix_ms, started(unix_ms))));
         if l.life == Life::Ready {
             pool.cutoff.set(Tenths::MAX);
@@ -436,7 +524,12 @@
             cut.push(l.invoker);
         }
     }
-    let start_of = |l: &Listing| reach.pools.get(&l.invoker).and_then(|pool| Some(pool.started?.1));
+    let start_of = |l: &Listing| {
+        reach
+            .pools
+            .get(&l.invoker)
+            .and_then(|pool| Some(pool.started?.1))
+    };
     let listed: Vec<Listed> = lines.iter().map(|l| l.listed(start_of(l))).collect();
     state.module.listed(now, whole, &listed);
     for invoker in cut {
@@ -445,13 +538,19 @@
         if let Some(pool) = state.desk.reach.pools.get(&invoker) {
             pool.cutoff.set(pool.cutoff.get().min(at));
         }
-        state.desk.later(at, Box::new(move |state| cut_off(state, invoker)));
+        state
+            .desk
+            .later(at, Box::new(move |state| cut_off(state, invoker)));
     }
 }
 
 /// What the module believes of each invoker, beside what is on its sockets.
 pub(crate) fn log_beliefs(state: &State) {
-    let (reach, c, held) = (&state.desk.reach, &state.desk.counts, state.module.counted());
+    let (reach, c, held) = (
+        &state.desk.reach,
+        &state.desk.counts,
+        state.module.counted(),
+    );
     info!(
         taken = c.taken,
         stale = c.stale,
@@ -472,8 +571,18 @@
     for b in state.module.beliefs(state.desk.now) {
         let id = saltdrum_platform_wire::feed::id_text(b.invoker);
         let of = |j: &&Job| j.invoker == b.invoker;
-        let sent = reach.jobs.values().filter(of).filter(|j| matches!(j.of, Of::Dispatch { .. })).count();
-        let on_sockets = reach.jobs.values().filter(of).filter(|j| j.is_out()).count();
+        let sent = reach
+            .jobs
+            .values()
+            .filter(of)
+            .filter(|j| matches!(j.of, Of::Dispatch { .. }))
+            .count();
+        let on_sockets = reach
+            .jobs
+            .values()
+            .filter(of)
+            .filter(|j| j.is_out())
+            .count();
         let idle = reach.pools.get(&b.invoker).map_or(0, |p| p.idle.len());
         info!(
             id,
@@ -492,10 +601,15 @@
 /// The time of a pool's cutoff has come: what has not begun to leave never will.
 fn cut_off(state: &mut State, invoker: InvokerId) {
     let (now, reach) = (state.desk.now, &state.desk.reach);
-    if reach.pools.get(&invoker).is_none_or(|p| now < p.cutoff.get()) {
+    if reach
+        .pools
+        .get(&invoker)
+        .is_none_or(|p| now < p.cutoff.get())
+    {
         return;
     }
-    let waits = |job: &&Job| job.invoker == invoker && job.socket.as_ref().is_none_or(|s| !s.has_begun());
+    let waits =
+        |job: &&Job| job.invoker == invoker && job.socket.as_ref().is_none_or(|s| !s.has_begun());
     let mut dispatches = Vec::new();
     let mut orders = Vec::new();
     for (n, job) in reach.jobs.iter().filter(|(_, job)| waits(job)) {
@@ -505,6 +619,10 @@
             Of::Order { .. } | Of::Aside => {}
         }
     }
-    dispatches.into_iter().for_each(|(inv, hop)| state.ended(inv, hop, Outcome::NotSent, &Told::default()));
-    orders.into_iter().for_each(|n| state.held(invoker, n, HoldOutcome::NotSent, 0));
+    dispatches
+        .into_iter()
+        .for_each(|(inv, hop)| state.ended(inv, hop, Outcome::NotSent, &Told::default()));
+    orders
+        .into_iter()
+        .for_each(|n| state.held(invoker, n, HoldOutcome::NotSent, 0));
 }
--- a/crates/platform/src/stalls.rs
+++ b/crates/platform/src/stalls.rs
@@ -35,7 +35,11 @@
         stage.network.opened.notify_waiters();
         let mut line = stage.line().await;
         line.asked().await;
-        assert!(line.limit_ms.unwrap() <= LEFT_MOST_MS, "{:?} ms are told", line.limit_ms);
+        assert!(
+            line.limit_ms.unwrap() <= LEFT_MOST_MS,
+            "{:?} ms are told",
+            line.limit_ms
+        );
         line.write(&http("done"));
         assert_eq!(client.hear().await.1, 2);
     });
@@ -89,7 +93,11 @@
         stand_still();
         let mut line = stage.line().await;
         line.asked().await;
-        assert!(line.limit_ms.unwrap() <= LEFT_MOST_MS, "{:?} ms are told", line.limit_ms);
+        assert!(
+            line.limit_ms.unwrap() <= LEFT_MOST_MS,
+            "{:?} ms are told",
+            line.limit_ms
+        );
     });
 }
 
@@ -103,7 +111,11 @@
         stand_still();
         let mut line = stage.line().await;
         line.asked().await;
-        assert!(line.limit_ms.unwrap() <= LEFT_MOST_MS, "{:?} ms are told", line.limit_ms);
+        assert!(
+            line.limit_ms.unwrap() <= LEFT_MOST_MS,
+            "{:?} ms are told",
+            line.limit_ms
+        );
     });
 }
 
@@ -122,7 +134,9 @@
         staged(|| async move {
             let stage = Stage::new().await;
             let mut client = stage.known().await;
-            let calls: Vec<u8> = (2..34).flat_map(|n| stage.call_with(n, &[7; 3_000]).0).collect();
+            let calls: Vec<u8> = (2..34)
+                .flat_map(|n| stage.call_with(n, &[7; 3_000]).0)
+                .collect();
             client.write(&calls);
             if matches!(leaves, Leaves::Cancels) {
                 let cancels: Vec<u8> = (2..34).flat_map(|n| frames::bare(18, n).to_vec()).collect();
@@ -131,7 +145,8 @@
                 drop(client);
             }
             stand_still();
-            until(|| stage.front.see(|s| s.desk.counts.taken) == 32 && stage.in_flight() == 0).await;
+            until(|| stage.front.see(|s| s.desk.counts.taken) == 32 && stage.in_flight() == 0)
+                .await;
             // Whatever was on its way would be there by then.
             tokio::time::sleep(Duration::from_millis(100)).await;
             assert!(stage.nothing_came(), "{leaves:?}");
--- a/crates/platform/src/starts.rs
+++ b/crates/platform/src/starts.rs
@@ -40,7 +40,11 @@
     /// who is taken for colder than it is gets less for a while, and who is taken for warm collapses. Now, if there is none.
     pub fn start(&self, unix_ms: u64, now: Tenths) -> Tenths {
         let tenths = (unix_ms * MILLI) as i64;
-        let past = self.0.iter().map(|origin| tenths - origin).filter(|at| *at <= now as i64);
+        let past = self
+            .0
+            .iter()
+            .map(|origin| tenths - origin)
+            .filter(|at| *at <= now as i64);
         past.max().map_or(now, |at| at.max(0) as Tenths)
     }
 }
--- a/crates/platform/src/starts/tests.rs
+++ b/crates/platform/src/starts/tests.rs
@@ -15,7 +15,11 @@
     for stepped_ms in [HOUR_MS, -HOUR_MS, 3_000, -3_000, 120, -120] {
         let mut settings = WallSettings::new(wall(now, 0), now);
         // Started before the step and heard of after it, then started after it.
-        let (before, after, heard) = (now + SECOND, now + 4 * SECOND, now + 4 * SECOND + 100 * MILLI);
+        let (before, after, heard) = (
+            now + SECOND,
+            now + 4 * SECOND,
+            now + 4 * SECOND + 100 * MILLI,
+        );
         let told_before = wall(before, 0);
         settings.seen(wall(now + 2 * SECOND, stepped_ms), now + 2 * SECOND);
         assert_eq!(
@@ -23,15 +27,25 @@
             before.max(latest(before, stepped_ms, now))
         );
         let told_after = wall(after, stepped_ms);
-        assert!(settings.start(told_after, heard) >= after, "{stepped_ms} ms: taken for older than it is");
-        assert!(settings.start(told_after, heard) <= heard, "{stepped_ms} ms: to come");
+        assert!(
+            settings.start(told_after, heard) >= after,
+            "{stepped_ms} ms: taken for older than it is"
+        );
+        assert!(
+            settings.start(told_after, heard) <= heard,
+            "{stepped_ms} ms: to come"
+        );
     }
 }
 
 /// A step back by less than the time since then makes a start look later, by as much: colder, never warmer.
 fn latest(started: Tenths, stepped_ms: i64, now: Tenths) -> Tenths {
     let by_the_new = started as i64 - stepped_ms * MILLI as i64;
-    if stepped_ms < 0 && by_the_new <= (now + 2 * SECOND) as i64 { by_the_new as Tenths } else { started }
+    if stepped_ms < 0 && by_the_new <= (now + 2 * SECOND) as i64 {
+        by_the_new as Tenths
+    } else {
+        started
+    }
 }
 
 #[test]
--- a/crates/platform/src/taking.rs
+++ b/crates/platform/src/taking.rs
@@ -26,8 +26,12 @@
     backlog: &Backlog,
 ) -> Result<(), String> {
     let (seat, desk) = (&front.seat, &mut state.desk);
-    let trigger = seat.trigger_names.iter().position(|n| *n == request.trigger);
-    let trigger = trigger.ok_or_else(|| format!("verb '{}': not one of this deployment", request.trigger))?;
+    let trigger = seat
+        .trigger_names
+        .iter()
+        .position(|n| *n == request.trigger);
+    let trigger =
+        trigger.ok_or_else(|| format!("verb '{}': not one of this deployment", request.trigger))?;
     let stated = &seat.deployment.trigger_types[trigger];
     // Where there are no tenants the field says nothing; where there are, whose it is decides whose share it uses.
     let tenant = match &request.tenant {
@@ -40,14 +44,25 @@
     };
     let limit = (request.limit_ms * MILLI as f64) as Tenths;
     if limit > stated.client_timeout {
-        return Err(format!("limit {}: more than the client timeout", request.limit_ms));
+        return Err(format!(
+            "limit {}: more than the client timeout",
+            request.limit_ms
+        ));
     }
     if stated.effect == saltdrum::port::Effect::Tokened && request.token.is_none() {
         return Err("unique: needed for this verb".into());
     }
-    let memory_most = seat.deployment.kind_memory.iter().copied().fold(0.0, f64::max);
+    let memory_most = seat
+        .deployment
+        .kind_memory
+        .iter()
+        .copied()
+        .fold(0.0, f64::max);
     if memory_most > 0.0 && request.memory_mb > memory_most {
-        return Err(format!("memory_mb {}: more than any invoker has", request.memory_mb));
+        return Err(format!(
+            "memory_mb {}: more than any invoker has",
+            request.memory_mb
+        ));
     }
     let gone = earliest + limit;
     if desk.now >= gone {
@@ -64,10 +79,21 @@
         return Err("txn: open already".into());
     }
     let (txn, txns) = (request.txn, seat.clients.txns.clone());
-    let reply = Reply { client: client.clone(), stream, txn, txns, clock: front.clock };
-    let carried = desk.reach.carry(trigger, txn, request.token, request.body, backlog.clone());
+    let reply = Reply {
+        client: client.clone(),
+        stream,
+        txn,
+        txns,
+        clock: front.clock,
+    };
+    let carried = desk
+        .reach
+        .carry(trigger, txn, request.token, request.body, backlog.clone());
     let Some(carried) = carried else {
-        debug!(txn = format_args!("{txn:016x}"), "refused: no room for its input");
+        debug!(
+            txn = format_args!("{txn:016x}"),
+            "refused: no room for its input"
+        );
         reply.answer(0, Final::Throttled(FULL_COME_BACK_MS * MILLI), 0, ANY_TIME);
         return Ok(());
     };
--- a/crates/platform/src/tests.rs
+++ b/crates/platform/src/tests.rs
@@ -26,7 +26,10 @@
 use tokio::io::AsyncWriteExt;
 use tokio::task::{LocalSet, spawn_local};
 
-const WHO: Who = Who { controller: 1, incarnation: 1 };
+const WHO: Who = Who {
+    controller: 1,
+    incarnation: 1,
+};
 pub(crate) const UNIX_MS: u64 = 1_800_000_000_000;
 
 /// A wall clock that reads `UNIX_MS` now and runs as the other does.
@@ -115,7 +118,14 @@
             trigger("book", "non-idempotent"),
             trigger("charge", "tokened"),
         ],
-        places: (1..=4).map(|invoker| Place { invoker, zone: 0, cell: 0, pace: 4.0 }).collect(),
+        places: (1..=4)
+            .map(|invoker| Place {
+                invoker,
+                zone: 0,
+                cell: 0,
+                pace: 4.0,
+            })
+            .collect(),
         parallel_dispatches: false,
         drain_grace: 250 * MILLI,
         cold_share: 0.3,
@@ -156,8 +166,19 @@
         let started = start(config, wall_clock(clock), network.clone(), clock, make).await;
         let front = started.unwrap_or_else(|e| panic!("{e}"));
         let (next, none) = (Cell::new(0), BTreeMap::new());
-        let mut stage = Self { network, clock, record, invokers: none, hops, feed, front, next };
-        invokers.iter().for_each(|w| stage.invoker(*w, invoker_at(*w)));
+        let mut stage = Self {
+            network,
+            clock,
+            record,
+            invokers: none,
+            hops,
+            feed,
+            front,
+            next,
+        };
+        invokers
+            .iter()
+            .for_each(|w| stage.invoker(*w, invoker_at(*w)));
         pass(10).await;
         stage
     }
@@ -170,7 +191,9 @@
     }
 
     pub async fn client(&self) -> FrameClient {
-        FrameClient::dial(&*self.network, here(), WHO, self.record.clone(), self.clock).await.unwrap()
+        FrameClient::dial(&*self.network, here(), WHO, self.record.clone(), self.clock)
+            .await
+            .unwrap()
     }
 
     pub fn call(&self, trigger: &str) -> Call {
@@ -178,11 +201,21 @@
         let n = self.next.get();
         let token = (trigger == "charge").then(|| format!("{n:032x}"));
         let (trigger, body) = (trigger.to_owned(), vec![7; (n % 3) as usize * 50]);
-        Call { n, attempt: 0, trigger, function: 0xf0 + n % 3, limit_ms: 2_000, token, body }
+        Call {
+            n,
+            attempt: 0,
+            trigger,
+            function: 0xf0 + n % 3,
+            limit_ms: 2_000,
+            token,
+            body,
+        }
     }
 
     fn sizes(&self) -> (Sizes, (usize, usize), usize) {
-        let (sizes, in_flight) = self.front.see(|s| (s.desk.reach.sizes(), s.desk.in_flight()));
+        let (sizes, in_flight) = self
+            .front
+            .see(|s| (s.desk.reach.sizes(), s.desk.in_flight()));
         (sizes, self.front.seat.clients.sizes(), in_flight)
     }
 
@@ -270,16 +303,51 @@
         (S::Early1xx, well.to_vec(), Code::Succeeded, true),
         (S::NoiseAfter, well.to_vec(), Code::Succeeded, false),
         (S::TwiceOver, well.to_vec(), Code::Succeeded, false),
-        (S::Miss, throttled(Outcome::Miss).to_vec(), Code::Throttled, true),
-        (S::Full, throttled(Outcome::Full).to_vec(), Code::Throttled, true),
-        (S::Over, throttled(Outcome::NotSent).to_vec(), Code::Throttled, true),
+        (
+            S::Miss,
+            throttled(Outcome::Miss).to_vec(),
+            Code::Throttled,
+            true,
+        ),
+        (
+            S::Full,
+            throttled(Outcome::Full).to_vec(),
+            Code::Throttled,
+            true,
+        ),
+        (
+            S::Over,
+            throttled(Outcome::NotSent).to_vec(),
+            Code::Throttled,
+            true,
+        ),
         (S::Errored, vec![Outcome::Errored], Code::Errored, true),
         (S::NoiseForHead, may_have_run.to_vec(), Code::Errored, false),
-        (S::HeadWithoutEnd, may_have_run.to_vec(), Code::Errored, false),
-        (S::LengthsContradict, may_have_run.to_vec(), Code::Errored, false),
-        (S::ThreeGigabytes, may_have_run.to_vec(), Code::Errored, false),
+        (
+            S::HeadWithoutEnd,
+            may_have_run.to_vec(),
+            Code::Errored,
+            false,
+        ),
+        (
+            S::LengthsContradict,
+            may_have_run.to_vec(),
+            Code::Errored,
+            false,
+        ),
+        (
+            S::ThreeGigabytes,
+            may_have_run.to_vec(),
+            Code::Errored,
+            false,
+        ),
         (S::ShortBody, may_have_run.to_vec(), Code::Errored, false),
-        (S::ResetAfterReading, may_have_run.to_vec(), Code::Errored, false),
+        (
+            S::ResetAfterReading,
+            may_have_run.to_vec(),
+            Code::Errored,
+            false,
+        ),
         (S::Silent, vec![Outcome::TimedOut], Code::Errored, false),
     ];
     for (spoilt, outcomes, code, reused) in cases {
@@ -292,16 +360,35 @@
             let answered = answer(&mut client).await;
             assert_eq!(answered.code, code as u8, "{spoilt:?}");
             let told = TOLD.take();
-            assert!(told.len() == 1 && outcomes.contains(&told[0].0), "{spoilt:?}: {told:?}");
+            assert!(
+                told.len() == 1 && outcomes.contains(&told[0].0),
+                "{spoilt:?}: {told:?}"
+            );
             if code == Code::Succeeded {
-                assert_eq!(answered.body, format!("ran {} {}", call.txn(), call.body.len()), "{spoilt:?}");
+                assert_eq!(
+                    answered.body,
+                    format!("ran {} {}", call.txn(), call.body.len()),
+                    "{spoilt:?}"
+                );
             }
-            assert_eq!(answered.later_ms, (code == Code::Throttled).then_some(10), "{spoilt:?}");
+            assert_eq!(
+                answered.later_ms,
+                (code == Code::Throttled).then_some(10),
+                "{spoilt:?}"
+            );
             pass(RESTED).await;
             invoker.spoilt.set(Spoilt::No);
             client.ask(&stage.call("book")).await;
-            assert_eq!(answer(&mut client).await.code, Code::Succeeded as u8, "{spoilt:?}");
-            assert_eq!(invoker.accepted.get(), if reused { 1 } else { 2 }, "connections after {spoilt:?}");
+            assert_eq!(
+                answer(&mut client).await.code,
+                Code::Succeeded as u8,
+                "{spoilt:?}"
+            );
+            assert_eq!(
+                invoker.accepted.get(),
+                if reused { 1 } else { 2 },
+                "connections after {spoilt:?}"
+            );
             assert_eq!(stage.broken(), [0u8; 0], "{spoilt:?}");
         });
     }
@@ -313,7 +400,10 @@
         let stage = Stage::new(first, &[], 256).await;
         let mut client = stage.client().await;
         // Listed, but nobody listens there.
-        stage.feed.say(2, Event::Changes(vec![listing(1, invoker_at(9), Life::Ready, None)]));
+        stage.feed.say(
+            2,
+            Event::Changes(vec![listing(1, invoker_at(9), Life::Ready, None)]),
+        );
         pass(10).await;
         client.ask(&stage.call("book")).await;
         assert_eq!(answer(&mut client).await.code, Code::Throttled as u8);
@@ -330,7 +420,12 @@
         client.ask(&stage.call("book")).await;
         assert_eq!(answer(&mut client).await.code, Code::Succeeded as u8);
         pass(RESTED).await;
-        client.ask(&Call { function: TAKEN_BACK, ..stage.call("book") }).await;
+        client
+            .ask(&Call {
+                function: TAKEN_BACK,
+                ..stage.call("book")
+            })
+            .await;
         assert_eq!(answer(&mut client).await.code, Code::Throttled as u8);
         assert_eq!(TOLD.take()[1..], [(Outcome::NotSent, false)]);
         assert_eq!(stage.invokers[&1].arrived.borrow().len(), 1);
@@ -346,11 +441,20 @@
             let stage = Stage::new(first, &[1], 256).await;
             let mut client = stage.client().await;
             stage.invokers[&1].spoilt.set(Spoilt::Silent);
-            client.ask(&Call { limit_ms: 200, ..stage.call("book") }).await;
+            client
+                .ask(&Call {
+                    limit_ms: 200,
+                    ..stage.call("book")
+                })
+                .await;
             pass(100).await;
             tokio::time::advance(Duration::from_millis(stood_ms - 100)).await;
             let heard = tokio::time::timeout(Duration::from_millis(20), client.hear()).await;
-            assert_eq!(matches!(heard, Ok(Some(Heard::Answer(_)))), answers, "{stood_ms}: {heard:?}");
+            assert_eq!(
+                matches!(heard, Ok(Some(Heard::Answer(_)))),
+                answers,
+                "{stood_ms}: {heard:?}"
+            );
         });
     }
 }
@@ -361,20 +465,41 @@
         let stage = Stage::new(first, &[1], 256).await;
         let mut client = stage.client().await;
         let body: Vec<u8> = (0..=255).cycle().take(16 << 10).collect();
-        let call = Call { body: body.clone(), ..stage.call("charge") };
+        let call = Call {
+            body: body.clone(),
+            ..stage.call("charge")
+        };
         client.ask(&call).await;
         assert_eq!(answer(&mut client).await.code, Code::Succeeded as u8);
-        client.ask(&Call { body: vec![], ..stage.call("look") }).await;
+        client
+            .ask(&Call {
+                body: vec![],
+                ..stage.call("look")
+            })
+            .await;
         answer(&mut client).await;
         let arrived = stage.invokers[&1].arrived.borrow();
         let (a, b) = (&arrived[0], &arrived[1]);
-        assert_eq!((a.method.as_str(), a.path.as_str()), ("POST", "/obj/charge"));
-        assert_eq!((&a.fields["x-txn"], a.fields.get("x-dedupe")), (&call.txn(), call.token.as_ref()));
+        assert_eq!(
+            (a.method.as_str(), a.path.as_str()),
+            ("POST", "/obj/charge")
+        );
+        assert_eq!(
+            (&a.fields["x-txn"], a.fields.get("x-dedupe")),
+            (&call.txn(), call.token.as_ref())
+        );
         assert_eq!(a.fields["x-name"], format!("{:016x}", call.function));
-        assert!((1_900..2_000).contains(&a.fields["x-limit-ms"].parse::<u32>().unwrap()), "{:?}", a.fields);
+        assert!(
+            (1_900..2_000).contains(&a.fields["x-limit-ms"].parse::<u32>().unwrap()),
+            "{:?}",
+            a.fields
+        );
         assert_eq!(a.body, Bytes::from(body));
         assert_eq!((b.method.as_str(), b.path.as_str()), ("GET", "/obj/look"));
-        assert!(!b.fields.contains_key("x-dedupe") && !b.fields.contains_key("content-length"), "{b:?}");
+        assert!(
+            !b.fields.contains_key("x-dedupe") && !b.fields.contains_key("content-length"),
+            "{b:?}"
+        );
     });
 }
 
@@ -393,7 +518,11 @@
         let mut client = stage.client().await;
         client.ask(&stage.call("look")).await;
         answer(&mut client).await;
-        assert_eq!(invoker.accepted.get(), 2, "an idle one is closed before the invoker would");
+        assert_eq!(
+            invoker.accepted.get(),
+            2,
+            "an idle one is closed before the invoker would"
+        );
         assert_eq!(invoker.connections.get(), 1);
     });
 }
@@ -411,7 +540,12 @@
     };
     let with = |name: &str, value: Option<&str>| {
         let (txn, mut fields) = (good.txn(), Vec::new());
-        for (n, v) in [("verb", "look"), ("txn", &txn), ("limit", "1000"), ("item", "00000000000000f1")] {
+        for (n, v) in [
+            ("verb", "look"),
+            ("txn", &txn),
+            ("limit", "1000"),
+            ("item", "00000000000000f1"),
+        ] {
             match value {
                 Some(value) if n == name => fields.push((n, value)),
                 None if n == name => {}
@@ -432,14 +566,40 @@
         [9u32.to_be_bytes().to_vec(), vec![77; 9]].concat(),
         frames::invoke(1, &[], &[]).to_vec(),
         frames::invoke(1, &[("verb", "look"), ("verb", "look")], &[]).to_vec(),
-        [frames::invoke(1, &[], &[]).to_vec(), frames::invoke(1, &[], &[]).to_vec()].concat(),
+        [
+            frames::invoke(1, &[], &[]).to_vec(),
+            frames::invoke(1, &[], &[]).to_vec(),
+        ]
+        .concat(),
         good.frame(1)[..40].to_vec(),
-        Call { body: vec![0; 17 << 10], ..good.clone() }.frame(1).to_vec(),
-        Call { trigger: "charge".into(), ..good.clone() }.frame(1).to_vec(),
+        Call {
+            body: vec![0; 17 << 10],
+            ..good.clone()
+        }
+        .frame(1)
+        .to_vec(),
+        Call {
+            trigger: "charge".into(),
+            ..good.clone()
+        }
+        .frame(1)
+        .to_vec(),
     ];
     let values = [
-        ("verb", vec![None, Some(""), Some("looks"), Some("look\r\nX-Txn: 1")]),
-        ("txn", vec![None, Some(""), Some("12"), Some("00000000000000zz"), Some("+000000000000001")]),
+        (
+            "verb",
+            vec![None, Some(""), Some("looks"), Some("look\r\nX-Txn: 1")],
+        ),
+        (
+            "txn",
+            vec![
+                None,
+                Some(""),
+                Some("12"),
+                Some("00000000000000zz"),
+                Some("+000000000000001"),
+            ],
+        ),
         (
             "limit",
             vec![
@@ -453,10 +613,29 @@
                 Some("0"),
             ],
         ),
-        ("item", vec![None, Some("f1"), Some("00000000000000F1"), Some("g0000000000000f1")]),
+        (
+            "item",
+            vec![
+                None,
+                Some("f1"),
+                Some("00000000000000F1"),
+                Some("g0000000000000f1"),
+            ],
+        ),
         ("cpu", vec![Some("-1"), Some("x"), Some("1e12")]),
-        ("extras", vec![Some("memory_mb"), Some("lanes:-1"), Some("memory_mb:999999"), Some("load_ms:inf")]),
-        ("unique", vec![Some(""), Some("a b"), Some("a\r\nX-Unrun: 1")]),
+        (
+            "extras",
+            vec![
+                Some("memory_mb"),
+                Some("lanes:-1"),
+                Some("memory_mb:999999"),
+                Some("load_ms:inf"),
+            ],
+        ),
+        (
+            "unique",
+            vec![Some(""), Some("a b"), Some("a\r\nX-Unrun: 1")],
+        ),
     ];
     for (name, values) in values {
         all.extend(values.into_iter().map(|value| with(name, value)));
@@ -483,17 +662,30 @@
         }
         // Those who only connect are closed; so are those who stay after one invocation.
         let mut silent = stage.client().await;
-        assert_eq!(tokio::time::timeout(Duration::from_millis(2_900), silent.hear()).await, Ok(None));
+        assert_eq!(
+            tokio::time::timeout(Duration::from_millis(2_900), silent.hear()).await,
+            Ok(None)
+        );
         let farewell = tokio::time::timeout(Duration::from_millis(8_000), usual.hear()).await;
-        assert_eq!(farewell, Ok(Some(Heard::GoAway)), "it hears so before its connection is closed");
-        assert_eq!(tokio::time::timeout(Duration::from_millis(300), usual.hear()).await, Ok(None));
+        assert_eq!(
+            farewell,
+            Ok(Some(Heard::GoAway)),
+            "it hears so before its connection is closed"
+        );
+        assert_eq!(
+            tokio::time::timeout(Duration::from_millis(300), usual.hear()).await,
+            Ok(None)
+        );
         let asked: Vec<u64> = stage
             .invokers
             .values()
             .flat_map(|i| i.arrived.borrow().clone())
             .filter_map(|a| u64::from_str_radix(a.fields.get("x-txn")?, 16).ok())
             .collect();
-        assert!(asked.iter().all(|txn| txn >> 8 < 900), "a lie came to an invoker: {asked:x?}");
+        assert!(
+            asked.iter().all(|txn| txn >> 8 < 900),
+            "a lie came to an invoker: {asked:x?}"
+        );
         assert_eq!(stage.broken(), [0u8; 0]);
     });
 }
@@ -506,7 +698,12 @@
         let call = stage.call("look");
         one.ask(&call).await;
         pass(1).await;
-        other.ask(&Call { body: vec![1], ..call.clone() }).await;
+        other
+            .ask(&Call {
+                body: vec![1],
+                ..call.clone()
+            })
+            .await;
         assert_eq!(answer(&mut other).await.code, Code::Errored as u8);
         assert_eq!(answer(&mut one).await.code, Code::Succeeded as u8);
         assert_eq!(stage.invokers[&1].arrived.borrow().len(), 1);
@@ -517,8 +714,20 @@
         for _ in 0..40 {
             codes.push(answer(&mut one).await.code);
         }
-        assert_eq!(codes.iter().filter(|c| **c == Code::Throttled as u8).count(), 8);
-        assert_eq!(codes.iter().filter(|c| **c == Code::Succeeded as u8).count(), 32);
+        assert_eq!(
+            codes
+                .iter()
+                .filter(|c| **c == Code::Throttled as u8)
+                .count(),
+            8
+        );
+        assert_eq!(
+            codes
+                .iter()
+                .filter(|c| **c == Code::Succeeded as u8)
+                .count(),
+            32
+        );
     });
 }
 
@@ -535,14 +744,24 @@
         client.leave(stream).await;
         pass(10).await;
         assert_eq!(stage.sizes().2, 0, "nothing of it is kept");
-        assert_eq!(stage.invokers[&1].connections.get(), 0, "its connection is closed");
+        assert_eq!(
+            stage.invokers[&1].connections.get(),
+            0,
+            "its connection is closed"
+        );
         assert_eq!(stage.broken(), [0u8; 0]);
     });
 }
 
 #[test]
 fn a_torn_feed_is_followed_to_the_same_list() {
-    for torn in [Torn::No, Torn::Half, Torn::Twice, Torn::Stalls, Torn::Length] {
+    for torn in [
+        Torn::No,
+        Torn::Half,
+        Torn::Twice,
+        Torn::Stalls,
+        Torn::Length,
+    ] {
         staged(|| async move {
             let mut stage = Stage::new(by_design, &[1], 256).await;
             stage.invoker(2, invoker_at(2));
@@ -559,8 +778,14 @@
             let mut client = stage.client().await;
             client.ask(&stage.call("look")).await;
             answer(&mut client).await;
-            assert!(stage.invokers[&1].arrived.borrow().is_empty(), "{torn:?}: it drains");
-            assert!(!stage.invokers[&2].arrived.borrow().is_empty(), "{torn:?}: it is ready");
+            assert!(
+                stage.invokers[&1].arrived.borrow().is_empty(),
+                "{torn:?}: it drains"
+            );
+            assert!(
+                !stage.invokers[&2].arrived.borrow().is_empty(),
+                "{torn:?}: it is ready"
+            );
         });
     }
 }
@@ -574,8 +799,14 @@
         spawn_local(moved.clone().serve(stage.network.clone(), feed_at(2)));
         stage.feed.say(2, Event::Nothing);
         stage.front.seat.feed.moves(feed_at(2));
-        moved.say(2, Event::Changes(vec![listing(1, invoker_at(1), Life::Gone, None)]));
-        moved.say(3, Event::Changes(vec![listing(2, invoker_at(2), Life::Ready, LONG_PAST_MS)]));
+        moved.say(
+            2,
+            Event::Changes(vec![listing(1, invoker_at(1), Life::Gone, None)]),
+        );
+        moved.say(
+            3,
+            Event::Changes(vec![listing(2, invoker_at(2), Life::Ready, LONG_PAST_MS)]),
+        );
         pass(600).await;
         assert_eq!(*moved.asked.borrow(), [1]);
         let mut client = stage.client().await;
@@ -593,10 +824,20 @@
         client.ask(&stage.call("look")).await;
         answer(&mut client).await;
         let before = stage.invokers[&1].accepted.get();
-        stage.feed.say(2, Event::Changes(vec![listing(1, invoker_at(1), Life::Gone, None)]));
-        stage.feed.say(3, Event::Changes(vec![listing(7, invoker_at(1), Life::Ready, LONG_PAST_MS)]));
+        stage.feed.say(
+            2,
+            Event::Changes(vec![listing(1, invoker_at(1), Life::Gone, None)]),
+        );
+        stage.feed.say(
+            3,
+            Event::Changes(vec![listing(7, invoker_at(1), Life::Ready, LONG_PAST_MS)]),
+        );
         pass(50).await;
-        assert_eq!(stage.invokers[&1].connections.get(), 0, "those of the old id are closed");
+        assert_eq!(
+            stage.invokers[&1].connections.get(),
+            0,
+            "those of the old id are closed"
+        );
         client.ask(&stage.call("look")).await;
         answer(&mut client).await;
         assert!(stage.invokers[&1].accepted.get() > before);
@@ -611,14 +852,22 @@
         let mut number = 1;
         for round in 0..300u32 {
             let (old, new) = (round * 10 + 1, (round + 1) * 10 + 1);
-            let changes = (0..10).map(|i| listing(new + i, invoker_at(1), Life::Ready, LONG_PAST_MS));
+            let changes =
+                (0..10).map(|i| listing(new + i, invoker_at(1), Life::Ready, LONG_PAST_MS));
             let gone = (0..10).map(|i| listing(old + i, invoker_at(1), Life::Gone, None));
             number += 1;
-            stage.feed.say(number, Event::Changes(changes.chain(gone).collect()));
+            stage
+                .feed
+                .say(number, Event::Changes(changes.chain(gone).collect()));
             let mut client = stage.client().await;
             for _ in 0..10 {
                 let call = stage.call("look");
-                client.ask(&Call { function: 1_000 + call.n, ..call }).await;
+                client
+                    .ask(&Call {
+                        function: 1_000 + call.n,
+                        ..call
+                    })
+                    .await;
             }
             for _ in 0..10 {
                 answer(&mut client).await;
@@ -628,7 +877,10 @@
         pass(20_000).await;
         stage.invokers.clear();
         let (sizes, clients, in_flight) = stage.sizes();
-        assert_eq!((clients, in_flight, sizes.jobs, sizes.bytes), ((0, 0), 0, 0, 0));
+        assert_eq!(
+            (clients, in_flight, sizes.jobs, sizes.bytes),
+            ((0, 0), 0, 0, 0)
+        );
         assert_eq!(sizes.pools, 10, "only those that are listed");
         assert!(sizes.lines <= 10, "{sizes:?}");
     });
@@ -642,7 +894,10 @@
         let mut client = stage.client().await;
         let asked = |w: u32| {
             let arrived = stage.invokers[&w].arrived.borrow();
-            arrived.iter().filter(|a| a.fields.contains_key("x-txn")).count()
+            arrived
+                .iter()
+                .filter(|a| a.fields.contains_key("x-txn"))
+                .count()
         };
         for _ in 0..3 {
             client.ask(&stage.call("look")).await;
@@ -669,11 +924,19 @@
 fn what_is_given_up_after_a_wait_is_forgotten_as_well() {
     staged(|| async {
         let stage = Stage::new(by_design, &[1, 2], 256).await;
-        stage.invokers.values().for_each(|i| i.spoilt.set(Spoilt::Miss));
+        stage
+            .invokers
+            .values()
+            .for_each(|i| i.spoilt.set(Spoilt::Miss));
         let mut client = stage.client().await;
         for n in 0..30 {
             client
-                .ask(&Call { function: 5_000 + n, limit_ms: 800, body: vec![1; 100], ..stage.call("look") })
+                .ask(&Call {
+                    function: 5_000 + n,
+                    limit_ms: 800,
+                    body: vec![1; 100],
+                    ..stage.call("look")
+                })
                 .await;
         }
         for _ in 0..30 {
@@ -691,14 +954,22 @@
     staged(|| async {
         let stage = Stage::new(by_design, &[1, 2], 64).await;
         let budget = stage.front.seat.budget;
-        stage.invokers.values().for_each(|i| i.spoilt.set(Spoilt::Silent));
+        stage
+            .invokers
+            .values()
+            .for_each(|i| i.spoilt.set(Spoilt::Silent));
         let mut crowd = Vec::new();
         for _ in 0..300 {
             crowd.push(stage.client().await);
         }
         let mut usual = stage.client().await;
         for _ in 0..32 {
-            usual.ask(&Call { limit_ms: 1_500, ..stage.call("look") }).await;
+            usual
+                .ask(&Call {
+                    limit_ms: 1_500,
+                    ..stage.call("look")
+                })
+                .await;
         }
         for _ in 0..20 {
             pass(20).await;
@@ -735,9 +1006,16 @@
             heard.push(old.hear().await);
         }
         assert!(heard.contains(&Some(Heard::GoAway)), "{heard:?}");
-        let answers = heard.iter().filter(|h| matches!(h, Some(Heard::Answer(_)))).count();
+        let answers = heard
+            .iter()
+            .filter(|h| matches!(h, Some(Heard::Answer(_))))
+            .count();
         assert_eq!(answers, 2, "{heard:?}");
-        assert_eq!(new.hear().await, Some(Heard::GoAway), "who came later hears it too");
+        assert_eq!(
+            new.hear().await,
+            Some(Heard::GoAway),
+            "who came later hears it too"
+        );
         answer(&mut new).await;
         let late = stage.network.dial(&Address::Tcp(here().to_string())).await;
         assert!(late.is_err(), "the door is shut");
@@ -750,23 +1028,44 @@
     let mut client = stage.client().await;
     for round in 0..rounds {
         for trigger in ["look", "book", "charge"] {
-            client.ask(&Call { limit_ms: 1_000, ..stage.call(trigger) }).await;
+            client
+                .ask(&Call {
+                    limit_ms: 1_000,
+                    ..stage.call(trigger)
+                })
+                .await;
         }
-        let spoilt =
-            [Spoilt::No, Spoilt::ShortBody, Spoilt::No, Spoilt::Miss, Spoilt::No, Spoilt::ResetAfterReading];
-        stage.invokers[&((round % 2) as u32 + 1)].spoilt.set(spoilt[round as usize % spoilt.len()]);
+        let spoilt = [
+            Spoilt::No,
+            Spoilt::ShortBody,
+            Spoilt::No,
+            Spoilt::Miss,
+            Spoilt::No,
+            Spoilt::ResetAfterReading,
+        ];
+        stage.invokers[&((round % 2) as u32 + 1)]
+            .spoilt
+            .set(spoilt[round as usize % spoilt.len()]);
         if round == rounds / 2 {
-            stage.feed.say(2, Event::Changes(vec![listing(1, invoker_at(1), Life::Draining, None)]));
+            stage.feed.say(
+                2,
+                Event::Changes(vec![listing(1, invoker_at(1), Life::Draining, None)]),
+            );
             let started = Some(UNIX_MS + stage.clock.now() / 10 - 3_600_000);
-            stage.feed.say(3, Event::Changes(vec![listing(3, invoker_at(3), Life::Ready, started)]));
+            stage.feed.say(
+                3,
+                Event::Changes(vec![listing(3, invoker_at(3), Life::Ready, started)]),
+            );
         }
-        let _ =
-            tokio::time::timeout(Duration::from_millis(60), async { while client.hear().await.is_some() {} })
-                .await;
+        let _ = tokio::time::timeout(Duration::from_millis(60), async {
+            while client.hear().await.is_some() {}
+        })
+        .await;
     }
-    let _ =
-        tokio::time::timeout(Duration::from_millis(2_500), async { while client.hear().await.is_some() {} })
-            .await;
+    let _ = tokio::time::timeout(Duration::from_millis(2_500), async {
+        while client.hear().await.is_some() {}
+    })
+    .await;
 }
 
 #[test]
@@ -775,7 +1074,11 @@
         let mut stage = Stage::new(by_design, &[1, 2], 256).await;
         stage.invoker(3, invoker_at(3));
         busy(&stage, 120).await;
-        let arrived: usize = stage.invokers.values().map(|i| i.arrived.borrow().len()).sum();
+        let arrived: usize = stage
+            .invokers
+            .values()
+            .map(|i| i.arrived.borrow().len())
+            .sum();
         assert!(arrived > 200, "{arrived}");
         assert_eq!(stage.broken(), [0u8; 0]);
     });
@@ -802,7 +1105,11 @@
             Self::OrdersAtWill => (0..4).for_each(|_| acts.hold(2, call.function, 1)),
             Self::RunsAgain | Self::FloodsColdOnes => {}
         }
-        acts.dispatch(call.id, if *self == Self::FloodsColdOnes { 3 } else { 2 }, 0);
+        acts.dispatch(
+            call.id,
+            if *self == Self::FloodsColdOnes { 3 } else { 2 },
+            0,
+        );
     }
     fn left(&mut self, _: Tenths, _: InvId) {}
     fn answered(&mut self, _: Tenths, a: Answer, acts: &mut dyn Acts) {
@@ -818,14 +1125,23 @@
 
 #[test]
 fn the_checker_catches_each_planted_fault() {
-    for (rash, rule) in [(Rash::AnswersNothing, 1), (Rash::RunsAgain, 2), (Rash::OrdersAtWill, 5)] {
+    for (rash, rule) in [
+        (Rash::AnswersNothing, 1),
+        (Rash::RunsAgain, 2),
+        (Rash::OrdersAtWill, 5),
+    ] {
         staged(|| async move {
             RASH.set(rash);
             let stage = Stage::new(|_, _, _, _| Box::new(RASH.get()), &[1, 2], 256).await;
             let mut client = stage.client().await;
             stage.invokers[&2].spoilt.set(Spoilt::ShortBody);
             for _ in 0..10 {
-                client.ask(&Call { limit_ms: 500, ..stage.call("book") }).await;
+                client
+                    .ask(&Call {
+                        limit_ms: 500,
+                        ..stage.call("book")
+                    })
+                    .await;
             }
             let _ = tokio::time::timeout(Duration::from_millis(1_500), async {
                 while client.hear().await.is_some() {}
@@ -842,7 +1158,13 @@
         // The module hears nothing of it: the news is noted, and never written.
         let stage = Stage::new(first, &[1], 256).await;
         let (at, who) = (stage.clock.now(), WHO);
-        stage.record.note(Line::Told { at, who, invoker: 1, incarnation: 0, life: "draining".into() });
+        stage.record.note(Line::Told {
+            at,
+            who,
+            invoker: 1,
+            incarnation: 0,
+            life: "draining".into(),
+        });
         pass(400).await;
         let mut client = stage.client().await;
         client.ask(&stage.call("look")).await;
@@ -855,7 +1177,10 @@
 #[test]
 fn the_checker_catches_what_is_sent_on_for_who_has_left() {
     for (after, caught) in [(100, false), (101, true)] {
-        let (of, at) = (saltdrum_standin::record::Try { n: 1, attempt: 0 }, 1_000 * MILLI);
+        let (of, at) = (
+            saltdrum_standin::record::Try { n: 1, attempt: 0 },
+            1_000 * MILLI,
+        );
         let sent_on = at + after * MILLI;
         let (invoker, invocation, hop, trigger) = (1, 1, 0, "look".to_owned());
         let lines = [
@@ -872,7 +1197,11 @@
                 trigger,
             },
         ];
-        assert_eq!(!sent_on_after_leaving(&lines).is_empty(), caught, "{after} ms");
+        assert_eq!(
+            !sent_on_after_leaving(&lines).is_empty(),
+            caught,
+            "{after} ms"
+        );
     }
 }
 
@@ -887,8 +1216,15 @@
         answer(&mut client).await;
         assert_eq!(stage.invokers[&1].limit_faults.borrow().len(), 0);
         pass(500).await;
-        let mut line = stage.network.dial(&Address::Tcp(invoker_at(1).to_string())).await.unwrap();
-        let late = format!("GET /obj/look HTTP/1.1\r\nX-Txn: {}\r\nX-Limit-Ms: 1900\r\n\r\n", call.txn());
+        let mut line = stage
+            .network
+            .dial(&Address::Tcp(invoker_at(1).to_string()))
+            .await
+            .unwrap();
+        let late = format!(
+            "GET /obj/look HTTP/1.1\r\nX-Txn: {}\r\nX-Limit-Ms: 1900\r\n\r\n",
+            call.txn()
+        );
         line.write_all(late.as_bytes()).await.unwrap();
         pass(100).await;
         assert!(stage.broken().contains(&8));
@@ -922,9 +1258,18 @@
         let mut stage = Stage::new(|_, _, _, _| Box::new(RASH.get()), &[], 1_024).await;
         stage.invoker(3, invoker_at(3));
         let (at, invoker) = (stage.clock.now(), 3);
-        stage.record.note(Line::Invoker { at, invoker, incarnation: 1, up: true, cold: true });
+        stage.record.note(Line::Invoker {
+            at,
+            invoker,
+            incarnation: 1,
+            up: true,
+            cold: true,
+        });
         let started = Some(UNIX_MS);
-        stage.feed.say(2, Event::Changes(vec![listing(3, invoker_at(3), Life::Ready, started)]));
+        stage.feed.say(
+            2,
+            Event::Changes(vec![listing(3, invoker_at(3), Life::Ready, started)]),
+        );
         pass(20).await;
         let mut client = stage.client().await;
         for _ in 0..400 {
@@ -933,7 +1278,10 @@
                 stage.record.note(Line::Sent {
                     at: stage.clock.now(),
                     who: WHO,
-                    of: saltdrum_standin::record::Try { n: call.n, attempt: 0 },
+                    of: saltdrum_standin::record::Try {
+                        n: call.n,
+                        attempt: 0,
+                    },
                     tenant: String::new(),
                     trigger: "look".into(),
                     function: String::new(),
--- a/crates/protocol/src/frame.rs
+++ b/crates/protocol/src/frame.rs
@@ -31,10 +31,15 @@
 
 /// Takes the first whole frame off the front of `read`; `None` while it is not all there.
 pub fn cut(read: &mut BytesMut) -> Result<Option<(u8, Bytes)>, Malformed> {
-    let Some(head) = read.first_chunk::<HEAD>() else { return Ok(None) };
+    let Some(head) = read.first_chunk::<HEAD>() else {
+        return Ok(None);
+    };
     let length = u32::from_le_bytes(*head) as usize;
     if length > FRAME_MOST_BYTES {
-        return Err(Malformed::Oversize { got: length, most: FRAME_MOST_BYTES });
+        return Err(Malformed::Oversize {
+            got: length,
+            most: FRAME_MOST_BYTES,
+        });
     }
     if length == 0 {
         return Err(Malformed::Empty);
@@ -51,11 +56,16 @@
 /// Reads a body; bytes left over are an error, as they would be another meaning.
 pub fn body<M: Message>(body: &[u8]) -> Result<M, Malformed> {
     let mut rest = body;
-    let read = rmp_serde::decode::from_read(&mut rest)
-        .map_err(|e| Malformed::Body { what: M::NAME, why: e.to_string() })?;
+    let read = rmp_serde::decode::from_read(&mut rest).map_err(|e| Malformed::Body {
+        what: M::NAME,
+        why: e.to_string(),
+    })?;
     match rest.len() {
         0 => Ok(read),
-        n => Err(Malformed::Body { what: M::NAME, why: format!("{n} bytes after its end") }),
+        n => Err(Malformed::Body {
+            what: M::NAME,
+            why: format!("{n} bytes after its end"),
+        }),
     }
 }
 
--- a/crates/protocol/src/invoker.rs
+++ b/crates/protocol/src/invoker.rs
@@ -185,5 +185,9 @@
     if version >= hello.version_least && version >= VERSION_LEAST {
         return Ok(version);
     }
-    Err(Malformed::Version { least: hello.version_least, most: hello.version_most, ours: VERSION })
+    Err(Malformed::Version {
+        least: hello.version_least,
+        most: hello.version_most,
+        ours: VERSION,
+    })
 }
--- a/crates/protocol/src/rpc.rs
+++ b/crates/protocol/src/rpc.rs
@@ -85,25 +85,46 @@
             Some(Id(id.to_owned()))
         }
         Some(id) => {
-            return Err(refuse(None, format!("id {}: a string, number or null is expected", id.get())));
+            return Err(refuse(
+                None,
+                format!("id {}: a string, number or null is expected", id.get()),
+            ));
         }
     };
     if shape.jsonrpc.map(RawValue::get) != Some("\"2.0\"") {
         return Err(refuse(id.as_ref(), "jsonrpc: \"2.0\" is expected".into()));
     }
-    let method: Option<String> = shape.method.and_then(|m| serde_json::from_str(m.get()).ok());
-    let method = method.ok_or_else(|| refuse(id.as_ref(), "method: a string is expected".into()))?;
+    let method: Option<String> = shape
+        .method
+        .and_then(|m| serde_json::from_str(m.get()).ok());
+    let method =
+        method.ok_or_else(|| refuse(id.as_ref(), "method: a string is expected".into()))?;
     match shape.params.map(|p| p.get().as_bytes()[0]) {
-        None | Some(b'{' | b'[') => Ok(Call { id, method, params: shape.params.map(ToOwned::to_owned) }),
-        Some(_) => Err(refuse(id.as_ref(), "params: an object or an array is expected".into())),
+        None | Some(b'{' | b'[') => Ok(Call {
+            id,
+            method,
+            params: shape.params.map(ToOwned::to_owned),
+        }),
+        Some(_) => Err(refuse(
+            id.as_ref(),
+            "params: an object or an array is expected".into(),
+        )),
     }
 }
 
 /// Reads one line, its line break left out.
 pub fn read(line: &[u8]) -> Result<Line, Refusal> {
-    let fail = |code, why: String| Refusal { id: Id::null(), code, why };
-    let text = std::str::from_utf8(line)
-        .map_err(|e| fail(PARSE_ERROR, format!("not UTF-8 at byte {}", e.valid_up_to())))?;
+    let fail = |code, why: String| Refusal {
+        id: Id::null(),
+        code,
+        why,
+    };
+    let text = std::str::from_utf8(line).map_err(|e| {
+        fail(
+            PARSE_ERROR,
+            format!("not UTF-8 at byte {}", e.valid_up_to()),
+        )
+    })?;
     if text.trim_start().starts_with('[') {
         let parts: Vec<&RawValue> =
             serde_json::from_str(text).map_err(|e| fail(PARSE_ERROR, e.to_string()))?;
@@ -112,7 +133,8 @@
         }
         return Ok(Line::Batch(parts.into_iter().map(call).collect()));
     }
-    let raw: &RawValue = serde_json::from_str(text).map_err(|e| fail(PARSE_ERROR, e.to_string()))?;
+    let raw: &RawValue =
+        serde_json::from_str(text).map_err(|e| fail(PARSE_ERROR, e.to_string()))?;
     Ok(Line::Single(call(raw)))
 }
 
@@ -145,14 +167,22 @@
 
 /// One answer, without line break.
 pub fn result(id: &Id, result: &str) -> String {
-    format!(r#"{{"jsonrpc":"2.0","id":{},"result":{result}}}"#, id.as_str())
+    format!(
+        r#"{{"jsonrpc":"2.0","id":{},"result":{result}}}"#,
+        id.as_str()
+    )
 }
 
 /// One answer that tells of an error, without line break.
 pub fn error(id: &Id, code: i64, why: &str, data: Option<&str>) -> String {
     let why = serde_json::to_string(why).expect("a string is JSON");
-    let data = data.map(|data| format!(",\"data\":{data}")).unwrap_or_default();
-    format!(r#"{{"jsonrpc":"2.0","id":{},"error":{{"code":{code},"message":{why}{data}}}}}"#, id.as_str())
+    let data = data
+        .map(|data| format!(",\"data\":{data}"))
+        .unwrap_or_default();
+    format!(
+        r#"{{"jsonrpc":"2.0","id":{},"error":{{"code":{code},"message":{why}{data}}}}}"#,
+        id.as_str()
+    )
 }
 
 /// An answer as a client reads it.
--- a/crates/protocol/tests/codecs.rs
+++ b/crates/protocol/tests/codecs.rs
@@ -87,7 +87,10 @@
 
 #[test]
 fn an_answer_comes_back_as_it_was() {
-    let load = Load { cores_busy: Some(0.5), waiting: None };
+    let load = Load {
+        cores_busy: Some(0.5),
+        waiting: None,
+    };
     let answer = Answer {
         dispatch: 1,
         ended: Ended::Full,
@@ -97,16 +100,29 @@
         output: ByteBuf::new(),
     };
     let bytes = encode(&answer);
-    assert_eq!(FromInvoker::read(bytes[4], &bytes[5..]), Ok(FromInvoker::Answer(answer)));
+    assert_eq!(
+        FromInvoker::read(bytes[4], &bytes[5..]),
+        Ok(FromInvoker::Answer(answer))
+    );
 }
 
 #[test]
 fn what_is_wrong_with_a_frame_is_said() {
     let cut_of = |bytes: &[u8]| cut(&mut BytesMut::from(bytes)).unwrap_err().to_string();
-    assert_eq!(cut_of(&[0, 0, 0, 0, 1]), "frame of 0 bytes: a kind byte is expected");
+    assert_eq!(
+        cut_of(&[0, 0, 0, 0, 1]),
+        "frame of 0 bytes: a kind byte is expected"
+    );
     assert!(cut_of(&[255, 255, 255, 255]).contains(&format!("at most {FRAME_MOST_BYTES}")));
-    assert!(FromInvoker::read(2, &[]).unwrap_err().to_string().contains("kind 2"));
-    let long = FromController::read(3, &[0x91, 5, 5]).unwrap_err().to_string();
+    assert!(
+        FromInvoker::read(2, &[])
+            .unwrap_err()
+            .to_string()
+            .contains("kind 2")
+    );
+    let long = FromController::read(3, &[0x91, 5, 5])
+        .unwrap_err()
+        .to_string();
     assert_eq!(long, "body of a 'Cancel' frame: 1 bytes after its end");
     let hello = |least, most| Hello {
         version_least: least,
@@ -116,7 +132,14 @@
         invoker: 0,
     };
     assert_eq!(agree(&hello(1, 9)), Ok(1));
-    assert_eq!(agree(&hello(2, 9)), Err(Malformed::Version { least: 2, most: 9, ours: 1 }));
+    assert_eq!(
+        agree(&hello(2, 9)),
+        Err(Malformed::Version {
+            least: 2,
+            most: 9,
+            ours: 1
+        })
+    );
 }
 
 #[test]
@@ -128,16 +151,28 @@
     assert_eq!(refusal("{\"jsonrpc\":"), (rpc::PARSE_ERROR, "null".into()));
     assert_eq!(refusal("[]"), (rpc::INVALID_REQUEST, "null".into()));
     assert_eq!(refusal("7"), (rpc::INVALID_REQUEST, "null".into()));
-    assert_eq!(refusal(r#"{"jsonrpc":"1.0","method":"a","id":4}"#), (rpc::INVALID_REQUEST, "4".into()));
-    assert_eq!(refusal(r#"{"jsonrpc":"2.0","method":7,"id":"x"}"#), (rpc::INVALID_REQUEST, "\"x\"".into()));
-    assert_eq!(refusal(r#"{"jsonrpc":"2.0","method":"a","id":{}}"#), (rpc::INVALID_REQUEST, "null".into()));
+    assert_eq!(
+        refusal(r#"{"jsonrpc":"1.0","method":"a","id":4}"#),
+        (rpc::INVALID_REQUEST, "4".into())
+    );
+    assert_eq!(
+        refusal(r#"{"jsonrpc":"2.0","method":7,"id":"x"}"#),
+        (rpc::INVALID_REQUEST, "\"x\"".into())
+    );
+    assert_eq!(
+        refusal(r#"{"jsonrpc":"2.0","method":"a","id":{}}"#),
+        (rpc::INVALID_REQUEST, "null".into())
+    );
     assert_eq!(
         refusal(r#"{"jsonrpc":"2.0","method":"a","params":3,"id":1}"#),
         (rpc::INVALID_REQUEST, "1".into())
     );
-    let Ok(rpc::Line::Single(Ok(call))) = rpc::read(br#"{"jsonrpc":"2.0","method":"a"}"#) else { panic!() };
+    let Ok(rpc::Line::Single(Ok(call))) = rpc::read(br#"{"jsonrpc":"2.0","method":"a"}"#) else {
+        panic!()
+    };
     assert!(call.id.is_none());
-    let Ok(rpc::Line::Batch(parts)) = rpc::read(br#"[1,{"jsonrpc":"2.0","method":"a","id":null}]"#) else {
+    let Ok(rpc::Line::Batch(parts)) = rpc::read(br#"[1,{"jsonrpc":"2.0","method":"a","id":null}]"#)
+    else {
         panic!()
     };
     assert!(parts[0].is_err() && parts[1].as_ref().is_ok_and(|c| c.id.is_some()));
--- a/crates/registry/examples/cost.rs
+++ b/crates/registry/examples/cost.rs
@@ -3,7 +3,10 @@
 //!
 //!     cargo run --release -p saltdrum-registry --example cost
 
-#![expect(clippy::disallowed_methods, reason = "it is this machine's time that is asked for")]
+#![expect(
+    clippy::disallowed_methods,
+    reason = "it is this machine's time that is asked for"
+)]
 
 use redb::{Database, TableDefinition};
 use saltdrum_layers::Digest;
@@ -33,16 +36,31 @@
         lanes: 6,
         trigger_types: vec!["narrate".into()],
     };
-    Change::Push { model: name(&format!("model-{}", n % 500)), name: name(&format!("v{n}")), version }
+    Change::Push {
+        model: name(&format!("model-{}", n % 500)),
+        name: name(&format!("v{n}")),
+        version,
+    }
 }
 
 fn moves(n: u64, expect: u64) -> Change {
     let (space, alias, model) = (Namespace::All, name("model-0-current"), name("model-0"));
-    Change::Move { space, alias, model, version: name(&format!("v{}", n % 2 * 500)), expect, stage: None }
+    Change::Move {
+        space,
+        alias,
+        model,
+        version: name(&format!("v{}", n % 2 * 500)),
+        expect,
+        stage: None,
+    }
 }
 
 fn asked(change: Change) -> Asked {
-    Asked { who: "cost".into(), at_ms: 0, change }
+    Asked {
+        who: "cost".into(),
+        at_ms: 0,
+        change,
+    }
 }
 
 fn rate(many: u64, work: impl FnOnce()) -> f64 {
@@ -61,14 +79,21 @@
     let bare = rate(COMMITS, || {
         for n in 0..COMMITS {
             let txn = database.begin_write().expect("a write");
-            txn.open_table(LOG).expect("a table").insert(n, bytes.as_slice()).expect("an insert");
+            txn.open_table(LOG)
+                .expect("a table")
+                .insert(n, bytes.as_slice())
+                .expect("an insert");
             txn.commit().expect("a commit");
         }
     });
     let mut store = Store::open_file(&folder.path().join("one.redb")).expect("a store");
     let single = rate(COMMITS, || {
         for n in 0..COMMITS {
-            store.take(vec![asked(push(n))]).expect("disk").remove(0).expect("taken");
+            store
+                .take(vec![asked(push(n))])
+                .expect("disk")
+                .remove(0)
+                .expect("taken");
         }
     });
     let mut n = COMMITS;
@@ -107,17 +132,30 @@
     let book = store.head().book.clone();
     let mut passages = Passages::new(3_600_000);
     const FIXES: u64 = 200_000;
-    let texts: Vec<String> = (0..FIXES).map(|n| format!("passage-{}", n % 20_000)).collect();
+    let texts: Vec<String> = (0..FIXES)
+        .map(|n| format!("passage-{}", n % 20_000))
+        .collect();
     let begins = rate(FIXES, || {
         for text in &texts {
-            let said = Said { passage: Some(text), ..Default::default() };
-            passages.fix(&book, 0, "hill", "model-0-current", &said).expect("it is there");
+            let said = Said {
+                passage: Some(text),
+                ..Default::default()
+            };
+            passages
+                .fix(&book, 0, "hill", "model-0-current", &said)
+                .expect("it is there");
         }
     });
     let handed = rate(FIXES, || {
         for text in &texts {
-            let said = Said { passage: Some(text), version: Some("model-0@v0"), until_ms: Some(1_000_000) };
-            passages.fix(&book, 0, "hill", "model-0-current", &said).expect("it is there");
+            let said = Said {
+                passage: Some(text),
+                version: Some("model-0@v0"),
+                until_ms: Some(1_000_000),
+            };
+            passages
+                .fix(&book, 0, "hill", "model-0-current", &said)
+                .expect("it is there");
         }
     });
     println!(
@@ -126,10 +164,19 @@
         1e6 / handed
     );
 
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let network: Rc<dyn Network> = Rc::new(Sockets);
-        let at = Address::Unix(folder.path().join("registry.sock").to_string_lossy().into_owned());
+        let at = Address::Unix(
+            folder
+                .path()
+                .join("registry.sock")
+                .to_string_lossy()
+                .into_owned(),
+        );
         let registry = Registry::new(store, None, Rc::new(|| 0));
         let serving = registry.clone();
         let (served, door) = (at.clone(), network.clone());
@@ -144,19 +191,30 @@
                     noted.set(head.revision());
                 }
             };
-            let of = Following { registry: at.clone(), key: key.clone(), who: n.to_string(), copy: None };
+            let of = Following {
+                registry: at.clone(),
+                key: key.clone(),
+                who: n.to_string(),
+                copy: None,
+            };
             spawn_local(follow(of, network.clone(), n as u64, hear));
         }
         let all_at = |revision: u64| heard.iter().all(|h| h.get() >= revision);
         while !all_at(100_002) {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        println!("100 watchers begin, each told 100,000 versions: {:.1} s", began.elapsed().as_secs_f64());
+        println!(
+            "100 watchers begin, each told 100,000 versions: {:.1} s",
+            began.elapsed().as_secs_f64()
+        );
         let mut caller = Caller::dial(&network, &at, &key).await.expect("a caller");
         let (mut times, mut expect) = (Vec::new(), 100_002);
         for n in 1..=20 {
             let began = Instant::now();
-            let told = caller.call("change", json!({ "change": moves(n, expect) })).await.expect("moved");
+            let told = caller
+                .call("change", json!({ "change": moves(n, expect) }))
+                .await
+                .expect("moved");
             expect = told["revision"].as_u64().expect("a revision");
             while !all_at(expect) {
                 tokio::task::yield_now().await;
@@ -164,6 +222,9 @@
             times.push(began.elapsed().as_secs_f64() * 1e3);
         }
         times.sort_by(f64::total_cmp);
-        println!("a move to the last of 100 watchers: {:.1} ms median, {:.1} ms most", times[10], times[19]);
+        println!(
+            "a move to the last of 100 watchers: {:.1} ms median, {:.1} ms most",
+            times[10], times[19]
+        );
     });
 }
--- a/crates/registry/src/blobs.rs
+++ b/crates/registry/src/blobs.rs
@@ -18,9 +18,14 @@
     let told = |why: String| format!("manifest {digest}: {why}");
     let file = fs::File::open(at).map_err(|e| told(e.to_string()))?;
     let mut bytes = Vec::new();
-    file.take(MANIFEST_MOST_BYTES as u64 + 1).read_to_end(&mut bytes).map_err(|e| told(e.to_string()))?;
+    file.take(MANIFEST_MOST_BYTES as u64 + 1)
+        .read_to_end(&mut bytes)
+        .map_err(|e| told(e.to_string()))?;
     if Digest::of(&bytes) != *digest {
-        return Err(told(format!("its bytes have digest {}", Digest::of(&bytes))));
+        return Err(told(format!(
+            "its bytes have digest {}",
+            Digest::of(&bytes)
+        )));
     }
     Manifest::read(&bytes).map_err(|e| told(e.to_string()))
 }
@@ -59,9 +64,10 @@
             }
         };
         for chunk in read.chunks.iter().filter(|c| seen.insert(c.digest)) {
+            let looked = fs::read(path(folder, &chunk.digest))
+                .map_err(|e| format!("chunk {}: {e}", chunk.digest));
             let looked =
-                fs::read(path(folder, &chunk.digest)).map_err(|e| format!("chunk {}: {e}", chunk.digest));
-            let looked = looked.and_then(|bytes| cut::verify(chunk, &bytes).map_err(|e| e.to_string()));
+                looked.and_then(|bytes| cut::verify(chunk, &bytes).map_err(|e| e.to_string()));
             wrong.extend(looked.err().map(|why| format!("{model}@{name}: {why}")));
         }
     }
--- a/crates/registry/src/book.rs
+++ b/crates/registry/src/book.rs
@@ -148,15 +148,32 @@
 pub enum Refusal {
     #[error("{what} '{name}' is not known")]
     Unknown { what: &'static str, name: String },
-    #[error("model '{model}' has a version '{name}' already, with manifest {has}: a version never changes")]
-    Exists { model: Name, name: Name, has: Digest },
+    #[error(
+        "model '{model}' has a version '{name}' already, with manifest {has}: a version never changes"
+    )]
+    Exists {
+        model: Name,
+        name: Name,
+        has: Digest,
+    },
     #[error("alias '{alias}' is at revision {at}, {expected} was expected: someone else moved it")]
-    Moved { alias: Name, at: Revision, expected: Revision },
+    Moved {
+        alias: Name,
+        at: Revision,
+        expected: Revision,
+    },
     #[error("version '{name}' of model '{model}' was withdrawn")]
     Withdrawn { model: Name, name: Name },
     #[error("version '{name}' of model '{model}' is named by alias '{alias}' of {space}")]
-    Named { model: Name, name: Name, alias: Name, space: String },
-    #[error("alias '{alias}' stands for model '{has}': a move to model '{asked}' needs another alias")]
+    Named {
+        model: Name,
+        name: Name,
+        alias: Name,
+        space: String,
+    },
+    #[error(
+        "alias '{alias}' stands for model '{has}': a move to model '{asked}' needs another alias"
+    )]
     OtherModel { alias: Name, has: Name, asked: Name },
     #[error("alias '{0}' has nothing to go back to")]
     NothingBefore(Name),
@@ -199,16 +216,26 @@
     fn look(&self) -> Result<(), Refusal> {
         let bad = |place, why: String| Err(Refusal::Value { place, why });
         if !(1..=LANES_MOST).contains(&self.lanes) {
-            return bad("lanes", format!("{}: 1 to {LANES_MOST} are expected", self.lanes));
+            return bad(
+                "lanes",
+                format!("{}: 1 to {LANES_MOST} are expected", self.lanes),
+            );
         }
         if !(1..=MEMORY_MOST_MB).contains(&self.memory_mb) {
-            return bad("memory_mb", format!("{}: 1 to {MEMORY_MOST_MB} are expected", self.memory_mb));
+            return bad(
+                "memory_mb",
+                format!("{}: 1 to {MEMORY_MOST_MB} are expected", self.memory_mb),
+            );
         }
         if !(1..=BYTES_MOST).contains(&self.bytes) {
-            return bad("bytes", format!("{}: 1 to {BYTES_MOST} are expected", self.bytes));
+            return bad(
+                "bytes",
+                format!("{}: 1 to {BYTES_MOST} are expected", self.bytes),
+            );
         }
         let n = self.trigger_types.len();
-        if !(1..=TRIGGER_TYPES_MOST).contains(&n) || self.trigger_types.iter().any(|t| t.len() > 64) {
+        if !(1..=TRIGGER_TYPES_MOST).contains(&n) || self.trigger_types.iter().any(|t| t.len() > 64)
+        {
             return bad(
                 "trigger_types",
                 format!("{n} of them: 1 to {TRIGGER_TYPES_MOST} short ones are expected"),
@@ -220,10 +247,16 @@
 
 impl Stage {
     fn look(&self) -> Result<(), Refusal> {
-        if !(1..1_000).contains(&self.per_mille) || self.errors_per_mille > 1_000 || self.answers == 0 {
+        if !(1..1_000).contains(&self.per_mille)
+            || self.errors_per_mille > 1_000
+            || self.answers == 0
+        {
             let why =
                 "1 to 999 of a thousand passages, up to 1000 errors, at least one answer are expected".into();
-            return Err(Refusal::Value { place: "stage", why });
+            return Err(Refusal::Value {
+                place: "stage",
+                why,
+            });
         }
         Ok(())
     }
@@ -239,23 +272,39 @@
     }
 
     fn offered(&self, model: &Name, name: &Name) -> Result<(), Refusal> {
-        let held = self
-            .version(model, name)
-            .ok_or_else(|| Refusal::Unknown { what: "version", name: format!("{model}@{name}") })?;
+        let held = self.version(model, name).ok_or_else(|| Refusal::Unknown {
+            what: "version",
+            name: format!("{model}@{name}"),
+        })?;
         match held.standing {
             Standing::Offered => Ok(()),
-            Standing::Withdrawn => Err(Refusal::Withdrawn { model: model.clone(), name: name.clone() }),
+            Standing::Withdrawn => Err(Refusal::Withdrawn {
+                model: model.clone(),
+                name: name.clone(),
+            }),
         }
     }
 
     /// The alias as it stands, where that is what the asker thinks.
-    fn compared(&self, space: &Namespace, alias: &Name, expect: Revision) -> Result<Alias, Refusal> {
+    fn compared(
+        &self,
+        space: &Namespace,
+        alias: &Name,
+        expect: Revision,
+    ) -> Result<Alias, Refusal> {
         let found = self.alias(space, alias).cloned();
-        let found = found.ok_or_else(|| Refusal::Unknown { what: "alias", name: alias.to_string() })?;
+        let found = found.ok_or_else(|| Refusal::Unknown {
+            what: "alias",
+            name: alias.to_string(),
+        })?;
         if found.changed == expect {
             return Ok(found);
         }
-        Err(Refusal::Moved { alias: alias.clone(), at: found.changed, expected: expect })
+        Err(Refusal::Moved {
+            alias: alias.clone(),
+            at: found.changed,
+            expected: expect,
+        })
     }
 
     /// The book with the change, or why not. The one place where anything changes: replays go through it as well.
@@ -264,20 +313,41 @@
         if revision > REVISION_MOST {
             return Err(Refusal::TooMany(revision));
         }
-        let mut book = Book { revision, ..self.clone() };
+        let mut book = Book {
+            revision,
+            ..self.clone()
+        };
         match change {
-            Change::Push { model, name, version } => {
+            Change::Push {
+                model,
+                name,
+                version,
+            } => {
                 version.look()?;
                 let key = (model.clone(), name.clone());
                 if self.gone.contains(&key) {
-                    return Err(Refusal::Withdrawn { model: model.clone(), name: name.clone() });
+                    return Err(Refusal::Withdrawn {
+                        model: model.clone(),
+                        name: name.clone(),
+                    });
                 }
                 if let Some(held) = self.versions.get(&key) {
                     let has = held.version.manifest;
-                    return Err(Refusal::Exists { model: model.clone(), name: name.clone(), has });
+                    return Err(Refusal::Exists {
+                        model: model.clone(),
+                        name: name.clone(),
+                        has,
+                    });
                 }
                 let (version, standing) = (version.clone(), Standing::Offered);
-                book.versions.insert(key, Held { version, standing, pushed: revision });
+                book.versions.insert(
+                    key,
+                    Held {
+                        version,
+                        standing,
+                        pushed: revision,
+                    },
+                );
             }
             Change::Withdraw { model, name } => {
                 self.offered(model, name)?;
@@ -287,40 +357,76 @@
             Change::Delete { model, name } => {
                 let key = (model.clone(), name.clone());
                 if !self.versions.contains_key(&key) {
-                    return Err(Refusal::Unknown { what: "version", name: format!("{model}@{name}") });
+                    return Err(Refusal::Unknown {
+                        what: "version",
+                        name: format!("{model}@{name}"),
+                    });
                 }
                 if let Some((space, alias)) = self.named_by(model, name) {
                     let (model, name, space) = (model.clone(), name.clone(), space.told());
-                    return Err(Refusal::Named { model, name, alias, space });
+                    return Err(Refusal::Named {
+                        model,
+                        name,
+                        alias,
+                        space,
+                    });
                 }
                 book.versions.remove(&key);
                 book.gone.insert(key);
             }
-            Change::Move { space, alias, model, version, expect, stage } => {
+            Change::Move {
+                space,
+                alias,
+                model,
+                version,
+                expect,
+                stage,
+            } => {
                 self.offered(model, version)?;
                 let key = (space.clone(), alias.clone());
                 let next = match self.aliases.get(&key) {
                     None if *expect != 0 || stage.is_some() => {
-                        return Err(Refusal::Unknown { what: "alias", name: alias.to_string() });
+                        return Err(Refusal::Unknown {
+                            what: "alias",
+                            name: alias.to_string(),
+                        });
                     }
                     None => {
                         let (model, version) = (model.clone(), version.clone());
-                        Alias { model, version, before: None, stage: None, changed: revision }
+                        Alias {
+                            model,
+                            version,
+                            before: None,
+                            stage: None,
+                            changed: revision,
+                        }
                     }
                     Some(_) => {
                         let found = self.compared(space, alias, *expect)?;
                         if found.model != *model {
                             let (alias, asked) = (alias.clone(), model.clone());
-                            return Err(Refusal::OtherModel { alias, has: found.model, asked });
+                            return Err(Refusal::OtherModel {
+                                alias,
+                                has: found.model,
+                                asked,
+                            });
                         }
                         match stage {
                             Some(stage) => {
                                 stage.look()?;
                                 if stage.to != *version {
-                                    let why = format!("to '{}': the move says '{version}'", stage.to);
-                                    return Err(Refusal::Value { place: "stage", why });
+                                    let why =
+                                        format!("to '{}': the move says '{version}'", stage.to);
+                                    return Err(Refusal::Value {
+                                        place: "stage",
+                                        why,
+                                    });
+                                }
+                                Alias {
+                                    stage: Some(stage.clone()),
+                                    changed: revision,
+                                    ..found
                                 }
-                                Alias { stage: Some(stage.clone()), changed: revision, ..found }
                             }
                             None => {
                                 let before = Some(found.version);
@@ -337,31 +443,70 @@
                 };
                 book.aliases.insert(key, next);
             }
-            Change::EndStage { space, alias, expect, well, .. } => {
+            Change::EndStage {
+                space,
+                alias,
+                expect,
+                well,
+                ..
+            } => {
                 let found = self.compared(space, alias, *expect)?;
-                let stage = found.stage.clone().ok_or_else(|| Refusal::NoStage(alias.clone()))?;
+                let stage = found
+                    .stage
+                    .clone()
+                    .ok_or_else(|| Refusal::NoStage(alias.clone()))?;
                 let next = if *well {
                     self.offered(&found.model, &stage.to)?;
                     let before = Some(found.version);
-                    Alias { version: stage.to, before, stage: None, changed: revision, ..found }
+                    Alias {
+                        version: stage.to,
+                        before,
+                        stage: None,
+                        changed: revision,
+                        ..found
+                    }
                 } else {
-                    Alias { stage: None, changed: revision, ..found }
+                    Alias {
+                        stage: None,
+                        changed: revision,
+                        ..found
+                    }
                 };
                 book.aliases.insert((space.clone(), alias.clone()), next);
             }
-            Change::RollBack { space, alias, expect } => {
+            Change::RollBack {
+                space,
+                alias,
+                expect,
+            } => {
                 let found = self.compared(space, alias, *expect)?;
                 // A stage is a move under way: going back is to give it up.
                 let next = if found.stage.is_some() {
-                    Alias { stage: None, changed: revision, ..found }
+                    Alias {
+                        stage: None,
+                        changed: revision,
+                        ..found
+                    }
                 } else {
-                    let to = found.before.clone().ok_or_else(|| Refusal::NothingBefore(alias.clone()))?;
+                    let to = found
+                        .before
+                        .clone()
+                        .ok_or_else(|| Refusal::NothingBefore(alias.clone()))?;
                     self.offered(&found.model, &to)?;
-                    Alias { version: to, before: Some(found.version), changed: revision, ..found }
+                    Alias {
+                        version: to,
+                        before: Some(found.version),
+                        changed: revision,
+                        ..found
+                    }
                 };
                 book.aliases.insert((space.clone(), alias.clone()), next);
             }
-            Change::DropAlias { space, alias, expect } => {
+            Change::DropAlias {
+                space,
+                alias,
+                expect,
+            } => {
                 self.compared(space, alias, *expect)?;
                 book.aliases.remove(&(space.clone(), alias.clone()));
             }
@@ -369,11 +514,20 @@
                 if self.keys.contains_key(id) {
                     return Err(Refusal::KeyExists(id.clone()));
                 }
-                book.keys.insert(id.clone(), Key { role: *role, hash: hash.clone() });
+                book.keys.insert(
+                    id.clone(),
+                    Key {
+                        role: *role,
+                        hash: hash.clone(),
+                    },
+                );
             }
             Change::WithdrawKey { id } => {
                 let key = self.keys.get(id);
-                let key = key.ok_or_else(|| Refusal::Unknown { what: "key", name: id.to_string() })?;
+                let key = key.ok_or_else(|| Refusal::Unknown {
+                    what: "key",
+                    name: id.to_string(),
+                })?;
                 let owners = self.keys.values().filter(|k| k.role == Role::Owner).count();
                 if key.role == Role::Owner && owners == 1 {
                     return Err(Refusal::LastOwner(id.clone()));
@@ -382,7 +536,10 @@
             }
             Change::Restored { over } => {
                 if *over < self.revision || *over >= REVISION_MOST {
-                    return Err(Refusal::NotOver { over: *over, at: self.revision });
+                    return Err(Refusal::NotOver {
+                        over: *over,
+                        at: self.revision,
+                    });
                 }
                 book.revision = over + 1;
             }
@@ -396,7 +553,10 @@
             let tried = a.stage.as_ref().map(|s| &s.to);
             a.model == *model && [Some(&a.version), a.before.as_ref(), tried].contains(&Some(name))
         };
-        self.aliases.iter().find(|(_, a)| names(a)).map(|(key, _)| key.clone())
+        self.aliases
+            .iter()
+            .find(|(_, a)| names(a))
+            .map(|(key, _)| key.clone())
     }
 
     /// Manifests that something may still ask for.
--- a/crates/registry/src/call.rs
+++ b/crates/registry/src/call.rs
@@ -36,14 +36,25 @@
     /// Dials and logs in.
     pub async fn dial(network: &Rc<dyn Network>, at: &Address, key: &str) -> Result<Self, Fault> {
         let dialled = network.dial(at).await;
-        let stream = dialled.map_err(|e| Fault::Line { at: at.clone(), why: e.to_string() })?;
-        let mut caller = Self { at: at.clone(), stream, read: BytesMut::new(), last: 0 };
+        let stream = dialled.map_err(|e| Fault::Line {
+            at: at.clone(),
+            why: e.to_string(),
+        })?;
+        let mut caller = Self {
+            at: at.clone(),
+            stream,
+            read: BytesMut::new(),
+            last: 0,
+        };
         caller.call("login", json!({ "key": key })).await?;
         Ok(caller)
     }
 
     pub async fn call(&mut self, method: &str, params: Json) -> Result<Json, Fault> {
-        let fault = |at: &Address, why: String| Fault::Line { at: at.clone(), why };
+        let fault = |at: &Address, why: String| Fault::Line {
+            at: at.clone(),
+            why,
+        };
         self.last += 1;
         let ask = json!({"jsonrpc": "2.0", "id": self.last, "method": method, "params": params});
         let written = self.stream.write_all(format!("{ask}\n").as_bytes()).await;
@@ -59,7 +70,10 @@
                     continue;
                 }
                 return match reply.error {
-                    Some(e) => Err(Fault::Told { code: e.code, message: e.message }),
+                    Some(e) => Err(Fault::Told {
+                        code: e.code,
+                        message: e.message,
+                    }),
                     None => Ok(reply.result),
                 };
             }
--- a/crates/registry/src/chain.rs
+++ b/crates/registry/src/chain.rs
@@ -49,14 +49,19 @@
 
 impl Default for Head {
     fn default() -> Self {
-        Self { book: Book::default(), hash: nothing() }
+        Self {
+            book: Book::default(),
+            hash: nothing(),
+        }
     }
 }
 
 /// Why an entry does not follow.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Broken {
-    #[error("entry of revision {revision}: it follows another history than the one up to revision {at}")]
+    #[error(
+        "entry of revision {revision}: it follows another history than the one up to revision {at}"
+    )]
     OtherHistory { revision: Revision, at: Revision },
     #[error("entry says revision {said}, its change makes {made}")]
     Revision { said: Revision, made: Revision },
@@ -72,8 +77,13 @@
     /// What a change would become, without taking it.
     pub fn decide(&self, who: &str, at_ms: u64, change: Change) -> Result<(Entry, Head), Refusal> {
         let book = self.book.with(&change)?;
-        let entry =
-            Entry { revision: book.revision, at_ms, who: who.to_owned(), change, before: self.hash.clone() };
+        let entry = Entry {
+            revision: book.revision,
+            at_ms,
+            who: who.to_owned(),
+            change,
+            before: self.hash.clone(),
+        };
         let hash = entry.hash();
         Ok((entry, Head { book, hash }))
     }
@@ -84,10 +94,19 @@
         if entry.before != self.hash {
             return Err(Broken::OtherHistory { revision, at });
         }
-        let book = self.book.with(&entry.change).map_err(|why| Broken::NeverTaken { revision, why })?;
+        let book = self
+            .book
+            .with(&entry.change)
+            .map_err(|why| Broken::NeverTaken { revision, why })?;
         if book.revision != revision {
-            return Err(Broken::Revision { said: revision, made: book.revision });
+            return Err(Broken::Revision {
+                said: revision,
+                made: book.revision,
+            });
         }
-        Ok(Head { book, hash: entry.hash() })
+        Ok(Head {
+            book,
+            hash: entry.hash(),
+        })
     }
 }
--- a/crates/registry/src/collection.rs
+++ b/crates/registry/src/collection.rs
@@ -41,21 +41,39 @@
 
 impl CollectionResource {
     /// From now on the registry is collected by the fleet alone. `incarnation` was never used before.
-    pub fn new(fleet: &str, incarnation: u64, stewards: Vec<Caller>, registry: Rc<Registry>) -> Rc<Self> {
+    pub fn new(
+        fleet: &str,
+        incarnation: u64,
+        stewards: Vec<Caller>,
+        registry: Rc<Registry>,
+    ) -> Rc<Self> {
         registry.is_collected_by_fleet();
         let guard = Guard::started(incarnation, stewards);
-        Rc::new(Self { fleet: fleet.to_owned(), registry, guard })
+        Rc::new(Self {
+            fleet: fleet.to_owned(),
+            registry,
+            guard,
+        })
     }
 
     /// Epoch and effect are one transaction: no seal comes between them.
     fn collect(&self, effect: &Effect<CollectBlobs>) -> Result<String, Refused> {
         let token = &effect.token;
-        self.guard.admit(token).map_err(|why| (REJECTED, rejection_text(&why)))?;
+        self.guard
+            .admit(token)
+            .map_err(|why| (REJECTED, rejection_text(&why)))?;
         let gone = self.registry.collectable(effect.what.grace_ms)?;
         let remove = || self.registry.remove_blobs(&gone);
-        let done = self.registry.store().borrow_mut().while_sealed(&token.lease.0, token.epoch, remove);
+        let done =
+            self.registry
+                .store()
+                .borrow_mut()
+                .while_sealed(&token.lease.0, token.epoch, remove);
         let done = done.map_err(|fault| (UNWRITABLE, fault.to_string()))?;
-        let collected = done.ok_or((UNWRITABLE, "the disk has another seal than this life".to_owned()))??;
+        let collected = done.ok_or((
+            UNWRITABLE,
+            "the disk has another seal than this life".to_owned(),
+        ))??;
         info!(epoch = token.epoch, by = effect.by, %collected, "collected");
         Ok(collected.to_string())
     }
@@ -63,11 +81,19 @@
 
 impl SealStore for CollectionResource {
     fn sealed_epoch(&self, lease: &LeaseName) -> Result<Epoch, String> {
-        self.registry.store().borrow().sealed_epoch(&lease.0).map_err(|fault| fault.to_string())
+        self.registry
+            .store()
+            .borrow()
+            .sealed_epoch(&lease.0)
+            .map_err(|fault| fault.to_string())
     }
 
     fn write_seal(&self, lease: &LeaseName, epoch: Epoch) -> Result<(), String> {
-        self.registry.store().borrow_mut().write_seal(&lease.0, epoch).map_err(|fault| fault.to_string())
+        self.registry
+            .store()
+            .borrow_mut()
+            .write_seal(&lease.0, epoch)
+            .map_err(|fault| fault.to_string())
     }
 }
 
@@ -82,9 +108,10 @@
             }
             "collect" => self.collect(&said(call, &self.fleet)?),
             "status" => Ok(json!({"sealed": self.guard.sealed()}).to_string()),
-            other => {
-                Err((rpc::METHOD_NOT_FOUND, format!("method '{other}' is not one of the registry's tasks")))
-            }
+            other => Err((
+                rpc::METHOD_NOT_FOUND,
+                format!("method '{other}' is not one of the registry's tasks"),
+            )),
         }
     }
 }
--- a/crates/registry/src/follow.rs
+++ b/crates/registry/src/follow.rs
@@ -64,12 +64,16 @@
         let fault = |why: String| io::Error::other(format!("{}: {why}", path.display()));
         let whole = text.rfind('\n').map_or("", |end| &text[..end]);
         let mut lines = whole.lines();
-        let Some(first) = lines.next() else { return Err(fault("the head is missing".into())) };
-        let mut head: Head = serde_json::from_str(first).map_err(|e| fault(format!("line 1: {e}")))?;
+        let Some(first) = lines.next() else {
+            return Err(fault("the head is missing".into()));
+        };
+        let mut head: Head =
+            serde_json::from_str(first).map_err(|e| fault(format!("line 1: {e}")))?;
         for (n, line) in lines.enumerate() {
             let entry: Result<Entry, _> = serde_json::from_str(line);
-            let next =
-                entry.map_err(|e| e.to_string()).and_then(|e| head.follow(&e).map_err(|e| e.to_string()));
+            let next = entry
+                .map_err(|e| e.to_string())
+                .and_then(|e| head.follow(&e).map_err(|e| e.to_string()));
             head = next.map_err(|why| fault(format!("line {}: {why}", n + 2)))?;
         }
         Ok(Some(head))
@@ -81,7 +85,11 @@
         line.push(b'\n');
         file::make_whole(path, |unfinished| file::write_synced(unfinished, &line))?;
         let file = OpenOptions::new().append(true).open(path)?;
-        Ok(Self { path: path.to_owned(), file, entries: 0 })
+        Ok(Self {
+            path: path.to_owned(),
+            file,
+            entries: 0,
+        })
     }
 
     pub fn add(&mut self, entry: &Entry, head: &Head) -> io::Result<()> {
@@ -107,7 +115,12 @@
 }
 
 /// Follows until dropped. `hear` is told first what was kept, then all that comes.
-pub async fn follow(of: Following, network: Rc<dyn Network>, seed: u64, mut hear: impl FnMut(Heard)) {
+pub async fn follow(
+    of: Following,
+    network: Rc<dyn Network>,
+    seed: u64,
+    mut hear: impl FnMut(Heard),
+) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let kept = match &of.copy {
         None => None,
@@ -124,7 +137,10 @@
     }
     let mut watcher = Watcher::from(kept.unwrap_or_default());
     if watcher.head().revision() > 0 {
-        info!(revision = watcher.head().revision(), "the registry's book as it was kept");
+        info!(
+            revision = watcher.head().revision(),
+            "the registry's book as it was kept"
+        );
         hear(Heard::Book(watcher.head().clone()));
     }
     let mut copy = None;
@@ -175,7 +191,9 @@
                 hear(Heard::Refused(e.message.clone()));
                 return e.message;
             }
-            let (Some("told"), Some(params)) = (notice.method.as_deref(), notice.params) else { continue };
+            let (Some("told"), Some(params)) = (notice.method.as_deref(), notice.params) else {
+                continue;
+            };
             let told: Told = match serde_json::from_str(params.get()) {
                 Ok(told) => told,
                 Err(e) => return format!("something that is not known here: {e}"),
@@ -201,7 +219,11 @@
     told: Told,
     hear: &mut impl FnMut(Heard),
 ) -> Result<(), String> {
-    let entry = if let Told::Next { entry } = &told { Some(entry.clone()) } else { None };
+    let entry = if let Told::Next { entry } = &told {
+        Some(entry.clone())
+    } else {
+        None
+    };
     let mut next = watcher.clone();
     match next.hear(told) {
         Ok(false) => hear(Heard::Still),
--- a/crates/registry/src/gc.rs
+++ b/crates/registry/src/gc.rs
@@ -35,14 +35,27 @@
     pub fn begin(&mut self, now_ms: u64, digests: BTreeSet<Digest>, lasts_ms: u64) -> LeaseId {
         self.last += 1;
         self.idle.retain(|d, _| !digests.contains(d));
-        self.leases.insert(self.last, Lease { until_ms: now_ms + lasts_ms, digests });
+        self.leases.insert(
+            self.last,
+            Lease {
+                until_ms: now_ms + lasts_ms,
+                digests,
+            },
+        );
         self.last
     }
 
     /// Whether a push that needs these still holds them. It is asked with the version's change, in the same turn.
     pub fn holds(&self, now_ms: u64, lease: LeaseId, needs: &[Digest]) -> Result<(), Lost> {
-        let held = self.leases.get(&lease).filter(|l| now_ms < l.until_ms).ok_or(Lost::Lease(lease))?;
-        needs.iter().find(|d| !held.digests.contains(d)).map_or(Ok(()), |d| Err(Lost::NotHeld(*d)))
+        let held = self
+            .leases
+            .get(&lease)
+            .filter(|l| now_ms < l.until_ms)
+            .ok_or(Lost::Lease(lease))?;
+        needs
+            .iter()
+            .find(|d| !held.digests.contains(d))
+            .map_or(Ok(()), |d| Err(Lost::NotHeld(*d)))
     }
 
     pub fn end(&mut self, lease: LeaseId) {
@@ -61,8 +74,10 @@
         self.leases.retain(|_, l| now_ms < l.until_ms);
         let leased = |d: &Digest| self.leases.values().any(|l| l.digests.contains(d));
         let present: BTreeSet<Digest> = present.into_iter().collect();
-        let free: BTreeSet<Digest> =
-            present.into_iter().filter(|d| !named.contains(d) && !leased(d)).collect();
+        let free: BTreeSet<Digest> = present
+            .into_iter()
+            .filter(|d| !named.contains(d) && !leased(d))
+            .collect();
         self.idle.retain(|d, _| free.contains(d));
         let mut gone = Vec::new();
         for digest in free {
--- a/crates/registry/src/keys.rs
+++ b/crates/registry/src/keys.rs
@@ -16,7 +16,10 @@
 
 fn hash(id: &str, secret: &str) -> blake3::Hash {
     let mut hasher = blake3::Hasher::new_derive_key("saltdrum registry key, 1");
-    hasher.update(id.as_bytes()).update(b".").update(secret.as_bytes());
+    hasher
+        .update(id.as_bytes())
+        .update(b".")
+        .update(secret.as_bytes());
     hasher.finalize()
 }
 
@@ -34,12 +37,23 @@
     let key = book.keys.get(&id).ok_or(Denied::Key)?;
     let kept = blake3::Hash::from_hex(&key.hash).map_err(|_| Denied::Key)?;
     // Compared in constant time, as the library's hashes are.
-    if kept == hash(&id.to_string(), secret) { Ok((id, key.role)) } else { Err(Denied::Key) }
+    if kept == hash(&id.to_string(), secret) {
+        Ok((id, key.role))
+    } else {
+        Err(Denied::Key)
+    }
 }
 
 /// Whether a key that once opened the door still does, and may do this.
 pub fn may(book: &Book, id: Option<&Name>, needs: Role) -> Result<Name, Denied> {
     let id = id.ok_or(Denied::NoKey)?;
     let key = book.keys.get(id).ok_or(Denied::Key)?;
-    if key.role >= needs { Ok(id.clone()) } else { Err(Denied::Role { has: key.role, needs }) }
+    if key.role >= needs {
+        Ok(id.clone())
+    } else {
+        Err(Denied::Role {
+            has: key.role,
+            needs,
+        })
+    }
 }
--- a/crates/registry/src/names.rs
+++ b/crates/registry/src/names.rs
@@ -21,14 +21,22 @@
 }
 
 fn shown(name: &str) -> String {
-    name.chars().take(80).flat_map(char::escape_default).collect()
+    name.chars()
+        .take(80)
+        .flat_map(char::escape_default)
+        .collect()
 }
 
 impl FromStr for Name {
     type Err = BadName;
 
     fn from_str(text: &str) -> Result<Self, BadName> {
-        let bad = |why| Err(BadName { name: text.to_owned(), why });
+        let bad = |why| {
+            Err(BadName {
+                name: text.to_owned(),
+                why,
+            })
+        };
         let plain = |c: u8| c.is_ascii_lowercase() || c.is_ascii_digit();
         let (Some(first), Some(last)) = (text.bytes().next(), text.bytes().last()) else {
             return bad("empty");
@@ -39,7 +47,11 @@
         if !plain(first) || !plain(last) {
             return bad("begins or ends with something else");
         }
-        if !text.bytes().all(|c| plain(c) || matches!(c, b'.' | b'-' | b'_')) || text.contains("..") {
+        if !text
+            .bytes()
+            .all(|c| plain(c) || matches!(c, b'.' | b'-' | b'_'))
+            || text.contains("..")
+        {
             return bad("something else in it");
         }
         Ok(Self(text.into()))
--- a/crates/registry/src/passage.rs
+++ b/crates/registry/src/passage.rs
@@ -74,7 +74,13 @@
     /// How long a passage may last.
     pub fn new(lasts_ms: u64) -> Self {
         let (begun, by_end, ends, count) = Default::default();
-        Self { lasts_ms, begun, by_end, ends, count }
+        Self {
+            lasts_ms,
+            begun,
+            by_end,
+            ends,
+            count,
+        }
     }
 
     /// Fixes the version of one invocation.
@@ -86,7 +92,10 @@
         name: &str,
         said: &Said,
     ) -> Result<Fixed, Unfixed> {
-        if said.passage.is_some_and(|p| p.is_empty() || p.len() > MOST_BYTES) {
+        if said
+            .passage
+            .is_some_and(|p| p.is_empty() || p.len() > MOST_BYTES)
+        {
             return Err(Unfixed::Passage);
         }
         if let Some(version) = said.version {
@@ -101,7 +110,9 @@
             }
             return Ok(fixed);
         }
-        let Some(passage) = said.passage else { return self.begins(book, now_ms, tenant, name, None) };
+        let Some(passage) = said.passage else {
+            return self.begins(book, now_ms, tenant, name, None);
+        };
         let key = (tenant.to_owned(), name.to_owned(), passage.to_owned());
         if let Some(fixed) = self.begun.get(&key).filter(|f| now_ms < f.until_ms) {
             usable(book, &fixed.model, &fixed.version)?;
@@ -129,7 +140,10 @@
             None => direct(name).is_some_and(|(m, v)| m == model && v == version),
         };
         if !of_it {
-            return Err(Unfixed::NotOfIt { version: handed.to_owned(), name: name.to_owned() });
+            return Err(Unfixed::NotOfIt {
+                version: handed.to_owned(),
+                name: name.to_owned(),
+            });
         }
         let most = now_ms + LENGTHS_MOST * self.lasts_ms;
         let until_ms = until_ms.unwrap_or(now_ms + self.lasts_ms).min(most);
@@ -140,9 +154,19 @@
         let staged = alias.and_then(|(space, name, alias)| {
             let new = alias.stage.as_ref().is_some_and(|s| s.to == version);
             let side = alias.stage.is_some() && (new || version == alias.version);
-            side.then_some(Staged { space, alias: name, changed: alias.changed, new })
+            side.then_some(Staged {
+                space,
+                alias: name,
+                changed: alias.changed,
+                new,
+            })
         });
-        Ok(Fixed { model, version, until_ms, staged })
+        Ok(Fixed {
+            model,
+            version,
+            until_ms,
+            staged,
+        })
     }
 
     fn begins(
@@ -156,23 +180,41 @@
         let until_ms = now_ms + self.lasts_ms;
         if let Some((space, name, alias)) = named(book, tenant, name) {
             // Whoever says no passage stays with the old version: nothing would hold it to the new one.
-            let drawn = |stage: &Stage| passage.is_some_and(|p| draw(&alias.model, p) < stage.per_mille);
+            let drawn =
+                |stage: &Stage| passage.is_some_and(|p| draw(&alias.model, p) < stage.per_mille);
             let new = alias.stage.as_ref().filter(|stage| drawn(stage));
             let version = new.map_or(&alias.version, |stage| &stage.to);
             usable(book, &alias.model, version)?;
-            let side = Staged { space, alias: name, changed: alias.changed, new: new.is_some() };
+            let side = Staged {
+                space,
+                alias: name,
+                changed: alias.changed,
+                new: new.is_some(),
+            };
             let staged = alias.stage.is_some().then_some(side);
-            return Ok(Fixed { model: alias.model.clone(), version: version.clone(), until_ms, staged });
+            return Ok(Fixed {
+                model: alias.model.clone(),
+                version: version.clone(),
+                until_ms,
+                staged,
+            });
         }
         let (model, version) = direct(name).ok_or_else(|| Unfixed::Unknown(name.to_owned()))?;
         usable(book, &model, &version)?;
-        Ok(Fixed { model, version, until_ms, staged: None })
+        Ok(Fixed {
+            model,
+            version,
+            until_ms,
+            staged: None,
+        })
     }
 
     fn remember(&mut self, key: Key, fixed: &Fixed) {
         self.forget(&key);
         while self.begun.len() >= REMEMBERED_MOST {
-            let Some((_, oldest)) = self.by_end.pop_first() else { break };
+            let Some((_, oldest)) = self.by_end.pop_first() else {
+                break;
+            };
             self.begun.remove(&oldest);
             self.ends.remove(&oldest);
         }
@@ -202,7 +244,10 @@
         let alias = book.alias(&space, &name)?;
         Some((space, name.clone(), alias))
     };
-    let own = tenant.parse().ok().and_then(|t| in_space(Namespace::Tenant(t)));
+    let own = tenant
+        .parse()
+        .ok()
+        .and_then(|t| in_space(Namespace::Tenant(t)));
     own.or_else(|| in_space(Namespace::All))
 }
 
@@ -216,7 +261,9 @@
     match book.version(model, version) {
         Some(held) if held.standing == Standing::Offered => Ok(()),
         Some(_) => Err(Unfixed::Withdrawn(told())),
-        None if book.gone.contains(&(model.clone(), version.clone())) => Err(Unfixed::Withdrawn(told())),
+        None if book.gone.contains(&(model.clone(), version.clone())) => {
+            Err(Unfixed::Withdrawn(told()))
+        }
         None => Err(Unfixed::Unknown(told())),
     }
 }
@@ -224,7 +271,9 @@
 /// The same passage draws the same, whichever controller it comes to. 0 to 999.
 fn draw(model: &Name, passage: &str) -> u16 {
     let mut hash = blake3::Hasher::new();
-    hash.update(model.to_string().as_bytes()).update(b"\0").update(passage.as_bytes());
+    hash.update(model.to_string().as_bytes())
+        .update(b"\0")
+        .update(passage.as_bytes());
     let bytes = hash.finalize();
     let first = u64::from_le_bytes(*bytes.as_bytes().first_chunk().expect("32 bytes"));
     (first % 1_000) as u16
@@ -234,7 +283,12 @@
 pub fn function_id(model: &Name, version: &Name) -> u64 {
     let told = format!("{model}@{version}");
     // Small numbers are those of the deployment's own functions.
-    u64::from_le_bytes(*blake3::hash(told.as_bytes()).as_bytes().first_chunk().expect("32 bytes")) | 1 << 63
+    u64::from_le_bytes(
+        *blake3::hash(told.as_bytes())
+            .as_bytes()
+            .first_chunk()
+            .expect("32 bytes"),
+    ) | 1 << 63
 }
 
 /// As the wire names it.
@@ -244,5 +298,6 @@
 
 /// A version for use: what the decisions are told of it.
 pub fn offered<'a>(book: &'a Book, fixed: &Fixed) -> Option<&'a Version> {
-    book.version(&fixed.model, &fixed.version).map(|h| &h.version)
+    book.version(&fixed.model, &fixed.version)
+        .map(|h| &h.version)
 }
--- a/crates/registry/src/service.rs
+++ b/crates/registry/src/service.rs
@@ -246,7 +246,9 @@
     /// Versions of which no source holds, and since when, in milliseconds of the service's hour.
     pub fn corrupt(&self) -> Vec<(String, u64)> {
         let all = self.corrupt.borrow();
-        all.iter().map(|((model, version), c)| (format!("{model}@{version}"), c.first_ms)).collect()
+        all.iter()
+            .map(|((model, version), c)| (format!("{model}@{version}"), c.first_ms))
+            .collect()
     }
 
     /// Listens until dropped.
@@ -322,7 +324,8 @@
                     // Whoever has hung up is not told; the change stands.
                     let _ = to.send(told.map_err(refused));
                 }
-                self.news.send_replace(self.store.borrow().head().revision());
+                self.news
+                    .send_replace(self.store.borrow().head().revision());
             }
             Err(fault) => {
                 warn!(%fault, "a change could not be kept");
@@ -334,7 +337,9 @@
     }
 
     fn there(&self, needs: &[Digest]) -> Result<(), (i64, String)> {
-        let Some(folder) = &self.folder else { return Ok(()) };
+        let Some(folder) = &self.folder else {
+            return Ok(());
+        };
         match needs.iter().find(|d| !blobs::path(folder, d).exists()) {
             Some(lacking) => Err(refused(format!("blob {lacking} is not here"))),
             None => Ok(()),
@@ -350,22 +355,37 @@
         held: Option<(LeaseId, Vec<Digest>)>,
     ) -> Ended {
         let (to, ended) = oneshot::channel();
-        let asked = Asked { who: who.to_string(), at_ms: (self.hour)(), change };
+        let asked = Asked {
+            who: who.to_string(),
+            at_ms: (self.hour)(),
+            change,
+        };
         {
             let mut waiting = self.waiting.borrow_mut();
             if waiting.len() >= WAITING_MOST {
                 return Err(refused("too many changes wait: come back in a second"));
             }
-            waiting.push(Waiting { asked, needs, held, to });
+            waiting.push(Waiting {
+                asked,
+                needs,
+                held,
+                to,
+            });
         }
         self.asked.notify_one();
-        ended.await.unwrap_or_else(|_| Err(disk("the registry is ending")))
+        ended
+            .await
+            .unwrap_or_else(|_| Err(disk("the registry is ending")))
     }
 
     async fn hear(self: Rc<Self>, stream: Stream, clock: Clock) {
         let (input, mut output) = halves(stream);
         let outbox = Outbox::new(UNREAD_MOST_BYTES);
-        let caller = Rc::new(Caller { outbox, key: RefCell::default(), cut: Notify::new() });
+        let caller = Rc::new(Caller {
+            outbox,
+            key: RefCell::default(),
+            cut: Notify::new(),
+        });
         tokio::select! {
             biased;
             why = self.listen(&caller, input) => debug!(why, "caller gone"),
@@ -407,7 +427,12 @@
                 });
             }
             if read.len() > rpc::LINE_MOST_BYTES {
-                caller.put(rpc::error(&Id::null(), rpc::PARSE_ERROR, "line too long", None));
+                caller.put(rpc::error(
+                    &Id::null(),
+                    rpc::PARSE_ERROR,
+                    "line too long",
+                    None,
+                ));
                 return "line too long".into();
             }
             match input.read_buf(&mut read).await {
@@ -438,14 +463,20 @@
             "history" => {
                 self.may(caller, Role::Reader)?;
                 let said: History = params(call)?;
-                let entries = self.store.borrow().after(said.after, said.most.min(10_000)).map_err(disk)?;
+                let entries = self
+                    .store
+                    .borrow()
+                    .after(said.after, said.most.min(10_000))
+                    .map_err(disk)?;
                 Ok(json!({ "entries": entries }))
             }
             "change" => {
                 let said: Changes = params(call)?;
                 let who = self.may(caller, said.change.needs())?;
                 if matches!(said.change, Change::Push { .. }) && self.folder.is_some() {
-                    return Err(bad("a version is pushed with begin and push, which look at its blobs"));
+                    return Err(bad(
+                        "a version is pushed with begin and push, which look at its blobs",
+                    ));
                 }
                 if matches!(said.change, Change::Restored { .. }) {
                     return Err(bad(
@@ -467,8 +498,11 @@
                 }
                 let digests: Result<BTreeSet<Digest>, String> =
                     said.digests.iter().map(|d| d.parse()).collect();
-                let lease =
-                    self.keeper.borrow_mut().begin(self.elapsed_ms(), digests.map_err(bad)?, LEASE_MS);
+                let lease = self.keeper.borrow_mut().begin(
+                    self.elapsed_ms(),
+                    digests.map_err(bad)?,
+                    LEASE_MS,
+                );
                 Ok(json!({"lease": lease, "lasts_ms": LEASE_MS}))
             }
             "push" => self.push(caller, params(call)?).await,
@@ -503,20 +537,38 @@
                 let entries = self.store.borrow().back_up(&said.to).map_err(disk)?;
                 Ok(json!({"entries": entries, "revision": self.store.borrow().head().revision()}))
             }
-            other => Err((rpc::METHOD_NOT_FOUND, format!("method '{other}' is not known here"))),
+            other => Err((
+                rpc::METHOD_NOT_FOUND,
+                format!("method '{other}' is not known here"),
+            )),
         }
     }
 
     /// Only of versions that are there: what is kept of it is bounded by them.
     fn says_corrupt(&self, who: &Name, said: SaysCorrupt) -> Answered {
-        if self.store.borrow().head().book.version(&said.model, &said.version).is_none() {
-            return Err(bad(format!("version '{}@{}' is not known", said.model, said.version)));
+        if self
+            .store
+            .borrow()
+            .head()
+            .book
+            .version(&said.model, &said.version)
+            .is_none()
+        {
+            return Err(bad(format!(
+                "version '{}@{}' is not known",
+                said.model, said.version
+            )));
         }
         let now_ms = (self.hour)();
         let why: String = said.why.chars().take(300).collect();
         warn!(model = %said.model, version = %said.version, %who, why, "no source of a version holds");
         let mut all = self.corrupt.borrow_mut();
-        let new = Corrupt { times: 0, first_ms: now_ms, last_ms: now_ms, why: String::new() };
+        let new = Corrupt {
+            times: 0,
+            first_ms: now_ms,
+            last_ms: now_ms,
+            why: String::new(),
+        };
         let known = all.entry((said.model, said.version)).or_insert(new);
         (known.times, known.last_ms, known.why) = (known.times + 1, now_ms, why);
         Ok(json!({"times": known.times}))
@@ -562,13 +614,19 @@
             .iter()
             .map(|((space, alias), a)| json!({"space": space, "alias": alias, "is": a}))
             .collect();
-        let keys: Vec<Json> = book.keys.iter().map(|(id, k)| json!({"id": id, "role": k.role})).collect();
+        let keys: Vec<Json> = book
+            .keys
+            .iter()
+            .map(|(id, k)| json!({"id": id, "role": k.role}))
+            .collect();
         json!({"revision": book.revision, "versions": versions, "aliases": aliases, "keys": keys})
     }
 
     async fn push(&self, caller: &Caller, said: Push) -> Answered {
         let who = self.may(caller, Role::Publisher)?;
-        let Some(folder) = &self.folder else { return Err(bad("blobs are not kept here: use change")) };
+        let Some(folder) = &self.folder else {
+            return Err(bad("blobs are not kept here: use change"));
+        };
         let manifest = blobs::manifest(folder, &said.manifest).map_err(refused)?;
         let mut needs: Vec<Digest> = manifest.chunks.iter().map(|c| c.digest).collect();
         needs.push(said.manifest);
@@ -580,12 +638,22 @@
             trigger_types: said.trigger_types,
         };
         // The same push a second time, its first answer lost, is no fault.
-        if let Some(held) = self.book().version(&said.model, &said.name).filter(|h| h.version == version) {
+        if let Some(held) = self
+            .book()
+            .version(&said.model, &said.name)
+            .filter(|h| h.version == version)
+        {
             self.keeper.borrow_mut().end(said.lease);
             return Ok(json!({"revision": held.pushed, "again": true}));
         }
-        let change = Change::Push { model: said.model, name: said.name, version };
-        let entry = self.change(&who, Role::Publisher, change, Some((said.lease, needs))).await?;
+        let change = Change::Push {
+            model: said.model,
+            name: said.name,
+            version,
+        };
+        let entry = self
+            .change(&who, Role::Publisher, change, Some((said.lease, needs)))
+            .await?;
         Ok(json!({"revision": entry.revision, "again": false}))
     }
 
@@ -595,9 +663,13 @@
         let stage: Option<Stage> = {
             let store = self.store.borrow();
             let alias = store.head().book.aliases.get(&at);
-            alias.filter(|a| a.changed == said.changed).and_then(|a| a.stage.clone())
+            alias
+                .filter(|a| a.changed == said.changed)
+                .and_then(|a| a.stage.clone())
+        };
+        let Some(stage) = stage else {
+            return Ok(json!({"over": true}));
         };
-        let Some(stage) = stage else { return Ok(json!({"over": true})) };
         let verdict = {
             let mut all = self.tallies.borrow_mut();
             let (changed, tallies) = all.entry(at.clone()).or_default();
@@ -609,9 +681,10 @@
         };
         let (well, why) = match verdict {
             Verdict::GoOn => return Ok(json!({"over": false})),
-            Verdict::Well => {
-                (true, "as many answers as were waited for, no more errors than allowed".to_owned())
-            }
+            Verdict::Well => (
+                true,
+                "as many answers as were waited for, no more errors than allowed".to_owned(),
+            ),
             Verdict::Stop { new, old } => (
                 false,
                 format!(
@@ -623,8 +696,13 @@
         };
         self.tallies.borrow_mut().remove(&at);
         info!(alias = %said.alias, well, why, "a stage ends");
-        let change =
-            Change::EndStage { space: said.space, alias: said.alias, expect: said.changed, well, why };
+        let change = Change::EndStage {
+            space: said.space,
+            alias: said.alias,
+            expect: said.changed,
+            well,
+            why,
+        };
         // The registry decides this itself, in the name of the one whose count was the last.
         match self.change(who, Role::Reader, change, None).await {
             Ok(_) => Ok(json!({"over": true})),
@@ -644,15 +722,22 @@
 
     /// Blobs that nothing has named for the grace.
     pub(crate) fn collectable(&self, grace_ms: u64) -> Result<Vec<Digest>, (i64, String)> {
-        let Some(folder) = &self.folder else { return Err(bad("blobs are not kept here")) };
+        let Some(folder) = &self.folder else {
+            return Err(bad("blobs are not kept here"));
+        };
         let named = blobs::named(folder, &self.book()).map_err(refused)?;
         let present = blobs::present(folder).map_err(disk)?;
-        Ok(self.keeper.borrow_mut().collect(self.elapsed_ms(), present, &named, grace_ms))
+        Ok(self
+            .keeper
+            .borrow_mut()
+            .collect(self.elapsed_ms(), present, &named, grace_ms))
     }
 
     /// Removes blobs. Called in the turn in which they were found to be collectable: no push comes between.
     pub(crate) fn remove_blobs(&self, gone: &[Digest]) -> Answered {
-        let Some(folder) = &self.folder else { return Err(bad("blobs are not kept here")) };
+        let Some(folder) = &self.folder else {
+            return Err(bad("blobs are not kept here"));
+        };
         let mut bytes = 0;
         for digest in gone {
             let path = blobs::path(folder, digest);
@@ -675,7 +760,12 @@
         }
         let answer = {
             let store = self.store.borrow();
-            answer(store.head(), &said.mark, |r| store.hash_at(r), store.last_restored())
+            answer(
+                store.head(),
+                &said.mark,
+                |r| store.hash_at(r),
+                store.last_restored(),
+            )
         };
         watching.abort_all();
         let (this, caller) = (self.clone(), caller.clone());
@@ -685,13 +775,17 @@
 
     fn told(&self, caller: &Caller, told: &Told) {
         let told = serde_json::to_string(told).expect("it is JSON");
-        caller.put(format!(r#"{{"jsonrpc":"2.0","method":"told","params":{told}}}"#));
+        caller.put(format!(
+            r#"{{"jsonrpc":"2.0","method":"told","params":{told}}}"#
+        ));
     }
 
     async fn tell(self: Rc<Self>, caller: &Caller, who: String, answer: Answer) {
         let mut news = self.news.subscribe();
-        let mark =
-            |store: &Store| Mark { revision: store.head().revision(), hash: store.head().hash.clone() };
+        let mark = |store: &Store| Mark {
+            revision: store.head().revision(),
+            hash: store.head().hash.clone(),
+        };
         let note = |sent, refused| {
             let mut followers = self.followers.borrow_mut();
             // Names are the followers' own: a flood of them must not fill us.
@@ -749,12 +843,26 @@
     chance: [u8; 32],
     at_ms: u64,
 ) -> Result<String, crate::store::Fault> {
-    if store.head().book.keys.values().any(|k| k.role == Role::Owner) {
+    if store
+        .head()
+        .book
+        .keys
+        .values()
+        .any(|k| k.role == Role::Owner)
+    {
         return Err(Refusal::KeyExists(id.clone()).into());
     }
     let (text, hash) = keys::make(id, chance);
-    let change = Change::AddKey { id: id.clone(), role: Role::Owner, hash };
-    let asked = Asked { who: id.to_string(), at_ms, change };
+    let change = Change::AddKey {
+        id: id.clone(),
+        role: Role::Owner,
+        hash,
+    };
+    let asked = Asked {
+        who: id.to_string(),
+        at_ms,
+        change,
+    };
     store.take(vec![asked])?.remove(0)?;
     Ok(text)
 }
--- a/crates/registry/src/stage.rs
+++ b/crates/registry/src/stage.rs
@@ -60,12 +60,17 @@
 
     pub fn judge(&self, stage: &Stage) -> Verdict {
         let sum = self.sum();
-        let share = |erred: u64, well: u64| erred as f64 / (erred.saturating_add(well)).max(1) as f64;
+        let share =
+            |erred: u64, well: u64| erred as f64 / (erred.saturating_add(well)).max(1) as f64;
         let answers = sum.new_well.saturating_add(sum.new_erred);
-        let (new, old) = (share(sum.new_erred, sum.new_well), share(sum.old_erred, sum.old_well));
+        let (new, old) = (
+            share(sum.new_erred, sum.new_well),
+            share(sum.old_erred, sum.old_well),
+        );
         let bound = old + f64::from(stage.errors_per_mille) / 1_000.0;
-        let spread =
-            (bound.clamp(0.001, 0.999) * (1.0 - bound.clamp(0.001, 0.999)) / answers.max(1) as f64).sqrt();
+        let spread = (bound.clamp(0.001, 0.999) * (1.0 - bound.clamp(0.001, 0.999))
+            / answers.max(1) as f64)
+            .sqrt();
         // Before the answers waited for are in, only what chance would not do stops it; then the count as it is.
         let early = sum.new_erred >= ERRED_LEAST && new > bound + SURE * spread;
         match answers >= stage.answers {
--- a/crates/registry/src/store.rs
+++ b/crates/registry/src/store.rs
@@ -28,9 +28,17 @@
     #[error("{place}: schema {found}: this program knows up to {SCHEMA}")]
     Later { place: String, found: u64 },
     #[error("{place}: revision {revision}: {why}")]
-    Damaged { place: String, revision: Revision, why: String },
+    Damaged {
+        place: String,
+        revision: Revision,
+        why: String,
+    },
     #[error("{place}: line {line}: {why}")]
-    Line { place: String, line: usize, why: String },
+    Line {
+        place: String,
+        line: usize,
+        why: String,
+    },
     #[error("{0}")]
     Refused(#[from] Refusal),
     #[error("{place}: there is a registry already")]
@@ -91,7 +99,10 @@
     }
 
     /// Makes a registry at `path`, where there is none: with all that `fill` puts into it, or not at all.
-    pub fn make_file<T>(path: &Path, fill: impl FnOnce(&mut Self) -> Result<T, Fault>) -> Result<T, Fault> {
+    pub fn make_file<T>(
+        path: &Path,
+        fill: impl FnOnce(&mut Self) -> Result<T, Fault>,
+    ) -> Result<T, Fault> {
         let place = || path.display().to_string();
         let filled = file::make_whole(path, |unfinished| {
             let mut store = Self::open_file(unfinished).map_err(Unmade::Fault)?;
@@ -99,7 +110,10 @@
         });
         filled.map_err(|unmade| match unmade {
             Unmade::Fault(fault) => fault,
-            Unmade::File(why) => Fault::Disk { place: place(), why: why.into() },
+            Unmade::File(why) => Fault::Disk {
+                place: place(),
+                why: why.into(),
+            },
         })
     }
 
@@ -117,7 +131,10 @@
     }
 
     fn disk(&self, why: impl Into<DiskFailure>) -> Fault {
-        Fault::Disk { place: self.place.clone(), why: why.into() }
+        Fault::Disk {
+            place: self.place.clone(),
+            why: why.into(),
+        }
     }
 
     /// Reads all that the disk has, and goes on from there.
@@ -140,11 +157,17 @@
         let txn = database.begin_write().map_err(|e| self.disk(e))?;
         {
             let mut about = txn.open_table(ABOUT).map_err(|e| self.disk(e))?;
-            let found = about.get("schema").map_err(|e| self.disk(e))?.map(|v| v.value());
+            let found = about
+                .get("schema")
+                .map_err(|e| self.disk(e))?
+                .map(|v| v.value());
             match found {
                 None => drop(about.insert("schema", SCHEMA).map_err(|e| self.disk(e))?),
                 Some(found) if found > SCHEMA => {
-                    return Err(Fault::Later { place: self.place.clone(), found });
+                    return Err(Fault::Later {
+                        place: self.place.clone(),
+                        found,
+                    });
                 }
                 Some(_) => {}
             }
@@ -154,16 +177,30 @@
         txn.commit().map_err(|e| self.disk(e))?;
         let txn = database.begin_read().map_err(|e| self.disk(e))?;
         let log = txn.open_table(LOG).map_err(|e| self.disk(e))?;
-        let mut read = Read { head: Head::default(), hashes: BTreeMap::new(), last_restored: None };
+        let mut read = Read {
+            head: Head::default(),
+            hashes: BTreeMap::new(),
+            last_restored: None,
+        };
         for line in log.iter().map_err(|e| self.disk(e))? {
             let (revision, bytes) = line.map_err(|e| self.disk(e))?;
-            let damaged =
-                |why: String| Fault::Damaged { place: self.place.clone(), revision: revision.value(), why };
-            let entry: Entry = serde_json::from_slice(bytes.value()).map_err(|e| damaged(e.to_string()))?;
+            let damaged = |why: String| Fault::Damaged {
+                place: self.place.clone(),
+                revision: revision.value(),
+                why,
+            };
+            let entry: Entry =
+                serde_json::from_slice(bytes.value()).map_err(|e| damaged(e.to_string()))?;
             if entry.revision != revision.value() {
-                return Err(damaged(format!("the entry there says revision {}", entry.revision)));
+                return Err(damaged(format!(
+                    "the entry there says revision {}",
+                    entry.revision
+                )));
             }
-            read.head = read.head.follow(&entry).map_err(|e: Broken| damaged(e.to_string()))?;
+            read.head = read
+                .head
+                .follow(&entry)
+                .map_err(|e: Broken| damaged(e.to_string()))?;
             read.hashes.insert(entry.revision, read.head.hash.clone());
             if matches!(entry.change, Change::Restored { .. }) {
                 read.last_restored = Some(entry);
@@ -202,7 +239,10 @@
                 Ok((entry, next)) => {
                     if entry.bytes().len() > ENTRY_MOST_BYTES {
                         let why = format!("over {ENTRY_MOST_BYTES} bytes");
-                        told.push(Err(Refusal::Value { place: "change", why }));
+                        told.push(Err(Refusal::Value {
+                            place: "change",
+                            why,
+                        }));
                         continue;
                     }
                     head = next;
@@ -230,7 +270,9 @@
     }
 
     fn write<'a>(&self, entries: impl Iterator<Item = &'a Entry>) -> Result<(), redb::Error> {
-        let Some(database) = &self.database else { return Ok(()) };
+        let Some(database) = &self.database else {
+            return Ok(());
+        };
         // The default durability: on disk before commit returns.
         let txn = database.begin_write()?;
         {
@@ -246,7 +288,9 @@
     /// The epoch that is on the disk for a lease of the fleet; 0: none.
     pub fn sealed_epoch(&self, lease: &str) -> Result<u64, Fault> {
         let Some(database) = &self.database else {
-            return Err(self.disk(DiskFailure::lasting("a write failed; it is not read before the next")));
+            return Err(self.disk(DiskFailure::lasting(
+                "a write failed; it is not read before the next",
+            )));
         };
         let read = || -> Result<u64, redb::Error> {
             let seals = database.begin_read()?.open_table(SEALS)?;
@@ -272,7 +316,10 @@
         work: impl FnOnce() -> T,
     ) -> Result<Option<T>, Fault> {
         self.with_writing(|txn| {
-            let sealed = txn.open_table(SEALS)?.get(lease)?.map(|found| found.value());
+            let sealed = txn
+                .open_table(SEALS)?
+                .get(lease)?
+                .map(|found| found.value());
             Ok((sealed == Some(epoch)).then(work))
         })
     }
@@ -285,7 +332,9 @@
         if self.database.is_none() {
             self.come_back()?;
         }
-        let Some(database) = &self.database else { return Err(self.disk(DiskFailure::lasting("not open"))) };
+        let Some(database) = &self.database else {
+            return Err(self.disk(DiskFailure::lasting("not open")));
+        };
         let write = || -> Result<T, redb::Error> {
             let txn = database.begin_write()?;
             let done = work(&txn)?;
@@ -302,12 +351,18 @@
     /// Entries after a revision, so many at the most, oldest first.
     pub fn after(&self, revision: Revision, most: usize) -> Result<Vec<Entry>, Fault> {
         let Some(database) = &self.database else {
-            return Err(self.disk(DiskFailure::lasting("a write failed; it is not read before the next")));
+            return Err(self.disk(DiskFailure::lasting(
+                "a write failed; it is not read before the next",
+            )));
         };
         let txn = database.begin_read().map_err(|e| self.disk(e))?;
         let log = txn.open_table(LOG).map_err(|e| self.disk(e))?;
         let mut all = Vec::new();
-        for line in log.range(revision + 1..).map_err(|e| self.disk(e))?.take(most) {
+        for line in log
+            .range(revision + 1..)
+            .map_err(|e| self.disk(e))?
+            .take(most)
+        {
             let (at, bytes) = line.map_err(|e| self.disk(e))?;
             let entry = serde_json::from_slice(bytes.value());
             let damaged = |e: serde_json::Error| Fault::Damaged {
@@ -323,21 +378,31 @@
     /// Reads all that is on disk as a start would, and compares it with what is told to others. Tells how many entries.
     pub fn verify(&self) -> Result<u64, Fault> {
         let Some(database) = &self.database else {
-            return Err(self.disk(DiskFailure::lasting("a write failed; it is not read before the next")));
+            return Err(self.disk(DiskFailure::lasting(
+                "a write failed; it is not read before the next",
+            )));
         };
         let read = self.read(database)?;
         if read.head != self.head {
             let why = "the disk has another book than the one that is told".into();
-            return Err(Fault::Damaged { place: self.place.clone(), revision: self.head.revision(), why });
+            return Err(Fault::Damaged {
+                place: self.place.clone(),
+                revision: self.head.revision(),
+                why,
+            });
         }
-        let count = || -> Result<u64, redb::Error> { Ok(database.begin_read()?.open_table(LOG)?.len()?) };
+        let count =
+            || -> Result<u64, redb::Error> { Ok(database.begin_read()?.open_table(LOG)?.len()?) };
         count().map_err(|e| self.disk(e))
     }
 
     /// Writes the whole history to a file of lines: whole or not at all.
     pub fn back_up(&self, to: &Path) -> Result<u64, Fault> {
         let entries = self.after(0, usize::MAX)?;
-        let fault = |e: std::io::Error| Fault::Disk { place: to.display().to_string(), why: e.into() };
+        let fault = |e: std::io::Error| Fault::Disk {
+            place: to.display().to_string(),
+            why: e.into(),
+        };
         let write = |unfinished: &Path| -> std::io::Result<()> {
             let mut file = BufWriter::new(File::create(unfinished)?);
             for entry in &entries {
@@ -356,11 +421,18 @@
 /// Reads a backup whole, and checks its chain.
 pub fn read_backup(from: &Path) -> Result<(Vec<Entry>, Head), Fault> {
     let place = from.display().to_string();
-    let file = File::open(from).map_err(|e| Fault::Disk { place: place.clone(), why: e.into() })?;
+    let file = File::open(from).map_err(|e| Fault::Disk {
+        place: place.clone(),
+        why: e.into(),
+    })?;
     let (mut entries, mut head) = (Vec::new(), Head::default());
     let mut ended = false;
     for (n, line) in BufReader::new(file).lines().enumerate() {
-        let fault = |why: String| Fault::Line { place: place.clone(), line: n + 1, why };
+        let fault = |why: String| Fault::Line {
+            place: place.clone(),
+            line: n + 1,
+            why,
+        };
         let line = line.map_err(|e| fault(e.to_string()))?;
         if ended {
             return Err(fault("something after the end".into()));
@@ -389,13 +461,25 @@
 
 /// Makes a registry of a backup, in a place where there is none, and goes over revisions that may have been given out
 /// since: watchers that obeyed up to `over` come along.
-pub fn restore(from: &Path, to: &Path, over: Revision, who: &str, at_ms: u64) -> Result<Head, Fault> {
+pub fn restore(
+    from: &Path,
+    to: &Path,
+    over: Revision,
+    who: &str,
+    at_ms: u64,
+) -> Result<Head, Fault> {
     let (entries, head) = read_backup(from)?;
     if to.exists() {
-        return Err(Fault::Occupied { place: to.display().to_string() });
+        return Err(Fault::Occupied {
+            place: to.display().to_string(),
+        });
     }
     // What could not be taken is found before anything is made.
     let (last, after) = head.decide(who, at_ms, Change::Restored { over })?;
-    Store::make_file(to, |store| store.write(entries.iter().chain([&last])).map_err(|e| store.disk(e)))?;
+    Store::make_file(to, |store| {
+        store
+            .write(entries.iter().chain([&last]))
+            .map_err(|e| store.disk(e))
+    })?;
     Ok(after)
 }
--- a/crates/registry/src/watch.rs
+++ b/crates/registry/src/watch.rs
@@ -55,7 +55,10 @@
     }
 
     pub fn mark(&self) -> Mark {
-        Mark { revision: self.head.revision(), hash: self.head.hash.clone() }
+        Mark {
+            revision: self.head.revision(),
+            hash: self.head.hash.clone(),
+        }
     }
 
     /// Takes one message in. True: something is new, and is to be kept before it is obeyed.
@@ -68,7 +71,10 @@
                     return if entry.revision < mine || entry.hash() == self.head.hash {
                         Ok(false)
                     } else {
-                        Err(Refused::Older { its: entry.revision, mine })
+                        Err(Refused::Older {
+                            its: entry.revision,
+                            mine,
+                        })
                     };
                 }
                 self.head = self.head.follow(&entry)?;
@@ -81,7 +87,9 @@
                 let its = head.revision();
                 let over = restored.and_then(|e| match e.change {
                     // The jump must lie on this side of the head that it is to explain.
-                    Change::Restored { over } if e.revision == over + 1 && e.revision <= its => Some(over),
+                    Change::Restored { over } if e.revision == over + 1 && e.revision <= its => {
+                        Some(over)
+                    }
                     _ => None,
                 });
                 if its <= mine || (mine > 0 && over.is_none_or(|over| over < mine)) {
@@ -93,7 +101,10 @@
             Told::Still { at } if at == self.mark() => Ok(false),
             // Changes are under way, or something was missed: the former come, the latter shows when they do.
             Told::Still { at } if at.revision > mine => Ok(false),
-            Told::Still { at } | Told::Behind { at } => Err(Refused::Older { its: at.revision, mine }),
+            Told::Still { at } | Told::Behind { at } => Err(Refused::Older {
+                its: at.revision,
+                mine,
+            }),
         }
     }
 }
@@ -116,7 +127,10 @@
         Some(e) if matches!(e.change, Change::Restored { over } if over >= mark.revision) => {
             Answer::Whole(Some(e))
         }
-        _ => Answer::Behind(Mark { revision: head.revision(), hash: head.hash.clone() }),
+        _ => Answer::Behind(Mark {
+            revision: head.revision(),
+            hash: head.hash.clone(),
+        }),
     }
 }
 
--- a/crates/registry/tests/all/book.rs
+++ b/crates/registry/tests/all/book.rs
@@ -14,7 +14,9 @@
 use std::collections::BTreeSet;
 
 fn after(changes: impl IntoIterator<Item = Change>) -> Book {
-    changes.into_iter().fold(Book::default(), |book, c| book.with(&c).unwrap())
+    changes
+        .into_iter()
+        .fold(Book::default(), |book, c| book.with(&c).unwrap())
 }
 
 fn two() -> Book {
@@ -22,7 +24,8 @@
 }
 
 fn current(book: &Book) -> &saltdrum_registry::book::Alias {
-    book.alias(&Namespace::All, &name("kinyarwanda-current")).unwrap()
+    book.alias(&Namespace::All, &name("kinyarwanda-current"))
+        .unwrap()
 }
 
 #[test]
@@ -31,82 +34,189 @@
     let at = current(&book).changed;
     let first = book.with(&moves(2, at, None)).unwrap();
     let told = first.with(&moves(1, at, None)).unwrap_err();
-    assert!(matches!(told, Refusal::Moved { at: 4, expected: 3, .. }), "{told}");
+    assert!(
+        matches!(
+            told,
+            Refusal::Moved {
+                at: 4,
+                expected: 3,
+                ..
+            }
+        ),
+        "{told}"
+    );
     assert_eq!(current(&first).before, Some(name("v1")));
-    let back = Change::RollBack { space: Namespace::All, alias: name("kinyarwanda-current"), expect: 4 };
+    let back = Change::RollBack {
+        space: Namespace::All,
+        alias: name("kinyarwanda-current"),
+        expect: 4,
+    };
     assert_eq!(current(&first.with(&back).unwrap()).version, name("v1"));
 }
 
 #[test]
 fn versions_never_change_and_their_names_are_never_used_again() {
     let book = two();
-    let other = Change::Push { model: name("kinyarwanda"), name: name("v2"), version: version(99) };
+    let other = Change::Push {
+        model: name("kinyarwanda"),
+        name: name("v2"),
+        version: version(99),
+    };
     assert!(matches!(book.with(&other), Err(Refusal::Exists { .. })));
-    let gone = Change::Delete { model: name("kinyarwanda"), name: name("v1") };
-    assert!(matches!(book.with(&gone), Err(Refusal::Named { .. })), "an alias names it");
-    let gone = book.with(&Change::Delete { model: name("kinyarwanda"), name: name("v2") }).unwrap();
+    let gone = Change::Delete {
+        model: name("kinyarwanda"),
+        name: name("v1"),
+    };
+    assert!(
+        matches!(book.with(&gone), Err(Refusal::Named { .. })),
+        "an alias names it"
+    );
+    let gone = book
+        .with(&Change::Delete {
+            model: name("kinyarwanda"),
+            name: name("v2"),
+        })
+        .unwrap();
     assert!(matches!(gone.with(&other), Err(Refusal::Withdrawn { .. })));
-    let unused = Change::Withdraw { model: name("kinyarwanda"), name: name("v1") };
+    let unused = Change::Withdraw {
+        model: name("kinyarwanda"),
+        name: name("v1"),
+    };
     let withdrawn = book.with(&unused).unwrap();
-    assert!(matches!(withdrawn.with(&moves(1, 3, None)), Err(Refusal::Withdrawn { .. })));
+    assert!(matches!(
+        withdrawn.with(&moves(1, 3, None)),
+        Err(Refusal::Withdrawn { .. })
+    ));
 }
 
 #[test]
 fn bad_input_is_told_in_plain_words_and_changes_nothing() {
-    for text in
-        ["", "Kinyarwanda", "../etc", "a..b", "-a", "a-", "a b", "é", "a\n", &"x".repeat(65), "a/b", "a@b"]
-    {
+    for text in [
+        "",
+        "Kinyarwanda",
+        "../etc",
+        "a..b",
+        "-a",
+        "a-",
+        "a b",
+        "é",
+        "a\n",
+        &"x".repeat(65),
+        "a/b",
+        "a@b",
+    ] {
         let told = text.parse::<Name>().unwrap_err().to_string();
         assert!(told.starts_with("name '") && !told.contains('\n'), "{told}");
     }
     let book = two();
-    for (lanes, memory, bytes, place) in
-        [(0, 1, 1, "lanes"), (1, 0, 1, "memory_mb"), (1, 1, u64::MAX, "bytes")]
-    {
-        let version = saltdrum_registry::Version { lanes, memory_mb: memory, bytes, ..version(5) };
-        let told = book.with(&Change::Push { model: name("m"), name: name("v"), version }).unwrap_err();
+    for (lanes, memory, bytes, place) in [
+        (0, 1, 1, "lanes"),
+        (1, 0, 1, "memory_mb"),
+        (1, 1, u64::MAX, "bytes"),
+    ] {
+        let version = saltdrum_registry::Version {
+            lanes,
+            memory_mb: memory,
+            bytes,
+            ..version(5)
+        };
+        let told = book
+            .with(&Change::Push {
+                model: name("m"),
+                name: name("v"),
+                version,
+            })
+            .unwrap_err();
         assert!(told.to_string().starts_with(place), "{told}");
     }
-    let mut bent = Stage { to: name("v2"), per_mille: 0, errors_per_mille: 1, answers: 1 };
+    let mut bent = Stage {
+        to: name("v2"),
+        per_mille: 0,
+        errors_per_mille: 1,
+        answers: 1,
+    };
     for per_mille in [0, 1_000, 5_000] {
         bent.per_mille = per_mille;
         let (alias, model) = (name("kinyarwanda-current"), name("kinyarwanda"));
         let stage = Some(bent.clone());
-        let change =
-            Change::Move { space: Namespace::All, alias, model, version: name("v2"), expect: 3, stage };
-        assert!(matches!(book.with(&change), Err(Refusal::Value { place: "stage", .. })));
+        let change = Change::Move {
+            space: Namespace::All,
+            alias,
+            model,
+            version: name("v2"),
+            expect: 3,
+            stage,
+        };
+        assert!(matches!(
+            book.with(&change),
+            Err(Refusal::Value { place: "stage", .. })
+        ));
     }
     assert!(
-        serde_json::from_str::<Change>(r#"{"change":"withdraw","model":"m","name":"v","force":true}"#)
-            .is_err()
+        serde_json::from_str::<Change>(
+            r#"{"change":"withdraw","model":"m","name":"v","force":true}"#
+        )
+        .is_err()
+    );
+    assert!(
+        serde_json::from_str::<Change>(r#"{"change":"withdraw","model":"M","name":"v"}"#).is_err()
     );
-    assert!(serde_json::from_str::<Change>(r#"{"change":"withdraw","model":"M","name":"v"}"#).is_err());
 }
 
 #[test]
 fn keys_open_what_their_role_may_and_nothing_once_withdrawn() {
     let (text, hash) = keys::make(&name("anna"), [7; 32]);
     assert!(!hash.contains(&text[5..]));
-    let book = after([Change::AddKey { id: name("anna"), role: Role::Owner, hash }]);
+    let book = after([Change::AddKey {
+        id: name("anna"),
+        role: Role::Owner,
+        hash,
+    }]);
     assert_eq!(keys::who(&book, &text), Ok((name("anna"), Role::Owner)));
-    for wrong in ["", "anna", "anna.", "anna.00", &text[..text.len() - 1], &text.replace("anna", "bert")] {
+    for wrong in [
+        "",
+        "anna",
+        "anna.",
+        "anna.00",
+        &text[..text.len() - 1],
+        &text.replace("anna", "bert"),
+    ] {
         assert_eq!(keys::who(&book, wrong), Err(keys::Denied::Key), "{wrong}");
     }
     let last = Change::WithdrawKey { id: name("anna") };
-    assert!(matches!(book.with(&last), Err(Refusal::LastOwner(_))), "no one could hand out another");
+    assert!(
+        matches!(book.with(&last), Err(Refusal::LastOwner(_))),
+        "no one could hand out another"
+    );
     let (reader, hash) = keys::make(&name("box"), [8; 32]);
-    let book = book.with(&Change::AddKey { id: name("box"), role: Role::Reader, hash }).unwrap();
-    assert!(matches!(keys::may(&book, Some(&name("box")), Role::Mover), Err(keys::Denied::Role { .. })));
+    let book = book
+        .with(&Change::AddKey {
+            id: name("box"),
+            role: Role::Reader,
+            hash,
+        })
+        .unwrap();
+    assert!(matches!(
+        keys::may(&book, Some(&name("box")), Role::Mover),
+        Err(keys::Denied::Role { .. })
+    ));
     let book = book.with(&Change::WithdrawKey { id: name("box") }).unwrap();
     assert_eq!(keys::who(&book, &reader), Err(keys::Denied::Key));
-    assert_eq!(keys::may(&book, Some(&name("box")), Role::Reader), Err(keys::Denied::Key));
+    assert_eq!(
+        keys::may(&book, Some(&name("box")), Role::Reader),
+        Err(keys::Denied::Key)
+    );
 }
 
 /// A history of so many changes, with the head after each; the first is the empty one.
 fn history(salt: u64, many: u64) -> (Vec<Entry>, Vec<Head>) {
     let (mut entries, mut heads) = (Vec::new(), vec![Head::default()]);
     for n in 1..=many {
-        let (entry, head) = heads.last().unwrap().decide("tests", salt, push(n)).unwrap();
+        let (entry, head) = heads
+            .last()
+            .unwrap()
+            .decide("tests", salt, push(n))
+            .unwrap();
         entries.push(entry);
         heads.push(head);
     }
@@ -114,16 +224,32 @@
 }
 
 fn hash_at(heads: &[Head], revision: u64) -> Option<String> {
-    heads.iter().find(|h| h.revision() == revision).map(|h| h.hash.clone())
+    heads
+        .iter()
+        .find(|h| h.revision() == revision)
+        .map(|h| h.hash.clone())
 }
 
 #[test]
 fn a_watcher_never_goes_back_and_an_old_backup_is_refused_until_it_is_restored_over() {
     let (entries, heads) = history(1, 52);
     let mut watcher = Watcher::default();
-    assert!(watcher.hear(Told::Whole { head: heads[20].clone(), restored: None }).unwrap());
+    assert!(
+        watcher
+            .hear(Told::Whole {
+                head: heads[20].clone(),
+                restored: None
+            })
+            .unwrap()
+    );
     for entry in &entries[20..] {
-        assert!(watcher.hear(Told::Next { entry: entry.clone() }).unwrap());
+        assert!(
+            watcher
+                .hear(Told::Next {
+                    entry: entry.clone()
+                })
+                .unwrap()
+        );
     }
     let known = watcher.clone();
     // The registry comes back with the first 40, and goes on to other changes.
@@ -135,25 +261,51 @@
     for (back, at) in [(&heads[40], 40), (later.last().unwrap(), 60)] {
         let all = [&heads[..41], &later[..]].concat();
         let told = answer(back, &watcher.mark(), |r| hash_at(&all, r), None);
-        assert!(matches!(&told, Answer::Behind(m) if m.revision == at), "{told:?}");
+        assert!(
+            matches!(&told, Answer::Behind(m) if m.revision == at),
+            "{told:?}"
+        );
         let refused = watcher.hear(Told::Behind {
-            at: saltdrum_registry::watch::Mark { revision: at, hash: back.hash.clone() },
+            at: saltdrum_registry::watch::Mark {
+                revision: at,
+                hash: back.hash.clone(),
+            },
         });
         assert!(matches!(refused, Err(Refused::Older { mine: 52, .. })));
         // Whatever a registry that does not know better says, it is not obeyed.
-        let whole = Told::Whole { head: back.clone(), restored: None };
+        let whole = Told::Whole {
+            head: back.clone(),
+            restored: None,
+        };
         assert!(matches!(watcher.hear(whole), Err(Refused::Older { .. })));
         assert_eq!(watcher, known);
     }
     // An operator restores over too little, then over enough.
     for (over, obeyed) in [(51, false), (52, true), (500, true)] {
-        let (entry, head) = heads[40].decide("root", 3, Change::Restored { over }).unwrap();
+        let (entry, head) = heads[40]
+            .decide("root", 3, Change::Restored { over })
+            .unwrap();
         let mut watcher = known.clone();
-        let told = watcher.hear(Told::Whole { head: head.clone(), restored: Some(entry.clone()) });
+        let told = watcher.hear(Told::Whole {
+            head: head.clone(),
+            restored: Some(entry.clone()),
+        });
         assert_eq!(told.is_ok(), obeyed, "over {over}");
-        assert_eq!(watcher.head().revision(), if obeyed { over + 1 } else { 52 });
-        let said = answer(&head, &known.mark(), |r| hash_at(&heads[..41], r), Some(entry));
-        assert_eq!(matches!(said, Answer::Whole(Some(_))), obeyed, "over {over}");
+        assert_eq!(
+            watcher.head().revision(),
+            if obeyed { over + 1 } else { 52 }
+        );
+        let said = answer(
+            &head,
+            &known.mark(),
+            |r| hash_at(&heads[..41], r),
+            Some(entry),
+        );
+        assert_eq!(
+            matches!(said, Answer::Whole(Some(_))),
+            obeyed,
+            "over {over}"
+        );
     }
 }
 
@@ -174,41 +326,85 @@
         assert_eq!(watcher.head(), &heads[3]);
     }
     // Left one out, then the same twice.
-    assert!(watcher.hear(Told::Next { entry: entries[4].clone() }).is_err());
-    assert!(watcher.hear(Told::Next { entry: entries[3].clone() }).unwrap());
-    assert!(!watcher.hear(Told::Next { entry: entries[3].clone() }).unwrap());
+    assert!(
+        watcher
+            .hear(Told::Next {
+                entry: entries[4].clone()
+            })
+            .is_err()
+    );
+    assert!(
+        watcher
+            .hear(Told::Next {
+                entry: entries[3].clone()
+            })
+            .unwrap()
+    );
+    assert!(
+        !watcher
+            .hear(Told::Next {
+                entry: entries[3].clone()
+            })
+            .unwrap()
+    );
     assert_eq!(watcher.head(), &heads[4]);
 }
 
 const HOUR: u64 = 3_600_000;
 
 fn say<'a>(passage: &'a str, version: Option<&'a str>) -> Said<'a> {
-    Said { passage: Some(passage), version, until_ms: None }
+    Said {
+        passage: Some(passage),
+        version,
+        until_ms: None,
+    }
 }
 
 #[test]
 fn a_passage_holds_over_moves_and_controllers_that_share_nothing() {
     let book = two();
     let (mut here, mut there) = (Passages::new(HOUR), Passages::new(HOUR));
-    let first = here.fix(&book, 0, "hill", "kinyarwanda-current", &say("p", None)).unwrap();
+    let first = here
+        .fix(&book, 0, "hill", "kinyarwanda-current", &say("p", None))
+        .unwrap();
     assert_eq!(first.version, name("v1"));
     let moved = book.with(&moves(2, 3, None)).unwrap();
     // Another controller, told of the move: by what the client hands back.
     let handed = say("p", Some("kinyarwanda@v1"));
-    assert_eq!(there.fix(&moved, 5, "hill", "kinyarwanda-current", &handed).unwrap().version, name("v1"));
+    assert_eq!(
+        there
+            .fix(&moved, 5, "hill", "kinyarwanda-current", &handed)
+            .unwrap()
+            .version,
+        name("v1")
+    );
     // And once it has been, by its own memory too.
     assert_eq!(
-        there.fix(&moved, 5, "hill", "kinyarwanda-current", &say("p", None)).unwrap().version,
+        there
+            .fix(&moved, 5, "hill", "kinyarwanda-current", &say("p", None))
+            .unwrap()
+            .version,
         name("v1")
     );
     // The same one, not told by the client: by its own memory.
-    assert_eq!(here.fix(&moved, 5, "hill", "kinyarwanda-current", &say("p", None)).unwrap(), first);
     assert_eq!(
-        here.fix(&moved, 5, "hill", "kinyarwanda-current", &say("q", None)).unwrap().version,
+        here.fix(&moved, 5, "hill", "kinyarwanda-current", &say("p", None))
+            .unwrap(),
+        first
+    );
+    assert_eq!(
+        here.fix(&moved, 5, "hill", "kinyarwanda-current", &say("q", None))
+            .unwrap()
+            .version,
         name("v2")
     );
     // Withdrawn: a clean error in both, never the other version.
-    let gone = moved.with(&Change::Withdraw { model: name("kinyarwanda"), name: name("v1") }).unwrap();
+    let gone = moved
+        .with(&Change::Withdraw {
+            model: name("kinyarwanda"),
+            name: name("v1"),
+        })
+        .unwrap();
     for told in [
         here.fix(&gone, 6, "hill", "kinyarwanda-current", &say("p", None)),
         there.fix(&gone, 6, "hill", "kinyarwanda-current", &handed),
@@ -216,15 +412,30 @@
         assert_eq!(told, Err(Unfixed::Withdrawn("kinyarwanda@v1".into())));
     }
     // Its time is over; a client that makes its end up gains twice the length at most.
-    let late = Said { until_ms: Some(first.until_ms), ..handed.clone() };
+    let late = Said {
+        until_ms: Some(first.until_ms),
+        ..handed.clone()
+    };
     let told = there.fix(&moved, HOUR, "hill", "kinyarwanda-current", &late);
     assert_eq!(told, Err(Unfixed::Over("kinyarwanda@v1".into())));
-    let forged = Said { until_ms: Some(u64::MAX), ..handed };
-    assert_eq!(there.fix(&moved, 0, "hill", "kinyarwanda-current", &forged).unwrap().until_ms, 2 * HOUR);
+    let forged = Said {
+        until_ms: Some(u64::MAX),
+        ..handed
+    };
+    assert_eq!(
+        there
+            .fix(&moved, 0, "hill", "kinyarwanda-current", &forged)
+            .unwrap()
+            .until_ms,
+        2 * HOUR
+    );
     let other = say("p", Some("swahili@v1"));
     let told = there.fix(&moved, 0, "hill", "kinyarwanda-current", &other);
     assert!(matches!(told, Err(Unfixed::NotOfIt { .. })), "{told:?}");
-    assert!(matches!(there.fix(&moved, 0, "hill", "nothing", &say("p", None)), Err(Unfixed::Unknown(_))));
+    assert!(matches!(
+        there.fix(&moved, 0, "hill", "nothing", &say("p", None)),
+        Err(Unfixed::Unknown(_))
+    ));
     assert!(
         matches!(there.fix(&moved, 0, "hill", "kinyarwanda@v2", &say("p", None)), Ok(f) if f.staged.is_none())
     );
@@ -234,12 +445,26 @@
 fn a_tenants_own_alias_goes_before_that_of_all() {
     let (alias, model) = (name("kinyarwanda-current"), name("kinyarwanda"));
     let space = Namespace::Tenant(name("hill"));
-    let own = Change::Move { space, alias, model, version: name("v2"), expect: 0, stage: None };
+    let own = Change::Move {
+        space,
+        alias,
+        model,
+        version: name("v2"),
+        expect: 0,
+        stage: None,
+    };
     let book = two().with(&own).unwrap();
     let mut passages = Passages::new(HOUR);
-    let mut of =
-        |tenant| passages.fix(&book, 0, tenant, "kinyarwanda-current", &say("p", None)).unwrap().version;
-    assert_eq!((of("hill"), of("lake"), of("Not A Name")), (name("v2"), name("v1"), name("v1")));
+    let mut of = |tenant| {
+        passages
+            .fix(&book, 0, tenant, "kinyarwanda-current", &say("p", None))
+            .unwrap()
+            .version
+    };
+    assert_eq!(
+        (of("hill"), of("lake"), of("Not A Name")),
+        (name("v2"), name("v1"), name("v1"))
+    );
 }
 
 #[test]
@@ -249,28 +474,71 @@
     let mut new = 0;
     for n in 0..2_000 {
         let passage = format!("visitor {n}");
-        let fixed = here.fix(&book, 0, "hill", "kinyarwanda-current", &say(&passage, None)).unwrap();
-        assert_eq!(there.fix(&book, 0, "hill", "kinyarwanda-current", &say(&passage, None)).unwrap(), fixed);
-        assert_eq!(fixed.staged.map(|s| (s.new, s.changed)), Some((fixed.version == name("v2"), 4)));
+        let fixed = here
+            .fix(
+                &book,
+                0,
+                "hill",
+                "kinyarwanda-current",
+                &say(&passage, None),
+            )
+            .unwrap();
+        assert_eq!(
+            there
+                .fix(
+                    &book,
+                    0,
+                    "hill",
+                    "kinyarwanda-current",
+                    &say(&passage, None)
+                )
+                .unwrap(),
+            fixed
+        );
+        assert_eq!(
+            fixed.staged.map(|s| (s.new, s.changed)),
+            Some((fixed.version == name("v2"), 4))
+        );
         new += u32::from(fixed.version == name("v2"));
     }
-    assert!((330..470).contains(&new), "{new} of 2,000 began with the new version");
+    assert!(
+        (330..470).contains(&new),
+        "{new} of 2,000 began with the new version"
+    );
     let none = Said::default();
-    assert_eq!(here.fix(&book, 0, "hill", "kinyarwanda-current", &none).unwrap().version, name("v1"));
+    assert_eq!(
+        here.fix(&book, 0, "hill", "kinyarwanda-current", &none)
+            .unwrap()
+            .version,
+        name("v1")
+    );
 }
 
 #[test]
 fn passages_that_are_remembered_are_bounded() {
     let (book, mut passages) = (two(), Passages::new(HOUR));
     for n in 0..50_200 {
-        passages.fix(&book, n, "hill", "kinyarwanda-current", &say(&n.to_string(), None)).unwrap();
+        passages
+            .fix(
+                &book,
+                n,
+                "hill",
+                "kinyarwanda-current",
+                &say(&n.to_string(), None),
+            )
+            .unwrap();
     }
     assert_eq!(passages.remembered(), 50_000);
 }
 
 #[test]
 fn a_stage_stops_early_by_more_errors_than_chance_makes_and_ends_well_otherwise() {
-    let stage = Stage { to: name("v2"), per_mille: 100, errors_per_mille: 20, answers: 1_000 };
+    let stage = Stage {
+        to: name("v2"),
+        per_mille: 100,
+        errors_per_mille: 20,
+        answers: 1_000,
+    };
     let judge = |new_well, new_erred, old_well, old_erred| {
         let mut tallies = Tallies::default();
         // Told in halves by two controllers, one of them twice, once out of order.
@@ -289,15 +557,37 @@
         for (controller, tally) in [(1, half), (2, rest), (1, half), (2, Tally::default())] {
             tallies.tell(controller, 1, tally);
         }
-        assert_eq!(tallies.sum(), Tally { new_well, new_erred, old_well, old_erred });
+        assert_eq!(
+            tallies.sum(),
+            Tally {
+                new_well,
+                new_erred,
+                old_well,
+                old_erred
+            }
+        );
         tallies.judge(&stage)
     };
     assert_eq!(judge(40, 0, 400, 0), Verdict::GoOn);
-    assert!(matches!(judge(40, 10, 400, 0), Verdict::Stop { .. }), "a fifth of fifty");
-    assert_eq!(judge(40, 4, 400, 0), Verdict::GoOn, "four errors prove nothing");
+    assert!(
+        matches!(judge(40, 10, 400, 0), Verdict::Stop { .. }),
+        "a fifth of fifty"
+    );
+    assert_eq!(
+        judge(40, 4, 400, 0),
+        Verdict::GoOn,
+        "four errors prove nothing"
+    );
     assert_eq!(judge(990, 10, 9_000, 0), Verdict::Well, "within the bound");
-    assert!(matches!(judge(970, 30, 9_000, 0), Verdict::Stop { .. }), "over the bound, all counted");
-    assert_eq!(judge(970, 30, 9_000, 500), Verdict::Well, "the old one errs as much");
+    assert!(
+        matches!(judge(970, 30, 9_000, 0), Verdict::Stop { .. }),
+        "over the bound, all counted"
+    );
+    assert_eq!(
+        judge(970, 30, 9_000, 500),
+        Verdict::Well,
+        "the old one errs as much"
+    );
     assert_eq!(judge(0, 0, u64::MAX / 2, 3), Verdict::GoOn);
 }
 
@@ -312,11 +602,20 @@
     let lease = keeper.begin(50, BTreeSet::from([b]), 500);
     assert_eq!(collect(&mut keeper, 150), [c], "b is leased");
     assert!(keeper.holds(549, lease, &[b]).is_ok());
-    assert!(keeper.holds(549, lease, &[c]).is_err(), "not what it began with");
+    assert!(
+        keeper.holds(549, lease, &[c]).is_err(),
+        "not what it began with"
+    );
     assert!(keeper.holds(550, lease, &[b]).is_err(), "it has run out");
-    assert!(collect(&mut keeper, 560).is_empty(), "the grace begins when the lease ends");
+    assert!(
+        collect(&mut keeper, 560).is_empty(),
+        "the grace begins when the lease ends"
+    );
     let last = collect(&mut keeper, 660);
-    assert_eq!(last.into_iter().collect::<BTreeSet<_>>(), BTreeSet::from([b, c]));
+    assert_eq!(
+        last.into_iter().collect::<BTreeSet<_>>(),
+        BTreeSet::from([b, c])
+    );
 }
 
 proptest! {
