--- a/crates/registry/tests/all/interleave.rs
+++ b/crates/registry/tests/all/interleave.rs
@@ -61,7 +61,11 @@
     fn step(&self, n: usize) -> Option<World> {
         let mut w = self.clone();
         let head = w.heads.last().unwrap().clone();
-        let alias = head.book.alias(&Namespace::All, &name("kinyarwanda-current")).unwrap().clone();
+        let alias = head
+            .book
+            .alias(&Namespace::All, &name("kinyarwanda-current"))
+            .unwrap()
+            .clone();
         match n {
             0 | 1 if w.moved[n] < 2 && w.movers[n].is_none() => w.movers[n] = Some(alias.changed),
             2 | 3 if w.movers[n - 2].is_some() => {
@@ -69,7 +73,10 @@
                 w.moved[n - 2] += 1;
                 match head.decide("tests", n as u64, moves(n as u64 - 1, expect, None)) {
                     Ok((entry, next)) => {
-                        assert_eq!(expect, alias.changed, "moved by someone who knew an older one");
+                        assert_eq!(
+                            expect, alias.changed,
+                            "moved by someone who knew an older one"
+                        );
                         w.took += 1;
                         w.heads.push(next);
                         w.entries.push(entry);
@@ -78,14 +85,24 @@
                 }
             }
             4 if w.line.is_none() => {
-                let hash_at = |r| w.heads.iter().find(|h| h.revision() == r).map(|h| h.hash.clone());
+                let hash_at = |r| {
+                    w.heads
+                        .iter()
+                        .find(|h| h.revision() == r)
+                        .map(|h| h.hash.clone())
+                };
                 let mut line = Vec::new();
                 match answer(&head, &w.watcher.mark(), hash_at, None) {
                     Answer::Whole(restored) => {
-                        line.push(Told::Whole { head: head.clone(), restored });
+                        line.push(Told::Whole {
+                            head: head.clone(),
+                            restored,
+                        });
                         w.told = w.entries.len();
                     }
-                    Answer::After(r) => w.told = w.entries.iter().filter(|e| e.revision <= r).count(),
+                    Answer::After(r) => {
+                        w.told = w.entries.iter().filter(|e| e.revision <= r).count()
+                    }
                     Answer::Behind(at) => {
                         line.push(Told::Behind { at });
                         w.told = usize::MAX;
@@ -96,7 +113,9 @@
             5 if w.line.is_some() => {
                 let line = w.line.as_mut().unwrap();
                 if let Some(entry) = w.entries.get(w.told) {
-                    line.push(Told::Next { entry: entry.clone() });
+                    line.push(Told::Next {
+                        entry: entry.clone(),
+                    });
                     w.told += 1;
                 } else if line.is_empty() {
                     return None;
@@ -105,7 +124,10 @@
                 let before = w.watcher.clone();
                 match w.watcher.hear(told) {
                     Ok(true) => {
-                        assert!(w.watcher.head().revision() > w.obeyed, "it went back, or obeyed one twice");
+                        assert!(
+                            w.watcher.head().revision() > w.obeyed,
+                            "it went back, or obeyed one twice"
+                        );
                         w.obeyed = w.watcher.head().revision();
                         w.refused = false;
                     }
@@ -141,7 +163,10 @@
         // What the watcher holds was once the registry's, whole.
         let known = world.watcher.head();
         if world.backups == 0 {
-            assert!(world.heads.contains(known), "the watcher holds what never was");
+            assert!(
+                world.heads.contains(known),
+                "the watcher holds what never was"
+            );
             assert!(!world.refused, "nothing went back, and yet it refused");
         }
         refusals += u64::from(world.refused);
@@ -190,7 +215,13 @@
         log: Vec<(u64, char)>,
     }
     let (mut runs, mut ended, mut denied) = (0, 0, 0);
-    let mut open = vec![Yard { at: 0, collected: 0, deleted: false, now: 0, log: Vec::new() }];
+    let mut open = vec![Yard {
+        at: 0,
+        collected: 0,
+        deleted: false,
+        now: 0,
+        log: Vec::new(),
+    }];
     while let Some(yard) = open.pop() {
         let mut next = Vec::new();
         let mut with = |what: char, change: &dyn Fn(&mut Yard)| {
@@ -222,7 +253,12 @@
         for (now, what) in yard.log {
             match what {
                 'b' => lease = keeper.begin(now, BTreeSet::from([shared, own]), 300),
-                'l' => lacks = [shared, own].into_iter().filter(|d| !there.contains(d)).collect(),
+                'l' => {
+                    lacks = [shared, own]
+                        .into_iter()
+                        .filter(|d| !there.contains(d))
+                        .collect()
+                }
                 'u' => there.extend(lacks.iter().copied()),
                 'd' if !pushed => drop(named.remove(&shared)),
                 'd' => {}
@@ -234,7 +270,10 @@
                 }
                 _ => match keeper.holds(now, lease, &[shared, own]) {
                     Ok(()) => {
-                        assert!(there.contains(&shared) && there.contains(&own), "pushed without its chunks");
+                        assert!(
+                            there.contains(&shared) && there.contains(&own),
+                            "pushed without its chunks"
+                        );
                         (pushed, named) = (true, BTreeSet::from([shared, own]));
                         keeper.end(lease);
                     }
@@ -242,19 +281,33 @@
                 },
             }
             if pushed {
-                assert!(there.contains(&shared) && there.contains(&own), "taken after the push");
+                assert!(
+                    there.contains(&shared) && there.contains(&own),
+                    "taken after the push"
+                );
             }
         }
         ended += u64::from(pushed);
     }
-    assert!(runs > 500 && ended > 100 && denied > 100, "{runs} orders, {ended} pushed, {denied} too late");
+    assert!(
+        runs > 500 && ended > 100 && denied > 100,
+        "{runs} orders, {ended} pushed, {denied} too late"
+    );
 }
 
 #[test]
 fn the_world_of_the_first_test_would_show_a_mover_that_does_not_compare() {
     let head = World::begin().heads.pop().unwrap();
-    let at = head.book.alias(&Namespace::All, &name("kinyarwanda-current")).unwrap().changed;
+    let at = head
+        .book
+        .alias(&Namespace::All, &name("kinyarwanda-current"))
+        .unwrap()
+        .changed;
     let once = head.decide("tests", 0, moves(2, at, None)).unwrap().1;
-    let blind = Change::RollBack { space: Namespace::All, alias: name("kinyarwanda-current"), expect: at };
+    let blind = Change::RollBack {
+        space: Namespace::All,
+        alias: name("kinyarwanda-current"),
+        expect: at,
+    };
     assert!(once.decide("tests", 0, blind).is_err());
 }
--- a/crates/registry/tests/all/kills.rs
+++ b/crates/registry/tests/all/kills.rs
@@ -49,10 +49,18 @@
             assert_eq!(store.head().revision(), told);
             drop(store);
             let found = disk.after_power_cut(&mut rng);
-            let store = open(&found).unwrap_or_else(|e| panic!("killed at {dies_at}, {told} told: {e}"));
+            let store =
+                open(&found).unwrap_or_else(|e| panic!("killed at {dies_at}, {told} told: {e}"));
             let kept = store.after(0, 100).unwrap();
-            assert!(kept.len() as u64 >= told, "killed at {dies_at}: {told} told, {} kept", kept.len());
-            assert!(kept.len() as u64 <= told + 1, "at most the one under way is there unacknowledged");
+            assert!(
+                kept.len() as u64 >= told,
+                "killed at {dies_at}: {told} told, {} kept",
+                kept.len()
+            );
+            assert!(
+                kept.len() as u64 <= told + 1,
+                "at most the one under way is there unacknowledged"
+            );
             assert_eq!(kept[..told as usize], entries[..], "the very entries");
             store.verify().unwrap();
             kills += 1;
@@ -89,13 +97,21 @@
     let head = store.head().clone();
     disk.room(Some(disk.length()));
     for _ in 0..3 {
-        let told = store.take(vec![asked(push(77))]).map(|_| ()).unwrap_err().to_string();
+        let told = store
+            .take(vec![asked(push(77))])
+            .map(|_| ())
+            .unwrap_err()
+            .to_string();
         assert!(told.contains("disk"), "{told}");
         assert_eq!(store.head(), &head);
         assert!(!store.writable());
     }
     disk.room(None);
-    store.take(vec![asked(push(78))]).unwrap().remove(0).unwrap();
+    store
+        .take(vec![asked(push(78))])
+        .unwrap()
+        .remove(0)
+        .unwrap();
     assert_eq!(store.head().revision(), head.revision() + 1);
     store.verify().unwrap();
 }
@@ -103,9 +119,18 @@
 #[test]
 fn a_change_that_is_refused_costs_the_others_of_its_write_nothing() {
     let mut store = open(&Disk::default()).unwrap();
-    let told =
-        store.take(vec![asked(push(1)), asked(push(1)), asked(moves(9, 0, None)), asked(push(2))]).unwrap();
-    assert_eq!(told.iter().map(|t| t.is_ok()).collect::<Vec<_>>(), [true, false, false, true]);
+    let told = store
+        .take(vec![
+            asked(push(1)),
+            asked(push(1)),
+            asked(moves(9, 0, None)),
+            asked(push(2)),
+        ])
+        .unwrap();
+    assert_eq!(
+        told.iter().map(|t| t.is_ok()).collect::<Vec<_>>(),
+        [true, false, false, true]
+    );
     assert_eq!(store.head().revision(), 2);
     assert_eq!(store.verify().unwrap(), 2);
 }
@@ -113,7 +138,10 @@
 #[test]
 fn a_history_that_was_tampered_with_is_refused_with_its_place() {
     let folder = tempfile::tempdir().unwrap();
-    let (path, backup) = (folder.path().join("registry.redb"), folder.path().join("backup"));
+    let (path, backup) = (
+        folder.path().join("registry.redb"),
+        folder.path().join("backup"),
+    );
     let mut store = Store::open_file(&path).unwrap();
     for n in 0..6 {
         store.take(vec![asked(nth(n))]).unwrap().remove(0).unwrap();
@@ -132,7 +160,12 @@
         told
     };
     let own = |keep: &dyn Fn(usize) -> bool| -> Vec<String> {
-        lines.iter().enumerate().filter(|(n, _)| keep(*n)).map(|(_, l)| (*l).to_owned()).collect()
+        lines
+            .iter()
+            .enumerate()
+            .filter(|(n, _)| keep(*n))
+            .map(|(_, l)| (*l).to_owned())
+            .collect()
     };
     let mut other = own(&|_| true);
     other[1] = other[1].replace("tests", "nobody");
@@ -146,9 +179,16 @@
         assert!(told.contains(place), "{told}");
     }
     // Not below what may have been given out, and nothing in a place that is taken.
-    let told = restore(&backup, &folder.path().join("low.redb"), 3, "root", 5).unwrap_err().to_string();
-    assert!(told.contains("revision 6") && !folder.path().join("low.redb").exists(), "{told}");
-    let told = restore(&backup, &path, 100, "root", 5).unwrap_err().to_string();
+    let told = restore(&backup, &folder.path().join("low.redb"), 3, "root", 5)
+        .unwrap_err()
+        .to_string();
+    assert!(
+        told.contains("revision 6") && !folder.path().join("low.redb").exists(),
+        "{told}"
+    );
+    let told = restore(&backup, &path, 100, "root", 5)
+        .unwrap_err()
+        .to_string();
     assert!(told.contains("already"), "{told}");
     let to = folder.path().join("good.redb");
     let restored = restore(&backup, &to, 100, "root", 5).unwrap();
--- a/crates/registry/tests/all/service.rs
+++ b/crates/registry/tests/all/service.rs
@@ -16,8 +16,11 @@
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 
 fn on_paused_time<T>(run: impl Future<Output = T>) -> T {
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_time()
+        .start_paused(true)
+        .build()
+        .unwrap();
     LocalSet::new().block_on(&runtime, run)
 }
 
@@ -43,7 +46,14 @@
         let network: Rc<dyn Network> = Rc::new(Memory::default());
         let at = Address::Memory("registry".into());
         let registry = Registry::new(store, None, hour());
-        let mut site = Site { network, at, key, task: None, registry, disk };
+        let mut site = Site {
+            network,
+            at,
+            key,
+            task: None,
+            registry,
+            disk,
+        };
         site.start(None).await;
         site
     }
@@ -54,7 +64,9 @@
         }
         let (door, _) = self.network.listen(&self.at).await.unwrap();
         let registry = self.registry.clone();
-        self.task = Some(spawn_local(async move { registry.attend(door, Clock::start()).await }));
+        self.task = Some(spawn_local(async move {
+            registry.attend(door, Clock::start()).await
+        }));
     }
 
     /// As a kill: callers and watchers lose their lines, what was not synced is lost.
@@ -66,11 +78,18 @@
     }
 
     async fn caller(&self) -> Caller {
-        Caller::dial(&self.network, &self.at, &self.key).await.unwrap()
+        Caller::dial(&self.network, &self.at, &self.key)
+            .await
+            .unwrap()
     }
 
     fn following(&self, who: &str) -> Following {
-        Following { registry: self.at.clone(), key: self.key.clone(), who: who.into(), copy: None }
+        Following {
+            registry: self.at.clone(),
+            key: self.key.clone(),
+            who: who.into(),
+            copy: None,
+        }
     }
 }
 
@@ -126,17 +145,35 @@
         let disk = site.kill().await;
         let mut store = Store::open("disk".into(), disk.opens()).unwrap();
         site.disk = disk;
-        let asked = |n| saltdrum_registry::store::Asked { who: "anna".into(), at_ms: 0, change: push(n) };
+        let asked = |n| saltdrum_registry::store::Asked {
+            who: "anna".into(),
+            at_ms: 0,
+            change: push(n),
+        };
         store.take((1..=50).map(asked).collect()).unwrap();
         ms(30_000).await;
-        assert_eq!(seen.borrow().heads.last().unwrap().revision(), 2, "what it said stands");
+        assert_eq!(
+            seen.borrow().heads.last().unwrap().revision(),
+            2,
+            "what it said stands"
+        );
         site.start(Some(store)).await;
         ms(10_000).await;
         went_up(&seen.borrow());
         let heads = seen.borrow().heads.clone();
         let last: Vec<u64> = heads.iter().rev().take(50).map(Head::revision).collect();
-        assert_eq!(last, (3..=52).rev().collect::<Vec<_>>(), "none left out, none twice");
-        assert_eq!(heads.last().unwrap(), &Head { book: site.registry.book(), hash: last_hash(&site).await });
+        assert_eq!(
+            last,
+            (3..=52).rev().collect::<Vec<_>>(),
+            "none left out, none twice"
+        );
+        assert_eq!(
+            heads.last().unwrap(),
+            &Head {
+                book: site.registry.book(),
+                hash: last_hash(&site).await
+            }
+        );
         task.abort();
     });
 }
@@ -152,7 +189,10 @@
         let mut site = Site::up().await;
         let mut watchers = Vec::new();
         for n in 0..20 {
-            watchers.push(watch(site.following(&format!("box-{n}")), site.network.clone()));
+            watchers.push(watch(
+                site.following(&format!("box-{n}")),
+                site.network.clone(),
+            ));
         }
         let (mut told, mut tries) = (0, 0u64);
         for life in 0..12 {
@@ -181,17 +221,27 @@
             }
             let disk = site.kill().await;
             let store = Store::open("disk".into(), disk.opens()).unwrap();
-            assert!(store.head().book.versions.len() as u64 >= told, "life {life}: {told} were told");
+            assert!(
+                store.head().book.versions.len() as u64 >= told,
+                "life {life}: {told} were told"
+            );
             site.disk = disk;
             site.start(Some(store)).await;
             ms(15_000).await;
         }
         let book = site.registry.book();
-        assert!(told > 20 && told < tries, "{told} of {tries}: some were to be cut off");
+        assert!(
+            told > 20 && told < tries,
+            "{told} of {tries}: some were to be cut off"
+        );
         for (seen, task) in &watchers {
             went_up(&seen.borrow());
             assert_eq!(seen.borrow().heads.last().unwrap().book, book);
-            assert!(seen.borrow().refused.is_empty(), "{:?}", seen.borrow().refused);
+            assert!(
+                seen.borrow().refused.is_empty(),
+                "{:?}",
+                seen.borrow().refused
+            );
             task.abort();
         }
     });
@@ -208,7 +258,10 @@
         for n in 0..8 {
             change(&mut caller, &push(n)).await.unwrap();
         }
-        let of = Following { copy: Some(copy.clone()), ..site.following("box") };
+        let of = Following {
+            copy: Some(copy.clone()),
+            ..site.following("box")
+        };
         let (seen, task) = watch(of.clone(), site.network.clone());
         ms(100).await;
         change(&mut caller, &push(8)).await.unwrap();
@@ -222,7 +275,8 @@
         ms(1).await;
         assert_eq!(seen.borrow().heads, vec![known.clone()]);
         // One that came back with the first change alone is refused, in words.
-        site.start(Some(Store::open("disk".into(), old.opens()).unwrap())).await;
+        site.start(Some(Store::open("disk".into(), old.opens()).unwrap()))
+            .await;
         ms(10_000).await;
         assert_eq!(seen.borrow().heads, vec![known.clone()]);
         let why = seen.borrow().refused.last().unwrap().clone();
@@ -231,7 +285,10 @@
             "{why}"
         );
         let told = site.caller().await.call("status", json!({})).await.unwrap();
-        assert_eq!(told["followers"], json!([{"who": "box", "revision": 1, "refused": true, "behind": 0}]));
+        assert_eq!(
+            told["followers"],
+            json!([{"who": "box", "revision": 1, "refused": true, "behind": 0}])
+        );
         task.abort();
         // A line that was being written when the power went was never obeyed.
         let mut half = std::fs::read(&copy).unwrap();
@@ -246,7 +303,11 @@
         let (seen, task) = watch(of, site.network.clone());
         ms(5_000).await;
         assert!(seen.borrow().heads.is_empty());
-        assert!(seen.borrow().refused[0].contains("registry.copy: line"), "{:?}", seen.borrow().refused);
+        assert!(
+            seen.borrow().refused[0].contains("registry.copy: line"),
+            "{:?}",
+            seen.borrow().refused
+        );
         task.abort();
     });
 }
@@ -255,8 +316,9 @@
 fn a_hundred_watchers_hear_of_a_move_and_silence_is_told_from_calm() {
     on_paused_time(async {
         let site = Site::up().await;
-        let watchers: Vec<_> =
-            (0..100).map(|n| watch(site.following(&format!("box-{n}")), site.network.clone())).collect();
+        let watchers: Vec<_> = (0..100)
+            .map(|n| watch(site.following(&format!("box-{n}")), site.network.clone()))
+            .collect();
         let mut caller = site.caller().await;
         for c in [push(1), push(2), moves(1, 0, None)] {
             change(&mut caller, &c).await.unwrap();
@@ -281,22 +343,61 @@
         let site = Site::up().await;
         let mut owner = site.caller().await;
         let (reader, hash) = keys::make(&name("box"), [9; 32]);
-        change(&mut owner, &Change::AddKey { id: name("box"), role: Role::Reader, hash }).await.unwrap();
+        change(
+            &mut owner,
+            &Change::AddKey {
+                id: name("box"),
+                role: Role::Reader,
+                hash,
+            },
+        )
+        .await
+        .unwrap();
         let before = site.registry.book();
         let wrong = Caller::dial(&site.network, &site.at, "anna.00").await;
         assert!(matches!(wrong, Err(Fault::Told { code: DENIED, .. })));
-        let mut caller = Caller::dial(&site.network, &site.at, &reader).await.unwrap();
+        let mut caller = Caller::dial(&site.network, &site.at, &reader)
+            .await
+            .unwrap();
         let told = change(&mut caller, &push(1)).await.unwrap_err();
         assert_eq!(told.0, DENIED);
         assert!(told.1.contains("Publisher is needed"), "{}", told.1);
         let asks = [
-            ("change", json!({"change": {"change": "restored", "over": 9}}), "while the registry is down"),
-            ("change", json!({"change": {"change": "burn"}}), "unknown variant"),
-            ("change", json!({"change": push(1), "role": "owner"}), "unknown field"),
-            ("change", json!({"change": moves(1, 99, None)}), "is not known"),
-            ("watch", json!({"who": "x".repeat(99), "mark": {"revision": 0, "hash": ""}}), "64 bytes"),
-            ("begin", json!({"digests": ["sha256:zz"]}), "64 hexadecimal digits"),
-            ("corrupt", json!({"model": "m", "version": "v", "why": ""}), "is not known"),
+            (
+                "change",
+                json!({"change": {"change": "restored", "over": 9}}),
+                "while the registry is down",
+            ),
+            (
+                "change",
+                json!({"change": {"change": "burn"}}),
+                "unknown variant",
+            ),
+            (
+                "change",
+                json!({"change": push(1), "role": "owner"}),
+                "unknown field",
+            ),
+            (
+                "change",
+                json!({"change": moves(1, 99, None)}),
+                "is not known",
+            ),
+            (
+                "watch",
+                json!({"who": "x".repeat(99), "mark": {"revision": 0, "hash": ""}}),
+                "64 bytes",
+            ),
+            (
+                "begin",
+                json!({"digests": ["sha256:zz"]}),
+                "64 hexadecimal digits",
+            ),
+            (
+                "corrupt",
+                json!({"model": "m", "version": "v", "why": ""}),
+                "is not known",
+            ),
             ("fly", json!({}), "not known here"),
         ];
         for (method, params, why) in asks {
@@ -306,7 +407,9 @@
         assert_eq!(site.registry.book(), before);
         // A key that is withdrawn while its line is open.
         assert!(caller.call("status", json!({})).await.is_ok());
-        change(&mut owner, &Change::WithdrawKey { id: name("box") }).await.unwrap();
+        change(&mut owner, &Change::WithdrawKey { id: name("box") })
+            .await
+            .unwrap();
         let told = caller.call("status", json!({})).await.unwrap_err();
         assert!(matches!(told, Fault::Told { code: DENIED, .. }), "{told}");
     });
@@ -322,8 +425,12 @@
         }
         let lost = Rc::new(Cell::new(0));
         let movers = [1, 2].map(|to| {
-            let (network, at, key, lost) =
-                (site.network.clone(), site.at.clone(), site.key.clone(), lost.clone());
+            let (network, at, key, lost) = (
+                site.network.clone(),
+                site.at.clone(),
+                site.key.clone(),
+                lost.clone(),
+            );
             spawn_local(async move {
                 let mut caller = Caller::dial(&network, &at, &key).await.unwrap();
                 for _ in 0..50 {
@@ -332,7 +439,9 @@
                         let expect = told["aliases"][0]["is"]["changed"].as_u64().unwrap();
                         match change(&mut caller, &moves(to, expect, None)).await {
                             Ok(_) => break,
-                            Err((REFUSED, why)) => assert!(why.contains("someone else moved it"), "{why}"),
+                            Err((REFUSED, why)) => {
+                                assert!(why.contains("someone else moved it"), "{why}")
+                            }
                             Err(e) => panic!("{e:?}"),
                         }
                         lost.set(lost.get() + 1);
@@ -344,7 +453,11 @@
             mover.await.unwrap();
         }
         assert_eq!(site.registry.book().revision, 104);
-        assert!(lost.get() > 10, "{} were refused: they never met", lost.get());
+        assert!(
+            lost.get() > 10,
+            "{} were refused: they never met",
+            lost.get()
+        );
     });
 }
 
@@ -356,25 +469,51 @@
         for c in [push(1), push(2), moves(1, 0, None), moves(2, 4, Some(100))] {
             change(&mut caller, &c).await.unwrap();
         }
-        let alias =
-            || site.registry.book().alias(&Namespace::All, &name("kinyarwanda-current")).unwrap().clone();
+        let alias = || {
+            site.registry
+                .book()
+                .alias(&Namespace::All, &name("kinyarwanda-current"))
+                .unwrap()
+                .clone()
+        };
         let tally = |controller: u32, well: u64, erred: u64, changed: u64| {
             json!({"space": "all", "alias": "kinyarwanda-current", "changed": changed, "controller": controller,
                 "incarnation": 1, "tally": {"new_well": well, "new_erred": erred, "old_well": 500, "old_erred": 0}})
         };
         // An older stage's counts do not touch this one.
-        assert_eq!(caller.call("tally", tally(1, 0, 90, 4)).await.unwrap(), json!({"over": true}));
-        assert_eq!(caller.call("tally", tally(1, 30, 2, 5)).await.unwrap(), json!({"over": false}));
+        assert_eq!(
+            caller.call("tally", tally(1, 0, 90, 4)).await.unwrap(),
+            json!({"over": true})
+        );
+        assert_eq!(
+            caller.call("tally", tally(1, 30, 2, 5)).await.unwrap(),
+            json!({"over": false})
+        );
         assert!(matches!(alias().stage, Some(Stage { per_mille: 100, .. })));
-        assert_eq!(caller.call("tally", tally(2, 20, 9, 5)).await.unwrap(), json!({"over": true}));
+        assert_eq!(
+            caller.call("tally", tally(2, 20, 9, 5)).await.unwrap(),
+            json!({"over": true})
+        );
         assert_eq!((alias().version, alias().stage), (name("v1"), None));
         let told = caller.call("history", json!({"after": 5})).await.unwrap();
-        let why = told["entries"][0]["change"]["why"].as_str().unwrap().to_owned();
-        assert!(why.contains("18.0% of the new version's answers erred"), "{why}");
+        let why = told["entries"][0]["change"]["why"]
+            .as_str()
+            .unwrap()
+            .to_owned();
+        assert!(
+            why.contains("18.0% of the new version's answers erred"),
+            "{why}"
+        );
         // The next stage of the same alias begins at nothing, and ends well.
         change(&mut caller, &moves(2, 6, Some(100))).await.unwrap();
-        assert_eq!(caller.call("tally", tally(1, 99, 1, 7)).await.unwrap(), json!({"over": true}));
-        assert_eq!((alias().version, alias().before), (name("v2"), Some(name("v1"))));
+        assert_eq!(
+            caller.call("tally", tally(1, 99, 1, 7)).await.unwrap(),
+            json!({"over": true})
+        );
+        assert_eq!(
+            (alias().version, alias().before),
+            (name("v2"), Some(name("v1")))
+        );
     });
 }
 
@@ -386,9 +525,15 @@
         change(&mut caller, &push(1)).await.unwrap();
         site.disk.room(Some(site.disk.length()));
         let (code, why) = change(&mut caller, &push(2)).await.unwrap_err();
-        assert!(code == saltdrum_registry::service::DISK && why.contains("no space left"), "{code} {why}");
+        assert!(
+            code == saltdrum_registry::service::DISK && why.contains("no space left"),
+            "{code} {why}"
+        );
         let told = caller.call("status", json!({})).await.unwrap();
-        assert_eq!((&told["revision"], &told["writable"]), (&json!(2), &json!(false)));
+        assert_eq!(
+            (&told["revision"], &told["writable"]),
+            (&json!(2), &json!(false))
+        );
         // One that comes new is told the book as it was acknowledged.
         let (seen, task) = watch(site.following("late"), site.network.clone());
         ms(50).await;
--- a/crates/registry/tests/all/support/disk.rs
+++ b/crates/registry/tests/all/support/disk.rs
@@ -72,14 +72,22 @@
                 safe[at as usize..end].copy_from_slice(&bytes[..kept]);
             }
         }
-        Disk(Arc::new(Mutex::new(Platter { seen: safe.clone(), safe, ..Default::default() })))
+        Disk(Arc::new(Mutex::new(Platter {
+            seen: safe.clone(),
+            safe,
+            ..Default::default()
+        })))
     }
 
     /// The same bytes with one of them other.
     pub fn bent(&self, at: u64) -> Disk {
         let mut safe = self.0.lock().unwrap().seen.clone();
         safe[at as usize] ^= 0x20;
-        Disk(Arc::new(Mutex::new(Platter { seen: safe.clone(), safe, ..Default::default() })))
+        Disk(Arc::new(Mutex::new(Platter {
+            seen: safe.clone(),
+            safe,
+            ..Default::default()
+        })))
     }
 }
 
@@ -101,7 +109,11 @@
     fn read(&self, offset: u64, out: &mut [u8]) -> Result<(), io::Error> {
         let p = self.0.lock().unwrap();
         let (from, to) = (offset as usize, offset as usize + out.len());
-        out.copy_from_slice(p.seen.get(from..to).ok_or_else(|| dead("read beyond the end"))?);
+        out.copy_from_slice(
+            p.seen
+                .get(from..to)
+                .ok_or_else(|| dead("read beyond the end"))?,
+        );
         Ok(())
     }
 
--- a/crates/registry/tests/all/support/mod.rs
+++ b/crates/registry/tests/all/support/mod.rs
@@ -20,17 +20,36 @@
 }
 
 pub fn push(n: u64) -> Change {
-    Change::Push { model: name("kinyarwanda"), name: name(&format!("v{n}")), version: version(n) }
+    Change::Push {
+        model: name("kinyarwanda"),
+        name: name(&format!("v{n}")),
+        version: version(n),
+    }
 }
 
 pub fn moves(to: u64, expect: Revision, stage: Option<u16>) -> Change {
     let version = name(&format!("v{to}"));
-    let stage =
-        stage.map(|per_mille| Stage { to: version.clone(), per_mille, errors_per_mille: 50, answers: 100 });
+    let stage = stage.map(|per_mille| Stage {
+        to: version.clone(),
+        per_mille,
+        errors_per_mille: 50,
+        answers: 100,
+    });
     let (alias, model) = (name("kinyarwanda-current"), name("kinyarwanda"));
-    Change::Move { space: Namespace::All, alias, model, version, expect, stage }
+    Change::Move {
+        space: Namespace::All,
+        alias,
+        model,
+        version,
+        expect,
+        stage,
+    }
 }
 
 pub fn asked(change: Change) -> Asked {
-    Asked { who: "tests".into(), at_ms: 1_000, change }
+    Asked {
+        who: "tests".into(),
+        at_ms: 1_000,
+        change,
+    }
 }
--- a/crates/rogue/src/careless.rs
+++ b/crates/rogue/src/careless.rs
@@ -54,8 +54,12 @@
     stream.read_to_end(&mut answer).await.ok()?;
     let head_ends = answer.windows(4).position(|w| w == b"\r\n\r\n")? + 4;
     let head = String::from_utf8_lossy(&answer[..head_ends]).to_lowercase();
-    let length =
-        head.lines().find_map(|l| l.strip_prefix("content-length:")?.trim().parse::<usize>().ok())?;
+    let length = head.lines().find_map(|l| {
+        l.strip_prefix("content-length:")?
+            .trim()
+            .parse::<usize>()
+            .ok()
+    })?;
     let body = answer.split_off(head_ends);
     (head.starts_with("http/1.1 200") && body.len() == length).then_some(body)
 }
--- a/crates/rogue/src/leases.rs
+++ b/crates/rogue/src/leases.rs
@@ -87,7 +87,9 @@
         self.sealed.set(epoch.max(self.sealed.get()));
         if self.fault == JournalFault::BelievesItsDisk {
             let transaction = self.database.begin_write()?;
-            transaction.open_table(SEALED)?.insert(KEY, self.sealed.get())?;
+            transaction
+                .open_table(SEALED)?
+                .insert(KEY, self.sealed.get())?;
             transaction.commit()?;
         }
         Ok(())
@@ -103,7 +105,8 @@
                 if asked.epoch < self.sealed.get() {
                     return refused("sealed to a later epoch");
                 }
-                self.seal(asked.epoch).map_err(|e| (REJECTED, e.to_string()))?;
+                self.seal(asked.epoch)
+                    .map_err(|e| (REJECTED, e.to_string()))?;
                 Ok(json!(Sealed { incarnation: 1 }).to_string())
             }
             "append" => {
@@ -113,10 +116,19 @@
                     return refused("sealed to a later epoch");
                 }
                 self.lines.set(self.lines.get() + 1);
-                (self.tells)(&Accepted { token: effect.token, by: effect.by });
-                Ok(json!(Appended { number: self.lines.get() }).to_string())
+                (self.tells)(&Accepted {
+                    token: effect.token,
+                    by: effect.by,
+                });
+                Ok(json!(Appended {
+                    number: self.lines.get()
+                })
+                .to_string())
             }
-            other => Err((rpc::METHOD_NOT_FOUND, format!("method '{other}' is not one of a journal"))),
+            other => Err((
+                rpc::METHOD_NOT_FOUND,
+                format!("method '{other}' is not one of a journal"),
+            )),
         }
     }
 }
@@ -133,22 +145,41 @@
     loop {
         for (name, caller) in &resources {
             clock.sleep_until(clock.now() + BETWEEN_EFFECTS).await;
-            let Some(held) = watch.held(task) else { continue };
+            let Some(held) = watch.held(task) else {
+                continue;
+            };
             let known = sealed.borrow().get(&(name.clone(), held.epoch)).copied();
             let incarnation = match known {
                 Some(incarnation) => incarnation,
                 None => {
-                    let asked = Seal { lease: held.lease.clone(), epoch: held.epoch };
+                    let asked = Seal {
+                        lease: held.lease.clone(),
+                        epoch: held.epoch,
+                    };
                     let told = caller.call::<Sealed>("seal", &asked, PATIENCE / 20).await;
                     let Ok(told) = told else { continue };
-                    sealed.borrow_mut().insert((name.clone(), held.epoch), told.incarnation);
+                    sealed
+                        .borrow_mut()
+                        .insert((name.clone(), held.epoch), told.incarnation);
                     told.incarnation
                 }
             };
-            let token = Token { lease: held.lease.clone(), epoch: held.epoch, incarnation };
-            let what = Append { line: String::new() };
-            let effect = Effect { token, by: by.clone(), what };
-            let _ = caller.call::<Appended>("append", &effect, PATIENCE / 20).await;
+            let token = Token {
+                lease: held.lease.clone(),
+                epoch: held.epoch,
+                incarnation,
+            };
+            let what = Append {
+                line: String::new(),
+            };
+            let effect = Effect {
+                token,
+                by: by.clone(),
+                what,
+            };
+            let _ = caller
+                .call::<Appended>("append", &effect, PATIENCE / 20)
+                .await;
         }
     }
 }
@@ -192,6 +223,8 @@
             return Err((NO_VOTE, "it does not vote".to_owned()));
         }
         let standing = self.standing(&said(call, &self.fleet)?).await;
-        standing.map(|told| json!(told).to_string()).ok_or((NO_VOTE, "nothing is known yet".to_owned()))
+        standing
+            .map(|told| json!(told).to_string())
+            .ok_or((NO_VOTE, "nothing is known yet".to_owned()))
     }
 }
--- a/crates/rogue/src/lib.rs
+++ b/crates/rogue/src/lib.rs
@@ -67,7 +67,17 @@
 pub fn rogue(fault: Fault, seat: Seat, network: Rc<dyn Network>, clock: Clock) -> Running {
     let rng = RefCell::new(fastrand::Rng::with_seed(seat.seed));
     let (entries, links, then, last) = Default::default();
-    let rogue = Rc::new(Rogue { fault, seat, network, clock, entries, links, then, rng, last });
+    let rogue = Rc::new(Rogue {
+        fault,
+        seat,
+        network,
+        clock,
+        entries,
+        links,
+        then,
+        rng,
+        last,
+    });
     Box::pin(async move { tokio::task::LocalSet::new().run_until(rogue.run()).await })
 }
 
@@ -80,7 +90,9 @@
             let (input, mut output) = halves(door.accept().await?);
             let (this, outbox, clock) = (self.clone(), Outbox::new(1 << 30), self.clock);
             let out = outbox.clone();
-            tokio::task::spawn_local(async move { out.write_to(&mut output, || clock.now(), |_| ()).await });
+            tokio::task::spawn_local(async move {
+                out.write_to(&mut output, || clock.now(), |_| ()).await
+            });
             tokio::task::spawn_local(async move { this.listen(input, outbox).await });
         }
     }
@@ -88,7 +100,14 @@
     async fn follow(self: Rc<Self>) {
         let (controller, incarnation) = (self.seat.controller, self.seat.incarnation);
         let mut stream = self.network.dial(&self.seat.lists[0]).await.unwrap();
-        stream.write_all(&encode(&list::Follow { version: 1, controller, incarnation })).await.unwrap();
+        stream
+            .write_all(&encode(&list::Follow {
+                version: 1,
+                controller,
+                incarnation,
+            }))
+            .await
+            .unwrap();
         let mut read = BytesMut::new();
         loop {
             while let Some((kind, body)) = cut(&mut read).unwrap() {
@@ -97,8 +116,11 @@
                     list::FromList::Change(c) => c.entries,
                 };
                 for e in entries {
-                    let known =
-                        self.entries.borrow().get(&e.invoker).is_some_and(|k| k.incarnation == e.incarnation);
+                    let known = self
+                        .entries
+                        .borrow()
+                        .get(&e.invoker)
+                        .is_some_and(|k| k.incarnation == e.incarnation);
                     self.entries.borrow_mut().insert(e.invoker, e.clone());
                     if !known && e.life == list::Life::Ready {
                         let this = self.clone();
@@ -113,16 +135,27 @@
     }
 
     async fn link(self: Rc<Self>, entry: list::Entry) {
-        let Ok(mut stream) = self.network.dial(&entry.address.parse().unwrap()).await else { return };
-        let (controller, incarnation, invoker) = (self.seat.controller, self.seat.incarnation, entry.invoker);
-        let hello = wire::Hello { version_least: 1, version_most: 1, controller, incarnation, invoker };
+        let Ok(mut stream) = self.network.dial(&entry.address.parse().unwrap()).await else {
+            return;
+        };
+        let (controller, incarnation, invoker) =
+            (self.seat.controller, self.seat.incarnation, entry.invoker);
+        let hello = wire::Hello {
+            version_least: 1,
+            version_most: 1,
+            controller,
+            incarnation,
+            invoker,
+        };
         if stream.write_all(&encode(&hello)).await.is_err() {
             return;
         }
         let (mut input, mut output) = halves(stream);
         let (outbox, clock) = (Outbox::new(1 << 30), self.clock);
         self.links.borrow_mut().insert(invoker, outbox.clone());
-        tokio::task::spawn_local(async move { outbox.write_to(&mut output, || clock.now(), |_| ()).await });
+        tokio::task::spawn_local(async move {
+            outbox.write_to(&mut output, || clock.now(), |_| ()).await
+        });
         let mut read = BytesMut::new();
         while let Ok(1..) = input.read_buf(&mut read).await {
             while let Some((kind, body)) = cut(&mut read).unwrap() {
@@ -150,9 +183,13 @@
     /// None: nobody is there.
     fn pick(&self, not: Option<u32>) -> Option<u32> {
         let entries = self.entries.borrow();
-        let ready = |e: &&list::Entry| e.life == list::Life::Ready || self.fault == Fault::IgnoresDrains;
-        let able: Vec<&list::Entry> =
-            entries.values().filter(ready).filter(|e| Some(e.invoker) != not).collect();
+        let ready =
+            |e: &&list::Entry| e.life == list::Life::Ready || self.fault == Fault::IgnoresDrains;
+        let able: Vec<&list::Entry> = entries
+            .values()
+            .filter(ready)
+            .filter(|e| Some(e.invoker) != not)
+            .collect();
         match self.fault {
             Fault::FloodsColdOnes => able.iter().max_by_key(|e| e.incarnation).map(|e| e.invoker),
             _ if able.is_empty() => None,
@@ -174,14 +211,28 @@
             trigger: call.trigger.clone(),
             left_tenths: 40_000,
             token: call.token.clone(),
-            input: call.input.as_ref().unwrap().get().as_bytes().to_vec().into(),
+            input: call
+                .input
+                .as_ref()
+                .unwrap()
+                .get()
+                .as_bytes()
+                .to_vec()
+                .into(),
         };
         let links = self.links.borrow();
-        let Some(link) = links.get(&invoker) else { return };
+        let Some(link) = links.get(&invoker) else {
+            return;
+        };
         self.then.borrow_mut().insert((invoker, dispatch), then);
         if self.fault == Fault::LoadsAtWill {
             let order = dispatch + 1_000_000;
-            let hold = wire::Hold { order, function: function.id, name: call.function.clone(), count: 1 };
+            let hold = wire::Hold {
+                order,
+                function: function.id,
+                name: call.function.clone(),
+                count: 1,
+            };
             link.put(encode(&hold), u64::MAX);
         }
         link.put(encode(&frame), u64::MAX);
@@ -190,7 +241,10 @@
     fn take(self: &Rc<Self>, call: rpc::Invoke, id: rpc::Id, to: Outbox) {
         let inv = *self.last.borrow() as u32 + 1;
         let Some(first) = self.pick(None) else {
-            to.put(Bytes::from(rpc::error(&id, rpc::THROTTLED, "throttled", None) + "\n"), u64::MAX);
+            to.put(
+                Bytes::from(rpc::error(&id, rpc::THROTTLED, "throttled", None) + "\n"),
+                u64::MAX,
+            );
             return;
         };
         let second = self.pick(Some(first)).unwrap_or(first);
@@ -208,7 +262,9 @@
                     rpc::error(&id, rpc::THROTTLED, "throttled", None)
                 }
                 wire::Ended::Succeeded => rpc::result(&id, "null"),
-                wire::Ended::Full | wire::Ended::Miss => rpc::error(&id, rpc::THROTTLED, "throttled", None),
+                wire::Ended::Full | wire::Ended::Miss => {
+                    rpc::error(&id, rpc::THROTTLED, "throttled", None)
+                }
                 _ => rpc::error(&id, rpc::ERRORED, "errored", None),
             };
             match this.fault {
@@ -218,7 +274,9 @@
                 }
                 Fault::AnswersNotAll if inv.is_multiple_of(40) => {}
                 Fault::AnswersLate if inv.is_multiple_of(40) => answer(text, 5_000),
-                Fault::RunsTwice => this.dispatch(second, inv, 1, &again, Box::new(move |_| answer(text, 0))),
+                Fault::RunsTwice => {
+                    this.dispatch(second, inv, 1, &again, Box::new(move |_| answer(text, 0)))
+                }
                 _ => answer(text, 0),
             }
         });
--- a/crates/scale/src/controller.rs
+++ b/crates/scale/src/controller.rs
@@ -79,7 +79,14 @@
 
 impl Tally {
     fn total_ns(&self) -> u64 {
-        let all = [&self.whole, &self.listed, &self.invoked, &self.answered, &self.timers, &self.held];
+        let all = [
+            &self.whole,
+            &self.listed,
+            &self.invoked,
+            &self.answered,
+            &self.timers,
+            &self.held,
+        ];
         all.iter().map(|t| t.total_ns).sum()
     }
 }
@@ -101,7 +108,11 @@
 
 impl Decides for Metered {
     fn listed(&mut self, now: Tenths, whole: bool, entries: &[Listed]) {
-        let of: fn(&mut Tally) -> &mut Turns = if whole { |t| &mut t.whole } else { |t| &mut t.listed };
+        let of: fn(&mut Tally) -> &mut Turns = if whole {
+            |t| &mut t.whole
+        } else {
+            |t| &mut t.listed
+        };
         self.turn(of, |c| c.listed(now, whole, entries));
     }
     fn invoked(&mut self, now: Tenths, call: Invocation, acts: &mut dyn Acts) {
@@ -144,7 +155,9 @@
         takes: Tenths,
         then: impl FnOnce(&mut saltdrum_controller::desk::State<Self>) + 'static,
     ) {
-        let Some(front) = self.front.upgrade() else { return };
+        let Some(front) = self.front.upgrade() else {
+            return;
+        };
         let at = self.clock.now() + takes;
         spawn_local(async move {
             front.clock.sleep_until(at).await;
@@ -162,7 +175,9 @@
         self.last += 1;
         let (outcome, takes) = self.world.dispatched(s.now, s.invoker, s.function);
         let (inv, hop) = (s.inv, s.hop);
-        self.after(takes, move |state| state.ended(inv, hop, outcome, &Told::default()));
+        self.after(takes, move |state| {
+            state.ended(inv, hop, outcome, &Told::default())
+        });
         Ok(self.last)
     }
     fn withdraw(&mut self, _: InvokerId, _: u64) -> bool {
@@ -172,10 +187,18 @@
         true
     }
     fn ended(&mut self, _: InvokerId, _: u64, (): &(), _: Outcome, _: &Told) {}
-    fn hold(&mut self, now: Tenths, invoker: InvokerId, function: FnId, _: u8) -> Result<u64, HoldOutcome> {
+    fn hold(
+        &mut self,
+        now: Tenths,
+        invoker: InvokerId,
+        function: FnId,
+        _: u8,
+    ) -> Result<u64, HoldOutcome> {
         self.last += 1;
         let (order, takes) = (self.last, self.world.ordered(now, invoker, function));
-        self.after(takes, move |state| state.held(invoker, order, HoldOutcome::Standing, 1));
+        self.after(takes, move |state| {
+            state.held(invoker, order, HoldOutcome::Standing, 1)
+        });
         Ok(order)
     }
     fn held(&mut self, _: InvokerId, _: u64) {}
@@ -214,37 +237,73 @@
         let i = self.rng.usize(..self.ready.len());
         let gone = std::mem::replace(&mut self.ready[i], self.next);
         self.next += 1;
-        vec![line(gone, Life::Gone, None), line(self.next - 1, Life::Ready, Some(now))]
+        vec![
+            line(gone, Life::Gone, None),
+            line(self.next - 1, Life::Ready, Some(now)),
+        ]
     }
 
     fn zone(&self) -> Vec<InvokerId> {
-        self.ready.iter().copied().filter(|w| w.is_multiple_of(u32::from(ZONES))).collect()
+        self.ready
+            .iter()
+            .copied()
+            .filter(|w| w.is_multiple_of(u32::from(ZONES)))
+            .collect()
     }
 }
 
 /// Runs one hollow controller.
 pub fn run(load: &Load, course: &Course) -> Row {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_time()
+        .start_paused(true)
+        .build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), play(load, course))
 }
 
 async fn play(load: &Load, course: &Course) -> Row {
     let (popularity, before) = (Popularity::new(load.functions, load.skew), resident_bytes());
     let (clock, tally) = (Clock::start(), Rc::new(RefCell::new(Tally::default())));
-    let (mut rng, d) = (fastrand::Rng::with_seed(load.seed), deployment(load.invokers));
+    let (mut rng, d) = (
+        fastrand::Rng::with_seed(load.seed),
+        deployment(load.invokers),
+    );
     let world = World::new(load.seed);
-    let hollow = Hollow { front: Weak::new(), clock, world, last: 0 };
+    let hollow = Hollow {
+        front: Weak::new(),
+        clock,
+        world,
+        last: 0,
+    };
     let mut desk = Desk::new(clock.now(), hollow, &d, 2 * SECOND);
-    let inner = Rc::new(RefCell::new(Controller::new(clock.now(), d, load.seed, &mut desk)));
-    let module = Box::new(Metered { inner: inner.clone(), tally: tally.clone() });
-    let front = Rc::new(Front::new(module, desk, clock, Rc::new(Memory::default()), ()));
+    let inner = Rc::new(RefCell::new(Controller::new(
+        clock.now(),
+        d,
+        load.seed,
+        &mut desk,
+    )));
+    let module = Box::new(Metered {
+        inner: inner.clone(),
+        tally: tally.clone(),
+    });
+    let front = Rc::new(Front::new(
+        module,
+        desk,
+        clock,
+        Rc::new(Memory::default()),
+        (),
+    ));
     front.tell(|s| s.desk.reach.front = Rc::downgrade(&front));
     let mut list = List {
         ready: (1..=load.invokers).collect(),
         next: load.invokers + 1,
         rng: fastrand::Rng::with_seed(load.seed ^ 0x115),
     };
-    let whole: Vec<Listed> = list.ready.iter().map(|w| line(*w, Life::Ready, None)).collect();
+    let whole: Vec<Listed> = list
+        .ready
+        .iter()
+        .map(|w| line(*w, Life::Ready, None))
+        .collect();
     front.tell(|s| s.module.listed(s.desk.now, true, &whole));
     drop(whole);
     let timers = front.clone();
@@ -252,9 +311,15 @@
 
     let (begun, began_cpu) = (clock.now(), thread_cpu_ns());
     let end = begun + course.load_s * SECOND;
-    let (mut next, mut event, mut row) = (begun, begun + course.event_every_s * SECOND / 2, Row::default());
-    let (mut zone_goes, mut zone_back) =
-        (begun + course.load_s * SECOND / 2, end - course.load_s * SECOND / 4);
+    let (mut next, mut event, mut row) = (
+        begun,
+        begun + course.event_every_s * SECOND / 2,
+        Row::default(),
+    );
+    let (mut zone_goes, mut zone_back) = (
+        begun + course.load_s * SECOND / 2,
+        end - course.load_s * SECOND / 4,
+    );
     if !course.zone {
         (zone_goes, zone_back) = (Tenths::MAX, Tenths::MAX);
     }
@@ -274,7 +339,11 @@
             if now >= *at {
                 *at = Tenths::MAX;
                 let started = (life == Life::Ready).then_some(now);
-                let lines: Vec<Listed> = list.zone().into_iter().map(|w| line(w, life, started)).collect();
+                let lines: Vec<Listed> = list
+                    .zone()
+                    .into_iter()
+                    .map(|w| line(w, life, started))
+                    .collect();
                 front.tell(|s| s.module.listed(s.desk.now, false, &lines));
                 row.list_events += 1;
             }
@@ -301,15 +370,24 @@
         };
         let owed = Counts(tally.clone());
         front.tell(|s| s.taken(invocation, now + 3 * SECOND, (), owed, Span::none()));
-        next += ((-(1.0 - rng.f64()).ln()) * SECOND as f64 / load.rate).round().max(1.0) as Tenths;
+        next += ((-(1.0 - rng.f64()).ln()) * SECOND as f64 / load.rate)
+            .round()
+            .max(1.0) as Tenths;
     }
     let cpu_ns = thread_cpu_ns() - began_cpu;
     row.memory_mb = resident_bytes().saturating_sub(before) as f64 / 1_048_576.0;
     {
         let t = tally.borrow();
-        (row.listed, row.invoked, row.answered) = (t.listed.told(), t.invoked.told(), t.answered.told());
+        (row.listed, row.invoked, row.answered) =
+            (t.listed.told(), t.invoked.told(), t.answered.told());
         (row.timers, row.held, row.whole) = (t.timers.told(), t.held.told(), t.whole.told());
-        let turns = [&row.listed, &row.invoked, &row.answered, &row.timers, &row.held];
+        let turns = [
+            &row.listed,
+            &row.invoked,
+            &row.answered,
+            &row.timers,
+            &row.held,
+        ];
         row.longest_ms = turns.iter().map(|t| t.longest_ms).fold(0.0, f64::max);
         let load_ns = course.load_s as f64 * 1e9;
         row.share = cpu_ns as f64 / load_ns;
--- a/crates/scale/src/fit.rs
+++ b/crates/scale/src/fit.rs
@@ -15,7 +15,10 @@
 
 fn line(points: &[(f64, f64)]) -> Option<(f64, f64)> {
     let n = points.len() as f64;
-    let (mx, my) = (points.iter().map(|p| p.0).sum::<f64>() / n, points.iter().map(|p| p.1).sum::<f64>() / n);
+    let (mx, my) = (
+        points.iter().map(|p| p.0).sum::<f64>() / n,
+        points.iter().map(|p| p.1).sum::<f64>() / n,
+    );
     let spread = points.iter().map(|p| (p.0 - mx).powi(2)).sum::<f64>();
     let slope = points.iter().map(|p| (p.0 - mx) * (p.1 - my)).sum::<f64>() / spread;
     (points.len() > 1 && spread > 0.0).then_some((slope, my - slope * mx))
@@ -24,10 +27,28 @@
 /// Least squares through figures by size; none for fewer than two sizes.
 pub fn fit(points: &[(f64, f64)]) -> Option<Fit> {
     let (slope, at_nothing) = line(points)?;
-    let largest = points.iter().map(|p| p.1.abs()).fold(f64::MIN_POSITIVE, f64::max);
-    let off = points.iter().map(|p| (p.1 - at_nothing - slope * p.0).abs()).fold(0.0, f64::max);
-    let logs: Vec<(f64, f64)> =
-        points.iter().filter(|p| p.0 > 0.0 && p.1 > 0.0).map(|p| (p.0.ln(), p.1.ln())).collect();
-    let exponent = if logs.len() == points.len() { line(&logs).map(|l| l.0) } else { None };
-    Some(Fit { slope, at_nothing, exponent, residual: off / largest })
+    let largest = points
+        .iter()
+        .map(|p| p.1.abs())
+        .fold(f64::MIN_POSITIVE, f64::max);
+    let off = points
+        .iter()
+        .map(|p| (p.1 - at_nothing - slope * p.0).abs())
+        .fold(0.0, f64::max);
+    let logs: Vec<(f64, f64)> = points
+        .iter()
+        .filter(|p| p.0 > 0.0 && p.1 > 0.0)
+        .map(|p| (p.0.ln(), p.1.ln()))
+        .collect();
+    let exponent = if logs.len() == points.len() {
+        line(&logs).map(|l| l.0)
+    } else {
+        None
+    };
+    Some(Fit {
+        slope,
+        at_nothing,
+        exponent,
+        residual: off / largest,
+    })
 }
--- a/crates/scale/src/members.rs
+++ b/crates/scale/src/members.rs
@@ -99,7 +99,9 @@
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<F::Output> {
         let begun = thread_cpu_ns();
         let polled = self.inner.as_mut().poll(cx);
-        self.spent.cpu_ns.set(self.spent.cpu_ns.get() + thread_cpu_ns() - begun);
+        self.spent
+            .cpu_ns
+            .set(self.spent.cpu_ns.get() + thread_cpu_ns() - begun);
         polled
     }
 }
@@ -123,13 +125,18 @@
     ) -> Poll<io::Result<()>> {
         let before = b.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(cx, b);
-        self.bytes.set(self.bytes.get() + (b.filled().len() - before) as u64);
+        self.bytes
+            .set(self.bytes.get() + (b.filled().len() - before) as u64);
         polled
     }
 }
 
 impl AsyncWrite for Counted {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, b: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        b: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write(cx, b);
         if let Poll::Ready(Ok(n)) = polled {
             self.bytes.set(self.bytes.get() + n as u64);
@@ -155,7 +162,10 @@
     fn accept(&mut self) -> Later<'_, Stream> {
         Box::pin(async move {
             let stream = self.inner.accept().await?;
-            Ok(Box::new(Counted { stream, bytes: self.bytes.clone() }) as Stream)
+            Ok(Box::new(Counted {
+                stream,
+                bytes: self.bytes.clone(),
+            }) as Stream)
         })
     }
 }
@@ -164,13 +174,22 @@
     fn dial<'a>(&'a self, address: &'a Address) -> Later<'a, Stream> {
         Box::pin(async move {
             let stream = self.inner.dial(address).await?;
-            Ok(Box::new(Counted { stream, bytes: self.spent.bytes.clone() }) as Stream)
+            Ok(Box::new(Counted {
+                stream,
+                bytes: self.spent.bytes.clone(),
+            }) as Stream)
         })
     }
     fn listen<'a>(&'a self, address: &'a Address) -> Later<'a, (Box<dyn Listener>, Address)> {
         Box::pin(async move {
             let (inner, at) = self.inner.listen(address).await?;
-            Ok((Box::new(Door { inner, bytes: self.spent.bytes.clone() }) as Box<dyn Listener>, at))
+            Ok((
+                Box::new(Door {
+                    inner,
+                    bytes: self.spent.bytes.clone(),
+                }) as Box<dyn Listener>,
+                at,
+            ))
         })
     }
 }
@@ -220,7 +239,11 @@
 
 /// Two of nine members are controllers, as at the target.
 fn id(n: u32) -> MemberId {
-    if n % 9 < 2 { MemberId::controller(n) } else { MemberId::invoker(n) }
+    if n % 9 < 2 {
+        MemberId::controller(n)
+    } else {
+        MemberId::invoker(n)
+    }
 }
 
 fn about(n: u32, incarnation: u64) -> About {
@@ -240,17 +263,37 @@
 
 /// A fleet in which all have joined and are proven: joining one by one costs the square of a fleet.
 fn founded(members: u32, leases: u32) -> Fleet {
-    let stewards = (1..=STEWARDS).map(|n| (n, at(&format!("steward-{n}")).to_string())).collect();
-    let voters = (1..=STEWARDS).map(|steward| Voter { steward, disk: 0 }).collect();
+    let stewards = (1..=STEWARDS)
+        .map(|n| (n, at(&format!("steward-{n}")).to_string()))
+        .collect();
+    let voters = (1..=STEWARDS)
+        .map(|steward| Voter { steward, disk: 0 })
+        .collect();
     let config = Config::founding(voters).expect("voters that differ");
     let mut fleet = Fleet::founded(FLEET, config, stewards, vec![], 0);
-    let up = |n| Member { about: about(n, 1), phase: Phase::Up, since: 0, past: vec![] };
+    let up = |n| Member {
+        about: about(n, 1),
+        phase: Phase::Up,
+        since: 0,
+        past: vec![],
+    };
     fleet.members = (1..=members).map(|n| (id(n), up(n))).collect();
     if leases > 0 {
         let resources = BTreeSet::from(["registry".to_owned()]);
-        let terms = LeaseTerms { task: TASK.into(), eligible: Kind::Invoker, resources };
-        let leases = (0..leases).map(|n| (LeaseName(format!("lease-{n}")), terms.clone())).collect();
-        fleet.apply(&Change::Leases { leases, by: "scale".into() }).expect("leases within their bounds");
+        let terms = LeaseTerms {
+            task: TASK.into(),
+            eligible: Kind::Invoker,
+            resources,
+        };
+        let leases = (0..leases)
+            .map(|n| (LeaseName(format!("lease-{n}")), terms.clone()))
+            .collect();
+        fleet
+            .apply(&Change::Leases {
+                leases,
+                by: "scale".into(),
+            })
+            .expect("leases within their bounds");
     }
     fleet
 }
@@ -292,8 +335,18 @@
 }
 
 async fn follow(network: Rc<dyn Network>, list: Address, clock: Clock, heard: Rc<RefCell<Heard>>) {
-    let Ok(mut stream) = network.dial(&list).await else { return };
-    if stream.write_all(&encode(&Follow { version: 1, controller: 1, incarnation: 1 })).await.is_err() {
+    let Ok(mut stream) = network.dial(&list).await else {
+        return;
+    };
+    if stream
+        .write_all(&encode(&Follow {
+            version: 1,
+            controller: 1,
+            incarnation: 1,
+        }))
+        .await
+        .is_err()
+    {
         return;
     }
     let mut read = bytes::BytesMut::new();
@@ -317,7 +370,10 @@
 
 /// Runs one hollow fleet.
 pub fn run(size: &Size) -> Row {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_time()
+        .start_paused(true)
+        .build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), play(size))
 }
 
@@ -327,7 +383,10 @@
 
 async fn play(size: &Size) -> Row {
     let clock = Clock::start();
-    let usual = Wire { delay: MILLI, jitter: 2 * MILLI };
+    let usual = Wire {
+        delay: MILLI,
+        jitter: 2 * MILLI,
+    };
     let ether = Ether::new(clock, Lines::new(usual, 0.0, size.seed), Turns::default());
     let founding = founded(size.members, size.leases);
     let fleet_bytes = serde_json::to_vec(&founding).map_or(0, |v| v.len() as u64);
@@ -337,40 +396,76 @@
         let name = format!("steward-{number}");
         let (listen, list) = (at(&name), Some(at(&format!("list-{number}"))));
         let (life, seed, terms) = (u64::from(number), size.seed + u64::from(number), terms());
-        let seat = CoordinatorConfig { number, life, seed, terms, founding: founding.clone(), listen, list };
-        let voter = Voter { steward: number, disk: 0 };
-        let new = Identity { schema: SCHEMA, fleet: FLEET.into(), voter };
+        let seat = CoordinatorConfig {
+            number,
+            life,
+            seed,
+            terms,
+            founding: founding.clone(),
+            listen,
+            list,
+        };
+        let voter = Voter {
+            steward: number,
+            disk: 0,
+        };
+        let new = Identity {
+            schema: SCHEMA,
+            fleet: FLEET.into(),
+            voter,
+        };
         let count = written.clone();
         let opens = move || {
-            let platter = Platter { inner: InMemoryBackend::new(), written: count.clone() };
+            let platter = Platter {
+                inner: InMemoryBackend::new(),
+                written: count.clone(),
+            };
             redb::Database::builder().create_with_backend(platter)
         };
-        let (disk, acceptor) = Disk::open(name.clone(), Box::new(opens), new).expect("a disk in memory");
-        let network = Rc::new(Counting { inner: ether.host(&name), spent: stewards.clone() });
+        let (disk, acceptor) =
+            Disk::open(name.clone(), Box::new(opens), new).expect("a disk in memory");
+        let network = Rc::new(Counting {
+            inner: ether.host(&name),
+            spent: stewards.clone(),
+        });
         let inner = Box::pin(service::serve(seat, disk, acceptor, network, clock));
-        spawn_local(Metered { inner, spent: stewards.clone() });
+        spawn_local(Metered {
+            inner,
+            spent: stewards.clone(),
+        });
     }
     let operator = Caller::new(ether.host("operator"), at("steward-1"), FLEET);
     let change = |change| Changes { change };
     // Something has to be agreed before stewards tell anybody of the fleet.
     let resume = change(Change::Resume { by: "scale".into() });
-    while operator.call::<Changed>("change", &resume, 10 * SECOND).await.is_err() {
+    while operator
+        .call::<Changed>("change", &resume, 10 * SECOND)
+        .await
+        .is_err()
+    {
         pause(100 * MILLI).await;
     }
     let heard: Rc<RefCell<Heard>> = Rc::default();
     for n in 0..size.followers {
-        let (network, list) =
-            (ether.host(&format!("follower-{n}")), at(&format!("list-{}", 1 + n % STEWARDS)));
+        let (network, list) = (
+            ether.host(&format!("follower-{n}")),
+            at(&format!("list-{}", 1 + n % STEWARDS)),
+        );
         spawn_local(follow(network, list, clock, heard.clone()));
     }
     let mut rng = fastrand::Rng::with_seed(size.seed);
     for n in 1..=size.members {
-        let network = Rc::new(Counting { inner: ether.host(&format!("member-{n}")), spent: members.clone() });
+        let network = Rc::new(Counting {
+            inner: ether.host(&format!("member-{n}")),
+            spent: members.clone(),
+        });
         let with = Membership {
             fleet: FLEET.into(),
             member: id(n),
             about: about(n, 1),
-            stewards: (1..=STEWARDS).map(|n| at(&format!("steward-{n}"))).collect(),
+            stewards: (1..=STEWARDS)
+                .map(|n| at(&format!("steward-{n}")))
+                .collect(),
             renew: RENEW,
             leases: Default::default(),
         };
@@ -379,13 +474,22 @@
             pause(late).await;
             let inner = Box::pin(async move {
                 let local = LocalSet::new();
-                local.run_until(join(with, network, clock, Rc::new(Serves))).await
+                local
+                    .run_until(join(with, network, clock, Rc::new(Serves)))
+                    .await
             });
             Metered { inner, spent }.await;
         });
     }
     pause(3 * SECOND).await;
-    let read = || (stewards.cpu_ns.get(), stewards.bytes.get(), members.cpu_ns.get(), members.bytes.get());
+    let read = || {
+        (
+            stewards.cpu_ns.get(),
+            stewards.bytes.get(),
+            members.cpu_ns.get(),
+            members.bytes.get(),
+        )
+    };
     let since = |a: (u64, u64, u64, u64), b: (u64, u64, u64, u64)| {
         [b.0 - a.0, b.1 - a.1, b.2 - a.2, b.3 - a.3].map(|n| n as f64)
     };
@@ -409,21 +513,35 @@
     // One invoker comes back under another life: one line changes.
     let other = 1 + (0..size.members).find(is_other).unwrap_or(0);
     heard.borrow_mut().at.clear();
-    let comes_back = |n: u32| change(Change::Join { member: id(n), about: about(n, 2) });
+    let comes_back = |n: u32| {
+        change(Change::Join {
+            member: id(n),
+            about: about(n, 2),
+        })
+    };
     let begun = clock.now();
     let disk = written.load(Relaxed);
     let cost = async |asked: Changes| {
         let (before, begun) = (read(), clock.now());
-        if let Err(why) = operator.call::<Changed>("change", &asked, 30 * SECOND).await {
+        if let Err(why) = operator
+            .call::<Changed>("change", &asked, 30 * SECOND)
+            .await
+        {
             tracing::warn!(%why, "a change was not agreed");
         }
         let took_ms = (clock.now() - begun) as f64 / MILLI as f64;
         pause(2 * SECOND).await;
-        let ([cpu, bytes, ..], settle) =
-            (since(before, read()), (clock.now() - begun) as f64 / SECOND as f64);
+        let ([cpu, bytes, ..], settle) = (
+            since(before, read()),
+            (clock.now() - begun) as f64 / SECOND as f64,
+        );
         let stewards = f64::from(STEWARDS);
         let cpu_ms = (cpu / stewards / 1e9 - row.steward_share * settle) * 1e3;
-        (took_ms, cpu_ms, bytes / stewards - row.steward_bytes_s * settle)
+        (
+            took_ms,
+            cpu_ms,
+            bytes / stewards - row.steward_bytes_s * settle,
+        )
     };
     let ordinary = cost(comes_back(other)).await;
     let disk = (written.load(Relaxed) - disk) as f64 / f64::from(STEWARDS);
@@ -437,7 +555,10 @@
     (row.handover_ms, row.handover_cpu_ms, row.handover_bytes) = handover;
     row.change_disk_bytes = disk;
     let heard = heard.borrow();
-    let mut took: Vec<f64> = heard_of_it.iter().map(|t| (t - begun) as f64 / MILLI as f64).collect();
+    let mut took: Vec<f64> = heard_of_it
+        .iter()
+        .map(|t| (t - begun) as f64 / MILLI as f64)
+        .collect();
     took.sort_by(f64::total_cmp);
     if let Some(last) = took.last() {
         row.heard_p50_ms = took[took.len() / 2];
--- a/crates/scale/src/meter.rs
+++ b/crates/scale/src/meter.rs
@@ -13,8 +13,15 @@
 /// Memory of this process that is in the machine's, in bytes, as Linux tells it; 0 where it does not.
 pub fn resident_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let line = text.lines().find_map(|l| l.strip_prefix("VmRSS:")).unwrap_or_default();
-    line.trim().trim_end_matches(" kB").parse::<u64>().unwrap_or(0) * 1_024
+    let line = text
+        .lines()
+        .find_map(|l| l.strip_prefix("VmRSS:"))
+        .unwrap_or_default();
+    line.trim()
+        .trim_end_matches(" kB")
+        .parse::<u64>()
+        .unwrap_or(0)
+        * 1_024
 }
 
 /// Turns of one kind: how many, how long in all and each.
@@ -52,7 +59,11 @@
             turns: self.all.len(),
             total_ms: ms(self.total_ns),
             p99_ms: ms(self.all.value_at_quantile(0.99)),
-            longest_ms: if self.all.is_empty() { 0.0 } else { ms(self.all.max()) },
+            longest_ms: if self.all.is_empty() {
+                0.0
+            } else {
+                ms(self.all.max())
+            },
         }
     }
 }
--- a/crates/scale/src/real.rs
+++ b/crates/scale/src/real.rs
@@ -45,17 +45,33 @@
 
     /// Time on a processor so far, of all threads, in ns.
     fn cpu_ns(&self) -> u64 {
-        let threads =
-            std::fs::read_dir(format!("/proc/{}/task", self.0.id())).into_iter().flatten().flatten();
+        let threads = std::fs::read_dir(format!("/proc/{}/task", self.0.id()))
+            .into_iter()
+            .flatten()
+            .flatten();
         let of = |id: String| self.read(&format!("task/{id}/schedstat"));
-        let ns = |text: String| text.split(' ').next().and_then(|n| n.parse::<u64>().ok()).unwrap_or(0);
-        threads.map(|t| ns(of(t.file_name().to_string_lossy().into_owned()))).sum()
+        let ns = |text: String| {
+            text.split(' ')
+                .next()
+                .and_then(|n| n.parse::<u64>().ok())
+                .unwrap_or(0)
+        };
+        threads
+            .map(|t| ns(of(t.file_name().to_string_lossy().into_owned())))
+            .sum()
     }
 
     fn memory_mb(&self) -> f64 {
         let text = self.read("status");
-        let line = text.lines().find_map(|l| l.strip_prefix("VmRSS:")).unwrap_or_default();
-        line.trim().trim_end_matches(" kB").parse::<f64>().unwrap_or(0.0) / 1_024.0
+        let line = text
+            .lines()
+            .find_map(|l| l.strip_prefix("VmRSS:"))
+            .unwrap_or_default();
+        line.trim()
+            .trim_end_matches(" kB")
+            .parse::<f64>()
+            .unwrap_or(0.0)
+            / 1_024.0
     }
 }
 
@@ -67,7 +83,16 @@
 fn line(invoker: u32, life: Life) -> Line {
     let address = SocketAddrV4::new(Ipv4Addr::from(0x7f01_0000 + (invoker & 0xffff)), 9);
     let zone = (invoker % u32::from(ZONES)) as u8;
-    Line { invoker, address, life, zone, kind: 0, cell: 0, size: 4.0, started_ms: None }
+    Line {
+        invoker,
+        address,
+        life,
+        zone,
+        kind: 0,
+        cell: 0,
+        size: 4.0,
+        started_ms: None,
+    }
 }
 
 fn ms(t: Tenths) -> f64 {
@@ -105,21 +130,34 @@
 
 /// Runs one process of `binary` for so long; `folder` holds its configuration.
 pub fn run(binary: &Path, folder: &Path, lines: u32, seconds: u64) -> Result<Row, String> {
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
-    LocalSet::new().block_on(&runtime, play(binary, folder, lines, seconds)).map_err(|e| e.to_string())
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(|e| e.to_string())?;
+    LocalSet::new()
+        .block_on(&runtime, play(binary, folder, lines, seconds))
+        .map_err(|e| e.to_string())
 }
 
 async fn play(binary: &Path, folder: &Path, lines: u32, seconds: u64) -> std::io::Result<Row> {
     let (listen, feed_at) = (free()?, free()?);
-    let who = Who { controller: 1, incarnation: 1 };
+    let who = Who {
+        controller: 1,
+        incarnation: 1,
+    };
     let feed = Feed::new(who, Record::default(), Clock::start());
     spawn_local(feed.clone().serve(Rc::new(Sockets), feed_at));
-    feed.say(2, Event::Whole((1..=lines).map(|w| line(w, Life::Ready)).collect()));
+    feed.say(
+        2,
+        Event::Whole((1..=lines).map(|w| line(w, Life::Ready)).collect()),
+    );
     let path = folder.join("config.json");
     std::fs::write(&path, configuration(lines, listen, feed_at))?;
     let mut node = Command::new(binary);
-    node.arg("node").env("RELAY_CONFIG", &path).env_remove("RELAY_LISTEN").env_remove("RELAY_NAME");
+    node.arg("node")
+        .env("RELAY_CONFIG", &path)
+        .env_remove("RELAY_LISTEN")
+        .env_remove("RELAY_NAME");
     let process = Process(node.stdout(Stdio::null()).stderr(Stdio::null()).spawn()?);
     for _ in 0..1_000 {
         if !feed.asked.borrow().is_empty() {
@@ -137,5 +175,11 @@
         tokio::time::sleep(Duration::from_secs(1)).await;
     }
     let share = (process.cpu_ns() - began) as f64 / (seconds as f64 * 1e9);
-    Ok(Row { lines, seconds, share, memory_mb: process.memory_mb(), start_ms: began as f64 / 1e6 })
+    Ok(Row {
+        lines,
+        seconds,
+        share,
+        memory_mb: process.memory_mb(),
+        start_ms: began as f64 / 1e6,
+    })
 }
--- a/crates/scale/src/world.rs
+++ b/crates/scale/src/world.rs
@@ -65,7 +65,15 @@
 
 pub fn line(invoker: InvokerId, life: Life, started: Option<Tenths>) -> Listed {
     let zone = (invoker % u32::from(ZONES)) as u8;
-    Listed { invoker, zone, kind: 0, cell: u16::from(zone), life, size: 4.0, started }
+    Listed {
+        invoker,
+        zone,
+        kind: 0,
+        cell: u16::from(zone),
+        life,
+        size: 4.0,
+        started,
+    }
 }
 
 /// Draws functions by how often they are called.
@@ -105,7 +113,13 @@
 impl World {
     pub fn new(seed: u64) -> Self {
         let rng = fastrand::Rng::with_seed(seed ^ 0x0707);
-        Self { rng, copies: BTreeMap::new(), misses: 0, dispatches: 0, orders: 0 }
+        Self {
+            rng,
+            copies: BTreeMap::new(),
+            misses: 0,
+            dispatches: 0,
+            orders: 0,
+        }
     }
 
     /// How a dispatch ends, and after how long.
--- a/crates/standin/src/disk.rs
+++ b/crates/standin/src/disk.rs
@@ -21,7 +21,12 @@
 
 impl TearingDisk {
     pub fn new(clock: Clock) -> Self {
-        Self { disk: RealDisk, clock, written: RefCell::default(), index: RefCell::default() }
+        Self {
+            disk: RealDisk,
+            clock,
+            written: RefCell::default(),
+            index: RefCell::default(),
+        }
     }
 
     /// The power has gone at `at`, and nothing holds the files any more. Of what was written since `since`, each is
@@ -65,7 +70,9 @@
     }
 
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()> {
-        self.written.borrow_mut().push((self.clock.now(), to.to_owned()));
+        self.written
+            .borrow_mut()
+            .push((self.clock.now(), to.to_owned()));
         self.disk.rename(from, to)
     }
 
--- a/crates/standin/src/invoker.rs
+++ b/crates/standin/src/invoker.rs
@@ -168,10 +168,15 @@
 
 impl Yard for Desk<'_> {
     fn begins(&mut self, job: Job) -> bool {
-        let Some(h) = self.jobs.get(&job).cloned() else { return true };
+        let Some(h) = self.jobs.get(&job).cloned() else {
+            return true;
+        };
         let site = &self.this.site;
         let at = site.hour.now();
-        let repeat = h.token.as_ref().is_some_and(|t| site.knows(&h.trigger, t, at));
+        let repeat = h
+            .token
+            .as_ref()
+            .is_some_and(|t| site.knows(&h.trigger, t, at));
         let invoker = site.stated.invoker;
         site.record.note(Line::Ran {
             at,
@@ -184,7 +189,13 @@
             repeat,
         });
         if let Some(passage) = h.passage {
-            site.record.note(Line::Spoke { at, invoker, of: h.of, function: h.function, passage });
+            site.record.note(Line::Spoke {
+                at,
+                invoker,
+                of: h.of,
+                function: h.function,
+                passage,
+            });
         }
         !repeat
     }
@@ -201,7 +212,14 @@
         let faults = self.this.faults.borrow();
         let lost = |who: &Who| faults.hangs || faults.cut_from.contains(&who.controller);
         if let Some((_, outbox)) = self.links.get(&link).filter(|(who, _)| !lost(who)) {
-            outbox.put(encode(&wire::Held { order, ended, standing }), Tenths::MAX);
+            outbox.put(
+                encode(&wire::Held {
+                    order,
+                    ended,
+                    standing,
+                }),
+                Tenths::MAX,
+            );
         }
     }
 
@@ -212,7 +230,13 @@
     fn loaded(&mut self, function: FnId, took: Tenths, ok: bool) {
         let invoker = self.this.site.stated.invoker;
         let at = self.this.site.hour.now();
-        self.this.site.record.note(Line::Loaded { at, invoker, function, took, ok });
+        self.this.site.record.note(Line::Loaded {
+            at,
+            invoker,
+            function,
+            took,
+            ok,
+        });
     }
 }
 
@@ -225,7 +249,9 @@
         crowd: Option<u8>,
         output: Vec<u8>,
     ) {
-        let Some(h) = self.jobs.remove(&job) else { return };
+        let Some(h) = self.jobs.remove(&job) else {
+            return;
+        };
         let faults = self.this.faults.borrow();
         let cut = faults.cut_from.contains(&h.who.controller);
         let lost = faults.hangs || cut || self.rng.f64() < faults.loses_answers;
@@ -247,10 +273,28 @@
             }
         }
         let told = link.is_some() && !faults.half_frames;
-        let (invoker, ended) = (self.this.site.stated.invoker, format!("{ended:?}").to_lowercase());
-        let Held { who, invocation, hop, of, .. } = h;
+        let (invoker, ended) = (
+            self.this.site.stated.invoker,
+            format!("{ended:?}").to_lowercase(),
+        );
+        let Held {
+            who,
+            invocation,
+            hop,
+            of,
+            ..
+        } = h;
         let at = self.this.site.hour.now();
-        let line = Line::Ended { at, invoker, who, invocation, hop, of, ended, told };
+        let line = Line::Ended {
+            at,
+            invoker,
+            who,
+            invocation,
+            hop,
+            of,
+            ended,
+            told,
+        };
         self.this.site.record.note(line);
     }
 }
@@ -263,14 +307,24 @@
 
     /// Whether the token was seen within its window; from now on it is.
     fn knows(&self, trigger: &str, token: &str, now: Tenths) -> bool {
-        let Some(t) = self.trigger(trigger).filter(|t| t.effect == Effect::Tokened) else { return false };
+        let Some(t) = self
+            .trigger(trigger)
+            .filter(|t| t.effect == Effect::Tokened)
+        else {
+            return false;
+        };
         let group = match t.scope {
             Scope::All => (0, 0),
             Scope::Zone => (self.stated.zone, 0),
             Scope::Cell => (self.stated.zone, self.stated.cell),
         };
-        let (mut tokens, key) = (self.tokens.borrow_mut(), (group.0, group.1, token.to_owned()));
-        let known = tokens.get(&key).is_some_and(|at| now < at + t.repeat_window);
+        let (mut tokens, key) = (
+            self.tokens.borrow_mut(),
+            (group.0, group.1, token.to_owned()),
+        );
+        let known = tokens
+            .get(&key)
+            .is_some_and(|at| now < at + t.repeat_window);
         if !known {
             tokens.insert(key, now);
         }
@@ -297,9 +351,20 @@
         let shape = |f: &terms::Function| {
             let load = f.load.unwrap_or(1_000 * MILLI) as f64;
             let start = (load * (1.0 - self.fetch_share)) as Tenths;
-            (f.id, Shape { memory: f.memory, lanes: f.lanes as usize, start })
+            (
+                f.id,
+                Shape {
+                    memory: f.memory,
+                    lanes: f.lanes as usize,
+                    start,
+                },
+            )
         };
-        Machine::new(now, build, self.terms.functions.values().map(shape).collect())
+        Machine::new(
+            now,
+            build,
+            self.terms.functions.values().map(shape).collect(),
+        )
     }
 }
 
@@ -348,7 +413,10 @@
         let (mut door, address) = self.site.network.listen(&at).await?;
         *self.site.at.borrow_mut() = address.clone();
         let agent = match &self.site.layers {
-            None | Some(Layers { brings: Some(_), .. }) => None,
+            None
+            | Some(Layers {
+                brings: Some(_), ..
+            }) => None,
             Some(layers) => Some(self.start_agent(layers).await?),
         };
         let now = self.site.clock.now();
@@ -364,19 +432,34 @@
         };
         let invoker = self.site.stated.invoker;
         let at = self.site.hour.now();
-        self.site.record.note(Line::Invoker { at, invoker, incarnation, up: true, cold });
+        self.site.record.note(Line::Invoker {
+            at,
+            invoker,
+            incarnation,
+            up: true,
+            cold,
+        });
         let (this, ticking) = (Rc::downgrade(self), self.clone());
         let mut tasks = self.tasks.borrow_mut();
         tasks.spawn_local(async move {
             while let Ok(stream) = door.accept().await {
-                let Some(invoker) = this.upgrade() else { return };
+                let Some(invoker) = this.upgrade() else {
+                    return;
+                };
                 let attending = invoker.clone();
-                invoker.tasks.borrow_mut().spawn_local(async move { attending.attend(stream).await });
+                invoker
+                    .tasks
+                    .borrow_mut()
+                    .spawn_local(async move { attending.attend(stream).await });
             }
         });
         tasks.spawn_local(async move { ticking.run().await });
         if let Some(of) = &self.site.versions {
-            let (of, network, seed) = (of.clone(), self.site.network.clone(), self.site.seed ^ 0x4e61);
+            let (of, network, seed) = (
+                of.clone(),
+                self.site.network.clone(),
+                self.site.seed ^ 0x4e61,
+            );
             let this = Rc::downgrade(self);
             let hear = move |heard| {
                 if let (Some(this), Heard::Book(head)) = (this.upgrade(), heard) {
@@ -390,10 +473,17 @@
 
     /// The registry's book has changed: chunks of versions that a stage will bring are fetched ahead.
     fn told(self: &Rc<Self>, book: Book) {
-        let stages =
-            book.aliases.values().filter_map(|a| Some((a.model.clone(), a.stage.as_ref()?.to.clone())));
+        let stages = book
+            .aliases
+            .values()
+            .filter_map(|a| Some((a.model.clone(), a.stage.as_ref()?.to.clone())));
         let coming: Vec<_> = stages
-            .filter_map(|(model, to)| Some((model.to_string(), book.version(&model, &to)?.version.manifest)))
+            .filter_map(|(model, to)| {
+                Some((
+                    model.to_string(),
+                    book.version(&model, &to)?.version.manifest,
+                ))
+            })
             .collect();
         *self.book.borrow_mut() = book;
         // Whoever tells us may stand in the very tasks: they can't be added to here.
@@ -411,20 +501,36 @@
         if self.models.borrow().contains_key(&function) {
             return;
         }
-        let Some((model, version)) = name.split_once('@') else { return };
-        let (Ok(model), Ok(version)) = (model.parse(), version.parse()) else { return };
+        let Some((model, version)) = name.split_once('@') else {
+            return;
+        };
+        let (Ok(model), Ok(version)) = (model.parse(), version.parse()) else {
+            return;
+        };
         let book = self.book.borrow();
         // What the registry has not told us yet is refused for room: it never ran, and may go elsewhere.
-        let Some(held) = book.version(&model, &version).filter(|h| h.standing == Standing::Offered) else {
+        let Some(held) = book
+            .version(&model, &version)
+            .filter(|h| h.standing == Standing::Offered)
+        else {
             return;
         };
         if function != function_id(&model, &version) {
             return;
         }
-        let (v, start) = (&held.version, 1_000.0 * MILLI as f64 * (1.0 - self.site.fetch_share));
-        let shape = Shape { memory: v.memory_mb as f64, lanes: v.lanes as usize, start: start as Tenths };
+        let (v, start) = (
+            &held.version,
+            1_000.0 * MILLI as f64 * (1.0 - self.site.fetch_share),
+        );
+        let shape = Shape {
+            memory: v.memory_mb as f64,
+            lanes: v.lanes as usize,
+            start: start as Tenths,
+        };
         self.life.borrow_mut().machine.learn(function, shape);
-        self.models.borrow_mut().insert(function, (model.to_string(), version.to_string()));
+        self.models
+            .borrow_mut()
+            .insert(function, (model.to_string(), version.to_string()));
     }
 
     /// Under which name and reference the store has a function's model, and the name it is compared by.
@@ -432,12 +538,25 @@
         if let Some((model, version)) = self.models.borrow().get(&function).cloned() {
             let (model, version) = (model.parse(), version.parse());
             if let (Ok(model), Ok(version)) = (model, version) {
-                let manifest = self.book.borrow().version(&model, &version).map(|h| h.version.manifest);
+                let manifest = self
+                    .book
+                    .borrow()
+                    .version(&model, &version)
+                    .map(|h| h.version.manifest);
                 let reference = manifest.map_or("gone".to_owned(), |m| m.to_string());
-                return (model.to_string(), reference, function_name(&model, &version));
+                return (
+                    model.to_string(),
+                    reference,
+                    function_name(&model, &version),
+                );
             }
         }
-        let stated = self.site.terms.functions.values().find(|f| f.id == function);
+        let stated = self
+            .site
+            .terms
+            .functions
+            .values()
+            .find(|f| f.id == function);
         let name = stated.map_or("none", |f| f.name.as_str());
         (name.to_owned(), "current".into(), name.to_owned())
     }
@@ -454,7 +573,9 @@
             serve_bytes_per_second: 200e6,
         };
         let agent = Agent::new(seat, cache, self.site.network.clone(), self.site.clock);
-        self.tasks.borrow_mut().spawn_local(agent.clone().serve(door));
+        self.tasks
+            .borrow_mut()
+            .spawn_local(agent.clone().serve(door));
         Ok(agent)
     }
 
@@ -482,7 +603,13 @@
         }
         life.up = false;
         let (invoker, incarnation) = (self.site.stated.invoker, life.incarnation);
-        self.site.record.note(Line::Invoker { at, invoker, incarnation, up: false, cold: false });
+        self.site.record.note(Line::Invoker {
+            at,
+            invoker,
+            incarnation,
+            up: false,
+            cold: false,
+        });
     }
 
     /// As `crash`; of what its disk took in the last `late`, each write is torn with a chance of `part`, once nothing
@@ -492,8 +619,12 @@
         self.crash();
         // What was aborted is dropped when its turn comes, and with it the files that it holds.
         tokio::time::sleep(Duration::from_millis(1)).await;
-        let Some(layers) = &self.site.layers else { return Ok(0) };
-        layers.disk.tear(since, part, &mut self.life.borrow_mut().rng)
+        let Some(layers) = &self.site.layers else {
+            return Ok(0);
+        };
+        layers
+            .disk
+            .tear(since, part, &mut self.life.borrow_mut().rng)
     }
 
     pub fn is_up(&self) -> bool {
@@ -513,14 +644,21 @@
             life: state,
             size: self.site.terms.size(stated.kind),
             incarnation: life.incarnation,
-            age_tenths: if life.cold { age } else { age + 3 * self.site.terms.deployment.cold_time },
+            age_tenths: if life.cold {
+                age
+            } else {
+                age + 3 * self.site.terms.deployment.cold_time
+            },
             agent: self.site.layers.as_ref().map(|l| l.at.borrow().to_string()),
         }
     }
 
     /// Lets faults begin or end.
     pub fn fault(&self, change: impl FnOnce(&mut Faults, &mut Machine)) {
-        change(&mut self.faults.borrow_mut(), &mut self.life.borrow_mut().machine);
+        change(
+            &mut self.faults.borrow_mut(),
+            &mut self.life.borrow_mut().machine,
+        );
         self.calm.notify_waiters();
     }
 
@@ -534,9 +672,16 @@
         let (now, faults) = (self.site.clock.now(), self.faults.borrow().clone());
         let life = &mut *self.life.borrow_mut();
         let (busy, waiting) = life.machine.load();
-        let fresh = wire::Load { cores_busy: Some(busy), waiting: Some(waiting) };
+        let fresh = wire::Load {
+            cores_busy: Some(busy),
+            waiting: Some(waiting),
+        };
         life.reports.push((now, fresh));
-        let old = life.reports.iter().rposition(|(at, _)| at + faults.reports_late <= now).unwrap_or(0);
+        let old = life
+            .reports
+            .iter()
+            .rposition(|(at, _)| at + faults.reports_late <= now)
+            .unwrap_or(0);
         life.reports.drain(..old);
         let load = life.reports[0].1;
         let mut desk = Desk {
@@ -548,7 +693,9 @@
             rng: &mut life.rng,
         };
         then(&mut life.machine, now, &mut desk);
-        desk.fetches.into_iter().for_each(|function| self.begin_fetch(function));
+        desk.fetches
+            .into_iter()
+            .for_each(|function| self.begin_fetch(function));
         life.moved.notify_one();
     }
 
@@ -581,25 +728,43 @@
     }
 
     async fn fetch(&self, function: FnId) -> bool {
-        let stated = self.site.terms.functions.values().find(|f| f.id == function);
+        let stated = self
+            .site
+            .terms
+            .functions
+            .values()
+            .find(|f| f.id == function);
         let load = stated.and_then(|f| f.load).unwrap_or(1_000 * MILLI) as f64;
         let usual_tenths = (load * self.site.fetch_share) as Tenths;
         if let Some(layers) = &self.site.layers {
             let (name, reference, known_as) = self.model(function);
             // The copy is in memory from here on; its chunks need not be pinned any more.
-            let Some(copy) = self.bring(layers, &name, &reference).await else { return false };
+            let Some(copy) = self.bring(layers, &name, &reference).await else {
+                return false;
+            };
             let (at, invoker) = (self.site.hour.now(), self.site.stated.invoker);
             let sound = layers.models.get(&known_as).is_some_and(|m| *m == copy);
-            self.site.record.note(Line::Copied { at, invoker, function, sound });
+            self.site.record.note(Line::Copied {
+                at,
+                invoker,
+                function,
+                sound,
+            });
             return true;
         }
         let Some(store) = &self.site.store else {
             tokio::time::sleep(Duration::from_micros(usual_tenths * 100)).await;
             return true;
         };
-        let fetch = encode(&store::Fetch { invoker: self.site.stated.invoker, function, usual_tenths });
+        let fetch = encode(&store::Fetch {
+            invoker: self.site.stated.invoker,
+            function,
+            usual_tenths,
+        });
         for tried in 0..3u32 {
-            let Ok(mut stream) = self.site.network.dial(store).await else { return false };
+            let Ok(mut stream) = self.site.network.dial(store).await else {
+                return false;
+            };
             if stream.write_all(&fetch).await.is_err() {
                 return false;
             }
@@ -629,7 +794,9 @@
 
     /// A version of which no source holds is told to the registry: someone has to push it again, or withdraw it.
     async fn tell_corrupt(&self, why: &saltdrum_agent::Fault, reference: &str) {
-        let (saltdrum_agent::Fault::Corrupt { .. }, Some(of)) = (why, &self.site.versions) else { return };
+        let (saltdrum_agent::Fault::Corrupt { .. }, Some(of)) = (why, &self.site.versions) else {
+            return;
+        };
         let said = self.book.borrow().versions.iter().find_map(|((model, version), held)| {
             let it = held.version.manifest.to_string() == reference;
             it.then(|| serde_json::json!({"model": model, "version": version, "why": why.to_string()}))
@@ -650,7 +817,16 @@
         if let Some(brings) = layers.brings {
             let (network, registry) = (self.site.network.clone(), layers.registry.clone());
             let (disk, folder) = (layers.disk.clone(), layers.folder.clone());
-            return brings(Supply { network, registry, disk, folder }, name.to_owned()).await;
+            return brings(
+                Supply {
+                    network,
+                    registry,
+                    disk,
+                    folder,
+                },
+                name.to_owned(),
+            )
+            .await;
         }
         // A chunk that the disk loses between load and read is fetched anew, once.
         for _ in 0..2 {
@@ -661,7 +837,12 @@
                     return None;
                 }
             };
-            let parts: Option<Vec<_>> = loaded.manifest.chunks.iter().map(|c| loaded.read(c)).collect();
+            let parts: Option<Vec<_>> = loaded
+                .manifest
+                .chunks
+                .iter()
+                .map(|c| loaded.read(c))
+                .collect();
             if let Some(parts) = parts {
                 return Some(parts.concat());
             }
@@ -681,7 +862,9 @@
         let (input, mut output) = halves(stream);
         let clock = self.site.clock;
         let mut read = Read::new(input, self.site.hour, self.site.turns.clone());
-        let Some((kind, body, _)) = next_frame(&mut read).await else { return };
+        let Some((kind, body, _)) = next_frame(&mut read).await else {
+            return;
+        };
         let hello = match wire::FromController::read(kind, &body) {
             Ok(wire::FromController::Hello(h)) => h,
             _ => return,
@@ -699,15 +882,27 @@
                 return;
             }
         };
-        let who = Who { controller: hello.controller, incarnation: hello.incarnation };
+        let who = Who {
+            controller: hello.controller,
+            incarnation: hello.incarnation,
+        };
         let outbox = Outbox::new(16 << 20);
         let link = {
             let life = &mut *self.life.borrow_mut();
             life.links_made += 1;
             life.links.insert(life.links_made, (who, outbox.clone()));
             let age = clock.now() - life.started;
-            let age_tenths = if life.cold { age } else { age + 3 * self.site.terms.deployment.cold_time };
-            let welcome = wire::Welcome { version, invoker, incarnation: life.incarnation, age_tenths };
+            let age_tenths = if life.cold {
+                age
+            } else {
+                age + 3 * self.site.terms.deployment.cold_time
+            };
+            let welcome = wire::Welcome {
+                version,
+                invoker,
+                incarnation: life.incarnation,
+                age_tenths,
+            };
             outbox.put(encode(&welcome), Tenths::MAX);
             life.links_made
         };
@@ -727,32 +922,61 @@
     async fn hear(self: &Rc<Self>, link: u64, who: Who, read: &mut Read<Half>) {
         loop {
             self.unstuck(Some(who.controller)).await;
-            let Some((kind, body, earliest)) = next_frame(read).await else { return };
-            let Ok(message) = wire::FromController::read(kind, &body) else { return };
+            let Some((kind, body, earliest)) = next_frame(read).await else {
+                return;
+            };
+            let Ok(message) = wire::FromController::read(kind, &body) else {
+                return;
+            };
             let (at, invoker) = (self.site.hour.now(), self.site.stated.invoker);
             match message {
                 wire::FromController::Dispatch(d) => self.take(link, who, d, earliest),
                 wire::FromController::Cancel(c) => {
-                    if let Some((invocation, hop)) = self.life.borrow().past.get(&(link, c.dispatch)).copied()
+                    if let Some((invocation, hop)) =
+                        self.life.borrow().past.get(&(link, c.dispatch)).copied()
                     {
-                        self.site.record.note(Line::Cancelled { at, invoker, who, invocation, hop });
+                        self.site.record.note(Line::Cancelled {
+                            at,
+                            invoker,
+                            who,
+                            invocation,
+                            hop,
+                        });
                     }
                     self.with(|machine, now, yard| machine.cancel(now, (link, c.dispatch), yard));
                 }
                 wire::FromController::Hold(h) => {
                     let (function, count) = (h.function, h.count);
                     self.learn(function, &h.name);
-                    self.site.record.note(Line::Ordered { at, earliest, invoker, who, function, count });
-                    self.with(|machine, now, yard| machine.hold(now, (link, h.order), function, count, yard));
+                    self.site.record.note(Line::Ordered {
+                        at,
+                        earliest,
+                        invoker,
+                        who,
+                        function,
+                        count,
+                    });
+                    self.with(|machine, now, yard| {
+                        machine.hold(now, (link, h.order), function, count, yard)
+                    });
                 }
                 wire::FromController::Unload(u) => {
                     self.with(|machine, now, yard| machine.unload(now, u.function, yard));
                 }
                 wire::FromController::Probe(p) => {
                     let (busy, waiting) = self.life.borrow().machine.load();
-                    let load = wire::Load { cores_busy: Some(busy), waiting: Some(waiting) };
+                    let load = wire::Load {
+                        cores_busy: Some(busy),
+                        waiting: Some(waiting),
+                    };
                     if let Some((_, outbox)) = self.life.borrow().links.get(&link) {
-                        outbox.put(encode(&wire::Probed { probe: p.probe, load }), Tenths::MAX);
+                        outbox.put(
+                            encode(&wire::Probed {
+                                probe: p.probe,
+                                load,
+                            }),
+                            Tenths::MAX,
+                        );
                     }
                 }
                 wire::FromController::Hello(_) => return,
@@ -763,9 +987,16 @@
     fn take(self: &Rc<Self>, link: u64, who: Who, d: wire::Dispatch, earliest: Tenths) {
         let (at, job) = (self.site.hour.now(), (link, d.dispatch));
         let input: Input = serde_json::from_slice(&d.input).unwrap_or_default();
-        let of = Try { n: input.n, attempt: input.attempt };
-        let (invoker, invocation, hop, trigger) =
-            (self.site.stated.invoker, d.invocation, d.hop, d.trigger.clone());
+        let of = Try {
+            n: input.n,
+            attempt: input.attempt,
+        };
+        let (invoker, invocation, hop, trigger) = (
+            self.site.stated.invoker,
+            d.invocation,
+            d.hop,
+            d.trigger.clone(),
+        );
         self.site.record.note(Line::Dispatched {
             at,
             earliest,
@@ -778,7 +1009,16 @@
         });
         self.learn(d.function, &d.name);
         let (function, passage) = (d.function, input.passage);
-        let held = Held { who, invocation, hop, of, trigger, token: d.token, function, passage };
+        let held = Held {
+            who,
+            invocation,
+            hop,
+            of,
+            trigger,
+            token: d.token,
+            function,
+            passage,
+        };
         self.life.borrow_mut().past.insert(job, (invocation, hop));
         let faults = self.faults.borrow().clone();
         let fails = faults.fails.as_ref().is_some_and(|(begin, share)| {
@@ -791,12 +1031,20 @@
         };
         self.with(|machine, now, yard| {
             yard.jobs.insert(job, held);
-            let refused =
-                faults.refuses.as_ref().is_some_and(|(t, share)| *t == d.tenant && yard.rng.f64() < *share);
+            let refused = faults
+                .refuses
+                .as_ref()
+                .is_some_and(|(t, share)| *t == d.tenant && yard.rng.f64() < *share);
             if refused {
                 yard.answer(job, wire::Ended::Full, None, None, Vec::new());
             } else if yard.rng.f64() < faults.errors || fails {
-                yard.answer(job, wire::Ended::Errored, None, None, b"told to fail".to_vec());
+                yard.answer(
+                    job,
+                    wire::Ended::Errored,
+                    None,
+                    None,
+                    b"told to fail".to_vec(),
+                );
             } else {
                 machine.dispatch(now, job, ask, yard);
             }
--- a/crates/standin/src/list.rs
+++ b/crates/standin/src/list.rs
@@ -63,7 +63,9 @@
             while let Ok(stream) = door.accept().await {
                 let Some(list) = this.upgrade() else { return };
                 let serving = list.clone();
-                list.tasks.borrow_mut().spawn_local(async move { serving.attend(stream).await });
+                list.tasks
+                    .borrow_mut()
+                    .spawn_local(async move { serving.attend(stream).await });
             }
         });
         Ok(address)
@@ -88,13 +90,26 @@
                 Err(_) => return,
             }
         };
-        let Ok(ToList::Follow(f)) = follow else { return };
-        let who = Who { controller: f.controller, incarnation: f.incarnation };
+        let Ok(ToList::Follow(f)) = follow else {
+            return;
+        };
+        let who = Who {
+            controller: f.controller,
+            incarnation: f.incarnation,
+        };
         let outbox = Outbox::new(16 << 20);
-        let entries: Vec<Entry> =
-            self.entries.borrow().values().map(|(e, since)| self.aged(e, *since)).collect();
+        let entries: Vec<Entry> = self
+            .entries
+            .borrow()
+            .values()
+            .map(|(e, since)| self.aged(e, *since))
+            .collect();
         self.note_told(who, &entries);
-        let whole = Whole { revision: self.revision.get(), settled: true, entries };
+        let whole = Whole {
+            revision: self.revision.get(),
+            settled: true,
+            entries,
+        };
         outbox.put(encode(&whole), Tenths::MAX);
         self.followers.borrow_mut().push((who, outbox.clone()));
         let clock = self.clock;
@@ -112,14 +127,23 @@
     }
 
     fn aged(&self, entry: &Entry, since: Tenths) -> Entry {
-        Entry { age_tenths: entry.age_tenths + (self.clock.now() - since), ..entry.clone() }
+        Entry {
+            age_tenths: entry.age_tenths + (self.clock.now() - since),
+            ..entry.clone()
+        }
     }
 
     fn note_told(&self, who: Who, entries: &[Entry]) {
         let at = self.clock.now();
         for e in entries {
             let life = word(e.life).to_owned();
-            let line = Line::Told { at, who, invoker: e.invoker, incarnation: e.incarnation, life };
+            let line = Line::Told {
+                at,
+                who,
+                invoker: e.invoker,
+                incarnation: e.incarnation,
+                life,
+            };
             self.record.note(line);
         }
     }
@@ -128,8 +152,13 @@
     pub fn say(&self, entry: Entry) {
         let now = self.clock.now();
         self.revision.set(self.revision.get() + 1);
-        let change = FromList::Change(Change { revision: self.revision.get(), entries: vec![entry.clone()] });
-        let FromList::Change(change) = change else { return };
+        let change = FromList::Change(Change {
+            revision: self.revision.get(),
+            entries: vec![entry.clone()],
+        });
+        let FromList::Change(change) = change else {
+            return;
+        };
         for (who, outbox) in self.followers.borrow().iter() {
             outbox.put(encode(&change), Tenths::MAX);
             self.note_told(*who, &change.entries);
@@ -137,7 +166,9 @@
         if entry.life == Life::Gone {
             self.entries.borrow_mut().remove(&entry.invoker);
         } else {
-            self.entries.borrow_mut().insert(entry.invoker, (entry, now));
+            self.entries
+                .borrow_mut()
+                .insert(entry.invoker, (entry, now));
         }
     }
 }
--- a/crates/standin/src/machine.rs
+++ b/crates/standin/src/machine.rs
@@ -128,7 +128,9 @@
 
     /// Part of the full capacity it has now.
     fn risen(&self) -> f64 {
-        let Some(started) = self.build.started else { return 1.0 };
+        let Some(started) = self.build.started else {
+            return 1.0;
+        };
         let age = self.now.saturating_sub(started) as f64 / self.build.cold_time.max(1) as f64;
         (self.build.cold_share + (1.0 - self.build.cold_share) * age).min(1.0)
     }
@@ -149,15 +151,35 @@
     pub fn next(&self) -> Option<Tenths> {
         let pace = self.pace().max(1e-6);
         let due = |left: f64| self.now + ((left / pace).ceil() as Tenths).max(1);
-        let tasks = self.tasks.values().filter(|t| t.running).map(|t| due(t.left));
+        let tasks = self
+            .tasks
+            .values()
+            .filter(|t| t.running)
+            .map(|t| due(t.left));
         let starts = self.loads.iter().filter_map(|l| l.start_left).map(due);
         let moving = tasks.chain(starts).min();
-        let step = if self.risen() < 1.0 || self.ageing > 0.0 { self.now + STEP } else { Tenths::MAX };
-        let idle = self.copies.values().filter(|c| c.standing > 0 && c.running == 0);
+        let step = if self.risen() < 1.0 || self.ageing > 0.0 {
+            self.now + STEP
+        } else {
+            Tenths::MAX
+        };
+        let idle = self
+            .copies
+            .values()
+            .filter(|c| c.standing > 0 && c.running == 0);
         let idle = idle.map(|c| c.idle_since + self.build.keep_alive).min();
-        let expiry = self.waiting.iter().filter_map(|j| self.tasks.get(j)).map(|t| t.ask.expires).min();
+        let expiry = self
+            .waiting
+            .iter()
+            .filter_map(|j| self.tasks.get(j))
+            .map(|t| t.ask.expires)
+            .min();
         let next = moving.map(|at| at.min(step));
-        [next, idle, expiry].into_iter().flatten().min().map(|at| at.max(self.now + 1))
+        [next, idle, expiry]
+            .into_iter()
+            .flatten()
+            .min()
+            .map(|at| at.max(self.now + 1))
     }
 
     /// Cores busy, 0 to 1, and invocations that wait.
@@ -172,12 +194,20 @@
             let done = self.pace() * (upto - self.now) as f64;
             self.busy = (self.running() as f64 / self.build.cores).min(1.0);
             self.now = upto;
-            self.tasks.values_mut().filter(|t| t.running).for_each(|t| t.left -= done);
+            self.tasks
+                .values_mut()
+                .filter(|t| t.running)
+                .for_each(|t| t.left -= done);
             let starting = self.loads.iter_mut().filter_map(|l| l.start_left.as_mut());
             starting.for_each(|left| *left -= done);
-            let over: Vec<Job> =
-                self.tasks.iter().filter(|(_, t)| t.running && t.left <= 1e-6).map(|(j, _)| *j).collect();
-            over.into_iter().for_each(|job| self.finish(job, Ended::Succeeded, yard));
+            let over: Vec<Job> = self
+                .tasks
+                .iter()
+                .filter(|(_, t)| t.running && t.left <= 1e-6)
+                .map(|(j, _)| *j)
+                .collect();
+            over.into_iter()
+                .for_each(|job| self.finish(job, Ended::Succeeded, yard));
             let mut at = 0;
             while at < self.loads.len() {
                 if self.loads[at].start_left.is_some_and(|left| left <= 1e-6) {
@@ -188,20 +218,35 @@
                 }
             }
             let (now, keep) = (self.now, self.build.keep_alive);
-            for c in self.copies.values_mut().filter(|c| c.running == 0 && now >= c.idle_since + keep) {
+            for c in self
+                .copies
+                .values_mut()
+                .filter(|c| c.running == 0 && now >= c.idle_since + keep)
+            {
                 c.standing = 0;
             }
-            let late: Vec<Job> =
-                self.waiting.iter().filter(|j| self.tasks[j].ask.expires <= now).copied().collect();
-            late.into_iter().for_each(|job| self.finish(job, Ended::Cancelled, yard));
+            let late: Vec<Job> = self
+                .waiting
+                .iter()
+                .filter(|j| self.tasks[j].ask.expires <= now)
+                .copied()
+                .collect();
+            late.into_iter()
+                .for_each(|job| self.finish(job, Ended::Cancelled, yard));
             self.start_what_can(yard);
         }
     }
 
     fn finish(&mut self, job: Job, ended: Ended, yard: &mut dyn Yard) {
-        let Some(task) = self.tasks.remove(&job) else { return };
+        let Some(task) = self.tasks.remove(&job) else {
+            return;
+        };
         self.waiting.retain(|j| *j != job);
-        if let Some(c) = self.copies.get_mut(&task.ask.function).filter(|_| task.running) {
+        if let Some(c) = self
+            .copies
+            .get_mut(&task.ask.function)
+            .filter(|_| task.running)
+        {
             c.running -= 1;
             c.idle_since = self.now;
         }
@@ -231,7 +276,11 @@
     pub fn dispatch(&mut self, now: Tenths, job: Job, ask: Ask, yard: &mut dyn Yard) {
         self.advance(now, yard);
         let function = ask.function;
-        let held = self.tasks.values().filter(|t| t.ask.function == function).count();
+        let held = self
+            .tasks
+            .values()
+            .filter(|t| t.ask.function == function)
+            .count();
         let crowd = held.min(30) as u8;
         if self.waiting.len() >= self.build.queue || !self.shapes.contains_key(&function) {
             return yard.ended(job, Ended::Full, None, crowd);
@@ -241,14 +290,25 @@
         let found = match (standing, loading) {
             (true, _) => Found::Warm,
             (false, true) => Found::JoinedLoad,
-            (false, false) if self.build.misses => return yard.ended(job, Ended::Miss, None, crowd),
+            (false, false) if self.build.misses => {
+                return yard.ended(job, Ended::Miss, None, crowd);
+            }
             (false, false) => Found::BeganLoad,
         };
         if found == Found::BeganLoad && !self.begin_load(function, yard) {
             return yard.ended(job, Ended::Full, None, crowd);
         }
         let left = ask.work.max(1.0);
-        self.tasks.insert(job, Task { ask, left, running: false, found: Some(found), crowd });
+        self.tasks.insert(
+            job,
+            Task {
+                ask,
+                left,
+                running: false,
+                found: Some(found),
+                crowd,
+            },
+        );
         self.waiting.push_back(job);
         self.start_what_can(yard);
     }
@@ -256,7 +316,11 @@
     /// Stops it if it waits, or runs and the build allows.
     pub fn cancel(&mut self, now: Tenths, job: Job, yard: &mut dyn Yard) {
         self.advance(now, yard);
-        if self.tasks.get(&job).is_some_and(|t| !t.running || self.build.stops_running) {
+        if self
+            .tasks
+            .get(&job)
+            .is_some_and(|t| !t.running || self.build.stops_running)
+        {
             self.finish(job, Ended::Cancelled, yard);
             self.start_what_can(yard);
         }
@@ -268,13 +332,26 @@
 
     fn loading(&self, function: FnId) -> usize {
         self.loads.iter().filter(|l| l.function == function).count()
-            + self.loads_waiting.iter().filter(|f| **f == function).count()
+            + self
+                .loads_waiting
+                .iter()
+                .filter(|f| **f == function)
+                .count()
     }
 
     fn memory_taken(&self) -> f64 {
         let of = |f: &FnId| self.shapes.get(f).map_or(0.0, |s| s.memory);
-        let standing: f64 = self.copies.iter().map(|(f, c)| of(f) * c.standing as f64).sum();
-        let loading = self.loads.iter().map(|l| &l.function).chain(&self.loads_waiting).map(of);
+        let standing: f64 = self
+            .copies
+            .iter()
+            .map(|(f, c)| of(f) * c.standing as f64)
+            .sum();
+        let loading = self
+            .loads
+            .iter()
+            .map(|l| &l.function)
+            .chain(&self.loads_waiting)
+            .map(of);
         standing + loading.sum::<f64>()
     }
 
@@ -285,9 +362,13 @@
             return false;
         }
         while self.memory_taken() + need > self.build.memory {
-            let idle =
-                self.copies.iter().filter(|(f, c)| c.standing > 0 && c.running == 0 && **f != function);
-            let Some(oldest) = idle.min_by_key(|(_, c)| c.idle_since).map(|(f, _)| *f) else { return false };
+            let idle = self
+                .copies
+                .iter()
+                .filter(|(f, c)| c.standing > 0 && c.running == 0 && **f != function);
+            let Some(oldest) = idle.min_by_key(|(_, c)| c.idle_since).map(|(f, _)| *f) else {
+                return false;
+            };
             self.copies.get_mut(&oldest).expect("it stands").standing -= 1;
         }
         self.loads_waiting.push_back(function);
@@ -297,8 +378,14 @@
 
     fn next_load(&mut self, yard: &mut dyn Yard) {
         while self.loads.len() < self.build.loads_at_once {
-            let Some(function) = self.loads_waiting.pop_front() else { return };
-            self.loads.push(Load { function, began: self.now, start_left: None });
+            let Some(function) = self.loads_waiting.pop_front() else {
+                return;
+            };
+            self.loads.push(Load {
+                function,
+                began: self.now,
+                start_left: None,
+            });
             yard.fetch(function);
         }
     }
@@ -306,7 +393,10 @@
     /// A fetch that [`Yard::fetch`] asked for has ended.
     pub fn fetched(&mut self, now: Tenths, function: FnId, ok: bool, yard: &mut dyn Yard) {
         self.advance(now, yard);
-        let at = self.loads.iter().position(|l| l.function == function && l.start_left.is_none());
+        let at = self
+            .loads
+            .iter()
+            .position(|l| l.function == function && l.start_left.is_none());
         let Some(at) = at else { return };
         if ok {
             self.loads[at].start_left = Some(self.shapes[&function].start as f64);
@@ -314,9 +404,14 @@
         }
         let load = self.loads.remove(at);
         yard.loaded(function, self.now - load.began, false);
-        if !self.is_loading(function) && self.copies.get(&function).is_none_or(|c| c.standing == 0) {
-            let waiting: Vec<Job> =
-                self.waiting.iter().filter(|j| self.tasks[j].ask.function == function).copied().collect();
+        if !self.is_loading(function) && self.copies.get(&function).is_none_or(|c| c.standing == 0)
+        {
+            let waiting: Vec<Job> = self
+                .waiting
+                .iter()
+                .filter(|j| self.tasks[j].ask.function == function)
+                .copied()
+                .collect();
             for job in waiting {
                 self.tasks.get_mut(&job).expect("it waits").found = Some(Found::LoadFailed);
                 self.finish(job, Ended::Miss, yard);
@@ -336,17 +431,26 @@
         c.standing += 1;
         c.idle_since = now;
         let standing = c.standing;
-        let (met, unmet) =
-            std::mem::take(&mut c.holds).into_iter().partition(|(_, count)| *count <= standing);
+        let (met, unmet) = std::mem::take(&mut c.holds)
+            .into_iter()
+            .partition(|(_, count)| *count <= standing);
         c.holds = unmet;
         yard.loaded(load.function, now - load.began, true);
         let met: Vec<(Order, usize)> = met;
-        met.into_iter().for_each(|(o, _)| yard.held(o, HoldEnded::Standing, standing as u8));
+        met.into_iter()
+            .for_each(|(o, _)| yard.held(o, HoldEnded::Standing, standing as u8));
         self.next_load(yard);
     }
 
     /// An order to hold so many copies; 0 only asks.
-    pub fn hold(&mut self, now: Tenths, order: Order, function: FnId, count: u8, yard: &mut dyn Yard) {
+    pub fn hold(
+        &mut self,
+        now: Tenths,
+        order: Order,
+        function: FnId,
+        count: u8,
+        yard: &mut dyn Yard,
+    ) {
         self.advance(now, yard);
         let standing = self.copies.get(&function).map_or(0, |c| c.standing);
         if standing >= usize::from(count) {
@@ -363,7 +467,11 @@
                 return yard.held(order, HoldEnded::NoRoom, standing as u8);
             }
         }
-        self.copies.entry(function).or_default().holds.push((order, count.into()));
+        self.copies
+            .entry(function)
+            .or_default()
+            .holds
+            .push((order, count.into()));
     }
 
     pub fn unload(&mut self, now: Tenths, function: FnId, yard: &mut dyn Yard) {
@@ -376,9 +484,14 @@
     /// A link is gone: what waits on it is not run. What runs goes on, its answer lost.
     pub fn link_lost(&mut self, now: Tenths, link: u64, yard: &mut dyn Yard) {
         self.advance(now, yard);
-        let gone: Vec<Job> =
-            self.tasks.iter().filter(|((l, _), t)| *l == link && !t.running).map(|(j, _)| *j).collect();
-        gone.into_iter().for_each(|job| self.finish(job, Ended::Cancelled, yard));
+        let gone: Vec<Job> = self
+            .tasks
+            .iter()
+            .filter(|((l, _), t)| *l == link && !t.running)
+            .map(|(j, _)| *j)
+            .collect();
+        gone.into_iter()
+            .for_each(|job| self.finish(job, Ended::Cancelled, yard));
     }
 
     /// So many of the functions are released anew: their idle copies go.
@@ -393,7 +506,11 @@
     /// As if it had stood since long before: copies of these are there.
     pub fn hold_from_the_start(&mut self, functions: impl IntoIterator<Item = FnId>) {
         for f in functions {
-            if self.shapes.get(&f).is_some_and(|s| self.memory_taken() + s.memory <= self.build.memory) {
+            if self
+                .shapes
+                .get(&f)
+                .is_some_and(|s| self.memory_taken() + s.memory <= self.build.memory)
+            {
                 let c = self.copies.entry(f).or_default();
                 (c.standing, c.idle_since) = (1, self.now);
             }
@@ -447,12 +564,20 @@
             cold_time: 100_000,
             started,
         };
-        let shape = Shape { memory: 900.0, lanes: 2, start: 1_000 };
+        let shape = Shape {
+            memory: 900.0,
+            lanes: 2,
+            start: 1_000,
+        };
         Machine::new(0, build, (1..4).map(|f| (f, shape.clone())).collect())
     }
 
     fn ask(function: FnId) -> Ask {
-        Ask { function, work: 1_000.0, expires: 90_000 }
+        Ask {
+            function,
+            work: 1_000.0,
+            expires: 90_000,
+        }
     }
 
     #[test]
@@ -462,7 +587,11 @@
             m.dispatch(0, (0, n), ask(1), &mut y);
         }
         m.dispatch(0, (0, 3), ask(1), &mut y);
-        assert_eq!(y.ended, [((0, 3), Ended::Full, None)], "three wait, no more");
+        assert_eq!(
+            y.ended,
+            [((0, 3), Ended::Full, None)],
+            "three wait, no more"
+        );
         m.fetched(500, 1, true, &mut y);
         m.advance(2_499, &mut y);
         assert_eq!(y.ended.len(), 1);
@@ -498,7 +627,11 @@
         m.hold(0, (0, 9), 3, 1, &mut y);
         assert_eq!(y.fetches, [3], "2 gave way");
         m.hold(0, (0, 10), 2, 1, &mut y);
-        assert_eq!(y.held, [((0, 10), HoldEnded::NoRoom, 0)], "1 is at work and 3 loads");
+        assert_eq!(
+            y.held,
+            [((0, 10), HoldEnded::NoRoom, 0)],
+            "1 is at work and 3 loads"
+        );
         m.fetched(10, 3, false, &mut y);
         assert_eq!(y.held[1], ((0, 9), HoldEnded::LoadFailed, 0));
         m.hold(20, (0, 11), 1, 1, &mut y);
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -71,7 +71,10 @@
 
 /// The number and the try that an id was made of.
 pub fn try_of(txn: u64) -> Try {
-    Try { n: txn >> 8, attempt: (txn & 0xff) as u32 }
+    Try {
+        n: txn >> 8,
+        attempt: (txn & 0xff) as u32,
+    }
 }
 
 impl HttpInvoker {
@@ -134,11 +137,21 @@
 
     async fn order(&self, stream: &mut Stream, a: &Arrived) -> bool {
         let parts: Vec<&str> = a.path.split('/').collect();
-        let function = parts.get(2).and_then(|f| u64::from_str_radix(f, 16).ok()).unwrap_or(0);
+        let function = parts
+            .get(2)
+            .and_then(|f| u64::from_str_radix(f, 16).ok())
+            .unwrap_or(0);
         let count: u8 = parts.get(3).and_then(|n| n.parse().ok()).unwrap_or(0);
         if a.method == "PUT" {
             let (at, earliest, invoker, who) = (a.at, a.at, self.invoker, self.controller);
-            self.record.note(Line::Ordered { at, earliest, invoker, who, function, count });
+            self.record.note(Line::Ordered {
+                at,
+                earliest,
+                invoker,
+                who,
+                function,
+                count,
+            });
         }
         let text = match a.method.as_str() {
             "DELETE" => "HTTP/1.1 204 No Content\r\n\r\n".to_owned(),
@@ -149,7 +162,9 @@
 
     /// The time that a request says is left is at most what its client has left, by the client's own send time.
     fn judge_limit(&self, a: &Arrived, of: Try) {
-        let Some(given_up_at) = self.record.given_up_at(of) else { return };
+        let Some(given_up_at) = self.record.given_up_at(of) else {
+            return;
+        };
         let stated: Option<u64> = a.fields.get("x-limit-ms").and_then(|ms| ms.parse().ok());
         let left_ms = given_up_at.saturating_sub(a.at) / MILLI;
         if stated.is_none_or(|ms| ms > left_ms + LIMIT_SLACK_MS) {
@@ -166,16 +181,35 @@
             *hop += 1;
             *hop - 1
         };
-        let (who, invoker, of, invocation) = (self.controller, self.invoker, try_of(id), (id >> 8) as u32);
+        let (who, invoker, of, invocation) =
+            (self.controller, self.invoker, try_of(id), (id >> 8) as u32);
         let trigger = a.path.trim_start_matches("/obj/").to_owned();
         let (at, earliest) = (a.at, a.at);
         self.judge_limit(a, of);
-        self.record.note(Line::Dispatched { at, earliest, invoker, who, invocation, hop, of, trigger });
+        self.record.note(Line::Dispatched {
+            at,
+            earliest,
+            invoker,
+            who,
+            invocation,
+            hop,
+            of,
+            trigger,
+        });
         let spoilt = self.spoilt.get();
         let never = matches!(spoilt, Spoilt::Miss | Spoilt::Full | Spoilt::Over);
         if !never {
             let (at, token) = (self.clock.now(), a.fields.get("x-dedupe").cloned());
-            self.record.note(Line::Ran { at, invoker, who, invocation, hop, of, token, repeat: false });
+            self.record.note(Line::Ran {
+                at,
+                invoker,
+                who,
+                invocation,
+                hop,
+                of,
+                token,
+                repeat: false,
+            });
         }
         let mut byte = [0];
         tokio::select! {
@@ -191,23 +225,47 @@
         }
         let ended = |ended: &str, told| {
             let (at, ended) = (self.clock.now(), ended.to_owned());
-            self.record.note(Line::Ended { at, invoker, who, invocation, hop, of, ended, told });
+            self.record.note(Line::Ended {
+                at,
+                invoker,
+                who,
+                invocation,
+                hop,
+                of,
+                ended,
+                told,
+            });
         };
         let body = format!("ran {txn} {}", a.body.len());
         let at = self.clock.now();
-        self.record.note(Line::Made { at, invoker, of, output: body.clone() });
-        let well =
-            format!("HTTP/1.1 200 OK\r\nX-How: resident\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+        self.record.note(Line::Made {
+            at,
+            invoker,
+            of,
+            output: body.clone(),
+        });
+        let well = format!(
+            "HTTP/1.1 200 OK\r\nX-How: resident\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        );
         let (text, goes_on) = match spoilt {
             Spoilt::No => (well, true),
             Spoilt::Early1xx => (format!("HTTP/1.1 102 Processing\r\n\r\n{well}"), true),
             Spoilt::NoiseAfter => (format!("{well}\u{1}\u{2}noise"), false),
             Spoilt::TwiceOver => (format!("{well}{well}"), false),
             Spoilt::NoiseForHead => ("\u{1}\u{2}\u{3} what is this\r\n\r\n".to_owned(), true),
-            Spoilt::HeadWithoutEnd => (format!("HTTP/1.1 200 OK\r\nX-A: {}", "a".repeat(100_000)), true),
-            Spoilt::LengthsContradict => (well.replace("X-How", "Content-Length: 3\r\nX-How"), true),
+            Spoilt::HeadWithoutEnd => (
+                format!("HTTP/1.1 200 OK\r\nX-A: {}", "a".repeat(100_000)),
+                true,
+            ),
+            Spoilt::LengthsContradict => {
+                (well.replace("X-How", "Content-Length: 3\r\nX-How"), true)
+            }
             Spoilt::ThreeGigabytes => (
-                format!("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n{}", "x".repeat(500_000)),
+                format!(
+                    "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n{}",
+                    "x".repeat(500_000)
+                ),
                 true,
             ),
             Spoilt::ShortBody => (well[..well.len() - 3].to_owned(), false),
@@ -217,10 +275,22 @@
                 std::future::pending::<()>().await;
                 return false;
             }
-            Spoilt::Miss => ("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n".to_owned(), true),
-            Spoilt::Full => ("HTTP/1.1 503 Full\r\nX-Unrun: 1\r\nContent-Length: 0\r\n\r\n".to_owned(), true),
-            Spoilt::Over => ("HTTP/1.1 504 Over\r\nX-Unrun: 1\r\nContent-Length: 0\r\n\r\n".to_owned(), true),
-            Spoilt::Errored => ("HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n".to_owned(), true),
+            Spoilt::Miss => (
+                "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n".to_owned(),
+                true,
+            ),
+            Spoilt::Full => (
+                "HTTP/1.1 503 Full\r\nX-Unrun: 1\r\nContent-Length: 0\r\n\r\n".to_owned(),
+                true,
+            ),
+            Spoilt::Over => (
+                "HTTP/1.1 504 Over\r\nX-Unrun: 1\r\nContent-Length: 0\r\n\r\n".to_owned(),
+                true,
+            ),
+            Spoilt::Errored => (
+                "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n".to_owned(),
+                true,
+            ),
             Spoilt::ClosedUnread => return false,
         };
         match spoilt {
@@ -239,15 +309,27 @@
         let mut head = httparse::Request::new(&mut headers);
         if let Ok(httparse::Status::Complete(end)) = head.parse(read) {
             let field = |h: &httparse::Header| {
-                (h.name.to_ascii_lowercase(), String::from_utf8_lossy(h.value).into_owned())
+                (
+                    h.name.to_ascii_lowercase(),
+                    String::from_utf8_lossy(h.value).into_owned(),
+                )
             };
             let fields: BTreeMap<String, String> = head.headers.iter().map(field).collect();
-            let length = fields.get("content-length").and_then(|n| n.parse().ok()).unwrap_or(0);
+            let length = fields
+                .get("content-length")
+                .and_then(|n| n.parse().ok())
+                .unwrap_or(0);
             if read.len() >= end + length {
                 let (method, path) = (head.method?.to_owned(), head.path?.to_owned());
                 read.advance(end);
                 let body = read.split_to(length).freeze();
-                return Some(Arrived { at: clock.now(), method, path, fields, body });
+                return Some(Arrived {
+                    at: clock.now(),
+                    method,
+                    path,
+                    fields,
+                    body,
+                });
             }
         }
         if stream.read_buf(read).await.unwrap_or(0) == 0 {
@@ -285,7 +367,15 @@
 impl Feed {
     pub fn new(controller: Who, record: Record, clock: Clock) -> Rc<Self> {
         let (events, torn, asked, more) = Default::default();
-        Rc::new(Self { events, torn, asked, controller, more, record, clock })
+        Rc::new(Self {
+            events,
+            torn,
+            asked,
+            controller,
+            more,
+            record,
+            clock,
+        })
     }
 
     /// The next event, told from now on.
@@ -299,7 +389,13 @@
                 };
                 let (at, who, invoker) = (self.clock.now(), self.controller, l.invoker);
                 let incarnation = l.started_ms.unwrap_or(0);
-                self.record.note(Line::Told { at, who, invoker, incarnation, life: life.into() });
+                self.record.note(Line::Told {
+                    at,
+                    who,
+                    invoker,
+                    incarnation,
+                    life: life.into(),
+                });
             }
         }
         self.events.borrow_mut().push((number, event));
@@ -315,10 +411,17 @@
     }
 
     async fn attend(self: Rc<Self>, mut stream: Stream) {
-        let Ok(mut last) = stream.read_u64().await else { return };
+        let Ok(mut last) = stream.read_u64().await else {
+            return;
+        };
         self.asked.borrow_mut().push(last);
         loop {
-            let next = self.events.borrow().iter().find(|(n, _)| *n > last).cloned();
+            let next = self
+                .events
+                .borrow()
+                .iter()
+                .find(|(n, _)| *n > last)
+                .cloned();
             let Some((n, event)) = next else {
                 tokio::select! {
                     () = self.more.notified() => {}
@@ -354,8 +457,22 @@
 }
 
 /// One line of the feed, as tests write it.
-pub fn listing(invoker: u32, address: SocketAddrV4, life: Life, started_ms: Option<u64>) -> Listing {
-    Listing { invoker, address, life, zone: 0, kind: 0, cell: 0, size: 4.0, started_ms }
+pub fn listing(
+    invoker: u32,
+    address: SocketAddrV4,
+    life: Life,
+    started_ms: Option<u64>,
+) -> Listing {
+    Listing {
+        invoker,
+        address,
+        life,
+        zone: 0,
+        kind: 0,
+        cell: 0,
+        size: 4.0,
+        started_ms,
+    }
 }
 
 /// What a client asks for.
@@ -377,7 +494,11 @@
 
     /// The frame of it on a stream.
     pub fn frame(&self, stream: u32) -> Bytes {
-        let (txn, limit, item) = (self.txn(), self.limit_ms.to_string(), format!("{:016x}", self.function));
+        let (txn, limit, item) = (
+            self.txn(),
+            self.limit_ms.to_string(),
+            format!("{:016x}", self.function),
+        );
         let mut fields = vec![
             ("verb", self.trigger.as_str()),
             ("txn", &txn),
@@ -429,13 +550,24 @@
         clock: Clock,
     ) -> std::io::Result<Self> {
         let stream = network.dial(&Address::Tcp(at.to_string())).await?;
-        Ok(Self { stream, read: BytesMut::new(), next: 1, open: BTreeMap::new(), controller, record, clock })
+        Ok(Self {
+            stream,
+            read: BytesMut::new(),
+            next: 1,
+            open: BTreeMap::new(),
+            controller,
+            record,
+            clock,
+        })
     }
 
     pub async fn ask(&mut self, call: &Call) -> u32 {
         let stream = self.next;
         self.next += 1;
-        let of = Try { n: call.n, attempt: call.attempt };
+        let of = Try {
+            n: call.n,
+            attempt: call.attempt,
+        };
         self.open.insert(stream, of);
         let sent = self.stream.write_all(&call.frame(stream)).await;
         if sent.is_ok() {
@@ -456,7 +588,10 @@
     /// Nobody waits for this stream any more.
     pub async fn leave(&mut self, stream: u32) {
         if let Some(of) = self.open.remove(&stream) {
-            self.record.note(Line::HungUp { at: self.clock.now(), of });
+            self.record.note(Line::HungUp {
+                at: self.clock.now(),
+                of,
+            });
         }
         let _ = self.stream.write_all(&frames::bare(18, stream)).await;
     }
@@ -464,7 +599,10 @@
     /// Closes the connection, whatever is open on it.
     pub fn close(self) {
         for of in self.open.values() {
-            self.record.note(Line::HungUp { at: self.clock.now(), of: *of });
+            self.record.note(Line::HungUp {
+                at: self.clock.now(),
+                of: *of,
+            });
         }
     }
 
@@ -490,18 +628,37 @@
         let (kind, stream) = (frame.get_u8(), frame.get_u32());
         Some(match kind {
             48 => Heard::GoAway,
-            33 => Heard::Ready { stream, code: frame.get_u8() },
+            33 => Heard::Ready {
+                stream,
+                code: frame.get_u8(),
+            },
             17 => {
                 let code = frame.get_u8();
                 let fields = frames::fields(&mut frame).expect("fields of an answer");
                 let later = fields.iter().find(|(n, _)| n == "later").map(|(_, v)| v);
                 let later_ms = later.and_then(|v| std::str::from_utf8(v).ok()?.parse().ok());
                 self.note(stream, code);
-                if let Some(of) = self.open.get(&stream).filter(|_| code == Code::Succeeded as u8) {
-                    let (at, output) = (self.clock.now(), String::from_utf8_lossy(&frame).into_owned());
-                    self.record.note(Line::Output { at, of: *of, output });
+                if let Some(of) = self
+                    .open
+                    .get(&stream)
+                    .filter(|_| code == Code::Succeeded as u8)
+                {
+                    let (at, output) = (
+                        self.clock.now(),
+                        String::from_utf8_lossy(&frame).into_owned(),
+                    );
+                    self.record.note(Line::Output {
+                        at,
+                        of: *of,
+                        output,
+                    });
                 }
-                Heard::Answer(Answered { stream, code, later_ms, body: frame })
+                Heard::Answer(Answered {
+                    stream,
+                    code,
+                    later_ms,
+                    body: frame,
+                })
             }
             kind => panic!("frame type {kind} from a controller"),
         })
@@ -515,7 +672,12 @@
         };
         let at = self.clock.now();
         if let Some(of) = self.open.get(&stream) {
-            self.record.note(Line::Final { at, earliest: at, of: *of, how });
+            self.record.note(Line::Final {
+                at,
+                earliest: at,
+                of: *of,
+                how,
+            });
         }
     }
 }
--- a/crates/standin/src/record.rs
+++ b/crates/standin/src/record.rs
@@ -269,7 +269,12 @@
     pub fn given_up_at(&self, of: Try) -> Option<Tenths> {
         let lines = self.0.borrow();
         lines.iter().rev().find_map(|line| match line {
-            Line::Sent { at, of: sent, timeout, .. } if *sent == of => Some(at + timeout),
+            Line::Sent {
+                at,
+                of: sent,
+                timeout,
+                ..
+            } if *sent == of => Some(at + timeout),
             _ => None,
         })
     }
--- a/crates/standin/src/registry.rs
+++ b/crates/standin/src/registry.rs
@@ -97,7 +97,8 @@
             Ending::Stalled => Poll::Pending,
             Ending::Trickles(left, due) => {
                 std::task::ready!(due.as_mut().poll(cx));
-                due.as_mut().reset(tokio::time::Instant::now() + Duration::from_secs(1));
+                due.as_mut()
+                    .reset(tokio::time::Instant::now() + Duration::from_secs(1));
                 let byte = left.split_to(1.min(left.len()));
                 Poll::Ready((!byte.is_empty()).then(|| Ok(Frame::data(byte))))
             }
@@ -110,14 +111,23 @@
 }
 
 fn plain(status: StatusCode) -> Response<Sending> {
-    let mut response =
-        Response::new(Sending { parts: Vec::new(), length: 0, ending: Ending::Whole, _held: None });
+    let mut response = Response::new(Sending {
+        parts: Vec::new(),
+        length: 0,
+        ending: Ending::Whole,
+        _held: None,
+    });
     *response.status_mut() = status;
     response
 }
 
 fn whole(bytes: Bytes) -> Sending {
-    Sending { length: bytes.len() as u64, parts: vec![bytes], ending: Ending::Whole, _held: None }
+    Sending {
+        length: bytes.len() as u64,
+        parts: vec![bytes],
+        ending: Ending::Whole,
+        _held: None,
+    }
 }
 
 impl Registry {
@@ -141,7 +151,9 @@
     /// Takes a model in under a tag, which moves if it was there.
     pub fn push(&self, repository: &str, tag: &str, model: &[u8]) -> io::Result<Manifest> {
         let manifest = cut::pack(model, |chunk, stored| {
-            self.blobs.borrow_mut().insert(chunk.digest, Bytes::copy_from_slice(stored));
+            self.blobs
+                .borrow_mut()
+                .insert(chunk.digest, Bytes::copy_from_slice(stored));
             Ok(())
         })?;
         self.push_manifest(repository, tag, manifest.write());
@@ -173,7 +185,9 @@
                         let this = this.clone();
                         async move { Ok::<_, Infallible>(this.answer(request).await) }
                     });
-                    let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), answer).await;
+                    let _ = http1::Builder::new()
+                        .serve_connection(TokioIo::new(stream), answer)
+                        .await;
                 });
             }
         });
@@ -188,7 +202,9 @@
         if path == "/v2/" {
             return plain(StatusCode::OK);
         }
-        let Some(rest) = path.strip_prefix("/v2/") else { return plain(StatusCode::NOT_FOUND) };
+        let Some(rest) = path.strip_prefix("/v2/") else {
+            return plain(StatusCode::NOT_FOUND);
+        };
         if let Some((repository, reference)) = rest.rsplit_once("/manifests/") {
             let key = (repository.to_owned(), reference.to_owned());
             let Some(bytes) = self.manifests.borrow().get(&key).cloned() else {
@@ -199,9 +215,17 @@
             response.headers_mut().insert(header::CONTENT_TYPE, kind);
             return response;
         }
-        let digest: Option<Digest> = rest.rsplit_once("/blobs/").and_then(|(_, d)| d.parse().ok());
-        let Some(digest) = digest else { return plain(StatusCode::NOT_FOUND) };
-        let range = request.headers().get(header::RANGE).and_then(|v| v.to_str().ok()).map(str::to_owned);
+        let digest: Option<Digest> = rest
+            .rsplit_once("/blobs/")
+            .and_then(|(_, d)| d.parse().ok());
+        let Some(digest) = digest else {
+            return plain(StatusCode::NOT_FOUND);
+        };
+        let range = request
+            .headers()
+            .get(header::RANGE)
+            .and_then(|v| v.to_str().ok())
+            .map(str::to_owned);
         self.blob(digest, range).await
     }
 
@@ -217,10 +241,18 @@
     pub fn damage_model(&self, repository: &str, tag: &str) {
         let manifests = self.manifests.borrow();
         let chunks = |bytes: &Bytes| Manifest::read(bytes).map(|m| m.chunks).unwrap_or_default();
-        let Some(it) = manifests.get(&(repository.to_owned(), tag.to_owned())) else { return };
-        let others = manifests.values().filter(|bytes| *bytes != it).flat_map(chunks);
+        let Some(it) = manifests.get(&(repository.to_owned(), tag.to_owned())) else {
+            return;
+        };
+        let others = manifests
+            .values()
+            .filter(|bytes| *bytes != it)
+            .flat_map(chunks);
         let shared: BTreeSet<Digest> = others.map(|c| c.digest).collect();
-        let own = chunks(it).into_iter().map(|c| c.digest).filter(|d| !shared.contains(d));
+        let own = chunks(it)
+            .into_iter()
+            .map(|c| c.digest)
+            .filter(|d| !shared.contains(d));
         self.faults.borrow_mut().damaged.extend(own);
     }
 
@@ -237,11 +269,16 @@
             response.headers_mut().insert(header::RETRY_AFTER, 1.into());
             return response;
         }
-        let (cut, stalls, lies) = (chance(faults.cuts), chance(faults.stalls), chance(faults.lies));
+        let (cut, stalls, lies) = (
+            chance(faults.cuts),
+            chance(faults.stalls),
+            chance(faults.lies),
+        );
         let trickles = chance(faults.trickles);
         self.in_hand.set(self.in_hand.get() + 1);
         let held = Some(InHand(self.clone()));
-        let crowd = (self.in_hand.get() as f64 / self.full_pace.get()).max(1.0) * self.slowness.get();
+        let crowd =
+            (self.in_hand.get() as f64 / self.full_pace.get()).max(1.0) * self.slowness.get();
         let seconds = 0.01 + bytes.len() as f64 / self.bytes_per_second.get() * crowd;
         tokio::time::sleep(Duration::from_secs_f64(seconds)).await;
         if faults.damaged.contains(&digest) {
@@ -251,9 +288,12 @@
             bytes = bent.into();
         }
         let mut status = StatusCode::OK;
-        if let Some(from) =
-            range.and_then(|r| r.strip_prefix("bytes=")?.strip_suffix('-')?.parse::<usize>().ok())
-        {
+        if let Some(from) = range.and_then(|r| {
+            r.strip_prefix("bytes=")?
+                .strip_suffix('-')?
+                .parse::<usize>()
+                .ok()
+        }) {
             if from >= bytes.len() {
                 return plain(StatusCode::RANGE_NOT_SATISFIABLE);
             }
@@ -267,10 +307,18 @@
             (false, true) => Ending::Stalled,
             (false, false) => Ending::Whole,
         };
-        let sent = if matches!(ending, Ending::Whole) { bytes.len() } else { bytes.len() / 2 };
+        let sent = if matches!(ending, Ending::Whole) {
+            bytes.len()
+        } else {
+            bytes.len() / 2
+        };
         self.bytes_sent.set(self.bytes_sent.get() + sent as u64);
-        let mut response =
-            Response::new(Sending { parts: vec![bytes.slice(..sent)], length, ending, _held: held });
+        let mut response = Response::new(Sending {
+            parts: vec![bytes.slice(..sent)],
+            length,
+            ending,
+            _held: held,
+        });
         *response.status_mut() = status;
         response
     }
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -64,12 +64,22 @@
                 },
                 Err(_) => return,
             };
-            let Ok(wire::ToStore::Fetch(fetch)) = fetch else { return };
+            let Ok(wire::ToStore::Fetch(fetch)) = fetch else {
+                return;
+            };
             let refused = self.in_hand.get() >= self.limit.get();
             let (at, invoker, function) = (self.clock.now(), fetch.invoker, fetch.function);
-            self.record.note(Line::Fetched { at, invoker, function, refused });
+            self.record.note(Line::Fetched {
+                at,
+                invoker,
+                function,
+                refused,
+            });
             let answer = if refused {
-                encode(&wire::Refused { function, come_back_tenths: COME_BACK })
+                encode(&wire::Refused {
+                    function,
+                    come_back_tenths: COME_BACK,
+                })
             } else {
                 self.in_hand.set(self.in_hand.get() + 1);
                 let _held = InHand(&self.in_hand);
--- a/crates/stated/src/lib.rs
+++ b/crates/stated/src/lib.rs
@@ -27,9 +27,14 @@
     /// Reads lines of `path=value`.
     pub fn of_lines(text: &'a str) -> Result<Self, Fault> {
         let mut pairs = BTreeMap::new();
-        for (n, line) in text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty()) {
-            let (path, value) =
-                line.split_once('=').ok_or_else(|| format!("settings line {}: no '='", n + 1))?;
+        for (n, line) in text
+            .lines()
+            .enumerate()
+            .filter(|(_, line)| !line.trim().is_empty())
+        {
+            let (path, value) = line
+                .split_once('=')
+                .ok_or_else(|| format!("settings line {}: no '='", n + 1))?;
             pairs.insert(path.trim(), value.trim());
         }
         Ok(Self(pairs))
@@ -40,17 +45,25 @@
     }
 
     pub fn text(&self, path: &str) -> Result<&str, Fault> {
-        self.0.get(path).copied().ok_or_else(|| format!("setting {path}: missing"))
+        self.0
+            .get(path)
+            .copied()
+            .ok_or_else(|| format!("setting {path}: missing"))
     }
 
     pub fn value<T: FromStr>(&self, path: &str) -> Result<T, Fault> {
         let text = self.text(path)?;
-        text.parse().map_err(|_| format!("setting {path}: cannot read '{text}'"))
+        text.parse()
+            .map_err(|_| format!("setting {path}: cannot read '{text}'"))
     }
 
     pub fn number(&self, path: &str) -> Result<f64, Fault> {
         let n: f64 = self.value(path)?;
-        if n.is_finite() && n >= 0.0 { Ok(n) } else { Err(format!("setting {path}: cannot be {n}")) }
+        if n.is_finite() && n >= 0.0 {
+            Ok(n)
+        } else {
+            Err(format!("setting {path}: cannot be {n}"))
+        }
     }
 
     pub fn time(&self, path: &str) -> Result<Tenths, Fault> {
@@ -59,20 +72,32 @@
 
     pub fn list(&self, path: &str) -> Vec<&str> {
         let text = self.0.get(path).copied().unwrap_or_default();
-        text.split(',').map(str::trim).filter(|s| !s.is_empty()).collect()
+        text.split(',')
+            .map(str::trim)
+            .filter(|s| !s.is_empty())
+            .collect()
     }
 
     fn word<T: Copy>(&self, path: &str, words: &[(&str, T)]) -> Result<T, Fault> {
         let text = self.text(path)?;
         let known = words.iter().find(|(word, _)| *word == text);
-        known.map(|(_, is)| *is).ok_or_else(|| format!("setting {path}: unknown word '{text}'"))
+        known
+            .map(|(_, is)| *is)
+            .ok_or_else(|| format!("setting {path}: unknown word '{text}'"))
     }
 
     fn trigger_type(&self, i: usize) -> Result<TriggerType, Fault> {
         let at = |key: &str| format!("classes.{i}.{key}");
-        let effects =
-            [("safe", Effect::Idempotent), ("keyed", Effect::Tokened), ("unsafe", Effect::NonIdempotent)];
-        let scopes = [("all", Scope::All), ("zone", Scope::Zone), ("cell", Scope::Cell)];
+        let effects = [
+            ("safe", Effect::Idempotent),
+            ("keyed", Effect::Tokened),
+            ("unsafe", Effect::NonIdempotent),
+        ];
+        let scopes = [
+            ("all", Scope::All),
+            ("zone", Scope::Zone),
+            ("cell", Scope::Cell),
+        ];
         Ok(TriggerType {
             objective: self.time(&at("aim_ms"))?,
             client_timeout: self.time(&at("give_up_ms"))?,
@@ -89,15 +114,28 @@
 pub fn read(p: &Pairs) -> Result<Stated, Fault> {
     // Counts are walked entry by entry, each of which must be there, so a false one ends at the first gap.
     let types: usize = p.value("classes.count")?;
-    let tenants: usize = if p.0.contains_key("realms.count") { p.value("realms.count")? } else { 0 };
-    let trigger_types = (0..types).map(|i| p.trigger_type(i)).collect::<Result<Vec<_>, _>>()?;
+    let tenants: usize = if p.0.contains_key("realms.count") {
+        p.value("realms.count")?
+    } else {
+        0
+    };
+    let trigger_types = (0..types)
+        .map(|i| p.trigger_type(i))
+        .collect::<Result<Vec<_>, _>>()?;
     if trigger_types.is_empty() {
         return Err("setting classes.count: at least one is needed".into());
     }
-    let quota = |i| p.number(&format!("realms.{i}.quota_rps")).map(|quota| Tenant { quota });
-    let memory = p.list("family_info.kind_memory_mb").into_iter().map(|text| {
-        text.parse().map_err(|_| format!("setting family_info.kind_memory_mb: cannot read '{text}'"))
-    });
+    let quota = |i| {
+        p.number(&format!("realms.{i}.quota_rps"))
+            .map(|quota| Tenant { quota })
+    };
+    let memory = p
+        .list("family_info.kind_memory_mb")
+        .into_iter()
+        .map(|text| {
+            text.parse()
+                .map_err(|_| format!("setting family_info.kind_memory_mb: cannot read '{text}'"))
+        });
     let deployment = Deployment {
         controllers: p.value::<u32>("balancers")?.max(1),
         zone: p.value("zone")?,
@@ -127,5 +165,12 @@
         tip_factor: p.number("rules.overload_factor")?,
         tip_window: p.time("rules.tip_after_ms")?,
     };
-    Ok(Stated { deployment, report: p.list("reporting.fields").into_iter().map(String::from).collect() })
+    Ok(Stated {
+        deployment,
+        report: p
+            .list("reporting.fields")
+            .into_iter()
+            .map(String::from)
+            .collect(),
+    })
 }
--- a/crates/steward/examples/agreement.rs
+++ b/crates/steward/examples/agreement.rs
@@ -20,7 +20,10 @@
 use tokio::task::LocalSet;
 
 fn on_this_thread<T>(work: impl Future<Output = T>) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     LocalSet::new().block_on(&runtime, work)
 }
 
@@ -41,17 +44,51 @@
         leases: Default::default(),
         bounds: Vec::new(),
     };
-    let stewards: BTreeMap<u32, String> = (1..=3).map(|n| (n, address(folder, n).to_string())).collect();
+    let stewards: BTreeMap<u32, String> = (1..=3)
+        .map(|n| (n, address(folder, n).to_string()))
+        .collect();
     let voters = (1..=3).map(|steward| Voter { steward, disk: 0 }).collect();
-    let founding = Fleet::founded("cost", Config::founding(voters).unwrap(), stewards, Vec::new(), 0);
-    let voter = Voter { steward: number, disk: 0 };
-    let new = Identity { schema: SCHEMA, fleet: "cost".into(), voter };
+    let founding = Fleet::founded(
+        "cost",
+        Config::founding(voters).unwrap(),
+        stewards,
+        Vec::new(),
+        0,
+    );
+    let voter = Voter {
+        steward: number,
+        disk: 0,
+    };
+    let new = Identity {
+        schema: SCHEMA,
+        fleet: "cost".into(),
+        voter,
+    };
     let file = folder.join(format!("d{number}"));
-    let (life, seed, listen) = (u64::from(number), u64::from(number), address(folder, number));
-    let seat = CoordinatorConfig { number, life, seed, terms, founding, listen, list: None };
+    let (life, seed, listen) = (
+        u64::from(number),
+        u64::from(number),
+        address(folder, number),
+    );
+    let seat = CoordinatorConfig {
+        number,
+        life,
+        seed,
+        terms,
+        founding,
+        listen,
+        list: None,
+    };
     std::thread::spawn(move || {
         let (disk, acceptor) = Disk::open_file(&file, new).unwrap();
-        on_this_thread(service::serve(seat, disk, acceptor, Rc::new(Sockets), Clock::start())).unwrap();
+        on_this_thread(service::serve(
+            seat,
+            disk,
+            acceptor,
+            Rc::new(Sockets),
+            Clock::start(),
+        ))
+        .unwrap();
     });
 }
 
@@ -62,11 +99,25 @@
 
 /// One write of the same value to the same kind of file, alone.
 fn disk_alone(folder: &Path, fleet: &Fleet) -> (f64, f64) {
-    let voter = Voter { steward: 9, disk: 0 };
-    let new = Identity { schema: SCHEMA, fleet: "cost".into(), voter };
+    let voter = Voter {
+        steward: 9,
+        disk: 0,
+    };
+    let new = Identity {
+        schema: SCHEMA,
+        fleet: "cost".into(),
+        voter,
+    };
     let (mut disk, mut acceptor) = Disk::open_file(&folder.join("alone"), new).unwrap();
-    let ballot = saltdrum_fleet::Ballot { number: 1, steward: 1, life: 1 };
-    acceptor.accepted = Some(saltdrum_fleet::register::Accepted { ballot, value: fleet.clone() });
+    let ballot = saltdrum_fleet::Ballot {
+        number: 1,
+        steward: 1,
+        life: 1,
+    };
+    acceptor.accepted = Some(saltdrum_fleet::register::Accepted {
+        ballot,
+        value: fleet.clone(),
+    });
     quantiles(
         (0..200)
             .map(|n| {
@@ -89,9 +140,19 @@
         (1..=3).for_each(|n| steward(folder.path(), n));
         on_this_thread(async {
             let callers: Vec<Rc<Caller>> = (1..=3)
-                .map(|n| Rc::new(Caller::new(Rc::new(Sockets), address(folder.path(), n), "cost")))
+                .map(|n| {
+                    Rc::new(Caller::new(
+                        Rc::new(Sockets),
+                        address(folder.path(), n),
+                        "cost",
+                    ))
+                })
                 .collect();
-            while callers[0].call::<Changed>("change", resume(), SECOND).await.is_err() {
+            while callers[0]
+                .call::<Changed>("change", resume(), SECOND)
+                .await
+                .is_err()
+            {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
             let mut joining = tokio::task::JoinSet::new();
@@ -111,8 +172,14 @@
                         zone: 0,
                         tasks: Default::default(),
                     };
-                    let join = Changes { change: Change::Join { member, about } };
-                    while caller.call::<Changed>("change", &join, 10 * SECOND).await.is_err() {}
+                    let join = Changes {
+                        change: Change::Join { member, about },
+                    };
+                    while caller
+                        .call::<Changed>("change", &join, 10 * SECOND)
+                        .await
+                        .is_err()
+                    {}
                 });
             }
             while joining.join_next().await.is_some() {}
@@ -120,7 +187,10 @@
             for n in 0..200 {
                 let begun = Instant::now();
                 let change = if n % 2 == 0 { halt() } else { resume() };
-                callers[0].call::<Changed>("change", change, 10 * SECOND).await.unwrap();
+                callers[0]
+                    .call::<Changed>("change", change, 10 * SECOND)
+                    .await
+                    .unwrap();
                 took.push(begun.elapsed().as_secs_f64() * 1e3);
             }
             let (p50, p99) = quantiles(took);
@@ -128,12 +198,23 @@
             let renews = 20_000u32;
             for n in 0..renews {
                 let member = MemberId::invoker(1 + n % members);
-                let said = Renew { member, incarnation: 1, every_tenths: 5_000, busy: 0.0, last_copies: 0 };
-                callers[0].call::<Standing>("renew", &said, SECOND).await.unwrap();
+                let said = Renew {
+                    member,
+                    incarnation: 1,
+                    every_tenths: 5_000,
+                    busy: 0.0,
+                    last_copies: 0,
+                };
+                callers[0]
+                    .call::<Standing>("renew", &said, SECOND)
+                    .await
+                    .unwrap();
             }
             let renew_us = begun.elapsed().as_secs_f64() * 1e6 / f64::from(renews);
-            let told: serde_json::Value =
-                callers[0].call("status", serde_json::json!({}), SECOND).await.unwrap();
+            let told: serde_json::Value = callers[0]
+                .call("status", serde_json::json!({}), SECOND)
+                .await
+                .unwrap();
             let fleet: Fleet = serde_json::from_value(told["fleet"].clone()).unwrap();
             let (w50, w99) = disk_alone(folder.path(), &fleet);
             println!(
@@ -146,9 +227,17 @@
 }
 
 fn halt() -> Changes {
-    Changes { change: Change::Halt { by: "cost".into(), why: "to see".into(), ends: "a resume".into() } }
+    Changes {
+        change: Change::Halt {
+            by: "cost".into(),
+            why: "to see".into(),
+            ends: "a resume".into(),
+        },
+    }
 }
 
 fn resume() -> Changes {
-    Changes { change: Change::Resume { by: "cost".into() } }
+    Changes {
+        change: Change::Resume { by: "cost".into() },
+    }
 }
--- a/crates/steward/src/acceptor_store.rs
+++ b/crates/steward/src/acceptor_store.rs
@@ -23,7 +23,12 @@
     pub fn new(disk: Disk, acceptor: Acceptor<Fleet>, founding: Config) -> Self {
         let me = disk.identity.voter;
         let returning = Some(Returning::new(me, acceptor.clone(), founding));
-        Self { disk, acceptor, returning, writes: BTreeMap::new() }
+        Self {
+            disk,
+            acceptor,
+            returning,
+            writes: BTreeMap::new(),
+        }
     }
 
     pub fn me(&self) -> Voter {
@@ -47,7 +52,10 @@
     }
 
     pub fn accepted(&self) -> Option<(Ballot, &Fleet)> {
-        self.acceptor.accepted.as_ref().map(|a| (a.ballot, &a.value))
+        self.acceptor
+            .accepted
+            .as_ref()
+            .map(|a| (a.ballot, &a.value))
     }
 
     /// What a voter was heard to have written; an old copy of its disk shows by that.
@@ -58,7 +66,10 @@
 
     /// The config that this steward would ask, as far as it knows.
     pub fn config(&self, founding: &Config) -> Config {
-        self.acceptor.accepted.as_ref().map_or_else(|| founding.clone(), |a| a.value.config.clone())
+        self.acceptor
+            .accepted
+            .as_ref()
+            .map_or_else(|| founding.clone(), |a| a.value.config.clone())
     }
 
     fn may_vote(&self, to: Voter) -> Result<(), Refused> {
@@ -75,7 +86,10 @@
     /// the disk can be read; where not, it does not vote.
     fn change<T>(&mut self, change: impl FnOnce(&mut Acceptor<Fleet>) -> T) -> Result<T, Refused> {
         if !self.disk.is_writable() {
-            let read = self.disk.come_back().map_err(|e| (NO_VOTE, e.to_string()))?;
+            let read = self
+                .disk
+                .come_back()
+                .map_err(|e| (NO_VOTE, e.to_string()))?;
             // What was told is on it, or it is no disk to vote from.
             if read.writes < self.acceptor.writes {
                 return Err((NO_VOTE, "the disk has less than was written to it".into()));
@@ -100,10 +114,20 @@
         let (mark, writes) = (self.acceptor.mark(self.me()), self.acceptor.writes);
         Ok(match told {
             Err(promised) => Vote::Refused { promised },
-            Ok(None) => Vote::Promised { accepted: None, value: None, mark, writes },
+            Ok(None) => Vote::Promised {
+                accepted: None,
+                value: None,
+                mark,
+                writes,
+            },
             Ok(Some(a)) => {
                 let value = (a.ballot != asked.have).then(|| Box::new(a.value));
-                Vote::Promised { accepted: Some(a.ballot), value, mark, writes }
+                Vote::Promised {
+                    accepted: Some(a.ballot),
+                    value,
+                    mark,
+                    writes,
+                }
             }
         })
     }
@@ -123,12 +147,19 @@
         let life_before = self.change(|a| a.life_begins(from, life))?;
         let writes_of_yours = self.writes.get(&from).copied().unwrap_or(0);
         let acceptor = self.acceptor.clone();
-        Ok(Heard { returning: self.returning.is_some(), acceptor, life_before, writes_of_yours })
+        Ok(Heard {
+            returning: self.returning.is_some(),
+            acceptor,
+            life_before,
+            writes_of_yours,
+        })
     }
 
     /// The life that this steward begins, until it votes.
     pub fn life(&self) -> u64 {
-        self.returning.as_ref().map_or(self.acceptor.life, Returning::life)
+        self.returning
+            .as_ref()
+            .map_or(self.acceptor.life, Returning::life)
     }
 
     /// With nobody else to ask.
@@ -138,13 +169,17 @@
 
     /// Another answered this one, which has started.
     pub fn heard(&mut self, from: Voter, what: Heard<Fleet>) -> Result<Verdict, Refused> {
-        let Some(returning) = &mut self.returning else { return Ok(Verdict::Vote) };
+        let Some(returning) = &mut self.returning else {
+            return Ok(Verdict::Vote);
+        };
         returning.heard(from, what);
         self.judge()
     }
 
     fn judge(&mut self) -> Result<Verdict, Refused> {
-        let Some(returning) = &self.returning else { return Ok(Verdict::Vote) };
+        let Some(returning) = &self.returning else {
+            return Ok(Verdict::Vote);
+        };
         let verdict = returning.verdict();
         if verdict == Verdict::Vote {
             let mut adopted = returning.clone().adopt();
--- a/crates/steward/src/caller.rs
+++ b/crates/steward/src/caller.rs
@@ -71,19 +71,32 @@
     }
 
     fn lost(&self, why: impl ToString) -> Fault {
-        Fault::Line { at: self.at.clone(), why: why.to_string() }
+        Fault::Line {
+            at: self.at.clone(),
+            why: why.to_string(),
+        }
     }
 
     async fn line(&self) -> Result<Rc<Line>, Fault> {
         // One dials, others wait for it.
         let _one = self.dialling.lock().await;
-        if let Some(line) = self.line.borrow().as_ref().filter(|l| !l.task.is_finished()) {
+        if let Some(line) = self
+            .line
+            .borrow()
+            .as_ref()
+            .filter(|l| !l.task.is_finished())
+        {
             return Ok(line.clone());
         }
-        let stream = self.network.dial(&self.at).await.map_err(|e| self.lost(e))?;
+        let stream = self
+            .network
+            .dial(&self.at)
+            .await
+            .map_err(|e| self.lost(e))?;
         let outbox = Outbox::new(UNSENT_MOST_BYTES);
         let open: Rc<RefCell<Open>> = Rc::default();
-        let task = tokio::task::spawn_local(keep(stream, outbox.clone(), open.clone(), self.at.clone()));
+        let task =
+            tokio::task::spawn_local(keep(stream, outbox.clone(), open.clone(), self.at.clone()));
         let line = Rc::new(Line { outbox, open, task });
         *self.line.borrow_mut() = Some(line.clone());
         Ok(line)
@@ -97,7 +110,11 @@
         what: impl Serialize,
         patience: Tenths,
     ) -> Result<T, Fault> {
-        let told = tokio::time::timeout(Duration::from_micros(patience * 100), self.ask(method, what)).await;
+        let told = tokio::time::timeout(
+            Duration::from_micros(patience * 100),
+            self.ask(method, what),
+        )
+        .await;
         let Ok(told) = told else {
             *self.line.borrow_mut() = None;
             return Err(self.lost(format!("no answer within {} ms", patience / 10)));
@@ -109,10 +126,15 @@
         let line = self.line().await?;
         let id = self.last.get() + 1;
         self.last.set(id);
-        let said = Said { fleet: self.fleet.clone(), speaks: version_of(method), what };
+        let said = Said {
+            fleet: self.fleet.clone(),
+            speaks: version_of(method),
+            what,
+        };
         let params = serde_json::to_string(&said).map_err(|e| self.lost(e))?;
-        let text =
-            format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"{method}\",\"params\":{params}}}\n");
+        let text = format!(
+            "{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"{method}\",\"params\":{params}}}\n"
+        );
         let (to, from) = oneshot::channel();
         line.open.borrow_mut().insert(id, to);
         let put = line.outbox.put(Bytes::from(text), Tenths::MAX);
@@ -129,11 +151,18 @@
             while let Some(end) = read[searched..].iter().position(|b| *b == b'\n') {
                 let line = read.split_to(searched + end + 1);
                 searched = 0;
-                let Ok(reply) = serde_json::from_slice::<Reply>(&line) else { return };
-                let Some(to) = reply.id.and_then(|id| open.borrow_mut().remove(&id)) else { continue };
+                let Ok(reply) = serde_json::from_slice::<Reply>(&line) else {
+                    return;
+                };
+                let Some(to) = reply.id.and_then(|id| open.borrow_mut().remove(&id)) else {
+                    continue;
+                };
                 let told = match (reply.result, reply.error) {
                     (Some(result), _) => Ok(result),
-                    (None, Some(e)) => Err(Fault::Told { code: e.code, message: e.message }),
+                    (None, Some(e)) => Err(Fault::Told {
+                        code: e.code,
+                        message: e.message,
+                    }),
                     (None, None) => Err(Fault::Told {
                         code: STRANGER,
                         message: format!("{at}: neither result nor error"),
--- a/crates/steward/src/coordinator.rs
+++ b/crates/steward/src/coordinator.rs
@@ -138,7 +138,10 @@
         let now = self.clock.now();
         {
             let mut first = self.first_seen.borrow_mut();
-            let lives = fleet.members.iter().map(|(id, m)| (id.number, m.about.incarnation));
+            let lives = fleet
+                .members
+                .iter()
+                .map(|(id, m)| (id.number, m.about.incarnation));
             let lives: BTreeSet<(u32, u64)> = lives.collect();
             first.retain(|life, _| lives.contains(life));
             for life in lives {
@@ -157,13 +160,20 @@
 
     /// Asks another for what was chosen.
     pub(crate) async fn catch_up(&self, from: u32, to: Ballot) {
-        let mine = self.acceptor_store.borrow().accepted().filter(|a| a.0 == to).map(|a| a.1.clone());
+        let mine = self
+            .acceptor_store
+            .borrow()
+            .accepted()
+            .filter(|a| a.0 == to)
+            .map(|a| a.1.clone());
         if let Some(fleet) = mine {
             // It was accepted here too, and is known to be chosen now.
             return self.decided(to, Rc::new(fleet));
         }
         let Some(peer) = self.peer(from) else { return };
-        let told = peer.call::<(Ballot, Option<Fleet>)>("decided", json!({}), 500 * MILLI).await;
+        let told = peer
+            .call::<(Ballot, Option<Fleet>)>("decided", json!({}), 500 * MILLI)
+            .await;
         match told {
             Ok((ballot, Some(fleet))) => self.decided(ballot, Rc::new(fleet)),
             Ok((_, None)) => {}
--- a/crates/steward/src/disk.rs
+++ b/crates/steward/src/disk.rs
@@ -18,11 +18,19 @@
     #[error("{place}: {why}")]
     Disk { place: String, why: DiskFailure },
     #[error("{place}: {key}: {why}")]
-    Damaged { place: String, key: &'static str, why: String },
+    Damaged {
+        place: String,
+        key: &'static str,
+        why: String,
+    },
     #[error("{place}: schema {found}: this program knows {SCHEMA}")]
     Schema { place: String, found: u64 },
     #[error("{place}: it is the disk of steward-{found} of fleet '{fleet}'")]
-    Other { place: String, fleet: String, found: u32 },
+    Other {
+        place: String,
+        fleet: String,
+        found: u32,
+    },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -58,18 +66,34 @@
     }
 
     /// `new`: who this steward is, if nothing is there yet.
-    pub fn open(place: String, opens: Opens, new: Identity) -> Result<(Self, Acceptor<Fleet>), Fault> {
-        let mut disk = Self { place, opens, database: None, identity: new.clone() };
+    pub fn open(
+        place: String,
+        opens: Opens,
+        new: Identity,
+    ) -> Result<(Self, Acceptor<Fleet>), Fault> {
+        let mut disk = Self {
+            place,
+            opens,
+            database: None,
+            identity: new.clone(),
+        };
         let acceptor = disk.come_back()?;
         if (&disk.identity.fleet, disk.identity.voter.steward) != (&new.fleet, new.voter.steward) {
             let Identity { fleet, voter, .. } = disk.identity;
-            return Err(Fault::Other { place: disk.place, fleet, found: voter.steward });
+            return Err(Fault::Other {
+                place: disk.place,
+                fleet,
+                found: voter.steward,
+            });
         }
         Ok((disk, acceptor))
     }
 
     fn fault(&self, why: impl Into<DiskFailure>) -> Fault {
-        Fault::Disk { place: self.place.clone(), why: why.into() }
+        Fault::Disk {
+            place: self.place.clone(),
+            why: why.into(),
+        }
     }
 
     /// Reads what the disk has, after a start or a failed write.
@@ -82,12 +106,20 @@
         let read = |key: &'static str| -> Result<Option<Vec<u8>>, Fault> {
             let txn = database.begin_read().map_err(|e| self.fault(e))?;
             let table = txn.open_table(KEPT).map_err(|e| self.fault(e))?;
-            Ok(table.get(key).map_err(|e| self.fault(e))?.map(|v| v.value().to_vec()))
+            Ok(table
+                .get(key)
+                .map_err(|e| self.fault(e))?
+                .map(|v| v.value().to_vec()))
+        };
+        let damaged = |key, e: serde_json::Error| Fault::Damaged {
+            place: self.place.clone(),
+            key,
+            why: e.to_string(),
         };
-        let damaged =
-            |key, e: serde_json::Error| Fault::Damaged { place: self.place.clone(), key, why: e.to_string() };
         let identity: Option<Identity> = match read("identity")? {
-            Some(bytes) => Some(serde_json::from_slice(&bytes).map_err(|e| damaged("identity", e))?),
+            Some(bytes) => {
+                Some(serde_json::from_slice(&bytes).map_err(|e| damaged("identity", e))?)
+            }
             None => None,
         };
         let acceptor = match read("acceptor")? {
@@ -96,7 +128,10 @@
         };
         match identity {
             Some(identity) if identity.schema != SCHEMA => {
-                return Err(Fault::Schema { place: self.place.clone(), found: identity.schema });
+                return Err(Fault::Schema {
+                    place: self.place.clone(),
+                    found: identity.schema,
+                });
             }
             Some(identity) => self.identity = identity,
             None => put(&database, "identity", &self.identity).map_err(|e| self.fault(e))?,
--- a/crates/steward/src/lease_watch.rs
+++ b/crates/steward/src/lease_watch.rs
@@ -22,9 +22,17 @@
 pub(crate) fn held_by(fleet: &Fleet, member: MemberId, incarnation: u64) -> Vec<HeldLease> {
     let held = fleet.leases.iter().filter_map(|(name, lease)| {
         let epoch = lease.epoch_held_by(member, incarnation)?;
-        let (lease, task, resources) =
-            (name.clone(), lease.terms.task.clone(), lease.terms.resources.clone());
-        Some(HeldLease { lease, task, epoch, resources })
+        let (lease, task, resources) = (
+            name.clone(),
+            lease.terms.task.clone(),
+            lease.terms.resources.clone(),
+        );
+        Some(HeldLease {
+            lease,
+            task,
+            epoch,
+            resources,
+        })
     });
     held.collect()
 }
@@ -55,7 +63,11 @@
 
     /// The lease of a task, if it is held.
     pub fn held(&self, task: &str) -> Option<HeldLease> {
-        self.held.borrow().iter().find(|held| held.task == task).cloned()
+        self.held
+            .borrow()
+            .iter()
+            .find(|held| held.task == task)
+            .cloned()
     }
 
     /// When a steward was last heard, by the member's own clock.
--- a/crates/steward/src/list.rs
+++ b/crates/steward/src/list.rs
@@ -49,7 +49,10 @@
     }
 
     fn lines(&self, fleet: &Fleet) -> Lines {
-        let invokers = fleet.members.iter().filter(|(id, _)| id.kind == Kind::Invoker);
+        let invokers = fleet
+            .members
+            .iter()
+            .filter(|(id, _)| id.kind == Kind::Invoker);
         let lines = invokers.map(|(id, m)| (id.number, self.entry(id.number, m)));
         lines.filter(|(_, e)| e.life != Life::Gone).collect()
     }
@@ -100,10 +103,16 @@
             }
         };
         let (mut known, mut at) = (self.lines(&first), first.revision);
-        let whole = Whole { revision: at, settled: true, entries: known.values().cloned().collect() };
+        let whole = Whole {
+            revision: at,
+            settled: true,
+            entries: known.values().cloned().collect(),
+        };
         outbox.put(encode(&whole), Tenths::MAX);
         while news.changed().await.is_ok() {
-            let Some(fleet) = self.fleet.borrow().clone() else { continue };
+            let Some(fleet) = self.fleet.borrow().clone() else {
+                continue;
+            };
             if fleet.revision < at || fleet.revision - at > STEPS_MOST {
                 return;
             }
@@ -111,19 +120,37 @@
             let mut entries = Vec::new();
             for (number, entry) in &lines {
                 let same = known.get(number).is_some_and(|k| {
-                    (&k.address, k.life, k.incarnation) == (&entry.address, entry.life, entry.incarnation)
+                    (&k.address, k.life, k.incarnation)
+                        == (&entry.address, entry.life, entry.incarnation)
                 });
                 if !same {
                     entries.push(entry.clone());
                 }
             }
             for (number, entry) in known.iter().filter(|(n, _)| !lines.contains_key(n)) {
-                entries.push(Entry { invoker: *number, life: Life::Gone, ..entry.clone() });
+                entries.push(Entry {
+                    invoker: *number,
+                    life: Life::Gone,
+                    ..entry.clone()
+                });
             }
             while at < fleet.revision {
                 at += 1;
-                let entries = if at == fleet.revision { std::mem::take(&mut entries) } else { Vec::new() };
-                if outbox.put(encode(&Change { revision: at, entries }), Tenths::MAX).is_none() {
+                let entries = if at == fleet.revision {
+                    std::mem::take(&mut entries)
+                } else {
+                    Vec::new()
+                };
+                if outbox
+                    .put(
+                        encode(&Change {
+                            revision: at,
+                            entries,
+                        }),
+                        Tenths::MAX,
+                    )
+                    .is_none()
+                {
                     return;
                 }
             }
--- a/crates/steward/src/member.rs
+++ b/crates/steward/src/member.rs
@@ -78,11 +78,19 @@
                 last_copies: seen.last_copies,
             };
             let patience = (2 * self.with.renew).max(SECOND);
-            match self.callers[n].call::<Standing>("renew", &said, patience).await {
+            match self.callers[n]
+                .call::<Standing>("renew", &said, patience)
+                .await
+            {
                 Ok(told) => {
-                    self.with.leases.heard(self.clock.now(), told.revision, &told.leases);
+                    self.with
+                        .leases
+                        .heard(self.clock.now(), told.revision, &told.leases);
                     let mut standing = self.standing.borrow_mut();
-                    if standing.as_ref().is_none_or(|s| told.revision >= s.revision) {
+                    if standing
+                        .as_ref()
+                        .is_none_or(|s| told.revision >= s.revision)
+                    {
                         let news = standing.as_ref() != Some(&told);
                         *standing = Some(told);
                         if news {
@@ -92,7 +100,9 @@
                 }
                 Err(why) => debug!(%why, "no sign of life got through"),
             }
-            self.clock.sleep_until(self.clock.now() + self.with.renew).await;
+            self.clock
+                .sleep_until(self.clock.now() + self.with.renew)
+                .await;
         }
     }
 
@@ -101,8 +111,13 @@
         let first = self.good.get();
         for n in 0..self.callers.len() {
             let at = (first + n) % self.callers.len();
-            let asked = Changes { change: change.clone() };
-            match self.callers[at].call::<Changed>("change", &asked, PATIENCE).await {
+            let asked = Changes {
+                change: change.clone(),
+            };
+            match self.callers[at]
+                .call::<Changed>("change", &asked, PATIENCE)
+                .await
+            {
                 Ok(done) => {
                     self.good.set(at);
                     self.agreed.set(self.agreed.get().max(done.revision));
@@ -135,14 +150,24 @@
                 () = self.news.notified() => {}
                 () = self.clock.sleep_until(wait) => {}
             }
-            let standing = self.standing.borrow().clone().filter(|s| s.revision >= self.agreed.get());
+            let standing = self
+                .standing
+                .borrow()
+                .clone()
+                .filter(|s| s.revision >= self.agreed.get());
             if let Some(grant) = draining {
                 if part.is_drained() {
                     return self.leave(part, grant).await;
                 }
                 if standing.is_some_and(|s| s.turn_back) && part.turn_back() {
                     // It serves again at once, and counts as out until this is agreed and it is proven.
-                    let told = self.change(Change::TurnedBack { member, incarnation, grant }).await;
+                    let told = self
+                        .change(Change::TurnedBack {
+                            member,
+                            incarnation,
+                            grant,
+                        })
+                        .await;
                     if matches!(told, Some(Ok(_))) {
                         serving = false;
                         part.told("turned-back", grant);
@@ -159,10 +184,21 @@
                         if !std::mem::replace(&mut serving, true) {
                             part.told("up", 0);
                         }
-                        self.change(Change::Proven { member, incarnation }).await;
+                        self.change(Change::Proven {
+                            member,
+                            incarnation,
+                        })
+                        .await;
                     }
                     Phase::Granted { grant } => {
-                        match self.change(Change::Begin { member, incarnation, grant }).await {
+                        match self
+                            .change(Change::Begin {
+                                member,
+                                incarnation,
+                                grant,
+                            })
+                            .await
+                        {
                             Some(Ok(_)) => {
                                 draining = Some(grant);
                                 part.told("began", grant);
@@ -174,7 +210,14 @@
                     }
                     // It was agreed that it begins, and the answer was lost.
                     Phase::Draining { grant } => {
-                        if let Some(Ok(_)) = self.change(Change::Begin { member, incarnation, grant }).await {
+                        if let Some(Ok(_)) = self
+                            .change(Change::Begin {
+                                member,
+                                incarnation,
+                                grant,
+                            })
+                            .await
+                        {
                             draining = Some(grant);
                             part.told("began", grant);
                             part.drain();
@@ -202,7 +245,10 @@
         part.told("drained", grant);
         let until = self.clock.now() + LEAVING;
         while self.clock.now() < until {
-            let leaving = self.change(Change::Leave { member, incarnation });
+            let leaving = self.change(Change::Leave {
+                member,
+                incarnation,
+            });
             tokio::select! {
                 biased;
                 told = leaving => if told.is_some() { break },
--- a/crates/steward/src/monitoring.rs
+++ b/crates/steward/src/monitoring.rs
@@ -23,7 +23,14 @@
         let fleet = fleet.as_deref();
         let now = self.clock.now();
         let seen = said.seen();
-        self.monitor.borrow_mut().renewed(now, fleet, said.member, said.incarnation, said.every_tenths, seen);
+        self.monitor.borrow_mut().renewed(
+            now,
+            fleet,
+            said.member,
+            said.incarnation,
+            said.every_tenths,
+            seen,
+        );
         let member = fleet.and_then(|f| f.members.get(&said.member));
         Standing {
             revision: fleet.map_or(0, |f| f.revision),
@@ -35,11 +42,18 @@
     }
 
     pub(crate) fn opinions(&self, said: Opinions) {
-        self.acceptor_store.borrow_mut().hear_writes(said.from, said.writes);
+        self.acceptor_store
+            .borrow_mut()
+            .hear_writes(said.from, said.writes);
         if said.decided > self.decided_at.get() {
             self.behind.set(Some((said.from.steward, said.decided)));
         }
-        self.monitor.borrow_mut().opinions(self.clock.now(), said.from, said.levels, said.returning);
+        self.monitor.borrow_mut().opinions(
+            self.clock.now(),
+            said.from,
+            said.levels,
+            said.returning,
+        );
     }
 
     pub(crate) async fn look_around(self: Rc<Self>) {
@@ -48,7 +62,10 @@
             self.clock.sleep_until(self.clock.now() + LOOK_EVERY).await;
             let now = self.clock.now();
             if let Some(gap) = self.monitor.borrow_mut().turn(now) {
-                warn!(stood_ms = gap / MILLI, "this steward stood still: it listens anew");
+                warn!(
+                    stood_ms = gap / MILLI,
+                    "this steward stood still: it listens anew"
+                );
             }
             let fleet = self.fleet.borrow().clone();
             if now >= told + TELL_EVERY {
@@ -94,7 +111,9 @@
             }
             tokio::task::spawn_local(async move {
                 if let Some(peer) = this.peer(steward) {
-                    let _ = peer.call::<serde_json::Value>("opinions", &said, 500 * MILLI).await;
+                    let _ = peer
+                        .call::<serde_json::Value>("opinions", &said, 500 * MILLI)
+                        .await;
                 }
                 this.telling.borrow_mut().remove(&steward);
             });
@@ -121,22 +140,39 @@
         loop {
             let me = self.acceptor_store.borrow().me();
             let mut verdict = Verdict::Wait;
-            let others: Vec<u32> = self.stewards().into_keys().filter(|s| *s != me.steward).collect();
+            let others: Vec<u32> = self
+                .stewards()
+                .into_keys()
+                .filter(|s| *s != me.steward)
+                .collect();
             let mut answers = tokio::task::JoinSet::new();
             for steward in others.iter().copied() {
                 let this = self.clone();
                 answers.spawn_local(async move {
                     let peer = this.peer(steward)?;
-                    let asked = Recover { from: me, life: this.acceptor_store.borrow().life() };
-                    peer.call::<(Voter, Heard<Fleet>)>("recover", &asked, 500 * MILLI).await.ok()
+                    let asked = Recover {
+                        from: me,
+                        life: this.acceptor_store.borrow().life(),
+                    };
+                    peer.call::<(Voter, Heard<Fleet>)>("recover", &asked, 500 * MILLI)
+                        .await
+                        .ok()
                 });
             }
             if others.is_empty() {
-                verdict = self.acceptor_store.borrow_mut().heard_nobody().map_err(|e| e.1)?;
+                verdict = self
+                    .acceptor_store
+                    .borrow_mut()
+                    .heard_nobody()
+                    .map_err(|e| e.1)?;
             }
             while let Some(answer) = answers.join_next().await {
                 if let Ok(Some((from, heard))) = answer {
-                    verdict = self.acceptor_store.borrow_mut().heard(from, heard).map_err(|e| e.1)?;
+                    verdict = self
+                        .acceptor_store
+                        .borrow_mut()
+                        .heard(from, heard)
+                        .map_err(|e| e.1)?;
                 }
                 if verdict == Verdict::Vote {
                     return Ok(());
@@ -146,7 +182,8 @@
                 Verdict::Vote => return Ok(()),
                 Verdict::OldDisk { mine, heard } if !told => {
                     told = true;
-                    let what = "an old copy of a disk: it does not vote before enough others were heard";
+                    let what =
+                        "an old copy of a disk: it does not vote before enough others were heard";
                     warn!(mine, heard, what);
                 }
                 _ => {}
--- a/crates/steward/src/propose.rs
+++ b/crates/steward/src/propose.rs
@@ -39,12 +39,16 @@
         {
             let mut waiting = self.waiting.borrow_mut();
             if waiting.len() >= WAITING_MOST {
-                return Err((REFUSED, "too many changes wait: come back in a second".into()));
+                return Err((
+                    REFUSED,
+                    "too many changes wait: come back in a second".into(),
+                ));
             }
             waiting.push(PendingProposal { change, to });
         }
         self.asked.notify_one();
-        told.await.unwrap_or_else(|_| Err((UNSETTLED, "the steward is ending".into())))
+        told.await
+            .unwrap_or_else(|_| Err((UNSETTLED, "the steward is ending".into())))
     }
 
     /// One batch after another, for as long as the steward lives.
@@ -109,9 +113,16 @@
         // What it says it has is kept for the whole round: its own acceptor may have another value by the time of an answer.
         let (me, config, mine) = {
             let acceptor_store = self.acceptor_store.borrow();
-            self.highest.set(self.highest.get().max(acceptor_store.promised()));
-            let mine = acceptor_store.accepted().map(|(b, fleet)| (b, fleet.clone()));
-            (acceptor_store.me(), acceptor_store.config(&self.config.founding.config), mine)
+            self.highest
+                .set(self.highest.get().max(acceptor_store.promised()));
+            let mine = acceptor_store
+                .accepted()
+                .map(|(b, fleet)| (b, fleet.clone()));
+            (
+                acceptor_store.me(),
+                acceptor_store.config(&self.config.founding.config),
+                mine,
+            )
         };
         let have = mine.as_ref().map_or(Ballot::default(), |m| m.0);
         let ballot = Ballot::above(self.highest.get(), me.steward, self.config.life);
@@ -120,25 +131,52 @@
         let (to, mut votes) = mpsc::unbounded_channel();
         let mut asked = BTreeSet::new();
         self.ask_all(&mut asked, round.asks(), |voter, this| {
-            this.ask_promise(Prepare { to: voter, ballot, have }, to.clone());
+            this.ask_promise(
+                Prepare {
+                    to: voter,
+                    ballot,
+                    have,
+                },
+                to.clone(),
+            );
         });
         let (mut silent, mut overtaken) = (BTreeSet::new(), None);
         while !round.is_read() {
             // Each that was asked answers, or is told to have not, in bounded time.
-            let Some((from, vote)) = votes.recv().await else { return Err(Lost::Unanswered) };
+            let Some((from, vote)) = votes.recv().await else {
+                return Err(Lost::Unanswered);
+            };
             match vote {
-                Ok(Vote::Promised { accepted, value, mark, .. }) => {
-                    let known = || mine.as_ref().filter(|m| Some(m.0) == accepted).map(|m| m.1.clone());
+                Ok(Vote::Promised {
+                    accepted,
+                    value,
+                    mark,
+                    ..
+                }) => {
+                    let known = || {
+                        mine.as_ref()
+                            .filter(|m| Some(m.0) == accepted)
+                            .map(|m| m.1.clone())
+                    };
                     let value = value.map(|v| *v).or_else(known);
                     if accepted.is_some() != value.is_some() {
                         // A value that is named and not told would read as none, and be overwritten.
                         silent.insert(from);
                     } else {
-                        let accepted = accepted.zip(value).map(|(ballot, value)| Accepted { ballot, value });
+                        let accepted = accepted
+                            .zip(value)
+                            .map(|(ballot, value)| Accepted { ballot, value });
                         round.promised(&mark, accepted);
                     }
                     self.ask_all(&mut asked, round.asks(), |voter, this| {
-                        this.ask_promise(Prepare { to: voter, ballot, have }, to.clone());
+                        this.ask_promise(
+                            Prepare {
+                                to: voter,
+                                ballot,
+                                have,
+                            },
+                            to.clone(),
+                        );
                     });
                 }
                 Ok(Vote::Refused { promised }) => {
@@ -151,7 +189,9 @@
                 return Err(overtaken.map_or(Lost::Unanswered, Lost::Overtaken));
             }
         }
-        let mut fleet = round.read().map_or_else(|| self.config.founding.clone(), |a| a.value.clone());
+        let mut fleet = round
+            .read()
+            .map_or_else(|| self.config.founding.clone(), |a| a.value.clone());
         let told: Vec<_> = changes.iter().map(|c| fleet.apply(c)).collect();
         let fleet = Rc::new(fleet);
         let to_accept = round.put((*fleet).clone());
@@ -159,7 +199,14 @@
         let value = Rc::new(Box::new((*fleet).clone()));
         let mut asked = BTreeSet::new();
         self.ask_all(&mut asked, to_accept, |voter, this| {
-            this.ask_accept(Accept { to: voter, ballot, value: (*value).clone() }, to.clone());
+            this.ask_accept(
+                Accept {
+                    to: voter,
+                    ballot,
+                    value: (*value).clone(),
+                },
+                to.clone(),
+            );
         });
         drop(to);
         let mut overtaken = None;
@@ -192,7 +239,13 @@
     }
 
     fn ask_promise(self: &Rc<Self>, asked: Prepare, to: Votes) {
-        self.ask_vote(asked.to, "prepare", asked, |acceptor_store, asked| acceptor_store.prepare(&asked), to);
+        self.ask_vote(
+            asked.to,
+            "prepare",
+            asked,
+            |acceptor_store, asked| acceptor_store.prepare(&asked),
+            to,
+        );
     }
 
     fn ask_accept(self: &Rc<Self>, asked: Accept, to: Votes) {
@@ -216,7 +269,10 @@
             } else {
                 match this.peer(voter.steward) {
                     Some(peer) => peer.call(method, &asked, PATIENCE).await,
-                    None => Err(Fault::Told { code: NO_VOTE, message: "no address".into() }),
+                    None => Err(Fault::Told {
+                        code: NO_VOTE,
+                        message: "no address".into(),
+                    }),
                 }
             };
             this.hear_vote(voter, &vote);
--- a/crates/steward/src/server.rs
+++ b/crates/steward/src/server.rs
@@ -37,10 +37,19 @@
         serde_json::from_str(call.params.as_ref().map_or("{}", |p| p.get())).map_err(bad)?;
     let expected = version_of(&call.method);
     if said.speaks != expected {
-        return Err((STRANGER, format!("messages of version {}: {expected} is expected", said.speaks)));
+        return Err((
+            STRANGER,
+            format!(
+                "messages of version {}: {expected} is expected",
+                said.speaks
+            ),
+        ));
     }
     if said.fleet != fleet {
-        return Err((STRANGER, format!("fleet '{}': this belongs to '{fleet}'", said.fleet)));
+        return Err((
+            STRANGER,
+            format!("fleet '{}': this belongs to '{fleet}'", said.fleet),
+        ));
     }
     // Read where it lies: a whole fleet may be in it.
     serde_json::from_str(said.what.get()).map_err(bad)
@@ -60,7 +69,10 @@
     info!(%at, "listening");
     loop {
         match door.accept().await {
-            Ok(stream) => drop(tokio::task::spawn_local(answer_caller(answers.clone(), stream))),
+            Ok(stream) => drop(tokio::task::spawn_local(answer_caller(
+                answers.clone(),
+                stream,
+            ))),
             Err(why) => {
                 warn!(%why, "can't accept a caller");
                 clock.sleep_until(clock.now() + ACCEPT_AGAIN).await;
@@ -90,9 +102,12 @@
     match rpc::read(line) {
         Ok(Line::Single(Ok(call))) => Ok(call),
         Ok(Line::Single(Err(r))) | Err(r) => Err(rpc::error(&r.id, r.code, &r.why, None)),
-        Ok(Line::Batch(_)) => {
-            Err(rpc::error(&Id::null(), rpc::INVALID_REQUEST, "batches are not taken here", None))
-        }
+        Ok(Line::Batch(_)) => Err(rpc::error(
+            &Id::null(),
+            rpc::INVALID_REQUEST,
+            "batches are not taken here",
+            None,
+        )),
     }
 }
 
@@ -132,7 +147,10 @@
         }
         searched = read.len();
         if searched > LINE_MOST_BYTES {
-            put(outbox, rpc::error(&Id::null(), rpc::PARSE_ERROR, "line too long", None));
+            put(
+                outbox,
+                rpc::error(&Id::null(), rpc::PARSE_ERROR, "line too long", None),
+            );
             return "line too long".into();
         }
         match input.read_buf(&mut read).await {
