--- a/crates/steward/src/service.rs
+++ b/crates/steward/src/service.rs
@@ -43,7 +43,10 @@
             "recover" => {
                 let asked: Recover = self.said(call)?;
                 let mut acceptor_store = self.acceptor_store.borrow_mut();
-                told((acceptor_store.me(), acceptor_store.recover(asked.from, asked.life)?))
+                told((
+                    acceptor_store.me(),
+                    acceptor_store.recover(asked.from, asked.life)?,
+                ))
             }
             "decided" => {
                 self.said::<Json>(call)?;
@@ -64,7 +67,10 @@
                     return Err((REFUSED, "that is for stewards to propose".into()));
                 }
                 let (done, revision) = self.change(asked.change).await?;
-                told(Changed { revision, changed: done.changed })
+                told(Changed {
+                    revision,
+                    changed: done.changed,
+                })
             }
             "status" => {
                 self.said::<Json>(call)?;
@@ -73,10 +79,14 @@
             "dry_run" => {
                 let asked: DryRun = self.said(call)?;
                 let fleet = self.fleet.borrow().clone();
-                let fleet = fleet.ok_or((REFUSED, "nothing is known of the fleet yet".to_owned()))?;
+                let fleet =
+                    fleet.ok_or((REFUSED, "nothing is known of the fleet yet".to_owned()))?;
                 told(dry_run(&fleet, &asked.members).map_err(|r| (REFUSED, r.to_string()))?)
             }
-            other => Err((rpc::METHOD_NOT_FOUND, format!("method '{other}' is not one of a steward"))),
+            other => Err((
+                rpc::METHOD_NOT_FOUND,
+                format!("method '{other}' is not one of a steward"),
+            )),
         }
     }
 }
@@ -85,7 +95,11 @@
     fn status(&self) -> Json {
         let acceptor_store = self.acceptor_store.borrow();
         let fleet = self.fleet.borrow();
-        let heard = self.monitor.borrow().heard_ago(self.clock.now()).into_iter();
+        let heard = self
+            .monitor
+            .borrow()
+            .heard_ago(self.clock.now())
+            .into_iter();
         let heard_ms_ago: BTreeMap<_, _> = heard.map(|(id, ago)| (id, ago / MILLI)).collect();
         json!({
             "steward": self.config.number, "voter": acceptor_store.me().to_string(), "life": self.config.life,
@@ -118,7 +132,9 @@
     clock: Clock,
 ) -> Result<(), String> {
     let local = tokio::task::LocalSet::new();
-    local.run_until(run(config, disk, acceptor, network, clock)).await
+    local
+        .run_until(run(config, disk, acceptor, network, clock))
+        .await
 }
 
 async fn run(
@@ -131,7 +147,10 @@
     let (listen, list) = (config.listen.clone(), config.list.clone());
     let steward = Coordinator::new(config, disk, acceptor, network.clone(), clock);
     let fault = |at: &Address, e: std::io::Error| format!("{at}: {e}");
-    let (mut door, at) = network.listen(&listen).await.map_err(|e| fault(&listen, e))?;
+    let (mut door, at) = network
+        .listen(&listen)
+        .await
+        .map_err(|e| fault(&listen, e))?;
     info!(%at, steward = steward.config.number, "listening");
     let mut tasks: JoinSet<()> = JoinSet::new();
     if let Some(list) = list {
--- a/crates/steward/src/terms.rs
+++ b/crates/steward/src/terms.rs
@@ -84,8 +84,9 @@
 impl FleetTerms {
     /// Takes the fleet's statements out of those that describe no deployment; none: the script states no fleet.
     pub fn take(rest: &mut Vec<Statement>) -> Result<Option<Self>, Fault> {
-        let (mine, others): (Vec<_>, Vec<_>) =
-            std::mem::take(rest).into_iter().partition(|s| matches!(s.what, "fleet" | "bound" | "lease"));
+        let (mine, others): (Vec<_>, Vec<_>) = std::mem::take(rest)
+            .into_iter()
+            .partition(|s| matches!(s.what, "fleet" | "bound" | "lease"));
         *rest = others;
         let mut stated: Option<Self> = None;
         let mut bounds = Vec::new();
@@ -138,20 +139,38 @@
 }
 
 fn word<T: Copy>(s: &Statement, name: &str, said: &str, words: &[(&str, T)]) -> Result<T, Fault> {
-    words.iter().find(|(word, _)| *word == said).map(|(_, is)| *is).ok_or_else(|| {
-        let known: Vec<&str> = words.iter().map(|w| w.0).collect();
-        s.fault(format!("{name} '{said}': one of {} is expected", known.join(", ")))
-    })
+    words
+        .iter()
+        .find(|(word, _)| *word == said)
+        .map(|(_, is)| *is)
+        .ok_or_else(|| {
+            let known: Vec<&str> = words.iter().map(|w| w.0).collect();
+            s.fault(format!(
+                "{name} '{said}': one of {} is expected",
+                known.join(", ")
+            ))
+        })
 }
 
 fn bound(s: &Statement) -> Result<Bound, Fault> {
     let said: SaidBound = s.read()?;
     let kinds = [("controller", Kind::Controller), ("invoker", Kind::Invoker)];
-    let pers = [("fleet", Per::Fleet), ("site", Per::Site), ("cell", Per::Cell)];
+    let pers = [
+        ("fleet", Per::Fleet),
+        ("site", Per::Site),
+        ("cell", Per::Cell),
+    ];
     let bound = Bound {
-        kind: said.kind.as_ref().map(|k| word(s, "kind", k, &kinds)).transpose()?,
+        kind: said
+            .kind
+            .as_ref()
+            .map(|k| word(s, "kind", k, &kinds))
+            .transpose()?,
         site: said.site,
-        per: said.per.as_ref().map_or(Ok(Per::Fleet), |p| word(s, "per", p, &pers))?,
+        per: said
+            .per
+            .as_ref()
+            .map_or(Ok(Per::Fleet), |p| word(s, "per", p, &pers))?,
         out: said.out,
         share: said.share,
         least_size: said.least_size,
@@ -165,7 +184,11 @@
     let said: SaidLease = s.read()?;
     let kinds = [("controller", Kind::Controller), ("invoker", Kind::Invoker)];
     let eligible = word(s, "eligible", &said.eligible, &kinds)?;
-    let terms = LeaseTerms { task: said.task, eligible, resources: said.resources.into_iter().collect() };
+    let terms = LeaseTerms {
+        task: said.task,
+        eligible,
+        resources: said.resources.into_iter().collect(),
+    };
     let name = LeaseName(said.name);
     terms.fits(&name).map_err(|e| s.fault(e))?;
     Ok((name, terms))
--- a/crates/steward/src/wire.rs
+++ b/crates/steward/src/wire.rs
@@ -114,7 +114,10 @@
 
 impl Renew {
     pub fn seen(&self) -> Seen {
-        Seen { busy: self.busy, last_copies: self.last_copies }
+        Seen {
+            busy: self.busy,
+            last_copies: self.last_copies,
+        }
     }
 }
 
--- a/crates/steward/tests/all/holder.rs
+++ b/crates/steward/tests/all/holder.rs
@@ -66,10 +66,19 @@
         return std::future::pending().await;
     }
     let caller = |name: &str| Caller::new(network.clone(), Address::Memory(name.into()), "museums");
-    let resources: BTreeMap<_, _> = JOURNALS.iter().map(|name| ((*name).to_owned(), caller(name))).collect();
+    let resources: BTreeMap<_, _> = JOURNALS
+        .iter()
+        .map(|name| ((*name).to_owned(), caller(name)))
+        .collect();
     match world.lease_mode.get() {
         LeaseMode::AsBuilt | LeaseMode::ForgetsItsEpoch => {
-            let holder = Holder { by, clock, watch, resources, quiet_after: QUIET_AFTER };
+            let holder = Holder {
+                by,
+                clock,
+                watch,
+                resources,
+                quiet_after: QUIET_AFTER,
+            };
             holder.run(&Count { clock }).await;
         }
         LeaseMode::TimeOnly | LeaseMode::EpochsWithoutSeals => {
@@ -87,11 +96,23 @@
     loop {
         for caller in resources.values() {
             clock.sleep_until(clock.now() + STEP).await;
-            let held = watch.held(TASK).filter(|_| clock.now() <= watch.heard_at() + QUIET_AFTER);
+            let held = watch
+                .held(TASK)
+                .filter(|_| clock.now() <= watch.heard_at() + QUIET_AFTER);
             let Some(held) = held else { continue };
-            let token = Token { lease: held.lease, epoch: held.epoch, incarnation: 0 };
-            let what = Append { line: String::new() };
-            let effect = Effect { token, by: by.to_owned(), what };
+            let token = Token {
+                lease: held.lease,
+                epoch: held.epoch,
+                incarnation: 0,
+            };
+            let what = Append {
+                line: String::new(),
+            };
+            let effect = Effect {
+                token,
+                by: by.to_owned(),
+                what,
+            };
             let _ = caller.call::<Appended>("append", &effect, 5 * SECOND).await;
         }
     }
@@ -116,12 +137,18 @@
             return Err((REJECTED, "a later epoch was seen".into()));
         }
         *seen = effect.token.epoch;
-        (self.tells)(&Accepted { token: effect.token, by: effect.by });
+        (self.tells)(&Accepted {
+            token: effect.token,
+            by: effect.by,
+        });
         Ok(json!(Appended { number: 0 }).to_string())
     }
 }
 
-#[expect(clippy::too_many_arguments, reason = "all that a journal is started with")]
+#[expect(
+    clippy::too_many_arguments,
+    reason = "all that a journal is started with"
+)]
 pub async fn serve_journal(
     mode: LeaseMode,
     incarnation: u64,
@@ -136,6 +163,10 @@
         let journal = Journal::new("museums", incarnation, stewards, disk, tells);
         return serve(journal, network, &listen, clock).await.unwrap();
     }
-    let journal = Rc::new(Unsealed { mode, highest: RefCell::default(), tells });
+    let journal = Rc::new(Unsealed {
+        mode,
+        highest: RefCell::default(),
+        tells,
+    });
     serve(journal, network, &listen, clock).await.unwrap();
 }
--- a/crates/steward/tests/all/leases.rs
+++ b/crates/steward/tests/all/leases.rs
@@ -26,7 +26,10 @@
 fn names() -> Vec<String> {
     let stewards = (1..=STEWARDS).map(|n| format!("steward-{n}"));
     let members = (1..=MEMBERS).map(|n| format!("invoker-{n}"));
-    stewards.chain(members).chain(JOURNALS.map(str::to_owned)).collect()
+    stewards
+        .chain(members)
+        .chain(JOURNALS.map(str::to_owned))
+        .collect()
 }
 
 fn start(world: &Rc<World>, name: &str) {
@@ -46,7 +49,9 @@
 /// Who holds the lease, as a steward sees it.
 async fn holder(world: &World) -> Option<String> {
     let status = world.status(0).await?;
-    status["fleet"]["leases"][lease().0.as_str()]["state"]["holder"].as_str().map(str::to_owned)
+    status["fleet"]["leases"][lease().0.as_str()]["state"]["holder"]
+        .as_str()
+        .map(str::to_owned)
 }
 
 /// Cuts one off from others for a while, one way or both.
@@ -70,9 +75,15 @@
     let all = names();
     let any = all[rng.usize(..all.len())].clone();
     let drawn_member = format!("invoker-{}", rng.u32(1..=MEMBERS));
-    let member = holder(&world).await.filter(|_| rng.u8(..3) > 0).unwrap_or(drawn_member);
+    let member = holder(&world)
+        .await
+        .filter(|_| rng.u8(..3) > 0)
+        .unwrap_or(drawn_member);
     let named = |prefix: &str| -> Vec<String> {
-        all.iter().filter(|name| name.starts_with(prefix)).cloned().collect()
+        all.iter()
+            .filter(|name| name.starts_with(prefix))
+            .cloned()
+            .collect()
     };
     let (lasts_ms, both_ways) = (rng.u64(50..5_000), rng.bool());
     match rng.u8(..8) {
@@ -123,11 +134,19 @@
         pause(rng.u64(..1_500)).await;
         let (by, first) = ("them".to_owned(), rng.usize(..STEWARDS as usize));
         let change = match rng.u8(..8) {
-            0..3 => Change::PauseLease { lease: lease(), by, why: "to see".into() },
+            0..3 => Change::PauseLease {
+                lease: lease(),
+                by,
+                why: "to see".into(),
+            },
             3..7 => Change::ResumeLease { lease: lease(), by },
             _ => {
                 let members = vec![MemberId::invoker(rng.u32(1..=MEMBERS))];
-                Change::Ask { id: format!("{drawn}-{n}"), members, by }
+                Change::Ask {
+                    id: format!("{drawn}-{n}"),
+                    members,
+                    by,
+                }
             }
         };
         let _ = world.operator(first, "lease", change).await;
@@ -146,13 +165,26 @@
 }
 
 fn play(seed: u64, mode: LeaseMode) -> Result<Played, String> {
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_time()
+        .start_paused(true)
+        .build()
+        .unwrap();
     LocalSet::new().block_on(&runtime, async {
-        let world = World::new(seed, Size { invokers: MEMBERS, ..SMALL });
+        let world = World::new(
+            seed,
+            Size {
+                invokers: MEMBERS,
+                ..SMALL
+            },
+        );
         world.lease_mode.set(mode);
         let resources = JOURNALS.iter().map(|name| (*name).to_owned()).collect();
-        let terms = LeaseTerms { task: TASK.into(), eligible: Kind::Invoker, resources };
+        let terms = LeaseTerms {
+            task: TASK.into(),
+            eligible: Kind::Invoker,
+            resources,
+        };
         world.leases.borrow_mut().insert(lease(), terms);
         names().iter().for_each(|name| start(&world, name));
         pause(3_000).await;
@@ -179,8 +211,16 @@
             _ => None,
         });
         let used: BTreeSet<u64> = effects.clone().collect();
-        let broken = judge_leases(&lines).into_iter().flat_map(|v| v.broken).collect();
-        Ok(Played { broken, effects: effects.count(), handovers: used.len(), epochs })
+        let broken = judge_leases(&lines)
+            .into_iter()
+            .flat_map(|v| v.broken)
+            .collect();
+        Ok(Played {
+            broken,
+            effects: effects.count(),
+            handovers: used.len(),
+            epochs,
+        })
     })
 }
 
@@ -189,11 +229,23 @@
     let is_effect = |l: &Line| matches!(l, Line::Effect { .. });
     let mut last = None;
     for _ in 0..120 {
-        for name in names().into_iter().filter(|n| !world.is_running(n)).collect::<Vec<_>>() {
+        for name in names()
+            .into_iter()
+            .filter(|n| !world.is_running(n))
+            .collect::<Vec<_>>()
+        {
             start(world, &name);
         }
-        let _ =
-            world.operator(0, "lease", Change::ResumeLease { lease: lease(), by: "the end".into() }).await;
+        let _ = world
+            .operator(
+                0,
+                "lease",
+                Change::ResumeLease {
+                    lease: lease(),
+                    by: "the end".into(),
+                },
+            )
+            .await;
         let before = world.lines.borrow().iter().filter(|l| is_effect(l)).count();
         pause(500).await;
         let status = world.status(0).await;
@@ -209,7 +261,10 @@
 }
 
 fn asked(name: &str, usual: u64) -> u64 {
-    std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(usual)
+    std::env::var(name)
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(usual)
 }
 
 #[test]
@@ -217,14 +272,20 @@
     let (from, seeds) = (asked("FROM", 0), asked("SEEDS", 12));
     let (mut effects, mut handovers, mut epochs) = (0, 0, 0);
     for seed in from..from + seeds {
-        let played = play(seed, LeaseMode::AsBuilt).unwrap_or_else(|why| panic!("SEED={seed}: {why}"));
+        let played =
+            play(seed, LeaseMode::AsBuilt).unwrap_or_else(|why| panic!("SEED={seed}: {why}"));
         assert_eq!(played.broken, [""; 0], "SEED={seed}");
         effects += played.effects;
         handovers += played.handovers;
         epochs += played.epochs;
     }
-    println!("{seeds} plays: {epochs} grants and pauses, {handovers} grants with effects, {effects} effects");
-    assert!(handovers as u64 >= 5 * seeds, "{handovers} grants with effects");
+    println!(
+        "{seeds} plays: {epochs} grants and pauses, {handovers} grants with effects, {effects} effects"
+    );
+    assert!(
+        handovers as u64 >= 5 * seeds,
+        "{handovers} grants with effects"
+    );
 }
 
 #[test]
@@ -238,10 +299,15 @@
 #[test]
 fn less_than_seals_is_not_enough() {
     let (from, seeds) = (asked("FROM", 0), asked("SEEDS", 12));
-    for mode in [LeaseMode::TimeOnly, LeaseMode::EpochsWithoutSeals, LeaseMode::ForgetsItsEpoch] {
+    for mode in [
+        LeaseMode::TimeOnly,
+        LeaseMode::EpochsWithoutSeals,
+        LeaseMode::ForgetsItsEpoch,
+    ] {
         let (mut overlaps, mut handovers) = (0, 0);
         for seed in from..from + seeds {
-            let played = play(seed, mode).unwrap_or_else(|why| panic!("SEED={seed}, {mode:?}: {why}"));
+            let played =
+                play(seed, mode).unwrap_or_else(|why| panic!("SEED={seed}, {mode:?}: {why}"));
             overlaps += played.broken.len();
             handovers += played.handovers;
         }
--- a/crates/steward/tests/all/many_days.rs
+++ b/crates/steward/tests/all/many_days.rs
@@ -15,7 +15,9 @@
 
 fn names() -> Vec<String> {
     let stewards = (1..=STEWARDS).map(|n| format!("steward-{n}"));
-    stewards.chain((1..=INVOKERS).map(|n| format!("invoker-{n}"))).collect()
+    stewards
+        .chain((1..=INVOKERS).map(|n| format!("invoker-{n}")))
+        .collect()
 }
 
 async fn pause(ms: u64) {
@@ -78,13 +80,28 @@
         pause(rng.u64(..2_500)).await;
         let by = format!("operator-{}", drawn % 10);
         let first = rng.usize(..STEWARDS as usize);
-        let members: Vec<MemberId> =
-            (0..rng.usize(1..4)).map(|_| MemberId::invoker(rng.u32(1..=INVOKERS))).collect();
+        let members: Vec<MemberId> = (0..rng.usize(1..4))
+            .map(|_| MemberId::invoker(rng.u32(1..=INVOKERS)))
+            .collect();
         let (what, change) = match rng.u8(..8) {
-            0 => ("halt", Change::Halt { by, why: "to see".into(), ends: "a resume".into() }),
+            0 => (
+                "halt",
+                Change::Halt {
+                    by,
+                    why: "to see".into(),
+                    ends: "a resume".into(),
+                },
+            ),
             1 | 2 => ("resume", Change::Resume { by }),
             3 => ("back", Change::Withdraw { members, by }),
-            _ => ("drain", Change::Ask { id: format!("{drawn}-{n}"), members, by }),
+            _ => (
+                "drain",
+                Change::Ask {
+                    id: format!("{drawn}-{n}"),
+                    members,
+                    by,
+                },
+            ),
         };
         let _ = world.operator(first, what, change).await;
     }
@@ -92,8 +109,11 @@
 
 /// Plays one seed; gives what is wrong, and how many drains began.
 fn play(seed: u64) -> Result<usize, String> {
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_time()
+        .start_paused(true)
+        .build()
+        .unwrap();
     LocalSet::new().block_on(&runtime, async {
         let world = World::new(seed, SMALL);
         for name in names() {
@@ -116,20 +136,34 @@
             done.map_err(|e| e.to_string())?;
         }
         // All is well again: what was asked for has to come to its end.
-        for name in names().into_iter().filter(|n| !world.is_running(n)).collect::<Vec<_>>() {
+        for name in names()
+            .into_iter()
+            .filter(|n| !world.is_running(n))
+            .collect::<Vec<_>>()
+        {
             start(&world, &name);
         }
-        let resume = Change::Resume { by: "the end".into() };
+        let resume = Change::Resume {
+            by: "the end".into(),
+        };
         let mut settled = false;
         for _ in 0..120 {
             pause(500).await;
-            for name in names().into_iter().filter(|n| !world.is_running(n)).collect::<Vec<_>>() {
+            for name in names()
+                .into_iter()
+                .filter(|n| !world.is_running(n))
+                .collect::<Vec<_>>()
+            {
                 start(&world, &name);
             }
             let _ = world.operator(0, "resume", resume.clone()).await;
-            let Some(s) = world.status(0).await else { continue };
+            let Some(s) = world.status(0).await else {
+                continue;
+            };
             let over = |a: &serde_json::Value| {
-                ["waiting", "under_way"].iter().all(|l| a[l].as_array().is_some_and(Vec::is_empty))
+                ["waiting", "under_way"]
+                    .iter()
+                    .all(|l| a[l].as_array().is_some_and(Vec::is_empty))
             };
             let up = |n: u32| s["fleet"]["members"][format!("invoker-{n}")]["phase"]["is"] == "up";
             let asks = s["fleet"]["asks"].as_object();
@@ -139,7 +173,9 @@
             }
         }
         for n in 0..STEWARDS {
-            let Some(s) = world.status(n as usize).await else { continue };
+            let Some(s) = world.status(n as usize).await else {
+                continue;
+            };
             for event in s["fleet"]["history"].as_array().into_iter().flatten() {
                 world.lines.borrow_mut().push(Line::History {
                     steward: n + 1,
@@ -160,12 +196,20 @@
                 let s = world.status(n).await.unwrap_or_default();
                 why += &format!("\nsteward {}: {s}", n + 1);
             }
-            for line in lines.iter().rev().filter(|l| !matches!(l, Line::History { .. })).take(20) {
+            for line in lines
+                .iter()
+                .rev()
+                .filter(|l| !matches!(l, Line::History { .. }))
+                .take(20)
+            {
                 why += &format!("\n{line:?}");
             }
             return Err(why);
         }
-        Ok(lines.iter().filter(|l| matches!(l, Line::Told { what, .. } if what == "began")).count())
+        Ok(lines
+            .iter()
+            .filter(|l| matches!(l, Line::Told { what, .. } if what == "began"))
+            .count())
     })
 }
 
@@ -185,7 +229,10 @@
     let said = |name: &str| std::env::var(name).ok().and_then(|s| s.parse().ok());
     let (most, from) = (said("SEEDS").unwrap_or(24), said("FROM").unwrap_or(0));
     let begun = play_all(from..from + most);
-    assert!(begun as u64 > most, "{begun} drains begun in {most} days: they have to be tried");
+    assert!(
+        begun as u64 > most,
+        "{begun} drains begun in {most} days: they have to be tried"
+    );
     println!("{begun} drains begun in {most} days");
 }
 
@@ -201,7 +248,9 @@
 
 #[test]
 fn one_seed() {
-    let Some(seed) = std::env::var("SEED").ok().and_then(|s| s.parse().ok()) else { return };
+    let Some(seed) = std::env::var("SEED").ok().and_then(|s| s.parse().ok()) else {
+        return;
+    };
     if let Err(why) = play(seed) {
         panic!("SEED={seed}: {why}");
     }
--- a/crates/steward/tests/all/planted.rs
+++ b/crates/steward/tests/all/planted.rs
@@ -13,21 +13,35 @@
 }
 
 /// Rules that the judge finds broken after what was played.
-fn found<F: Future<Output = ()>>(size: Size, play: impl FnOnce(Rc<World>) -> F) -> Vec<&'static str> {
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build().unwrap();
+fn found<F: Future<Output = ()>>(
+    size: Size,
+    play: impl FnOnce(Rc<World>) -> F,
+) -> Vec<&'static str> {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_time()
+        .start_paused(true)
+        .build()
+        .unwrap();
     LocalSet::new().block_on(&runtime, async {
         let world = World::new(3, size);
         (1..=STEWARDS).for_each(|n| world.steward(n));
         (2..=size.invokers).for_each(|n| world.member(MemberId::invoker(n)));
         play(world.clone()).await;
         let lines = world.lines.take();
-        judge(&lines).into_iter().filter(|v| !v.broken.is_empty()).map(|v| v.rule).collect()
+        judge(&lines)
+            .into_iter()
+            .filter(|v| !v.broken.is_empty())
+            .map(|v| v.rule)
+            .collect()
     })
 }
 
 fn ask(members: std::ops::RangeInclusive<u32>) -> Change {
-    Change::Ask { id: "all".into(), members: members.map(MemberId::invoker).collect(), by: "them".into() }
+    Change::Ask {
+        id: "all".into(),
+        members: members.map(MemberId::invoker).collect(),
+        by: "them".into(),
+    }
 }
 
 /// Invoker 1 is asked to go, and halted with its grant in hand.
@@ -44,7 +58,11 @@
     }
     world.operator(0, "drain", ask(1..=1)).await.unwrap();
     pause(500).await;
-    let halt = Change::Halt { by: "them".into(), why: "to see".into(), ends: "a resume".into() };
+    let halt = Change::Halt {
+        by: "them".into(),
+        why: "to see".into(),
+        ends: "a resume".into(),
+    };
     world.operator(0, "halt", halt).await.unwrap();
     pause(5_000).await;
 }
@@ -65,6 +83,9 @@
         pause(8_000).await;
     };
     assert_eq!(found(SMALL, play), [""; 0]);
-    let generous = Size { granted: SMALL.bound + 1, ..SMALL };
+    let generous = Size {
+        granted: SMALL.bound + 1,
+        ..SMALL
+    };
     assert_eq!(found(generous, play), [RULES[0], RULES[1]]);
 }
--- a/crates/steward/tests/all/world.rs
+++ b/crates/steward/tests/all/world.rs
@@ -16,7 +16,9 @@
 use saltdrum_steward::disk::{Disk, Identity, SCHEMA};
 use saltdrum_steward::member::Ended;
 use saltdrum_steward::wire::{Changed, Changes, Renew, Standing};
-use saltdrum_steward::{CoordinatorConfig, FleetTerms, LeaseWatch, MemberRole, Membership, join, service};
+use saltdrum_steward::{
+    CoordinatorConfig, FleetTerms, LeaseWatch, MemberRole, Membership, join, service,
+};
 use saltdrum_trial::record::Line;
 use serde_json::{Value as Json, json};
 use std::cell::{Cell, RefCell};
@@ -38,8 +40,14 @@
     pub prove: Tenths,
 }
 
-pub const SMALL: Size =
-    Size { invokers: 6, bound: 2, granted: 2, drain: 300 * MILLI, restart: 200 * MILLI, prove: 200 * MILLI };
+pub const SMALL: Size = Size {
+    invokers: 6,
+    bound: 2,
+    granted: 2,
+    drain: 300 * MILLI,
+    restart: 200 * MILLI,
+    prove: 200 * MILLI,
+};
 
 struct Life {
     task: JoinHandle<()>,
@@ -108,7 +116,12 @@
 fn about(id: MemberId, incarnation: u64) -> About {
     About {
         incarnation,
-        site: if id.number.is_multiple_of(2) { "huye" } else { "kigali" }.into(),
+        site: if id.number.is_multiple_of(2) {
+            "huye"
+        } else {
+            "kigali"
+        }
+        .into(),
         cell: (id.number / 2) as u16,
         size: 1.0,
         memory_mb: 1_000.0,
@@ -144,7 +157,9 @@
     }
 
     fn is_drained(&self) -> bool {
-        self.drains.get().is_some_and(|at| self.clock.now() > at + self.size.drain)
+        self.drains
+            .get()
+            .is_some_and(|at| self.clock.now() > at + self.size.drain)
     }
 
     fn turn_back(&self) -> bool {
@@ -166,14 +181,24 @@
 impl World {
     pub fn new(seed: u64, size: Size) -> Rc<Self> {
         let clock = Clock::start();
-        let usual = Wire { delay: MILLI, jitter: 2 * MILLI };
+        let usual = Wire {
+            delay: MILLI,
+            jitter: 2 * MILLI,
+        };
         let ether = Ether::new(clock, Lines::new(usual, 0.0, seed), Turns::default());
         let operator = ether.host("operator");
-        let callers =
-            (1..=STEWARDS).map(|n| Caller::new(operator.clone(), at(&format!("steward-{n}")), "museums"));
+        let callers = (1..=STEWARDS)
+            .map(|n| Caller::new(operator.clone(), at(&format!("steward-{n}")), "museums"));
         let detect_ns = 8_000_000_000;
-        let members = (1..=size.invokers).map(|n| format!("invoker-{n}")).collect();
-        let bound = Line::Bound { group: "invokers".into(), members, out: size.bound as usize, detect_ns };
+        let members = (1..=size.invokers)
+            .map(|n| format!("invoker-{n}"))
+            .collect();
+        let bound = Line::Bound {
+            group: "invokers".into(),
+            members,
+            out: size.bound as usize,
+            detect_ns,
+        };
         Rc::new(Self {
             clock,
             size,
@@ -197,19 +222,36 @@
     }
 
     pub fn is_running(&self, name: &str) -> bool {
-        self.lives.borrow().get(name).is_some_and(|l| !l.task.is_finished())
+        self.lives
+            .borrow()
+            .get(name)
+            .is_some_and(|l| !l.task.is_finished())
     }
 
     pub fn steward(self: &Rc<Self>, number: u32) {
         let name = format!("steward-{number}");
-        let stewards: BTreeMap<u32, String> =
-            (1..=STEWARDS).map(|n| (n, at(&format!("steward-{n}")).to_string())).collect();
-        let founders = (1..=STEWARDS).map(|steward| Voter { steward, disk: 0 }).collect();
+        let stewards: BTreeMap<u32, String> = (1..=STEWARDS)
+            .map(|n| (n, at(&format!("steward-{n}")).to_string()))
+            .collect();
+        let founders = (1..=STEWARDS)
+            .map(|steward| Voter { steward, disk: 0 })
+            .collect();
         let config = Config::founding(founders).unwrap();
-        let mut founding = Fleet::founded("museums", config, stewards, terms(self.size.granted).bounds, 0);
+        let mut founding = Fleet::founded(
+            "museums",
+            config,
+            stewards,
+            terms(self.size.granted).bounds,
+            0,
+        );
         let leases = self.leases.borrow().clone();
         if !leases.is_empty() {
-            founding.apply(&Change::Leases { leases, by: "the script".into() }).unwrap();
+            founding
+                .apply(&Change::Leases {
+                    leases,
+                    by: "the script".into(),
+                })
+                .unwrap();
         }
         let seat = CoordinatorConfig {
             number,
@@ -221,10 +263,18 @@
             list: None,
         };
         let platter = self.disks.borrow_mut().entry(number).or_default().clone();
-        let new =
-            Identity { schema: SCHEMA, fleet: "museums".into(), voter: Voter { steward: number, disk: 0 } };
+        let new = Identity {
+            schema: SCHEMA,
+            fleet: "museums".into(),
+            voter: Voter {
+                steward: number,
+                disk: 0,
+            },
+        };
         // A process that can't read or write its disk ends at once, to be started again later.
-        let Ok((disk, acceptor)) = Disk::open(name.clone(), platter.opens(), new) else { return };
+        let Ok((disk, acceptor)) = Disk::open(name.clone(), platter.opens(), new) else {
+            return;
+        };
         let (network, clock, hold) = (self.ether.host(&name), self.clock, Hold::default());
         let lasting = stoppable(hold.clone(), async move {
             if let Err(why) = service::serve(seat, disk, acceptor, network, clock).await {
@@ -238,14 +288,18 @@
     pub fn member(self: &Rc<Self>, id: MemberId) {
         let (name, incarnation) = (id.to_string(), self.next_life());
         let mut about = about(id, incarnation);
-        about.tasks.extend((!self.leases.borrow().is_empty()).then(|| TASK.to_owned()));
+        about
+            .tasks
+            .extend((!self.leases.borrow().is_empty()).then(|| TASK.to_owned()));
         let watch: Rc<LeaseWatch> = Rc::default();
         let clock = self.drifting_clock(incarnation);
         let with = Membership {
             fleet: "museums".into(),
             member: id,
             about,
-            stewards: (1..=STEWARDS).map(|n| at(&format!("steward-{n}"))).collect(),
+            stewards: (1..=STEWARDS)
+                .map(|n| at(&format!("steward-{n}")))
+                .collect(),
             renew: terms(self.size.granted).renew,
             leases: watch.clone(),
         };
@@ -263,8 +317,13 @@
         let ended_name = name.clone();
         let task = tokio::task::spawn_local(async move {
             let local = tokio::task::LocalSet::new();
-            let holds =
-                holder::holds(this.clone(), network.clone(), clock, watch, format!("{id}/{incarnation}"));
+            let holds = holder::holds(
+                this.clone(),
+                network.clone(),
+                clock,
+                watch,
+                format!("{id}/{incarnation}"),
+            );
             let part = local.run_until(async move {
                 tokio::select! {
                     ended = join(with, network, clock, part) => ended,
@@ -300,10 +359,17 @@
 
     /// An append-only resource, with a disk of its own.
     pub fn journal(self: &Rc<Self>, name: &str) {
-        let disks = self.journals.borrow_mut().entry(name.to_owned()).or_default().clone();
+        let disks = self
+            .journals
+            .borrow_mut()
+            .entry(name.to_owned())
+            .or_default()
+            .clone();
         let network = self.ether.host(name);
         let stewards = (1..=STEWARDS).map(|n| at(&format!("steward-{n}")));
-        let stewards = stewards.map(|at| Caller::new(network.clone(), at, "museums")).collect();
+        let stewards = stewards
+            .map(|at| Caller::new(network.clone(), at, "museums"))
+            .collect();
         let (lines, clock, resource) = (self.lines.clone(), self.clock, name.to_owned());
         let tells = Box::new(move |accepted: &Accepted| {
             lines.borrow_mut().push(Line::Effect {
@@ -317,21 +383,35 @@
         let incarnation = self.next_life();
         let (mode, hold, listen) = (self.lease_mode.get(), Hold::default(), at(name));
         let serving = stoppable(hold.clone(), async move {
-            let Ok(disk) = JournalDisk::open(disks.now.opens()) else { return };
+            let Ok(disk) = JournalDisk::open(disks.now.opens()) else {
+                return;
+            };
             let local = tokio::task::LocalSet::new();
-            let serving =
-                holder::serve_journal(mode, incarnation, stewards, disk, tells, network, listen, clock);
+            let serving = holder::serve_journal(
+                mode,
+                incarnation,
+                stewards,
+                disk,
+                tells,
+                network,
+                listen,
+                clock,
+            );
             local.run_until(serving).await
         });
         let task = tokio::task::spawn_local(serving);
-        self.lives.borrow_mut().insert(name.to_owned(), Life { task, hold });
+        self.lives
+            .borrow_mut()
+            .insert(name.to_owned(), Life { task, hold });
     }
 
     /// After a kill: what was not synced may be gone, and now and then the disk is an older copy.
     fn lose_journal_writes(&self, name: &str) {
         let mut rng = self.rng.borrow_mut();
         let mut journals = self.journals.borrow_mut();
-        let Some(disks) = journals.get_mut(name) else { return };
+        let Some(disks) = journals.get_mut(name) else {
+            return;
+        };
         let torn = disks.now.after_power_cut(&mut rng);
         let copy = torn.after_power_cut(&mut rng);
         disks.now = torn;
@@ -364,29 +444,62 @@
             .map(|n| Caller::new(network.clone(), at(&format!("steward-{n}")), "museums"))
             .collect();
         let about = about(id, incarnation);
-        let (lines, clock, hold, told) = (self.lines.clone(), self.clock, Hold::default(), name.clone());
+        let (lines, clock, hold, told) = (
+            self.lines.clone(),
+            self.clock,
+            Hold::default(),
+            name.clone(),
+        );
         let going = async move {
-            let changes = [Change::Join { member: id, about }, Change::Proven { member: id, incarnation }];
+            let changes = [
+                Change::Join { member: id, about },
+                Change::Proven {
+                    member: id,
+                    incarnation,
+                },
+            ];
             for change in changes {
                 while callers[0]
-                    .call::<Changed>("change", &Changes { change: change.clone() }, SECOND)
+                    .call::<Changed>(
+                        "change",
+                        &Changes {
+                            change: change.clone(),
+                        },
+                        SECOND,
+                    )
                     .await
                     .is_err()
                 {}
             }
             loop {
                 let (every_tenths, busy, last_copies) = (1_000, 0.0, 0);
-                let said = Renew { member: id, incarnation, every_tenths, busy, last_copies };
+                let said = Renew {
+                    member: id,
+                    incarnation,
+                    every_tenths,
+                    busy,
+                    last_copies,
+                };
                 // Most stewards have to hear it, or it is lost.
                 for other in &callers[1..] {
                     let _ = other.call::<Standing>("renew", &said, SECOND).await;
                 }
                 let standing = callers[0].call::<Standing>("renew", &said, SECOND).await;
                 tokio::time::sleep(Duration::from_millis(100)).await;
-                if let Ok(Standing { phase: Some(Phase::Granted { grant }), .. }) = standing {
+                if let Ok(Standing {
+                    phase: Some(Phase::Granted { grant }),
+                    ..
+                }) = standing
+                {
                     tokio::time::sleep(Duration::from_millis(800)).await;
                     let (at_ns, member, what) = (ns(clock.now()), told, "began".into());
-                    lines.borrow_mut().push(Line::Told { at_ns, member, incarnation, what, grant });
+                    lines.borrow_mut().push(Line::Told {
+                        at_ns,
+                        member,
+                        incarnation,
+                        what,
+                        grant,
+                    });
                     return;
                 }
             }
@@ -400,13 +513,23 @@
     }
 
     fn note_end(&self, process: &str, code: Option<i32>, killed: bool) {
-        let line = Line::Ended { at_ns: ns(self.clock.now()), process: process.to_owned(), code, killed };
+        let line = Line::Ended {
+            at_ns: ns(self.clock.now()),
+            process: process.to_owned(),
+            code,
+            killed,
+        };
         self.lines.borrow_mut().push(line);
     }
 
     /// As SIGKILL; of a steward's disk what was not synced is there, in part or not.
     pub async fn kill(&self, name: &str) {
-        let Some(life) = self.lives.borrow_mut().remove(name).filter(|l| !l.task.is_finished()) else {
+        let Some(life) = self
+            .lives
+            .borrow_mut()
+            .remove(name)
+            .filter(|l| !l.task.is_finished())
+        else {
             return;
         };
         life.task.abort();
@@ -415,7 +538,10 @@
         if name.starts_with("journal-") {
             self.lose_journal_writes(name);
         }
-        if let Some(number) = name.strip_prefix("steward-").and_then(|n| n.parse::<u32>().ok()) {
+        if let Some(number) = name
+            .strip_prefix("steward-")
+            .and_then(|n| n.parse::<u32>().ok())
+        {
             let torn = self.disks.borrow()[&number].after_power_cut(&mut self.rng.borrow_mut());
             self.disks.borrow_mut().insert(number, torn);
         }
@@ -425,7 +551,11 @@
         if let Some(life) = self.lives.borrow().get(name) {
             life.hold.stop(span);
             let process = name.to_owned();
-            self.lines.borrow_mut().push(Line::Stopped { at_ns: ns(self.clock.now()), process, still: true });
+            self.lines.borrow_mut().push(Line::Stopped {
+                at_ns: ns(self.clock.now()),
+                process,
+                still: true,
+            });
         }
     }
 
@@ -438,22 +568,42 @@
     }
 
     pub fn slow(&self, from: &str, to: &str, by: Tenths, on: bool) {
-        let line = Wire { delay: by, jitter: by };
-        if on { self.ether.slow(from, to, line) } else { self.ether.quicken(from, to, line) }
+        let line = Wire {
+            delay: by,
+            jitter: by,
+        };
+        if on {
+            self.ether.slow(from, to, line)
+        } else {
+            self.ether.quicken(from, to, line)
+        }
     }
 
     /// An operator's change, by the steward given first.
-    pub async fn operator(&self, first: usize, what: &str, change: Change) -> Result<Changed, String> {
+    pub async fn operator(
+        &self,
+        first: usize,
+        what: &str,
+        change: Change,
+    ) -> Result<Changed, String> {
         let sent_ns = ns(self.clock.now());
         let mut last = String::new();
         for n in 0..self.callers.len() {
             let caller = &self.callers[(first + n) % self.callers.len()];
-            let asked = Changes { change: change.clone() };
+            let asked = Changes {
+                change: change.clone(),
+            };
             match caller.call::<Changed>("change", &asked, 4 * SECOND).await {
                 Ok(done) => {
                     let (at_ns, answer) = (ns(self.clock.now()), String::new());
                     let what = what.to_owned();
-                    self.lines.borrow_mut().push(Line::Asked { sent_ns, at_ns, what, done: true, answer });
+                    self.lines.borrow_mut().push(Line::Asked {
+                        sent_ns,
+                        at_ns,
+                        what,
+                        done: true,
+                        answer,
+                    });
                     return Ok(done);
                 }
                 Err(why) => last = why.to_string(),
@@ -462,7 +612,13 @@
         if what == "resume" {
             // It may have been done, and drains may begin.
             let (at_ns, answer, what) = (sent_ns, last.clone(), what.to_owned());
-            self.lines.borrow_mut().push(Line::Asked { sent_ns, at_ns, what, done: false, answer });
+            self.lines.borrow_mut().push(Line::Asked {
+                sent_ns,
+                at_ns,
+                what,
+                done: false,
+                answer,
+            });
         }
         Err(last)
     }
--- a/crates/trial/src/judge.rs
+++ b/crates/trial/src/judge.rs
@@ -53,8 +53,13 @@
         });
         at.collect()
     };
-    let (halts, resumes) = (told(&|w| w.starts_with("halt by")), told(&|w| w.starts_with("resumed by")));
-    let Some(begun) = told(&|w| w == begin).first().copied() else { return false };
+    let (halts, resumes) = (
+        told(&|w| w.starts_with("halt by")),
+        told(&|w| w.starts_with("resumed by")),
+    );
+    let Some(begun) = told(&|w| w == begin).first().copied() else {
+        return false;
+    };
     let last = |all: &BTreeSet<u64>| all.range(..begun).next_back().copied().unwrap_or(0);
     last(&halts) <= last(&resumes)
 }
@@ -70,21 +75,40 @@
     let mut faults = false;
     for line in &sorted {
         match line {
-            Line::Told { at_ns, member, incarnation, what, grant } => match what.as_str() {
+            Line::Told {
+                at_ns,
+                member,
+                incarnation,
+                what,
+                grant,
+            } => match what.as_str() {
                 "began" => {
                     // It may hear of its begin after the halt: what was agreed first began first.
                     let agreed = || agreed_before_halt(lines, member, *grant);
                     if let Some(since) = halted.filter(|since| at_ns > since && !agreed()) {
                         let late = (at_ns - since) / 1_000_000;
-                        broken[2].push(format!("{member} began {late} ms after the halt was acknowledged"));
+                        broken[2].push(format!(
+                            "{member} began {late} ms after the halt was acknowledged"
+                        ));
                     }
                     let mine = (member.clone(), *incarnation);
                     if let Some(other) = begun.insert(*grant, mine.clone()) {
-                        broken[3].push(format!("grant {grant}: begun by {} and by {member}", other.0));
+                        broken[3].push(format!(
+                            "grant {grant}: begun by {} and by {member}",
+                            other.0
+                        ));
                     }
                     out.planned.insert(member.clone());
                     for b in lines {
-                        let Line::Bound { group, members, out: most, detect_ns } = b else { continue };
+                        let Line::Bound {
+                            group,
+                            members,
+                            out: most,
+                            detect_ns,
+                        } = b
+                        else {
+                            continue;
+                        };
                         if !members.contains(member) {
                             continue;
                         }
@@ -113,19 +137,34 @@
                 }
                 _ => {}
             },
-            Line::Ended { at_ns, process, code, killed } => {
+            Line::Ended {
+                at_ns,
+                process,
+                code,
+                killed,
+            } => {
                 faults |= *killed || *code != Some(0);
                 if !out.planned.contains(process) {
                     out.dead.insert(process.clone(), *at_ns);
                 }
             }
-            Line::Asked { at_ns, what, done: true, .. } if what == "halt" => {
+            Line::Asked {
+                at_ns,
+                what,
+                done: true,
+                ..
+            } if what == "halt" => {
                 halted = halted.or(Some(*at_ns));
             }
-            Line::History { steward, revision, what } => {
+            Line::History {
+                steward,
+                revision,
+                what,
+            } => {
                 if let Some(other) = history.insert(*revision, what).filter(|o| o != what) {
-                    broken[4]
-                        .push(format!("revision {revision}: '{other}', and '{what}' by steward {steward}"));
+                    broken[4].push(format!(
+                        "revision {revision}: '{other}', and '{what}' by steward {steward}"
+                    ));
                 }
             }
             Line::Stopped { still: true, .. } => faults = true,
@@ -139,17 +178,28 @@
         }
     }
     if !faults {
-        let lost = lines.iter().filter(|l| matches!(l, Line::Invoked { how: How::Lost, .. })).count();
+        let lost = lines
+            .iter()
+            .filter(|l| matches!(l, Line::Invoked { how: How::Lost, .. }))
+            .count();
         if lost > 0 {
-            broken[5].push(format!("{lost} invocations had no answer, and nothing else was wrong"));
+            broken[5].push(format!(
+                "{lost} invocations had no answer, and nothing else was wrong"
+            ));
         }
     }
-    RULES.into_iter().zip(broken).map(|(rule, broken)| Verdict { rule, broken }).collect()
+    RULES
+        .into_iter()
+        .zip(broken)
+        .map(|(rule, broken)| Verdict { rule, broken })
+        .collect()
 }
 
 /// Whether the machine stood still for so long that what was seen decides nothing.
 pub fn cannot_tell(lines: &[Line]) -> bool {
-    lines.iter().any(|l| matches!(l, Line::Disturbed { at_ns, until_ns } if until_ns - at_ns > 500_000_000))
+    lines
+        .iter()
+        .any(|l| matches!(l, Line::Disturbed { at_ns, until_ns } if until_ns - at_ns > 500_000_000))
 }
 
 #[cfg(test)]
--- a/crates/trial/src/judge/tests.rs
+++ b/crates/trial/src/judge/tests.rs
@@ -4,48 +4,121 @@
 
 fn told(at: u64, member: &str, what: &str, grant: u64) -> Line {
     let (member, what) = (member.to_owned(), what.to_owned());
-    Line::Told { at_ns: at * MS, member, incarnation: 7, what, grant }
+    Line::Told {
+        at_ns: at * MS,
+        member,
+        incarnation: 7,
+        what,
+        grant,
+    }
 }
 
 fn asked(at: u64, what: &str) -> Line {
     let (sent_ns, at_ns) = ((at - 1) * MS, at * MS);
-    Line::Asked { sent_ns, at_ns, what: what.into(), done: true, answer: String::new() }
+    Line::Asked {
+        sent_ns,
+        at_ns,
+        what: what.into(),
+        done: true,
+        answer: String::new(),
+    }
 }
 
 fn found(lines: &[Line]) -> Vec<usize> {
     let members = (1..=4).map(|n| format!("invoker-{n}")).collect();
-    let bound = Line::Bound { group: "invokers".into(), members, out: 1, detect_ns: 1_000 * MS };
+    let bound = Line::Bound {
+        group: "invokers".into(),
+        members,
+        out: 1,
+        detect_ns: 1_000 * MS,
+    };
     let all: Vec<Line> = [bound].into_iter().chain(lines.iter().cloned()).collect();
     let verdicts = judge(&all);
-    (0..RULES.len()).filter(|n| !verdicts[*n].broken.is_empty()).collect()
+    (0..RULES.len())
+        .filter(|n| !verdicts[*n].broken.is_empty())
+        .collect()
 }
 
 /// A good trial, and for each rule a record in which it is broken.
 #[test]
 fn each_rule_is_seen_to_be_broken() {
-    let one = [told(10, "invoker-1", "began", 1), told(20, "invoker-1", "up", 0)];
+    let one = [
+        told(10, "invoker-1", "began", 1),
+        told(20, "invoker-1", "up", 0),
+    ];
     assert_eq!(found(&one), [0usize; 0]);
     let next = told(30, "invoker-2", "began", 2);
-    assert_eq!(found(&[&one[..], std::slice::from_ref(&next)].concat()), [0usize; 0]);
+    assert_eq!(
+        found(&[&one[..], std::slice::from_ref(&next)].concat()),
+        [0usize; 0]
+    );
     assert_eq!(found(&[one[0].clone(), next.clone()]), [0, 1]);
     let other = told(30, "controller-2", "began", 2);
-    assert_eq!(found(&[one[0].clone(), other]), [0usize; 0], "another kind has its own bound");
-    let dead = Line::Ended { at_ns: 5 * MS, process: "invoker-3".into(), code: None, killed: true };
-    assert_eq!(found(&[dead.clone(), next.clone()]), [0usize; 0], "nobody can know it so soon");
+    assert_eq!(
+        found(&[one[0].clone(), other]),
+        [0usize; 0],
+        "another kind has its own bound"
+    );
+    let dead = Line::Ended {
+        at_ns: 5 * MS,
+        process: "invoker-3".into(),
+        code: None,
+        killed: true,
+    };
+    assert_eq!(
+        found(&[dead.clone(), next.clone()]),
+        [0usize; 0],
+        "nobody can know it so soon"
+    );
     assert_eq!(found(&[dead, told(1_100, "invoker-2", "began", 2)]), [1]);
     assert_eq!(found(&[asked(15, "halt"), next.clone()]), [2]);
-    let agreed = |revision, what: &str| Line::History { steward: 1, revision, what: what.into() };
+    let agreed = |revision, what: &str| Line::History {
+        steward: 1,
+        revision,
+        what: what.into(),
+    };
     let begun = agreed(5, "invoker-2 began to drain, grant 2");
     let late = [asked(15, "halt"), next.clone(), begun];
-    assert_eq!(found(&[&late[..], &[agreed(6, "halt by ada: x")]].concat()), [0usize; 0], "heard late of it");
-    assert_eq!(found(&[&late[..], &[agreed(4, "halt by ada: x")]].concat()), [2]);
-    assert_eq!(found(&[asked(15, "halt"), asked(25, "resume"), next]), [0usize; 0]);
-    assert_eq!(found(&[&one[..], &[told(30, "invoker-1", "began", 1)]].concat()), [3]);
-    let history = |steward, what: &str| Line::History { steward, revision: 4, what: what.into() };
+    assert_eq!(
+        found(&[&late[..], &[agreed(6, "halt by ada: x")]].concat()),
+        [0usize; 0],
+        "heard late of it"
+    );
+    assert_eq!(
+        found(&[&late[..], &[agreed(4, "halt by ada: x")]].concat()),
+        [2]
+    );
+    assert_eq!(
+        found(&[asked(15, "halt"), asked(25, "resume"), next]),
+        [0usize; 0]
+    );
+    assert_eq!(
+        found(&[&one[..], &[told(30, "invoker-1", "began", 1)]].concat()),
+        [3]
+    );
+    let history = |steward, what: &str| Line::History {
+        steward,
+        revision: 4,
+        what: what.into(),
+    };
     assert_eq!(found(&[history(1, "a"), history(2, "a")]), [0usize; 0]);
     assert_eq!(found(&[history(1, "a"), history(2, "b")]), [4]);
-    let lost = Line::Invoked { sent_ns: 0, at_ns: 1, controller: 1, how: How::Lost };
+    let lost = Line::Invoked {
+        sent_ns: 0,
+        at_ns: 1,
+        controller: 1,
+        how: How::Lost,
+    };
     assert_eq!(found(std::slice::from_ref(&lost)), [5]);
-    let kill = Line::Ended { at_ns: 5, process: "controller-1".into(), code: None, killed: true };
-    assert_eq!(found(&[lost, kill]), [0usize; 0], "who was killed may lose what it took");
+    let kill = Line::Ended {
+        at_ns: 5,
+        process: "controller-1".into(),
+        code: None,
+        killed: true,
+    };
+    assert_eq!(
+        found(&[lost, kill]),
+        [0usize; 0],
+        "who was killed may lose what it took"
+    );
 }
--- a/crates/trial/src/lease_judge.rs
+++ b/crates/trial/src/lease_judge.rs
@@ -23,8 +23,23 @@
 }
 
 fn effect(line: &Line) -> Option<Effect<'_>> {
-    let Line::Effect { at_ns, resource, lease, epoch, by } = line else { return None };
-    Some(Effect { at_ns: *at_ns, resource, lease, epoch: *epoch, by })
+    let Line::Effect {
+        at_ns,
+        resource,
+        lease,
+        epoch,
+        by,
+    } = line
+    else {
+        return None;
+    };
+    Some(Effect {
+        at_ns: *at_ns,
+        resource,
+        lease,
+        epoch: *epoch,
+        by,
+    })
 }
 
 /// All effects in the order of their times; what one process wrote in one instant stays in its order.
@@ -36,7 +51,9 @@
 
 /// Who was given an epoch, if a line of the history tells it.
 fn grant(line: &Line) -> Option<(u64, &str)> {
-    let Line::History { what, .. } = line else { return None };
+    let Line::History { what, .. } = line else {
+        return None;
+    };
     let (holder, epoch) = what.split_once(" goes to ")?.1.split_once(", epoch ")?;
     Some((epoch.parse().ok()?, holder))
 }
@@ -52,7 +69,13 @@
     let mut latest: BTreeMap<&str, Effect> = BTreeMap::new();
     let mut holders: BTreeMap<(&str, u64), &str> = BTreeMap::new();
     for effect in effects {
-        let Effect { at_ns, resource, lease, epoch, by } = effect;
+        let Effect {
+            at_ns,
+            resource,
+            lease,
+            epoch,
+            by,
+        } = effect;
         match latest.get(lease) {
             Some(later) if later.epoch > epoch => broken[0].push(format!(
                 "{lease}: epoch {epoch} of {by} on {resource} {} ns after epoch {} of {} on {}",
@@ -65,12 +88,16 @@
         }
         let holder = holders.entry((lease, epoch)).or_insert(by);
         if *holder != by {
-            broken[1].push(format!("{lease}: epoch {epoch} was used by {holder} and by {by}"));
+            broken[1].push(format!(
+                "{lease}: epoch {epoch} was used by {holder} and by {by}"
+            ));
         }
         // A holder is told by its name and its life.
         let member = by.split('/').next().unwrap_or(by);
         if let Some(given) = agreed.get(&epoch).filter(|given| **given != member) {
-            broken[2].push(format!("{lease}: epoch {epoch} was used by {by}, and given to {given}"));
+            broken[2].push(format!(
+                "{lease}: epoch {epoch} was used by {by}, and given to {given}"
+            ));
         }
     }
     let verdict = |(rule, broken): (&&'static str, Vec<String>)| Verdict { rule, broken };
--- a/crates/trial/src/lease_judge/tests.rs
+++ b/crates/trial/src/lease_judge/tests.rs
@@ -2,24 +2,53 @@
 
 fn effect(at_ns: u64, resource: &str, epoch: u64, by: &str) -> Line {
     let (resource, by) = (resource.to_owned(), by.to_owned());
-    Line::Effect { at_ns, resource, lease: "collection".into(), epoch, by }
+    Line::Effect {
+        at_ns,
+        resource,
+        lease: "collection".into(),
+        epoch,
+        by,
+    }
 }
 
 fn broken(lines: &[Line]) -> Vec<usize> {
     let verdicts = judge_leases(lines).into_iter().enumerate();
-    verdicts.filter(|(_, v)| !v.broken.is_empty()).map(|(rule, _)| rule).collect()
+    verdicts
+        .filter(|(_, v)| !v.broken.is_empty())
+        .map(|(rule, _)| rule)
+        .collect()
 }
 
 #[test]
 fn each_rule_is_seen_to_be_broken() {
-    let history = |what: &str| Line::History { steward: 1, revision: 9, what: what.into() };
+    let history = |what: &str| Line::History {
+        steward: 1,
+        revision: 9,
+        what: what.into(),
+    };
     let told = history("lease collection goes to invoker-2, epoch 2");
-    let sound = [effect(1, "a", 1, "invoker-1/7"), told.clone(), effect(3, "b", 2, "invoker-2/8")];
+    let sound = [
+        effect(1, "a", 1, "invoker-1/7"),
+        told.clone(),
+        effect(3, "b", 2, "invoker-2/8"),
+    ];
     assert_eq!(broken(&sound), [0usize; 0]);
-    let overlap = [effect(5, "a", 2, "invoker-2/8"), effect(6, "b", 1, "invoker-1/7")];
+    let overlap = [
+        effect(5, "a", 2, "invoker-2/8"),
+        effect(6, "b", 1, "invoker-1/7"),
+    ];
     assert_eq!(broken(&overlap), [0]);
     // A record of another process, later in the file and earlier in time.
-    assert_eq!(broken(&[effect(6, "a", 2, "x"), effect(5, "b", 1, "y")]), [0usize; 0]);
-    assert_eq!(broken(&[effect(1, "a", 1, "invoker-1/7"), effect(2, "b", 1, "invoker-1/9")]), [1]);
+    assert_eq!(
+        broken(&[effect(6, "a", 2, "x"), effect(5, "b", 1, "y")]),
+        [0usize; 0]
+    );
+    assert_eq!(
+        broken(&[
+            effect(1, "a", 1, "invoker-1/7"),
+            effect(2, "b", 1, "invoker-1/9")
+        ]),
+        [1]
+    );
     assert_eq!(broken(&[told, effect(3, "b", 2, "invoker-1/7")]), [2]);
 }
--- a/crates/trial/src/lib.rs
+++ b/crates/trial/src/lib.rs
@@ -21,22 +21,61 @@
 /// Trials that come with the program, by name.
 pub const TRIALS: &[(&str, &str)] = &[
     ("one-drain", include_str!("../trials/one-drain.star")),
-    ("halted-in-hand", include_str!("../trials/halted-in-hand.star")),
-    ("stewards-killed", include_str!("../trials/stewards-killed.star")),
-    ("majority-lost", include_str!("../trials/majority-lost.star")),
-    ("crossed-wires", include_str!("../trials/crossed-wires.star")),
+    (
+        "halted-in-hand",
+        include_str!("../trials/halted-in-hand.star"),
+    ),
+    (
+        "stewards-killed",
+        include_str!("../trials/stewards-killed.star"),
+    ),
+    (
+        "majority-lost",
+        include_str!("../trials/majority-lost.star"),
+    ),
+    (
+        "crossed-wires",
+        include_str!("../trials/crossed-wires.star"),
+    ),
     ("room-used-up", include_str!("../trials/room-used-up.star")),
     ("old-disk", include_str!("../trials/old-disk.star")),
-    ("all-restarted", include_str!("../trials/all-restarted.star")),
-    ("steward-stalled", include_str!("../trials/steward-stalled.star")),
+    (
+        "all-restarted",
+        include_str!("../trials/all-restarted.star"),
+    ),
+    (
+        "steward-stalled",
+        include_str!("../trials/steward-stalled.star"),
+    ),
     ("lost-disk", include_str!("../trials/lost-disk.star")),
-    ("granted-and-killed", include_str!("../trials/granted-and-killed.star")),
+    (
+        "granted-and-killed",
+        include_str!("../trials/granted-and-killed.star"),
+    ),
     ("lease-killed", include_str!("../trials/lease-killed.star")),
-    ("lease-stalled", include_str!("../trials/lease-stalled.star")),
+    (
+        "lease-stalled",
+        include_str!("../trials/lease-stalled.star"),
+    ),
     ("lease-cut", include_str!("../trials/lease-cut.star")),
-    ("lease-held-effect", include_str!("../trials/lease-held-effect.star")),
-    ("lease-old-resource", include_str!("../trials/lease-old-resource.star")),
-    ("lease-full-disk", include_str!("../trials/lease-full-disk.star")),
-    ("lease-drained", include_str!("../trials/lease-drained.star")),
-    ("lease-all-restarted", include_str!("../trials/lease-all-restarted.star")),
+    (
+        "lease-held-effect",
+        include_str!("../trials/lease-held-effect.star"),
+    ),
+    (
+        "lease-old-resource",
+        include_str!("../trials/lease-old-resource.star"),
+    ),
+    (
+        "lease-full-disk",
+        include_str!("../trials/lease-full-disk.star"),
+    ),
+    (
+        "lease-drained",
+        include_str!("../trials/lease-drained.star"),
+    ),
+    (
+        "lease-all-restarted",
+        include_str!("../trials/lease-all-restarted.star"),
+    ),
 ];
--- a/crates/trial/src/load.rs
+++ b/crates/trial/src/load.rs
@@ -36,7 +36,12 @@
             .iter()
             .map(|(controller, at)| {
                 let (controller, at) = (*controller, at.clone());
-                Rc::new(Door { controller, at, line: RefCell::default(), going: Cell::new(false) })
+                Rc::new(Door {
+                    controller,
+                    at,
+                    line: RefCell::default(),
+                    going: Cell::new(false),
+                })
             })
             .collect();
         let open = Open::default();
@@ -50,17 +55,27 @@
             for turn in 0..doors.len() as u64 {
                 let door = &doors[((n + turn) % doors.len() as u64) as usize];
                 if door.line.borrow().is_none() {
-                    let Ok(stream) = UnixStream::connect(&door.at).await else { continue };
+                    let Ok(stream) = UnixStream::connect(&door.at).await else {
+                        continue;
+                    };
                     let (input, output) = stream.into_split();
                     *door.line.borrow_mut() = Some(output);
                     door.going.set(false);
-                    readers.spawn_local(read(door.clone(), input, open.clone(), self.lines.clone()));
+                    readers.spawn_local(read(
+                        door.clone(),
+                        input,
+                        open.clone(),
+                        self.lines.clone(),
+                    ));
                 }
                 if door.going.get() {
                     continue;
                 }
-                let text = json!({"jsonrpc": "2.0", "id": n, "method": "invoke", "params": self.call});
-                let Some(mut line) = door.line.borrow_mut().take() else { continue };
+                let text =
+                    json!({"jsonrpc": "2.0", "id": n, "method": "invoke", "params": self.call});
+                let Some(mut line) = door.line.borrow_mut().take() else {
+                    continue;
+                };
                 open.borrow_mut().insert(n, (now_ns(), door.controller));
                 let sent = line.write_all(format!("{text}\n").as_bytes()).await;
                 if sent.is_ok() {
@@ -84,8 +99,12 @@
         let gone = |sent: u64| now > sent + self.timeout_ms * 1_000_000 + 400_000_000;
         open.borrow_mut().retain(|_, (sent, controller)| {
             if gone(*sent) {
-                let line =
-                    Line::Invoked { sent_ns: *sent, at_ns: now, controller: *controller, how: How::Lost };
+                let line = Line::Invoked {
+                    sent_ns: *sent,
+                    at_ns: now,
+                    controller: *controller,
+                    how: How::Lost,
+                };
                 self.lines.borrow_mut().push(line);
             }
             !gone(*sent)
@@ -101,12 +120,16 @@
 ) {
     let mut said = BufReader::new(input).lines();
     while let Ok(Some(text)) = said.next_line().await {
-        let Ok(reply) = serde_json::from_str::<Json>(&text) else { continue };
+        let Ok(reply) = serde_json::from_str::<Json>(&text) else {
+            continue;
+        };
         if reply["method"] == "going" {
             door.going.set(true);
             continue;
         }
-        let Some((sent_ns, controller)) = reply["id"].as_u64().and_then(|id| open.borrow_mut().remove(&id))
+        let Some((sent_ns, controller)) = reply["id"]
+            .as_u64()
+            .and_then(|id| open.borrow_mut().remove(&id))
         else {
             continue;
         };
@@ -115,7 +138,12 @@
             Some(-32_001) => How::Throttled,
             Some(_) => How::Errored,
         };
-        lines.borrow_mut().push(Line::Invoked { sent_ns, at_ns: now_ns(), controller, how });
+        lines.borrow_mut().push(Line::Invoked {
+            sent_ns,
+            at_ns: now_ns(),
+            controller,
+            how,
+        });
     }
     // What was open on this line is answered no more.
     *door.line.borrow_mut() = None;
--- a/crates/trial/src/script.rs
+++ b/crates/trial/src/script.rs
@@ -178,7 +178,13 @@
 impl Trial {
     pub fn load(file: &str, text: &str) -> Result<Self, Fault> {
         let (terms, mut rest) = Terms::load(file, text)?;
-        let at = |why: &str| Fault { place: script::Place { file: file.into(), line: 1 }, why: why.into() };
+        let at = |why: &str| Fault {
+            place: script::Place {
+                file: file.into(),
+                line: 1,
+            },
+            why: why.into(),
+        };
         let fleet = FleetTerms::take(&mut rest)?.ok_or_else(|| at("no fleet(...) is stated"))?;
         let mut trials = rest.iter().filter(|s| s.what == "trial");
         let stated = trials.next().ok_or_else(|| at("no trial(...) is stated"))?;
@@ -226,30 +232,53 @@
     pub fn processes(&self) -> Vec<String> {
         let stewards = (1..=self.stewards).map(|n| format!("steward-{n}"));
         let controllers = (1..=self.controllers).map(|n| format!("controller-{n}"));
-        let invokers = self.terms.invokers.iter().map(|i| format!("invoker-{}", i.invoker));
-        stewards.chain(self.journal_names()).chain(controllers).chain(invokers).collect()
+        let invokers = self
+            .terms
+            .invokers
+            .iter()
+            .map(|i| format!("invoker-{}", i.invoker));
+        stewards
+            .chain(self.journal_names())
+            .chain(controllers)
+            .chain(invokers)
+            .collect()
     }
 
     /// The journals that are started, as leases name them.
     pub fn journal_names(&self) -> Vec<String> {
-        (1..=self.journals).map(|n| format!("journal-{n}")).collect()
+        (1..=self.journals)
+            .map(|n| format!("journal-{n}"))
+            .collect()
     }
 
     /// Each bound by number or share, for each group that it is counted for: its name, its members, how many may be out.
     pub fn bounds(&self) -> Vec<(String, Vec<String>, usize)> {
-        let zone = |zone: u8| self.terms.zones.get(usize::from(zone)).cloned().unwrap_or_default();
+        let zone = |zone: u8| {
+            self.terms
+                .zones
+                .get(usize::from(zone))
+                .cloned()
+                .unwrap_or_default()
+        };
         // Controllers are started without a zone, which is the first.
-        let controllers =
-            (1..=self.controllers).map(|n| (format!("controller-{n}"), Kind::Controller, zone(0), 0));
+        let controllers = (1..=self.controllers)
+            .map(|n| (format!("controller-{n}"), Kind::Controller, zone(0), 0));
         let invokers = &self.terms.invokers;
-        let invokers =
-            invokers.iter().map(|i| (format!("invoker-{}", i.invoker), Kind::Invoker, zone(i.zone), i.cell));
+        let invokers = invokers.iter().map(|i| {
+            (
+                format!("invoker-{}", i.invoker),
+                Kind::Invoker,
+                zone(i.zone),
+                i.cell,
+            )
+        });
         let all: Vec<_> = controllers.chain(invokers).collect();
         let mut told = Vec::new();
         for b in &self.fleet.bounds {
             let mut groups = BTreeMap::<(String, u16), Vec<String>>::new();
             for (name, kind, site, cell) in &all {
-                if b.kind.is_some_and(|k| k != *kind) || b.site.as_ref().is_some_and(|s| s != site) {
+                if b.kind.is_some_and(|k| k != *kind) || b.site.as_ref().is_some_and(|s| s != site)
+                {
                     continue;
                 }
                 let group = match b.per {
@@ -261,7 +290,9 @@
             }
             for ((site, cell), members) in groups {
                 let share = b.share.map(|s| (s * members.len() as f64 + 1e-9) as usize);
-                let Some(out) = b.out.map(|o| o as usize).into_iter().chain(share).min() else { continue };
+                let Some(out) = b.out.map(|o| o as usize).into_iter().chain(share).min() else {
+                    continue;
+                };
                 told.push((format!("{:?} {site} {cell}", b.kind), members, out));
             }
         }
@@ -285,9 +316,13 @@
             "await" => {
                 let events = ["began", "drained", "up", "granted"];
                 let event = said.event.clone().filter(|e| events.contains(&e.as_str()));
-                let event = event
-                    .ok_or_else(|| s.fault(format!("event: one of {} is expected", events.join(", "))))?;
-                Do::Await { event, times: said.times.unwrap_or(1) }
+                let event = event.ok_or_else(|| {
+                    s.fault(format!("event: one of {} is expected", events.join(", ")))
+                })?;
+                Do::Await {
+                    event,
+                    times: said.times.unwrap_or(1),
+                }
             }
             "all_up" => Do::AllUp,
             "over" => Do::Over { id: id()? },
@@ -303,15 +338,25 @@
             "old_disk" => Do::OldDisk,
             "lose_disk" => Do::LoseDisk,
             "replace" => Do::Replace,
-            "cut" => Do::Cut { to: said.to.clone(), one_way: said.one_way },
+            "cut" => Do::Cut {
+                to: said.to.clone(),
+                one_way: said.one_way,
+            },
             "heal" => Do::Heal,
-            "delay" => Do::Delay { ms: said.delay.0 / 10, jitter_ms: said.jitter.0 / 10 },
+            "delay" => Do::Delay {
+                ms: said.delay.0 / 10,
+                jitter_ms: said.jitter.0 / 10,
+            },
             "reset" => Do::Reset,
-            "pause" => Do::Pause { ms: said.span.0 / 10 },
+            "pause" => Do::Pause {
+                ms: said.span.0 / 10,
+            },
             "pause_lease" => Do::PauseLease { lease: id()? },
             "resume_lease" => Do::ResumeLease { lease: id()? },
             "handover" => Do::Handover,
-            "effects" => Do::Effects { times: said.times.unwrap_or(1) },
+            "effects" => Do::Effects {
+                times: said.times.unwrap_or(1),
+            },
             "disk_full" => Do::DiskFull,
             "disk_space" => Do::DiskSpace,
             other => return Err(s.fault(format!("'{other}' is no step"))),
@@ -333,7 +378,11 @@
         if needs && said.of.is_empty() {
             return Err(s.fault("of: processes are expected"));
         }
-        Ok(Step { what, of: said.of, place: s.place.clone() })
+        Ok(Step {
+            what,
+            of: said.of,
+            place: s.place.clone(),
+        })
     }
 }
 
--- a/crates/trial/src/stage.rs
+++ b/crates/trial/src/stage.rs
@@ -85,7 +85,12 @@
         std::fs::write(self.at("trial.star"), &self.trial.text).map_err(|e| e.to_string())?;
         for (group, members, out) in self.trial.bounds() {
             let detect_ns = self.trial.detect_ms * 1_000_000;
-            self.note(Line::Bound { group, members, out, detect_ns });
+            self.note(Line::Bound {
+                group,
+                members,
+                out,
+                detect_ns,
+            });
         }
         let watched = self.clone();
         tokio::task::spawn_local(async move {
@@ -94,7 +99,10 @@
                 tokio::time::sleep(Duration::from_millis(10)).await;
                 let now = now_ns();
                 if now - last > STOOD_NS {
-                    watched.note(Line::Disturbed { at_ns: last, until_ns: now });
+                    watched.note(Line::Disturbed {
+                        at_ns: last,
+                        until_ns: now,
+                    });
                 }
                 last = now;
             }
@@ -103,9 +111,11 @@
         for process in self.trial.processes() {
             self.start(&process)?;
         }
-        for step in
-            [Do::AllUp].into_iter().map(|what| Step { what, of: Vec::new(), place: Default::default() })
-        {
+        for step in [Do::AllUp].into_iter().map(|what| Step {
+            what,
+            of: Vec::new(),
+            place: Default::default(),
+        }) {
             self.one(&step).await?;
         }
         let load = (self.trial.per_second > 0.0)
@@ -122,11 +132,16 @@
                 last.len() == WARM && last.iter().all(|well| *well)
             })
             .await?;
-            self.lines.borrow_mut().retain(|l| !matches!(l, Line::Invoked { .. }));
+            self.lines
+                .borrow_mut()
+                .retain(|l| !matches!(l, Line::Invoked { .. }));
         }
         for step in self.trial.steps.clone() {
             if let Err(why) = self.one(&step).await {
-                self.note(Line::Failed { at_ns: now_ns(), why: format!("{}: {why}", step.place) });
+                self.note(Line::Failed {
+                    at_ns: now_ns(),
+                    why: format!("{}: {why}", step.place),
+                });
                 break;
             }
         }
@@ -141,15 +156,18 @@
     fn load(&self) -> Load {
         let function = self.trial.terms.functions.values().next();
         let trigger = function.map_or("", |f| self.trial.terms.trigger_names[f.trigger].as_str());
-        let timeout_ms = function
-            .map_or(8_000, |f| self.trial.terms.deployment.trigger_types[f.trigger].client_timeout / 10);
+        let timeout_ms = function.map_or(8_000, |f| {
+            self.trial.terms.deployment.trigger_types[f.trigger].client_timeout / 10
+        });
         let call = json!({
             "function": function.map_or("", |f| f.name.as_str()),
             "tenant": self.trial.terms.tenant_names.first(),
             "trigger": trigger, "input": {"work_ms": 20},
         });
         Load {
-            doors: (1..=self.trial.controllers).map(|n| (n, self.at(&format!("controller-{n}")))).collect(),
+            doors: (1..=self.trial.controllers)
+                .map(|n| (n, self.at(&format!("controller-{n}"))))
+                .collect(),
             per_second: self.trial.per_second,
             call,
             timeout_ms,
@@ -163,7 +181,9 @@
         let at = if laid.exists() {
             laid
         } else {
-            self.wires.lay(from, to, &self.at(name)).map_err(|e| format!("{from} to {name}: {e}"))?
+            self.wires
+                .lay(from, to, &self.at(name))
+                .map_err(|e| format!("{from} to {name}: {e}"))?
         };
         Ok(format!("unix:{}", at.display()))
     }
@@ -186,7 +206,14 @@
         match kind {
             "store" => say(&["standin", "store", "--listen", &self.unix("store")]),
             "steward" => {
-                say(&["steward", &script, "--number", number, "--listen", &self.unix(process)]);
+                say(&[
+                    "steward",
+                    &script,
+                    "--number",
+                    number,
+                    "--listen",
+                    &self.unix(process),
+                ]);
                 say(&["--list", &self.unix(&format!("list-{number}"))]);
                 say(&["--disk", &self.disk(process).display().to_string()]);
                 if !self.diskless.borrow().contains(process) {
@@ -206,9 +233,20 @@
                 }
             }
             "invoker" => {
-                say(&["standin", "invoker", &script, "--number", number, "--listen", &self.unix(process)]);
+                say(&[
+                    "standin",
+                    "invoker",
+                    &script,
+                    "--number",
+                    number,
+                    "--listen",
+                    &self.unix(process),
+                ]);
                 say(&["--store", &self.unix("store")]);
-                say(&["--reached-at", &self.through("controllers", process, process)?]);
+                say(&[
+                    "--reached-at",
+                    &self.through("controllers", process, process)?,
+                ]);
                 if again {
                     say(&["--cold"]);
                 }
@@ -221,14 +259,29 @@
                 }
             }
             "journal" => {
-                say(&["standin", "journal", &script, "--name", process, "--listen", &self.unix(process)]);
+                say(&[
+                    "standin",
+                    "journal",
+                    &script,
+                    "--name",
+                    process,
+                    "--listen",
+                    &self.unix(process),
+                ]);
                 say(&["--disk", &self.disk(process).display().to_string()]);
                 if let Some(fault) = &self.trial.journal_fault {
                     say(&["--fault", fault]);
                 }
             }
             _ => {
-                say(&["serve", &script, "--first", number, "--clients", &self.unix(process)]);
+                say(&[
+                    "serve",
+                    &script,
+                    "--first",
+                    number,
+                    "--clients",
+                    &self.unix(process),
+                ]);
                 for n in 1..=self.trial.stewards {
                     let (list, steward) = (format!("list-{n}"), format!("steward-{n}"));
                     say(&["--list", &self.through(process, &steward, &list)?]);
@@ -249,11 +302,16 @@
         if self.running.borrow().contains_key(process) {
             return Err(format!("{process} is running"));
         }
-        let log =
-            std::fs::OpenOptions::new().create(true).append(true).open(self.at(&format!("{process}.log")));
+        let log = std::fs::OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(self.at(&format!("{process}.log")));
         let mut child = Command::new(&self.binary)
             .args(self.arguments(process)?)
-            .env("SALTDRUM_LOG", std::env::var("SALTDRUM_LOG").unwrap_or_else(|_| "info".into()))
+            .env(
+                "SALTDRUM_LOG",
+                std::env::var("SALTDRUM_LOG").unwrap_or_else(|_| "info".into()),
+            )
             .stdin(Stdio::null())
             .stdout(Stdio::piped())
             .stderr(log.map_err(|e| e.to_string())?)
@@ -261,10 +319,18 @@
             .spawn()
             .map_err(|e| format!("{}: {e}", self.binary.display()))?;
         self.started.borrow_mut().insert(process.to_owned());
-        self.note(Line::Started { at_ns: now_ns(), process: process.to_owned() });
+        self.note(Line::Started {
+            at_ns: now_ns(),
+            process: process.to_owned(),
+        });
         let killed = Rc::new(Cell::new(false));
-        let running = Running { pid: child.id().unwrap_or(0), killed: killed.clone() };
-        self.running.borrow_mut().insert(process.to_owned(), running);
+        let running = Running {
+            pid: child.id().unwrap_or(0),
+            killed: killed.clone(),
+        };
+        self.running
+            .borrow_mut()
+            .insert(process.to_owned(), running);
         let (this, process) = (self.clone(), process.to_owned());
         let output = child.stdout.take();
         tokio::task::spawn_local(async move { this.watch(process, child, output, killed).await });
@@ -283,10 +349,15 @@
             let mut lines = BufReader::new(output).lines();
             while let Ok(Some(text)) = lines.next_line().await {
                 if let Some((_, voter)) = text.split_once(" votes as ") {
-                    self.voters.borrow_mut().insert(process.clone(), voter.to_owned());
+                    self.voters
+                        .borrow_mut()
+                        .insert(process.clone(), voter.to_owned());
                 }
-                let Ok(said) = serde_json::from_str::<Json>(&text) else { continue };
-                let (Some(what), Some(at_ns)) = (said["what"].as_str(), said["at_ns"].as_u64()) else {
+                let Ok(said) = serde_json::from_str::<Json>(&text) else {
+                    continue;
+                };
+                let (Some(what), Some(at_ns)) = (said["what"].as_str(), said["at_ns"].as_u64())
+                else {
                     continue;
                 };
                 if what == "effect" {
@@ -307,11 +378,19 @@
         }
         let code = child.wait().await.ok().and_then(|s| s.code());
         self.running.borrow_mut().remove(&process);
-        self.note(Line::Ended { at_ns: now_ns(), process: process.clone(), code, killed: killed.get() });
+        self.note(Line::Ended {
+            at_ns: now_ns(),
+            process: process.clone(),
+            code,
+            killed: killed.get(),
+        });
         if self.drained.borrow_mut().remove(&process) && code == Some(0) {
             tokio::time::sleep(Duration::from_millis(self.trial.returns_ms)).await;
             if let Err(why) = self.start(&process) {
-                self.note(Line::Failed { at_ns: now_ns(), why });
+                self.note(Line::Failed {
+                    at_ns: now_ns(),
+                    why,
+                });
             }
         }
     }
@@ -329,7 +408,13 @@
     /// Epochs of the effects so far.
     fn effects(&self) -> Vec<u64> {
         let lines = self.lines.borrow();
-        let epoch = |line: &Line| if let Line::Effect { epoch, .. } = line { Some(*epoch) } else { None };
+        let epoch = |line: &Line| {
+            if let Line::Effect { epoch, .. } = line {
+                Some(*epoch)
+            } else {
+                None
+            }
+        };
         lines.iter().filter_map(epoch).collect()
     }
 
@@ -339,13 +424,21 @@
         for name in of {
             if name == OTHERS {
                 let last = self.last_holder.borrow().clone();
-                let invokers = self.trial.processes().into_iter().filter(|p| p.starts_with("invoker"));
+                let invokers = self
+                    .trial
+                    .processes()
+                    .into_iter()
+                    .filter(|p| p.starts_with("invoker"));
                 all.extend(invokers.filter(|p| Some(p) != last.as_ref()));
                 continue;
             }
             all.push(match name.as_str() {
                 HOLDER => self.holder().await?,
-                LAST_HOLDER => self.last_holder.borrow().clone().ok_or("no holder was named before")?,
+                LAST_HOLDER => self
+                    .last_holder
+                    .borrow()
+                    .clone()
+                    .ok_or("no holder was named before")?,
                 process => process.to_owned(),
             });
         }
@@ -355,10 +448,16 @@
     async fn holder(&self) -> Result<String, String> {
         let mut found = None;
         self.until("a holder", async || {
-            let Some(status) = self.status().await else { return false };
-            let leases = status["fleet"]["leases"].as_object().cloned().unwrap_or_default();
-            let holder =
-                leases.values().find_map(|lease| lease["state"]["holder"].as_str().map(str::to_owned));
+            let Some(status) = self.status().await else {
+                return false;
+            };
+            let leases = status["fleet"]["leases"]
+                .as_object()
+                .cloned()
+                .unwrap_or_default();
+            let holder = leases
+                .values()
+                .find_map(|lease| lease["state"]["holder"].as_str().map(str::to_owned));
             found = holder;
             found.is_some()
         })
@@ -371,16 +470,27 @@
     /// Files of a process may grow to so many bytes; none: without a limit.
     fn limit_files(&self, process: &str, most_bytes: Option<u64>) -> Result<(), String> {
         let running = self.running.borrow();
-        let running = running.get(process).ok_or_else(|| format!("{process} is not running"))?;
+        let running = running
+            .get(process)
+            .ok_or_else(|| format!("{process} is not running"))?;
         let pid = Pid::from_raw(running.pid as i32).ok_or("no process id")?;
-        let limit = Rlimit { current: most_bytes, maximum: None };
-        prlimit(Some(pid), Resource::Fsize, limit).map(drop).map_err(|e| format!("{process}: {e}"))
+        let limit = Rlimit {
+            current: most_bytes,
+            maximum: None,
+        };
+        prlimit(Some(pid), Resource::Fsize, limit)
+            .map(drop)
+            .map_err(|e| format!("{process}: {e}"))
     }
 
     fn signal(&self, process: &str, signal: Signal) -> Result<(), String> {
         let running = self.running.borrow();
-        let running = running.get(process).ok_or_else(|| format!("{process} is not running"))?;
-        running.killed.set(running.killed.get() || signal == Signal::KILL);
+        let running = running
+            .get(process)
+            .ok_or_else(|| format!("{process} is not running"))?;
+        running
+            .killed
+            .set(running.killed.get() || signal == Signal::KILL);
         let pid = Pid::from_raw(running.pid as i32).ok_or("no process id")?;
         kill_process(pid, signal).map_err(|e| format!("{process}: {e}"))
     }
@@ -389,7 +499,10 @@
         let until = now_ns() + self.trial.patience_ms * 1_000_000;
         while !seen().await {
             if now_ns() > until {
-                return Err(format!("not seen within {} ms: {what}", self.trial.patience_ms));
+                return Err(format!(
+                    "not seen within {} ms: {what}",
+                    self.trial.patience_ms
+                ));
             }
             tokio::time::sleep(LOOK).await;
         }
@@ -398,20 +511,35 @@
 
     /// An operator's call, through the binary. Gives what it printed, if it ended well.
     async fn operator(&self, args: &[String]) -> Result<String, String> {
-        let mut all =
-            vec!["fleet".to_owned(), args[0].clone(), "--fleet".into(), self.trial.fleet.name.clone()];
+        let mut all = vec![
+            "fleet".to_owned(),
+            args[0].clone(),
+            "--fleet".into(),
+            self.trial.fleet.name.clone(),
+        ];
         // Those that run are asked; a stopped one would only make the operator wait.
-        let running: Vec<String> =
-            self.running.borrow().keys().filter(|p| p.starts_with("steward")).cloned().collect();
+        let running: Vec<String> = self
+            .running
+            .borrow()
+            .keys()
+            .filter(|p| p.starts_with("steward"))
+            .cloned()
+            .collect();
         for steward in running {
             all.extend(["--to".to_owned(), self.unix(&steward)]);
         }
         all.extend(args[1..].iter().cloned());
-        let child = Command::new(&self.binary).args(&all).stdin(Stdio::null()).kill_on_drop(true).output();
+        let child = Command::new(&self.binary)
+            .args(&all)
+            .stdin(Stdio::null())
+            .kill_on_drop(true)
+            .output();
         match tokio::time::timeout(CALL, child).await {
             Err(_) => Err("no answer in time".into()),
             Ok(Err(e)) => Err(e.to_string()),
-            Ok(Ok(out)) if out.status.success() => Ok(String::from_utf8_lossy(&out.stdout).into_owned()),
+            Ok(Ok(out)) if out.status.success() => {
+                Ok(String::from_utf8_lossy(&out.stdout).into_owned())
+            }
             Ok(Ok(out)) => Err(String::from_utf8_lossy(&out.stderr).trim().to_owned()),
         }
     }
@@ -427,7 +555,13 @@
                 Ok(text) => (true, text.trim().to_owned()),
                 Err(why) => (false, why.clone()),
             };
-            self.note(Line::Asked { sent_ns, at_ns, what: what.to_owned(), done, answer });
+            self.note(Line::Asked {
+                sent_ns,
+                at_ns,
+                what: what.to_owned(),
+                done,
+                answer,
+            });
             match told {
                 Ok(_) => return Ok(()),
                 Err(why) if now_ns() > until => return Err(why),
@@ -437,7 +571,10 @@
     }
 
     async fn status(&self) -> Option<Json> {
-        let told = self.operator(&["status".into(), "--json".into()]).await.ok()?;
+        let told = self
+            .operator(&["status".into(), "--json".into()])
+            .await
+            .ok()?;
         serde_json::from_str(&told).ok()
     }
 
@@ -447,8 +584,11 @@
             Do::Await { event, times } if event == "granted" => {
                 let what = format!("{times} of {of:?} granted");
                 self.until(&what, async || {
-                    let Some(s) = self.status().await else { return false };
-                    let granted = |m: &&String| s["fleet"]["members"][m.as_str()]["phase"]["is"] == "granted";
+                    let Some(s) = self.status().await else {
+                        return false;
+                    };
+                    let granted =
+                        |m: &&String| s["fleet"]["members"][m.as_str()]["phase"]["is"] == "granted";
                     of.iter().filter(granted).count() >= *times
                 })
                 .await
@@ -465,17 +605,29 @@
                 .await
             }
             Do::AllUp => {
-                let is_member = |p: &String| p.starts_with("invoker") || p.starts_with("controller");
-                let members: Vec<String> = self.trial.processes().into_iter().filter(is_member).collect();
+                let is_member =
+                    |p: &String| p.starts_with("invoker") || p.starts_with("controller");
+                let members: Vec<String> = self
+                    .trial
+                    .processes()
+                    .into_iter()
+                    .filter(is_member)
+                    .collect();
                 self.until("all members up", async || {
-                    let Some(s) = self.status().await else { return false };
-                    members.iter().all(|m| s["fleet"]["members"][m]["phase"]["is"] == "up")
+                    let Some(s) = self.status().await else {
+                        return false;
+                    };
+                    members
+                        .iter()
+                        .all(|m| s["fleet"]["members"][m]["phase"]["is"] == "up")
                 })
                 .await
             }
             Do::Over { id } => {
                 self.until(&format!("ask '{id}' over"), async || {
-                    let Some(s) = self.status().await else { return false };
+                    let Some(s) = self.status().await else {
+                        return false;
+                    };
                     let ask = &s["fleet"]["asks"][id];
                     let none = |list: &str| ask[list].as_array().is_some_and(Vec::is_empty);
                     none("waiting") && none("under_way")
@@ -487,10 +639,19 @@
                 args.extend(of.iter().cloned());
                 self.ask("drain", &args).await
             }
-            Do::Halt => self.ask("halt", &["halt", "--why", "the trial says so"].map(str::to_owned)).await,
+            Do::Halt => {
+                self.ask(
+                    "halt",
+                    &["halt", "--why", "the trial says so"].map(str::to_owned),
+                )
+                .await
+            }
             Do::Resume => self.ask("resume", &["resume".to_owned()]).await,
             Do::Back => {
-                let args: Vec<String> = ["back".to_owned()].into_iter().chain(of.iter().cloned()).collect();
+                let args: Vec<String> = ["back".to_owned()]
+                    .into_iter()
+                    .chain(of.iter().cloned())
+                    .collect();
                 self.ask("back", &args).await
             }
             Do::Kill => {
@@ -504,7 +665,11 @@
                 let still = step.what == Do::Stop;
                 for p in of {
                     self.signal(p, if still { Signal::STOP } else { Signal::CONT })?;
-                    self.note(Line::Stopped { at_ns: now_ns(), process: p.clone(), still });
+                    self.note(Line::Stopped {
+                        at_ns: now_ns(),
+                        process: p.clone(),
+                        still,
+                    });
                 }
                 Ok(())
             }
@@ -513,7 +678,8 @@
             Do::OldDisk => self.disks(of, |disk, copy| std::fs::copy(copy, disk).map(|_| ())),
             Do::LoseDisk => {
                 self.diskless.borrow_mut().extend(of.iter().cloned());
-                of.iter().for_each(|p| drop(self.voters.borrow_mut().remove(p)));
+                of.iter()
+                    .for_each(|p| drop(self.voters.borrow_mut().remove(p)));
                 self.disks(of, |disk, _| std::fs::remove_file(disk))
             }
             Do::Replace => {
@@ -522,11 +688,15 @@
                 })
                 .await?;
                 let voters = self.voters.borrow().clone();
-                let named = voters.iter().map(|(p, voter)| format!("{voter}={}", self.unix(p)));
+                let named = voters
+                    .iter()
+                    .map(|(p, voter)| format!("{voter}={}", self.unix(p)));
                 let args: Vec<String> = ["stewards".to_owned()].into_iter().chain(named).collect();
                 self.ask("stewards", &args).await?;
                 self.until("the new stewards alone", async || {
-                    let Some(s) = self.status().await else { return false };
+                    let Some(s) = self.status().await else {
+                        return false;
+                    };
                     s["fleet"]["config"]["now"].as_array().is_some_and(|now| {
                         s["fleet"]["config"]["next"].is_null()
                             && now.iter().any(|v| v["disk"].as_u64() != Some(0))
@@ -535,25 +705,36 @@
                 .await
             }
             Do::PauseLease { lease } => {
-                let args = ["lease", "pause", lease, "--why", "the trial says so"].map(str::to_owned);
+                let args =
+                    ["lease", "pause", lease, "--why", "the trial says so"].map(str::to_owned);
                 self.ask("pause-lease", &args).await
             }
             Do::ResumeLease { lease } => {
-                self.ask("resume-lease", &["lease", "resume", lease].map(str::to_owned)).await
+                self.ask(
+                    "resume-lease",
+                    &["lease", "resume", lease].map(str::to_owned),
+                )
+                .await
             }
             Do::Handover => {
                 let before = self.effects().into_iter().max().unwrap_or(0);
-                self.until("an effect of a later epoch", async || self.effects().iter().any(|e| *e > before))
-                    .await
+                self.until("an effect of a later epoch", async || {
+                    self.effects().iter().any(|e| *e > before)
+                })
+                .await
             }
             Do::Effects { times } => {
                 let before = self.effects().len();
-                self.until("more effects", async || self.effects().len() >= before + times).await
+                self.until("more effects", async || {
+                    self.effects().len() >= before + times
+                })
+                .await
             }
             Do::DiskFull => of.iter().try_for_each(|p| self.limit_files(p, Some(0))),
             Do::DiskSpace => of.iter().try_for_each(|p| self.limit_files(p, None)),
             Do::Cut { to, one_way } => {
-                self.wires.change(of, &self.named(to).await?, !one_way, |w| w.cut = true);
+                self.wires
+                    .change(of, &self.named(to).await?, !one_way, |w| w.cut = true);
                 Ok(())
             }
             Do::Heal => {
@@ -561,7 +742,9 @@
                 Ok(())
             }
             Do::Delay { ms, jitter_ms } => {
-                self.wires.change(of, &[], true, |w| (w.delay_ms, w.jitter_ms) = (*ms, *jitter_ms));
+                self.wires.change(of, &[], true, |w| {
+                    (w.delay_ms, w.jitter_ms) = (*ms, *jitter_ms)
+                });
                 Ok(())
             }
             Do::Reset => {
@@ -575,7 +758,11 @@
         }
     }
 
-    fn disks(&self, of: &[String], act: impl Fn(&Path, &Path) -> std::io::Result<()>) -> Result<(), String> {
+    fn disks(
+        &self,
+        of: &[String],
+        act: impl Fn(&Path, &Path) -> std::io::Result<()>,
+    ) -> Result<(), String> {
         for p in of {
             let (disk, copy) = (self.disk(p), self.at(&format!("copy-{p}")));
             act(&disk, &copy).map_err(|e| format!("{p}'s disk: {e}"))?;
@@ -585,12 +772,27 @@
 
     async fn histories(&self) {
         for n in 1..=self.trial.stewards {
-            let args = ["fleet", "history", "--json", "--fleet", &self.trial.fleet.name, "--to"];
+            let args = [
+                "fleet",
+                "history",
+                "--json",
+                "--fleet",
+                &self.trial.fleet.name,
+                "--to",
+            ];
             let at = self.unix(&format!("steward-{n}"));
-            let told = Command::new(&self.binary).args(args).arg(at).kill_on_drop(true).output();
-            let Ok(Ok(told)) = tokio::time::timeout(Duration::from_secs(3), told).await else { continue };
+            let told = Command::new(&self.binary)
+                .args(args)
+                .arg(at)
+                .kill_on_drop(true)
+                .output();
+            let Ok(Ok(told)) = tokio::time::timeout(Duration::from_secs(3), told).await else {
+                continue;
+            };
             for line in String::from_utf8_lossy(&told.stdout).lines() {
-                let Ok(event) = serde_json::from_str::<Json>(line) else { continue };
+                let Ok(event) = serde_json::from_str::<Json>(line) else {
+                    continue;
+                };
                 self.note(Line::History {
                     steward: n,
                     revision: event["revision"].as_u64().unwrap_or(0),
--- a/crates/trial/src/wires.rs
+++ b/crates/trial/src/wires.rs
@@ -52,7 +52,10 @@
 
     /// Where `from` has to dial to reach what listens at `real`, which belongs to `to`.
     pub fn lay(self: &Rc<Self>, from: &str, to: &str, real: &Path) -> io::Result<PathBuf> {
-        let name = real.file_name().map(|n| n.to_string_lossy().into_owned()).unwrap_or_default();
+        let name = real
+            .file_name()
+            .map(|n| n.to_string_lossy().into_owned())
+            .unwrap_or_default();
         let at = self.folder.join(format!("{from}--{name}"));
         let listener = UnixListener::bind(&at)?;
         let key = (from.to_owned(), to.to_owned());
@@ -119,7 +122,9 @@
     // A dial through a cut hangs, as one into a silent network does.
     passes(&mut wire.forth.subscribe()).await;
     passes(&mut wire.back.subscribe()).await;
-    let Ok(far) = UnixStream::connect(&real).await else { return };
+    let Ok(far) = UnixStream::connect(&real).await else {
+        return;
+    };
     let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
     tokio::select! {
         biased;
@@ -145,7 +150,9 @@
         let mut last = 0;
         loop {
             let mut part = vec![0; 64 << 10];
-            let Ok(n @ 1..) = input.read(&mut part).await else { return };
+            let Ok(n @ 1..) = input.read(&mut part).await else {
+                return;
+            };
             part.truncate(n);
             let late = *looks.borrow();
             let jitter = match late.jitter_ms {
--- a/crates/wirehost/src/codec.rs
+++ b/crates/wirehost/src/codec.rs
@@ -30,7 +30,10 @@
     pub fn take(&mut self, n: usize, what: &str) -> Result<&'a [u8], Fault> {
         let left = self.bytes.len() - self.at;
         if n > left {
-            return Err(format!("byte {}: {what} needs {n} bytes, {left} are left", self.at));
+            return Err(format!(
+                "byte {}: {what} needs {n} bytes, {left} are left",
+                self.at
+            ));
         }
         self.at += n;
         Ok(&self.bytes[self.at - n..self.at])
@@ -70,17 +73,26 @@
     match frame.len() {
         0 => return Ok(false),
         HEADER => {}
-        n => return Err(format!("frame header: input ends after {n} of {HEADER} bytes")),
+        n => {
+            return Err(format!(
+                "frame header: input ends after {n} of {HEADER} bytes"
+            ));
+        }
     }
     let length = u32::from_le_bytes([frame[4], frame[5], frame[6], frame[7]]) as usize;
     if length < HEADER {
-        return Err(format!("frame header: length {length} is shorter than the header"));
+        return Err(format!(
+            "frame header: length {length} is shorter than the header"
+        ));
     }
     while frame.len() < length {
         let had = frame.len();
         fill(input, frame, length.min(had + CHUNK))?;
         if frame.len() < length.min(had + CHUNK) {
-            return Err(format!("frame: input ends after {} of {length} bytes", frame.len()));
+            return Err(format!(
+                "frame: input ends after {} of {length} bytes",
+                frame.len()
+            ));
         }
     }
     Ok(true)
@@ -113,7 +125,10 @@
 
 impl Default for Reply {
     fn default() -> Self {
-        Self { bytes: vec![0; 8], records: 0 }
+        Self {
+            bytes: vec![0; 8],
+            records: 0,
+        }
     }
 }
 
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -27,29 +27,48 @@
 
 impl Acts for Writer<'_> {
     fn dispatch(&mut self, inv: InvId, invoker: InvokerId, time_out: Tenths) {
-        self.reply.record(1, self.id).put(&inv.to_le_bytes()).put(&invoker.to_le_bytes()).time(time_out);
+        self.reply
+            .record(1, self.id)
+            .put(&inv.to_le_bytes())
+            .put(&invoker.to_le_bytes())
+            .time(time_out);
     }
     fn throttle(&mut self, inv: InvId, come_back: Tenths) {
-        self.reply.record(2, self.id).put(&inv.to_le_bytes()).time(come_back);
+        self.reply
+            .record(2, self.id)
+            .put(&inv.to_le_bytes())
+            .time(come_back);
     }
     fn error(&mut self, inv: InvId) {
         self.reply.record(3, self.id).put(&inv.to_le_bytes());
     }
     fn cancel(&mut self, inv: InvId, hop: u8) {
-        self.reply.record(4, self.id).put(&inv.to_le_bytes()).put(&[hop]);
+        self.reply
+            .record(4, self.id)
+            .put(&inv.to_le_bytes())
+            .put(&[hop]);
     }
     fn hold(&mut self, invoker: InvokerId, function: FnId, count: u8) {
         let record = self.reply.record(13, self.id);
-        record.put(&function.to_le_bytes()).put(&[count]).put(&invoker.to_le_bytes());
+        record
+            .put(&function.to_le_bytes())
+            .put(&[count])
+            .put(&invoker.to_le_bytes());
     }
     fn unload(&mut self, invoker: InvokerId, function: FnId) {
-        self.reply.record(14, self.id).put(&invoker.to_le_bytes()).put(&function.to_le_bytes());
+        self.reply
+            .record(14, self.id)
+            .put(&invoker.to_le_bytes())
+            .put(&function.to_le_bytes());
     }
     fn probe(&mut self, invoker: InvokerId) {
         self.reply.record(6, self.id).put(&invoker.to_le_bytes());
     }
     fn wake(&mut self, at: Tenths, token: u64) {
-        self.reply.record(5, self.id).time(at).put(&token.to_le_bytes());
+        self.reply
+            .record(5, self.id)
+            .time(at)
+            .put(&token.to_le_bytes());
     }
     fn note(&mut self, text: &str) {
         self.reply.record(9, self.id).text(text);
@@ -65,10 +84,15 @@
         let now = f.time("clock")?;
         for n in 0..records {
             let at = f.at();
-            self.record(&mut f, now).map_err(|e| format!("record {n} at byte {at}: {e}"))?;
+            self.record(&mut f, now)
+                .map_err(|e| format!("record {n} at byte {at}: {e}"))?;
         }
         if f.at() < frame.len() {
-            return Err(format!("byte {}: {} bytes after the last record", f.at(), frame.len() - f.at()));
+            return Err(format!(
+                "byte {}: {} bytes after the last record",
+                f.at(),
+                frame.len() - f.at()
+            ));
         }
         Ok(self.reply.finish())
     }
@@ -89,11 +113,21 @@
             let trigger_types = deployment.trigger_types.len();
             let controller = self.guard(id, |w| Controller::new(now, deployment, seed, w));
             if let Some(controller) = controller {
-                self.instances.insert(id, Instance { controller, report, trigger_types });
+                self.instances.insert(
+                    id,
+                    Instance {
+                        controller,
+                        report,
+                        trigger_types,
+                    },
+                );
             }
             return Ok(());
         }
-        let mut instance = self.instances.remove(&id).ok_or_else(|| format!("unknown instance {id}"))?;
+        let mut instance = self
+            .instances
+            .remove(&id)
+            .ok_or_else(|| format!("unknown instance {id}"))?;
         if code == 1 {
             return Ok(());
         }
@@ -113,7 +147,11 @@
         id: u32,
         instance: &mut Instance,
     ) -> Result<bool, Fault> {
-        let Instance { controller: c, report, trigger_types } = instance;
+        let Instance {
+            controller: c,
+            report,
+            trigger_types,
+        } = instance;
         let done = match code {
             2 => {
                 let token = f.u64("cookie")?;
@@ -169,12 +207,17 @@
     }
 
     fn guard<T>(&mut self, id: u32, call: impl FnOnce(&mut Writer) -> T) -> Option<T> {
-        let mut writer = Writer { reply: &mut self.reply, id };
+        let mut writer = Writer {
+            reply: &mut self.reply,
+            id,
+        };
         match catch_unwind(AssertUnwindSafe(|| call(&mut writer))) {
             Ok(done) => Some(done),
             Err(panic) => {
                 let text = panic.downcast_ref::<String>().map(String::as_str);
-                let text = text.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("panic");
+                let text = text
+                    .or_else(|| panic.downcast_ref::<&str>().copied())
+                    .unwrap_or("panic");
                 self.reply.record(10, id).text(text);
                 None
             }
@@ -213,7 +256,15 @@
         };
         let size = f64::from(f.f32("nominal")?);
         let started = Some(f.time("start_time_ms")?).filter(|at| *at > 0);
-        entries.push(Listed { invoker, zone, kind, cell, life, size, started });
+        entries.push(Listed {
+            invoker,
+            zone,
+            kind,
+            cell,
+            life,
+            size,
+            started,
+        });
     }
     Ok(entries)
 }
@@ -222,9 +273,15 @@
     let values = f.values()?;
     let named = |name: &str| {
         let i = names.iter().position(|n| n == name)?;
-        values.get(i).map(|v| f64::from(*v)).filter(|v| v.is_finite())
+        values
+            .get(i)
+            .map(|v| f64::from(*v))
+            .filter(|v| v.is_finite())
     };
-    Ok(Report { util: named("util"), queue: named("queue") })
+    Ok(Report {
+        util: named("util"),
+        queue: named("queue"),
+    })
 }
 
 fn read_answer(f: &mut Fields, report: &[String]) -> Result<Answer, Fault> {
@@ -244,7 +301,17 @@
     };
     let tells = matches!(outcome, Outcome::Succeeded | Outcome::Full);
     let crowd = Some(remark / 8).filter(|n| tells && *n > 0);
-    Ok(Answer { inv, invoker, hop, finished, outcome, found, crowd, took, report: read_report(f, report)? })
+    Ok(Answer {
+        inv,
+        invoker,
+        hop,
+        finished,
+        outcome,
+        found,
+        crowd,
+        took,
+        report: read_report(f, report)?,
+    })
 }
 
 fn read_invocation(f: &mut Fields, now: Tenths, types: usize) -> Result<Invocation, Fault> {
@@ -269,10 +336,14 @@
         function,
         came: now,
         expires,
-        work_hint: Some(hint).filter(|ms| options & 1 != 0 && usable(*ms)).map(crate::codec::tenths),
+        work_hint: Some(hint)
+            .filter(|ms| options & 1 != 0 && usable(*ms))
+            .map(crate::codec::tenths),
         memory: if usable(memory) { memory } else { 0.0 },
         lanes: if usable(lanes) { lanes.max(1.0) } else { 1.0 },
-        load_hint: Some(load).filter(|ms| usable(*ms)).map(crate::codec::tenths),
+        load_hint: Some(load)
+            .filter(|ms| usable(*ms))
+            .map(crate::codec::tenths),
     })
 }
 
@@ -288,7 +359,14 @@
     };
     let function = f.u64("routine")?;
     let invoker = f.u32("invoker")?;
-    Ok(HoldAnswer { invoker, function, outcome, standing, took, left: None })
+    Ok(HoldAnswer {
+        invoker,
+        function,
+        outcome,
+        standing,
+        took,
+        left: None,
+    })
 }
 
 #[cfg(test)]
--- a/crates/wirehost/src/host/tests.rs
+++ b/crates/wirehost/src/host/tests.rs
@@ -44,13 +44,19 @@
 #[test]
 fn an_empty_batch_gets_an_empty_reply() {
     let empty = bytes("00000000 10000000 00000000206ec040");
-    assert_eq!(Host::default().frame(&empty), Ok(bytes("00000000 08000000")));
+    assert_eq!(
+        Host::default().frame(&empty),
+        Ok(bytes("00000000 08000000"))
+    );
 }
 
 #[test]
 fn the_examples_of_actions_encode_byte_for_byte() {
     let mut reply = Reply::default();
-    let mut w = Writer { reply: &mut reply, id: 3 };
+    let mut w = Writer {
+        reply: &mut reply,
+        id: 3,
+    };
     w.dispatch(0x5d3a91c4, 0x03124a07, 800);
     w.wake(84_165, 77);
     w.note("two servers known");
@@ -60,8 +66,14 @@
     // The example's wake is at 8912.25 ms, between two tenths: the time is rounded down.
     got[34..42].copy_from_slice(&8_912.25f64.to_le_bytes());
     assert_eq!(&got[..50], &bytes(want)[..]);
-    assert_eq!(&got[50..], &bytes("09 03000000 1100 74776f2073657276657273206b6e6f776e")[..]);
-    let mut w = Writer { reply: &mut reply, id: 3 };
+    assert_eq!(
+        &got[50..],
+        &bytes("09 03000000 1100 74776f2073657276657273206b6e6f776e")[..]
+    );
+    let mut w = Writer {
+        reply: &mut reply,
+        id: 3,
+    };
     w.throttle(0x0e6f2b19, 2_500);
     w.error(0x0e6f2b19);
     w.cancel(0x5d3a91c4, 0);
@@ -109,13 +121,28 @@
     assert!(fault(&[&born, &knock[..40]]).starts_with("record 1 at byte"));
     assert!(fault(&[&knock]).contains("unknown instance 3"));
     assert!(fault(&[&[77, 3, 0, 0, 0]]).contains("unknown event code 77"));
-    assert!(fault(&[&born, &bytes("04 03000000 00 29000000 ffffffff")]).contains("invoker needs 4 bytes"));
+    assert!(
+        fault(&[&born, &bytes("04 03000000 00 29000000 ffffffff")])
+            .contains("invoker needs 4 bytes")
+    );
     let missing = INFO.replace("tick_ms=4.0\n", "");
     assert!(fault(&[&super::tests::born(3, &missing)]).contains("setting tick_ms: missing"));
     let unreadable = INFO.replace("tick_ms=4.0", "tick_ms=soon");
     assert!(fault(&[&super::tests::born(3, &unreadable)]).contains("setting tick_ms: cannot read"));
     let mut read = Vec::new();
-    assert!(read_frame(&mut &bytes("00000000 07000000 0000000000000000")[..], &mut read).is_err());
-    assert!(read_frame(&mut &bytes("00000000 ffffffff 0000000000000000")[..], &mut read).is_err());
+    assert!(
+        read_frame(
+            &mut &bytes("00000000 07000000 0000000000000000")[..],
+            &mut read
+        )
+        .is_err()
+    );
+    assert!(
+        read_frame(
+            &mut &bytes("00000000 ffffffff 0000000000000000")[..],
+            &mut read
+        )
+        .is_err()
+    );
     assert_eq!(read_frame(&mut &[][..], &mut read), Ok(false));
 }
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -14,7 +14,10 @@
     let mut n = 0u64;
     while codec::read_frame(&mut input, &mut frame).map_err(|e| format!("frame {n}: {e}"))? {
         let reply = host.frame(&frame).map_err(|e| format!("frame {n}: {e}"))?;
-        output.write_all(&reply).and_then(|()| output.flush()).map_err(|e| codec::io_text(&e))?;
+        output
+            .write_all(&reply)
+            .and_then(|()| output.flush())
+            .map_err(|e| codec::io_text(&e))?;
         n += 1;
     }
     Ok(())
--- a/src/decide/estimate.rs
+++ b/src/decide/estimate.rs
@@ -26,7 +26,11 @@
 impl Timed {
     /// Before anything is seen.
     pub fn new(guess: f64) -> Self {
-        Self { low: 0.5 * guess, mid: 0.8 * guess, seen: 0.0 }
+        Self {
+            low: 0.5 * guess,
+            mid: 0.8 * guess,
+            seen: 0.0,
+        }
     }
 
     /// One more value is seen.
--- a/src/decide/load_breaker.rs
+++ b/src/decide/load_breaker.rs
@@ -30,7 +30,11 @@
     /// A load failed at this invoker, and that may be the store's doing.
     pub fn failed(&mut self, now: Tenths, invoker: InvokerId) {
         let elsewhere = self.failed_at.is_some_and(|other| other != invoker);
-        self.open_until = if self.open_until > 0 || elsewhere { now + OPEN_FOR } else { 0 };
+        self.open_until = if self.open_until > 0 || elsewhere {
+            now + OPEN_FOR
+        } else {
+            0
+        };
         self.failed_at = Some(invoker);
     }
 
--- a/src/decide/load_budget.rs
+++ b/src/decide/load_budget.rs
@@ -36,7 +36,9 @@
     /// An order that was given then has ended; it left at `left`, if that was seen.
     pub fn order_ended(&mut self, given: Tenths, left: Option<Tenths>) {
         self.out = self.out.saturating_sub(1);
-        let Some(left) = left.filter(|left| *left > given) else { return };
+        let Some(left) = left.filter(|left| *left > given) else {
+            return;
+        };
         if let Ok(index) = self.ordered.binary_search(&given) {
             self.ordered.remove(index);
         }
@@ -59,7 +61,11 @@
     /// Lets go of what no window that ends from `now` on reaches back to.
     pub fn forget(&mut self, now: Tenths, window: Tenths) {
         while self.came.pop_front_if(|at| *at + window <= now).is_some() {}
-        while self.ordered.pop_front_if(|at| *at + window + MILLI <= now).is_some() {}
+        while self
+            .ordered
+            .pop_front_if(|at| *at + window + MILLI <= now)
+            .is_some()
+        {}
     }
 
     /// Orders that count against the budget, as last looked at.
--- a/src/decide/load_budget/tests.rs
+++ b/src/decide/load_budget/tests.rs
@@ -3,7 +3,12 @@
 
 /// Three orders in 5 s, and one more for ten invocations.
 fn deployment() -> Deployment {
-    Deployment { order_window: 5 * SECOND, orders_free: 3.0, orders_share: 0.1, ..Default::default() }
+    Deployment {
+        order_window: 5 * SECOND,
+        orders_free: 3.0,
+        orders_share: 0.1,
+        ..Default::default()
+    }
 }
 
 /// How many orders it gives at `now`, of which none ends.
--- a/src/decide/observe.rs
+++ b/src/decide/observe.rs
@@ -9,7 +9,13 @@
         let belief = |invoker: &InvokerId| {
             let v = &self.invokers[invoker];
             let (slow, shut) = (v.slow(now, self.slow.0), now < v.shut_until);
-            Belief { invoker: *invoker, out: v.out, slow, errors: v.errors, shut }
+            Belief {
+                invoker: *invoker,
+                out: v.out,
+                slow,
+                errors: v.errors,
+                shut,
+            }
         };
         self.ready.keys().map(belief).collect()
     }
@@ -17,10 +23,21 @@
     /// What it holds and has done, by count.
     pub fn counted(&self) -> Counted {
         let ranked = self.functions.values().map(|f| f.ranking.head.len()).sum();
-        let (invokers, functions, places) = (self.invokers.len(), self.functions.len(), self.copies.len());
-        let (orders_counted, invocations_counted) =
-            (self.load_budget.orders_counted(), self.load_budget.invocations_counted());
+        let (invokers, functions, places) =
+            (self.invokers.len(), self.functions.len(), self.copies.len());
+        let (orders_counted, invocations_counted) = (
+            self.load_budget.orders_counted(),
+            self.load_budget.invocations_counted(),
+        );
         let rank_steps = self.rank_steps;
-        Counted { invokers, functions, places, ranked, rank_steps, orders_counted, invocations_counted }
+        Counted {
+            invokers,
+            functions,
+            places,
+            ranked,
+            rank_steps,
+            orders_counted,
+            invocations_counted,
+        }
     }
 }
--- a/src/port.rs
+++ b/src/port.rs
@@ -128,7 +128,10 @@
 
 impl Outcome {
     pub fn never_ran(self) -> bool {
-        matches!(self, Self::Full | Self::NoConnection | Self::NotSent | Self::Miss)
+        matches!(
+            self,
+            Self::Full | Self::NoConnection | Self::NotSent | Self::Miss
+        )
     }
 }
 
--- a/tests/cases.rs
+++ b/tests/cases.rs
@@ -26,7 +26,12 @@
         let (sent, function) = (&bed.k.invs[&id].sent[hop], bed.k.invs[&id].call.function);
         if bed.k.now - sent.at >= run {
             let new = bed.k.stands.insert((function, sent.invoker));
-            bed.answer(id, hop, Outcome::Succeeded, Some(if new { Found::BeganLoad } else { Found::Warm }));
+            bed.answer(
+                id,
+                hop,
+                Outcome::Succeeded,
+                Some(if new { Found::BeganLoad } else { Found::Warm }),
+            );
         }
     }
     while !bed.k.holds.is_empty() {
@@ -36,7 +41,10 @@
 
 fn used(bed: &Bed, function: FnId, since: Tenths) -> BTreeSet<InvokerId> {
     let of = bed.k.invs.values().filter(|t| t.call.function == function);
-    of.flat_map(|t| &t.sent).filter(|s| s.at >= since).map(|s| s.invoker).collect()
+    of.flat_map(|t| &t.sent)
+        .filter(|s| s.at >= since)
+        .map(|s| s.invoker)
+        .collect()
 }
 
 #[test]
@@ -54,7 +62,10 @@
     for function in 0..20 {
         let home = |invokers: &[u32]| {
             let mut bed = Bed::new(deployment(), 0);
-            let entries: Vec<_> = invokers.iter().map(|w| listed(*w, Life::Ready, None)).collect();
+            let entries: Vec<_> = invokers
+                .iter()
+                .map(|w| listed(*w, Life::Ready, None))
+                .collect();
             bed.list(true, &entries);
             traffic(&mut bed, function, 2, 1);
             used(&bed, function, 0)
@@ -83,7 +94,12 @@
     traffic(&mut bed, 1, 2, 2);
     let last = bed.k.now;
     bed.pass(7 * SECOND);
-    assert!(bed.k.holds.iter().any(|(_, f, at)| *f == 1 && *at < last + 8 * SECOND));
+    assert!(
+        bed.k
+            .holds
+            .iter()
+            .any(|(_, f, at)| *f == 1 && *at < last + 8 * SECOND)
+    );
 }
 
 #[test]
@@ -134,7 +150,10 @@
         }
     }
     let last = bed.invoke(0, 1, 4 * SECOND);
-    assert!(bed.k.invs[&last].sent.is_empty(), "nothing is sent to one that is dead");
+    assert!(
+        bed.k.invs[&last].sent.is_empty(),
+        "nothing is sent to one that is dead"
+    );
 }
 
 /// Found as a lost invocation: the wait for the order ration ended after the client timeout.
@@ -162,7 +181,13 @@
         }
         bed.pass(150 * MILLI);
     }
-    assert!(bed.k.invs.values().flat_map(|t| &t.sent).all(|s| s.invoker == 1));
+    assert!(
+        bed.k
+            .invs
+            .values()
+            .flat_map(|t| &t.sent)
+            .all(|s| s.invoker == 1)
+    );
 }
 
 #[test]
@@ -226,7 +251,10 @@
 #[test]
 fn in_a_jam_the_least_billed_value_is_turned_away_first() {
     let mut d = deployment();
-    d.trigger_types.push(TriggerType { billed_value: 10.0, ..terms(Effect::Idempotent, Scope::All) });
+    d.trigger_types.push(TriggerType {
+        billed_value: 10.0,
+        ..terms(Effect::Idempotent, Scope::All)
+    });
     let mut bed = Bed::new(d, 2);
     traffic(&mut bed, 1, 10, 3);
     let mut throttled = [0, 0];
@@ -260,13 +288,22 @@
         }
     }
     let waiting = bed.out().len();
-    assert!(throttled > 200 && waiting < 36, "{throttled} throttled, {waiting} waiting");
+    assert!(
+        throttled > 200 && waiting < 36,
+        "{throttled} throttled, {waiting} waiting"
+    );
 }
 
 /// Found as work doubled by cancels: an invoker seldom heard looked silent as soon as an answer was late.
 #[test]
 fn a_late_answer_at_a_small_controller_is_waited_for() {
-    let mut bed = Bed::new(Deployment { controllers: 200, ..deployment() }, 20);
+    let mut bed = Bed::new(
+        Deployment {
+            controllers: 200,
+            ..deployment()
+        },
+        20,
+    );
     for n in 0..60 {
         bed.invoke(0, n % 20, 4 * SECOND);
         bed.pass((1 + n % 4) * RUN);
@@ -281,18 +318,35 @@
 #[test]
 fn planned_orders_are_one_controllers_part_of_the_fleets() {
     let orders = |controllers| {
-        let mut bed = Bed::new(Deployment { controllers, ..deployment() }, 40);
+        let mut bed = Bed::new(
+            Deployment {
+                controllers,
+                ..deployment()
+            },
+            40,
+        );
         (0..10).for_each(|function| traffic(&mut bed, function, 5, 1));
         bed.k.ordered.len()
     };
-    assert!(orders(200) <= 3 && orders(2) > 3, "{} and {}", orders(200), orders(2));
+    assert!(
+        orders(200) <= 3 && orders(2) > 3,
+        "{} and {}",
+        orders(200),
+        orders(2)
+    );
 }
 
 /// Found as a refusing invoker held slow for everybody, and asked again by the tenant it refuses.
 #[test]
 fn a_refusal_sends_one_tenant_elsewhere() {
     let tenants = vec![Tenant { quota: 50.0 }; 2];
-    let mut bed = Bed::new(Deployment { tenants, ..deployment() }, 6);
+    let mut bed = Bed::new(
+        Deployment {
+            tenants,
+            ..deployment()
+        },
+        6,
+    );
     let id = bed.invoke(0, 1, 4 * SECOND);
     let home = bed.k.invs[&id].sent[0].invoker;
     bed.answer(id, 0, Outcome::Full, None);
@@ -322,7 +376,8 @@
 #[test]
 fn a_lost_answer_is_told_by_its_own_age() {
     let mut d = deployment();
-    d.trigger_types.push(terms(Effect::NonIdempotent, Scope::All));
+    d.trigger_types
+        .push(terms(Effect::NonIdempotent, Scope::All));
     let mut bed = Bed::new(d, 1);
     traffic(&mut bed, 1, 10, 5);
     let lost = [bed.invoke(0, 1, 4 * SECOND), bed.invoke(1, 1, 4 * SECOND)];
@@ -348,13 +403,28 @@
     let (start, end) = (112 * SECOND, 122 * SECOND);
     let (mut sent, mut by_small) = (vec![], 0);
     for i in 0..100 {
-        let mut bed = Bed::seeded(Deployment { controllers: 100, ..deployment() }, 4, i);
+        let mut bed = Bed::seeded(
+            Deployment {
+                controllers: 100,
+                ..deployment()
+            },
+            4,
+            i,
+        );
         bed.k.even = false;
         bed.pass(i * 17 * MILLI);
         while bed.k.now < end {
             if bed.k.now >= start && bed.k.list[&4].0.started.is_none() {
                 let gone = |w| listed(w, Life::Gone, None);
-                bed.list(false, &[gone(1), gone(2), gone(3), listed(4, Life::Ready, Some(start))]);
+                bed.list(
+                    false,
+                    &[
+                        gone(1),
+                        gone(2),
+                        gone(3),
+                        listed(4, Life::Ready, Some(start)),
+                    ],
+                );
             }
             bed.invoke(0, (bed.k.now / MILLI + i) % 24, 4 * SECOND);
             for _ in 0..if i % 10 == 0 { 3 } else { 28 } {
@@ -363,7 +433,14 @@
             }
         }
         let cold = |s: &&Sent| s.invoker == 4 && s.at >= start + 2 * SECOND;
-        let ats: Vec<_> = bed.k.invs.values().flat_map(|t| &t.sent).filter(cold).map(|s| s.at).collect();
+        let ats: Vec<_> = bed
+            .k
+            .invs
+            .values()
+            .flat_map(|t| &t.sent)
+            .filter(cold)
+            .map(|s| s.at)
+            .collect();
         by_small += if i % 10 == 0 { 0 } else { ats.len() };
         sent.extend(ats);
     }
@@ -371,11 +448,20 @@
     for from in &sent {
         let window = *from..from + d.tip_window;
         let work = sent.iter().filter(|at| window.contains(at)).count() as f64 * RUN as f64;
-        let risen = d.cold_share + (1.0 - d.cold_share) * (from - start) as f64 / d.cold_time as f64;
+        let risen =
+            d.cold_share + (1.0 - d.cold_share) * (from - start) as f64 / d.cold_time as f64;
         let most = d.tip_factor * risen * CORES * d.tip_window as f64;
-        assert!(work <= most, "rule 4: {work} of at most {most} to a cold one at {}", from - start);
+        assert!(
+            work <= most,
+            "rule 4: {work} of at most {most} to a cold one at {}",
+            from - start
+        );
     }
-    assert!(by_small > 10, "{by_small} of {} to the cold one are from small controllers", sent.len());
+    assert!(
+        by_small > 10,
+        "{by_small} of {} to the cold one are from small controllers",
+        sent.len()
+    );
 }
 
 /// Found on fleet days: filled all in one turn after a change of the list, 400 pools took 36 ms of a small machine, and
@@ -427,14 +513,26 @@
         let id = bed.invoke(0, *function, 4 * SECOND);
         bed.answer(id, 0, Outcome::Miss, None);
         bed.pass(RUN);
-        others.iter().for_each(|other| bed.answer(*other, 0, Outcome::Succeeded, Some(Found::Warm)));
+        others
+            .iter()
+            .for_each(|other| bed.answer(*other, 0, Outcome::Succeeded, Some(Found::Warm)));
         bed.list(false, &[listed(2, Life::Ready, None)]);
         bed.pass(1_450 * MILLI);
-        let order = |bed: &Bed, at| bed.k.holds.iter().position(|(w, f, _)| (*w, *f) == (at, *function));
-        let (Some(first), Some(_)) = (order(&bed, 1), order(&bed, 2)) else { return false };
+        let order = |bed: &Bed, at| {
+            bed.k
+                .holds
+                .iter()
+                .position(|(w, f, _)| (*w, *f) == (at, *function))
+        };
+        let (Some(first), Some(_)) = (order(&bed, 1), order(&bed, 2)) else {
+            return false;
+        };
         bed.held(first, HoldOutcome::NoRoom);
         bed.pass(1_400 * MILLI);
-        assert!(bed.k.invs[&id].finals.is_empty(), "throttled while an order for it is out");
+        assert!(
+            bed.k.invs[&id].finals.is_empty(),
+            "throttled while an order for it is out"
+        );
         let second = order(&bed, 2).unwrap();
         bed.held(second, HoldOutcome::Standing);
         assert_eq!(bed.k.invs[&id].sent.len(), 2);
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -104,15 +104,26 @@
     }
 
     fn size(&self, invoker: InvokerId) -> f64 {
-        if self.unequal { [0.5, 1.0, 2.0][invoker as usize % 3] } else { 1.0 }
+        if self.unequal {
+            [0.5, 1.0, 2.0][invoker as usize % 3]
+        } else {
+            1.0
+        }
     }
 
     fn listed(&self, invoker: InvokerId, life: Life, started: Option<Tenths>) -> Listed {
-        Listed { size: self.size(invoker), ..listed(invoker, life, started) }
+        Listed {
+            size: self.size(invoker),
+            ..listed(invoker, life, started)
+        }
     }
 
     fn is_cold(&self, invoker: InvokerId) -> bool {
-        if self.news == News::Untold { invoker > self.stay } else { invoker > INVOKERS }
+        if self.news == News::Untold {
+            invoker > self.stay
+        } else {
+            invoker > INVOKERS
+        }
     }
 
     fn replaced(&self) -> std::ops::RangeInclusive<InvokerId> {
@@ -132,9 +143,9 @@
     fn restart_of(&self, seed: u64) -> Option<Tenths> {
         match self.restarts {
             Restarts::None => None,
-            Restarts::OneInFive => {
-                seed.is_multiple_of(5).then(|| COLD - RESTARTS + seed / 5 % 16 * SECOND / 2)
-            }
+            Restarts::OneInFive => seed
+                .is_multiple_of(5)
+                .then(|| COLD - RESTARTS + seed / 5 % 16 * SECOND / 2),
             Restarts::AllAtOnce => Some(COLD + SECOND),
         }
     }
@@ -162,9 +173,14 @@
     }
 
     fn begin(&self, seed: u64, now: Tenths) -> Bed {
-        let deployment = Deployment { controllers: self.controllers, ..self.told.clone() };
+        let deployment = Deployment {
+            controllers: self.controllers,
+            ..self.told.clone()
+        };
         let mut bed = Bed::begun(deployment, INVOKERS, seed, now);
-        let all: Vec<Listed> = (1..=INVOKERS).map(|w| self.listed(w, Life::Ready, None)).collect();
+        let all: Vec<Listed> = (1..=INVOKERS)
+            .map(|w| self.listed(w, Life::Ready, None))
+            .collect();
         bed.list(true, &all);
         bed.k.even = false;
         bed
@@ -174,8 +190,11 @@
     /// their work in calls.
     fn attempts(&self, seed: u64, part: f64) -> Vec<(InvokerId, Tenths, f64)> {
         let mut rng = fastrand::Rng::with_seed(seed ^ 0xc01d);
-        let heavier =
-            if self.heavy { (HEAVY_TIMES + HEAVY_ONE_IN - 1) as f64 / HEAVY_ONE_IN as f64 } else { 1.0 };
+        let heavier = if self.heavy {
+            (HEAVY_TIMES + HEAVY_ONE_IN - 1) as f64 / HEAVY_ONE_IN as f64
+        } else {
+            1.0
+        };
         let rate = self.load * f64::from(INVOKERS) * CORES / (self.run as f64 * heavier) * part;
         let mut bed = self.begin(seed, 100 * SECOND);
         let mut all = Vec::new();
@@ -201,8 +220,19 @@
                 next = now;
             }
             while next <= bed.k.now {
-                let hint = self.heavy.then(|| if rng.u64(0..HEAVY_ONE_IN) == 0 { HEAVY_TIMES } else { 1 });
-                bed.invoke_hinted(0, rng.u64(0..200), 4 * SECOND, hint.map(|times| times * self.run));
+                let hint = self.heavy.then(|| {
+                    if rng.u64(0..HEAVY_ONE_IN) == 0 {
+                        HEAVY_TIMES
+                    } else {
+                        1
+                    }
+                });
+                bed.invoke_hinted(
+                    0,
+                    rng.u64(0..200),
+                    4 * SECOND,
+                    hint.map(|times| times * self.run),
+                );
                 next += 1 + (-(1.0 - rng.f64()).ln() / rate) as Tenths;
             }
             bed.pass(20 * MILLI);
@@ -215,13 +245,24 @@
     /// Dispatches to the cold invokers, by their work.
     fn sent(&self, bed: &Bed) -> Vec<(InvokerId, Tenths, f64)> {
         let work = |t: &Taken| t.call.work_hint.unwrap_or(self.run) as f64 / self.run as f64;
-        let of = |t: &Taken| t.sent.iter().map(move |s| (s.invoker, s.at, work(t))).collect::<Vec<_>>();
+        let of = |t: &Taken| {
+            t.sent
+                .iter()
+                .map(move |s| (s.invoker, s.at, work(t)))
+                .collect::<Vec<_>>()
+        };
         let all = bed.k.invs.values().flat_map(of);
-        all.filter(|(w, at, _)| self.is_cold(*w) && *at >= COLD).collect()
+        all.filter(|(w, at, _)| self.is_cold(*w) && *at >= COLD)
+            .collect()
     }
 
     /// Answers whatever has run for long enough, at a pace that its invoker's state allows.
-    fn answer(&self, bed: &mut Bed, rng: &mut fastrand::Rng, all: &mut Vec<(InvokerId, Tenths, f64)>) {
+    fn answer(
+        &self,
+        bed: &mut Bed,
+        rng: &mut fastrand::Rng,
+        all: &mut Vec<(InvokerId, Tenths, f64)>,
+    ) {
         for (id, hop) in bed.out() {
             let (call, s) = (&bed.k.invs[&id].call, &bed.k.invs[&id].sent[hop]);
             if self.refuses(s.invoker, s.at) {
@@ -242,7 +283,14 @@
             let counts = self.counts_orders && self.is_cold(invoker) && at >= COLD;
             all.extend(counts.then_some((invoker, at, 1.0)));
             let refuses = self.refuses(invoker, at);
-            bed.held(0, if refuses { HoldOutcome::Unreachable } else { HoldOutcome::Standing });
+            bed.held(
+                0,
+                if refuses {
+                    HoldOutcome::Unreachable
+                } else {
+                    HoldOutcome::Standing
+                },
+            );
         }
     }
 
@@ -258,9 +306,14 @@
         let total: f64 = weights.iter().sum();
         let seed = |i: usize| i as u64 + 1_000 * (self.draw + 1);
         let of = |(i, weight): (usize, &f64)| self.attempts(seed(i), weight / total);
-        let mut all: Vec<(InvokerId, Tenths, f64)> = weights.iter().enumerate().flat_map(of).collect();
+        let mut all: Vec<(InvokerId, Tenths, f64)> =
+            weights.iter().enumerate().flat_map(of).collect();
         all.sort_unstable_by_key(|(w, at, _)| (*w, *at));
-        let mut judged = Judged { over: 0, windows: all.len(), fullest: 0.0 };
+        let mut judged = Judged {
+            over: 0,
+            windows: all.len(),
+            fullest: 0.0,
+        };
         let d = &self.stated;
         for (n, (w, from, _)) in all.iter().enumerate() {
             let end = from + d.tip_window;
@@ -287,7 +340,11 @@
 
 /// Beyond a budget of N calls, so many are put down to chance.
 fn chance(n: f64) -> f64 {
-    if n < 30.0 { 3.0 * n.sqrt() + 3.0 } else { 2.0 * n.sqrt() + 2.0 }
+    if n < 30.0 {
+        3.0 * n.sqrt() + 3.0
+    } else {
+        2.0 * n.sqrt() + 2.0
+    }
 }
 
 /// Asked for by the operators: beyond the budget only 2 x root of N + 2 are put down to chance, also where few controllers
@@ -298,8 +355,14 @@
         for draw in 0..draws {
             let judged = Scenario::new(controllers, draw).judged(|n| 2.0 * n.sqrt() + 2.0);
             println!("{controllers} controllers, draw {draw}: {judged:?}");
-            assert_eq!(judged.over, 0, "{controllers} controllers, draw {draw}: {judged:?}");
-            assert!(judged.windows > 300 && judged.fullest > 0.2, "{judged:?}: cold ones are used too");
+            assert_eq!(
+                judged.over, 0,
+                "{controllers} controllers, draw {draw}: {judged:?}"
+            );
+            assert!(
+                judged.windows > 300 && judged.fullest > 0.2,
+                "{judged:?}: cold ones are used too"
+            );
         }
     }
 }
@@ -310,8 +373,10 @@
     for controllers in [1, 2, 4, 8] {
         for calls in [1, 2, 5, 12, 30, 60] {
             for spread in [Spread::Even, Spread::OneHasMost] {
-                let scenario =
-                    Scenario { spread, ..Scenario::new(controllers, calls).with_first_budget(calls) };
+                let scenario = Scenario {
+                    spread,
+                    ..Scenario::new(controllers, calls).with_first_budget(calls)
+                };
                 let judged = scenario.judged(chance);
                 println!("{controllers} controllers, {calls} calls, {spread:?}: {judged:?}");
                 assert_eq!(
@@ -331,7 +396,10 @@
             change(&mut scenario);
             let judged = scenario.judged(chance);
             println!("{name}, {controllers} controllers, {calls} calls: {judged:?}");
-            assert_eq!(judged.over, 0, "{name}, {controllers} controllers, {calls} calls: {judged:?}");
+            assert_eq!(
+                judged.over, 0,
+                "{name}, {controllers} controllers, {calls} calls: {judged:?}"
+            );
             assert!(judged.windows > 0, "{name}: cold ones are used too");
         }
     }
@@ -359,7 +427,9 @@
 
 #[test]
 fn the_budget_holds_where_an_invoker_is_listed_before_its_start_is_told() {
-    holds_where("listed before its start", |s| s.news = News::ListedBeforeStart);
+    holds_where("listed before its start", |s| {
+        s.news = News::ListedBeforeStart
+    });
 }
 
 #[test]
@@ -372,6 +442,17 @@
 /// Controllers that take a cold invoker for one that is warm.
 #[test]
 fn the_judge_of_the_sum_catches_a_fleet_that_takes_too_much() {
-    let told = Deployment { cold_share: 1.0, ..deployment() };
-    assert!(Scenario { told, ..Scenario::new(30, 0) }.judged(|n| 2.0 * n.sqrt() + 2.0).over > 0);
+    let told = Deployment {
+        cold_share: 1.0,
+        ..deployment()
+    };
+    assert!(
+        Scenario {
+            told,
+            ..Scenario::new(30, 0)
+        }
+        .judged(|n| 2.0 * n.sqrt() + 2.0)
+        .over
+            > 0
+    );
 }
--- a/tests/ranking.rs
+++ b/tests/ranking.rs
@@ -10,7 +10,10 @@
 fn whole(function: FnId, ready: &BTreeMap<InvokerId, f64>) -> Vec<InvokerId> {
     let weight = |(w, size): (&InvokerId, &f64)| {
         let seed = function.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ u64::from(*w);
-        (-fastrand::Rng::with_seed(seed).f64().max(1e-18).ln() / size, *w)
+        (
+            -fastrand::Rng::with_seed(seed).f64().max(1e-18).ln() / size,
+            *w,
+        )
     };
     let mut all: Vec<(f64, InvokerId)> = ready.iter().map(weight).collect();
     all.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -29,9 +32,21 @@
 
 impl Fleet {
     fn new(invokers: u32, seed: u64) -> Self {
-        let d = Deployment { dispatch_limit: 255, controllers: 200, ..deployment() };
-        let (bed, rng) = (Bed::seeded(d, 0, seed), fastrand::Rng::with_seed(seed ^ 0x4a4));
-        let mut fleet = Self { bed, ready: BTreeMap::new(), rng, next: 1 };
+        let d = Deployment {
+            dispatch_limit: 255,
+            controllers: 200,
+            ..deployment()
+        };
+        let (bed, rng) = (
+            Bed::seeded(d, 0, seed),
+            fastrand::Rng::with_seed(seed ^ 0x4a4),
+        );
+        let mut fleet = Self {
+            bed,
+            ready: BTreeMap::new(),
+            rng,
+            next: 1,
+        };
         fleet.come(invokers);
         fleet
     }
@@ -39,16 +54,25 @@
     fn line(&mut self, w: InvokerId, life: Life) -> Listed {
         // Now and then one that nobody should list: it must neither hide the others nor hold them up.
         let odd = self.rng.u32(..200) == 0;
-        let size = if odd { 1e300 } else { [0.5, 1.0, 2.5, 4.0][self.rng.usize(..4)] };
+        let size = if odd {
+            1e300
+        } else {
+            [0.5, 1.0, 2.5, 4.0][self.rng.usize(..4)]
+        };
         match life {
             Life::Ready => self.ready.insert(w, size),
             Life::Draining | Life::Gone => self.ready.remove(&w),
         };
-        Listed { size, ..listed(w, life, LONG_PAST) }
+        Listed {
+            size,
+            ..listed(w, life, LONG_PAST)
+        }
     }
 
     fn come(&mut self, n: u32) {
-        let new: Vec<Listed> = (self.next..self.next + n).map(|w| self.line(w, Life::Ready)).collect();
+        let new: Vec<Listed> = (self.next..self.next + n)
+            .map(|w| self.line(w, Life::Ready))
+            .collect();
         self.next += n;
         self.bed.list(false, &new);
     }
@@ -66,7 +90,11 @@
         match self.rng.usize(..6) {
             0 => self.come(n as u32),
             1 | 2 => {
-                let life = if self.rng.bool() { Life::Gone } else { Life::Draining };
+                let life = if self.rng.bool() {
+                    Life::Gone
+                } else {
+                    Life::Draining
+                };
                 let named = self.some(n);
                 let lines: Vec<Listed> = named.into_iter().map(|w| self.line(w, life)).collect();
                 self.bed.list(false, &lines);
@@ -77,17 +105,24 @@
                 named.push(self.rng.u32(1..self.next));
                 named.sort_unstable();
                 named.dedup();
-                let lines: Vec<Listed> = named.into_iter().map(|w| self.line(w, Life::Ready)).collect();
+                let lines: Vec<Listed> = named
+                    .into_iter()
+                    .map(|w| self.line(w, Life::Ready))
+                    .collect();
                 self.bed.list(false, &lines);
             }
             // A whole list that leaves some out, and one that repeats what is known.
             _ => {
-                let gone = if self.rng.bool() { self.some(n) } else { Vec::new() };
+                let gone = if self.rng.bool() {
+                    self.some(n)
+                } else {
+                    Vec::new()
+                };
                 self.ready.retain(|w, _| !gone.contains(w));
-                let all = self
-                    .ready
-                    .iter()
-                    .map(|(w, size)| Listed { size: *size, ..listed(*w, Life::Ready, LONG_PAST) });
+                let all = self.ready.iter().map(|(w, size)| Listed {
+                    size: *size,
+                    ..listed(*w, Life::Ready, LONG_PAST)
+                });
                 self.bed.list(true, &all.collect::<Vec<_>>());
             }
         }
@@ -116,16 +151,27 @@
             for function in 0..6 {
                 let most = fleet.ready.len();
                 // Deeper than what is held at first, now and then.
-                let deep = if fleet.rng.u32(..12) == 0 { most.min(150) } else { most.min(2) };
+                let deep = if fleet.rng.u32(..12) == 0 {
+                    most.min(150)
+                } else {
+                    most.min(2)
+                };
                 let expected = whole(function, &fleet.ready);
                 let asked = fleet.asked(function, deep);
-                assert_eq!(asked, expected[..asked.len()], "seed {seed}: {function} of {most}");
+                assert_eq!(
+                    asked,
+                    expected[..asked.len()],
+                    "seed {seed}: {function} of {most}"
+                );
                 assert_eq!(asked.len(), deep);
                 beyond += usize::from(deep > 100);
             }
         }
     }
-    assert!(beyond > 300, "{beyond} walks went beyond what is held at first");
+    assert!(
+        beyond > 300,
+        "{beyond} walks went beyond what is held at first"
+    );
 }
 
 /// By count: a line costs each function that is used a few looks at invokers, not the fleet; what a function holds does not
@@ -149,17 +195,35 @@
             ask_all(&mut fleet);
             costs.push((fleet.bed.c.counted().rank_steps - before) / FUNCTIONS);
         }
-        (first.rank_steps / FUNCTIONS, costs, fleet.bed.c.counted().ranked / FUNCTIONS as usize)
+        (
+            first.rank_steps / FUNCTIONS,
+            costs,
+            fleet.bed.c.counted().ranked / FUNCTIONS as usize,
+        )
     };
     let (small, large) = (steps_and_held(500), steps_and_held(5_000));
     println!("{small:?} at 500, {large:?} at 5,000");
-    assert!(large.0 >= 5_000, "a function is ranked once over all: {large:?}");
+    assert!(
+        large.0 >= 5_000,
+        "a function is ranked once over all: {large:?}"
+    );
     for (lines, (few, many)) in [1, 40].into_iter().zip(small.1.iter().zip(&large.1)) {
         // Two picks walk 25 each; each line that comes is looked at once.
-        assert!(*many <= 2 * 30 + 2 * lines, "{lines} lines: {many} looks a function");
-        assert!(*many <= few + 20, "{lines} lines: {few} at 500, {many} at 5,000");
+        assert!(
+            *many <= 2 * 30 + 2 * lines,
+            "{lines} lines: {many} looks a function"
+        );
+        assert!(
+            *many <= few + 20,
+            "{lines} lines: {few} at 500, {many} at 5,000"
+        );
     }
-    assert!(large.2 <= 100 && large.2 <= 2 * small.2, "held: {} and {}", small.2, large.2);
+    assert!(
+        large.2 <= 100 && large.2 <= 2 * small.2,
+        "held: {} and {}",
+        small.2,
+        large.2
+    );
 }
 
 /// A fifth of a large fleet at once, and back cold at once: no turn looks at more than a bounded number.
@@ -177,13 +241,19 @@
     for back in [false, true] {
         let now = fleet.bed.k.now;
         let line = |w: &InvokerId| match back {
-            true => Listed { size: 2.0, ..listed(*w, Life::Ready, Some(now)) },
+            true => Listed {
+                size: 2.0,
+                ..listed(*w, Life::Ready, Some(now))
+            },
             false => listed(*w, Life::Gone, None),
         };
         let lines: Vec<Listed> = zone.iter().map(line).collect();
         let before = fleet.bed.c.counted().rank_steps;
         fleet.bed.list(false, &lines);
-        assert!(fleet.bed.c.counted().rank_steps == before, "the event itself ranks nothing");
+        assert!(
+            fleet.bed.c.counted().rank_steps == before,
+            "the event itself ranks nothing"
+        );
         for _ in 0..400 {
             let before = fleet.bed.c.counted().rank_steps;
             fleet.bed.pass(4 * MILLI);
@@ -201,15 +271,24 @@
 fn sizes_that_can_not_be_end_no_less_than_others() {
     for odd in [f64::INFINITY, f64::MAX, 0.0, -1e300, f64::NAN] {
         let mut fleet = Fleet::new(300, 5);
-        let lines: Vec<Listed> =
-            (1..=3).map(|w| Listed { size: odd, ..listed(w, Life::Ready, None) }).collect();
+        let lines: Vec<Listed> = (1..=3)
+            .map(|w| Listed {
+                size: odd,
+                ..listed(w, Life::Ready, None)
+            })
+            .collect();
         fleet.bed.list(false, &lines);
         (0..20).for_each(|function| assert_eq!(fleet.asked(function, 40).len(), 40, "{odd}"));
         let gone: Vec<Listed> = (1..=3).map(|w| listed(w, Life::Gone, None)).collect();
-        gone.iter().for_each(|l| fleet.ready.retain(|w, _| *w != l.invoker));
+        gone.iter()
+            .for_each(|l| fleet.ready.retain(|w, _| *w != l.invoker));
         fleet.bed.list(false, &gone);
         for function in 0..20 {
-            assert_eq!(fleet.asked(function, 2), whole(function, &fleet.ready)[..2], "{odd}");
+            assert_eq!(
+                fleet.asked(function, 2),
+                whole(function, &fleet.ready)[..2],
+                "{odd}"
+            );
         }
     }
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -12,7 +12,10 @@
     let mut d = deployment();
     d.trigger_types = vec![
         terms(Effect::Idempotent, Scope::All),
-        terms(Effect::Tokened, if on(0) { Scope::All } else { Scope::Zone }),
+        terms(
+            Effect::Tokened,
+            if on(0) { Scope::All } else { Scope::Zone },
+        ),
         terms(Effect::Tokened, Scope::Cell),
         terms(Effect::NonIdempotent, Scope::All),
     ];
@@ -37,8 +40,12 @@
     Outcome::Miss,
     Outcome::Succeeded,
 ];
-const HOLD_ENDS: [HoldOutcome; 4] =
-    [HoldOutcome::Standing, HoldOutcome::Standing, HoldOutcome::NoRoom, HoldOutcome::Unreachable];
+const HOLD_ENDS: [HoldOutcome; 4] = [
+    HoldOutcome::Standing,
+    HoldOutcome::Standing,
+    HoldOutcome::NoRoom,
+    HoldOutcome::Unreachable,
+];
 
 fn step(bed: &mut Bed, kind: u8, r: u32) {
     let n = r as usize;
@@ -50,7 +57,9 @@
         }
         8..=15 => {
             let out = bed.out();
-            let Some((id, hop)) = out.get(n % out.len().max(1)) else { return };
+            let Some((id, hop)) = out.get(n % out.len().max(1)) else {
+                return;
+            };
             let found = [None, Some(Found::Warm), Some(Found::BeganLoad)][n % 3];
             bed.answer(*id, *hop, ENDS[n / 7 % ENDS.len()], found);
         }
@@ -161,7 +170,10 @@
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut bed = Bed::seeded(shape(bits), invokers, seed);
     bed.k.even = false;
-    let sized = |l: Listed| Listed { size: [0.5, 1.0, 2.0, 4.0][l.invoker as usize % 4], ..l };
+    let sized = |l: Listed| Listed {
+        size: [0.5, 1.0, 2.0, 4.0][l.invoker as usize % 4],
+        ..l
+    };
     let all: Vec<Listed> = (1..=invokers).map(|w| sized(bed.k.list[&w].0)).collect();
     bed.list(true, &all);
     for _ in 0..300 {
@@ -180,12 +192,23 @@
     let mut note = |n: u64| digest = (digest ^ n).wrapping_mul(0x100_0000_01b3);
     for (id, t) in &bed.k.invs {
         note(u64::from(*id));
-        t.sent.iter().for_each(|s| [u64::from(s.invoker), s.at].into_iter().for_each(&mut note));
+        t.sent
+            .iter()
+            .for_each(|s| [u64::from(s.invoker), s.at].into_iter().for_each(&mut note));
         t.finals.iter().for_each(|f| note(f.len() as u64));
     }
-    bed.k.holds.iter().for_each(|(w, f, at)| [u64::from(*w), *f, *at].into_iter().for_each(&mut note));
-    bed.k.unloads.iter().for_each(|(w, f)| [u64::from(*w), *f].into_iter().for_each(&mut note));
-    bed.k.wakes.iter().for_each(|(at, token)| [*at, *token].into_iter().for_each(&mut note));
+    bed.k
+        .holds
+        .iter()
+        .for_each(|(w, f, at)| [u64::from(*w), *f, *at].into_iter().for_each(&mut note));
+    bed.k
+        .unloads
+        .iter()
+        .for_each(|(w, f)| [u64::from(*w), *f].into_iter().for_each(&mut note));
+    bed.k
+        .wakes
+        .iter()
+        .for_each(|(at, token)| [*at, *token].into_iter().for_each(&mut note));
     bed.k.come_back.iter().for_each(|at| note(*at));
     digest
 }
--- a/tests/store_down.rs
+++ b/tests/store_down.rs
@@ -13,7 +13,10 @@
 fn end_all(bed: &mut Bed, store_is_down: bool) -> usize {
     let out = bed.out();
     for (id, hop) in &out {
-        let (function, invoker) = (bed.k.invs[id].call.function, bed.k.invs[id].sent[*hop].invoker);
+        let (function, invoker) = (
+            bed.k.invs[id].call.function,
+            bed.k.invs[id].sent[*hop].invoker,
+        );
         if bed.k.stands.contains(&(function, invoker)) {
             bed.answer(*id, *hop, Outcome::Succeeded, Some(Found::Warm));
         } else if store_is_down {
@@ -24,7 +27,14 @@
         }
     }
     while !bed.k.holds.is_empty() {
-        bed.held(0, if store_is_down { HoldOutcome::LoadFailed } else { HoldOutcome::Standing });
+        bed.held(
+            0,
+            if store_is_down {
+                HoldOutcome::LoadFailed
+            } else {
+                HoldOutcome::Standing
+            },
+        );
     }
     out.len()
 }
@@ -48,11 +58,19 @@
     assert_eq!(first, 2, "the second failure, at another invoker, tells");
     for function in 2..40 {
         let id = bed.invoke(0, function, 4 * SECOND);
-        assert_eq!(bed.k.invs[&id].finals, ["throttled"], "at once, and it may come again");
+        assert_eq!(
+            bed.k.invs[&id].finals,
+            ["throttled"],
+            "at once, and it may come again"
+        );
         while end_all(&mut bed, true) > 0 {}
     }
     assert_eq!(attempts(&bed), first, "no load begins");
-    assert!(bed.k.come_back[1..].iter().all(|wait| *wait >= OPEN), "{:?}", bed.k.come_back);
+    assert!(
+        bed.k.come_back[1..].iter().all(|wait| *wait >= OPEN),
+        "{:?}",
+        bed.k.come_back
+    );
 }
 
 #[test]
@@ -65,7 +83,10 @@
         for function in 100..110 {
             bed.invoke(0, function, 4 * SECOND);
         }
-        assert!(attempts(&bed) <= before + 1, "one trial for ten that want a load");
+        assert!(
+            attempts(&bed) <= before + 1,
+            "one trial for ten that want a load"
+        );
         trials += attempts(&bed) - before;
         while end_all(&mut bed, true) > 0 {}
     }
@@ -101,7 +122,11 @@
     }
     let id = bed.invoke(0, 7, 4 * SECOND);
     assert!(
-        bed.k.invs[&id].sent.iter().all(|s| home.contains(&s.invoker)) && bed.k.invs[&id].sent.len() == 1
+        bed.k.invs[&id]
+            .sent
+            .iter()
+            .all(|s| home.contains(&s.invoker))
+            && bed.k.invs[&id].sent.len() == 1
     );
 }
 
@@ -119,8 +144,16 @@
             }
             for (id, hop) in out {
                 let broken = bed.k.invs[&id].sent[hop].invoker == 1;
-                let found = if broken { Found::LoadFailed } else { Found::BeganLoad };
-                let outcome = if broken { Outcome::Errored } else { Outcome::Succeeded };
+                let found = if broken {
+                    Found::LoadFailed
+                } else {
+                    Found::BeganLoad
+                };
+                let outcome = if broken {
+                    Outcome::Errored
+                } else {
+                    Outcome::Succeeded
+                };
                 ended_well += usize::from(!broken);
                 bed.answer(id, hop, outcome, Some(found));
             }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -58,16 +58,25 @@
     fn may_be_told(&self, w: InvokerId) {
         let (listed, told) = &self.list[&w];
         let late = listed.life != Life::Ready && self.now > told + self.stated.drain_grace;
-        assert!(!late, "rule 3: new work to {w}, {:?} since {told}, now {}", listed.life, self.now);
+        assert!(
+            !late,
+            "rule 3: new work to {w}, {:?} since {told}, now {}",
+            listed.life, self.now
+        );
     }
 
     /// Rule 2 for whatever is done next with an invocation that may have been dispatched before.
     fn harmless(&self, id: InvId, to: Option<InvokerId>) {
         let taken = &self.invs[&id];
         let terms = &self.stated.trigger_types[taken.call.trigger];
-        let risky: Vec<&Sent> =
-            taken.sent.iter().filter(|s| !s.ended.is_some_and(|end| end.never_ran())).collect();
-        let Some(first) = risky.iter().map(|s| s.at).min() else { return };
+        let risky: Vec<&Sent> = taken
+            .sent
+            .iter()
+            .filter(|s| !s.ended.is_some_and(|end| end.never_ran()))
+            .collect();
+        let Some(first) = risky.iter().map(|s| s.at).min() else {
+            return;
+        };
         let group = |w: InvokerId| match terms.scope {
             Scope::All => 0,
             Scope::Zone => u32::from(self.list[&w].0.zone),
@@ -75,21 +84,37 @@
         };
         match (terms.effect, to) {
             (Effect::Idempotent, _) => {}
-            (Effect::NonIdempotent, _) => panic!("rule 2: {id} may have run and is sent or throttled"),
-            (Effect::Tokened, None) => assert_eq!(terms.scope, Scope::All, "rule 2: {id} throttled"),
+            (Effect::NonIdempotent, _) => {
+                panic!("rule 2: {id} may have run and is sent or throttled")
+            }
+            (Effect::Tokened, None) => {
+                assert_eq!(terms.scope, Scope::All, "rule 2: {id} throttled")
+            }
             (Effect::Tokened, Some(w)) => {
-                assert!(risky.iter().all(|s| group(s.invoker) == group(w)), "rule 2: {id} left its group");
-                assert!(self.now <= first + terms.repeat_window, "rule 2: {id} past its window");
+                assert!(
+                    risky.iter().all(|s| group(s.invoker) == group(w)),
+                    "rule 2: {id} left its group"
+                );
+                assert!(
+                    self.now <= first + terms.repeat_window,
+                    "rule 2: {id} past its window"
+                );
             }
         }
     }
 
     fn finish(&mut self, id: InvId, how: &'static str) {
         let taken = self.invs.get_mut(&id).expect("an invocation taken");
-        assert!(!taken.gone, "rule 1: answer for {id}, whose client had left");
+        assert!(
+            !taken.gone,
+            "rule 1: answer for {id}, whose client had left"
+        );
         taken.finals.push(how);
         assert_eq!(taken.finals.len(), 1, "rule 1: {id} answered again");
-        self.after_waits.extend(self.in_timer.then(|| taken.call.expires.saturating_sub(self.now)));
+        self.after_waits.extend(
+            self.in_timer
+                .then(|| taken.call.expires.saturating_sub(self.now)),
+        );
     }
 
     /// What must hold whenever the controller has had its turn.
@@ -108,12 +133,27 @@
         self.harmless(id, Some(w));
         let out = |t: &Taken| t.sent.iter().filter(|s| s.ended.is_none()).count();
         let t = &self.invs[&id];
-        assert!(t.finals.is_empty() && !t.gone, "rule 1: {id} sent after its end");
-        assert!(self.stated.parallel_dispatches || out(t) == 0, "rule 2: {id} out twice at once");
-        assert!(t.sent.len() < usize::from(self.stated.dispatch_limit), "{id} sent too often");
-        self.invs.get_mut(&id).unwrap().sent.push(Sent { invoker: w, at: self.now, ended: None });
+        assert!(
+            t.finals.is_empty() && !t.gone,
+            "rule 1: {id} sent after its end"
+        );
+        assert!(
+            self.stated.parallel_dispatches || out(t) == 0,
+            "rule 2: {id} out twice at once"
+        );
+        assert!(
+            t.sent.len() < usize::from(self.stated.dispatch_limit),
+            "{id} sent too often"
+        );
+        self.invs.get_mut(&id).unwrap().sent.push(Sent {
+            invoker: w,
+            at: self.now,
+            ended: None,
+        });
         self.work.push((w, self.now));
-        let Some(started) = self.list[&w].0.started else { return };
+        let Some(started) = self.list[&w].0.started else {
+            return;
+        };
         let d = &self.stated;
         let age = ((self.now - started) as f64 / d.cold_time as f64).min(1.0);
         if age < 1.0 {
@@ -123,7 +163,10 @@
             let work = self.work.iter().filter(recent).count() as f64 * RUN as f64;
             // A part under one invocation may be drawn for; all of them together are checked by their test.
             let most = (d.tip_factor * risen * part).max(RUN as f64);
-            assert!(!self.even || work <= most, "rule 4: {work} of work to cold {w}, {risen} risen");
+            assert!(
+                !self.even || work <= most,
+                "rule 4: {work} of work to cold {w}, {risen} risen"
+            );
         }
     }
 
@@ -222,7 +265,15 @@
 
 pub fn listed(invoker: InvokerId, life: Life, started: Option<Tenths>) -> Listed {
     let zone = (invoker % 3) as u8;
-    Listed { invoker, zone, kind: 0, cell: u16::from(zone), life, size: 1.0, started }
+    Listed {
+        invoker,
+        zone,
+        kind: 0,
+        cell: u16::from(zone),
+        life,
+        size: 1.0,
+        started,
+    }
 }
 
 impl Bed {
@@ -257,8 +308,15 @@
             work: vec![],
         };
         let c = Controller::new(now, stated, seed, &mut k);
-        let mut bed = Self { c, k, tenant: 0, next: 0 };
-        let all: Vec<Listed> = (1..=invokers).map(|w| listed(w, Life::Ready, None)).collect();
+        let mut bed = Self {
+            c,
+            k,
+            tenant: 0,
+            next: 0,
+        };
+        let all: Vec<Listed> = (1..=invokers)
+            .map(|w| listed(w, Life::Ready, None))
+            .collect();
         bed.list(true, &all);
         bed
     }
@@ -274,8 +332,12 @@
             }
         }
         for l in entries {
-            let same =
-                self.k.list.get(&l.invoker).filter(|(old, _)| old.life == l.life).map(|(_, told)| *told);
+            let same = self
+                .k
+                .list
+                .get(&l.invoker)
+                .filter(|(old, _)| old.life == l.life)
+                .map(|(_, told)| *told);
             self.k.list.insert(l.invoker, (*l, same.unwrap_or(now)));
         }
         self.c.listed(now, whole, entries);
@@ -308,7 +370,15 @@
             load_hint: Some(SECOND),
         };
         self.k.taken.push(now);
-        self.k.invs.insert(id, Taken { call: call.clone(), sent: vec![], finals: vec![], gone: false });
+        self.k.invs.insert(
+            id,
+            Taken {
+                call: call.clone(),
+                sent: vec![],
+                finals: vec![],
+                gone: false,
+            },
+        );
         self.c.invoked(now, call, &mut self.k);
         self.k.check();
         id
@@ -325,7 +395,17 @@
         }
         let finished = !open || outcome == Outcome::Succeeded;
         let (hop, report) = (hop as u8, Report::default());
-        let a = Answer { inv: id, invoker, hop, finished, outcome, found, crowd: None, took, report };
+        let a = Answer {
+            inv: id,
+            invoker,
+            hop,
+            finished,
+            outcome,
+            found,
+            crowd: None,
+            took,
+            report,
+        };
         self.c.answered(now, a, &mut self.k);
         self.k.check();
     }
@@ -333,7 +413,14 @@
     pub fn held(&mut self, i: usize, outcome: HoldOutcome) {
         let (invoker, function, at) = self.k.holds.remove(i);
         let took = self.k.now - at;
-        let a = HoldAnswer { invoker, function, outcome, standing: 1, took, left: None };
+        let a = HoldAnswer {
+            invoker,
+            function,
+            outcome,
+            standing: 1,
+            took,
+            left: None,
+        };
         self.c.held(self.k.now, a, &mut self.k);
         self.k.check();
     }
@@ -366,7 +453,9 @@
         while self.k.now < end {
             self.k.now = (self.k.now + 4 * MILLI).min(end);
             let now = self.k.now;
-            let (due, later) = std::mem::take(&mut self.k.wakes).into_iter().partition(|(at, _)| *at <= now);
+            let (due, later) = std::mem::take(&mut self.k.wakes)
+                .into_iter()
+                .partition(|(at, _)| *at <= now);
             self.k.wakes = later;
             let due: Vec<(Tenths, u64)> = due;
             self.k.in_timer = true;
