--- a/crates/agent/src/follow.rs
+++ b/crates/agent/src/follow.rs
@@ -4,7 +4,7 @@
 use bytes::BytesMut;
 use saltdrum::port::Tenths;
 use saltdrum_layers::plan::Member;
-use saltdrum_link::{Address, Network};
+use saltdrum_transport::{Address, Network};
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::list::{Entry, Follow, FromList, Life};
 use std::collections::BTreeMap;
--- a/crates/agent/src/http.rs
+++ b/crates/agent/src/http.rs
@@ -6,7 +6,7 @@
 use hyper::{Request, StatusCode, header};
 use hyper_util::rt::TokioIo;
 use saltdrum::port::{MILLI, SECOND, Tenths};
-use saltdrum_link::{Address, Network};
+use saltdrum_transport::{Address, Network};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -18,7 +18,7 @@
     Ask, Ended, Fetcher, LoadId, Member, Need, STORE_OVER_PEER, Serving, Source,
 };
 use saltdrum_layers::{Chunk, Digest, Manifest, cut};
-use saltdrum_link::{Address, Clock, Network};
+use saltdrum_transport::{Address, Clock, Network};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/agent/src/peers.rs
+++ b/crates/agent/src/peers.rs
@@ -12,7 +12,7 @@
 use saltdrum_layers::manifest::CHUNK_MOST_BYTES;
 use saltdrum_layers::plan::Verdict;
 use saltdrum_layers::{Chunk, Digest, Packing};
-use saltdrum_link::Listener;
+use saltdrum_transport::Listener;
 use std::convert::Infallible;
 use std::pin::Pin;
 use std::rc::Rc;
--- a/crates/agent/tests/fleet.rs
+++ b/crates/agent/tests/fleet.rs
@@ -3,8 +3,8 @@
 use saltdrum_agent::{Agent, Fault, Peer, Seat};
 use saltdrum_layers::cache::{Cache, RealDisk};
 use saltdrum_layers::plan::Member;
-use saltdrum_link::{Address, Clock, Memory, Network, Sockets};
-use saltdrum_standin::Registry;
+use saltdrum_transport::{Address, Clock, Memory, Network, Sockets};
+use saltdrum_fakes::Registry;
 use std::future::Future;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -15,16 +15,16 @@
 use saltdrum_fleet::fleet::{self as agreed, About, MemberId, Phase};
 use saltdrum_fleet::next::{Batch, Seen};
 use saltdrum_fleet::register::{Config, Voter};
-use saltdrum_link::{Address, Clock, Sockets};
+use saltdrum_transport::{Address, Clock, Sockets};
 use saltdrum_protocol::list::Life;
-use saltdrum_rogue::leases::FaultySteward;
-use saltdrum_standin::Invoker;
-use saltdrum_steward::caller::{Caller, Fault};
-use saltdrum_steward::disk::{Disk, Identity, SCHEMA};
-use saltdrum_steward::member::Ended;
-use saltdrum_steward::server;
-use saltdrum_steward::wire::{Changed, Changes, DryRun, UNSETTLED};
-use saltdrum_steward::{CoordinatorConfig, FleetTerms, MemberRole, Membership, join, service};
+use saltdrum_faulty_peers::leases::FaultySteward;
+use saltdrum_fakes::Invoker;
+use saltdrum_coordinator::caller::{Caller, Fault};
+use saltdrum_coordinator::disk::{Disk, Identity, SCHEMA};
+use saltdrum_coordinator::member::Ended;
+use saltdrum_coordinator::server;
+use saltdrum_coordinator::wire::{Changed, Changes, DryRun, UNSETTLED};
+use saltdrum_coordinator::{CoordinatorConfig, FleetTerms, MemberRole, Membership, join, service};
 use serde::Deserialize;
 use serde_json::json;
 use std::cell::Cell;
@@ -565,7 +565,7 @@
         for caller in self.callers()? {
             match caller.call(method, what, PATIENCE).await {
                 Ok(told) => return Ok(told),
-                Err(Fault::Told { code, message }) if code == saltdrum_steward::wire::REFUSED => {
+                Err(Fault::Told { code, message }) if code == saltdrum_coordinator::wire::REFUSED => {
                     return Err(message);
                 }
                 Err(Fault::Told {
--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -1,10 +1,10 @@
 //! `saltdrum lab`: experiments, their reports, and the search for failing days.
 
 use clap::Subcommand;
-use saltdrum_day::{Cover, POLICIES, Serve, serve};
+use saltdrum_scenario::{Cover, POLICIES, Serve, serve};
 use saltdrum_lab::hunt::{Bounds, hunt};
 use saltdrum_lab::{Experiment, Script, report, run};
-use saltdrum_rogue::{FAULTS, Fault, careless, rogue};
+use saltdrum_faulty_peers::{FAULTS, Fault, careless, rogue};
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::time::Instant;
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -3,9 +3,9 @@
 use clap::Args;
 use comfy_table::{CellAlignment, Table, presets};
 use saltdrum::port::{MILLI, SECOND, Tenths};
-use saltdrum_day::{Day, traffic};
+use saltdrum_scenario::{Day, traffic};
 use saltdrum_deployment::units::span;
-use saltdrum_link::{Address, Clock, Sockets};
+use saltdrum_transport::{Address, Clock, Sockets};
 use saltdrum_load::retry::{End, Patience};
 use saltdrum_load::{Entry, Latencies, Played, Verdict, drive, trace};
 use serde_json::json;
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -318,7 +318,7 @@
             count_on,
             acts_before_seals,
         }) => {
-            let faults = saltdrum_standin::Faults {
+            let faults = saltdrum_fakes::Faults {
                 hangs,
                 errors,
                 loses_answers,
--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -2,7 +2,7 @@
 
 use saltdrum::port::{MILLI, Tenths};
 use saltdrum_controller::by_design;
-use saltdrum_link::{Clock, Sockets};
+use saltdrum_transport::{Clock, Sockets};
 use saltdrum_platform::{Life, serve};
 use std::env::var;
 use std::rc::Rc;
--- a/crates/cli/src/process.rs
+++ b/crates/cli/src/process.rs
@@ -27,7 +27,7 @@
     }
 }
 
-impl OpenFailure for saltdrum_steward::disk::Fault {
+impl OpenFailure for saltdrum_coordinator::disk::Fault {
     fn may_pass(&self) -> bool {
         self.may_pass()
     }
--- a/crates/cli/src/registry.rs
+++ b/crates/cli/src/registry.rs
@@ -6,7 +6,7 @@
 use clap::{Args, Subcommand};
 use saltdrum_layers::cut;
 use saltdrum_layers::layout::Layout;
-use saltdrum_link::{Address, Clock, Network, Sockets};
+use saltdrum_transport::{Address, Clock, Network, Sockets};
 use saltdrum_registry::call::Caller;
 use saltdrum_registry::{Name, Namespace, Role, Store, keys, service, store};
 use serde_json::{Value as Json, json};
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -8,17 +8,17 @@
 use saltdrum::port::SECOND;
 use saltdrum_controller::going::Going;
 use saltdrum_controller::{Make, NamesAt, Seat};
-use saltdrum_day::check::State;
-use saltdrum_day::{DAYS, Day, check as rules, play_on_sockets, play_virtually, summary};
+use saltdrum_scenario::check::State;
+use saltdrum_scenario::{DAYS, Day, check as rules, play_on_sockets, play_virtually, summary};
 use saltdrum_deployment::Terms;
 use saltdrum_layers::cache::{Cache, RealDisk};
 use saltdrum_layers::layout::Layout;
-use saltdrum_link::{Address, Clock, Network, Sockets, Turns, turning};
+use saltdrum_transport::{Address, Clock, Network, Sockets, Turns, turning};
 use saltdrum_protocol::list::{Entry, Life};
 use saltdrum_protocol::rpc;
 use saltdrum_registry::follow::Following;
-use saltdrum_standin::invoker::Site;
-use saltdrum_standin::{Faults, Invoker, List, Record, Registry, Store, record};
+use saltdrum_fakes::invoker::Site;
+use saltdrum_fakes::{Faults, Invoker, List, Record, Registry, Store, record};
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 use std::fs;
@@ -345,7 +345,7 @@
 pub fn play(name: &str, virtually: bool, json: bool, keep: Option<&Path>) -> Done {
     let (_, day) = day(name)?;
     let lines = if virtually {
-        play_virtually(&day, saltdrum_day::serve)
+        play_virtually(&day, saltdrum_scenario::serve)
     } else {
         let folder = std::env::temp_dir().join(format!("saltdrum-{}", std::process::id()));
         fs::create_dir_all(&folder).map_err(|e| e.to_string())?;
@@ -537,7 +537,7 @@
 }
 
 /// JSON-RPC by lines: `load {model, reference}` and `status`.
-async fn take_orders(agent: Rc<saltdrum_agent::Agent>, stream: saltdrum_link::Stream) {
+async fn take_orders(agent: Rc<saltdrum_agent::Agent>, stream: saltdrum_transport::Stream) {
     #[derive(serde::Deserialize)]
     #[serde(deny_unknown_fields)]
     struct Load {
--- a/crates/controller/src/clients.rs
+++ b/crates/controller/src/clients.rs
@@ -4,7 +4,7 @@
 use crate::going::Step;
 use bytes::Bytes;
 use saltdrum::port::{InvId, Tenths};
-use saltdrum_link::{ArrivalWatch, Clock, Listener, Outbox, Read, Stream, halves};
+use saltdrum_transport::{ArrivalWatch, Clock, Listener, Outbox, Read, Stream, halves};
 use saltdrum_protocol::rpc::{self, Call, Id, Line};
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -178,7 +178,7 @@
 async fn listen(
     front: &Rc<Front>,
     client: &Rc<Client>,
-    mut read: Read<saltdrum_link::Half>,
+    mut read: Read<saltdrum_transport::Half>,
 ) -> String {
     let mut searched = 0;
     loop {
--- a/crates/controller/src/desk.rs
+++ b/crates/controller/src/desk.rs
@@ -5,7 +5,7 @@
 use crate::decides::Decides;
 use bytes::Bytes;
 use saltdrum::port::*;
-use saltdrum_link::{Clock, Network, Turns};
+use saltdrum_transport::{Clock, Network, Turns};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
--- a/crates/controller/src/front.rs
+++ b/crates/controller/src/front.rs
@@ -10,7 +10,7 @@
 use crate::{clients, links, list, names};
 use saltdrum::port::*;
 use saltdrum_deployment::Terms;
-use saltdrum_link::{Address, Clock, Network, turning};
+use saltdrum_transport::{Address, Clock, Network, turning};
 use saltdrum_protocol::{invoker as wire, rpc};
 use saltdrum_registry::passage::{Fixed, Said, Unfixed};
 use serde_json::json;
--- a/crates/controller/src/going.rs
+++ b/crates/controller/src/going.rs
@@ -1,7 +1,7 @@
 //! How a controller goes without leaving anybody waiting: clients are told first, then nothing new is taken, then what was
 //! taken is answered.
 
-use saltdrum_link::Outbox;
+use saltdrum_transport::Outbox;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/controller/src/links.rs
+++ b/crates/controller/src/links.rs
@@ -5,7 +5,7 @@
 use crate::redial::Redial;
 use bytes::{Bytes, BytesMut};
 use saltdrum::port::*;
-use saltdrum_link::{Address, Half, Outbox, Stream, Ticket, halves};
+use saltdrum_transport::{Address, Half, Outbox, Stream, Ticket, halves};
 use saltdrum_protocol::frame::{Message, cut, encode};
 use saltdrum_protocol::invoker as wire;
 use saltdrum_protocol::list::Entry;
--- a/crates/controller/src/list.rs
+++ b/crates/controller/src/list.rs
@@ -4,7 +4,7 @@
 use crate::links::{Link, cut_off};
 use crate::redial::Redial;
 use saltdrum::port::*;
-use saltdrum_link::{Address, Read};
+use saltdrum_transport::{Address, Read};
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::list as wire;
 use std::rc::Rc;
--- a/crates/controller/tests/sockets.rs
+++ b/crates/controller/tests/sockets.rs
@@ -6,7 +6,7 @@
 use saltdrum_controller::going::{Going, Step};
 use saltdrum_controller::{Decides, Make, Seat, serve};
 use saltdrum_deployment::Terms;
-use saltdrum_link::{Address, Clock, Memory, Network, Stream};
+use saltdrum_transport::{Address, Clock, Memory, Network, Stream};
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::invoker::{self as wire, Ended};
 use saltdrum_protocol::list;
@@ -101,7 +101,7 @@
 }
 
 /// Shakes hands with the controller on a new link.
-async fn shaken(door: &mut Box<dyn saltdrum_link::Listener>) -> (Stream, BytesMut) {
+async fn shaken(door: &mut Box<dyn saltdrum_transport::Listener>) -> (Stream, BytesMut) {
     let (mut stream, mut read) = (door.accept().await.unwrap(), BytesMut::new());
     let hello = frame(&mut stream, &mut read).await.unwrap();
     assert!(matches!(
--- a/crates/steward/examples/agreement.rs
+++ b/crates/coordinator/examples/agreement.rs
@@ -1,6 +1,6 @@
 //! What agreement and membership cost: three stewards on threads of their own, Unix sockets, real files.
 //!
-//!     cargo run --release -p saltdrum-steward --example agreement
+//!     cargo run --release -p saltdrum-coordinator --example agreement
 
 #![expect(clippy::disallowed_methods, reason = "this measures time")]
 
@@ -8,11 +8,11 @@
 use saltdrum_fleet::change::Change;
 use saltdrum_fleet::fleet::{About, Fleet, MemberId};
 use saltdrum_fleet::register::{Config, Voter};
-use saltdrum_link::{Address, Clock, Sockets};
-use saltdrum_steward::caller::Caller;
-use saltdrum_steward::disk::{Disk, Identity, SCHEMA};
-use saltdrum_steward::wire::{Changed, Changes, Renew, Standing};
-use saltdrum_steward::{CoordinatorConfig, FleetTerms, service};
+use saltdrum_transport::{Address, Clock, Sockets};
+use saltdrum_coordinator::caller::Caller;
+use saltdrum_coordinator::disk::{Disk, Identity, SCHEMA};
+use saltdrum_coordinator::wire::{Changed, Changes, Renew, Standing};
+use saltdrum_coordinator::{CoordinatorConfig, FleetTerms, service};
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::rc::Rc;
--- a/crates/steward/src/caller.rs
+++ b/crates/coordinator/src/caller.rs
@@ -3,7 +3,7 @@
 use crate::wire::{LINE_MOST_BYTES, STRANGER, Said, version_of};
 use bytes::{Bytes, BytesMut};
 use saltdrum::port::Tenths;
-use saltdrum_link::{Address, Network, Outbox, Stream, halves};
+use saltdrum_transport::{Address, Network, Outbox, Stream, halves};
 use saltdrum_protocol::rpc::ReplyError;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
--- a/crates/steward/src/coordinator.rs
+++ b/crates/coordinator/src/coordinator.rs
@@ -9,7 +9,7 @@
 use saltdrum_fleet::fleet::Fleet;
 use saltdrum_fleet::monitor::{MemberMonitor, Timeouts};
 use saltdrum_fleet::register::{Acceptor, Ballot};
-use saltdrum_link::{Address, Clock, Network};
+use saltdrum_transport::{Address, Clock, Network};
 use serde_json::json;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/steward/src/list.rs
+++ b/crates/coordinator/src/list.rs
@@ -5,7 +5,7 @@
 use bytes::BytesMut;
 use saltdrum::port::Tenths;
 use saltdrum_fleet::fleet::{Fleet, Kind, Member, Phase};
-use saltdrum_link::{Listener, Outbox, Stream, halves};
+use saltdrum_transport::{Listener, Outbox, Stream, halves};
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::list::{Change, Entry, Life, ToList, Whole};
 use std::collections::BTreeMap;
--- a/crates/steward/src/member.rs
+++ b/crates/coordinator/src/member.rs
@@ -8,7 +8,7 @@
 use saltdrum_fleet::change::Change;
 use saltdrum_fleet::fleet::{About, MemberId, Phase};
 use saltdrum_fleet::next::Seen;
-use saltdrum_link::{Address, Clock, Network};
+use saltdrum_transport::{Address, Clock, Network};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use tokio::sync::Notify;
--- a/crates/steward/src/server.rs
+++ b/crates/coordinator/src/server.rs
@@ -3,7 +3,7 @@
 use crate::wire::{LINE_MOST_BYTES, STRANGER, Said, version_of};
 use bytes::{Bytes, BytesMut};
 use saltdrum::port::{MILLI, Tenths};
-use saltdrum_link::{Address, Clock, Half, Network, Outbox, Stream, halves};
+use saltdrum_transport::{Address, Clock, Half, Network, Outbox, Stream, halves};
 use saltdrum_protocol::rpc::{self, Call, Id, Line};
 use serde::de::DeserializeOwned;
 use serde_json::value::RawValue;
--- a/crates/steward/src/service.rs
+++ b/crates/coordinator/src/service.rs
@@ -9,7 +9,7 @@
 use saltdrum_fleet::fleet::Fleet;
 use saltdrum_fleet::next::{dry_run, waits_for};
 use saltdrum_fleet::register::Acceptor;
-use saltdrum_link::{Address, Clock, Network};
+use saltdrum_transport::{Address, Clock, Network};
 use saltdrum_protocol::rpc::{self, Call};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
--- a/crates/steward/tests/all/leases.rs
+++ b/crates/coordinator/tests/all/leases.rs
@@ -1,6 +1,6 @@
 //! Leases under drawn faults: kills with torn and older disks, stalls, one-way cuts, partitions, late lines, clocks at half and
 //! twice the rate and far ahead, full disks, operators who pause. A failing seed is printed;
-//! `SEED=n cargo test -p saltdrum-steward --test all one_lease_seed` plays it again. `SEEDS=1000 FROM=12` plays others than CI.
+//! `SEED=n cargo test -p saltdrum-coordinator --test all one_lease_seed` plays it again. `SEEDS=1000 FROM=12` plays others than CI.
 
 use crate::holder::LeaseMode;
 use crate::world::{JOURNALS, SMALL, STEWARDS, Size, TASK, World};
--- a/crates/steward/tests/all/many_days.rs
+++ b/crates/coordinator/tests/all/many_days.rs
@@ -1,4 +1,4 @@
-//! Drawn faults under drawn asks. A failing seed is printed; `SEED=n cargo test -p saltdrum-steward one_seed` plays it again.
+//! Drawn faults under drawn asks. A failing seed is printed; `SEED=n cargo test -p saltdrum-coordinator one_seed` plays it again.
 //! `SEEDS=1000 FROM=24` plays others than CI does.
 
 use crate::world::{SMALL, STEWARDS, World};
--- a/crates/steward/tests/all/world.rs
+++ b/crates/coordinator/tests/all/world.rs
@@ -3,7 +3,7 @@
 use crate::disk::Disk as Platter;
 use crate::holder::{self, LeaseMode};
 use saltdrum::port::{MILLI, SECOND, Tenths};
-use saltdrum_ether::{Ether, Hold, Line as Wire, Lines, stoppable};
+use saltdrum_simulated_network::{Ether, Hold, Line as Wire, Lines, stoppable};
 use saltdrum_fleet::bounds::{Bound, Per};
 use saltdrum_fleet::change::Change;
 use saltdrum_fleet::fleet::{About, Fleet, Kind, MemberId, Phase};
@@ -11,12 +11,12 @@
 use saltdrum_fleet::next::Seen;
 use saltdrum_fleet::register::{Config, Voter};
 use saltdrum_leases::journal::{Accepted, JournalDisk};
-use saltdrum_link::{Address, Clock, Turns};
-use saltdrum_steward::caller::Caller;
-use saltdrum_steward::disk::{Disk, Identity, SCHEMA};
-use saltdrum_steward::member::Ended;
-use saltdrum_steward::wire::{Changed, Changes, Renew, Standing};
-use saltdrum_steward::{
+use saltdrum_transport::{Address, Clock, Turns};
+use saltdrum_coordinator::caller::Caller;
+use saltdrum_coordinator::disk::{Disk, Identity, SCHEMA};
+use saltdrum_coordinator::member::Ended;
+use saltdrum_coordinator::wire::{Changed, Changes, Renew, Standing};
+use saltdrum_coordinator::{
     CoordinatorConfig, FleetTerms, LeaseWatch, MemberRole, Membership, join, service,
 };
 use saltdrum_trial::record::Line;
--- a/crates/standin/src/disk.rs
+++ b/crates/fakes/src/disk.rs
@@ -2,7 +2,7 @@
 
 use saltdrum::port::Tenths;
 use saltdrum_layers::cache::{Disk, RealDisk};
-use saltdrum_link::Clock;
+use saltdrum_transport::Clock;
 use std::cell::RefCell;
 use std::fs::{self, OpenOptions};
 use std::io;
--- a/crates/standin/src/invoker.rs
+++ b/crates/fakes/src/invoker.rs
@@ -8,7 +8,7 @@
 use saltdrum_agent::{Agent, Peer, Seat};
 use saltdrum_deployment::{Terms, terms};
 use saltdrum_layers::cache::{Cache, Disk};
-use saltdrum_link::{Address, Clock, Half, Network, Outbox, Read, Stream, Turns, halves};
+use saltdrum_transport::{Address, Clock, Half, Network, Outbox, Read, Stream, Turns, halves};
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::invoker as wire;
 use saltdrum_protocol::{list, store};
--- a/crates/standin/src/list.rs
+++ b/crates/fakes/src/list.rs
@@ -3,7 +3,7 @@
 use crate::record::{Line, Record, Who};
 use bytes::BytesMut;
 use saltdrum::port::Tenths;
-use saltdrum_link::{Address, Clock, Network, Outbox, Stream, halves};
+use saltdrum_transport::{Address, Clock, Network, Outbox, Stream, halves};
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::list::{Change, Entry, FromList, Life, ToList, Whole};
 use std::cell::{Cell, RefCell};
--- a/crates/standin/src/platform.rs
+++ b/crates/fakes/src/platform.rs
@@ -4,7 +4,7 @@
 use crate::record::{How, Line, Record, Try, Who};
 use bytes::{Buf, Bytes, BytesMut};
 use saltdrum::port::{Life, MILLI, Tenths};
-use saltdrum_link::{Address, Clock, Network, Stream};
+use saltdrum_transport::{Address, Clock, Network, Stream};
 use saltdrum_platform_wire::feed::{self, Event, Line as Listing};
 use saltdrum_platform_wire::frames::{self, Code};
 use std::cell::{Cell, RefCell};
--- a/crates/standin/src/registry.rs
+++ b/crates/fakes/src/registry.rs
@@ -10,7 +10,7 @@
 use hyper_util::rt::TokioIo;
 use saltdrum_layers::manifest::{MANIFEST_TYPE, Manifest};
 use saltdrum_layers::{Digest, cut};
-use saltdrum_link::{Address, Network};
+use saltdrum_transport::{Address, Network};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::convert::Infallible;
--- a/crates/standin/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -3,7 +3,7 @@
 use crate::record::{Line, Record};
 use bytes::BytesMut;
 use saltdrum::port::{MILLI, Tenths};
-use saltdrum_link::{Address, Clock, Network, Stream};
+use saltdrum_transport::{Address, Clock, Network, Stream};
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::store as wire;
 use std::cell::{Cell, RefCell};
--- a/crates/rogue/src/lib.rs
+++ b/crates/faulty-peers/src/lib.rs
@@ -8,7 +8,7 @@
 
 use bytes::{Bytes, BytesMut};
 use saltdrum_controller::Seat;
-use saltdrum_link::{Clock, Network, Outbox, halves};
+use saltdrum_transport::{Clock, Network, Outbox, halves};
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::invoker as wire;
 use saltdrum_protocol::{list, rpc};
@@ -167,7 +167,7 @@
         }
     }
 
-    async fn listen(self: Rc<Self>, mut input: saltdrum_link::Half, to: Outbox) {
+    async fn listen(self: Rc<Self>, mut input: saltdrum_transport::Half, to: Outbox) {
         let mut read = BytesMut::new();
         while let Ok(1..) = input.read_buf(&mut read).await {
             while let Some(end) = read.iter().position(|b| *b == b'\n') {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -10,7 +10,7 @@
 //! none after an agreed halt; a grant that was taken back can't be begun. None of it rests on a clock. ArrivalWindow makes
 //! members count as out, never as in.
 //!
-//! Not here: streams, disks, timers (`crates/steward`). Start reading at `register`, then `change`.
+//! Not here: streams, disks, timers (`crates/coordinator`). Start reading at `register`, then `change`.
 
 pub mod bounds;
 pub mod change;
--- a/crates/lab/src/draw.rs
+++ b/crates/lab/src/draw.rs
@@ -2,7 +2,7 @@
 
 use crate::Script;
 use saltdrum::port::SECOND;
-use saltdrum_day::Day;
+use saltdrum_scenario::Day;
 use saltdrum_deployment::{Statement, script::Place};
 use serde_json::{Map, Value as Json, json};
 
@@ -89,7 +89,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use saltdrum_day::DAYS;
+    use saltdrum_scenario::DAYS;
     use std::collections::BTreeSet;
 
     #[test]
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -2,7 +2,7 @@
 
 use crate::Script;
 use crate::plan::{Cell, cells};
-use saltdrum_day::{DAYS, POLICIES};
+use saltdrum_scenario::{DAYS, POLICIES};
 use saltdrum_deployment::{Fault, script};
 use serde::Deserialize;
 use serde_json::{Map, Value as Json};
@@ -249,8 +249,8 @@
                 (4, 2, true)
             );
             assert_eq!(
-                saltdrum_day::traffic::draw(&a),
-                saltdrum_day::traffic::draw(&b)
+                saltdrum_scenario::traffic::draw(&a),
+                saltdrum_scenario::traffic::draw(&b)
             );
         }
     }
--- a/crates/lab/src/facts.rs
+++ b/crates/lab/src/facts.rs
@@ -1,8 +1,8 @@
 //! What is kept of a run, from its record alone.
 
 use saltdrum::port::{MILLI, Tenths};
-use saltdrum_day::{State, check::check, summary};
-use saltdrum_standin::record::{How, Line, Try, write};
+use saltdrum_scenario::{State, check::check, summary};
+use saltdrum_fakes::record::{How, Line, Try, write};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -128,7 +128,7 @@
                     .iter()
                     .map(|t| (t.name.clone(), t.objective))
                     .collect();
-                let none = |p: &saltdrum_standin::record::Place| Invoker {
+                let none = |p: &saltdrum_fakes::record::Place| Invoker {
                     invoker: p.invoker,
                     dispatches: 0,
                     fetches: 0,
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -3,7 +3,7 @@
 use crate::draw::troubled;
 use crate::shrink::{Shrunk, shrink};
 use crate::{Script, facts};
-use saltdrum_day::{Cover, play_covered};
+use saltdrum_scenario::{Cover, play_covered};
 
 /// What a day must keep besides the rules.
 #[derive(Clone, Copy, Debug, Default)]
--- a/crates/lab/src/meter.rs
+++ b/crates/lab/src/meter.rs
@@ -1,8 +1,8 @@
 //! What the controllers of a run cost, apart from all that stands in for the rest of the world.
 
 use saltdrum_controller::Seat;
-use saltdrum_day::Serve;
-use saltdrum_link::{Clock, Network};
+use saltdrum_scenario::Serve;
+use saltdrum_transport::{Clock, Network};
 use std::cell::Cell;
 use std::future::Future;
 use std::io;
@@ -14,7 +14,7 @@
 
 thread_local! {
     // A run stays on its thread, and a seat takes a plain function: there is no other way to hand it something.
-    static METERED: Cell<Serve> = const { Cell::new(saltdrum_day::serve) };
+    static METERED: Cell<Serve> = const { Cell::new(saltdrum_scenario::serve) };
     static SPENT_S: Cell<f64> = const { Cell::new(0.0) };
 }
 
--- a/crates/lab/src/script.rs
+++ b/crates/lab/src/script.rs
@@ -1,6 +1,6 @@
 //! A day's script as its statements: they can be changed, and written out as a script again.
 
-use saltdrum_day::Day;
+use saltdrum_scenario::Day;
 use saltdrum_deployment::{Fault, Statement, script};
 use serde_json::{Map, Value as Json, json};
 
@@ -148,7 +148,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use saltdrum_day::DAYS;
+    use saltdrum_scenario::DAYS;
 
     #[test]
     fn what_is_written_out_is_the_same_day() {
--- a/crates/lab/src/shrink.rs
+++ b/crates/lab/src/shrink.rs
@@ -120,7 +120,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use saltdrum_day::DAYS;
+    use saltdrum_scenario::DAYS;
 
     #[test]
     fn what_does_not_matter_goes_and_what_does_stays() {
--- a/crates/lab/tests/lab.rs
+++ b/crates/lab/tests/lab.rs
@@ -1,10 +1,10 @@
 //! Experiments and searches on real days, small ones.
 
-use saltdrum_day::{Cover, DAYS, Serve};
+use saltdrum_scenario::{Cover, DAYS, Serve};
 use saltdrum_lab::hunt::{Bounds, hunt};
 use saltdrum_lab::{Experiment, Script, results, run};
-use saltdrum_rogue::{Fault, careless, rogue};
-use saltdrum_standin::record::Line;
+use saltdrum_faulty_peers::{Fault, careless, rogue};
+use saltdrum_fakes::record::Line;
 use std::fs;
 use std::path::Path;
 
@@ -77,7 +77,7 @@
         .unwrap()
         .day()
         .unwrap();
-    let lines = saltdrum_day::play_virtually(&day, saltdrum_day::serve).unwrap();
+    let lines = saltdrum_scenario::play_virtually(&day, saltdrum_scenario::serve).unwrap();
     let (rows, facts) = saltdrum_lab::facts::of(&lines, None).unwrap();
     assert!(kept.rows == rows && rows.len() > 200 && facts.digest == kept.facts.digest);
     assert_eq!(kept.facts.slow.len(), 6);
@@ -142,7 +142,7 @@
         least_value: Some(least),
         only_rule: None,
     };
-    let real = Cover::of(saltdrum_day::serve);
+    let real = Cover::of(saltdrum_scenario::serve);
     let found = hunt(&base, real, of(0.9), 1, 40, 40, 4).unwrap().unwrap();
     assert!(
         found.why.starts_with("value: billed value"),
@@ -183,19 +183,19 @@
         "{}",
         again.text()
     );
-    let lines = saltdrum_day::play_virtually(&day, serve).unwrap();
-    let broken = saltdrum_day::check::check(&lines).unwrap();
+    let lines = saltdrum_scenario::play_virtually(&day, serve).unwrap();
+    let broken = saltdrum_scenario::check::check(&lines).unwrap();
     assert!(
         broken
             .iter()
-            .any(|v| v.state == saltdrum_day::State::Broken),
+            .any(|v| v.state == saltdrum_scenario::State::Broken),
         "{}",
         again.text()
     );
-    let kept = saltdrum_day::play_virtually(&day, saltdrum_day::serve).unwrap();
-    let kept = saltdrum_day::check::check(&kept).unwrap();
+    let kept = saltdrum_scenario::play_virtually(&day, saltdrum_scenario::serve).unwrap();
+    let kept = saltdrum_scenario::check::check(&kept).unwrap();
     assert!(
-        kept.iter().all(|v| v.state != saltdrum_day::State::Broken),
+        kept.iter().all(|v| v.state != saltdrum_scenario::State::Broken),
         "the real one keeps them"
     );
 }
@@ -228,8 +228,8 @@
 traffic(tenant = "hill", functions = ["voice", "tour"], per_second = 20, work = "30ms")
 "#;
 
-fn copies(day: &saltdrum_day::Day, cover: Cover) -> (usize, usize) {
-    let lines = saltdrum_day::play_covered(day, cover).unwrap();
+fn copies(day: &saltdrum_scenario::Day, cover: Cover) -> (usize, usize) {
+    let lines = saltdrum_scenario::play_covered(day, cover).unwrap();
     let of = |l: &Line| {
         if let Line::Copied { sound, .. } = l {
             Some(*sound)
@@ -245,7 +245,7 @@
 fn a_cache_that_skips_a_digest_is_found() {
     let base = Script::read("layers", WITH_LAYERS).unwrap();
     let planted = Cover {
-        serve: saltdrum_day::serve,
+        serve: saltdrum_scenario::serve,
         brings: Some(careless),
     };
     let found = hunt(&base, planted, Bounds::default(), 1, BUDGET, 60, 4)
@@ -255,10 +255,10 @@
     let day = found.shrunk.script.day().unwrap();
     assert!(copies(&day, planted).1 > 0);
     // The real one, on the very day, loads as much and throws away what is damaged.
-    let (all, unsound) = copies(&day, Cover::of(saltdrum_day::serve));
+    let (all, unsound) = copies(&day, Cover::of(saltdrum_scenario::serve));
     assert!(all > 0 && unsound == 0, "{all} {unsound}");
-    let kept = saltdrum_day::Day::load("found", include_str!("found/skips-digests.star")).unwrap();
-    assert!(copies(&kept, planted).1 > 0 && copies(&kept, Cover::of(saltdrum_day::serve)).1 == 0);
+    let kept = saltdrum_scenario::Day::load("found", include_str!("found/skips-digests.star")).unwrap();
+    assert!(copies(&kept, planted).1 > 0 && copies(&kept, Cover::of(saltdrum_scenario::serve)).1 == 0);
 }
 
 #[test]
@@ -270,22 +270,22 @@
          trouble('power_cut', at = '2s', lasts = '500ms', invokers = [1, 2], part = 0.9, delay = '10s')\n\
          trouble('power_cut', at = '4s', lasts = '500ms', invokers = [1, 3], part = 0.9, delay = '10s')\n"
     );
-    let day = saltdrum_day::Day::load("torn", &text).unwrap();
+    let day = saltdrum_scenario::Day::load("torn", &text).unwrap();
     let (mut damaged, mut all) = (0, 0);
     for seed in 0..6 {
-        let day = saltdrum_day::Day {
+        let day = saltdrum_scenario::Day {
             seed,
             ..day.clone()
         };
-        let lines = saltdrum_day::play_virtually(&day, saltdrum_day::serve).unwrap();
-        let verdicts = saltdrum_day::check::check(&lines).unwrap();
+        let lines = saltdrum_scenario::play_virtually(&day, saltdrum_scenario::serve).unwrap();
+        let verdicts = saltdrum_scenario::check::check(&lines).unwrap();
         assert!(
             verdicts
                 .iter()
-                .all(|v| v.state != saltdrum_day::State::Broken),
+                .all(|v| v.state != saltdrum_scenario::State::Broken),
             "seed {seed}"
         );
-        let sum = saltdrum_day::summary::sum_up("torn", &lines, verdicts)
+        let sum = saltdrum_scenario::summary::sum_up("torn", &lines, verdicts)
             .layers
             .unwrap();
         assert_eq!(sum.unsound, 0, "seed {seed}");
@@ -370,17 +370,17 @@
         ),
     ];
     for (name, text, rule, serve) in found {
-        let day = saltdrum_day::Day::load(name, text).unwrap();
+        let day = saltdrum_scenario::Day::load(name, text).unwrap();
         let broken = |serve: Serve| {
-            let lines = saltdrum_day::play_virtually(&day, serve).unwrap();
-            let verdicts = saltdrum_day::check::check(&lines).unwrap();
+            let lines = saltdrum_scenario::play_virtually(&day, serve).unwrap();
+            let verdicts = saltdrum_scenario::check::check(&lines).unwrap();
             verdicts
                 .iter()
-                .filter(|v| v.state == saltdrum_day::State::Broken)
+                .filter(|v| v.state == saltdrum_scenario::State::Broken)
                 .map(|v| v.rule)
                 .collect::<Vec<_>>()
         };
         assert!(broken(serve).contains(&rule), "{name}");
-        assert_eq!(broken(saltdrum_day::serve), Vec::<u8>::new(), "{name}");
+        assert_eq!(broken(saltdrum_scenario::serve), Vec::<u8>::new(), "{name}");
     }
 }
--- a/crates/load/src/drive.rs
+++ b/crates/load/src/drive.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use saltdrum::port::{Effect, MILLI, Tenths};
 use saltdrum_deployment::Terms;
-use saltdrum_link::{Address, Clock, Network, Outbox, Read, Turns, halves, turning};
+use saltdrum_transport::{Address, Clock, Network, Outbox, Read, Turns, halves, turning};
 use saltdrum_protocol::rpc;
 use serde_json::json;
 use std::cell::{Cell, RefCell};
@@ -263,7 +263,7 @@
     }
 }
 
-async fn listen(read: &mut Read<saltdrum_link::Half>, waiting: &Waiting) {
+async fn listen(read: &mut Read<saltdrum_transport::Half>, waiting: &Waiting) {
     while let Ok(Some(_)) = read.more().await {
         while let Some(end) = read.bytes.iter().position(|b| *b == b'\n') {
             let line = read.bytes.split_to(end + 1);
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -2,7 +2,7 @@
 //! was meant to be sent.
 //!
 //! `shape`, `popularity`, `retry`, `lag` and `mend` decide and do no I/O; `trace` reads and writes recorded load as
-//! Parquet files; `drive` sends it over whatever [`saltdrum_link::Network`] it is handed.
+//! Parquet files; `drive` sends it over whatever [`saltdrum_transport::Network`] it is handed.
 
 pub mod drive;
 pub mod lag;
--- a/crates/load/tests/freeze.rs
+++ b/crates/load/tests/freeze.rs
@@ -2,8 +2,8 @@
 
 use saltdrum::port::{SECOND, Tenths};
 use saltdrum_deployment::Terms;
-use saltdrum_ether::{Ether, Hold, Line, Lines, stoppable};
-use saltdrum_link::{Address, Clock, Network, Turns, halves};
+use saltdrum_simulated_network::{Ether, Hold, Line, Lines, stoppable};
+use saltdrum_transport::{Address, Clock, Network, Turns, halves};
 use saltdrum_load::retry::{End, Patience};
 use saltdrum_load::{Entry, Latencies, Played, Shape, Verdict, drive, shape::arrivals};
 use std::rc::Rc;
--- a/crates/platform-wire/src/config.rs
+++ b/crates/platform-wire/src/config.rs
@@ -3,7 +3,7 @@
 
 use crate::feed::{Event, Line, id_of};
 use saltdrum::port::{Deployment, Life, Tenths};
-use saltdrum_stated::{Pairs, Stated};
+use saltdrum_settings::{Pairs, Stated};
 use serde_json::Value;
 use std::net::SocketAddrV4;
 
@@ -141,7 +141,7 @@
     let Stated {
         deployment,
         report: _,
-    } = saltdrum_stated::read(&pairs).map_err(of_settings)?;
+    } = saltdrum_settings::read(&pairs).map_err(of_settings)?;
     let trigger_names = (0..deployment.trigger_types.len())
         .map(|i| {
             pairs
--- a/crates/platform/src/attempt.rs
+++ b/crates/platform/src/attempt.rs
@@ -9,7 +9,7 @@
 use hyper::header::HeaderValue;
 use saltdrum::port::*;
 use saltdrum_controller::desk::Told;
-use saltdrum_link::{Address, Backlog, is_local_failure};
+use saltdrum_transport::{Address, Backlog, is_local_failure};
 use saltdrum_platform_wire::{frames, http};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -294,7 +294,7 @@
 
 /// A stream that counts against the budget until it is closed.
 struct Held {
-    stream: saltdrum_link::Stream,
+    stream: saltdrum_transport::Stream,
     _counted: Counted,
 }
 
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -6,7 +6,7 @@
 use crate::reach::Front;
 use saltdrum::port::{InvId, MILLI, SECOND, Tenths};
 use saltdrum_controller::desk::{Final, Owed};
-use saltdrum_link::{ArrivalWatch, Listener, Outbox};
+use saltdrum_transport::{ArrivalWatch, Listener, Outbox};
 use saltdrum_platform_wire::frames::{self, Code};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -301,7 +301,7 @@
     pub stream: u32,
     pub txn: u64,
     pub txns: Rc<RefCell<BTreeSet<u64>>>,
-    pub clock: saltdrum_link::Clock,
+    pub clock: saltdrum_transport::Clock,
 }
 
 impl Drop for Reply {
--- a/crates/platform/src/connection.rs
+++ b/crates/platform/src/connection.rs
@@ -8,7 +8,7 @@
 use crate::reach::Front;
 use crate::taking::invoke;
 use saltdrum::port::{InvId, Tenths};
-use saltdrum_link::{Backlog, Half, Read, Stream, halves};
+use saltdrum_transport::{Backlog, Half, Read, Stream, halves};
 use saltdrum_platform_wire::Malformed;
 use saltdrum_platform_wire::frames::{self, Code, FromClient};
 use std::rc::Rc;
--- a/crates/platform/src/feed.rs
+++ b/crates/platform/src/feed.rs
@@ -2,7 +2,7 @@
 
 use crate::reach::{Front, told};
 use saltdrum::port::{MILLI, Tenths};
-use saltdrum_link::{Address, Backlog, Read, Stream};
+use saltdrum_transport::{Address, Backlog, Read, Stream};
 use saltdrum_platform_wire::feed::{Event, cut};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
--- a/crates/platform/src/life.rs
+++ b/crates/platform/src/life.rs
@@ -8,7 +8,7 @@
 use saltdrum::port::*;
 use saltdrum_controller::Make;
 use saltdrum_controller::desk::Desk;
-use saltdrum_link::{Address, Clock, Network, turning};
+use saltdrum_transport::{Address, Clock, Network, turning};
 use saltdrum_platform_wire::config::{self, Config};
 use saltdrum_platform_wire::feed::Event;
 use std::cell::RefCell;
--- a/crates/platform/src/line.rs
+++ b/crates/platform/src/line.rs
@@ -7,7 +7,7 @@
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
 use saltdrum::port::Tenths;
-use saltdrum_link::{Clock, Stream};
+use saltdrum_transport::{Clock, Stream};
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::pin::Pin;
--- a/crates/platform/src/no_excuse.rs
+++ b/crates/platform/src/no_excuse.rs
@@ -3,7 +3,7 @@
 use crate::tests::{Stage, answer, pass, staged};
 use saltdrum_controller::by_design;
 use saltdrum_platform_wire::frames::{self, Code};
-use saltdrum_standin::platform::{Call, FrameClient, Heard, Spoilt};
+use saltdrum_fakes::platform::{Call, FrameClient, Heard, Spoilt};
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 use tokio::task::spawn_local;
--- a/crates/platform/src/reach.rs
+++ b/crates/platform/src/reach.rs
@@ -10,7 +10,7 @@
 use hyper::Request;
 use saltdrum::port::*;
 use saltdrum_controller::desk::{self, Reach, Sending, Told};
-use saltdrum_link::{Address, Backlog};
+use saltdrum_transport::{Address, Backlog};
 use saltdrum_platform_wire::feed::Line as Listing;
 use saltdrum_platform_wire::http;
 use std::cell::Cell;
--- a/crates/platform/src/taking.rs
+++ b/crates/platform/src/taking.rs
@@ -4,7 +4,7 @@
 use crate::reach::{Front, State};
 use saltdrum::port::{Invocation, MILLI, Tenths};
 use saltdrum_controller::desk::{Final, Owed};
-use saltdrum_link::Backlog;
+use saltdrum_transport::Backlog;
 use saltdrum_platform_wire::frames::Request;
 use std::rc::Rc;
 use tracing::{debug, info_span};
--- a/crates/platform/src/tests.rs
+++ b/crates/platform/src/tests.rs
@@ -7,16 +7,16 @@
 use bytes::Bytes;
 use saltdrum::port::*;
 use saltdrum_controller::{Decides, Make, by_design};
-use saltdrum_day::State as Kept;
-use saltdrum_day::check::{check, outputs_of_others, sent_on_after_leaving};
-use saltdrum_link::{Address, Clock, Memory, Network};
+use saltdrum_scenario::State as Kept;
+use saltdrum_scenario::check::{check, outputs_of_others, sent_on_after_leaving};
+use saltdrum_transport::{Address, Clock, Memory, Network};
 use saltdrum_platform_wire::config;
 use saltdrum_platform_wire::feed::Event;
 use saltdrum_platform_wire::frames::{self, Code};
-use saltdrum_standin::platform::{
+use saltdrum_fakes::platform::{
     Answered, Call, Feed, FrameClient, Heard, HttpInvoker, Spoilt, Torn, listing,
 };
-use saltdrum_standin::record::{Line, Place, Record, Stated, Trigger, Who};
+use saltdrum_fakes::record::{Line, Place, Record, Stated, Trigger, Who};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -1178,7 +1178,7 @@
 fn the_checker_catches_what_is_sent_on_for_who_has_left() {
     for (after, caught) in [(100, false), (101, true)] {
         let (of, at) = (
-            saltdrum_standin::record::Try { n: 1, attempt: 0 },
+            saltdrum_fakes::record::Try { n: 1, attempt: 0 },
             1_000 * MILLI,
         );
         let sent_on = at + after * MILLI;
@@ -1278,7 +1278,7 @@
                 stage.record.note(Line::Sent {
                     at: stage.clock.now(),
                     who: WHO,
-                    of: saltdrum_standin::record::Try {
+                    of: saltdrum_fakes::record::Try {
                         n: call.n,
                         attempt: 0,
                     },
--- a/crates/registry/examples/cost.rs
+++ b/crates/registry/examples/cost.rs
@@ -10,7 +10,7 @@
 
 use redb::{Database, TableDefinition};
 use saltdrum_layers::Digest;
-use saltdrum_link::{Address, Clock, Network, Sockets};
+use saltdrum_transport::{Address, Clock, Network, Sockets};
 use saltdrum_registry::book::{Change, Version};
 use saltdrum_registry::call::Caller;
 use saltdrum_registry::follow::{Following, Heard, follow};
--- a/crates/registry/src/call.rs
+++ b/crates/registry/src/call.rs
@@ -1,7 +1,7 @@
 //! The administrator's side of the socket: one call after another.
 
 use bytes::BytesMut;
-use saltdrum_link::{Address, Network, Stream};
+use saltdrum_transport::{Address, Network, Stream};
 use saltdrum_protocol::rpc::ReplyError;
 use serde::Deserialize;
 use serde_json::{Value as Json, json};
--- a/crates/registry/src/follow.rs
+++ b/crates/registry/src/follow.rs
@@ -5,7 +5,7 @@
 use crate::watch::{Refused, Told, Watcher};
 use bytes::BytesMut;
 use saltdrum_durable::file;
-use saltdrum_link::{Address, Network, Stream};
+use saltdrum_transport::{Address, Network, Stream};
 use serde::Deserialize;
 use serde_json::json;
 use serde_json::value::RawValue;
--- a/crates/registry/src/service.rs
+++ b/crates/registry/src/service.rs
@@ -10,7 +10,7 @@
 use crate::{blobs, keys};
 use bytes::{Bytes, BytesMut};
 use saltdrum_layers::Digest;
-use saltdrum_link::{Address, Clock, Half, Listener, Network, Outbox, Stream, halves};
+use saltdrum_transport::{Address, Clock, Half, Listener, Network, Outbox, Stream, halves};
 use saltdrum_protocol::rpc::{self, Call, Id, Line};
 use serde::Deserialize;
 use serde_json::{Value as Json, json};
--- a/crates/registry/tests/all/service.rs
+++ b/crates/registry/tests/all/service.rs
@@ -2,7 +2,7 @@
 
 use crate::support::disk::Disk;
 use crate::support::{moves, name, push};
-use saltdrum_link::{Address, Clock, Memory, Network};
+use saltdrum_transport::{Address, Clock, Memory, Network};
 use saltdrum_registry::book::{Change, Role, Stage};
 use saltdrum_registry::call::{Caller, Fault};
 use saltdrum_registry::follow::{Copy, Following, Heard, follow};
--- a/crates/scale/src/controller.rs
+++ b/crates/scale/src/controller.rs
@@ -6,7 +6,7 @@
 use saltdrum::port::*;
 use saltdrum_controller::Decides;
 use saltdrum_controller::desk::{Desk, Final, Front, Owed, Reach, Sending, Told};
-use saltdrum_link::{Clock, Memory};
+use saltdrum_transport::{Clock, Memory};
 use serde::Serialize;
 use std::cell::RefCell;
 use std::rc::{Rc, Weak};
--- a/crates/scale/src/real.rs
+++ b/crates/scale/src/real.rs
@@ -2,10 +2,10 @@
 
 use crate::world::{ZONES, deployment};
 use saltdrum::port::{Life, MILLI, Tenths};
-use saltdrum_link::{Clock, Sockets};
+use saltdrum_transport::{Clock, Sockets};
 use saltdrum_platform_wire::feed::{Event, Line};
-use saltdrum_standin::platform::Feed;
-use saltdrum_standin::record::{Record, Who};
+use saltdrum_fakes::platform::Feed;
+use saltdrum_fakes::record::{Record, Who};
 use serde::Serialize;
 use serde_json::json;
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener};
--- a/crates/day/examples/beside-relay.rs
+++ b/crates/scenario/examples/beside-relay.rs
@@ -1,6 +1,6 @@
 //! Measures the controller beside a relay with the very same I/O that picks at random (`serve --baseline`).
 //!
-//!     cargo build --release && cargo run --release -p saltdrum-day --example beside-relay
+//!     cargo build --release && cargo run --release -p saltdrum-scenario --example beside-relay
 //!
 //! The controller is a process of its own; invokers that answer at once, the list and the clients share this one's
 //! threads. Rounds alternate, and what is quoted is the median of each figure and of its ratio within a round.
@@ -12,11 +12,11 @@
 
 use bytes::BytesMut;
 use hdrhistogram::Histogram;
-use saltdrum_link::{Address, Clock, Listener, Network, Sockets};
+use saltdrum_transport::{Address, Clock, Listener, Network, Sockets};
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::invoker as wire;
 use saltdrum_protocol::list::{Entry, Life};
-use saltdrum_standin::{List, Record};
+use saltdrum_fakes::{List, Record};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
--- a/crates/day/src/check.rs
+++ b/crates/scenario/src/check.rs
@@ -4,7 +4,7 @@
 //! time. Where a thread stood still across the moment in question, the finding is "cannot tell", never "kept".
 
 use saltdrum::port::{MILLI, Tenths};
-use saltdrum_standin::record::{How, Line, Stated, Try, Who};
+use saltdrum_fakes::record::{How, Line, Stated, Try, Who};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/day/src/clients.rs
+++ b/crates/scenario/src/clients.rs
@@ -4,10 +4,10 @@
 use crate::traffic::Arrival;
 use bytes::{Bytes, BytesMut};
 use saltdrum::port::{Effect, MILLI, Tenths};
-use saltdrum_link::{Address, Clock, Network, Outbox, Read, Turns, halves};
+use saltdrum_transport::{Address, Clock, Network, Outbox, Read, Turns, halves};
 use saltdrum_load::retry::{End, Patience, Then};
 use saltdrum_protocol::rpc;
-use saltdrum_standin::record::{How, Line, Record, Try, Who};
+use saltdrum_fakes::record::{How, Line, Record, Try, Who};
 use serde_json::json;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -331,7 +331,7 @@
 
     async fn listen(
         &self,
-        read: &mut Read<saltdrum_link::Half>,
+        read: &mut Read<saltdrum_transport::Half>,
         waiting: &Waiting,
         late: Option<Tenths>,
     ) {
--- a/crates/day/src/passages.rs
+++ b/crates/scenario/src/passages.rs
@@ -1,6 +1,6 @@
 //! Whether passages were answered by one version each, by what the invokers ran. Knows nothing of the registry.
 
-use saltdrum_standin::record::Line;
+use saltdrum_fakes::record::Line;
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug, Default, PartialEq)]
--- a/crates/day/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -8,20 +8,20 @@
 use saltdrum_agent::{Counts, Peer};
 use saltdrum_controller::{NamesAt, Seat, by_design};
 use saltdrum_deployment::Terms;
-use saltdrum_ether::{Ether, Hold, Line as Wire, Lines, stoppable};
+use saltdrum_simulated_network::{Ether, Hold, Line as Wire, Lines, stoppable};
 use saltdrum_layers::Digest;
 use saltdrum_layers::plan::Member;
-use saltdrum_link::{Address, Clock, Network, Sockets, Turns, turning};
+use saltdrum_transport::{Address, Clock, Network, Sockets, Turns, turning};
 use saltdrum_protocol::list::Life;
 use saltdrum_registry::book::{Change, Stage as Trial, Version};
 use saltdrum_registry::call::Caller;
 use saltdrum_registry::follow::Following;
 use saltdrum_registry::store::Asked;
 use saltdrum_registry::{Name, Namespace, Store as Ledger, service};
-use saltdrum_standin::disk::TearingDisk;
-use saltdrum_standin::invoker::{self, Brings, Site, Tokens};
-use saltdrum_standin::record::{self, Line, Record, Who};
-use saltdrum_standin::{Invoker, List, Registry, Store};
+use saltdrum_fakes::disk::TearingDisk;
+use saltdrum_fakes::invoker::{self, Brings, Site, Tokens};
+use saltdrum_fakes::record::{self, Line, Record, Who};
+use saltdrum_fakes::{Invoker, List, Registry, Store};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -966,7 +966,7 @@
         self.list_later(invoker, Life::Ready);
     }
 
-    fn fault(&self, invokers: &[u32], change: impl Fn(&mut saltdrum_standin::Faults)) {
+    fn fault(&self, invokers: &[u32], change: impl Fn(&mut saltdrum_fakes::Faults)) {
         invokers
             .iter()
             .for_each(|i| self.invokers[i].fault(|f, _| change(f)));
--- a/crates/day/src/summary.rs
+++ b/crates/scenario/src/summary.rs
@@ -4,7 +4,7 @@
 use comfy_table::{CellAlignment, Table, presets};
 use hdrhistogram::Histogram;
 use saltdrum::port::{MILLI, Tenths};
-use saltdrum_standin::record::{How, Line, Try};
+use saltdrum_fakes::record::{How, Line, Try};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
--- a/crates/day/tests/days.rs
+++ b/crates/scenario/tests/days.rs
@@ -1,10 +1,10 @@
 //! Whole days through the real controller: on loopback sockets, and in virtual time.
 
 use proptest::prelude::*;
-use saltdrum_day::{
+use saltdrum_scenario::{
     DAYS, Day, State, check::check, play_on_sockets, play_virtually, serve, summary,
 };
-use saltdrum_standin::record::{Line, Try, write};
+use saltdrum_fakes::record::{Line, Try, write};
 use std::collections::{BTreeMap, BTreeSet};
 
 fn builtin(name: &str) -> Day {
@@ -109,8 +109,8 @@
 /// A controller that reads the machine's own clock, as a mistake would: its seed hangs on it.
 fn careless(
     mut seat: saltdrum_controller::Seat,
-    network: std::rc::Rc<dyn saltdrum_link::Network>,
-    clock: saltdrum_link::Clock,
+    network: std::rc::Rc<dyn saltdrum_transport::Network>,
+    clock: saltdrum_transport::Clock,
 ) -> std::pin::Pin<Box<dyn Future<Output = std::io::Result<()>>>> {
     #[expect(
         clippy::disallowed_methods,
--- a/crates/day/tests/models.rs
+++ b/crates/scenario/tests/models.rs
@@ -1,9 +1,9 @@
 //! Models in versions: passages never mix them, whatever moves, dies or is cut off.
 
-use saltdrum_day::{
+use saltdrum_scenario::{
     DAYS, Day, State, check::check, play_on_sockets, play_virtually, serve, summary,
 };
-use saltdrum_standin::record::{How, Line, write};
+use saltdrum_fakes::record::{How, Line, write};
 
 fn script() -> &'static str {
     DAYS.iter().find(|d| d.0 == "models-day").unwrap().1
@@ -24,7 +24,7 @@
         };
         let lines = play_virtually(&day, serve).unwrap();
         let s = judged(&lines);
-        let spoke = saltdrum_day::passages::look(&lines).unwrap();
+        let spoke = saltdrum_scenario::passages::look(&lines).unwrap();
         assert_eq!(spoke.mixed, Vec::<String>::new());
         assert!(
             spoke.passages > 700 && spoke.longer > 600 && spoke.invocations > 2_500,
@@ -51,7 +51,7 @@
     .unwrap();
     let lines = play_on_sockets(&day, folder.path()).unwrap();
     judged(&lines);
-    let spoke = saltdrum_day::passages::look(&lines).unwrap();
+    let spoke = saltdrum_scenario::passages::look(&lines).unwrap();
     assert!(spoke.mixed.is_empty() && spoke.longer > 200, "{spoke:?}");
 }
 
@@ -60,7 +60,7 @@
 fn passages_that_are_not_handed_back_are_seen_to_mix() {
     let text = script().replace("passage = 4", "passage = 4, hands_back = False");
     let lines = play_virtually(&Day::load("models", &text).unwrap(), serve).unwrap();
-    let spoke = saltdrum_day::passages::look(&lines).unwrap();
+    let spoke = saltdrum_scenario::passages::look(&lines).unwrap();
     assert!(
         spoke.mixed.len() > 100,
         "{} of {}",
@@ -98,7 +98,7 @@
     assert_eq!(layers.unsound, 0);
     assert!(layers.damaged > 20 && layers.copies > 100, "{}", s.text());
     assert!(
-        saltdrum_day::passages::look(&lines)
+        saltdrum_scenario::passages::look(&lines)
             .unwrap()
             .mixed
             .is_empty()
--- a/crates/day/tests/planted.rs
+++ b/crates/scenario/tests/planted.rs
@@ -1,7 +1,7 @@
 //! For each rule a controller that breaks it, and the checker's word on it. A checker that finds nothing proves nothing.
 
-use saltdrum_day::{Day, State, Verdict, check::check, play_virtually};
-use saltdrum_rogue::{Fault, rogue};
+use saltdrum_scenario::{Day, State, Verdict, check::check, play_virtually};
+use saltdrum_faulty_peers::{Fault, rogue};
 
 const DAY: &str = r#"
 deployment(controllers = 2, keep_alive = "9s", cold_share = 0.3, cold_time = "4s", tip_factor = 2,
@@ -22,13 +22,13 @@
 trouble("deploy", at = "2s", invokers = [1, 2], delay = "1500ms")
 "#;
 
-fn judged(serve: saltdrum_day::Serve) -> Vec<Verdict> {
+fn judged(serve: saltdrum_scenario::Serve) -> Vec<Verdict> {
     let day = Day::load("planted.star", DAY).unwrap();
     check(&play_virtually(&day, serve).unwrap()).unwrap()
 }
 
 /// The rule is found broken, in words that name who and when.
-fn caught(rule: usize, names: &[&str], serve: saltdrum_day::Serve) {
+fn caught(rule: usize, names: &[&str], serve: saltdrum_scenario::Serve) {
     let verdicts = judged(serve);
     let v = &verdicts[rule - 1];
     assert_eq!(v.state, State::Broken, "rule {rule}: {v:?}");
@@ -44,7 +44,7 @@
 
 #[test]
 fn the_real_controller_breaks_none_and_every_rule_is_looked_at() {
-    for v in judged(saltdrum_day::serve) {
+    for v in judged(saltdrum_scenario::serve) {
         assert!(v.state == State::Kept && (v.looked_at > 0), "{v:?}");
     }
 }
--- a/crates/ether/src/streams.rs
+++ b/crates/simulated-network/src/streams.rs
@@ -1,7 +1,7 @@
 use crate::lines::{Host, Line, Lines, Passage};
 use bytes::{Buf, Bytes};
 use saltdrum::port::Tenths;
-use saltdrum_link::{Address, Clock, Listener, Network, Stream, Turns};
+use saltdrum_transport::{Address, Clock, Listener, Network, Stream, Turns};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
 use std::future::Future;
--- a/crates/trial/src/script.rs
+++ b/crates/trial/src/script.rs
@@ -4,7 +4,7 @@
 use saltdrum_deployment::{Fault, Statement, Terms, script};
 use saltdrum_fleet::bounds::Per;
 use saltdrum_fleet::fleet::Kind;
-use saltdrum_steward::FleetTerms;
+use saltdrum_coordinator::FleetTerms;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
--- a/crates/wirehost/src/codec.rs
+++ b/crates/wirehost/src/codec.rs
@@ -1,6 +1,6 @@
 //! Frames and fields of the wire. Nothing here trusts a length before the bytes are there.
 
-pub use saltdrum_stated::tenths;
+pub use saltdrum_settings::tenths;
 use std::io::{self, ErrorKind, Read};
 
 pub type Fault = String;
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -3,7 +3,7 @@
 use crate::codec::{Fault, Fields, Reply};
 use saltdrum::Controller;
 use saltdrum::port::*;
-use saltdrum_stated::{Pairs, Stated};
+use saltdrum_settings::{Pairs, Stated};
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
@@ -109,7 +109,7 @@
             let info = f.take(n as usize, "info")?;
             let text = std::str::from_utf8(info)
                 .map_err(|e| format!("settings: not UTF-8 at byte {}", e.valid_up_to()))?;
-            let Stated { deployment, report } = saltdrum_stated::read(&Pairs::of_lines(text)?)?;
+            let Stated { deployment, report } = saltdrum_settings::read(&Pairs::of_lines(text)?)?;
             let trigger_types = deployment.trigger_types.len();
             let controller = self.guard(id, |w| Controller::new(now, deployment, seed, w));
             if let Some(controller) = controller {
