--- a/crates/agent/src/follow.rs
+++ b/crates/agent/src/follow.rs
@@ -2,11 +2,11 @@
 
 use crate::{Agent, Peer};
 use bytes::BytesMut;
-use saltdrum::port::Tenths;
+use saltdrum::interface::Ticks;
 use saltdrum_layers::plan::Member;
-use saltdrum_transport::{Address, Network};
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::list::{Entry, Follow, FromList, Life};
+use saltdrum_transport::{Address, Network};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 /// How far the others have risen is looked at so often.
 const LOOK_EVERY: Duration = Duration::from_secs(1);
 /// Lines of the list, and when each was heard.
-type Known = BTreeMap<u32, (Entry, Tenths)>;
+type Known = BTreeMap<u32, (Entry, Ticks)>;
 const AGAIN: Duration = Duration::from_millis(500);
 
 /// For as long as it is polled. What the list last said stands while it is away.
@@ -95,7 +95,7 @@
 
 fn tell(agent: &Rc<Agent>, known: &Known) {
     let now = agent.clock.now();
-    let peer = |(e, heard): &(Entry, Tenths)| {
+    let peer = |(e, heard): &(Entry, Ticks)| {
         let age = e.age_tenths + (now - heard);
         let risen = (RISEN_FIRST + age as f64 / RISES_IN_TENTHS).min(1.0);
         let ready = e.life == Life::Ready;
--- a/crates/agent/src/http.rs
+++ b/crates/agent/src/http.rs
@@ -5,7 +5,7 @@
 use hyper::client::conn::http1::{SendRequest, handshake};
 use hyper::{Request, StatusCode, header};
 use hyper_util::rt::TokioIo;
-use saltdrum::port::{MILLI, SECOND, Tenths};
+use saltdrum::interface::{MILLISECOND, SECOND, Ticks};
 use saltdrum_transport::{Address, Network};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -18,8 +18,8 @@
 const SILENT: Duration = Duration::from_secs(2);
 const BEGINS: Duration = Duration::from_secs(9);
 /// Where a refusal does not say.
-const COME_BACK: Tenths = 200 * MILLI;
-const COME_BACK_MOST: Tenths = 30 * SECOND;
+const COME_BACK: Ticks = 200 * MILLISECOND;
+const COME_BACK_MOST: Ticks = 30 * SECOND;
 const KEPT_MOST: usize = 8;
 /// How long the chunk is by its manifest; a home that lacks it needs to know.
 pub const STATED_BYTES: &str = "x-saltdrum-bytes";
@@ -28,7 +28,7 @@
 
 pub enum Got {
     Bytes(Vec<u8>),
-    Refused(Tenths),
+    Refused(Ticks),
     Absent,
     Broken(String),
 }
@@ -123,7 +123,7 @@
             StatusCode::OK => {}
             StatusCode::NOT_FOUND => return Ok(Got::Absent),
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
-                let ms = named(RETRY_AFTER_MS).map(|ms| ms.saturating_mul(MILLI));
+                let ms = named(RETRY_AFTER_MS).map(|ms| ms.saturating_mul(MILLISECOND));
                 let seconds = named("retry-after").map(|s| s.saturating_mul(SECOND));
                 return Ok(Got::Refused(
                     ms.or(seconds).unwrap_or(COME_BACK).min(COME_BACK_MOST),
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -11,7 +11,7 @@
 pub use follow::follow;
 
 use http::{Got, Pool};
-use saltdrum::port::{InvokerId, Tenths};
+use saltdrum::interface::{InvokerId, Ticks};
 use saltdrum_layers::cache::Cache;
 use saltdrum_layers::manifest::{MANIFEST_MOST_BYTES, MANIFEST_TYPE};
 use saltdrum_layers::plan::{
@@ -123,7 +123,7 @@
     unkept_bytes: u64,
     /// Of chunks that loads wait for: how often the store sent them damaged.
     damaged_at_store: BTreeMap<Digest, u32>,
-    wake: Tenths,
+    wake: Ticks,
     loads: LoadId,
     pub busy: f64,
     pub draining: bool,
--- a/crates/agent/src/peers.rs
+++ b/crates/agent/src/peers.rs
@@ -8,7 +8,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use saltdrum::port::MILLI;
+use saltdrum::interface::MILLISECOND;
 use saltdrum_layers::manifest::CHUNK_MOST_BYTES;
 use saltdrum_layers::plan::Verdict;
 use saltdrum_layers::{Chunk, Digest, Packing};
@@ -135,7 +135,7 @@
                 let mut response = plain(StatusCode::TOO_MANY_REQUESTS);
                 response
                     .headers_mut()
-                    .insert(RETRY_AFTER_MS, (wait / MILLI).into());
+                    .insert(RETRY_AFTER_MS, (wait / MILLISECOND).into());
                 return response;
             }
             Verdict::InLine | Verdict::FetchAndServe => Place(self.clone(), false),
--- a/crates/agent/tests/fleet.rs
+++ b/crates/agent/tests/fleet.rs
@@ -1,10 +1,10 @@
 //! Fleets of agents and one store, over HTTP on in-memory streams under a paused clock; one fleet on sockets.
 
 use saltdrum_agent::{Agent, Fault, Peer, Seat};
+use saltdrum_fakes::Registry;
 use saltdrum_layers::cache::{Cache, RealDisk};
 use saltdrum_layers::plan::Member;
-use saltdrum_transport::{Address, Clock, Memory, Network, Sockets};
-use saltdrum_fakes::Registry;
+use saltdrum_transport::{Address, Clock, MemoryNetwork, Network, SocketNetwork};
 use std::future::Future;
 use std::rc::Rc;
 use std::time::Duration;
@@ -139,7 +139,7 @@
 }
 
 async fn fleet(n: u32, cache_bytes: u64) -> Fleet {
-    Fleet::up(Rc::new(Memory::default()), n, cache_bytes, memory).await
+    Fleet::up(Rc::new(MemoryNetwork::default()), n, cache_bytes, memory).await
 }
 
 const MODEL: usize = 12 << 20;
@@ -362,7 +362,7 @@
         .unwrap();
     LocalSet::new().block_on(&runtime, async {
         let any = |_| Address::Tcp("127.0.0.1:0".into());
-        let f = Fleet::up(Rc::new(Sockets), 6, 1 << 30, any).await;
+        let f = Fleet::up(Rc::new(SocketNetwork), 6, 1 << 30, any).await;
         f.registry
             .push("voices/kinyarwanda", "current", &model(7, 4 << 20))
             .unwrap();
--- a/crates/cli/src/collection.rs
+++ b/crates/cli/src/collection.rs
@@ -4,19 +4,19 @@
 use crate::leases::{QUIET_AFTER, holder_of};
 use crate::process::on_this_thread;
 use clap::Args;
-use saltdrum::port::{SECOND, Tenths};
+use saltdrum::interface::{SECOND, Ticks};
+use saltdrum_coordinator::Membership;
+use saltdrum_coordinator::caller::Caller;
+use saltdrum_coordinator::server;
 use saltdrum_fleet::fence::Token;
 use saltdrum_fleet::fleet::Fleet;
 use saltdrum_fleet::lease::{Epoch, LeaseName, LeaseState};
 use saltdrum_leases::holder::EffectFault;
 use saltdrum_leases::messages::{Effect, Seal, Sealed};
 use saltdrum_leases::{Effects, Holder, Task};
-use saltdrum_transport::{Address, Clock, Sockets};
 use saltdrum_registry::collection::{CollectBlobs, Collected, CollectionResource, RESOURCE, TASK};
 use saltdrum_registry::service::Registry;
-use saltdrum_coordinator::Membership;
-use saltdrum_coordinator::caller::Caller;
-use saltdrum_coordinator::server;
+use saltdrum_transport::{Address, Clock, SocketNetwork};
 use serde::Deserialize;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
@@ -24,7 +24,7 @@
 use std::rc::Rc;
 
 /// PendingProposal for stewards and for the registry.
-const PATIENCE: Tenths = 5 * SECOND;
+const PATIENCE: Ticks = 5 * SECOND;
 
 /// The fleet whose lease a registry is collected by.
 #[derive(Args, Clone)]
@@ -47,7 +47,13 @@
     }
 
     fn stewards(&self, fleet: &str) -> Result<Vec<Caller>, String> {
-        let caller = |at: &String| Ok(Caller::new(Rc::new(Sockets), at.parse::<Address>()?, fleet));
+        let caller = |at: &String| {
+            Ok(Caller::new(
+                Rc::new(SocketNetwork),
+                at.parse::<Address>()?,
+                fleet,
+            ))
+        };
         let callers = self
             .stewards
             .iter()
@@ -81,7 +87,7 @@
         let Some((resource, listen)) = resource else {
             return std::future::pending().await;
         };
-        let served = server::serve(resource, Rc::new(Sockets), &listen, Clock::start()).await;
+        let served = server::serve(resource, Rc::new(SocketNetwork), &listen, Clock::start()).await;
         served.map_err(|e| format!("{listen}: {e}"))
     })
 }
@@ -137,7 +143,7 @@
 
 struct Collection {
     clock: Clock,
-    every: Tenths,
+    every: Ticks,
     grace_ms: u64,
 }
 
@@ -178,7 +184,7 @@
     let (Some(tasks), Some(fleet)) = (&said.tasks, &said.fleet) else {
         return Err("--tasks is missing".into());
     };
-    let registry = Caller::new(Rc::new(Sockets), tasks.parse()?, fleet);
+    let registry = Caller::new(Rc::new(SocketNetwork), tasks.parse()?, fleet);
     on_this_thread(async {
         let (lease, epoch) = paused_epoch(&said.stewards(fleet)?).await?;
         let asked = Seal {
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -7,24 +7,24 @@
 use crate::scripts::stated_fleet;
 use clap::{Args, Subcommand};
 use comfy_table::{Table, presets};
-use saltdrum::port::{SECOND, Tenths};
+use saltdrum::interface::{SECOND, Ticks};
 use saltdrum_controller::going::{Going, Step};
+use saltdrum_coordinator::caller::{Caller, Fault};
+use saltdrum_coordinator::disk::{Disk, Identity, SCHEMA};
+use saltdrum_coordinator::member::Ended;
+use saltdrum_coordinator::server;
+use saltdrum_coordinator::wire::{Changed, Changes, DryRun, UNSETTLED};
+use saltdrum_coordinator::{CoordinatorConfig, FleetTerms, MemberRole, Membership, join, service};
 use saltdrum_deployment::Terms;
+use saltdrum_fakes::Invoker;
+use saltdrum_faulty_peers::leases::FaultySteward;
 use saltdrum_fleet::bounds::Bound;
 use saltdrum_fleet::change::Change;
 use saltdrum_fleet::fleet::{self as agreed, About, MemberId, Phase};
 use saltdrum_fleet::next::{Batch, Seen};
 use saltdrum_fleet::register::{Config, Voter};
-use saltdrum_transport::{Address, Clock, Sockets};
 use saltdrum_protocol::list::Life;
-use saltdrum_faulty_peers::leases::FaultySteward;
-use saltdrum_fakes::Invoker;
-use saltdrum_coordinator::caller::{Caller, Fault};
-use saltdrum_coordinator::disk::{Disk, Identity, SCHEMA};
-use saltdrum_coordinator::member::Ended;
-use saltdrum_coordinator::server;
-use saltdrum_coordinator::wire::{Changed, Changes, DryRun, UNSETTLED};
-use saltdrum_coordinator::{CoordinatorConfig, FleetTerms, MemberRole, Membership, join, service};
+use saltdrum_transport::{Address, Clock, SocketNetwork};
 use serde::Deserialize;
 use serde_json::json;
 use std::cell::Cell;
@@ -192,11 +192,11 @@
     member: MemberId,
     incarnation: u64,
     going: Going,
-    lead: Tenths,
+    lead: Ticks,
     /// Which drain it is; one that was turned back closes no door later.
     closes: Rc<Cell<u64>>,
     /// What lies unread by a client for longer than anybody waits is owed no more.
-    longest: Tenths,
+    longest: Ticks,
     closed: Rc<Cell<Option<tokio::time::Instant>>>,
 }
 
@@ -251,14 +251,14 @@
     member: MemberId,
     incarnation: u64,
     invoker: Rc<Invoker>,
-    quiet: Tenths,
-    drains: Cell<Option<Tenths>>,
+    quiet: Ticks,
+    drains: Cell<Option<Ticks>>,
 }
 
 impl MemberRole for InvokerRole {
     fn is_proven(&self) -> bool {
         let (site, entry) = (&self.invoker.site, self.invoker.entry(Life::Ready));
-        entry.age_tenths >= site.terms.deployment.cold_time
+        entry.age_tenths >= site.terms.deployment.warm_up_time
     }
 
     fn seen(&self) -> Seen {
@@ -294,7 +294,7 @@
         return std::future::pending().await;
     };
     let member = with.member;
-    match join(with, Rc::new(Sockets), Clock::start(), part).await {
+    match join(with, Rc::new(SocketNetwork), Clock::start(), part).await {
         Ended::Drained => Ok(()),
         Ended::Replaced => Err(format!("{member}: another life has taken its place")),
     }
@@ -399,7 +399,7 @@
         println!("steward {} votes as {}", runs.number, disk.identity.voter);
         tokio::select! {
             biased;
-            done = service::serve(seat, disk, acceptor, Rc::new(Sockets), Clock::start()) => done.map(|()| 0),
+            done = service::serve(seat, disk, acceptor, Rc::new(SocketNetwork), Clock::start()) => done.map(|()| 0),
             () = until_interrupted() => Ok(0),
         }
     })?
@@ -408,7 +408,7 @@
 fn faulty_steward(runs: &Runs, fleet: &str, stewards: &BTreeMap<u32, String>) -> Done {
     let honest = stewards.iter().find(|(number, _)| **number != runs.number);
     let (_, honest) = honest.ok_or("an honest steward is expected beside it")?;
-    let honest = Caller::new(Rc::new(Sockets), honest.parse()?, fleet);
+    let honest = Caller::new(Rc::new(SocketNetwork), honest.parse()?, fleet);
     let faulty = Rc::new(FaultySteward {
         fleet: fleet.to_owned(),
         honest,
@@ -417,7 +417,7 @@
     on_this_thread(async {
         tokio::select! {
             biased;
-            served = server::serve(faulty, Rc::new(Sockets), &listen, Clock::start()) => {
+            served = server::serve(faulty, Rc::new(SocketNetwork), &listen, Clock::start()) => {
                 served.map(|()| 0).map_err(|e| e.to_string())
             }
             () = until_interrupted() => Ok(0),
@@ -544,13 +544,13 @@
     pub fleet: Option<agreed::Fleet>,
 }
 
-const PATIENCE: Tenths = 5 * SECOND;
+const PATIENCE: Ticks = 5 * SECOND;
 
 impl To {
     fn callers(&self) -> Result<Vec<Caller>, String> {
         let caller = |at: &String| {
             let at = at.parse::<Address>()?;
-            Ok(Caller::new(Rc::new(Sockets), at, &self.fleet))
+            Ok(Caller::new(Rc::new(SocketNetwork), at, &self.fleet))
         };
         self.to.iter().map(caller).collect()
     }
@@ -565,7 +565,9 @@
         for caller in self.callers()? {
             match caller.call(method, what, PATIENCE).await {
                 Ok(told) => return Ok(told),
-                Err(Fault::Told { code, message }) if code == saltdrum_coordinator::wire::REFUSED => {
+                Err(Fault::Told { code, message })
+                    if code == saltdrum_coordinator::wire::REFUSED =>
+                {
                     return Err(message);
                 }
                 Err(Fault::Told {
--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -1,10 +1,10 @@
 //! `saltdrum lab`: experiments, their reports, and the search for failing days.
 
 use clap::Subcommand;
-use saltdrum_scenario::{Cover, POLICIES, Serve, serve};
+use saltdrum_faulty_peers::{FAULTS, Fault, careless, rogue};
 use saltdrum_lab::hunt::{Bounds, hunt};
 use saltdrum_lab::{Experiment, Script, report, run};
-use saltdrum_faulty_peers::{FAULTS, Fault, careless, rogue};
+use saltdrum_scenario::{Cover, POLICIES, Serve, serve};
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::time::Instant;
@@ -47,7 +47,7 @@
         /// Least share of billed value in time, 0 to 1.
         #[arg(long)]
         least_value: Option<f64>,
-        /// Looks for breaches of this rule only, 1 to 5.
+        /// PollTimes for breaches of this rule only, 1 to 5.
         #[arg(long)]
         rule: Option<u8>,
         #[arg(long)]
--- a/crates/cli/src/layers.rs
+++ b/crates/cli/src/layers.rs
@@ -25,7 +25,7 @@
         #[arg(long)]
         to: PathBuf,
     },
-    /// Looks at every byte that a tag leads to.
+    /// PollTimes at every byte that a tag leads to.
     Verify { folder: PathBuf },
     /// Lists the tags, or the chunks of one.
     Show {
--- a/crates/cli/src/leases.rs
+++ b/crates/cli/src/leases.rs
@@ -7,18 +7,18 @@
 use crate::scripts::stated_fleet;
 use clap::{Args, Subcommand};
 use redb::Database;
-use saltdrum::port::{MILLI, SECOND, Tenths};
+use saltdrum::interface::{MILLISECOND, SECOND, Ticks};
+use saltdrum_coordinator::Membership;
+use saltdrum_coordinator::caller::Caller;
+use saltdrum_coordinator::server;
+use saltdrum_faulty_peers::leases::{FaultyJournal, JOURNAL_FAULTS, acts_before_all_seals};
 use saltdrum_fleet::change::Change;
 use saltdrum_fleet::fleet::Fleet;
 use saltdrum_fleet::lease::{Lease, LeaseName, LeaseState};
 use saltdrum_leases::holder::EffectFault;
 use saltdrum_leases::journal::{Accepted, Append, Appended, Journal, JournalDisk};
 use saltdrum_leases::{Effects, Holder, Task};
-use saltdrum_transport::{Address, Clock, Sockets};
-use saltdrum_faulty_peers::leases::{FaultyJournal, JOURNAL_FAULTS, acts_before_all_seals};
-use saltdrum_coordinator::Membership;
-use saltdrum_coordinator::caller::Caller;
-use saltdrum_coordinator::server;
+use saltdrum_transport::{Address, Clock, SocketNetwork};
 use serde_json::{Value as Json, json};
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -30,11 +30,11 @@
 /// The stand-ins' task.
 pub const COUNT: &str = "count";
 /// Between two of its effects.
-const COUNT_EVERY: Tenths = 20 * MILLI;
+const COUNT_EVERY: Ticks = 20 * MILLISECOND;
 /// No new effect begins when no steward was heard for so long.
-pub const QUIET_AFTER: Tenths = 2 * SECOND;
+pub const QUIET_AFTER: Ticks = 2 * SECOND;
 /// PendingProposal for a resource's status.
-const PATIENCE: Tenths = 5 * SECOND;
+const PATIENCE: Ticks = 5 * SECOND;
 
 /// A journal as a process.
 #[derive(Args)]
@@ -73,12 +73,12 @@
     on_this_thread(async {
         writes_may_fail()?;
         let disk = open_on_disk(|| JournalDisk::open_file(&runs.disk)).await?;
-        let caller = |at: Address| Caller::new(Rc::new(Sockets), at, &fleet);
+        let caller = |at: Address| Caller::new(Rc::new(SocketNetwork), at, &fleet);
         let stewards = stewards.into_iter().map(caller).collect();
         let journal = Journal::new(&fleet, incarnation, stewards, disk, Box::new(tell_effect));
         tokio::select! {
             biased;
-            served = server::serve(journal, Rc::new(Sockets), &listen, Clock::start()) => {
+            served = server::serve(journal, Rc::new(SocketNetwork), &listen, Clock::start()) => {
                 served.map(|()| 0).map_err(|e| format!("{listen}: {e}"))
             }
             () = until_interrupted() => Ok(0),
@@ -98,7 +98,7 @@
     on_this_thread(async {
         tokio::select! {
             biased;
-            served = server::serve(journal, Rc::new(Sockets), listen, Clock::start()) => served.map(|()| 0).map_err(|e| e.to_string()),
+            served = server::serve(journal, Rc::new(SocketNetwork), listen, Clock::start()) => served.map(|()| 0).map_err(|e| e.to_string()),
             () = until_interrupted() => Ok(0),
         }
     })?
@@ -130,7 +130,7 @@
 
 /// The same, of resources that are known by their addresses.
 pub fn holder_of(with: &Membership, resources: BTreeMap<String, Address>) -> Holder {
-    let caller = |at: Address| Caller::new(Rc::new(Sockets), at, &with.fleet);
+    let caller = |at: Address| Caller::new(Rc::new(SocketNetwork), at, &with.fleet);
     Holder {
         by: format!("{}/{:x}", with.member, with.about.incarnation),
         clock: Clock::start(),
@@ -297,7 +297,7 @@
 async fn sealed_epochs(to: &To, resources: &[String]) -> Result<BTreeMap<String, String>, String> {
     let mut all = BTreeMap::new();
     for (name, at) in named(resources)? {
-        let told = Caller::new(Rc::new(Sockets), at, &to.fleet)
+        let told = Caller::new(Rc::new(SocketNetwork), at, &to.fleet)
             .call::<Json>("status", json!({}), PATIENCE)
             .await;
         let told = told.map_or_else(|fault| fault.to_string(), |told| told["sealed"].to_string());
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -2,12 +2,12 @@
 
 use clap::Args;
 use comfy_table::{CellAlignment, Table, presets};
-use saltdrum::port::{MILLI, SECOND, Tenths};
-use saltdrum_scenario::{Day, traffic};
+use saltdrum::interface::{MILLISECOND, SECOND, Ticks};
 use saltdrum_deployment::units::span;
-use saltdrum_transport::{Address, Clock, Sockets};
 use saltdrum_load::retry::{End, Patience};
 use saltdrum_load::{Entry, Latencies, Played, Verdict, drive, trace};
+use saltdrum_scenario::{Day, traffic};
+use saltdrum_transport::{Address, Clock, SocketNetwork};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -61,7 +61,7 @@
     let entries = match &said.trace {
         None => drawn(&day),
         Some(path) => {
-            let one = |text: &String| -> Result<(String, Tenths), String> {
+            let one = |text: &String| -> Result<(String, Ticks), String> {
                 let (source, by) = text
                     .split_once('=')
                     .ok_or_else(|| format!("--ahead {text}: SOURCE=SPAN is expected"))?;
@@ -113,7 +113,7 @@
     let terms = Rc::new(day.terms.clone());
     let played = crate::process::on_this_thread(async {
         drive(
-            Rc::new(Sockets),
+            Rc::new(SocketNetwork),
             Clock::start(),
             terms,
             &doors,
@@ -138,7 +138,7 @@
     let mut rows: BTreeMap<&str, Row> = BTreeMap::new();
     for o in &played.outcomes {
         let function = &day.terms.functions[&o.function];
-        let objective = day.terms.deployment.trigger_types[function.trigger].objective;
+        let objective = day.terms.deployment.trigger_types[function.trigger].latency_objective;
         for name in [o.tenant.as_str(), "all"] {
             let row = rows.entry(name).or_default();
             row.tries += u64::from(o.tries);
@@ -157,7 +157,7 @@
         }
     }
     let verdict = played.lag.verdict();
-    let ms = |t: Tenths| t as f64 / MILLI as f64;
+    let ms = |t: Ticks| t as f64 / MILLISECOND as f64;
     if as_json {
         let row = |(name, r): (&&str, &Row)| {
             json!({"tenant": name, "succeeded": r.counts[0], "throttled": r.counts[1], "errored": r.counts[2],
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -35,7 +35,7 @@
 
 use clap::{Parser, Subcommand};
 #[cfg(feature = "whole")]
-use saltdrum_controller::{Make, at_random, by_design};
+use saltdrum_controller::{MakePolicy, dispatch_policy, random_relay};
 #[cfg(feature = "whole")]
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -282,7 +282,11 @@
             passage_s,
             baseline,
         } => {
-            let make: Make = if baseline { at_random } else { by_design };
+            let make: MakePolicy = if baseline {
+                random_relay
+            } else {
+                dispatch_policy
+            };
             let names = run::Names {
                 registry,
                 key: registry_key,
--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -1,9 +1,9 @@
 //! `saltdrum node`: one real controller on the platform's sockets. The system's clock and environment are read here.
 
-use saltdrum::port::{MILLI, Tenths};
-use saltdrum_controller::by_design;
-use saltdrum_transport::{Clock, Sockets};
+use saltdrum::interface::{MILLISECOND, Ticks};
+use saltdrum_controller::dispatch_policy;
 use saltdrum_platform::{Life, serve};
+use saltdrum_transport::{Clock, SocketNetwork};
 use std::env::var;
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -31,7 +31,7 @@
     let clock = Clock::start();
     let served = async {
         tokio::task::spawn_local(watch_wall_clock(clock));
-        serve(life, Rc::new(Sockets), clock, by_design).await
+        serve(life, Rc::new(SocketNetwork), clock, dispatch_policy).await
     };
     tokio::task::LocalSet::new()
         .block_on(&runtime, served)
@@ -61,6 +61,6 @@
 }
 
 /// By how many milliseconds the wall clock is ahead of the monotonic one.
-fn ahead_of(now: Tenths) -> i64 {
-    unix_ms() as i64 - (now / MILLI) as i64
+fn ahead_of(now: Ticks) -> i64 {
+    unix_ms() as i64 - (now / MILLISECOND) as i64
 }
--- a/crates/cli/src/registry.rs
+++ b/crates/cli/src/registry.rs
@@ -6,9 +6,9 @@
 use clap::{Args, Subcommand};
 use saltdrum_layers::cut;
 use saltdrum_layers::layout::Layout;
-use saltdrum_transport::{Address, Clock, Network, Sockets};
 use saltdrum_registry::call::Caller;
 use saltdrum_registry::{Name, Namespace, Role, Store, keys, service, store};
+use saltdrum_transport::{Address, Clock, Network, SocketNetwork};
 use serde_json::{Value as Json, json};
 use std::collections::BTreeSet;
 use std::fs::{self, File};
@@ -263,7 +263,7 @@
 
 async fn dial(to: &To) -> Result<Caller, String> {
     let at: Address = to.to.parse()?;
-    let network: Rc<dyn Network> = Rc::new(Sockets);
+    let network: Rc<dyn Network> = Rc::new(SocketNetwork);
     Caller::dial(&network, &at, &read_key(&to.key)?)
         .await
         .map_err(|e| e.to_string())
@@ -333,7 +333,7 @@
                 tokio::select! {
                     biased;
                     done = collected => done,
-                    done = registry.serve(Rc::new(Sockets), &at, Clock::start()) => {
+                    done = registry.serve(Rc::new(SocketNetwork), &at, Clock::start()) => {
                         done.map_err(|e| format!("{at}: {e}"))
                     }
                     () = until_interrupted() => Ok(()),
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -5,20 +5,22 @@
 use crate::leases::{COUNT, counts, holder};
 use crate::process::{on_this_thread, until_interrupted};
 use crate::scripts::{fleet_terms, terms, text};
-use saltdrum::port::SECOND;
+use saltdrum::interface::SECOND;
 use saltdrum_controller::going::Going;
-use saltdrum_controller::{Make, NamesAt, Seat};
-use saltdrum_scenario::check::State;
-use saltdrum_scenario::{DAYS, Day, check as rules, play_on_sockets, play_virtually, summary};
+use saltdrum_controller::{MakePolicy, NamesAt, Seat};
 use saltdrum_deployment::Terms;
+use saltdrum_fakes::invoker::Site;
+use saltdrum_fakes::{Faults, Invoker, List, Record, Registry, Store, record};
 use saltdrum_layers::cache::{Cache, RealDisk};
 use saltdrum_layers::layout::Layout;
-use saltdrum_transport::{Address, Clock, Network, Sockets, Turns, turning};
 use saltdrum_protocol::list::{Entry, Life};
 use saltdrum_protocol::rpc;
 use saltdrum_registry::follow::Following;
-use saltdrum_fakes::invoker::Site;
-use saltdrum_fakes::{Faults, Invoker, List, Record, Registry, Store, record};
+use saltdrum_scenario::check::State;
+use saltdrum_scenario::{DAYS, Day, check as rules, play_on_sockets, play_virtually, summary};
+use saltdrum_transport::{
+    Address, Clock, EventLoopClock, Network, SocketNetwork, run_event_loop_clock,
+};
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 use std::fs;
@@ -90,7 +92,7 @@
     seed: Option<u64>,
     names: &Names,
     collects: &Collects,
-    make: Make,
+    make: MakePolicy,
 ) -> Done {
     let (terms, fleet) = fleet_terms(deployment)?;
     if terms.functions.is_empty() && names.registry.is_none() {
@@ -149,7 +151,7 @@
                     biased;
                     ended = crate::fleet::stays_member(part) => ended,
                     () = collects.run(collector) => Ok(()),
-                    done = saltdrum_controller::serve(seat, Rc::new(Sockets), Clock::start(), make) => {
+                    done = saltdrum_controller::serve(seat, Rc::new(SocketNetwork), Clock::start(), make) => {
                         done.map_err(|e| format!("controller {controller}: {e}"))
                     }
                     () = until_interrupted() => Ok(()),
@@ -194,12 +196,12 @@
         store.map(str::parse).transpose()?,
     );
     on_this_thread(async {
-        let (clock, turns, record) = (Clock::start(), Turns::default(), Record::default());
-        tokio::task::spawn_local(turning(turns.clone(), clock, |_, _| ()));
+        let (clock, turns, record) = (Clock::start(), EventLoopClock::default(), Record::default());
+        tokio::task::spawn_local(run_event_loop_clock(turns.clone(), clock, |_, _| ()));
         let site = Site {
             terms,
             stated,
-            network: Rc::new(Sockets),
+            network: Rc::new(SocketNetwork),
             clock,
             hour: clock,
             turns,
@@ -264,8 +266,14 @@
     let at: Address = listen.parse()?;
     on_this_thread(async {
         let record = Record::default();
-        let opened =
-            Store::open(Rc::new(Sockets), Clock::start(), record.clone(), &at, limit).await;
+        let opened = Store::open(
+            Rc::new(SocketNetwork),
+            Clock::start(),
+            record.clone(),
+            &at,
+            limit,
+        )
+        .await;
         let (_store, address) = opened.map_err(|e| format!("{listen}: {e}"))?;
         println!("store at {address}");
         print_until_interrupted(&record).await;
@@ -302,13 +310,13 @@
             life: Life::Ready,
             size: terms.size(stated.kind),
             incarnation: 1,
-            age_tenths: 3 * terms.deployment.cold_time,
+            age_tenths: 3 * terms.deployment.warm_up_time,
             agent,
         });
     }
     on_this_thread(async {
         let record = Record::default();
-        let opened = List::open(Rc::new(Sockets), Clock::start(), record.clone(), &at).await;
+        let opened = List::open(Rc::new(SocketNetwork), Clock::start(), record.clone(), &at).await;
         let (list, address) = opened.map_err(|e| format!("{listen}: {e}"))?;
         entries.into_iter().for_each(|e| list.say(e));
         println!("list at {address}");
@@ -387,7 +395,7 @@
 fn ask(to: &str, line: String) -> Result<String, String> {
     let address: Address = to.parse()?;
     on_this_thread(async {
-        let stream = Sockets
+        let stream = SocketNetwork
             .dial(&address)
             .await
             .map_err(|e| format!("{address}: {e}"))?;
@@ -471,7 +479,7 @@
     }
     on_this_thread(async {
         let address = registry
-            .open(&Sockets, &at)
+            .open(&SocketNetwork, &at)
             .await
             .map_err(|e| format!("{listen}: {e}"))?;
         println!("registry at {address}");
@@ -510,7 +518,7 @@
             store,
             serve_bytes_per_second: 200e6,
         };
-        let network: Rc<dyn Network> = Rc::new(Sockets);
+        let network: Rc<dyn Network> = Rc::new(SocketNetwork);
         let agent = saltdrum_agent::Agent::new(seat, cache, network.clone(), clock);
         let opened = network
             .listen(&listen)
--- a/crates/cli/src/scripts.rs
+++ b/crates/cli/src/scripts.rs
@@ -1,7 +1,7 @@
 //! Reads deployment scripts.
 
-use saltdrum_deployment::Terms;
 use saltdrum_coordinator::FleetTerms;
+use saltdrum_deployment::Terms;
 use std::fs;
 use std::path::Path;
 
--- a/crates/cli/tests/disks.rs
+++ b/crates/cli/tests/disks.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 const KILLED: i32 = 9;
-/// Looks for something that takes a process some time, and how long it is waited between two.
+/// PollTimes for something that takes a process some time, and how long it is waited between two.
 const LOOKS: u32 = 800;
 const LOOK_EVERY: Duration = Duration::from_millis(10);
 /// So long does a disk take nothing.
--- /dev/null
+++ b/crates/controller/src/baselines.rs
@@ -0,0 +1,128 @@
+//! Baselines that the dispatch policy is compared with: relays that make one attempt and keep no rule.
+
+use crate::policy::Policy;
+use saltdrum::interface::*;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// How a relay chooses one of the ready invokers.
+#[derive(Clone, Copy)]
+enum Choice {
+    Random,
+    /// The one with the fewest of this controller's attempts in flight.
+    LeastInFlight,
+    /// The one that a hash of invoker and function ranks first.
+    Rendezvous,
+}
+
+/// Makes one attempt at a ready invoker and passes its end on. For comparison only: it keeps no rule.
+struct Relay {
+    choice: Choice,
+    rng: fastrand::Rng,
+    ready: BTreeSet<InvokerId>,
+    /// The same as `ready`, by index.
+    choices: Vec<InvokerId>,
+    in_flight: BTreeMap<InvokerId, u32>,
+    /// Where each invocation was sent.
+    targets: BTreeMap<InvocationId, InvokerId>,
+}
+
+fn relay(choice: Choice, seed: u64) -> Box<dyn Policy> {
+    Box::new(Relay {
+        choice,
+        rng: fastrand::Rng::with_seed(seed),
+        ready: BTreeSet::new(),
+        choices: Vec::new(),
+        in_flight: BTreeMap::new(),
+        targets: BTreeMap::new(),
+    })
+}
+
+/// Creates a relay that chooses at random.
+pub fn random_relay(_: Ticks, _: Deployment, seed: u64, _: &mut dyn Actions) -> Box<dyn Policy> {
+    relay(Choice::Random, seed)
+}
+
+/// Creates a relay that chooses the invoker with the fewest of its attempts in flight.
+pub fn least_in_flight_relay(
+    _: Ticks,
+    _: Deployment,
+    seed: u64,
+    _: &mut dyn Actions,
+) -> Box<dyn Policy> {
+    relay(Choice::LeastInFlight, seed)
+}
+
+/// Creates a relay that chooses each function's first invoker, whatever its load.
+pub fn rendezvous_relay(
+    _: Ticks,
+    _: Deployment,
+    seed: u64,
+    _: &mut dyn Actions,
+) -> Box<dyn Policy> {
+    relay(Choice::Rendezvous, seed)
+}
+
+impl Relay {
+    fn choose(&mut self, function: FunctionId) -> InvokerId {
+        let first = self.rng.usize(..self.choices.len());
+        let rotated = self.choices[first..]
+            .iter()
+            .chain(&self.choices[..first])
+            .copied();
+        let in_flight = |invoker: &InvokerId| self.in_flight.get(invoker).copied().unwrap_or(0);
+        let rank = |invoker: &InvokerId| {
+            fastrand::Rng::with_seed(function ^ (u64::from(*invoker) << 32)).u64(..)
+        };
+        match self.choice {
+            Choice::Random => self.choices[first],
+            Choice::LeastInFlight => rotated.min_by_key(in_flight).unwrap_or(self.choices[first]),
+            Choice::Rendezvous => rotated.max_by_key(rank).unwrap_or(self.choices[first]),
+        }
+    }
+}
+
+impl Policy for Relay {
+    fn invokers_changed(&mut self, _: Ticks, is_complete: bool, records: &[InvokerRecord]) {
+        if is_complete {
+            self.ready.clear();
+        }
+        for record in records {
+            if record.status == InvokerStatus::Ready {
+                self.ready.insert(record.invoker);
+            } else {
+                self.ready.remove(&record.invoker);
+            }
+        }
+        self.choices = self.ready.iter().copied().collect();
+    }
+
+    fn invocation_arrived(&mut self, _: Ticks, request: Invocation, actions: &mut dyn Actions) {
+        if self.choices.is_empty() {
+            return actions.throttle(request.id, 0);
+        }
+        let target = self.choose(request.function);
+        self.targets.insert(request.id, target);
+        *self.in_flight.entry(target).or_insert(0) += 1;
+        actions.dispatch(request.id, target, 0);
+    }
+
+    fn client_left(&mut self, _: Ticks, _: InvocationId) {}
+
+    fn attempt_ended(&mut self, _: Ticks, result: AttemptResult, actions: &mut dyn Actions) {
+        let target = self.targets.remove(&result.invocation);
+        if let Some(in_flight) = target.and_then(|target| self.in_flight.get_mut(&target)) {
+            *in_flight -= 1;
+        }
+        if result.finished {
+            return;
+        }
+        if result.outcome.never_ran() {
+            actions.throttle(result.invocation, 0);
+        } else {
+            actions.error(result.invocation);
+        }
+    }
+
+    fn load_ended(&mut self, _: Ticks, _: LoadResult, _: &mut dyn Actions) {}
+    fn timer_fired(&mut self, _: Ticks, _: u64, _: &mut dyn Actions) {}
+}
--- a/crates/controller/src/clients.rs
+++ b/crates/controller/src/clients.rs
@@ -3,9 +3,9 @@
 use crate::front::{self, Front};
 use crate::going::Step;
 use bytes::Bytes;
-use saltdrum::port::{InvId, Tenths};
-use saltdrum_transport::{ArrivalWatch, Clock, Listener, Outbox, Read, Stream, halves};
+use saltdrum::interface::{InvocationId, Ticks};
 use saltdrum_protocol::rpc::{self, Call, Id, Line};
+use saltdrum_transport::{ArrivalClock, ArrivalReader, Clock, Listener, SendQueue, Stream, halves};
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -17,17 +17,17 @@
 /// No more is read from a client that has so many invocations in flight.
 const OPEN_MOST: usize = 20_000;
 /// Answers that belong to no invocation need not leave by a certain time.
-const ANY_TIME: Tenths = Tenths::MAX;
+const ANY_TIME: Ticks = Ticks::MAX;
 
 struct Client {
-    outbox: Outbox,
-    open: RefCell<BTreeSet<InvId>>,
+    outbox: SendQueue,
+    open: RefCell<BTreeSet<InvocationId>>,
     fewer: Notify,
     cut: Notify,
 }
 
 impl Client {
-    fn put(&self, mut text: String, until: Tenths) {
+    fn put(&self, mut text: String, until: Ticks) {
         text.push('\n');
         if self.outbox.put(Bytes::from(text), until).is_none() {
             self.cut.notify_one();
@@ -40,7 +40,7 @@
 struct Batch {
     owed: usize,
     parts: Vec<String>,
-    until: Tenths,
+    until: Ticks,
 }
 
 /// Where the one answer to a call goes.
@@ -52,11 +52,11 @@
 }
 
 impl Reply {
-    pub fn opened(&mut self, id: InvId) {
+    pub fn opened(&mut self, id: InvocationId) {
         self.client.open.borrow_mut().insert(id);
     }
 
-    fn put(self, text: impl FnOnce(&Id) -> String, until: Tenths) {
+    fn put(self, text: impl FnOnce(&Id) -> String, until: Ticks) {
         let text = self.id.as_ref().map(text);
         match self.batch {
             None => {
@@ -76,23 +76,23 @@
         }
     }
 
-    fn closed(&self, id: InvId) {
+    fn closed(&self, id: InvocationId) {
         self.client.open.borrow_mut().remove(&id);
         self.client.fewer.notify_one();
     }
 
-    pub fn result(self, id: InvId, result: &str, until: Tenths) {
+    pub fn result(self, id: InvocationId, result: &str, until: Ticks) {
         self.closed(id);
         self.put(|id| rpc::result(id, result), until);
     }
 
-    pub fn error(self, id: InvId, code: i64, why: &str, data: Option<&str>, until: Tenths) {
+    pub fn error(self, id: InvocationId, code: i64, why: &str, data: Option<&str>, until: Ticks) {
         self.closed(id);
         self.put(|id| rpc::error(id, code, why, data), until);
     }
 
     /// Nothing is sent: the client waits no more.
-    pub fn drop_out(self, id: InvId) {
+    pub fn drop_out(self, id: InvocationId) {
         self.closed(id);
         self.forget();
     }
@@ -111,7 +111,7 @@
 
 /// Takes in clients for as long as the controller lives.
 pub(crate) async fn receive(front: Rc<Front>, mut door: Box<dyn Listener>) {
-    let mut arrivals = ArrivalWatch::new(front.clock.now(), front.clock, &front.turns);
+    let mut arrivals = ArrivalClock::new(front.clock.now(), front.clock, &front.turns);
     loop {
         match arrivals.accept(&mut *door).await {
             Ok(stream) => {
@@ -131,17 +131,17 @@
 }
 
 /// Attends to one client, whose connection can have been open since `opened`.
-async fn attend(front: Rc<Front>, stream: Stream, opened: Tenths) {
+async fn attend(front: Rc<Front>, stream: Stream, opened: Ticks) {
     let (input, mut output) = halves(stream);
     let client = Rc::new(Client {
-        outbox: Outbox::new(ANSWERS_MOST_BYTES),
+        outbox: SendQueue::new(ANSWERS_MOST_BYTES),
         open: RefCell::default(),
         fewer: Notify::new(),
         cut: Notify::new(),
     });
     let _sends = front.seat.going.sends(&client.outbox);
     let clock: Clock = front.clock;
-    let read = Read::opened_at(input, opened, clock, front.turns.clone());
+    let read = ArrivalReader::opened_at(input, opened, clock, front.turns.clone());
     let why = tokio::select! {
         biased;
         why = listen(&front, &client, read) => why,
@@ -152,7 +152,7 @@
         () = led_away(&front, &client) => unreachable!("a handle outlives its clients"),
         () = client.cut.notified() => format!("more than {ANSWERS_MOST_BYTES} bytes of answers lie unread"),
     };
-    let open: Vec<InvId> = client.open.borrow().iter().copied().collect();
+    let open: Vec<InvocationId> = client.open.borrow().iter().copied().collect();
     debug!(why, open = open.len(), "client gone");
     for id in open {
         front.tell(|state| state.left(id));
@@ -178,7 +178,7 @@
 async fn listen(
     front: &Rc<Front>,
     client: &Rc<Client>,
-    mut read: Read<saltdrum_transport::Half>,
+    mut read: ArrivalReader<saltdrum_transport::Half>,
 ) -> String {
     let mut searched = 0;
     loop {
@@ -214,7 +214,7 @@
     }
 }
 
-fn heard(front: &Rc<Front>, client: &Rc<Client>, line: &[u8], earliest: Tenths) {
+fn heard(front: &Rc<Front>, client: &Rc<Client>, line: &[u8], earliest: Ticks) {
     match rpc::read(line) {
         Err(r) => client.put(rpc::error(&r.id, r.code, &r.why, None), ANY_TIME),
         Ok(Line::Single(part)) => answer(front, client, part, None, None, earliest),
@@ -228,7 +228,7 @@
             let waits = parts.iter().flatten().filter_map(least_wait);
             let least = waits
                 .min_by(f64::total_cmp)
-                .map(|ms| (ms * 10.0).max(0.0) as Tenths);
+                .map(|ms| (ms * 10.0).max(0.0) as Ticks);
             for part in parts {
                 answer(front, client, part, Some(batch.clone()), least, earliest);
             }
@@ -247,8 +247,8 @@
     client: &Rc<Client>,
     part: Result<Call, rpc::Refusal>,
     batch: Option<Rc<RefCell<Batch>>>,
-    least_left: Option<Tenths>,
-    earliest: Tenths,
+    least_left: Option<Ticks>,
+    earliest: Ticks,
 ) {
     let call = match part {
         Ok(call) => call,
--- a/crates/controller/src/desk.rs
+++ b/crates/controller/src/desk.rs
@@ -2,10 +2,10 @@
 //!
 //! Two narrow seams keep it free of any wire: [`Owed`], whom an answer is owed, and [`Reach`], how invokers are reached.
 
-use crate::decides::Decides;
+use crate::policy::Policy;
 use bytes::Bytes;
-use saltdrum::port::*;
-use saltdrum_transport::{Clock, Network, Turns};
+use saltdrum::interface::*;
+use saltdrum_transport::{Clock, EventLoopClock, Network};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -13,9 +13,9 @@
 use tracing::{Span, debug, info, info_span, warn};
 
 /// A dispatch is timed out so long before its invocation expires that the module can still give the final answer.
-const LAST_WORD: Tenths = 5 * MILLI;
+const LAST_WORD: Ticks = 5 * MILLISECOND;
 /// A timer later than this comes after a stop: what lies in the sockets came first.
-const LATE: Tenths = 40 * MILLI;
+const LATE: Ticks = 40 * MILLISECOND;
 
 pub type Due<R> = Box<dyn FnOnce(&mut State<R>)>;
 
@@ -24,40 +24,40 @@
     /// With the invoker's output, byte for byte.
     Succeeded(&'a Bytes),
     /// Come back after so long; 0: no advice.
-    Throttled(Tenths),
+    Throttled(Ticks),
     Errored(&'a str),
 }
 
 /// Whom an answer is owed.
 pub trait Owed {
     /// The one final answer; nothing of it leaves from `until` on.
-    fn answer(self, id: InvId, how: Final, hops: u8, until: Tenths);
+    fn answer(self, id: InvocationId, how: Final, hops: u8, until: Ticks);
     /// Nothing is sent: the client waits no more.
-    fn drop_out(self, id: InvId);
+    fn drop_out(self, id: InvocationId);
 }
 
 /// One dispatch on its way to an invoker.
 pub struct Sending<'a, C> {
-    pub inv: InvId,
+    pub inv: InvocationId,
     pub hop: u8,
     pub invoker: InvokerId,
-    pub function: FnId,
+    pub function: FunctionId,
     pub carried: &'a C,
-    pub now: Tenths,
+    pub now: Ticks,
     /// It has ended by then.
-    pub until: Tenths,
+    pub until: Ticks,
     /// Nothing of it begins to leave from then on.
-    pub leave_by: Tenths,
+    pub leave_by: Ticks,
     /// When the client stops waiting.
-    pub gone: Tenths,
+    pub gone: Ticks,
 }
 
 /// What an invoker's answer told beside its outcome.
 #[derive(Default)]
 pub struct Told {
-    pub found: Option<Found>,
+    pub found: Option<StartKind>,
     pub crowd: Option<u8>,
-    pub report: Report,
+    pub report: LoadReport,
     pub output: Bytes,
 }
 
@@ -87,19 +87,19 @@
     /// `Err`: the order can't leave, and this is its end.
     fn hold(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         invoker: InvokerId,
-        function: FnId,
+        function: FunctionId,
         count: u8,
-    ) -> Result<u64, HoldOutcome>;
+    ) -> Result<u64, LoadOutcome>;
     /// When an order had left whole, where that is seen.
-    fn order_left(&self, _order: u64) -> Option<Tenths> {
+    fn order_left(&self, _order: u64) -> Option<Ticks> {
         None
     }
     /// An order has ended, one way or another.
     fn held(&mut self, invoker: InvokerId, order: u64);
-    fn unload(&mut self, now: Tenths, invoker: InvokerId, function: FnId);
-    fn probe(&mut self, now: Tenths, invoker: InvokerId);
+    fn unload(&mut self, now: Ticks, invoker: InvokerId, function: FunctionId);
+    fn probe(&mut self, now: Ticks, invoker: InvokerId);
 }
 
 /// One controller: its state, and what it is handed to live on.
@@ -107,14 +107,14 @@
     state: RefCell<State<R>>,
     pub clock: Clock,
     pub network: Rc<dyn Network>,
-    pub turns: Turns,
+    pub turns: EventLoopClock,
     pub seat: R::Seat,
     earlier: Notify,
 }
 
 /// The module and all it acts through. They lie side by side, so that the module can be called with the desk.
 pub struct State<R: Reach> {
-    pub module: Box<dyn Decides>,
+    pub module: Box<dyn Policy>,
     pub desk: Desk<R>,
 }
 
@@ -136,28 +136,28 @@
 }
 
 pub struct Desk<R: Reach> {
-    pub now: Tenths,
+    pub now: Ticks,
     pub reach: R,
     pub counts: Counts,
     /// An order that is not answered within this has ended.
-    order_timeout: Tenths,
+    order_timeout: Ticks,
     may_cancel: bool,
-    invs: BTreeMap<InvId, Inv<R>>,
+    invs: BTreeMap<InvocationId, Inv<R>>,
     orders: BTreeMap<(InvokerId, u64), Order>,
-    timers: BTreeMap<(Tenths, u64), Due<R>>,
+    timers: BTreeMap<(Ticks, u64), Due<R>>,
     timer: u64,
     /// What is owed to the module once it has returned.
     after: VecDeque<Due<R>>,
-    last_inv: InvId,
+    last_inv: InvocationId,
 }
 
 /// One invocation, from its reading to its last dispatch's end.
 struct Inv<R: Reach> {
     carried: R::Carried,
-    function: FnId,
-    expires: Tenths,
+    function: FunctionId,
+    expires: Ticks,
     /// When no answer is owed any more: nothing is sent from then on.
-    gone: Tenths,
+    gone: Ticks,
     owed: Option<R::Owed>,
     hops: u8,
     out: BTreeMap<u8, Out>,
@@ -167,26 +167,29 @@
 struct Out {
     invoker: InvokerId,
     dispatch: u64,
-    sent: Tenths,
-    timer: (Tenths, u64),
+    sent: Ticks,
+    timer: (Ticks, u64),
     span: Span,
 }
 
 struct Order {
-    function: FnId,
-    sent: Tenths,
-    timer: (Tenths, u64),
+    function: FunctionId,
+    sent: Ticks,
+    timer: (Ticks, u64),
 }
 
 impl<R: Reach> Front<R> {
     pub fn new(
-        module: Box<dyn Decides>,
+        module: Box<dyn Policy>,
         desk: Desk<R>,
         clock: Clock,
         network: Rc<dyn Network>,
         seat: R::Seat,
     ) -> Self {
-        let (state, turns) = (RefCell::new(State { module, desk }), Turns::default());
+        let (state, turns) = (
+            RefCell::new(State { module, desk }),
+            EventLoopClock::default(),
+        );
         Self {
             state,
             clock,
@@ -248,7 +251,7 @@
 }
 
 impl<R: Reach> Desk<R> {
-    pub fn new(now: Tenths, reach: R, d: &Deployment, order_timeout: Tenths) -> Self {
+    pub fn new(now: Ticks, reach: R, d: &Deployment, order_timeout: Ticks) -> Self {
         Self {
             now,
             reach,
@@ -275,7 +278,7 @@
     }
 
     /// Runs `due` at `at`. The key takes it back.
-    pub fn later(&mut self, at: Tenths, due: Due<R>) -> (Tenths, u64) {
+    pub fn later(&mut self, at: Ticks, due: Due<R>) -> (Ticks, u64) {
         self.timer += 1;
         let key = (at, self.timer);
         self.timers.insert(key, due);
@@ -287,7 +290,7 @@
     }
 
     /// The number of the next invocation.
-    pub fn next_inv(&mut self) -> InvId {
+    pub fn next_inv(&mut self) -> InvocationId {
         loop {
             self.last_inv = self.last_inv.wrapping_add(1);
             if !self.invs.contains_key(&self.last_inv) {
@@ -297,7 +300,7 @@
     }
 
     /// Sends the one final answer, if the client still waits for it.
-    fn answer(&mut self, id: InvId, how: Final) {
+    fn answer(&mut self, id: InvocationId, how: Final) {
         let Some(inv) = self.invs.get_mut(&id) else {
             return;
         };
@@ -320,9 +323,9 @@
                 counts.throttled += 1;
                 debug!(
                     outcome = "throttled",
-                    wait_ms = wait / MILLI,
+                    wait_ms = wait / MILLISECOND,
                     hops = inv.hops,
-                    left_ms = (inv.gone - self.now) / MILLI
+                    left_ms = (inv.gone - self.now) / MILLISECOND
                 );
             }
             Final::Errored(why) => {
@@ -337,7 +340,7 @@
     }
 
     /// Nothing is out for it and nothing owed: it is forgotten.
-    fn forget_ended(&mut self, id: InvId) {
+    fn forget_ended(&mut self, id: InvocationId) {
         if self
             .invs
             .get(&id)
@@ -353,12 +356,12 @@
     pub fn taken(
         &mut self,
         invocation: Invocation,
-        gone: Tenths,
+        gone: Ticks,
         carried: R::Carried,
         owed: R::Owed,
         span: Span,
     ) {
-        let (id, function, expires) = (invocation.id, invocation.function, invocation.expires);
+        let (id, function, expires) = (invocation.id, invocation.function, invocation.expires_at);
         self.desk.counts.taken += 1;
         let (owed, out) = (Some(owed), BTreeMap::new());
         self.desk.invs.insert(
@@ -375,12 +378,12 @@
             },
         );
         self.module
-            .invoked(self.desk.now, invocation, &mut self.desk);
+            .invocation_arrived(self.desk.now, invocation, &mut self.desk);
         self.desk.forget_ended(id);
     }
 
     /// The client that waited for it has hung up.
-    pub fn left(&mut self, id: InvId) {
+    pub fn left(&mut self, id: InvocationId) {
         let desk = &mut self.desk;
         let Some(inv) = desk.invs.get_mut(&id) else {
             return;
@@ -404,20 +407,20 @@
                 }));
             }
         }
-        self.module.left(self.desk.now, id);
+        self.module.client_left(self.desk.now, id);
         self.desk.forget_ended(id);
     }
 
     /// The process ends: what is still owed is answered at once, as nobody will answer it later. Gives how many.
     pub fn end(&mut self) -> usize {
-        let owed = |(id, inv): (&InvId, &Inv<R>)| inv.owed.is_some().then_some(*id);
-        let owed: Vec<InvId> = self.desk.invs.iter().filter_map(owed).collect();
+        let owed = |(id, inv): (&InvocationId, &Inv<R>)| inv.owed.is_some().then_some(*id);
+        let owed: Vec<InvocationId> = self.desk.invs.iter().filter_map(owed).collect();
         owed.iter().for_each(|id| self.give_up(*id));
         owed.len()
     }
 
     /// Answers an invocation at once, as nobody will be able to later: refused where it was never sent on.
-    pub fn give_up(&mut self, id: InvId) {
+    pub fn give_up(&mut self, id: InvocationId) {
         let Some(inv) = self.desk.invs.get(&id) else {
             return;
         };
@@ -431,7 +434,7 @@
     }
 
     /// One dispatch has ended: the client hears of a success, the module of everything.
-    pub fn ended(&mut self, id: InvId, hop: u8, outcome: Outcome, told: &Told) {
+    pub fn ended(&mut self, id: InvocationId, hop: u8, outcome: Outcome, told: &Told) {
         let desk = &mut self.desk;
         let Some(inv) = desk.invs.get_mut(&id) else {
             return;
@@ -440,7 +443,7 @@
             return;
         };
         out.span
-            .in_scope(|| debug!(?outcome, took_ms = (desk.now - out.sent) / MILLI));
+            .in_scope(|| debug!(?outcome, took_ms = (desk.now - out.sent) / MILLISECOND));
         desk.timers.remove(&out.timer);
         desk.reach
             .ended(out.invoker, out.dispatch, &inv.carried, outcome, told);
@@ -448,23 +451,24 @@
             desk.answer(id, Final::Succeeded(&told.output));
         }
         let finished = desk.invs.get(&id).is_none_or(|inv| inv.owed.is_none());
-        let answer = Answer {
-            inv: id,
+        let answer = AttemptResult {
+            invocation: id,
             invoker: out.invoker,
-            hop,
+            attempt: hop,
             finished,
             outcome,
-            found: told.found,
-            crowd: told.crowd,
-            took: desk.now.saturating_sub(out.sent),
+            start_kind: told.found,
+            concurrency: told.crowd,
+            duration: desk.now.saturating_sub(out.sent),
             report: told.report,
         };
-        self.module.answered(self.desk.now, answer, &mut self.desk);
+        self.module
+            .attempt_ended(self.desk.now, answer, &mut self.desk);
         self.desk.forget_ended(id);
     }
 
     /// An order to hold has ended.
-    pub fn held(&mut self, invoker: InvokerId, order: u64, outcome: HoldOutcome, standing: u8) {
+    pub fn held(&mut self, invoker: InvokerId, order: u64, outcome: LoadOutcome, standing: u8) {
         let left = self.desk.reach.order_left(order);
         let Some(o) = self.desk.orders.remove(&(invoker, order)) else {
             return;
@@ -479,27 +483,34 @@
             order,
             ?outcome,
             standing,
-            took_ms = took / MILLI,
+            took_ms = took / MILLISECOND,
             "order to load has ended"
         );
-        let answer = HoldAnswer {
+        let answer = LoadResult {
             invoker,
             function: o.function,
             outcome,
-            standing,
-            took,
-            left,
+            loaded_instances: standing,
+            duration: took,
+            sent_at: left,
         };
-        self.module.held(self.desk.now, answer, &mut self.desk);
+        self.module
+            .load_ended(self.desk.now, answer, &mut self.desk);
     }
 }
 
-impl<R: Reach> Acts for Desk<R> {
-    fn dispatch(&mut self, id: InvId, invoker: InvokerId, time_out: Tenths) {
-        self.dispatch_by(id, invoker, time_out, Tenths::MAX);
+impl<R: Reach> Actions for Desk<R> {
+    fn dispatch(&mut self, id: InvocationId, invoker: InvokerId, time_out: Ticks) {
+        self.dispatch_by(id, invoker, time_out, Ticks::MAX);
     }
 
-    fn dispatch_by(&mut self, id: InvId, invoker: InvokerId, time_out: Tenths, leave_by: Tenths) {
+    fn dispatch_by(
+        &mut self,
+        id: InvocationId,
+        invoker: InvokerId,
+        time_out: Ticks,
+        leave_by: Ticks,
+    ) {
         let Some(inv) = self.invs.get_mut(&id) else {
             return;
         };
@@ -563,15 +574,15 @@
         );
     }
 
-    fn throttle(&mut self, id: InvId, come_back: Tenths) {
+    fn throttle(&mut self, id: InvocationId, come_back: Ticks) {
         self.answer(id, Final::Throttled(come_back));
     }
 
-    fn error(&mut self, id: InvId) {
+    fn error(&mut self, id: InvocationId) {
         self.answer(id, Final::Errored("whether it ran is not known"));
     }
 
-    fn cancel(&mut self, id: InvId, hop: u8) {
+    fn cancel(&mut self, id: InvocationId, hop: u8) {
         let Some(out) = self.invs.get(&id).and_then(|inv| inv.out.get(&hop)) else {
             return;
         };
@@ -589,7 +600,7 @@
         }));
     }
 
-    fn hold(&mut self, invoker: InvokerId, function: FnId, count: u8) {
+    fn load(&mut self, invoker: InvokerId, function: FunctionId, count: u8) {
         self.counts.orders += 1;
         let (at, sent) = (self.now + self.order_timeout, self.now);
         match self.reach.hold(sent, invoker, function, count) {
@@ -602,7 +613,7 @@
                     "order to load"
                 );
                 let due = move |state: &mut State<R>| {
-                    state.held(invoker, order, HoldOutcome::TimedOut, 0)
+                    state.held(invoker, order, LoadOutcome::TimedOut, 0)
                 };
                 let timer = self.later(at, Box::new(due));
                 self.orders.insert(
@@ -622,20 +633,22 @@
                     ?outcome,
                     "an order to load can't leave"
                 );
-                let answer = HoldAnswer {
+                let answer = LoadResult {
                     invoker,
                     function,
                     outcome,
-                    standing: 0,
-                    took: 0,
-                    left: None,
+                    loaded_instances: 0,
+                    duration: 0,
+                    sent_at: None,
                 };
-                state.module.held(state.desk.now, answer, &mut state.desk);
+                state
+                    .module
+                    .load_ended(state.desk.now, answer, &mut state.desk);
             })),
         }
     }
 
-    fn unload(&mut self, invoker: InvokerId, function: FnId) {
+    fn unload(&mut self, invoker: InvokerId, function: FunctionId) {
         self.reach.unload(self.now, invoker, function);
     }
 
@@ -643,13 +656,16 @@
         self.reach.probe(self.now, invoker);
     }
 
-    fn wake(&mut self, at: Tenths, token: u64) {
-        let due =
-            move |state: &mut State<R>| state.module.woken(state.desk.now, token, &mut state.desk);
+    fn set_timer(&mut self, at: Ticks, token: u64) {
+        let due = move |state: &mut State<R>| {
+            state
+                .module
+                .timer_fired(state.desk.now, token, &mut state.desk)
+        };
         self.later(at, Box::new(due));
     }
 
-    fn note(&mut self, text: &str) {
+    fn log(&mut self, text: &str) {
         info!(text, "module");
     }
 }
--- a/crates/controller/src/front.rs
+++ b/crates/controller/src/front.rs
@@ -1,18 +1,18 @@
 //! The native path: JSON-RPC in, multiplexed links out, round the desk.
 
 use crate::clients::Reply;
-use crate::decides::Make;
 use crate::desk::{self, Desk, Final, Owed, Reach, Sending, Told};
 use crate::going::{Going, Look};
 use crate::links::Link;
 use crate::names::{Names, NamesAt};
+use crate::policy::MakePolicy;
 use crate::redial::Dials;
 use crate::{clients, links, list, names};
-use saltdrum::port::*;
+use saltdrum::interface::*;
 use saltdrum_deployment::Terms;
-use saltdrum_transport::{Address, Clock, Network, turning};
 use saltdrum_protocol::{invoker as wire, rpc};
 use saltdrum_registry::passage::{Fixed, Said, Unfixed};
+use saltdrum_transport::{Address, Clock, Network, run_event_loop_clock};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -48,7 +48,7 @@
 /// How invokers are reached here: one multiplexed link each.
 pub(crate) struct Links {
     pub terms: Rc<Terms>,
-    pub functions: BTreeMap<FnId, String>,
+    pub functions: BTreeMap<FunctionId, String>,
     pub links: BTreeMap<InvokerId, Link>,
     pub dials: Dials,
     pub rng: fastrand::Rng,
@@ -77,7 +77,7 @@
 }
 
 impl Owed for Caller {
-    fn answer(self, id: InvId, how: Final, hops: u8, until: Tenths) {
+    fn answer(self, id: InvocationId, how: Final, hops: u8, until: Ticks) {
         let Self { reply, of_passage } = self;
         match how {
             Final::Succeeded(output) => {
@@ -88,7 +88,7 @@
             Final::Throttled(wait) => {
                 let data = format!(
                     r#"{{"come_back_ms":{},"dispatches":{hops}{of_passage}}}"#,
-                    wait / MILLI
+                    wait / MILLISECOND
                 );
                 reply.error(id, rpc::THROTTLED, "throttled", Some(&data), until);
             }
@@ -99,7 +99,7 @@
         }
     }
 
-    fn drop_out(self, id: InvId) {
+    fn drop_out(self, id: InvocationId) {
         self.reply.drop_out(id);
     }
 }
@@ -160,7 +160,7 @@
         let well = match outcome {
             Outcome::Succeeded => Some(true),
             Outcome::Errored | Outcome::TimedOut => Some(false),
-            _ => (told.found == Some(Found::LoadFailed)).then_some(false),
+            _ => (told.found == Some(StartKind::LoadFailed)).then_some(false),
         };
         let staged = carried.runs.as_ref().and_then(|r| r.fixed.staged.as_ref());
         if let (Some(names), Some(staged), Some(well)) = (&mut self.names, staged, well) {
@@ -173,15 +173,15 @@
 
     fn hold(
         &mut self,
-        _: Tenths,
+        _: Ticks,
         invoker: InvokerId,
-        function: FnId,
+        function: FunctionId,
         count: u8,
-    ) -> Result<u64, HoldOutcome> {
+    ) -> Result<u64, LoadOutcome> {
         let name = self.functions.get(&function).cloned().unwrap_or_default();
         let link = self.links.get_mut(&invoker);
         link.and_then(|link| link.hold(function, name, count))
-            .ok_or(HoldOutcome::Unreachable)
+            .ok_or(LoadOutcome::Unreachable)
     }
 
     fn held(&mut self, invoker: InvokerId, order: u64) {
@@ -190,13 +190,13 @@
         }
     }
 
-    fn unload(&mut self, _: Tenths, invoker: InvokerId, function: FnId) {
+    fn unload(&mut self, _: Ticks, invoker: InvokerId, function: FunctionId) {
         if let Some(link) = self.links.get_mut(&invoker) {
             link.unload(function);
         }
     }
 
-    fn probe(&mut self, _: Tenths, invoker: InvokerId) {
+    fn probe(&mut self, _: Ticks, invoker: InvokerId) {
         if let Some(link) = self.links.get_mut(&invoker) {
             link.probe();
         }
@@ -223,8 +223,8 @@
 pub(crate) fn invoke(
     state: &mut State,
     call: rpc::Invoke,
-    least_left: Option<Tenths>,
-    earliest: Tenths,
+    least_left: Option<Ticks>,
+    earliest: Ticks,
     mut reply: Reply,
 ) {
     let desk = &mut state.desk;
@@ -288,18 +288,18 @@
     let work_hint = call
         .work_hint_ms
         .filter(|ms| *ms > 0.0)
-        .map(|ms| (ms * MILLI as f64) as Tenths);
+        .map(|ms| (ms * MILLISECOND as f64) as Ticks);
     let invocation = Invocation {
         id,
         trigger,
         tenant,
         function,
-        came: earliest,
-        expires,
+        earliest_arrival: earliest,
+        expires_at: expires,
         work_hint,
-        memory,
-        lanes,
-        load_hint,
+        memory_mb: memory,
+        concurrency_limit: lanes,
+        load_time_hint: load_hint,
     };
     let span = info_span!(
         "invocation",
@@ -322,21 +322,21 @@
     );
 }
 
-fn time_left(call: &rpc::Invoke, most: Tenths) -> Result<Tenths, String> {
+fn time_left(call: &rpc::Invoke, most: Ticks) -> Result<Ticks, String> {
     match call.time_left_ms {
         None => Ok(most),
-        Some(ms) if ms.is_finite() && ms > 0.0 => Ok(most.min((ms * MILLI as f64) as Tenths)),
+        Some(ms) if ms.is_finite() && ms > 0.0 => Ok(most.min((ms * MILLISECOND as f64) as Ticks)),
         Some(ms) => Err(format!("time_left_ms = {ms}: more than 0 is expected")),
     }
 }
 
 /// Runs one controller until the future is dropped, which is as sudden as a kill. Fails when it can't listen. `make`
-/// is [`by_design`](crate::by_design) but for measurements.
+/// is [`dispatch_policy`](crate::dispatch_policy) but for measurements.
 pub async fn serve(
     seat: Seat,
     network: Rc<dyn Network>,
     clock: Clock,
-    make: Make,
+    make: MakePolicy,
 ) -> std::io::Result<()> {
     let local = tokio::task::LocalSet::new();
     local.run_until(run(seat, network, clock, make)).await
@@ -346,7 +346,7 @@
     seat: Seat,
     network: Rc<dyn Network>,
     clock: Clock,
-    make: Make,
+    make: MakePolicy,
 ) -> std::io::Result<()> {
     let (now, terms) = (clock.now(), seat.terms.clone());
     let deployment = Deployment {
@@ -390,8 +390,8 @@
         })
     });
     let (turns, stood) = (front.turns.clone(), front.clone());
-    tokio::task::spawn_local(turning(turns, clock, move |_, gap| {
-        warn!(stood_ms = gap / MILLI, "this controller stood still");
+    tokio::task::spawn_local(run_event_loop_clock(turns, clock, move |_, gap| {
+        warn!(stood_ms = gap / MILLISECOND, "this controller stood still");
         stood.tell(|state| state.desk.counts.stood_still += 1);
     }));
     tokio::task::spawn_local(list::follow(front.clone()));
--- a/crates/controller/src/going.rs
+++ b/crates/controller/src/going.rs
@@ -1,7 +1,7 @@
 //! How a controller goes without leaving anybody waiting: clients are told first, then nothing new is taken, then what was
 //! taken is answered.
 
-use saltdrum_transport::Outbox;
+use saltdrum_transport::SendQueue;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -29,15 +29,15 @@
     pub listed: bool,
 }
 
-type Outboxes = Rc<RefCell<BTreeMap<u64, Outbox>>>;
+type Outboxes = Rc<RefCell<BTreeMap<u64, SendQueue>>>;
 
-type Looks = Rc<RefCell<Option<Box<dyn Fn() -> Look>>>>;
+type PollTimes = Rc<RefCell<Option<Box<dyn Fn() -> Look>>>>;
 
 /// The handle on one controller's going. Whoever holds it may turn back at any step.
 #[derive(Clone)]
 pub struct Going {
     step: Rc<watch::Sender<Step>>,
-    look: Looks,
+    look: PollTimes,
     outboxes: Outboxes,
     clients: Rc<Cell<u64>>,
 }
@@ -83,7 +83,7 @@
             .map_or_else(Look::default, |look| look())
     }
 
-    pub(crate) fn sends(&self, outbox: &Outbox) -> Sends {
+    pub(crate) fn sends(&self, outbox: &SendQueue) -> Sends {
         self.clients.set(self.clients.get() + 1);
         let client = self.clients.get();
         self.outboxes.borrow_mut().insert(client, outbox.clone());
@@ -97,7 +97,7 @@
         self.outboxes
             .borrow()
             .values()
-            .map(Outbox::waiting_bytes)
+            .map(SendQueue::waiting_bytes)
             .sum()
     }
 
--- a/crates/controller/src/links.rs
+++ b/crates/controller/src/links.rs
@@ -4,11 +4,11 @@
 use crate::front::{Front, State};
 use crate::redial::Redial;
 use bytes::{Bytes, BytesMut};
-use saltdrum::port::*;
-use saltdrum_transport::{Address, Half, Outbox, Stream, Ticket, halves};
+use saltdrum::interface::*;
 use saltdrum_protocol::frame::{Message, cut, encode};
 use saltdrum_protocol::invoker as wire;
 use saltdrum_protocol::list::Entry;
+use saltdrum_transport::{Address, Half, SendQueue, Stream, Ticket, halves};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::time::Duration;
@@ -31,7 +31,7 @@
 }
 
 struct Sent {
-    inv: InvId,
+    inv: InvocationId,
     hop: u8,
     ticket: Ticket,
 }
@@ -39,32 +39,32 @@
 pub(crate) struct Link {
     pub entry: Entry,
     /// By this controller's clock.
-    pub started: Option<Tenths>,
+    pub started: Option<Ticks>,
     pub orders: BTreeMap<u64, Ticket>,
     phase: Phase,
-    outbox: Outbox,
+    outbox: SendQueue,
     out: BTreeMap<u64, Sent>,
     given_up: BTreeSet<u64>,
     last: u64,
     /// Rule 3: nothing new leaves from then on, not even what waited.
-    cutoff: Tenths,
+    cutoff: Ticks,
     pub redial: Redial,
     pub changed: Rc<Notify>,
     broken: Rc<Notify>,
 }
 
 impl Link {
-    pub fn new(entry: Entry, started: Option<Tenths>) -> Self {
+    pub fn new(entry: Entry, started: Option<Ticks>) -> Self {
         Self {
             entry,
             started,
             orders: BTreeMap::new(),
             phase: Phase::Dialling,
-            outbox: Outbox::new(WAITING_MOST_BYTES),
+            outbox: SendQueue::new(WAITING_MOST_BYTES),
             out: BTreeMap::new(),
             given_up: Default::default(),
             last: 0,
-            cutoff: Tenths::MAX,
+            cutoff: Ticks::MAX,
             redial: Redial::default(),
             changed: Rc::default(),
             broken: Rc::default(),
@@ -75,7 +75,7 @@
         self.phase == Phase::Up
     }
 
-    fn put(&mut self, frame: Bytes, until: Tenths) -> Option<Ticket> {
+    fn put(&mut self, frame: Bytes, until: Ticks) -> Option<Ticket> {
         if self.phase == Phase::Down {
             None
         } else {
@@ -86,8 +86,8 @@
     pub fn dispatch(
         &mut self,
         frame: wire::DispatchOut,
-        until: Tenths,
-        inv: InvId,
+        until: Ticks,
+        inv: InvocationId,
         hop: u8,
     ) -> Result<u64, Outcome> {
         if self.phase == Phase::Down {
@@ -107,9 +107,9 @@
         Ok(self.last)
     }
 
-    pub fn hold(&mut self, function: FnId, name: String, count: u8) -> Option<u64> {
+    pub fn hold(&mut self, function: FunctionId, name: String, count: u8) -> Option<u64> {
         let order = self.last + 1;
-        let until = if count > 0 { self.cutoff } else { Tenths::MAX };
+        let until = if count > 0 { self.cutoff } else { Ticks::MAX };
         let ticket = self.put(
             encode(&wire::Hold {
                 order,
@@ -125,16 +125,16 @@
     }
 
     pub fn cancel(&mut self, dispatch: u64) {
-        self.put(encode(&wire::Cancel { dispatch }), Tenths::MAX);
+        self.put(encode(&wire::Cancel { dispatch }), Ticks::MAX);
     }
 
-    pub fn unload(&mut self, function: FnId) {
-        self.put(encode(&wire::Unload { function }), Tenths::MAX);
+    pub fn unload(&mut self, function: FunctionId) {
+        self.put(encode(&wire::Unload { function }), Ticks::MAX);
     }
 
     pub fn probe(&mut self) {
         self.last += 1;
-        self.put(encode(&wire::Probe { probe: self.last }), Tenths::MAX);
+        self.put(encode(&wire::Probe { probe: self.last }), Ticks::MAX);
     }
 
     /// Takes a frame back that has not begun to leave.
@@ -156,7 +156,7 @@
     }
 
     /// Told that it drains or is gone: what waits may leave until `at`, and what is stuck half-way is cut off then.
-    pub fn cut_at(&mut self, at: Tenths) {
+    pub fn cut_at(&mut self, at: Ticks) {
         self.cutoff = at;
     }
 
@@ -193,7 +193,7 @@
     let Some(link) = state.desk.reach.links.get(&invoker) else {
         return;
     };
-    let out: Vec<(InvId, u8)> = link
+    let out: Vec<(InvocationId, u8)> = link
         .out
         .values()
         .filter(|s| tickets.contains(&s.ticket))
@@ -209,7 +209,7 @@
         .for_each(|(inv, hop)| state.ended(inv, hop, Outcome::NotSent, &Told::default()));
     orders
         .into_iter()
-        .for_each(|order| state.held(invoker, order, HoldOutcome::Unreachable, 0));
+        .for_each(|order| state.held(invoker, order, LoadOutcome::Unreachable, 0));
 }
 
 /// The connection is gone, or never came: each dispatch ends by what is known of its frame.
@@ -223,7 +223,7 @@
     link.outbox.close();
     link.last = 0;
     link.given_up = Default::default();
-    let out: Vec<(InvId, u8, bool)> = link
+    let out: Vec<(InvocationId, u8, bool)> = link
         .out
         .values()
         .map(|s| (s.inv, s.hop, link.outbox.has_left(s.ticket)))
@@ -243,7 +243,7 @@
     }
     orders
         .into_iter()
-        .for_each(|order| state.held(invoker, order, HoldOutcome::Unreachable, 0));
+        .for_each(|order| state.held(invoker, order, LoadOutcome::Unreachable, 0));
     if let Some(link) = state.desk.reach.links.get_mut(&invoker) {
         link.out.clear();
         link.given_up = Default::default();
@@ -320,7 +320,7 @@
 fn begin(link: &mut Link) {
     if link.phase == Phase::Down {
         link.phase = Phase::Dialling;
-        link.outbox = Outbox::new(WAITING_MOST_BYTES);
+        link.outbox = SendQueue::new(WAITING_MOST_BYTES);
         link.broken = Rc::default();
     }
 }
@@ -330,7 +330,7 @@
     front: &Rc<Front>,
     invoker: InvokerId,
     address: &str,
-    outbox: &Outbox,
+    outbox: &SendQueue,
 ) -> String {
     let within = Duration::from_micros(front.seat.terms.connect_timeout * 100);
     let shaken = tokio::time::timeout(within, shake_hands(front, invoker, address)).await;
@@ -421,7 +421,7 @@
         link.entry.incarnation = welcome.incarnation;
         link.started = now.checked_sub(welcome.age_tenths);
         let listed = crate::list::listed(&link.entry, link.started);
-        state.module.listed(now, false, &[listed]);
+        state.module.invokers_changed(now, false, &[listed]);
     }
 }
 
@@ -502,9 +502,9 @@
         }
         wire::FromInvoker::Held(h) => {
             let outcome = match h.ended {
-                wire::HoldEnded::Standing => HoldOutcome::Standing,
-                wire::HoldEnded::NoRoom => HoldOutcome::NoRoom,
-                wire::HoldEnded::LoadFailed => HoldOutcome::LoadFailed,
+                wire::HoldEnded::Standing => LoadOutcome::Loaded,
+                wire::HoldEnded::NoRoom => LoadOutcome::NoCapacity,
+                wire::HoldEnded::LoadFailed => LoadOutcome::LoadFailed,
             };
             state.held(invoker, h.order, outcome, h.standing);
         }
@@ -520,15 +520,15 @@
     let finite = |x: &f32| x.is_finite();
     Told {
         found: a.found.map(|found| match found {
-            wire::Found::Warm => Found::Warm,
-            wire::Found::BeganLoad => Found::BeganLoad,
-            wire::Found::JoinedLoad => Found::JoinedLoad,
-            wire::Found::LoadFailed => Found::LoadFailed,
+            wire::Found::Warm => StartKind::Warm,
+            wire::Found::BeganLoad => StartKind::BeganLoad,
+            wire::Found::JoinedLoad => StartKind::JoinedLoad,
+            wire::Found::LoadFailed => StartKind::LoadFailed,
         }),
         crowd: a.crowd,
-        report: Report {
-            util: a.load.cores_busy.filter(finite).map(f64::from),
-            queue: a.load.waiting.filter(finite).map(f64::from),
+        report: LoadReport {
+            utilization: a.load.cores_busy.filter(finite).map(f64::from),
+            queue_length: a.load.waiting.filter(finite).map(f64::from),
         },
         output: Bytes::copy_from_slice(&a.output),
     }
--- a/crates/controller/src/list.rs
+++ b/crates/controller/src/list.rs
@@ -3,10 +3,10 @@
 use crate::front::{Front, State, reach};
 use crate::links::{Link, cut_off};
 use crate::redial::Redial;
-use saltdrum::port::*;
-use saltdrum_transport::{Address, Read};
+use saltdrum::interface::*;
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::list as wire;
+use saltdrum_transport::{Address, ArrivalReader};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
@@ -48,7 +48,7 @@
         return e.to_string();
     }
     redial.up(front.clock.now());
-    let mut read = Read::new(stream, front.clock, front.turns.clone());
+    let mut read = ArrivalReader::new(stream, front.clock, front.turns.clone());
     let (mut came, mut revision) = (front.clock.now(), None);
     loop {
         let message = match cut(&mut read.bytes) {
@@ -107,7 +107,7 @@
 
 /// What the list says reaches the links first, so that nothing the module then does meets an old one. It came at `came` or
 /// later, however late it is read, and what drains is cut off by that. Gives invokers that were not known.
-fn told(state: &mut State, came: Tenths, whole: bool, entries: Vec<wire::Entry>) -> Vec<InvokerId> {
+fn told(state: &mut State, came: Ticks, whole: bool, entries: Vec<wire::Entry>) -> Vec<InvokerId> {
     let (now, grace) = (
         state.desk.now,
         state.desk.reach.terms.deployment.drain_grace,
@@ -140,14 +140,14 @@
             link.changed.notify_one();
         }
         if entry.life == wire::Life::Ready {
-            link.cut_at(Tenths::MAX);
+            link.cut_at(Ticks::MAX);
         } else {
             cut.push(id);
         }
         link.entry = entry;
         all.push(listed(&link.entry, link.started));
     }
-    state.module.listed(now, whole, &all);
+    state.module.invokers_changed(now, whole, &all);
     for invoker in cut {
         // Half the grace is for the way and for what has begun to leave.
         let at = came + grace / 2;
@@ -161,18 +161,18 @@
     new
 }
 
-pub(crate) fn listed(entry: &wire::Entry, started: Option<Tenths>) -> Listed {
-    Listed {
+pub(crate) fn listed(entry: &wire::Entry, started: Option<Ticks>) -> InvokerRecord {
+    InvokerRecord {
         invoker: entry.invoker,
         zone: entry.zone,
-        kind: entry.kind,
+        machine_kind: entry.kind,
         cell: entry.cell,
-        life: match entry.life {
-            wire::Life::Ready => Life::Ready,
-            wire::Life::Draining => Life::Draining,
-            wire::Life::Gone => Life::Gone,
+        status: match entry.life {
+            wire::Life::Ready => InvokerStatus::Ready,
+            wire::Life::Draining => InvokerStatus::Draining,
+            wire::Life::Gone => InvokerStatus::Gone,
         },
-        size: f64::from(entry.size),
-        started,
+        capacity: f64::from(entry.size),
+        started_at: started,
     }
 }
--- a/crates/controller/src/names.rs
+++ b/crates/controller/src/names.rs
@@ -1,7 +1,7 @@
 //! Names of the registry as this controller knows them: versions are fixed here, before the module sees an invocation.
 
 use crate::front::Front;
-use saltdrum::port::{FnId, MILLI, Tenths};
+use saltdrum::interface::{FunctionId, MILLISECOND, Ticks};
 use saltdrum_registry::book::Book;
 use saltdrum_registry::call::Caller;
 use saltdrum_registry::follow::{Following, Heard, follow};
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug)]
 pub struct NamesAt {
     pub following: Following,
-    pub passage: Tenths,
+    pub passage: Ticks,
     /// Milliseconds since 1970 when the controller's clock reads 0. Controllers' hours have to agree within a passage's
     /// length; where they do not, passages end early, and never with another version.
     pub epoch_ms: u64,
@@ -40,14 +40,14 @@
     book: Book,
     passages: Passages,
     epoch_ms: u64,
-    heard: Option<Tenths>,
+    heard: Option<Ticks>,
     refused: Option<String>,
     stages: BTreeMap<Staged, Counted>,
 }
 
 /// What an invocation runs, for the wire and the module.
 pub(crate) struct Runs {
-    pub function: FnId,
+    pub function: FunctionId,
     pub name: String,
     pub memory: f64,
     pub lanes: f64,
@@ -58,7 +58,7 @@
     pub fn new(at: &NamesAt) -> Self {
         Self {
             book: Book::default(),
-            passages: Passages::new(at.passage / MILLI),
+            passages: Passages::new(at.passage / MILLISECOND),
             epoch_ms: at.epoch_ms,
             heard: None,
             refused: None,
@@ -68,15 +68,19 @@
 
     pub fn fix(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         tenant: &str,
         trigger: &str,
         name: &str,
         said: &Said,
     ) -> Result<Runs, Unfixed> {
-        let fixed =
-            self.passages
-                .fix(&self.book, self.epoch_ms + now / MILLI, tenant, name, said)?;
+        let fixed = self.passages.fix(
+            &self.book,
+            self.epoch_ms + now / MILLISECOND,
+            tenant,
+            name,
+            said,
+        )?;
         let told = function_name(&fixed.model, &fixed.version);
         let Some(version) = offered(&self.book, &fixed) else {
             return Err(Unfixed::Unknown(told));
@@ -112,7 +116,7 @@
         *count += 1;
     }
 
-    fn hear(&mut self, now: Tenths, heard: Heard) {
+    fn hear(&mut self, now: Ticks, heard: Heard) {
         match heard {
             Heard::Book(head) => {
                 debug!(revision = head.revision(), "names");
@@ -134,8 +138,8 @@
     }
 
     /// For the controller's status.
-    pub fn told(&self, now: Tenths) -> serde_json::Value {
-        json!({"revision": self.book.revision, "heard_ms_ago": self.heard.map(|at| now.saturating_sub(at) / MILLI),
+    pub fn told(&self, now: Ticks) -> serde_json::Value {
+        json!({"revision": self.book.revision, "heard_ms_ago": self.heard.map(|at| now.saturating_sub(at) / MILLISECOND),
             "refused": self.refused, "passages": self.passages.remembered()})
     }
 }
--- /dev/null
+++ b/crates/controller/src/policy.rs
@@ -0,0 +1,68 @@
+//! The interface through which the service asks whoever decides.
+
+use saltdrum::DispatchPolicy;
+use saltdrum::interface::*;
+
+/// The events of [`DispatchPolicy`], as a trait, so that a baseline can take its place under the very same I/O.
+pub trait Policy {
+    /// The endpoint list, or a watch event of it. With `is_complete` the records are all there are.
+    fn invokers_changed(&mut self, now: Ticks, is_complete: bool, records: &[InvokerRecord]);
+    /// An invocation was read.
+    fn invocation_arrived(&mut self, now: Ticks, request: Invocation, actions: &mut dyn Actions);
+    /// The client waits no more.
+    fn client_left(&mut self, now: Ticks, id: InvocationId);
+    /// An attempt has ended.
+    fn attempt_ended(&mut self, now: Ticks, result: AttemptResult, actions: &mut dyn Actions);
+    /// A load order has ended.
+    fn load_ended(&mut self, now: Ticks, result: LoadResult, actions: &mut dyn Actions);
+    /// A timer has come due.
+    fn timer_fired(&mut self, now: Ticks, token: u64, actions: &mut dyn Actions);
+    /// The view of each ready invoker, where one is kept.
+    fn invoker_views(&self, _now: Ticks) -> Vec<InvokerView> {
+        Vec::new()
+    }
+    /// Sizes of the tables, where they are counted.
+    fn table_sizes(&self) -> TableSizes {
+        TableSizes::default()
+    }
+}
+
+/// Creates a policy, as [`DispatchPolicy::new`] does.
+pub type MakePolicy = fn(Ticks, Deployment, u64, &mut dyn Actions) -> Box<dyn Policy>;
+
+/// Creates the [`DispatchPolicy`] that every deployment runs.
+pub fn dispatch_policy(
+    now: Ticks,
+    deployment: Deployment,
+    seed: u64,
+    actions: &mut dyn Actions,
+) -> Box<dyn Policy> {
+    Box::new(DispatchPolicy::new(now, deployment, seed, actions))
+}
+
+impl Policy for DispatchPolicy {
+    fn invokers_changed(&mut self, now: Ticks, is_complete: bool, records: &[InvokerRecord]) {
+        Self::invokers_changed(self, now, is_complete, records);
+    }
+    fn invocation_arrived(&mut self, now: Ticks, request: Invocation, actions: &mut dyn Actions) {
+        Self::invocation_arrived(self, now, request, actions);
+    }
+    fn client_left(&mut self, now: Ticks, id: InvocationId) {
+        Self::client_left(self, now, id);
+    }
+    fn attempt_ended(&mut self, now: Ticks, result: AttemptResult, actions: &mut dyn Actions) {
+        Self::attempt_ended(self, now, result, actions);
+    }
+    fn load_ended(&mut self, now: Ticks, result: LoadResult, actions: &mut dyn Actions) {
+        Self::load_ended(self, now, result, actions);
+    }
+    fn timer_fired(&mut self, now: Ticks, token: u64, actions: &mut dyn Actions) {
+        Self::timer_fired(self, now, token, actions);
+    }
+    fn invoker_views(&self, now: Ticks) -> Vec<InvokerView> {
+        Self::invoker_views(self, now)
+    }
+    fn table_sizes(&self) -> TableSizes {
+        Self::table_sizes(self)
+    }
+}
--- a/crates/controller/src/redial.rs
+++ b/crates/controller/src/redial.rs
@@ -6,14 +6,14 @@
 //! life, and repeated ones have a budget each: a controller that starts must know its fleet in a second or so, and what
 //! is dialled in vain must not keep it from the rest.
 
-use saltdrum::port::{MILLI, SECOND, Tenths};
+use saltdrum::interface::{MILLISECOND, SECOND, Ticks};
 
 /// The first dial of an invoker newly listed: spread a little, as all controllers hear of it at once.
-const FIRST_MOST: Tenths = 20 * MILLI;
-const BASE: Tenths = 100 * MILLI;
-const MOST: Tenths = 5 * SECOND;
+const FIRST_MOST: Ticks = 20 * MILLISECOND;
+const BASE: Ticks = 100 * MILLISECOND;
+const MOST: Ticks = 5 * SECOND;
 /// A link that stood so long was well.
-const WELL_AFTER: Tenths = 3 * SECOND;
+const WELL_AFTER: Ticks = 3 * SECOND;
 const DIALS_BURST: f64 = 128.0;
 /// Each costs a controller under 0.1 ms: a tenth of its time at the most.
 const FIRST_DIALS_PER_SECOND: f64 = 1_000.0;
@@ -25,12 +25,12 @@
 #[derive(Clone, Debug, Default)]
 pub struct Redial {
     failures: u32,
-    up_since: Option<Tenths>,
+    up_since: Option<Ticks>,
 }
 
 impl Redial {
     /// How long to wait before the next dial.
-    pub fn wait(&self, rng: &mut fastrand::Rng) -> Tenths {
+    pub fn wait(&self, rng: &mut fastrand::Rng) -> Ticks {
         let most = match self.failures {
             0 => FIRST_MOST,
             n => MOST.min(BASE << (n - 1).min(16)),
@@ -43,12 +43,12 @@
         self.failures > 0
     }
 
-    pub fn up(&mut self, now: Tenths) {
+    pub fn up(&mut self, now: Ticks) {
         self.up_since = Some(now);
     }
 
     /// The dial failed, or the link it made is gone.
-    pub fn lost(&mut self, now: Tenths) {
+    pub fn lost(&mut self, now: Ticks) {
         let well = self
             .up_since
             .take()
@@ -70,15 +70,15 @@
 #[derive(Clone, Debug)]
 struct Budget {
     left: f64,
-    at: Tenths,
+    at: Ticks,
 }
 
 impl Budget {
-    fn take(&mut self, now: Tenths, per_second: f64) -> Tenths {
+    fn take(&mut self, now: Ticks, per_second: f64) -> Ticks {
         let grown = now.saturating_sub(self.at) as f64 * per_second / SECOND as f64;
         self.left = (self.left + grown).min(DIALS_BURST) - 1.0;
         self.at = self.at.max(now);
-        (-self.left / per_second * SECOND as f64).max(0.0) as Tenths
+        (-self.left / per_second * SECOND as f64).max(0.0) as Ticks
     }
 }
 
@@ -90,7 +90,7 @@
 }
 
 impl Dials {
-    pub fn new(now: Tenths) -> Self {
+    pub fn new(now: Ticks) -> Self {
         let full = Budget {
             left: DIALS_BURST,
             at: now,
@@ -102,12 +102,12 @@
     }
 
     /// Takes the dial of a link that has not failed; gives how long to wait with it.
-    pub fn first(&mut self, now: Tenths) -> Tenths {
+    pub fn first(&mut self, now: Ticks) -> Ticks {
         self.first.take(now, FIRST_DIALS_PER_SECOND)
     }
 
     /// Takes a repeated dial, of a controller with so many links; gives how long to wait with it.
-    pub fn again(&mut self, now: Tenths, links: usize) -> Tenths {
+    pub fn again(&mut self, now: Ticks, links: usize) -> Ticks {
         self.again.take(
             now,
             REDIALS_PER_SECOND.max(REDIALS_PER_LINK_AND_SECOND * links as f64),
@@ -126,7 +126,7 @@
         for controller in 0..48u64 {
             let mut rng = fastrand::Rng::with_seed(controller);
             let mut dials = Dials::new(0);
-            let mut due: Vec<(Tenths, Redial)> = vec![(0, Redial::default()); 84];
+            let mut due: Vec<(Ticks, Redial)> = vec![(0, Redial::default()); 84];
             for (at, link) in &mut due {
                 link.lost(0);
                 *at = link.wait(&mut rng);
@@ -140,7 +140,7 @@
                 let held = dials.again(at, 84);
                 due[0].1.lost(at + held);
                 let wait = due[0].1.wait(&mut rng);
-                if let Some(n) = dialled.get_mut(((at + held) / (100 * MILLI)) as usize) {
+                if let Some(n) = dialled.get_mut(((at + held) / (100 * MILLISECOND)) as usize) {
                     *n += 1;
                 }
                 due[0].0 = at + held + wait;
@@ -176,7 +176,7 @@
     #[test]
     fn dials_beyond_the_burst_wait_their_turn() {
         let mut dials = Dials::new(0);
-        let waits: Vec<Tenths> = (0..200).map(|_| dials.again(0, 84)).collect();
+        let waits: Vec<Ticks> = (0..200).map(|_| dials.again(0, 84)).collect();
         assert!(waits[..128].iter().all(|w| *w == 0));
         assert!(waits[128..].windows(2).all(|w| w[0] < w[1]));
         assert_eq!(dials.again(60 * SECOND, 84), 0);
--- a/crates/controller/tests/sockets.rs
+++ b/crates/controller/tests/sockets.rs
@@ -2,14 +2,14 @@
 //! in-memory streams under a paused clock; peers are written out here byte by byte.
 
 use bytes::{Bytes, BytesMut};
-use saltdrum::port::*;
+use saltdrum::interface::*;
 use saltdrum_controller::going::{Going, Step};
-use saltdrum_controller::{Decides, Make, Seat, serve};
+use saltdrum_controller::{MakePolicy, Policy, Seat, serve};
 use saltdrum_deployment::Terms;
-use saltdrum_transport::{Address, Clock, Memory, Network, Stream};
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::invoker::{self as wire, Ended};
 use saltdrum_protocol::list;
+use saltdrum_transport::{Address, Clock, MemoryNetwork, Network, Stream};
 use serde_json::{Value, json};
 use std::cell::RefCell;
 use std::future::Future;
@@ -29,41 +29,41 @@
 
 thread_local! {
     static TOLD: RefCell<Vec<(Outcome, bool)>> = const { RefCell::new(Vec::new()) };
-    static HELD: RefCell<Vec<HoldOutcome>> = const { RefCell::new(Vec::new()) };
+    static HELD: RefCell<Vec<LoadOutcome>> = const { RefCell::new(Vec::new()) };
 }
 
 /// Sends everything to invoker 1 and answers by what came of it; keeps what it was told.
 struct First;
 
-fn first(_: Tenths, _: Deployment, _: u64, _: &mut dyn Acts) -> Box<dyn Decides> {
+fn first(_: Ticks, _: Deployment, _: u64, _: &mut dyn Actions) -> Box<dyn Policy> {
     TOLD.take();
     HELD.take();
     Box::new(First)
 }
 
-impl Decides for First {
-    fn listed(&mut self, _: Tenths, _: bool, _: &[Listed]) {}
-    fn invoked(&mut self, _: Tenths, call: Invocation, acts: &mut dyn Acts) {
+impl Policy for First {
+    fn invokers_changed(&mut self, _: Ticks, _: bool, _: &[InvokerRecord]) {}
+    fn invocation_arrived(&mut self, _: Ticks, call: Invocation, acts: &mut dyn Actions) {
         acts.dispatch(call.id, 1, 0);
         match call.work_hint {
             Some(1) => acts.cancel(call.id, 0),
-            Some(2) => acts.hold(1, call.function, 1),
+            Some(2) => acts.load(1, call.function, 1),
             _ => {}
         }
     }
-    fn left(&mut self, _: Tenths, _: InvId) {}
-    fn answered(&mut self, _: Tenths, a: Answer, acts: &mut dyn Acts) {
+    fn client_left(&mut self, _: Ticks, _: InvocationId) {}
+    fn attempt_ended(&mut self, _: Ticks, a: AttemptResult, acts: &mut dyn Actions) {
         TOLD.with_borrow_mut(|told| told.push((a.outcome, a.finished)));
         if !a.finished && a.outcome.never_ran() {
-            acts.throttle(a.inv, 100);
+            acts.throttle(a.invocation, 100);
         } else if !a.finished {
-            acts.error(a.inv);
+            acts.error(a.invocation);
         }
     }
-    fn held(&mut self, _: Tenths, a: HoldAnswer, _: &mut dyn Acts) {
+    fn load_ended(&mut self, _: Ticks, a: LoadResult, _: &mut dyn Actions) {
         HELD.with_borrow_mut(|held| held.push(a.outcome));
     }
-    fn woken(&mut self, _: Tenths, _: u64, _: &mut dyn Acts) {}
+    fn timer_fired(&mut self, _: Ticks, _: u64, _: &mut dyn Actions) {}
 }
 
 fn at(name: &str) -> Address {
@@ -130,7 +130,7 @@
     })
 }
 
-async fn list_of(network: &Memory, changes: &'static [(u64, list::Life)]) {
+async fn list_of(network: &MemoryNetwork, changes: &'static [(u64, list::Life)]) {
     let (mut door, _) = network.listen(&at("list")).await.unwrap();
     spawn_local(async move {
         loop {
@@ -164,7 +164,7 @@
 }
 
 impl Client {
-    async fn new(network: &Memory) -> Self {
+    async fn new(network: &MemoryNetwork) -> Self {
         Self {
             stream: BufReader::new(network.dial(&at("clients")).await.unwrap()),
         }
@@ -194,14 +194,14 @@
     }
 }
 
-fn played<F: Future<Output = ()>>(make: Make, play: impl FnOnce(Memory) -> F) {
+fn played<F: Future<Output = ()>>(make: MakePolicy, play: impl FnOnce(MemoryNetwork) -> F) {
     played_in(make, |_| (), play);
 }
 
 fn played_in<F: Future<Output = ()>>(
-    make: Make,
+    make: MakePolicy,
     change: impl FnOnce(&mut Seat),
-    play: impl FnOnce(Memory) -> F,
+    play: impl FnOnce(MemoryNetwork) -> F,
 ) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
@@ -209,7 +209,7 @@
         .build()
         .unwrap();
     LocalSet::new().block_on(&runtime, async move {
-        let (network, clock) = (Memory::default(), Clock::start());
+        let (network, clock) = (MemoryNetwork::default(), Clock::start());
         let mut seat = Seat {
             controller: 1,
             incarnation: 1,
@@ -301,7 +301,7 @@
             (told(), HELD.take()),
             (
                 vec![(Outcome::Reset, false)],
-                vec![HoldOutcome::Unreachable]
+                vec![LoadOutcome::Unreachable]
             )
         );
         client.invoke(json!(10), 0.2, 2_000.0).await;
@@ -310,7 +310,7 @@
             (told(), HELD.take()),
             (
                 vec![(Outcome::NoConnection, false)],
-                vec![HoldOutcome::Unreachable]
+                vec![LoadOutcome::Unreachable]
             )
         );
     });
@@ -522,7 +522,7 @@
 
 #[test]
 fn a_list_that_is_lost_or_has_only_begun_makes_nobody_gone() {
-    played(saltdrum_controller::at_random, |network| async move {
+    played(saltdrum_controller::random_relay, |network| async move {
         let (mut door, _) = network.listen(&at("list")).await.unwrap();
         let serving = network.clone();
         spawn_local(async move {
--- a/crates/coordinator/examples/agreement.rs
+++ b/crates/coordinator/examples/agreement.rs
@@ -4,15 +4,15 @@
 
 #![expect(clippy::disallowed_methods, reason = "this measures time")]
 
-use saltdrum::port::{MILLI, SECOND};
-use saltdrum_fleet::change::Change;
-use saltdrum_fleet::fleet::{About, Fleet, MemberId};
-use saltdrum_fleet::register::{Config, Voter};
-use saltdrum_transport::{Address, Clock, Sockets};
+use saltdrum::interface::{MILLISECOND, SECOND};
 use saltdrum_coordinator::caller::Caller;
 use saltdrum_coordinator::disk::{Disk, Identity, SCHEMA};
 use saltdrum_coordinator::wire::{Changed, Changes, Renew, Standing};
 use saltdrum_coordinator::{CoordinatorConfig, FleetTerms, service};
+use saltdrum_fleet::change::Change;
+use saltdrum_fleet::fleet::{About, Fleet, MemberId};
+use saltdrum_fleet::register::{Config, Voter};
+use saltdrum_transport::{Address, Clock, SocketNetwork};
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::rc::Rc;
@@ -34,7 +34,7 @@
 fn steward(folder: &Path, number: u32) {
     let terms = FleetTerms {
         name: "cost".into(),
-        renew: 500 * MILLI,
+        renew: 500 * MILLISECOND,
         // Nobody renews here but when asked to.
         suspect_level: 1e9,
         grant_for: SECOND,
@@ -85,7 +85,7 @@
             seat,
             disk,
             acceptor,
-            Rc::new(Sockets),
+            Rc::new(SocketNetwork),
             Clock::start(),
         ))
         .unwrap();
@@ -142,7 +142,7 @@
             let callers: Vec<Rc<Caller>> = (1..=3)
                 .map(|n| {
                     Rc::new(Caller::new(
-                        Rc::new(Sockets),
+                        Rc::new(SocketNetwork),
                         address(folder.path(), n),
                         "cost",
                     ))
--- a/crates/coordinator/src/caller.rs
+++ b/crates/coordinator/src/caller.rs
@@ -2,9 +2,9 @@
 
 use crate::wire::{LINE_MOST_BYTES, STRANGER, Said, version_of};
 use bytes::{Bytes, BytesMut};
-use saltdrum::port::Tenths;
-use saltdrum_transport::{Address, Network, Outbox, Stream, halves};
+use saltdrum::interface::Ticks;
 use saltdrum_protocol::rpc::ReplyError;
+use saltdrum_transport::{Address, Network, SendQueue, Stream, halves};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
@@ -35,7 +35,7 @@
 type Open = BTreeMap<u64, oneshot::Sender<Answer>>;
 
 struct Line {
-    outbox: Outbox,
+    outbox: SendQueue,
     open: Rc<RefCell<Open>>,
     task: tokio::task::JoinHandle<()>,
 }
@@ -93,7 +93,7 @@
             .dial(&self.at)
             .await
             .map_err(|e| self.lost(e))?;
-        let outbox = Outbox::new(UNSENT_MOST_BYTES);
+        let outbox = SendQueue::new(UNSENT_MOST_BYTES);
         let open: Rc<RefCell<Open>> = Rc::default();
         let task =
             tokio::task::spawn_local(keep(stream, outbox.clone(), open.clone(), self.at.clone()));
@@ -108,7 +108,7 @@
         &self,
         method: &str,
         what: impl Serialize,
-        patience: Tenths,
+        patience: Ticks,
     ) -> Result<T, Fault> {
         let told = tokio::time::timeout(
             Duration::from_micros(patience * 100),
@@ -137,13 +137,13 @@
         );
         let (to, from) = oneshot::channel();
         line.open.borrow_mut().insert(id, to);
-        let put = line.outbox.put(Bytes::from(text), Tenths::MAX);
+        let put = line.outbox.put(Bytes::from(text), Ticks::MAX);
         put.ok_or_else(|| self.lost("too much lies unsent"))?;
         from.await.unwrap_or_else(|_| Err(self.lost("hung up")))
     }
 }
 
-async fn keep(stream: Stream, outbox: Outbox, open: Rc<RefCell<Open>>, at: Address) {
+async fn keep(stream: Stream, outbox: SendQueue, open: Rc<RefCell<Open>>, at: Address) {
     let (mut input, mut output) = halves(stream);
     let reading = async {
         let (mut read, mut searched) = (BytesMut::new(), 0);
--- a/crates/coordinator/src/coordinator.rs
+++ b/crates/coordinator/src/coordinator.rs
@@ -4,7 +4,7 @@
 use crate::caller::Caller;
 use crate::disk::Disk;
 use crate::terms::FleetTerms;
-use saltdrum::port::{MILLI, Tenths};
+use saltdrum::interface::{MILLISECOND, Ticks};
 use saltdrum_fleet::change::{Change, Done};
 use saltdrum_fleet::fleet::Fleet;
 use saltdrum_fleet::monitor::{MemberMonitor, Timeouts};
@@ -63,7 +63,7 @@
     /// Who has told of a later value than this steward knows, and which.
     pub(crate) behind: Cell<Option<(u32, Ballot)>>,
     /// When this steward first knew of an invoker's life: for its age on the list.
-    pub(crate) first_seen: RefCell<BTreeMap<(u32, u64), Tenths>>,
+    pub(crate) first_seen: RefCell<BTreeMap<(u32, u64), Ticks>>,
     pub(crate) rng: RefCell<fastrand::Rng>,
 }
 
@@ -172,7 +172,7 @@
         }
         let Some(peer) = self.peer(from) else { return };
         let told = peer
-            .call::<(Ballot, Option<Fleet>)>("decided", json!({}), 500 * MILLI)
+            .call::<(Ballot, Option<Fleet>)>("decided", json!({}), 500 * MILLISECOND)
             .await;
         match told {
             Ok((ballot, Some(fleet))) => self.decided(ballot, Rc::new(fleet)),
--- a/crates/coordinator/src/lease_watch.rs
+++ b/crates/coordinator/src/lease_watch.rs
@@ -1,6 +1,6 @@
 //! What a member knows of the leases it holds. It comes with the answers to its heartbeats; nothing is sent for it.
 
-use saltdrum::port::Tenths;
+use saltdrum::interface::Ticks;
 use saltdrum_fleet::fleet::{Fleet, MemberId};
 use saltdrum_fleet::lease::{Epoch, LeaseName, ResourceName};
 use serde::{Deserialize, Serialize};
@@ -42,13 +42,13 @@
 pub struct LeaseWatch {
     held: RefCell<Vec<HeldLease>>,
     revision: Cell<u64>,
-    heard_at: Cell<Tenths>,
+    heard_at: Cell<Ticks>,
     changed: Notify,
 }
 
 impl LeaseWatch {
     /// A steward said so, at this time of the member's own clock.
-    pub(crate) fn heard(&self, now: Tenths, revision: u64, held: &[HeldLease]) {
+    pub(crate) fn heard(&self, now: Ticks, revision: u64, held: &[HeldLease]) {
         self.heard_at.set(now);
         // A steward that lags behind tells what was.
         if revision < self.revision.get() {
@@ -71,7 +71,7 @@
     }
 
     /// When a steward was last heard, by the member's own clock.
-    pub fn heard_at(&self) -> Tenths {
+    pub fn heard_at(&self) -> Ticks {
         self.heard_at.get()
     }
 
--- a/crates/coordinator/src/list.rs
+++ b/crates/coordinator/src/list.rs
@@ -3,11 +3,11 @@
 
 use crate::coordinator::Coordinator;
 use bytes::BytesMut;
-use saltdrum::port::Tenths;
+use saltdrum::interface::Ticks;
 use saltdrum_fleet::fleet::{Fleet, Kind, Member, Phase};
-use saltdrum_transport::{Listener, Outbox, Stream, halves};
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::list::{Change, Entry, Life, ToList, Whole};
+use saltdrum_transport::{Listener, SendQueue, Stream, halves};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use tokio::io::AsyncReadExt;
@@ -76,7 +76,7 @@
             }
         };
         let Ok(ToList::Follow(_)) = asked else { return };
-        let outbox = Outbox::new(UNREAD_MOST_BYTES);
+        let outbox = SendQueue::new(UNREAD_MOST_BYTES);
         let gone = async {
             while let Ok(1..) = input.read_buf(&mut read).await {
                 read.clear();
@@ -91,7 +91,7 @@
     }
 
     /// Tells the whole, then each step. Returns when the follower has to begin anew.
-    async fn tell(&self, outbox: &Outbox) {
+    async fn tell(&self, outbox: &SendQueue) {
         let mut news = self.news.subscribe();
         // A steward that has heard of nothing chosen since its start says nothing: what is on its disk may be long over.
         let first = loop {
@@ -108,7 +108,7 @@
             settled: true,
             entries: known.values().cloned().collect(),
         };
-        outbox.put(encode(&whole), Tenths::MAX);
+        outbox.put(encode(&whole), Ticks::MAX);
         while news.changed().await.is_ok() {
             let Some(fleet) = self.fleet.borrow().clone() else {
                 continue;
@@ -147,7 +147,7 @@
                             revision: at,
                             entries,
                         }),
-                        Tenths::MAX,
+                        Ticks::MAX,
                     )
                     .is_none()
                 {
--- a/crates/coordinator/src/member.rs
+++ b/crates/coordinator/src/member.rs
@@ -4,7 +4,7 @@
 use crate::caller::{Caller, Fault};
 use crate::lease_watch::LeaseWatch;
 use crate::wire::{Changed, Changes, NO_VOTE, REFUSED, Renew, STRANGER, Standing};
-use saltdrum::port::{MILLI, SECOND, Tenths};
+use saltdrum::interface::{MILLISECOND, SECOND, Ticks};
 use saltdrum_fleet::change::Change;
 use saltdrum_fleet::fleet::{About, MemberId, Phase};
 use saltdrum_fleet::next::Seen;
@@ -15,9 +15,9 @@
 use tracing::{debug, info, warn};
 
 /// PendingProposal for one change to be agreed, by one steward.
-const PATIENCE: Tenths = 4 * SECOND;
+const PATIENCE: Ticks = 4 * SECOND;
 /// One that drains and reaches no steward ends all the same after so long; it stays counted.
-const LEAVING: Tenths = 3 * SECOND;
+const LEAVING: Ticks = 3 * SECOND;
 
 /// What the process does itself.
 pub trait MemberRole {
@@ -39,7 +39,7 @@
     pub member: MemberId,
     pub about: About,
     pub stewards: Vec<Address>,
-    pub renew: Tenths,
+    pub renew: Ticks,
     /// Hears of the leases that it holds.
     pub leases: Rc<LeaseWatch>,
 }
@@ -144,7 +144,7 @@
         let (member, incarnation) = (self.with.member, self.with.about.incarnation);
         let (mut draining, mut serving) = (None, false);
         loop {
-            let wait = self.clock.now() + self.with.renew.min(100 * MILLI);
+            let wait = self.clock.now() + self.with.renew.min(100 * MILLISECOND);
             tokio::select! {
                 biased;
                 () = self.news.notified() => {}
@@ -254,7 +254,9 @@
                 told = leaving => if told.is_some() { break },
                 () = self.clock.sleep_until(until) => {}
             }
-            self.clock.sleep_until(self.clock.now() + 100 * MILLI).await;
+            self.clock
+                .sleep_until(self.clock.now() + 100 * MILLISECOND)
+                .await;
         }
         Ended::Drained
     }
--- a/crates/coordinator/src/monitoring.rs
+++ b/crates/coordinator/src/monitoring.rs
@@ -4,7 +4,7 @@
 use crate::coordinator::Coordinator;
 use crate::lease_watch::held_by;
 use crate::wire::{Opinions, Recover, Renew, Standing};
-use saltdrum::port::{MILLI, Tenths};
+use saltdrum::interface::{MILLISECOND, Ticks};
 use saltdrum_fleet::change::Change;
 use saltdrum_fleet::fleet::Fleet;
 use saltdrum_fleet::recovery::{Heard, Verdict};
@@ -13,8 +13,8 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-const LOOK_EVERY: Tenths = 50 * MILLI;
-const TELL_EVERY: Tenths = 150 * MILLI;
+const LOOK_EVERY: Ticks = 50 * MILLISECOND;
+const TELL_EVERY: Ticks = 150 * MILLISECOND;
 
 impl Coordinator {
     /// A member gave a sign of life.
@@ -63,7 +63,7 @@
             let now = self.clock.now();
             if let Some(gap) = self.monitor.borrow_mut().turn(now) {
                 warn!(
-                    stood_ms = gap / MILLI,
+                    stood_ms = gap / MILLISECOND,
                     "this steward stood still: it listens anew"
                 );
             }
@@ -78,7 +78,7 @@
             }
             let Some(fleet) = fleet else { continue };
             for (member, waited) in self.monitor.borrow_mut().late(now, &fleet) {
-                warn!(%member, waited_ms = waited / MILLI, "a drain is late");
+                warn!(%member, waited_ms = waited / MILLISECOND, "a drain is late");
             }
             let leads = self.monitor.borrow().leads(now, &fleet);
             // One thing after another: what was proposed has to be known before what follows from it is.
@@ -112,7 +112,7 @@
             tokio::task::spawn_local(async move {
                 if let Some(peer) = this.peer(steward) {
                     let _ = peer
-                        .call::<serde_json::Value>("opinions", &said, 500 * MILLI)
+                        .call::<serde_json::Value>("opinions", &said, 500 * MILLISECOND)
                         .await;
                 }
                 this.telling.borrow_mut().remove(&steward);
@@ -154,7 +154,7 @@
                         from: me,
                         life: this.acceptor_store.borrow().life(),
                     };
-                    peer.call::<(Voter, Heard<Fleet>)>("recover", &asked, 500 * MILLI)
+                    peer.call::<(Voter, Heard<Fleet>)>("recover", &asked, 500 * MILLISECOND)
                         .await
                         .ok()
                 });
--- a/crates/coordinator/src/propose.rs
+++ b/crates/coordinator/src/propose.rs
@@ -6,7 +6,7 @@
 use crate::coordinator::{Coordinator, PendingProposal, Told};
 use crate::server::Refused;
 use crate::wire::{Accept, NO_VOTE, Prepare, REFUSED, UNSETTLED, Vote};
-use saltdrum::port::{MILLI, Tenths};
+use saltdrum::interface::{MILLISECOND, Ticks};
 use saltdrum_fleet::change::{Change, Done};
 use saltdrum_fleet::fleet::Fleet;
 use saltdrum_fleet::register::{Accepted, Ballot, Round, Voter};
@@ -20,7 +20,7 @@
 /// PendingProposal changes beyond this are refused at once.
 const WAITING_MOST: usize = 10_000;
 /// Of one message and its answer.
-const PATIENCE: Tenths = 700 * MILLI;
+const PATIENCE: Ticks = 700 * MILLISECOND;
 /// Rounds that a batch is tried for.
 const TRIES: u32 = 12;
 
--- a/crates/coordinator/src/server.rs
+++ b/crates/coordinator/src/server.rs
@@ -2,9 +2,9 @@
 
 use crate::wire::{LINE_MOST_BYTES, STRANGER, Said, version_of};
 use bytes::{Bytes, BytesMut};
-use saltdrum::port::{MILLI, Tenths};
-use saltdrum_transport::{Address, Clock, Half, Network, Outbox, Stream, halves};
+use saltdrum::interface::{MILLISECOND, Ticks};
 use saltdrum_protocol::rpc::{self, Call, Id, Line};
+use saltdrum_transport::{Address, Clock, Half, Network, SendQueue, Stream, halves};
 use serde::de::DeserializeOwned;
 use serde_json::value::RawValue;
 use std::rc::Rc;
@@ -56,7 +56,7 @@
 }
 
 /// After a caller could not be taken in.
-const ACCEPT_AGAIN: Tenths = 50 * MILLI;
+const ACCEPT_AGAIN: Ticks = 50 * MILLISECOND;
 
 /// Answers whoever calls at an address, until it is dropped.
 pub async fn serve<A: Answers>(
@@ -84,7 +84,7 @@
 /// Answers one caller until it hangs up.
 pub async fn answer_caller<A: Answers>(answers: Rc<A>, stream: Stream) {
     let (input, mut output) = halves(stream);
-    let outbox = Outbox::new(UNREAD_MOST_BYTES);
+    let outbox = SendQueue::new(UNREAD_MOST_BYTES);
     tokio::select! {
         biased;
         why = listen(&answers, &outbox, input) => debug!(why, "caller gone"),
@@ -92,9 +92,9 @@
     }
 }
 
-fn put(outbox: &Outbox, mut text: String) {
+fn put(outbox: &SendQueue, mut text: String) {
     text.push('\n');
-    outbox.put(Bytes::from(text), Tenths::MAX);
+    outbox.put(Bytes::from(text), Ticks::MAX);
 }
 
 /// One call of a line; `Err` is the answer to a line that is none.
@@ -111,7 +111,7 @@
     }
 }
 
-async fn listen<A: Answers>(answers: &Rc<A>, outbox: &Outbox, mut input: Half) -> String {
+async fn listen<A: Answers>(answers: &Rc<A>, outbox: &SendQueue, mut input: Half) -> String {
     let (mut read, mut searched) = (BytesMut::new(), 0);
     let mut answering: JoinSet<()> = JoinSet::new();
     loop {
--- a/crates/coordinator/src/service.rs
+++ b/crates/coordinator/src/service.rs
@@ -4,13 +4,13 @@
 use crate::disk::Disk;
 use crate::server::{Answers, Refused, answer_caller, bad, said};
 use crate::wire::{Accept, Changed, Changes, DryRun, Opinions, Prepare, REFUSED, Recover, Renew};
-use saltdrum::port::{MILLI, SECOND};
+use saltdrum::interface::{MILLISECOND, SECOND};
 use saltdrum_fleet::change::Change;
 use saltdrum_fleet::fleet::Fleet;
 use saltdrum_fleet::next::{dry_run, waits_for};
 use saltdrum_fleet::register::Acceptor;
-use saltdrum_transport::{Address, Clock, Network};
 use saltdrum_protocol::rpc::{self, Call};
+use saltdrum_transport::{Address, Clock, Network};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use serde_json::{Value as Json, json};
@@ -100,7 +100,7 @@
             .borrow()
             .heard_ago(self.clock.now())
             .into_iter();
-        let heard_ms_ago: BTreeMap<_, _> = heard.map(|(id, ago)| (id, ago / MILLI)).collect();
+        let heard_ms_ago: BTreeMap<_, _> = heard.map(|(id, ago)| (id, ago / MILLISECOND)).collect();
         json!({
             "steward": self.config.number, "voter": acceptor_store.me().to_string(), "life": self.config.life,
             "votes": !acceptor_store.is_returning() && acceptor_store.is_writable(), "writes": acceptor_store.writes(),
--- a/crates/coordinator/src/terms.rs
+++ b/crates/coordinator/src/terms.rs
@@ -1,6 +1,6 @@
 //! What a deployment's script says of its fleet: `fleet(...)` once, `bound(...)` as often as there are bounds.
 
-use saltdrum::port::Tenths;
+use saltdrum::interface::Ticks;
 use saltdrum_deployment::units::{Memory, Span};
 use saltdrum_deployment::{Fault, Statement};
 use saltdrum_fleet::bounds::{Bound, Per};
@@ -13,15 +13,15 @@
 pub struct FleetTerms {
     pub name: String,
     /// Members give a sign of life so often.
-    pub renew: Tenths,
+    pub renew: Ticks,
     /// Members whose silence is this unusual, by most stewards, are lost.
     pub suspect_level: f64,
     /// A grant that nobody took up is taken back after this.
-    pub grant_for: Tenths,
+    pub grant_for: Ticks,
     /// A drain is told as late after this.
-    pub drain_for: Tenths,
+    pub drain_for: Ticks,
     /// Halts itself when a member that came back is not proven within this; 0: never.
-    pub prove_within: Tenths,
+    pub prove_within: Ticks,
     /// Halts itself when more than so many are lost; 0: never.
     pub halt_at_lost: usize,
     pub bounds: Vec<Bound>,
--- a/crates/coordinator/tests/all/holder.rs
+++ b/crates/coordinator/tests/all/holder.rs
@@ -1,18 +1,18 @@
 //! Holders and journals as built, and in the two ways that are not enough, for comparison under the same faults.
 
 use crate::world::{JOURNALS, TASK, World};
-use saltdrum::port::{MILLI, SECOND, Tenths};
+use saltdrum::interface::{MILLISECOND, SECOND, Ticks};
+use saltdrum_coordinator::LeaseWatch;
+use saltdrum_coordinator::caller::Caller;
+use saltdrum_coordinator::server::{Answers, Refused, said, serve};
 use saltdrum_fleet::fence::Token;
 use saltdrum_fleet::lease::LeaseName;
 use saltdrum_leases::holder::EffectFault;
 use saltdrum_leases::journal::{Accepted, Append, Appended, Journal, JournalDisk, Tells};
 use saltdrum_leases::messages::{Effect, REJECTED};
 use saltdrum_leases::{Effects, Holder, Task};
-use saltdrum_transport::{Address, Clock, Network};
 use saltdrum_protocol::rpc::Call;
-use saltdrum_coordinator::LeaseWatch;
-use saltdrum_coordinator::caller::Caller;
-use saltdrum_coordinator::server::{Answers, Refused, said, serve};
+use saltdrum_transport::{Address, Clock, Network};
 use serde_json::json;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -31,8 +31,8 @@
 }
 
 /// Between two effects, and how long a holder goes on that hears no steward.
-const STEP: Tenths = 20 * MILLI;
-const QUIET_AFTER: Tenths = SECOND;
+const STEP: Ticks = 20 * MILLISECOND;
+const QUIET_AFTER: Ticks = SECOND;
 
 /// Appends to each journal in turn.
 struct Count {
--- a/crates/coordinator/tests/all/pace.rs
+++ b/crates/coordinator/tests/all/pace.rs
@@ -2,7 +2,7 @@
 //! figure is the same each time.
 
 use crate::world::{STEWARDS, Size, World};
-use saltdrum::port::{MILLI, SECOND, Tenths};
+use saltdrum::interface::{MILLISECOND, SECOND, Ticks};
 use saltdrum_fleet::change::Change;
 use saltdrum_fleet::fleet::MemberId;
 use saltdrum_trial::judge::judge;
@@ -19,7 +19,7 @@
     prove: 2 * SECOND,
 };
 
-async fn pause(span: Tenths) {
+async fn pause(span: Ticks) {
     tokio::time::sleep(Duration::from_micros(span * 100)).await;
 }
 
@@ -36,7 +36,7 @@
 }
 
 /// Gives the time that it took over the least possible.
-fn drained(size: Size, kill_every: Option<Tenths>) -> f64 {
+fn drained(size: Size, kill_every: Option<Ticks>) -> f64 {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
@@ -70,7 +70,7 @@
                 world.steward(next);
                 (killed, next) = (killed + 1, next % STEWARDS + 1);
             }
-            pause(50 * MILLI).await;
+            pause(50 * MILLISECOND).await;
         }
         let spent = world.clock.now() - begun;
         let broken: Vec<String> = judge(&world.lines.borrow())
--- a/crates/coordinator/tests/all/world.rs
+++ b/crates/coordinator/tests/all/world.rs
@@ -2,16 +2,7 @@
 
 use crate::disk::Disk as Platter;
 use crate::holder::{self, LeaseMode};
-use saltdrum::port::{MILLI, SECOND, Tenths};
-use saltdrum_simulated_network::{Ether, Hold, Line as Wire, Lines, stoppable};
-use saltdrum_fleet::bounds::{Bound, Per};
-use saltdrum_fleet::change::Change;
-use saltdrum_fleet::fleet::{About, Fleet, Kind, MemberId, Phase};
-use saltdrum_fleet::lease::{LeaseName, LeaseTerms};
-use saltdrum_fleet::next::Seen;
-use saltdrum_fleet::register::{Config, Voter};
-use saltdrum_leases::journal::{Accepted, JournalDisk};
-use saltdrum_transport::{Address, Clock, Turns};
+use saltdrum::interface::{MILLISECOND, SECOND, Ticks};
 use saltdrum_coordinator::caller::Caller;
 use saltdrum_coordinator::disk::{Disk, Identity, SCHEMA};
 use saltdrum_coordinator::member::Ended;
@@ -19,6 +10,15 @@
 use saltdrum_coordinator::{
     CoordinatorConfig, FleetTerms, LeaseWatch, MemberRole, Membership, join, service,
 };
+use saltdrum_fleet::bounds::{Bound, Per};
+use saltdrum_fleet::change::Change;
+use saltdrum_fleet::fleet::{About, Fleet, Kind, MemberId, Phase};
+use saltdrum_fleet::lease::{LeaseName, LeaseTerms};
+use saltdrum_fleet::next::Seen;
+use saltdrum_fleet::register::{Config, Voter};
+use saltdrum_leases::journal::{Accepted, JournalDisk};
+use saltdrum_simulated_network::{Ether, Hold, Line as Wire, Lines, stoppable};
+use saltdrum_transport::{Address, Clock, EventLoopClock};
 use saltdrum_trial::record::Line;
 use serde_json::{Value as Json, json};
 use std::cell::{Cell, RefCell};
@@ -35,18 +35,18 @@
     pub bound: u32,
     /// What stewards go by; another number than the bound only where they are wrong on purpose.
     pub granted: u32,
-    pub drain: Tenths,
-    pub restart: Tenths,
-    pub prove: Tenths,
+    pub drain: Ticks,
+    pub restart: Ticks,
+    pub prove: Ticks,
 }
 
 pub const SMALL: Size = Size {
     invokers: 6,
     bound: 2,
     granted: 2,
-    drain: 300 * MILLI,
-    restart: 200 * MILLI,
-    prove: 200 * MILLI,
+    drain: 300 * MILLISECOND,
+    restart: 200 * MILLISECOND,
+    prove: 200 * MILLISECOND,
 };
 
 struct Life {
@@ -94,7 +94,7 @@
     };
     FleetTerms {
         name: "museums".into(),
-        renew: 100 * MILLI,
+        renew: 100 * MILLISECOND,
         suspect_level: 8.0,
         grant_for: 2 * SECOND,
         drain_for: 60 * SECOND,
@@ -109,7 +109,7 @@
     Address::Memory(name.into())
 }
 
-fn ns(at: Tenths) -> u64 {
+fn ns(at: Ticks) -> u64 {
     at * 100_000
 }
 
@@ -138,9 +138,9 @@
     clock: Clock,
     member: String,
     incarnation: u64,
-    since: Tenths,
+    since: Ticks,
     size: Size,
-    drains: Cell<Option<Tenths>>,
+    drains: Cell<Option<Ticks>>,
 }
 
 impl MemberRole for Stub {
@@ -182,10 +182,14 @@
     pub fn new(seed: u64, size: Size) -> Rc<Self> {
         let clock = Clock::start();
         let usual = Wire {
-            delay: MILLI,
-            jitter: 2 * MILLI,
+            delay: MILLISECOND,
+            jitter: 2 * MILLISECOND,
         };
-        let ether = Ether::new(clock, Lines::new(usual, 0.0, seed), Turns::default());
+        let ether = Ether::new(
+            clock,
+            Lines::new(usual, 0.0, seed),
+            EventLoopClock::default(),
+        );
         let operator = ether.host("operator");
         let callers = (1..=STEWARDS)
             .map(|n| Caller::new(operator.clone(), at(&format!("steward-{n}")), "museums"));
@@ -567,7 +571,7 @@
         self.ether.heal(from, to);
     }
 
-    pub fn slow(&self, from: &str, to: &str, by: Tenths, on: bool) {
+    pub fn slow(&self, from: &str, to: &str, by: Ticks, on: bool) {
         let line = Wire {
             delay: by,
             jitter: by,
--- a/crates/deployment/src/terms.rs
+++ b/crates/deployment/src/terms.rs
@@ -2,7 +2,7 @@
 
 use crate::script::{Fault, Statement};
 use crate::units::{Memory, Span};
-use saltdrum::port::{Deployment, Effect, FnId, Scope, Tenant, Tenths, TriggerType};
+use saltdrum::interface::{Deployment, Effect, FunctionId, KeyScope, Tenant, Ticks, TriggerType};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
@@ -10,13 +10,13 @@
 #[derive(Clone, Debug)]
 pub struct Function {
     pub name: String,
-    pub id: FnId,
+    pub id: FunctionId,
     pub trigger: usize,
     /// Of one copy, in MB.
     pub memory: f64,
     /// Invocations that one copy runs at a time.
     pub lanes: f64,
-    pub load: Option<Tenths>,
+    pub load: Option<Ticks>,
 }
 
 /// A kind of machine that invokers run on. What only a stand-in needs is here too.
@@ -64,11 +64,11 @@
     pub invokers: Vec<Stated>,
     pub zones: Vec<String>,
     /// Taken off what a client says it will wait, for the answer's way back.
-    pub answer_margin: Tenths,
+    pub answer_margin: Ticks,
     /// An order to hold that is not answered within this is given up.
-    pub order_timeout: Tenths,
+    pub order_timeout: Ticks,
     /// A link that does not come up within this is none.
-    pub connect_timeout: Tenths,
+    pub connect_timeout: Ticks,
 }
 
 #[derive(Deserialize)]
@@ -202,7 +202,7 @@
 }
 
 /// The same name is the same function at every controller and invoker.
-pub fn function_id(name: &str) -> FnId {
+pub fn function_id(name: &str) -> FunctionId {
     let digest = blake3::hash(name.as_bytes());
     u64::from_le_bytes(
         *digest
@@ -246,7 +246,7 @@
                     let kind: Kind = s.read()?;
                     share(&s, "speed", kind.speed, 0.01, 100.0)?;
                     share(&s, "cores", kind.cores.into(), 1.0, 4_096.0)?;
-                    t.deployment.kind_memory.push(kind.memory.0);
+                    t.deployment.machine_memory_mb.push(kind.memory.0);
                     t.kinds.push(kind);
                 }
                 "trigger_type" => t.trigger_type(&s)?,
@@ -254,7 +254,7 @@
                     let said: SaidTenant = s.read()?;
                     share(&s, "quota_per_s", said.quota_per_s, 0.0, 1e9)?;
                     t.deployment.tenants.push(Tenant {
-                        quota: said.quota_per_s,
+                        quota_per_second: said.quota_per_s,
                     });
                     t.tenant_names.push(said.name);
                 }
@@ -320,21 +320,21 @@
         self.connect_timeout = said.connect_timeout.0;
         self.deployment = Deployment {
             controllers: said.controllers,
-            dispatch_limit: said.dispatches,
-            parallel_dispatches: said.parallel_dispatches,
+            attempt_limit: said.dispatches,
+            parallel_attempts: said.parallel_dispatches,
             may_cancel: said.cancel,
-            may_order: said.orders,
-            misses,
+            may_load: said.orders,
+            reports_misses: misses,
             keep_alive: said.keep_alive.0,
-            come_back_max: said.come_back_most.map(|s| s.0),
-            order_window: said.order_window.0,
-            orders_free: said.orders_free,
-            orders_share: said.orders_share,
+            max_retry_after: said.come_back_most.map(|s| s.0),
+            load_window: said.order_window.0,
+            free_loads: said.orders_free,
+            loads_per_invocation: said.orders_share,
             drain_grace: said.drain_grace.0,
-            cold_share: said.cold_share,
-            cold_time: said.cold_time.0,
-            tip_factor: said.tip_factor,
-            tip_window: said.tip_window.0,
+            initial_capacity_share: said.cold_share,
+            warm_up_time: said.cold_time.0,
+            overload_factor: said.tip_factor,
+            overload_window: said.tip_window.0,
             over_share_value: said.over_share_value,
             tick: 10,
             ..std::mem::take(&mut self.deployment)
@@ -346,20 +346,20 @@
         let said: SaidTrigger = s.read()?;
         let effects = [
             ("idempotent", Effect::Idempotent),
-            ("tokened", Effect::Tokened),
+            ("tokened", Effect::IdempotencyKey),
             ("non-idempotent", Effect::NonIdempotent),
         ];
         let scopes = [
-            ("all", Scope::All),
-            ("zone", Scope::Zone),
-            ("cell", Scope::Cell),
+            ("all", KeyScope::All),
+            ("zone", KeyScope::Zone),
+            ("cell", KeyScope::Cell),
         ];
         self.deployment.trigger_types.push(TriggerType {
-            objective: said.objective.0,
+            latency_objective: said.objective.0,
             client_timeout: said.client_timeout.0,
             effect: word(s, "effect", &said.effect, &effects)?,
-            scope: word(s, "scope", &said.scope, &scopes)?,
-            repeat_window: said.repeat_window.0,
+            key_scope: word(s, "scope", &said.scope, &scopes)?,
+            idempotency_window: said.repeat_window.0,
             billed_value: share(s, "billed_value", said.billed_value, 0.0, 1e9)?,
             late_share: share(s, "late_share", said.late_share, 0.0, 1.0)?,
         });
--- a/crates/deployment/src/units.rs
+++ b/crates/deployment/src/units.rs
@@ -1,11 +1,11 @@
 //! Amounts as scripts write them: a number and its unit, never a bare number.
 
-use saltdrum::port::{MILLI, SECOND, Tenths};
+use saltdrum::interface::{MILLISECOND, SECOND, Ticks};
 use serde::{Deserialize, Deserializer, de::Error};
 
 /// A span of time: "250ms", "1.5s", "2m", "1h".
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Span(pub Tenths);
+pub struct Span(pub Ticks);
 
 /// Memory in MB: "3200MB", "4GB".
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
@@ -41,13 +41,13 @@
 /// Reads a span, rounded down to whole tenths of a millisecond.
 pub fn span(text: &str) -> Result<Span, String> {
     let units = [
-        ("ms", MILLI as f64),
+        ("ms", MILLISECOND as f64),
         ("s", SECOND as f64),
         ("m", 60.0 * SECOND as f64),
         ("h", 3_600.0 * SECOND as f64),
     ];
     // A hair above, since 0.3 s is a little under 3,000 tenths in binary.
-    amount(text, &units, "\"250ms\" or \"2s\"").map(|t| Span((t + 1e-6) as Tenths))
+    amount(text, &units, "\"250ms\" or \"2s\"").map(|t| Span((t + 1e-6) as Ticks))
 }
 
 /// Reads an amount of memory.
--- a/crates/deployment/tests/scripts.rs
+++ b/crates/deployment/tests/scripts.rs
@@ -17,7 +17,7 @@
 #[test]
 fn a_deployment_is_read_with_its_units_and_the_rest_is_handed_back() {
     let (terms, rest) = Terms::load("day.star", GOOD).unwrap();
-    assert_eq!(terms.deployment.tip_window, 15_000);
+    assert_eq!(terms.deployment.overload_window, 15_000);
     assert_eq!(terms.kinds[0].memory.0, 42_000.0);
     assert_eq!(
         terms.invokers.iter().map(|i| i.cell).collect::<Vec<_>>(),
--- a/crates/fakes/src/disk.rs
+++ b/crates/fakes/src/disk.rs
@@ -1,6 +1,6 @@
 //! A disk that loses what was written last when the power goes.
 
-use saltdrum::port::Tenths;
+use saltdrum::interface::Ticks;
 use saltdrum_layers::cache::{Disk, RealDisk};
 use saltdrum_transport::Clock;
 use std::cell::RefCell;
@@ -15,7 +15,7 @@
 pub struct TearingDisk {
     disk: RealDisk,
     clock: Clock,
-    written: RefCell<Vec<(Tenths, PathBuf)>>,
+    written: RefCell<Vec<(Ticks, PathBuf)>>,
     index: RefCell<Option<PathBuf>>,
 }
 
@@ -31,9 +31,9 @@
 
     /// The power has gone at `at`, and nothing holds the files any more. Of what was written since `since`, each is
     /// torn with a chance of `part`: cut short, a sector of it blank, or gone. Tells how many.
-    pub fn tear(&self, since: Tenths, part: f64, rng: &mut fastrand::Rng) -> io::Result<usize> {
+    pub fn tear(&self, since: Ticks, part: f64, rng: &mut fastrand::Rng) -> io::Result<usize> {
         let written = std::mem::take(&mut *self.written.borrow_mut());
-        let index = self.index.borrow().clone().map(|path| (Tenths::MAX, path));
+        let index = self.index.borrow().clone().map(|path| (Ticks::MAX, path));
         let mut torn = 0;
         for (at, path) in written.into_iter().chain(index) {
             if at < since || rng.f64() >= part || !path.exists() {
--- a/crates/fakes/src/invoker.rs
+++ b/crates/fakes/src/invoker.rs
@@ -4,11 +4,10 @@
 use crate::machine::{Ask, Build, Job, Machine, Order, Shape, Yard};
 use crate::record::{Line, Record, Try, Who};
 use bytes::BytesMut;
-use saltdrum::port::{Effect, FnId, MILLI, Scope, Tenths};
+use saltdrum::interface::{Effect, FunctionId, KeyScope, MILLISECOND, Ticks};
 use saltdrum_agent::{Agent, Peer, Seat};
 use saltdrum_deployment::{Terms, terms};
 use saltdrum_layers::cache::{Cache, Disk};
-use saltdrum_transport::{Address, Clock, Half, Network, Outbox, Read, Stream, Turns, halves};
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::invoker as wire;
 use saltdrum_protocol::{list, store};
@@ -16,6 +15,9 @@
 use saltdrum_registry::call::Caller;
 use saltdrum_registry::follow::{Following, Heard, follow};
 use saltdrum_registry::passage::{function_id, function_name};
+use saltdrum_transport::{
+    Address, ArrivalReader, Clock, EventLoopClock, Half, Network, SendQueue, Stream, halves,
+};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -44,13 +46,13 @@
     /// Of dispatches of functions whose names begin so, this share ends badly at once.
     pub fails: Option<(String, f64)>,
     /// Load reports are so old.
-    pub reports_late: Tenths,
+    pub reports_late: Ticks,
     /// The next answers are sent by halves, and the link is closed after the half.
     pub half_frames: bool,
 }
 
 /// Tokens that invokers of one group know together.
-pub type Tokens = Rc<RefCell<BTreeMap<(u8, u16, String), Tenths>>>;
+pub type Tokens = Rc<RefCell<BTreeMap<(u8, u16, String), Ticks>>>;
 
 /// What an invoker needs to be put up.
 pub struct Site {
@@ -61,7 +63,7 @@
     pub clock: Clock,
     /// The record's, which is the same for all.
     pub hour: Clock,
-    pub turns: Turns,
+    pub turns: EventLoopClock,
     pub record: Record,
     /// A port 0 becomes a real one at the first start, and is kept.
     pub at: RefCell<Address>,
@@ -111,22 +113,22 @@
     /// As the registry last told it.
     book: RefCell<Book>,
     /// Versions that were asked for: model, and reference at the store.
-    models: RefCell<BTreeMap<FnId, (String, String)>>,
+    models: RefCell<BTreeMap<FunctionId, (String, String)>>,
 }
 
 /// What ends with the process.
 struct Life {
     incarnation: u64,
-    started: Tenths,
+    started: Ticks,
     cold: bool,
     up: bool,
     machine: Machine,
-    links: BTreeMap<u64, (Who, Outbox)>,
+    links: BTreeMap<u64, (Who, SendQueue)>,
     links_made: u64,
     jobs: BTreeMap<Job, Held>,
     /// What jobs of open links were: a cancel may come after the end.
     past: BTreeMap<Job, (u32, u8)>,
-    reports: Vec<(Tenths, wire::Load)>,
+    reports: Vec<(Ticks, wire::Load)>,
     rng: fastrand::Rng,
     moved: Rc<Notify>,
     agent: Option<Rc<Agent>>,
@@ -140,7 +142,7 @@
     of: Try,
     trigger: String,
     token: Option<String>,
-    function: FnId,
+    function: FunctionId,
     passage: Option<String>,
 }
 
@@ -159,10 +161,10 @@
 /// Hands what the machine says to the sockets and the record.
 struct Desk<'a> {
     this: &'a Rc<Invoker>,
-    links: &'a BTreeMap<u64, (Who, Outbox)>,
+    links: &'a BTreeMap<u64, (Who, SendQueue)>,
     jobs: &'a mut BTreeMap<Job, Held>,
     load: wire::Load,
-    fetches: Vec<FnId>,
+    fetches: Vec<FunctionId>,
     rng: &'a mut fastrand::Rng,
 }
 
@@ -218,16 +220,16 @@
                     ended,
                     standing,
                 }),
-                Tenths::MAX,
+                Ticks::MAX,
             );
         }
     }
 
-    fn fetch(&mut self, function: FnId) {
+    fn fetch(&mut self, function: FunctionId) {
         self.fetches.push(function);
     }
 
-    fn loaded(&mut self, function: FnId, took: Tenths, ok: bool) {
+    fn loaded(&mut self, function: FunctionId, took: Ticks, ok: bool) {
         let invoker = self.this.site.stated.invoker;
         let at = self.this.site.hour.now();
         self.this.site.record.note(Line::Loaded {
@@ -266,10 +268,10 @@
                 output: output.into(),
             });
             if faults.half_frames {
-                outbox.put(frame.slice(..frame.len() / 2), Tenths::MAX);
+                outbox.put(frame.slice(..frame.len() / 2), Ticks::MAX);
                 outbox.close();
             } else {
-                outbox.put(frame, Tenths::MAX);
+                outbox.put(frame, Ticks::MAX);
             }
         }
         let told = link.is_some() && !faults.half_frames;
@@ -300,23 +302,23 @@
 }
 
 impl Site {
-    fn trigger(&self, name: &str) -> Option<&saltdrum::port::TriggerType> {
+    fn trigger(&self, name: &str) -> Option<&saltdrum::interface::TriggerType> {
         let at = self.terms.trigger_names.iter().position(|t| t == name)?;
         self.terms.deployment.trigger_types.get(at)
     }
 
     /// Whether the token was seen within its window; from now on it is.
-    fn knows(&self, trigger: &str, token: &str, now: Tenths) -> bool {
+    fn knows(&self, trigger: &str, token: &str, now: Ticks) -> bool {
         let Some(t) = self
             .trigger(trigger)
-            .filter(|t| t.effect == Effect::Tokened)
+            .filter(|t| t.effect == Effect::IdempotencyKey)
         else {
             return false;
         };
-        let group = match t.scope {
-            Scope::All => (0, 0),
-            Scope::Zone => (self.stated.zone, 0),
-            Scope::Cell => (self.stated.zone, self.stated.cell),
+        let group = match t.key_scope {
+            KeyScope::All => (0, 0),
+            KeyScope::Zone => (self.stated.zone, 0),
+            KeyScope::Cell => (self.stated.zone, self.stated.cell),
         };
         let (mut tokens, key) = (
             self.tokens.borrow_mut(),
@@ -324,14 +326,14 @@
         );
         let known = tokens
             .get(&key)
-            .is_some_and(|at| now < at + t.repeat_window);
+            .is_some_and(|at| now < at + t.idempotency_window);
         if !known {
             tokens.insert(key, now);
         }
         known
     }
 
-    fn machine(&self, now: Tenths, cold: bool) -> Machine {
+    fn machine(&self, now: Ticks, cold: bool) -> Machine {
         let (kind, d) = (&self.terms.kinds[self.stated.kind], &self.terms.deployment);
         let per_core = |n: u32| (n * kind.cores) as usize;
         let build = Build {
@@ -342,15 +344,15 @@
             queue: per_core(kind.queue_per_core),
             loads_at_once: kind.loads_at_once as usize,
             keep_alive: d.keep_alive,
-            misses: d.misses,
+            misses: d.reports_misses,
             stops_running: false,
-            cold_share: d.cold_share,
-            cold_time: d.cold_time,
+            cold_share: d.initial_capacity_share,
+            cold_time: d.warm_up_time,
             started: cold.then_some(now),
         };
         let shape = |f: &terms::Function| {
-            let load = f.load.unwrap_or(1_000 * MILLI) as f64;
-            let start = (load * (1.0 - self.fetch_share)) as Tenths;
+            let load = f.load.unwrap_or(1_000 * MILLISECOND) as f64;
+            let start = (load * (1.0 - self.fetch_share)) as Ticks;
             (
                 f.id,
                 Shape {
@@ -408,7 +410,11 @@
     }
 
     /// Starts the process: cold and empty, or as if it had long been up and held what it is given.
-    pub async fn start(self: &Rc<Self>, cold: bool, holds: &[FnId]) -> std::io::Result<Address> {
+    pub async fn start(
+        self: &Rc<Self>,
+        cold: bool,
+        holds: &[FunctionId],
+    ) -> std::io::Result<Address> {
         let at = self.site.at.borrow().clone();
         let (mut door, address) = self.site.network.listen(&at).await?;
         *self.site.at.borrow_mut() = address.clone();
@@ -497,7 +503,7 @@
     }
 
     /// Makes a function known that the terms do not state, by its name `MODEL@VERSION`.
-    fn learn(&self, function: FnId, name: &str) {
+    fn learn(&self, function: FunctionId, name: &str) {
         if self.models.borrow().contains_key(&function) {
             return;
         }
@@ -520,12 +526,12 @@
         }
         let (v, start) = (
             &held.version,
-            1_000.0 * MILLI as f64 * (1.0 - self.site.fetch_share),
+            1_000.0 * MILLISECOND as f64 * (1.0 - self.site.fetch_share),
         );
         let shape = Shape {
             memory: v.memory_mb as f64,
             lanes: v.lanes as usize,
-            start: start as Tenths,
+            start: start as Ticks,
         };
         self.life.borrow_mut().machine.learn(function, shape);
         self.models
@@ -534,7 +540,7 @@
     }
 
     /// Under which name and reference the store has a function's model, and the name it is compared by.
-    fn model(&self, function: FnId) -> (String, String, String) {
+    fn model(&self, function: FunctionId) -> (String, String, String) {
         if let Some((model, version)) = self.models.borrow().get(&function).cloned() {
             let (model, version) = (model.parse(), version.parse());
             if let (Ok(model), Ok(version)) = (model, version) {
@@ -614,7 +620,7 @@
 
     /// As `crash`; of what its disk took in the last `late`, each write is torn with a chance of `part`, once nothing
     /// holds the files any more. Tells how many were.
-    pub async fn lose_power(&self, late: Tenths, part: f64) -> std::io::Result<usize> {
+    pub async fn lose_power(&self, late: Ticks, part: f64) -> std::io::Result<usize> {
         let since = self.site.clock.now().saturating_sub(late);
         self.crash();
         // What was aborted is dropped when its turn comes, and with it the files that it holds.
@@ -647,7 +653,7 @@
             age_tenths: if life.cold {
                 age
             } else {
-                age + 3 * self.site.terms.deployment.cold_time
+                age + 3 * self.site.terms.deployment.warm_up_time
             },
             agent: self.site.layers.as_ref().map(|l| l.at.borrow().to_string()),
         }
@@ -668,7 +674,7 @@
     }
 
     /// Lets the machine work on something, and sees to what it asks for.
-    fn with(self: &Rc<Self>, then: impl FnOnce(&mut Machine, Tenths, &mut Desk)) {
+    fn with(self: &Rc<Self>, then: impl FnOnce(&mut Machine, Ticks, &mut Desk)) {
         let (now, faults) = (self.site.clock.now(), self.faults.borrow().clone());
         let life = &mut *self.life.borrow_mut();
         let (busy, waiting) = life.machine.load();
@@ -699,7 +705,7 @@
         life.moved.notify_one();
     }
 
-    fn begin_fetch(self: &Rc<Self>, function: FnId) {
+    fn begin_fetch(self: &Rc<Self>, function: FunctionId) {
         let this = self.clone();
         let mut tasks = self.tasks.borrow_mut();
         while tasks.try_join_next().is_some() {}
@@ -715,7 +721,7 @@
                 let life = self.life.borrow();
                 (life.machine.next(), life.moved.clone())
             };
-            let at = next.unwrap_or(self.site.clock.now() + 1_000 * MILLI);
+            let at = next.unwrap_or(self.site.clock.now() + 1_000 * MILLISECOND);
             tokio::select! {
                 biased;
                 () = self.site.clock.sleep_until(at) => {
@@ -727,15 +733,15 @@
         }
     }
 
-    async fn fetch(&self, function: FnId) -> bool {
+    async fn fetch(&self, function: FunctionId) -> bool {
         let stated = self
             .site
             .terms
             .functions
             .values()
             .find(|f| f.id == function);
-        let load = stated.and_then(|f| f.load).unwrap_or(1_000 * MILLI) as f64;
-        let usual_tenths = (load * self.site.fetch_share) as Tenths;
+        let load = stated.and_then(|f| f.load).unwrap_or(1_000 * MILLISECOND) as f64;
+        let usual_tenths = (load * self.site.fetch_share) as Ticks;
         if let Some(layers) = &self.site.layers {
             let (name, reference, known_as) = self.model(function);
             // The copy is in memory from here on; its chunks need not be pinned any more.
@@ -861,7 +867,7 @@
         self.unstuck(None).await;
         let (input, mut output) = halves(stream);
         let clock = self.site.clock;
-        let mut read = Read::new(input, self.site.hour, self.site.turns.clone());
+        let mut read = ArrivalReader::new(input, self.site.hour, self.site.turns.clone());
         let Some((kind, body, _)) = next_frame(&mut read).await else {
             return;
         };
@@ -886,7 +892,7 @@
             controller: hello.controller,
             incarnation: hello.incarnation,
         };
-        let outbox = Outbox::new(16 << 20);
+        let outbox = SendQueue::new(16 << 20);
         let link = {
             let life = &mut *self.life.borrow_mut();
             life.links_made += 1;
@@ -895,7 +901,7 @@
             let age_tenths = if life.cold {
                 age
             } else {
-                age + 3 * self.site.terms.deployment.cold_time
+                age + 3 * self.site.terms.deployment.warm_up_time
             };
             let welcome = wire::Welcome {
                 version,
@@ -903,7 +909,7 @@
                 incarnation: life.incarnation,
                 age_tenths,
             };
-            outbox.put(encode(&welcome), Tenths::MAX);
+            outbox.put(encode(&welcome), Ticks::MAX);
             life.links_made
         };
         tokio::select! {
@@ -919,7 +925,7 @@
         self.with(|machine, now, yard| machine.link_lost(now, link, yard));
     }
 
-    async fn hear(self: &Rc<Self>, link: u64, who: Who, read: &mut Read<Half>) {
+    async fn hear(self: &Rc<Self>, link: u64, who: Who, read: &mut ArrivalReader<Half>) {
         loop {
             self.unstuck(Some(who.controller)).await;
             let Some((kind, body, earliest)) = next_frame(read).await else {
@@ -975,7 +981,7 @@
                                 probe: p.probe,
                                 load,
                             }),
-                            Tenths::MAX,
+                            Ticks::MAX,
                         );
                     }
                 }
@@ -984,7 +990,7 @@
         }
     }
 
-    fn take(self: &Rc<Self>, link: u64, who: Who, d: wire::Dispatch, earliest: Tenths) {
+    fn take(self: &Rc<Self>, link: u64, who: Who, d: wire::Dispatch, earliest: Ticks) {
         let (at, job) = (self.site.hour.now(), (link, d.dispatch));
         let input: Input = serde_json::from_slice(&d.input).unwrap_or_default();
         let of = Try {
@@ -1026,7 +1032,7 @@
         });
         let ask = Ask {
             function: d.function,
-            work: input.work_ms * MILLI as f64,
+            work: input.work_ms * MILLISECOND as f64,
             expires: self.site.clock.now() + d.left_tenths,
         };
         self.with(|machine, now, yard| {
@@ -1052,7 +1058,7 @@
     }
 }
 
-async fn next_frame(read: &mut Read<Half>) -> Option<(u8, bytes::Bytes, Tenths)> {
+async fn next_frame(read: &mut ArrivalReader<Half>) -> Option<(u8, bytes::Bytes, Ticks)> {
     let mut earliest = Cell::new(0);
     loop {
         if let Some((kind, body)) = cut(&mut read.bytes).ok()? {
--- a/crates/fakes/src/list.rs
+++ b/crates/fakes/src/list.rs
@@ -2,10 +2,10 @@
 
 use crate::record::{Line, Record, Who};
 use bytes::BytesMut;
-use saltdrum::port::Tenths;
-use saltdrum_transport::{Address, Clock, Network, Outbox, Stream, halves};
+use saltdrum::interface::Ticks;
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::list::{Change, Entry, FromList, Life, ToList, Whole};
+use saltdrum_transport::{Address, Clock, Network, SendQueue, Stream, halves};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -17,9 +17,9 @@
     record: Record,
     network: Rc<dyn Network>,
     at: RefCell<Address>,
-    entries: RefCell<BTreeMap<u32, (Entry, Tenths)>>,
+    entries: RefCell<BTreeMap<u32, (Entry, Ticks)>>,
     revision: Cell<u64>,
-    followers: RefCell<Vec<(Who, Outbox)>>,
+    followers: RefCell<Vec<(Who, SendQueue)>>,
     tasks: RefCell<JoinSet<()>>,
 }
 
@@ -97,7 +97,7 @@
             controller: f.controller,
             incarnation: f.incarnation,
         };
-        let outbox = Outbox::new(16 << 20);
+        let outbox = SendQueue::new(16 << 20);
         let entries: Vec<Entry> = self
             .entries
             .borrow()
@@ -110,7 +110,7 @@
             settled: true,
             entries,
         };
-        outbox.put(encode(&whole), Tenths::MAX);
+        outbox.put(encode(&whole), Ticks::MAX);
         self.followers.borrow_mut().push((who, outbox.clone()));
         let clock = self.clock;
         let gone = async {
@@ -126,7 +126,7 @@
         self.followers.borrow_mut().retain(|(w, _)| *w != who);
     }
 
-    fn aged(&self, entry: &Entry, since: Tenths) -> Entry {
+    fn aged(&self, entry: &Entry, since: Ticks) -> Entry {
         Entry {
             age_tenths: entry.age_tenths + (self.clock.now() - since),
             ..entry.clone()
@@ -160,7 +160,7 @@
             return;
         };
         for (who, outbox) in self.followers.borrow().iter() {
-            outbox.put(encode(&change), Tenths::MAX);
+            outbox.put(encode(&change), Ticks::MAX);
             self.note_told(*who, &change.entries);
         }
         if entry.life == Life::Gone {
--- a/crates/fakes/src/machine.rs
+++ b/crates/fakes/src/machine.rs
@@ -3,7 +3,7 @@
 //! Cores are shared evenly among what runs. A copy takes memory and runs so many invocations at a time; a load fetches
 //! and then starts. A machine that has just started does only part of its work.
 
-use saltdrum::port::{FnId, MILLI, Tenths};
+use saltdrum::interface::{FunctionId, MILLISECOND, Ticks};
 use saltdrum_protocol::invoker::{Ended, Found, HoldEnded};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -19,8 +19,8 @@
     fn ended(&mut self, job: Job, ended: Ended, found: Option<Found>, crowd: u8);
     fn held(&mut self, order: Order, ended: HoldEnded, standing: u8);
     /// [`Machine::fetched`] is to follow.
-    fn fetch(&mut self, function: FnId);
-    fn loaded(&mut self, function: FnId, took: Tenths, ok: bool);
+    fn fetch(&mut self, function: FunctionId);
+    fn loaded(&mut self, function: FunctionId, took: Ticks, ok: bool);
 }
 
 /// What a machine can do, and what it is like.
@@ -32,24 +32,24 @@
     pub slots: usize,
     pub queue: usize,
     pub loads_at_once: usize,
-    pub keep_alive: Tenths,
+    pub keep_alive: Ticks,
     /// It answers a dispatch without a copy with a miss and loads nothing.
     pub misses: bool,
     /// A cancel stops what runs; otherwise only what waits.
     pub stops_running: bool,
     pub cold_share: f64,
-    pub cold_time: Tenths,
+    pub cold_time: Ticks,
     /// None: it has long been up.
-    pub started: Option<Tenths>,
+    pub started: Option<Ticks>,
 }
 
 /// A dispatch as the machine needs it.
 #[derive(Clone, Debug)]
 pub struct Ask {
-    pub function: FnId,
+    pub function: FunctionId,
     /// Core time at speed 1.
     pub work: f64,
-    pub expires: Tenths,
+    pub expires: Ticks,
 }
 
 struct Task {
@@ -61,8 +61,8 @@
 }
 
 struct Load {
-    function: FnId,
-    began: Tenths,
+    function: FunctionId,
+    began: Ticks,
     /// None while it is fetched.
     start_left: Option<f64>,
 }
@@ -72,39 +72,39 @@
     pub memory: f64,
     pub lanes: usize,
     /// Of the load, without the fetch.
-    pub start: Tenths,
+    pub start: Ticks,
 }
 
 #[derive(Default)]
 struct Copies {
     standing: usize,
     running: usize,
-    idle_since: Tenths,
+    idle_since: Ticks,
     holds: Vec<(Order, usize)>,
 }
 
 pub struct Machine {
     pub build: Build,
-    shapes: BTreeMap<FnId, Shape>,
-    now: Tenths,
+    shapes: BTreeMap<FunctionId, Shape>,
+    now: Ticks,
     tasks: BTreeMap<Job, Task>,
     waiting: VecDeque<Job>,
-    copies: BTreeMap<FnId, Copies>,
+    copies: BTreeMap<FunctionId, Copies>,
     loads: Vec<Load>,
-    loads_waiting: VecDeque<FnId>,
+    loads_waiting: VecDeque<FunctionId>,
     /// How many times slower than usual.
     pub slowness: f64,
     /// Further slowness, growing with each second.
     pub ageing: f64,
-    aged_from: Tenths,
+    aged_from: Ticks,
     busy: f64,
 }
 
 /// Capacity that rises is taken as even for so long.
-const STEP: Tenths = 20 * MILLI;
+const STEP: Ticks = 20 * MILLISECOND;
 
 impl Machine {
-    pub fn new(now: Tenths, build: Build, shapes: BTreeMap<FnId, Shape>) -> Self {
+    pub fn new(now: Ticks, build: Build, shapes: BTreeMap<FunctionId, Shape>) -> Self {
         Self {
             build,
             shapes,
@@ -122,7 +122,7 @@
     }
 
     /// A function that came later than the machine. What is known of one never changes.
-    pub fn learn(&mut self, function: FnId, shape: Shape) {
+    pub fn learn(&mut self, function: FunctionId, shape: Shape) {
         self.shapes.entry(function).or_insert(shape);
     }
 
@@ -148,9 +148,9 @@
     }
 
     /// When something will change by itself.
-    pub fn next(&self) -> Option<Tenths> {
+    pub fn next(&self) -> Option<Ticks> {
         let pace = self.pace().max(1e-6);
-        let due = |left: f64| self.now + ((left / pace).ceil() as Tenths).max(1);
+        let due = |left: f64| self.now + ((left / pace).ceil() as Ticks).max(1);
         let tasks = self
             .tasks
             .values()
@@ -161,7 +161,7 @@
         let step = if self.risen() < 1.0 || self.ageing > 0.0 {
             self.now + STEP
         } else {
-            Tenths::MAX
+            Ticks::MAX
         };
         let idle = self
             .copies
@@ -188,7 +188,7 @@
     }
 
     /// Lets time pass.
-    pub fn advance(&mut self, now: Tenths, yard: &mut dyn Yard) {
+    pub fn advance(&mut self, now: Ticks, yard: &mut dyn Yard) {
         while self.now < now {
             let upto = self.next().unwrap_or(now).min(now);
             let done = self.pace() * (upto - self.now) as f64;
@@ -273,7 +273,7 @@
         }
     }
 
-    pub fn dispatch(&mut self, now: Tenths, job: Job, ask: Ask, yard: &mut dyn Yard) {
+    pub fn dispatch(&mut self, now: Ticks, job: Job, ask: Ask, yard: &mut dyn Yard) {
         self.advance(now, yard);
         let function = ask.function;
         let held = self
@@ -314,7 +314,7 @@
     }
 
     /// Stops it if it waits, or runs and the build allows.
-    pub fn cancel(&mut self, now: Tenths, job: Job, yard: &mut dyn Yard) {
+    pub fn cancel(&mut self, now: Ticks, job: Job, yard: &mut dyn Yard) {
         self.advance(now, yard);
         if self
             .tasks
@@ -326,11 +326,11 @@
         }
     }
 
-    fn is_loading(&self, function: FnId) -> bool {
+    fn is_loading(&self, function: FunctionId) -> bool {
         self.loading(function) > 0
     }
 
-    fn loading(&self, function: FnId) -> usize {
+    fn loading(&self, function: FunctionId) -> usize {
         self.loads.iter().filter(|l| l.function == function).count()
             + self
                 .loads_waiting
@@ -340,7 +340,7 @@
     }
 
     fn memory_taken(&self) -> f64 {
-        let of = |f: &FnId| self.shapes.get(f).map_or(0.0, |s| s.memory);
+        let of = |f: &FunctionId| self.shapes.get(f).map_or(0.0, |s| s.memory);
         let standing: f64 = self
             .copies
             .iter()
@@ -356,7 +356,7 @@
     }
 
     /// False: no memory to be had, or too many loads wait.
-    fn begin_load(&mut self, function: FnId, yard: &mut dyn Yard) -> bool {
+    fn begin_load(&mut self, function: FunctionId, yard: &mut dyn Yard) -> bool {
         let need = self.shapes[&function].memory;
         if self.loads.len() + self.loads_waiting.len() >= 3 * self.build.loads_at_once {
             return false;
@@ -391,7 +391,7 @@
     }
 
     /// A fetch that [`Yard::fetch`] asked for has ended.
-    pub fn fetched(&mut self, now: Tenths, function: FnId, ok: bool, yard: &mut dyn Yard) {
+    pub fn fetched(&mut self, now: Ticks, function: FunctionId, ok: bool, yard: &mut dyn Yard) {
         self.advance(now, yard);
         let at = self
             .loads
@@ -445,9 +445,9 @@
     /// An order to hold so many copies; 0 only asks.
     pub fn hold(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         order: Order,
-        function: FnId,
+        function: FunctionId,
         count: u8,
         yard: &mut dyn Yard,
     ) {
@@ -474,7 +474,7 @@
             .push((order, count.into()));
     }
 
-    pub fn unload(&mut self, now: Tenths, function: FnId, yard: &mut dyn Yard) {
+    pub fn unload(&mut self, now: Ticks, function: FunctionId, yard: &mut dyn Yard) {
         self.advance(now, yard);
         if let Some(c) = self.copies.get_mut(&function).filter(|c| c.running == 0) {
             c.standing = 0;
@@ -482,7 +482,7 @@
     }
 
     /// A link is gone: what waits on it is not run. What runs goes on, its answer lost.
-    pub fn link_lost(&mut self, now: Tenths, link: u64, yard: &mut dyn Yard) {
+    pub fn link_lost(&mut self, now: Ticks, link: u64, yard: &mut dyn Yard) {
         self.advance(now, yard);
         let gone: Vec<Job> = self
             .tasks
@@ -504,7 +504,7 @@
     }
 
     /// As if it had stood since long before: copies of these are there.
-    pub fn hold_from_the_start(&mut self, functions: impl IntoIterator<Item = FnId>) {
+    pub fn hold_from_the_start(&mut self, functions: impl IntoIterator<Item = FunctionId>) {
         for f in functions {
             if self
                 .shapes
@@ -530,7 +530,7 @@
     struct Seen {
         ended: Vec<(Job, Ended, Option<Found>)>,
         held: Vec<(Order, HoldEnded, u8)>,
-        fetches: Vec<FnId>,
+        fetches: Vec<FunctionId>,
     }
 
     impl Yard for Seen {
@@ -543,13 +543,13 @@
         fn held(&mut self, order: Order, ended: HoldEnded, standing: u8) {
             self.held.push((order, ended, standing));
         }
-        fn fetch(&mut self, function: FnId) {
+        fn fetch(&mut self, function: FunctionId) {
             self.fetches.push(function);
         }
-        fn loaded(&mut self, _: FnId, _: Tenths, _: bool) {}
+        fn loaded(&mut self, _: FunctionId, _: Ticks, _: bool) {}
     }
 
-    fn machine(started: Option<Tenths>) -> Machine {
+    fn machine(started: Option<Ticks>) -> Machine {
         let build = Build {
             cores: 2.0,
             speed: 1.0,
@@ -572,7 +572,7 @@
         Machine::new(0, build, (1..4).map(|f| (f, shape.clone())).collect())
     }
 
-    fn ask(function: FnId) -> Ask {
+    fn ask(function: FunctionId) -> Ask {
         Ask {
             function,
             work: 1_000.0,
--- a/crates/fakes/src/platform.rs
+++ b/crates/fakes/src/platform.rs
@@ -3,10 +3,10 @@
 
 use crate::record::{How, Line, Record, Try, Who};
 use bytes::{Buf, Bytes, BytesMut};
-use saltdrum::port::{Life, MILLI, Tenths};
-use saltdrum_transport::{Address, Clock, Network, Stream};
+use saltdrum::interface::{InvokerStatus, MILLISECOND, Ticks};
 use saltdrum_platform_wire::feed::{self, Event, Line as Listing};
 use saltdrum_platform_wire::frames::{self, Code};
+use saltdrum_transport::{Address, Clock, Network, Stream};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -46,7 +46,7 @@
 /// One request as it arrived.
 #[derive(Clone, Debug)]
 pub struct Arrived {
-    pub at: Tenths,
+    pub at: Ticks,
     pub method: String,
     pub path: String,
     pub fields: BTreeMap<String, String>,
@@ -166,7 +166,7 @@
             return;
         };
         let stated: Option<u64> = a.fields.get("x-limit-ms").and_then(|ms| ms.parse().ok());
-        let left_ms = given_up_at.saturating_sub(a.at) / MILLI;
+        let left_ms = given_up_at.saturating_sub(a.at) / MILLISECOND;
         if stated.is_none_or(|ms| ms > left_ms + LIMIT_SLACK_MS) {
             let fault = format!("{of:?}: {stated:?} ms are said to be left, {left_ms} are");
             self.limit_faults.borrow_mut().push(fault);
@@ -383,9 +383,9 @@
         if let Event::Whole(lines) | Event::Changes(lines) = &event {
             for l in lines {
                 let life = match l.life {
-                    Life::Ready => "ready",
-                    Life::Draining => "draining",
-                    Life::Gone => "gone",
+                    InvokerStatus::Ready => "ready",
+                    InvokerStatus::Draining => "draining",
+                    InvokerStatus::Gone => "gone",
                 };
                 let (at, who, invoker) = (self.clock.now(), self.controller, l.invoker);
                 let incarnation = l.started_ms.unwrap_or(0);
@@ -460,7 +460,7 @@
 pub fn listing(
     invoker: u32,
     address: SocketAddrV4,
-    life: Life,
+    life: InvokerStatus,
     started_ms: Option<u64>,
 ) -> Listing {
     Listing {
--- a/crates/fakes/src/record.rs
+++ b/crates/fakes/src/record.rs
@@ -1,6 +1,6 @@
 //! What was seen, by whom, when. Times are tenths of a millisecond on one clock for all who write.
 
-use saltdrum::port::Tenths;
+use saltdrum::interface::Ticks;
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
 use std::io::{self, BufRead, Write};
@@ -35,8 +35,8 @@
     pub effect: String,
     /// `all`, `zone` or `cell`: who drops a token's repeats together.
     pub scope: String,
-    pub repeat_window: Tenths,
-    pub objective: Tenths,
+    pub repeat_window: Ticks,
+    pub objective: Ticks,
     pub billed_value: f64,
 }
 
@@ -55,12 +55,12 @@
     pub triggers: Vec<Trigger>,
     pub places: Vec<Place>,
     pub parallel_dispatches: bool,
-    pub drain_grace: Tenths,
+    pub drain_grace: Ticks,
     pub cold_share: f64,
-    pub cold_time: Tenths,
+    pub cold_time: Ticks,
     pub tip_factor: f64,
-    pub tip_window: Tenths,
-    pub order_window: Tenths,
+    pub tip_window: Ticks,
+    pub order_window: Ticks,
     pub orders_free: f64,
     pub orders_share: f64,
 }
@@ -71,54 +71,54 @@
     Stated(Stated),
     /// By the client: the whole call has been written.
     Sent {
-        at: Tenths,
+        at: Ticks,
         who: Who,
         of: Try,
         tenant: String,
         trigger: String,
         function: String,
-        timeout: Tenths,
-        work: Tenths,
+        timeout: Ticks,
+        work: Ticks,
     },
     /// By the client: an answer was read, which came at `earliest` or later.
     Final {
-        at: Tenths,
-        earliest: Tenths,
+        at: Ticks,
+        earliest: Ticks,
         of: Try,
         how: How,
     },
     /// By the client: it closed the connection on purpose before the answer.
     HungUp {
-        at: Tenths,
+        at: Ticks,
         of: Try,
     },
     /// By an invoker: the output that it made for this try.
     Made {
-        at: Tenths,
+        at: Ticks,
         invoker: u32,
         of: Try,
         output: String,
     },
     /// By the client: the output of a final answer that succeeded.
     Output {
-        at: Tenths,
+        at: Ticks,
         of: Try,
         output: String,
     },
     /// By the client: the controller's side closed the connection before the answer.
     CutOff {
-        at: Tenths,
+        at: Ticks,
         of: Try,
     },
     /// By the client: it reads this connection late on purpose; what it reads proves nothing of when it came.
     ReadsSlowly {
-        at: Tenths,
+        at: Ticks,
         of: Try,
     },
     /// By the invoker: a dispatch was read, which came at `earliest` or later.
     Dispatched {
-        at: Tenths,
-        earliest: Tenths,
+        at: Ticks,
+        earliest: Ticks,
         invoker: u32,
         who: Who,
         invocation: u32,
@@ -128,7 +128,7 @@
     },
     /// By the invoker: work began. `repeat`: it was known by its token and not done again.
     Ran {
-        at: Tenths,
+        at: Ticks,
         invoker: u32,
         who: Who,
         invocation: u32,
@@ -139,7 +139,7 @@
     },
     /// By the invoker, of an invocation that belongs to a passage: which function spoke in it.
     Spoke {
-        at: Tenths,
+        at: Ticks,
         invoker: u32,
         of: Try,
         function: u64,
@@ -147,7 +147,7 @@
     },
     /// By the invoker: a dispatch ended; `told`: the answer went out.
     Ended {
-        at: Tenths,
+        at: Ticks,
         invoker: u32,
         who: Who,
         invocation: u32,
@@ -158,7 +158,7 @@
     },
     /// By the invoker: a cancel was read.
     Cancelled {
-        at: Tenths,
+        at: Ticks,
         invoker: u32,
         who: Who,
         invocation: u32,
@@ -166,8 +166,8 @@
     },
     /// By the invoker: an order to hold was read.
     Ordered {
-        at: Tenths,
-        earliest: Tenths,
+        at: Ticks,
+        earliest: Ticks,
         invoker: u32,
         who: Who,
         function: u64,
@@ -175,22 +175,22 @@
     },
     /// By the invoker: a load came to its end.
     Loaded {
-        at: Tenths,
+        at: Ticks,
         invoker: u32,
         function: u64,
-        took: Tenths,
+        took: Ticks,
         ok: bool,
     },
     /// By the invoker, with layers: a copy was put together; `sound`: it is the model, byte for byte.
     Copied {
-        at: Tenths,
+        at: Ticks,
         invoker: u32,
         function: u64,
         sound: bool,
     },
     /// By the list: a line went out to a controller.
     Told {
-        at: Tenths,
+        at: Ticks,
         who: Who,
         invoker: u32,
         incarnation: u64,
@@ -198,14 +198,14 @@
     },
     /// By the store: a fetch was asked for.
     Fetched {
-        at: Tenths,
+        at: Ticks,
         invoker: u32,
         function: u64,
         refused: bool,
     },
     /// By the stage, at the end of a day with layers: what was asked of whom, over all lives of all invokers.
     Layers {
-        at: Tenths,
+        at: Ticks,
         chunks: u64,
         store_requests: u64,
         bytes_from_store: u64,
@@ -216,7 +216,7 @@
     },
     /// By the stage, at the end of a day with versions: the registry as it is then.
     Registry {
-        at: Tenths,
+        at: Ticks,
         revision: u64,
         moves: u64,
         stages_well: u64,
@@ -226,7 +226,7 @@
     },
     /// By the stage: an invoker started, or ended.
     Invoker {
-        at: Tenths,
+        at: Ticks,
         invoker: u32,
         incarnation: u64,
         up: bool,
@@ -234,25 +234,25 @@
     },
     /// By the stage: a controller started, or was killed.
     Controller {
-        at: Tenths,
+        at: Ticks,
         who: Who,
         up: bool,
     },
     /// By whoever runs on the thread: it stood still.
     Disturbed {
-        at: Tenths,
-        until: Tenths,
+        at: Ticks,
+        until: Ticks,
         thread: String,
     },
     /// By the stage, from the script.
     Trouble {
-        at: Tenths,
-        until: Tenths,
+        at: Ticks,
+        until: Ticks,
         text: String,
     },
     /// By the stage: nothing new was sent from then on.
     Over {
-        at: Tenths,
+        at: Ticks,
     },
 }
 
@@ -266,7 +266,7 @@
     }
 
     /// When the client of a try stops waiting, by its own send; none: it has not sent it, or noted nothing.
-    pub fn given_up_at(&self, of: Try) -> Option<Tenths> {
+    pub fn given_up_at(&self, of: Try) -> Option<Ticks> {
         let lines = self.0.borrow();
         lines.iter().rev().find_map(|line| match line {
             Line::Sent {
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -2,10 +2,10 @@
 
 use crate::record::{Line, Record};
 use bytes::BytesMut;
-use saltdrum::port::{MILLI, Tenths};
-use saltdrum_transport::{Address, Clock, Network, Stream};
+use saltdrum::interface::{MILLISECOND, Ticks};
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::store as wire;
+use saltdrum_transport::{Address, Clock, Network, Stream};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 
 /// Fetches at full pace; beyond, all slow down.
 const FULL_PACE: f64 = 6.0;
-const COME_BACK: Tenths = 200 * MILLI;
+const COME_BACK: Ticks = 200 * MILLISECOND;
 
 pub struct Store {
     pub limit: Cell<usize>,
--- a/crates/faulty-peers/src/careless.rs
+++ b/crates/faulty-peers/src/careless.rs
@@ -1,8 +1,8 @@
 //! Brings models without looking at a digest: what the store sends and what the disk gives back is taken as it is.
 
+use saltdrum_fakes::invoker::Supply;
 use saltdrum_layers::{Chunk, Manifest};
 use saltdrum_transport::{Address, Network};
-use saltdrum_fakes::invoker::Supply;
 use std::future::Future;
 use std::pin::Pin;
 use std::rc::Rc;
--- a/crates/faulty-peers/src/leases.rs
+++ b/crates/faulty-peers/src/leases.rs
@@ -2,18 +2,18 @@
 //! messages with the real ones and none of their decisions.
 
 use redb::{Database, ReadableDatabase, TableDefinition};
-use saltdrum::port::{MILLI, SECOND, Tenths};
+use saltdrum::interface::{MILLISECOND, SECOND, Ticks};
+use saltdrum_coordinator::caller::Caller;
+use saltdrum_coordinator::server::{Answers, Refused, said};
+use saltdrum_coordinator::wire::{NO_VOTE, Renew, Standing};
+use saltdrum_coordinator::{HeldLease, LeaseWatch};
 use saltdrum_fleet::fence::Token;
 use saltdrum_fleet::fleet::Fleet;
 use saltdrum_fleet::lease::{Lease, LeaseName};
 use saltdrum_leases::journal::{Accepted, Append, Appended, Tells};
 use saltdrum_leases::messages::{Effect, REJECTED, Seal, Sealed};
-use saltdrum_transport::Clock;
 use saltdrum_protocol::rpc::{self, Call};
-use saltdrum_coordinator::caller::Caller;
-use saltdrum_coordinator::server::{Answers, Refused, said};
-use saltdrum_coordinator::wire::{NO_VOTE, Renew, Standing};
-use saltdrum_coordinator::{HeldLease, LeaseWatch};
+use saltdrum_transport::Clock;
 use serde::Deserialize;
 use serde_json::json;
 use std::cell::{Cell, RefCell};
@@ -40,8 +40,8 @@
 
 const SEALED: TableDefinition<&str, u64> = TableDefinition::new("seals");
 const KEY: &str = "sealed";
-const PATIENCE: Tenths = 5 * SECOND;
-const BETWEEN_EFFECTS: Tenths = 20 * MILLI;
+const PATIENCE: Ticks = 5 * SECOND;
+const BETWEEN_EFFECTS: Ticks = 20 * MILLISECOND;
 
 /// A journal that breaks a rule.
 pub struct FaultyJournal {
--- a/crates/faulty-peers/src/lib.rs
+++ b/crates/faulty-peers/src/lib.rs
@@ -8,10 +8,10 @@
 
 use bytes::{Bytes, BytesMut};
 use saltdrum_controller::Seat;
-use saltdrum_transport::{Clock, Network, Outbox, halves};
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::invoker as wire;
 use saltdrum_protocol::{list, rpc};
+use saltdrum_transport::{Clock, Network, SendQueue, halves};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -57,7 +57,7 @@
     network: Rc<dyn Network>,
     clock: Clock,
     entries: RefCell<BTreeMap<u32, list::Entry>>,
-    links: RefCell<BTreeMap<u32, Outbox>>,
+    links: RefCell<BTreeMap<u32, SendQueue>>,
     then: RefCell<BTreeMap<(u32, u64), Then>>,
     rng: RefCell<fastrand::Rng>,
     last: RefCell<u64>,
@@ -88,7 +88,7 @@
         tokio::task::spawn_local(async move { following.follow().await });
         loop {
             let (input, mut output) = halves(door.accept().await?);
-            let (this, outbox, clock) = (self.clone(), Outbox::new(1 << 30), self.clock);
+            let (this, outbox, clock) = (self.clone(), SendQueue::new(1 << 30), self.clock);
             let out = outbox.clone();
             tokio::task::spawn_local(async move {
                 out.write_to(&mut output, || clock.now(), |_| ()).await
@@ -151,7 +151,7 @@
             return;
         }
         let (mut input, mut output) = halves(stream);
-        let (outbox, clock) = (Outbox::new(1 << 30), self.clock);
+        let (outbox, clock) = (SendQueue::new(1 << 30), self.clock);
         self.links.borrow_mut().insert(invoker, outbox.clone());
         tokio::task::spawn_local(async move {
             outbox.write_to(&mut output, || clock.now(), |_| ()).await
@@ -167,7 +167,7 @@
         }
     }
 
-    async fn listen(self: Rc<Self>, mut input: saltdrum_transport::Half, to: Outbox) {
+    async fn listen(self: Rc<Self>, mut input: saltdrum_transport::Half, to: SendQueue) {
         let mut read = BytesMut::new();
         while let Ok(1..) = input.read_buf(&mut read).await {
             while let Some(end) = read.iter().position(|b| *b == b'\n') {
@@ -238,7 +238,7 @@
         link.put(encode(&frame), u64::MAX);
     }
 
-    fn take(self: &Rc<Self>, call: rpc::Invoke, id: rpc::Id, to: Outbox) {
+    fn take(self: &Rc<Self>, call: rpc::Invoke, id: rpc::Id, to: SendQueue) {
         let inv = *self.last.borrow() as u32 + 1;
         let Some(first) = self.pick(None) else {
             to.put(
--- a/crates/lab/src/draw.rs
+++ b/crates/lab/src/draw.rs
@@ -1,9 +1,9 @@
 //! Troubles drawn at random for a day.
 
 use crate::Script;
-use saltdrum::port::SECOND;
-use saltdrum_scenario::Day;
+use saltdrum::interface::SECOND;
 use saltdrum_deployment::{Statement, script::Place};
+use saltdrum_scenario::Day;
 use serde_json::{Map, Value as Json, json};
 
 /// What a trouble of a kind strikes, and with what.
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -2,8 +2,8 @@
 
 use crate::Script;
 use crate::plan::{Cell, cells};
-use saltdrum_scenario::{DAYS, POLICIES};
 use saltdrum_deployment::{Fault, script};
+use saltdrum_scenario::{DAYS, POLICIES};
 use serde::Deserialize;
 use serde_json::{Map, Value as Json};
 use std::path::{Path, PathBuf};
@@ -243,7 +243,7 @@
             assert_eq!(
                 (
                     b.retries,
-                    b.terms.deployment.dispatch_limit,
+                    b.terms.deployment.attempt_limit,
                     a.seed == b.seed
                 ),
                 (4, 2, true)
--- a/crates/lab/src/facts.rs
+++ b/crates/lab/src/facts.rs
@@ -1,20 +1,20 @@
 //! What is kept of a run, from its record alone.
 
-use saltdrum::port::{MILLI, Tenths};
-use saltdrum_scenario::{State, check::check, summary};
+use saltdrum::interface::{MILLISECOND, Ticks};
 use saltdrum_fakes::record::{How, Line, Try, write};
+use saltdrum_scenario::{State, check::check, summary};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// One invocation, by its last try; times in tenths of a millisecond, from the first invocation of the day on.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Row {
-    pub at: Tenths,
+    pub at: Ticks,
     pub tenant: String,
     pub trigger: String,
     pub function: String,
     /// None: no answer came.
-    pub took: Option<Tenths>,
+    pub took: Option<Ticks>,
     pub how: String,
     pub in_time: bool,
     pub tries: u32,
@@ -117,7 +117,7 @@
             }
         })
         .unwrap_or(0);
-    let seconds = |at: Tenths| (at as f64 - first as f64) / (1_000.0 * MILLI as f64);
+    let seconds = |at: Ticks| (at as f64 - first as f64) / (1_000.0 * MILLISECOND as f64);
     let mut troubles = Vec::new();
     let mut hung_up = std::collections::BTreeSet::new();
     for line in lines {
@@ -161,11 +161,13 @@
                 if let Some(row) = all.get_mut(&of.n).filter(|row| row.tries == of.attempt + 1) {
                     row.took = Some(at - row.at.min(*at));
                     row.how = format!("{how:?}").to_lowercase();
-                    let most = objective.get(&row.trigger).copied().unwrap_or(Tenths::MAX);
+                    let most = objective.get(&row.trigger).copied().unwrap_or(Ticks::MAX);
                     row.in_time = *how == How::Succeeded && row.took.is_some_and(|t| t <= most);
                 }
             }
-            Line::HungUp { of, .. } => drop(hung_up.insert(of.n)),
+            Line::HungUp { of, .. } => {
+                hung_up.insert(of.n);
+            }
             Line::Dispatched { invoker, of, .. } => {
                 invokers.entry(*invoker).and_modify(|i| i.dispatches += 1);
                 if let Some(row) = all.get_mut(&of.n) {
@@ -173,7 +175,7 @@
                 }
             }
             Line::Fetched { invoker, .. } => {
-                drop(invokers.entry(*invoker).and_modify(|i| i.fetches += 1))
+                invokers.entry(*invoker).and_modify(|i| i.fetches += 1);
             }
             Line::Trouble { at, until, text } => troubles.push(Struck {
                 from_s: seconds(*at),
@@ -284,13 +286,13 @@
 }
 
 /// The invocations that took longest, with what became of each of their dispatches.
-fn slowest(lines: &[Line], all: &BTreeMap<u64, Row>, first: Tenths) -> Vec<Slow> {
-    let mut order: Vec<(Tenths, u64)> = all
+fn slowest(lines: &[Line], all: &BTreeMap<u64, Row>, first: Ticks) -> Vec<Slow> {
+    let mut order: Vec<(Ticks, u64)> = all
         .iter()
         .filter_map(|(n, row)| Some((row.took?, *n)))
         .collect();
     order.sort_unstable_by(|a, b| b.cmp(a));
-    let ms = |t: Tenths| t as f64 / MILLI as f64;
+    let ms = |t: Ticks| t as f64 / MILLISECOND as f64;
     let mut told: BTreeMap<u64, Slow> = order
         .into_iter()
         .take(SLOWEST)
@@ -312,7 +314,7 @@
         })
         .collect();
     for line in lines {
-        let (of, at, text): (Try, Tenths, String) = match line {
+        let (of, at, text): (Try, Ticks, String) = match line {
             Line::Sent { at, of, who, .. } => {
                 (*of, *at, format!("sent to controller {}", who.controller))
             }
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -10,7 +10,7 @@
 pub struct Bounds {
     /// Share of billed value in time; none: any.
     pub least_value: Option<f64>,
-    /// Looks for this rule's breaches only.
+    /// PollTimes for this rule's breaches only.
     pub only_rule: Option<u8>,
 }
 
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -158,7 +158,7 @@
             if let (Some(took), "succeeded") = (row.took, row.how.as_str()) {
                 all.add(took);
                 seconds
-                    .entry(row.at / saltdrum::port::SECOND)
+                    .entry(row.at / saltdrum::interface::SECOND)
                     .or_default()
                     .add(took);
             }
--- a/crates/lab/src/script.rs
+++ b/crates/lab/src/script.rs
@@ -1,7 +1,7 @@
 //! A day's script as its statements: they can be changed, and written out as a script again.
 
-use saltdrum_scenario::Day;
 use saltdrum_deployment::{Fault, Statement, script};
+use saltdrum_scenario::Day;
 use serde_json::{Map, Value as Json, json};
 
 #[derive(Clone, Debug)]
--- a/crates/lab/tests/lab.rs
+++ b/crates/lab/tests/lab.rs
@@ -1,10 +1,10 @@
 //! Experiments and searches on real days, small ones.
 
-use saltdrum_scenario::{Cover, DAYS, Serve};
+use saltdrum_fakes::record::Line;
+use saltdrum_faulty_peers::{Fault, careless, rogue};
 use saltdrum_lab::hunt::{Bounds, hunt};
 use saltdrum_lab::{Experiment, Script, results, run};
-use saltdrum_faulty_peers::{Fault, careless, rogue};
-use saltdrum_fakes::record::Line;
+use saltdrum_scenario::{Cover, DAYS, Serve};
 use std::fs;
 use std::path::Path;
 
@@ -195,7 +195,8 @@
     let kept = saltdrum_scenario::play_virtually(&day, saltdrum_scenario::serve).unwrap();
     let kept = saltdrum_scenario::check::check(&kept).unwrap();
     assert!(
-        kept.iter().all(|v| v.state != saltdrum_scenario::State::Broken),
+        kept.iter()
+            .all(|v| v.state != saltdrum_scenario::State::Broken),
         "the real one keeps them"
     );
 }
@@ -257,8 +258,11 @@
     // The real one, on the very day, loads as much and throws away what is damaged.
     let (all, unsound) = copies(&day, Cover::of(saltdrum_scenario::serve));
     assert!(all > 0 && unsound == 0, "{all} {unsound}");
-    let kept = saltdrum_scenario::Day::load("found", include_str!("found/skips-digests.star")).unwrap();
-    assert!(copies(&kept, planted).1 > 0 && copies(&kept, Cover::of(saltdrum_scenario::serve)).1 == 0);
+    let kept =
+        saltdrum_scenario::Day::load("found", include_str!("found/skips-digests.star")).unwrap();
+    assert!(
+        copies(&kept, planted).1 > 0 && copies(&kept, Cover::of(saltdrum_scenario::serve)).1 == 0
+    );
 }
 
 #[test]
--- a/crates/layers/src/layout.rs
+++ b/crates/layers/src/layout.rs
@@ -214,7 +214,7 @@
         Ok(())
     }
 
-    /// Looks at every byte that a tag leads to.
+    /// PollTimes at every byte that a tag leads to.
     pub fn verify(&self) -> Result<Checked, Fault> {
         let (mut checked, mut seen) = (Checked::default(), BTreeSet::new());
         for tag in self.tags()?.keys() {
--- a/crates/layers/src/plan/fetch.rs
+++ b/crates/layers/src/plan/fetch.rs
@@ -5,7 +5,7 @@
 
 use super::{Limit, Member, Suspects, homes};
 use crate::Digest;
-use saltdrum::port::{InvokerId, MILLI, SECOND, Tenths};
+use saltdrum::interface::{InvokerId, MILLISECOND, SECOND, Ticks};
 use std::collections::{BTreeMap, BTreeSet};
 
 pub type LoadId = u64;
@@ -38,7 +38,7 @@
     /// Its bytes came and their digest held.
     Well,
     /// Too many are at it; come back after so long.
-    Refused(Tenths),
+    Refused(Ticks),
     /// It has no such chunk.
     Absent,
     /// No connection, cut off, silent, wrong length.
@@ -53,7 +53,7 @@
     pub asks: Vec<Ask>,
     /// Stop these; their ends are told already.
     pub cancels: Vec<u64>,
-    pub wake: Option<Tenths>,
+    pub wake: Option<Ticks>,
 }
 
 const STORE_FIRST: f64 = 2.0;
@@ -61,15 +61,15 @@
 const PEER_FIRST: f64 = 2.0;
 const PEER_MOST: f64 = 6.0;
 /// Homes that put us off are waited for so long before the store is asked past them.
-const PEERS_MOST_WAIT: Tenths = 6 * SECOND;
+const PEERS_MOST_WAIT: Ticks = 6 * SECOND;
 /// An ask that takes so many times as long as usual gets a second one beside it, within a budget.
 const HEDGE_AT: f64 = 4.0;
-const HEDGE_LEAST: Tenths = 300 * MILLI;
+const HEDGE_LEAST: Ticks = 300 * MILLISECOND;
 const HEDGES_PART: f64 = 0.05;
 /// Given up and counted as broken.
-const ASK_MOST: Tenths = 10 * SECOND;
-const ROUND_WAIT: Tenths = 50 * MILLI;
-const ROUND_WAIT_MOST: Tenths = 4 * SECOND;
+const ASK_MOST: Ticks = 10 * SECOND;
+const ROUND_WAIT: Ticks = 50 * MILLISECOND;
+const ROUND_WAIT_MOST: Ticks = 4 * SECOND;
 /// Repeats that may be spent at once, and how they come back: by time, and by first asks.
 const REPEATS_MOST: f64 = 64.0;
 const REPEATS_A_SECOND: f64 = 8.0;
@@ -79,12 +79,12 @@
     bytes: u64,
     position: usize,
     waiters: BTreeSet<LoadId>,
-    since: Tenths,
+    since: Ticks,
     out: Vec<u64>,
     tried: Vec<Source>,
     rounds: u32,
     asked_before: bool,
-    not_before: Tenths,
+    not_before: Ticks,
     homes: (u64, Vec<InvokerId>),
 }
 
@@ -97,7 +97,7 @@
 struct Out {
     digest: Digest,
     source: Source,
-    since: Tenths,
+    since: Ticks,
     hedged: bool,
 }
 
@@ -112,7 +112,7 @@
     suspects: Suspects,
     out: BTreeMap<u64, Out>,
     last: u64,
-    repeats: (f64, Tenths),
+    repeats: (f64, Ticks),
     hedges: f64,
     /// Usual time of an ask that went well.
     usual: f64,
@@ -123,7 +123,7 @@
 enum Choice {
     Ask(Source),
     /// A source there is, but it is full, closed or suspected for now.
-    Wait(Option<Tenths>),
+    Wait(Option<Ticks>),
     /// All failed in this round.
     Exhausted,
 }
@@ -176,7 +176,7 @@
     }
 
     /// A load waits for these chunks, none of which is here. True: it waits for nothing.
-    pub fn want(&mut self, now: Tenths, load: LoadId, needs: &[Need]) -> bool {
+    pub fn want(&mut self, now: Ticks, load: LoadId, needs: &[Need]) -> bool {
         // It starts beside the others, not ahead of all that they were granted since they began.
         let granted = self.loads.values().map(|l| l.granted).min().unwrap_or(0);
         let l = self.loads.entry(load).or_insert(Load {
@@ -247,12 +247,12 @@
     }
 
     /// What to ask now.
-    pub fn next(&mut self, now: Tenths) -> Next {
+    pub fn next(&mut self, now: Ticks) -> Next {
         self.give_up(now);
         let mut next = Next::default();
         self.hedge(now, &mut next);
-        let mut wake: Option<Tenths> = None;
-        let mut sooner = |at: Tenths| wake = Some(wake.map_or(at, |w| w.min(at)).max(now + 1));
+        let mut wake: Option<Ticks> = None;
+        let mut sooner = |at: Ticks| wake = Some(wake.map_or(at, |w| w.min(at)).max(now + 1));
         // First chunks first, those that many wait for before them.
         let mut ready: BTreeMap<LoadId, Vec<(std::cmp::Reverse<usize>, usize, Digest)>> =
             BTreeMap::new();
@@ -301,7 +301,7 @@
                     w.tried.clear();
                     w.rounds += 1;
                     let most = ROUND_WAIT_MOST.min(ROUND_WAIT << w.rounds.min(8));
-                    w.not_before = now + 1 + most / 2 + (most as f64 / 2.0 * jitter) as Tenths;
+                    w.not_before = now + 1 + most / 2 + (most as f64 / 2.0 * jitter) as Ticks;
                     sooner(w.not_before);
                 }
             }
@@ -317,11 +317,11 @@
         next
     }
 
-    fn slow_at(&self) -> Tenths {
-        HEDGE_LEAST.max((HEDGE_AT * self.usual) as Tenths)
+    fn slow_at(&self) -> Ticks {
+        HEDGE_LEAST.max((HEDGE_AT * self.usual) as Ticks)
     }
 
-    fn ask(&mut self, digest: Digest, source: Source, now: Tenths, hedged: bool) -> Ask {
+    fn ask(&mut self, digest: Digest, source: Source, now: Ticks, hedged: bool) -> Ask {
         self.last += 1;
         let attempt = self.last;
         self.limit(source).asked();
@@ -346,7 +346,7 @@
     }
 
     /// A first ask is free and earns; a repeat costs. Gives when one will be there, if none is.
-    fn spend(&mut self, digest: &Digest, now: Tenths) -> Option<Tenths> {
+    fn spend(&mut self, digest: &Digest, now: Ticks) -> Option<Ticks> {
         let passed = now.saturating_sub(self.repeats.1) as f64 / SECOND as f64;
         let first = !self.wants[digest].asked_before;
         let earned = if first { REPEATS_A_FIRST } else { 0.0 };
@@ -357,13 +357,13 @@
             return None;
         }
         if left < 1.0 {
-            return Some(now + ((1.0 - left) / REPEATS_A_SECOND * SECOND as f64) as Tenths + 1);
+            return Some(now + ((1.0 - left) / REPEATS_A_SECOND * SECOND as f64) as Ticks + 1);
         }
         self.repeats.0 -= 1.0;
         None
     }
 
-    fn choose(&mut self, digest: &Digest, now: Tenths, beside: bool) -> Choice {
+    fn choose(&mut self, digest: &Digest, now: Ticks, beside: bool) -> Choice {
         let w = self
             .wants
             .get_mut(digest)
@@ -392,7 +392,7 @@
         }
         let waited = now >= w.since + PEERS_MOST_WAIT;
         let fresh = |s: &Source| !w.tried.contains(s) && !out.contains(s);
-        let mut opens: Option<Tenths> = None;
+        let mut opens: Option<Ticks> = None;
         let mut held_up = false;
         for peer in peers
             .iter()
@@ -424,7 +424,7 @@
         }
     }
 
-    fn hedge(&mut self, now: Tenths, next: &mut Next) {
+    fn hedge(&mut self, now: Ticks, next: &mut Next) {
         if self.hedges < 1.0 {
             return;
         }
@@ -447,7 +447,7 @@
         }
     }
 
-    fn give_up(&mut self, now: Tenths) {
+    fn give_up(&mut self, now: Ticks) {
         let late: Vec<u64> = self
             .out
             .iter()
@@ -471,7 +471,7 @@
     }
 
     /// An ask has ended. Gives the loads that now have all they wanted.
-    pub fn ended(&mut self, now: Tenths, attempt: u64, how: Ended) -> Vec<LoadId> {
+    pub fn ended(&mut self, now: Ticks, attempt: u64, how: Ended) -> Vec<LoadId> {
         let Some(out) = self.out.remove(&attempt) else {
             return Vec::new();
         };
@@ -505,7 +505,7 @@
             Ended::Refused(come_back) => {
                 if source == Source::Store {
                     let jitter = 1.0 + self.rng.f64();
-                    w.not_before = now + (come_back as f64 * jitter) as Tenths;
+                    w.not_before = now + (come_back as f64 * jitter) as Ticks;
                 }
             }
             Ended::Absent | Ended::Broken | Ended::Damaged => w.tried.push(source),
--- a/crates/layers/src/plan/homes.rs
+++ b/crates/layers/src/plan/homes.rs
@@ -1,7 +1,7 @@
 //! Which invokers are home to a chunk: the first few of a rendezvous order over the list.
 
 use crate::Digest;
-use saltdrum::port::InvokerId;
+use saltdrum::interface::InvokerId;
 
 /// So many invokers are asked for a chunk before the store is.
 pub const HOMES: usize = 2;
--- a/crates/layers/src/plan/limit.rs
+++ b/crates/layers/src/plan/limit.rs
@@ -1,9 +1,9 @@
 //! How much one invoker has under way at one source. Each learns alone from refusals and slowness; no counter is shared.
 
-use saltdrum::port::{MILLI, Tenths};
+use saltdrum::interface::{MILLISECOND, Ticks};
 
 /// A second refusal within this time tells of the same crowd.
-const SAME_CROWD: Tenths = 100 * MILLI;
+const SAME_CROWD: Ticks = 100 * MILLISECOND;
 /// An answer that takes so many times the quickest seen tells of a crowd before it refuses.
 const SLOW: f64 = 4.0;
 
@@ -19,8 +19,8 @@
     /// The window at the last refusal: from there on it is felt for slowly.
     brink: f64,
     out: usize,
-    shrunk: Option<Tenths>,
-    closed_until: Tenths,
+    shrunk: Option<Ticks>,
+    closed_until: Ticks,
     /// Time a KiB, the quickest seen; it fades up, so that one lucky answer does not judge for ever.
     quickest: Option<f64>,
 }
@@ -39,12 +39,12 @@
         }
     }
 
-    pub fn may_ask(&self, now: Tenths) -> bool {
+    pub fn may_ask(&self, now: Ticks) -> bool {
         now >= self.closed_until && (self.out as f64) < self.window.floor().max(self.least)
     }
 
     /// When it opens again, if a refusal closed it.
-    pub fn opens(&self, now: Tenths) -> Option<Tenths> {
+    pub fn opens(&self, now: Ticks) -> Option<Ticks> {
         (now < self.closed_until).then_some(self.closed_until)
     }
 
@@ -58,7 +58,7 @@
         self.out = self.out.saturating_sub(1);
     }
 
-    pub fn went_well(&mut self, now: Tenths, took: Tenths, bytes: u64) {
+    pub fn went_well(&mut self, now: Ticks, took: Ticks, bytes: u64) {
         self.ended();
         let pace = took as f64 / (bytes as f64 / 1_024.0).max(1.0);
         let quickest = self.quickest.map_or(pace, |q| (q * 1.02).min(pace));
@@ -75,7 +75,7 @@
         }
     }
 
-    pub fn refused(&mut self, now: Tenths, come_back: Tenths) {
+    pub fn refused(&mut self, now: Ticks, come_back: Ticks) {
         self.ended();
         self.closed_until = self.closed_until.max(now + come_back);
         if self.shrunk.is_none_or(|at| now >= at + SAME_CROWD) {
@@ -84,7 +84,7 @@
         }
     }
 
-    fn shrink(&mut self, now: Tenths, by: f64) {
+    fn shrink(&mut self, now: Ticks, by: f64) {
         if self.shrunk.is_none_or(|at| now >= at + SAME_CROWD) {
             self.window = (self.window * by).max(self.least);
             self.shrunk = Some(now);
@@ -101,7 +101,7 @@
     fn several_share_a_source_about_evenly_and_waste_little() {
         let (capacity, mut rng) = (12usize, fastrand::Rng::with_seed(1));
         let mut limits = vec![Limit::new(4.0, 64.0); 6];
-        let mut under_way: Vec<(Tenths, usize)> = Vec::new();
+        let mut under_way: Vec<(Ticks, usize)> = Vec::new();
         let (mut served, mut refused) = (vec![0u32; 6], 0u32);
         for now in (0..600_000).step_by(10) {
             under_way.retain(|(until, who)| {
--- a/crates/layers/src/plan/serve.rs
+++ b/crates/layers/src/plan/serve.rs
@@ -1,6 +1,6 @@
 //! What to do with a peer's request for a chunk, so that serving others never costs invocations their cores and network.
 
-use saltdrum::port::{MILLI, SECOND, Tenths};
+use saltdrum::interface::{MILLISECOND, SECOND, Ticks};
 
 /// Transfers to peers at a time, on an invoker that has risen in full.
 const SLOTS: f64 = 6.0;
@@ -8,7 +8,7 @@
 /// waiting in line is cheaper for both.
 const LINE_MOST: usize = 256;
 /// A peer that finds the line full comes back after about this.
-const COME_BACK: Tenths = 150 * MILLI;
+const COME_BACK: Ticks = 150 * MILLISECOND;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
@@ -17,7 +17,7 @@
     /// Not here; we are one of its homes: fetch it, the peer waits for it on this request.
     FetchAndServe,
     /// Not now.
-    Later(Tenths),
+    Later(Ticks),
     /// Not here, and not ours to fetch: the peer's list is not ours.
     Absent,
 }
@@ -29,11 +29,11 @@
     line: usize,
     bytes_per_second: f64,
     left: f64,
-    at: Tenths,
+    at: Ticks,
 }
 
 impl Serving {
-    pub fn new(now: Tenths, bytes_per_second: f64) -> Self {
+    pub fn new(now: Ticks, bytes_per_second: f64) -> Self {
         Self {
             out: 0,
             line: 0,
@@ -61,7 +61,7 @@
 
     /// Whether the next in line, whose chunk is here, may be sent; it is then under way. `risen`: our own part of full
     /// capacity, 0 to 1. `busy`: share of our cores that invocations use.
-    pub fn may_send(&mut self, now: Tenths, bytes: u64, risen: f64, busy: f64) -> bool {
+    pub fn may_send(&mut self, now: Ticks, bytes: u64, risen: f64, busy: f64) -> bool {
         let passed = now.saturating_sub(self.at) as f64 / SECOND as f64;
         self.left = (self.left + passed * self.bytes_per_second).min(self.bytes_per_second);
         self.at = self.at.max(now);
@@ -78,9 +78,9 @@
     }
 
     /// When bytes may be sent again, if it is they that are used up.
-    pub fn opens(&self) -> Option<Tenths> {
+    pub fn opens(&self) -> Option<Ticks> {
         (self.left < 0.0)
-            .then(|| self.at + (-self.left / self.bytes_per_second * SECOND as f64) as Tenths + 1)
+            .then(|| self.at + (-self.left / self.bytes_per_second * SECOND as f64) as Ticks + 1)
     }
 
     /// A transfer has ended, however.
--- a/crates/layers/src/plan/suspect.rs
+++ b/crates/layers/src/plan/suspect.rs
@@ -1,32 +1,32 @@
 //! Whom not to ask for a while: sources that broke, hung or sent damaged bytes.
 
 use super::Source;
-use saltdrum::port::{SECOND, Tenths};
+use saltdrum::interface::{SECOND, Ticks};
 use std::collections::BTreeMap;
 
-const FIRST: Tenths = SECOND / 2;
-const MOST: Tenths = 60 * SECOND;
+const FIRST: Ticks = SECOND / 2;
+const MOST: Ticks = 60 * SECOND;
 /// Damaged bytes count for so many broken fetches: they cost the fetch and tell of a bad disk or worse.
 const DAMAGE: u32 = 3;
 
 /// A time that doubles with each fault in a row.
 #[derive(Clone, Debug, Default)]
 pub struct Suspects {
-    faults: BTreeMap<Source, (u32, Tenths)>,
+    faults: BTreeMap<Source, (u32, Ticks)>,
 }
 
 impl Suspects {
-    pub fn trusted(&self, source: Source, now: Tenths) -> bool {
+    pub fn trusted(&self, source: Source, now: Ticks) -> bool {
         self.faults
             .get(&source)
             .is_none_or(|(_, until)| now >= *until)
     }
 
-    pub fn broke(&mut self, source: Source, now: Tenths) {
+    pub fn broke(&mut self, source: Source, now: Ticks) {
         self.count(source, now, 1);
     }
 
-    pub fn damaged(&mut self, source: Source, now: Tenths) {
+    pub fn damaged(&mut self, source: Source, now: Ticks) {
         self.count(source, now, DAMAGE);
     }
 
@@ -39,7 +39,7 @@
         self.faults.remove(&source);
     }
 
-    fn count(&mut self, source: Source, now: Tenths, by: u32) {
+    fn count(&mut self, source: Source, now: Ticks, by: u32) {
         let (faults, until) = self.faults.entry(source).or_default();
         // Those asked together fail together: one fault.
         if now < *until && by == 1 {
--- a/crates/layers/tests/herd.rs
+++ b/crates/layers/tests/herd.rs
@@ -1,18 +1,18 @@
 //! Many fetchers, one store, no shared state: a simulated network round the decisions, with faults. Shares no code with
 //! what it checks but the calls.
 
-use saltdrum::port::{InvokerId, MILLI, SECOND, Tenths};
+use saltdrum::interface::{InvokerId, MILLISECOND, SECOND, Ticks};
 use saltdrum_layers::Digest;
 use saltdrum_layers::plan::{Ended, Fetcher, Member, Need, Serving, Source, Verdict};
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 
 const CHUNK: u64 = 1 << 20;
-const WAY: Tenths = 3;
-const TRANSFER: Tenths = 15 * MILLI;
+const WAY: Ticks = 3;
+const TRANSFER: Ticks = 15 * MILLISECOND;
 
 type Due = Box<dyn FnOnce(&mut World)>;
 
-struct Event(Tenths, u64, Due);
+struct Event(Ticks, u64, Due);
 
 impl PartialEq for Event {
     fn eq(&self, other: &Self) -> bool {
@@ -43,19 +43,19 @@
     hangs: bool,
     draining: bool,
     damages: bool,
-    wake: Tenths,
-    done: Option<Tenths>,
+    wake: Ticks,
+    done: Option<Ticks>,
 }
 
 struct World {
-    now: Tenths,
+    now: Ticks,
     seq: u64,
     events: BinaryHeap<Event>,
     nodes: BTreeMap<InvokerId, Node>,
     /// Fetches under way, those beyond which it refuses, and those beyond which it slows down.
     store: (usize, usize, f64),
     refuses: f64,
-    refuses_until: Tenths,
+    refuses_until: Ticks,
     damaged: BTreeSet<Digest>,
     requests: BTreeMap<Digest, u32>,
     refused: u32,
@@ -120,13 +120,13 @@
         }
     }
 
-    fn at(&mut self, after: Tenths, due: impl FnOnce(&mut World) + 'static) {
+    fn at(&mut self, after: Ticks, due: impl FnOnce(&mut World) + 'static) {
         self.seq += 1;
         self.events
             .push(Event(self.now + after, self.seq, Box::new(due)));
     }
 
-    fn want(&mut self, after: Tenths, id: InvokerId, load: u64, needs: Vec<Need>) {
+    fn want(&mut self, after: Ticks, id: InvokerId, load: u64, needs: Vec<Need>) {
         self.at(after, move |w| {
             let now = w.now;
             let node = w.nodes.get_mut(&id).unwrap();
@@ -177,12 +177,12 @@
         if refuses || self.store.0 >= self.store.1 {
             self.refused += 1;
             return self.at(WAY, move |w| {
-                w.told(id, attempt, Ended::Refused(200 * MILLI))
+                w.told(id, attempt, Ended::Refused(200 * MILLISECOND))
             });
         }
         self.store.0 += 1;
         let crowd = (self.store.0 as f64 / self.store.2).max(1.0);
-        self.at((TRANSFER as f64 * 2.0 * crowd) as Tenths, move |w| {
+        self.at((TRANSFER as f64 * 2.0 * crowd) as Ticks, move |w| {
             w.store.0 -= 1;
             let bad = w.damaged.contains(&digest);
             w.told(id, attempt, if bad { Ended::Damaged } else { Ended::Well });
@@ -193,7 +193,9 @@
         let now = self.now;
         let node = self.nodes.get_mut(&peer).unwrap();
         if !node.alive {
-            return self.at(250 * MILLI, move |w| w.told(id, attempt, Ended::Broken));
+            return self.at(250 * MILLISECOND, move |w| {
+                w.told(id, attempt, Ended::Broken)
+            });
         }
         if node.hangs {
             return;
@@ -271,7 +273,7 @@
         self.go_on(id);
     }
 
-    fn kill(&mut self, after: Tenths, id: InvokerId) {
+    fn kill(&mut self, after: Ticks, id: InvokerId) {
         self.at(after, move |w| {
             let node = w.nodes.get_mut(&id).unwrap();
             node.alive = false;
@@ -285,7 +287,7 @@
         });
     }
 
-    fn run(&mut self, until: Tenths) {
+    fn run(&mut self, until: Ticks) {
         while let Some(Event(at, _, due)) = self.events.pop() {
             if at > until {
                 return;
@@ -296,7 +298,7 @@
     }
 
     /// Each invoker that lives has the model; gives when the last had it.
-    fn all_done(&self) -> Tenths {
+    fn all_done(&self) -> Ticks {
         let late: Vec<_> = self
             .nodes
             .iter()
@@ -351,7 +353,7 @@
         );
         if n == 840 {
             // Each alone would take minutes of the store, and of this test.
-            println!("{n} {a_chunk:.2} - {} -", took / MILLI);
+            println!("{n} {a_chunk:.2} - {} -", took / MILLISECOND);
             continue;
         }
         let mut alone = each_alone(n, 60, 7);
@@ -360,14 +362,14 @@
         println!(
             "{n} {a_chunk:.2} {:.2} {} {}",
             alone.requests_a_chunk(),
-            took / MILLI,
-            baseline / MILLI
+            took / MILLISECOND,
+            baseline / MILLISECOND
         );
         assert!(
             took * 2 < baseline,
             "{n} invokers: {} ms, alone {} ms",
-            took / MILLI,
-            baseline / MILLI
+            took / MILLISECOND,
+            baseline / MILLISECOND
         );
         let part = if n == 12 { 10.0 } else { 40.0 };
         assert!(
@@ -383,7 +385,7 @@
 fn a_rolling_deploy_in_the_midst_of_a_herd() {
     let mut w = herd(24, 60, 13);
     for (n, id) in (1..=24u32).step_by(3).enumerate() {
-        let at = 20 * MILLI * (n as u64 + 1);
+        let at = 20 * MILLISECOND * (n as u64 + 1);
         w.at(at, move |w| {
             w.nodes.get_mut(&id).unwrap().draining = true;
             let list = |me: InvokerId| -> Vec<Member> {
@@ -400,7 +402,7 @@
                 .iter_mut()
                 .for_each(|(me, node)| node.fetcher.listed(list(*me)));
         });
-        w.kill(at + 30 * MILLI, id);
+        w.kill(at + 30 * MILLISECOND, id);
     }
     w.run(120 * SECOND);
     w.all_done();
@@ -425,7 +427,7 @@
 fn homes_that_die_hang_drain_or_send_damage_are_gone_round() {
     let mut w = herd(24, 60, 5);
     for id in [2, 9, 17] {
-        w.kill(400 * MILLI, id);
+        w.kill(400 * MILLISECOND, id);
     }
     w.nodes.get_mut(&4).unwrap().hangs = true;
     w.nodes.get_mut(&5).unwrap().draining = true;
--- a/crates/leases/src/guard.rs
+++ b/crates/leases/src/guard.rs
@@ -2,19 +2,19 @@
 //! the first of each life.
 
 use crate::messages::{REJECTED, UNCONFIRMED, UNWRITABLE, rejection_text};
-use saltdrum::port::{SECOND, Tenths};
-use saltdrum_fleet::change::Change;
-use saltdrum_fleet::fence::{Fence, Rejection, SealStep, Token};
-use saltdrum_fleet::lease::{Epoch, LeaseName};
+use saltdrum::interface::{SECOND, Ticks};
 use saltdrum_coordinator::caller::{Caller, Fault};
 use saltdrum_coordinator::server::Refused;
 use saltdrum_coordinator::wire::{Changed, Changes, REFUSED};
+use saltdrum_fleet::change::Change;
+use saltdrum_fleet::fence::{Fence, Rejection, SealStep, Token};
+use saltdrum_fleet::lease::{Epoch, LeaseName};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use tracing::{info, warn};
 
 /// Waiting for a quorum's word, by one steward.
-const PATIENCE: Tenths = 4 * SECOND;
+const PATIENCE: Ticks = 4 * SECOND;
 
 /// Where a resource keeps its seals. Both are synced when they return.
 pub trait SealStore {
--- a/crates/leases/src/holder.rs
+++ b/crates/leases/src/holder.rs
@@ -1,12 +1,12 @@
 //! A holder's side: it seals every resource of the task, then does the task with tokens, for as long as the lease is its own.
 
 use crate::messages::{Effect, REJECTED, Seal, Sealed};
-use saltdrum::port::{MILLI, SECOND, Tenths};
+use saltdrum::interface::{MILLISECOND, SECOND, Ticks};
+use saltdrum_coordinator::caller::{Caller, Fault};
+use saltdrum_coordinator::{HeldLease, LeaseWatch};
 use saltdrum_fleet::fence::{Holding, Rejection};
 use saltdrum_fleet::lease::{Epoch, LeaseName, ResourceName};
 use saltdrum_transport::Clock;
-use saltdrum_coordinator::caller::{Caller, Fault};
-use saltdrum_coordinator::{HeldLease, LeaseWatch};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::cell::RefCell;
@@ -15,9 +15,9 @@
 use tracing::{debug, info, warn};
 
 /// Waiting for one resource.
-const PATIENCE: Tenths = 5 * SECOND;
+const PATIENCE: Ticks = 5 * SECOND;
 /// Between tries to seal, and looks whether the lease is still held.
-const RETRY_EVERY: Tenths = 100 * MILLI;
+const RETRY_EVERY: Ticks = 100 * MILLISECOND;
 
 /// A fleet-wide task.
 pub trait Task {
@@ -54,7 +54,7 @@
     /// How each resource is reached.
     pub resources: BTreeMap<ResourceName, Caller>,
     /// No new effect begins while no steward was heard for so long. A courtesy: safety does not rest on it.
-    pub quiet_after: Tenths,
+    pub quiet_after: Ticks,
 }
 
 /// One grant being used: the way to the resources.
--- a/crates/leases/src/journal.rs
+++ b/crates/leases/src/journal.rs
@@ -4,12 +4,12 @@
 use crate::guard::{Guard, SealStore};
 use crate::messages::{Effect, REJECTED, Seal, Sealed, UNWRITABLE, rejection_text};
 use redb::{Database, ReadableDatabase, ReadableTable, ReadableTableMetadata, TableDefinition};
+use saltdrum_coordinator::caller::Caller;
+use saltdrum_coordinator::server::{Answers, Refused, said};
 use saltdrum_durable::{DiskFailure, database};
 use saltdrum_fleet::fence::Token;
 use saltdrum_fleet::lease::{Epoch, LeaseName};
 use saltdrum_protocol::rpc::{self, Call};
-use saltdrum_coordinator::caller::Caller;
-use saltdrum_coordinator::server::{Answers, Refused, said};
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 use std::cell::RefCell;
