--- a/crates/load/src/drive.rs
+++ b/crates/load/src/drive.rs
@@ -4,10 +4,12 @@
 use crate::retry::{End, Patience, Then};
 use crate::trace::Entry;
 use bytes::Bytes;
-use saltdrum::port::{Effect, MILLI, Tenths};
+use saltdrum::interface::{Effect, MILLISECOND, Ticks};
 use saltdrum_deployment::Terms;
-use saltdrum_transport::{Address, Clock, Network, Outbox, Read, Turns, halves, turning};
 use saltdrum_protocol::rpc;
+use saltdrum_transport::{
+    Address, ArrivalReader, Clock, EventLoopClock, Network, SendQueue, halves, run_event_loop_clock,
+};
 use serde_json::json;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -23,10 +25,10 @@
 #[derive(Clone, Debug)]
 pub struct Outcome {
     /// When it was to be sent.
-    pub intended: Tenths,
+    pub intended: Ticks,
     /// When the first try was handed to a connection, and when the last answer was read.
-    pub sent: Tenths,
-    pub over: Tenths,
+    pub sent: Ticks,
+    pub over: Ticks,
     pub tries: u32,
     pub end: End,
     pub tenant: String,
@@ -35,7 +37,7 @@
 
 impl Outcome {
     /// From when it was to be sent, whatever the generator made of that.
-    pub fn took(&self) -> Tenths {
+    pub fn took(&self) -> Ticks {
         self.over.saturating_sub(self.intended)
     }
 }
@@ -51,7 +53,7 @@
 type Waiting = Rc<RefCell<BTreeMap<u64, oneshot::Sender<End>>>>;
 
 struct Connection {
-    outbox: Outbox,
+    outbox: SendQueue,
     waiting: Waiting,
     open: Rc<Cell<bool>>,
 }
@@ -59,7 +61,7 @@
 struct Driver {
     network: Rc<dyn Network>,
     clock: Clock,
-    turns: Turns,
+    turns: EventLoopClock,
     terms: Rc<Terms>,
     patience: Patience,
     doors: Vec<Address>,
@@ -89,7 +91,7 @@
         lines: RefCell::new(all.iter().map(|_| None).collect()),
         network,
         clock,
-        turns: Turns::default(),
+        turns: EventLoopClock::default(),
         terms,
         patience,
         doors: all,
@@ -98,9 +100,13 @@
         next_id: Cell::new(0),
     });
     let noted = played.clone();
-    let watching = tokio::task::spawn_local(turning(driver.turns.clone(), clock, move |_, gap| {
-        noted.borrow_mut().lag.stood(gap);
-    }));
+    let watching = tokio::task::spawn_local(run_event_loop_clock(
+        driver.turns.clone(),
+        clock,
+        move |_, gap| {
+            noted.borrow_mut().lag.stood(gap);
+        },
+    ));
     let begin = clock.now();
     let mut under_way = JoinSet::new();
     for (n, entry) in entries.into_iter().enumerate() {
@@ -136,19 +142,13 @@
 }
 
 impl Driver {
-    async fn invoke(
-        &self,
-        n: u64,
-        intended: Tenths,
-        e: Entry,
-        played: &RefCell<Played>,
-    ) -> Outcome {
+    async fn invoke(&self, n: u64, intended: Ticks, e: Entry, played: &RefCell<Played>) -> Outcome {
         let function = &self.terms.functions[&e.function];
         let trigger = &self.terms.deployment.trigger_types[function.trigger];
         let mut rng = fastrand::Rng::with_seed(n ^ 0x10ad);
         let (mut tries, mut sent) = (0, None);
         let end = loop {
-            let lag = |at: Tenths| {
+            let lag = |at: Ticks| {
                 if sent.is_none() {
                     played.borrow_mut().lag.sent(intended, at);
                     sent = Some(at);
@@ -184,8 +184,8 @@
         n: u64,
         attempt: u32,
         e: &Entry,
-        timeout: Tenths,
-        sent: impl FnOnce(Tenths),
+        timeout: Ticks,
+        sent: impl FnOnce(Ticks),
     ) -> End {
         let place = self.next_door.get() % self.doors.len();
         self.next_door.set(place + 1);
@@ -199,15 +199,15 @@
         };
         let function = &self.terms.functions[&e.function];
         let tokened =
-            self.terms.deployment.trigger_types[function.trigger].effect == Effect::Tokened;
+            self.terms.deployment.trigger_types[function.trigger].effect == Effect::IdempotencyKey;
         let id = self.next_id.get();
         self.next_id.set(id + 1);
         let mut call = json!({
             "jsonrpc": "2.0", "id": id, "method": "invoke",
             "params": {"function": e.function, "tenant": e.tenant,
                 "trigger": self.terms.trigger_names[function.trigger],
-                "input": {"n": n, "attempt": attempt, "work_ms": e.work as f64 / MILLI as f64},
-                "time_left_ms": timeout as f64 / MILLI as f64},
+                "input": {"n": n, "attempt": attempt, "work_ms": e.work as f64 / MILLISECOND as f64},
+                "time_left_ms": timeout as f64 / MILLISECOND as f64},
         });
         if tokened {
             call["params"]["token"] = format!("token-{n}").into();
@@ -237,7 +237,7 @@
             return Some(line);
         }
         let (input, mut output) = halves(stream);
-        let (outbox, waiting) = (Outbox::new(OUTBOX_BYTES), Waiting::default());
+        let (outbox, waiting) = (SendQueue::new(OUTBOX_BYTES), Waiting::default());
         let open = Rc::new(Cell::new(true));
         let line = Rc::new(Connection {
             outbox,
@@ -248,7 +248,7 @@
         let (clock, turns) = (self.clock, self.turns.clone());
         let kept = line.clone();
         self.tasks.borrow_mut().spawn_local(async move {
-            let mut read = Read::new(input, clock, turns);
+            let mut read = ArrivalReader::new(input, clock, turns);
             tokio::select! {
                 biased;
                 () = listen(&mut read, &kept.waiting) => {}
@@ -263,7 +263,7 @@
     }
 }
 
-async fn listen(read: &mut Read<saltdrum_transport::Half>, waiting: &Waiting) {
+async fn listen(read: &mut ArrivalReader<saltdrum_transport::Half>, waiting: &Waiting) {
     while let Ok(Some(_)) = read.more().await {
         while let Some(end) = read.bytes.iter().position(|b| *b == b'\n') {
             let line = read.bytes.split_to(end + 1);
@@ -277,7 +277,7 @@
             let how = match &reply.error {
                 None => End::Succeeded,
                 Some(e) if e.code == rpc::THROTTLED => {
-                    End::Throttled(come_back(e).unwrap_or(0) * MILLI)
+                    End::Throttled(come_back(e).unwrap_or(0) * MILLISECOND)
                 }
                 Some(_) => End::Errored,
             };
--- a/crates/load/src/lag.rs
+++ b/crates/load/src/lag.rs
@@ -1,14 +1,14 @@
 //! Whether the generator itself kept up. A run that it bent does not count.
 
-use saltdrum::port::{MILLI, Tenths};
+use saltdrum::interface::{MILLISECOND, Ticks};
 use serde::Serialize;
 
 /// An invocation sent so much after its time was sent late: timers are good for a millisecond, threads for a few.
-const LATE: Tenths = 20 * MILLI;
+const LATE: Ticks = 20 * MILLISECOND;
 /// Late ones that a run may have, in parts of all.
 const LATE_SHARE: f64 = 0.001;
 /// No single one may be later than this, and the thread may not stand still for longer.
-const MOST: Tenths = 200 * MILLI;
+const MOST: Ticks = 200 * MILLISECOND;
 
 /// What the generator did late.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
@@ -16,9 +16,9 @@
     pub sent: u64,
     pub late: u64,
     /// In tenths of a millisecond.
-    pub worst: Tenths,
+    pub worst: Ticks,
     /// Longest time for which the generator's thread stood still, in tenths of a millisecond.
-    pub stood: Tenths,
+    pub stood: Ticks,
 }
 
 /// Whether a run counts.
@@ -31,19 +31,19 @@
 
 impl Lag {
     /// An invocation was handed to its connection.
-    pub fn sent(&mut self, intended: Tenths, at: Tenths) {
+    pub fn sent(&mut self, intended: Ticks, at: Ticks) {
         let lag = at.saturating_sub(intended);
         self.sent += 1;
         self.late += u64::from(lag > LATE);
         self.worst = self.worst.max(lag);
     }
 
-    pub fn stood(&mut self, span: Tenths) {
+    pub fn stood(&mut self, span: Ticks) {
         self.stood = self.stood.max(span);
     }
 
     pub fn verdict(&self) -> Verdict {
-        let ms = |t: Tenths| t as f64 / MILLI as f64;
+        let ms = |t: Ticks| t as f64 / MILLISECOND as f64;
         if self.stood > MOST {
             return Verdict::GeneratorFellBehind(format!(
                 "it stood still for {:.0} ms",
--- a/crates/load/src/latency.rs
+++ b/crates/load/src/latency.rs
@@ -1,7 +1,7 @@
 //! Latencies of many invocations, and of many runs together.
 
 use hdrhistogram::Histogram;
-use saltdrum::port::{MILLI, Tenths};
+use saltdrum::interface::{MILLISECOND, Ticks};
 
 /// Counts of latencies in tenths of a millisecond, to three digits. Grows as far as it must.
 #[derive(Clone, Debug)]
@@ -14,7 +14,7 @@
 }
 
 impl Latencies {
-    pub fn add(&mut self, took: Tenths) {
+    pub fn add(&mut self, took: Ticks) {
         // A zero would be out of what a histogram holds.
         self.0 += took.max(1);
     }
@@ -33,7 +33,7 @@
         if self.0.is_empty() {
             return f64::NAN;
         }
-        self.0.value_at_quantile(quantile) as f64 / MILLI as f64
+        self.0.value_at_quantile(quantile) as f64 / MILLISECOND as f64
     }
 
     /// Bounds in milliseconds and counts up to each, for plots.
@@ -41,7 +41,7 @@
         let mut sum = 0;
         let step = |v: hdrhistogram::iterators::IterationValue<u64>| {
             sum += v.count_at_value();
-            (v.value_iterated_to() as f64 / MILLI as f64, sum)
+            (v.value_iterated_to() as f64 / MILLISECOND as f64, sum)
         };
         self.0.iter_recorded().map(step).collect()
     }
@@ -60,7 +60,7 @@
         );
         let mut rng = fastrand::Rng::with_seed(2);
         for n in 0..20_000 {
-            let took = (10.0_f64.powf(rng.f64() * 7.0)) as Tenths;
+            let took = (10.0_f64.powf(rng.f64() * 7.0)) as Ticks;
             whole.add(took);
             if n % 3 == 0 { a.add(took) } else { b.add(took) }
         }
--- a/crates/load/src/mend.rs
+++ b/crates/load/src/mend.rs
@@ -3,11 +3,11 @@
 //! A clock that was set back shows as a jump within its own source: what follows is moved on by as much. What two
 //! sources' clocks differ by can't be seen from arrivals alone; it has to be said.
 
-use saltdrum::port::{SECOND, Tenths};
+use saltdrum::interface::{SECOND, Ticks};
 use std::collections::BTreeMap;
 
 /// Rows of one source may be out of order by so much: lines of a log are written when calls end.
-const DISORDER: Tenths = SECOND;
+const DISORDER: Ticks = SECOND;
 
 /// What was done to a trace.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -15,14 +15,14 @@
     /// Rows that came out of order within [`DISORDER`], and were sorted.
     pub disordered: usize,
     /// Clocks set back: source, row from 0, by how much.
-    pub set_back: Vec<(String, usize, Tenths)>,
+    pub set_back: Vec<(String, usize, Ticks)>,
 }
 
 /// Puts times of rows, each with its source, on one clock that begins at 0. `ahead` says which sources' clocks are
 /// known to be ahead, and by how much. The rows keep their places.
-pub fn mend(rows: &mut [(String, Tenths)], ahead: &BTreeMap<String, Tenths>) -> Mended {
+pub fn mend(rows: &mut [(String, Ticks)], ahead: &BTreeMap<String, Ticks>) -> Mended {
     let mut done = Mended::default();
-    let mut sources: BTreeMap<String, (Tenths, Tenths)> = BTreeMap::new();
+    let mut sources: BTreeMap<String, (Ticks, Ticks)> = BTreeMap::new();
     for (n, (source, at)) in rows.iter_mut().enumerate() {
         let (moved, latest) = sources.entry(source.clone()).or_insert((0, 0));
         let mut here = *at + *moved;
@@ -50,7 +50,7 @@
 mod tests {
     use super::*;
 
-    fn rows(of: &[(&str, Tenths)]) -> Vec<(String, Tenths)> {
+    fn rows(of: &[(&str, Ticks)]) -> Vec<(String, Ticks)> {
         of.iter().map(|(s, at)| ((*s).to_owned(), *at)).collect()
     }
 
--- a/crates/load/src/popularity.rs
+++ b/crates/load/src/popularity.rs
@@ -1,6 +1,6 @@
 //! Which function is called: some far more than others, and others tomorrow.
 
-use saltdrum::port::Tenths;
+use saltdrum::interface::Ticks;
 
 /// Zipf ranks over a list of functions that come and go.
 #[derive(Clone, Debug)]
@@ -8,12 +8,12 @@
     /// Sums of the weights up to each rank.
     sums: Vec<f64>,
     /// So often the least popular function takes the top rank, and all others go down by one; 0: never.
-    turnover: Tenths,
+    turnover: Ticks,
 }
 
 impl Popularity {
     /// Of `count` functions, at least one; the weight of rank r is r to the power of minus `zipf`.
-    pub fn new(count: usize, zipf: f64, turnover: Tenths) -> Self {
+    pub fn new(count: usize, zipf: f64, turnover: Ticks) -> Self {
         let mut sum = 0.0;
         let weigh = |rank: usize| {
             sum += (rank as f64).powf(-zipf);
@@ -26,7 +26,7 @@
     }
 
     /// A function by its place in the list.
-    pub fn draw(&self, at: Tenths, rng: &mut fastrand::Rng) -> usize {
+    pub fn draw(&self, at: Ticks, rng: &mut fastrand::Rng) -> usize {
         let total = *self.sums.last().expect("there is at least one");
         let sought = rng.f64() * total;
         let rank = self
--- a/crates/load/src/retry.rs
+++ b/crates/load/src/retry.rs
@@ -1,6 +1,6 @@
 //! Whether a client tries again, and when.
 
-use saltdrum::port::{Effect, Scope, Tenths, TriggerType};
+use saltdrum::interface::{Effect, KeyScope, Ticks, TriggerType};
 
 /// How a try ended, as the client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -11,7 +11,7 @@
     Unknown,
     Succeeded,
     /// With when to come back.
-    Throttled(Tenths),
+    Throttled(Ticks),
     Errored,
 }
 
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Then {
     Over,
-    AgainAfter(Tenths),
+    AgainAfter(Ticks),
 }
 
 /// A client's patience.
@@ -28,7 +28,7 @@
     /// Further tries.
     pub retries: u32,
     /// About so long before the first of them, and twice as long before each next.
-    pub backoff: Tenths,
+    pub backoff: Ticks,
 }
 
 impl Patience {
@@ -38,7 +38,7 @@
         &self,
         trigger: &TriggerType,
         attempt: u32,
-        ago: Tenths,
+        ago: Ticks,
         end: End,
         chance: f64,
     ) -> Then {
@@ -46,13 +46,13 @@
             return Then::Over;
         }
         let backoff = self.backoff << attempt.min(6);
-        let mut wait = backoff / 2 + (chance.clamp(0.0, 1.0) * backoff as f64) as Tenths;
+        let mut wait = backoff / 2 + (chance.clamp(0.0, 1.0) * backoff as f64) as Ticks;
         match (end, trigger.effect) {
             (End::Throttled(come_back), _) => wait = wait.max(come_back),
             (End::Unsent, _) | (_, Effect::Idempotent) => {}
             // Repeats are dropped by all only where all know the token, and for as long as they do.
-            (End::Unknown, Effect::Tokened) if trigger.scope == Scope::All => {
-                if ago + wait > trigger.repeat_window / 2 {
+            (End::Unknown, Effect::IdempotencyKey) if trigger.key_scope == KeyScope::All => {
+                if ago + wait > trigger.idempotency_window / 2 {
                     return Then::Over;
                 }
             }
@@ -66,12 +66,12 @@
 mod tests {
     use super::*;
 
-    fn then(effect: Effect, scope: Scope, attempt: u32, ago: Tenths, end: End) -> Then {
+    fn then(effect: Effect, scope: KeyScope, attempt: u32, ago: Ticks, end: End) -> Then {
         let trigger = TriggerType {
             effect,
-            scope,
-            repeat_window: 40_000,
-            objective: 10_000,
+            key_scope: scope,
+            idempotency_window: 40_000,
+            latency_objective: 10_000,
             client_timeout: 40_000,
             billed_value: 1.0,
             late_share: 0.0,
@@ -88,21 +88,41 @@
         use End::*;
         use Then::*;
         let cases = [
-            (Effect::Idempotent, Scope::All, Unknown, AgainAfter(1_000)),
-            (Effect::Idempotent, Scope::All, Errored, AgainAfter(1_000)),
-            (Effect::NonIdempotent, Scope::All, Unknown, Over),
-            (Effect::NonIdempotent, Scope::All, Errored, Over),
+            (
+                Effect::Idempotent,
+                KeyScope::All,
+                Unknown,
+                AgainAfter(1_000),
+            ),
+            (
+                Effect::Idempotent,
+                KeyScope::All,
+                Errored,
+                AgainAfter(1_000),
+            ),
+            (Effect::NonIdempotent, KeyScope::All, Unknown, Over),
+            (Effect::NonIdempotent, KeyScope::All, Errored, Over),
             (
                 Effect::NonIdempotent,
-                Scope::All,
+                KeyScope::All,
                 Throttled(3_000),
                 AgainAfter(3_000),
             ),
-            (Effect::NonIdempotent, Scope::All, Unsent, AgainAfter(1_000)),
-            (Effect::Tokened, Scope::Cell, Unknown, Over),
-            (Effect::Tokened, Scope::All, Unknown, AgainAfter(1_000)),
-            (Effect::Tokened, Scope::All, Errored, Over),
-            (Effect::Idempotent, Scope::All, Succeeded, Over),
+            (
+                Effect::NonIdempotent,
+                KeyScope::All,
+                Unsent,
+                AgainAfter(1_000),
+            ),
+            (Effect::IdempotencyKey, KeyScope::Cell, Unknown, Over),
+            (
+                Effect::IdempotencyKey,
+                KeyScope::All,
+                Unknown,
+                AgainAfter(1_000),
+            ),
+            (Effect::IdempotencyKey, KeyScope::All, Errored, Over),
+            (Effect::Idempotent, KeyScope::All, Succeeded, Over),
         ];
         for (effect, scope, end, want) in cases {
             assert_eq!(
@@ -116,15 +136,21 @@
     #[test]
     fn patience_ends_and_tokens_grow_old() {
         assert_eq!(
-            then(Effect::Idempotent, Scope::All, 1, 0, End::Errored),
+            then(Effect::Idempotent, KeyScope::All, 1, 0, End::Errored),
             Then::AgainAfter(2_000)
         );
         assert_eq!(
-            then(Effect::Idempotent, Scope::All, 2, 0, End::Errored),
+            then(Effect::Idempotent, KeyScope::All, 2, 0, End::Errored),
             Then::Over
         );
         assert_eq!(
-            then(Effect::Tokened, Scope::All, 0, 19_500, End::Unknown),
+            then(
+                Effect::IdempotencyKey,
+                KeyScope::All,
+                0,
+                19_500,
+                End::Unknown
+            ),
             Then::Over
         );
     }
--- a/crates/load/src/shape.rs
+++ b/crates/load/src/shape.rs
@@ -1,6 +1,6 @@
 //! When invocations come.
 
-use saltdrum::port::{SECOND, Tenths};
+use saltdrum::interface::{SECOND, Ticks};
 
 /// How the rate goes, over its mean.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -9,27 +9,27 @@
     #[default]
     Steady,
     /// Bursts of `times` the mean rate, of about `lasts` each, with quiet between them.
-    Bursty { times: f64, lasts: Tenths },
+    Bursty { times: f64, lasts: Ticks },
     /// A group is told to press play: all within `spread` of the begin. The rate counts for nothing.
-    Group { count: u32, spread: Tenths },
+    Group { count: u32, spread: Ticks },
     /// A slow holiday afternoon: from full at both ends down to `least` of it in the middle.
     Afternoon { least: f64 },
     /// From nothing to twice the mean.
     Ramp,
     /// A swing of so much of the mean round it, once every `period`.
-    Season { swing: f64, period: Tenths },
+    Season { swing: f64, period: Ticks },
 }
 
 /// Draws arrivals in order of time. The same generator gives the same ones.
 pub fn arrivals(
     shape: Shape,
     per_second: f64,
-    from: Tenths,
-    to: Tenths,
+    from: Ticks,
+    to: Ticks,
     rng: &mut fastrand::Rng,
-) -> Vec<Tenths> {
+) -> Vec<Ticks> {
     if let Shape::Group { count, spread } = shape {
-        let mut all: Vec<Tenths> = (0..count)
+        let mut all: Vec<Ticks> = (0..count)
             .map(|_| from + rng.u64(0..spread.max(1)))
             .collect();
         all.sort_unstable();
@@ -52,7 +52,7 @@
         Shape::Bursty { times, .. } => {
             let within = bursts
                 .iter()
-                .any(|(a, b)| (*a..*b).contains(&(at as Tenths)));
+                .any(|(a, b)| (*a..*b).contains(&(at as Ticks)));
             if within { times.max(1.0) } else { 0.0 }
         }
         Shape::Afternoon { least } => {
@@ -75,7 +75,7 @@
             return all;
         }
         if matches!(shape, Shape::Steady) || rng.f64() * most < rate(at) {
-            all.push(at as Tenths);
+            all.push(at as Ticks);
         }
     }
 }
@@ -83,11 +83,11 @@
 /// On for one part in `times` of the time, so that the mean stays what it is.
 fn bursts(
     times: f64,
-    lasts: Tenths,
-    from: Tenths,
-    to: Tenths,
+    lasts: Ticks,
+    from: Ticks,
+    to: Ticks,
     rng: &mut fastrand::Rng,
-) -> Vec<(Tenths, Tenths)> {
+) -> Vec<(Ticks, Ticks)> {
     let (lasts, quiet) = (
         lasts.max(1) as f64,
         lasts.max(1) as f64 * (times.max(1.0) - 1.0),
@@ -96,7 +96,7 @@
     let (mut all, mut at) = (Vec::new(), from as f64 + draw(quiet));
     while at < to as f64 {
         let end = at + draw(lasts);
-        all.push((at as Tenths, end as Tenths));
+        all.push((at as Ticks, end as Ticks));
         at = end + draw(quiet);
     }
     all
@@ -106,7 +106,7 @@
 mod tests {
     use super::*;
 
-    fn drawn(shape: Shape) -> Vec<Tenths> {
+    fn drawn(shape: Shape) -> Vec<Ticks> {
         arrivals(
             shape,
             50.0,
--- a/crates/load/src/trace.rs
+++ b/crates/load/src/trace.rs
@@ -9,7 +9,7 @@
 use parquet::basic::{Compression, ZstdLevel};
 use parquet::file::metadata::KeyValue;
 use parquet::file::properties::WriterProperties;
-use saltdrum::port::Tenths;
+use saltdrum::interface::Ticks;
 use std::collections::BTreeMap;
 use std::fs::File;
 use std::path::Path;
@@ -24,10 +24,10 @@
 /// One invocation that came, or is to come.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    pub at: Tenths,
+    pub at: Ticks,
     pub tenant: String,
     pub function: String,
-    pub work: Tenths,
+    pub work: Ticks,
     /// Who wrote its time down.
     pub source: String,
 }
@@ -67,7 +67,7 @@
         Arc::new(entries.iter().map(|e| Some(of(e))).collect::<StringArray>())
     };
     // Whole microseconds, as other tools have them.
-    let micros = |of: fn(&Entry) -> Tenths| -> ArrayRef {
+    let micros = |of: fn(&Entry) -> Ticks| -> ArrayRef {
         Arc::new(entries.iter().map(|e| of(e) * 100).collect::<UInt64Array>())
     };
     let columns = [
@@ -106,7 +106,7 @@
 }
 
 /// Reads a trace, in order of time on one clock. `ahead` names sources whose clocks are known to be ahead.
-pub fn read(path: &Path, ahead: &BTreeMap<String, Tenths>) -> Result<(Vec<Entry>, Mended), Fault> {
+pub fn read(path: &Path, ahead: &BTreeMap<String, Ticks>) -> Result<(Vec<Entry>, Mended), Fault> {
     let bad = |e: &dyn std::fmt::Display| fault(path, e);
     let file = File::open(path).map_err(|e| bad(&e))?;
     let reader = ParquetRecordBatchReaderBuilder::try_new(file).map_err(|e| bad(&e))?;
@@ -184,8 +184,7 @@
     if digested.is_some_and(|said| said != digest(&entries)) {
         return Err(fault(path, "damaged: what is read is not what was written"));
     }
-    let mut rows: Vec<(String, Tenths)> =
-        entries.iter().map(|e| (e.source.clone(), e.at)).collect();
+    let mut rows: Vec<(String, Ticks)> = entries.iter().map(|e| (e.source.clone(), e.at)).collect();
     let mended = mend(&mut rows, ahead);
     entries
         .iter_mut()
--- a/crates/load/tests/freeze.rs
+++ b/crates/load/tests/freeze.rs
@@ -1,11 +1,11 @@
 //! A system that stands still can't hide it, and a generator that does is found out.
 
-use saltdrum::port::{SECOND, Tenths};
+use saltdrum::interface::{SECOND, Ticks};
 use saltdrum_deployment::Terms;
-use saltdrum_simulated_network::{Ether, Hold, Line, Lines, stoppable};
-use saltdrum_transport::{Address, Clock, Network, Turns, halves};
 use saltdrum_load::retry::{End, Patience};
 use saltdrum_load::{Entry, Latencies, Played, Shape, Verdict, drive, shape::arrivals};
+use saltdrum_simulated_network::{Ether, Hold, Line, Lines, stoppable};
+use saltdrum_transport::{Address, Clock, EventLoopClock, Network, halves};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
@@ -48,7 +48,7 @@
 }
 
 /// 10 s at 200 a second, with the box or the generator held still for 2 s from the fourth second on.
-fn played(box_stops: bool, generator_stops: bool) -> (Played, Tenths) {
+fn played(box_stops: bool, generator_stops: bool) -> (Played, Ticks) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
@@ -66,7 +66,7 @@
                 0.0,
                 1,
             ),
-            Turns::default(),
+            EventLoopClock::default(),
         );
         let at = Address::Memory("box".into());
         let (box_hold, generator_hold) = (Hold::default(), Hold::default());
--- a/crates/platform-wire/src/config.rs
+++ b/crates/platform-wire/src/config.rs
@@ -2,7 +2,7 @@
 //! expected.
 
 use crate::feed::{Event, Line, id_of};
-use saltdrum::port::{Deployment, Life, Tenths};
+use saltdrum::interface::{Deployment, InvokerStatus, Ticks};
 use saltdrum_settings::{Pairs, Stated};
 use serde_json::Value;
 use std::net::SocketAddrV4;
@@ -27,9 +27,9 @@
     pub trigger_names: Vec<String>,
     /// As invocations name them, in the order of the deployment's tenants.
     pub tenant_names: Vec<String>,
-    pub connect_timeout: Tenths,
-    pub conn_idle: Tenths,
-    pub order_timeout: Tenths,
+    pub connect_timeout: Ticks,
+    pub conn_idle: Ticks,
+    pub order_timeout: Ticks,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
@@ -226,9 +226,9 @@
         i.ok_or_else(|| fault(path, name, format!("one of {} is expected", of.join(", "))))
     };
     let life = match text(l, "phase")? {
-        "up" => Life::Ready,
-        "draining" => Life::Draining,
-        "removed" => Life::Gone,
+        "up" => InvokerStatus::Ready,
+        "draining" => InvokerStatus::Draining,
+        "removed" => InvokerStatus::Gone,
         other => return Err(fault("phase", other, "up, draining or removed is expected")),
     };
     Ok(Line {
--- a/crates/platform-wire/src/feed.rs
+++ b/crates/platform-wire/src/feed.rs
@@ -2,7 +2,7 @@
 
 use crate::Malformed;
 use bytes::{Buf, BytesMut};
-use saltdrum::port::{InvokerId, Life, Listed};
+use saltdrum::interface::{InvokerId, InvokerRecord, InvokerStatus};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 const RECORD: usize = 27;
@@ -16,7 +16,7 @@
 pub struct Line {
     pub invoker: InvokerId,
     pub address: SocketAddrV4,
-    pub life: Life,
+    pub life: InvokerStatus,
     pub zone: u8,
     pub kind: u16,
     pub cell: u16,
@@ -27,7 +27,7 @@
 
 impl Line {
     /// As the module is told of it; `started` is the start on the controller's own clock.
-    pub fn listed(&self, started: Option<saltdrum::port::Tenths>) -> Listed {
+    pub fn listed(&self, started: Option<saltdrum::interface::Ticks>) -> InvokerRecord {
         let Self {
             invoker,
             life,
@@ -37,14 +37,14 @@
             size,
             ..
         } = *self;
-        Listed {
+        InvokerRecord {
             invoker,
             zone,
-            kind,
+            machine_kind: kind,
             cell,
-            life,
-            size,
-            started,
+            status: life,
+            capacity: size,
+            started_at: started,
         }
     }
 }
@@ -103,9 +103,9 @@
     let address = Ipv4Addr::from(frame.get_u32());
     let address = SocketAddrV4::new(address, frame.get_u16());
     let life = match frame.get_u8() {
-        0 => Life::Ready,
-        1 => Life::Draining,
-        2 => Life::Gone,
+        0 => InvokerStatus::Ready,
+        1 => InvokerStatus::Draining,
+        2 => InvokerStatus::Gone,
         state => {
             return Err(Malformed::value(
                 "state of an invoker",
@@ -146,9 +146,9 @@
         out.extend(l.address.ip().octets());
         out.extend(l.address.port().to_be_bytes());
         out.push(match l.life {
-            Life::Ready => 0,
-            Life::Draining => 1,
-            Life::Gone => 2,
+            InvokerStatus::Ready => 0,
+            InvokerStatus::Draining => 1,
+            InvokerStatus::Gone => 2,
         });
         out.extend([l.zone, l.kind as u8]);
         out.extend(l.cell.to_be_bytes());
--- a/crates/platform-wire/src/frames.rs
+++ b/crates/platform-wire/src/frames.rs
@@ -2,7 +2,7 @@
 
 use crate::Malformed;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
-use saltdrum::port::FnId;
+use saltdrum::interface::FunctionId;
 
 pub const LENGTH_LEAST: usize = 5;
 pub const LENGTH_MOST: usize = 262_144;
@@ -93,7 +93,7 @@
     pub limit_ms: f64,
     /// By which a repeat is known.
     pub token: Option<String>,
-    pub function: FnId,
+    pub function: FunctionId,
     pub memory_mb: f64,
     pub lanes: f64,
     pub load_ms: Option<f64>,
--- a/crates/platform-wire/src/http.rs
+++ b/crates/platform-wire/src/http.rs
@@ -1,6 +1,6 @@
 //! Fields of HTTP towards invokers, and what their answers mean.
 
-use saltdrum::port::{Found, HoldOutcome, Outcome, Report};
+use saltdrum::interface::{LoadOutcome, LoadReport, Outcome, StartKind};
 
 pub const TXN: &str = "x-txn";
 pub const FUNCTION: &str = "x-name";
@@ -15,9 +15,9 @@
 /// What an answer tells beside its outcome.
 #[derive(Debug, Clone, Default)]
 pub struct Notes {
-    pub found: Option<Found>,
+    pub found: Option<StartKind>,
     pub crowd: Option<u8>,
-    pub report: Report,
+    pub report: LoadReport,
     pub standing: u8,
 }
 
@@ -26,13 +26,13 @@
 }
 
 /// Reads a load report such as `inflight:7;util:0.61`. What can't be read is left out: it is advice.
-pub fn report(text: &str) -> Report {
-    let mut report = Report::default();
+pub fn report(text: &str) -> LoadReport {
+    let mut report = LoadReport::default();
     for (name, value) in text.split(';').filter_map(|pair| pair.split_once(':')) {
         let value = value.trim().parse::<f64>().ok().filter(|v| v.is_finite());
         match name.trim() {
-            "util" => report.util = value,
-            "queue" => report.queue = value,
+            "util" => report.utilization = value,
+            "queue" => report.queue_length = value,
             _ => {}
         }
     }
@@ -42,10 +42,10 @@
 /// What the fields of an answer say; `field` looks one up by its lower-case name.
 pub fn notes<'a>(field: impl Fn(&str) -> Option<&'a str>) -> Notes {
     let found = field(HOW).and_then(|how| match how.trim() {
-        "resident" => Some(Found::Warm),
-        "booted" => Some(Found::BeganLoad),
-        "rode" => Some(Found::JoinedLoad),
-        "boot_error" => Some(Found::LoadFailed),
+        "resident" => Some(StartKind::Warm),
+        "booted" => Some(StartKind::BeganLoad),
+        "rode" => Some(StartKind::JoinedLoad),
+        "boot_error" => Some(StartKind::LoadFailed),
         _ => None,
     });
     let small = |name| {
@@ -77,10 +77,10 @@
 }
 
 /// How an order to hold ended.
-pub fn held<'a>(status: u16, field: impl Fn(&str) -> Option<&'a str>) -> HoldOutcome {
+pub fn held<'a>(status: u16, field: impl Fn(&str) -> Option<&'a str>) -> LoadOutcome {
     match status {
-        200 => HoldOutcome::Standing,
-        503 if unrun(&field) => HoldOutcome::NoRoom,
-        _ => HoldOutcome::LoadFailed,
+        200 => LoadOutcome::Loaded,
+        503 if unrun(&field) => LoadOutcome::NoCapacity,
+        _ => LoadOutcome::LoadFailed,
     }
 }
--- a/crates/platform-wire/tests/codecs.rs
+++ b/crates/platform-wire/tests/codecs.rs
@@ -3,7 +3,7 @@
 use bytes::{Bytes, BytesMut};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use saltdrum::port::{Found, HoldOutcome, Life, Outcome};
+use saltdrum::interface::{InvokerStatus, LoadOutcome, Outcome, StartKind};
 use saltdrum_platform_wire::feed::{self, Event, Line};
 use saltdrum_platform_wire::frames::{self, FromClient};
 use saltdrum_platform_wire::{config, http};
@@ -19,7 +19,11 @@
 }
 
 fn any_line() -> impl Strategy<Value = Line> {
-    let life = prop_oneof![Just(Life::Ready), Just(Life::Draining), Just(Life::Gone)];
+    let life = prop_oneof![
+        Just(InvokerStatus::Ready),
+        Just(InvokerStatus::Draining),
+        Just(InvokerStatus::Gone)
+    ];
     (
         any::<u32>(),
         any::<u32>(),
@@ -155,9 +159,9 @@
             "{status}"
         );
     }
-    assert_eq!(http::held(200, bare), HoldOutcome::Standing);
-    assert_eq!(http::held(503, unrun), HoldOutcome::NoRoom);
-    assert_eq!(http::held(500, bare), HoldOutcome::LoadFailed);
+    assert_eq!(http::held(200, bare), LoadOutcome::Loaded);
+    assert_eq!(http::held(503, unrun), LoadOutcome::NoCapacity);
+    assert_eq!(http::held(500, bare), LoadOutcome::LoadFailed);
     let notes = http::notes(|name| match name {
         "x-how" => Some("rode"),
         "x-ahead" => Some("300"),
@@ -167,13 +171,13 @@
     });
     assert_eq!(
         (notes.found, notes.crowd, notes.standing),
-        (Some(Found::JoinedLoad), Some(255), 2)
+        (Some(StartKind::JoinedLoad), Some(255), 2)
     );
     assert_eq!(
-        (notes.report.queue, notes.report.util),
+        (notes.report.queue_length, notes.report.utilization),
         (Some(7.0), Some(0.61))
     );
-    assert_eq!(http::report("util:inf;queue:x").util, None);
+    assert_eq!(http::report("util:inf;queue:x").utilization, None);
 }
 
 #[test]
--- a/crates/platform/src/attempt.rs
+++ b/crates/platform/src/attempt.rs
@@ -7,10 +7,10 @@
 use http_body_util::Full;
 use hyper::Request;
 use hyper::header::HeaderValue;
-use saltdrum::port::*;
+use saltdrum::interface::*;
 use saltdrum_controller::desk::Told;
-use saltdrum_transport::{Address, Backlog, is_local_failure};
 use saltdrum_platform_wire::{frames, http};
+use saltdrum_transport::{Address, ReadBacklog, is_local_failure};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 const SMALL_ANSWER: usize = 4 << 10;
 /// What a request says of the time that is left, and what is known of its client, is good for so long. Well within the
 /// 100 ms after which it must not be sent on for a client that has left, and the 150 ms by which it may say too much.
-pub(crate) const FRESH: Tenths = 40 * MILLI;
+pub(crate) const FRESH: Ticks = 40 * MILLISECOND;
 /// A request that grew old on its way out is worded anew so many times: only a process that stands still again and again
 /// needs more, and then it is not sent.
 const WORDINGS_MOST: usize = 3;
@@ -39,10 +39,10 @@
 /// The client that a request is sent on for.
 pub(crate) struct Waiting {
     /// It waits until then.
-    pub until: Tenths,
+    pub until: Ticks,
     /// Nothing begins to leave from then on.
-    pub leave_by: Tenths,
-    pub backlog: Backlog,
+    pub leave_by: Ticks,
+    pub backlog: ReadBacklog,
 }
 
 impl Worded {
@@ -176,16 +176,16 @@
             tokio::time::sleep(TURN).await;
         }
         let client = self.worded.client.as_ref().map(|client| &client.backlog);
-        while self.front.seat.feed.is_behind() || client.is_some_and(Backlog::is_behind) {
+        while self.front.seat.feed.is_behind() || client.is_some_and(ReadBacklog::is_behind) {
             tokio::task::yield_now().await;
         }
     }
 
     /// The request as it is to leave at `now`; none: it is too late for that.
-    fn wording(&self, now: Tenths) -> Option<(Request<Full<Bytes>>, Departure)> {
+    fn wording(&self, now: Ticks) -> Option<(Request<Full<Bytes>>, Departure)> {
         let (mut request, mut departure) = (self.worded.request.clone(), self.departure.clone());
         if let Some(client) = &self.worded.client {
-            let left_ms = client.until.checked_sub(now).filter(|left| *left > 0)? / MILLI;
+            let left_ms = client.until.checked_sub(now).filter(|left| *left > 0)? / MILLISECOND;
             request
                 .headers_mut()
                 .insert(http::LIMIT_MS, HeaderValue::from(left_ms.max(1)));
@@ -198,7 +198,7 @@
     }
 }
 
-pub(crate) async fn dispatch(ask: Ask, line: Option<Line>, inv: InvId, hop: u8) {
+pub(crate) async fn dispatch(ask: Ask, line: Option<Line>, inv: InvocationId, hop: u8) {
     let (invoker, epoch, job) = (ask.invoker, ask.epoch, ask.job);
     let mut told = Told::default();
     let (outcome, line) = match ask.go(line, frames::OUTPUT_MOST).await {
@@ -255,15 +255,15 @@
         }
         End::NeverLeft(why) | End::Lost(why) => {
             debug!(invoker, why, "an order was lost");
-            (HoldOutcome::Unreachable, 0, None)
+            (LoadOutcome::Unreachable, 0, None)
         }
-        End::Stale => (HoldOutcome::NotSent, 0, None),
+        End::Stale => (LoadOutcome::NotSent, 0, None),
         End::Withheld(why) => {
             info!(
                 invoker,
                 why, "an order was withheld: this machine's own failure"
             );
-            (HoldOutcome::NotSent, 0, None)
+            (LoadOutcome::NotSent, 0, None)
         }
     };
     ask.front.tell(|state| {
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -4,10 +4,10 @@
 
 use crate::connection::{Entry, attend};
 use crate::reach::Front;
-use saltdrum::port::{InvId, MILLI, SECOND, Tenths};
+use saltdrum::interface::{InvocationId, MILLISECOND, SECOND, Ticks};
 use saltdrum_controller::desk::{Final, Owed};
-use saltdrum_transport::{ArrivalWatch, Listener, Outbox};
 use saltdrum_platform_wire::frames::{self, Code};
+use saltdrum_transport::{ArrivalClock, Listener, SendQueue};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -18,11 +18,11 @@
 /// Answers that a client lets lie are bounded; it is cut off when they are more.
 const ANSWERS_MOST_BYTES: usize = 1 << 20;
 /// Who has said nothing whole for this long since it came has nothing to say.
-const SILENT_MOST: Tenths = 2 * SECOND;
+const SILENT_MOST: Ticks = 2 * SECOND;
 /// A frame that has begun is whole after this, or never will be.
-const PARTIAL_MOST: Tenths = SECOND;
+const PARTIAL_MOST: Ticks = SECOND;
 /// Clients close a connection that long idle themselves, well before this.
-const IDLE_MOST: Tenths = 6 * SECOND;
+const IDLE_MOST: Ticks = 6 * SECOND;
 const SWEEP_EVERY: Duration = Duration::from_millis(200);
 /// In rounds of the sweep.
 const BELIEFS_EVERY: u64 = 5;
@@ -32,7 +32,7 @@
 const GOING_MOST: usize = 4;
 /// How long who comes waits at the door at the most before it is looked for room again.
 const DOOR_WAIT: Duration = Duration::from_millis(10);
-pub(crate) const ANY_TIME: Tenths = Tenths::MAX;
+pub(crate) const ANY_TIME: Ticks = Ticks::MAX;
 /// Where a refusal is for want of room, the wait that is advised.
 pub(crate) const FULL_COME_BACK_MS: u64 = 100;
 
@@ -57,14 +57,14 @@
 
 /// One client's connection, as others see it.
 pub(crate) struct Client {
-    pub outbox: Outbox,
+    pub outbox: SendQueue,
     /// Streams whose answer is owed.
-    pub open: RefCell<BTreeMap<u32, InvId>>,
+    pub open: RefCell<BTreeMap<u32, InvocationId>>,
     pub last_stream: Cell<u32>,
-    pub came: Tenths,
+    pub came: Ticks,
     /// When it last asked or was answered; none: it has said nothing whole yet.
-    pub active: Cell<Option<Tenths>>,
-    pub partial_since: Cell<Option<Tenths>>,
+    pub active: Cell<Option<Ticks>>,
+    pub partial_since: Cell<Option<Ticks>>,
     pub cut: Notify,
     /// Its connection is to end: nothing more is taken on it, and its last words are on their way.
     pub closing: Cell<bool>,
@@ -78,9 +78,9 @@
 
 impl Client {
     /// A connection that was let in now.
-    pub fn new(came: Tenths) -> Self {
+    pub fn new(came: Ticks) -> Self {
         Self {
-            outbox: Outbox::new(ANSWERS_MOST_BYTES),
+            outbox: SendQueue::new(ANSWERS_MOST_BYTES),
             open: RefCell::default(),
             last_stream: Cell::new(0),
             came,
@@ -118,7 +118,7 @@
     }
 
     /// Who does not read what it asked for is cut off.
-    pub fn put(&self, frame: bytes::Bytes, until: Tenths) {
+    pub fn put(&self, frame: bytes::Bytes, until: Ticks) {
         if self.outbox.put(frame, until).is_none() {
             self.cut_off(CloseReason::AnswersUnread);
         }
@@ -132,7 +132,7 @@
     }
 
     /// Since when it does nothing that keeps its connection, if so.
-    fn idle_since(&self) -> Option<Tenths> {
+    fn idle_since(&self) -> Option<Ticks> {
         self.open
             .borrow()
             .is_empty()
@@ -140,7 +140,7 @@
     }
 
     /// Why it has had time enough, if so.
-    fn overdue(&self, now: Tenths) -> Option<CloseReason> {
+    fn overdue(&self, now: Ticks) -> Option<CloseReason> {
         let silent = self.active.get().is_none() && now >= self.came + SILENT_MOST;
         let stuck = self
             .partial_since
@@ -313,11 +313,11 @@
 }
 
 impl Owed for Reply {
-    fn answer(self, _: InvId, how: Final, _: u8, until: Tenths) {
+    fn answer(self, _: InvocationId, how: Final, _: u8, until: Ticks) {
         let frame = match how {
             Final::Succeeded(output) => frames::answer(self.stream, Code::Succeeded, None, output),
             Final::Throttled(wait) => {
-                let later = Some(wait / MILLI).filter(|ms| *ms > 0);
+                let later = Some(wait / MILLISECOND).filter(|ms| *ms > 0);
                 frames::answer(self.stream, Code::Throttled, later, &[])
             }
             Final::Errored(_) => frames::answer(self.stream, Code::Errored, None, &[]),
@@ -325,12 +325,12 @@
         self.client.put(frame, until);
     }
 
-    fn drop_out(self, _: InvId) {}
+    fn drop_out(self, _: InvocationId) {}
 }
 
 /// Takes in clients for as long as the controller lives.
-pub(crate) async fn receive(front: Rc<Front>, mut door: Box<dyn Listener>, opened_at: Tenths) {
-    let mut arrivals = ArrivalWatch::new(opened_at, front.clock, &front.turns);
+pub(crate) async fn receive(front: Rc<Front>, mut door: Box<dyn Listener>, opened_at: Ticks) {
+    let mut arrivals = ArrivalClock::new(opened_at, front.clock, &front.turns);
     let clients = &front.seat.clients;
     loop {
         let came = tokio::select! {
@@ -342,7 +342,7 @@
         match came {
             Ok(stream) => {
                 let opened = arrivals.earliest();
-                let waited_most_ms = front.clock.now().saturating_sub(opened) / MILLI;
+                let waited_most_ms = front.clock.now().saturating_sub(opened) / MILLISECOND;
                 debug!(waited_most_ms, "a client connects");
                 let entry = loop {
                     match clients.room(front.seat.budget.clients) {
--- a/crates/platform/src/connection.rs
+++ b/crates/platform/src/connection.rs
@@ -7,10 +7,10 @@
 use crate::clients::{ANY_TIME, Client, CloseReason};
 use crate::reach::Front;
 use crate::taking::invoke;
-use saltdrum::port::{InvId, Tenths};
-use saltdrum_transport::{Backlog, Half, Read, Stream, halves};
+use saltdrum::interface::{InvocationId, Ticks};
 use saltdrum_platform_wire::Malformed;
 use saltdrum_platform_wire::frames::{self, Code, FromClient};
+use saltdrum_transport::{ArrivalReader, Half, ReadBacklog, Stream, halves};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
@@ -46,14 +46,14 @@
 }
 
 /// Attends to one client, whose connection can have been open since `opened`, until its end.
-pub(crate) async fn attend(front: Rc<Front>, stream: Stream, opened: Tenths, entry: Entry) {
+pub(crate) async fn attend(front: Rc<Front>, stream: Stream, opened: Ticks, entry: Entry) {
     let (input, mut output) = halves(stream);
     let mut last = output.clone();
     let clock = front.clock;
     let client = Rc::new(Client::new(clock.now()));
     let clients = &front.seat.clients;
     let number = clients.enter(&client);
-    let mut read = Read::opened_at(input, opened, clock, front.turns.clone());
+    let mut read = ArrivalReader::opened_at(input, opened, clock, front.turns.clone());
     {
         let write = client.outbox.write_to(&mut output, || clock.now(), |_| ());
         let mut write = std::pin::pin!(write);
@@ -149,11 +149,11 @@
 async fn settle(
     front: &Rc<Front>,
     client: &Rc<Client>,
-    read: &mut Read<Half>,
+    read: &mut ArrivalReader<Half>,
     end: &End,
     linger: Duration,
 ) {
-    let open: Vec<InvId> = client.open.borrow().values().copied().collect();
+    let open: Vec<InvocationId> = client.open.borrow().values().copied().collect();
     match end {
         End::Left => open
             .into_iter()
@@ -186,7 +186,7 @@
 }
 
 /// Refuses whatever comes, until the client has closed its side.
-async fn refuse_what_comes(front: &Rc<Front>, client: &Rc<Client>, read: &mut Read<Half>) {
+async fn refuse_what_comes(front: &Rc<Front>, client: &Rc<Client>, read: &mut ArrivalReader<Half>) {
     loop {
         refuse_frames(front, client, read);
         match read.more().await {
@@ -197,7 +197,7 @@
 }
 
 /// Reads what lies in the machine and refuses it.
-async fn answer_what_lies(front: &Rc<Front>, client: &Rc<Client>, read: &mut Read<Half>) {
+async fn answer_what_lies(front: &Rc<Front>, client: &Rc<Client>, read: &mut ArrivalReader<Half>) {
     // The machine is asked what has come before this goes on.
     tokio::task::yield_now().await;
     read.drain(LAST_READ_MOST);
@@ -205,7 +205,7 @@
 }
 
 /// Answers all whole frames that were read, and takes nothing.
-fn refuse_frames(front: &Rc<Front>, client: &Rc<Client>, read: &mut Read<Half>) {
+fn refuse_frames(front: &Rc<Front>, client: &Rc<Client>, read: &mut ArrivalReader<Half>) {
     while let Ok(Some(frame)) = frames::cut(&mut read.bytes) {
         client.active.set(Some(front.clock.now()));
         client.partial_since.set(None);
@@ -223,7 +223,7 @@
 }
 
 /// Says that nothing more comes, and waits until the client has ended the connection too: then it has read all.
-async fn farewell(last: &mut Half, read: &mut Read<Half>) {
+async fn farewell(last: &mut Half, read: &mut ArrivalReader<Half>) {
     if last.shutdown().await.is_err() {
         return;
     }
@@ -238,7 +238,7 @@
 }
 
 /// Reads frames until the connection ends, and says why it does.
-async fn listen(front: &Rc<Front>, client: &Rc<Client>, read: &mut Read<Half>) -> End {
+async fn listen(front: &Rc<Front>, client: &Rc<Client>, read: &mut ArrivalReader<Half>) -> End {
     let backlog = read.backlog();
     loop {
         let earliest = match read.more().await {
@@ -294,8 +294,8 @@
     client: &Rc<Client>,
     stream: u32,
     payload: bytes::Bytes,
-    earliest: Tenths,
-    backlog: &Backlog,
+    earliest: Ticks,
+    backlog: &ReadBacklog,
 ) -> Result<(), Malformed> {
     if stream <= client.last_stream.get() {
         return Err(Malformed::Value {
--- a/crates/platform/src/crossings.rs
+++ b/crates/platform/src/crossings.rs
@@ -6,14 +6,14 @@
 use crate::life::{leave, start};
 use crate::reach::Front;
 use crate::tests::{First, configuration_at, wall_clock};
-use saltdrum::port::*;
-use saltdrum_controller::Decides;
+use saltdrum::interface::*;
+use saltdrum_controller::Policy;
 use saltdrum_controller::desk::Told;
-use saltdrum_transport::{Address, Clock, Listener, Network, Sockets, Stream};
+use saltdrum_fakes::platform::listing;
 use saltdrum_platform_wire::config;
 use saltdrum_platform_wire::feed::Event;
 use saltdrum_platform_wire::frames::{self, Code};
-use saltdrum_fakes::platform::listing;
+use saltdrum_transport::{Address, Clock, Listener, Network, SocketNetwork, Stream};
 use std::cell::{Cell, RefCell};
 use std::future::{Future, poll_fn};
 use std::io::{ErrorKind, Read, Write};
@@ -45,12 +45,12 @@
             while self.shut.get() {
                 self.opened.notified().await;
             }
-            Sockets.dial(address).await
+            SocketNetwork.dial(address).await
         })
     }
 
     fn listen<'a>(&'a self, address: &'a Address) -> Dialled<'a, (Box<dyn Listener>, Address)> {
-        Box::pin(async move { Sockets.listen(address).await })
+        Box::pin(async move { SocketNetwork.listen(address).await })
     }
 }
 
@@ -188,7 +188,7 @@
         .expect("what was waited for was never seen");
 }
 
-/// Acts after the machine has been asked what has come, and before any of the controller's tasks has had a turn since.
+/// Actions after the machine has been asked what has come, and before any of the controller's tasks has had a turn since.
 pub(crate) async fn before_their_turn<T>(act: impl FnOnce() -> T) -> T {
     let (mut asked, mut act) = (false, Some(act));
     poll_fn(|cx| {
@@ -216,13 +216,13 @@
         Self::of(|_, _, _, _| Box::new(First), &[]).await
     }
 
-    async fn of(make: saltdrum_controller::Make, tenants: &[&str]) -> Self {
+    async fn of(make: saltdrum_controller::MakePolicy, tenants: &[&str]) -> Self {
         Self::with_sockets(make, tenants, 256).await
     }
 
     /// With a limit of its own on descriptors.
     pub async fn with_sockets(
-        make: saltdrum_controller::Make,
+        make: saltdrum_controller::MakePolicy,
         tenants: &[&str],
         sockets: usize,
     ) -> Self {
@@ -698,7 +698,7 @@
             line.write(&http("one"));
             client.hear().await;
             // It rests, and is used again.
-            let rested = stage.front.clock.now() + 60 * MILLI;
+            let rested = stage.front.clock.now() + 60 * MILLISECOND;
             until(|| stage.front.turns.looked() > rested).await;
             let (call, txn) = stage.call(4);
             if after {
@@ -764,16 +764,16 @@
 /// Throttles all, and keeps whose it was.
 struct Whose;
 
-impl Decides for Whose {
-    fn listed(&mut self, _: Tenths, _: bool, _: &[Listed]) {}
-    fn invoked(&mut self, _: Tenths, call: Invocation, acts: &mut dyn Acts) {
+impl Policy for Whose {
+    fn invokers_changed(&mut self, _: Ticks, _: bool, _: &[InvokerRecord]) {}
+    fn invocation_arrived(&mut self, _: Ticks, call: Invocation, acts: &mut dyn Actions) {
         WHOSE.with_borrow_mut(|whose| whose.push(call.tenant));
         acts.throttle(call.id, 0);
     }
-    fn left(&mut self, _: Tenths, _: InvId) {}
-    fn answered(&mut self, _: Tenths, _: Answer, _: &mut dyn Acts) {}
-    fn held(&mut self, _: Tenths, _: HoldAnswer, _: &mut dyn Acts) {}
-    fn woken(&mut self, _: Tenths, _: u64, _: &mut dyn Acts) {}
+    fn client_left(&mut self, _: Ticks, _: InvocationId) {}
+    fn attempt_ended(&mut self, _: Ticks, _: AttemptResult, _: &mut dyn Actions) {}
+    fn load_ended(&mut self, _: Ticks, _: LoadResult, _: &mut dyn Actions) {}
+    fn timer_fired(&mut self, _: Ticks, _: u64, _: &mut dyn Actions) {}
 }
 
 /// Every invocation was the first tenant's, whoever's it was.
@@ -854,7 +854,7 @@
             .to_string()
             .parse()
             .unwrap();
-        let draining = Event::Changes(vec![listing(1, at, Life::Draining, None)]);
+        let draining = Event::Changes(vec![listing(1, at, InvokerStatus::Draining, None)]);
         crate::feed::hear(&stage.front, stage.front.clock.now(), 2, &draining).unwrap();
         assert_eq!(
             client.hear().await.2[0],
--- a/crates/platform/src/feed.rs
+++ b/crates/platform/src/feed.rs
@@ -1,9 +1,9 @@
 //! Follows the control feed. What it last said stands while it is away.
 
 use crate::reach::{Front, told};
-use saltdrum::port::{MILLI, Tenths};
-use saltdrum_transport::{Address, Backlog, Read, Stream};
+use saltdrum::interface::{MILLISECOND, Ticks};
 use saltdrum_platform_wire::feed::{Event, cut};
+use saltdrum_transport::{Address, ArrivalReader, ReadBacklog, Stream};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,15 +13,15 @@
 
 /// An empty frame comes each second. What the feed would have told counts as told 4 s after it fell silent: by then a
 /// second connection, should the first after a silence be silent as well, must have been followed.
-const SILENT: Tenths = 1_600 * MILLI;
+const SILENT: Ticks = 1_600 * MILLISECOND;
 /// The first frame comes within a second of asking.
-const SILENT_FIRST: Tenths = 1_200 * MILLI;
+const SILENT_FIRST: Ticks = 1_200 * MILLISECOND;
 /// After that the machine is asked once more: a turn or two.
 const LOOKED_AGAIN_WITHIN: Duration = Duration::from_millis(30);
 const DIAL_WITHIN: Duration = Duration::from_millis(500);
 /// A lost feed is dialled again after a wait drawn up to a bound that doubles; all controllers lose it at once.
-const WAIT_FIRST: Tenths = 100 * MILLI;
-const WAIT_MOST: Tenths = 400 * MILLI;
+const WAIT_FIRST: Ticks = 100 * MILLISECOND;
+const WAIT_MOST: Ticks = 400 * MILLISECOND;
 
 /// Where the feed is, and how far it was followed.
 pub(crate) struct Feed {
@@ -29,12 +29,12 @@
     moved: Notify,
     last: Cell<u64>,
     /// What lies in the machine of the connection that is followed.
-    backlog: RefCell<Backlog>,
+    backlog: RefCell<ReadBacklog>,
 }
 
 impl Feed {
     pub fn new(address: std::net::SocketAddrV4, last: u64) -> Self {
-        let backlog = RefCell::new(Backlog::none());
+        let backlog = RefCell::new(ReadBacklog::none());
         Self {
             address: RefCell::new(address),
             moved: Notify::new(),
@@ -100,7 +100,7 @@
     if let Err(e) = stream.write_all(&feed.last.get().to_be_bytes()).await {
         return e.to_string();
     }
-    let mut read = Read::new(stream, front.clock, front.turns.clone());
+    let mut read = ArrivalReader::new(stream, front.clock, front.turns.clone());
     feed.backlog.replace(read.backlog());
     // Only whole frames break a silence: one that comes byte by byte tells nothing.
     let mut due = front.clock.now() + SILENT_FIRST;
@@ -126,7 +126,11 @@
 
 /// Reads more until `due`. A process that was stopped over that time hears its timers before its sockets: what lies in the
 /// machine by then was no silence.
-async fn read_by(front: &Front, read: &mut Read<Stream>, due: Tenths) -> Result<Tenths, String> {
+async fn read_by(
+    front: &Front,
+    read: &mut ArrivalReader<Stream>,
+    due: Ticks,
+) -> Result<Ticks, String> {
     let mut more = std::pin::pin!(read.more());
     let got = match tokio::time::timeout_at(front.clock.instant(due), &mut more).await {
         Ok(got) => got,
@@ -143,7 +147,7 @@
 }
 
 /// One event that came at this time or later; `Err`: some were missed, and have to be asked for.
-pub(crate) fn hear(front: &Front, came: Tenths, number: u64, event: &Event) -> Result<(), String> {
+pub(crate) fn hear(front: &Front, came: Ticks, number: u64, event: &Event) -> Result<(), String> {
     let last = &front.seat.feed.last;
     let (whole, lines) = match event {
         // It carries the number of the last event: a later one than ours was never told us.
@@ -165,7 +169,7 @@
         Event::Whole(lines) => (true, lines),
         Event::Changes(lines) => (false, lines),
     };
-    let waited_most_ms = front.clock.now().saturating_sub(came) / MILLI;
+    let waited_most_ms = front.clock.now().saturating_sub(came) / MILLISECOND;
     info!(
         number,
         whole,
@@ -181,7 +185,7 @@
 pub(crate) fn tell(
     front: &Front,
     state: &mut crate::reach::State,
-    came: Tenths,
+    came: Ticks,
     whole: bool,
     lines: &[saltdrum_platform_wire::feed::Line],
 ) {
--- a/crates/platform/src/in_time.rs
+++ b/crates/platform/src/in_time.rs
@@ -8,13 +8,13 @@
 use bytes::Bytes;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
-use saltdrum::port::*;
-use saltdrum_controller::by_design;
-use saltdrum_transport::{Address, Stream};
+use saltdrum::interface::*;
+use saltdrum_controller::dispatch_policy;
+use saltdrum_fakes::platform::{Call, Heard, Spoilt, listing};
 use saltdrum_platform_wire::config;
 use saltdrum_platform_wire::feed::{Event, encode};
 use saltdrum_platform_wire::frames::{self, Code};
-use saltdrum_fakes::platform::{Call, Heard, Spoilt, listing};
+use saltdrum_transport::{Address, Stream};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -40,7 +40,12 @@
 fn event() -> (u64, Event) {
     (
         2,
-        Event::Changes(vec![listing(1, invoker_at(1), Life::Draining, None)]),
+        Event::Changes(vec![listing(
+            1,
+            invoker_at(1),
+            InvokerStatus::Draining,
+            None,
+        )]),
     )
 }
 
@@ -103,7 +108,7 @@
         pass(1).await;
     }
     assert_eq!(connections.get(), does.len(), "{does:?}");
-    (stage.clock.now() - since) / MILLI
+    (stage.clock.now() - since) / MILLISECOND
 }
 
 /// What a silent feed would have told counts as told 4 s after it fell silent, whatever it does when it is asked again:
@@ -122,7 +127,7 @@
     ];
     for (does, silent_after) in CASES {
         staged(|| async move {
-            let stage = Stage::new(by_design, &[1], 256).await;
+            let stage = Stage::new(dispatch_policy, &[1], 256).await;
             let ms = known_after(&stage, does, silent_after).await;
             assert!(ms < 3_700, "{does:?}: {ms} ms");
         });
@@ -136,7 +141,11 @@
         // The module takes no notice of the list: what is sent, and what is not, is the pool's doing alone.
         let stage = Stage::new(first, &[1], 256).await;
         let mut client = stage.client().await;
-        let lives = [Life::Draining, Life::Ready, Life::Draining];
+        let lives = [
+            InvokerStatus::Draining,
+            InvokerStatus::Ready,
+            InvokerStatus::Draining,
+        ];
         for (n, life) in lives.into_iter().enumerate() {
             stage.feed.say(
                 2 + n as u64,
@@ -172,11 +181,11 @@
         assert_eq!(old.arrived.borrow().len(), 1, "under way");
         stage.feed.say(
             2,
-            Event::Changes(vec![listing(1, invoker_at(1), Life::Gone, None)]),
+            Event::Changes(vec![listing(1, invoker_at(1), InvokerStatus::Gone, None)]),
         );
         stage.feed.say(
             3,
-            Event::Changes(vec![listing(1, invoker_at(8), Life::Ready, None)]),
+            Event::Changes(vec![listing(1, invoker_at(8), InvokerStatus::Ready, None)]),
         );
         stage.invoker(1, invoker_at(8));
         assert_eq!(answer(&mut client).await.code, Code::Succeeded as u8);
@@ -239,7 +248,7 @@
         while let Some(what) = client.hear().await {
             heard.push(what);
         }
-        let took = (stage.clock.now() - told) / MILLI;
+        let took = (stage.clock.now() - told) / MILLISECOND;
         assert!((3_000..3_650).contains(&took), "{took} ms");
         ending.await.unwrap();
         assert_eq!(
@@ -270,7 +279,7 @@
 #[test]
 fn copies_that_are_all_gone_at_once_are_loaded_again_without_a_wave() {
     staged(|| async {
-        let stage = Stage::new(by_design, &[1, 2], 256).await;
+        let stage = Stage::new(dispatch_policy, &[1, 2], 256).await;
         let mut client = stage.client().await;
         let ask = |n: u64| Call {
             function: 700 + n % 12,
@@ -420,11 +429,13 @@
 fn served(text: &str, names: &[String], d: &Deployment) {
     let (names, timeouts) = (
         names.to_vec(),
-        d.trigger_types.iter().map(|t| t.client_timeout / MILLI),
+        d.trigger_types
+            .iter()
+            .map(|t| t.client_timeout / MILLISECOND),
     );
     let timeouts: Vec<u64> = timeouts.collect();
     staged(|| async move {
-        let stage = Stage::with(by_design, &[1, 2], text).await;
+        let stage = Stage::with(dispatch_policy, &[1, 2], text).await;
         let mut client = stage.client().await;
         let mut owed = 0;
         for round in 0..3u64 {
@@ -444,7 +455,12 @@
             if round == 1 {
                 stage.feed.say(
                     2,
-                    Event::Changes(vec![listing(1, invoker_at(1), Life::Draining, None)]),
+                    Event::Changes(vec![listing(
+                        1,
+                        invoker_at(1),
+                        InvokerStatus::Draining,
+                        None,
+                    )]),
                 );
             }
             pass(30).await;
@@ -484,7 +500,7 @@
         let requests = requests.clone();
         staged(|| async move {
             let mut rng = fastrand::Rng::with_seed(seed);
-            let stage = Stage::new(by_design, &[1, 2], 256).await;
+            let stage = Stage::new(dispatch_policy, &[1, 2], 256).await;
             for n in 0..60 {
                 stage
                     .invokers
@@ -526,7 +542,7 @@
 #[test]
 fn noise_from_the_feed_changes_nothing() {
     staged(|| async {
-        let stage = Stage::new(by_design, &[1], 256).await;
+        let stage = Stage::new(dispatch_policy, &[1], 256).await;
         let (network, at) = (stage.network.clone(), feed_at(3));
         let asked = Rc::new(RefCell::new(Vec::new()));
         let seen = asked.clone();
--- a/crates/platform/src/life.rs
+++ b/crates/platform/src/life.rs
@@ -5,12 +5,12 @@
 use crate::feed::{self, Feed};
 use crate::reach::{Front, Lines};
 use crate::starts::{WallClock, WallSettings};
-use saltdrum::port::*;
-use saltdrum_controller::Make;
+use saltdrum::interface::*;
+use saltdrum_controller::MakePolicy;
 use saltdrum_controller::desk::Desk;
-use saltdrum_transport::{Address, Clock, Network, turning};
 use saltdrum_platform_wire::config::{self, Config};
 use saltdrum_platform_wire::feed::Event;
+use saltdrum_transport::{Address, Clock, Network, run_event_loop_clock};
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -32,7 +32,7 @@
 const KILLED_AFTER_MOST: Duration = Duration::from_secs(3);
 const KILLED_AFTER_MORE: Duration = Duration::from_millis(700);
 /// Who stands still for less has too little of a core; for longer, it was stopped.
-const STOPPED_LEAST: Tenths = 500 * MILLI;
+const STOPPED_LEAST: Ticks = 500 * MILLISECOND;
 /// A signal that is heard within this is heard at once.
 const HEARD_AT_ONCE: Duration = Duration::from_millis(40);
 /// Kept of that for the last answers' way, and for a signal that was heard late.
@@ -75,7 +75,7 @@
 
 impl Seat {
     /// Keeps in mind how the wall clock stands.
-    pub(crate) fn look_at_wall_clock(&self, now: Tenths) {
+    pub(crate) fn look_at_wall_clock(&self, now: Ticks) {
         self.wall_settings
             .borrow_mut()
             .seen((self.wall_clock)(), now);
@@ -121,7 +121,7 @@
     life: Life,
     network: Rc<dyn Network>,
     clock: Clock,
-    make: Make,
+    make: MakePolicy,
 ) -> Result<(), Failure> {
     let mut reloads = signal(SignalKind::hangup()).map_err(Failure::Signals)?;
     let mut ends = signal(SignalKind::terminate()).map_err(Failure::Signals)?;
@@ -155,7 +155,7 @@
     wall_clock: WallClock,
     network: Rc<dyn Network>,
     clock: Clock,
-    make: Make,
+    make: MakePolicy,
 ) -> Result<Rc<Front>, Failure> {
     let (now, d) = (clock.now(), config.deployment);
     let budget = Budget::of(&config.limits);
@@ -203,8 +203,8 @@
         why,
     })?;
     let turns = front.turns.clone();
-    spawn_local(turning(turns, clock, |_, gap| {
-        let stood_ms = gap / MILLI;
+    spawn_local(run_event_loop_clock(turns, clock, |_, gap| {
+        let stood_ms = gap / MILLISECOND;
         if gap >= STOPPED_LEAST {
             warn!(stood_ms, "this controller stood still");
         } else {
--- a/crates/platform/src/line.rs
+++ b/crates/platform/src/line.rs
@@ -6,7 +6,7 @@
 use hyper::client::conn::http1::{Builder, SendRequest};
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
-use saltdrum::port::Tenths;
+use saltdrum::interface::Ticks;
 use saltdrum_transport::{Clock, Stream};
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -31,7 +31,7 @@
     body: Cell<u64>,
     departure: RefCell<Departure>,
     /// When its last byte was handed to the machine.
-    left_at: Cell<Option<Tenths>>,
+    left_at: Cell<Option<Ticks>>,
     /// A request was not sent, as its time to leave was over.
     is_stale: Cell<bool>,
 }
@@ -40,16 +40,16 @@
 #[derive(Clone)]
 pub(crate) struct Departure {
     /// Rule 3: nothing new begins from then on at an invoker that drains or is gone.
-    pub cutoff: Rc<Cell<Tenths>>,
+    pub cutoff: Rc<Cell<Ticks>>,
     /// What it says of the time that is left, and what is known of its client, is good until then.
-    pub fresh_until: Tenths,
+    pub fresh_until: Ticks,
 }
 
 impl Default for Departure {
     fn default() -> Self {
         Self {
-            cutoff: Rc::new(Cell::new(Tenths::MAX)),
-            fresh_until: Tenths::MAX,
+            cutoff: Rc::new(Cell::new(Ticks::MAX)),
+            fresh_until: Ticks::MAX,
         }
     }
 }
@@ -98,7 +98,7 @@
     }
 
     /// When the request on it was handed to the machine to its last byte.
-    pub fn left_at(&self) -> Option<Tenths> {
+    pub fn left_at(&self) -> Option<Ticks> {
         self.left_at.get()
     }
 
--- a/crates/platform/src/no_excuse.rs
+++ b/crates/platform/src/no_excuse.rs
@@ -1,9 +1,9 @@
 //! Trouble at invokers, or with other clients, frees no request of its final answer in its time. In virtual time.
 
 use crate::tests::{Stage, answer, pass, staged};
-use saltdrum_controller::by_design;
-use saltdrum_platform_wire::frames::{self, Code};
+use saltdrum_controller::dispatch_policy;
 use saltdrum_fakes::platform::{Call, FrameClient, Heard, Spoilt};
+use saltdrum_platform_wire::frames::{self, Code};
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 use tokio::task::spawn_local;
@@ -58,7 +58,7 @@
         S::ResetAfterReading,
     ] {
         staged(|| async move {
-            let stage = Stage::new(by_design, &[1, 2], 256).await;
+            let stage = Stage::new(dispatch_policy, &[1, 2], 256).await;
             stage.invokers.values().for_each(|i| i.spoilt.set(spoilt));
             all_are_answered_in_time(&stage, &format!("{spoilt:?}")).await;
         });
@@ -69,7 +69,7 @@
 #[test]
 fn without_a_descriptor_left_all_are_answered_in_time() {
     staged(|| async {
-        let stage = Stage::new(by_design, &[1, 2], 32).await;
+        let stage = Stage::new(dispatch_policy, &[1, 2], 32).await;
         stage
             .invokers
             .values()
@@ -82,7 +82,7 @@
 #[test]
 fn who_floods_and_who_never_reads_harm_nobody_else() {
     staged(|| async {
-        let stage = Stage::new(by_design, &[1, 2], 256).await;
+        let stage = Stage::new(dispatch_policy, &[1, 2], 256).await;
         let (mut floods, mut never_reads) = (stage.client().await, stage.client().await);
         let flood = spawn_local(async move {
             for n in 1..20_000u32 {
@@ -135,7 +135,7 @@
 fn who_comes_behind_a_crowd_of_idle_clients_is_served_at_once() {
     const CROWD: usize = 400;
     staged(|| async {
-        let stage = Stage::new(by_design, &[1], 64).await;
+        let stage = Stage::new(dispatch_policy, &[1], 64).await;
         let mut crowd = Vec::new();
         for _ in 0..CROWD {
             let mut idle = stage.client().await;
@@ -151,7 +151,7 @@
             })
             .await;
         assert_eq!(answer(&mut client).await.code, Code::Succeeded as u8);
-        let took_ms = (stage.clock.now() - began) / saltdrum::port::MILLI;
+        let took_ms = (stage.clock.now() - began) / saltdrum::interface::MILLISECOND;
         assert!(took_ms < 1_000, "{took_ms} ms behind a crowd of {CROWD}");
     });
 }
--- a/crates/platform/src/reach.rs
+++ b/crates/platform/src/reach.rs
@@ -8,11 +8,11 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
-use saltdrum::port::*;
+use saltdrum::interface::*;
 use saltdrum_controller::desk::{self, Reach, Sending, Told};
-use saltdrum_transport::{Address, Backlog};
 use saltdrum_platform_wire::feed::Line as Listing;
 use saltdrum_platform_wire::http;
+use saltdrum_transport::{Address, ReadBacklog};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -25,10 +25,10 @@
 pub(crate) type State = desk::State<Lines>;
 
 /// An idle line is closed by us before the invoker would close it: at this share of the stated time.
-const IDLE_SHARE: (Tenths, Tenths) = (3, 4);
+const IDLE_SHARE: (Ticks, Ticks) = (3, 4);
 /// A line rests so long after an answer before it is used again, by looks of the machine: a second answer, or noise, may
 /// come some milliseconds late, and on a line in use it would be read as the answer to the next request.
-const RESTS: Tenths = 30 * MILLI;
+const RESTS: Ticks = 30 * MILLISECOND;
 
 /// What of an invocation goes along with its dispatches.
 pub(crate) struct Carried {
@@ -37,7 +37,7 @@
     pub token: Option<String>,
     pub body: Bytes,
     /// Where its client's stream holds what was not read yet, it may have left.
-    client_backlog: Backlog,
+    client_backlog: ReadBacklog,
     /// Inputs held, over all invocations.
     held: Rc<Cell<usize>>,
 }
@@ -50,22 +50,22 @@
 
 struct Pool {
     address: SocketAddrV4,
-    life: Life,
+    life: InvokerStatus,
     /// Rule 3: nothing begins to leave from then on.
-    cutoff: Rc<Cell<Tenths>>,
+    cutoff: Rc<Cell<Ticks>>,
     /// When it started, as first told: in Unix milliseconds, and on the controller's clock.
-    started: Option<(u64, Tenths)>,
+    started: Option<(u64, Ticks)>,
     /// Counts up when lines that stand lead to somebody else: those under way are not used again then.
     epoch: u32,
     /// The freshest last, each with when it became idle.
-    idle: Vec<(Tenths, Line)>,
+    idle: Vec<(Ticks, Line)>,
     /// Requests under way.
     under_way: usize,
 }
 
 enum Of {
     Dispatch {
-        inv: InvId,
+        inv: InvocationId,
         hop: u8,
     },
     /// New work or not: to ask and to unload are no new work.
@@ -83,7 +83,7 @@
 }
 
 impl Job {
-    fn left_at(&self) -> Option<Tenths> {
+    fn left_at(&self) -> Option<Ticks> {
         self.socket.as_ref()?.left_at()
     }
 
@@ -107,14 +107,14 @@
 pub(crate) struct Lines {
     front: Weak<Front>,
     budget: Budget,
-    connect_timeout: Tenths,
-    conn_idle: Tenths,
+    connect_timeout: Ticks,
+    conn_idle: Ticks,
     trigger_names: Rc<[String]>,
     pools: BTreeMap<InvokerId, Pool>,
     jobs: BTreeMap<u64, Job>,
     last: u64,
     /// When orders left whose end is being told.
-    orders_left: BTreeMap<u64, Tenths>,
+    orders_left: BTreeMap<u64, Ticks>,
     /// Lines that stand, are made or were just given up, idle ones among them.
     open: Rc<Cell<usize>>,
     held: Rc<Cell<usize>>,
@@ -139,8 +139,8 @@
 impl Lines {
     pub fn new(
         budget: Budget,
-        connect_timeout: Tenths,
-        conn_idle: Tenths,
+        connect_timeout: Ticks,
+        conn_idle: Ticks,
         trigger_names: Rc<[String]>,
     ) -> Self {
         let (pools, jobs, last, orders_left, open, held) = Default::default();
@@ -171,7 +171,7 @@
         txn: u64,
         token: Option<String>,
         body: Bytes,
-        client_backlog: Backlog,
+        client_backlog: ReadBacklog,
     ) -> Option<Carried> {
         let held = self.held.get() + body.len();
         (held <= self.budget.bytes).then(|| {
@@ -199,14 +199,14 @@
     }
 
     /// Lets go of idle lines that the invoker would soon close, of those that are broken, and of pools that are gone.
-    pub fn sweep(&mut self, now: Tenths) {
+    pub fn sweep(&mut self, now: Ticks) {
         let most = self.conn_idle * IDLE_SHARE.0 / IDLE_SHARE.1;
         for p in self.pools.values_mut() {
             p.idle
                 .retain(|(since, line)| now < since + most && line.is_reusable());
         }
         self.pools
-            .retain(|_, p| p.life != Life::Gone || p.under_way > 0);
+            .retain(|_, p| p.life != InvokerStatus::Gone || p.under_way > 0);
     }
 
     /// Makes room for one more line: the idle line that was idle longest goes, wherever it leads.
@@ -229,7 +229,7 @@
     /// Starts a request. `Err`: it never left.
     fn start(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         invoker: InvokerId,
         of: Of,
         worded: Worded,
@@ -263,12 +263,12 @@
         let cutoff = if new_work {
             pool.cutoff.clone()
         } else {
-            Rc::new(Cell::new(Tenths::MAX))
+            Rc::new(Cell::new(Ticks::MAX))
         };
         // A decision that could not leave by then is made anew: what it rests on has changed.
         let leaves_by = now + self.connect_timeout + FRESH;
         let fresh_until = if matches!(of, Of::Dispatch { .. }) {
-            Tenths::MAX
+            Ticks::MAX
         } else {
             leaves_by
         };
@@ -344,11 +344,11 @@
         job.task.abort();
     }
 
-    pub(crate) fn put_back(&mut self, now: Tenths, invoker: InvokerId, epoch: u32, line: Line) {
+    pub(crate) fn put_back(&mut self, now: Ticks, invoker: InvokerId, epoch: u32, line: Line) {
         if let Some(pool) = self
             .pools
             .get_mut(&invoker)
-            .filter(|p| p.epoch == epoch && p.life != Life::Gone)
+            .filter(|p| p.epoch == epoch && p.life != InvokerStatus::Gone)
         {
             pool.idle.push((now, line));
         }
@@ -422,11 +422,11 @@
 
     fn hold(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         invoker: InvokerId,
-        function: FnId,
+        function: FunctionId,
         count: u8,
-    ) -> Result<u64, HoldOutcome> {
+    ) -> Result<u64, LoadOutcome> {
         let uri = format!("{}/{count}", http::function_path(function));
         let request = Request::builder()
             .method("PUT")
@@ -434,18 +434,18 @@
             .header("host", "invoker");
         let request = request
             .body(Full::default())
-            .map_err(|_| HoldOutcome::NotSent)?;
+            .map_err(|_| LoadOutcome::NotSent)?;
         let of = Of::Order {
             new_work: count > 0,
         };
         self.start(now, invoker, of, Worded::alone(request))
             .map_err(|outcome| match outcome {
-                Outcome::NoConnection => HoldOutcome::Unreachable,
-                _ => HoldOutcome::NotSent,
+                Outcome::NoConnection => LoadOutcome::Unreachable,
+                _ => LoadOutcome::NotSent,
             })
     }
 
-    fn order_left(&self, order: u64) -> Option<Tenths> {
+    fn order_left(&self, order: u64) -> Option<Ticks> {
         self.jobs
             .get(&order)
             .map_or_else(|| self.orders_left.get(&order).copied(), Job::left_at)
@@ -456,7 +456,7 @@
         self.give_up(order);
     }
 
-    fn unload(&mut self, now: Tenths, invoker: InvokerId, function: FnId) {
+    fn unload(&mut self, now: Ticks, invoker: InvokerId, function: FunctionId) {
         let request = Request::builder()
             .method("DELETE")
             .uri(http::function_path(function));
@@ -465,7 +465,7 @@
         }
     }
 
-    fn probe(&mut self, now: Tenths, invoker: InvokerId) {
+    fn probe(&mut self, now: Ticks, invoker: InvokerId) {
         let request = Request::builder().uri("/busy").header("host", "invoker");
         if let Ok(request) = request.body(Full::default()) {
             let _ = self.start(now, invoker, Of::Aside, Worded::alone(request));
@@ -479,16 +479,16 @@
     state: &mut State,
     whole: bool,
     lines: &[Listing],
-    came: Tenths,
-    started: impl Fn(u64) -> Tenths,
-    grace: Tenths,
+    came: Ticks,
+    started: impl Fn(u64) -> Ticks,
+    grace: Ticks,
 ) {
     let (now, reach) = (state.desk.now, &mut state.desk.reach);
     let mut cut = Vec::new();
     if whole {
         for (w, p) in &mut reach.pools {
-            if p.life != Life::Gone && !lines.iter().any(|l| l.invoker == *w) {
-                p.life = Life::Gone;
+            if p.life != InvokerStatus::Gone && !lines.iter().any(|l| l.invoker == *w) {
+                p.life = InvokerStatus::Gone;
                 p.epoch += 1;
                 p.idle.clear();
                 cut.push(*w);
@@ -496,19 +496,19 @@
         }
     }
     for l in lines {
-        if l.life == Life::Gone && !reach.pools.contains_key(&l.invoker) {
+        if l.life == InvokerStatus::Gone && !reach.pools.contains_key(&l.invoker) {
             continue;
         }
         let pool = reach.pools.entry(l.invoker).or_insert_with(|| Pool {
             address: l.address,
             life: l.life,
-            cutoff: Rc::new(Cell::new(Tenths::MAX)),
+            cutoff: Rc::new(Cell::new(Ticks::MAX)),
             started: None,
             epoch: 0,
             idle: Vec::new(),
             under_way: 0,
         });
-        if pool.address != l.address || l.life == Life::Gone {
+        if pool.address != l.address || l.life == InvokerStatus::Gone {
             pool.epoch += 1;
             pool.idle.clear();
         }
@@ -518,8 +518,8 @@
             .started
             .filter(|(unix_ms, _)| Some(*unix_ms) == l.started_ms);
         pool.started = known.or_else(|| l.started_ms.map(|unix_ms| (unix_ms, started(unix_ms))));
-        if l.life == Life::Ready {
-            pool.cutoff.set(Tenths::MAX);
+        if l.life == InvokerStatus::Ready {
+            pool.cutoff.set(Ticks::MAX);
         } else {
             cut.push(l.invoker);
         }
@@ -530,8 +530,8 @@
             .get(&l.invoker)
             .and_then(|pool| Some(pool.started?.1))
     };
-    let listed: Vec<Listed> = lines.iter().map(|l| l.listed(start_of(l))).collect();
-    state.module.listed(now, whole, &listed);
+    let listed: Vec<InvokerRecord> = lines.iter().map(|l| l.listed(start_of(l))).collect();
+    state.module.invokers_changed(now, whole, &listed);
     for invoker in cut {
         // Half the grace is for the way and for what has begun to leave.
         let at = came + grace / 2;
@@ -549,7 +549,7 @@
     let (reach, c, held) = (
         &state.desk.reach,
         &state.desk.counts,
-        state.module.counted(),
+        state.module.table_sizes(),
     );
     info!(
         taken = c.taken,
@@ -561,14 +561,14 @@
         too_late = c.too_late,
         dispatches = c.dispatches,
         orders = c.orders,
-        orders_counted = held.orders_counted,
+        orders_counted = held.loads_counted,
         invocations_counted = held.invocations_counted,
         in_flight = state.desk.in_flight(),
         lines = reach.open.get(),
         held_bytes = reach.held.get(),
         "counts"
     );
-    for b in state.module.beliefs(state.desk.now) {
+    for b in state.module.invoker_views(state.desk.now) {
         let id = saltdrum_platform_wire::feed::id_text(b.invoker);
         let of = |j: &&Job| j.invoker == b.invoker;
         let sent = reach
@@ -586,13 +586,13 @@
         let idle = reach.pools.get(&b.invoker).map_or(0, |p| p.idle.len());
         info!(
             id,
-            out = b.out,
+            out = b.in_flight,
             sent,
             on_sockets,
             idle,
-            slow = b.slow,
-            errors = b.errors,
-            shut = b.shut,
+            slow = b.slowdown,
+            errors = b.error_rate,
+            shut = b.is_ejected,
             "belief"
         );
     }
@@ -624,5 +624,5 @@
         .for_each(|(inv, hop)| state.ended(inv, hop, Outcome::NotSent, &Told::default()));
     orders
         .into_iter()
-        .for_each(|n| state.held(invoker, n, HoldOutcome::NotSent, 0));
+        .for_each(|n| state.held(invoker, n, LoadOutcome::NotSent, 0));
 }
--- a/crates/platform/src/stalls.rs
+++ b/crates/platform/src/stalls.rs
@@ -3,8 +3,8 @@
 //! controller.
 
 use crate::crossings::{Stage, before_their_turn, http, staged, until};
-use saltdrum::port::*;
-use saltdrum_controller::Decides;
+use saltdrum::interface::*;
+use saltdrum_controller::Policy;
 use saltdrum_platform_wire::frames;
 use std::time::Duration;
 
@@ -48,19 +48,19 @@
 /// Sends all to invoker 1, to leave within 100 ms; tells of what never left by throttling.
 struct LeavesSoon;
 
-impl Decides for LeavesSoon {
-    fn listed(&mut self, _: Tenths, _: bool, _: &[Listed]) {}
-    fn invoked(&mut self, now: Tenths, call: Invocation, acts: &mut dyn Acts) {
-        acts.dispatch_by(call.id, 1, 0, now + 100 * MILLI);
+impl Policy for LeavesSoon {
+    fn invokers_changed(&mut self, _: Ticks, _: bool, _: &[InvokerRecord]) {}
+    fn invocation_arrived(&mut self, now: Ticks, call: Invocation, acts: &mut dyn Actions) {
+        acts.dispatch_by(call.id, 1, 0, now + 100 * MILLISECOND);
     }
-    fn left(&mut self, _: Tenths, _: InvId) {}
-    fn answered(&mut self, _: Tenths, a: Answer, acts: &mut dyn Acts) {
+    fn client_left(&mut self, _: Ticks, _: InvocationId) {}
+    fn attempt_ended(&mut self, _: Ticks, a: AttemptResult, acts: &mut dyn Actions) {
         if !a.finished && a.outcome.never_ran() {
-            acts.throttle(a.inv, 100);
+            acts.throttle(a.invocation, 100);
         }
     }
-    fn held(&mut self, _: Tenths, _: HoldAnswer, _: &mut dyn Acts) {}
-    fn woken(&mut self, _: Tenths, _: u64, _: &mut dyn Acts) {}
+    fn load_ended(&mut self, _: Ticks, _: LoadResult, _: &mut dyn Actions) {}
+    fn timer_fired(&mut self, _: Ticks, _: u64, _: &mut dyn Actions) {}
 }
 
 /// Found by reading: a repeat under a token was decided within its window, and left after it, as its dial was slow or the
--- a/crates/platform/src/starts/tests.rs
+++ b/crates/platform/src/starts/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
-use saltdrum::port::SECOND;
+use saltdrum::interface::SECOND;
 
 const UNIX_MS: u64 = 1_800_000_000_000;
 const HOUR_MS: i64 = 3_600_000;
 
 /// What the wall clock reads at `now` after a step by so many milliseconds.
-fn wall(now: Tenths, stepped_ms: i64) -> u64 {
-    ((UNIX_MS + now / MILLI) as i64 + stepped_ms) as u64
+fn wall(now: Ticks, stepped_ms: i64) -> u64 {
+    ((UNIX_MS + now / MILLISECOND) as i64 + stepped_ms) as u64
 }
 
 #[test]
@@ -18,7 +18,7 @@
         let (before, after, heard) = (
             now + SECOND,
             now + 4 * SECOND,
-            now + 4 * SECOND + 100 * MILLI,
+            now + 4 * SECOND + 100 * MILLISECOND,
         );
         let told_before = wall(before, 0);
         settings.seen(wall(now + 2 * SECOND, stepped_ms), now + 2 * SECOND);
@@ -39,10 +39,10 @@
 }
 
 /// A step back by less than the time since then makes a start look later, by as much: colder, never warmer.
-fn latest(started: Tenths, stepped_ms: i64, now: Tenths) -> Tenths {
-    let by_the_new = started as i64 - stepped_ms * MILLI as i64;
+fn latest(started: Ticks, stepped_ms: i64, now: Ticks) -> Ticks {
+    let by_the_new = started as i64 - stepped_ms * MILLISECOND as i64;
     if stepped_ms < 0 && by_the_new <= (now + 2 * SECOND) as i64 {
-        by_the_new as Tenths
+        by_the_new as Ticks
     } else {
         started
     }
--- a/crates/platform/src/taking.rs
+++ b/crates/platform/src/taking.rs
@@ -2,18 +2,18 @@
 
 use crate::clients::{ANY_TIME, Client, FULL_COME_BACK_MS, Reply};
 use crate::reach::{Front, State};
-use saltdrum::port::{Invocation, MILLI, Tenths};
+use saltdrum::interface::{Invocation, MILLISECOND, Ticks};
 use saltdrum_controller::desk::{Final, Owed};
-use saltdrum_transport::Backlog;
 use saltdrum_platform_wire::frames::Request;
+use saltdrum_transport::ReadBacklog;
 use std::rc::Rc;
 use tracing::{debug, info_span};
 
 /// Taken off what a client says it will wait, for the answer's way back.
-const ANSWER_MARGIN: Tenths = 10 * MILLI;
+const ANSWER_MARGIN: Ticks = 10 * MILLISECOND;
 /// A client that has not left is owed its answer for so long after its client timeout: such a one earns nothing, and
 /// without it the invocation counts as lost. Only a controller that stood still comes so late.
-const ANSWER_OWED: Tenths = 500 * MILLI;
+const ANSWER_OWED: Ticks = 500 * MILLISECOND;
 
 /// Takes an invocation that came at `earliest` or later; `Err` says why it can't be taken.
 pub(crate) fn invoke(
@@ -22,8 +22,8 @@
     client: &Rc<Client>,
     stream: u32,
     request: Request,
-    earliest: Tenths,
-    backlog: &Backlog,
+    earliest: Ticks,
+    backlog: &ReadBacklog,
 ) -> Result<(), String> {
     let (seat, desk) = (&front.seat, &mut state.desk);
     let trigger = seat
@@ -42,19 +42,19 @@
         }
         None => return Err("team: needed in this deployment".into()),
     };
-    let limit = (request.limit_ms * MILLI as f64) as Tenths;
+    let limit = (request.limit_ms * MILLISECOND as f64) as Ticks;
     if limit > stated.client_timeout {
         return Err(format!(
             "limit {}: more than the client timeout",
             request.limit_ms
         ));
     }
-    if stated.effect == saltdrum::port::Effect::Tokened && request.token.is_none() {
+    if stated.effect == saltdrum::interface::Effect::IdempotencyKey && request.token.is_none() {
         return Err("unique: needed for this verb".into());
     }
     let memory_most = seat
         .deployment
-        .kind_memory
+        .machine_memory_mb
         .iter()
         .copied()
         .fold(0.0, f64::max);
@@ -70,7 +70,7 @@
         debug!(
             txn = format_args!("{:016x}", request.txn),
             limit_ms = request.limit_ms,
-            waited_most_ms = (desk.now - earliest) / MILLI,
+            waited_most_ms = (desk.now - earliest) / MILLISECOND,
             "not taken: it may have waited for all of its time"
         );
         return Err("the client timeout is over".into());
@@ -94,24 +94,29 @@
             txn = format_args!("{txn:016x}"),
             "refused: no room for its input"
         );
-        reply.answer(0, Final::Throttled(FULL_COME_BACK_MS * MILLI), 0, ANY_TIME);
+        reply.answer(
+            0,
+            Final::Throttled(FULL_COME_BACK_MS * MILLISECOND),
+            0,
+            ANY_TIME,
+        );
         return Ok(());
     };
     let id = desk.next_inv();
     client.open.borrow_mut().insert(stream, id);
-    let tenths = |ms: f64| (ms * MILLI as f64) as Tenths;
+    let tenths = |ms: f64| (ms * MILLISECOND as f64) as Ticks;
     let invocation = Invocation {
         id,
         trigger,
         tenant,
         function: request.function,
-        came: earliest,
+        earliest_arrival: earliest,
         // Short waits keep their larger part for the work.
-        expires: gone - ANSWER_MARGIN.min(limit / 4),
+        expires_at: gone - ANSWER_MARGIN.min(limit / 4),
         work_hint: request.work_hint_ms.map(tenths),
-        memory: request.memory_mb,
-        lanes: request.lanes,
-        load_hint: request.load_ms.map(tenths),
+        memory_mb: request.memory_mb,
+        concurrency_limit: request.lanes,
+        load_time_hint: request.load_ms.map(tenths),
     };
     let span = info_span!("invocation", id, txn = format_args!("{txn:016x}"));
     span.in_scope(|| {
@@ -119,7 +124,7 @@
             trigger,
             function = format_args!("{:016x}", invocation.function),
             limit_ms = request.limit_ms,
-            waited_most_ms = (desk.now - earliest) / MILLI,
+            waited_most_ms = (desk.now - earliest) / MILLISECOND,
             "taken"
         );
     });
--- a/crates/platform/src/tests.rs
+++ b/crates/platform/src/tests.rs
@@ -5,18 +5,18 @@
 use crate::reach::{Front, Sizes};
 use crate::starts::WallClock;
 use bytes::Bytes;
-use saltdrum::port::*;
-use saltdrum_controller::{Decides, Make, by_design};
-use saltdrum_scenario::State as Kept;
-use saltdrum_scenario::check::{check, outputs_of_others, sent_on_after_leaving};
-use saltdrum_transport::{Address, Clock, Memory, Network};
-use saltdrum_platform_wire::config;
-use saltdrum_platform_wire::feed::Event;
-use saltdrum_platform_wire::frames::{self, Code};
+use saltdrum::interface::*;
+use saltdrum_controller::{MakePolicy, Policy, dispatch_policy};
 use saltdrum_fakes::platform::{
     Answered, Call, Feed, FrameClient, Heard, HttpInvoker, Spoilt, Torn, listing,
 };
 use saltdrum_fakes::record::{Line, Place, Record, Stated, Trigger, Who};
+use saltdrum_platform_wire::config;
+use saltdrum_platform_wire::feed::Event;
+use saltdrum_platform_wire::frames::{self, Code};
+use saltdrum_scenario::State as Kept;
+use saltdrum_scenario::check::{check, outputs_of_others, sent_on_after_leaving};
+use saltdrum_transport::{Address, Clock, MemoryNetwork, Network};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -35,7 +35,7 @@
 /// A wall clock that reads `UNIX_MS` now and runs as the other does.
 pub(crate) fn wall_clock(clock: Clock) -> WallClock {
     let began = clock.now();
-    Rc::new(move || UNIX_MS + (clock.now() - began) / MILLI)
+    Rc::new(move || UNIX_MS + (clock.now() - began) / MILLISECOND)
 }
 
 const TAKES: Duration = Duration::from_millis(40);
@@ -127,7 +127,7 @@
             })
             .collect(),
         parallel_dispatches: false,
-        drain_grace: 250 * MILLI,
+        drain_grace: 250 * MILLISECOND,
         cold_share: 0.3,
         cold_time: 8 * SECOND,
         tip_factor: 2.0,
@@ -151,13 +151,14 @@
 }
 
 impl Stage {
-    pub async fn new(make: Make, invokers: &[u32], sockets: usize) -> Self {
+    pub async fn new(make: MakePolicy, invokers: &[u32], sockets: usize) -> Self {
         Self::with(make, invokers, &configuration(invokers, sockets)).await
     }
 
     /// With a configuration of its own.
-    pub async fn with(make: Make, invokers: &[u32], text: &str) -> Self {
-        let (network, clock): (Rc<dyn Network>, _) = (Rc::new(Memory::default()), Clock::start());
+    pub async fn with(make: MakePolicy, invokers: &[u32], text: &str) -> Self {
+        let (network, clock): (Rc<dyn Network>, _) =
+            (Rc::new(MemoryNetwork::default()), Clock::start());
         let (record, hops) = (Record::default(), Rc::default());
         record.note(stated());
         let feed = Feed::new(WHO, record.clone(), clock);
@@ -255,35 +256,35 @@
 }
 
 /// What is dispatched for it is cancelled in the same turn.
-const TAKEN_BACK: FnId = 0xbac;
+const TAKEN_BACK: FunctionId = 0xbac;
 
 /// Sends everything to invoker 1 and answers by what came of it; keeps what it was told.
 pub(crate) struct First;
 
-pub(crate) fn first(_: Tenths, _: Deployment, _: u64, _: &mut dyn Acts) -> Box<dyn Decides> {
+pub(crate) fn first(_: Ticks, _: Deployment, _: u64, _: &mut dyn Actions) -> Box<dyn Policy> {
     TOLD.take();
     Box::new(First)
 }
 
-impl Decides for First {
-    fn listed(&mut self, _: Tenths, _: bool, _: &[Listed]) {}
-    fn invoked(&mut self, _: Tenths, call: Invocation, acts: &mut dyn Acts) {
+impl Policy for First {
+    fn invokers_changed(&mut self, _: Ticks, _: bool, _: &[InvokerRecord]) {}
+    fn invocation_arrived(&mut self, _: Ticks, call: Invocation, acts: &mut dyn Actions) {
         acts.dispatch(call.id, 1, 0);
         if call.function == TAKEN_BACK {
             acts.cancel(call.id, 0);
         }
     }
-    fn left(&mut self, _: Tenths, _: InvId) {}
-    fn answered(&mut self, _: Tenths, a: Answer, acts: &mut dyn Acts) {
+    fn client_left(&mut self, _: Ticks, _: InvocationId) {}
+    fn attempt_ended(&mut self, _: Ticks, a: AttemptResult, acts: &mut dyn Actions) {
         TOLD.with_borrow_mut(|told| told.push((a.outcome, a.finished)));
         match a.finished {
             true => {}
-            false if a.outcome.never_ran() => acts.throttle(a.inv, 100),
-            false => acts.error(a.inv),
+            false if a.outcome.never_ran() => acts.throttle(a.invocation, 100),
+            false => acts.error(a.invocation),
         }
     }
-    fn held(&mut self, _: Tenths, _: HoldAnswer, _: &mut dyn Acts) {}
-    fn woken(&mut self, _: Tenths, _: u64, _: &mut dyn Acts) {}
+    fn load_ended(&mut self, _: Ticks, _: LoadResult, _: &mut dyn Actions) {}
+    fn timer_fired(&mut self, _: Ticks, _: u64, _: &mut dyn Actions) {}
 }
 
 pub(crate) async fn answer(client: &mut FrameClient) -> Answered {
@@ -402,7 +403,7 @@
         // Listed, but nobody listens there.
         stage.feed.say(
             2,
-            Event::Changes(vec![listing(1, invoker_at(9), Life::Ready, None)]),
+            Event::Changes(vec![listing(1, invoker_at(9), InvokerStatus::Ready, None)]),
         );
         pass(10).await;
         client.ask(&stage.call("book")).await;
@@ -646,7 +647,7 @@
 #[test]
 fn strangers_are_answered_or_closed_in_time_and_harm_nobody() {
     staged(|| async {
-        let stage = Stage::new(by_design, &[1, 2], 256).await;
+        let stage = Stage::new(dispatch_policy, &[1, 2], 256).await;
         let mut usual = stage.client().await;
         for (n, lie) in lies().into_iter().enumerate() {
             let mut client = stage.client().await;
@@ -734,7 +735,7 @@
 #[test]
 fn who_is_left_by_its_client_is_given_up_at_the_invoker() {
     staged(|| async {
-        let stage = Stage::new(by_design, &[1], 256).await;
+        let stage = Stage::new(dispatch_policy, &[1], 256).await;
         let mut client = stage.client().await;
         client.ask(&stage.call("look")).await;
         answer(&mut client).await;
@@ -763,12 +764,12 @@
         Torn::Length,
     ] {
         staged(|| async move {
-            let mut stage = Stage::new(by_design, &[1], 256).await;
+            let mut stage = Stage::new(dispatch_policy, &[1], 256).await;
             stage.invoker(2, invoker_at(2));
             pass(1_500).await;
             stage.feed.torn.set(torn);
-            let one = listing(1, invoker_at(1), Life::Draining, None);
-            let two = listing(2, invoker_at(2), Life::Ready, LONG_PAST_MS);
+            let one = listing(1, invoker_at(1), InvokerStatus::Draining, None);
+            let two = listing(2, invoker_at(2), InvokerStatus::Ready, LONG_PAST_MS);
             stage.feed.say(2, Event::Changes(vec![one]));
             stage.feed.say(3, Event::Changes(vec![two]));
             pass(3_500).await;
@@ -793,7 +794,7 @@
 #[test]
 fn the_feed_is_followed_where_a_new_configuration_puts_it() {
     staged(|| async {
-        let mut stage = Stage::new(by_design, &[1], 256).await;
+        let mut stage = Stage::new(dispatch_policy, &[1], 256).await;
         stage.invoker(2, invoker_at(2));
         let moved = Feed::new(WHO, stage.record.clone(), stage.clock);
         spawn_local(moved.clone().serve(stage.network.clone(), feed_at(2)));
@@ -801,11 +802,16 @@
         stage.front.seat.feed.moves(feed_at(2));
         moved.say(
             2,
-            Event::Changes(vec![listing(1, invoker_at(1), Life::Gone, None)]),
+            Event::Changes(vec![listing(1, invoker_at(1), InvokerStatus::Gone, None)]),
         );
         moved.say(
             3,
-            Event::Changes(vec![listing(2, invoker_at(2), Life::Ready, LONG_PAST_MS)]),
+            Event::Changes(vec![listing(
+                2,
+                invoker_at(2),
+                InvokerStatus::Ready,
+                LONG_PAST_MS,
+            )]),
         );
         pass(600).await;
         assert_eq!(*moved.asked.borrow(), [1]);
@@ -819,18 +825,23 @@
 #[test]
 fn an_address_that_passed_to_a_new_id_gets_a_connection_of_its_own() {
     staged(|| async {
-        let stage = Stage::new(by_design, &[1], 256).await;
+        let stage = Stage::new(dispatch_policy, &[1], 256).await;
         let mut client = stage.client().await;
         client.ask(&stage.call("look")).await;
         answer(&mut client).await;
         let before = stage.invokers[&1].accepted.get();
         stage.feed.say(
             2,
-            Event::Changes(vec![listing(1, invoker_at(1), Life::Gone, None)]),
+            Event::Changes(vec![listing(1, invoker_at(1), InvokerStatus::Gone, None)]),
         );
         stage.feed.say(
             3,
-            Event::Changes(vec![listing(7, invoker_at(1), Life::Ready, LONG_PAST_MS)]),
+            Event::Changes(vec![listing(
+                7,
+                invoker_at(1),
+                InvokerStatus::Ready,
+                LONG_PAST_MS,
+            )]),
         );
         pass(50).await;
         assert_eq!(
@@ -848,13 +859,13 @@
 #[test]
 fn nothing_grows_with_what_was_ever_seen() {
     staged(|| async {
-        let mut stage = Stage::new(by_design, &[1], 256).await;
+        let mut stage = Stage::new(dispatch_policy, &[1], 256).await;
         let mut number = 1;
         for round in 0..300u32 {
             let (old, new) = (round * 10 + 1, (round + 1) * 10 + 1);
-            let changes =
-                (0..10).map(|i| listing(new + i, invoker_at(1), Life::Ready, LONG_PAST_MS));
-            let gone = (0..10).map(|i| listing(old + i, invoker_at(1), Life::Gone, None));
+            let changes = (0..10)
+                .map(|i| listing(new + i, invoker_at(1), InvokerStatus::Ready, LONG_PAST_MS));
+            let gone = (0..10).map(|i| listing(old + i, invoker_at(1), InvokerStatus::Gone, None));
             number += 1;
             stage
                 .feed
@@ -890,7 +901,7 @@
 #[test]
 fn what_is_believed_to_be_out_is_at_the_invokers() {
     staged(|| async {
-        let stage = Stage::new(by_design, &[1, 2], 256).await;
+        let stage = Stage::new(dispatch_policy, &[1, 2], 256).await;
         let mut client = stage.client().await;
         let asked = |w: u32| {
             let arrived = stage.invokers[&w].arrived.borrow();
@@ -908,14 +919,14 @@
             client.ask(&stage.call("look")).await;
         }
         pass(10).await;
-        let beliefs = stage.front.see(|s| s.module.beliefs(s.desk.now));
-        let out: Vec<usize> = beliefs.iter().map(|b| b.out as usize).collect();
+        let beliefs = stage.front.see(|s| s.module.invoker_views(s.desk.now));
+        let out: Vec<usize> = beliefs.iter().map(|b| b.in_flight as usize).collect();
         assert_eq!(out, [asked(1) - before[0], asked(2) - before[1]]);
         assert_eq!(out.iter().sum::<usize>(), 9);
-        assert!(beliefs.iter().all(|b| !b.shut && b.errors == 0.0));
+        assert!(beliefs.iter().all(|b| !b.is_ejected && b.error_rate == 0.0));
         pass(200).await;
-        let beliefs = stage.front.see(|s| s.module.beliefs(s.desk.now));
-        assert!(beliefs.iter().all(|b| b.out == 0), "{beliefs:?}");
+        let beliefs = stage.front.see(|s| s.module.invoker_views(s.desk.now));
+        assert!(beliefs.iter().all(|b| b.in_flight == 0), "{beliefs:?}");
     });
 }
 
@@ -923,7 +934,7 @@
 #[test]
 fn what_is_given_up_after_a_wait_is_forgotten_as_well() {
     staged(|| async {
-        let stage = Stage::new(by_design, &[1, 2], 256).await;
+        let stage = Stage::new(dispatch_policy, &[1, 2], 256).await;
         stage
             .invokers
             .values()
@@ -952,7 +963,7 @@
 #[test]
 fn a_low_limit_on_descriptors_holds_in_a_crowd() {
     staged(|| async {
-        let stage = Stage::new(by_design, &[1, 2], 64).await;
+        let stage = Stage::new(dispatch_policy, &[1, 2], 64).await;
         let budget = stage.front.seat.budget;
         stage
             .invokers
@@ -989,7 +1000,7 @@
 #[test]
 fn told_to_end_it_takes_what_still_comes_and_answers_all() {
     staged(|| async {
-        let stage = Stage::new(by_design, &[1, 2], 256).await;
+        let stage = Stage::new(dispatch_policy, &[1, 2], 256).await;
         let mut old = stage.client().await;
         old.ask(&stage.call("look")).await;
         pass(5).await;
@@ -1049,12 +1060,22 @@
         if round == rounds / 2 {
             stage.feed.say(
                 2,
-                Event::Changes(vec![listing(1, invoker_at(1), Life::Draining, None)]),
+                Event::Changes(vec![listing(
+                    1,
+                    invoker_at(1),
+                    InvokerStatus::Draining,
+                    None,
+                )]),
             );
             let started = Some(UNIX_MS + stage.clock.now() / 10 - 3_600_000);
             stage.feed.say(
                 3,
-                Event::Changes(vec![listing(3, invoker_at(3), Life::Ready, started)]),
+                Event::Changes(vec![listing(
+                    3,
+                    invoker_at(3),
+                    InvokerStatus::Ready,
+                    started,
+                )]),
             );
         }
         let _ = tokio::time::timeout(Duration::from_millis(60), async {
@@ -1071,7 +1092,7 @@
 #[test]
 fn the_five_rules_hold_on_the_traffic_of_bad_peers() {
     staged(|| async {
-        let mut stage = Stage::new(by_design, &[1, 2], 256).await;
+        let mut stage = Stage::new(dispatch_policy, &[1, 2], 256).await;
         stage.invoker(3, invoker_at(3));
         busy(&stage, 120).await;
         let arrived: usize = stage
@@ -1097,12 +1118,12 @@
     static RASH: Cell<Rash> = const { Cell::new(Rash::RunsAgain) };
 }
 
-impl Decides for Rash {
-    fn listed(&mut self, _: Tenths, _: bool, _: &[Listed]) {}
-    fn invoked(&mut self, _: Tenths, call: Invocation, acts: &mut dyn Acts) {
+impl Policy for Rash {
+    fn invokers_changed(&mut self, _: Ticks, _: bool, _: &[InvokerRecord]) {}
+    fn invocation_arrived(&mut self, _: Ticks, call: Invocation, acts: &mut dyn Actions) {
         match self {
             Self::AnswersNothing => return,
-            Self::OrdersAtWill => (0..4).for_each(|_| acts.hold(2, call.function, 1)),
+            Self::OrdersAtWill => (0..4).for_each(|_| acts.load(2, call.function, 1)),
             Self::RunsAgain | Self::FloodsColdOnes => {}
         }
         acts.dispatch(
@@ -1111,16 +1132,16 @@
             0,
         );
     }
-    fn left(&mut self, _: Tenths, _: InvId) {}
-    fn answered(&mut self, _: Tenths, a: Answer, acts: &mut dyn Acts) {
-        if !a.finished && *self == Self::RunsAgain && a.hop == 0 {
-            acts.dispatch(a.inv, 1, 0);
+    fn client_left(&mut self, _: Ticks, _: InvocationId) {}
+    fn attempt_ended(&mut self, _: Ticks, a: AttemptResult, acts: &mut dyn Actions) {
+        if !a.finished && *self == Self::RunsAgain && a.attempt == 0 {
+            acts.dispatch(a.invocation, 1, 0);
         } else if !a.finished {
-            acts.error(a.inv);
+            acts.error(a.invocation);
         }
     }
-    fn held(&mut self, _: Tenths, _: HoldAnswer, _: &mut dyn Acts) {}
-    fn woken(&mut self, _: Tenths, _: u64, _: &mut dyn Acts) {}
+    fn load_ended(&mut self, _: Ticks, _: LoadResult, _: &mut dyn Actions) {}
+    fn timer_fired(&mut self, _: Ticks, _: u64, _: &mut dyn Actions) {}
 }
 
 #[test]
@@ -1179,9 +1200,9 @@
     for (after, caught) in [(100, false), (101, true)] {
         let (of, at) = (
             saltdrum_fakes::record::Try { n: 1, attempt: 0 },
-            1_000 * MILLI,
+            1_000 * MILLISECOND,
         );
-        let sent_on = at + after * MILLI;
+        let sent_on = at + after * MILLISECOND;
         let (invoker, invocation, hop, trigger) = (1, 1, 0, "look".to_owned());
         let lines = [
             stated(),
@@ -1209,7 +1230,7 @@
 #[test]
 fn the_checker_catches_a_limit_that_is_too_long() {
     staged(|| async {
-        let stage = Stage::new(by_design, &[1], 256).await;
+        let stage = Stage::new(dispatch_policy, &[1], 256).await;
         let mut client = stage.client().await;
         let call = stage.call("look");
         client.ask(&call).await;
@@ -1268,7 +1289,12 @@
         let started = Some(UNIX_MS);
         stage.feed.say(
             2,
-            Event::Changes(vec![listing(3, invoker_at(3), Life::Ready, started)]),
+            Event::Changes(vec![listing(
+                3,
+                invoker_at(3),
+                InvokerStatus::Ready,
+                started,
+            )]),
         );
         pass(20).await;
         let mut client = stage.client().await;
@@ -1286,7 +1312,7 @@
                     trigger: "look".into(),
                     function: String::new(),
                     timeout: 20_000,
-                    work: 40 * MILLI,
+                    work: 40 * MILLISECOND,
                 });
                 client.ask(&call).await;
             }
--- a/crates/registry/examples/cost.rs
+++ b/crates/registry/examples/cost.rs
@@ -10,7 +10,6 @@
 
 use redb::{Database, TableDefinition};
 use saltdrum_layers::Digest;
-use saltdrum_transport::{Address, Clock, Network, Sockets};
 use saltdrum_registry::book::{Change, Version};
 use saltdrum_registry::call::Caller;
 use saltdrum_registry::follow::{Following, Heard, follow};
@@ -18,6 +17,7 @@
 use saltdrum_registry::service::{Registry, found};
 use saltdrum_registry::store::Asked;
 use saltdrum_registry::{Name, Namespace, Store};
+use saltdrum_transport::{Address, Clock, Network, SocketNetwork};
 use serde_json::json;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -169,7 +169,7 @@
         .build()
         .expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
-        let network: Rc<dyn Network> = Rc::new(Sockets);
+        let network: Rc<dyn Network> = Rc::new(SocketNetwork);
         let at = Address::Unix(
             folder
                 .path()
--- a/crates/registry/src/call.rs
+++ b/crates/registry/src/call.rs
@@ -1,8 +1,8 @@
 //! The administrator's side of the socket: one call after another.
 
 use bytes::BytesMut;
-use saltdrum_transport::{Address, Network, Stream};
 use saltdrum_protocol::rpc::ReplyError;
+use saltdrum_transport::{Address, Network, Stream};
 use serde::Deserialize;
 use serde_json::{Value as Json, json};
 use std::rc::Rc;
--- a/crates/registry/src/collection.rs
+++ b/crates/registry/src/collection.rs
@@ -1,12 +1,12 @@
 //! The registry as a resource of the fleet's lease of its collection: sealed to one epoch, and collected by its holder alone.
 
 use crate::service::Registry;
+use saltdrum_coordinator::caller::Caller;
+use saltdrum_coordinator::server::{Answers, Refused, said};
 use saltdrum_fleet::lease::{Epoch, LeaseName};
 use saltdrum_leases::messages::{Effect, REJECTED, Seal, Sealed, UNWRITABLE, rejection_text};
 use saltdrum_leases::{Guard, SealStore};
 use saltdrum_protocol::rpc::{self, Call};
-use saltdrum_coordinator::caller::Caller;
-use saltdrum_coordinator::server::{Answers, Refused, said};
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 use std::rc::Rc;
--- a/crates/registry/src/gc.rs
+++ b/crates/registry/src/gc.rs
@@ -62,7 +62,7 @@
         self.leases.remove(&lease);
     }
 
-    /// Looks at all that is there, and gives what may go: neither named by a manifest that counts nor leased for all of
+    /// PollTimes at all that is there, and gives what may go: neither named by a manifest that counts nor leased for all of
     /// the grace, which is longer than the longest load.
     pub fn collect(
         &mut self,
--- a/crates/registry/src/service.rs
+++ b/crates/registry/src/service.rs
@@ -10,8 +10,8 @@
 use crate::{blobs, keys};
 use bytes::{Bytes, BytesMut};
 use saltdrum_layers::Digest;
-use saltdrum_transport::{Address, Clock, Half, Listener, Network, Outbox, Stream, halves};
 use saltdrum_protocol::rpc::{self, Call, Id, Line};
+use saltdrum_transport::{Address, Clock, Half, Listener, Network, SendQueue, Stream, halves};
 use serde::Deserialize;
 use serde_json::{Value as Json, json};
 use std::cell::{Cell, RefCell};
@@ -177,7 +177,7 @@
 
 /// One connection.
 struct Caller {
-    outbox: Outbox,
+    outbox: SendQueue,
     key: RefCell<Option<Name>>,
     cut: Notify,
 }
@@ -380,7 +380,7 @@
 
     async fn hear(self: Rc<Self>, stream: Stream, clock: Clock) {
         let (input, mut output) = halves(stream);
-        let outbox = Outbox::new(UNREAD_MOST_BYTES);
+        let outbox = SendQueue::new(UNREAD_MOST_BYTES);
         let caller = Rc::new(Caller {
             outbox,
             key: RefCell::default(),
--- a/crates/registry/tests/all/service.rs
+++ b/crates/registry/tests/all/service.rs
@@ -2,12 +2,12 @@
 
 use crate::support::disk::Disk;
 use crate::support::{moves, name, push};
-use saltdrum_transport::{Address, Clock, Memory, Network};
 use saltdrum_registry::book::{Change, Role, Stage};
 use saltdrum_registry::call::{Caller, Fault};
 use saltdrum_registry::follow::{Copy, Following, Heard, follow};
 use saltdrum_registry::service::{DENIED, REFUSED, Registry, found};
 use saltdrum_registry::{Head, Namespace, Store, keys};
+use saltdrum_transport::{Address, Clock, MemoryNetwork, Network};
 use serde_json::{Value as Json, json};
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -43,7 +43,7 @@
         let disk = Disk::default();
         let mut store = Store::open("disk".into(), disk.opens()).unwrap();
         let key = found(&mut store, &name("anna"), [7; 32], 0).unwrap();
-        let network: Rc<dyn Network> = Rc::new(Memory::default());
+        let network: Rc<dyn Network> = Rc::new(MemoryNetwork::default());
         let at = Address::Memory("registry".into());
         let registry = Registry::new(store, None, hour());
         let mut site = Site {
--- a/crates/scale/src/controller.rs
+++ b/crates/scale/src/controller.rs
@@ -1,12 +1,12 @@
 //! A hollow controller: the real module under the real desk; what crosses no socket ends after a drawn time.
 
-use crate::meter::{Turns, TurnsTold, resident_bytes, thread_cpu_ns};
+use crate::meter::{EventLoopClock, TurnsTold, resident_bytes, thread_cpu_ns};
 use crate::world::{Load, Popularity, World, ZONES, deployment, line};
-use saltdrum::Controller;
-use saltdrum::port::*;
-use saltdrum_controller::Decides;
+use saltdrum::DispatchPolicy;
+use saltdrum::interface::*;
+use saltdrum_controller::Policy;
 use saltdrum_controller::desk::{Desk, Final, Front, Owed, Reach, Sending, Told};
-use saltdrum_transport::{Clock, Memory};
+use saltdrum_transport::{Clock, MemoryNetwork};
 use serde::Serialize;
 use std::cell::RefCell;
 use std::rc::{Rc, Weak};
@@ -68,12 +68,12 @@
 
 #[derive(Default)]
 struct Tally {
-    whole: Turns,
-    listed: Turns,
-    invoked: Turns,
-    answered: Turns,
-    timers: Turns,
-    held: Turns,
+    whole: EventLoopClock,
+    listed: EventLoopClock,
+    invoked: EventLoopClock,
+    answered: EventLoopClock,
+    timers: EventLoopClock,
+    held: EventLoopClock,
     succeeded: u64,
 }
 
@@ -93,12 +93,16 @@
 
 /// The module, with the processor time of each of its turns noted.
 struct Metered {
-    inner: Rc<RefCell<Controller>>,
+    inner: Rc<RefCell<DispatchPolicy>>,
     tally: Rc<RefCell<Tally>>,
 }
 
 impl Metered {
-    fn turn(&mut self, of: fn(&mut Tally) -> &mut Turns, then: impl FnOnce(&mut Controller)) {
+    fn turn(
+        &mut self,
+        of: fn(&mut Tally) -> &mut EventLoopClock,
+        then: impl FnOnce(&mut DispatchPolicy),
+    ) {
         let begun = thread_cpu_ns();
         then(&mut self.inner.borrow_mut());
         let took = thread_cpu_ns() - begun;
@@ -106,29 +110,32 @@
     }
 }
 
-impl Decides for Metered {
-    fn listed(&mut self, now: Tenths, whole: bool, entries: &[Listed]) {
-        let of: fn(&mut Tally) -> &mut Turns = if whole {
+impl Policy for Metered {
+    fn invokers_changed(&mut self, now: Ticks, whole: bool, entries: &[InvokerRecord]) {
+        let of: fn(&mut Tally) -> &mut EventLoopClock = if whole {
             |t| &mut t.whole
         } else {
             |t| &mut t.listed
         };
-        self.turn(of, |c| c.listed(now, whole, entries));
+        self.turn(of, |c| c.invokers_changed(now, whole, entries));
     }
-    fn invoked(&mut self, now: Tenths, call: Invocation, acts: &mut dyn Acts) {
-        self.turn(|t| &mut t.invoked, |c| c.invoked(now, call, acts));
+    fn invocation_arrived(&mut self, now: Ticks, call: Invocation, acts: &mut dyn Actions) {
+        self.turn(
+            |t| &mut t.invoked,
+            |c| c.invocation_arrived(now, call, acts),
+        );
     }
-    fn left(&mut self, now: Tenths, id: InvId) {
-        self.inner.borrow_mut().left(now, id);
+    fn client_left(&mut self, now: Ticks, id: InvocationId) {
+        self.inner.borrow_mut().client_left(now, id);
     }
-    fn answered(&mut self, now: Tenths, a: Answer, acts: &mut dyn Acts) {
-        self.turn(|t| &mut t.answered, |c| c.answered(now, a, acts));
+    fn attempt_ended(&mut self, now: Ticks, a: AttemptResult, acts: &mut dyn Actions) {
+        self.turn(|t| &mut t.answered, |c| c.attempt_ended(now, a, acts));
     }
-    fn held(&mut self, now: Tenths, a: HoldAnswer, acts: &mut dyn Acts) {
-        self.turn(|t| &mut t.held, |c| c.held(now, a, acts));
+    fn load_ended(&mut self, now: Ticks, a: LoadResult, acts: &mut dyn Actions) {
+        self.turn(|t| &mut t.held, |c| c.load_ended(now, a, acts));
     }
-    fn woken(&mut self, now: Tenths, token: u64, acts: &mut dyn Acts) {
-        self.turn(|t| &mut t.timers, |c| c.woken(now, token, acts));
+    fn timer_fired(&mut self, now: Ticks, token: u64, acts: &mut dyn Actions) {
+        self.turn(|t| &mut t.timers, |c| c.timer_fired(now, token, acts));
     }
 }
 
@@ -143,16 +150,16 @@
 struct Counts(Rc<RefCell<Tally>>);
 
 impl Owed for Counts {
-    fn answer(self, _: InvId, how: Final, _: u8, _: Tenths) {
+    fn answer(self, _: InvocationId, how: Final, _: u8, _: Ticks) {
         self.0.borrow_mut().succeeded += u64::from(matches!(how, Final::Succeeded(_)));
     }
-    fn drop_out(self, _: InvId) {}
+    fn drop_out(self, _: InvocationId) {}
 }
 
 impl Hollow {
     fn after(
         &mut self,
-        takes: Tenths,
+        takes: Ticks,
         then: impl FnOnce(&mut saltdrum_controller::desk::State<Self>) + 'static,
     ) {
         let Some(front) = self.front.upgrade() else {
@@ -189,21 +196,21 @@
     fn ended(&mut self, _: InvokerId, _: u64, (): &(), _: Outcome, _: &Told) {}
     fn hold(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         invoker: InvokerId,
-        function: FnId,
+        function: FunctionId,
         _: u8,
-    ) -> Result<u64, HoldOutcome> {
+    ) -> Result<u64, LoadOutcome> {
         self.last += 1;
         let (order, takes) = (self.last, self.world.ordered(now, invoker, function));
         self.after(takes, move |state| {
-            state.held(invoker, order, HoldOutcome::Standing, 1)
+            state.held(invoker, order, LoadOutcome::Loaded, 1)
         });
         Ok(order)
     }
     fn held(&mut self, _: InvokerId, _: u64) {}
-    fn unload(&mut self, _: Tenths, _: InvokerId, _: FnId) {}
-    fn probe(&mut self, _: Tenths, _: InvokerId) {}
+    fn unload(&mut self, _: Ticks, _: InvokerId, _: FunctionId) {}
+    fn probe(&mut self, _: Ticks, _: InvokerId) {}
 }
 
 /// The list as the platform's feed would carry it: bytes of a whole one, and of an event with one line.
@@ -215,7 +222,7 @@
         zone: (w % u32::from(ZONES)) as u8,
         kind: 0,
         cell: 0,
-        life: Life::Ready,
+        life: InvokerStatus::Ready,
         size: 4.0,
         started_ms: None,
     };
@@ -233,13 +240,13 @@
 
 impl List {
     /// One goes and another comes, cold.
-    fn replaced(&mut self, now: Tenths) -> Vec<Listed> {
+    fn replaced(&mut self, now: Ticks) -> Vec<InvokerRecord> {
         let i = self.rng.usize(..self.ready.len());
         let gone = std::mem::replace(&mut self.ready[i], self.next);
         self.next += 1;
         vec![
-            line(gone, Life::Gone, None),
-            line(self.next - 1, Life::Ready, Some(now)),
+            line(gone, InvokerStatus::Gone, None),
+            line(self.next - 1, InvokerStatus::Ready, Some(now)),
         ]
     }
 
@@ -276,7 +283,7 @@
         last: 0,
     };
     let mut desk = Desk::new(clock.now(), hollow, &d, 2 * SECOND);
-    let inner = Rc::new(RefCell::new(Controller::new(
+    let inner = Rc::new(RefCell::new(DispatchPolicy::new(
         clock.now(),
         d,
         load.seed,
@@ -290,7 +297,7 @@
         module,
         desk,
         clock,
-        Rc::new(Memory::default()),
+        Rc::new(MemoryNetwork::default()),
         (),
     ));
     front.tell(|s| s.desk.reach.front = Rc::downgrade(&front));
@@ -299,12 +306,12 @@
         next: load.invokers + 1,
         rng: fastrand::Rng::with_seed(load.seed ^ 0x115),
     };
-    let whole: Vec<Listed> = list
+    let whole: Vec<InvokerRecord> = list
         .ready
         .iter()
-        .map(|w| line(*w, Life::Ready, None))
+        .map(|w| line(*w, InvokerStatus::Ready, None))
         .collect();
-    front.tell(|s| s.module.listed(s.desk.now, true, &whole));
+    front.tell(|s| s.module.invokers_changed(s.desk.now, true, &whole));
     drop(whole);
     let timers = front.clone();
     spawn_local(async move { timers.run_timers().await });
@@ -321,7 +328,7 @@
         end - course.load_s * SECOND / 4,
     );
     if !course.zone {
-        (zone_goes, zone_back) = (Tenths::MAX, Tenths::MAX);
+        (zone_goes, zone_back) = (Ticks::MAX, Ticks::MAX);
     }
     let mut half = Some(begun + course.load_s * SECOND / 2);
     let mut id = 0;
@@ -330,21 +337,24 @@
         let now = clock.now();
         if now >= event {
             let lines = list.replaced(now);
-            front.tell(|s| s.module.listed(s.desk.now, false, &lines));
+            front.tell(|s| s.module.invokers_changed(s.desk.now, false, &lines));
             front.tell(|s| s.desk.reach.world.sweep(s.desk.now));
             event += course.event_every_s * SECOND;
             row.list_events += 1;
         }
-        for (at, life) in [(&mut zone_goes, Life::Gone), (&mut zone_back, Life::Ready)] {
+        for (at, life) in [
+            (&mut zone_goes, InvokerStatus::Gone),
+            (&mut zone_back, InvokerStatus::Ready),
+        ] {
             if now >= *at {
-                *at = Tenths::MAX;
-                let started = (life == Life::Ready).then_some(now);
-                let lines: Vec<Listed> = list
+                *at = Ticks::MAX;
+                let started = (life == InvokerStatus::Ready).then_some(now);
+                let lines: Vec<InvokerRecord> = list
                     .zone()
                     .into_iter()
                     .map(|w| line(w, life, started))
                     .collect();
-                front.tell(|s| s.module.listed(s.desk.now, false, &lines));
+                front.tell(|s| s.module.invokers_changed(s.desk.now, false, &lines));
                 row.list_events += 1;
             }
         }
@@ -361,18 +371,18 @@
             trigger: 0,
             tenant: 0,
             function: popularity.draw(&mut rng),
-            came: now,
-            expires: now + 3 * SECOND - 10 * MILLI,
+            earliest_arrival: now,
+            expires_at: now + 3 * SECOND - 10 * MILLISECOND,
             work_hint: None,
-            memory: 300.0,
-            lanes: 2.0,
-            load_hint: Some(500 * MILLI),
+            memory_mb: 300.0,
+            concurrency_limit: 2.0,
+            load_time_hint: Some(500 * MILLISECOND),
         };
         let owed = Counts(tally.clone());
         front.tell(|s| s.taken(invocation, now + 3 * SECOND, (), owed, Span::none()));
         next += ((-(1.0 - rng.f64()).ln()) * SECOND as f64 / load.rate)
             .round()
-            .max(1.0) as Tenths;
+            .max(1.0) as Ticks;
     }
     let cpu_ns = thread_cpu_ns() - began_cpu;
     row.memory_mb = resident_bytes().saturating_sub(before) as f64 / 1_048_576.0;
@@ -395,8 +405,8 @@
         row.us_an_invocation = cpu_ns as f64 / 1e3 / f64::from(id.max(1));
         row.module_us_an_invocation = t.total_ns() as f64 / 1e3 / f64::from(id.max(1));
         row.succeeded = t.succeeded;
-        let c = inner.borrow().counted();
-        (row.functions_held, row.places_held) = (c.functions, c.places);
+        let c = inner.borrow().table_sizes();
+        (row.functions_held, row.places_held) = (c.functions, c.instances);
         (row.ranked_held, row.rank_steps) = (c.ranked, c.rank_steps);
     }
     if course.quiet_s > 0 {
--- a/crates/scale/src/members.rs
+++ b/crates/scale/src/members.rs
@@ -4,20 +4,20 @@
 use crate::meter::thread_cpu_ns;
 use redb::StorageBackend;
 use redb::backends::InMemoryBackend;
-use saltdrum::port::{MILLI, SECOND, Tenths};
-use saltdrum_simulated_network::{Ether, Line as Wire, Lines};
+use saltdrum::interface::{MILLISECOND, SECOND, Ticks};
+use saltdrum_coordinator::caller::Caller;
+use saltdrum_coordinator::disk::{Disk, Identity, SCHEMA};
+use saltdrum_coordinator::wire::{Changed, Changes};
+use saltdrum_coordinator::{CoordinatorConfig, FleetTerms, MemberRole, Membership, join, service};
 use saltdrum_fleet::change::Change;
 use saltdrum_fleet::fleet::{About, Fleet, Kind, Member, MemberId, Phase};
 use saltdrum_fleet::lease::{LeaseName, LeaseState, LeaseTerms};
 use saltdrum_fleet::next::Seen;
 use saltdrum_fleet::register::{Config, Voter};
-use saltdrum_transport::{Address, Clock, Listener, Network, Stream, Turns};
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::list::{Follow, FromList};
-use saltdrum_coordinator::caller::Caller;
-use saltdrum_coordinator::disk::{Disk, Identity, SCHEMA};
-use saltdrum_coordinator::wire::{Changed, Changes};
-use saltdrum_coordinator::{CoordinatorConfig, FleetTerms, MemberRole, Membership, join, service};
+use saltdrum_simulated_network::{Ether, Line as Wire, Lines};
+use saltdrum_transport::{Address, Clock, EventLoopClock, Listener, Network, Stream};
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -35,7 +35,7 @@
 const STEWARDS: u32 = 3;
 const FLEET: &str = "scale";
 const TASK: &str = "count";
-const RENEW: Tenths = 500 * MILLI;
+const RENEW: Ticks = 500 * MILLISECOND;
 
 /// How large a hollow fleet is.
 #[derive(Clone, Debug)]
@@ -331,7 +331,7 @@
 struct Heard {
     whole_bytes: u64,
     line_bytes: u64,
-    at: Vec<Tenths>,
+    at: Vec<Ticks>,
 }
 
 async fn follow(network: Rc<dyn Network>, list: Address, clock: Clock, heard: Rc<RefCell<Heard>>) {
@@ -377,17 +377,21 @@
     LocalSet::new().block_on(&runtime.expect("a runtime"), play(size))
 }
 
-async fn pause(span: Tenths) {
+async fn pause(span: Ticks) {
     tokio::time::sleep(Duration::from_micros(span * 100)).await;
 }
 
 async fn play(size: &Size) -> Row {
     let clock = Clock::start();
     let usual = Wire {
-        delay: MILLI,
-        jitter: 2 * MILLI,
+        delay: MILLISECOND,
+        jitter: 2 * MILLISECOND,
     };
-    let ether = Ether::new(clock, Lines::new(usual, 0.0, size.seed), Turns::default());
+    let ether = Ether::new(
+        clock,
+        Lines::new(usual, 0.0, size.seed),
+        EventLoopClock::default(),
+    );
     let founding = founded(size.members, size.leases);
     let fleet_bytes = serde_json::to_vec(&founding).map_or(0, |v| v.len() as u64);
     let (stewards, members) = (Spent::default(), Spent::default());
@@ -443,7 +447,7 @@
         .await
         .is_err()
     {
-        pause(100 * MILLI).await;
+        pause(100 * MILLISECOND).await;
     }
     let heard: Rc<RefCell<Heard>> = Rc::default();
     for n in 0..size.followers {
@@ -529,7 +533,7 @@
         {
             tracing::warn!(%why, "a change was not agreed");
         }
-        let took_ms = (clock.now() - begun) as f64 / MILLI as f64;
+        let took_ms = (clock.now() - begun) as f64 / MILLISECOND as f64;
         pause(2 * SECOND).await;
         let ([cpu, bytes, ..], settle) = (
             since(before, read()),
@@ -557,7 +561,7 @@
     let heard = heard.borrow();
     let mut took: Vec<f64> = heard_of_it
         .iter()
-        .map(|t| (t - begun) as f64 / MILLI as f64)
+        .map(|t| (t - begun) as f64 / MILLISECOND as f64)
         .collect();
     took.sort_by(f64::total_cmp);
     if let Some(last) = took.last() {
--- a/crates/scale/src/meter.rs
+++ b/crates/scale/src/meter.rs
@@ -24,13 +24,13 @@
         * 1_024
 }
 
-/// Turns of one kind: how many, how long in all and each.
-pub struct Turns {
+/// EventLoopClock of one kind: how many, how long in all and each.
+pub struct EventLoopClock {
     all: Histogram<u64>,
     pub total_ns: u64,
 }
 
-impl Default for Turns {
+impl Default for EventLoopClock {
     fn default() -> Self {
         // Up to a minute, to three digits.
         let all = Histogram::new_with_bounds(1, 60_000_000_000, 3).expect("bounds that hold");
@@ -47,7 +47,7 @@
     pub longest_ms: f64,
 }
 
-impl Turns {
+impl EventLoopClock {
     pub fn note(&mut self, ns: u64) {
         self.total_ns += ns;
         self.all.saturating_record(ns.max(1));
--- a/crates/scale/src/real.rs
+++ b/crates/scale/src/real.rs
@@ -1,11 +1,11 @@
 //! A real process beside the hollow one: `saltdrum node` on loopback sockets, its feed from the project's stand-in, no calls.
 
 use crate::world::{ZONES, deployment};
-use saltdrum::port::{Life, MILLI, Tenths};
-use saltdrum_transport::{Clock, Sockets};
-use saltdrum_platform_wire::feed::{Event, Line};
+use saltdrum::interface::{InvokerStatus, MILLISECOND, Ticks};
 use saltdrum_fakes::platform::Feed;
 use saltdrum_fakes::record::{Record, Who};
+use saltdrum_platform_wire::feed::{Event, Line};
+use saltdrum_transport::{Clock, SocketNetwork};
 use serde::Serialize;
 use serde_json::json;
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener};
@@ -80,7 +80,7 @@
     Ok(SocketAddrV4::new(Ipv4Addr::LOCALHOST, port))
 }
 
-fn line(invoker: u32, life: Life) -> Line {
+fn line(invoker: u32, life: InvokerStatus) -> Line {
     let address = SocketAddrV4::new(Ipv4Addr::from(0x7f01_0000 + (invoker & 0xffff)), 9);
     let zone = (invoker % u32::from(ZONES)) as u8;
     Line {
@@ -95,8 +95,8 @@
     }
 }
 
-fn ms(t: Tenths) -> f64 {
-    t as f64 / MILLI as f64
+fn ms(t: Ticks) -> f64 {
+    t as f64 / MILLISECOND as f64
 }
 
 /// The settings of the hollow controller, as the platform states them.
@@ -117,12 +117,12 @@
             "bounds": {"cancel": true, "connect_timeout_ms": 250.0, "conn_idle_ms": 15000.0,
                 "max_retry_after_ms": 1000.0, "parallel_tries": false, "probing": true, "retry_after": true,
                 "try_limit": 3},
-            "family_info": {"kind_memory_mb": d.kind_memory, "linger_idle_ms": ms(d.keep_alive),
-                "load_share": d.orders_share, "load_wait_ms": 10000.0, "load_window_ms": ms(d.order_window),
-                "loads_anyway": d.orders_free, "may_order": true, "not_loaded": "miss"},
+            "family_info": {"kind_memory_mb": d.machine_memory_mb, "linger_idle_ms": ms(d.keep_alive),
+                "load_share": d.loads_per_invocation, "load_wait_ms": 10000.0, "load_window_ms": ms(d.load_window),
+                "loads_anyway": d.free_loads, "may_order": true, "not_loaded": "miss"},
             "reporting": {"fields": ["queue", "util"]},
-            "rules": {"drain_grace_ms": ms(d.drain_grace), "cold_from": d.cold_share, "cold_ms": ms(d.cold_time),
-                "overload_factor": d.tip_factor, "tip_after_ms": ms(d.tip_window), "grace_to_answer_ms": 16.0}
+            "rules": {"drain_grace_ms": ms(d.drain_grace), "cold_from": d.initial_capacity_share, "cold_ms": ms(d.warm_up_time),
+                "overload_factor": d.overload_factor, "tip_after_ms": ms(d.overload_window), "grace_to_answer_ms": 16.0}
         }
     })
     .to_string()
@@ -146,10 +146,10 @@
         incarnation: 1,
     };
     let feed = Feed::new(who, Record::default(), Clock::start());
-    spawn_local(feed.clone().serve(Rc::new(Sockets), feed_at));
+    spawn_local(feed.clone().serve(Rc::new(SocketNetwork), feed_at));
     feed.say(
         2,
-        Event::Whole((1..=lines).map(|w| line(w, Life::Ready)).collect()),
+        Event::Whole((1..=lines).map(|w| line(w, InvokerStatus::Ready)).collect()),
     );
     let path = folder.join("config.json");
     std::fs::write(&path, configuration(lines, listen, feed_at))?;
@@ -169,7 +169,11 @@
     let began = process.cpu_ns();
     for n in 0..seconds {
         if n % 5 == 2 {
-            let life = if n % 2 == 0 { Life::Gone } else { Life::Ready };
+            let life = if n % 2 == 0 {
+                InvokerStatus::Gone
+            } else {
+                InvokerStatus::Ready
+            };
             feed.say(3 + n, Event::Changes(vec![line(2, life)]));
         }
         tokio::time::sleep(Duration::from_secs(1)).await;
--- a/crates/scale/src/world.rs
+++ b/crates/scale/src/world.rs
@@ -1,6 +1,6 @@
 //! A model of invokers, in the same process: who holds which copies, how long a run takes.
 
-use saltdrum::port::*;
+use saltdrum::interface::*;
 use std::collections::BTreeMap;
 
 /// How the load is spread and the fleet is made.
@@ -16,10 +16,10 @@
     pub seed: u64,
 }
 
-const RUN: Tenths = 150 * MILLI;
-const LOADS: Tenths = 500 * MILLI;
+const RUN: Ticks = 150 * MILLISECOND;
+const LOADS: Ticks = 500 * MILLISECOND;
 /// An instance that nobody calls stands so long.
-const KEEP_ALIVE: Tenths = 9 * SECOND;
+const KEEP_ALIVE: Ticks = 9 * SECOND;
 /// Of what this controller did not load itself, others hold so much where it looks first.
 const OTHERS_HOLD: f64 = 0.9;
 /// Controllers and invokers of the target: a smaller fleet has as many controllers less.
@@ -32,47 +32,47 @@
         controllers: (invokers * TARGET.0 / TARGET.1).max(1),
         zone: 0,
         trigger_types: vec![TriggerType {
-            objective: SECOND,
+            latency_objective: SECOND,
             client_timeout: 3 * SECOND,
             effect: Effect::Idempotent,
-            scope: Scope::All,
-            repeat_window: 2 * SECOND,
+            key_scope: KeyScope::All,
+            idempotency_window: 2 * SECOND,
             billed_value: 1.0,
             late_share: 0.2,
         }],
         tenants: vec![],
         over_share_value: 0.1,
-        kind_memory: vec![42_000.0],
-        dispatch_limit: 3,
-        parallel_dispatches: false,
+        machine_memory_mb: vec![42_000.0],
+        attempt_limit: 3,
+        parallel_attempts: false,
         may_cancel: true,
         may_probe: true,
-        may_order: true,
-        misses: true,
+        may_load: true,
+        reports_misses: true,
         keep_alive: KEEP_ALIVE,
-        come_back_max: Some(SECOND),
-        tick: MILLI,
-        order_window: 5 * SECOND,
-        orders_free: 3.0,
-        orders_share: 0.1,
-        drain_grace: 250 * MILLI,
-        cold_share: 0.3,
-        cold_time: 8 * SECOND,
-        tip_factor: 2.0,
-        tip_window: 3 * SECOND,
+        max_retry_after: Some(SECOND),
+        tick: MILLISECOND,
+        load_window: 5 * SECOND,
+        free_loads: 3.0,
+        loads_per_invocation: 0.1,
+        drain_grace: 250 * MILLISECOND,
+        initial_capacity_share: 0.3,
+        warm_up_time: 8 * SECOND,
+        overload_factor: 2.0,
+        overload_window: 3 * SECOND,
     }
 }
 
-pub fn line(invoker: InvokerId, life: Life, started: Option<Tenths>) -> Listed {
+pub fn line(invoker: InvokerId, life: InvokerStatus, started: Option<Ticks>) -> InvokerRecord {
     let zone = (invoker % u32::from(ZONES)) as u8;
-    Listed {
+    InvokerRecord {
         invoker,
         zone,
-        kind: 0,
+        machine_kind: 0,
         cell: u16::from(zone),
-        life,
-        size: 4.0,
-        started,
+        status: life,
+        capacity: 4.0,
+        started_at: started,
     }
 }
 
@@ -95,16 +95,16 @@
         Self { up_to }
     }
 
-    pub fn draw(&self, rng: &mut fastrand::Rng) -> FnId {
+    pub fn draw(&self, rng: &mut fastrand::Rng) -> FunctionId {
         let at = rng.f64();
-        self.up_to.partition_point(|s| *s < at) as FnId
+        self.up_to.partition_point(|s| *s < at) as FunctionId
     }
 }
 
 /// Copies that this controller had loaded, and a draw for those of others.
 pub struct World {
     rng: fastrand::Rng,
-    copies: BTreeMap<(InvokerId, FnId), Tenths>,
+    copies: BTreeMap<(InvokerId, FunctionId), Ticks>,
     pub misses: u64,
     pub dispatches: u64,
     pub orders: u64,
@@ -123,29 +123,29 @@
     }
 
     /// How a dispatch ends, and after how long.
-    pub fn dispatched(&mut self, now: Tenths, w: InvokerId, f: FnId) -> (Outcome, Tenths) {
+    pub fn dispatched(&mut self, now: Ticks, w: InvokerId, f: FunctionId) -> (Outcome, Ticks) {
         self.dispatches += 1;
         let ours = self.copies.get(&(w, f)).is_some_and(|until| now < *until);
         if !ours && self.rng.f64() >= OTHERS_HOLD {
             self.misses += 1;
-            return (Outcome::Miss, MILLI);
+            return (Outcome::Miss, MILLISECOND);
         }
         self.copies.insert((w, f), now + KEEP_ALIVE);
-        let takes = (RUN as f64 * (0.5 + self.rng.f64())) as Tenths;
+        let takes = (RUN as f64 * (0.5 + self.rng.f64())) as Ticks;
         (Outcome::Succeeded, takes)
     }
 
     /// How long an order takes; the copy stands then.
-    pub fn ordered(&mut self, now: Tenths, w: InvokerId, f: FnId) -> Tenths {
+    pub fn ordered(&mut self, now: Ticks, w: InvokerId, f: FunctionId) -> Ticks {
         self.orders += 1;
         let stands = self.copies.get(&(w, f)).is_some_and(|until| now < *until);
-        let takes = if stands { MILLI } else { LOADS };
+        let takes = if stands { MILLISECOND } else { LOADS };
         self.copies.insert((w, f), now + takes + KEEP_ALIVE);
         takes
     }
 
     /// Forgets copies that nobody called: the model is not to grow.
-    pub fn sweep(&mut self, now: Tenths) {
+    pub fn sweep(&mut self, now: Ticks) {
         self.copies.retain(|_, until| now < *until);
     }
 }
--- a/crates/scenario/examples/beside-relay.rs
+++ b/crates/scenario/examples/beside-relay.rs
@@ -12,11 +12,11 @@
 
 use bytes::BytesMut;
 use hdrhistogram::Histogram;
-use saltdrum_transport::{Address, Clock, Listener, Network, Sockets};
+use saltdrum_fakes::{List, Record};
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::invoker as wire;
 use saltdrum_protocol::list::{Entry, Life};
-use saltdrum_fakes::{List, Record};
+use saltdrum_transport::{Address, Clock, Listener, Network, SocketNetwork};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -68,7 +68,7 @@
                 .unwrap();
             LocalSet::new().block_on(&runtime, async move {
                 for n in (1..=count as u32).filter(|n| n % 2 == part) {
-                    let (door, at) = Sockets
+                    let (door, at) = SocketNetwork
                         .listen(&Address::Tcp("127.0.0.1:0".into()))
                         .await
                         .unwrap();
@@ -81,7 +81,13 @@
     }
     LocalSet::new().block_on(&runtime, async move {
         let any = Address::Tcp("127.0.0.1:0".into());
-        let opened = List::open(Rc::new(Sockets), Clock::start(), Record::default(), &any).await;
+        let opened = List::open(
+            Rc::new(SocketNetwork),
+            Clock::start(),
+            Record::default(),
+            &any,
+        )
+        .await;
         let (list, address) = opened.unwrap();
         for (invoker, address) in from.iter().take(count) {
             list.say(Entry {
--- a/crates/scenario/src/check.rs
+++ b/crates/scenario/src/check.rs
@@ -3,15 +3,15 @@
 //! Each bound is on what the records prove: a frame that was read late may have come early, and counts by its earliest
 //! time. Where a thread stood still across the moment in question, the finding is "cannot tell", never "kept".
 
-use saltdrum::port::{MILLI, Tenths};
+use saltdrum::interface::{MILLISECOND, Ticks};
 use saltdrum_fakes::record::{How, Line, Stated, Try, Who};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A thread that stood still for longer around the moment in question makes it undecidable.
-pub const DISTURBED: Tenths = 40 * MILLI;
+pub const DISTURBED: Ticks = 40 * MILLISECOND;
 /// What lies between writing a line of the record and writing to the socket, on an undisturbed thread.
-const SLACK: Tenths = 20 * MILLI;
+const SLACK: Ticks = 20 * MILLISECOND;
 /// Rule 4: slack for chance, in parts of the bound and in mean invocations.
 const COLD_SLACK: f64 = 0.1;
 const COLD_SLACK_INVS: f64 = 2.0;
@@ -19,7 +19,7 @@
 /// One breach, or one thing that can't be decided.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Finding {
-    pub at: Tenths,
+    pub at: Ticks,
     pub text: String,
 }
 
@@ -44,32 +44,32 @@
 
 #[derive(Clone, Debug, Default)]
 struct OneTry {
-    sent: Tenths,
+    sent: Ticks,
     who: Option<Who>,
     trigger: String,
-    timeout: Tenths,
-    finals: Vec<(Tenths, Tenths, How)>,
+    timeout: Ticks,
+    finals: Vec<(Ticks, Ticks, How)>,
     hung_up: bool,
-    cut_off: Option<Tenths>,
+    cut_off: Option<Ticks>,
     reads_slowly: bool,
 }
 
 #[derive(Clone, Debug)]
 struct Dispatch {
-    at: Tenths,
-    earliest: Tenths,
+    at: Ticks,
+    earliest: Ticks,
     invoker: u32,
     hop: u8,
     of: Try,
     trigger: String,
-    ran: Option<Tenths>,
+    ran: Option<Ticks>,
     /// When, how, and whether the controller was told.
-    ended: Option<(Tenths, String, bool)>,
+    ended: Option<(Ticks, String, bool)>,
     cancelled: bool,
 }
 
 /// When, whether ready, and in the list's word.
-type News = (Tenths, bool, String);
+type News = (Ticks, bool, String);
 type Rule = fn(&Seen, &Stated) -> Findings;
 
 #[derive(Default)]
@@ -79,12 +79,12 @@
     /// By invocation, in the order of hops.
     dispatches: BTreeMap<(Who, u32), Vec<Dispatch>>,
     /// Real runs (not dropped as repeats) of an invocation's effect.
-    runs: BTreeMap<u64, Vec<(Tenths, u32, Try)>>,
-    orders: Vec<(Tenths, Tenths, u32, Who, u64)>,
+    runs: BTreeMap<u64, Vec<(Ticks, u32, Try)>>,
+    orders: Vec<(Ticks, Ticks, u32, Who, u64)>,
     told: BTreeMap<(Who, u32), Vec<News>>,
-    lives: BTreeMap<u32, Vec<(Tenths, bool, bool)>>,
-    killed: BTreeMap<Who, Tenths>,
-    disturbed: Vec<(Tenths, Tenths, String)>,
+    lives: BTreeMap<u32, Vec<(Ticks, bool, bool)>>,
+    killed: BTreeMap<Who, Ticks>,
+    disturbed: Vec<(Ticks, Ticks, String)>,
     work: BTreeMap<String, (f64, f64)>,
 }
 
@@ -245,7 +245,7 @@
     }
 
     /// Whether the stage, or this controller, stood still somewhere in the span.
-    fn was_disturbed(&self, who: Option<Who>, from: Tenths, to: Tenths) -> bool {
+    fn was_disturbed(&self, who: Option<Who>, from: Ticks, to: Ticks) -> bool {
         let theirs = who.map(|w| format!("controller-{}", w.controller));
         self.disturbed.iter().any(|(a, b, thread)| {
             *a <= to && *b >= from && (thread == "stage" || Some(thread) == theirs.as_ref())
@@ -261,7 +261,7 @@
 }
 
 impl Findings {
-    fn found(&mut self, sure: bool, at: Tenths, text: String) {
+    fn found(&mut self, sure: bool, at: Ticks, text: String) {
         if sure {
             &mut self.broken
         } else {
@@ -306,7 +306,7 @@
 }
 
 /// So long after its client has left nothing of an invocation is sent on any more, by the operators' terms.
-pub const LEFT_TERM: Tenths = 100 * MILLI;
+pub const LEFT_TERM: Ticks = 100 * MILLISECOND;
 
 /// What was sent on later than that, by the earliest time at which it can have come. A term of the platform's days, beside
 /// the five rules.
@@ -358,8 +358,8 @@
     found
 }
 
-fn ms(t: Tenths) -> f64 {
-    t as f64 / MILLI as f64
+fn ms(t: Ticks) -> f64 {
+    t as f64 / MILLISECOND as f64
 }
 
 fn one_answer(seen: &Seen, _: &Stated) -> Findings {
@@ -608,7 +608,7 @@
             .get(trigger)
             .map_or(0.0, |(sum, n)| sum / n.max(1.0))
     };
-    let mut sent: BTreeMap<u32, Vec<(Tenths, f64)>> = BTreeMap::new();
+    let mut sent: BTreeMap<u32, Vec<(Ticks, f64)>> = BTreeMap::new();
     for d in seen.dispatches.values().flatten() {
         sent.entry(d.invoker)
             .or_default()
@@ -629,10 +629,10 @@
             let end = lives[n + 1..]
                 .iter()
                 .find(|l| !l.1)
-                .map_or(Tenths::MAX, |l| l.0)
+                .map_or(Ticks::MAX, |l| l.0)
                 .min(start + stated.cold_time);
             let all = sent.get(invoker).map(Vec::as_slice).unwrap_or_default();
-            let life: Vec<(Tenths, f64)> = all
+            let life: Vec<(Ticks, f64)> = all
                 .iter()
                 .filter(|(at, _)| at >= start && *at < end)
                 .copied()
@@ -650,7 +650,7 @@
                 let bound = stated.tip_factor * risen * pace * stated.tip_window as f64;
                 if sum > bound * (1.0 + COLD_SLACK) + COLD_SLACK_INVS * work {
                     let sure = !seen.was_disturbed(None, from, *at);
-                    f.found(sure, *at, format!("invoker {invoker}, up since {} ms, was sent {} ms of work within {} ms up to {} ms; {} ms would be its bound", ms(*start), ms(sum as Tenths), ms(stated.tip_window), ms(*at), ms(bound as Tenths)));
+                    f.found(sure, *at, format!("invoker {invoker}, up since {} ms, was sent {} ms of work within {} ms up to {} ms; {} ms would be its bound", ms(*start), ms(sum as Ticks), ms(stated.tip_window), ms(*at), ms(bound as Ticks)));
                 }
             }
         }
@@ -665,14 +665,14 @@
     }
     let all: BTreeSet<Who> = seen.orders.iter().map(|o| o.3).collect();
     for who in all {
-        let mut orders: Vec<(Tenths, Tenths)> = seen
+        let mut orders: Vec<(Ticks, Ticks)> = seen
             .orders
             .iter()
             .filter(|o| o.3 == who)
             .map(|o| (o.1, o.0))
             .collect();
         orders.sort_unstable();
-        let mut sent: Vec<Tenths> = seen
+        let mut sent: Vec<Ticks> = seen
             .tries
             .values()
             .filter(|t| t.who == Some(who))
--- a/crates/scenario/src/clients.rs
+++ b/crates/scenario/src/clients.rs
@@ -3,11 +3,13 @@
 use crate::script::Day;
 use crate::traffic::Arrival;
 use bytes::{Bytes, BytesMut};
-use saltdrum::port::{Effect, MILLI, Tenths};
-use saltdrum_transport::{Address, Clock, Network, Outbox, Read, Turns, halves};
+use saltdrum::interface::{Effect, MILLISECOND, Ticks};
+use saltdrum_fakes::record::{How, Line, Record, Try, Who};
 use saltdrum_load::retry::{End, Patience, Then};
 use saltdrum_protocol::rpc;
-use saltdrum_fakes::record::{How, Line, Record, Try, Who};
+use saltdrum_transport::{
+    Address, ArrivalReader, Clock, EventLoopClock, Network, SendQueue, halves,
+};
 use serde_json::json;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -22,7 +24,7 @@
 #[derive(Clone)]
 struct Told {
     how: How,
-    come_back: Tenths,
+    come_back: Ticks,
     /// What the passage goes on with.
     holds: Option<Holds>,
     /// The passage can't go on.
@@ -48,7 +50,7 @@
 #[derive(Clone)]
 struct Connection {
     who: Who,
-    outbox: Outbox,
+    outbox: SendQueue,
     waiting: Waiting,
     open: Rc<Cell<bool>>,
 }
@@ -57,7 +59,7 @@
     pub day: Rc<Day>,
     pub network: Rc<dyn Network>,
     pub clock: Clock,
-    pub turns: Turns,
+    pub turns: EventLoopClock,
     pub record: Record,
     /// Where controllers take clients in: its life, its address, and whether the front door still sends there.
     pub fronts: RefCell<Vec<(Who, Address, bool)>>,
@@ -79,7 +81,7 @@
         day: Rc<Day>,
         network: Rc<dyn Network>,
         clock: Clock,
-        turns: Turns,
+        turns: EventLoopClock,
         record: Record,
     ) -> Rc<Self> {
         let (fronts, lines, next, passages) = Default::default();
@@ -186,7 +188,7 @@
         self: &Rc<Self>,
         of: Try,
         a: &Arrival,
-        timeout: Tenths,
+        timeout: Ticks,
         passage: Option<&Passage>,
     ) -> Result<Option<Told>, ()> {
         let (who, address) = self.next_front().ok_or(())?;
@@ -217,13 +219,12 @@
         let trigger = &self.day.terms.trigger_names[function.trigger];
         let stated = &self.day.terms.deployment.trigger_types[function.trigger];
         let tenant = &self.day.terms.tenant_names[a.tenant];
-        let token = (stated.effect == Effect::Tokened).then(|| format!("token-{}", of.n));
-        let input =
-            json!({"n": of.n, "attempt": of.attempt, "work_ms": a.work as f64 / MILLI as f64});
+        let token = (stated.effect == Effect::IdempotencyKey).then(|| format!("token-{}", of.n));
+        let input = json!({"n": of.n, "attempt": of.attempt, "work_ms": a.work as f64 / MILLISECOND as f64});
         let mut call = json!({
             "jsonrpc": "2.0", "id": id_of(of), "method": "invoke",
             "params": {"function": a.function, "tenant": tenant, "trigger": trigger, "input": input,
-                "time_left_ms": timeout as f64 / MILLI as f64},
+                "time_left_ms": timeout as f64 / MILLISECOND as f64},
         });
         if let Some(p) = passage {
             call["params"]["function"] = format!("{}-current", a.function).into();
@@ -289,11 +290,11 @@
         self: &Rc<Self>,
         who: Who,
         address: &Address,
-        late: Option<Tenths>,
+        late: Option<Ticks>,
     ) -> Result<Connection, ()> {
         let stream = self.network.dial(address).await.map_err(|_| ())?;
         let (input, mut output) = halves(stream);
-        let (outbox, waiting) = (Outbox::new(64 << 20), Waiting::default());
+        let (outbox, waiting) = (SendQueue::new(64 << 20), Waiting::default());
         let open = Rc::new(Cell::new(true));
         let line = Connection {
             who,
@@ -304,7 +305,7 @@
         let this = self.clone();
         tokio::task::spawn_local(async move {
             let clock = this.clock;
-            let mut read = Read::new(input, clock, this.turns.clone());
+            let mut read = ArrivalReader::new(input, clock, this.turns.clone());
             let said_goodbye = tokio::select! {
                 biased;
                 () = this.listen(&mut read, &waiting, late) => false,
@@ -331,9 +332,9 @@
 
     async fn listen(
         &self,
-        read: &mut Read<saltdrum_transport::Half>,
+        read: &mut ArrivalReader<saltdrum_transport::Half>,
         waiting: &Waiting,
-        late: Option<Tenths>,
+        late: Option<Ticks>,
     ) {
         if let Some(late) = late {
             tokio::time::sleep(Duration::from_micros(late * 100)).await;
@@ -346,7 +347,7 @@
         }
     }
 
-    fn hear(&self, line: &BytesMut, earliest: Tenths, waiting: &Waiting) {
+    fn hear(&self, line: &BytesMut, earliest: Ticks, waiting: &Waiting) {
         let Ok(reply) = serde_json::from_slice::<rpc::Reply>(line) else {
             return;
         };
@@ -378,7 +379,7 @@
             .error
             .as_ref()
             .is_some_and(|e| e.code == rpc::PASSAGE_OVER);
-        let come_back = come_back.unwrap_or(0) * MILLI;
+        let come_back = come_back.unwrap_or(0) * MILLISECOND;
         let of = Try {
             n: id / 16,
             attempt: (id % 16) as u32,
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -1,6 +1,6 @@
 //! A day as its script states it.
 
-use saltdrum::port::{SECOND, Tenths};
+use saltdrum::interface::{SECOND, Ticks};
 use saltdrum_deployment::units::{Memory, Span};
 use saltdrum_deployment::{Fault, Statement, Terms, script};
 use saltdrum_load::Shape;
@@ -22,15 +22,15 @@
 pub struct Day {
     pub name: String,
     pub terms: Terms,
-    pub length: Tenths,
+    pub length: Ticks,
     pub seed: u64,
     /// Connections that clients keep to each controller.
     pub connections: u32,
     /// Further tries of a client.
     pub retries: u32,
-    pub backoff: Tenths,
+    pub backoff: Ticks,
     /// So late is the list with what happens.
-    pub list_notice: Tenths,
+    pub list_notice: Ticks,
     pub store_limit: usize,
     pub layers: Layers,
     /// Of a model that stands for each function's, which would be thousands of times larger.
@@ -38,7 +38,7 @@
     /// Each function is a model of the registry with so many versions, called by an alias; 0: no registry.
     pub versions: u32,
     /// Aliases move to the next version so often; 0: never.
-    pub moves: Tenths,
+    pub moves: Ticks,
     /// Each move is tried on a share of passages first.
     pub staged: bool,
     /// Invocations of a passage.
@@ -53,13 +53,13 @@
 /// What lies between hosts in virtual time. On the machine's own sockets it is what it is.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Network {
-    pub delay: Tenths,
+    pub delay: Ticks,
     /// Up to so much more.
-    pub jitter: Tenths,
+    pub jitter: Ticks,
     /// Of each host's way out; 0: no bound.
     pub bytes_per_second: f64,
     /// Controllers' clocks are ahead by up to so much,
-    pub clocks_ahead: Tenths,
+    pub clocks_ahead: Ticks,
     /// and run fast or slow by up to so many millionths.
     pub clocks_drift: u32,
 }
@@ -74,12 +74,12 @@
     pub per_second: f64,
     pub shape: Shape,
     /// So often the last of the functions becomes the first; 0: never.
-    pub turnover: Tenths,
-    pub work: Tenths,
+    pub turnover: Ticks,
+    pub work: Ticks,
     /// Standard deviation of work over its mean.
     pub spread: f64,
-    pub from: Tenths,
-    pub to: Tenths,
+    pub from: Ticks,
+    pub to: Ticks,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -157,8 +157,8 @@
 pub struct Trouble {
     pub kind: Kind,
     pub name: &'static str,
-    pub at: Tenths,
-    pub lasts: Tenths,
+    pub at: Ticks,
+    pub lasts: Ticks,
     /// Struck invokers.
     pub invokers: Vec<u32>,
     /// Struck controllers.
@@ -170,7 +170,7 @@
     pub part: f64,
     /// How many times slower, or more work.
     pub times: f64,
-    pub delay: Tenths,
+    pub delay: Ticks,
     /// Struck at a time, in a deploy or a roll.
     pub batch: usize,
     /// Of a line's two ways, from controllers to invokers and back.
@@ -283,7 +283,7 @@
                 "times {n}: {least} to {most} are expected for this shape"
             )),
         };
-        let lasts = |usual: Tenths| self.lasts.map_or(usual, |s| s.0);
+        let lasts = |usual: Ticks| self.lasts.map_or(usual, |s| s.0);
         match self.shape.as_deref() {
             None | Some("steady") => Ok(Shape::Steady),
             Some("bursty") => Ok(Shape::Bursty {
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -4,24 +4,26 @@
 use crate::clients::Clients;
 use crate::script::{Day, Kind, Layers, Trouble};
 use crate::traffic;
-use saltdrum::port::{Effect, SECOND, Scope, Tenths};
+use saltdrum::interface::{Effect, KeyScope, SECOND, Ticks};
 use saltdrum_agent::{Counts, Peer};
-use saltdrum_controller::{NamesAt, Seat, by_design};
+use saltdrum_controller::{NamesAt, Seat, dispatch_policy};
 use saltdrum_deployment::Terms;
-use saltdrum_simulated_network::{Ether, Hold, Line as Wire, Lines, stoppable};
+use saltdrum_fakes::disk::TearingDisk;
+use saltdrum_fakes::invoker::{self, Brings, Site, Tokens};
+use saltdrum_fakes::record::{self, Line, Record, Who};
+use saltdrum_fakes::{Invoker, List, Registry, Store};
 use saltdrum_layers::Digest;
 use saltdrum_layers::plan::Member;
-use saltdrum_transport::{Address, Clock, Network, Sockets, Turns, turning};
 use saltdrum_protocol::list::Life;
 use saltdrum_registry::book::{Change, Stage as Trial, Version};
 use saltdrum_registry::call::Caller;
 use saltdrum_registry::follow::Following;
 use saltdrum_registry::store::Asked;
 use saltdrum_registry::{Name, Namespace, Store as Ledger, service};
-use saltdrum_fakes::disk::TearingDisk;
-use saltdrum_fakes::invoker::{self, Brings, Site, Tokens};
-use saltdrum_fakes::record::{self, Line, Record, Who};
-use saltdrum_fakes::{Invoker, List, Registry, Store};
+use saltdrum_simulated_network::{Ether, Hold, Line as Wire, Lines, stoppable};
+use saltdrum_transport::{
+    Address, Clock, EventLoopClock, Network, SocketNetwork, run_event_loop_clock,
+};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -46,7 +48,7 @@
     /// The network as a host of this name sees it.
     fn host(&self, name: &str) -> Rc<dyn Network> {
         match self {
-            Self::Threads(_) => Rc::new(Sockets),
+            Self::Threads(_) => Rc::new(SocketNetwork),
             Self::Virtual(ether) => ether.host(name),
         }
     }
@@ -72,7 +74,12 @@
     network: Rc<dyn Network>,
     clock: Clock,
 ) -> Pin<Box<dyn Future<Output = io::Result<()>>>> {
-    Box::pin(saltdrum_controller::serve(seat, network, clock, by_design))
+    Box::pin(saltdrum_controller::serve(
+        seat,
+        network,
+        clock,
+        dispatch_policy,
+    ))
 }
 
 /// Who is put in the real ones' places.
@@ -101,7 +108,7 @@
             s,
             n,
             c,
-            saltdrum_controller::at_random,
+            saltdrum_controller::random_relay,
         ))
     }),
     ("fewest-out", |s, n, c| {
@@ -109,7 +116,7 @@
             s,
             n,
             c,
-            saltdrum_controller::fewest_out,
+            saltdrum_controller::least_in_flight_relay,
         ))
     }),
     ("rendezvous", |s, n, c| {
@@ -117,7 +124,7 @@
             s,
             n,
             c,
-            saltdrum_controller::rendezvous,
+            saltdrum_controller::rendezvous_relay,
         ))
     }),
 ];
@@ -128,7 +135,7 @@
     cast: Cast,
     clock: Clock,
     record: Record,
-    start: Tenths,
+    start: Ticks,
     invokers: BTreeMap<u32, Rc<Invoker>>,
     store: Rc<Store>,
     list: Rc<List>,
@@ -180,7 +187,7 @@
     }
 
     /// What was moved, by the history.
-    fn sum_up(&self, at: Tenths) -> io::Result<Line> {
+    fn sum_up(&self, at: Ticks) -> io::Result<Line> {
         let life = self.life.borrow();
         // Lost at the end of the day: it is read as a start would read it.
         let entries = match life.as_ref() {
@@ -306,22 +313,22 @@
 
 fn stated(terms: &Terms) -> record::Stated {
     let d = &terms.deployment;
-    let trigger = |(t, name): (&saltdrum::port::TriggerType, &String)| record::Trigger {
+    let trigger = |(t, name): (&saltdrum::interface::TriggerType, &String)| record::Trigger {
         name: name.clone(),
         effect: match t.effect {
             Effect::Idempotent => "idempotent",
-            Effect::Tokened => "tokened",
+            Effect::IdempotencyKey => "tokened",
             Effect::NonIdempotent => "non-idempotent",
         }
         .into(),
-        scope: match t.scope {
-            Scope::All => "all",
-            Scope::Zone => "zone",
-            Scope::Cell => "cell",
+        scope: match t.key_scope {
+            KeyScope::All => "all",
+            KeyScope::Zone => "zone",
+            KeyScope::Cell => "cell",
         }
         .into(),
-        repeat_window: t.repeat_window,
-        objective: t.objective,
+        repeat_window: t.idempotency_window,
+        objective: t.latency_objective,
         billed_value: t.billed_value,
     };
     let place = |i: &saltdrum_deployment::terms::Stated| record::Place {
@@ -338,21 +345,21 @@
             .map(trigger)
             .collect(),
         places: terms.invokers.iter().map(place).collect(),
-        parallel_dispatches: d.parallel_dispatches,
+        parallel_dispatches: d.parallel_attempts,
         drain_grace: d.drain_grace,
-        cold_share: d.cold_share,
-        cold_time: d.cold_time,
-        tip_factor: d.tip_factor,
-        tip_window: d.tip_window,
-        order_window: d.order_window,
-        orders_free: d.orders_free,
-        orders_share: d.orders_share,
+        cold_share: d.initial_capacity_share,
+        cold_time: d.warm_up_time,
+        tip_factor: d.overload_factor,
+        tip_window: d.overload_window,
+        order_window: d.load_window,
+        orders_free: d.free_loads,
+        orders_share: d.loads_per_invocation,
     }
 }
 
 /// Plays a day on the `LocalSet` this is called on, and gives the record, in order of time.
 async fn play(day: Day, folder: Option<&Path>, cover: Cover) -> io::Result<Vec<Line>> {
-    let (clock, record, turns) = (Clock::start(), Record::default(), Turns::default());
+    let (clock, record, turns) = (Clock::start(), Record::default(), EventLoopClock::default());
     let cast = match folder {
         Some(folder) => Cast::Threads(folder.to_owned()),
         None => {
@@ -367,13 +374,17 @@
     };
     record.note(Line::Stated(stated(&day.terms)));
     let noted = record.clone();
-    tokio::task::spawn_local(turning(turns.clone(), clock, move |now, gap| {
-        noted.note(Line::Disturbed {
-            at: now - gap,
-            until: now,
-            thread: "stage".into(),
-        });
-    }));
+    tokio::task::spawn_local(run_event_loop_clock(
+        turns.clone(),
+        clock,
+        move |now, gap| {
+            noted.note(Line::Disturbed {
+                at: now - gap,
+                until: now,
+                thread: "stage".into(),
+            });
+        },
+    ));
     let any = |name: &str| match &cast {
         Cast::Threads(_) => Address::Tcp("127.0.0.1:0".into()),
         Cast::Virtual(_) => Address::Memory(name.into()),
@@ -547,7 +558,7 @@
 const FULL_PACE: f64 = 6.0;
 
 impl Stage {
-    fn at(&self, offset: Tenths) -> Tenths {
+    fn at(&self, offset: Ticks) -> Ticks {
         self.start + offset
     }
 
@@ -607,7 +618,7 @@
                     let noted = seen.clone();
                     let watch = async move {
                         let thread = format!("controller-{controller}");
-                        turning(Turns::default(), clock, move |now, gap| {
+                        run_event_loop_clock(EventLoopClock::default(), clock, move |now, gap| {
                             let thread = thread.clone();
                             noted.note(Line::Disturbed { at: now - gap, until: now, thread });
                         })
@@ -621,7 +632,7 @@
                     runtime.block_on(async {
                         tokio::select! {
                             biased;
-                            done = serve(seat(terms, clients, list, seed), Rc::new(Sockets), clock) => {
+                            done = serve(seat(terms, clients, list, seed), Rc::new(SocketNetwork), clock) => {
                                 if let Err(e) = done {
                                     warn!(controller, %e, "a controller could not serve");
                                 }
@@ -640,14 +651,15 @@
                 let (hold, noted) = (Hold::default(), self.record.clone());
                 let skewed = clock_of(&self.day, &self.cast, clock, 0xc10c, controller);
                 let living = async move {
-                    let watch = turning(Turns::default(), clock, move |now, gap| {
-                        let thread = format!("controller-{controller}");
-                        noted.note(Line::Disturbed {
-                            at: now - gap,
-                            until: now,
-                            thread,
+                    let watch =
+                        run_event_loop_clock(EventLoopClock::default(), clock, move |now, gap| {
+                            let thread = format!("controller-{controller}");
+                            noted.note(Line::Disturbed {
+                                at: now - gap,
+                                until: now,
+                                thread,
+                            });
                         });
-                    });
                     tokio::select! {
                         biased;
                         done = serve(seat, network, skewed) => {
@@ -711,7 +723,7 @@
         }
     }
 
-    fn stall(&self, controller: u32, span: Tenths) {
+    fn stall(&self, controller: u32, span: Ticks) {
         let span = Duration::from_micros(span * 100);
         match self.chairs.borrow().get(&controller) {
             Some(Chair::Thread { stop, .. }) => drop(stop.send(span)),
@@ -794,7 +806,7 @@
         let rest = tries * (longest.unwrap_or(0) + 4 * self.day.backoff) + SECOND;
         tokio::time::sleep(Duration::from_micros(rest * 100)).await;
         // Passages go on for as long as all of their invocations may take.
-        let most = self.clock.now() + rest * Tenths::from(self.day.passage);
+        let most = self.clock.now() + rest * Ticks::from(self.day.passage);
         while self.clients.passages.get() > 0 && self.clock.now() < most {
             self.sleep(SECOND / 10).await;
         }
@@ -817,7 +829,7 @@
     async fn move_aliases(self: Rc<Self>) {
         let functions: Vec<String> = self.day.terms.functions.keys().cloned().collect();
         for turn in 1u32.. {
-            let period = self.at(self.day.moves * Tenths::from(turn));
+            let period = self.at(self.day.moves * Ticks::from(turn));
             if period > self.at(self.day.length) {
                 return;
             }
@@ -879,7 +891,7 @@
         }
     }
 
-    async fn sleep(&self, span: Tenths) {
+    async fn sleep(&self, span: Ticks) {
         tokio::time::sleep(Duration::from_micros(span * 100)).await;
     }
 
@@ -892,11 +904,12 @@
         loop {
             let peer = |(id, life): (&u32, &Life)| {
                 let i = &self.invokers[id];
-                let age = i.entry(*life).age_tenths as f64 / d.cold_time.max(1) as f64;
+                let age = i.entry(*life).age_tenths as f64 / d.warm_up_time.max(1) as f64;
                 let member = Member {
                     invoker: *id,
                     size: f64::from(self.day.terms.size(i.site.stated.kind)),
-                    risen: (d.cold_share + (1.0 - d.cold_share) * age).min(1.0),
+                    risen: (d.initial_capacity_share + (1.0 - d.initial_capacity_share) * age)
+                        .min(1.0),
                     ready: *life == Life::Ready,
                 };
                 Some(Peer {
--- a/crates/scenario/src/summary.rs
+++ b/crates/scenario/src/summary.rs
@@ -3,7 +3,7 @@
 use crate::check::{State, Verdict};
 use comfy_table::{CellAlignment, Table, presets};
 use hdrhistogram::Histogram;
-use saltdrum::port::{MILLI, Tenths};
+use saltdrum::interface::{MILLISECOND, Ticks};
 use saltdrum_fakes::record::{How, Line, Try};
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -101,9 +101,9 @@
 struct One {
     tenant: String,
     trigger: String,
-    first: Tenths,
+    first: Ticks,
     last: u32,
-    took: Option<Tenths>,
+    took: Option<Ticks>,
     how: Option<How>,
     hung_up: bool,
 }
@@ -124,7 +124,7 @@
     let (mut loads, mut layers) = (Loads::default(), None);
     let mut value: BTreeMap<String, f64> = BTreeMap::new();
     let mut load_times = Histogram::<u64>::new(3).expect("three digits are allowed");
-    let (mut tries, mut objective, mut start) = (Tries::default(), BTreeMap::new(), Tenths::MAX);
+    let (mut tries, mut objective, mut start) = (Tries::default(), BTreeMap::new(), Ticks::MAX);
     let mut fates: BTreeMap<Try, u8> = BTreeMap::new();
     let mut killed = BTreeMap::new();
     let mut whose = BTreeMap::new();
@@ -222,7 +222,7 @@
         }
     }
     let in_time = |one: &One| {
-        let most = objective.get(&one.trigger).copied().unwrap_or(Tenths::MAX);
+        let most = objective.get(&one.trigger).copied().unwrap_or(Ticks::MAX);
         one.how == Some(How::Succeeded) && one.took.is_some_and(|t| t <= most)
     };
     let mut rows: BTreeMap<(String, String), (Row, Histogram<u64>)> = BTreeMap::new();
@@ -254,7 +254,7 @@
         }
     }
     let rows = rows.into_values().map(|(row, times)| {
-        let at = |q: f64| times.value_at_quantile(q) as f64 / MILLI as f64;
+        let at = |q: f64| times.value_at_quantile(q) as f64 / MILLISECOND as f64;
         Row {
             p50_ms: at(0.5),
             p99_ms: at(0.99),
@@ -274,8 +274,8 @@
             .filter(|o| o.first >= *at && o.first < (*until).max(at + 10_000))
             .collect();
         troubles.push(Struck {
-            at_ms: at.saturating_sub(start) as f64 / MILLI as f64,
-            lasts_ms: until.saturating_sub(*at) as f64 / MILLI as f64,
+            at_ms: at.saturating_sub(start) as f64 / MILLISECOND as f64,
+            lasts_ms: until.saturating_sub(*at) as f64 / MILLISECOND as f64,
             what: text.clone(),
             invocations: during.len(),
             in_time: share(during.iter().filter(|o| in_time(o)).count(), during.len()),
@@ -288,7 +288,7 @@
         .iter()
         .filter(|o| spans.iter().all(|(a, b)| o.first < *a || o.first >= *b))
         .collect();
-    let at = |q: f64| load_times.value_at_quantile(q) as f64 / MILLI as f64;
+    let at = |q: f64| load_times.value_at_quantile(q) as f64 / MILLISECOND as f64;
     (loads.p50_ms, loads.p99_ms) = (at(0.5), at(0.99));
     Summary {
         loads,
--- a/crates/scenario/src/traffic.rs
+++ b/crates/scenario/src/traffic.rs
@@ -1,19 +1,19 @@
 //! Draws a day's invocations, all before it begins: what comes does not wait for what was answered.
 
 use crate::script::{Day, Kind, Traffic, Trouble};
-use saltdrum::port::Tenths;
+use saltdrum::interface::Ticks;
 use saltdrum_load::{Popularity, shape::arrivals};
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    pub at: Tenths,
+    pub at: Ticks,
     pub tenant: usize,
     pub function: String,
-    pub work: Tenths,
+    pub work: Ticks,
     /// The client hangs up after so long.
-    pub hangs_up: Option<Tenths>,
+    pub hangs_up: Option<Ticks>,
     /// The client reads its answer so much later.
-    pub reads_late: Option<Tenths>,
+    pub reads_late: Option<Ticks>,
 }
 
 /// The same day gives the same arrivals.
@@ -32,7 +32,7 @@
                 Kind::HotFunction if struck => {
                     a.function = t.functions[rng.usize(..t.functions.len())].clone()
                 }
-                Kind::HeavyTail if struck => a.work = (a.work as f64 * t.times) as Tenths,
+                Kind::HeavyTail if struck => a.work = (a.work as f64 * t.times) as Ticks,
                 Kind::ClientHangUps if struck => a.hangs_up = Some(rng.u64(0..=t.delay.max(1))),
                 Kind::SlowReaders if struck => a.reads_late = Some(t.delay.max(1)),
                 _ => {}
@@ -49,7 +49,7 @@
         let function = t.functions[popularity.draw(at, rng)].clone();
         let sigma = (1.0 + t.spread * t.spread).ln().sqrt();
         let work = t.work as f64 * (sigma * normal(rng) - 0.5 * sigma * sigma).exp();
-        let work = (work as Tenths).max(1);
+        let work = (work as Ticks).max(1);
         all.push(Arrival {
             at,
             tenant: t.tenant,
--- a/crates/scenario/tests/days.rs
+++ b/crates/scenario/tests/days.rs
@@ -1,10 +1,10 @@
 //! Whole days through the real controller: on loopback sockets, and in virtual time.
 
 use proptest::prelude::*;
+use saltdrum_fakes::record::{Line, Try, write};
 use saltdrum_scenario::{
     DAYS, Day, State, check::check, play_on_sockets, play_virtually, serve, summary,
 };
-use saltdrum_fakes::record::{Line, Try, write};
 use std::collections::{BTreeMap, BTreeSet};
 
 fn builtin(name: &str) -> Day {
--- a/crates/scenario/tests/models.rs
+++ b/crates/scenario/tests/models.rs
@@ -1,9 +1,9 @@
 //! Models in versions: passages never mix them, whatever moves, dies or is cut off.
 
+use saltdrum_fakes::record::{How, Line, write};
 use saltdrum_scenario::{
     DAYS, Day, State, check::check, play_on_sockets, play_virtually, serve, summary,
 };
-use saltdrum_fakes::record::{How, Line, write};
 
 fn script() -> &'static str {
     DAYS.iter().find(|d| d.0 == "models-day").unwrap().1
--- a/crates/scenario/tests/planted.rs
+++ b/crates/scenario/tests/planted.rs
@@ -1,7 +1,7 @@
 //! For each rule a controller that breaks it, and the checker's word on it. A checker that finds nothing proves nothing.
 
-use saltdrum_scenario::{Day, State, Verdict, check::check, play_virtually};
 use saltdrum_faulty_peers::{Fault, rogue};
+use saltdrum_scenario::{Day, State, Verdict, check::check, play_virtually};
 
 const DAY: &str = r#"
 deployment(controllers = 2, keep_alive = "9s", cold_share = 0.3, cold_time = "4s", tip_factor = 2,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
 //! The deployment as it is stated at start, value by value: by the first message of an instance on the simulator's wire,
 //! by the configuration of a real controller. One mapping for both, so that the module meets the same deployment.
 
-use saltdrum::port::*;
+use saltdrum::interface::*;
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
@@ -15,7 +15,7 @@
 }
 
 /// Whole tenths of a millisecond, rounded down, so that a deadline never moves out.
-pub fn tenths(ms: f64) -> Tenths {
+pub fn tenths(ms: f64) -> Ticks {
     // The wire's own unit is the microsecond; a sum of such steps may fall a hair short of a tenth.
     (ms * 10.0 + 1e-4).floor() as u64
 }
@@ -66,7 +66,7 @@
         }
     }
 
-    pub fn time(&self, path: &str) -> Result<Tenths, Fault> {
+    pub fn time(&self, path: &str) -> Result<Ticks, Fault> {
         self.number(path).map(tenths)
     }
 
@@ -90,20 +90,20 @@
         let at = |key: &str| format!("classes.{i}.{key}");
         let effects = [
             ("safe", Effect::Idempotent),
-            ("keyed", Effect::Tokened),
+            ("keyed", Effect::IdempotencyKey),
             ("unsafe", Effect::NonIdempotent),
         ];
         let scopes = [
-            ("all", Scope::All),
-            ("zone", Scope::Zone),
-            ("cell", Scope::Cell),
+            ("all", KeyScope::All),
+            ("zone", KeyScope::Zone),
+            ("cell", KeyScope::Cell),
         ];
         Ok(TriggerType {
-            objective: self.time(&at("aim_ms"))?,
+            latency_objective: self.time(&at("aim_ms"))?,
             client_timeout: self.time(&at("give_up_ms"))?,
             effect: self.word(&at("effect"), &effects)?,
-            scope: self.word(&at("key_scope"), &scopes)?,
-            repeat_window: self.time(&at("repeat_window_ms"))?,
+            key_scope: self.word(&at("key_scope"), &scopes)?,
+            idempotency_window: self.time(&at("repeat_window_ms"))?,
             billed_value: self.number(&at("worth"))?,
             late_share: self.number(&at("late_share"))?,
         })
@@ -127,7 +127,9 @@
     }
     let quota = |i| {
         p.number(&format!("realms.{i}.quota_rps"))
-            .map(|quota| Tenant { quota })
+            .map(|quota| Tenant {
+                quota_per_second: quota,
+            })
     };
     let memory = p
         .list("family_info.kind_memory_mb")
@@ -142,28 +144,28 @@
         trigger_types,
         tenants: (0..tenants).map(quota).collect::<Result<_, _>>()?,
         over_share_value: p.number("over_share_worth")?,
-        kind_memory: memory.collect::<Result<_, _>>()?,
-        dispatch_limit: p.value("bounds.try_limit")?,
-        parallel_dispatches: p.value("bounds.parallel_tries")?,
+        machine_memory_mb: memory.collect::<Result<_, _>>()?,
+        attempt_limit: p.value("bounds.try_limit")?,
+        parallel_attempts: p.value("bounds.parallel_tries")?,
         may_cancel: p.value("bounds.cancel")?,
         may_probe: p.value("bounds.probing")?,
-        may_order: p.value("family_info.may_order")?,
-        misses: p.word("family_info.not_loaded", &[("miss", true), ("load", false)])?,
+        may_load: p.value("family_info.may_order")?,
+        reports_misses: p.word("family_info.not_loaded", &[("miss", true), ("load", false)])?,
         keep_alive: p.time("family_info.linger_idle_ms")?,
-        come_back_max: if p.value("bounds.retry_after")? {
+        max_retry_after: if p.value("bounds.retry_after")? {
             Some(p.time("bounds.max_retry_after_ms")?)
         } else {
             None
         },
         tick: p.time("tick_ms")?,
-        order_window: p.time("family_info.load_window_ms")?,
-        orders_free: p.number("family_info.loads_anyway")?,
-        orders_share: p.number("family_info.load_share")?,
+        load_window: p.time("family_info.load_window_ms")?,
+        free_loads: p.number("family_info.loads_anyway")?,
+        loads_per_invocation: p.number("family_info.load_share")?,
         drain_grace: p.time("rules.drain_grace_ms")?,
-        cold_share: p.number("rules.cold_from")?,
-        cold_time: p.time("rules.cold_ms")?,
-        tip_factor: p.number("rules.overload_factor")?,
-        tip_window: p.time("rules.tip_after_ms")?,
+        initial_capacity_share: p.number("rules.cold_from")?,
+        warm_up_time: p.time("rules.cold_ms")?,
+        overload_factor: p.number("rules.overload_factor")?,
+        overload_window: p.time("rules.tip_after_ms")?,
     };
     Ok(Stated {
         deployment,
--- a/crates/simulated-network/src/lines.rs
+++ b/crates/simulated-network/src/lines.rs
@@ -1,6 +1,6 @@
 //! When bytes that one host writes reach another.
 
-use saltdrum::port::{SECOND, Tenths};
+use saltdrum::interface::{SECOND, Ticks};
 use std::collections::BTreeMap;
 
 /// A host by its number, in the order in which hosts were first named.
@@ -9,15 +9,15 @@
 /// What lies between two hosts, one way.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Line {
-    pub delay: Tenths,
+    pub delay: Ticks,
     /// Up to so much is added, evenly drawn for each write.
-    pub jitter: Tenths,
+    pub jitter: Ticks,
 }
 
 /// What a write meets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Passage {
-    Arrives(Tenths),
+    Arrives(Ticks),
     /// Until the cut is healed; [`Lines::after_heal`] tells when it arrives then.
     Held,
 }
@@ -51,7 +51,7 @@
         }
     }
 
-    fn crossing(&mut self, from: Host, to: Host) -> Tenths {
+    fn crossing(&mut self, from: Host, to: Host) -> Ticks {
         // A host reaches itself at once.
         if from == to {
             return 0;
@@ -72,12 +72,12 @@
     }
 
     /// A write of so many bytes.
-    pub fn send(&mut self, now: Tenths, from: Host, to: Host, bytes: usize) -> Passage {
+    pub fn send(&mut self, now: Ticks, from: Host, to: Host, bytes: usize) -> Passage {
         let mut leaves = now;
         if self.bytes_per_second > 0.0 && from != to {
             let free = self.free.entry(from).or_insert(0.0);
             *free = free.max(now as f64) + bytes as f64 / self.bytes_per_second * SECOND as f64;
-            leaves = free.ceil() as Tenths;
+            leaves = free.ceil() as Ticks;
         }
         if self.is_cut(from, to) {
             return Passage::Held;
@@ -86,7 +86,7 @@
     }
 
     /// When something arrives that a cut has held until now.
-    pub fn after_heal(&mut self, now: Tenths, from: Host, to: Host) -> Tenths {
+    pub fn after_heal(&mut self, now: Ticks, from: Host, to: Host) -> Ticks {
         now + self.crossing(from, to)
     }
 
--- a/crates/simulated-network/src/streams.rs
+++ b/crates/simulated-network/src/streams.rs
@@ -1,7 +1,7 @@
 use crate::lines::{Host, Line, Lines, Passage};
 use bytes::{Buf, Bytes};
-use saltdrum::port::Tenths;
-use saltdrum_transport::{Address, Clock, Listener, Network, Stream, Turns};
+use saltdrum::interface::Ticks;
+use saltdrum_transport::{Address, Clock, EventLoopClock, Listener, Network, Stream};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
 use std::future::Future;
@@ -35,13 +35,13 @@
     /// Streams that a cut may have held something of.
     ways: Rc<RefCell<Ways>>,
     /// Told when what is being read was written; the stand-ins' own.
-    turns: Turns,
+    turns: EventLoopClock,
 }
 
 struct Part {
-    written: Tenths,
+    written: Ticks,
     /// None: a cut holds it.
-    arrives: Option<Tenths>,
+    arrives: Option<Ticks>,
     bytes: Bytes,
 }
 
@@ -52,11 +52,11 @@
     parts: VecDeque<Part>,
     bytes: usize,
     /// Nothing overtakes on a stream.
-    last: Tenths,
+    last: Ticks,
     /// The writer is gone: its end comes after all parts. Held by a cut as they are.
-    ends: Option<Option<Tenths>>,
+    ends: Option<Option<Ticks>>,
     /// The reader is gone, and the writer hears of it then.
-    refused: Option<Tenths>,
+    refused: Option<Ticks>,
     reader: Option<Waker>,
     writer: Option<Waker>,
 }
@@ -77,7 +77,7 @@
 
 impl Ether {
     /// `turns` are those of whoever reads as a stand-in: what it reads came when it was written.
-    pub fn new(clock: Clock, lines: Lines, turns: Turns) -> Self {
+    pub fn new(clock: Clock, lines: Lines, turns: EventLoopClock) -> Self {
         let (hosts, doors, ways) = Default::default();
         Self {
             clock,
@@ -263,7 +263,7 @@
 }
 
 /// Ready once `at` has come.
-fn due(sleep: &mut Pin<Box<Sleep>>, clock: Clock, at: Tenths, cx: &mut Context<'_>) -> Poll<()> {
+fn due(sleep: &mut Pin<Box<Sleep>>, clock: Clock, at: Ticks, cx: &mut Context<'_>) -> Poll<()> {
     if clock.now() >= at {
         return Poll::Ready(());
     }
@@ -400,7 +400,11 @@
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
     fn ether(line: Line) -> Ether {
-        Ether::new(Clock::start(), Lines::new(line, 0.0, 1), Turns::default())
+        Ether::new(
+            Clock::start(),
+            Lines::new(line, 0.0, 1),
+            EventLoopClock::default(),
+        )
     }
 
     async fn pair(e: &Ether) -> (Stream, Stream) {
--- a/crates/transport/src/arrival.rs
+++ b/crates/transport/src/arrival.rs
@@ -1,13 +1,13 @@
 //! When what is read now came at the earliest.
 //!
 //! Bytes, and connections in a listener's queue, may have lain in the machine for long before they are read: the process
-//! was stopped, or others were served first. An [`ArrivalWatch`] notes the moment at which the machine said that there was
-//! something. What it said came after the machine was asked before that (`Looks::looked_before`), however late it is read.
+//! was stopped, or others were served first. An [`ArrivalClock`] notes the moment at which the machine said that there was
+//! something. What it said came after the machine was asked before that (`PollTimes::looked_before`), however late it is read.
 
 use crate::steady::unasked_polls;
-use crate::turns::Looks;
-use crate::{Clock, Listener, Stream, Turns};
-use saltdrum::port::Tenths;
+use crate::turns::PollTimes;
+use crate::{Clock, EventLoopClock, Listener, Stream};
+use saltdrum::interface::Ticks;
 use std::cell::Cell;
 use std::future::poll_fn;
 use std::io;
@@ -22,14 +22,14 @@
 /// Stands between a source and the task that waits for it, and keeps since when there can be something.
 struct WakeNote {
     clock: Clock,
-    looks: Arc<Looks>,
+    looks: Arc<PollTimes>,
     /// The earliest arrival of what the source was woken for.
     since: AtomicU64,
     task: Mutex<Option<Waker>>,
 }
 
 impl WakeNote {
-    fn take_since(&self) -> Option<Tenths> {
+    fn take_since(&self) -> Option<Ticks> {
         let since = self.since.swap(NOT_WOKEN, Ordering::Relaxed);
         (since != NOT_WOKEN).then_some(since)
     }
@@ -39,7 +39,7 @@
     }
 
     /// What was noted before counts on, where the wake-up since was no news of the source.
-    fn keep_earlier(&self, before: Option<Tenths>) {
+    fn keep_earlier(&self, before: Option<Ticks>) {
         if let Some(before) = before {
             self.since.fetch_min(before, Ordering::Relaxed);
         }
@@ -73,12 +73,12 @@
 
 /// Whether a source may have something that was not read yet.
 #[derive(Clone)]
-pub struct Backlog {
+pub struct ReadBacklog {
     unread: Rc<Cell<bool>>,
     note: Option<Arc<WakeNote>>,
 }
 
-impl Backlog {
+impl ReadBacklog {
     /// Of a source that is never behind, or that a test sets by hand.
     pub fn none() -> Self {
         Self {
@@ -94,20 +94,20 @@
 }
 
 /// Watches one source: a stream, or a listener.
-pub struct ArrivalWatch {
+pub struct ArrivalClock {
     note: Arc<WakeNote>,
     waker: Waker,
     unread: Rc<Cell<bool>>,
     /// When the source was last known to be empty.
-    empty_at: Tenths,
+    empty_at: Ticks,
     /// It was found empty the last time, so that whoever asks waits.
     is_waiting: bool,
-    earliest: Tenths,
+    earliest: Ticks,
 }
 
-impl ArrivalWatch {
+impl ArrivalClock {
     /// Of a source that may have had something since `opened`.
-    pub fn new(opened: Tenths, clock: Clock, turns: &Turns) -> Self {
+    pub fn new(opened: Ticks, clock: Clock, turns: &EventLoopClock) -> Self {
         let (since, task) = (AtomicU64::new(NOT_WOKEN), Mutex::default());
         let note = Arc::new(WakeNote {
             clock,
@@ -170,20 +170,20 @@
     }
 
     /// The earliest time at which what was got last can have come.
-    pub fn earliest(&self) -> Tenths {
+    pub fn earliest(&self) -> Ticks {
         self.earliest
     }
 
     /// Tells others whether something was not read yet.
-    pub fn backlog(&self) -> Backlog {
-        Backlog {
+    pub fn backlog(&self) -> ReadBacklog {
+        ReadBacklog {
             unread: self.unread.clone(),
             note: Some(self.note.clone()),
         }
     }
 }
 
-impl Drop for ArrivalWatch {
+impl Drop for ArrivalClock {
     /// Nothing more is read: nobody is to wait for that.
     fn drop(&mut self) {
         self.unread.set(false);
--- a/crates/transport/src/clock.rs
+++ b/crates/transport/src/clock.rs
@@ -1,4 +1,4 @@
-use saltdrum::port::Tenths;
+use saltdrum::interface::Ticks;
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -44,7 +44,7 @@
         Duration::from_nanos(nanos.max(0) as u64)
     }
 
-    pub fn now(&self) -> Tenths {
+    pub fn now(&self) -> Ticks {
         let elapsed = self.origin.elapsed();
         let elapsed = if self.fast == 0 {
             elapsed
@@ -55,7 +55,7 @@
     }
 
     /// The instant at which the clock reads `at`, rounded up to what timers can do.
-    pub fn instant(&self, at: Tenths) -> Instant {
+    pub fn instant(&self, at: Ticks) -> Instant {
         let span =
             Duration::from_micros(at.saturating_mul(100)).saturating_sub(BEFORE + self.ahead);
         self.origin
@@ -66,11 +66,11 @@
             }
     }
 
-    pub async fn sleep_until(&self, at: Tenths) {
+    pub async fn sleep_until(&self, at: Ticks) {
         tokio::time::sleep_until(self.instant(at)).await;
     }
 }
 
-pub(crate) fn tenths(span: Duration) -> Tenths {
-    (span.as_micros() / 100) as Tenths
+pub(crate) fn tenths(span: Duration) -> Ticks {
+    (span.as_micros() / 100) as Ticks
 }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,8 +1,8 @@
 //! Streams, clock and write queues, handed to everything that runs.
 //!
 //! The same controller and stand-ins run on TCP and Unix sockets and, in one process, on in-memory streams under
-//! tokio's paused clock: they reach the world through [`Network`] and [`Clock`] alone. [`Outbox`] is the one way out of
-//! a process: bounded, and exact about what has left. [`ArrivalWatch`] tells when bytes and connections can
+//! tokio's paused clock: they reach the world through [`Network`] and [`Clock`] alone. [`SendQueue`] is the one way out of
+//! a process: bounded, and exact about what has left. [`ArrivalClock`] tells when bytes and connections can
 //! have come at the earliest.
 
 mod arrival;
@@ -13,9 +13,9 @@
 mod steady;
 mod turns;
 
-pub use arrival::{ArrivalWatch, Backlog};
+pub use arrival::{ArrivalClock, ReadBacklog};
 pub use clock::Clock;
-pub use network::{Address, Duplex, Half, Listener, Memory, Network, Stream, halves};
-pub use outbox::{Outbox, Ticket};
-pub use sockets::{Sockets, is_local_failure};
-pub use turns::{Read, Turns, turning};
+pub use network::{Address, Duplex, Half, Listener, MemoryNetwork, Network, Stream, halves};
+pub use outbox::{SendQueue, Ticket};
+pub use sockets::{SocketNetwork, is_local_failure};
+pub use turns::{ArrivalReader, EventLoopClock, run_event_loop_clock};
--- a/crates/transport/src/network.rs
+++ b/crates/transport/src/network.rs
@@ -60,13 +60,13 @@
 
 /// Streams inside one thread. A pipe holds so many bytes each way, as a socket's buffers do.
 #[derive(Clone, Default)]
-pub struct Memory {
+pub struct MemoryNetwork {
     listeners: Rc<RefCell<BTreeMap<Address, mpsc::UnboundedSender<Stream>>>>,
 }
 
 const PIPE_BYTES: usize = 64 << 10;
 
-impl Network for Memory {
+impl Network for MemoryNetwork {
     fn dial<'a>(&'a self, address: &'a Address) -> Later<'a, Stream> {
         let (here, there) = tokio::io::duplex(PIPE_BYTES);
         let met = self
--- a/crates/transport/src/outbox.rs
+++ b/crates/transport/src/outbox.rs
@@ -1,5 +1,5 @@
 use bytes::Bytes;
-use saltdrum::port::Tenths;
+use saltdrum::interface::Ticks;
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::future::poll_fn;
@@ -19,7 +19,7 @@
     ticket: Ticket,
     bytes: Bytes,
     /// Its first byte does not leave from then on.
-    until: Tenths,
+    until: Ticks,
 }
 
 #[derive(Default)]
@@ -39,12 +39,12 @@
 /// What waits to go out on one stream, bounded in bytes. A frame can be withdrawn until its first byte has left, also
 /// while the stream takes nothing; none is withdrawn after.
 #[derive(Clone, Default)]
-pub struct Outbox {
+pub struct SendQueue {
     inner: Rc<RefCell<Inner>>,
 }
 
 impl Inner {
-    fn withdraw(&mut self, now: Tenths, gone: &mut Vec<Ticket>) {
+    fn withdraw(&mut self, now: Ticks, gone: &mut Vec<Ticket>) {
         if self.items.iter().all(|i| now < i.until) {
             return;
         }
@@ -65,7 +65,7 @@
     }
 }
 
-impl Outbox {
+impl SendQueue {
     pub fn new(most_bytes: usize) -> Self {
         Self {
             inner: Rc::new(RefCell::new(Inner {
@@ -76,7 +76,7 @@
     }
 
     /// Queues a frame; `None` when there is no room for it, or the stream is no more.
-    pub fn put(&self, bytes: Bytes, until: Tenths) -> Option<Ticket> {
+    pub fn put(&self, bytes: Bytes, until: Ticks) -> Option<Ticket> {
         let mut inner = self.inner.borrow_mut();
         if inner.closed || inner.waiting_bytes + bytes.len() > inner.most_bytes {
             return None;
@@ -100,7 +100,7 @@
     }
 
     /// Withdraws what may not leave any more, and what `unwanted` names; gives the tickets.
-    pub fn withdraw(&self, now: Tenths, unwanted: impl Fn(Ticket) -> bool) -> Vec<Ticket> {
+    pub fn withdraw(&self, now: Ticks, unwanted: impl Fn(Ticket) -> bool) -> Vec<Ticket> {
         let (mut inner, mut gone) = (self.inner.borrow_mut(), Vec::new());
         inner
             .items
@@ -136,7 +136,7 @@
     pub async fn write_to(
         &self,
         stream: &mut (impl AsyncWrite + Unpin),
-        now: impl Fn() -> Tenths,
+        now: impl Fn() -> Ticks,
         mut withdrawn: impl FnMut(Ticket),
     ) -> io::Result<()> {
         loop {
--- a/crates/transport/src/outbox/tests.rs
+++ b/crates/transport/src/outbox/tests.rs
@@ -6,7 +6,11 @@
 #[tokio::test(flavor = "current_thread")]
 async fn frames_behind_a_stuck_stream_are_withdrawn_when_their_time_is_over() {
     let (mut here, mut there) = tokio::io::duplex(10);
-    let (outbox, now, gone) = (Outbox::new(1_000), Cell::new(0), RefCell::new(Vec::new()));
+    let (outbox, now, gone) = (
+        SendQueue::new(1_000),
+        Cell::new(0),
+        RefCell::new(Vec::new()),
+    );
     for until in [100, 50, 100] {
         outbox
             .put(Bytes::from(vec![until as u8; 6]), until)
@@ -40,7 +44,7 @@
 
 #[test]
 fn no_more_waits_than_is_allowed() {
-    let outbox = Outbox::new(10);
+    let outbox = SendQueue::new(10);
     assert!(outbox.put(Bytes::from_static(&[0; 8]), 9).is_some());
     assert_eq!(outbox.put(Bytes::from_static(&[0; 3]), 9), None);
     outbox.close();
--- a/crates/transport/src/sockets.rs
+++ b/crates/transport/src/sockets.rs
@@ -29,7 +29,7 @@
 
 /// Sockets of this machine.
 #[derive(Clone, Copy, Default)]
-pub struct Sockets;
+pub struct SocketNetwork;
 
 /// Whether a dial failed for want of something of this machine's own, so that it tells nothing of the peer.
 pub fn is_local_failure(e: &io::Error) -> bool {
@@ -99,7 +99,7 @@
     Box::new(Steady(stream))
 }
 
-impl Network for Sockets {
+impl Network for SocketNetwork {
     fn dial<'a>(&'a self, address: &'a Address) -> Later<'a, Stream> {
         Box::pin(async move {
             match address {
--- a/crates/transport/src/turns.rs
+++ b/crates/transport/src/turns.rs
@@ -1,9 +1,9 @@
 //! The turns of one thread, by which it is known when the machine was last asked what has come; and a reader that knows when
 //! what it reads can have come.
 
-use crate::{ArrivalWatch, Backlog, Clock};
+use crate::{ArrivalClock, Clock, ReadBacklog};
 use bytes::BytesMut;
-use saltdrum::port::{MILLI, Tenths};
+use saltdrum::interface::{MILLISECOND, Ticks};
 use std::cell::Cell;
 use std::future::poll_fn;
 use std::io;
@@ -15,31 +15,31 @@
 use tokio::io::{AsyncRead, ReadBuf};
 
 /// A thread takes a turn at least this often while it runs.
-pub const TURN_EVERY: Tenths = 10 * MILLI;
-/// Turns further apart mean that the thread stood still.
-const STOOD: Tenths = 40 * MILLI;
+pub const TURN_EVERY: Ticks = 10 * MILLISECOND;
+/// EventLoopClock further apart mean that the thread stood still.
+const STOOD: Ticks = 40 * MILLISECOND;
 const READ_BYTES: usize = 16 << 10;
 
 /// When a thread last asked the machine what has come, as far as its last two turns tell.
 #[derive(Default)]
-pub(crate) struct Looks {
+pub(crate) struct PollTimes {
     last: AtomicU64,
     before: AtomicU64,
 }
 
-impl Looks {
-    fn last(&self) -> Tenths {
+impl PollTimes {
+    fn last(&self) -> Ticks {
         self.last.load(Ordering::Relaxed)
     }
 
-    fn before(&self) -> Tenths {
+    fn before(&self) -> Ticks {
         self.before.load(Ordering::Relaxed)
     }
 
     /// What the machine tells of at `now` came no earlier than this, as it would have told of it before. A thread that has
     /// been stopped and not yet noted a turn was last asked before the stop; its first turn after a stop may come before the
     /// machine is asked, so only the turn before the last counts.
-    pub fn looked_before(&self, now: Tenths) -> Tenths {
+    pub fn looked_before(&self, now: Ticks) -> Ticks {
         if now.saturating_sub(self.last()) > STOOD {
             self.last()
         } else {
@@ -50,14 +50,14 @@
 
 /// The turns of one thread.
 #[derive(Clone, Default)]
-pub struct Turns {
-    looks: Arc<Looks>,
-    written: Rc<Cell<Option<Tenths>>>,
+pub struct EventLoopClock {
+    looks: Arc<PollTimes>,
+    written: Rc<Cell<Option<Ticks>>>,
 }
 
-impl Turns {
+impl EventLoopClock {
     /// Notes a turn. Gives the time stood still, if it was unusually long.
-    pub fn turn(&self, now: Tenths) -> Option<Tenths> {
+    pub fn turn(&self, now: Ticks) -> Option<Ticks> {
         let last = self.looks.last.swap(now, Ordering::Relaxed);
         self.looks.before.store(last, Ordering::Relaxed);
         let gap = now.saturating_sub(last);
@@ -66,19 +66,19 @@
 
     /// The machine was last asked what has come no earlier than this: what came before is known to its reader, or was
     /// queued for it before whatever asks now.
-    pub fn looked(&self) -> Tenths {
+    pub fn looked(&self) -> Ticks {
         let before = self.looks.before();
         if before == 0 { 0 } else { before + TURN_EVERY }
     }
 
     /// Said by a stream that knows when the bytes it just gave were written. Only an emulated one does, and only to
     /// those who judge: a process can't know it.
-    pub fn written(&self, at: Tenths) {
+    pub fn written(&self, at: Ticks) {
         self.written.set(Some(at));
     }
 
     /// How long what the machine tells of at `now` can have waited, at the most: nothing for a thread that has only begun.
-    pub fn waited_most(&self, now: Tenths) -> Tenths {
+    pub fn waited_most(&self, now: Ticks) -> Ticks {
         let before = self.looks.looked_before(now);
         if before == 0 {
             0
@@ -87,13 +87,17 @@
         }
     }
 
-    pub(crate) fn looks(&self) -> Arc<Looks> {
+    pub(crate) fn looks(&self) -> Arc<PollTimes> {
         self.looks.clone()
     }
 }
 
 /// Takes turns for as long as the thread runs, and calls `stood` when there was a gap.
-pub async fn turning(turns: Turns, clock: Clock, stood: impl Fn(Tenths, Tenths)) {
+pub async fn run_event_loop_clock(
+    turns: EventLoopClock,
+    clock: Clock,
+    stood: impl Fn(Ticks, Ticks),
+) {
     loop {
         let now = clock.now();
         if let Some(gap) = turns.turn(now) {
@@ -104,21 +108,21 @@
 }
 
 /// Reads a stream, and knows when what it reads can have come.
-pub struct Read<S> {
+pub struct ArrivalReader<S> {
     stream: S,
     pub bytes: BytesMut,
-    arrivals: ArrivalWatch,
-    turns: Turns,
+    arrivals: ArrivalClock,
+    turns: EventLoopClock,
 }
 
-impl<S: AsyncRead + Unpin> Read<S> {
-    pub fn new(stream: S, clock: Clock, turns: Turns) -> Self {
+impl<S: AsyncRead + Unpin> ArrivalReader<S> {
+    pub fn new(stream: S, clock: Clock, turns: EventLoopClock) -> Self {
         Self::opened_at(stream, clock.now(), clock, turns)
     }
 
     /// For a stream that may have been open, with bytes in it, since `opened`.
-    pub fn opened_at(stream: S, opened: Tenths, clock: Clock, turns: Turns) -> Self {
-        let arrivals = ArrivalWatch::new(opened, clock, &turns);
+    pub fn opened_at(stream: S, opened: Ticks, clock: Clock, turns: EventLoopClock) -> Self {
+        let arrivals = ArrivalClock::new(opened, clock, &turns);
         Self {
             stream,
             bytes: BytesMut::new(),
@@ -128,7 +132,7 @@
     }
 
     /// Whether there may be bytes, or the stream's end, that were not read yet.
-    pub fn backlog(&self) -> Backlog {
+    pub fn backlog(&self) -> ReadBacklog {
         self.arrivals.backlog()
     }
 
@@ -152,7 +156,7 @@
     }
 
     /// Reads more bytes; gives the earliest time they can have come, `None` at the stream's end.
-    pub async fn more(&mut self) -> io::Result<Option<Tenths>> {
+    pub async fn more(&mut self) -> io::Result<Option<Ticks>> {
         self.bytes.reserve(READ_BYTES);
         let (stream, bytes, arrivals) = (&mut self.stream, &mut self.bytes, &mut self.arrivals);
         self.turns.written.set(None);
