--- a/crates/transport/src/turns/tests.rs
+++ b/crates/transport/src/turns/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
-use saltdrum::port::SECOND;
+use saltdrum::interface::SECOND;
 
 #[test]
 fn what_came_before_the_last_turn_but_one_has_been_asked_for() {
-    let turns = Turns::default();
+    let turns = EventLoopClock::default();
     turns.turn(1_000);
     assert_eq!(turns.looked(), 0);
     turns.turn(1_100);
@@ -18,7 +18,7 @@
 
 #[test]
 fn what_the_machine_tells_after_a_stop_may_have_come_when_it_began() {
-    let turns = Turns::default();
+    let turns = EventLoopClock::default();
     let looks = turns.looks();
     for at in [1_000, 1_100, 1_200] {
         assert_eq!(turns.turn(at), None);
@@ -54,7 +54,7 @@
 }
 
 impl Source {
-    fn ask(&mut self, watch: &mut ArrivalWatch) -> bool {
+    fn ask(&mut self, watch: &mut ArrivalClock) -> bool {
         let mut cx = Context::from_waker(Waker::noop());
         let polled = watch.poll(&mut cx, |cx| {
             self.waits = Some(cx.waker().clone());
@@ -74,12 +74,12 @@
     }
 }
 
-async fn pass(clock: Clock, to: Tenths) {
+async fn pass(clock: Clock, to: Ticks) {
     clock.sleep_until(to).await;
 }
 
-/// Turns as a running thread takes them, up to `to`.
-async fn turns_to(turns: &Turns, clock: Clock, to: Tenths) {
+/// EventLoopClock as a running thread takes them, up to `to`.
+async fn turns_to(turns: &EventLoopClock, clock: Clock, to: Ticks) {
     while clock.now() < to {
         turns.turn(clock.now());
         pass(clock, clock.now() + TURN_EVERY).await;
@@ -89,9 +89,9 @@
 /// Found on the operators' pre-production: what lay in the machine over a stop was taken for new after a second, shorter one.
 #[tokio::test(start_paused = true)]
 async fn what_came_over_a_stop_is_as_old_after_further_stops() {
-    let (turns, clock) = (Turns::default(), Clock::start());
+    let (turns, clock) = (EventLoopClock::default(), Clock::start());
     let began = clock.now();
-    let mut watch = ArrivalWatch::new(began, clock, &turns);
+    let mut watch = ArrivalClock::new(began, clock, &turns);
     let mut source = Source {
         has: false,
         waits: None,
@@ -104,7 +104,7 @@
     source.has();
     for _ in 0..2 {
         turns.turn(clock.now());
-        pass(clock, clock.now() + 100 * MILLI).await;
+        pass(clock, clock.now() + 100 * MILLISECOND).await;
     }
     assert!(source.ask(&mut watch));
     assert!(
@@ -124,8 +124,8 @@
 /// The other side: an old stop says nothing of what comes long after it to a reader that has waited since before.
 #[tokio::test(start_paused = true)]
 async fn what_comes_long_after_a_stop_is_new() {
-    let (turns, clock) = (Turns::default(), Clock::start());
-    let mut watch = ArrivalWatch::new(clock.now(), clock, &turns);
+    let (turns, clock) = (EventLoopClock::default(), Clock::start());
+    let mut watch = ArrivalClock::new(clock.now(), clock, &turns);
     let mut source = Source {
         has: false,
         waits: None,
@@ -147,8 +147,8 @@
 /// Found by rereading: a source that puts its reader off, as tokio's do once in a while, was taken for empty.
 #[tokio::test(start_paused = true)]
 async fn who_is_put_off_has_not_found_the_source_empty() {
-    let (turns, clock) = (Turns::default(), Clock::start());
-    let mut watch = ArrivalWatch::new(clock.now(), clock, &turns);
+    let (turns, clock) = (EventLoopClock::default(), Clock::start());
+    let mut watch = ArrivalClock::new(clock.now(), clock, &turns);
     let (mut source, backlog) = (
         Source {
             has: false,
@@ -160,7 +160,7 @@
     turns_to(&turns, clock, clock.now() + SECOND).await;
     source.has();
     let came = clock.now();
-    pass(clock, came + 30 * MILLI).await;
+    pass(clock, came + 30 * MILLISECOND).await;
     let put_off = watch.poll(&mut Context::from_waker(Waker::noop()), |cx| {
         cx.waker().wake_by_ref();
         Poll::<()>::Pending
@@ -173,8 +173,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_backlog_is_known_from_the_moment_the_machine_tells_of_it() {
-    let (turns, clock) = (Turns::default(), Clock::start());
-    let mut watch = ArrivalWatch::new(clock.now(), clock, &turns);
+    let (turns, clock) = (EventLoopClock::default(), Clock::start());
+    let mut watch = ArrivalClock::new(clock.now(), clock, &turns);
     let (mut source, backlog) = (
         Source {
             has: false,
@@ -197,7 +197,7 @@
 }
 
 /// Polls a reader once. Gives whether it has something.
-async fn asks_once<S: AsyncRead + Unpin>(read: &mut Read<S>) -> bool {
+async fn asks_once<S: AsyncRead + Unpin>(read: &mut ArrivalReader<S>) -> bool {
     let mut more = Box::pin(read.more());
     poll_fn(|cx| Poll::Ready(more.as_mut().poll(cx).is_ready())).await
 }
@@ -211,14 +211,16 @@
         .build()
         .unwrap();
     runtime.block_on(async {
-        let (clock, turns) = (Clock::start(), Turns::default());
+        let (clock, turns) = (Clock::start(), EventLoopClock::default());
         let any = crate::Address::Tcp("127.0.0.1:0".into());
-        let (mut door, at) = crate::Network::listen(&crate::Sockets, &any).await.unwrap();
+        let (mut door, at) = crate::Network::listen(&crate::SocketNetwork, &any)
+            .await
+            .unwrap();
         let crate::Address::Tcp(at) = at else {
             unreachable!("it listens on TCP")
         };
         let mut peer = std::net::TcpStream::connect(at).unwrap();
-        let mut read = Read::new(door.accept().await.unwrap(), clock, turns.clone());
+        let mut read = ArrivalReader::new(door.accept().await.unwrap(), clock, turns.clone());
         for _ in 0..4 {
             assert!(!asks_once(&mut read).await);
             turns.turn(clock.now());
@@ -233,7 +235,7 @@
         assert!(
             came <= written,
             "it came {} ms late",
-            (came - written) / MILLI
+            (came - written) / MILLISECOND
         );
     });
 }
--- a/crates/trial/src/script.rs
+++ b/crates/trial/src/script.rs
@@ -1,10 +1,10 @@
 //! A trial as its script states it: a deployment with a fleet, `trial(...)` once, and `step(...)` after `step(...)`.
 
+use saltdrum_coordinator::FleetTerms;
 use saltdrum_deployment::units::Span;
 use saltdrum_deployment::{Fault, Statement, Terms, script};
 use saltdrum_fleet::bounds::Per;
 use saltdrum_fleet::fleet::Kind;
-use saltdrum_coordinator::FleetTerms;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -1,14 +1,14 @@
 //! Hosts controllers: reads records straight into calls, writes answers straight as records.
 
 use crate::codec::{Fault, Fields, Reply};
-use saltdrum::Controller;
-use saltdrum::port::*;
+use saltdrum::DispatchPolicy;
+use saltdrum::interface::*;
 use saltdrum_settings::{Pairs, Stated};
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 struct Instance {
-    controller: Controller,
+    controller: DispatchPolicy,
     report: Vec<String>,
     trigger_types: usize,
 }
@@ -25,37 +25,37 @@
     id: u32,
 }
 
-impl Acts for Writer<'_> {
-    fn dispatch(&mut self, inv: InvId, invoker: InvokerId, time_out: Tenths) {
+impl Actions for Writer<'_> {
+    fn dispatch(&mut self, inv: InvocationId, invoker: InvokerId, time_out: Ticks) {
         self.reply
             .record(1, self.id)
             .put(&inv.to_le_bytes())
             .put(&invoker.to_le_bytes())
             .time(time_out);
     }
-    fn throttle(&mut self, inv: InvId, come_back: Tenths) {
+    fn throttle(&mut self, inv: InvocationId, come_back: Ticks) {
         self.reply
             .record(2, self.id)
             .put(&inv.to_le_bytes())
             .time(come_back);
     }
-    fn error(&mut self, inv: InvId) {
+    fn error(&mut self, inv: InvocationId) {
         self.reply.record(3, self.id).put(&inv.to_le_bytes());
     }
-    fn cancel(&mut self, inv: InvId, hop: u8) {
+    fn cancel(&mut self, inv: InvocationId, hop: u8) {
         self.reply
             .record(4, self.id)
             .put(&inv.to_le_bytes())
             .put(&[hop]);
     }
-    fn hold(&mut self, invoker: InvokerId, function: FnId, count: u8) {
+    fn load(&mut self, invoker: InvokerId, function: FunctionId, count: u8) {
         let record = self.reply.record(13, self.id);
         record
             .put(&function.to_le_bytes())
             .put(&[count])
             .put(&invoker.to_le_bytes());
     }
-    fn unload(&mut self, invoker: InvokerId, function: FnId) {
+    fn unload(&mut self, invoker: InvokerId, function: FunctionId) {
         self.reply
             .record(14, self.id)
             .put(&invoker.to_le_bytes())
@@ -64,13 +64,13 @@
     fn probe(&mut self, invoker: InvokerId) {
         self.reply.record(6, self.id).put(&invoker.to_le_bytes());
     }
-    fn wake(&mut self, at: Tenths, token: u64) {
+    fn set_timer(&mut self, at: Ticks, token: u64) {
         self.reply
             .record(5, self.id)
             .time(at)
             .put(&token.to_le_bytes());
     }
-    fn note(&mut self, text: &str) {
+    fn log(&mut self, text: &str) {
         self.reply.record(9, self.id).text(text);
     }
 }
@@ -97,7 +97,7 @@
         Ok(self.reply.finish())
     }
 
-    fn record(&mut self, f: &mut Fields, now: Tenths) -> Result<(), Fault> {
+    fn record(&mut self, f: &mut Fields, now: Ticks) -> Result<(), Fault> {
         let code = f.u8("event code")?;
         if !(1..=11).contains(&code) {
             return Err(format!("unknown event code {code}"));
@@ -111,7 +111,7 @@
                 .map_err(|e| format!("settings: not UTF-8 at byte {}", e.valid_up_to()))?;
             let Stated { deployment, report } = saltdrum_settings::read(&Pairs::of_lines(text)?)?;
             let trigger_types = deployment.trigger_types.len();
-            let controller = self.guard(id, |w| Controller::new(now, deployment, seed, w));
+            let controller = self.guard(id, |w| DispatchPolicy::new(now, deployment, seed, w));
             if let Some(controller) = controller {
                 self.instances.insert(
                     id,
@@ -143,7 +143,7 @@
         &mut self,
         code: u8,
         f: &mut Fields,
-        now: Tenths,
+        now: Ticks,
         id: u32,
         instance: &mut Instance,
     ) -> Result<bool, Fault> {
@@ -155,19 +155,19 @@
         let done = match code {
             2 => {
                 let token = f.u64("cookie")?;
-                self.guard(id, |w| c.woken(now, token, w))
+                self.guard(id, |w| c.timer_fired(now, token, w))
             }
             3 => {
                 let inv = f.u32("xid")?;
-                self.guard(id, |_| c.left(now, inv))
+                self.guard(id, |_| c.client_left(now, inv))
             }
             4 => {
                 let form = f.u8("form")?;
                 f.u32("seq_no")?;
                 let entries = read_entries(f)?;
                 match form {
-                    0 | 3 => self.guard(id, |_| c.listed(now, true, &entries)),
-                    1 => self.guard(id, |_| c.listed(now, false, &entries)),
+                    0 | 3 => self.guard(id, |_| c.invokers_changed(now, true, &entries)),
+                    1 => self.guard(id, |_| c.invokers_changed(now, false, &entries)),
                     2 => Some(()),
                     _ => return Err(format!("unknown list form {form}")),
                 }
@@ -185,7 +185,7 @@
             }
             7 => {
                 let answer = read_answer(f, report)?;
-                self.guard(id, |w| c.answered(now, answer, w))
+                self.guard(id, |w| c.attempt_ended(now, answer, w))
             }
             8 => {
                 f.time("time_taken_ms")?;
@@ -196,11 +196,11 @@
             }
             9 => {
                 let inv = read_invocation(f, now, *trigger_types)?;
-                self.guard(id, |w| c.invoked(now, inv, w))
+                self.guard(id, |w| c.invocation_arrived(now, inv, w))
             }
             _ => {
                 let answer = read_hold(f)?;
-                self.guard(id, |w| c.held(now, answer, w))
+                self.guard(id, |w| c.load_ended(now, answer, w))
             }
         };
         Ok(done.is_some())
@@ -240,7 +240,7 @@
     })
 }
 
-fn read_entries(f: &mut Fields) -> Result<Vec<Listed>, Fault> {
+fn read_entries(f: &mut Fields) -> Result<Vec<InvokerRecord>, Fault> {
     let n = f.u32("count of nodes_list")?;
     let mut entries = Vec::new();
     for _ in 0..n {
@@ -249,27 +249,27 @@
         let kind = f.u16("machine")?;
         let cell = f.u16("pack")?;
         let life = match f.u8("lifecycle")? {
-            0 => Life::Gone,
-            1 => Life::Ready,
-            2 => Life::Draining,
+            0 => InvokerStatus::Gone,
+            1 => InvokerStatus::Ready,
+            2 => InvokerStatus::Draining,
             code => return Err(format!("unknown lifecycle {code}")),
         };
         let size = f64::from(f.f32("nominal")?);
         let started = Some(f.time("start_time_ms")?).filter(|at| *at > 0);
-        entries.push(Listed {
+        entries.push(InvokerRecord {
             invoker,
             zone,
-            kind,
+            machine_kind: kind,
             cell,
-            life,
-            size,
-            started,
+            status: life,
+            capacity: size,
+            started_at: started,
         });
     }
     Ok(entries)
 }
 
-fn read_report(f: &mut Fields, names: &[String]) -> Result<Report, Fault> {
+fn read_report(f: &mut Fields, names: &[String]) -> Result<LoadReport, Fault> {
     let values = f.values()?;
     let named = |name: &str| {
         let i = names.iter().position(|n| n == name)?;
@@ -278,13 +278,13 @@
             .map(|v| f64::from(*v))
             .filter(|v| v.is_finite())
     };
-    Ok(Report {
-        util: named("util"),
-        queue: named("queue"),
+    Ok(LoadReport {
+        utilization: named("util"),
+        queue_length: named("queue"),
     })
 }
 
-fn read_answer(f: &mut Fields, report: &[String]) -> Result<Answer, Fault> {
+fn read_answer(f: &mut Fields, report: &[String]) -> Result<AttemptResult, Fault> {
     let inv = f.u32("xid")?;
     let invoker = f.u32("invoker")?;
     let finished = f.u8("no_more")? != 0;
@@ -293,28 +293,28 @@
     let outcome = outcome(f.u8("result")?)?;
     let took = f.time("time_taken_ms")?;
     let found = match remark % 8 {
-        1 => Some(Found::Warm),
-        2 => Some(Found::BeganLoad),
-        3 => Some(Found::JoinedLoad),
-        4 => Some(Found::LoadFailed),
+        1 => Some(StartKind::Warm),
+        2 => Some(StartKind::BeganLoad),
+        3 => Some(StartKind::JoinedLoad),
+        4 => Some(StartKind::LoadFailed),
         _ => None,
     };
     let tells = matches!(outcome, Outcome::Succeeded | Outcome::Full);
     let crowd = Some(remark / 8).filter(|n| tells && *n > 0);
-    Ok(Answer {
-        inv,
+    Ok(AttemptResult {
+        invocation: inv,
         invoker,
-        hop,
+        attempt: hop,
         finished,
         outcome,
-        found,
-        crowd,
-        took,
+        start_kind: found,
+        concurrency: crowd,
+        duration: took,
         report: read_report(f, report)?,
     })
 }
 
-fn read_invocation(f: &mut Fields, now: Tenths, types: usize) -> Result<Invocation, Fault> {
+fn read_invocation(f: &mut Fields, now: Ticks, types: usize) -> Result<Invocation, Fault> {
     let id = f.u32("xid")?;
     let trigger = usize::from(f.u16("lane")?);
     if trigger >= types {
@@ -334,38 +334,38 @@
         trigger,
         tenant,
         function,
-        came: now,
-        expires,
+        earliest_arrival: now,
+        expires_at: expires,
         work_hint: Some(hint)
             .filter(|ms| options & 1 != 0 && usable(*ms))
             .map(crate::codec::tenths),
-        memory: if usable(memory) { memory } else { 0.0 },
-        lanes: if usable(lanes) { lanes.max(1.0) } else { 1.0 },
-        load_hint: Some(load)
+        memory_mb: if usable(memory) { memory } else { 0.0 },
+        concurrency_limit: if usable(lanes) { lanes.max(1.0) } else { 1.0 },
+        load_time_hint: Some(load)
             .filter(|ms| usable(*ms))
             .map(crate::codec::tenths),
     })
 }
 
-fn read_hold(f: &mut Fields) -> Result<HoldAnswer, Fault> {
+fn read_hold(f: &mut Fields) -> Result<LoadResult, Fault> {
     let took = f.time("time_taken_ms")?;
     let standing = f.u8("count")?;
     let outcome = match outcome(f.u8("result")?)? {
-        Outcome::Succeeded => HoldOutcome::Standing,
-        Outcome::Full => HoldOutcome::NoRoom,
-        Outcome::Errored | Outcome::Miss => HoldOutcome::LoadFailed,
-        Outcome::TimedOut => HoldOutcome::TimedOut,
-        _ => HoldOutcome::Unreachable,
+        Outcome::Succeeded => LoadOutcome::Loaded,
+        Outcome::Full => LoadOutcome::NoCapacity,
+        Outcome::Errored | Outcome::Miss => LoadOutcome::LoadFailed,
+        Outcome::TimedOut => LoadOutcome::TimedOut,
+        _ => LoadOutcome::Unreachable,
     };
     let function = f.u64("routine")?;
     let invoker = f.u32("invoker")?;
-    Ok(HoldAnswer {
+    Ok(LoadResult {
         invoker,
         function,
         outcome,
-        standing,
-        took,
-        left: None,
+        loaded_instances: standing,
+        duration: took,
+        sent_at: None,
     })
 }
 
--- a/crates/wirehost/src/host/tests.rs
+++ b/crates/wirehost/src/host/tests.rs
@@ -58,8 +58,8 @@
         id: 3,
     };
     w.dispatch(0x5d3a91c4, 0x03124a07, 800);
-    w.wake(84_165, 77);
-    w.note("two servers known");
+    w.set_timer(84_165, 77);
+    w.log("two servers known");
     let want = "03000000 4a000000 01 03000000 c4913a5d 074a1203 0000000000005440 \
         05 03000000 000000002068c140 4d00000000000000";
     let mut got = reply.finish();
@@ -79,7 +79,7 @@
     w.cancel(0x5d3a91c4, 0);
     w.probe(0x2c9011f2);
     w.unload(0x03124a07, 0x7c55d20a01);
-    w.hold(0x2c9011f2, 0x7c55d20a01, 1);
+    w.load(0x2c9011f2, 0x7c55d20a01, 1);
     let want = "06000000 64000000 02 03000000 192b6f0e 0000000000406f40 03 03000000 192b6f0e \
         04 03000000 c4913a5d 00 06 03000000 f211902c 0e 03000000 074a1203 010ad2557c000000 \
         0d 03000000 010ad2557c000000 01 f211902c";
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,12 @@
-//! saltdrum: the decisions of an invoker front end. `decide` holds them all; `port` is how to talk to it.
+//! saltdrum: the dispatch decisions of a function platform's invoker front end.
+//!
+//! [`DispatchPolicy`] decides which invoker runs an invocation, which invokers hold a function loaded, when an attempt is
+//! retried and when an invocation is rejected. [`interface`] defines the events that it takes and the actions that it
+//! asks for. The crate has no I/O, no clock and no threads: the same events give the same actions.
+//!
+//! Start reading at [`policy`]; `docs/design.md` gives the reasons and the sources.
 
-pub mod decide;
-pub mod port;
+pub mod interface;
+pub mod policy;
 
-pub use decide::Controller;
+pub use policy::DispatchPolicy;
--- /dev/null
+++ b/src/policy/loads.rs
@@ -0,0 +1,237 @@
+//! Load orders: given where a pool lacks an instance or an invocation needs one, within the budget and the circuit breaker;
+//! and what their ends tell.
+
+use super::functions::FunctionState;
+use super::health::HEALTH_CHECK_INTERVAL;
+use super::load_breaker::LoadBreaker;
+use super::load_budget::LoadBudget;
+use super::{Continuation, DispatchPolicy};
+use crate::interface::{
+    Actions, FunctionId, InvocationId, InvokerId, LoadOutcome, LoadResult, SECOND, Ticks,
+};
+use std::collections::BTreeSet;
+
+/// After a failed load none is ordered at the same invoker for this long.
+pub(super) const LOAD_COOLDOWN: Ticks = 3 * SECOND;
+/// An idle instance outside the pool may be unloaded after this long without a call.
+pub(super) const MIN_DWELL: Ticks = 10 * SECOND;
+/// Weight of a new sample in the rate at which unknown instances were absent.
+const ABSENCE_WEIGHT: f64 = 0.05;
+/// Orders for waiting invocations may use the whole budget.
+pub(super) const WHOLE_BUDGET: f64 = 1.0;
+
+/// What concerns loads as a whole.
+pub(super) struct Loads {
+    pub breaker: LoadBreaker,
+    pub budget: LoadBudget,
+    /// Where functions have an entry in [`FunctionState::instances`].
+    pub instances: BTreeSet<(InvokerId, FunctionId)>,
+    /// How often an unknown instance was absent.
+    pub absence_rate: f64,
+}
+
+impl Default for Loads {
+    fn default() -> Self {
+        Self {
+            breaker: LoadBreaker::default(),
+            budget: LoadBudget::default(),
+            instances: BTreeSet::new(),
+            absence_rate: 1.0,
+        }
+    }
+}
+
+impl Loads {
+    /// Functions with an entry at this invoker, ascending.
+    pub fn functions_at(&self, invoker: InvokerId) -> Vec<FunctionId> {
+        let range = self
+            .instances
+            .range((invoker, 0)..=(invoker, FunctionId::MAX));
+        range.map(|(_, function)| *function).collect()
+    }
+
+    /// An invoker with an unknown instance turned out to lack it, or not.
+    pub fn record_unknown_instance(&mut self, was_absent: bool) {
+        self.absence_rate += ABSENCE_WEIGHT * (f64::from(was_absent) - self.absence_rate);
+    }
+}
+
+impl DispatchPolicy {
+    /// Whether the limit on orders in flight and `budget_share` of the budget allow one more order.
+    pub(super) fn may_order_load(&mut self, budget_share: f64) -> bool {
+        let max_in_flight = (2 * self.ready.len() / self.deployment.controllers as usize).max(1);
+        let is_at_limit = self.loads.budget.orders_in_flight() >= max_in_flight;
+        let is_allowed =
+            self.loads
+                .budget
+                .allows_one_more(self.now, &self.deployment, budget_share);
+        self.deployment.may_load && is_allowed && (!is_at_limit || budget_share >= WHOLE_BUDGET)
+    }
+
+    /// Orders a load, if it may be. Whether an order is in flight then.
+    pub(super) fn order_load(
+        &mut self,
+        invoker_id: InvokerId,
+        function_id: FunctionId,
+        budget_share: f64,
+        actions: &mut dyn Actions,
+    ) -> bool {
+        let now = self.now;
+        let function = self.functions.get(&function_id);
+        let instance = function.and_then(|function| function.instances.get(&invoker_id));
+        if instance.is_some_and(|instance| instance.has_load_order) {
+            return true;
+        }
+        let is_cooling_down = instance.is_some_and(|instance| now < instance.load_cooldown_until);
+        if self.loads.breaker.is_open(now) || is_cooling_down {
+            return false;
+        }
+        if !self.ready.contains(invoker_id) || !self.may_order_load(budget_share) {
+            return false;
+        }
+        let Some(function) = self.functions.get_mut(&function_id) else {
+            return false;
+        };
+        let begins_load = !function.is_warm_at(invoker_id, now, self.deployment.keep_alive);
+        let instance = function.instances.entry(invoker_id).or_default();
+        self.loads.instances.insert((invoker_id, function_id));
+        instance.has_load_order = true;
+        instance.is_ours = true;
+        if begins_load {
+            instance.loading_since = instance.loading_since.or(Some(now));
+            self.unload_stale_instances(invoker_id, function_id, actions);
+            self.loads.breaker.load_began(now);
+        }
+        self.loads.budget.order_given(now);
+        actions.load(invoker_id, function_id, 1);
+        true
+    }
+
+    /// Before a load at an invoker: unloads this controller's own idle instances there that have been outside their pool, and
+    /// not called, for a dwell time.
+    pub(super) fn unload_stale_instances(
+        &mut self,
+        invoker_id: InvokerId,
+        loading: FunctionId,
+        actions: &mut dyn Actions,
+    ) {
+        if !self.deployment.may_load {
+            return;
+        }
+        for function_id in self.loads.functions_at(invoker_id) {
+            if function_id == loading {
+                continue;
+            }
+            let function = self.functions.get_mut(&function_id);
+            let Some(instance) =
+                function.and_then(|function| function.instances.get_mut(&invoker_id))
+            else {
+                continue;
+            };
+            let is_idle = instance.in_flight == 0 && !instance.has_load_order;
+            let is_stale = instance
+                .unused_since
+                .is_some_and(|since| self.now >= since + MIN_DWELL);
+            if instance.is_ours && is_idle && is_stale {
+                instance.is_loaded = false;
+                instance.is_ours = false;
+                actions.unload(invoker_id, function_id);
+            }
+        }
+    }
+
+    /// A load order has ended.
+    pub fn load_ended(&mut self, now: Ticks, result: LoadResult, actions: &mut dyn Actions) {
+        self.advance_clock(now);
+        self.loads
+            .budget
+            .order_ended(now - result.duration, result.sent_at);
+        let Some(function) = self.functions.get_mut(&result.function) else {
+            return;
+        };
+        let was_loading = function.record_load(now, &result);
+        let instance = function.instances.entry(result.invoker).or_default();
+        let waiting = std::mem::take(&mut instance.waiting);
+        self.record_load_health(&result);
+        if result.outcome == LoadOutcome::LoadFailed {
+            self.loads.breaker.load_failed(now, result.invoker);
+        } else if was_loading && result.outcome == LoadOutcome::Loaded {
+            self.loads.breaker.load_succeeded();
+        }
+        for continuation in waiting {
+            continuation(self, actions);
+        }
+    }
+
+    /// What the end of a load order tells of the invoker.
+    fn record_load_health(&mut self, result: &LoadResult) {
+        let Some(invoker) = self.invokers.get_mut(&result.invoker) else {
+            return;
+        };
+        match result.outcome {
+            LoadOutcome::Unreachable => invoker.record_unreachable(self.now, result.duration),
+            LoadOutcome::TimedOut => invoker.eject(self.now),
+            LoadOutcome::NotSent => {}
+            LoadOutcome::Loaded | LoadOutcome::NoCapacity | LoadOutcome::LoadFailed => {
+                invoker.last_heard = self.now;
+            }
+        }
+        self.fleet.suspects.insert(result.invoker);
+    }
+
+    /// Lets an invocation wait for the load order at an invoker, until `latest`.
+    pub(super) fn await_load(
+        &mut self,
+        id: InvocationId,
+        invoker_id: InvokerId,
+        latest: Ticks,
+        actions: &mut dyn Actions,
+    ) {
+        let Some(state) = self.invocations.get(&id) else {
+            return;
+        };
+        let decision = state.decisions;
+        let Some(function) = self.functions.get_mut(&state.request.function) else {
+            return;
+        };
+        let when_undecided = |step: fn(&mut Self, InvocationId, &mut dyn Actions)| -> Continuation {
+            Box::new(move |policy, actions| {
+                let state = policy.invocations.get(&id);
+                if state.is_some_and(|state| state.decisions == decision) {
+                    step(policy, id, actions);
+                }
+            })
+        };
+        let instance = function.instances.entry(invoker_id).or_default();
+        instance.waiting.push(when_undecided(Self::route));
+        let reject =
+            |policy: &mut Self, id, actions: &mut dyn Actions| policy.reject(id, 0, actions);
+        self.schedule(latest, actions, when_undecided(reject));
+    }
+}
+
+impl FunctionState {
+    /// Notes the end of a load order. Whether a load was under way.
+    fn record_load(&mut self, now: Ticks, result: &LoadResult) -> bool {
+        let instance = self.instances.entry(result.invoker).or_default();
+        let was_loading = instance.loading_since.is_some();
+        instance.has_load_order = false;
+        instance.loading_since = None;
+        instance.missed_until = 0;
+        instance.is_loaded = result.outcome == LoadOutcome::Loaded;
+        if instance.is_loaded {
+            instance.last_used = instance.last_used.max(now - result.duration);
+            self.longest_load_time = self.longest_load_time.max(result.duration as f64);
+        } else {
+            let was_sent = result.outcome != LoadOutcome::NotSent;
+            let cooldown = if was_sent {
+                LOAD_COOLDOWN
+            } else {
+                HEALTH_CHECK_INTERVAL
+            };
+            instance.load_cooldown_until = now + cooldown;
+            instance.is_ours = false;
+        }
+        was_loading
+    }
+}
--- a/tests/cases.rs
+++ b/tests/cases.rs
@@ -2,12 +2,12 @@
 
 mod support;
 
-use saltdrum::port::*;
+use saltdrum::interface::*;
 use std::collections::BTreeSet;
 use support::*;
 
 /// Calls of one function that all succeed after their run time, at so many a second.
-fn traffic(bed: &mut Bed, function: FnId, a_second: u64, seconds: u64) {
+fn traffic(bed: &mut Bed, function: FunctionId, a_second: u64, seconds: u64) {
     for _ in 0..a_second * seconds {
         bed.invoke(0, function, 4 * SECOND);
         let mut left = SECOND / a_second;
@@ -21,7 +21,7 @@
 }
 
 /// Whatever has run for so long ends well, and so do all orders; a copy stands from its first use on.
-fn answer_run(bed: &mut Bed, run: Tenths) {
+fn answer_run(bed: &mut Bed, run: Ticks) {
     for (id, hop) in bed.out() {
         let (sent, function) = (&bed.k.invs[&id].sent[hop], bed.k.invs[&id].call.function);
         if bed.k.now - sent.at >= run {
@@ -30,16 +30,20 @@
                 id,
                 hop,
                 Outcome::Succeeded,
-                Some(if new { Found::BeganLoad } else { Found::Warm }),
+                Some(if new {
+                    StartKind::BeganLoad
+                } else {
+                    StartKind::Warm
+                }),
             );
         }
     }
     while !bed.k.holds.is_empty() {
-        bed.held(0, HoldOutcome::Standing);
+        bed.held(0, LoadOutcome::Loaded);
     }
 }
 
-fn used(bed: &Bed, function: FnId, since: Tenths) -> BTreeSet<InvokerId> {
+fn used(bed: &Bed, function: FunctionId, since: Ticks) -> BTreeSet<InvokerId> {
     let of = bed.k.invs.values().filter(|t| t.call.function == function);
     of.flat_map(|t| &t.sent)
         .filter(|s| s.at >= since)
@@ -64,7 +68,7 @@
             let mut bed = Bed::new(deployment(), 0);
             let entries: Vec<_> = invokers
                 .iter()
-                .map(|w| listed(*w, Life::Ready, None))
+                .map(|w| listed(*w, InvokerStatus::Ready, None))
                 .collect();
             bed.list(true, &entries);
             traffic(&mut bed, function, 2, 1);
@@ -82,7 +86,7 @@
         // Renewed until forgotten; after that planned off, and kept while nothing else needs the room.
         bed.pass(2 * SECOND);
         while !bed.k.holds.is_empty() {
-            bed.held(0, HoldOutcome::Standing);
+            bed.held(0, LoadOutcome::Loaded);
         }
     }
     assert!(bed.k.unloads.is_empty());
@@ -105,7 +109,12 @@
 #[test]
 fn orders_keep_a_part_of_the_ration_for_misses() {
     let mut d = deployment();
-    (d.misses, d.order_window, d.orders_free, d.orders_share) = (true, 5 * SECOND, 5.0, 0.0);
+    (
+        d.reports_misses,
+        d.load_window,
+        d.free_loads,
+        d.loads_per_invocation,
+    ) = (true, 5 * SECOND, 5.0, 0.0);
     let mut bed = Bed::new(d, 6);
     for function in 0..6 {
         let id = bed.invoke(0, function, 4 * SECOND);
@@ -121,7 +130,12 @@
 #[test]
 fn what_no_invoker_ever_ran_widens_no_ration() {
     let mut d = deployment();
-    (d.misses, d.order_window, d.orders_free, d.orders_share) = (true, 5 * SECOND, 3.0, 0.1);
+    (
+        d.reports_misses,
+        d.load_window,
+        d.free_loads,
+        d.loads_per_invocation,
+    ) = (true, 5 * SECOND, 3.0, 0.1);
     let mut bed = Bed::new(d, 6);
     for function in 0..200 {
         let id = bed.invoke(0, 1_000 + function, 4 * SECOND);
@@ -160,11 +174,16 @@
 #[test]
 fn waiting_for_the_ration_ends_before_the_client_timeout() {
     let mut d = deployment();
-    (d.misses, d.order_window, d.orders_free, d.orders_share) = (true, 5 * SECOND, 0.0, 0.0);
+    (
+        d.reports_misses,
+        d.load_window,
+        d.free_loads,
+        d.loads_per_invocation,
+    ) = (true, 5 * SECOND, 0.0, 0.0);
     let mut bed = Bed::new(d, 3);
-    let id = bed.invoke(0, 1, 1_030 * MILLI);
+    let id = bed.invoke(0, 1, 1_030 * MILLISECOND);
     bed.answer(id, 0, Outcome::Miss, None);
-    bed.pass(1_031 * MILLI);
+    bed.pass(1_031 * MILLISECOND);
     assert_eq!(bed.k.invs[&id].finals, ["throttled"]);
 }
 
@@ -173,13 +192,13 @@
 fn a_cold_invoker_gets_nothing_from_a_controller_that_got_nothing_done() {
     let mut bed = Bed::new(deployment(), 2);
     let now = bed.k.now;
-    bed.list(false, &[listed(2, Life::Ready, Some(now))]);
+    bed.list(false, &[listed(2, InvokerStatus::Ready, Some(now))]);
     for function in 0..40 {
         let id = bed.invoke(0, function, 4 * SECOND);
         if !bed.k.invs[&id].sent.is_empty() {
             bed.answer(id, 0, Outcome::Full, None);
         }
-        bed.pass(150 * MILLI);
+        bed.pass(150 * MILLISECOND);
     }
     assert!(
         bed.k
@@ -193,7 +212,7 @@
 #[test]
 fn a_non_idempotent_one_that_may_have_run_is_errored() {
     let mut d = deployment();
-    d.trigger_types = vec![terms(Effect::NonIdempotent, Scope::All)];
+    d.trigger_types = vec![terms(Effect::NonIdempotent, KeyScope::All)];
     let mut bed = Bed::new(d, 3);
     let ids = [Outcome::Errored, Outcome::Reset].map(|end| {
         let id = bed.invoke(0, 1, 4 * SECOND);
@@ -231,15 +250,15 @@
 #[test]
 fn idle_invokers_are_tried_however_slow_they_were() {
     let mut d = deployment();
-    d.trigger_types[0].objective = 2 * RUN;
+    d.trigger_types[0].latency_objective = 2 * RUN;
     let mut bed = Bed::new(d, 2);
     traffic(&mut bed, 1, 10, 3);
     for _ in 0..3 {
-        let ids: Vec<InvId> = (0..16).map(|_| bed.invoke(0, 1, 4 * SECOND)).collect();
+        let ids: Vec<InvocationId> = (0..16).map(|_| bed.invoke(0, 1, 4 * SECOND)).collect();
         bed.pass(8 * RUN);
         for id in ids {
             for (_, hop) in bed.out().into_iter().filter(|(i, _)| *i == id) {
-                bed.answer(id, hop, Outcome::Succeeded, Some(Found::Warm));
+                bed.answer(id, hop, Outcome::Succeeded, Some(StartKind::Warm));
             }
         }
     }
@@ -253,7 +272,7 @@
     let mut d = deployment();
     d.trigger_types.push(TriggerType {
         billed_value: 10.0,
-        ..terms(Effect::Idempotent, Scope::All)
+        ..terms(Effect::Idempotent, KeyScope::All)
     });
     let mut bed = Bed::new(d, 2);
     traffic(&mut bed, 1, 10, 3);
@@ -262,10 +281,10 @@
         let trigger = n % 2;
         let id = bed.invoke(trigger, 1, 4 * SECOND);
         throttled[trigger] += usize::from(bed.k.invs[&id].finals == ["throttled"]);
-        bed.pass(20 * MILLI);
+        bed.pass(20 * MILLISECOND);
         for (id, hop) in bed.out() {
             if bed.k.now - bed.k.invs[&id].sent[hop].at >= 5 * RUN {
-                bed.answer(id, hop, Outcome::Succeeded, Some(Found::Warm));
+                bed.answer(id, hop, Outcome::Succeeded, Some(StartKind::Warm));
             }
         }
     }
@@ -281,10 +300,10 @@
     for n in 0..1200 {
         let id = bed.invoke(0, n % 8, 4 * SECOND);
         throttled += usize::from(bed.k.invs[&id].finals == ["throttled"]);
-        bed.pass(20 * MILLI);
+        bed.pass(20 * MILLISECOND);
         // Fifty a second come, half of that is done, oldest first.
         if let Some((id, hop)) = bed.out().first().filter(|_| n % 2 == 0) {
-            bed.answer(*id, *hop, Outcome::Succeeded, Some(Found::Warm));
+            bed.answer(*id, *hop, Outcome::Succeeded, Some(StartKind::Warm));
         }
     }
     let waiting = bed.out().len();
@@ -339,7 +358,12 @@
 /// Found as a refusing invoker held slow for everybody, and asked again by the tenant it refuses.
 #[test]
 fn a_refusal_sends_one_tenant_elsewhere() {
-    let tenants = vec![Tenant { quota: 50.0 }; 2];
+    let tenants = vec![
+        Tenant {
+            quota_per_second: 50.0
+        };
+        2
+    ];
     let mut bed = Bed::new(
         Deployment {
             tenants,
@@ -366,7 +390,7 @@
     traffic(&mut bed, 1, 10, 5);
     let (id, orders) = (bed.invoke(0, 1, 4 * SECOND), bed.k.ordered.len());
     bed.stand_still(2 * SECOND);
-    bed.pass(60 * MILLI);
+    bed.pass(60 * MILLISECOND);
     assert!(bed.k.invs[&id].sent.len() == 1 && bed.k.ordered.len() <= orders + 2);
     answer_run(&mut bed, RUN);
     assert_eq!(bed.k.invs[&id].finals, ["succeeded"]);
@@ -377,20 +401,20 @@
 fn a_lost_answer_is_told_by_its_own_age() {
     let mut d = deployment();
     d.trigger_types
-        .push(terms(Effect::NonIdempotent, Scope::All));
+        .push(terms(Effect::NonIdempotent, KeyScope::All));
     let mut bed = Bed::new(d, 1);
     traffic(&mut bed, 1, 10, 5);
     let lost = [bed.invoke(0, 1, 4 * SECOND), bed.invoke(1, 1, 4 * SECOND)];
     for _ in 0..40 {
         bed.invoke(0, 1, 4 * SECOND);
-        bed.pass(100 * MILLI);
+        bed.pass(100 * MILLISECOND);
         for (id, hop) in bed.out() {
             if !lost.contains(&id) && bed.k.now - bed.k.invs[&id].sent[hop].at >= RUN {
-                bed.answer(id, hop, Outcome::Succeeded, Some(Found::Warm));
+                bed.answer(id, hop, Outcome::Succeeded, Some(StartKind::Warm));
             }
         }
     }
-    bed.pass(100 * MILLI);
+    bed.pass(100 * MILLISECOND);
     let [again, once] = lost.map(|id| &bed.k.invs[&id]);
     assert!(again.sent[0].ended == Some(Outcome::Cancelled) && again.finals == ["throttled"]);
     assert!(once.sent.len() == 1 && once.finals == ["errored"]);
@@ -412,23 +436,23 @@
             i,
         );
         bed.k.even = false;
-        bed.pass(i * 17 * MILLI);
+        bed.pass(i * 17 * MILLISECOND);
         while bed.k.now < end {
-            if bed.k.now >= start && bed.k.list[&4].0.started.is_none() {
-                let gone = |w| listed(w, Life::Gone, None);
+            if bed.k.now >= start && bed.k.list[&4].0.started_at.is_none() {
+                let gone = |w| listed(w, InvokerStatus::Gone, None);
                 bed.list(
                     false,
                     &[
                         gone(1),
                         gone(2),
                         gone(3),
-                        listed(4, Life::Ready, Some(start)),
+                        listed(4, InvokerStatus::Ready, Some(start)),
                     ],
                 );
             }
-            bed.invoke(0, (bed.k.now / MILLI + i) % 24, 4 * SECOND);
+            bed.invoke(0, (bed.k.now / MILLISECOND + i) % 24, 4 * SECOND);
             for _ in 0..if i % 10 == 0 { 3 } else { 28 } {
-                bed.pass(100 * MILLI);
+                bed.pass(100 * MILLISECOND);
                 answer_run(&mut bed, RUN);
             }
         }
@@ -446,11 +470,11 @@
     }
     let d = deployment();
     for from in &sent {
-        let window = *from..from + d.tip_window;
+        let window = *from..from + d.overload_window;
         let work = sent.iter().filter(|at| window.contains(at)).count() as f64 * RUN as f64;
-        let risen =
-            d.cold_share + (1.0 - d.cold_share) * (from - start) as f64 / d.cold_time as f64;
-        let most = d.tip_factor * risen * CORES * d.tip_window as f64;
+        let risen = d.initial_capacity_share
+            + (1.0 - d.initial_capacity_share) * (from - start) as f64 / d.warm_up_time as f64;
+        let most = d.overload_factor * risen * CORES * d.overload_window as f64;
         assert!(
             work <= most,
             "rule 4: {work} of at most {most} to a cold one at {}",
@@ -476,14 +500,16 @@
     }
     bed.pass(RUN);
     answer_run(&mut bed, RUN);
-    let entries: Vec<_> = (301..=600).map(|w| listed(w, Life::Ready, None)).collect();
+    let entries: Vec<_> = (301..=600)
+        .map(|w| listed(w, InvokerStatus::Ready, None))
+        .collect();
     bed.list(true, &entries);
     let since = bed.k.now;
     bed.pass(2 * SECOND);
     let mut turns = std::collections::BTreeMap::new();
     let new = bed.k.holds.iter().filter(|(.., at)| *at >= since);
     new.for_each(|(.., at)| *turns.entry(*at).or_insert(0) += 1);
-    let functions: BTreeSet<FnId> = bed.k.holds.iter().map(|(_, f, _)| *f).collect();
+    let functions: BTreeSet<FunctionId> = bed.k.holds.iter().map(|(_, f, _)| *f).collect();
     assert!(turns.values().all(|orders| *orders <= 40), "{turns:?}");
     assert_eq!(functions.len(), 200);
 }
@@ -492,10 +518,15 @@
 #[test]
 fn only_who_has_a_copy_ordered_is_told_when_it_stands() {
     let mut d = deployment();
-    (d.misses, d.order_window, d.orders_free, d.orders_share) = (true, 5 * SECOND, 1.0, 0.0);
+    (
+        d.reports_misses,
+        d.load_window,
+        d.free_loads,
+        d.loads_per_invocation,
+    ) = (true, 5 * SECOND, 1.0, 0.0);
     let mut bed = Bed::new(d, 6);
     for function in 0..2 {
-        let id = bed.invoke(0, function, 500 * MILLI);
+        let id = bed.invoke(0, function, 500 * MILLISECOND);
         bed.answer(id, 0, Outcome::Miss, None);
     }
     assert_eq!(bed.k.holds.len(), 1);
@@ -506,18 +537,18 @@
 #[test]
 fn a_wait_that_is_over_does_not_end_the_next_one() {
     let mut d = deployment();
-    (d.misses, d.controllers) = (true, 1);
+    (d.reports_misses, d.controllers) = (true, 1);
     let second_at_two = (1..40).filter(|function| {
         let mut bed = Bed::new(d.clone(), 1);
-        let others: Vec<InvId> = (0..20).map(|_| bed.invoke(0, 900, 4 * SECOND)).collect();
+        let others: Vec<InvocationId> = (0..20).map(|_| bed.invoke(0, 900, 4 * SECOND)).collect();
         let id = bed.invoke(0, *function, 4 * SECOND);
         bed.answer(id, 0, Outcome::Miss, None);
         bed.pass(RUN);
         others
             .iter()
-            .for_each(|other| bed.answer(*other, 0, Outcome::Succeeded, Some(Found::Warm)));
-        bed.list(false, &[listed(2, Life::Ready, None)]);
-        bed.pass(1_450 * MILLI);
+            .for_each(|other| bed.answer(*other, 0, Outcome::Succeeded, Some(StartKind::Warm)));
+        bed.list(false, &[listed(2, InvokerStatus::Ready, None)]);
+        bed.pass(1_450 * MILLISECOND);
         let order = |bed: &Bed, at| {
             bed.k
                 .holds
@@ -527,14 +558,14 @@
         let (Some(first), Some(_)) = (order(&bed, 1), order(&bed, 2)) else {
             return false;
         };
-        bed.held(first, HoldOutcome::NoRoom);
-        bed.pass(1_400 * MILLI);
+        bed.held(first, LoadOutcome::NoCapacity);
+        bed.pass(1_400 * MILLISECOND);
         assert!(
             bed.k.invs[&id].finals.is_empty(),
             "throttled while an order for it is out"
         );
         let second = order(&bed, 2).unwrap();
-        bed.held(second, HoldOutcome::Standing);
+        bed.held(second, LoadOutcome::Loaded);
         assert_eq!(bed.k.invs[&id].sent.len(), 2);
         true
     });
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -3,21 +3,21 @@
 
 mod support;
 
-use saltdrum::port::*;
+use saltdrum::interface::*;
 use support::*;
 
 /// When all but a few invokers are replaced by ones that come up cold, and when a play ends.
-const COLD: Tenths = 112 * SECOND;
-const END: Tenths = 124 * SECOND;
+const COLD: Ticks = 112 * SECOND;
+const END: Ticks = 124 * SECOND;
 const INVOKERS: u32 = 12;
 /// Started anew one after the other: so long before the change the first, each half a second later.
-const RESTARTS: Tenths = 3 * SECOND;
+const RESTARTS: Ticks = 3 * SECOND;
 /// Invokers that come back under their own id refuse connections for so long before.
-const DOWN: Tenths = 3 * SECOND;
+const DOWN: Ticks = 3 * SECOND;
 /// A start that is told late is told so long after its invoker was listed.
-const TOLD_LATE: Tenths = 2 * SECOND;
+const TOLD_LATE: Ticks = 2 * SECOND;
 /// Longer windows are not stated: an invoker would be warm in a few of them.
-const WINDOW_MOST: Tenths = 3 * SECOND;
+const WINDOW_MOST: Ticks = 3 * SECOND;
 /// One invocation in so many is heavy, and so many times the work of the others.
 const HEAVY_ONE_IN: u64 = 8;
 const HEAVY_TIMES: u64 = 4;
@@ -66,7 +66,7 @@
     unequal: bool,
     heavy: bool,
     /// How long an invocation of mean work runs alone.
-    run: Tenths,
+    run: Ticks,
     /// Whether an order to load counts like a call.
     counts_orders: bool,
     /// What the controllers are told, and what they are judged by.
@@ -96,10 +96,10 @@
     /// A budget of so many calls at the start of an invoker of mean size, by the length of the window or, where that
     /// would be long, of a run.
     fn with_first_budget(mut self, calls: u64) -> Self {
-        let at_once = self.stated.tip_factor * self.stated.cold_share * CORES;
-        let window = (((calls * RUN) as f64 / at_once) as Tenths).min(WINDOW_MOST);
-        self.run = (window as f64 * at_once / calls as f64) as Tenths;
-        (self.told.tip_window, self.stated.tip_window) = (window, window);
+        let at_once = self.stated.overload_factor * self.stated.initial_capacity_share * CORES;
+        let window = (((calls * RUN) as f64 / at_once) as Ticks).min(WINDOW_MOST);
+        self.run = (window as f64 * at_once / calls as f64) as Ticks;
+        (self.told.overload_window, self.stated.overload_window) = (window, window);
         self
     }
 
@@ -111,9 +111,14 @@
         }
     }
 
-    fn listed(&self, invoker: InvokerId, life: Life, started: Option<Tenths>) -> Listed {
-        Listed {
-            size: self.size(invoker),
+    fn listed(
+        &self,
+        invoker: InvokerId,
+        life: InvokerStatus,
+        started: Option<Ticks>,
+    ) -> InvokerRecord {
+        InvokerRecord {
+            capacity: self.size(invoker),
             ..listed(invoker, life, started)
         }
     }
@@ -135,12 +140,14 @@
             return;
         }
         let start = (with_start || self.news == News::Told).then_some(COLD);
-        let gone = (self.stay + 1..=INVOKERS).map(|w| self.listed(w, Life::Gone, None));
-        let cold = self.replaced().map(|w| self.listed(w, Life::Ready, start));
+        let gone = (self.stay + 1..=INVOKERS).map(|w| self.listed(w, InvokerStatus::Gone, None));
+        let cold = self
+            .replaced()
+            .map(|w| self.listed(w, InvokerStatus::Ready, start));
         bed.list(false, &gone.chain(cold).collect::<Vec<_>>());
     }
 
-    fn restart_of(&self, seed: u64) -> Option<Tenths> {
+    fn restart_of(&self, seed: u64) -> Option<Ticks> {
         match self.restarts {
             Restarts::None => None,
             Restarts::OneInFive => seed
@@ -172,14 +179,14 @@
         (0..self.controllers).map(weight).collect()
     }
 
-    fn begin(&self, seed: u64, now: Tenths) -> Bed {
+    fn begin(&self, seed: u64, now: Ticks) -> Bed {
         let deployment = Deployment {
             controllers: self.controllers,
             ..self.told.clone()
         };
         let mut bed = Bed::begun(deployment, INVOKERS, seed, now);
-        let all: Vec<Listed> = (1..=INVOKERS)
-            .map(|w| self.listed(w, Life::Ready, None))
+        let all: Vec<InvokerRecord> = (1..=INVOKERS)
+            .map(|w| self.listed(w, InvokerStatus::Ready, None))
             .collect();
         bed.list(true, &all);
         bed.k.even = false;
@@ -188,7 +195,7 @@
 
     /// Attempts of one controller, whose load is its `part` of the fleet's, at the cold invokers: where, when, and
     /// their work in calls.
-    fn attempts(&self, seed: u64, part: f64) -> Vec<(InvokerId, Tenths, f64)> {
+    fn attempts(&self, seed: u64, part: f64) -> Vec<(InvokerId, Ticks, f64)> {
         let mut rng = fastrand::Rng::with_seed(seed ^ 0xc01d);
         let heavier = if self.heavy {
             (HEAVY_TIMES + HEAVY_ONE_IN - 1) as f64 / HEAVY_ONE_IN as f64
@@ -233,9 +240,9 @@
                     4 * SECOND,
                     hint.map(|times| times * self.run),
                 );
-                next += 1 + (-(1.0 - rng.f64()).ln() / rate) as Tenths;
+                next += 1 + (-(1.0 - rng.f64()).ln() / rate) as Ticks;
             }
-            bed.pass(20 * MILLI);
+            bed.pass(20 * MILLISECOND);
             self.answer(&mut bed, &mut rng, &mut all);
         }
         all.extend(self.sent(&bed));
@@ -243,7 +250,7 @@
     }
 
     /// Dispatches to the cold invokers, by their work.
-    fn sent(&self, bed: &Bed) -> Vec<(InvokerId, Tenths, f64)> {
+    fn sent(&self, bed: &Bed) -> Vec<(InvokerId, Ticks, f64)> {
         let work = |t: &Taken| t.call.work_hint.unwrap_or(self.run) as f64 / self.run as f64;
         let of = |t: &Taken| {
             t.sent
@@ -261,7 +268,7 @@
         &self,
         bed: &mut Bed,
         rng: &mut fastrand::Rng,
-        all: &mut Vec<(InvokerId, Tenths, f64)>,
+        all: &mut Vec<(InvokerId, Ticks, f64)>,
     ) {
         for (id, hop) in bed.out() {
             let (call, s) = (&bed.k.invs[&id].call, &bed.k.invs[&id].sent[hop]);
@@ -269,12 +276,12 @@
                 bed.answer(id, hop, Outcome::NoConnection, None);
                 continue;
             }
-            let takes = (call.work_hint.unwrap_or(self.run) as f64 * (0.5 + rng.f64())) as Tenths;
+            let takes = (call.work_hint.unwrap_or(self.run) as f64 * (0.5 + rng.f64())) as Ticks;
             if bed.k.now >= s.at + takes {
                 let found = if bed.k.stands.insert((call.function, s.invoker)) {
-                    Found::BeganLoad
+                    StartKind::BeganLoad
                 } else {
-                    Found::Warm
+                    StartKind::Warm
                 };
                 bed.answer(id, hop, Outcome::Succeeded, Some(found));
             }
@@ -286,16 +293,16 @@
             bed.held(
                 0,
                 if refuses {
-                    HoldOutcome::Unreachable
+                    LoadOutcome::Unreachable
                 } else {
-                    HoldOutcome::Standing
+                    LoadOutcome::Loaded
                 },
             );
         }
     }
 
     /// Whether an invoker refused connections when something was sent there.
-    fn refuses(&self, invoker: InvokerId, at: Tenths) -> bool {
+    fn refuses(&self, invoker: InvokerId, at: Ticks) -> bool {
         self.news == News::Untold && self.is_cold(invoker) && (COLD - DOWN..COLD).contains(&at)
     }
 
@@ -306,7 +313,7 @@
         let total: f64 = weights.iter().sum();
         let seed = |i: usize| i as u64 + 1_000 * (self.draw + 1);
         let of = |(i, weight): (usize, &f64)| self.attempts(seed(i), weight / total);
-        let mut all: Vec<(InvokerId, Tenths, f64)> =
+        let mut all: Vec<(InvokerId, Ticks, f64)> =
             weights.iter().enumerate().flat_map(of).collect();
         all.sort_unstable_by_key(|(w, at, _)| (*w, *at));
         let mut judged = Judged {
@@ -316,14 +323,15 @@
         };
         let d = &self.stated;
         for (n, (w, from, _)) in all.iter().enumerate() {
-            let end = from + d.tip_window;
+            let end = from + d.overload_window;
             let within = all[n..].iter().take_while(|(v, at, _)| v == w && *at < end);
             let sum: f64 = within.map(|(_, _, work)| work).sum();
-            let age = (from - COLD) as f64 / d.cold_time as f64;
-            let risen = d.cold_share + (1.0 - d.cold_share) * age.min(1.0);
+            let age = (from - COLD) as f64 / d.warm_up_time as f64;
+            let risen = d.initial_capacity_share + (1.0 - d.initial_capacity_share) * age.min(1.0);
             let mean_size = (1..=INVOKERS).map(|w| self.size(w)).sum::<f64>() / f64::from(INVOKERS);
             let cores = CORES * self.size(*w) / mean_size;
-            let budget = d.tip_factor * risen * cores * d.tip_window as f64 / self.run as f64;
+            let budget =
+                d.overload_factor * risen * cores * d.overload_window as f64 / self.run as f64;
             judged.over += usize::from(sum > budget + chance(budget));
             judged.fullest = judged.fullest.max(sum / (budget + chance(budget)));
         }
@@ -443,7 +451,7 @@
 #[test]
 fn the_judge_of_the_sum_catches_a_fleet_that_takes_too_much() {
     let told = Deployment {
-        cold_share: 1.0,
+        initial_capacity_share: 1.0,
         ..deployment()
     };
     assert!(
--- a/tests/ranking.rs
+++ b/tests/ranking.rs
@@ -2,12 +2,12 @@
 
 mod support;
 
-use saltdrum::port::*;
+use saltdrum::interface::*;
 use std::collections::BTreeMap;
 use support::*;
 
 /// The rendezvous ranking of a function over all that are ready, made anew.
-fn whole(function: FnId, ready: &BTreeMap<InvokerId, f64>) -> Vec<InvokerId> {
+fn whole(function: FunctionId, ready: &BTreeMap<InvokerId, f64>) -> Vec<InvokerId> {
     let weight = |(w, size): (&InvokerId, &f64)| {
         let seed = function.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ u64::from(*w);
         (
@@ -21,7 +21,7 @@
 }
 
 /// All are warm: what a cold one may get would decide who is asked, and not the ranking.
-const LONG_PAST: Option<Tenths> = Some(1);
+const LONG_PAST: Option<Ticks> = Some(1);
 
 struct Fleet {
     bed: Bed,
@@ -33,7 +33,7 @@
 impl Fleet {
     fn new(invokers: u32, seed: u64) -> Self {
         let d = Deployment {
-            dispatch_limit: 255,
+            attempt_limit: 255,
             controllers: 200,
             ..deployment()
         };
@@ -51,7 +51,7 @@
         fleet
     }
 
-    fn line(&mut self, w: InvokerId, life: Life) -> Listed {
+    fn line(&mut self, w: InvokerId, life: InvokerStatus) -> InvokerRecord {
         // Now and then one that nobody should list: it must neither hide the others nor hold them up.
         let odd = self.rng.u32(..200) == 0;
         let size = if odd {
@@ -60,18 +60,18 @@
             [0.5, 1.0, 2.5, 4.0][self.rng.usize(..4)]
         };
         match life {
-            Life::Ready => self.ready.insert(w, size),
-            Life::Draining | Life::Gone => self.ready.remove(&w),
+            InvokerStatus::Ready => self.ready.insert(w, size),
+            InvokerStatus::Draining | InvokerStatus::Gone => self.ready.remove(&w),
         };
-        Listed {
-            size,
+        InvokerRecord {
+            capacity: size,
             ..listed(w, life, LONG_PAST)
         }
     }
 
     fn come(&mut self, n: u32) {
-        let new: Vec<Listed> = (self.next..self.next + n)
-            .map(|w| self.line(w, Life::Ready))
+        let new: Vec<InvokerRecord> = (self.next..self.next + n)
+            .map(|w| self.line(w, InvokerStatus::Ready))
             .collect();
         self.next += n;
         self.bed.list(false, &new);
@@ -91,12 +91,13 @@
             0 => self.come(n as u32),
             1 | 2 => {
                 let life = if self.rng.bool() {
-                    Life::Gone
+                    InvokerStatus::Gone
                 } else {
-                    Life::Draining
+                    InvokerStatus::Draining
                 };
                 let named = self.some(n);
-                let lines: Vec<Listed> = named.into_iter().map(|w| self.line(w, life)).collect();
+                let lines: Vec<InvokerRecord> =
+                    named.into_iter().map(|w| self.line(w, life)).collect();
                 self.bed.list(false, &lines);
             }
             // In another size, or in the same; some come back under their old ids.
@@ -105,9 +106,9 @@
                 named.push(self.rng.u32(1..self.next));
                 named.sort_unstable();
                 named.dedup();
-                let lines: Vec<Listed> = named
+                let lines: Vec<InvokerRecord> = named
                     .into_iter()
-                    .map(|w| self.line(w, Life::Ready))
+                    .map(|w| self.line(w, InvokerStatus::Ready))
                     .collect();
                 self.bed.list(false, &lines);
             }
@@ -119,9 +120,9 @@
                     Vec::new()
                 };
                 self.ready.retain(|w, _| !gone.contains(w));
-                let all = self.ready.iter().map(|(w, size)| Listed {
-                    size: *size,
-                    ..listed(*w, Life::Ready, LONG_PAST)
+                let all = self.ready.iter().map(|(w, size)| InvokerRecord {
+                    capacity: *size,
+                    ..listed(*w, InvokerStatus::Ready, LONG_PAST)
                 });
                 self.bed.list(true, &all.collect::<Vec<_>>());
             }
@@ -129,7 +130,7 @@
     }
 
     /// Who is asked, one after the other, where nobody can be reached.
-    fn asked(&mut self, function: FnId, deep: usize) -> Vec<InvokerId> {
+    fn asked(&mut self, function: FunctionId, deep: usize) -> Vec<InvokerId> {
         let id = self.bed.invoke(0, function, 4 * SECOND);
         for hop in 0..deep - 1 {
             self.bed.answer(id, hop, Outcome::NotSent, None);
@@ -183,22 +184,25 @@
         let mut fleet = Fleet::new(invokers, 7);
         let ask_all = |fleet: &mut Fleet| (0..FUNCTIONS).for_each(|f| drop(fleet.asked(f, 1)));
         ask_all(&mut fleet);
-        let first = fleet.bed.c.counted();
+        let first = fleet.bed.c.table_sizes();
         let mut costs = Vec::new();
         for n in [1, 40] {
-            let before = fleet.bed.c.counted().rank_steps;
+            let before = fleet.bed.c.table_sizes().rank_steps;
             let named = fleet.some(n);
-            let gone: Vec<Listed> = named.iter().map(|w| fleet.line(*w, Life::Gone)).collect();
+            let gone: Vec<InvokerRecord> = named
+                .iter()
+                .map(|w| fleet.line(*w, InvokerStatus::Gone))
+                .collect();
             fleet.bed.list(false, &gone);
             ask_all(&mut fleet);
             fleet.come(n as u32);
             ask_all(&mut fleet);
-            costs.push((fleet.bed.c.counted().rank_steps - before) / FUNCTIONS);
+            costs.push((fleet.bed.c.table_sizes().rank_steps - before) / FUNCTIONS);
         }
         (
             first.rank_steps / FUNCTIONS,
             costs,
-            fleet.bed.c.counted().ranked / FUNCTIONS as usize,
+            fleet.bed.c.table_sizes().ranked / FUNCTIONS as usize,
         )
     };
     let (small, large) = (steps_and_held(500), steps_and_held(5_000));
@@ -241,23 +245,23 @@
     for back in [false, true] {
         let now = fleet.bed.k.now;
         let line = |w: &InvokerId| match back {
-            true => Listed {
-                size: 2.0,
-                ..listed(*w, Life::Ready, Some(now))
+            true => InvokerRecord {
+                capacity: 2.0,
+                ..listed(*w, InvokerStatus::Ready, Some(now))
             },
-            false => listed(*w, Life::Gone, None),
+            false => listed(*w, InvokerStatus::Gone, None),
         };
-        let lines: Vec<Listed> = zone.iter().map(line).collect();
-        let before = fleet.bed.c.counted().rank_steps;
+        let lines: Vec<InvokerRecord> = zone.iter().map(line).collect();
+        let before = fleet.bed.c.table_sizes().rank_steps;
         fleet.bed.list(false, &lines);
         assert!(
-            fleet.bed.c.counted().rank_steps == before,
+            fleet.bed.c.table_sizes().rank_steps == before,
             "the event itself ranks nothing"
         );
         for _ in 0..400 {
-            let before = fleet.bed.c.counted().rank_steps;
-            fleet.bed.pass(4 * MILLI);
-            most = most.max(fleet.bed.c.counted().rank_steps - before);
+            let before = fleet.bed.c.table_sizes().rank_steps;
+            fleet.bed.pass(4 * MILLISECOND);
+            most = most.max(fleet.bed.c.table_sizes().rank_steps - before);
         }
     }
     // What a turn may take, and the last function's own ranking.
@@ -271,15 +275,17 @@
 fn sizes_that_can_not_be_end_no_less_than_others() {
     for odd in [f64::INFINITY, f64::MAX, 0.0, -1e300, f64::NAN] {
         let mut fleet = Fleet::new(300, 5);
-        let lines: Vec<Listed> = (1..=3)
-            .map(|w| Listed {
-                size: odd,
-                ..listed(w, Life::Ready, None)
+        let lines: Vec<InvokerRecord> = (1..=3)
+            .map(|w| InvokerRecord {
+                capacity: odd,
+                ..listed(w, InvokerStatus::Ready, None)
             })
             .collect();
         fleet.bed.list(false, &lines);
         (0..20).for_each(|function| assert_eq!(fleet.asked(function, 40).len(), 40, "{odd}"));
-        let gone: Vec<Listed> = (1..=3).map(|w| listed(w, Life::Gone, None)).collect();
+        let gone: Vec<InvokerRecord> = (1..=3)
+            .map(|w| listed(w, InvokerStatus::Gone, None))
+            .collect();
         gone.iter()
             .for_each(|l| fleet.ready.retain(|w, _| *w != l.invoker));
         fleet.bed.list(false, &gone);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -4,28 +4,33 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use saltdrum::port::*;
+use saltdrum::interface::*;
 use support::*;
 
 fn shape(bits: u8) -> Deployment {
     let on = |bit: u8| bits & (1 << bit) != 0;
     let mut d = deployment();
     d.trigger_types = vec![
-        terms(Effect::Idempotent, Scope::All),
+        terms(Effect::Idempotent, KeyScope::All),
         terms(
-            Effect::Tokened,
-            if on(0) { Scope::All } else { Scope::Zone },
+            Effect::IdempotencyKey,
+            if on(0) { KeyScope::All } else { KeyScope::Zone },
         ),
-        terms(Effect::Tokened, Scope::Cell),
-        terms(Effect::NonIdempotent, Scope::All),
+        terms(Effect::IdempotencyKey, KeyScope::Cell),
+        terms(Effect::NonIdempotent, KeyScope::All),
     ];
-    d.parallel_dispatches = on(1);
-    d.misses = on(2);
+    d.parallel_attempts = on(1);
+    d.reports_misses = on(2);
     d.may_cancel = on(3);
     d.controllers = if on(4) { 200 } else { 1 };
-    d.tenants = vec![Tenant { quota: 20.0 }; 2];
+    d.tenants = vec![
+        Tenant {
+            quota_per_second: 20.0
+        };
+        2
+    ];
     if on(5) {
-        (d.order_window, d.orders_free, d.orders_share) = (5 * SECOND, 3.0, 0.1);
+        (d.load_window, d.free_loads, d.loads_per_invocation) = (5 * SECOND, 3.0, 0.1);
     }
     d
 }
@@ -40,11 +45,11 @@
     Outcome::Miss,
     Outcome::Succeeded,
 ];
-const HOLD_ENDS: [HoldOutcome; 4] = [
-    HoldOutcome::Standing,
-    HoldOutcome::Standing,
-    HoldOutcome::NoRoom,
-    HoldOutcome::Unreachable,
+const HOLD_ENDS: [LoadOutcome; 4] = [
+    LoadOutcome::Loaded,
+    LoadOutcome::Loaded,
+    LoadOutcome::NoCapacity,
+    LoadOutcome::Unreachable,
 ];
 
 fn step(bed: &mut Bed, kind: u8, r: u32) {
@@ -52,7 +57,7 @@
     match kind {
         0..=7 => {
             bed.tenant = n / 8 % 2;
-            let patience = [300 * MILLI, 2 * SECOND, 4 * SECOND][n % 3];
+            let patience = [300 * MILLISECOND, 2 * SECOND, 4 * SECOND][n % 3];
             bed.invoke(n % 4, u64::from(r / 4 % 9), patience);
         }
         8..=15 => {
@@ -60,36 +65,41 @@
             let Some((id, hop)) = out.get(n % out.len().max(1)) else {
                 return;
             };
-            let found = [None, Some(Found::Warm), Some(Found::BeganLoad)][n % 3];
+            let found = [None, Some(StartKind::Warm), Some(StartKind::BeganLoad)][n % 3];
             bed.answer(*id, *hop, ENDS[n / 7 % ENDS.len()], found);
         }
         16..=18 if !bed.k.holds.is_empty() => bed.held(n % bed.k.holds.len(), HOLD_ENDS[n / 5 % 4]),
-        19..=25 => bed.pass(Tenths::from(r % 1500)),
+        19..=25 => bed.pass(Ticks::from(r % 1500)),
         26 => {
             let w = 1 + r % 6;
-            let started = bed.k.list[&w].0.started;
+            let started = bed.k.list[&w].0.started_at;
             let (life, started) = match n / 6 % 4 {
-                0 => (Life::Draining, started),
-                1 => (Life::Gone, started),
-                _ => (Life::Ready, Some(bed.k.now - Tenths::from(r % 2) * SECOND)),
+                0 => (InvokerStatus::Draining, started),
+                1 => (InvokerStatus::Gone, started),
+                _ => (
+                    InvokerStatus::Ready,
+                    Some(bed.k.now - Ticks::from(r % 2) * SECOND),
+                ),
             };
             bed.list(false, &[listed(w, life, started)]);
         }
         27 => {
             let ready = |w: &u32| (n >> w) & 1 == 0;
-            let entries: Vec<Listed> = (1..=6).filter(ready).map(|w| bed.k.list[&w].0).collect();
+            let entries: Vec<InvokerRecord> =
+                (1..=6).filter(ready).map(|w| bed.k.list[&w].0).collect();
             bed.list(true, &entries);
         }
         28 => {
-            let open = |(_, t): &(&InvId, &Taken)| t.finals.is_empty() && !t.gone;
-            let open: Vec<InvId> = bed.k.invs.iter().filter(open).map(|(id, _)| *id).collect();
+            let open = |(_, t): &(&InvocationId, &Taken)| t.finals.is_empty() && !t.gone;
+            let open: Vec<InvocationId> =
+                bed.k.invs.iter().filter(open).map(|(id, _)| *id).collect();
             if !open.is_empty() {
                 bed.leave(open[n % open.len()]);
             }
         }
         29 => {
-            bed.stand_still(Tenths::from(r % 20_000));
-            bed.pass(4 * MILLI);
+            bed.stand_still(Ticks::from(r % 20_000));
+            bed.pass(4 * MILLISECOND);
         }
         // A quiet spell in which nobody answers, so that silence is noticed and work moved.
         _ => bed.pass(SECOND),
@@ -122,10 +132,10 @@
         calls in prop::collection::vec((0u64..12, 3u64..40, 0u32..4), 30..120),
     ) {
         let mut d = deployment();
-        (d.misses, d.order_window, d.orders_free, d.orders_share) = (true, 5 * SECOND, f64::from(free), 0.1);
+        (d.reports_misses, d.load_window, d.free_loads, d.loads_per_invocation) = (true, 5 * SECOND, f64::from(free), 0.1);
         let mut bed = Bed::new(d, 6);
         for (function, patience, end) in calls {
-            let patience = patience * 100 * MILLI;
+            let patience = patience * 100 * MILLISECOND;
             let id = bed.invoke(0, function, patience);
             let untouched = bed.k.holds.iter().all(|(_, f, _)| *f != function);
             if bed.k.invs[&id].sent.is_empty() {
@@ -139,12 +149,12 @@
             } else {
                 bed.pass(RUN);
                 if bed.k.invs[&id].finals.is_empty() {
-                    bed.answer(id, 0, Outcome::Succeeded, Some(Found::Warm));
+                    bed.answer(id, 0, Outcome::Succeeded, Some(StartKind::Warm));
                 }
             }
-            bed.pass(20 * MILLI);
+            bed.pass(20 * MILLISECOND);
             if end == 3 && !bed.k.holds.is_empty() {
-                bed.held(0, HoldOutcome::Standing);
+                bed.held(0, LoadOutcome::Loaded);
             }
         }
         bed.pass(5 * SECOND);
@@ -170,19 +180,23 @@
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut bed = Bed::seeded(shape(bits), invokers, seed);
     bed.k.even = false;
-    let sized = |l: Listed| Listed {
-        size: [0.5, 1.0, 2.0, 4.0][l.invoker as usize % 4],
+    let sized = |l: InvokerRecord| InvokerRecord {
+        capacity: [0.5, 1.0, 2.0, 4.0][l.invoker as usize % 4],
         ..l
     };
-    let all: Vec<Listed> = (1..=invokers).map(|w| sized(bed.k.list[&w].0)).collect();
+    let all: Vec<InvokerRecord> = (1..=invokers).map(|w| sized(bed.k.list[&w].0)).collect();
     bed.list(true, &all);
     for _ in 0..300 {
         // Half of the fleet at once, now and then: whoever ranks by halves must come to the same.
         if rng.u32(0..40) == 0 {
-            let life = if rng.bool() { Life::Gone } else { Life::Ready };
-            let started = (life == Life::Ready && rng.bool()).then_some(bed.k.now);
+            let life = if rng.bool() {
+                InvokerStatus::Gone
+            } else {
+                InvokerStatus::Ready
+            };
+            let started = (life == InvokerStatus::Ready && rng.bool()).then_some(bed.k.now);
             let half = (1..=invokers).filter(|w| w % 2 == 0);
-            let half: Vec<Listed> = half.map(|w| sized(listed(w, life, started))).collect();
+            let half: Vec<InvokerRecord> = half.map(|w| sized(listed(w, life, started))).collect();
             bed.list(false, &half);
         }
         step(&mut bed, rng.u8(0..32), rng.u32(..));
--- a/tests/store_down.rs
+++ b/tests/store_down.rs
@@ -2,12 +2,12 @@
 
 mod support;
 
-use saltdrum::port::*;
+use saltdrum::interface::*;
 use support::*;
 
 const INVOKERS: u32 = 8;
 /// So long after the last failure, or the last trial, the next load may begin.
-const OPEN: Tenths = 500 * MILLI;
+const OPEN: Ticks = 500 * MILLISECOND;
 
 /// Ends all that is out: what stands runs, and loads fail while the store is down.
 fn end_all(bed: &mut Bed, store_is_down: bool) -> usize {
@@ -18,21 +18,21 @@
             bed.k.invs[id].sent[*hop].invoker,
         );
         if bed.k.stands.contains(&(function, invoker)) {
-            bed.answer(*id, *hop, Outcome::Succeeded, Some(Found::Warm));
+            bed.answer(*id, *hop, Outcome::Succeeded, Some(StartKind::Warm));
         } else if store_is_down {
-            bed.answer(*id, *hop, Outcome::Errored, Some(Found::LoadFailed));
+            bed.answer(*id, *hop, Outcome::Errored, Some(StartKind::LoadFailed));
         } else {
             bed.k.stands.insert((function, invoker));
-            bed.answer(*id, *hop, Outcome::Succeeded, Some(Found::BeganLoad));
+            bed.answer(*id, *hop, Outcome::Succeeded, Some(StartKind::BeganLoad));
         }
     }
     while !bed.k.holds.is_empty() {
         bed.held(
             0,
             if store_is_down {
-                HoldOutcome::LoadFailed
+                LoadOutcome::LoadFailed
             } else {
-                HoldOutcome::Standing
+                LoadOutcome::Loaded
             },
         );
     }
@@ -118,7 +118,7 @@
     for function in 300..400 {
         bed.invoke(0, function, 4 * SECOND);
         while end_all(&mut bed, true) > 0 {}
-        bed.pass(20 * MILLI);
+        bed.pass(20 * MILLISECOND);
     }
     let id = bed.invoke(0, 7, 4 * SECOND);
     assert!(
@@ -145,9 +145,9 @@
             for (id, hop) in out {
                 let broken = bed.k.invs[&id].sent[hop].invoker == 1;
                 let found = if broken {
-                    Found::LoadFailed
+                    StartKind::LoadFailed
                 } else {
-                    Found::BeganLoad
+                    StartKind::BeganLoad
                 };
                 let outcome = if broken {
                     Outcome::Errored
@@ -158,7 +158,7 @@
                 bed.answer(id, hop, outcome, Some(found));
             }
         }
-        bed.pass(20 * MILLI);
+        bed.pass(20 * MILLISECOND);
     }
     assert_eq!(ended_well, 60);
 }
