--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -68,7 +68,7 @@
         let stewards = self
             .stewards
             .iter()
-            .map(|s| s.parse())
+            .map(|s| s.parse().map_err(String::from))
             .collect::<Result<_, String>>()?;
         let reached_at = self.reached_at.as_ref().map(|a| a.parse()).transpose()?;
         Ok(Some(Joined {
--- a/crates/cli/src/leases.rs
+++ b/crates/cli/src/leases.rs
@@ -64,7 +64,7 @@
     let stewards: Vec<Address> = runs
         .stewards
         .iter()
-        .map(|s| s.parse())
+        .map(|s| s.parse().map_err(String::from))
         .collect::<Result<_, String>>()?;
     if let Some(fault) = &runs.fault {
         return faulty_journal(runs, fault, &fleet, &listen);
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -103,7 +103,7 @@
     }
     let lists: Vec<Address> = lists
         .iter()
-        .map(|l| l.parse())
+        .map(|l| l.parse().map_err(String::from))
         .collect::<Result<_, String>>()?;
     let joined = joins.checked(fleet.as_ref())?;
     let zone = match zone {
--- a/crates/controller/src/clients.rs
+++ b/crates/controller/src/clients.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use saltdrum::interface::{InvocationId, Ticks};
 use saltdrum_protocol::rpc::{self, Call, Id, Line};
-use saltdrum_transport::{ArrivalClock, ArrivalReader, Clock, Listener, SendQueue, Stream, halves};
+use saltdrum_transport::{ArrivalClock, ArrivalReader, Clock, Listener, SendQueue, Stream, split};
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -29,7 +29,7 @@
 impl Client {
     fn put(&self, mut text: String, until: Ticks) {
         text.push('\n');
-        if self.outbox.put(Bytes::from(text), until).is_none() {
+        if self.outbox.push(Bytes::from(text), until).is_none() {
             self.cut.notify_one();
         }
     }
@@ -132,7 +132,7 @@
 
 /// Attends to one client, whose connection can have been open since `opened`.
 async fn attend(front: Rc<Front>, stream: Stream, opened: Ticks) {
-    let (input, mut output) = halves(stream);
+    let (input, mut output) = split(stream);
     let client = Rc::new(Client {
         outbox: SendQueue::new(ANSWERS_MOST_BYTES),
         open: RefCell::default(),
@@ -182,7 +182,7 @@
 ) -> String {
     let mut searched = 0;
     loop {
-        let earliest = match read.more().await {
+        let earliest = match read.read_more().await {
             Ok(Some(earliest)) => earliest,
             Ok(None) => return "hung up".into(),
             Err(e) => return e.to_string(),
--- a/crates/controller/src/going.rs
+++ b/crates/controller/src/going.rs
@@ -97,7 +97,7 @@
         self.outboxes
             .borrow()
             .values()
-            .map(SendQueue::waiting_bytes)
+            .map(SendQueue::queued_bytes)
             .sum()
     }
 
--- a/crates/controller/src/links.rs
+++ b/crates/controller/src/links.rs
@@ -8,7 +8,7 @@
 use saltdrum_protocol::frame::{Message, cut, encode};
 use saltdrum_protocol::invoker as wire;
 use saltdrum_protocol::list::Entry;
-use saltdrum_transport::{Address, Half, SendQueue, Stream, Ticket, halves};
+use saltdrum_transport::{Address, Half, SendQueue, Stream, Ticket, split};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::time::Duration;
@@ -79,7 +79,7 @@
         if self.phase == Phase::Down {
             None
         } else {
-            self.outbox.put(frame, until)
+            self.outbox.push(frame, until)
         }
     }
 
@@ -178,7 +178,11 @@
         return;
     };
     let gone = link.outbox.withdraw(now, |t| link.is_new_work(t));
-    if link.outbox.begun().is_some_and(|t| link.is_new_work(t)) {
+    if link
+        .outbox
+        .partially_sent()
+        .is_some_and(|t| link.is_new_work(t))
+    {
         warn!(
             invoker,
             "a frame is stuck half-way to an invoker that drains: the link is cut"
@@ -226,7 +230,7 @@
     let out: Vec<(InvocationId, u8, bool)> = link
         .out
         .values()
-        .map(|s| (s.inv, s.hop, link.outbox.has_left(s.ticket)))
+        .map(|s| (s.inv, s.hop, link.outbox.is_sent(s.ticket)))
         .collect();
     let orders: Vec<u64> = link.orders.keys().copied().collect();
     for (inv, hop, left) in out {
@@ -340,7 +344,7 @@
         Err(_) => return format!("no connection within {} ms", within.as_millis()),
     };
     front.tell(|state| up(state, invoker, &welcome));
-    let (input, mut output) = halves(stream);
+    let (input, mut output) = split(stream);
     let clock = front.clock;
     let withdrawn = |ticket| front.tell(|state| not_sent(state, invoker, &[ticket]));
     tokio::select! {
@@ -473,7 +477,7 @@
                     a.dispatch
                 ));
             };
-            if !link.outbox.has_left(sent.ticket) {
+            if !link.outbox.is_sent(sent.ticket) {
                 return Err(format!(
                     "an answer for dispatch {}, which has not left",
                     a.dispatch
--- a/crates/controller/src/list.rs
+++ b/crates/controller/src/list.rs
@@ -54,7 +54,7 @@
         let message = match cut(&mut read.bytes) {
             Err(e) => return e.to_string(),
             Ok(Some((kind, body))) => wire::FromList::read(kind, &body),
-            Ok(None) => match read.more().await {
+            Ok(None) => match read.read_more().await {
                 Ok(Some(at)) => {
                     came = at;
                     continue;
--- a/crates/coordinator/src/caller.rs
+++ b/crates/coordinator/src/caller.rs
@@ -4,7 +4,7 @@
 use bytes::{Bytes, BytesMut};
 use saltdrum::interface::Ticks;
 use saltdrum_protocol::rpc::ReplyError;
-use saltdrum_transport::{Address, Network, SendQueue, Stream, halves};
+use saltdrum_transport::{Address, Network, SendQueue, Stream, split};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
@@ -137,14 +137,14 @@
         );
         let (to, from) = oneshot::channel();
         line.open.borrow_mut().insert(id, to);
-        let put = line.outbox.put(Bytes::from(text), Ticks::MAX);
+        let put = line.outbox.push(Bytes::from(text), Ticks::MAX);
         put.ok_or_else(|| self.lost("too much lies unsent"))?;
         from.await.unwrap_or_else(|_| Err(self.lost("hung up")))
     }
 }
 
 async fn keep(stream: Stream, outbox: SendQueue, open: Rc<RefCell<Open>>, at: Address) {
-    let (mut input, mut output) = halves(stream);
+    let (mut input, mut output) = split(stream);
     let reading = async {
         let (mut read, mut searched) = (BytesMut::new(), 0);
         loop {
--- a/crates/coordinator/src/list.rs
+++ b/crates/coordinator/src/list.rs
@@ -7,7 +7,7 @@
 use saltdrum_fleet::fleet::{Fleet, Kind, Member, Phase};
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::list::{Change, Entry, Life, ToList, Whole};
-use saltdrum_transport::{Listener, SendQueue, Stream, halves};
+use saltdrum_transport::{Listener, SendQueue, Stream, split};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use tokio::io::AsyncReadExt;
@@ -66,7 +66,7 @@
     }
 
     async fn follower(self: Rc<Self>, stream: Stream) {
-        let (mut input, mut output) = halves(stream);
+        let (mut input, mut output) = split(stream);
         let mut read = BytesMut::new();
         let asked = loop {
             match cut(&mut read) {
@@ -108,7 +108,7 @@
             settled: true,
             entries: known.values().cloned().collect(),
         };
-        outbox.put(encode(&whole), Ticks::MAX);
+        outbox.push(encode(&whole), Ticks::MAX);
         while news.changed().await.is_ok() {
             let Some(fleet) = self.fleet.borrow().clone() else {
                 continue;
@@ -142,7 +142,7 @@
                     Vec::new()
                 };
                 if outbox
-                    .put(
+                    .push(
                         encode(&Change {
                             revision: at,
                             entries,
--- a/crates/coordinator/src/server.rs
+++ b/crates/coordinator/src/server.rs
@@ -4,7 +4,7 @@
 use bytes::{Bytes, BytesMut};
 use saltdrum::interface::{MILLISECOND, Ticks};
 use saltdrum_protocol::rpc::{self, Call, Id, Line};
-use saltdrum_transport::{Address, Clock, Half, Network, SendQueue, Stream, halves};
+use saltdrum_transport::{Address, Clock, Half, Network, SendQueue, Stream, split};
 use serde::de::DeserializeOwned;
 use serde_json::value::RawValue;
 use std::rc::Rc;
@@ -83,7 +83,7 @@
 
 /// Answers one caller until it hangs up.
 pub async fn answer_caller<A: Answers>(answers: Rc<A>, stream: Stream) {
-    let (input, mut output) = halves(stream);
+    let (input, mut output) = split(stream);
     let outbox = SendQueue::new(UNREAD_MOST_BYTES);
     tokio::select! {
         biased;
@@ -94,7 +94,7 @@
 
 fn put(outbox: &SendQueue, mut text: String) {
     text.push('\n');
-    outbox.put(Bytes::from(text), Ticks::MAX);
+    outbox.push(Bytes::from(text), Ticks::MAX);
 }
 
 /// One call of a line; `Err` is the answer to a line that is none.
--- a/crates/fakes/src/invoker.rs
+++ b/crates/fakes/src/invoker.rs
@@ -16,7 +16,7 @@
 use saltdrum_registry::follow::{Following, Heard, follow};
 use saltdrum_registry::passage::{function_id, function_name};
 use saltdrum_transport::{
-    Address, ArrivalReader, Clock, EventLoopClock, Half, Network, SendQueue, Stream, halves,
+    Address, ArrivalReader, Clock, EventLoopClock, Half, Network, SendQueue, Stream, split,
 };
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -214,7 +214,7 @@
         let faults = self.this.faults.borrow();
         let lost = |who: &Who| faults.hangs || faults.cut_from.contains(&who.controller);
         if let Some((_, outbox)) = self.links.get(&link).filter(|(who, _)| !lost(who)) {
-            outbox.put(
+            outbox.push(
                 encode(&wire::Held {
                     order,
                     ended,
@@ -268,10 +268,10 @@
                 output: output.into(),
             });
             if faults.half_frames {
-                outbox.put(frame.slice(..frame.len() / 2), Ticks::MAX);
+                outbox.push(frame.slice(..frame.len() / 2), Ticks::MAX);
                 outbox.close();
             } else {
-                outbox.put(frame, Ticks::MAX);
+                outbox.push(frame, Ticks::MAX);
             }
         }
         let told = link.is_some() && !faults.half_frames;
@@ -865,7 +865,7 @@
 
     async fn attend(self: Rc<Self>, stream: Stream) {
         self.unstuck(None).await;
-        let (input, mut output) = halves(stream);
+        let (input, mut output) = split(stream);
         let clock = self.site.clock;
         let mut read = ArrivalReader::new(input, self.site.hour, self.site.turns.clone());
         let Some((kind, body, _)) = next_frame(&mut read).await else {
@@ -909,7 +909,7 @@
                 incarnation: life.incarnation,
                 age_tenths,
             };
-            outbox.put(encode(&welcome), Ticks::MAX);
+            outbox.push(encode(&welcome), Ticks::MAX);
             life.links_made
         };
         tokio::select! {
@@ -976,7 +976,7 @@
                         waiting: Some(waiting),
                     };
                     if let Some((_, outbox)) = self.life.borrow().links.get(&link) {
-                        outbox.put(
+                        outbox.push(
                             encode(&wire::Probed {
                                 probe: p.probe,
                                 load,
@@ -1064,6 +1064,6 @@
         if let Some((kind, body)) = cut(&mut read.bytes).ok()? {
             return Some((kind, body, *earliest.get_mut()));
         }
-        earliest.set(read.more().await.ok()??);
+        earliest.set(read.read_more().await.ok()??);
     }
 }
--- a/crates/fakes/src/list.rs
+++ b/crates/fakes/src/list.rs
@@ -5,7 +5,7 @@
 use saltdrum::interface::Ticks;
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::list::{Change, Entry, FromList, Life, ToList, Whole};
-use saltdrum_transport::{Address, Clock, Network, SendQueue, Stream, halves};
+use saltdrum_transport::{Address, Clock, Network, SendQueue, Stream, split};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -78,7 +78,7 @@
     }
 
     async fn attend(self: Rc<Self>, stream: Stream) {
-        let (mut input, mut output) = halves(stream);
+        let (mut input, mut output) = split(stream);
         let mut read = BytesMut::new();
         let follow = loop {
             match cut(&mut read) {
@@ -110,7 +110,7 @@
             settled: true,
             entries,
         };
-        outbox.put(encode(&whole), Ticks::MAX);
+        outbox.push(encode(&whole), Ticks::MAX);
         self.followers.borrow_mut().push((who, outbox.clone()));
         let clock = self.clock;
         let gone = async {
@@ -160,7 +160,7 @@
             return;
         };
         for (who, outbox) in self.followers.borrow().iter() {
-            outbox.put(encode(&change), Ticks::MAX);
+            outbox.push(encode(&change), Ticks::MAX);
             self.note_told(*who, &change.entries);
         }
         if entry.life == Life::Gone {
--- a/crates/faulty-peers/src/lib.rs
+++ b/crates/faulty-peers/src/lib.rs
@@ -11,7 +11,7 @@
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::invoker as wire;
 use saltdrum_protocol::{list, rpc};
-use saltdrum_transport::{Clock, Network, SendQueue, halves};
+use saltdrum_transport::{Clock, Network, SendQueue, split};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -87,7 +87,7 @@
         let following = self.clone();
         tokio::task::spawn_local(async move { following.follow().await });
         loop {
-            let (input, mut output) = halves(door.accept().await?);
+            let (input, mut output) = split(door.accept().await?);
             let (this, outbox, clock) = (self.clone(), SendQueue::new(1 << 30), self.clock);
             let out = outbox.clone();
             tokio::task::spawn_local(async move {
@@ -150,7 +150,7 @@
         if stream.write_all(&encode(&hello)).await.is_err() {
             return;
         }
-        let (mut input, mut output) = halves(stream);
+        let (mut input, mut output) = split(stream);
         let (outbox, clock) = (SendQueue::new(1 << 30), self.clock);
         self.links.borrow_mut().insert(invoker, outbox.clone());
         tokio::task::spawn_local(async move {
@@ -233,15 +233,15 @@
                 name: call.function.clone(),
                 count: 1,
             };
-            link.put(encode(&hold), u64::MAX);
+            link.push(encode(&hold), u64::MAX);
         }
-        link.put(encode(&frame), u64::MAX);
+        link.push(encode(&frame), u64::MAX);
     }
 
     fn take(self: &Rc<Self>, call: rpc::Invoke, id: rpc::Id, to: SendQueue) {
         let inv = *self.last.borrow() as u32 + 1;
         let Some(first) = self.pick(None) else {
-            to.put(
+            to.push(
                 Bytes::from(rpc::error(&id, rpc::THROTTLED, "throttled", None) + "\n"),
                 u64::MAX,
             );
@@ -253,7 +253,7 @@
             let to = to.clone();
             tokio::task::spawn_local(async move {
                 tokio::time::sleep(std::time::Duration::from_millis(wait_ms)).await;
-                to.put(Bytes::from(text + "\n"), u64::MAX);
+                to.push(Bytes::from(text + "\n"), u64::MAX);
             });
         };
         let then: Then = Box::new(move |a| {
--- a/crates/load/src/drive.rs
+++ b/crates/load/src/drive.rs
@@ -8,7 +8,7 @@
 use saltdrum_deployment::Terms;
 use saltdrum_protocol::rpc;
 use saltdrum_transport::{
-    Address, ArrivalReader, Clock, EventLoopClock, Network, SendQueue, halves, run_event_loop_clock,
+    Address, ArrivalReader, Clock, EventLoopClock, Network, SendQueue, run_event_loop_clock, split,
 };
 use serde_json::json;
 use std::cell::{Cell, RefCell};
@@ -217,7 +217,7 @@
         let at = self.clock.now();
         if line
             .outbox
-            .put(Bytes::from(format!("{call}\n")), at + timeout)
+            .push(Bytes::from(format!("{call}\n")), at + timeout)
             .is_none()
         {
             line.waiting.borrow_mut().remove(&id);
@@ -236,7 +236,7 @@
         if let Some(line) = self.lines.borrow()[place].clone().filter(|l| l.open.get()) {
             return Some(line);
         }
-        let (input, mut output) = halves(stream);
+        let (input, mut output) = split(stream);
         let (outbox, waiting) = (SendQueue::new(OUTBOX_BYTES), Waiting::default());
         let open = Rc::new(Cell::new(true));
         let line = Rc::new(Connection {
@@ -264,7 +264,7 @@
 }
 
 async fn listen(read: &mut ArrivalReader<saltdrum_transport::Half>, waiting: &Waiting) {
-    while let Ok(Some(_)) = read.more().await {
+    while let Ok(Some(_)) = read.read_more().await {
         while let Some(end) = read.bytes.iter().position(|b| *b == b'\n') {
             let line = read.bytes.split_to(end + 1);
             let Ok(reply) = serde_json::from_slice::<rpc::Reply>(&line) else {
--- a/crates/load/tests/freeze.rs
+++ b/crates/load/tests/freeze.rs
@@ -5,7 +5,7 @@
 use saltdrum_load::retry::{End, Patience};
 use saltdrum_load::{Entry, Latencies, Played, Shape, Verdict, drive, shape::arrivals};
 use saltdrum_simulated_network::{Ether, Hold, Line, Lines, stoppable};
-use saltdrum_transport::{Address, Clock, EventLoopClock, Network, halves};
+use saltdrum_transport::{Address, Clock, EventLoopClock, Network, split};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
@@ -27,7 +27,7 @@
     let accepting = async {
         while let Ok(stream) = door.accept().await {
             tokio::task::spawn_local(async move {
-                let (input, output) = halves(stream);
+                let (input, output) = split(stream);
                 let mut lines = BufReader::new(input).lines();
                 while let Ok(Some(line)) = lines.next_line().await {
                     let call: serde_json::Value = serde_json::from_str(&line).unwrap();
--- a/crates/platform/src/attempt.rs
+++ b/crates/platform/src/attempt.rs
@@ -172,7 +172,7 @@
     /// Waits until whatever had come from its client and from the feed some moments ago has been read. A process that stood
     /// still hears of what fell due meanwhile, of who left and of which invoker drains in any order.
     async fn readers_are_up_to_date(&self) {
-        while self.front.turns.looked() + FRESH <= self.front.clock.now() {
+        while self.front.turns.last_polled() + FRESH <= self.front.clock.now() {
             tokio::time::sleep(TURN).await;
         }
         let client = self.worded.client.as_ref().map(|client| &client.backlog);
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -119,7 +119,7 @@
 
     /// Who does not read what it asked for is cut off.
     pub fn put(&self, frame: bytes::Bytes, until: Ticks) {
-        if self.outbox.put(frame, until).is_none() {
+        if self.outbox.push(frame, until).is_none() {
             self.cut_off(CloseReason::AnswersUnread);
         }
     }
@@ -211,7 +211,7 @@
         self.all
             .borrow()
             .values()
-            .any(|c| c.outbox.waiting_bytes() > 0 || half(c))
+            .any(|c| c.outbox.queued_bytes() > 0 || half(c))
     }
 
     pub fn is_shut(&self) -> bool {
--- a/crates/platform/src/connection.rs
+++ b/crates/platform/src/connection.rs
@@ -10,7 +10,7 @@
 use saltdrum::interface::{InvocationId, Ticks};
 use saltdrum_platform_wire::Malformed;
 use saltdrum_platform_wire::frames::{self, Code, FromClient};
-use saltdrum_transport::{ArrivalReader, Half, ReadBacklog, Stream, halves};
+use saltdrum_transport::{ArrivalReader, Half, ReadBacklog, Stream, split};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
@@ -47,7 +47,7 @@
 
 /// Attends to one client, whose connection can have been open since `opened`, until its end.
 pub(crate) async fn attend(front: Rc<Front>, stream: Stream, opened: Ticks, entry: Entry) {
-    let (input, mut output) = halves(stream);
+    let (input, mut output) = split(stream);
     let mut last = output.clone();
     let clock = front.clock;
     let client = Rc::new(Client::new(clock.now()));
@@ -189,7 +189,7 @@
 async fn refuse_what_comes(front: &Rc<Front>, client: &Rc<Client>, read: &mut ArrivalReader<Half>) {
     loop {
         refuse_frames(front, client, read);
-        match read.more().await {
+        match read.read_more().await {
             Ok(Some(_)) => {}
             Ok(None) | Err(_) => return,
         }
@@ -200,7 +200,7 @@
 async fn answer_what_lies(front: &Rc<Front>, client: &Rc<Client>, read: &mut ArrivalReader<Half>) {
     // The machine is asked what has come before this goes on.
     tokio::task::yield_now().await;
-    read.drain(LAST_READ_MOST);
+    read.read_available(LAST_READ_MOST);
     refuse_frames(front, client, read);
 }
 
@@ -230,7 +230,7 @@
     let mut discarded = read.bytes.len();
     while discarded < DISCARDED_MOST {
         read.bytes.clear();
-        match read.more().await {
+        match read.read_more().await {
             Ok(Some(_)) => discarded += read.bytes.len(),
             Ok(None) | Err(_) => return,
         }
@@ -241,7 +241,7 @@
 async fn listen(front: &Rc<Front>, client: &Rc<Client>, read: &mut ArrivalReader<Half>) -> End {
     let backlog = read.backlog();
     loop {
-        let earliest = match read.more().await {
+        let earliest = match read.read_more().await {
             Ok(Some(earliest)) => earliest,
             Ok(None) | Err(_) => return End::Left,
         };
--- a/crates/platform/src/crossings.rs
+++ b/crates/platform/src/crossings.rs
@@ -699,7 +699,7 @@
             client.hear().await;
             // It rests, and is used again.
             let rested = stage.front.clock.now() + 60 * MILLISECOND;
-            until(|| stage.front.turns.looked() > rested).await;
+            until(|| stage.front.turns.last_polled() > rested).await;
             let (call, txn) = stage.call(4);
             if after {
                 client.write(&call);
--- a/crates/platform/src/feed.rs
+++ b/crates/platform/src/feed.rs
@@ -131,7 +131,7 @@
     read: &mut ArrivalReader<Stream>,
     due: Ticks,
 ) -> Result<Ticks, String> {
-    let mut more = std::pin::pin!(read.more());
+    let mut more = std::pin::pin!(read.read_more());
     let got = match tokio::time::timeout_at(front.clock.instant(due), &mut more).await {
         Ok(got) => got,
         Err(_) => {
--- a/crates/platform/src/life.rs
+++ b/crates/platform/src/life.rs
@@ -263,7 +263,7 @@
         .unwrap_or(0);
     let killed = Duration::from_micros(longest * 100).min(KILLED_AFTER_MOST) + KILLED_AFTER_MORE;
     // A process that was stopped hears late that it is to end; when it is killed counts from when it was told.
-    let told_ago = Duration::from_micros(front.turns.waited_most(front.clock.now()) * 100);
+    let told_ago = Duration::from_micros(front.turns.max_wait(front.clock.now()) * 100);
     let killed = if told_ago > HEARD_AT_ONCE {
         killed.saturating_sub(told_ago)
     } else {
--- a/crates/platform/src/reach.rs
+++ b/crates/platform/src/reach.rs
@@ -241,7 +241,7 @@
             return Err(Outcome::NotSent);
         }
         let front = self.front.upgrade().ok_or(Outcome::NotSent)?;
-        let (looked, mut line) = (front.turns.looked(), None);
+        let (looked, mut line) = (front.turns.last_polled(), None);
         for i in (0..pool.idle.len()).rev() {
             let since = pool.idle[i].0;
             if looked < since + RESTS {
--- a/crates/registry/src/service.rs
+++ b/crates/registry/src/service.rs
@@ -11,7 +11,7 @@
 use bytes::{Bytes, BytesMut};
 use saltdrum_layers::Digest;
 use saltdrum_protocol::rpc::{self, Call, Id, Line};
-use saltdrum_transport::{Address, Clock, Half, Listener, Network, SendQueue, Stream, halves};
+use saltdrum_transport::{Address, Clock, Half, Listener, Network, SendQueue, Stream, split};
 use serde::Deserialize;
 use serde_json::{Value as Json, json};
 use std::cell::{Cell, RefCell};
@@ -185,7 +185,7 @@
 impl Caller {
     fn put(&self, mut text: String) {
         text.push('\n');
-        if self.outbox.put(Bytes::from(text), u64::MAX).is_none() {
+        if self.outbox.push(Bytes::from(text), u64::MAX).is_none() {
             self.cut.notify_one();
         }
     }
@@ -379,7 +379,7 @@
     }
 
     async fn hear(self: Rc<Self>, stream: Stream, clock: Clock) {
-        let (input, mut output) = halves(stream);
+        let (input, mut output) = split(stream);
         let outbox = SendQueue::new(UNREAD_MOST_BYTES);
         let caller = Rc::new(Caller {
             outbox,
--- a/crates/scenario/src/clients.rs
+++ b/crates/scenario/src/clients.rs
@@ -8,7 +8,7 @@
 use saltdrum_load::retry::{End, Patience, Then};
 use saltdrum_protocol::rpc;
 use saltdrum_transport::{
-    Address, ArrivalReader, Clock, EventLoopClock, Network, SendQueue, halves,
+    Address, ArrivalReader, Clock, EventLoopClock, Network, SendQueue, split,
 };
 use serde_json::json;
 use std::cell::{Cell, RefCell};
@@ -243,7 +243,7 @@
         let at = self.clock.now();
         if line
             .outbox
-            .put(Bytes::from(format!("{call}\n")), at + timeout)
+            .push(Bytes::from(format!("{call}\n")), at + timeout)
             .is_none()
         {
             return Err(());
@@ -293,7 +293,7 @@
         late: Option<Ticks>,
     ) -> Result<Connection, ()> {
         let stream = self.network.dial(address).await.map_err(|_| ())?;
-        let (input, mut output) = halves(stream);
+        let (input, mut output) = split(stream);
         let (outbox, waiting) = (SendQueue::new(64 << 20), Waiting::default());
         let open = Rc::new(Cell::new(true));
         let line = Connection {
@@ -339,7 +339,7 @@
         if let Some(late) = late {
             tokio::time::sleep(Duration::from_micros(late * 100)).await;
         }
-        while let Ok(Some(earliest)) = read.more().await {
+        while let Ok(Some(earliest)) = read.read_more().await {
             while let Some(end) = read.bytes.iter().position(|b| *b == b'\n') {
                 let line = read.bytes.split_to(end + 1);
                 self.hear(&line, earliest, waiting);
--- a/crates/simulated-network/src/streams.rs
+++ b/crates/simulated-network/src/streams.rs
@@ -309,7 +309,7 @@
             }
         }
         if let Some(written) = first {
-            this.ether.turns.written(written);
+            this.ether.turns.set_written_at(written);
         }
         way.wake_writer();
         Poll::Ready(Ok(()))
--- a/crates/transport/src/arrival.rs
+++ b/crates/transport/src/arrival_clock.rs
@@ -1,11 +1,11 @@
-//! When what is read now came at the earliest.
+//! The earliest time at which what is read now can have arrived.
 //!
-//! Bytes, and connections in a listener's queue, may have lain in the machine for long before they are read: the process
-//! was stopped, or others were served first. An [`ArrivalClock`] notes the moment at which the machine said that there was
-//! something. What it said came after the machine was asked before that (`PollTimes::looked_before`), however late it is read.
+//! Bytes, and connections in a listener's queue, may have lain in the kernel for long before they are read: the process was
+//! stopped, or other tasks ran first. An [`ArrivalClock`] notes when the kernel reported that there was something. What it
+//! reported arrived after the poll before that (`PollTimes::last_poll_before`), however late it is read.
 
-use crate::steady::unasked_polls;
-use crate::turns::PollTimes;
+use crate::event_loop::PollTimes;
+use crate::retrying_stream::polls_without_call;
 use crate::{Clock, EventLoopClock, Listener, Stream};
 use saltdrum::interface::Ticks;
 use std::cell::Cell;
@@ -19,16 +19,16 @@
 /// No wake-up was noted.
 const NOT_WOKEN: u64 = u64::MAX;
 
-/// Stands between a source and the task that waits for it, and keeps since when there can be something.
-struct WakeNote {
+/// The waker that a source is polled with: it passes wake-ups on, and keeps since when there can be something to read.
+struct ArrivalWaker {
     clock: Clock,
-    looks: Arc<PollTimes>,
+    poll_times: Arc<PollTimes>,
     /// The earliest arrival of what the source was woken for.
     since: AtomicU64,
     task: Mutex<Option<Waker>>,
 }
 
-impl WakeNote {
+impl ArrivalWaker {
     fn take_since(&self) -> Option<Ticks> {
         let since = self.since.swap(NOT_WOKEN, Ordering::Relaxed);
         (since != NOT_WOKEN).then_some(since)
@@ -38,14 +38,14 @@
         self.since.load(Ordering::Relaxed) != NOT_WOKEN
     }
 
-    /// What was noted before counts on, where the wake-up since was no news of the source.
+    /// Keeps an earlier note, where the wake-up since says nothing of the source.
     fn keep_earlier(&self, before: Option<Ticks>) {
         if let Some(before) = before {
             self.since.fetch_min(before, Ordering::Relaxed);
         }
     }
 
-    fn waits_for(&self, task: &Waker) {
+    fn set_task(&self, task: &Waker) {
         let mut waiting = self.task.lock().unwrap_or_else(PoisonError::into_inner);
         if waiting.as_ref().is_none_or(|w| !w.will_wake(task)) {
             *waiting = Some(task.clone());
@@ -53,10 +53,10 @@
     }
 }
 
-impl Wake for WakeNote {
+impl Wake for ArrivalWaker {
     fn wake(self: Arc<Self>) {
-        let bound = self.looks.looked_before(self.clock.now());
-        // Of several wake-ups before the task has its turn, the first counts.
+        let bound = self.poll_times.last_poll_before(self.clock.now());
+        // Of several wake-ups before the task runs, the first counts.
         let _ = self
             .since
             .compare_exchange(NOT_WOKEN, bound, Ordering::Relaxed, Ordering::Relaxed);
@@ -71,53 +71,57 @@
     }
 }
 
-/// Whether a source may have something that was not read yet.
+/// Tells whether a source may have something that was not read yet.
 #[derive(Clone)]
 pub struct ReadBacklog {
     unread: Rc<Cell<bool>>,
-    note: Option<Arc<WakeNote>>,
+    arrival: Option<Arc<ArrivalWaker>>,
 }
 
 impl ReadBacklog {
-    /// Of a source that is never behind, or that a test sets by hand.
+    /// The backlog of a source that is never behind.
     pub fn none() -> Self {
         Self {
             unread: Rc::default(),
-            note: None,
+            arrival: None,
         }
     }
 
-    /// True from the machine's word that there is something until the source was found empty.
+    /// True from the readiness event until the source was found empty.
     pub fn is_behind(&self) -> bool {
-        self.unread.get() || self.note.as_ref().is_some_and(|note| note.is_woken())
+        self.unread.get()
+            || self
+                .arrival
+                .as_ref()
+                .is_some_and(|arrival| arrival.is_woken())
     }
 }
 
-/// Watches one source: a stream, or a listener.
+/// Follows one source: a stream, or a listener.
 pub struct ArrivalClock {
-    note: Arc<WakeNote>,
+    arrival: Arc<ArrivalWaker>,
     waker: Waker,
     unread: Rc<Cell<bool>>,
     /// When the source was last known to be empty.
     empty_at: Ticks,
-    /// It was found empty the last time, so that whoever asks waits.
+    /// Whether it was found empty the last time, so that its poller waits.
     is_waiting: bool,
     earliest: Ticks,
 }
 
 impl ArrivalClock {
-    /// Of a source that may have had something since `opened`.
-    pub fn new(opened: Ticks, clock: Clock, turns: &EventLoopClock) -> Self {
+    /// Follows a source that may have had something since `opened`.
+    pub fn new(opened: Ticks, clock: Clock, event_loop: &EventLoopClock) -> Self {
         let (since, task) = (AtomicU64::new(NOT_WOKEN), Mutex::default());
-        let note = Arc::new(WakeNote {
+        let arrival = Arc::new(ArrivalWaker {
             clock,
-            looks: turns.looks(),
+            poll_times: event_loop.poll_times(),
             since,
             task,
         });
-        let waker = Waker::from(note.clone());
+        let waker = Waker::from(arrival.clone());
         Self {
-            note,
+            arrival,
             waker,
             unread: Rc::default(),
             empty_at: opened,
@@ -126,28 +130,28 @@
         }
     }
 
-    /// Asks the source once, through `poll`.
+    /// Polls the source once, through `poll`.
     pub fn poll<T>(
         &mut self,
         cx: &mut Context<'_>,
         poll: impl FnOnce(&mut Context<'_>) -> Poll<T>,
     ) -> Poll<T> {
-        let woken = self.note.take_since();
-        self.note.waits_for(cx.waker());
-        let unasked_before = unasked_polls();
+        let woken = self.arrival.take_since();
+        self.arrival.set_task(cx.waker());
+        let without_call_before = polls_without_call();
         let polled = poll(&mut Context::from_waker(&self.waker));
-        let is_asked = unasked_polls() == unasked_before;
-        let now = self.note.clock.now();
+        let made_call = polls_without_call() == without_call_before;
+        let now = self.arrival.clock.now();
         if polled.is_pending() {
-            // A source that wakes whoever asks it while it is asked has not been looked at: it puts them off.
-            if self.note.is_woken() {
-                self.note.keep_earlier(woken);
+            // A source that wakes its poller while it is polled defers the poll: it has not been looked at.
+            if self.arrival.is_woken() {
+                self.arrival.keep_earlier(woken);
             } else {
-                // Without a call the source is known to be empty as of when the machine was asked last.
-                let empty_at = if is_asked {
+                // Without a system call the source is known to be empty as of the last poll of the kernel.
+                let empty_at = if made_call {
                     now
                 } else {
-                    self.note.looks.looked_before(now)
+                    self.arrival.poll_times.last_poll_before(now)
                 };
                 (self.empty_at, self.is_waiting) = (self.empty_at.max(empty_at), true);
                 self.unread.set(false);
@@ -155,7 +159,7 @@
             return Poll::Pending;
         }
         if self.is_waiting {
-            let since = woken.unwrap_or_else(|| self.note.looks.looked_before(now));
+            let since = woken.unwrap_or_else(|| self.arrival.poll_times.last_poll_before(now));
             self.earliest = since.max(self.empty_at);
         }
         self.is_waiting = false;
@@ -163,30 +167,30 @@
         polled
     }
 
-    /// The next connection at a door, asked through this watch.
-    pub async fn accept(&mut self, door: &mut dyn Listener) -> io::Result<Stream> {
-        let mut next = door.accept();
+    /// Waits for the next connection of a listener.
+    pub async fn accept(&mut self, listener: &mut dyn Listener) -> io::Result<Stream> {
+        let mut next = listener.accept();
         poll_fn(|cx| self.poll(cx, |cx| next.as_mut().poll(cx))).await
     }
 
-    /// The earliest time at which what was got last can have come.
+    /// The earliest time at which what the last poll gave can have arrived.
     pub fn earliest(&self) -> Ticks {
         self.earliest
     }
 
-    /// Tells others whether something was not read yet.
+    /// A handle that tells whether something was not read yet.
     pub fn backlog(&self) -> ReadBacklog {
         ReadBacklog {
             unread: self.unread.clone(),
-            note: Some(self.note.clone()),
+            arrival: Some(self.arrival.clone()),
         }
     }
 }
 
 impl Drop for ArrivalClock {
-    /// Nothing more is read: nobody is to wait for that.
+    /// Nothing more is read, so nothing is behind.
     fn drop(&mut self) {
         self.unread.set(false);
-        self.note.take_since();
+        self.arrival.take_since();
     }
 }
--- a/crates/transport/src/clock.rs
+++ b/crates/transport/src/clock.rs
@@ -1,18 +1,20 @@
+//! A clock in ticks, on top of tokio's.
+
 use saltdrum::interface::Ticks;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// tokio's clock as whole tenths of a millisecond since an origin, which need not be this process's start.
+/// tokio's clock as [`Ticks`] since an origin, which need not be the start of this process.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
     ahead: Duration,
-    /// In millionths.
-    fast: i64,
+    /// Drift against true time, in millionths.
+    drift_ppm: i64,
 }
 
-/// An invoker may be older than the clock: its start must still have a time.
-const BEFORE: Duration = Duration::from_secs(3_600);
+/// What the clock reads at its origin: an invoker that started within this time before it still has a start time.
+const READING_AT_ORIGIN: Duration = Duration::from_secs(3_600);
 
 impl Clock {
     /// A clock that reads one hour now, so that what started within the hour before has a time on it too.
@@ -20,19 +22,20 @@
         Self::from(Instant::now())
     }
 
+    /// A clock that reads one hour at `origin`.
     pub fn from(origin: Instant) -> Self {
         Self {
             origin,
             ahead: Duration::ZERO,
-            fast: 0,
+            drift_ppm: 0,
         }
     }
 
-    /// A clock that is ahead of this one by so much now and gains so many millionths, or loses them.
-    pub fn skewed(self, ahead: Duration, fast: i64) -> Self {
+    /// A clock that is ahead of this one by `ahead` now and gains `drift_ppm` millionths (negative: loses them).
+    pub fn skewed(self, ahead: Duration, drift_ppm: i64) -> Self {
         Self {
             ahead,
-            fast,
+            drift_ppm,
             ..self
         }
     }
@@ -44,33 +47,35 @@
         Duration::from_nanos(nanos.max(0) as u64)
     }
 
+    /// The present reading.
     pub fn now(&self) -> Ticks {
         let elapsed = self.origin.elapsed();
-        let elapsed = if self.fast == 0 {
+        let elapsed = if self.drift_ppm == 0 {
             elapsed
         } else {
-            Self::stretched(elapsed, 0, self.fast)
+            Self::stretched(elapsed, 0, self.drift_ppm)
         };
-        tenths(BEFORE + self.ahead + elapsed)
+        ticks(READING_AT_ORIGIN + self.ahead + elapsed)
     }
 
     /// The instant at which the clock reads `at`, rounded up to what timers can do.
     pub fn instant(&self, at: Ticks) -> Instant {
-        let span =
-            Duration::from_micros(at.saturating_mul(100)).saturating_sub(BEFORE + self.ahead);
+        let span = Duration::from_micros(at.saturating_mul(100))
+            .saturating_sub(READING_AT_ORIGIN + self.ahead);
         self.origin
-            + if self.fast == 0 {
+            + if self.drift_ppm == 0 {
                 span
             } else {
-                Self::stretched(span, self.fast, 0)
+                Self::stretched(span, self.drift_ppm, 0)
             }
     }
 
+    /// Sleeps until the clock reads `at`.
     pub async fn sleep_until(&self, at: Ticks) {
         tokio::time::sleep_until(self.instant(at)).await;
     }
 }
 
-pub(crate) fn tenths(span: Duration) -> Ticks {
+pub(crate) fn ticks(span: Duration) -> Ticks {
     (span.as_micros() / 100) as Ticks
 }
--- a/crates/transport/src/network.rs
+++ b/crates/transport/src/network.rs
@@ -1,5 +1,6 @@
+//! What everything that runs knows of a network: addresses, streams, dialling and listening.
+
 use std::cell::RefCell;
-use std::collections::BTreeMap;
 use std::fmt;
 use std::future::Future;
 use std::io;
@@ -7,33 +8,52 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
-use tokio::sync::mpsc;
 
+/// A byte stream in both directions.
 pub trait Duplex: AsyncRead + AsyncWrite + Unpin {}
 impl<T: AsyncRead + AsyncWrite + Unpin> Duplex for T {}
 
+/// A connection, on sockets or in memory.
 pub type Stream = Box<dyn Duplex>;
-type Later<'a, T> = Pin<Box<dyn Future<Output = io::Result<T>> + 'a>>;
 
-/// Where somebody listens: `tcp:HOST:PORT`, `unix:PATH` or `memory:NAME`.
+/// The future of an operation on a [`Network`] or [`Listener`].
+pub type IoFuture<'a, T> = Pin<Box<dyn Future<Output = io::Result<T>> + 'a>>;
+
+/// Where a process listens, written `tcp:HOST:PORT`, `unix:PATH` or `memory:NAME`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Address {
+    /// Host and port of a TCP socket.
     Tcp(String),
+    /// Path of a Unix domain socket.
     Unix(String),
+    /// Name in a [`MemoryNetwork`](crate::MemoryNetwork).
     Memory(String),
 }
 
+/// A text is no [`Address`].
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("address '{text}': tcp:HOST:PORT or unix:PATH is expected")]
+pub struct ParseAddressError {
+    text: String,
+}
+
+impl From<ParseAddressError> for String {
+    fn from(error: ParseAddressError) -> Self {
+        error.to_string()
+    }
+}
+
 impl std::str::FromStr for Address {
-    type Err = String;
+    type Err = ParseAddressError;
 
-    fn from_str(text: &str) -> Result<Self, String> {
+    fn from_str(text: &str) -> Result<Self, ParseAddressError> {
         match text.split_once(':') {
             Some(("tcp", rest)) if rest.contains(':') => Ok(Self::Tcp(rest.into())),
             Some(("unix", rest)) if !rest.is_empty() => Ok(Self::Unix(rest.into())),
             Some(("memory", rest)) if !rest.is_empty() => Ok(Self::Memory(rest.into())),
-            _ => Err(format!(
-                "address '{text}': tcp:HOST:PORT or unix:PATH is expected"
-            )),
+            _ => Err(ParseAddressError {
+                text: text.to_owned(),
+            }),
         }
     }
 }
@@ -48,76 +68,26 @@
     }
 }
 
+/// Makes and accepts connections.
 pub trait Network {
-    fn dial<'a>(&'a self, address: &'a Address) -> Later<'a, Stream>;
-    /// Gives the listener and where it really listens: a port 0 has become a real one.
-    fn listen<'a>(&'a self, address: &'a Address) -> Later<'a, (Box<dyn Listener>, Address)>;
+    /// Connects to an address. Without a time limit of its own.
+    fn dial<'a>(&'a self, address: &'a Address) -> IoFuture<'a, Stream>;
+    /// Listens at an address. Gives the listener and where it really listens: port 0 has become a real port.
+    fn listen<'a>(&'a self, address: &'a Address) -> IoFuture<'a, (Box<dyn Listener>, Address)>;
 }
 
+/// Accepts connections at one address.
 pub trait Listener {
-    fn accept(&mut self) -> Later<'_, Stream>;
-}
-
-/// Streams inside one thread. A pipe holds so many bytes each way, as a socket's buffers do.
-#[derive(Clone, Default)]
-pub struct MemoryNetwork {
-    listeners: Rc<RefCell<BTreeMap<Address, mpsc::UnboundedSender<Stream>>>>,
-}
-
-const PIPE_BYTES: usize = 64 << 10;
-
-impl Network for MemoryNetwork {
-    fn dial<'a>(&'a self, address: &'a Address) -> Later<'a, Stream> {
-        let (here, there) = tokio::io::duplex(PIPE_BYTES);
-        let met = self
-            .listeners
-            .borrow()
-            .get(address)
-            .is_some_and(|l| l.send(Box::new(there)).is_ok());
-        Box::pin(async move {
-            if met {
-                Ok(Box::new(here) as Stream)
-            } else {
-                Err(io::ErrorKind::ConnectionRefused.into())
-            }
-        })
-    }
-
-    fn listen<'a>(&'a self, address: &'a Address) -> Later<'a, (Box<dyn Listener>, Address)> {
-        let (to, from) = mpsc::unbounded_channel();
-        let taken = self
-            .listeners
-            .borrow()
-            .get(address)
-            .is_some_and(|l| !l.is_closed());
-        if !taken {
-            self.listeners.borrow_mut().insert(address.clone(), to);
-        }
-        Box::pin(async move {
-            if taken {
-                return Err(io::ErrorKind::AddrInUse.into());
-            }
-            Ok((Box::new(from) as Box<dyn Listener>, address.clone()))
-        })
-    }
-}
-
-impl Listener for mpsc::UnboundedReceiver<Stream> {
-    fn accept(&mut self) -> Later<'_, Stream> {
-        Box::pin(async move {
-            self.recv()
-                .await
-                .ok_or_else(|| io::ErrorKind::ConnectionAborted.into())
-        })
-    }
+    /// Waits for the next connection.
+    fn accept(&mut self) -> IoFuture<'_, Stream>;
 }
 
 /// One end of a stream, read and written by two tasks of one thread.
 #[derive(Clone)]
 pub struct Half(Rc<RefCell<Stream>>);
 
-/// Both hold the stream open; it closes when the last is dropped.
-pub fn halves(stream: Stream) -> (Half, Half) {
+/// Splits a stream into two handles. Both hold it open; it closes when the last is dropped.
+pub fn split(stream: Stream) -> (Half, Half) {
     let shared = Rc::new(RefCell::new(stream));
     (Half(shared.clone()), Half(shared))
 }
--- a/crates/transport/src/steady.rs
+++ b/crates/transport/src/retrying_stream.rs
@@ -1,8 +1,8 @@
-//! A socket's bytes, whatever single system calls do: interrupted ones are made again, and short ones are no sign that the
-//! machine has no more to give or take.
+//! A socket stream that does not depend on what single system calls do: interrupted calls are retried, and a short read or
+//! write does not mean that the socket is empty or full.
 //!
-//! Tokio's own streams take a read or write that moved fewer bytes than asked for as such a sign, and then wait for the
-//! machine's next word. Where the call was short for another reason, that word never comes.
+//! Tokio's own streams take a call that moved fewer bytes than asked for as such a sign, and then wait for the next readiness
+//! event. Where the call was short for another reason, that event never comes.
 
 use std::cell::Cell;
 use std::io;
@@ -11,18 +11,18 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpStream, UnixStream};
 
-/// What is asked of a socket: the machine's word that it may be ready, and single calls.
-pub(crate) trait Calls {
+/// Readiness of a socket, and single system calls on it.
+pub(crate) trait SocketCalls {
     fn poll_readable(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>>;
     fn poll_writable(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>>;
-    /// `WouldBlock` takes the machine's word back.
+    /// `WouldBlock` clears the readiness.
     fn read(&self, bytes: &mut [u8]) -> io::Result<usize>;
     fn write(&self, bytes: &[u8]) -> io::Result<usize>;
 }
 
-macro_rules! calls_of {
+macro_rules! socket_calls {
     ($stream:ty) => {
-        impl Calls for $stream {
+        impl SocketCalls for $stream {
             fn poll_readable(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
                 self.poll_read_ready(cx)
             }
@@ -39,53 +39,53 @@
     };
 }
 
-calls_of!(TcpStream);
-calls_of!(UnixStream);
+socket_calls!(TcpStream);
+socket_calls!(UnixStream);
 
-/// A stream over single calls.
-pub(crate) struct Steady<S>(pub S);
+/// A stream over single system calls.
+pub(crate) struct RetryingStream<S>(pub S);
 
 thread_local! {
-    static UNASKED_POLLS: Cell<u64> = const { Cell::new(0) };
+    static POLLS_WITHOUT_CALL: Cell<u64> = const { Cell::new(0) };
 }
 
-/// How many polls of this thread ended `Pending` by what was known of a socket since the machine was last asked about all of
-/// them, without a call. Such a poll tells nothing of the socket now: after a stop that may be long ago.
-pub(crate) fn unasked_polls() -> u64 {
-    UNASKED_POLLS.get()
+/// How many polls of this thread ended `Pending` without a system call, by the readiness that was known from the last poll of
+/// the kernel. Such a poll says nothing of the socket now: after a stop of the process that may be long ago.
+pub(crate) fn polls_without_call() -> u64 {
+    POLLS_WITHOUT_CALL.get()
 }
 
-/// Notes such a poll.
-pub(crate) fn note_unasked_poll() {
-    UNASKED_POLLS.set(UNASKED_POLLS.get() + 1);
+/// Counts such a poll.
+pub(crate) fn note_poll_without_call() {
+    POLLS_WITHOUT_CALL.set(POLLS_WITHOUT_CALL.get() + 1);
 }
 
-/// Makes `call` until it neither is interrupted nor would block.
+/// Repeats `call` until it is neither interrupted nor would block.
 fn poll_call<T>(
     cx: &mut Context<'_>,
     mut poll_ready: impl FnMut(&mut Context<'_>) -> Poll<io::Result<()>>,
     mut call: impl FnMut() -> io::Result<T>,
 ) -> Poll<io::Result<T>> {
-    let mut is_asked = false;
+    let mut made_call = false;
     loop {
         match poll_ready(cx) {
             Poll::Ready(ready) => ready?,
             Poll::Pending => {
-                if !is_asked {
-                    note_unasked_poll();
+                if !made_call {
+                    note_poll_without_call();
                 }
                 return Poll::Pending;
             }
         }
         match call() {
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => is_asked = true,
+            Err(e) if e.kind() == io::ErrorKind::WouldBlock => made_call = true,
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
             done => return Poll::Ready(done),
         }
     }
 }
 
-impl<S: Calls + Unpin> AsyncRead for Steady<S> {
+impl<S: SocketCalls + Unpin> AsyncRead for RetryingStream<S> {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -102,7 +102,7 @@
     }
 }
 
-impl<S: Calls + AsyncWrite + Unpin> AsyncWrite for Steady<S> {
+impl<S: SocketCalls + AsyncWrite + Unpin> AsyncWrite for RetryingStream<S> {
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/transport/src/steady/tests.rs
+++ b/crates/transport/src/retrying_stream/tests.rs
@@ -43,7 +43,7 @@
     }
 }
 
-impl Calls for Scripted {
+impl SocketCalls for Scripted {
     fn poll_readable(&self, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         self.word()
     }
@@ -70,14 +70,14 @@
     }
 }
 
-/// It is written through [`Calls`]; flush and shutdown have nothing to do.
+/// It is written through [`SocketCalls`]; flush and shutdown have nothing to do.
 impl AsyncWrite for Scripted {
     fn poll_write(
         self: Pin<&mut Self>,
         _: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        Poll::Ready(Calls::write(&*self, bytes))
+        Poll::Ready(SocketCalls::write(&*self, bytes))
     }
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
@@ -91,8 +91,8 @@
     [Some(1), None, None, Some(2), Some(1), None, Some(3)];
 
 #[tokio::test]
-async fn all_is_read_over_short_and_interrupted_calls_then_it_waits() {
-    let mut stream = Steady(Scripted::new(b"what was sent", &SHORT_AND_INTERRUPTED));
+async fn reads_everything_over_short_and_interrupted_calls_and_then_waits() {
+    let mut stream = RetryingStream(Scripted::new(b"what was sent", &SHORT_AND_INTERRUPTED));
     let mut got = [0; 13];
     stream.read_exact(&mut got).await.unwrap();
     assert_eq!(&got, b"what was sent");
@@ -106,8 +106,8 @@
 }
 
 #[tokio::test]
-async fn all_is_written_over_short_and_interrupted_calls() {
-    let mut stream = Steady(Scripted::new(b"", &SHORT_AND_INTERRUPTED));
+async fn writes_everything_over_short_and_interrupted_calls() {
+    let mut stream = RetryingStream(Scripted::new(b"", &SHORT_AND_INTERRUPTED));
     stream.write_all(b"what is sent").await.unwrap();
     assert_eq!(*stream.0.written.borrow(), b"what is sent");
 }
--- a/crates/transport/src/outbox.rs
+++ b/crates/transport/src/send_queue.rs
@@ -1,3 +1,5 @@
+//! Bounded queues of frames that wait to be sent on one stream.
+
 use bytes::Bytes;
 use saltdrum::interface::Ticks;
 use std::cell::RefCell;
@@ -12,47 +14,47 @@
 /// How much is handed to the stream at once.
 const WRITE_BYTES: usize = 64 << 10;
 
-/// Number of a frame on its outbox, from 1.
+/// Number of a frame on its [`SendQueue`], from 1.
 pub type Ticket = u64;
 
 struct Item {
     ticket: Ticket,
     bytes: Bytes,
-    /// Its first byte does not leave from then on.
+    /// Its first byte is not sent from then on.
     until: Ticks,
 }
 
 #[derive(Default)]
 struct Inner {
     items: VecDeque<Item>,
-    waiting_bytes: usize,
-    most_bytes: usize,
+    queued_bytes: usize,
+    max_bytes: usize,
     last: Ticket,
-    left: Ticket,
-    /// A frame of which a part has left.
-    begun: Option<Ticket>,
+    sent: Ticket,
+    /// A frame of which a part was handed to the stream.
+    partially_sent: Option<Ticket>,
     closed: bool,
     waker: Option<Waker>,
     batch: Vec<u8>,
 }
 
-/// What waits to go out on one stream, bounded in bytes. A frame can be withdrawn until its first byte has left, also
-/// while the stream takes nothing; none is withdrawn after.
+/// Frames that wait to be sent on one stream, bounded in bytes. A frame can be withdrawn until its first byte was handed to the
+/// stream, also while the stream takes nothing; none is withdrawn after that. Clones share the queue.
 #[derive(Clone, Default)]
 pub struct SendQueue {
     inner: Rc<RefCell<Inner>>,
 }
 
 impl Inner {
-    fn withdraw(&mut self, now: Ticks, gone: &mut Vec<Ticket>) {
+    fn withdraw(&mut self, now: Ticks, expired: &mut Vec<Ticket>) {
         if self.items.iter().all(|i| now < i.until) {
             return;
         }
-        let waiting_bytes = &mut self.waiting_bytes;
+        let queued_bytes = &mut self.queued_bytes;
         self.items.retain(|i| {
             if now >= i.until {
-                *waiting_bytes -= i.bytes.len();
-                gone.push(i.ticket);
+                *queued_bytes -= i.bytes.len();
+                expired.push(i.ticket);
             }
             now < i.until
         });
@@ -66,22 +68,23 @@
 }
 
 impl SendQueue {
-    pub fn new(most_bytes: usize) -> Self {
+    /// An empty queue of at most `max_bytes`.
+    pub fn new(max_bytes: usize) -> Self {
         Self {
             inner: Rc::new(RefCell::new(Inner {
-                most_bytes,
+                max_bytes,
                 ..Default::default()
             })),
         }
     }
 
-    /// Queues a frame; `None` when there is no room for it, or the stream is no more.
-    pub fn put(&self, bytes: Bytes, until: Ticks) -> Option<Ticket> {
+    /// Queues a frame; `None` when there is no capacity for it, or the queue is closed.
+    pub fn push(&self, bytes: Bytes, until: Ticks) -> Option<Ticket> {
         let mut inner = self.inner.borrow_mut();
-        if inner.closed || inner.waiting_bytes + bytes.len() > inner.most_bytes {
+        if inner.closed || inner.queued_bytes + bytes.len() > inner.max_bytes {
             return None;
         }
-        inner.waiting_bytes += bytes.len();
+        inner.queued_bytes += bytes.len();
         inner.last += 1;
         let ticket = inner.last;
         inner.items.push_back(Item {
@@ -95,56 +98,57 @@
 
     /// Whether the whole frame was handed to the stream. Where the stream failed in mid-frame it was not, and the
     /// receiver cannot have read it.
-    pub fn has_left(&self, ticket: Ticket) -> bool {
-        ticket <= self.inner.borrow().left
+    pub fn is_sent(&self, ticket: Ticket) -> bool {
+        ticket <= self.inner.borrow().sent
     }
 
-    /// Withdraws what may not leave any more, and what `unwanted` names; gives the tickets.
+    /// Withdraws frames whose time is over at `now`, and those that `unwanted` names; gives their tickets.
     pub fn withdraw(&self, now: Ticks, unwanted: impl Fn(Ticket) -> bool) -> Vec<Ticket> {
-        let (mut inner, mut gone) = (self.inner.borrow_mut(), Vec::new());
+        let (mut inner, mut expired) = (self.inner.borrow_mut(), Vec::new());
         inner
             .items
             .iter_mut()
             .filter(|i| unwanted(i.ticket))
             .for_each(|i| i.until = 0);
-        inner.withdraw(now, &mut gone);
-        gone
+        inner.withdraw(now, &mut expired);
+        expired
     }
 
-    /// The frame of which a part has left and a part has not: it can't be withdrawn, only cut off with the stream.
-    pub fn begun(&self) -> Option<Ticket> {
-        self.inner.borrow().begun
+    /// The frame of which a part was handed to the stream: it cannot be withdrawn, only cut off with the stream.
+    pub fn partially_sent(&self) -> Option<Ticket> {
+        self.inner.borrow().partially_sent
     }
 
-    pub fn waiting_bytes(&self) -> usize {
-        self.inner.borrow().waiting_bytes
+    /// Bytes that wait.
+    pub fn queued_bytes(&self) -> usize {
+        self.inner.borrow().queued_bytes
     }
 
-    /// Whether nothing more is taken.
+    /// Whether the queue takes no more frames.
     pub fn is_closed(&self) -> bool {
         self.inner.borrow().closed
     }
 
-    /// Takes nothing more; the writer ends when what waits has left.
+    /// Takes no more frames; the writer ends when all that wait have been sent.
     pub fn close(&self) {
         let mut inner = self.inner.borrow_mut();
         inner.closed = true;
         inner.wake();
     }
 
-    /// Writes until the stream fails or the outbox is closed and empty. `withdrawn` hears of frames that grew too old.
+    /// Writes until the stream fails or the queue is closed and empty. Calls `on_withdrawn` for frames whose time was over.
     pub async fn write_to(
         &self,
         stream: &mut (impl AsyncWrite + Unpin),
         now: impl Fn() -> Ticks,
-        mut withdrawn: impl FnMut(Ticket),
+        mut on_withdrawn: impl FnMut(Ticket),
     ) -> io::Result<()> {
         loop {
-            let (mut gone, mut ended) = (Vec::new(), false);
+            let (mut expired, mut ended) = (Vec::new(), false);
             // The batch is put together at each poll: what waits behind a stuck stream has not begun to leave.
             let rest = poll_fn(|cx| {
                 let inner = &mut *self.inner.borrow_mut();
-                inner.withdraw(now(), &mut gone);
+                inner.withdraw(now(), &mut expired);
                 let mut batch = std::mem::take(&mut inner.batch);
                 batch.clear();
                 for item in &inner.items {
@@ -153,7 +157,7 @@
                         break;
                     }
                 }
-                let polled = if batch.is_empty() && !gone.is_empty() {
+                let polled = if batch.is_empty() && !expired.is_empty() {
                     Poll::Ready(Ok(0))
                 } else if batch.is_empty() {
                     ended = inner.closed;
@@ -172,16 +176,16 @@
                     Ok(0) if sent_any => Err(io::ErrorKind::WriteZero.into()),
                     Ok(mut n) => {
                         while let Some(item) = inner.items.front_mut().filter(|_| n > 0) {
-                            inner.waiting_bytes -= item.bytes.len().min(n);
+                            inner.queued_bytes -= item.bytes.len().min(n);
                             if n < item.bytes.len() {
                                 let rest = item.bytes.split_off(n);
                                 let ticket = item.ticket;
-                                inner.waiting_bytes -= rest.len();
+                                inner.queued_bytes -= rest.len();
                                 inner.items.pop_front();
                                 return Ok(Some((ticket, rest)));
                             }
                             n -= item.bytes.len();
-                            inner.left = item.ticket;
+                            inner.sent = item.ticket;
                             inner.items.pop_front();
                         }
                         Ok(None)
@@ -190,16 +194,16 @@
                 })
             })
             .await;
-            gone.into_iter().for_each(&mut withdrawn);
+            expired.into_iter().for_each(&mut on_withdrawn);
             if ended {
                 return Ok(());
             }
             let done = match rest {
                 Ok(Some((ticket, rest))) => {
-                    self.inner.borrow_mut().begun = Some(ticket);
+                    self.inner.borrow_mut().partially_sent = Some(ticket);
                     let done = stream.write_all(&rest).await;
-                    self.inner.borrow_mut().begun = None;
-                    done.map(|()| self.inner.borrow_mut().left = ticket)
+                    self.inner.borrow_mut().partially_sent = None;
+                    done.map(|()| self.inner.borrow_mut().sent = ticket)
                 }
                 other => other.map(|_| ()),
             };
--- a/crates/transport/src/sockets.rs
+++ b/crates/transport/src/socket_network.rs
@@ -1,37 +1,34 @@
-//! The machine's own sockets.
+//! The operating system's sockets.
 //!
 //! System calls fail in ways that say nothing of the peer: a signal interrupts them, descriptors or buffers are short for a
-//! moment, a connection in the queue was given up before it was accepted. Such failures are met here, by trying again.
+//! moment, a connection in the queue was given up before it was accepted. Such calls are retried here.
 
-use crate::steady::{Steady, note_unasked_poll};
-use crate::{Address, Listener, Network, Stream};
+use crate::retrying_stream::{RetryingStream, note_poll_without_call};
+use crate::{Address, IoFuture, Listener, Network, Stream};
 use rustix::io::Errno;
 use std::future::Future;
 use std::io;
-use std::pin::Pin;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream, UnixListener, UnixStream};
 use tokio::time::Instant;
 
-type Later<'a, T> = Pin<Box<dyn Future<Output = io::Result<T>> + 'a>>;
+/// Backoff between retries of a call that failed for want of a local resource: it doubles from the base to the maximum, so that
+/// a dozen retries fit into the time of a dial.
+const BACKOFF_BASE: Duration = Duration::from_millis(2);
+const BACKOFF_MAX: Duration = Duration::from_millis(10);
+/// A dial is retried for this long: within the time limit of the caller, which would take the failure for a peer that does not
+/// answer.
+const DIAL_RETRY_LIMIT: Duration = Duration::from_millis(150);
+/// Listening is retried for this long: the process that had the address may just be ending.
+const LISTEN_RETRY_LIMIT: Duration = Duration::from_secs(5);
+/// Connections in the queue that failed before they were accepted are skipped, this many in a row.
+const MAX_SKIPPED: usize = 64;
 
-/// A call that failed for want of something of this machine's own is tried again after a wait that doubles, so that a dozen
-/// tries and more fit into a dial's time.
-const RETRY_FIRST: Duration = Duration::from_millis(2);
-const RETRY_WAIT_MOST: Duration = Duration::from_millis(10);
-/// For so long a dial is tried again: within the time limits of whoever dials, which would take the want for a peer that does
-/// not answer.
-const DIAL_RETRIES_MOST: Duration = Duration::from_millis(150);
-/// For so long a listener is tried again: whoever had the address may just be ending.
-const LISTEN_RETRIES_MOST: Duration = Duration::from_secs(5);
-/// Connections in the queue that failed before they were accepted, skipped one after the other in one turn.
-const SKIPPED_MOST: usize = 64;
-
-/// Sockets of this machine.
+/// TCP and Unix domain sockets of this host.
 #[derive(Clone, Copy, Default)]
 pub struct SocketNetwork;
 
-/// Whether a dial failed for want of something of this machine's own, so that it tells nothing of the peer.
+/// Whether a dial failed for want of a local resource, so that it says nothing of the peer.
 pub fn is_local_failure(e: &io::Error) -> bool {
     const LOCAL: [Errno; 9] = [
         Errno::MFILE,
@@ -48,9 +45,9 @@
         .is_some_and(|code| LOCAL.iter().any(|local| local.raw_os_error() == code))
 }
 
-/// Whether accept(2) failed by the connection that it would have given: the next one is not harmed.
-fn is_of_one_connection(e: &io::Error) -> bool {
-    const OF_ONE: [Errno; 10] = [
+/// Whether accept(2) failed because of the connection that it would have given: the next one is not affected.
+fn concerns_one_connection(e: &io::Error) -> bool {
+    const ONE_CONNECTION: [Errno; 10] = [
         Errno::CONNABORTED,
         Errno::INTR,
         Errno::PROTO,
@@ -63,25 +60,25 @@
         Errno::TIMEDOUT,
     ];
     e.raw_os_error()
-        .is_some_and(|code| OF_ONE.iter().any(|one| one.raw_os_error() == code))
+        .is_some_and(|code| ONE_CONNECTION.iter().any(|one| one.raw_os_error() == code))
 }
 
-/// Tries `call` again for so long while it fails in a way that `passes`.
-async fn again<T, F>(
-    most: Duration,
-    passes: fn(&io::Error) -> bool,
+/// Retries `call` with backoff, for at most `limit`, while `is_transient` holds for its error.
+async fn retry<T, F>(
+    limit: Duration,
+    is_transient: fn(&io::Error) -> bool,
     mut call: impl FnMut() -> F,
 ) -> io::Result<T>
 where
     F: Future<Output = io::Result<T>>,
 {
-    let ends = Instant::now() + most;
-    let mut wait = RETRY_FIRST;
+    let ends_at = Instant::now() + limit;
+    let mut wait = BACKOFF_BASE;
     loop {
         match call().await {
-            Err(e) if passes(&e) && Instant::now() + wait < ends => {
+            Err(e) if is_transient(&e) && Instant::now() + wait < ends_at => {
                 tokio::time::sleep(wait).await;
-                wait = (2 * wait).min(RETRY_WAIT_MOST);
+                wait = (2 * wait).min(BACKOFF_MAX);
             }
             done => return done,
         }
@@ -92,27 +89,27 @@
     is_local_failure(e) || e.kind() == io::ErrorKind::AddrInUse
 }
 
-/// A stream over TCP. That small writes wait for each other is only a loss of time: where it can't be turned off, the stream
-/// serves all the same.
+/// A stream over TCP. Without TCP_NODELAY small writes only wait for each other: where it cannot be set, the stream is used all
+/// the same.
 fn over_tcp(stream: TcpStream) -> Stream {
     let _ = stream.set_nodelay(true);
-    Box::new(Steady(stream))
+    Box::new(RetryingStream(stream))
 }
 
 impl Network for SocketNetwork {
-    fn dial<'a>(&'a self, address: &'a Address) -> Later<'a, Stream> {
+    fn dial<'a>(&'a self, address: &'a Address) -> IoFuture<'a, Stream> {
         Box::pin(async move {
             match address {
                 Address::Tcp(at) => {
                     let dial = || TcpStream::connect(at.as_str());
                     Ok(over_tcp(
-                        again(DIAL_RETRIES_MOST, is_local_failure, dial).await?,
+                        retry(DIAL_RETRY_LIMIT, is_local_failure, dial).await?,
                     ))
                 }
                 Address::Unix(path) => {
                     let dial = || UnixStream::connect(path);
-                    Ok(Box::new(Steady(
-                        again(DIAL_RETRIES_MOST, is_local_failure, dial).await?,
+                    Ok(Box::new(RetryingStream(
+                        retry(DIAL_RETRY_LIMIT, is_local_failure, dial).await?,
                     )) as Stream)
                 }
                 Address::Memory(_) => Err(io::ErrorKind::Unsupported.into()),
@@ -120,12 +117,12 @@
         })
     }
 
-    fn listen<'a>(&'a self, address: &'a Address) -> Later<'a, (Box<dyn Listener>, Address)> {
+    fn listen<'a>(&'a self, address: &'a Address) -> IoFuture<'a, (Box<dyn Listener>, Address)> {
         Box::pin(async move {
             match address {
                 Address::Tcp(at) => {
                     let bind = || TcpListener::bind(at.as_str());
-                    let listener = again(LISTEN_RETRIES_MOST, may_become_free, bind).await?;
+                    let listener = retry(LISTEN_RETRY_LIMIT, may_become_free, bind).await?;
                     let real = Address::Tcp(listener.local_addr()?.to_string());
                     Ok((Box::new(listener) as Box<dyn Listener>, real))
                 }
@@ -135,7 +132,7 @@
                         let _ = std::fs::remove_file(path);
                     }
                     let bind = || std::future::ready(UnixListener::bind(path));
-                    let listener = again(LISTEN_RETRIES_MOST, is_local_failure, bind).await?;
+                    let listener = retry(LISTEN_RETRY_LIMIT, is_local_failure, bind).await?;
                     Ok((Box::new(listener) as Box<dyn Listener>, address.clone()))
                 }
                 Address::Memory(_) => Err(io::ErrorKind::Unsupported.into()),
@@ -144,13 +141,13 @@
     }
 }
 
-/// Waits for a connection. Nobody can tell from outside whether a listener that has none was asked.
+/// Waits for a connection. It cannot be told from outside whether a listener without one made a system call.
 async fn next_connection<T>(accept: impl Future<Output = io::Result<T>>) -> io::Result<T> {
     let mut accept = std::pin::pin!(accept);
     std::future::poll_fn(|cx| {
         let polled = accept.as_mut().poll(cx);
         if polled.is_pending() {
-            note_unasked_poll();
+            note_poll_without_call();
         }
         polled
     })
@@ -158,32 +155,34 @@
 }
 
 /// Waits for the next connection that does not fail before it is accepted.
-async fn next_sound_connection<T>(mut accept: impl AsyncFnMut() -> io::Result<T>) -> io::Result<T> {
+async fn next_intact_connection<T>(
+    mut accept: impl AsyncFnMut() -> io::Result<T>,
+) -> io::Result<T> {
     let mut skipped = 0;
     loop {
         match next_connection(accept()).await {
-            Err(e) if is_of_one_connection(&e) && skipped < SKIPPED_MOST => skipped += 1,
+            Err(e) if concerns_one_connection(&e) && skipped < MAX_SKIPPED => skipped += 1,
             done => return done,
         }
     }
 }
 
 impl Listener for TcpListener {
-    fn accept(&mut self) -> Later<'_, Stream> {
+    fn accept(&mut self) -> IoFuture<'_, Stream> {
         Box::pin(async move {
             let (stream, _) =
-                next_sound_connection(async || TcpListener::accept(self).await).await?;
+                next_intact_connection(async || TcpListener::accept(self).await).await?;
             Ok(over_tcp(stream))
         })
     }
 }
 
 impl Listener for UnixListener {
-    fn accept(&mut self) -> Later<'_, Stream> {
+    fn accept(&mut self) -> IoFuture<'_, Stream> {
         Box::pin(async move {
             let (stream, _) =
-                next_sound_connection(async || UnixListener::accept(self).await).await?;
-            Ok(Box::new(Steady(stream)) as Stream)
+                next_intact_connection(async || UnixListener::accept(self).await).await?;
+            Ok(Box::new(RetryingStream(stream)) as Stream)
         })
     }
 }
