--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -59,7 +59,7 @@
 }
 
 /// Where an agent sits.
-pub struct Seat {
+pub struct ControllerConfig {
     pub me: InvokerId,
     pub seed: u64,
     pub store: Address,
@@ -131,7 +131,7 @@
 }
 
 pub struct Agent {
-    pub(crate) seat: Seat,
+    pub(crate) seat: ControllerConfig,
     pub cache: Cache,
     pub(crate) clock: Clock,
     pool: Pool,
@@ -179,7 +179,12 @@
 
 impl Agent {
     /// On the `LocalSet` it is to run on.
-    pub fn new(seat: Seat, cache: Cache, network: Rc<dyn Network>, clock: Clock) -> Rc<Self> {
+    pub fn new(
+        seat: ControllerConfig,
+        cache: Cache,
+        network: Rc<dyn Network>,
+        clock: Clock,
+    ) -> Rc<Self> {
         let state = State {
             fetcher: Fetcher::new(seat.me, seat.seed),
             serving: Serving::new(clock.now(), seat.serve_bytes_per_second),
--- a/crates/agent/tests/fleet.rs
+++ b/crates/agent/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! Fleets of agents and one store, over HTTP on in-memory streams under a paused clock; one fleet on sockets.
 
-use saltdrum_agent::{Agent, Fault, Peer, Seat};
+use saltdrum_agent::{Agent, ControllerConfig, Fault, Peer};
 use saltdrum_fakes::Registry;
 use saltdrum_layers::cache::{Cache, RealDisk};
 use saltdrum_layers::plan::Member;
@@ -69,7 +69,7 @@
     async fn agent(&self, me: u32, at: &Address) -> (Rc<Agent>, JoinHandle<()>, Address) {
         let folder = self.folder.path().join(me.to_string());
         let cache = Cache::open(&folder, self.cache_bytes, Rc::new(RealDisk)).unwrap();
-        let seat = Seat {
+        let seat = ControllerConfig {
             me,
             seed: me.into(),
             store: self.store.clone(),
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -8,7 +8,7 @@
 use clap::{Args, Subcommand};
 use comfy_table::{Table, presets};
 use saltdrum::interface::{SECOND, Ticks};
-use saltdrum_controller::going::{Going, Step};
+use saltdrum_controller::shutdown::{ShutdownHandle, ShutdownPhase};
 use saltdrum_coordinator::caller::{Caller, Fault};
 use saltdrum_coordinator::disk::{Disk, Identity, SCHEMA};
 use saltdrum_coordinator::member::Ended;
@@ -109,7 +109,7 @@
         zone: u8,
         terms: &Terms,
         clients: &Address,
-        going: &Going,
+        going: &ShutdownHandle,
         tasks: BTreeSet<String>,
     ) -> (Membership, Rc<dyn MemberRole>) {
         let member = MemberId::controller(number);
@@ -191,7 +191,7 @@
 struct ControllerRole {
     member: MemberId,
     incarnation: u64,
-    going: Going,
+    going: ShutdownHandle,
     lead: Ticks,
     /// Which drain it is; one that was turned back closes no door later.
     closes: Rc<Cell<u64>>,
@@ -202,43 +202,43 @@
 
 impl MemberRole for ControllerRole {
     fn is_proven(&self) -> bool {
-        let look = self.going.look();
-        look.listed && look.links_up * 2 >= look.links
+        let look = self.going.status();
+        look.has_endpoint_list && look.connections_up * 2 >= look.connections
     }
 
     fn seen(&self) -> Seen {
         Seen {
-            busy: self.going.look().in_flight as f64 / 1_000.0,
+            busy: self.going.status().in_flight as f64 / 1_000.0,
             last_copies: 0,
         }
     }
 
     fn drain(&self) {
-        self.going.to(Step::LeadingAway);
+        self.going.set_phase(ShutdownPhase::Redirecting);
         self.closes.set(self.closes.get() + 1);
         let (mine, closes, closed) = (self.closes.get(), self.closes.clone(), self.closed.clone());
         let (going, lead) = (self.going.clone(), self.lead);
         tokio::task::spawn_local(async move {
             tokio::time::sleep(Duration::from_micros(lead * 100)).await;
             if closes.get() == mine {
-                going.to(Step::Closed);
+                going.set_phase(ShutdownPhase::Rejecting);
                 closed.set(Some(tokio::time::Instant::now()));
             }
         });
     }
 
     fn is_drained(&self) -> bool {
-        let look = self.going.look();
+        let look = self.going.status();
         let longest = Duration::from_micros(self.longest * 100);
         let given_up = self.closed.get().is_some_and(|at| at.elapsed() > longest);
-        self.going.step() == Step::Closed
+        self.going.phase() == ShutdownPhase::Rejecting
             && look.in_flight == 0
             && (look.unsent_bytes == 0 || given_up)
     }
 
     fn turn_back(&self) -> bool {
         self.closes.set(self.closes.get() + 1);
-        self.going.to(Step::Serving);
+        self.going.set_phase(ShutdownPhase::Serving);
         true
     }
 
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -6,8 +6,8 @@
 use crate::process::{on_this_thread, until_interrupted};
 use crate::scripts::{fleet_terms, terms, text};
 use saltdrum::interface::SECOND;
-use saltdrum_controller::going::Going;
-use saltdrum_controller::{MakePolicy, NamesAt, Seat};
+use saltdrum_controller::shutdown::ShutdownHandle;
+use saltdrum_controller::{AliasConfig, ControllerConfig, MakePolicy};
 use saltdrum_deployment::Terms;
 use saltdrum_fakes::invoker::Site;
 use saltdrum_fakes::{Faults, Invoker, List, Record, Registry, Store, record};
@@ -57,7 +57,7 @@
         }))
     }
 
-    fn at(&self, controller: u32) -> Result<Option<NamesAt>, String> {
+    fn at(&self, controller: u32) -> Result<Option<AliasConfig>, String> {
         let (who, copy) = (
             format!("controller-{controller}"),
             format!("names-{controller}"),
@@ -70,7 +70,7 @@
             .duration_since(UNIX_EPOCH)
             .map_or(0, |d| d.as_millis() as u64);
         let epoch_ms = now - now.min(Clock::start().now() / 10);
-        Ok(Some(NamesAt {
+        Ok(Some(AliasConfig {
             following,
             passage: self.passage_s * SECOND,
             epoch_ms,
@@ -128,24 +128,24 @@
         threads.push(std::thread::spawn(move || {
             on_this_thread(async {
                 let (zone, terms) = (zone as u8, Rc::new(terms));
-                let going = Going::default();
+                let going = ShutdownHandle::default();
                 let tasks = collects.tasks();
                 let part = joined
                     .map(|j| j.controller(controller, incarnation, zone, &terms, &clients, &going, tasks));
                 let collector = collects.holder(part.as_ref().map(|(with, _)| with))?;
                 let clients = vec![clients];
                 let opens_when_ready = part.is_some();
-                let seat = Seat {
+                let seat = ControllerConfig {
                     controller,
                     incarnation,
                     seed,
                     zone,
-                    clients,
-                    lists,
+                    client_addresses: clients,
+                    endpoint_lists: lists,
                     terms,
-                    names,
-                    going,
-                    opens_when_ready,
+                    aliases: names,
+                    shutdown: going,
+                    listens_when_ready: opens_when_ready,
                 };
                 tokio::select! {
                     biased;
@@ -512,7 +512,7 @@
         let clock = Clock::start();
         let cache = Cache::open(at.folder, at.cache_mb * 1_000_000, Rc::new(RealDisk));
         let cache = cache.map_err(|e| format!("{}: {e}", at.folder.display()))?;
-        let seat = saltdrum_agent::Seat {
+        let seat = saltdrum_agent::ControllerConfig {
             me: at.me,
             seed: fastrand::u64(..),
             store,
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,25 +1,28 @@
-//! The controller as a service: sockets round the decision module.
+//! The controller as a service: sockets around the dispatch policy.
 //!
-//! Each thing that happens on a socket is one call on `saltdrum::Controller`; each of its acts writes to a socket or
-//! sets a timer. Start reading at `desk`: an invocation's way is `State::taken` → the module → `Actions for Desk` →
-//! `State::ended` → `Desk::answer`. It meets a wire at two seams, `Owed` and `Reach`. `front` is the native path: `clients`, `links` and `list` are the three kinds of socket, `names` follows the registry and fixes versions, `redial` decides when
-//! a lost link is tried again. Nothing here chooses an invoker, repeats, holds back or turns away.
+//! Each event on a socket is one call of [`Policy`]; each action that the policy asks for writes to a socket or sets a timer.
+//! Nothing here chooses an invoker, retries, delays or rejects an invocation by itself.
+//!
+//! # Where to read
+//!
+//! The way of an invocation: `ControllerState::accept` → [`Policy::invocation_arrived`] → the
+//! [`Actions`](saltdrum::interface::Actions) of [`InvocationTable`](invocations::InvocationTable) →
+//! `ControllerState::attempt_ended` → the one final response. [`invocations`] is independent of any wire: it meets one through
+//! two traits, [`InvokerTransport`](invocations::InvokerTransport) towards invokers and
+//! [`Responder`](invocations::Responder) towards clients. `native` implements them for JSON-RPC clients and multiplexed
+//! invoker connections; the crate `saltdrum-platform` implements them for the platform's sockets.
 //!
 //! One thread, one `LocalSet`, no locks. Streams, clock and seed are handed in.
 
 mod baselines;
-mod clients;
-pub mod desk;
-mod front;
-pub mod going;
-mod links;
-mod list;
-mod names;
+pub mod invocations;
+mod native;
 mod policy;
-mod redial;
+mod reconnect;
+pub mod shutdown;
 
 pub use baselines::{least_in_flight_relay, random_relay, rendezvous_relay};
-pub use front::{Seat, serve};
-pub use names::NamesAt;
+pub use native::aliases::AliasConfig;
+pub use native::server::{ControllerConfig, serve};
 pub use policy::{MakePolicy, Policy, dispatch_policy};
-pub use redial::{Dials, Redial};
+pub use reconnect::{ConnectBudget, ReconnectBackoff};
--- a/crates/controller/src/names.rs
+++ b/crates/controller/src/native/aliases.rs
@@ -1,6 +1,6 @@
-//! Names of the registry as this controller knows them: versions are fixed here, before the module sees an invocation.
+//! AliasResolver of the registry as this controller knows them: versions are fixed here, before the policy sees an invocation.
 
-use crate::front::Front;
+use crate::native::server::ControllerHandle;
 use saltdrum::interface::{FunctionId, MILLISECOND, Ticks};
 use saltdrum_registry::book::Book;
 use saltdrum_registry::call::Caller;
@@ -17,7 +17,7 @@
 
 /// Where the registry is, and how long a passage lasts.
 #[derive(Clone, Debug)]
-pub struct NamesAt {
+pub struct AliasConfig {
     pub following: Following,
     pub passage: Ticks,
     /// Milliseconds since 1970 when the controller's clock reads 0. Controllers' hours have to agree within a passage's
@@ -36,7 +36,7 @@
     told: Tally,
 }
 
-pub(crate) struct Names {
+pub(crate) struct AliasResolver {
     book: Book,
     passages: Passages,
     epoch_ms: u64,
@@ -45,7 +45,7 @@
     stages: BTreeMap<Staged, Counted>,
 }
 
-/// What an invocation runs, for the wire and the module.
+/// What an invocation runs, for the wire and the policy.
 pub(crate) struct Runs {
     pub function: FunctionId,
     pub name: String,
@@ -54,8 +54,8 @@
     pub fixed: Fixed,
 }
 
-impl Names {
-    pub fn new(at: &NamesAt) -> Self {
+impl AliasResolver {
+    pub fn new(at: &AliasConfig) -> Self {
         Self {
             book: Book::default(),
             passages: Passages::new(at.passage / MILLISECOND),
@@ -145,26 +145,26 @@
 }
 
 /// Follows the registry, and tells it how stages do, for as long as the controller lives.
-pub(crate) async fn keep(front: Rc<Front>, at: NamesAt) {
-    let hearing = front.clone();
+pub(crate) async fn keep(handle: Rc<ControllerHandle>, at: AliasConfig) {
+    let hearing = handle.clone();
     let hear = move |heard| {
-        hearing.tell(|state| {
-            let now = state.desk.now;
-            if let Some(names) = &mut state.desk.reach.names {
+        hearing.update(|state| {
+            let now = state.invocations.now;
+            if let Some(names) = &mut state.invocations.transport.aliases {
                 names.hear(now, heard);
             }
         });
     };
-    let seed = front.seat.seed ^ 0x4e61;
-    let following = follow(at.following.clone(), front.network.clone(), seed, hear);
-    tokio::join!(following, tell_stages(&front, &at.following));
+    let seed = handle.config.seed ^ 0x4e61;
+    let following = follow(at.following.clone(), handle.network.clone(), seed, hear);
+    tokio::join!(following, tell_stages(&handle, &at.following));
 }
 
-async fn tell_stages(front: &Rc<Front>, of: &Following) {
+async fn tell_stages(handle: &Rc<ControllerHandle>, of: &Following) {
     loop {
         tokio::time::sleep(TELL_EVERY).await;
-        let news: Vec<(Staged, Tally)> = front.tell(|state| {
-            let Some(names) = &mut state.desk.reach.names else {
+        let news: Vec<(Staged, Tally)> = handle.update(|state| {
+            let Some(names) = &mut state.invocations.transport.aliases else {
                 return Vec::new();
             };
             let news = names.stages.iter().filter(|(_, c)| c.tally != c.told);
@@ -173,9 +173,9 @@
         if news.is_empty() {
             continue;
         }
-        match tokio::time::timeout(TOLD_WITHIN, told(front, of, &news)).await {
-            Ok(Ok(())) => front.tell(|state| {
-                let Some(names) = &mut state.desk.reach.names else {
+        match tokio::time::timeout(TOLD_WITHIN, told(handle, of, &news)).await {
+            Ok(Ok(())) => handle.update(|state| {
+                let Some(names) = &mut state.invocations.transport.aliases else {
                     return;
                 };
                 for (stage, tally) in &news {
@@ -193,13 +193,17 @@
     }
 }
 
-async fn told(front: &Rc<Front>, of: &Following, news: &[(Staged, Tally)]) -> Result<(), String> {
-    let dialled = Caller::dial(&front.network, &of.registry, &of.key).await;
+async fn told(
+    handle: &Rc<ControllerHandle>,
+    of: &Following,
+    news: &[(Staged, Tally)],
+) -> Result<(), String> {
+    let dialled = Caller::dial(&handle.network, &of.registry, &of.key).await;
     let mut caller = dialled.map_err(|e| e.to_string())?;
     for (stage, tally) in news {
         let said = json!({
             "space": stage.space, "alias": stage.alias, "changed": stage.changed,
-            "controller": front.seat.controller, "incarnation": front.seat.incarnation, "tally": tally,
+            "controller": handle.config.controller, "incarnation": handle.config.incarnation, "tally": tally,
         });
         let answer = caller
             .call("tally", said)
--- a/crates/controller/src/clients.rs
+++ b/crates/controller/src/native/clients.rs
@@ -1,7 +1,7 @@
 //! Clients: JSON-RPC by lines. A client that hangs up, lies or reads too slowly suffers alone.
 
-use crate::front::{self, Front};
-use crate::going::Step;
+use crate::native::server::{self, ControllerHandle};
+use crate::shutdown::ShutdownPhase;
 use bytes::Bytes;
 use saltdrum::interface::{InvocationId, Ticks};
 use saltdrum_protocol::rpc::{self, Call, Id, Line};
@@ -110,13 +110,13 @@
 }
 
 /// Takes in clients for as long as the controller lives.
-pub(crate) async fn receive(front: Rc<Front>, mut door: Box<dyn Listener>) {
-    let mut arrivals = ArrivalClock::new(front.clock.now(), front.clock, &front.turns);
+pub(crate) async fn receive(handle: Rc<ControllerHandle>, mut door: Box<dyn Listener>) {
+    let mut arrivals = ArrivalClock::new(handle.clock.now(), handle.clock, &handle.event_loop);
     loop {
         match arrivals.accept(&mut *door).await {
             Ok(stream) => {
                 drop(tokio::task::spawn_local(attend(
-                    front.clone(),
+                    handle.clone(),
                     stream,
                     arrivals.earliest(),
                 )));
@@ -131,7 +131,7 @@
 }
 
 /// Attends to one client, whose connection can have been open since `opened`.
-async fn attend(front: Rc<Front>, stream: Stream, opened: Ticks) {
+async fn attend(handle: Rc<ControllerHandle>, stream: Stream, opened: Ticks) {
     let (input, mut output) = split(stream);
     let client = Rc::new(Client {
         outbox: SendQueue::new(ANSWERS_MOST_BYTES),
@@ -139,32 +139,32 @@
         fewer: Notify::new(),
         cut: Notify::new(),
     });
-    let _sends = front.seat.going.sends(&client.outbox);
-    let clock: Clock = front.clock;
-    let read = ArrivalReader::opened_at(input, opened, clock, front.turns.clone());
+    let _sends = handle.config.shutdown.track_unsent(&client.outbox);
+    let clock: Clock = handle.clock;
+    let read = ArrivalReader::opened_at(input, opened, clock, handle.event_loop.clone());
     let why = tokio::select! {
         biased;
-        why = listen(&front, &client, read) => why,
+        why = listen(&handle, &client, read) => why,
         done = client.outbox.write_to(&mut output, || clock.now(), |_| ()) => match done {
             Ok(()) => "said goodbye".to_owned(),
             Err(e) => e.to_string(),
         },
-        () = led_away(&front, &client) => unreachable!("a handle outlives its clients"),
+        () = led_away(&handle, &client) => unreachable!("a handle outlives its clients"),
         () = client.cut.notified() => format!("more than {ANSWERS_MOST_BYTES} bytes of answers lie unread"),
     };
     let open: Vec<InvocationId> = client.open.borrow().iter().copied().collect();
     debug!(why, open = open.len(), "client gone");
     for id in open {
-        front.tell(|state| state.left(id));
+        handle.update(|state| state.client_left(id));
     }
 }
 
 /// Tells the client when this controller goes. One that does not understand it may stay; it is throttled later.
-async fn led_away(front: &Rc<Front>, client: &Rc<Client>) {
-    let mut steps = front.seat.going.follow();
+async fn led_away(handle: &Rc<ControllerHandle>, client: &Rc<Client>) {
+    let mut steps = handle.config.shutdown.subscribe();
     while steps.changed().await.is_ok() {
         let step = *steps.borrow_and_update();
-        if step == Step::LeadingAway {
+        if step == ShutdownPhase::Redirecting {
             client.put(
                 r#"{"jsonrpc":"2.0","method":"going","params":{}}"#.into(),
                 ANY_TIME,
@@ -176,7 +176,7 @@
 
 /// Reads lines until the client leaves, and says why it did.
 async fn listen(
-    front: &Rc<Front>,
+    handle: &Rc<ControllerHandle>,
     client: &Rc<Client>,
     mut read: ArrivalReader<saltdrum_transport::Half>,
 ) -> String {
@@ -191,14 +191,14 @@
             let line = read.bytes.split_to(searched + end + 1);
             searched = 0;
             if !line.trim_ascii().is_empty() {
-                heard(front, client, line.trim_ascii(), earliest);
+                heard(handle, client, line.trim_ascii(), earliest);
             }
             while client.open.borrow().len() >= OPEN_MOST {
                 client.fewer.notified().await;
             }
         }
         // What clients ask for must not hold up what invokers answer: in a backlog the answers would look slow, and the
-        // module would take the controller's own lag for a jam of the fleet.
+        // policy would take the controller's own lag for a jam of the fleet.
         tokio::task::yield_now().await;
         searched = read.bytes.len();
         if searched > rpc::LINE_MOST_BYTES {
@@ -214,10 +214,10 @@
     }
 }
 
-fn heard(front: &Rc<Front>, client: &Rc<Client>, line: &[u8], earliest: Ticks) {
+fn heard(handle: &Rc<ControllerHandle>, client: &Rc<Client>, line: &[u8], earliest: Ticks) {
     match rpc::read(line) {
         Err(r) => client.put(rpc::error(&r.id, r.code, &r.why, None), ANY_TIME),
-        Ok(Line::Single(part)) => answer(front, client, part, None, None, earliest),
+        Ok(Line::Single(part)) => answer(handle, client, part, None, None, earliest),
         Ok(Line::Batch(parts)) => {
             let batch = Batch {
                 owed: parts.len(),
@@ -230,7 +230,7 @@
                 .min_by(f64::total_cmp)
                 .map(|ms| (ms * 10.0).max(0.0) as Ticks);
             for part in parts {
-                answer(front, client, part, Some(batch.clone()), least, earliest);
+                answer(handle, client, part, Some(batch.clone()), least, earliest);
             }
         }
     }
@@ -243,7 +243,7 @@
 }
 
 fn answer(
-    front: &Rc<Front>,
+    handle: &Rc<ControllerHandle>,
     client: &Rc<Client>,
     part: Result<Call, rpc::Refusal>,
     batch: Option<Rc<RefCell<Batch>>>,
@@ -270,7 +270,7 @@
         "invoke" => {
             let params = call.params.as_ref().map_or("{}", |p| p.get());
             match serde_json::from_str::<rpc::Invoke>(params) {
-                Ok(_) if front.seat.going.step() == Step::Closed => {
+                Ok(_) if handle.config.shutdown.phase() == ShutdownPhase::Rejecting => {
                     // Never taken, so it certainly never ran.
                     let data = r#"{"come_back_ms":0,"dispatches":0,"going":true}"#;
                     reply.put(
@@ -278,14 +278,13 @@
                         ANY_TIME,
                     );
                 }
-                Ok(invoke) => {
-                    front.tell(|state| front::invoke(state, invoke, least_left, earliest, reply))
-                }
+                Ok(invoke) => handle
+                    .update(|state| server::invoke(state, invoke, least_left, earliest, reply)),
                 Err(e) => reply.refuse(rpc::INVALID_PARAMS, &e.to_string()),
             }
         }
         "status" => {
-            let status = front::status(front);
+            let status = server::status(handle);
             reply.put(|id| rpc::result(id, &status), ANY_TIME);
         }
         other => reply.refuse(
--- a/crates/controller/src/links.rs
+++ b/crates/controller/src/native/invoker_connections.rs
@@ -1,8 +1,8 @@
-//! Links to invokers: one multiplexed connection each, dialled again when it is lost.
+//! InvokerConnections to invokers: one multiplexed connection each, dialled again when it is lost.
 
-use crate::desk::Told;
-use crate::front::{Front, State};
-use crate::redial::Redial;
+use crate::invocations::AttemptReport;
+use crate::native::server::{ControllerHandle, ControllerState};
+use crate::reconnect::ReconnectBackoff;
 use bytes::{Bytes, BytesMut};
 use saltdrum::interface::*;
 use saltdrum_protocol::frame::{Message, cut, encode};
@@ -31,41 +31,41 @@
 }
 
 struct Sent {
-    inv: InvocationId,
-    hop: u8,
+    invocation: InvocationId,
+    attempt: u8,
     ticket: Ticket,
 }
 
-pub(crate) struct Link {
+pub(crate) struct InvokerConnection {
     pub entry: Entry,
     /// By this controller's clock.
     pub started: Option<Ticks>,
-    pub orders: BTreeMap<u64, Ticket>,
+    pub load_orders: BTreeMap<u64, Ticket>,
     phase: Phase,
-    outbox: SendQueue,
-    out: BTreeMap<u64, Sent>,
-    given_up: BTreeSet<u64>,
-    last: u64,
+    send_queue: SendQueue,
+    in_flight: BTreeMap<u64, Sent>,
+    abandoned: BTreeSet<u64>,
+    last_id: u64,
     /// Rule 3: nothing new leaves from then on, not even what waited.
     cutoff: Ticks,
-    pub redial: Redial,
+    pub backoff: ReconnectBackoff,
     pub changed: Rc<Notify>,
     broken: Rc<Notify>,
 }
 
-impl Link {
+impl InvokerConnection {
     pub fn new(entry: Entry, started: Option<Ticks>) -> Self {
         Self {
             entry,
             started,
-            orders: BTreeMap::new(),
+            load_orders: BTreeMap::new(),
             phase: Phase::Dialling,
-            outbox: SendQueue::new(WAITING_MOST_BYTES),
-            out: BTreeMap::new(),
-            given_up: Default::default(),
-            last: 0,
+            send_queue: SendQueue::new(WAITING_MOST_BYTES),
+            in_flight: BTreeMap::new(),
+            abandoned: Default::default(),
+            last_id: 0,
             cutoff: Ticks::MAX,
-            redial: Redial::default(),
+            backoff: ReconnectBackoff::default(),
             changed: Rc::default(),
             broken: Rc::default(),
         }
@@ -75,11 +75,11 @@
         self.phase == Phase::Up
     }
 
-    fn put(&mut self, frame: Bytes, until: Ticks) -> Option<Ticket> {
+    fn push(&mut self, frame: Bytes, until: Ticks) -> Option<Ticket> {
         if self.phase == Phase::Down {
             None
         } else {
-            self.outbox.push(frame, until)
+            self.send_queue.push(frame, until)
         }
     }
 
@@ -93,24 +93,31 @@
         if self.phase == Phase::Down {
             return Err(Outcome::NoConnection);
         }
-        self.last += 1;
+        self.last_id += 1;
         let frame = wire::DispatchOut {
-            dispatch: self.last,
+            dispatch: self.last_id,
             ..frame
         };
-        let ticket = self.put(frame.encode(), until.min(self.cutoff));
+        let ticket = self.push(frame.encode(), until.min(self.cutoff));
         let Some(ticket) = ticket else {
-            self.last -= 1;
+            self.last_id -= 1;
             return Err(Outcome::NotSent);
         };
-        self.out.insert(self.last, Sent { inv, hop, ticket });
-        Ok(self.last)
+        self.in_flight.insert(
+            self.last_id,
+            Sent {
+                invocation: inv,
+                attempt: hop,
+                ticket,
+            },
+        );
+        Ok(self.last_id)
     }
 
-    pub fn hold(&mut self, function: FunctionId, name: String, count: u8) -> Option<u64> {
-        let order = self.last + 1;
+    pub fn load(&mut self, function: FunctionId, name: String, count: u8) -> Option<u64> {
+        let order = self.last_id + 1;
         let until = if count > 0 { self.cutoff } else { Ticks::MAX };
-        let ticket = self.put(
+        let ticket = self.push(
             encode(&wire::Hold {
                 order,
                 function,
@@ -119,67 +126,75 @@
             }),
             until,
         )?;
-        self.last = order;
-        self.orders.insert(order, ticket);
+        self.last_id = order;
+        self.load_orders.insert(order, ticket);
         Some(order)
     }
 
     pub fn cancel(&mut self, dispatch: u64) {
-        self.put(encode(&wire::Cancel { dispatch }), Ticks::MAX);
+        self.push(encode(&wire::Cancel { dispatch }), Ticks::MAX);
     }
 
     pub fn unload(&mut self, function: FunctionId) {
-        self.put(encode(&wire::Unload { function }), Ticks::MAX);
+        self.push(encode(&wire::Unload { function }), Ticks::MAX);
     }
 
     pub fn probe(&mut self) {
-        self.last += 1;
-        self.put(encode(&wire::Probe { probe: self.last }), Ticks::MAX);
+        self.last_id += 1;
+        self.push(
+            encode(&wire::Probe {
+                probe: self.last_id,
+            }),
+            Ticks::MAX,
+        );
     }
 
     /// Takes a frame back that has not begun to leave.
     pub fn withdraw(&mut self, dispatch: u64) -> bool {
-        let Some(ticket) = self.out.get(&dispatch).map(|s| s.ticket) else {
+        let Some(ticket) = self.in_flight.get(&dispatch).map(|s| s.ticket) else {
             return false;
         };
-        self.outbox.withdraw(0, |t| t == ticket).contains(&ticket)
+        self.send_queue
+            .withdraw(0, |t| t == ticket)
+            .contains(&ticket)
     }
 
     /// Its dispatch has ended for us; an answer may still be on its way.
     pub fn forget(&mut self, dispatch: u64) {
-        if self.out.remove(&dispatch).is_some() {
-            self.given_up.insert(dispatch);
-            if self.given_up.len() > GIVEN_UP_MOST {
-                self.given_up.pop_first();
+        if self.in_flight.remove(&dispatch).is_some() {
+            self.abandoned.insert(dispatch);
+            if self.abandoned.len() > GIVEN_UP_MOST {
+                self.abandoned.pop_first();
             }
         }
     }
 
-    /// Told that it drains or is gone: what waits may leave until `at`, and what is stuck half-way is cut off then.
-    pub fn cut_at(&mut self, at: Ticks) {
+    /// AttemptReport that it drains or is gone: what waits may leave until `at`, and what is stuck half-way is cut off then.
+    pub fn set_cutoff(&mut self, at: Ticks) {
         self.cutoff = at;
     }
 
     fn is_new_work(&self, ticket: Ticket) -> bool {
-        self.out.values().any(|s| s.ticket == ticket) || self.orders.values().any(|o| *o == ticket)
+        self.in_flight.values().any(|s| s.ticket == ticket)
+            || self.load_orders.values().any(|o| *o == ticket)
     }
 }
 
-/// The time of [`Link::cut_at`] has come.
-pub(crate) fn cut_off(state: &mut State, invoker: InvokerId) {
-    let now = state.desk.now;
+/// The time of [`InvokerConnection::cut_at`] has come.
+pub(crate) fn cut_off(state: &mut ControllerState, invoker: InvokerId) {
+    let now = state.invocations.now;
     let Some(link) = state
-        .desk
-        .reach
-        .links
+        .invocations
+        .transport
+        .by_invoker
         .get_mut(&invoker)
         .filter(|l| now >= l.cutoff)
     else {
         return;
     };
-    let gone = link.outbox.withdraw(now, |t| link.is_new_work(t));
+    let gone = link.send_queue.withdraw(now, |t| link.is_new_work(t));
     if link
-        .outbox
+        .send_queue
         .partially_sent()
         .is_some_and(|t| link.is_new_work(t))
     {
@@ -193,48 +208,49 @@
 }
 
 /// Frames that were withdrawn: their dispatches never ran, their orders reached nobody.
-fn not_sent(state: &mut State, invoker: InvokerId, tickets: &[Ticket]) {
-    let Some(link) = state.desk.reach.links.get(&invoker) else {
+fn not_sent(state: &mut ControllerState, invoker: InvokerId, tickets: &[Ticket]) {
+    let Some(link) = state.invocations.transport.by_invoker.get(&invoker) else {
         return;
     };
     let out: Vec<(InvocationId, u8)> = link
-        .out
+        .in_flight
         .values()
         .filter(|s| tickets.contains(&s.ticket))
-        .map(|s| (s.inv, s.hop))
+        .map(|s| (s.invocation, s.attempt))
         .collect();
     let orders: Vec<u64> = link
-        .orders
+        .load_orders
         .iter()
         .filter(|(_, o)| tickets.contains(o))
         .map(|(id, _)| *id)
         .collect();
-    out.into_iter()
-        .for_each(|(inv, hop)| state.ended(inv, hop, Outcome::NotSent, &Told::default()));
+    out.into_iter().for_each(|(inv, hop)| {
+        state.attempt_ended(inv, hop, Outcome::NotSent, &AttemptReport::default())
+    });
     orders
         .into_iter()
-        .for_each(|order| state.held(invoker, order, LoadOutcome::Unreachable, 0));
+        .for_each(|order| state.load_ended(invoker, order, LoadOutcome::Unreachable, 0));
 }
 
 /// The connection is gone, or never came: each dispatch ends by what is known of its frame.
-fn lost(state: &mut State, invoker: InvokerId) {
-    let now = state.desk.now;
-    let Some(link) = state.desk.reach.links.get_mut(&invoker) else {
+fn lost(state: &mut ControllerState, invoker: InvokerId) {
+    let now = state.invocations.now;
+    let Some(link) = state.invocations.transport.by_invoker.get_mut(&invoker) else {
         return;
     };
-    link.redial.lost(now);
+    link.backoff.disconnected(now);
     link.phase = Phase::Down;
-    link.outbox.close();
-    link.last = 0;
-    link.given_up = Default::default();
+    link.send_queue.close();
+    link.last_id = 0;
+    link.abandoned = Default::default();
     let out: Vec<(InvocationId, u8, bool)> = link
-        .out
+        .in_flight
         .values()
-        .map(|s| (s.inv, s.hop, link.outbox.is_sent(s.ticket)))
+        .map(|s| (s.invocation, s.attempt, link.send_queue.is_sent(s.ticket)))
         .collect();
-    let orders: Vec<u64> = link.orders.keys().copied().collect();
+    let orders: Vec<u64> = link.load_orders.keys().copied().collect();
     for (inv, hop, left) in out {
-        state.ended(
+        state.attempt_ended(
             inv,
             hop,
             if left {
@@ -242,44 +258,50 @@
             } else {
                 Outcome::NoConnection
             },
-            &Told::default(),
+            &AttemptReport::default(),
         );
     }
     orders
         .into_iter()
-        .for_each(|order| state.held(invoker, order, LoadOutcome::Unreachable, 0));
-    if let Some(link) = state.desk.reach.links.get_mut(&invoker) {
-        link.out.clear();
-        link.given_up = Default::default();
+        .for_each(|order| state.load_ended(invoker, order, LoadOutcome::Unreachable, 0));
+    if let Some(link) = state.invocations.transport.by_invoker.get_mut(&invoker) {
+        link.in_flight.clear();
+        link.abandoned = Default::default();
     }
 }
 
 /// Keeps the link to one invoker for as long as the list knows it.
-pub(crate) async fn keep(front: Rc<Front>, invoker: InvokerId) {
+pub(crate) async fn keep(handle: Rc<ControllerHandle>, invoker: InvokerId) {
     loop {
-        let plan = front.tell(|state| {
-            let desk = &mut state.desk;
-            let links = desk.reach.links.len();
-            let link = desk.reach.links.get_mut(&invoker)?;
+        let plan = handle.update(|state| {
+            let invocations = &mut state.invocations;
+            let links = invocations.transport.by_invoker.len();
+            let link = invocations.transport.by_invoker.get_mut(&invoker)?;
             if link.entry.life == saltdrum_protocol::list::Life::Gone {
                 return None;
             }
-            let mut wait = link.redial.wait(&mut desk.reach.rng);
-            if link.redial.failing() {
-                wait += desk.reach.dials.again(desk.now, links);
+            let mut wait = link.backoff.next_delay(&mut invocations.transport.rng);
+            if link.backoff.is_failing() {
+                wait += invocations
+                    .transport
+                    .connect_budget
+                    .take_retry(invocations.now, links);
             } else {
-                wait += desk.reach.dials.first(desk.now);
+                wait += invocations
+                    .transport
+                    .connect_budget
+                    .take_first(invocations.now);
                 begin(link);
             }
             Some((wait, link.changed.clone()))
         });
         let Some((wait, changed)) = plan else {
             // Gone: until the list names it again.
-            let changed = front.tell(|state| {
+            let changed = handle.update(|state| {
                 state
-                    .desk
-                    .reach
-                    .links
+                    .invocations
+                    .transport
+                    .by_invoker
                     .get(&invoker)
                     .map(|l| l.changed.clone())
             });
@@ -294,62 +316,62 @@
             () = tokio::time::sleep(Duration::from_micros(wait * 100)) => {}
             () = changed.notified() => continue,
         }
-        let (address, outbox, broken) = front.tell(|state| {
+        let (address, outbox, broken) = handle.update(|state| {
             let link = state
-                .desk
-                .reach
-                .links
+                .invocations
+                .transport
+                .by_invoker
                 .get_mut(&invoker)
                 .expect("links stay");
             begin(link);
             (
                 link.entry.address.clone(),
-                link.outbox.clone(),
+                link.send_queue.clone(),
                 link.broken.clone(),
             )
         });
         let why = tokio::select! {
             biased;
-            why = connected(&front, invoker, &address, &outbox) => why,
+            why = connected(&handle, invoker, &address, &outbox) => why,
             () = broken.notified() => "cut off".into(),
         };
         info!(invoker, address, why, "link lost");
-        front.tell(|state| {
-            state.desk.counts.broken_links += 1;
+        handle.update(|state| {
+            state.invocations.counters.broken_connections += 1;
             lost(state, invoker);
         });
     }
 }
 
-fn begin(link: &mut Link) {
+fn begin(link: &mut InvokerConnection) {
     if link.phase == Phase::Down {
         link.phase = Phase::Dialling;
-        link.outbox = SendQueue::new(WAITING_MOST_BYTES);
+        link.send_queue = SendQueue::new(WAITING_MOST_BYTES);
         link.broken = Rc::default();
     }
 }
 
-/// Dials, shakes hands and serves the link; says why it ended.
+/// ConnectBudget, shakes hands and serves the link; says why it ended.
 async fn connected(
-    front: &Rc<Front>,
+    handle: &Rc<ControllerHandle>,
     invoker: InvokerId,
     address: &str,
     outbox: &SendQueue,
 ) -> String {
-    let within = Duration::from_micros(front.seat.terms.connect_timeout * 100);
-    let shaken = tokio::time::timeout(within, shake_hands(front, invoker, address)).await;
+    let within = Duration::from_micros(handle.config.terms.connect_timeout * 100);
+    let shaken = tokio::time::timeout(within, shake_hands(handle, invoker, address)).await;
     let (stream, read, welcome) = match shaken {
         Ok(Ok(shaken)) => shaken,
         Ok(Err(why)) => return why,
         Err(_) => return format!("no connection within {} ms", within.as_millis()),
     };
-    front.tell(|state| up(state, invoker, &welcome));
+    handle.update(|state| up(state, invoker, &welcome));
     let (input, mut output) = split(stream);
-    let clock = front.clock;
-    let withdrawn = |ticket| front.tell(|state| not_sent(state, invoker, &[ticket]));
+    let clock = handle.clock;
+    let withdrawn = |ticket| handle.update(|state| not_sent(state, invoker, &[ticket]));
     tokio::select! {
         biased;
-        why = hear(front, invoker, input, read) => why,
+        why = hear(handle, invoker, input, read) => why,
         done = outbox.write_to(&mut output, || clock.now(), withdrawn) => match done {
             Ok(()) => "closed".into(),
             Err(e) => e.to_string(),
@@ -358,12 +380,12 @@
 }
 
 async fn shake_hands(
-    front: &Rc<Front>,
+    handle: &Rc<ControllerHandle>,
     invoker: InvokerId,
     address: &str,
 ) -> Result<(Stream, BytesMut, wire::Welcome), String> {
     let address: Address = address.parse()?;
-    let mut stream = front
+    let mut stream = handle
         .network
         .dial(&address)
         .await
@@ -371,8 +393,8 @@
     let hello = wire::Hello {
         version_least: wire::VERSION_LEAST,
         version_most: wire::VERSION,
-        controller: front.seat.controller,
-        incarnation: front.seat.incarnation,
+        controller: handle.config.controller,
+        incarnation: handle.config.incarnation,
         invoker,
     };
     stream
@@ -412,25 +434,25 @@
     }
 }
 
-fn up(state: &mut State, invoker: InvokerId, welcome: &wire::Welcome) {
-    let now = state.desk.now;
-    let Some(link) = state.desk.reach.links.get_mut(&invoker) else {
+fn up(state: &mut ControllerState, invoker: InvokerId, welcome: &wire::Welcome) {
+    let now = state.invocations.now;
+    let Some(link) = state.invocations.transport.by_invoker.get_mut(&invoker) else {
         return;
     };
     link.phase = Phase::Up;
-    link.redial.up(now);
+    link.backoff.connected(now);
     debug!(invoker, "link up");
     if welcome.incarnation != link.entry.incarnation {
         // The invoker knows first that it has started anew; the list lags, and a cold one must not be taken for warm.
         link.entry.incarnation = welcome.incarnation;
         link.started = now.checked_sub(welcome.age_tenths);
-        let listed = crate::list::listed(&link.entry, link.started);
-        state.module.invokers_changed(now, false, &[listed]);
+        let listed = crate::native::endpoint_list::listed(&link.entry, link.started);
+        state.policy.invokers_changed(now, false, &[listed]);
     }
 }
 
 async fn hear(
-    front: &Rc<Front>,
+    handle: &Rc<ControllerHandle>,
     invoker: InvokerId,
     mut input: Half,
     mut read: BytesMut,
@@ -444,7 +466,7 @@
             };
             let told = wire::FromInvoker::read(frame.0, &frame.1).map_err(|e| e.to_string());
             let told =
-                told.and_then(|message| front.tell(|state| hear_one(state, invoker, message)));
+                told.and_then(|message| handle.update(|state| hear_one(state, invoker, message)));
             if let Err(why) = told {
                 warn!(invoker, why, "an invoker broke the protocol");
                 return why;
@@ -459,17 +481,17 @@
 }
 
 fn hear_one(
-    state: &mut State,
+    state: &mut ControllerState,
     invoker: InvokerId,
     message: wire::FromInvoker,
 ) -> Result<(), String> {
-    let Some(link) = state.desk.reach.links.get_mut(&invoker) else {
+    let Some(link) = state.invocations.transport.by_invoker.get_mut(&invoker) else {
         return Ok(());
     };
     match message {
         wire::FromInvoker::Answer(a) => {
-            let Some(sent) = link.out.get(&a.dispatch) else {
-                if link.given_up.remove(&a.dispatch) {
+            let Some(sent) = link.in_flight.get(&a.dispatch) else {
+                if link.abandoned.remove(&a.dispatch) {
                     return Ok(());
                 }
                 return Err(format!(
@@ -477,13 +499,13 @@
                     a.dispatch
                 ));
             };
-            if !link.outbox.is_sent(sent.ticket) {
+            if !link.send_queue.is_sent(sent.ticket) {
                 return Err(format!(
                     "an answer for dispatch {}, which has not left",
                     a.dispatch
                 ));
             }
-            let (inv, hop) = (sent.inv, sent.hop);
+            let (inv, hop) = (sent.invocation, sent.attempt);
             let outcome = match a.ended {
                 wire::Ended::Succeeded
                     if serde_json::from_slice::<&serde_json::value::RawValue>(&a.output)
@@ -498,10 +520,10 @@
                 wire::Ended::Miss => Outcome::Miss,
                 wire::Ended::Cancelled => Outcome::Cancelled,
             };
-            state.ended(inv, hop, outcome, &told(&a));
-            if let Some(link) = state.desk.reach.links.get_mut(&invoker) {
+            state.attempt_ended(inv, hop, outcome, &told(&a));
+            if let Some(link) = state.invocations.transport.by_invoker.get_mut(&invoker) {
                 // Its one answer is here: a second would be a lie.
-                link.given_up.remove(&a.dispatch);
+                link.abandoned.remove(&a.dispatch);
             }
         }
         wire::FromInvoker::Held(h) => {
@@ -510,7 +532,7 @@
                 wire::HoldEnded::NoRoom => LoadOutcome::NoCapacity,
                 wire::HoldEnded::LoadFailed => LoadOutcome::LoadFailed,
             };
-            state.held(invoker, h.order, outcome, h.standing);
+            state.load_ended(invoker, h.order, outcome, h.standing);
         }
         wire::FromInvoker::Probed(_) => {}
         wire::FromInvoker::Welcome(_) | wire::FromInvoker::Unwelcome(_) => {
@@ -520,17 +542,17 @@
     Ok(())
 }
 
-fn told(a: &wire::Answer) -> Told {
+fn told(a: &wire::Answer) -> AttemptReport {
     let finite = |x: &f32| x.is_finite();
-    Told {
-        found: a.found.map(|found| match found {
+    AttemptReport {
+        start_kind: a.found.map(|found| match found {
             wire::Found::Warm => StartKind::Warm,
             wire::Found::BeganLoad => StartKind::BeganLoad,
             wire::Found::JoinedLoad => StartKind::JoinedLoad,
             wire::Found::LoadFailed => StartKind::LoadFailed,
         }),
-        crowd: a.crowd,
-        report: LoadReport {
+        concurrency: a.crowd,
+        load_report: LoadReport {
             utilization: a.load.cores_busy.filter(finite).map(f64::from),
             queue_length: a.load.waiting.filter(finite).map(f64::from),
         },
--- a/crates/controller/src/front.rs
+++ b/crates/controller/src/native/server.rs
@@ -1,13 +1,16 @@
-//! The native path: JSON-RPC in, multiplexed links out, round the desk.
+//! The native path: JSON-RPC in, multiplexed links out, round the invocations.
 
-use crate::clients::Reply;
-use crate::desk::{self, Desk, Final, Owed, Reach, Sending, Told};
-use crate::going::{Going, Look};
-use crate::links::Link;
-use crate::names::{Names, NamesAt};
+use crate::invocations::{
+    self, AttemptReport, FinalResponse, InvocationTable, InvokerTransport, OutgoingDispatch,
+    Responder,
+};
+use crate::native::aliases::{AliasConfig, AliasResolver};
+use crate::native::clients::Reply;
+use crate::native::invoker_connections::InvokerConnection;
+use crate::native::{aliases, clients, endpoint_list, invoker_connections};
 use crate::policy::MakePolicy;
-use crate::redial::Dials;
-use crate::{clients, links, list, names};
+use crate::reconnect::ConnectBudget;
+use crate::shutdown::{ControllerStatus, ShutdownHandle};
 use saltdrum::interface::*;
 use saltdrum_deployment::Terms;
 use saltdrum_protocol::{invoker as wire, rpc};
@@ -25,40 +28,40 @@
 
 /// Where one controller sits.
 #[derive(Clone)]
-pub struct Seat {
+pub struct ControllerConfig {
     pub controller: u32,
     pub incarnation: u64,
     pub seed: u64,
     pub zone: u8,
     /// Where clients come in.
-    pub clients: Vec<Address>,
+    pub client_addresses: Vec<Address>,
     /// Lists of invokers: one at a time is followed, the next when it is lost. Several are those of one fleet.
-    pub lists: Vec<Address>,
+    pub endpoint_lists: Vec<Address>,
     pub terms: Rc<Terms>,
     /// Where names that are not in the terms are looked up; none: there are no others.
-    pub names: Option<NamesAt>,
-    pub going: Going,
+    pub aliases: Option<AliasConfig>,
+    pub shutdown: ShutdownHandle,
     /// Clients come in once invokers can be reached: before that everything would be throttled, and there are others.
-    pub opens_when_ready: bool,
+    pub listens_when_ready: bool,
 }
 
-pub(crate) type Front = desk::Front<Links>;
-pub(crate) type State = desk::State<Links>;
+pub(crate) type ControllerHandle = invocations::ControllerHandle<InvokerConnections>;
+pub(crate) type ControllerState = invocations::ControllerState<InvokerConnections>;
 
 /// How invokers are reached here: one multiplexed link each.
-pub(crate) struct Links {
+pub(crate) struct InvokerConnections {
     pub terms: Rc<Terms>,
     pub functions: BTreeMap<FunctionId, String>,
-    pub links: BTreeMap<InvokerId, Link>,
-    pub dials: Dials,
+    pub by_invoker: BTreeMap<InvokerId, InvokerConnection>,
+    pub connect_budget: ConnectBudget,
     pub rng: fastrand::Rng,
     pub list_revision: Option<u64>,
-    pub listed: bool,
-    pub names: Option<Names>,
+    pub has_endpoint_list: bool,
+    pub aliases: Option<AliasResolver>,
 }
 
 /// What goes along with an invocation's dispatches.
-pub(crate) struct Carried {
+pub(crate) struct Payload {
     call: rpc::Invoke,
     /// Of a version of the registry.
     runs: Option<Runs>,
@@ -76,50 +79,50 @@
     of_passage: String,
 }
 
-impl Owed for Caller {
-    fn answer(self, id: InvocationId, how: Final, hops: u8, until: Ticks) {
+impl Responder for Caller {
+    fn respond(self, id: InvocationId, how: FinalResponse, hops: u8, until: Ticks) {
         let Self { reply, of_passage } = self;
         match how {
-            Final::Succeeded(output) => {
+            FinalResponse::Succeeded(output) => {
                 let output = std::str::from_utf8(output).unwrap_or("null");
                 let result = format!(r#"{{"output":{output},"dispatches":{hops}{of_passage}}}"#);
                 reply.result(id, &result, until);
             }
-            Final::Throttled(wait) => {
+            FinalResponse::Throttled(wait) => {
                 let data = format!(
                     r#"{{"come_back_ms":{},"dispatches":{hops}{of_passage}}}"#,
                     wait / MILLISECOND
                 );
                 reply.error(id, rpc::THROTTLED, "throttled", Some(&data), until);
             }
-            Final::Errored(why) => {
+            FinalResponse::Errored(why) => {
                 let data = format!(r#"{{"dispatches":{hops}{of_passage}}}"#);
                 reply.error(id, rpc::ERRORED, why, Some(&data), until);
             }
         }
     }
 
-    fn drop_out(self, id: InvocationId) {
+    fn abandon(self, id: InvocationId) {
         self.reply.drop_out(id);
     }
 }
 
-impl Reach for Links {
-    type Carried = Carried;
-    type Owed = Caller;
-    type Seat = Seat;
+impl InvokerTransport for InvokerConnections {
+    type Payload = Payload;
+    type Responder = Caller;
+    type Config = ControllerConfig;
 
-    fn dispatch(&mut self, s: &Sending<Carried>) -> Result<u64, Outcome> {
-        let Carried { call, runs } = s.carried;
+    fn dispatch(&mut self, s: &OutgoingDispatch<Payload>) -> Result<u64, Outcome> {
+        let Payload { call, runs } = s.payload;
         let frame = wire::DispatchOut {
             dispatch: 0,
-            invocation: s.inv,
-            hop: s.hop,
+            invocation: s.invocation,
+            hop: s.attempt,
             function: s.function,
             name: runs.as_ref().map_or(&call.function, |r| &r.name),
             tenant: &call.tenant,
             trigger: &call.trigger,
-            left_tenths: s.gone - s.now.min(s.gone),
+            left_tenths: s.client_deadline - s.now.min(s.client_deadline),
             token: call.token.as_deref(),
             input: call
                 .input
@@ -128,50 +131,50 @@
                 .into(),
         };
         let link = self
-            .links
+            .by_invoker
             .get_mut(&s.invoker)
             .ok_or(Outcome::NoConnection)?;
-        link.dispatch(frame, s.leave_by, s.inv, s.hop)
+        link.dispatch(frame, s.send_by, s.invocation, s.attempt)
     }
 
     fn withdraw(&mut self, invoker: InvokerId, dispatch: u64) -> bool {
-        self.links
+        self.by_invoker
             .get_mut(&invoker)
             .is_some_and(|link| link.withdraw(dispatch))
     }
 
     fn cancel(&mut self, invoker: InvokerId, dispatch: u64) -> bool {
-        if let Some(link) = self.links.get_mut(&invoker) {
+        if let Some(link) = self.by_invoker.get_mut(&invoker) {
             link.cancel(dispatch);
         }
         // The invoker answers what came of it.
         false
     }
 
-    fn ended(
+    fn attempt_ended(
         &mut self,
         invoker: InvokerId,
         dispatch: u64,
-        carried: &Carried,
+        carried: &Payload,
         outcome: Outcome,
-        told: &Told,
+        told: &AttemptReport,
     ) {
         // By dispatches, not by final answers: what erred may have been answered well by another try, or throttled.
         let well = match outcome {
             Outcome::Succeeded => Some(true),
             Outcome::Errored | Outcome::TimedOut => Some(false),
-            _ => (told.found == Some(StartKind::LoadFailed)).then_some(false),
+            _ => (told.start_kind == Some(StartKind::LoadFailed)).then_some(false),
         };
         let staged = carried.runs.as_ref().and_then(|r| r.fixed.staged.as_ref());
-        if let (Some(names), Some(staged), Some(well)) = (&mut self.names, staged, well) {
+        if let (Some(names), Some(staged), Some(well)) = (&mut self.aliases, staged, well) {
             names.count(staged, well);
         }
-        if let Some(link) = self.links.get_mut(&invoker) {
+        if let Some(link) = self.by_invoker.get_mut(&invoker) {
             link.forget(dispatch);
         }
     }
 
-    fn hold(
+    fn load(
         &mut self,
         _: Ticks,
         invoker: InvokerId,
@@ -179,41 +182,41 @@
         count: u8,
     ) -> Result<u64, LoadOutcome> {
         let name = self.functions.get(&function).cloned().unwrap_or_default();
-        let link = self.links.get_mut(&invoker);
-        link.and_then(|link| link.hold(function, name, count))
+        let link = self.by_invoker.get_mut(&invoker);
+        link.and_then(|link| link.load(function, name, count))
             .ok_or(LoadOutcome::Unreachable)
     }
 
-    fn held(&mut self, invoker: InvokerId, order: u64) {
-        if let Some(link) = self.links.get_mut(&invoker) {
-            link.orders.remove(&order);
+    fn load_ended(&mut self, invoker: InvokerId, order: u64) {
+        if let Some(link) = self.by_invoker.get_mut(&invoker) {
+            link.load_orders.remove(&order);
         }
     }
 
     fn unload(&mut self, _: Ticks, invoker: InvokerId, function: FunctionId) {
-        if let Some(link) = self.links.get_mut(&invoker) {
+        if let Some(link) = self.by_invoker.get_mut(&invoker) {
             link.unload(function);
         }
     }
 
     fn probe(&mut self, _: Ticks, invoker: InvokerId) {
-        if let Some(link) = self.links.get_mut(&invoker) {
+        if let Some(link) = self.by_invoker.get_mut(&invoker) {
             link.probe();
         }
     }
 }
 
-pub(crate) fn status(front: &Front) -> String {
-    front.see(|state| {
-        let (d, r, c) = (&state.desk, &state.desk.reach, &state.desk.counts);
+pub(crate) fn status(handle: &ControllerHandle) -> String {
+    handle.inspect(|state| {
+        let (d, r, c) = (&state.invocations, &state.invocations.transport, &state.invocations.counters);
         json!({
-            "controller": front.seat.controller, "incarnation": front.seat.incarnation,
+            "controller": handle.config.controller, "incarnation": handle.config.incarnation,
             "list_revision": r.list_revision, "in_flight": d.in_flight(),
-            "links": r.links.len(), "links_up": r.links.values().filter(|l| l.is_up()).count(),
-            "taken": c.taken, "succeeded": c.succeeded, "throttled": c.throttled, "errored": c.errored,
-            "left": c.left, "stale": c.stale, "too_late": c.too_late, "dispatches": c.dispatches,
-            "names": r.names.as_ref().map(|n| n.told(front.clock.now())),
-            "orders": c.orders, "broken_links": c.broken_links, "stood_still": c.stood_still,
+            "links": r.by_invoker.len(), "links_up": r.by_invoker.values().filter(|l| l.is_up()).count(),
+            "taken": c.accepted, "succeeded": c.succeeded, "throttled": c.throttled, "errored": c.errored,
+            "left": c.client_left, "stale": c.expired_on_arrival, "too_late": c.answered_too_late, "dispatches": c.attempts,
+            "names": r.aliases.as_ref().map(|n| n.told(handle.clock.now())),
+            "orders": c.load_orders, "broken_links": c.broken_connections, "stood_still": c.process_stops,
         })
         .to_string()
     })
@@ -221,15 +224,15 @@
 
 /// An invocation was read; it came at `earliest` or later.
 pub(crate) fn invoke(
-    state: &mut State,
+    state: &mut ControllerState,
     call: rpc::Invoke,
     least_left: Option<Ticks>,
     earliest: Ticks,
     mut reply: Reply,
 ) {
-    let desk = &mut state.desk;
-    let now = desk.now;
-    let terms = desk.reach.terms.clone();
+    let invocations = &mut state.invocations;
+    let now = invocations.now;
+    let terms = invocations.transport.terms.clone();
     let bad = |what: &str, name: &str| format!("{what} '{name}': not one of this deployment");
     let trigger = terms.trigger_names.iter().position(|n| *n == call.trigger);
     let tenant = terms.tenant_names.iter().position(|n| *n == call.tenant);
@@ -244,7 +247,7 @@
     let (function, memory, lanes, load_hint, runs) = match terms.functions.get(&call.function) {
         Some(f) => (f.id, f.memory, f.lanes, f.load, None),
         None => {
-            let Some(names) = &mut desk.reach.names else {
+            let Some(names) = &mut invocations.transport.aliases else {
                 return reply.refuse(rpc::INVALID_PARAMS, &bad("function", &call.function));
             };
             let said = Said {
@@ -254,7 +257,8 @@
             };
             match names.fix(now, &call.tenant, &call.trigger, &call.function, &said) {
                 Ok(runs) => {
-                    desk.reach
+                    invocations
+                        .transport
                         .functions
                         .entry(runs.function)
                         .or_insert_with(|| runs.name.clone());
@@ -278,10 +282,10 @@
     };
     let gone = earliest + left;
     if now >= gone {
-        desk.counts.stale += 1;
+        invocations.counters.expired_on_arrival += 1;
         return reply.forget();
     }
-    let id = desk.next_inv();
+    let id = invocations.next_invocation();
     reply.opened(id);
     // Short waits keep their larger part for the work.
     let expires = gone - terms.answer_margin.min(left / 4);
@@ -313,10 +317,10 @@
             r.name, r.fixed.until_ms
         )
     });
-    state.taken(
+    state.accept(
         invocation,
         gone,
-        Carried { call, runs },
+        Payload { call, runs },
         Caller { reply, of_passage },
         span,
     );
@@ -333,7 +337,7 @@
 /// Runs one controller until the future is dropped, which is as sudden as a kill. Fails when it can't listen. `make`
 /// is [`dispatch_policy`](crate::dispatch_policy) but for measurements.
 pub async fn serve(
-    seat: Seat,
+    seat: ControllerConfig,
     network: Rc<dyn Network>,
     clock: Clock,
     make: MakePolicy,
@@ -343,7 +347,7 @@
 }
 
 async fn run(
-    seat: Seat,
+    seat: ControllerConfig,
     network: Rc<dyn Network>,
     clock: Clock,
     make: MakePolicy,
@@ -354,84 +358,94 @@
         ..terms.deployment.clone()
     };
     let order_timeout = terms.order_timeout;
-    let reach = Links {
+    let reach = InvokerConnections {
         functions: terms
             .functions
             .values()
             .map(|f| (f.id, f.name.clone()))
             .collect(),
         terms,
-        links: BTreeMap::new(),
-        dials: Dials::new(now),
+        by_invoker: BTreeMap::new(),
+        connect_budget: ConnectBudget::new(now),
         rng: fastrand::Rng::with_seed(seat.seed ^ 0x5eed),
         list_revision: None,
-        listed: false,
-        names: seat.names.as_ref().map(Names::new),
+        has_endpoint_list: false,
+        aliases: seat.aliases.as_ref().map(AliasResolver::new),
     };
-    let mut desk = Desk::new(now, reach, &deployment, order_timeout);
-    let module = make(now, deployment, seat.seed, &mut desk);
-    let front = Rc::new(Front::new(module, desk, clock, network, seat));
-    let seen = Rc::downgrade(&front);
-    front.seat.going.seen_by(move || {
-        seen.upgrade().map_or_else(Look::default, |front| {
-            front.see(|state| {
-                let r = &state.desk.reach;
-                let links_up = r.links.values().filter(|l| l.is_up()).count();
-                let unsent_bytes = front.seat.going.unsent_bytes();
-                let in_flight = state.desk.in_flight();
-                Look {
-                    in_flight,
-                    unsent_bytes,
-                    links: r.links.len(),
-                    links_up,
-                    listed: r.listed,
-                }
+    let mut invocations = InvocationTable::new(now, reach, &deployment, order_timeout);
+    let policy = make(now, deployment, seat.seed, &mut invocations);
+    let handle = Rc::new(ControllerHandle::new(
+        policy,
+        invocations,
+        clock,
+        network,
+        seat,
+    ));
+    let seen = Rc::downgrade(&handle);
+    handle.config.shutdown.set_status_source(move || {
+        seen.upgrade()
+            .map_or_else(ControllerStatus::default, |handle| {
+                handle.inspect(|state| {
+                    let r = &state.invocations.transport;
+                    let links_up = r.by_invoker.values().filter(|l| l.is_up()).count();
+                    let unsent_bytes = handle.config.shutdown.unsent_bytes();
+                    let in_flight = state.invocations.in_flight();
+                    ControllerStatus {
+                        in_flight,
+                        unsent_bytes,
+                        connections: r.by_invoker.len(),
+                        connections_up: links_up,
+                        has_endpoint_list: r.has_endpoint_list,
+                    }
+                })
             })
-        })
     });
-    let (turns, stood) = (front.turns.clone(), front.clone());
+    let (turns, stood) = (handle.event_loop.clone(), handle.clone());
     tokio::task::spawn_local(run_event_loop_clock(turns, clock, move |_, gap| {
         warn!(stood_ms = gap / MILLISECOND, "this controller stood still");
-        stood.tell(|state| state.desk.counts.stood_still += 1);
+        stood.update(|state| state.invocations.counters.process_stops += 1);
     }));
-    tokio::task::spawn_local(list::follow(front.clone()));
-    if front.seat.opens_when_ready {
+    tokio::task::spawn_local(endpoint_list::follow(handle.clone()));
+    if handle.config.listens_when_ready {
         tokio::select! {
             biased;
-            () = ready(&front) => {}
-            () = front.run_timers() => {}
+            () = ready(&handle) => {}
+            () = handle.run_timers() => {}
         }
     }
     let mut doors = Vec::new();
-    for address in &front.seat.clients {
-        let listening = front.network.listen(address).await;
+    for address in &handle.config.client_addresses {
+        let listening = handle.network.listen(address).await;
         doors.push(listening.inspect_err(|e| error!(%address, %e, "can't listen"))?);
     }
-    if let Some(at) = front.seat.names.clone() {
-        tokio::task::spawn_local(names::keep(front.clone(), at));
+    if let Some(at) = handle.config.aliases.clone() {
+        tokio::task::spawn_local(aliases::keep(handle.clone(), at));
     }
     for (door, address) in doors {
-        info!(controller = front.seat.controller, %address, "listening");
-        tokio::task::spawn_local(clients::receive(front.clone(), door));
+        info!(controller = handle.config.controller, %address, "listening");
+        tokio::task::spawn_local(clients::receive(handle.clone(), door));
     }
-    front.run_timers().await;
+    handle.run_timers().await;
     Ok(())
 }
 
 /// The list is in, and half of its invokers are linked, or that took too long.
-async fn ready(front: &Front) {
+async fn ready(handle: &ControllerHandle) {
     let mut listed_looks = 0;
     while listed_looks < READY_LOOKS {
-        let look = front.seat.going.look();
-        if look.listed && look.links_up > 0 && look.links_up * 2 >= look.links {
+        let look = handle.config.shutdown.status();
+        if look.has_endpoint_list
+            && look.connections_up > 0
+            && look.connections_up * 2 >= look.connections
+        {
             return;
         }
-        listed_looks += u32::from(look.listed);
+        listed_looks += u32::from(look.has_endpoint_list);
         tokio::time::sleep(READY_LOOK).await;
     }
 }
 
 /// Makes sure that an invoker has a link of its own; the list names it for the first time.
-pub(crate) fn reach(front: &Rc<Front>, invoker: InvokerId) {
-    tokio::task::spawn_local(links::keep(front.clone(), invoker));
+pub(crate) fn reach(handle: &Rc<ControllerHandle>, invoker: InvokerId) {
+    tokio::task::spawn_local(invoker_connections::keep(handle.clone(), invoker));
 }
--- a/crates/controller/src/redial.rs
+++ b/crates/controller/src/reconnect.rs
@@ -23,14 +23,14 @@
 
 /// One link's history of failures.
 #[derive(Clone, Debug, Default)]
-pub struct Redial {
+pub struct ReconnectBackoff {
     failures: u32,
     up_since: Option<Ticks>,
 }
 
-impl Redial {
+impl ReconnectBackoff {
     /// How long to wait before the next dial.
-    pub fn wait(&self, rng: &mut fastrand::Rng) -> Ticks {
+    pub fn next_delay(&self, rng: &mut fastrand::Rng) -> Ticks {
         let most = match self.failures {
             0 => FIRST_MOST,
             n => MOST.min(BASE << (n - 1).min(16)),
@@ -39,16 +39,16 @@
     }
 
     /// Whether the last try, or the link it made, failed.
-    pub fn failing(&self) -> bool {
+    pub fn is_failing(&self) -> bool {
         self.failures > 0
     }
 
-    pub fn up(&mut self, now: Ticks) {
+    pub fn connected(&mut self, now: Ticks) {
         self.up_since = Some(now);
     }
 
     /// The dial failed, or the link it made is gone.
-    pub fn lost(&mut self, now: Ticks) {
+    pub fn disconnected(&mut self, now: Ticks) {
         let well = self
             .up_since
             .take()
@@ -61,12 +61,12 @@
     }
 
     /// The invoker is said to have started anew: what failed before says nothing.
-    pub fn renewed(&mut self) {
+    pub fn reset(&mut self) {
         *self = Self::default();
     }
 }
 
-/// Dials that may begin: a burst, and so many a second.
+/// ConnectBudget that may begin: a burst, and so many a second.
 #[derive(Clone, Debug)]
 struct Budget {
     left: f64,
@@ -84,12 +84,12 @@
 
 /// A controller's dials, over all its links.
 #[derive(Clone, Debug)]
-pub struct Dials {
+pub struct ConnectBudget {
     first: Budget,
     again: Budget,
 }
 
-impl Dials {
+impl ConnectBudget {
     pub fn new(now: Ticks) -> Self {
         let full = Budget {
             left: DIALS_BURST,
@@ -102,12 +102,12 @@
     }
 
     /// Takes the dial of a link that has not failed; gives how long to wait with it.
-    pub fn first(&mut self, now: Ticks) -> Ticks {
+    pub fn take_first(&mut self, now: Ticks) -> Ticks {
         self.first.take(now, FIRST_DIALS_PER_SECOND)
     }
 
     /// Takes a repeated dial, of a controller with so many links; gives how long to wait with it.
-    pub fn again(&mut self, now: Ticks, links: usize) -> Ticks {
+    pub fn take_retry(&mut self, now: Ticks, links: usize) -> Ticks {
         self.again.take(
             now,
             REDIALS_PER_SECOND.max(REDIALS_PER_LINK_AND_SECOND * links as f64),
@@ -125,11 +125,12 @@
         let mut dialled = vec![0u32; 100];
         for controller in 0..48u64 {
             let mut rng = fastrand::Rng::with_seed(controller);
-            let mut dials = Dials::new(0);
-            let mut due: Vec<(Ticks, Redial)> = vec![(0, Redial::default()); 84];
+            let mut dials = ConnectBudget::new(0);
+            let mut due: Vec<(Ticks, ReconnectBackoff)> =
+                vec![(0, ReconnectBackoff::default()); 84];
             for (at, link) in &mut due {
-                link.lost(0);
-                *at = link.wait(&mut rng);
+                link.disconnected(0);
+                *at = link.next_delay(&mut rng);
             }
             loop {
                 due.sort_by_key(|d| d.0);
@@ -137,9 +138,9 @@
                 if at >= 10 * SECOND {
                     break;
                 }
-                let held = dials.again(at, 84);
-                due[0].1.lost(at + held);
-                let wait = due[0].1.wait(&mut rng);
+                let held = dials.take_retry(at, 84);
+                due[0].1.disconnected(at + held);
+                let wait = due[0].1.next_delay(&mut rng);
                 if let Some(n) = dialled.get_mut(((at + held) / (100 * MILLISECOND)) as usize) {
                     *n += 1;
                 }
@@ -160,38 +161,40 @@
 
     #[test]
     fn a_link_that_breaks_at_once_counts_as_failed_and_a_long_one_does_not() {
-        let mut link = Redial::default();
+        let mut link = ReconnectBackoff::default();
         for n in 1..6 {
-            link.up(n);
-            link.lost(n + 10);
+            link.connected(n);
+            link.disconnected(n + 10);
             assert_eq!(link.failures, n as u32);
         }
-        link.up(100);
-        link.lost(100 + WELL_AFTER);
+        link.connected(100);
+        link.disconnected(100 + WELL_AFTER);
         assert_eq!(link.failures, 1);
-        link.renewed();
-        assert!(!link.failing() && link.wait(&mut fastrand::Rng::with_seed(1)) <= FIRST_MOST);
+        link.reset();
+        assert!(
+            !link.is_failing() && link.next_delay(&mut fastrand::Rng::with_seed(1)) <= FIRST_MOST
+        );
     }
 
     #[test]
     fn dials_beyond_the_burst_wait_their_turn() {
-        let mut dials = Dials::new(0);
-        let waits: Vec<Ticks> = (0..200).map(|_| dials.again(0, 84)).collect();
+        let mut dials = ConnectBudget::new(0);
+        let waits: Vec<Ticks> = (0..200).map(|_| dials.take_retry(0, 84)).collect();
         assert!(waits[..128].iter().all(|w| *w == 0));
         assert!(waits[128..].windows(2).all(|w| w[0] < w[1]));
-        assert_eq!(dials.again(60 * SECOND, 84), 0);
+        assert_eq!(dials.take_retry(60 * SECOND, 84), 0);
     }
 
     /// A controller that starts among 1,008 invokers of which 900 don't answer.
     #[test]
     fn a_large_fleet_is_dialled_within_a_second_and_dead_links_keep_nobody_from_it() {
-        let mut dials = Dials::new(0);
-        let vain = (0..900).map(|_| dials.again(0, 1_008)).max();
+        let mut dials = ConnectBudget::new(0);
+        let vain = (0..900).map(|_| dials.take_retry(0, 1_008)).max();
         assert!(vain > Some(SECOND), "{vain:?}");
-        let last = (0..1_008).map(|_| dials.first(0)).max().unwrap();
+        let last = (0..1_008).map(|_| dials.take_first(0)).max().unwrap();
         assert!((SECOND / 2..SECOND).contains(&last), "{last}");
         let round = (0..1_008)
-            .map(|_| dials.again(20 * SECOND, 1_008))
+            .map(|_| dials.take_retry(20 * SECOND, 1_008))
             .max()
             .unwrap();
         assert!(round <= MOST, "{round}");
--- a/crates/controller/src/going.rs
+++ b/crates/controller/src/shutdown.rs
@@ -8,36 +8,36 @@
 use tokio::sync::watch;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Step {
+pub enum ShutdownPhase {
     #[default]
     Serving,
     /// Clients are told to go elsewhere; what they still bring is taken.
-    LeadingAway,
+    Redirecting,
     /// What still comes is throttled, to be brought elsewhere at once.
-    Closed,
+    Rejecting,
 }
 
 /// What can be seen of a controller from outside.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Look {
+pub struct ControllerStatus {
     pub in_flight: usize,
     /// Answers that clients have not taken yet.
     pub unsent_bytes: usize,
-    pub links: usize,
-    pub links_up: usize,
+    pub connections: usize,
+    pub connections_up: usize,
     /// Some list has told it all there is.
-    pub listed: bool,
+    pub has_endpoint_list: bool,
 }
 
 type Outboxes = Rc<RefCell<BTreeMap<u64, SendQueue>>>;
 
-type PollTimes = Rc<RefCell<Option<Box<dyn Fn() -> Look>>>>;
+type StatusCallback = Rc<RefCell<Option<Box<dyn Fn() -> ControllerStatus>>>>;
 
 /// The handle on one controller's going. Whoever holds it may turn back at any step.
 #[derive(Clone)]
-pub struct Going {
-    step: Rc<watch::Sender<Step>>,
-    look: PollTimes,
+pub struct ShutdownHandle {
+    phase: Rc<watch::Sender<ShutdownPhase>>,
+    status: StatusCallback,
     outboxes: Outboxes,
     clients: Rc<Cell<u64>>,
 }
@@ -54,36 +54,36 @@
     }
 }
 
-impl Default for Going {
+impl Default for ShutdownHandle {
     fn default() -> Self {
         let (look, outboxes, clients) = Default::default();
         Self {
-            step: Rc::new(watch::channel(Step::Serving).0),
-            look,
+            phase: Rc::new(watch::channel(ShutdownPhase::Serving).0),
+            status: look,
             outboxes,
             clients,
         }
     }
 }
 
-impl Going {
-    pub fn to(&self, step: Step) {
-        self.step.send_replace(step);
+impl ShutdownHandle {
+    pub fn set_phase(&self, step: ShutdownPhase) {
+        self.phase.send_replace(step);
     }
 
-    pub fn step(&self) -> Step {
-        *self.step.borrow()
+    pub fn phase(&self) -> ShutdownPhase {
+        *self.phase.borrow()
     }
 
     /// Nothing before the controller runs.
-    pub fn look(&self) -> Look {
-        self.look
+    pub fn status(&self) -> ControllerStatus {
+        self.status
             .borrow()
             .as_ref()
-            .map_or_else(Look::default, |look| look())
+            .map_or_else(ControllerStatus::default, |look| look())
     }
 
-    pub(crate) fn sends(&self, outbox: &SendQueue) -> Sends {
+    pub(crate) fn track_unsent(&self, outbox: &SendQueue) -> Sends {
         self.clients.set(self.clients.get() + 1);
         let client = self.clients.get();
         self.outboxes.borrow_mut().insert(client, outbox.clone());
@@ -101,12 +101,12 @@
             .sum()
     }
 
-    pub(crate) fn seen_by(&self, look: impl Fn() -> Look + 'static) {
-        *self.look.borrow_mut() = Some(Box::new(look));
+    pub(crate) fn set_status_source(&self, look: impl Fn() -> ControllerStatus + 'static) {
+        *self.status.borrow_mut() = Some(Box::new(look));
     }
 
-    pub(crate) fn follow(&self) -> watch::Receiver<Step> {
-        let mut follower = self.step.subscribe();
+    pub(crate) fn subscribe(&self) -> watch::Receiver<ShutdownPhase> {
+        let mut follower = self.phase.subscribe();
         follower.mark_changed();
         follower
     }
--- a/crates/controller/tests/sockets.rs
+++ b/crates/controller/tests/sockets.rs
@@ -3,8 +3,8 @@
 
 use bytes::{Bytes, BytesMut};
 use saltdrum::interface::*;
-use saltdrum_controller::going::{Going, Step};
-use saltdrum_controller::{MakePolicy, Policy, Seat, serve};
+use saltdrum_controller::shutdown::{ShutdownHandle, ShutdownPhase};
+use saltdrum_controller::{ControllerConfig, MakePolicy, Policy, serve};
 use saltdrum_deployment::Terms;
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::invoker::{self as wire, Ended};
@@ -200,7 +200,7 @@
 
 fn played_in<F: Future<Output = ()>>(
     make: MakePolicy,
-    change: impl FnOnce(&mut Seat),
+    change: impl FnOnce(&mut ControllerConfig),
     play: impl FnOnce(MemoryNetwork) -> F,
 ) {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -210,17 +210,17 @@
         .unwrap();
     LocalSet::new().block_on(&runtime, async move {
         let (network, clock) = (MemoryNetwork::default(), Clock::start());
-        let mut seat = Seat {
+        let mut seat = ControllerConfig {
             controller: 1,
             incarnation: 1,
             seed: 1,
             zone: 0,
-            clients: vec![at("clients")],
-            lists: vec![at("list")],
+            client_addresses: vec![at("clients")],
+            endpoint_lists: vec![at("list")],
             terms: Rc::new(Terms::load("terms.star", TERMS).unwrap().0),
-            names: None,
-            going: Default::default(),
-            opens_when_ready: false,
+            aliases: None,
+            shutdown: Default::default(),
+            listens_when_ready: false,
         };
         change(&mut seat);
         let handed: Rc<dyn Network> = Rc::new(network.clone());
@@ -576,11 +576,11 @@
 
 #[test]
 fn a_controller_that_goes_tells_its_clients_then_takes_nothing_new_and_answers_what_it_took() {
-    let going = Going::default();
+    let going = ShutdownHandle::default();
     let handle = going.clone();
     played_in(
         first,
-        |seat| seat.going = going,
+        |seat| seat.shutdown = going,
         |network| async move {
             list_of(&network, &[]).await;
             let (mut door, _) = network.listen(&at("invoker")).await.unwrap();
@@ -588,7 +588,7 @@
             let mut client = Client::new(&network).await;
             client.invoke(json!(1), 0.0, 2_000.0).await;
             frame(&mut stream, &mut read).await.unwrap();
-            handle.to(Step::LeadingAway);
+            handle.set_phase(ShutdownPhase::Redirecting);
             assert_eq!(client.hear().await["method"], "going");
             let mut late = Client::new(&network).await;
             assert_eq!(
@@ -598,14 +598,17 @@
             );
             client.invoke(json!(2), 0.0, 2_000.0).await;
             frame(&mut stream, &mut read).await.unwrap();
-            handle.to(Step::Closed);
+            handle.set_phase(ShutdownPhase::Rejecting);
             client.invoke(json!(3), 0.0, 2_000.0).await;
             let refused = client.hear().await;
             assert_eq!(
                 (&refused["id"], &refused["error"]["data"]["going"]),
                 (&json!(3), &json!(true))
             );
-            assert_eq!((handle.look().in_flight, handle.look().listed), (2, true));
+            assert_eq!(
+                (handle.status().in_flight, handle.status().has_endpoint_list),
+                (2, true)
+            );
             for dispatch in [1, 2] {
                 stream
                     .write_all(&answer(dispatch, Ended::Succeeded, "1"))
@@ -614,10 +617,10 @@
                 assert_eq!(client.hear().await["id"], json!(dispatch));
             }
             assert_eq!(
-                (handle.look().in_flight, handle.look().unsent_bytes),
+                (handle.status().in_flight, handle.status().unsent_bytes),
                 (0, 0)
             );
-            handle.to(Step::Serving);
+            handle.set_phase(ShutdownPhase::Serving);
             client.invoke(json!(4), 0.0, 2_000.0).await;
             frame(&mut stream, &mut read).await.unwrap();
             stream
@@ -632,11 +635,11 @@
 /// A process that ended with its last invocation took the answers along that lay in its queues.
 #[test]
 fn answers_that_a_client_has_not_taken_are_seen_and_end_with_it() {
-    let going = Going::default();
+    let going = ShutdownHandle::default();
     let handle = going.clone();
     played_in(
         first,
-        |seat| seat.going = going,
+        |seat| seat.shutdown = going,
         |network| async move {
             a_moment().await;
             let mut client = Client::new(&network).await;
@@ -646,10 +649,10 @@
                     .await;
             }
             a_moment().await;
-            assert!(handle.look().unsent_bytes > 0, "it reads nothing");
+            assert!(handle.status().unsent_bytes > 0, "it reads nothing");
             drop(client);
             a_moment().await;
-            assert_eq!(handle.look().unsent_bytes, 0);
+            assert_eq!(handle.status().unsent_bytes, 0);
         },
     );
 }
@@ -658,7 +661,7 @@
 fn a_controller_among_others_lets_clients_in_once_invokers_can_be_reached() {
     played_in(
         first,
-        |seat| seat.opens_when_ready = true,
+        |seat| seat.listens_when_ready = true,
         |network| async move {
             let (mut door, _) = network.listen(&at("invoker")).await.unwrap();
             a_moment().await;
--- a/crates/fakes/src/invoker.rs
+++ b/crates/fakes/src/invoker.rs
@@ -5,7 +5,7 @@
 use crate::record::{Line, Record, Try, Who};
 use bytes::BytesMut;
 use saltdrum::interface::{Effect, FunctionId, KeyScope, MILLISECOND, Ticks};
-use saltdrum_agent::{Agent, Peer, Seat};
+use saltdrum_agent::{Agent, ControllerConfig, Peer};
 use saltdrum_deployment::{Terms, terms};
 use saltdrum_layers::cache::{Cache, Disk};
 use saltdrum_protocol::frame::{cut, encode};
@@ -572,7 +572,7 @@
         let (door, address) = self.site.network.listen(&at).await?;
         *layers.at.borrow_mut() = address;
         let cache = Cache::open(&layers.folder, layers.cache_bytes, layers.disk.clone())?;
-        let seat = Seat {
+        let seat = ControllerConfig {
             me: self.site.stated.invoker,
             seed: self.site.seed ^ 0xa6e7,
             store: layers.registry.clone(),
--- a/crates/faulty-peers/src/lib.rs
+++ b/crates/faulty-peers/src/lib.rs
@@ -7,7 +7,7 @@
 pub use careless::careless;
 
 use bytes::{Bytes, BytesMut};
-use saltdrum_controller::Seat;
+use saltdrum_controller::ControllerConfig;
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::invoker as wire;
 use saltdrum_protocol::{list, rpc};
@@ -53,7 +53,7 @@
 
 struct Rogue {
     fault: Fault,
-    seat: Seat,
+    seat: ControllerConfig,
     network: Rc<dyn Network>,
     clock: Clock,
     entries: RefCell<BTreeMap<u32, list::Entry>>,
@@ -64,7 +64,12 @@
 }
 
 /// Runs in a seat as the real one does.
-pub fn rogue(fault: Fault, seat: Seat, network: Rc<dyn Network>, clock: Clock) -> Running {
+pub fn rogue(
+    fault: Fault,
+    seat: ControllerConfig,
+    network: Rc<dyn Network>,
+    clock: Clock,
+) -> Running {
     let rng = RefCell::new(fastrand::Rng::with_seed(seat.seed));
     let (entries, links, then, last) = Default::default();
     let rogue = Rc::new(Rogue {
@@ -83,7 +88,7 @@
 
 impl Rogue {
     async fn run(self: Rc<Self>) -> io::Result<()> {
-        let (mut door, _) = self.network.listen(&self.seat.clients[0]).await?;
+        let (mut door, _) = self.network.listen(&self.seat.client_addresses[0]).await?;
         let following = self.clone();
         tokio::task::spawn_local(async move { following.follow().await });
         loop {
@@ -99,7 +104,11 @@
 
     async fn follow(self: Rc<Self>) {
         let (controller, incarnation) = (self.seat.controller, self.seat.incarnation);
-        let mut stream = self.network.dial(&self.seat.lists[0]).await.unwrap();
+        let mut stream = self
+            .network
+            .dial(&self.seat.endpoint_lists[0])
+            .await
+            .unwrap();
         stream
             .write_all(&encode(&list::Follow {
                 version: 1,
--- a/crates/lab/src/meter.rs
+++ b/crates/lab/src/meter.rs
@@ -1,6 +1,6 @@
 //! What the controllers of a run cost, apart from all that stands in for the rest of the world.
 
-use saltdrum_controller::Seat;
+use saltdrum_controller::ControllerConfig;
 use saltdrum_scenario::Serve;
 use saltdrum_transport::{Clock, Network};
 use std::cell::Cell;
@@ -37,7 +37,7 @@
     }
 }
 
-fn seated(seat: Seat, network: Rc<dyn Network>, clock: Clock) -> Running {
+fn seated(seat: ControllerConfig, network: Rc<dyn Network>, clock: Clock) -> Running {
     Box::pin(Metered(METERED.get()(seat, network, clock)))
 }
 
--- a/crates/platform/src/attempt.rs
+++ b/crates/platform/src/attempt.rs
@@ -2,13 +2,13 @@
 //! new one, is put together when it leaves, and ends with an answer or with what is proven of it.
 
 use crate::line::{Departure, Line, Whole};
-use crate::reach::{Counted, Front};
+use crate::reach::{ControllerHandle, Counted};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
 use hyper::header::HeaderValue;
 use saltdrum::interface::*;
-use saltdrum_controller::desk::Told;
+use saltdrum_controller::invocations::AttemptReport;
 use saltdrum_platform_wire::{frames, http};
 use saltdrum_transport::{Address, ReadBacklog, is_local_failure};
 use std::cell::Cell;
@@ -57,7 +57,7 @@
 
 /// One request on its way.
 pub(crate) struct Ask {
-    pub front: Rc<Front>,
+    pub handle: Rc<ControllerHandle>,
     pub invoker: InvokerId,
     pub epoch: u32,
     pub job: u64,
@@ -104,7 +104,7 @@
             .take()
             .unwrap_or_else(|| Counted::new(&self.open));
         let dialled =
-            tokio::time::timeout(self.within, self.front.network.dial(&self.address)).await;
+            tokio::time::timeout(self.within, self.handle.network.dial(&self.address)).await;
         let stream = match dialled {
             Ok(Ok(stream)) => stream,
             Ok(Err(e)) => return Err(e.into()),
@@ -120,14 +120,14 @@
             stream,
             _counted: counted,
         });
-        let over = Line::over(stream, self.front.clock).await;
+        let over = Line::over(stream, self.handle.clock).await;
         let line = over.map_err(|e| DialFailure {
             why: e.to_string(),
             is_local: false,
         })?;
         let socket = line.socket.clone();
-        self.front
-            .tell(|state| state.desk.reach.dialled(self.job, socket));
+        self.handle
+            .update(|state| state.invocations.transport.dialled(self.job, socket));
         Ok(line)
     }
 
@@ -158,7 +158,7 @@
 
     async fn over(&self, mut line: Line, most: usize) -> End {
         self.readers_are_up_to_date().await;
-        let Some((request, departure)) = self.wording(self.front.clock.now()) else {
+        let Some((request, departure)) = self.wording(self.handle.clock.now()) else {
             return End::Stale;
         };
         match line.ask(request, self.worded.body, departure, most).await {
@@ -172,11 +172,11 @@
     /// Waits until whatever had come from its client and from the feed some moments ago has been read. A process that stood
     /// still hears of what fell due meanwhile, of who left and of which invoker drains in any order.
     async fn readers_are_up_to_date(&self) {
-        while self.front.turns.last_polled() + FRESH <= self.front.clock.now() {
+        while self.handle.event_loop.last_polled() + FRESH <= self.handle.clock.now() {
             tokio::time::sleep(TURN).await;
         }
         let client = self.worded.client.as_ref().map(|client| &client.backlog);
-        while self.front.seat.feed.is_behind() || client.is_some_and(ReadBacklog::is_behind) {
+        while self.handle.config.feed.is_behind() || client.is_some_and(ReadBacklog::is_behind) {
             tokio::task::yield_now().await;
         }
     }
@@ -200,16 +200,16 @@
 
 pub(crate) async fn dispatch(ask: Ask, line: Option<Line>, inv: InvocationId, hop: u8) {
     let (invoker, epoch, job) = (ask.invoker, ask.epoch, ask.job);
-    let mut told = Told::default();
+    let mut told = AttemptReport::default();
     let (outcome, line) = match ask.go(line, frames::OUTPUT_MOST).await {
         End::Answered(whole, line) => {
             let notes = http::notes(|name| whole.field(name));
             let outcome = http::outcome(whole.status, |name| whole.field(name));
             let output = whole.body;
-            told = Told {
-                found: notes.found,
-                crowd: notes.crowd,
-                report: notes.report,
+            told = AttemptReport {
+                start_kind: notes.found,
+                concurrency: notes.crowd,
+                load_report: notes.report,
                 output,
             };
             (outcome, Some(line))
@@ -228,17 +228,17 @@
             (Outcome::Reset, None)
         }
     };
-    ask.front.tell(|state| {
-        if !state.desk.reach.finish(job) {
+    ask.handle.update(|state| {
+        if !state.invocations.transport.finish(job) {
             return;
         }
         if let Some(line) = line {
             state
-                .desk
-                .reach
-                .put_back(state.desk.now, invoker, epoch, line);
+                .invocations
+                .transport
+                .put_back(state.invocations.now, invoker, epoch, line);
         }
-        state.ended(inv, hop, outcome, &told);
+        state.attempt_ended(inv, hop, outcome, &told);
     });
 }
 
@@ -266,17 +266,17 @@
             (LoadOutcome::NotSent, 0, None)
         }
     };
-    ask.front.tell(|state| {
-        if !state.desk.reach.finish(job) {
+    ask.handle.update(|state| {
+        if !state.invocations.transport.finish(job) {
             return;
         }
         if let Some(line) = line {
             state
-                .desk
-                .reach
-                .put_back(state.desk.now, invoker, epoch, line);
+                .invocations
+                .transport
+                .put_back(state.invocations.now, invoker, epoch, line);
         }
-        state.held(invoker, job, outcome, standing);
+        state.load_ended(invoker, job, outcome, standing);
     });
 }
 
@@ -284,10 +284,10 @@
 pub(crate) async fn aside(ask: Ask, line: Option<Line>) {
     let (invoker, epoch, job) = (ask.invoker, ask.epoch, ask.job);
     let end = tokio::time::timeout(ASIDE_MOST, ask.go(line, SMALL_ANSWER)).await;
-    ask.front.tell(|state| {
-        let reach = &mut state.desk.reach;
+    ask.handle.update(|state| {
+        let reach = &mut state.invocations.transport;
         if let (true, Ok(End::Answered(_, line))) = (reach.finish(job), end) {
-            reach.put_back(state.desk.now, invoker, epoch, line);
+            reach.put_back(state.invocations.now, invoker, epoch, line);
         }
     });
 }
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -3,9 +3,9 @@
 //! says nothing suffers alone.
 
 use crate::connection::{Entry, attend};
-use crate::reach::Front;
+use crate::reach::ControllerHandle;
 use saltdrum::interface::{InvocationId, MILLISECOND, SECOND, Ticks};
-use saltdrum_controller::desk::{Final, Owed};
+use saltdrum_controller::invocations::{FinalResponse, Responder};
 use saltdrum_platform_wire::frames::{self, Code};
 use saltdrum_transport::{ArrivalClock, Listener, SendQueue};
 use std::cell::{Cell, RefCell};
@@ -166,7 +166,7 @@
     pub(crate) txns: Rc<RefCell<BTreeSet<u64>>>,
     /// Frames read, of all clients.
     frames: Cell<u64>,
-    /// Told to end: no client is to bring anything new.
+    /// AttemptReport to end: no client is to bring anything new.
     ending: Cell<bool>,
     shut: Notify,
     /// A connection has ended, and its place is free.
@@ -312,26 +312,32 @@
     }
 }
 
-impl Owed for Reply {
-    fn answer(self, _: InvocationId, how: Final, _: u8, until: Ticks) {
+impl Responder for Reply {
+    fn respond(self, _: InvocationId, how: FinalResponse, _: u8, until: Ticks) {
         let frame = match how {
-            Final::Succeeded(output) => frames::answer(self.stream, Code::Succeeded, None, output),
-            Final::Throttled(wait) => {
+            FinalResponse::Succeeded(output) => {
+                frames::answer(self.stream, Code::Succeeded, None, output)
+            }
+            FinalResponse::Throttled(wait) => {
                 let later = Some(wait / MILLISECOND).filter(|ms| *ms > 0);
                 frames::answer(self.stream, Code::Throttled, later, &[])
             }
-            Final::Errored(_) => frames::answer(self.stream, Code::Errored, None, &[]),
+            FinalResponse::Errored(_) => frames::answer(self.stream, Code::Errored, None, &[]),
         };
         self.client.put(frame, until);
     }
 
-    fn drop_out(self, _: InvocationId) {}
+    fn abandon(self, _: InvocationId) {}
 }
 
 /// Takes in clients for as long as the controller lives.
-pub(crate) async fn receive(front: Rc<Front>, mut door: Box<dyn Listener>, opened_at: Ticks) {
-    let mut arrivals = ArrivalClock::new(opened_at, front.clock, &front.turns);
-    let clients = &front.seat.clients;
+pub(crate) async fn receive(
+    handle: Rc<ControllerHandle>,
+    mut door: Box<dyn Listener>,
+    opened_at: Ticks,
+) {
+    let mut arrivals = ArrivalClock::new(opened_at, handle.clock, &handle.event_loop);
+    let clients = &handle.config.clients;
     loop {
         let came = tokio::select! {
             // Who came before the door shuts is let in: the machine has accepted it already.
@@ -342,10 +348,10 @@
         match came {
             Ok(stream) => {
                 let opened = arrivals.earliest();
-                let waited_most_ms = front.clock.now().saturating_sub(opened) / MILLISECOND;
+                let waited_most_ms = handle.clock.now().saturating_sub(opened) / MILLISECOND;
                 debug!(waited_most_ms, "a client connects");
                 let entry = loop {
-                    match clients.room(front.seat.budget.clients) {
+                    match clients.room(handle.config.budget.clients) {
                         Some(entry) => break entry,
                         // One that was hurried is gone within a turn or two.
                         None => {
@@ -354,7 +360,7 @@
                     }
                 };
                 drop(tokio::task::spawn_local(attend(
-                    front.clone(),
+                    handle.clone(),
                     stream,
                     opened,
                     entry,
@@ -371,19 +377,19 @@
 }
 
 /// Closes those who say nothing, or never end what they began.
-pub(crate) async fn sweep(front: Rc<Front>) {
+pub(crate) async fn sweep(handle: Rc<ControllerHandle>) {
     for round in 1u64.. {
         tokio::time::sleep(SWEEP_EVERY).await;
         if round.is_multiple_of(BELIEFS_EVERY) && tracing::enabled!(tracing::Level::INFO) {
-            front.see(crate::reach::log_beliefs);
+            handle.inspect(crate::reach::log_beliefs);
         }
-        let now = front.clock.now();
-        for client in front.seat.clients.all.borrow().values() {
+        let now = handle.clock.now();
+        for client in handle.config.clients.all.borrow().values() {
             if let Some(reason) = client.overdue(now) {
                 client.cut_off(reason);
             }
         }
-        front.seat.look_at_wall_clock(now);
-        front.tell(|state| state.desk.reach.sweep(now));
+        handle.config.look_at_wall_clock(now);
+        handle.update(|state| state.invocations.transport.sweep(now));
     }
 }
--- a/crates/platform/src/closes.rs
+++ b/crates/platform/src/closes.rs
@@ -20,7 +20,7 @@
 
 /// A connection that is chosen to end with nothing open on it.
 fn chosen_to_end(stage: &Stage) {
-    assert_eq!(stage.front.seat.clients.room(1), Some(Entry::Served));
+    assert_eq!(stage.handle.config.clients.room(1), Some(Entry::Served));
 }
 
 /// What was taken before a frame that can't be read was given up without an answer.
@@ -72,7 +72,7 @@
             heard,
             [(17, 2, refused), (17, 3, refused), (33, 4, not_ready)]
         );
-        assert_eq!(stage.front.see(|s| s.desk.counts.taken), 0);
+        assert_eq!(stage.handle.inspect(|s| s.invocations.counters.accepted), 0);
     });
 }
 
@@ -87,12 +87,16 @@
         }
         clients[0].write(&stage.call(2).0);
         before_their_turn(|| {
-            assert_eq!(stage.front.seat.clients.room(1), None, "four may be going")
+            assert_eq!(
+                stage.handle.config.clients.room(1),
+                None,
+                "four may be going"
+            )
         })
         .await;
         let heard = heard_until_the_end(&mut clients[0]).await;
         assert_eq!(heard, [(48, 0, 0), (17, 2, Code::Throttled as u8)]);
-        assert_eq!(stage.front.see(|s| s.desk.counts.taken), 0);
+        assert_eq!(stage.handle.inspect(|s| s.invocations.counters.accepted), 0);
     });
 }
 
@@ -102,7 +106,7 @@
     staged(|| async {
         let stage = Stage::with_sockets(|_, _, _, _| Box::new(First), &[], 48).await;
         let (mut busy, mut lines) = (Vec::new(), Vec::new());
-        for _ in 0..stage.front.seat.budget.clients {
+        for _ in 0..stage.handle.config.budget.clients {
             let mut client = stage.known().await;
             client.write(&stage.call(2).0);
             let mut line = stage.line().await;
@@ -131,7 +135,7 @@
     staged(|| async {
         let stage = Stage::new().await;
         let mut client = stage.known().await;
-        stage.front.seat.clients.close();
+        stage.handle.config.clients.close();
         client.write(&stage.call(2).0);
         let heard = heard_until_the_end(&mut client).await;
         assert_eq!(heard, [(48, 0, 0), (17, 2, Code::Throttled as u8)]);
--- a/crates/platform/src/connection.rs
+++ b/crates/platform/src/connection.rs
@@ -5,7 +5,7 @@
 //! which whatever it had sent meanwhile still arrives.
 
 use crate::clients::{ANY_TIME, Client, CloseReason};
-use crate::reach::Front;
+use crate::reach::ControllerHandle;
 use crate::taking::invoke;
 use saltdrum::interface::{InvocationId, Ticks};
 use saltdrum_platform_wire::Malformed;
@@ -46,14 +46,19 @@
 }
 
 /// Attends to one client, whose connection can have been open since `opened`, until its end.
-pub(crate) async fn attend(front: Rc<Front>, stream: Stream, opened: Ticks, entry: Entry) {
+pub(crate) async fn attend(
+    handle: Rc<ControllerHandle>,
+    stream: Stream,
+    opened: Ticks,
+    entry: Entry,
+) {
     let (input, mut output) = split(stream);
     let mut last = output.clone();
-    let clock = front.clock;
+    let clock = handle.clock;
     let client = Rc::new(Client::new(clock.now()));
-    let clients = &front.seat.clients;
+    let clients = &handle.config.clients;
     let number = clients.enter(&client);
-    let mut read = ArrivalReader::opened_at(input, opened, clock, front.turns.clone());
+    let mut read = ArrivalReader::opened_at(input, opened, clock, handle.event_loop.clone());
     {
         let write = client.outbox.write_to(&mut output, || clock.now(), |_| ());
         let mut write = std::pin::pin!(write);
@@ -66,7 +71,7 @@
             // may bring it again on a new one.
             biased;
             () = client.cut.notified() => End::Closed,
-            end = listen(&front, &client, &mut read) => end,
+            end = listen(&handle, &client, &mut read) => end,
             done = &mut write => { wrote = Some(done); End::Left }
         };
         // First of all: nothing more is sent on for who has left, however long its last words take.
@@ -79,7 +84,7 @@
             Entry::Served => Duration::ZERO,
         };
         let last_words = async {
-            let settled = settle(&front, &client, &mut read, &end, linger);
+            let settled = settle(&handle, &client, &mut read, &end, linger);
             if wrote.is_none() {
                 // A writer that has ended is not asked again.
                 let mut settled = std::pin::pin!(settled);
@@ -120,7 +125,7 @@
             is_over = hurried => is_over,
         };
         if !is_over && wrote.is_none() && !client.outbox.is_closed() {
-            answer_what_lies(&front, &client, &mut read).await;
+            answer_what_lies(&handle, &client, &mut read).await;
             client.outbox.close();
             // As far as the machine takes it at once.
             tokio::select! {
@@ -147,7 +152,7 @@
 
 /// Ends what is open on a connection that ends, and answers what still comes for so long on one that we close.
 async fn settle(
-    front: &Rc<Front>,
+    handle: &Rc<ControllerHandle>,
     client: &Rc<Client>,
     read: &mut ArrivalReader<Half>,
     end: &End,
@@ -157,10 +162,10 @@
     match end {
         End::Left => open
             .into_iter()
-            .for_each(|id| front.tell(|state| state.left(id))),
+            .for_each(|id| handle.update(|state| state.client_left(id))),
         End::Malformed(why) => {
             open.into_iter()
-                .for_each(|id| front.tell(|state| state.give_up(id)));
+                .for_each(|id| handle.update(|state| state.abandon(id)));
             client.put(
                 frames::answer(0, Code::Errored, None, why.as_bytes()),
                 ANY_TIME,
@@ -168,13 +173,13 @@
         }
         End::Closed => {
             open.into_iter()
-                .for_each(|id| front.tell(|state| state.give_up(id)));
+                .for_each(|id| handle.update(|state| state.abandon(id)));
             if !linger.is_zero() {
                 client.go_away();
                 // Its end is heard of in time, or it is not waited for any more.
-                let _ = tokio::time::timeout(linger, refuse_what_comes(front, client, read)).await;
+                let _ = tokio::time::timeout(linger, refuse_what_comes(handle, client, read)).await;
             }
-            answer_what_lies(front, client, read).await;
+            answer_what_lies(handle, client, read).await;
             if client.partial_since.get().is_some() {
                 client.put(
                     frames::answer(0, Code::Errored, None, b"a frame that does not end"),
@@ -186,9 +191,13 @@
 }
 
 /// Refuses whatever comes, until the client has closed its side.
-async fn refuse_what_comes(front: &Rc<Front>, client: &Rc<Client>, read: &mut ArrivalReader<Half>) {
+async fn refuse_what_comes(
+    handle: &Rc<ControllerHandle>,
+    client: &Rc<Client>,
+    read: &mut ArrivalReader<Half>,
+) {
     loop {
-        refuse_frames(front, client, read);
+        refuse_frames(handle, client, read);
         match read.read_more().await {
             Ok(Some(_)) => {}
             Ok(None) | Err(_) => return,
@@ -197,17 +206,25 @@
 }
 
 /// Reads what lies in the machine and refuses it.
-async fn answer_what_lies(front: &Rc<Front>, client: &Rc<Client>, read: &mut ArrivalReader<Half>) {
+async fn answer_what_lies(
+    handle: &Rc<ControllerHandle>,
+    client: &Rc<Client>,
+    read: &mut ArrivalReader<Half>,
+) {
     // The machine is asked what has come before this goes on.
     tokio::task::yield_now().await;
     read.read_available(LAST_READ_MOST);
-    refuse_frames(front, client, read);
+    refuse_frames(handle, client, read);
 }
 
 /// Answers all whole frames that were read, and takes nothing.
-fn refuse_frames(front: &Rc<Front>, client: &Rc<Client>, read: &mut ArrivalReader<Half>) {
+fn refuse_frames(
+    handle: &Rc<ControllerHandle>,
+    client: &Rc<Client>,
+    read: &mut ArrivalReader<Half>,
+) {
     while let Ok(Some(frame)) = frames::cut(&mut read.bytes) {
-        client.active.set(Some(front.clock.now()));
+        client.active.set(Some(handle.clock.now()));
         client.partial_since.set(None);
         match frame {
             FromClient::Invoke { stream, .. } => {
@@ -238,7 +255,11 @@
 }
 
 /// Reads frames until the connection ends, and says why it does.
-async fn listen(front: &Rc<Front>, client: &Rc<Client>, read: &mut ArrivalReader<Half>) -> End {
+async fn listen(
+    handle: &Rc<ControllerHandle>,
+    client: &Rc<Client>,
+    read: &mut ArrivalReader<Half>,
+) -> End {
     let backlog = read.backlog();
     loop {
         let earliest = match read.read_more().await {
@@ -254,22 +275,22 @@
                 Ok(Some(frame)) => frame,
                 Err(why) => return End::Malformed(why.to_string()),
             };
-            front.seat.clients.count_frame();
-            client.active.set(Some(front.clock.now()));
+            handle.config.clients.count_frame();
+            client.active.set(Some(handle.clock.now()));
             client.partial_since.set(None);
             let heard = match frame {
                 FromClient::Invoke { stream, payload } => {
-                    invoked(front, client, stream, payload, earliest, &backlog)
+                    invoked(handle, client, stream, payload, earliest, &backlog)
                 }
                 FromClient::AskReady { stream } => {
-                    let is_ready = !front.seat.clients.are_ending();
+                    let is_ready = !handle.config.clients.are_ending();
                     client.put(frames::readiness(stream, is_ready), ANY_TIME);
                     Ok(())
                 }
                 FromClient::Left { stream } => {
                     let id = client.open.borrow().get(&stream).copied();
                     id.into_iter()
-                        .for_each(|id| front.tell(|state| state.left(id)));
+                        .for_each(|id| handle.update(|state| state.client_left(id)));
                     Ok(())
                 }
             };
@@ -280,7 +301,7 @@
         if read.bytes.is_empty() {
             client.partial_since.set(None);
         } else if client.partial_since.get().is_none() {
-            client.partial_since.set(Some(front.clock.now()));
+            client.partial_since.set(Some(handle.clock.now()));
         }
         // What clients ask for must not hold up what invokers answer: in a backlog the answers would look slow, and the
         // module would take the controller's own lag for a jam of the fleet.
@@ -290,7 +311,7 @@
 
 /// A request on a stream of its own. `Err`: nothing more of this connection can be believed.
 fn invoked(
-    front: &Rc<Front>,
+    handle: &Rc<ControllerHandle>,
     client: &Rc<Client>,
     stream: u32,
     payload: bytes::Bytes,
@@ -316,7 +337,7 @@
     let taken = frames::request(payload)
         .map_err(|e| e.to_string())
         .and_then(|request| {
-            front.tell(|state| invoke(front, state, client, stream, request, earliest, backlog))
+            handle.update(|state| invoke(handle, state, client, stream, request, earliest, backlog))
         });
     if let Err(why) = taken {
         debug!(why, "an invocation that can't be taken");
@@ -326,7 +347,7 @@
         );
     }
     // Who came after SIGTERM came for this one: it hears so only now, or it would take it elsewhere.
-    if front.seat.clients.are_ending() {
+    if handle.config.clients.are_ending() {
         client.go_away();
     }
     Ok(())
--- a/crates/platform/src/crossings.rs
+++ b/crates/platform/src/crossings.rs
@@ -4,11 +4,11 @@
 
 use crate::connection::Entry;
 use crate::life::{leave, start};
-use crate::reach::Front;
+use crate::reach::ControllerHandle;
 use crate::tests::{First, configuration_at, wall_clock};
 use saltdrum::interface::*;
 use saltdrum_controller::Policy;
-use saltdrum_controller::desk::Told;
+use saltdrum_controller::invocations::AttemptReport;
 use saltdrum_fakes::platform::listing;
 use saltdrum_platform_wire::config;
 use saltdrum_platform_wire::feed::Event;
@@ -204,7 +204,7 @@
 /// A controller that sends all to invoker 1, which is the test.
 pub(crate) struct Stage {
     pub network: Rc<Gated>,
-    pub front: Rc<Front>,
+    pub handle: Rc<ControllerHandle>,
     pub at: SocketAddrV4,
     pub invoker: TcpListener,
     _feed: TcpListener,
@@ -236,12 +236,12 @@
         text["settings"]["realms"] = tenants.iter().map(realm).collect();
         let config = config::read(&text.to_string()).unwrap();
         let clock = Clock::start();
-        let front = start(config, wall_clock(clock), network.clone(), clock, make)
+        let handle = start(config, wall_clock(clock), network.clone(), clock, make)
             .await
             .unwrap();
         Self {
             network,
-            front,
+            handle,
             at,
             invoker,
             _feed,
@@ -291,11 +291,11 @@
     }
 
     pub fn clients(&self) -> usize {
-        self.front.seat.clients.sizes().0
+        self.handle.config.clients.sizes().0
     }
 
     pub fn in_flight(&self) -> usize {
-        self.front.see(|s| s.desk.in_flight())
+        self.handle.inspect(|s| s.invocations.in_flight())
     }
 
     /// Nothing came to the invoker that was not taken out yet.
@@ -332,8 +332,8 @@
         until(|| client.stream.peek(&mut [0]).is_ok()).await;
         drop(client);
         stage
-            .front
-            .tell(|s| s.ended(1, 0, Outcome::Errored, &Told::default()));
+            .handle
+            .update(|s| s.attempt_ended(1, 0, Outcome::Errored, &AttemptReport::default()));
         until(|| stage.in_flight() == 0).await;
         until(|| stage.clients() == 0).await;
         until(|| {
@@ -356,7 +356,7 @@
         rustix::net::sockopt::set_socket_recv_buffer_size(&client.stream, 32_768).unwrap();
         let (mut line, mut stream) = (None::<Conn>, 1);
         // Answers that nobody reads, until one waits.
-        while !stage.front.seat.clients.are_under_way() {
+        while !stage.handle.config.clients.are_under_way() {
             let (call, _) = stage.call(stream);
             stream += 1;
             client.write(&call);
@@ -393,7 +393,7 @@
         let mut client = stage.known().await;
         let (call, txn) = stage.call(2);
         client.write(&call);
-        before_their_turn(|| assert_eq!(stage.front.seat.clients.room(1), Some(Entry::Served)))
+        before_their_turn(|| assert_eq!(stage.handle.config.clients.room(1), Some(Entry::Served)))
             .await;
         until(|| {
             client.look();
@@ -406,7 +406,7 @@
             "it hears to bring nothing more"
         );
         assert!(client.is_refused(2), "it was read, and is answered");
-        assert_eq!(stage.front.see(|s| s.desk.counts.taken), 0);
+        assert_eq!(stage.handle.inspect(|s| s.invocations.counters.accepted), 0);
         drop(client);
         until(|| stage.clients() == 0).await;
         assert!(stage.nothing_came());
@@ -439,7 +439,7 @@
         until(|| stage.in_flight() == 0).await;
         // What nobody may send, and more behind it than is read at once.
         client.write(&[&[0, 0, 0, 9, 77][..], &[0; 60_000]].concat());
-        until(|| stage.front.seat.clients.going() == 1).await;
+        until(|| stage.handle.config.clients.going() == 1).await;
         let mut heard = Vec::new();
         until(|| {
             heard.extend(client.frame());
@@ -462,8 +462,8 @@
     staged(|| async {
         let stage = Stage::new().await;
         let mut client = stage.known().await;
-        let front = stage.front.clone();
-        let ending = spawn_local(async move { leave(&front).await });
+        let handle = stage.handle.clone();
+        let ending = spawn_local(async move { leave(&handle).await });
         assert_eq!(client.hear().await.0, 48);
         // The controller is behind: its wait ends late, and the request comes after it last asked the machine.
         tokio::time::sleep(Duration::from_millis(780)).await;
@@ -488,8 +488,8 @@
     staged(|| async {
         let stage = Stage::new().await;
         let mut known = stage.known().await;
-        let front = stage.front.clone();
-        let ending = spawn_local(async move { leave(&front).await });
+        let handle = stage.handle.clone();
+        let ending = spawn_local(async move { leave(&handle).await });
         assert_eq!(known.hear().await.0, 48);
         tokio::time::sleep(Duration::from_millis(780)).await;
         std::thread::sleep(Duration::from_millis(40));
@@ -534,10 +534,10 @@
             line.write(&http(&"z".repeat(120_000)));
             until(|| stage.in_flight() == 0).await;
         }
-        let front = stage.front.clone();
-        let ending = spawn_local(async move { leave(&front).await });
+        let handle = stage.handle.clone();
+        let ending = spawn_local(async move { leave(&handle).await });
         // Nobody reads until nothing is owed any more and connections are being ended.
-        until(|| stage.front.seat.clients.going() > 0 || ending.is_finished()).await;
+        until(|| stage.handle.config.clients.going() > 0 || ending.is_finished()).await;
         assert!(!ending.is_finished());
         until(|| {
             reads.look();
@@ -631,7 +631,9 @@
             stage.network.shut.set(false);
             stage.network.opened.notify_waiters();
             assert_eq!(
-                stage.front.see(|s| s.desk.reach.sizes().jobs),
+                stage
+                    .handle
+                    .inspect(|s| s.invocations.transport.sizes().jobs),
                 0,
                 "{leaves:?}"
             );
@@ -666,9 +668,10 @@
         );
         assert_eq!(client.hear().await.0, 33, "all before it was read");
         assert_eq!(
-            stage
-                .front
-                .see(|s| (s.desk.counts.taken, s.desk.counts.left)),
+            stage.handle.inspect(|s| (
+                s.invocations.counters.accepted,
+                s.invocations.counters.client_left
+            )),
             (1, 1)
         );
         until(|| stage.in_flight() == 0).await;
@@ -680,7 +683,10 @@
         client.hear().await;
         client.write(&[left(4), frames::bare(32, 5).to_vec()].concat());
         assert_eq!(client.hear().await.0, 33);
-        assert_eq!(stage.front.see(|s| s.desk.counts.left), 1);
+        assert_eq!(
+            stage.handle.inspect(|s| s.invocations.counters.client_left),
+            1
+        );
         assert!(stage.nothing_came());
     });
 }
@@ -698,8 +704,8 @@
             line.write(&http("one"));
             client.hear().await;
             // It rests, and is used again.
-            let rested = stage.front.clock.now() + 60 * MILLISECOND;
-            until(|| stage.front.turns.last_polled() > rested).await;
+            let rested = stage.handle.clock.now() + 60 * MILLISECOND;
+            until(|| stage.handle.event_loop.last_polled() > rested).await;
             let (call, txn) = stage.call(4);
             if after {
                 client.write(&call);
@@ -748,7 +754,7 @@
         let mut line = stage.line().await;
         line.asked().await;
         assert_eq!(
-            stage.front.seat.clients.room(1),
+            stage.handle.config.clients.room(1),
             Some(Entry::TurnedAway),
             "nobody is idle"
         );
@@ -855,7 +861,7 @@
             .parse()
             .unwrap();
         let draining = Event::Changes(vec![listing(1, at, InvokerStatus::Draining, None)]);
-        crate::feed::hear(&stage.front, stage.front.clock.now(), 2, &draining).unwrap();
+        crate::feed::hear(&stage.handle, stage.handle.clock.now(), 2, &draining).unwrap();
         assert_eq!(
             client.hear().await.2[0],
             Code::Throttled as u8,
@@ -876,7 +882,7 @@
 fn who_comes_in_after_the_last_answers_is_not_taken() {
     staged(|| async {
         let stage = Stage::new().await;
-        stage.front.seat.clients.close();
+        stage.handle.config.clients.close();
         let mut late = stage.client();
         late.write(&stage.call(1).0);
         until(|| {
@@ -885,7 +891,7 @@
         })
         .await;
         assert!(late.is_refused(1), "it was read, and is answered");
-        assert_eq!(stage.front.see(|s| s.desk.counts.taken), 0);
+        assert_eq!(stage.handle.inspect(|s| s.invocations.counters.accepted), 0);
         assert!(stage.nothing_came());
     });
 }
--- a/crates/platform/src/feed.rs
+++ b/crates/platform/src/feed.rs
@@ -1,6 +1,6 @@
 //! Follows the control feed. What it last said stands while it is away.
 
-use crate::reach::{Front, told};
+use crate::reach::{ControllerHandle, told};
 use saltdrum::interface::{MILLISECOND, Ticks};
 use saltdrum_platform_wire::feed::{Event, cut};
 use saltdrum_transport::{Address, ArrivalReader, ReadBacklog, Stream};
@@ -61,9 +61,9 @@
     }
 }
 
-pub(crate) async fn follow(front: Rc<Front>) {
-    let (feed, mut wait) = (&front.seat.feed, WAIT_FIRST);
-    let mut rng = fastrand::Rng::with_seed(front.seat.seed ^ 0xfeed);
+pub(crate) async fn follow(handle: Rc<ControllerHandle>) {
+    let (feed, mut wait) = (&handle.config.feed, WAIT_FIRST);
+    let mut rng = fastrand::Rng::with_seed(handle.config.seed ^ 0xfeed);
     loop {
         let before = feed.last.get();
         let why = tokio::select! {
@@ -73,7 +73,7 @@
                 wait = WAIT_FIRST;
                 continue;
             }
-            why = followed(&front) => why,
+            why = followed(&handle) => why,
         };
         wait = if feed.last.get() > before {
             WAIT_FIRST
@@ -89,10 +89,10 @@
     }
 }
 
-async fn followed(front: &Rc<Front>) -> String {
-    let feed = &front.seat.feed;
+async fn followed(handle: &Rc<ControllerHandle>) -> String {
+    let feed = &handle.config.feed;
     let address = Address::Tcp(feed.address.borrow().to_string());
-    let mut stream = match tokio::time::timeout(DIAL_WITHIN, front.network.dial(&address)).await {
+    let mut stream = match tokio::time::timeout(DIAL_WITHIN, handle.network.dial(&address)).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(e)) => return e.to_string(),
         Err(_) => return "no connection in time".into(),
@@ -100,24 +100,24 @@
     if let Err(e) = stream.write_all(&feed.last.get().to_be_bytes()).await {
         return e.to_string();
     }
-    let mut read = ArrivalReader::new(stream, front.clock, front.turns.clone());
+    let mut read = ArrivalReader::new(stream, handle.clock, handle.event_loop.clone());
     feed.backlog.replace(read.backlog());
     // Only whole frames break a silence: one that comes byte by byte tells nothing.
-    let mut due = front.clock.now() + SILENT_FIRST;
-    let mut came = front.clock.now();
+    let mut due = handle.clock.now() + SILENT_FIRST;
+    let mut came = handle.clock.now();
     loop {
         match cut(&mut read.bytes) {
             Err(e) => return e.to_string(),
             Ok(Some((number, event))) => {
-                if let Err(why) = hear(front, came, number, &event) {
+                if let Err(why) = hear(handle, came, number, &event) {
                     return why;
                 }
-                due = front.clock.now() + SILENT;
+                due = handle.clock.now() + SILENT;
                 continue;
             }
             Ok(None) => {}
         }
-        match read_by(front, &mut read, due).await {
+        match read_by(handle, &mut read, due).await {
             Ok(at) => came = at,
             Err(why) => return why,
         }
@@ -127,12 +127,12 @@
 /// Reads more until `due`. A process that was stopped over that time hears its timers before its sockets: what lies in the
 /// machine by then was no silence.
 async fn read_by(
-    front: &Front,
+    handle: &ControllerHandle,
     read: &mut ArrivalReader<Stream>,
     due: Ticks,
 ) -> Result<Ticks, String> {
     let mut more = std::pin::pin!(read.read_more());
-    let got = match tokio::time::timeout_at(front.clock.instant(due), &mut more).await {
+    let got = match tokio::time::timeout_at(handle.clock.instant(due), &mut more).await {
         Ok(got) => got,
         Err(_) => {
             let looked = tokio::time::timeout(LOOKED_AGAIN_WITHIN, more).await;
@@ -147,8 +147,13 @@
 }
 
 /// One event that came at this time or later; `Err`: some were missed, and have to be asked for.
-pub(crate) fn hear(front: &Front, came: Ticks, number: u64, event: &Event) -> Result<(), String> {
-    let last = &front.seat.feed.last;
+pub(crate) fn hear(
+    handle: &ControllerHandle,
+    came: Ticks,
+    number: u64,
+    event: &Event,
+) -> Result<(), String> {
+    let last = &handle.config.feed.last;
     let (whole, lines) = match event {
         // It carries the number of the last event: a later one than ours was never told us.
         Event::Nothing if number > last.get() => {
@@ -169,7 +174,7 @@
         Event::Whole(lines) => (true, lines),
         Event::Changes(lines) => (false, lines),
     };
-    let waited_most_ms = front.clock.now().saturating_sub(came) / MILLISECOND;
+    let waited_most_ms = handle.clock.now().saturating_sub(came) / MILLISECOND;
     info!(
         number,
         whole,
@@ -178,26 +183,26 @@
         "control feed"
     );
     last.set(number);
-    front.tell(|state| tell(front, state, came, whole, lines));
+    handle.update(|state| tell(handle, state, came, whole, lines));
     Ok(())
 }
 
 pub(crate) fn tell(
-    front: &Front,
-    state: &mut crate::reach::State,
+    handle: &ControllerHandle,
+    state: &mut crate::reach::ControllerState,
     came: Ticks,
     whole: bool,
     lines: &[saltdrum_platform_wire::feed::Line],
 ) {
-    let now = state.desk.now;
-    front.seat.look_at_wall_clock(now);
-    let started = |unix_ms: u64| front.seat.wall_settings.borrow().start(unix_ms, now);
+    let now = state.invocations.now;
+    handle.config.look_at_wall_clock(now);
+    let started = |unix_ms: u64| handle.config.wall_settings.borrow().start(unix_ms, now);
     told(
         state,
         whole,
         lines,
         came,
         started,
-        front.seat.deployment.drain_grace,
+        handle.config.deployment.drain_grace,
     );
 }
--- a/crates/platform/src/in_time.rs
+++ b/crates/platform/src/in_time.rs
@@ -96,10 +96,10 @@
             spawn_local(plays(stream, does[n.min(does.len() - 1)]));
         }
     });
-    stage.front.seat.feed.moves(at);
+    stage.handle.config.feed.moves(at);
     pass(silent_after).await;
     let since = stage.clock.now();
-    while stage.front.seat.feed.last() < 2 {
+    while stage.handle.config.feed.last() < 2 {
         assert!(
             stage.clock.now() < since + 30 * SECOND,
             "never, over {} connections",
@@ -230,8 +230,8 @@
             })
             .await;
         pass(20).await;
-        let (front, told) = (stage.front.clone(), stage.clock.now());
-        let ending = spawn_local(async move { leave(&front).await });
+        let (handle, told) = (stage.handle.clone(), stage.clock.now());
+        let ending = spawn_local(async move { leave(&handle).await });
         pass(500).await;
         client
             .ask(&Call {
@@ -525,7 +525,11 @@
                 client.close();
             }
             pass(200).await;
-            assert_eq!(stage.front.see(|s| s.desk.in_flight()), 0, "seed {seed}");
+            assert_eq!(
+                stage.handle.inspect(|s| s.invocations.in_flight()),
+                0,
+                "seed {seed}"
+            );
             let further = stage
                 .invokers
                 .values()
@@ -562,7 +566,7 @@
                 pass(50).await;
             }
         });
-        stage.front.seat.feed.moves(at);
+        stage.handle.config.feed.moves(at);
         pass(3_000).await;
         let asked = asked.borrow().clone();
         assert!(
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,6 +1,6 @@
 //! The controller on the platform's own sockets.
 //!
-//! `saltdrum_controller::desk` keeps invocations, timers and the one answer; here are its two seams on this platform:
+//! `saltdrum_controller::invocations` keeps invocations, timers and the one answer; here are its two seams on this platform:
 //! `clients` is whom answers are owed (`connection`: one of them, `taking`: one invocation), `reach` how invokers are
 //! reached (`attempt`: one request), over the `line`s of its pools. `feed` follows the
 //! list of invokers, `life` starts, reloads and ends, `budget` says what this machine has room for.
@@ -19,7 +19,7 @@
 mod taking;
 
 pub use budget::Budget;
-pub use life::{Failure, Life, Seat, serve};
+pub use life::{ControllerConfig, Failure, Life, serve};
 pub use starts::WallClock;
 
 #[cfg(test)]
--- a/crates/platform/src/life.rs
+++ b/crates/platform/src/life.rs
@@ -3,11 +3,11 @@
 use crate::budget::Budget;
 use crate::clients::{self, Clients};
 use crate::feed::{self, Feed};
-use crate::reach::{Front, Lines};
+use crate::reach::{ControllerHandle, Lines};
 use crate::starts::{WallClock, WallSettings};
 use saltdrum::interface::*;
 use saltdrum_controller::MakePolicy;
-use saltdrum_controller::desk::Desk;
+use saltdrum_controller::invocations::InvocationTable;
 use saltdrum_platform_wire::config::{self, Config};
 use saltdrum_platform_wire::feed::Event;
 use saltdrum_transport::{Address, Clock, Network, run_event_loop_clock};
@@ -60,7 +60,7 @@
 }
 
 /// Where a controller sits on the platform.
-pub struct Seat {
+pub struct ControllerConfig {
     pub(crate) seed: u64,
     pub(crate) deployment: Deployment,
     pub(crate) trigger_names: Rc<[String]>,
@@ -73,7 +73,7 @@
     pub(crate) wall_settings: RefCell<WallSettings>,
 }
 
-impl Seat {
+impl ControllerConfig {
     /// Keeps in mind how the wall clock stands.
     pub(crate) fn look_at_wall_clock(&self, now: Ticks) {
         self.wall_settings
@@ -125,25 +125,25 @@
 ) -> Result<(), Failure> {
     let mut reloads = signal(SignalKind::hangup()).map_err(Failure::Signals)?;
     let mut ends = signal(SignalKind::terminate()).map_err(Failure::Signals)?;
-    let front = start(read(&life)?, life.wall_clock.clone(), network, clock, make).await?;
+    let handle = start(read(&life)?, life.wall_clock.clone(), network, clock, make).await?;
     loop {
         tokio::select! {
             biased;
             _ = ends.recv() => break,
-            _ = reloads.recv() => reload(&life.config, &front),
+            _ = reloads.recv() => reload(&life.config, &handle),
         }
     }
     let signals = async {
         loop {
             tokio::select! {
                 _ = ends.recv() => {}
-                _ = reloads.recv() => reload(&life.config, &front),
+                _ = reloads.recv() => reload(&life.config, &handle),
             }
         }
     };
     tokio::select! {
         biased;
-        () = leave(&front) => {}
+        () = leave(&handle) => {}
         () = signals => {}
     }
     Ok(())
@@ -156,7 +156,7 @@
     network: Rc<dyn Network>,
     clock: Clock,
     make: MakePolicy,
-) -> Result<Rc<Front>, Failure> {
+) -> Result<Rc<ControllerHandle>, Failure> {
     let (now, d) = (clock.now(), config.deployment);
     let budget = Budget::of(&config.limits);
     info!(
@@ -172,9 +172,9 @@
         config.conn_idle,
         trigger_names.clone(),
     );
-    let mut desk = Desk::new(now, reach, &d, config.order_timeout);
-    let module = make(now, d.clone(), config.seed, &mut desk);
-    let seat = Seat {
+    let mut invocations = InvocationTable::new(now, reach, &d, config.order_timeout);
+    let module = make(now, d.clone(), config.seed, &mut invocations);
+    let seat = ControllerConfig {
         seed: config.seed,
         deployment: d,
         trigger_names,
@@ -185,24 +185,30 @@
         wall_settings: RefCell::new(WallSettings::new(wall_clock(), now)),
         wall_clock,
     };
-    let front = Rc::new(Front::new(module, desk, clock, network, seat));
-    front.tell(|state| {
-        state.desk.reach.know(&front);
+    let handle = Rc::new(ControllerHandle::new(
+        module,
+        invocations,
+        clock,
+        network,
+        seat,
+    ));
+    handle.update(|state| {
+        state.invocations.transport.know(&handle);
         for (_, event) in &config.known.1 {
             match event {
                 Event::Nothing => {}
-                Event::Whole(lines) => feed::tell(&front, state, now, true, lines),
-                Event::Changes(lines) => feed::tell(&front, state, now, false, lines),
+                Event::Whole(lines) => feed::tell(&handle, state, now, true, lines),
+                Event::Changes(lines) => feed::tell(&handle, state, now, false, lines),
             }
         }
     });
     let (at, opened_at) = (Address::Tcp(config.listen.to_string()), clock.now());
-    let listening = front.network.listen(&at).await;
+    let listening = handle.network.listen(&at).await;
     let (door, _) = listening.map_err(|why| Failure::Listen {
         at: at.to_string(),
         why,
     })?;
-    let turns = front.turns.clone();
+    let turns = handle.event_loop.clone();
     spawn_local(run_event_loop_clock(turns, clock, |_, gap| {
         let stood_ms = gap / MILLISECOND;
         if gap >= STOPPED_LEAST {
@@ -211,26 +217,26 @@
             info!(stood_ms, "this controller stood still");
         }
     }));
-    spawn_local(feed::follow(front.clone()));
-    spawn_local(clients::sweep(front.clone()));
-    let timers = front.clone();
+    spawn_local(feed::follow(handle.clone()));
+    spawn_local(clients::sweep(handle.clone()));
+    let timers = handle.clone();
     spawn_local(async move { timers.run_timers().await });
-    spawn_local(clients::receive(front.clone(), door, opened_at));
-    Ok(front)
+    spawn_local(clients::receive(handle.clone(), door, opened_at));
+    Ok(handle)
 }
 
 /// A file that is bad changes nothing. It may be one that is still being written when the signal comes, and no second
 /// signal tells of its end: so it is read again for a while.
-fn reload(config: &Path, front: &Rc<Front>) {
-    let Err(why) = follow_file(config, front) else {
+fn reload(config: &Path, handle: &Rc<ControllerHandle>) {
+    let Err(why) = follow_file(config, handle) else {
         return;
     };
     warn!(%why, "the new configuration is bad: the old one stands");
-    let (config, front) = (config.to_owned(), front.clone());
+    let (config, handle) = (config.to_owned(), handle.clone());
     spawn_local(async move {
         for _ in 0..REREADS {
             tokio::time::sleep(REREAD_EVERY).await;
-            if follow_file(&config, &front).is_ok() {
+            if follow_file(&config, &handle).is_ok() {
                 return;
             }
         }
@@ -238,7 +244,7 @@
 }
 
 /// Follows the feed where the file says that it is.
-fn follow_file(config: &Path, front: &Front) -> Result<(), Failure> {
+fn follow_file(config: &Path, handle: &ControllerHandle) -> Result<(), Failure> {
     let place = config.display().to_string();
     let text = std::fs::read_to_string(config).map_err(|why| Failure::Unreadable {
         place: place.clone(),
@@ -246,15 +252,15 @@
     })?;
     let address = config::read_feed(&text).map_err(|fault| Failure::Config { place, fault })?;
     info!(%address, "configuration read again");
-    front.seat.feed.moves(address);
+    handle.config.feed.moves(address);
     Ok(())
 }
 
 /// Takes what still comes, answers all that was taken, then ends.
-pub(crate) async fn leave(front: &Rc<Front>) {
-    let clients = &front.seat.clients;
-    let longest = front
-        .seat
+pub(crate) async fn leave(handle: &Rc<ControllerHandle>) {
+    let clients = &handle.config.clients;
+    let longest = handle
+        .config
         .deployment
         .trigger_types
         .iter()
@@ -263,7 +269,7 @@
         .unwrap_or(0);
     let killed = Duration::from_micros(longest * 100).min(KILLED_AFTER_MOST) + KILLED_AFTER_MORE;
     // A process that was stopped hears late that it is to end; when it is killed counts from when it was told.
-    let told_ago = Duration::from_micros(front.turns.max_wait(front.clock.now()) * 100);
+    let told_ago = Duration::from_micros(handle.event_loop.max_wait(handle.clock.now()) * 100);
     let killed = if told_ago > HEARD_AT_ONCE {
         killed.saturating_sub(told_ago)
     } else {
@@ -277,7 +283,7 @@
     let answered = async {
         tokio::time::sleep(STILL_COME).await;
         clients.shut();
-        while !is_quiet(front).await {}
+        while !is_quiet(handle).await {}
     };
     match tokio::time::timeout(
         killed.saturating_sub(LAST_ANSWERS).max(STILL_COME),
@@ -287,7 +293,7 @@
     {
         Ok(()) => info!("all is answered: ends"),
         Err(_) => {
-            let owed = front.tell(|state| state.end());
+            let owed = handle.update(|state| state.answer_all());
             warn!(owed, "ends before all is settled: the rest is answered now");
         }
     }
@@ -305,14 +311,14 @@
 /// Whether nothing is owed, nothing waits to leave, and nothing has come meanwhile. A request may lie in the machine, on
 /// a connection old or new, with nothing owed yet: so this takes a look of the machine at all sockets, and a turn of
 /// whoever has something to read, before it says so.
-async fn is_quiet(front: &Rc<Front>) -> bool {
-    let clients = &front.seat.clients;
+async fn is_quiet(handle: &Rc<ControllerHandle>) -> bool {
+    let clients = &handle.config.clients;
     let (was_shut, before) = (clients.is_shut(), clients.frames());
     // The machine is asked before a sleep ends, and whoever it wakes is queued before the task that follows.
     tokio::time::sleep(LOOK).await;
     for _ in 0..2 {
         let _ = spawn_local(async {}).await;
     }
-    let owed = front.see(|state| state.desk.owing()) > 0;
+    let owed = handle.inspect(|state| state.invocations.awaiting_response()) > 0;
     was_shut && !owed && !clients.are_under_way() && clients.frames() == before
 }
--- a/crates/platform/src/reach.rs
+++ b/crates/platform/src/reach.rs
@@ -3,13 +3,13 @@
 use crate::attempt::{Ask, FRESH, Waiting, Worded, aside, dispatch, order};
 use crate::budget::Budget;
 use crate::clients::Reply;
-use crate::life::Seat;
+use crate::life::ControllerConfig;
 use crate::line::{Departure, Line, Socket};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
 use saltdrum::interface::*;
-use saltdrum_controller::desk::{self, Reach, Sending, Told};
+use saltdrum_controller::invocations::{self, AttemptReport, InvokerTransport, OutgoingDispatch};
 use saltdrum_platform_wire::feed::Line as Listing;
 use saltdrum_platform_wire::http;
 use saltdrum_transport::{Address, ReadBacklog};
@@ -21,8 +21,8 @@
 use tokio::task::AbortHandle;
 use tracing::{debug, info};
 
-pub(crate) type Front = desk::Front<Lines>;
-pub(crate) type State = desk::State<Lines>;
+pub(crate) type ControllerHandle = invocations::ControllerHandle<Lines>;
+pub(crate) type ControllerState = invocations::ControllerState<Lines>;
 
 /// An idle line is closed by us before the invoker would close it: at this share of the stated time.
 const IDLE_SHARE: (Ticks, Ticks) = (3, 4);
@@ -31,7 +31,7 @@
 const RESTS: Ticks = 30 * MILLISECOND;
 
 /// What of an invocation goes along with its dispatches.
-pub(crate) struct Carried {
+pub(crate) struct Payload {
     pub trigger: usize,
     pub txn: u64,
     pub token: Option<String>,
@@ -42,7 +42,7 @@
     held: Rc<Cell<usize>>,
 }
 
-impl Drop for Carried {
+impl Drop for Payload {
     fn drop(&mut self) {
         self.held.set(self.held.get() - self.body.len());
     }
@@ -105,7 +105,7 @@
 }
 
 pub(crate) struct Lines {
-    front: Weak<Front>,
+    handle: Weak<ControllerHandle>,
     budget: Budget,
     connect_timeout: Ticks,
     conn_idle: Ticks,
@@ -144,9 +144,9 @@
         trigger_names: Rc<[String]>,
     ) -> Self {
         let (pools, jobs, last, orders_left, open, held) = Default::default();
-        let front = Weak::new();
+        let handle = Weak::new();
         Self {
-            front,
+            handle,
             budget,
             connect_timeout,
             conn_idle,
@@ -160,8 +160,8 @@
         }
     }
 
-    pub fn know(&mut self, front: &Rc<Front>) {
-        self.front = Rc::downgrade(front);
+    pub fn know(&mut self, handle: &Rc<ControllerHandle>) {
+        self.handle = Rc::downgrade(handle);
     }
 
     /// What goes along with an invocation, if there is room to hold it.
@@ -172,11 +172,11 @@
         token: Option<String>,
         body: Bytes,
         client_backlog: ReadBacklog,
-    ) -> Option<Carried> {
+    ) -> Option<Payload> {
         let held = self.held.get() + body.len();
         (held <= self.budget.bytes).then(|| {
             self.held.set(held);
-            Carried {
+            Payload {
                 trigger,
                 txn,
                 token,
@@ -240,8 +240,8 @@
         if new_work && now >= pool.cutoff.get() {
             return Err(Outcome::NotSent);
         }
-        let front = self.front.upgrade().ok_or(Outcome::NotSent)?;
-        let (looked, mut line) = (front.turns.last_polled(), None);
+        let handle = self.handle.upgrade().ok_or(Outcome::NotSent)?;
+        let (looked, mut line) = (handle.event_loop.last_polled(), None);
         for i in (0..pool.idle.len()).rev() {
             let since = pool.idle[i].0;
             if looked < since + RESTS {
@@ -280,7 +280,7 @@
         line.iter()
             .for_each(|l| l.socket.begin(worded.body, departure.clone()));
         let ask = Ask {
-            front,
+            handle,
             invoker,
             epoch: pool.epoch,
             job: self.last,
@@ -355,13 +355,13 @@
     }
 }
 
-impl Reach for Lines {
-    type Carried = Carried;
-    type Owed = Reply;
-    type Seat = Seat;
+impl InvokerTransport for Lines {
+    type Payload = Payload;
+    type Responder = Reply;
+    type Config = ControllerConfig;
 
-    fn dispatch(&mut self, s: &Sending<Carried>) -> Result<u64, Outcome> {
-        let c = s.carried;
+    fn dispatch(&mut self, s: &OutgoingDispatch<Payload>) -> Result<u64, Outcome> {
+        let c = s.payload;
         let method = if c.body.is_empty() { "GET" } else { "POST" };
         let mut request = Request::builder()
             .method(method)
@@ -378,7 +378,7 @@
         let request = request
             .body(Full::new(c.body.clone()))
             .map_err(|_| Outcome::NotSent)?;
-        let (until, leave_by) = (s.until, s.leave_by);
+        let (until, leave_by) = (s.deadline, s.send_by);
         let client = Some(Waiting {
             until,
             leave_by,
@@ -393,8 +393,8 @@
             s.now,
             s.invoker,
             Of::Dispatch {
-                inv: s.inv,
-                hop: s.hop,
+                inv: s.invocation,
+                hop: s.attempt,
             },
             worded,
         )
@@ -416,11 +416,18 @@
         true
     }
 
-    fn ended(&mut self, _: InvokerId, dispatch: u64, _: &Carried, _: Outcome, _: &Told) {
+    fn attempt_ended(
+        &mut self,
+        _: InvokerId,
+        dispatch: u64,
+        _: &Payload,
+        _: Outcome,
+        _: &AttemptReport,
+    ) {
         self.give_up(dispatch);
     }
 
-    fn hold(
+    fn load(
         &mut self,
         now: Ticks,
         invoker: InvokerId,
@@ -445,13 +452,13 @@
             })
     }
 
-    fn order_left(&self, order: u64) -> Option<Ticks> {
+    fn load_sent_at(&self, order: u64) -> Option<Ticks> {
         self.jobs
             .get(&order)
             .map_or_else(|| self.orders_left.get(&order).copied(), Job::left_at)
     }
 
-    fn held(&mut self, _: InvokerId, order: u64) {
+    fn load_ended(&mut self, _: InvokerId, order: u64) {
         self.orders_left.remove(&order);
         self.give_up(order);
     }
@@ -476,14 +483,14 @@
 /// What the feed says reaches the pools first, so that nothing the module then does meets an old one. It has been in the feed
 /// since `came` at the earliest, and counts as told since then, however late it is read.
 pub(crate) fn told(
-    state: &mut State,
+    state: &mut ControllerState,
     whole: bool,
     lines: &[Listing],
     came: Ticks,
     started: impl Fn(u64) -> Ticks,
     grace: Ticks,
 ) {
-    let (now, reach) = (state.desk.now, &mut state.desk.reach);
+    let (now, reach) = (state.invocations.now, &mut state.invocations.transport);
     let mut cut = Vec::new();
     if whole {
         for (w, p) in &mut reach.pools {
@@ -513,7 +520,7 @@
             pool.idle.clear();
         }
         (pool.address, pool.life) = (l.address, l.life);
-        // Told again, a start is the same: a later one would be another start.
+        // AttemptReport again, a start is the same: a later one would be another start.
         let known = pool
             .started
             .filter(|(unix_ms, _)| Some(*unix_ms) == l.started_ms);
@@ -531,44 +538,44 @@
             .and_then(|pool| Some(pool.started?.1))
     };
     let listed: Vec<InvokerRecord> = lines.iter().map(|l| l.listed(start_of(l))).collect();
-    state.module.invokers_changed(now, whole, &listed);
+    state.policy.invokers_changed(now, whole, &listed);
     for invoker in cut {
         // Half the grace is for the way and for what has begun to leave.
         let at = came + grace / 2;
-        if let Some(pool) = state.desk.reach.pools.get(&invoker) {
+        if let Some(pool) = state.invocations.transport.pools.get(&invoker) {
             pool.cutoff.set(pool.cutoff.get().min(at));
         }
         state
-            .desk
-            .later(at, Box::new(move |state| cut_off(state, invoker)));
+            .invocations
+            .schedule(at, Box::new(move |state| cut_off(state, invoker)));
     }
 }
 
 /// What the module believes of each invoker, beside what is on its sockets.
-pub(crate) fn log_beliefs(state: &State) {
+pub(crate) fn log_beliefs(state: &ControllerState) {
     let (reach, c, held) = (
-        &state.desk.reach,
-        &state.desk.counts,
-        state.module.table_sizes(),
+        &state.invocations.transport,
+        &state.invocations.counters,
+        state.policy.table_sizes(),
     );
     info!(
-        taken = c.taken,
-        stale = c.stale,
+        taken = c.accepted,
+        stale = c.expired_on_arrival,
         succeeded = c.succeeded,
         throttled = c.throttled,
         errored = c.errored,
-        left = c.left,
-        too_late = c.too_late,
-        dispatches = c.dispatches,
-        orders = c.orders,
+        left = c.client_left,
+        too_late = c.answered_too_late,
+        dispatches = c.attempts,
+        orders = c.load_orders,
         orders_counted = held.loads_counted,
         invocations_counted = held.invocations_counted,
-        in_flight = state.desk.in_flight(),
+        in_flight = state.invocations.in_flight(),
         lines = reach.open.get(),
         held_bytes = reach.held.get(),
         "counts"
     );
-    for b in state.module.invoker_views(state.desk.now) {
+    for b in state.policy.invoker_views(state.invocations.now) {
         let id = saltdrum_platform_wire::feed::id_text(b.invoker);
         let of = |j: &&Job| j.invoker == b.invoker;
         let sent = reach
@@ -599,8 +606,8 @@
 }
 
 /// The time of a pool's cutoff has come: what has not begun to leave never will.
-fn cut_off(state: &mut State, invoker: InvokerId) {
-    let (now, reach) = (state.desk.now, &state.desk.reach);
+fn cut_off(state: &mut ControllerState, invoker: InvokerId) {
+    let (now, reach) = (state.invocations.now, &state.invocations.transport);
     if reach
         .pools
         .get(&invoker)
@@ -619,10 +626,10 @@
             Of::Order { .. } | Of::Aside => {}
         }
     }
-    dispatches
-        .into_iter()
-        .for_each(|(inv, hop)| state.ended(inv, hop, Outcome::NotSent, &Told::default()));
+    dispatches.into_iter().for_each(|(inv, hop)| {
+        state.attempt_ended(inv, hop, Outcome::NotSent, &AttemptReport::default())
+    });
     orders
         .into_iter()
-        .for_each(|n| state.held(invoker, n, LoadOutcome::NotSent, 0));
+        .for_each(|n| state.load_ended(invoker, n, LoadOutcome::NotSent, 0));
 }
--- a/crates/platform/src/stalls.rs
+++ b/crates/platform/src/stalls.rs
@@ -145,8 +145,11 @@
                 drop(client);
             }
             stand_still();
-            until(|| stage.front.see(|s| s.desk.counts.taken) == 32 && stage.in_flight() == 0)
-                .await;
+            until(|| {
+                stage.handle.inspect(|s| s.invocations.counters.accepted) == 32
+                    && stage.in_flight() == 0
+            })
+            .await;
             // Whatever was on its way would be there by then.
             tokio::time::sleep(Duration::from_millis(100)).await;
             assert!(stage.nothing_came(), "{leaves:?}");
@@ -167,7 +170,9 @@
         drop(client);
         stand_still();
         // Before the reader has heard of the close.
-        stage.front.tell(|state| state.desk.dispatch(1, 1, 0));
+        stage
+            .handle
+            .update(|state| state.invocations.dispatch(1, 1, 0));
         until(|| stage.in_flight() == 0).await;
         tokio::time::sleep(Duration::from_millis(100)).await;
         assert!(stage.nothing_came());
--- a/crates/platform/src/taking.rs
+++ b/crates/platform/src/taking.rs
@@ -1,9 +1,9 @@
 //! How an invocation that a client asks for is taken: what is checked, and how long its client waits.
 
 use crate::clients::{ANY_TIME, Client, FULL_COME_BACK_MS, Reply};
-use crate::reach::{Front, State};
+use crate::reach::{ControllerHandle, ControllerState};
 use saltdrum::interface::{Invocation, MILLISECOND, Ticks};
-use saltdrum_controller::desk::{Final, Owed};
+use saltdrum_controller::invocations::{FinalResponse, Responder};
 use saltdrum_platform_wire::frames::Request;
 use saltdrum_transport::ReadBacklog;
 use std::rc::Rc;
@@ -17,15 +17,15 @@
 
 /// Takes an invocation that came at `earliest` or later; `Err` says why it can't be taken.
 pub(crate) fn invoke(
-    front: &Rc<Front>,
-    state: &mut State,
+    handle: &Rc<ControllerHandle>,
+    state: &mut ControllerState,
     client: &Rc<Client>,
     stream: u32,
     request: Request,
     earliest: Ticks,
     backlog: &ReadBacklog,
 ) -> Result<(), String> {
-    let (seat, desk) = (&front.seat, &mut state.desk);
+    let (seat, invocations) = (&handle.config, &mut state.invocations);
     let trigger = seat
         .trigger_names
         .iter()
@@ -65,12 +65,12 @@
         ));
     }
     let gone = earliest + limit;
-    if desk.now >= gone {
-        desk.counts.stale += 1;
+    if invocations.now >= gone {
+        invocations.counters.expired_on_arrival += 1;
         debug!(
             txn = format_args!("{:016x}", request.txn),
             limit_ms = request.limit_ms,
-            waited_most_ms = (desk.now - earliest) / MILLISECOND,
+            waited_most_ms = (invocations.now - earliest) / MILLISECOND,
             "not taken: it may have waited for all of its time"
         );
         return Err("the client timeout is over".into());
@@ -84,25 +84,26 @@
         stream,
         txn,
         txns,
-        clock: front.clock,
+        clock: handle.clock,
     };
-    let carried = desk
-        .reach
-        .carry(trigger, txn, request.token, request.body, backlog.clone());
+    let carried =
+        invocations
+            .transport
+            .carry(trigger, txn, request.token, request.body, backlog.clone());
     let Some(carried) = carried else {
         debug!(
             txn = format_args!("{txn:016x}"),
             "refused: no room for its input"
         );
-        reply.answer(
+        reply.respond(
             0,
-            Final::Throttled(FULL_COME_BACK_MS * MILLISECOND),
+            FinalResponse::Throttled(FULL_COME_BACK_MS * MILLISECOND),
             0,
             ANY_TIME,
         );
         return Ok(());
     };
-    let id = desk.next_inv();
+    let id = invocations.next_invocation();
     client.open.borrow_mut().insert(stream, id);
     let tenths = |ms: f64| (ms * MILLISECOND as f64) as Ticks;
     let invocation = Invocation {
@@ -124,10 +125,10 @@
             trigger,
             function = format_args!("{:016x}", invocation.function),
             limit_ms = request.limit_ms,
-            waited_most_ms = (desk.now - earliest) / MILLISECOND,
+            waited_most_ms = (invocations.now - earliest) / MILLISECOND,
             "taken"
         );
     });
-    state.taken(invocation, gone + ANSWER_OWED, carried, reply, span);
+    state.accept(invocation, gone + ANSWER_OWED, carried, reply, span);
     Ok(())
 }
--- a/crates/platform/src/tests.rs
+++ b/crates/platform/src/tests.rs
@@ -2,7 +2,7 @@
 //! bad peers harm nobody else, that the five rules hold on the traffic, and that the checker catches who breaks them.
 
 use crate::life::{leave, start};
-use crate::reach::{Front, Sizes};
+use crate::reach::{ControllerHandle, Sizes};
 use crate::starts::WallClock;
 use bytes::Bytes;
 use saltdrum::interface::*;
@@ -146,7 +146,7 @@
     pub invokers: BTreeMap<u32, Rc<HttpInvoker>>,
     hops: Rc<RefCell<BTreeMap<u64, u8>>>,
     pub feed: Rc<Feed>,
-    pub front: Rc<Front>,
+    pub handle: Rc<ControllerHandle>,
     next: Cell<u64>,
 }
 
@@ -165,7 +165,7 @@
         spawn_local(feed.clone().serve(network.clone(), feed_at(1)));
         let config = config::read(text).unwrap();
         let started = start(config, wall_clock(clock), network.clone(), clock, make).await;
-        let front = started.unwrap_or_else(|e| panic!("{e}"));
+        let handle = started.unwrap_or_else(|e| panic!("{e}"));
         let (next, none) = (Cell::new(0), BTreeMap::new());
         let mut stage = Self {
             network,
@@ -174,7 +174,7 @@
             invokers: none,
             hops,
             feed,
-            front,
+            handle,
             next,
         };
         invokers
@@ -215,9 +215,9 @@
 
     fn sizes(&self) -> (Sizes, (usize, usize), usize) {
         let (sizes, in_flight) = self
-            .front
-            .see(|s| (s.desk.reach.sizes(), s.desk.in_flight()));
-        (sizes, self.front.seat.clients.sizes(), in_flight)
+            .handle
+            .inspect(|s| (s.invocations.transport.sizes(), s.invocations.in_flight()));
+        (sizes, self.handle.config.clients.sizes(), in_flight)
     }
 
     /// Rules that were broken, by the record; 6: something was sent on long after its client had left; 7: an output went to
@@ -799,7 +799,7 @@
         let moved = Feed::new(WHO, stage.record.clone(), stage.clock);
         spawn_local(moved.clone().serve(stage.network.clone(), feed_at(2)));
         stage.feed.say(2, Event::Nothing);
-        stage.front.seat.feed.moves(feed_at(2));
+        stage.handle.config.feed.moves(feed_at(2));
         moved.say(
             2,
             Event::Changes(vec![listing(1, invoker_at(1), InvokerStatus::Gone, None)]),
@@ -919,13 +919,17 @@
             client.ask(&stage.call("look")).await;
         }
         pass(10).await;
-        let beliefs = stage.front.see(|s| s.module.invoker_views(s.desk.now));
+        let beliefs = stage
+            .handle
+            .inspect(|s| s.policy.invoker_views(s.invocations.now));
         let out: Vec<usize> = beliefs.iter().map(|b| b.in_flight as usize).collect();
         assert_eq!(out, [asked(1) - before[0], asked(2) - before[1]]);
         assert_eq!(out.iter().sum::<usize>(), 9);
         assert!(beliefs.iter().all(|b| !b.is_ejected && b.error_rate == 0.0));
         pass(200).await;
-        let beliefs = stage.front.see(|s| s.module.invoker_views(s.desk.now));
+        let beliefs = stage
+            .handle
+            .inspect(|s| s.policy.invoker_views(s.invocations.now));
         assert!(beliefs.iter().all(|b| b.in_flight == 0), "{beliefs:?}");
     });
 }
@@ -964,7 +968,7 @@
 fn a_low_limit_on_descriptors_holds_in_a_crowd() {
     staged(|| async {
         let stage = Stage::new(dispatch_policy, &[1, 2], 64).await;
-        let budget = stage.front.seat.budget;
+        let budget = stage.handle.config.budget;
         stage
             .invokers
             .values()
@@ -1004,8 +1008,8 @@
         let mut old = stage.client().await;
         old.ask(&stage.call("look")).await;
         pass(5).await;
-        let front = stage.front.clone();
-        let ending = spawn_local(async move { leave(&front).await });
+        let handle = stage.handle.clone();
+        let ending = spawn_local(async move { leave(&handle).await });
         pass(300).await;
         let mut new = stage.client().await;
         new.ask(&stage.call("look")).await;
--- a/crates/registry/src/follow.rs
+++ b/crates/registry/src/follow.rs
@@ -125,7 +125,7 @@
     let kept = match &of.copy {
         None => None,
         Some(path) => Copy::read(path).unwrap_or_else(|e| {
-            // Going on from nothing could turn us back: an operator has to remove it.
+            // ShutdownHandle on from nothing could turn us back: an operator has to remove it.
             warn!(%e, "what was kept of the registry can't be read");
             hear(Heard::Refused(format!("what was kept can't be read: {e}")));
             None
--- a/crates/scale/src/controller.rs
+++ b/crates/scale/src/controller.rs
@@ -1,11 +1,14 @@
-//! A hollow controller: the real module under the real desk; what crosses no socket ends after a drawn time.
+//! A hollow controller: the real module under the real invocations; what crosses no socket ends after a drawn time.
 
 use crate::meter::{EventLoopClock, TurnsTold, resident_bytes, thread_cpu_ns};
 use crate::world::{Load, Popularity, World, ZONES, deployment, line};
 use saltdrum::DispatchPolicy;
 use saltdrum::interface::*;
 use saltdrum_controller::Policy;
-use saltdrum_controller::desk::{Desk, Final, Front, Owed, Reach, Sending, Told};
+use saltdrum_controller::invocations::{
+    AttemptReport, ControllerHandle, FinalResponse, InvocationTable, InvokerTransport,
+    OutgoingDispatch, Responder,
+};
 use saltdrum_transport::{Clock, MemoryNetwork};
 use serde::Serialize;
 use std::cell::RefCell;
@@ -37,7 +40,7 @@
     pub misses: u64,
     pub orders: u64,
     pub list_events: u64,
-    /// Module and desk and model together, and the module alone.
+    /// Module and invocations and model together, and the module alone.
     pub us_an_invocation: f64,
     pub module_us_an_invocation: f64,
     /// Of a core under load, all together; and the module's own turns that no invocation asks for (list, timers).
@@ -140,7 +143,7 @@
 }
 
 struct Hollow {
-    front: Weak<Front<Self>>,
+    handle: Weak<ControllerHandle<Self>>,
     clock: Clock,
     world: World,
     last: u64,
@@ -149,41 +152,41 @@
 /// Nobody waits for an answer: it is counted.
 struct Counts(Rc<RefCell<Tally>>);
 
-impl Owed for Counts {
-    fn answer(self, _: InvocationId, how: Final, _: u8, _: Ticks) {
-        self.0.borrow_mut().succeeded += u64::from(matches!(how, Final::Succeeded(_)));
+impl Responder for Counts {
+    fn respond(self, _: InvocationId, how: FinalResponse, _: u8, _: Ticks) {
+        self.0.borrow_mut().succeeded += u64::from(matches!(how, FinalResponse::Succeeded(_)));
     }
-    fn drop_out(self, _: InvocationId) {}
+    fn abandon(self, _: InvocationId) {}
 }
 
 impl Hollow {
     fn after(
         &mut self,
         takes: Ticks,
-        then: impl FnOnce(&mut saltdrum_controller::desk::State<Self>) + 'static,
+        then: impl FnOnce(&mut saltdrum_controller::invocations::ControllerState<Self>) + 'static,
     ) {
-        let Some(front) = self.front.upgrade() else {
+        let Some(handle) = self.handle.upgrade() else {
             return;
         };
         let at = self.clock.now() + takes;
         spawn_local(async move {
-            front.clock.sleep_until(at).await;
-            front.tell(then);
+            handle.clock.sleep_until(at).await;
+            handle.update(then);
         });
     }
 }
 
-impl Reach for Hollow {
-    type Carried = ();
-    type Owed = Counts;
-    type Seat = ();
+impl InvokerTransport for Hollow {
+    type Payload = ();
+    type Responder = Counts;
+    type Config = ();
 
-    fn dispatch(&mut self, s: &Sending<()>) -> Result<u64, Outcome> {
+    fn dispatch(&mut self, s: &OutgoingDispatch<()>) -> Result<u64, Outcome> {
         self.last += 1;
         let (outcome, takes) = self.world.dispatched(s.now, s.invoker, s.function);
-        let (inv, hop) = (s.inv, s.hop);
+        let (inv, hop) = (s.invocation, s.attempt);
         self.after(takes, move |state| {
-            state.ended(inv, hop, outcome, &Told::default())
+            state.attempt_ended(inv, hop, outcome, &AttemptReport::default())
         });
         Ok(self.last)
     }
@@ -193,8 +196,8 @@
     fn cancel(&mut self, _: InvokerId, _: u64) -> bool {
         true
     }
-    fn ended(&mut self, _: InvokerId, _: u64, (): &(), _: Outcome, _: &Told) {}
-    fn hold(
+    fn attempt_ended(&mut self, _: InvokerId, _: u64, (): &(), _: Outcome, _: &AttemptReport) {}
+    fn load(
         &mut self,
         now: Ticks,
         invoker: InvokerId,
@@ -204,11 +207,11 @@
         self.last += 1;
         let (order, takes) = (self.last, self.world.ordered(now, invoker, function));
         self.after(takes, move |state| {
-            state.held(invoker, order, LoadOutcome::Loaded, 1)
+            state.load_ended(invoker, order, LoadOutcome::Loaded, 1)
         });
         Ok(order)
     }
-    fn held(&mut self, _: InvokerId, _: u64) {}
+    fn load_ended(&mut self, _: InvokerId, _: u64) {}
     fn unload(&mut self, _: Ticks, _: InvokerId, _: FunctionId) {}
     fn probe(&mut self, _: Ticks, _: InvokerId) {}
 }
@@ -277,30 +280,30 @@
     );
     let world = World::new(load.seed);
     let hollow = Hollow {
-        front: Weak::new(),
+        handle: Weak::new(),
         clock,
         world,
         last: 0,
     };
-    let mut desk = Desk::new(clock.now(), hollow, &d, 2 * SECOND);
+    let mut invocations = InvocationTable::new(clock.now(), hollow, &d, 2 * SECOND);
     let inner = Rc::new(RefCell::new(DispatchPolicy::new(
         clock.now(),
         d,
         load.seed,
-        &mut desk,
+        &mut invocations,
     )));
     let module = Box::new(Metered {
         inner: inner.clone(),
         tally: tally.clone(),
     });
-    let front = Rc::new(Front::new(
+    let handle = Rc::new(ControllerHandle::new(
         module,
-        desk,
+        invocations,
         clock,
         Rc::new(MemoryNetwork::default()),
         (),
     ));
-    front.tell(|s| s.desk.reach.front = Rc::downgrade(&front));
+    handle.update(|s| s.invocations.transport.handle = Rc::downgrade(&handle));
     let mut list = List {
         ready: (1..=load.invokers).collect(),
         next: load.invokers + 1,
@@ -311,9 +314,9 @@
         .iter()
         .map(|w| line(*w, InvokerStatus::Ready, None))
         .collect();
-    front.tell(|s| s.module.invokers_changed(s.desk.now, true, &whole));
+    handle.update(|s| s.policy.invokers_changed(s.invocations.now, true, &whole));
     drop(whole);
-    let timers = front.clone();
+    let timers = handle.clone();
     spawn_local(async move { timers.run_timers().await });
 
     let (begun, began_cpu) = (clock.now(), thread_cpu_ns());
@@ -337,8 +340,8 @@
         let now = clock.now();
         if now >= event {
             let lines = list.replaced(now);
-            front.tell(|s| s.module.invokers_changed(s.desk.now, false, &lines));
-            front.tell(|s| s.desk.reach.world.sweep(s.desk.now));
+            handle.update(|s| s.policy.invokers_changed(s.invocations.now, false, &lines));
+            handle.update(|s| s.invocations.transport.world.sweep(s.invocations.now));
             event += course.event_every_s * SECOND;
             row.list_events += 1;
         }
@@ -354,7 +357,7 @@
                     .into_iter()
                     .map(|w| line(w, life, started))
                     .collect();
-                front.tell(|s| s.module.invokers_changed(s.desk.now, false, &lines));
+                handle.update(|s| s.policy.invokers_changed(s.invocations.now, false, &lines));
                 row.list_events += 1;
             }
         }
@@ -379,7 +382,7 @@
             load_time_hint: Some(500 * MILLISECOND),
         };
         let owed = Counts(tally.clone());
-        front.tell(|s| s.taken(invocation, now + 3 * SECOND, (), owed, Span::none()));
+        handle.update(|s| s.accept(invocation, now + 3 * SECOND, (), owed, Span::none()));
         next += ((-(1.0 - rng.f64()).ln()) * SECOND as f64 / load.rate)
             .round()
             .max(1.0) as Ticks;
@@ -418,8 +421,8 @@
     }
     (row.invokers, row.functions, row.skew) = (load.invokers, load.functions, load.skew);
     (row.whole_list_bytes, row.a_line_bytes) = list_bytes(load.invokers);
-    front.see(|s| {
-        let world = &s.desk.reach.world;
+    handle.inspect(|s| {
+        let world = &s.invocations.transport.world;
         (row.dispatches, row.misses, row.orders) = (world.dispatches, world.misses, world.orders);
     });
     row.invocations = u64::from(id);
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -6,7 +6,7 @@
 use crate::traffic;
 use saltdrum::interface::{Effect, KeyScope, SECOND, Ticks};
 use saltdrum_agent::{Counts, Peer};
-use saltdrum_controller::{NamesAt, Seat, dispatch_policy};
+use saltdrum_controller::{AliasConfig, ControllerConfig, dispatch_policy};
 use saltdrum_deployment::Terms;
 use saltdrum_fakes::disk::TearingDisk;
 use saltdrum_fakes::invoker::{self, Brings, Site, Tokens};
@@ -66,11 +66,12 @@
 }
 
 /// Runs a controller in its seat until dropped.
-pub type Serve = fn(Seat, Rc<dyn Network>, Clock) -> Pin<Box<dyn Future<Output = io::Result<()>>>>;
+pub type Serve =
+    fn(ControllerConfig, Rc<dyn Network>, Clock) -> Pin<Box<dyn Future<Output = io::Result<()>>>>;
 
 /// The controller that a day is played on, unless a test puts another in its place.
 pub fn serve(
-    seat: Seat,
+    seat: ControllerConfig,
     network: Rc<dyn Network>,
     clock: Clock,
 ) -> Pin<Box<dyn Future<Output = io::Result<()>>>> {
@@ -579,7 +580,7 @@
             Cast::Virtual(_) => Address::Memory(format!("controller-{controller}-{incarnation}")),
         };
         let zone = self.zone_of(controller);
-        let names = self.names.as_ref().map(|n| NamesAt {
+        let names = self.names.as_ref().map(|n| AliasConfig {
             following: n.following(
                 format!("controller-{controller}"),
                 Some(self.copies.join(format!("names-{controller}"))),
@@ -587,18 +588,19 @@
             passage: 120 * SECOND,
             epoch_ms: 0,
         });
-        let seat = move |terms: Terms, clients: Address, list: Address, seed: u64| Seat {
-            controller,
-            incarnation,
-            seed,
-            zone,
-            clients: vec![clients],
-            lists: vec![list],
-            terms: Rc::new(terms),
-            names,
-            going: Default::default(),
-            opens_when_ready: false,
-        };
+        let seat =
+            move |terms: Terms, clients: Address, list: Address, seed: u64| ControllerConfig {
+                controller,
+                incarnation,
+                seed,
+                zone,
+                client_addresses: vec![clients],
+                endpoint_lists: vec![list],
+                terms: Rc::new(terms),
+                aliases: names,
+                shutdown: Default::default(),
+                listens_when_ready: false,
+            };
         let seed = self.day.seed ^ (u64::from(controller) << 40) ^ (incarnation << 56);
         let (terms, list, clock) = (
             self.day.terms.clone(),
--- a/crates/scenario/tests/days.rs
+++ b/crates/scenario/tests/days.rs
@@ -108,7 +108,7 @@
 
 /// A controller that reads the machine's own clock, as a mistake would: its seed hangs on it.
 fn careless(
-    mut seat: saltdrum_controller::Seat,
+    mut seat: saltdrum_controller::ControllerConfig,
     network: std::rc::Rc<dyn saltdrum_transport::Network>,
     clock: saltdrum_transport::Clock,
 ) -> std::pin::Pin<Box<dyn Future<Output = std::io::Result<()>>>> {
