--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -5,24 +5,31 @@
 //!
 //! # Where to read
 //!
-//! The way of an invocation: `ControllerState::accept` → [`Policy::invocation_arrived`] → the
-//! [`Actions`](saltdrum::interface::Actions) of [`InvocationTable`](invocations::InvocationTable) →
-//! `ControllerState::attempt_ended` → the one final response. [`invocations`] is independent of any wire: it meets one through
-//! two traits, [`InvokerTransport`](invocations::InvokerTransport) towards invokers and
-//! [`Responder`](invocations::Responder) towards clients. `native` implements them for JSON-RPC clients and multiplexed
+//! The way of an invocation: [`ControllerState::accept`] → [`Policy::invocation_arrived`] → the
+//! [`Actions`](saltdrum::interface::Actions) of [`InvocationTable`] →
+//! [`ControllerState::attempt_ended`] → the one final response. `invocations` is independent of any wire: it meets one through
+//! two traits, [`InvokerTransport`] towards invokers and [`Responder`] towards clients. `native` implements them for JSON-RPC clients and multiplexed
 //! invoker connections; the crate `saltdrum-platform` implements them for the platform's sockets.
 //!
 //! One thread, one `LocalSet`, no locks. Streams, clock and seed are handed in.
 
 mod baselines;
-pub mod invocations;
+mod invocations;
 mod native;
 mod policy;
 mod reconnect;
+mod responder;
 pub mod shutdown;
+mod state;
+mod transport;
 
 pub use baselines::{least_in_flight_relay, random_relay, rendezvous_relay};
+pub use invocations::{Counters, InvocationTable, TimerKey};
 pub use native::aliases::AliasConfig;
-pub use native::server::{ControllerConfig, serve};
+pub use native::server::serve;
+pub use native::state::ControllerConfig;
 pub use policy::{MakePolicy, Policy, dispatch_policy};
 pub use reconnect::{ConnectBudget, ReconnectBackoff};
+pub use responder::{FinalResponse, Responder};
+pub use state::{ControllerHandle, ControllerState, TimerCallback};
+pub use transport::{AttemptReport, InvokerTransport, OutgoingDispatch};
--- /dev/null
+++ b/crates/controller/src/native/alias_watch.rs
@@ -0,0 +1,85 @@
+//! Follows the registry, and reports the results of staged rollouts to it.
+
+use crate::native::aliases::AliasConfig;
+use crate::native::state::ControllerHandle;
+use saltdrum_registry::call::{Caller, Fault};
+use saltdrum_registry::follow::{Following, follow};
+use saltdrum_registry::passage::Staged;
+use saltdrum_registry::stage::Tally;
+use serde_json::json;
+use std::rc::Rc;
+use std::time::Duration;
+use tracing::{info, warn};
+
+/// How often results are reported.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// Time limit of one report.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(5);
+/// Mixed into the seed of the draws of reconnect delays.
+const RECONNECT_SEED: u64 = 0x4e61;
+
+/// Follows the registry and reports results, for as long as the controller lives.
+pub(crate) async fn follow_registry(handle: Rc<ControllerHandle>, config: AliasConfig) {
+    let updated = handle.clone();
+    let on_update = move |heard| {
+        updated.update(|state| {
+            let now = state.invocations.now;
+            if let Some(aliases) = &mut state.invocations.transport.aliases {
+                aliases.apply(now, heard);
+            }
+        });
+    };
+    let seed = handle.config.seed ^ RECONNECT_SEED;
+    let following = follow(
+        config.following.clone(),
+        handle.network.clone(),
+        seed,
+        on_update,
+    );
+    tokio::join!(following, report_results(&handle, &config.following));
+}
+
+async fn report_results(handle: &Rc<ControllerHandle>, registry: &Following) {
+    loop {
+        tokio::time::sleep(REPORT_INTERVAL).await;
+        let results = handle.update(|state| {
+            let aliases = state.invocations.transport.aliases.as_ref();
+            aliases.map_or_else(Vec::new, |aliases| aliases.unreported())
+        });
+        if results.is_empty() {
+            continue;
+        }
+        match tokio::time::timeout(REPORT_TIMEOUT, send_results(handle, registry, &results)).await {
+            Ok(Ok(())) => handle.update(|state| {
+                if let Some(aliases) = &mut state.invocations.transport.aliases {
+                    aliases.mark_reported(&results);
+                }
+            }),
+            Ok(Err(error)) => warn!(%error, "reporting rollout results failed, retrying"),
+            Err(_) => warn!("reporting rollout results timed out, retrying"),
+        }
+    }
+}
+
+async fn send_results(
+    handle: &Rc<ControllerHandle>,
+    registry: &Following,
+    results: &[(Staged, Tally)],
+) -> Result<(), Fault> {
+    let mut caller = Caller::dial(&handle.network, &registry.registry, &registry.key).await?;
+    for (stage, tally) in results {
+        let params = json!({
+            "space": stage.space,
+            "alias": stage.alias,
+            "changed": stage.changed,
+            "controller": handle.config.controller,
+            "incarnation": handle.config.incarnation,
+            "tally": tally,
+        });
+        let answer = caller.call("tally", params).await?;
+        if answer["over"] == json!(true) {
+            info!(alias = %stage.alias, "staged rollout is over");
+        }
+    }
+    Ok(())
+}
--- a/crates/controller/src/native/endpoint_list.rs
+++ b/crates/controller/src/native/endpoint_list.rs
@@ -1,196 +1,210 @@
-//! Follows the invoker list. What the list last said stands while it is away.
+//! Follows the endpoint list. While its server is away, the last list stands.
 
-use crate::native::invoker_connections::{InvokerConnection, cut_off};
-use crate::native::server::{ControllerHandle, ControllerState, reach};
+use crate::native::invoker_connection::InvokerConnection;
+use crate::native::invoker_connections;
+use crate::native::state::{ControllerHandle, ControllerState};
 use crate::reconnect::ReconnectBackoff;
-use saltdrum::interface::*;
+use saltdrum::interface::{InvokerId, Ticks};
+use saltdrum_protocol::Malformed;
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::list as wire;
-use saltdrum_transport::{Address, ArrivalReader};
+use saltdrum_transport::{Address, ArrivalReader, Stream};
+use std::io;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 use tracing::{info, warn};
 
+/// Version of the protocol that is followed.
+const PROTOCOL_VERSION: u16 = 1;
+/// Time limit of a connection where there are several servers: behind a partition it hangs, and another may be reachable.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// The same where there is one server.
+const CONNECT_TIMEOUT_SINGLE: Duration = Duration::from_secs(3_600);
+/// Mixed into the seed of the draws of reconnect delays.
+const RECONNECT_SEED: u64 = 0x1157;
+
+/// Why the list is not followed any more.
+#[derive(Debug, thiserror::Error)]
+enum WatchError {
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    #[error(transparent)]
+    Malformed(#[from] Malformed),
+    #[error("closed by the server")]
+    Closed,
+    #[error("revision {found} where {known} is known: the server lags behind")]
+    Lagging { found: u64, known: u64 },
+    #[error("a complete list a second time")]
+    SecondList,
+    #[error("revision {found} after {last:?}: the next was expected")]
+    Gap { found: u64, last: Option<u64> },
+}
+
+/// A list, or a watch event of it.
+struct Update {
+    revision: u64,
+    is_list: bool,
+    /// Whether a list is complete.
+    is_settled: bool,
+    entries: Vec<wire::Entry>,
+}
+
+/// Follows the endpoint lists, one at a time, for as long as the controller lives.
 pub(crate) async fn follow(handle: Rc<ControllerHandle>) {
-    let (mut redial, mut rng) = (
-        ReconnectBackoff::default(),
-        fastrand::Rng::with_seed(handle.config.seed ^ 0x1157),
-    );
+    let mut backoff = ReconnectBackoff::default();
+    let mut rng = fastrand::Rng::with_seed(handle.config.seed ^ RECONNECT_SEED);
+    let addresses = &handle.config.endpoint_lists;
     // Controllers begin with different ones where there are several.
-    let mut at = handle.config.controller as usize % handle.config.endpoint_lists.len().max(1);
-    while let Some(list) = handle.config.endpoint_lists.get(at) {
-        let why = followed(&handle, list, &mut redial).await;
-        redial.disconnected(handle.clock.now());
-        warn!(address = %list, why, "invoker list lost; what it said stands");
-        at = (at + 1) % handle.config.endpoint_lists.len();
-        tokio::time::sleep(Duration::from_micros(redial.next_delay(&mut rng) * 100)).await;
+    let mut current = handle.config.controller as usize % addresses.len().max(1);
+    while let Some(address) = addresses.get(current) {
+        let Err(reason) = watch(&handle, address, &mut backoff).await;
+        backoff.disconnected(handle.clock.now());
+        warn!(%address, %reason, "endpoint list lost, the last list stands");
+        current = (current + 1) % addresses.len();
+        let delay = backoff.next_delay(&mut rng);
+        tokio::time::sleep(Duration::from_micros(delay * 100)).await;
     }
 }
 
-async fn followed(
-    handle: &Rc<ControllerHandle>,
-    list: &Address,
-    redial: &mut ReconnectBackoff,
-) -> String {
-    // Behind a cut a dial hangs, and another list may be there.
-    let patience = Duration::from_secs(if handle.config.endpoint_lists.len() > 1 {
-        1
+async fn connect(handle: &ControllerHandle, address: &Address) -> io::Result<Stream> {
+    let has_others = handle.config.endpoint_lists.len() > 1;
+    let time_limit = if has_others {
+        CONNECT_TIMEOUT
     } else {
-        3_600
-    });
-    let dialled = tokio::time::timeout(patience, handle.network.dial(list)).await;
-    let mut stream = match dialled.unwrap_or_else(|_| Err(std::io::ErrorKind::TimedOut.into())) {
-        Ok(stream) => stream,
-        Err(e) => return e.to_string(),
+        CONNECT_TIMEOUT_SINGLE
     };
-    let (controller, incarnation) = (handle.config.controller, handle.config.incarnation);
-    if let Err(e) = stream
-        .write_all(&encode(&wire::Follow {
-            version: 1,
-            controller,
-            incarnation,
-        }))
-        .await
-    {
-        return e.to_string();
+    let connecting = handle.network.dial(address);
+    match tokio::time::timeout(time_limit, connecting).await {
+        Ok(connected) => connected,
+        Err(_) => Err(io::ErrorKind::TimedOut.into()),
     }
-    redial.connected(handle.clock.now());
-    let mut read = ArrivalReader::new(stream, handle.clock, handle.event_loop.clone());
-    let (mut came, mut revision) = (handle.clock.now(), None);
+}
+
+/// Follows one server until it is lost.
+async fn watch(
+    handle: &Rc<ControllerHandle>,
+    address: &Address,
+    backoff: &mut ReconnectBackoff,
+) -> Result<std::convert::Infallible, WatchError> {
+    let mut stream = connect(handle, address).await?;
+    let request = wire::Follow {
+        version: PROTOCOL_VERSION,
+        controller: handle.config.controller,
+        incarnation: handle.config.incarnation,
+    };
+    stream.write_all(&encode(&request)).await?;
+    backoff.connected(handle.clock.now());
+    let mut reader = ArrivalReader::new(stream, handle.clock, handle.event_loop.clone());
+    let mut arrived_at = handle.clock.now();
+    let mut revision = None;
     loop {
-        let message = match cut(&mut read.bytes) {
-            Err(e) => return e.to_string(),
-            Ok(Some((kind, body))) => wire::FromList::read(kind, &body),
-            Ok(None) => match read.read_more().await {
-                Ok(Some(at)) => {
-                    came = at;
-                    continue;
-                }
-                Ok(None) => return "hung up".into(),
-                Err(e) => return e.to_string(),
-            },
-        };
-        let (whole, settled, entries) = match (message, revision) {
-            (Ok(wire::FromList::Whole(w)), None) => {
-                // Lists of one fleet count its revisions: one that lags behind another must not turn it back.
-                let known = handle
-                    .inspect(|state| state.invocations.transport.list_revision)
-                    .unwrap_or(0);
-                if handle.config.endpoint_lists.len() > 1 && w.revision < known {
-                    return format!(
-                        "revision {} where {known} is known: it lags behind",
-                        w.revision
-                    );
-                }
-                revision = Some(w.revision);
-                (true, w.settled, w.entries)
-            }
-            (Ok(wire::FromList::Change(c)), Some(last)) if c.revision == last + 1 => {
-                revision = Some(c.revision);
-                (false, true, c.entries)
+        let message = match cut(&mut reader.bytes)? {
+            Some((kind, body)) => wire::FromList::read(kind, &body)?,
+            None => {
+                arrived_at = reader.read_more().await?.ok_or(WatchError::Closed)?;
+                continue;
             }
-            (Ok(wire::FromList::Whole(_)), Some(_)) => {
-                return "the whole list a second time".into();
-            }
-            (Ok(wire::FromList::Change(c)), last) => {
-                return format!(
-                    "revision {} after {last:?}: the next was expected",
-                    c.revision
-                );
-            }
-            (Err(e), _) => return e.to_string(),
         };
-        if whole {
-            info!(revision, settled, entries = entries.len(), "invoker list");
+        let update = check_order(handle, message, revision)?;
+        revision = Some(update.revision);
+        if update.is_list {
+            let (settled, entries) = (update.is_settled, update.entries.len());
+            info!(revision, settled, entries, "endpoint list received");
+        }
+        for invoker in handle.update(|state| apply(state, arrived_at, update)) {
+            invoker_connections::spawn(handle, invoker);
         }
-        let new = handle.update(|state| {
-            state.invocations.transport.list_revision = revision;
-            state.invocations.transport.has_endpoint_list |= settled;
-            told(state, came, whole && settled, entries)
-        });
-        new.into_iter().for_each(|invoker| reach(handle, invoker));
     }
 }
 
-/// What the list says reaches the links first, so that nothing the policy then does meets an old one. It came at `came` or
-/// later, however late it is read, and what drains is cut off by that. Gives invokers that were not known.
-fn told(
-    state: &mut ControllerState,
-    came: Ticks,
-    whole: bool,
-    entries: Vec<wire::Entry>,
-) -> Vec<InvokerId> {
-    let (now, grace) = (
-        state.invocations.now,
-        state.invocations.transport.terms.deployment.drain_grace,
-    );
-    let (mut new, mut all, mut cut) = (Vec::new(), Vec::new(), Vec::new());
-    if whole {
-        for link in state.invocations.transport.by_invoker.values_mut() {
-            if !entries.iter().any(|e| e.invoker == link.entry.invoker) {
-                link.entry.life = wire::Life::Gone;
-                cut.push(link.entry.invoker);
+/// Checks that a message is the list, or the next watch event after `last`.
+fn check_order(
+    handle: &ControllerHandle,
+    message: wire::FromList,
+    last: Option<u64>,
+) -> Result<Update, WatchError> {
+    match (message, last) {
+        (wire::FromList::Whole(list), None) => {
+            // Servers of one fleet share its revisions: one that lags behind must not turn the list back.
+            let known = handle.inspect(|state| state.invocations.transport.list_revision);
+            let known = known.unwrap_or(0);
+            if handle.config.endpoint_lists.len() > 1 && list.revision < known {
+                return Err(WatchError::Lagging {
+                    found: list.revision,
+                    known,
+                });
             }
+            Ok(Update {
+                revision: list.revision,
+                is_list: true,
+                is_settled: list.settled,
+                entries: list.entries,
+            })
         }
+        (wire::FromList::Change(event), Some(last)) if event.revision == last + 1 => Ok(Update {
+            revision: event.revision,
+            is_list: false,
+            is_settled: true,
+            entries: event.entries,
+        }),
+        (wire::FromList::Whole(_), Some(_)) => Err(WatchError::SecondList),
+        (wire::FromList::Change(event), last) => Err(WatchError::Gap {
+            found: event.revision,
+            last,
+        }),
     }
-    for mut entry in entries {
-        let started = now.checked_sub(entry.age_tenths);
-        let id = entry.invoker;
-        let link = state
-            .invocations
-            .transport
-            .by_invoker
-            .entry(id)
-            .or_insert_with(|| {
-                new.push(id);
-                InvokerConnection::new(entry.clone(), started)
-            });
-        if link.entry.incarnation != entry.incarnation && link.started > started {
-            // The invoker itself has told us of a later start than the list knows of.
-            entry.incarnation = link.entry.incarnation;
-        }
-        if link.entry.incarnation != entry.incarnation || link.entry.address != entry.address {
-            link.started = started;
-            link.backoff.reset();
-            link.changed.notify_one();
-        } else if link.entry.life == wire::Life::Gone && entry.life != wire::Life::Gone {
-            link.changed.notify_one();
-        }
-        if entry.life == wire::Life::Ready {
-            link.set_cutoff(Ticks::MAX);
-        } else {
-            cut.push(id);
+}
+
+/// Applies an update that arrived at `arrived_at` or later. It reaches the connections first, so that nothing the policy then
+/// does meets an old one. Gives invokers that were not known.
+fn apply(state: &mut ControllerState, arrived_at: Ticks, update: Update) -> Vec<InvokerId> {
+    let now = state.invocations.now;
+    let transport = &mut state.invocations.transport;
+    transport.list_revision = Some(update.revision);
+    transport.has_endpoint_list |= update.is_settled;
+    let is_complete = update.is_list && update.is_settled;
+    let mut not_ready = Vec::new();
+    if is_complete {
+        for connection in transport.by_invoker.values_mut() {
+            let invoker = connection.entry.invoker;
+            if !update.entries.iter().any(|entry| entry.invoker == invoker) {
+                connection.entry.life = wire::Life::Gone;
+                not_ready.push(invoker);
+            }
         }
-        link.entry = entry;
-        all.push(listed(&link.entry, link.started));
     }
-    state.policy.invokers_changed(now, whole, &all);
-    for invoker in cut {
-        // Half the grace is for the way and for what has begun to leave.
-        let at = came + grace / 2;
-        if let Some(link) = state.invocations.transport.by_invoker.get_mut(&invoker) {
-            link.set_cutoff(at);
+    let mut new = Vec::new();
+    let mut records = Vec::new();
+    for entry in update.entries {
+        let invoker = entry.invoker;
+        let started_at = now.checked_sub(entry.age_tenths);
+        let connection = transport.by_invoker.entry(invoker).or_insert_with(|| {
+            new.push(invoker);
+            InvokerConnection::new(entry.clone(), started_at)
+        });
+        if entry.life != wire::Life::Ready {
+            not_ready.push(invoker);
         }
-        state
-            .invocations
-            .schedule(at, Box::new(move |state| cut_off(state, invoker)));
+        connection.apply_entry(entry, started_at);
+        records.push(connection.record());
+    }
+    state.policy.invokers_changed(now, is_complete, &records);
+    for invoker in not_ready {
+        set_cutoff(state, invoker, arrived_at);
     }
     new
 }
 
-pub(crate) fn listed(entry: &wire::Entry, started: Option<Ticks>) -> InvokerRecord {
-    InvokerRecord {
-        invoker: entry.invoker,
-        zone: entry.zone,
-        machine_kind: entry.kind,
-        cell: entry.cell,
-        status: match entry.life {
-            wire::Life::Ready => InvokerStatus::Ready,
-            wire::Life::Draining => InvokerStatus::Draining,
-            wire::Life::Gone => InvokerStatus::Gone,
-        },
-        capacity: f64::from(entry.size),
-        started_at: started,
+/// An invoker is draining or gone since `notified_at`: new work is sent to it within half the grace at most. The other half is
+/// for its way, and for what is partially sent.
+fn set_cutoff(state: &mut ControllerState, invoker: InvokerId, notified_at: Ticks) {
+    let transport = &mut state.invocations.transport;
+    let cutoff = notified_at + transport.terms.deployment.drain_grace / 2;
+    if let Some(connection) = transport.by_invoker.get_mut(&invoker) {
+        connection.cutoff = cutoff;
     }
+    let enforce =
+        move |state: &mut ControllerState| invoker_connections::enforce_cutoff(state, invoker);
+    state.invocations.schedule(cutoff, Box::new(enforce));
 }
--- /dev/null
+++ b/crates/controller/src/native/invoke.rs
@@ -0,0 +1,196 @@
+//! From a client's `invoke` call to an accepted invocation.
+
+use crate::native::reply::Reply;
+use crate::native::state::{ControllerState, Payload, PendingCall, RegistryVersion};
+use saltdrum::interface::{FunctionId, Invocation, MILLISECOND, Ticks};
+use saltdrum_deployment::Terms;
+use saltdrum_protocol::rpc;
+use saltdrum_registry::passage::{Said, Unfixed};
+use tracing::info_span;
+
+/// At most this fraction of what a client waits is kept for the way of the answer.
+const MAX_ANSWER_MARGIN_DIVISOR: Ticks = 4;
+
+/// When a call arrived, and the shortest wait of the batch that it belongs to.
+#[derive(Clone, Copy)]
+pub(crate) struct Arrival {
+    pub earliest: Ticks,
+    pub shortest_wait: Option<Ticks>,
+}
+
+/// Why a call is rejected: code and text of its JSON-RPC error.
+struct Rejection {
+    code: i64,
+    reason: String,
+}
+
+impl Rejection {
+    fn invalid_params(reason: String) -> Self {
+        Self {
+            code: rpc::INVALID_PARAMS,
+            reason,
+        }
+    }
+
+    fn unknown(what: &str, name: &str) -> Self {
+        Self::invalid_params(format!("{what} '{name}': not one of this deployment"))
+    }
+}
+
+/// What an invocation runs.
+struct Target {
+    function: FunctionId,
+    memory_mb: f64,
+    concurrency_limit: f64,
+    load_time_hint: Option<Ticks>,
+    version: Option<RegistryVersion>,
+}
+
+/// Accepts an invocation, or rejects the call.
+pub(crate) fn invoke(
+    state: &mut ControllerState,
+    call: rpc::Invoke,
+    arrival: Arrival,
+    mut reply: Reply,
+) {
+    let terms = state.invocations.transport.terms.clone();
+    let (trigger, tenant) = match find_trigger_and_tenant(&terms, &call) {
+        Ok(found) => found,
+        Err(rejection) => return reply.reject(rejection.code, &rejection.reason),
+    };
+    let target = match find_target(state, &terms, &call) {
+        Ok(target) => target,
+        Err(rejection) => return reply.reject(rejection.code, &rejection.reason),
+    };
+    let client_timeout = terms.deployment.trigger_types[trigger].client_timeout;
+    let wait = match client_wait(&call, client_timeout) {
+        Ok(wait) => arrival
+            .shortest_wait
+            .map_or(wait, |shortest| wait.min(shortest)),
+        Err(rejection) => return reply.reject(rejection.code, &rejection.reason),
+    };
+    let client_deadline = arrival.earliest + wait;
+    if state.invocations.now >= client_deadline {
+        state.invocations.counters.expired_on_arrival += 1;
+        return reply.skip();
+    }
+    let id = state.invocations.next_invocation();
+    reply.accepted(id);
+    // Short waits keep their larger part for the work.
+    let answer_margin = terms.answer_margin.min(wait / MAX_ANSWER_MARGIN_DIVISOR);
+    let work_hint_ms = call.work_hint_ms.filter(|ms| *ms > 0.0);
+    let invocation = Invocation {
+        id,
+        trigger,
+        tenant,
+        function: target.function,
+        earliest_arrival: arrival.earliest,
+        expires_at: client_deadline - answer_margin,
+        work_hint: work_hint_ms.map(|ms| (ms * MILLISECOND as f64) as Ticks),
+        memory_mb: target.memory_mb,
+        concurrency_limit: target.concurrency_limit,
+        load_time_hint: target.load_time_hint,
+    };
+    let span = info_span!(
+        "invocation",
+        id,
+        function = call.function,
+        tenant = call.tenant
+    );
+    let version_fields = target
+        .version
+        .as_ref()
+        .map_or_else(String::new, version_fields);
+    let payload = Payload {
+        call,
+        version: target.version,
+    };
+    let pending_call = PendingCall {
+        reply,
+        version_fields,
+    };
+    state.accept(invocation, client_deadline, payload, pending_call, span);
+}
+
+/// JSON fields of a response that say which version ran, and until when it is pinned.
+fn version_fields(version: &RegistryVersion) -> String {
+    format!(
+        r#","version":"{}","passage_until_ms":{}"#,
+        version.name, version.fixed.until_ms
+    )
+}
+
+fn find_trigger_and_tenant(terms: &Terms, call: &rpc::Invoke) -> Result<(usize, usize), Rejection> {
+    let trigger = terms
+        .trigger_names
+        .iter()
+        .position(|name| *name == call.trigger);
+    let trigger = trigger.ok_or_else(|| Rejection::unknown("trigger", &call.trigger))?;
+    let tenant = terms
+        .tenant_names
+        .iter()
+        .position(|name| *name == call.tenant);
+    let tenant = tenant.ok_or_else(|| Rejection::unknown("tenant", &call.tenant))?;
+    Ok((trigger, tenant))
+}
+
+/// The function of the deployment, or the version of the registry, that a call names.
+fn find_target(
+    state: &mut ControllerState,
+    terms: &Terms,
+    call: &rpc::Invoke,
+) -> Result<Target, Rejection> {
+    if let Some(function) = terms.functions.get(&call.function) {
+        return Ok(Target {
+            function: function.id,
+            memory_mb: function.memory,
+            concurrency_limit: function.lanes,
+            load_time_hint: function.load,
+            version: None,
+        });
+    }
+    let now = state.invocations.now;
+    let transport = &mut state.invocations.transport;
+    let Some(aliases) = &mut transport.aliases else {
+        return Err(Rejection::unknown("function", &call.function));
+    };
+    let said = Said {
+        passage: call.passage.as_deref(),
+        version: call.version.as_deref(),
+        until_ms: call.passage_until_ms,
+    };
+    let resolved = aliases.resolve(now, &call.tenant, &call.trigger, &call.function, &said);
+    let resolved = resolved.map_err(|reason| Rejection {
+        code: match reason {
+            Unfixed::Withdrawn(_) | Unfixed::Over(_) => rpc::PASSAGE_OVER,
+            _ => rpc::INVALID_PARAMS,
+        },
+        reason: reason.to_string(),
+    })?;
+    let known_name = transport.functions.entry(resolved.function);
+    known_name.or_insert_with(|| resolved.name.clone());
+    Ok(Target {
+        function: resolved.function,
+        memory_mb: resolved.memory_mb,
+        concurrency_limit: resolved.concurrency_limit,
+        load_time_hint: None,
+        version: Some(RegistryVersion {
+            name: resolved.name,
+            fixed: resolved.fixed,
+        }),
+    })
+}
+
+/// How long the client waits: as it states, and no longer than the client timeout of its class.
+fn client_wait(call: &rpc::Invoke, client_timeout: Ticks) -> Result<Ticks, Rejection> {
+    match call.time_left_ms {
+        None => Ok(client_timeout),
+        Some(ms) if ms.is_finite() && ms > 0.0 => {
+            Ok(client_timeout.min((ms * MILLISECOND as f64) as Ticks))
+        }
+        Some(ms) => {
+            let reason = format!("time_left_ms = {ms}: more than 0 is expected");
+            Err(Rejection::invalid_params(reason))
+        }
+    }
+}
--- a/crates/controller/src/native/invoker_connections.rs
+++ b/crates/controller/src/native/invoker_connections.rs
@@ -1,395 +1,253 @@
-//! InvokerConnections to invokers: one multiplexed connection each, dialled again when it is lost.
+//! Keeps one multiplexed connection to each invoker, and reconnects with backoff when it is lost.
 
-use crate::invocations::AttemptReport;
-use crate::native::server::{ControllerHandle, ControllerState};
-use crate::reconnect::ReconnectBackoff;
+use crate::native::invoker_connection::{InvokerConnection, Phase};
+use crate::native::state::{ControllerHandle, ControllerState};
+use crate::transport::AttemptReport;
 use bytes::{Bytes, BytesMut};
-use saltdrum::interface::*;
+use saltdrum::interface::{
+    InvocationId, InvokerId, LoadOutcome, LoadReport, Outcome, StartKind, Ticks,
+};
 use saltdrum_protocol::frame::{Message, cut, encode};
 use saltdrum_protocol::invoker as wire;
-use saltdrum_protocol::list::Entry;
-use saltdrum_transport::{Address, Half, SendQueue, Stream, Ticket, split};
-use std::collections::{BTreeMap, BTreeSet};
+use saltdrum_protocol::list::Life;
+use saltdrum_transport::{Address, Half, ParseAddressError, SendQueue, Stream, Ticket, split};
+use std::io;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::Notify;
 use tracing::{debug, info, warn};
 
-/// What waits for one invoker is bounded; beyond it a dispatch is not sent.
-const WAITING_MOST_BYTES: usize = 8 << 20;
-/// Answers to dispatches that were given up are expected for so many of the latest.
-const GIVEN_UP_MOST: usize = 100_000;
-
-#[derive(Clone, Copy, PartialEq, Eq)]
-enum Phase {
-    /// Frames wait for the connection that is being made.
-    Dialling,
-    Up,
-    /// The last try failed; what is sent now is not.
-    Down,
-}
-
-struct Sent {
-    invocation: InvocationId,
-    attempt: u8,
-    ticket: Ticket,
+/// Why a connection ended, or was not made.
+#[derive(Debug, thiserror::Error)]
+enum ConnectionError {
+    #[error(transparent)]
+    Address(#[from] ParseAddressError),
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    #[error(transparent)]
+    Malformed(#[from] saltdrum_protocol::Malformed),
+    #[error("no connection within {} ms", .0.as_millis())]
+    Timeout(Duration),
+    #[error("closed by the invoker")]
+    ClosedByInvoker,
+    #[error("closed by this controller")]
+    Closed,
+    #[error("cut off while the invoker is draining")]
+    CutOff,
+    #[error("the invoker refused the connection: {0}")]
+    Refused(String),
+    #[error("invoker {found} is at this address, {expected} was expected")]
+    WrongInvoker {
+        found: InvokerId,
+        expected: InvokerId,
+    },
+    #[error("version {found} was chosen, {} was offered", wire::VERSION)]
+    WrongVersion { found: u16 },
+    #[error(
+        "message of kind {found} in the handshake, {} was expected",
+        wire::Welcome::NAME
+    )]
+    UnexpectedMessage { found: u8 },
+    #[error("a second handshake")]
+    SecondHandshake,
+    #[error("an answer for dispatch {0}, which is not in flight")]
+    UnknownDispatch(u64),
+    #[error("an answer for dispatch {0}, which has not been sent")]
+    UnsentDispatch(u64),
 }
 
-pub(crate) struct InvokerConnection {
-    pub entry: Entry,
-    /// By this controller's clock.
-    pub started: Option<Ticks>,
-    pub load_orders: BTreeMap<u64, Ticket>,
-    phase: Phase,
-    send_queue: SendQueue,
-    in_flight: BTreeMap<u64, Sent>,
-    abandoned: BTreeSet<u64>,
-    last_id: u64,
-    /// Rule 3: nothing new leaves from then on, not even what waited.
-    cutoff: Ticks,
-    pub backoff: ReconnectBackoff,
-    pub changed: Rc<Notify>,
-    broken: Rc<Notify>,
+/// What an invoker that the endpoint list names for the first time needs: a task that keeps its connection.
+pub(crate) fn spawn(handle: &Rc<ControllerHandle>, invoker: InvokerId) {
+    tokio::task::spawn_local(keep_connected(handle.clone(), invoker));
 }
 
-impl InvokerConnection {
-    pub fn new(entry: Entry, started: Option<Ticks>) -> Self {
-        Self {
-            entry,
-            started,
-            load_orders: BTreeMap::new(),
-            phase: Phase::Dialling,
-            send_queue: SendQueue::new(WAITING_MOST_BYTES),
-            in_flight: BTreeMap::new(),
-            abandoned: Default::default(),
-            last_id: 0,
-            cutoff: Ticks::MAX,
-            backoff: ReconnectBackoff::default(),
-            changed: Rc::default(),
-            broken: Rc::default(),
-        }
-    }
-
-    pub fn is_up(&self) -> bool {
-        self.phase == Phase::Up
-    }
-
-    fn push(&mut self, frame: Bytes, until: Ticks) -> Option<Ticket> {
-        if self.phase == Phase::Down {
-            None
-        } else {
-            self.send_queue.push(frame, until)
-        }
-    }
-
-    pub fn dispatch(
-        &mut self,
-        frame: wire::DispatchOut,
-        until: Ticks,
-        inv: InvocationId,
-        hop: u8,
-    ) -> Result<u64, Outcome> {
-        if self.phase == Phase::Down {
-            return Err(Outcome::NoConnection);
-        }
-        self.last_id += 1;
-        let frame = wire::DispatchOut {
-            dispatch: self.last_id,
-            ..frame
-        };
-        let ticket = self.push(frame.encode(), until.min(self.cutoff));
-        let Some(ticket) = ticket else {
-            self.last_id -= 1;
-            return Err(Outcome::NotSent);
-        };
-        self.in_flight.insert(
-            self.last_id,
-            Sent {
-                invocation: inv,
-                attempt: hop,
-                ticket,
-            },
-        );
-        Ok(self.last_id)
-    }
-
-    pub fn load(&mut self, function: FunctionId, name: String, count: u8) -> Option<u64> {
-        let order = self.last_id + 1;
-        let until = if count > 0 { self.cutoff } else { Ticks::MAX };
-        let ticket = self.push(
-            encode(&wire::Hold {
-                order,
-                function,
-                name,
-                count,
-            }),
-            until,
-        )?;
-        self.last_id = order;
-        self.load_orders.insert(order, ticket);
-        Some(order)
-    }
-
-    pub fn cancel(&mut self, dispatch: u64) {
-        self.push(encode(&wire::Cancel { dispatch }), Ticks::MAX);
-    }
-
-    pub fn unload(&mut self, function: FunctionId) {
-        self.push(encode(&wire::Unload { function }), Ticks::MAX);
-    }
-
-    pub fn probe(&mut self) {
-        self.last_id += 1;
-        self.push(
-            encode(&wire::Probe {
-                probe: self.last_id,
-            }),
-            Ticks::MAX,
-        );
-    }
-
-    /// Takes a frame back that has not begun to leave.
-    pub fn withdraw(&mut self, dispatch: u64) -> bool {
-        let Some(ticket) = self.in_flight.get(&dispatch).map(|s| s.ticket) else {
-            return false;
-        };
-        self.send_queue
-            .withdraw(0, |t| t == ticket)
-            .contains(&ticket)
-    }
-
-    /// Its dispatch has ended for us; an answer may still be on its way.
-    pub fn forget(&mut self, dispatch: u64) {
-        if self.in_flight.remove(&dispatch).is_some() {
-            self.abandoned.insert(dispatch);
-            if self.abandoned.len() > GIVEN_UP_MOST {
-                self.abandoned.pop_first();
-            }
-        }
-    }
-
-    /// AttemptReport that it drains or is gone: what waits may leave until `at`, and what is stuck half-way is cut off then.
-    pub fn set_cutoff(&mut self, at: Ticks) {
-        self.cutoff = at;
-    }
-
-    fn is_new_work(&self, ticket: Ticket) -> bool {
-        self.in_flight.values().any(|s| s.ticket == ticket)
-            || self.load_orders.values().any(|o| *o == ticket)
-    }
-}
-
-/// The time of [`InvokerConnection::cut_at`] has come.
-pub(crate) fn cut_off(state: &mut ControllerState, invoker: InvokerId) {
+/// Ends new work that waits for a draining invoker. Called at the cutoff that was set for the connection.
+pub(crate) fn enforce_cutoff(state: &mut ControllerState, invoker: InvokerId) {
     let now = state.invocations.now;
-    let Some(link) = state
-        .invocations
-        .transport
-        .by_invoker
-        .get_mut(&invoker)
-        .filter(|l| now >= l.cutoff)
-    else {
+    let connection = state.invocations.transport.by_invoker.get_mut(&invoker);
+    let Some(connection) = connection.filter(|connection| now >= connection.cutoff) else {
         return;
     };
-    let gone = link.send_queue.withdraw(now, |t| link.is_new_work(t));
-    if link
-        .send_queue
-        .partially_sent()
-        .is_some_and(|t| link.is_new_work(t))
-    {
+    let queue = &connection.send_queue;
+    let withdrawn = queue.withdraw(now, |ticket| connection.is_new_work(ticket));
+    let partially_sent = queue.partially_sent();
+    if partially_sent.is_some_and(|ticket| connection.is_new_work(ticket)) {
         warn!(
             invoker,
-            "a frame is stuck half-way to an invoker that drains: the link is cut"
+            "frame partially sent to a draining invoker, connection closed"
         );
-        link.broken.notify_one();
+        connection.broken.notify_one();
     }
-    not_sent(state, invoker, &gone);
+    end_withdrawn(state, invoker, &withdrawn);
 }
 
-/// Frames that were withdrawn: their dispatches never ran, their orders reached nobody.
-fn not_sent(state: &mut ControllerState, invoker: InvokerId, tickets: &[Ticket]) {
-    let Some(link) = state.invocations.transport.by_invoker.get(&invoker) else {
+/// Ends attempts and load orders whose frames were withdrawn: they never ran.
+fn end_withdrawn(state: &mut ControllerState, invoker: InvokerId, withdrawn: &[Ticket]) {
+    let Some(connection) = state.invocations.transport.by_invoker.get(&invoker) else {
         return;
     };
-    let out: Vec<(InvocationId, u8)> = link
-        .in_flight
-        .values()
-        .filter(|s| tickets.contains(&s.ticket))
-        .map(|s| (s.invocation, s.attempt))
+    let attempts = connection.in_flight.values();
+    let attempts: Vec<(InvocationId, u8)> = attempts
+        .filter(|sent| withdrawn.contains(&sent.ticket))
+        .map(|sent| (sent.invocation, sent.attempt))
         .collect();
-    let orders: Vec<u64> = link
-        .load_orders
-        .iter()
-        .filter(|(_, o)| tickets.contains(o))
-        .map(|(id, _)| *id)
+    let orders = connection.load_orders.iter();
+    let orders: Vec<u64> = orders
+        .filter(|(_, ticket)| withdrawn.contains(ticket))
+        .map(|(order, _)| *order)
         .collect();
-    out.into_iter().for_each(|(inv, hop)| {
-        state.attempt_ended(inv, hop, Outcome::NotSent, &AttemptReport::default())
-    });
-    orders
-        .into_iter()
-        .for_each(|order| state.load_ended(invoker, order, LoadOutcome::Unreachable, 0));
+    for (invocation, attempt) in attempts {
+        state.attempt_ended(
+            invocation,
+            attempt,
+            Outcome::NotSent,
+            &AttemptReport::default(),
+        );
+    }
+    for order in orders {
+        state.load_ended(invoker, order, LoadOutcome::Unreachable, 0);
+    }
 }
 
-/// The connection is gone, or never came: each dispatch ends by what is known of its frame.
-fn lost(state: &mut ControllerState, invoker: InvokerId) {
+/// Ends all attempts and load orders of a connection that was lost or could not be made, by what was sent of each.
+fn end_all(state: &mut ControllerState, invoker: InvokerId) {
     let now = state.invocations.now;
-    let Some(link) = state.invocations.transport.by_invoker.get_mut(&invoker) else {
+    let Some(connection) = state.invocations.transport.by_invoker.get_mut(&invoker) else {
         return;
     };
-    link.backoff.disconnected(now);
-    link.phase = Phase::Down;
-    link.send_queue.close();
-    link.last_id = 0;
-    link.abandoned = Default::default();
-    let out: Vec<(InvocationId, u8, bool)> = link
-        .in_flight
-        .values()
-        .map(|s| (s.invocation, s.attempt, link.send_queue.is_sent(s.ticket)))
-        .collect();
-    let orders: Vec<u64> = link.load_orders.keys().copied().collect();
-    for (inv, hop, left) in out {
+    connection.disconnected(now);
+    let attempts: Vec<_> = connection.in_flight.values().copied().collect();
+    let queue = connection.send_queue.clone();
+    let orders: Vec<u64> = connection.load_orders.keys().copied().collect();
+    for sent in attempts {
+        let may_have_run = queue.is_sent(sent.ticket);
+        let outcome = if may_have_run {
+            Outcome::Reset
+        } else {
+            Outcome::NoConnection
+        };
         state.attempt_ended(
-            inv,
-            hop,
-            if left {
-                Outcome::Reset
-            } else {
-                Outcome::NoConnection
-            },
+            sent.invocation,
+            sent.attempt,
+            outcome,
             &AttemptReport::default(),
         );
     }
-    orders
-        .into_iter()
-        .for_each(|order| state.load_ended(invoker, order, LoadOutcome::Unreachable, 0));
-    if let Some(link) = state.invocations.transport.by_invoker.get_mut(&invoker) {
-        link.in_flight.clear();
-        link.abandoned = Default::default();
+    for order in orders {
+        state.load_ended(invoker, order, LoadOutcome::Unreachable, 0);
+    }
+    if let Some(connection) = state.invocations.transport.by_invoker.get_mut(&invoker) {
+        connection.in_flight.clear();
+        connection.abandoned.clear();
     }
 }
 
-/// Keeps the link to one invoker for as long as the list knows it.
-pub(crate) async fn keep(handle: Rc<ControllerHandle>, invoker: InvokerId) {
+/// What the task of a connection does next.
+enum Step {
+    /// Connect after a delay, or sooner when the endpoint list changes.
+    ConnectAfter(Ticks, Rc<Notify>),
+    /// The invoker is gone: wait until the endpoint list names it again.
+    WaitForChange(Rc<Notify>),
+    /// The connection is not known any more.
+    Stop,
+}
+
+fn next_step(state: &mut ControllerState, invoker: InvokerId) -> Step {
+    let now = state.invocations.now;
+    let transport = &mut state.invocations.transport;
+    let connections = transport.by_invoker.len();
+    let Some(connection) = transport.by_invoker.get_mut(&invoker) else {
+        return Step::Stop;
+    };
+    if connection.entry.life == Life::Gone {
+        return Step::WaitForChange(connection.changed.clone());
+    }
+    let mut delay = connection.backoff.next_delay(&mut transport.rng);
+    if connection.backoff.is_failing() {
+        delay += transport.connect_budget.take_retry(now, connections);
+    } else {
+        delay += transport.connect_budget.take_first(now);
+        connection.begin_connecting();
+    }
+    Step::ConnectAfter(delay, connection.changed.clone())
+}
+
+/// Keeps the connection to one invoker for as long as the endpoint list knows it.
+async fn keep_connected(handle: Rc<ControllerHandle>, invoker: InvokerId) {
     loop {
-        let plan = handle.update(|state| {
-            let invocations = &mut state.invocations;
-            let links = invocations.transport.by_invoker.len();
-            let link = invocations.transport.by_invoker.get_mut(&invoker)?;
-            if link.entry.life == saltdrum_protocol::list::Life::Gone {
-                return None;
-            }
-            let mut wait = link.backoff.next_delay(&mut invocations.transport.rng);
-            if link.backoff.is_failing() {
-                wait += invocations
-                    .transport
-                    .connect_budget
-                    .take_retry(invocations.now, links);
-            } else {
-                wait += invocations
-                    .transport
-                    .connect_budget
-                    .take_first(invocations.now);
-                begin(link);
-            }
-            Some((wait, link.changed.clone()))
-        });
-        let Some((wait, changed)) = plan else {
-            // Gone: until the list names it again.
-            let changed = handle.update(|state| {
-                state
-                    .invocations
-                    .transport
-                    .by_invoker
-                    .get(&invoker)
-                    .map(|l| l.changed.clone())
-            });
-            match changed {
-                Some(changed) => changed.notified().await,
-                None => return,
+        match handle.update(|state| next_step(state, invoker)) {
+            Step::Stop => return,
+            Step::WaitForChange(changed) => {
+                changed.notified().await;
+                continue;
             }
-            continue;
-        };
-        tokio::select! {
-            biased;
-            () = tokio::time::sleep(Duration::from_micros(wait * 100)) => {}
-            () = changed.notified() => continue,
+            Step::ConnectAfter(delay, changed) => tokio::select! {
+                biased;
+                () = tokio::time::sleep(Duration::from_micros(delay * 100)) => {}
+                () = changed.notified() => continue,
+            },
         }
-        let (address, outbox, broken) = handle.update(|state| {
-            let link = state
-                .invocations
-                .transport
-                .by_invoker
-                .get_mut(&invoker)
-                .expect("links stay");
-            begin(link);
+        let (address, queue, broken) = handle.update(|state| {
+            let connection = state.invocations.transport.by_invoker.get_mut(&invoker);
+            let connection = connection.expect("connections are never removed");
+            connection.begin_connecting();
+            let address = connection.entry.address.clone();
             (
-                link.entry.address.clone(),
-                link.send_queue.clone(),
-                link.broken.clone(),
+                address,
+                connection.send_queue.clone(),
+                connection.broken.clone(),
             )
         });
-        let why = tokio::select! {
+        let reason = tokio::select! {
             biased;
-            why = connected(&handle, invoker, &address, &outbox) => why,
-            () = broken.notified() => "cut off".into(),
+            reason = connect_and_serve(&handle, invoker, &address, &queue) => reason,
+            () = broken.notified() => ConnectionError::CutOff,
         };
-        info!(invoker, address, why, "link lost");
+        info!(invoker, address, %reason, "invoker connection lost");
         handle.update(|state| {
             state.invocations.counters.broken_connections += 1;
-            lost(state, invoker);
+            end_all(state, invoker);
         });
     }
 }
 
-fn begin(link: &mut InvokerConnection) {
-    if link.phase == Phase::Down {
-        link.phase = Phase::Dialling;
-        link.send_queue = SendQueue::new(WAITING_MOST_BYTES);
-        link.broken = Rc::default();
-    }
-}
-
-/// ConnectBudget, shakes hands and serves the link; says why it ended.
-async fn connected(
+/// Connects, shakes hands and serves the connection; gives the reason for its end.
+async fn connect_and_serve(
     handle: &Rc<ControllerHandle>,
     invoker: InvokerId,
     address: &str,
-    outbox: &SendQueue,
-) -> String {
-    let within = Duration::from_micros(handle.config.terms.connect_timeout * 100);
-    let shaken = tokio::time::timeout(within, shake_hands(handle, invoker, address)).await;
-    let (stream, read, welcome) = match shaken {
-        Ok(Ok(shaken)) => shaken,
-        Ok(Err(why)) => return why,
-        Err(_) => return format!("no connection within {} ms", within.as_millis()),
+    queue: &SendQueue,
+) -> ConnectionError {
+    let time_limit = Duration::from_micros(handle.config.terms.connect_timeout * 100);
+    let connecting = shake_hands(handle, invoker, address);
+    let (stream, received, welcome) = match tokio::time::timeout(time_limit, connecting).await {
+        Ok(Ok(connected)) => connected,
+        Ok(Err(error)) => return error,
+        Err(_) => return ConnectionError::Timeout(time_limit),
     };
-    handle.update(|state| up(state, invoker, &welcome));
+    handle.update(|state| connection_made(state, invoker, &welcome));
     let (input, mut output) = split(stream);
     let clock = handle.clock;
-    let withdrawn = |ticket| handle.update(|state| not_sent(state, invoker, &[ticket]));
+    let on_withdrawn = |ticket| handle.update(|state| end_withdrawn(state, invoker, &[ticket]));
     tokio::select! {
         biased;
-        why = hear(handle, invoker, input, read) => why,
-        done = outbox.write_to(&mut output, || clock.now(), withdrawn) => match done {
-            Ok(()) => "closed".into(),
-            Err(e) => e.to_string(),
+        reason = read_messages(handle, invoker, input, received) => reason,
+        done = queue.write_to(&mut output, || clock.now(), on_withdrawn) => match done {
+            Ok(()) => ConnectionError::Closed,
+            Err(error) => error.into(),
         },
     }
 }
 
+/// Gives the stream, what was received after the handshake, and the invoker's answer.
 async fn shake_hands(
     handle: &Rc<ControllerHandle>,
     invoker: InvokerId,
     address: &str,
-) -> Result<(Stream, BytesMut, wire::Welcome), String> {
+) -> Result<(Stream, BytesMut, wire::Welcome), ConnectionError> {
     let address: Address = address.parse()?;
-    let mut stream = handle
-        .network
-        .dial(&address)
-        .await
-        .map_err(|e| e.to_string())?;
+    let mut stream = handle.network.dial(&address).await?;
     let hello = wire::Hello {
         version_least: wire::VERSION_LEAST,
         version_most: wire::VERSION,
@@ -397,165 +255,172 @@
         incarnation: handle.config.incarnation,
         invoker,
     };
-    stream
-        .write_all(&encode(&hello))
-        .await
-        .map_err(|e| e.to_string())?;
-    let mut read = BytesMut::new();
+    stream.write_all(&encode(&hello)).await?;
+    let mut received = BytesMut::new();
     let (kind, body) = loop {
-        if let Some(frame) = cut(&mut read).map_err(|e| e.to_string())? {
+        if let Some(frame) = cut(&mut received)? {
             break frame;
         }
-        if stream
-            .read_buf(&mut read)
-            .await
-            .map_err(|e| e.to_string())?
-            == 0
-        {
-            return Err("hung up in the handshake".into());
+        if stream.read_buf(&mut received).await? == 0 {
+            return Err(ConnectionError::ClosedByInvoker);
         }
     };
-    match wire::FromInvoker::read(kind, &body).map_err(|e| e.to_string())? {
-        wire::FromInvoker::Welcome(w) if w.invoker != invoker => Err(format!(
-            "invoker {} is here, {invoker} was expected",
-            w.invoker
-        )),
-        wire::FromInvoker::Welcome(w) if w.version != wire::VERSION => Err(format!(
-            "version {} was chosen, {} was offered",
-            w.version,
-            wire::VERSION
-        )),
-        wire::FromInvoker::Welcome(w) => Ok((stream, read, w)),
-        wire::FromInvoker::Unwelcome(u) => Err(format!("unwelcome: {}", u.why)),
-        _ => Err(format!(
-            "kind {kind} in the handshake: {} is expected",
-            wire::Welcome::NAME
-        )),
+    match wire::FromInvoker::read(kind, &body)? {
+        wire::FromInvoker::Welcome(welcome) => {
+            check_welcome(&welcome, invoker)?;
+            Ok((stream, received, welcome))
+        }
+        wire::FromInvoker::Unwelcome(refusal) => Err(ConnectionError::Refused(refusal.why)),
+        _ => Err(ConnectionError::UnexpectedMessage { found: kind }),
     }
 }
 
-fn up(state: &mut ControllerState, invoker: InvokerId, welcome: &wire::Welcome) {
+fn check_welcome(welcome: &wire::Welcome, expected: InvokerId) -> Result<(), ConnectionError> {
+    if welcome.invoker != expected {
+        return Err(ConnectionError::WrongInvoker {
+            found: welcome.invoker,
+            expected,
+        });
+    }
+    if welcome.version != wire::VERSION {
+        return Err(ConnectionError::WrongVersion {
+            found: welcome.version,
+        });
+    }
+    Ok(())
+}
+
+fn connection_made(state: &mut ControllerState, invoker: InvokerId, welcome: &wire::Welcome) {
     let now = state.invocations.now;
-    let Some(link) = state.invocations.transport.by_invoker.get_mut(&invoker) else {
+    let Some(connection) = state.invocations.transport.by_invoker.get_mut(&invoker) else {
         return;
     };
-    link.phase = Phase::Up;
-    link.backoff.connected(now);
-    debug!(invoker, "link up");
-    if welcome.incarnation != link.entry.incarnation {
-        // The invoker knows first that it has started anew; the list lags, and a cold one must not be taken for warm.
-        link.entry.incarnation = welcome.incarnation;
-        link.started = now.checked_sub(welcome.age_tenths);
-        let listed = crate::native::endpoint_list::listed(&link.entry, link.started);
-        state.policy.invokers_changed(now, false, &[listed]);
+    connection.phase = Phase::Up;
+    connection.backoff.connected(now);
+    debug!(invoker, "invoker connected");
+    if welcome.incarnation != connection.entry.incarnation {
+        // The invoker knows of its restart before the endpoint list does. One that is warming up must not be taken for warm.
+        connection.entry.incarnation = welcome.incarnation;
+        connection.started_at = now.checked_sub(welcome.age_tenths);
+        let record = connection.record();
+        state.policy.invokers_changed(now, false, &[record]);
     }
 }
 
-async fn hear(
+/// Reads messages until the connection ends; gives the reason.
+async fn read_messages(
     handle: &Rc<ControllerHandle>,
     invoker: InvokerId,
     mut input: Half,
-    mut read: BytesMut,
-) -> String {
+    mut received: BytesMut,
+) -> ConnectionError {
     loop {
         loop {
-            let frame = match cut(&mut read) {
+            let (kind, body) = match cut(&mut received) {
                 Ok(None) => break,
                 Ok(Some(frame)) => frame,
-                Err(e) => return e.to_string(),
+                Err(error) => return error.into(),
             };
-            let told = wire::FromInvoker::read(frame.0, &frame.1).map_err(|e| e.to_string());
-            let told =
-                told.and_then(|message| handle.update(|state| hear_one(state, invoker, message)));
-            if let Err(why) = told {
-                warn!(invoker, why, "an invoker broke the protocol");
-                return why;
+            let message = wire::FromInvoker::read(kind, &body).map_err(ConnectionError::from);
+            let handled = message
+                .and_then(|message| handle.update(|state| handle_message(state, invoker, message)));
+            if let Err(reason) = handled {
+                warn!(invoker, %reason, "invoker broke the protocol");
+                return reason;
             }
         }
-        match input.read_buf(&mut read).await {
-            Ok(0) => return "hung up".into(),
+        match input.read_buf(&mut received).await {
+            Ok(0) => return ConnectionError::ClosedByInvoker,
             Ok(_) => {}
-            Err(e) => return e.to_string(),
+            Err(error) => return error.into(),
         }
     }
 }
 
-fn hear_one(
+fn handle_message(
     state: &mut ControllerState,
     invoker: InvokerId,
     message: wire::FromInvoker,
-) -> Result<(), String> {
-    let Some(link) = state.invocations.transport.by_invoker.get_mut(&invoker) else {
+) -> Result<(), ConnectionError> {
+    let Some(connection) = state.invocations.transport.by_invoker.get_mut(&invoker) else {
         return Ok(());
     };
     match message {
-        wire::FromInvoker::Answer(a) => {
-            let Some(sent) = link.in_flight.get(&a.dispatch) else {
-                if link.abandoned.remove(&a.dispatch) {
-                    return Ok(());
+        wire::FromInvoker::Answer(answer) => {
+            if let Some((invocation, attempt)) = find_attempt(connection, &answer)? {
+                let outcome = outcome(&answer, invoker, invocation);
+                state.attempt_ended(invocation, attempt, outcome, &report(&answer));
+                if let Some(connection) = state.invocations.transport.by_invoker.get_mut(&invoker) {
+                    // The one answer is here: a second is a fault.
+                    connection.abandoned.remove(&answer.dispatch);
                 }
-                return Err(format!(
-                    "an answer for dispatch {}, which is not out",
-                    a.dispatch
-                ));
-            };
-            if !link.send_queue.is_sent(sent.ticket) {
-                return Err(format!(
-                    "an answer for dispatch {}, which has not left",
-                    a.dispatch
-                ));
-            }
-            let (inv, hop) = (sent.invocation, sent.attempt);
-            let outcome = match a.ended {
-                wire::Ended::Succeeded
-                    if serde_json::from_slice::<&serde_json::value::RawValue>(&a.output)
-                        .is_err() =>
-                {
-                    warn!(invoker, inv, "a result that is not JSON");
-                    Outcome::Errored
-                }
-                wire::Ended::Succeeded => Outcome::Succeeded,
-                wire::Ended::Errored => Outcome::Errored,
-                wire::Ended::Full => Outcome::Full,
-                wire::Ended::Miss => Outcome::Miss,
-                wire::Ended::Cancelled => Outcome::Cancelled,
-            };
-            state.attempt_ended(inv, hop, outcome, &told(&a));
-            if let Some(link) = state.invocations.transport.by_invoker.get_mut(&invoker) {
-                // Its one answer is here: a second would be a lie.
-                link.abandoned.remove(&a.dispatch);
             }
         }
-        wire::FromInvoker::Held(h) => {
-            let outcome = match h.ended {
+        wire::FromInvoker::Held(held) => {
+            let outcome = match held.ended {
                 wire::HoldEnded::Standing => LoadOutcome::Loaded,
                 wire::HoldEnded::NoRoom => LoadOutcome::NoCapacity,
                 wire::HoldEnded::LoadFailed => LoadOutcome::LoadFailed,
             };
-            state.load_ended(invoker, h.order, outcome, h.standing);
+            state.load_ended(invoker, held.order, outcome, held.standing);
         }
         wire::FromInvoker::Probed(_) => {}
         wire::FromInvoker::Welcome(_) | wire::FromInvoker::Unwelcome(_) => {
-            return Err("a second handshake".into());
+            return Err(ConnectionError::SecondHandshake);
         }
     }
     Ok(())
 }
 
-fn told(a: &wire::Answer) -> AttemptReport {
-    let finite = |x: &f32| x.is_finite();
+/// The attempt that an answer belongs to; none: it was given up meanwhile.
+fn find_attempt(
+    connection: &mut InvokerConnection,
+    answer: &wire::Answer,
+) -> Result<Option<(InvocationId, u8)>, ConnectionError> {
+    let Some(sent) = connection.in_flight.get(&answer.dispatch) else {
+        if connection.abandoned.remove(&answer.dispatch) {
+            return Ok(None);
+        }
+        return Err(ConnectionError::UnknownDispatch(answer.dispatch));
+    };
+    if !connection.send_queue.is_sent(sent.ticket) {
+        return Err(ConnectionError::UnsentDispatch(answer.dispatch));
+    }
+    Ok(Some((sent.invocation, sent.attempt)))
+}
+
+fn outcome(answer: &wire::Answer, invoker: InvokerId, invocation: InvocationId) -> Outcome {
+    match answer.ended {
+        wire::Ended::Succeeded if !is_json(&answer.output) => {
+            warn!(invoker, invocation, "result is not JSON");
+            Outcome::Errored
+        }
+        wire::Ended::Succeeded => Outcome::Succeeded,
+        wire::Ended::Errored => Outcome::Errored,
+        wire::Ended::Full => Outcome::Full,
+        wire::Ended::Miss => Outcome::Miss,
+        wire::Ended::Cancelled => Outcome::Cancelled,
+    }
+}
+
+fn is_json(bytes: &[u8]) -> bool {
+    serde_json::from_slice::<&serde_json::value::RawValue>(bytes).is_ok()
+}
+
+fn report(answer: &wire::Answer) -> AttemptReport {
+    let is_finite = |value: &f32| value.is_finite();
     AttemptReport {
-        start_kind: a.found.map(|found| match found {
+        start_kind: answer.found.map(|found| match found {
             wire::Found::Warm => StartKind::Warm,
             wire::Found::BeganLoad => StartKind::BeganLoad,
             wire::Found::JoinedLoad => StartKind::JoinedLoad,
             wire::Found::LoadFailed => StartKind::LoadFailed,
         }),
-        concurrency: a.crowd,
+        concurrency: answer.crowd,
         load_report: LoadReport {
-            utilization: a.load.cores_busy.filter(finite).map(f64::from),
-            queue_length: a.load.waiting.filter(finite).map(f64::from),
+            utilization: answer.load.cores_busy.filter(is_finite).map(f64::from),
+            queue_length: answer.load.waiting.filter(is_finite).map(f64::from),
         },
-        output: Bytes::copy_from_slice(&a.output),
+        output: Bytes::copy_from_slice(&answer.output),
     }
 }
--- /dev/null
+++ b/crates/controller/src/state.rs
@@ -0,0 +1,120 @@
+//! One controller's state, and the handle through which tasks use it.
+
+use crate::invocations::InvocationTable;
+use crate::policy::Policy;
+use crate::transport::InvokerTransport;
+use saltdrum::interface::{MILLISECOND, Ticks};
+use saltdrum_transport::{Clock, EventLoopClock, Network};
+use std::cell::RefCell;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::Notify;
+
+/// A timer that fires later than this fires after a stop of the process.
+const LATE_TIMER_THRESHOLD: Ticks = 40 * MILLISECOND;
+/// After a stop, timers wait this long: what lies in the sockets arrived first.
+const SOCKETS_FIRST_DELAY: Duration = Duration::from_millis(2);
+
+/// What runs on the state when a timer fires, or once the policy has returned.
+pub type TimerCallback<T> = Box<dyn FnOnce(&mut ControllerState<T>)>;
+
+/// The policy and the invocations it acts on, side by side, so that the policy can be called with the invocations.
+pub struct ControllerState<T: InvokerTransport> {
+    /// Who decides.
+    pub policy: Box<dyn Policy>,
+    /// What it acts on.
+    pub invocations: InvocationTable<T>,
+}
+
+/// A controller's state, with the clock and the network that it was given. Shared by all tasks of the controller.
+pub struct ControllerHandle<T: InvokerTransport> {
+    state: RefCell<ControllerState<T>>,
+    /// The controller's clock.
+    pub clock: Clock,
+    /// How it connects and listens.
+    pub network: Rc<dyn Network>,
+    /// When its event loop last polled the kernel.
+    pub event_loop: EventLoopClock,
+    /// Its configuration.
+    pub config: T::Config,
+    /// Wakes [`ControllerHandle::run_timers`] when a timer was added before all others.
+    timer_added: Notify,
+}
+
+impl<T: InvokerTransport> ControllerState<T> {
+    /// Runs what was deferred until the policy has returned.
+    fn run_deferred(&mut self) {
+        while let Some(callback) = self.invocations.next_deferred() {
+            callback(self);
+        }
+    }
+
+    fn run_due_timers(&mut self) {
+        while let Some(callback) = self.invocations.next_due_timer() {
+            callback(self);
+            self.run_deferred();
+        }
+    }
+}
+
+impl<T: InvokerTransport> ControllerHandle<T> {
+    /// A handle on a new controller's state.
+    pub fn new(
+        policy: Box<dyn Policy>,
+        invocations: InvocationTable<T>,
+        clock: Clock,
+        network: Rc<dyn Network>,
+        config: T::Config,
+    ) -> Self {
+        let state = ControllerState {
+            policy,
+            invocations,
+        };
+        Self {
+            state: RefCell::new(state),
+            clock,
+            network,
+            event_loop: EventLoopClock::default(),
+            config,
+            timer_added: Notify::new(),
+        }
+    }
+
+    /// Changes the state at the present time, then runs what the change deferred.
+    pub fn update<R>(&self, change: impl FnOnce(&mut ControllerState<T>) -> R) -> R {
+        let state = &mut *self.state.borrow_mut();
+        state.invocations.now = self.clock.now().max(state.invocations.now);
+        let first_before = state.invocations.first_timer();
+        let result = change(state);
+        state.run_deferred();
+        if state.invocations.first_timer() < first_before || first_before.is_none() {
+            self.timer_added.notify_one();
+        }
+        result
+    }
+
+    /// Reads the state.
+    pub fn inspect<R>(&self, read: impl FnOnce(&ControllerState<T>) -> R) -> R {
+        read(&self.state.borrow())
+    }
+
+    /// Fires timers for as long as the controller lives.
+    pub async fn run_timers(&self) {
+        loop {
+            let first = self.state.borrow().invocations.first_timer();
+            let Some(timer) = first else {
+                self.timer_added.notified().await;
+                continue;
+            };
+            tokio::select! {
+                biased;
+                () = self.clock.sleep_until(timer.at) => {}
+                () = self.timer_added.notified() => continue,
+            }
+            if self.clock.now() > timer.at + LATE_TIMER_THRESHOLD {
+                tokio::time::sleep(SOCKETS_FIRST_DELAY).await;
+            }
+            self.update(ControllerState::run_due_timers);
+        }
+    }
+}
--- a/crates/platform/src/attempt.rs
+++ b/crates/platform/src/attempt.rs
@@ -8,7 +8,7 @@
 use hyper::Request;
 use hyper::header::HeaderValue;
 use saltdrum::interface::*;
-use saltdrum_controller::invocations::AttemptReport;
+use saltdrum_controller::AttemptReport;
 use saltdrum_platform_wire::{frames, http};
 use saltdrum_transport::{Address, ReadBacklog, is_local_failure};
 use std::cell::Cell;
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -5,7 +5,7 @@
 use crate::connection::{Entry, attend};
 use crate::reach::ControllerHandle;
 use saltdrum::interface::{InvocationId, MILLISECOND, SECOND, Ticks};
-use saltdrum_controller::invocations::{FinalResponse, Responder};
+use saltdrum_controller::{FinalResponse, Responder};
 use saltdrum_platform_wire::frames::{self, Code};
 use saltdrum_transport::{ArrivalClock, Listener, SendQueue};
 use std::cell::{Cell, RefCell};
--- a/crates/platform/src/reach.rs
+++ b/crates/platform/src/reach.rs
@@ -9,7 +9,7 @@
 use http_body_util::Full;
 use hyper::Request;
 use saltdrum::interface::*;
-use saltdrum_controller::invocations::{self, AttemptReport, InvokerTransport, OutgoingDispatch};
+use saltdrum_controller::{AttemptReport, InvokerTransport, OutgoingDispatch};
 use saltdrum_platform_wire::feed::Line as Listing;
 use saltdrum_platform_wire::http;
 use saltdrum_transport::{Address, ReadBacklog};
@@ -21,8 +21,8 @@
 use tokio::task::AbortHandle;
 use tracing::{debug, info};
 
-pub(crate) type ControllerHandle = invocations::ControllerHandle<Lines>;
-pub(crate) type ControllerState = invocations::ControllerState<Lines>;
+pub(crate) type ControllerHandle = saltdrum_controller::ControllerHandle<Lines>;
+pub(crate) type ControllerState = saltdrum_controller::ControllerState<Lines>;
 
 /// An idle line is closed by us before the invoker would close it: at this share of the stated time.
 const IDLE_SHARE: (Ticks, Ticks) = (3, 4);
--- a/crates/platform/src/taking.rs
+++ b/crates/platform/src/taking.rs
@@ -3,7 +3,7 @@
 use crate::clients::{ANY_TIME, Client, FULL_COME_BACK_MS, Reply};
 use crate::reach::{ControllerHandle, ControllerState};
 use saltdrum::interface::{Invocation, MILLISECOND, Ticks};
-use saltdrum_controller::invocations::{FinalResponse, Responder};
+use saltdrum_controller::{FinalResponse, Responder};
 use saltdrum_platform_wire::frames::Request;
 use saltdrum_transport::ReadBacklog;
 use std::rc::Rc;
--- a/crates/scale/src/controller.rs
+++ b/crates/scale/src/controller.rs
@@ -5,7 +5,7 @@
 use saltdrum::DispatchPolicy;
 use saltdrum::interface::*;
 use saltdrum_controller::Policy;
-use saltdrum_controller::invocations::{
+use saltdrum_controller::{
     AttemptReport, ControllerHandle, FinalResponse, InvocationTable, InvokerTransport,
     OutgoingDispatch, Responder,
 };
@@ -163,7 +163,7 @@
     fn after(
         &mut self,
         takes: Ticks,
-        then: impl FnOnce(&mut saltdrum_controller::invocations::ControllerState<Self>) + 'static,
+        then: impl FnOnce(&mut saltdrum_controller::ControllerState<Self>) + 'static,
     ) {
         let Some(handle) = self.handle.upgrade() else {
             return;
