--- /dev/null
+++ b/crates/platform-wire/tests/platform_wire_fixtures.rs
@@ -0,0 +1,580 @@
+//! Compatibility with the platform: client frames, feed records, HTTP fields and the start file are compared with
+//! stored fixtures.
+//!
+//! Binary fixtures hold one frame per line, `name hex`. `start_file.json` is written by hand; the other files are
+//! rewritten only when `SALTDRUM_WRITE_FIXTURES` is set.
+
+use bytes::{Buf, Bytes, BytesMut};
+use saltdrum::port::{Deployment, Effect, Found, HoldOutcome, Life, Listed, Outcome, Scope};
+use saltdrum_platform_wire::config::{self, Config, Limits};
+use saltdrum_platform_wire::feed::{self, Event, Line};
+use saltdrum_platform_wire::frames::{self, Code, FromClient};
+use saltdrum_platform_wire::http;
+use serde_json::Value;
+use std::fmt::Write;
+use std::net::{Ipv4Addr, SocketAddrV4};
+use std::path::{Path, PathBuf};
+
+fn fixture_path(file: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/fixtures")
+        .join(file)
+}
+
+fn read_fixture(file: &str) -> String {
+    let path = fixture_path(file);
+    std::fs::read_to_string(&path)
+        .unwrap_or_else(|error| panic!("fixture {}: {error}", path.display()))
+}
+
+/// Compares with the stored fixture, or stores it when `SALTDRUM_WRITE_FIXTURES` is set.
+fn check_fixture(file: &str, actual: &str) {
+    if std::env::var_os("SALTDRUM_WRITE_FIXTURES").is_some() {
+        std::fs::write(fixture_path(file), actual).expect("the fixture is writable");
+    }
+    let stored = read_fixture(file);
+    for (number, (stored, actual)) in stored.lines().zip(actual.lines()).enumerate() {
+        assert_eq!(actual, stored, "{file}, line {}", number + 1);
+    }
+    assert_eq!(
+        actual, stored,
+        "{file}: the number of lines or the last line break differs"
+    );
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn bytes_of_hex(text: &str) -> BytesMut {
+    let pair = |pair: &[u8]| u8::from_str_radix(str::from_utf8(pair).unwrap(), 16).unwrap();
+    text.as_bytes().chunks(2).map(pair).collect()
+}
+
+/// Checks frames against a fixture file and gives the stored bytes back in the same order.
+fn check_frames(file: &str, frames: &[(&str, Bytes)]) -> Vec<BytesMut> {
+    let mut lines = String::new();
+    for (name, frame) in frames {
+        writeln!(lines, "{name} {}", hex(frame)).unwrap();
+    }
+    check_fixture(file, &lines);
+    lines
+        .lines()
+        .map(|line| bytes_of_hex(line.split_once(' ').unwrap().1))
+        .collect()
+}
+
+const ALL_FIELDS: [(&str, &str); 8] = [
+    ("verb", "charge"),
+    ("txn", "0102030405060708"),
+    ("team", "hill"),
+    ("limit", "2500.75"),
+    ("unique", "token-9"),
+    ("item", "8182838485868788"),
+    ("cpu", "12.5"),
+    ("extras", "memory_mb:512;lanes:2;load_ms:640;new:1"),
+];
+
+const NEEDED_FIELDS: [(&str, &str); 4] = [
+    ("verb", "look"),
+    ("txn", "1112131415161718"),
+    ("limit", "900"),
+    ("item", "2122232425262728"),
+];
+
+#[test]
+fn frames_of_a_client_keep_their_bytes_and_meaning() {
+    let sent = [
+        (
+            "invoke_all_fields",
+            frames::invoke(0x3132_3334, &ALL_FIELDS, b"body \x00\xff"),
+        ),
+        (
+            "invoke_needed_fields",
+            frames::invoke(0x4142_4344, &NEEDED_FIELDS, b""),
+        ),
+        ("left", frames::bare(18, 0x5152_5354)),
+        ("ask_ready", frames::bare(32, 0x6162_6364)),
+    ];
+    let mut stored = check_frames("client_frames.txt", &sent);
+    let received: Vec<FromClient> = stored
+        .iter_mut()
+        .map(|frame| frames::cut(frame).unwrap().expect("a whole frame"))
+        .collect();
+    assert!(stored.iter().all(|rest| rest.is_empty()));
+
+    let FromClient::Invoke { stream, payload } = received[0].clone() else {
+        panic!("an invoke")
+    };
+    assert_eq!(stream, 0x3132_3334);
+    let expected = frames::Request {
+        trigger: "charge".into(),
+        txn: 0x0102_0304_0506_0708,
+        tenant: Some("hill".into()),
+        limit_ms: 2_500.75,
+        token: Some("token-9".into()),
+        function: 0x8182_8384_8586_8788,
+        memory_mb: 512.0,
+        lanes: 2.0,
+        load_ms: Some(640.0),
+        work_hint_ms: Some(12.5),
+        body: Bytes::from_static(b"body \x00\xff"),
+    };
+    assert_eq!(frames::request(payload), Ok(expected));
+
+    let FromClient::Invoke { stream, payload } = received[1].clone() else {
+        panic!("an invoke")
+    };
+    assert_eq!(stream, 0x4142_4344);
+    let expected = frames::Request {
+        trigger: "look".into(),
+        txn: 0x1112_1314_1516_1718,
+        tenant: None,
+        limit_ms: 900.0,
+        token: None,
+        function: 0x2122_2324_2526_2728,
+        memory_mb: 0.0,
+        lanes: 1.0,
+        load_ms: None,
+        work_hint_ms: None,
+        body: Bytes::new(),
+    };
+    assert_eq!(frames::request(payload), Ok(expected));
+    assert_eq!(
+        received[2],
+        FromClient::Left {
+            stream: 0x5152_5354
+        }
+    );
+    assert_eq!(
+        received[3],
+        FromClient::AskReady {
+            stream: 0x6162_6364
+        }
+    );
+}
+
+#[test]
+fn frames_to_a_client_keep_their_bytes() {
+    let later = Some(1_250);
+    let sent = [
+        (
+            "succeeded",
+            frames::answer(0x0102_0304, Code::Succeeded, None, b"output"),
+        ),
+        (
+            "throttled",
+            frames::answer(0x1112_1314, Code::Throttled, later, b""),
+        ),
+        (
+            "throttled_without_advice",
+            frames::answer(0x1112_1315, Code::Throttled, None, b""),
+        ),
+        (
+            "errored",
+            frames::answer(0x2122_2324, Code::Errored, None, b"reason"),
+        ),
+        ("ready", frames::readiness(0x3132_3334, true)),
+        ("not_ready", frames::readiness(0x3132_3335, false)),
+        ("go_away", frames::go_away()),
+    ];
+    let stored = check_frames("frames_to_client.txt", &sent);
+    // There is no decoder of these frames outside the tests: the layout is read field by field.
+    let field = |name, value| vec![(Bytes::from_static(name), Bytes::from_static(value))];
+    let expected = [
+        (17, 0x0102_0304, 79, vec![], &b"output"[..]),
+        (17, 0x1112_1314, 66, field(b"later", b"1250"), b""),
+        (17, 0x1112_1315, 66, vec![], b""),
+        (17, 0x2122_2324, 69, vec![], b"reason"),
+        (33, 0x3132_3334, 79, vec![], b""),
+        (33, 0x3132_3335, 66, vec![], b""),
+    ];
+    for (frame, (kind, stream, code, fields, body)) in stored.iter().zip(expected) {
+        let mut frame = frame.clone().freeze();
+        assert_eq!(frame.get_u32() as usize, frame.len());
+        assert_eq!(
+            (frame.get_u8(), frame.get_u32(), frame.get_u8()),
+            (kind, stream, code)
+        );
+        assert_eq!(frames::fields(&mut frame), Ok(fields));
+        assert_eq!(frame, body);
+    }
+    assert_eq!(stored[6][..], [0, 0, 0, 5, 48, 0, 0, 0, 0]);
+}
+
+#[test]
+fn bounds_of_client_frames_are_unchanged() {
+    assert_eq!((frames::LENGTH_LEAST, frames::LENGTH_MOST), (5, 262_144));
+    assert_eq!((frames::BODY_MOST, frames::OUTPUT_MOST), (16_384, 262_080));
+    assert_eq!(frames::OPEN_MOST, 32);
+}
+
+/// The error text of a request with these fields, or `accepted`.
+fn request_outcome(fields: &[(&str, &str)]) -> String {
+    let mut frame = BytesMut::from(&frames::invoke(1, fields, b"")[..]);
+    let Ok(Some(FromClient::Invoke { payload, .. })) = frames::cut(&mut frame) else {
+        panic!("an invoke")
+    };
+    frames::request(payload)
+        .err()
+        .map_or_else(|| "accepted".into(), |error| error.to_string())
+}
+
+#[test]
+fn missing_and_wrong_request_fields_are_refused_with_the_same_text() {
+    let mut lines = String::new();
+    for (index, (name, _)) in ALL_FIELDS.iter().enumerate() {
+        let mut without = ALL_FIELDS.to_vec();
+        without.remove(index);
+        writeln!(lines, "{name} left out: {}", request_outcome(&without)).unwrap();
+        let mut wrong = ALL_FIELDS;
+        wrong[index].1 = " ";
+        writeln!(lines, "{name} blank: {}", request_outcome(&wrong)).unwrap();
+    }
+    let twice = [&NEEDED_FIELDS[..], &NEEDED_FIELDS[..1]].concat();
+    writeln!(lines, "verb twice: {}", request_outcome(&twice)).unwrap();
+    for kind in [17, 33, 48, 0] {
+        let refused = frames::cut(&mut BytesMut::from(&frames::bare(kind, 1)[..])).unwrap_err();
+        writeln!(lines, "frame type {kind}: {refused}").unwrap();
+    }
+    let oversize = frames::cut(&mut BytesMut::from(&[255; 4][..])).unwrap_err();
+    writeln!(lines, "frame length: {oversize}").unwrap();
+    check_fixture("request_faults.txt", &lines);
+}
+
+fn line(invoker: u32, life: Life, started_ms: Option<u64>) -> Line {
+    Line {
+        invoker,
+        address: SocketAddrV4::new(Ipv4Addr::new(10, 3, 0, 1), 9_001),
+        life,
+        zone: 2,
+        kind: 3,
+        cell: 0x0405,
+        size: 4.25,
+        started_ms,
+    }
+}
+
+#[test]
+fn feed_records_keep_their_bytes_and_meaning() {
+    let started = Some(1_700_000_000_123);
+    let changed = vec![
+        line(0x1112_1314, Life::Draining, started),
+        line(0x2122_2324, Life::Gone, None),
+    ];
+    let events = [
+        ("nothing", 0x0102_0304_0506_0708, Event::Nothing),
+        (
+            "whole",
+            0x1112,
+            Event::Whole(vec![line(0x0a0b_0c0d, Life::Ready, None)]),
+        ),
+        ("whole_of_no_lines", 0x1113, Event::Whole(vec![])),
+        ("changes", 0x1114, Event::Changes(changed)),
+    ];
+    let encoded = events
+        .clone()
+        .map(|(name, number, event)| (name, Bytes::from(feed::encode(number, &event))));
+    let stored = check_frames("feed.txt", &encoded);
+    for (mut frame, (name, number, event)) in stored.into_iter().zip(events) {
+        assert_eq!(feed::cut(&mut frame), Ok(Some((number, event))), "{name}");
+        assert!(frame.is_empty(), "{name}");
+    }
+}
+
+#[test]
+fn a_feed_line_is_listed_field_by_field() {
+    let Listed {
+        invoker,
+        zone,
+        kind,
+        cell,
+        life,
+        size,
+        started,
+    } = line(7, Life::Draining, Some(99)).listed(Some(123));
+    assert_eq!((invoker, zone, kind, cell), (7, 2, 3, 0x0405));
+    assert_eq!((life, size, started), (Life::Draining, 4.25, Some(123)));
+}
+
+#[test]
+fn invoker_ids_keep_their_text() {
+    assert_eq!(feed::id_text(0x0a0b_0c0d), "s-0a0b0c0d");
+    assert_eq!(feed::id_of("s-0a0b0c0d"), Ok(0x0a0b_0c0d));
+    let refused = feed::id_of("n-0a0b0c0d").unwrap_err();
+    let expected = "id of an invoker n-0a0b0c0d: s- and 8 hex digits are expected";
+    assert_eq!(refused.to_string(), expected);
+}
+
+fn outcome_word(outcome: Outcome) -> &'static str {
+    match outcome {
+        Outcome::Succeeded => "succeeded",
+        Outcome::Errored => "errored",
+        Outcome::Full => "full",
+        Outcome::TimedOut => "timed out",
+        Outcome::NoConnection => "no connection",
+        Outcome::Reset => "reset",
+        Outcome::Cancelled => "cancelled",
+        Outcome::NotSent => "not sent",
+        Outcome::Miss => "miss",
+    }
+}
+
+fn hold_outcome_word(outcome: HoldOutcome) -> &'static str {
+    match outcome {
+        HoldOutcome::Standing => "standing",
+        HoldOutcome::NoRoom => "no room",
+        HoldOutcome::LoadFailed => "load failed",
+        HoldOutcome::Unreachable => "unreachable",
+        HoldOutcome::TimedOut => "timed out",
+        HoldOutcome::NotSent => "not sent",
+    }
+}
+
+fn found_word(found: Option<Found>) -> &'static str {
+    match found {
+        None => "-",
+        Some(Found::Warm) => "warm",
+        Some(Found::BeganLoad) => "began load",
+        Some(Found::JoinedLoad) => "joined load",
+        Some(Found::LoadFailed) => "load failed",
+    }
+}
+
+#[test]
+fn http_fields_and_statuses_keep_their_names_and_meaning() {
+    let mut lines = String::new();
+    let sent = [
+        ("transaction", http::TXN),
+        ("function", http::FUNCTION),
+        ("time limit", http::LIMIT_MS),
+        ("token", http::TOKEN),
+    ];
+    for (name, field) in sent {
+        writeln!(lines, "{name} is sent as {field}").unwrap();
+    }
+    writeln!(lines, "path {}", http::function_path(0x0a0b_0c0d_0e0f)).unwrap();
+
+    for status in [200, 302, 404, 429, 500, 503, 504] {
+        for unrun in [None, Some("1"), Some("0")] {
+            let field = |name: &str| unrun.filter(|_| name == "x-unrun");
+            let outcome = outcome_word(http::outcome(status, field));
+            let held = hold_outcome_word(http::held(status, field));
+            let unrun = unrun.unwrap_or("-");
+            writeln!(
+                lines,
+                "{status} x-unrun={unrun}: dispatch {outcome}, hold {held}"
+            )
+            .unwrap();
+        }
+    }
+
+    let answers = [
+        ("x-how", "resident"),
+        ("x-how", "booted"),
+        ("x-how", "rode"),
+        ("x-how", "boot_error"),
+        ("x-how", "other"),
+        ("x-ahead", "7"),
+        ("x-ahead", "0"),
+        ("x-ahead", "300"),
+        ("x-gauges", "queue:7;util:0.61;new:1"),
+        ("x-gauges", "queue:nan;util:inf"),
+        ("x-units", "3"),
+        ("x-units", "300"),
+    ];
+    for (name, value) in answers {
+        let notes = http::notes(|asked| (asked == name).then_some(value));
+        let number = |number: Option<f64>| number.map_or("-".into(), |number| number.to_string());
+        writeln!(
+            lines,
+            "{name}={value}: found {}, crowd {}, busy {}, queue {}, standing {}",
+            found_word(notes.found),
+            number(notes.crowd.map(f64::from)),
+            number(notes.report.util),
+            number(notes.report.queue),
+            notes.standing,
+        )
+        .unwrap();
+    }
+    check_fixture("http.txt", &lines);
+}
+
+#[test]
+fn every_value_of_the_start_file_reaches_its_field() {
+    let text = read_fixture("start_file.json");
+    // Without `..`, so that a new field does not compile until it is compared here.
+    let Config {
+        name,
+        listen,
+        seed,
+        limits,
+        feed,
+        known,
+        deployment,
+        trigger_names,
+        tenant_names,
+        connect_timeout,
+        conn_idle,
+        order_timeout,
+    } = config::read(&text).unwrap();
+    let address = |text: &str| text.parse::<SocketAddrV4>().unwrap();
+    assert_eq!(name, "n1");
+    assert_eq!(listen, address("10.2.0.5:7443"));
+    assert_eq!(seed, 0x8c1f_30d2_7a5b_e964);
+    assert_eq!(
+        limits,
+        Limits {
+            memory_mb: 640.5,
+            sockets: 4_096
+        }
+    );
+    assert_eq!(feed, address("10.2.0.1:8500"));
+    assert_eq!(config::read_feed(&text), Ok(address("10.2.0.1:8500")));
+    assert_eq!(trigger_names, ["look", "charge"]);
+    assert_eq!(tenant_names, ["hill", "dale"]);
+    assert_eq!(
+        (connect_timeout, conn_idle, order_timeout),
+        (2_510, 150_005, 100_000)
+    );
+
+    let ready = Line {
+        invoker: 0x0a0b_0c0d,
+        address: address("10.3.0.1:9001"),
+        life: Life::Ready,
+        zone: 1,
+        kind: 1,
+        cell: 300,
+        size: 4.25,
+        started_ms: None,
+    };
+    let draining = Line {
+        invoker: 0x1112_1314,
+        address: address("10.3.0.2:9002"),
+        life: Life::Draining,
+        zone: 0,
+        kind: 0,
+        cell: 301,
+        size: 2.5,
+        started_ms: Some(1_700_000_000_123),
+    };
+    let gone = Line {
+        invoker: 0x2122_2324,
+        address: address("10.3.0.3:9003"),
+        life: Life::Gone,
+        zone: 0,
+        kind: 1,
+        cell: 302,
+        size: 1.75,
+        started_ms: Some(5),
+    };
+    let whole = Event::Whole(vec![ready, draining]);
+    assert_eq!(
+        known,
+        (42, vec![(40, whole), (42, Event::Changes(vec![gone]))])
+    );
+    check_deployment(&deployment);
+}
+
+/// The settings of the start file. Their names are covered one by one by the fixtures of `saltdrum-stated`.
+fn check_deployment(deployment: &Deployment) {
+    assert_eq!((deployment.controllers, deployment.zone), (3, 1));
+    assert_eq!((deployment.over_share_value, deployment.tick), (0.15, 25));
+    assert_eq!(deployment.kind_memory, [42_000.0, 84_000.5]);
+    assert_eq!(
+        (deployment.dispatch_limit, deployment.parallel_dispatches),
+        (6, false)
+    );
+    assert_eq!((deployment.may_cancel, deployment.may_probe), (true, true));
+    assert_eq!((deployment.may_order, deployment.misses), (true, true));
+    assert_eq!(
+        (deployment.keep_alive, deployment.come_back_max),
+        (89_000, Some(5_125))
+    );
+    assert_eq!(
+        (deployment.order_window, deployment.orders_free),
+        (45_000, 7.5)
+    );
+    assert_eq!(
+        (deployment.orders_share, deployment.drain_grace),
+        (0.12, 2_505)
+    );
+    assert_eq!(
+        (deployment.cold_share, deployment.cold_time),
+        (0.19, 160_000)
+    );
+    assert_eq!(
+        (deployment.tip_factor, deployment.tip_window),
+        (2.75, 15_000)
+    );
+    let quotas: Vec<f64> = deployment
+        .tenants
+        .iter()
+        .map(|tenant| tenant.quota)
+        .collect();
+    assert_eq!(quotas, [40.5, 80.25]);
+    let [look, charge] = &deployment.trigger_types[..] else {
+        panic!("two trigger types")
+    };
+    assert_eq!(
+        (look.objective, look.client_timeout, look.repeat_window),
+        (10_000, 30_000, 20_000)
+    );
+    assert_eq!((look.effect, look.scope), (Effect::Idempotent, Scope::All));
+    assert_eq!((look.billed_value, look.late_share), (1.5, 0.25));
+    assert_eq!((charge.objective, charge.client_timeout), (9_000, 29_000));
+    assert_eq!(
+        (charge.effect, charge.scope),
+        (Effect::Tokened, Scope::Zone)
+    );
+    assert_eq!((charge.billed_value, charge.late_share), (2.5, 0.35));
+    assert_eq!(charge.repeat_window, 19_000);
+}
+
+/// Paths of all members of objects, as JSON pointers.
+fn member_pointers(value: &Value, path: &str, pointers: &mut Vec<String>) {
+    match value {
+        Value::Object(members) => {
+            for (name, member) in members {
+                let path = format!("{path}/{name}");
+                pointers.push(path.clone());
+                member_pointers(member, &path, pointers);
+            }
+        }
+        Value::Array(items) => {
+            for (index, item) in items.iter().enumerate() {
+                member_pointers(item, &format!("{path}/{index}"), pointers);
+            }
+        }
+        _ => {}
+    }
+}
+
+#[test]
+fn missing_and_wrong_values_of_the_start_file_are_reported_with_the_same_text() {
+    let start_file: Value = serde_json::from_str(&read_fixture("start_file.json")).unwrap();
+    let outcome = |changed: &Value| match config::read(&changed.to_string()) {
+        Ok(_) => "accepted".to_owned(),
+        Err(fault) => fault.to_string(),
+    };
+    let mut pointers = Vec::new();
+    member_pointers(&start_file, "", &mut pointers);
+    // The order of members in memory depends on features of serde_json.
+    pointers.sort();
+    let mut lines = String::new();
+    for pointer in pointers {
+        let (parent, name) = pointer.rsplit_once('/').unwrap();
+        let mut without = start_file.clone();
+        without
+            .pointer_mut(parent)
+            .unwrap()
+            .as_object_mut()
+            .unwrap()
+            .remove(name);
+        writeln!(lines, "{pointer} left out: {}", outcome(&without)).unwrap();
+        let mut wrong = start_file.clone();
+        *wrong.pointer_mut(&pointer).unwrap() = Value::from("?");
+        writeln!(lines, "{pointer}=\"?\": {}", outcome(&wrong)).unwrap();
+    }
+    check_fixture("start_file_faults.txt", &lines);
+}
