--- a/crates/controller/tests/controller_fixtures.rs
+++ b/crates/controller/tests/controller_fixtures.rs
@@ -4,11 +4,11 @@
 //! Peers are in-memory streams under a paused clock. Fixtures are rewritten only when `SALTDRUM_WRITE_FIXTURES` is set.
 
 use bytes::{Bytes, BytesMut};
-use saltdrum::port::*;
-use saltdrum_controller::going::{Going, Step};
-use saltdrum_controller::{Decides, NamesAt, Seat, serve};
+use saltdrum::interface::*;
+use saltdrum_controller::shutdown::{ShutdownHandle, ShutdownPhase};
+use saltdrum_controller::{Policy, AliasConfig, ControllerConfig, serve};
 use saltdrum_deployment::Terms;
-use saltdrum_link::{Address, Clock, Listener, Memory, Network, Stream};
+use saltdrum_transport::{Address, Clock, Listener, MemoryNetwork, Network, Stream};
 use saltdrum_protocol::frame::{Message, cut, encode};
 use saltdrum_protocol::invoker::{self as wire, Ended, FromController};
 use saltdrum_protocol::list;
@@ -64,22 +64,22 @@
 struct Scripted;
 
 /// Hints of work, in tenths of a millisecond.
-const THROTTLED: Tenths = 10;
-const ERRORED: Tenths = 20;
-const EVERY_ORDER: Tenths = 30;
+const THROTTLED: Ticks = 10;
+const ERRORED: Ticks = 20;
+const EVERY_ORDER: Ticks = 30;
 
-fn scripted(_: Tenths, _: Deployment, _: u64, _: &mut dyn Acts) -> Box<dyn Decides> {
+fn scripted(_: Ticks, _: Deployment, _: u64, _: &mut dyn Actions) -> Box<dyn Policy> {
     Box::new(Scripted)
 }
 
-impl Decides for Scripted {
-    fn listed(&mut self, _: Tenths, _: bool, _: &[Listed]) {}
-    fn invoked(&mut self, _: Tenths, call: Invocation, acts: &mut dyn Acts) {
+impl Policy for Scripted {
+    fn invokers_changed(&mut self, _: Ticks, _: bool, _: &[InvokerRecord]) {}
+    fn invocation_arrived(&mut self, _: Ticks, call: Invocation, acts: &mut dyn Actions) {
         match call.work_hint {
             Some(THROTTLED) => return acts.throttle(call.id, 2_500),
             Some(ERRORED) => return acts.error(call.id),
             Some(EVERY_ORDER) => {
-                acts.hold(1, call.function, 2);
+                acts.load(1, call.function, 2);
                 acts.unload(1, call.function);
                 acts.probe(1);
             }
@@ -87,44 +87,44 @@
         }
         acts.dispatch(call.id, 1, 0);
     }
-    fn left(&mut self, _: Tenths, _: InvId) {}
-    fn answered(&mut self, _: Tenths, answer: Answer, acts: &mut dyn Acts) {
+    fn client_left(&mut self, _: Ticks, _: InvocationId) {}
+    fn attempt_ended(&mut self, _: Ticks, answer: AttemptResult, acts: &mut dyn Actions) {
         if !answer.finished && answer.outcome.never_ran() {
-            acts.throttle(answer.inv, 100);
+            acts.throttle(answer.invocation, 100);
         } else if !answer.finished {
-            acts.error(answer.inv);
+            acts.error(answer.invocation);
         }
     }
-    fn held(&mut self, _: Tenths, _: HoldAnswer, _: &mut dyn Acts) {}
-    fn woken(&mut self, _: Tenths, _: u64, _: &mut dyn Acts) {}
+    fn load_ended(&mut self, _: Ticks, _: LoadResult, _: &mut dyn Actions) {}
+    fn timer_fired(&mut self, _: Ticks, _: u64, _: &mut dyn Actions) {}
 }
 
 fn address(name: &str) -> Address {
     Address::Memory(name.into())
 }
 
-fn seat(copy: PathBuf, going: Going) -> Seat {
+fn seat(copy: PathBuf, going: ShutdownHandle) -> ControllerConfig {
     let following = Following {
         registry: address("registry"),
         key: "alice.secret".into(),
         who: "controller 7".into(),
         copy: Some(copy),
     };
-    Seat {
+    ControllerConfig {
         controller: 7,
         incarnation: 0x0102_0304_0506,
         seed: 5,
         zone: 0,
-        clients: vec![address("clients")],
-        lists: vec![address("list")],
+        client_addresses: vec![address("clients")],
+        endpoint_lists: vec![address("list")],
         terms: Rc::new(Terms::load("terms.star", DEPLOYMENT).unwrap().0),
-        names: Some(NamesAt {
+        aliases: Some(AliasConfig {
             following,
             passage: 60 * SECOND,
             epoch_ms: 1_700_000_000_000,
         }),
-        going,
-        opens_when_ready: false,
+        shutdown: going,
+        listens_when_ready: false,
     }
 }
 
@@ -210,7 +210,7 @@
     }
 }
 
-async fn start_registry(network: &Memory, told: String) -> Recorded {
+async fn start_registry(network: &MemoryNetwork, told: String) -> Recorded {
     let (requests, told) = (Recorded::default(), Rc::from(told));
     let (mut listener, _) = network.listen(&address("registry")).await.unwrap();
     let recorded = requests.clone();
@@ -277,7 +277,7 @@
 }
 
 impl Peers {
-    async fn new(network: &Memory) -> Self {
+    async fn new(network: &MemoryNetwork) -> Self {
         let (mut lists, _) = network.listen(&address("list")).await.unwrap();
         let (mut invokers, _) = network.listen(&address("invoker")).await.unwrap();
         let (list, follow) = start_list(&mut lists).await;
@@ -374,11 +374,11 @@
 }
 
 /// Runs a controller and plays its peers.
-fn play<Played: Future<Output = ()>>(seat: Seat, peers: impl FnOnce(Memory) -> Played) {
+fn play<Played: Future<Output = ()>>(seat: ControllerConfig, peers: impl FnOnce(MemoryNetwork) -> Played) {
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime = builder.enable_time().start_paused(true).build().unwrap();
     LocalSet::new().block_on(&runtime, async move {
-        let (network, clock) = (Memory::default(), Clock::start());
+        let (network, clock) = (MemoryNetwork::default(), Clock::start());
         let handed: Rc<dyn Network> = Rc::new(network.clone());
         spawn_local(async move { serve(seat, handed, clock, scripted).await.unwrap() });
         peers(network).await;
@@ -398,7 +398,7 @@
 fn check_written_copy() {
     check_fixture("from_registry.txt", &registry_lines());
     let path = copy_path("names_copy_written");
-    play(seat(path.clone(), Going::default()), |network| async move {
+    play(seat(path.clone(), ShutdownHandle::default()), |network| async move {
         let requests = start_registry(&network, registry_lines()).await;
         let mut peers = Peers::new(&network).await;
         let status = peers.call("status", "{}").await;
@@ -434,7 +434,7 @@
     let path = copy_path("names_copy_read");
     let stored = std::fs::read(fixture_path("names_copy.txt")).expect("the fixture");
     std::fs::write(&path, &stored).unwrap();
-    play(seat(path.clone(), Going::default()), |network| async move {
+    play(seat(path.clone(), ShutdownHandle::default()), |network| async move {
         let mut peers = Peers::new(&network).await;
         let status = peers.call("status", "{}").await;
         assert_eq!(status["result"]["names"]["revision"], 8, "{status}");
@@ -563,7 +563,7 @@
 
 #[test]
 fn what_clients_invokers_and_the_list_are_told_keeps_its_bytes() {
-    let going = Going::default();
+    let going = ShutdownHandle::default();
     let path = copy_path("names_copy_unused");
     play(seat(path, going.clone()), |network| async move {
         let _requests = start_registry(&network, registry_lines()).await;
@@ -574,11 +574,11 @@
         play_refusals(&mut peers).await;
         peers.call("status", "{}").await;
 
-        going.to(Step::LeadingAway);
+        going.set_phase(ShutdownPhase::LeadingAway);
         assert_eq!(peers.hear().await["method"], "going");
-        going.to(Step::Closed);
+        going.set_phase(ShutdownPhase::Closed);
         peers.call("invoke", &invoke("voice", "")).await;
-        going.to(Step::Serving);
+        going.set_phase(ShutdownPhase::Serving);
 
         // The client hangs up: its dispatch is cancelled.
         peers.say(&request("invoke", &invoke("voice", ""))).await;
--- a/crates/platform-wire/tests/platform_wire_fixtures.rs
+++ b/crates/platform-wire/tests/platform_wire_fixtures.rs
@@ -5,7 +5,7 @@
 //! rewritten only when `SALTDRUM_WRITE_FIXTURES` is set.
 
 use bytes::{Buf, Bytes, BytesMut};
-use saltdrum::port::{Deployment, Effect, Found, HoldOutcome, Life, Listed, Outcome, Scope};
+use saltdrum::interface::{Deployment, Effect, StartKind, LoadOutcome, InvokerStatus, InvokerRecord, Outcome, KeyScope};
 use saltdrum_platform_wire::config::{self, Config, Limits};
 use saltdrum_platform_wire::feed::{self, Event, Line};
 use saltdrum_platform_wire::frames::{self, Code, FromClient};
@@ -242,7 +242,7 @@
     check_fixture("request_faults.txt", &lines);
 }
 
-fn line(invoker: u32, life: Life, started_ms: Option<u64>) -> Line {
+fn line(invoker: u32, life: InvokerStatus, started_ms: Option<u64>) -> Line {
     Line {
         invoker,
         address: SocketAddrV4::new(Ipv4Addr::new(10, 3, 0, 1), 9_001),
@@ -259,15 +259,15 @@
 fn feed_records_keep_their_bytes_and_meaning() {
     let started = Some(1_700_000_000_123);
     let changed = vec![
-        line(0x1112_1314, Life::Draining, started),
-        line(0x2122_2324, Life::Gone, None),
+        line(0x1112_1314, InvokerStatus::Draining, started),
+        line(0x2122_2324, InvokerStatus::Gone, None),
     ];
     let events = [
         ("nothing", 0x0102_0304_0506_0708, Event::Nothing),
         (
             "whole",
             0x1112,
-            Event::Whole(vec![line(0x0a0b_0c0d, Life::Ready, None)]),
+            Event::Whole(vec![line(0x0a0b_0c0d, InvokerStatus::Ready, None)]),
         ),
         ("whole_of_no_lines", 0x1113, Event::Whole(vec![])),
         ("changes", 0x1114, Event::Changes(changed)),
@@ -284,17 +284,17 @@
 
 #[test]
 fn a_feed_line_is_listed_field_by_field() {
-    let Listed {
+    let InvokerRecord {
         invoker,
         zone,
-        kind,
+        machine_kind: kind,
         cell,
-        life,
-        size,
-        started,
-    } = line(7, Life::Draining, Some(99)).listed(Some(123));
+        status: life,
+        capacity: size,
+        started_at: started,
+    } = line(7, InvokerStatus::Draining, Some(99)).listed(Some(123));
     assert_eq!((invoker, zone, kind, cell), (7, 2, 3, 0x0405));
-    assert_eq!((life, size, started), (Life::Draining, 4.25, Some(123)));
+    assert_eq!((life, size, started), (InvokerStatus::Draining, 4.25, Some(123)));
 }
 
 #[test]
@@ -320,24 +320,24 @@
     }
 }
 
-fn hold_outcome_word(outcome: HoldOutcome) -> &'static str {
+fn hold_outcome_word(outcome: LoadOutcome) -> &'static str {
     match outcome {
-        HoldOutcome::Standing => "standing",
-        HoldOutcome::NoRoom => "no room",
-        HoldOutcome::LoadFailed => "load failed",
-        HoldOutcome::Unreachable => "unreachable",
-        HoldOutcome::TimedOut => "timed out",
-        HoldOutcome::NotSent => "not sent",
+        LoadOutcome::Loaded => "standing",
+        LoadOutcome::NoCapacity => "no room",
+        LoadOutcome::LoadFailed => "load failed",
+        LoadOutcome::Unreachable => "unreachable",
+        LoadOutcome::TimedOut => "timed out",
+        LoadOutcome::NotSent => "not sent",
     }
 }
 
-fn found_word(found: Option<Found>) -> &'static str {
+fn found_word(found: Option<StartKind>) -> &'static str {
     match found {
         None => "-",
-        Some(Found::Warm) => "warm",
-        Some(Found::BeganLoad) => "began load",
-        Some(Found::JoinedLoad) => "joined load",
-        Some(Found::LoadFailed) => "load failed",
+        Some(StartKind::Warm) => "warm",
+        Some(StartKind::BeganLoad) => "began load",
+        Some(StartKind::JoinedLoad) => "joined load",
+        Some(StartKind::LoadFailed) => "load failed",
     }
 }
 
@@ -391,8 +391,8 @@
             "{name}={value}: found {}, crowd {}, busy {}, queue {}, standing {}",
             found_word(notes.found),
             number(notes.crowd.map(f64::from)),
-            number(notes.report.util),
-            number(notes.report.queue),
+            number(notes.report.utilization),
+            number(notes.report.queue_length),
             notes.standing,
         )
         .unwrap();
@@ -441,7 +441,7 @@
     let ready = Line {
         invoker: 0x0a0b_0c0d,
         address: address("10.3.0.1:9001"),
-        life: Life::Ready,
+        life: InvokerStatus::Ready,
         zone: 1,
         kind: 1,
         cell: 300,
@@ -451,7 +451,7 @@
     let draining = Line {
         invoker: 0x1112_1314,
         address: address("10.3.0.2:9002"),
-        life: Life::Draining,
+        life: InvokerStatus::Draining,
         zone: 0,
         kind: 0,
         cell: 301,
@@ -461,7 +461,7 @@
     let gone = Line {
         invoker: 0x2122_2324,
         address: address("10.3.0.3:9003"),
-        life: Life::Gone,
+        life: InvokerStatus::Gone,
         zone: 0,
         kind: 1,
         cell: 302,
@@ -476,59 +476,59 @@
     check_deployment(&deployment);
 }
 
-/// The settings of the start file. Their names are covered one by one by the fixtures of `saltdrum-stated`.
+/// The settings of the start file. Their names are covered one by one by the fixtures of `saltdrum-settings`.
 fn check_deployment(deployment: &Deployment) {
     assert_eq!((deployment.controllers, deployment.zone), (3, 1));
     assert_eq!((deployment.over_share_value, deployment.tick), (0.15, 25));
-    assert_eq!(deployment.kind_memory, [42_000.0, 84_000.5]);
+    assert_eq!(deployment.machine_memory_mb, [42_000.0, 84_000.5]);
     assert_eq!(
-        (deployment.dispatch_limit, deployment.parallel_dispatches),
+        (deployment.attempt_limit, deployment.parallel_attempts),
         (6, false)
     );
     assert_eq!((deployment.may_cancel, deployment.may_probe), (true, true));
-    assert_eq!((deployment.may_order, deployment.misses), (true, true));
+    assert_eq!((deployment.may_load, deployment.reports_misses), (true, true));
     assert_eq!(
-        (deployment.keep_alive, deployment.come_back_max),
+        (deployment.keep_alive, deployment.max_retry_after),
         (89_000, Some(5_125))
     );
     assert_eq!(
-        (deployment.order_window, deployment.orders_free),
+        (deployment.load_window, deployment.free_loads),
         (45_000, 7.5)
     );
     assert_eq!(
-        (deployment.orders_share, deployment.drain_grace),
+        (deployment.loads_per_invocation, deployment.drain_grace),
         (0.12, 2_505)
     );
     assert_eq!(
-        (deployment.cold_share, deployment.cold_time),
+        (deployment.initial_capacity_share, deployment.warm_up_time),
         (0.19, 160_000)
     );
     assert_eq!(
-        (deployment.tip_factor, deployment.tip_window),
+        (deployment.overload_factor, deployment.overload_window),
         (2.75, 15_000)
     );
     let quotas: Vec<f64> = deployment
         .tenants
         .iter()
-        .map(|tenant| tenant.quota)
+        .map(|tenant| tenant.quota_per_second)
         .collect();
     assert_eq!(quotas, [40.5, 80.25]);
     let [look, charge] = &deployment.trigger_types[..] else {
         panic!("two trigger types")
     };
     assert_eq!(
-        (look.objective, look.client_timeout, look.repeat_window),
+        (look.latency_objective, look.client_timeout, look.idempotency_window),
         (10_000, 30_000, 20_000)
     );
-    assert_eq!((look.effect, look.scope), (Effect::Idempotent, Scope::All));
+    assert_eq!((look.effect, look.key_scope), (Effect::Idempotent, KeyScope::All));
     assert_eq!((look.billed_value, look.late_share), (1.5, 0.25));
-    assert_eq!((charge.objective, charge.client_timeout), (9_000, 29_000));
+    assert_eq!((charge.latency_objective, charge.client_timeout), (9_000, 29_000));
     assert_eq!(
-        (charge.effect, charge.scope),
-        (Effect::Tokened, Scope::Zone)
+        (charge.effect, charge.key_scope),
+        (Effect::IdempotencyKey, KeyScope::Zone)
     );
     assert_eq!((charge.billed_value, charge.late_share), (2.5, 0.35));
-    assert_eq!(charge.repeat_window, 19_000);
+    assert_eq!(charge.idempotency_window, 19_000);
 }
 
 /// Paths of all members of objects, as JSON pointers.
--- a/crates/stated/tests/stated_fixtures.rs
+++ b/crates/settings/tests/settings_fixtures.rs
@@ -3,8 +3,8 @@
 //!
 //! `settings.txt` is written by hand; `setting_faults.txt` is rewritten only when `SALTDRUM_WRITE_FIXTURES` is set.
 
-use saltdrum::port::{Deployment, Effect, Scope, Tenant, TriggerType};
-use saltdrum_stated::{Pairs, Stated};
+use saltdrum::interface::{Deployment, Effect, KeyScope, Tenant, TriggerType};
+use saltdrum_settings::{Pairs, Stated};
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 
@@ -36,7 +36,7 @@
 }
 
 fn read(settings: &str) -> Result<Stated, String> {
-    saltdrum_stated::read(&Pairs::of_lines(settings)?)
+    saltdrum_settings::read(&Pairs::of_lines(settings)?)
 }
 
 /// The settings with the value of one of them replaced.
@@ -64,24 +64,24 @@
         trigger_types,
         tenants,
         over_share_value,
-        kind_memory,
-        dispatch_limit,
-        parallel_dispatches,
+        machine_memory_mb: kind_memory,
+        attempt_limit: dispatch_limit,
+        parallel_attempts: parallel_dispatches,
         may_cancel,
         may_probe,
-        may_order,
-        misses,
+        may_load: may_order,
+        reports_misses: misses,
         keep_alive,
-        come_back_max,
+        max_retry_after: come_back_max,
         tick,
-        order_window,
-        orders_free,
-        orders_share,
+        load_window: order_window,
+        free_loads: orders_free,
+        loads_per_invocation: orders_share,
         drain_grace,
-        cold_share,
-        cold_time,
-        tip_factor,
-        tip_window,
+        initial_capacity_share: cold_share,
+        warm_up_time: cold_time,
+        overload_factor: tip_factor,
+        overload_window: tip_window,
     } = deployment;
     assert_eq!(controllers, 3);
     assert_eq!(zone, 2);
@@ -105,7 +105,7 @@
     assert_eq!(tip_factor, 2.75);
     assert_eq!(tip_window, 15_000);
 
-    let quotas: Vec<f64> = tenants.iter().map(|Tenant { quota }| *quota).collect();
+    let quotas: Vec<f64> = tenants.iter().map(|Tenant { quota_per_second: quota }| *quota).collect();
     assert_eq!(quotas, [40.5, 80.25]);
     assert_eq!(trigger_types.len(), 3);
     let expected = [
@@ -113,7 +113,7 @@
             12_002,
             50_000,
             Effect::Idempotent,
-            Scope::All,
+            KeyScope::All,
             50_010,
             1.5,
             0.31,
@@ -121,8 +121,8 @@
         (
             9_000,
             30_000,
-            Effect::Tokened,
-            Scope::Zone,
+            Effect::IdempotencyKey,
+            KeyScope::Zone,
             20_000,
             2.5,
             0.21,
@@ -131,7 +131,7 @@
             7_000,
             25_000,
             Effect::NonIdempotent,
-            Scope::Cell,
+            KeyScope::Cell,
             15_000,
             3.5,
             0.11,
@@ -139,11 +139,11 @@
     ];
     for (trigger_type, expected) in trigger_types.into_iter().zip(expected) {
         let TriggerType {
-            objective,
+            latency_objective: objective,
             client_timeout,
             effect,
-            scope,
-            repeat_window,
+            key_scope: scope,
+            idempotency_window: repeat_window,
             billed_value,
             late_share,
         } = trigger_type;
@@ -165,12 +165,12 @@
     let settings = read_fixture("settings.txt");
     let flags = |deployment: &Deployment| {
         [
-            deployment.parallel_dispatches,
+            deployment.parallel_attempts,
             deployment.may_cancel,
             deployment.may_probe,
-            deployment.may_order,
-            deployment.misses,
-            deployment.come_back_max.is_some(),
+            deployment.may_load,
+            deployment.reports_misses,
+            deployment.max_retry_after.is_some(),
         ]
     };
     let usual = flags(&read(&settings).unwrap().deployment);
