--- a/crates/controller/tests/controller_fixtures.rs
+++ b/crates/controller/tests/controller_fixtures.rs
@@ -6,15 +6,15 @@
 use bytes::{Bytes, BytesMut};
 use saltdrum::interface::*;
 use saltdrum_controller::shutdown::{ShutdownHandle, ShutdownPhase};
-use saltdrum_controller::{Policy, AliasConfig, ControllerConfig, serve};
+use saltdrum_controller::{AliasConfig, ControllerConfig, Policy, serve};
 use saltdrum_deployment::Terms;
-use saltdrum_transport::{Address, Clock, Listener, MemoryNetwork, Network, Stream};
 use saltdrum_protocol::frame::{Message, cut, encode};
 use saltdrum_protocol::invoker::{self as wire, Ended, FromController};
 use saltdrum_protocol::list;
 use saltdrum_registry::chain::{Entry, Head};
 use saltdrum_registry::follow::{Copy, Following};
 use saltdrum_registry::watch::Told;
+use saltdrum_transport::{Address, Clock, Listener, MemoryNetwork, Network, Stream};
 use serde_json::{Value, json};
 use std::cell::RefCell;
 use std::fmt::Write;
@@ -374,7 +374,10 @@
 }
 
 /// Runs a controller and plays its peers.
-fn play<Played: Future<Output = ()>>(seat: ControllerConfig, peers: impl FnOnce(MemoryNetwork) -> Played) {
+fn play<Played: Future<Output = ()>>(
+    seat: ControllerConfig,
+    peers: impl FnOnce(MemoryNetwork) -> Played,
+) {
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime = builder.enable_time().start_paused(true).build().unwrap();
     LocalSet::new().block_on(&runtime, async move {
@@ -398,29 +401,32 @@
 fn check_written_copy() {
     check_fixture("from_registry.txt", &registry_lines());
     let path = copy_path("names_copy_written");
-    play(seat(path.clone(), ShutdownHandle::default()), |network| async move {
-        let requests = start_registry(&network, registry_lines()).await;
-        let mut peers = Peers::new(&network).await;
-        let status = peers.call("status", "{}").await;
-        assert_eq!(status["result"]["names"]["revision"], 8, "{status}");
-
-        let new = invoke("speech", r#","passage":"walk-1""#);
-        let old = invoke("speech", "");
-        let ends = [
-            (&new, "chant@v2", Ended::Succeeded, 1),
-            (&new, "chant@v2", Ended::Errored, 2),
-            (&old, "chant@v1", Ended::Succeeded, 3),
-            (&old, "chant@v1", Ended::Errored, 4),
-        ];
-        for (params, version, ended, times) in ends {
-            for _ in 0..times {
-                let (dispatch, _) = peers.invoke("staged", params, ended).await;
-                assert_eq!(dispatch.name, version);
+    play(
+        seat(path.clone(), ShutdownHandle::default()),
+        |network| async move {
+            let requests = start_registry(&network, registry_lines()).await;
+            let mut peers = Peers::new(&network).await;
+            let status = peers.call("status", "{}").await;
+            assert_eq!(status["result"]["names"]["revision"], 8, "{status}");
+
+            let new = invoke("speech", r#","passage":"walk-1""#);
+            let old = invoke("speech", "");
+            let ends = [
+                (&new, "chant@v2", Ended::Succeeded, 1),
+                (&new, "chant@v2", Ended::Errored, 2),
+                (&old, "chant@v1", Ended::Succeeded, 3),
+                (&old, "chant@v1", Ended::Errored, 4),
+            ];
+            for (params, version, ended, times) in ends {
+                for _ in 0..times {
+                    let (dispatch, _) = peers.invoke("staged", params, ended).await;
+                    assert_eq!(dispatch.name, version);
+                }
             }
-        }
-        tokio::time::sleep(Duration::from_millis(1_500)).await;
-        check_fixture("to_registry.txt", &requests.borrow());
-    });
+            tokio::time::sleep(Duration::from_millis(1_500)).await;
+            check_fixture("to_registry.txt", &requests.borrow());
+        },
+    );
     check_fixture("names_copy.txt", &std::fs::read_to_string(&path).unwrap());
     let (_, _, last) = history();
     let kept = Copy::read(&fixture_path("names_copy.txt"))
@@ -434,16 +440,19 @@
     let path = copy_path("names_copy_read");
     let stored = std::fs::read(fixture_path("names_copy.txt")).expect("the fixture");
     std::fs::write(&path, &stored).unwrap();
-    play(seat(path.clone(), ShutdownHandle::default()), |network| async move {
-        let mut peers = Peers::new(&network).await;
-        let status = peers.call("status", "{}").await;
-        assert_eq!(status["result"]["names"]["revision"], 8, "{status}");
-        let (dispatch, reply) = peers
-            .invoke("own", &invoke("own", ""), Ended::Succeeded)
-            .await;
-        assert_eq!(dispatch.name, "chant@v1");
-        assert_eq!(reply["result"]["version"], "chant@v1");
-    });
+    play(
+        seat(path.clone(), ShutdownHandle::default()),
+        |network| async move {
+            let mut peers = Peers::new(&network).await;
+            let status = peers.call("status", "{}").await;
+            assert_eq!(status["result"]["names"]["revision"], 8, "{status}");
+            let (dispatch, reply) = peers
+                .invoke("own", &invoke("own", ""), Ended::Succeeded)
+                .await;
+            assert_eq!(dispatch.name, "chant@v1");
+            assert_eq!(reply["result"]["version"], "chant@v1");
+        },
+    );
     assert_eq!(
         std::fs::read(&path).unwrap(),
         stored,
@@ -574,9 +583,9 @@
         play_refusals(&mut peers).await;
         peers.call("status", "{}").await;
 
-        going.set_phase(ShutdownPhase::LeadingAway);
+        going.set_phase(ShutdownPhase::Redirecting);
         assert_eq!(peers.hear().await["method"], "going");
-        going.set_phase(ShutdownPhase::Closed);
+        going.set_phase(ShutdownPhase::Rejecting);
         peers.call("invoke", &invoke("voice", "")).await;
         going.set_phase(ShutdownPhase::Serving);
 
--- a/crates/coordinator/tests/steward_fixtures.rs
+++ b/crates/coordinator/tests/coordinator_fixtures.rs
@@ -10,6 +10,13 @@
 use fixtures::{FixtureLines, scratch_folder, stored_copy};
 use lines::{RawLine, call_line, memory, read_call, result_line, scripted_server, without_prose};
 use redb::{Database, ReadableDatabase, TableDefinition};
+use saltdrum_coordinator::caller::{Caller, Fault};
+use saltdrum_coordinator::disk::{Disk, Identity, SCHEMA};
+use saltdrum_coordinator::wire::{
+    Accept, Changed, Changes, DryRun, NO_VOTE, Opinions, Prepare, REFUSED, Recover, Renew, SPEAKS,
+    STRANGER, Said, Standing, UNSETTLED, VOTES_SPEAK, Vote,
+};
+use saltdrum_coordinator::{CoordinatorConfig, FleetTerms, HeldLease, server, service};
 use saltdrum_deployment::script;
 use saltdrum_fleet::bounds::{Bound, Per};
 use saltdrum_fleet::change::Change;
@@ -18,15 +25,8 @@
 use saltdrum_fleet::next::Batch;
 use saltdrum_fleet::recovery::Heard;
 use saltdrum_fleet::register::{Ballot, Voter};
-use saltdrum_link::{Clock, Memory, Network};
 use saltdrum_protocol::rpc;
-use saltdrum_steward::caller::{Caller, Fault};
-use saltdrum_steward::disk::{Disk, Identity, SCHEMA};
-use saltdrum_steward::wire::{
-    Accept, Changed, Changes, DryRun, NO_VOTE, Opinions, Prepare, REFUSED, Recover, Renew, SPEAKS,
-    STRANGER, Said, Standing, UNSETTLED, VOTES_SPEAK, Vote,
-};
-use saltdrum_steward::{CoordinatorConfig, FleetTerms, HeldLease, server, service};
+use saltdrum_transport::{Clock, MemoryNetwork, Network};
 use samples::{
     FLEET, about, ballot, founded_fleet, full_acceptor, full_fleet, heard, lease_terms, mark, voter,
 };
@@ -41,7 +41,7 @@
 use std::time::Duration;
 use tokio::task::LocalSet;
 
-/// Tenths of a millisecond that a call may take.
+/// Ticks of a millisecond that a call may take.
 const PATIENCE: u64 = 50_000;
 
 fn on_paused_time<T>(test: impl Future<Output = T>) -> T {
@@ -51,7 +51,7 @@
 }
 
 fn network() -> Rc<dyn Network> {
-    Rc::new(Memory::default())
+    Rc::new(MemoryNetwork::default())
 }
 
 /// Calls a server that answers with one line. Gives the line that was sent and what was made of the answer.
--- a/crates/coordinator/tests/fixture_support/lines.rs
+++ b/crates/coordinator/tests/fixture_support/lines.rs
@@ -2,9 +2,9 @@
 
 #![allow(dead_code, reason = "each package uses a part of it")]
 
-use saltdrum_link::{Address, Network, Stream};
+use saltdrum_coordinator::wire::{Said, version_of};
 use saltdrum_protocol::rpc::{self, Call, Line};
-use saltdrum_steward::wire::{Said, version_of};
+use saltdrum_transport::{Address, Network, Stream};
 use serde::Serialize;
 use std::future::Future;
 use std::rc::Rc;
--- a/crates/leases/tests/leases_fixtures.rs
+++ b/crates/leases/tests/leases_fixtures.rs
@@ -2,12 +2,15 @@
 
 #[path = "../../fleet/tests/fixture_support/fixtures.rs"]
 mod fixtures;
-#[path = "../../steward/tests/fixture_support/lines.rs"]
+#[path = "../../coordinator/tests/fixture_support/lines.rs"]
 mod lines;
 
 use fixtures::{FixtureLines, scratch_folder, stored_copy};
 use lines::{call_line, memory, read_call, result_line, run, scripted_server};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
+use saltdrum_coordinator::caller::Caller;
+use saltdrum_coordinator::server::Answers;
+use saltdrum_coordinator::wire::Changed;
 use saltdrum_fleet::fence::{Rejection, Token};
 use saltdrum_fleet::lease::LeaseName;
 use saltdrum_leases::SealStore;
@@ -15,10 +18,7 @@
 use saltdrum_leases::messages::{
     Effect, REJECTED, Seal, Sealed, UNCONFIRMED, UNWRITABLE, rejection_text,
 };
-use saltdrum_link::{Memory, Network};
-use saltdrum_steward::caller::Caller;
-use saltdrum_steward::server::Answers;
-use saltdrum_steward::wire::Changed;
+use saltdrum_transport::{MemoryNetwork, Network};
 use serde::Serialize;
 use serde_json::json;
 use std::path::Path;
@@ -138,7 +138,7 @@
 
 /// Runs a journal on a new disk through all that may be asked of it. Gives the disk's records to compare.
 async fn converse(database: &Path, fixtures: Option<FixtureLines>) -> Option<FixtureLines> {
-    let network: Rc<dyn Network> = Rc::new(Memory::default());
+    let network: Rc<dyn Network> = Rc::new(MemoryNetwork::default());
     let steward = memory("steward-1");
     let changed = |id| {
         result_line(
--- a/crates/platform-wire/tests/platform_wire_fixtures.rs
+++ b/crates/platform-wire/tests/platform_wire_fixtures.rs
@@ -5,7 +5,9 @@
 //! rewritten only when `SALTDRUM_WRITE_FIXTURES` is set.
 
 use bytes::{Buf, Bytes, BytesMut};
-use saltdrum::interface::{Deployment, Effect, StartKind, LoadOutcome, InvokerStatus, InvokerRecord, Outcome, KeyScope};
+use saltdrum::interface::{
+    Deployment, Effect, InvokerRecord, InvokerStatus, KeyScope, LoadOutcome, Outcome, StartKind,
+};
 use saltdrum_platform_wire::config::{self, Config, Limits};
 use saltdrum_platform_wire::feed::{self, Event, Line};
 use saltdrum_platform_wire::frames::{self, Code, FromClient};
@@ -294,7 +296,10 @@
         started_at: started,
     } = line(7, InvokerStatus::Draining, Some(99)).listed(Some(123));
     assert_eq!((invoker, zone, kind, cell), (7, 2, 3, 0x0405));
-    assert_eq!((life, size, started), (InvokerStatus::Draining, 4.25, Some(123)));
+    assert_eq!(
+        (life, size, started),
+        (InvokerStatus::Draining, 4.25, Some(123))
+    );
 }
 
 #[test]
@@ -486,7 +491,10 @@
         (6, false)
     );
     assert_eq!((deployment.may_cancel, deployment.may_probe), (true, true));
-    assert_eq!((deployment.may_load, deployment.reports_misses), (true, true));
+    assert_eq!(
+        (deployment.may_load, deployment.reports_misses),
+        (true, true)
+    );
     assert_eq!(
         (deployment.keep_alive, deployment.max_retry_after),
         (89_000, Some(5_125))
@@ -517,12 +525,22 @@
         panic!("two trigger types")
     };
     assert_eq!(
-        (look.latency_objective, look.client_timeout, look.idempotency_window),
+        (
+            look.latency_objective,
+            look.client_timeout,
+            look.idempotency_window
+        ),
         (10_000, 30_000, 20_000)
     );
-    assert_eq!((look.effect, look.key_scope), (Effect::Idempotent, KeyScope::All));
+    assert_eq!(
+        (look.effect, look.key_scope),
+        (Effect::Idempotent, KeyScope::All)
+    );
     assert_eq!((look.billed_value, look.late_share), (1.5, 0.25));
-    assert_eq!((charge.latency_objective, charge.client_timeout), (9_000, 29_000));
+    assert_eq!(
+        (charge.latency_objective, charge.client_timeout),
+        (9_000, 29_000)
+    );
     assert_eq!(
         (charge.effect, charge.key_scope),
         (Effect::IdempotencyKey, KeyScope::Zone)
--- a/crates/registry/tests/registry_fixtures.rs
+++ b/crates/registry/tests/registry_fixtures.rs
@@ -5,7 +5,7 @@
 mod fixtures;
 #[path = "fixture_support/history.rs"]
 mod history;
-#[path = "../../steward/tests/fixture_support/lines.rs"]
+#[path = "../../coordinator/tests/fixture_support/lines.rs"]
 mod lines;
 
 use fixtures::{FixtureLines, files_below, scratch_folder, stored_copy};
@@ -15,10 +15,12 @@
     without_prose,
 };
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
+use saltdrum_coordinator::caller::Caller as StewardCaller;
+use saltdrum_coordinator::server::Answers;
+use saltdrum_coordinator::wire::Changed;
 use saltdrum_fleet::fence::Token;
 use saltdrum_layers::Digest;
 use saltdrum_leases::messages::{Effect, REJECTED, Seal};
-use saltdrum_link::{Clock, Memory, Network};
 use saltdrum_registry::book::{Book, Role};
 use saltdrum_registry::call;
 use saltdrum_registry::chain::{Entry, Head};
@@ -30,9 +32,7 @@
 use saltdrum_registry::store::{Asked, read_backup, restore};
 use saltdrum_registry::watch::{Mark, Told};
 use saltdrum_registry::{Change, Namespace, Store, blobs, keys};
-use saltdrum_steward::caller::Caller as StewardCaller;
-use saltdrum_steward::server::Answers;
-use saltdrum_steward::wire::Changed;
+use saltdrum_transport::{Clock, MemoryNetwork, Network};
 use serde::Serialize;
 use serde_json::json;
 use std::cell::RefCell;
@@ -54,7 +54,7 @@
 }
 
 fn network() -> Rc<dyn Network> {
-    Rc::new(Memory::default())
+    Rc::new(MemoryNetwork::default())
 }
 
 /// All entries of a history, and the head after each.
--- a/crates/settings/tests/settings_fixtures.rs
+++ b/crates/settings/tests/settings_fixtures.rs
@@ -105,7 +105,14 @@
     assert_eq!(tip_factor, 2.75);
     assert_eq!(tip_window, 15_000);
 
-    let quotas: Vec<f64> = tenants.iter().map(|Tenant { quota_per_second: quota }| *quota).collect();
+    let quotas: Vec<f64> = tenants
+        .iter()
+        .map(
+            |Tenant {
+                 quota_per_second: quota,
+             }| *quota,
+        )
+        .collect();
     assert_eq!(quotas, [40.5, 80.25]);
     assert_eq!(trigger_types.len(), 3);
     let expected = [
