--- a/crates/deployment/tests/deployment_script_fixtures.rs
+++ b/crates/deployment/tests/deployment_script_fixtures.rs
@@ -3,7 +3,7 @@
 
 mod fixture_file;
 
-use saltdrum::port::{Deployment, Effect, Scope, TriggerType};
+use saltdrum::interface::{Deployment, Effect, KeyScope, TriggerType};
 use saltdrum_deployment::script::{self, STATEMENTS};
 use saltdrum_deployment::{Statement, Terms};
 use serde_json::{Value as Json, json};
@@ -35,17 +35,17 @@
 fn trigger_summary(name: &str, trigger: &TriggerType) -> Json {
     let effect = match trigger.effect {
         Effect::Idempotent => "idempotent",
-        Effect::Tokened => "tokened",
+        Effect::IdempotencyKey => "tokened",
         Effect::NonIdempotent => "non-idempotent",
     };
-    let scope = match trigger.scope {
-        Scope::All => "all",
-        Scope::Zone => "zone",
-        Scope::Cell => "cell",
+    let scope = match trigger.key_scope {
+        KeyScope::All => "all",
+        KeyScope::Zone => "zone",
+        KeyScope::Cell => "cell",
     };
     json!({
-        "name": name, "objective": trigger.objective, "client_timeout": trigger.client_timeout,
-        "effect": effect, "scope": scope, "repeat_window": trigger.repeat_window,
+        "name": name, "objective": trigger.latency_objective, "client_timeout": trigger.client_timeout,
+        "effect": effect, "scope": scope, "repeat_window": trigger.idempotency_window,
         "billed_value": trigger.billed_value, "late_share": trigger.late_share,
     })
 }
@@ -53,19 +53,19 @@
 fn deployment_summary(deployment: &Deployment) -> Json {
     json!({
         "controllers": deployment.controllers, "zone": deployment.zone,
-        "quotas": deployment.tenants.iter().map(|tenant| tenant.quota).collect::<Vec<_>>(),
-        "kind_memory": deployment.kind_memory,
+        "quotas": deployment.tenants.iter().map(|tenant| tenant.quota_per_second).collect::<Vec<_>>(),
+        "kind_memory": deployment.machine_memory_mb,
         "over_share_value": deployment.over_share_value,
-        "dispatch_limit": deployment.dispatch_limit,
-        "parallel_dispatches": deployment.parallel_dispatches,
+        "dispatch_limit": deployment.attempt_limit,
+        "parallel_dispatches": deployment.parallel_attempts,
         "may_cancel": deployment.may_cancel, "may_probe": deployment.may_probe,
-        "may_order": deployment.may_order, "misses": deployment.misses,
-        "keep_alive": deployment.keep_alive, "come_back_max": deployment.come_back_max,
-        "tick": deployment.tick, "order_window": deployment.order_window,
-        "orders_free": deployment.orders_free, "orders_share": deployment.orders_share,
-        "drain_grace": deployment.drain_grace, "cold_share": deployment.cold_share,
-        "cold_time": deployment.cold_time, "tip_factor": deployment.tip_factor,
-        "tip_window": deployment.tip_window,
+        "may_order": deployment.may_load, "misses": deployment.reports_misses,
+        "keep_alive": deployment.keep_alive, "come_back_max": deployment.max_retry_after,
+        "tick": deployment.tick, "order_window": deployment.load_window,
+        "orders_free": deployment.free_loads, "orders_share": deployment.loads_per_invocation,
+        "drain_grace": deployment.drain_grace, "cold_share": deployment.initial_capacity_share,
+        "cold_time": deployment.warm_up_time, "tip_factor": deployment.overload_factor,
+        "tip_window": deployment.overload_window,
     })
 }
 
--- a/crates/standin/tests/record_fixtures.rs
+++ b/crates/fakes/tests/record_fixtures.rs
@@ -3,7 +3,7 @@
 
 mod fixture_file;
 
-use saltdrum_standin::record::{How, Line, Place, Stated, Trigger, Try, Who, read, write};
+use saltdrum_fakes::record::{How, Line, Place, Stated, Trigger, Try, Who, read, write};
 
 const FIXTURE: &str = "day-record.jsonl";
 const WHO: Who = Who {
--- a/crates/lab/tests/lab_results_fixtures.rs
+++ b/crates/lab/tests/lab_results_fixtures.rs
@@ -4,10 +4,10 @@
 mod fixture_file;
 
 use parquet::arrow::arrow_reader::ParquetRecordBatchReaderBuilder;
+use saltdrum_fakes::record;
 use saltdrum_lab::facts::{self, Cost, Facts, Invoker, MEASURES, Row, Slow, Struck};
 use saltdrum_lab::results::{self, Made};
 use saltdrum_lab::{report, run};
-use saltdrum_standin::record;
 use serde_json::{Value as Json, json};
 use std::collections::BTreeMap;
 use std::fs::{self, File};
--- a/crates/lab/tests/lab_script_fixtures.rs
+++ b/crates/lab/tests/lab_script_fixtures.rs
@@ -3,10 +3,10 @@
 
 mod fixture_file;
 
-use saltdrum_day::POLICIES;
 use saltdrum_deployment::script;
 use saltdrum_lab::experiment::Variant;
 use saltdrum_lab::{Experiment, Script};
+use saltdrum_scenario::POLICIES;
 use serde_json::{Value as Json, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
--- a/crates/scenario/tests/day_script_fixtures.rs
+++ b/crates/scenario/tests/scenario_script_fixtures.rs
@@ -4,10 +4,10 @@
 
 mod fixture_file;
 
-use saltdrum_day::script::{Network, Traffic, Trouble};
-use saltdrum_day::{DAYS, Day, Layers};
 use saltdrum_deployment::script;
 use saltdrum_load::Shape;
+use saltdrum_scenario::script::{Network, Traffic, Trouble};
+use saltdrum_scenario::{DAYS, Day, Layers};
 use serde_json::{Value as Json, json};
 use std::collections::BTreeSet;
 
--- a/crates/scenario/tests/summary_fixtures.rs
+++ b/crates/scenario/tests/summary_fixtures.rs
@@ -4,9 +4,9 @@
 
 mod fixture_file;
 
-use saltdrum_day::check::{check, outputs_of_others, sent_on_after_leaving};
-use saltdrum_day::{Day, State, play_virtually, serve, summary};
-use saltdrum_standin::record::{self, Line};
+use saltdrum_fakes::record::{self, Line};
+use saltdrum_scenario::check::{check, outputs_of_others, sent_on_after_leaving};
+use saltdrum_scenario::{Day, State, play_virtually, serve, summary};
 use serde_json::json;
 use std::collections::BTreeSet;
 
@@ -19,7 +19,12 @@
 }
 
 fn shipped_days<const N: usize>(names: [&str; N]) -> [(&'static str, &'static str); N] {
-    names.map(|name| *saltdrum_day::DAYS.iter().find(|day| day.0 == name).unwrap())
+    names.map(|name| {
+        *saltdrum_scenario::DAYS
+            .iter()
+            .find(|day| day.0 == name)
+            .unwrap()
+    })
 }
 
 fn record_bytes(lines: &[Line]) -> Vec<u8> {
--- a/crates/trial/tests/trial_script_fixtures.rs
+++ b/crates/trial/tests/trial_script_fixtures.rs
@@ -4,8 +4,8 @@
 
 mod fixture_file;
 
+use saltdrum_coordinator::FleetTerms;
 use saltdrum_deployment::script;
-use saltdrum_steward::FleetTerms;
 use saltdrum_trial::script::{Do, Step};
 use saltdrum_trial::{TRIALS, Trial};
 use serde_json::{Value as Json, json};
