--- a/crates/controller/src/native/aliases.rs
+++ b/crates/controller/src/native/aliases.rs
@@ -55,7 +55,7 @@
 
 impl AliasResolver {
     /// Knows nothing of the registry yet.
-    pub fn new(config: &AliasConfig) -> Self {
+    pub(crate) fn new(config: &AliasConfig) -> Self {
         Self {
             book: Book::default(),
             passages: Passages::new(config.passage / MILLISECOND),
@@ -67,7 +67,7 @@
     }
 
     /// The version that a name stands for now, or that the client is pinned to.
-    pub fn resolve(
+    pub(crate) fn resolve(
         &mut self,
         now: Ticks,
         tenant: &str,
@@ -105,7 +105,7 @@
     }
 
     /// Counts the end of an attempt on one side of a staged rollout.
-    pub fn count(&mut self, staged: &Staged, is_success: bool) {
+    pub(crate) fn count(&mut self, staged: &Staged, is_success: bool) {
         let key = Staged {
             new: true,
             ..staged.clone()
@@ -124,7 +124,7 @@
     }
 
     /// Applies what was heard of the registry.
-    pub fn apply(&mut self, now: Ticks, heard: Heard) {
+    pub(crate) fn apply(&mut self, now: Ticks, heard: Heard) {
         match heard {
             Heard::Book(head) => {
                 debug!(revision = head.revision(), "registry updated");
@@ -146,7 +146,7 @@
     }
 
     /// Results that the registry does not know yet.
-    pub fn unreported(&self) -> Vec<(Staged, Tally)> {
+    pub(crate) fn unreported(&self) -> Vec<(Staged, Tally)> {
         let changed = self
             .stages
             .iter()
@@ -157,7 +157,7 @@
     }
 
     /// The registry has taken these results.
-    pub fn mark_reported(&mut self, reported: &[(Staged, Tally)]) {
+    pub(crate) fn mark_reported(&mut self, reported: &[(Staged, Tally)]) {
         for (stage, tally) in reported {
             if let Some(results) = self.stages.get_mut(stage) {
                 results.reported = *tally;
@@ -166,7 +166,7 @@
     }
 
     /// For the controller's status, as JSON.
-    pub fn status(&self, now: Ticks) -> serde_json::Value {
+    pub(crate) fn status(&self, now: Ticks) -> serde_json::Value {
         json!({"revision": self.book.revision, "heard_ms_ago": self.last_heard.map(|at| now.saturating_sub(at) / MILLISECOND),
             "refused": self.refused, "passages": self.passages.remembered()})
     }
--- a/crates/controller/src/native/invoke.rs
+++ b/crates/controller/src/native/invoke.rs
@@ -54,62 +54,82 @@
     mut reply: Reply,
 ) {
     let terms = state.invocations.transport.terms.clone();
-    let (trigger, tenant) = match find_trigger_and_tenant(&terms, &call) {
-        Ok(found) => found,
+    let checked = match check_call(state, &terms, &call, arrival) {
+        Ok(checked) => checked,
         Err(rejection) => return reply.reject(rejection.code, &rejection.reason),
     };
-    let target = match find_target(state, &terms, &call) {
-        Ok(target) => target,
-        Err(rejection) => return reply.reject(rejection.code, &rejection.reason),
-    };
-    let client_timeout = terms.deployment.trigger_types[trigger].client_timeout;
-    let wait = match client_wait(&call, client_timeout) {
-        Ok(wait) => arrival
-            .shortest_wait
-            .map_or(wait, |shortest| wait.min(shortest)),
-        Err(rejection) => return reply.reject(rejection.code, &rejection.reason),
-    };
-    let client_deadline = arrival.earliest + wait;
-    if state.invocations.now >= client_deadline {
+    if state.invocations.now >= checked.client_deadline {
         state.invocations.counters.expired_on_arrival += 1;
         return reply.skip();
     }
     let id = state.invocations.next_invocation();
     reply.accepted(id);
-    // Short waits keep their larger part for the work.
-    let answer_margin = terms.answer_margin.min(wait / MAX_ANSWER_MARGIN_DIVISOR);
     let work_hint_ms = call.work_hint_ms.filter(|ms| *ms > 0.0);
     let invocation = Invocation {
         id,
-        trigger,
-        tenant,
-        function: target.function,
+        trigger: checked.trigger,
+        tenant: checked.tenant,
+        function: checked.target.function,
         earliest_arrival: arrival.earliest,
-        expires_at: client_deadline - answer_margin,
+        expires_at: checked.expires_at,
         work_hint: work_hint_ms.map(|ms| (ms * MILLISECOND as f64) as Ticks),
-        memory_mb: target.memory_mb,
-        concurrency_limit: target.concurrency_limit,
-        load_time_hint: target.load_time_hint,
-    };
-    let span = info_span!(
-        "invocation",
-        id,
-        function = call.function,
-        tenant = call.tenant
-    );
-    let version_fields = target
-        .version
-        .as_ref()
-        .map_or_else(String::new, version_fields);
-    let payload = Payload {
-        call,
-        version: target.version,
+        memory_mb: checked.target.memory_mb,
+        concurrency_limit: checked.target.concurrency_limit,
+        load_time_hint: checked.target.load_time_hint,
     };
+    let (function, tenant) = (&call.function, &call.tenant);
+    let span = info_span!("invocation", id, function, tenant);
+    let version = checked.target.version;
+    let version_fields = version.as_ref().map_or_else(String::new, version_fields);
+    let payload = Payload { call, version };
     let pending_call = PendingCall {
         reply,
         version_fields,
     };
-    state.accept(invocation, client_deadline, payload, pending_call, span);
+    state.accept(
+        invocation,
+        checked.client_deadline,
+        payload,
+        pending_call,
+        span,
+    );
+}
+
+/// A call that names what exists.
+struct CheckedCall {
+    trigger: usize,
+    tenant: usize,
+    target: Target,
+    /// When the client gives up.
+    client_deadline: Ticks,
+    /// When the final response has to be given to reach the client in time.
+    expires_at: Ticks,
+}
+
+fn check_call(
+    state: &mut ControllerState,
+    terms: &Terms,
+    call: &rpc::Invoke,
+    arrival: Arrival,
+) -> Result<CheckedCall, Rejection> {
+    let (trigger, tenant) = find_trigger_and_tenant(terms, call)?;
+    let target = find_target(state, terms, call)?;
+    let client_timeout = terms.deployment.trigger_types[trigger].client_timeout;
+    let wait = client_wait(call, client_timeout)?;
+    let wait = arrival
+        .shortest_wait
+        .map_or(wait, |shortest| wait.min(shortest));
+    let client_deadline = arrival.earliest + wait;
+    // Short waits keep their larger part for the work.
+    let answer_margin = terms.answer_margin.min(wait / MAX_ANSWER_MARGIN_DIVISOR);
+    let expires_at = client_deadline - answer_margin;
+    Ok(CheckedCall {
+        trigger,
+        tenant,
+        target,
+        client_deadline,
+        expires_at,
+    })
 }
 
 /// JSON fields of a response that say which version ran, and until when it is pinned.
--- a/crates/controller/src/native/invoker_connection.rs
+++ b/crates/controller/src/native/invoker_connection.rs
@@ -57,7 +57,7 @@
 
 impl InvokerConnection {
     /// A connection that is not made yet.
-    pub fn new(entry: Entry, started_at: Option<Ticks>) -> Self {
+    pub(crate) fn new(entry: Entry, started_at: Option<Ticks>) -> Self {
         Self {
             entry,
             started_at,
@@ -75,7 +75,7 @@
     }
 
     /// Applies an entry of the endpoint list, by which the invoker started at `started_at`.
-    pub fn apply_entry(&mut self, mut entry: Entry, started_at: Option<Ticks>) {
+    pub(crate) fn apply_entry(&mut self, mut entry: Entry, started_at: Option<Ticks>) {
         if self.entry.incarnation != entry.incarnation && self.started_at > started_at {
             // The invoker itself has reported a later start than the list knows of.
             entry.incarnation = self.entry.incarnation;
@@ -96,7 +96,7 @@
     }
 
     /// The invoker, as the policy is told of it.
-    pub fn record(&self) -> InvokerRecord {
+    pub(crate) fn record(&self) -> InvokerRecord {
         InvokerRecord {
             invoker: self.entry.invoker,
             zone: self.entry.zone,
@@ -113,7 +113,7 @@
     }
 
     /// Whether the connection stands.
-    pub fn is_up(&self) -> bool {
+    pub(crate) fn is_up(&self) -> bool {
         self.phase == Phase::Up
     }
 
@@ -125,7 +125,7 @@
     }
 
     /// Queues an attempt, which begins to be sent before `send_by` or not at all. Gives its number on this connection.
-    pub fn dispatch(
+    pub(crate) fn dispatch(
         &mut self,
         frame: wire::DispatchOut,
         send_by: Ticks,
@@ -152,7 +152,7 @@
     }
 
     /// Queues a load order. Gives its number on this connection.
-    pub fn load(&mut self, function: FunctionId, name: String, count: u8) -> Option<u64> {
+    pub(crate) fn load(&mut self, function: FunctionId, name: String, count: u8) -> Option<u64> {
         let order = self.last_id + 1;
         let is_new_work = count > 0;
         let deadline = if is_new_work { self.cutoff } else { Ticks::MAX };
@@ -169,17 +169,17 @@
     }
 
     /// Queues the cancellation of an attempt.
-    pub fn cancel(&mut self, dispatch: u64) {
+    pub(crate) fn cancel(&mut self, dispatch: u64) {
         self.push(encode(&wire::Cancel { dispatch }), Ticks::MAX);
     }
 
     /// Queues an order to unload idle instances.
-    pub fn unload(&mut self, function: FunctionId) {
+    pub(crate) fn unload(&mut self, function: FunctionId) {
         self.push(encode(&wire::Unload { function }), Ticks::MAX);
     }
 
     /// Queues a health check.
-    pub fn probe(&mut self) {
+    pub(crate) fn probe(&mut self) {
         self.last_id += 1;
         let frame = encode(&wire::Probe {
             probe: self.last_id,
@@ -188,7 +188,7 @@
     }
 
     /// Withdraws an attempt of which nothing was sent. False: it may have run.
-    pub fn withdraw(&mut self, dispatch: u64) -> bool {
+    pub(crate) fn withdraw(&mut self, dispatch: u64) -> bool {
         let Some(ticket) = self.in_flight.get(&dispatch).map(|sent| sent.ticket) else {
             return false;
         };
@@ -197,7 +197,7 @@
     }
 
     /// The attempt has ended for this controller; an answer may still come.
-    pub fn abandon(&mut self, dispatch: u64) {
+    pub(crate) fn abandon(&mut self, dispatch: u64) {
         if self.in_flight.remove(&dispatch).is_none() {
             return;
         }
@@ -208,13 +208,13 @@
     }
 
     /// Whether a frame is new work, which must not reach an invoker that is draining.
-    pub fn is_new_work(&self, ticket: Ticket) -> bool {
+    pub(crate) fn is_new_work(&self, ticket: Ticket) -> bool {
         let mut attempts = self.in_flight.values().map(|sent| sent.ticket);
         attempts.any(|sent| sent == ticket) || self.load_orders.values().any(|sent| *sent == ticket)
     }
 
     /// A connection is about to be made.
-    pub fn begin_connecting(&mut self) {
+    pub(crate) fn begin_connecting(&mut self) {
         if self.phase == Phase::Down {
             self.phase = Phase::Connecting;
             self.send_queue = SendQueue::new(MAX_QUEUED_BYTES);
@@ -223,7 +223,7 @@
     }
 
     /// The connection is lost, or could not be made.
-    pub fn disconnected(&mut self, now: Ticks) {
+    pub(crate) fn disconnected(&mut self, now: Ticks) {
         self.backoff.disconnected(now);
         self.phase = Phase::Down;
         self.send_queue.close();
--- a/crates/controller/src/native/reply.rs
+++ b/crates/controller/src/native/reply.rs
@@ -27,7 +27,7 @@
 
 impl Client {
     /// A client without open invocations.
-    pub fn new() -> Rc<Self> {
+    pub(crate) fn new() -> Rc<Self> {
         Rc::new(Self {
             send_queue: SendQueue::new(MAX_UNREAD_BYTES),
             open: RefCell::default(),
@@ -37,7 +37,7 @@
     }
 
     /// Queues a line. Nothing of it is sent from `deadline` on.
-    pub fn send(&self, mut line: String, deadline: Ticks) {
+    pub(crate) fn send(&self, mut line: String, deadline: Ticks) {
         line.push('\n');
         if self.send_queue.push(Bytes::from(line), deadline).is_none() {
             self.overflowed.notify_one();
@@ -54,7 +54,7 @@
 
 impl Batch {
     /// A batch of so many calls.
-    pub fn new(calls: usize) -> Rc<RefCell<Self>> {
+    pub(crate) fn new(calls: usize) -> Rc<RefCell<Self>> {
         Rc::new(RefCell::new(Self {
             missing: calls,
             parts: Vec::new(),
@@ -73,12 +73,12 @@
 
 impl Reply {
     /// The call is an invocation that was accepted.
-    pub fn accepted(&mut self, id: InvocationId) {
+    pub(crate) fn accepted(&mut self, id: InvocationId) {
         self.client.open.borrow_mut().insert(id);
     }
 
     /// Sends a response, or adds it to its batch.
-    pub fn send(self, text: impl FnOnce(&Id) -> String, deadline: Ticks) {
+    pub(crate) fn send(self, text: impl FnOnce(&Id) -> String, deadline: Ticks) {
         let text = self.id.as_ref().map(text);
         let Some(batch) = self.batch else {
             if let Some(text) = text {
@@ -102,13 +102,13 @@
     }
 
     /// Sends the result of an accepted invocation.
-    pub fn result(self, id: InvocationId, result: &str, deadline: Ticks) {
+    pub(crate) fn result(self, id: InvocationId, result: &str, deadline: Ticks) {
         self.finished(id);
         self.send(|id| rpc::result(id, result), deadline);
     }
 
     /// Sends the failure of an accepted invocation.
-    pub fn error(
+    pub(crate) fn error(
         self,
         id: InvocationId,
         code: i64,
@@ -121,19 +121,19 @@
     }
 
     /// Sends nothing for an accepted invocation: the client waits no more.
-    pub fn abandon(self, id: InvocationId) {
+    pub(crate) fn abandon(self, id: InvocationId) {
         self.finished(id);
         self.skip();
     }
 
     /// Sends nothing for a call that was not accepted. The rest of its batch still gets its responses.
-    pub fn skip(mut self) {
+    pub(crate) fn skip(mut self) {
         self.id = None;
         self.send(|_| String::new(), NO_DEADLINE);
     }
 
     /// Rejects a call that was not accepted.
-    pub fn reject(self, code: i64, reason: &str) {
+    pub(crate) fn reject(self, code: i64, reason: &str) {
         self.send(|id| rpc::error(id, code, reason, None), NO_DEADLINE);
     }
 }
--- a/crates/controller/src/native/state.rs
+++ b/crates/controller/src/native/state.rs
@@ -67,7 +67,7 @@
 
 impl InvokerConnections {
     /// Connections that stand.
-    pub fn connections_up(&self) -> usize {
+    pub(crate) fn connections_up(&self) -> usize {
         self.by_invoker
             .values()
             .filter(|connection| connection.is_up())
--- a/crates/controller/tests/sockets.rs
+++ b/crates/controller/tests/sockets.rs
@@ -1,6 +1,8 @@
 //! What a controller does at its sockets: how each dispatch's end is told, what bad peers cost, JSON-RPC's rules. On
 //! in-memory streams under a paused clock; peers are written out here byte by byte.
 
+#![allow(clippy::too_many_lines, reason = "a test reads as one story")]
+
 use bytes::{Bytes, BytesMut};
 use saltdrum::interface::*;
 use saltdrum_controller::shutdown::{ShutdownHandle, ShutdownPhase};
--- a/crates/transport/src/event_loop.rs
+++ b/crates/transport/src/event_loop.rs
@@ -18,7 +18,7 @@
 use tokio::io::{AsyncRead, ReadBuf};
 
 /// The event loop's clock ticks this often while its thread runs.
-pub const TICK_INTERVAL: Ticks = 10 * MILLISECOND;
+pub(crate) const TICK_INTERVAL: Ticks = 10 * MILLISECOND;
 /// EventLoopClock further apart mean that the thread stood still.
 const STOP_THRESHOLD: Ticks = 40 * MILLISECOND;
 const READ_BYTES: usize = 16 << 10;
@@ -42,7 +42,7 @@
     /// What the kernel reports at `now` arrived no earlier than this, as it would have been reported before. A thread that was
     /// stopped and has not ticked since last polled before the stop; its first tick after a stop may come before it polls, so
     /// only the tick before the last counts.
-    pub fn last_poll_before(&self, now: Ticks) -> Ticks {
+    pub(crate) fn last_poll_before(&self, now: Ticks) -> Ticks {
         if now.saturating_sub(self.last()) > STOP_THRESHOLD {
             self.last()
         } else {
--- a/crates/transport/src/send_queue.rs
+++ b/crates/transport/src/send_queue.rs
@@ -8,7 +8,7 @@
 use std::io;
 use std::pin::Pin;
 use std::rc::Rc;
-use std::task::{Poll, Waker};
+use std::task::{Context, Poll, Waker, ready};
 use tokio::io::{AsyncWrite, AsyncWriteExt};
 
 /// How much is handed to the stream at once.
@@ -38,6 +38,20 @@
     batch: Vec<u8>,
 }
 
+/// A frame that was written in part.
+struct PartialFrame {
+    ticket: Ticket,
+    rest: Bytes,
+}
+
+/// What became of a write.
+enum Written {
+    /// Frames were written; the last possibly in part.
+    Batch(Option<PartialFrame>),
+    /// The queue is closed and empty.
+    Closed,
+}
+
 /// Frames that wait to be sent on one stream, bounded in bytes. A frame can be withdrawn until its first byte was handed to the
 /// stream, also while the stream takes nothing; none is withdrawn after that. Clones share the queue.
 #[derive(Clone, Default)]
@@ -60,6 +74,64 @@
         });
     }
 
+    /// Polls the stream with the frames that wait now: what waits behind a stalled stream has not begun to be sent.
+    fn poll_write(
+        &mut self,
+        cx: &mut Context<'_>,
+        stream: &mut (impl AsyncWrite + Unpin),
+        has_expired: bool,
+    ) -> Poll<io::Result<Written>> {
+        let mut batch = std::mem::take(&mut self.batch);
+        batch.clear();
+        for item in &self.items {
+            batch.extend_from_slice(&item.bytes);
+            if batch.len() >= WRITE_BYTES {
+                break;
+            }
+        }
+        if batch.is_empty() {
+            self.batch = batch;
+            return self.poll_empty(cx, has_expired);
+        }
+        let polled = Pin::new(stream).poll_write(cx, &batch);
+        self.batch = batch;
+        Poll::Ready(match ready!(polled) {
+            Ok(0) => Err(io::ErrorKind::WriteZero.into()),
+            Ok(written_bytes) => Ok(Written::Batch(self.remove_written(written_bytes))),
+            Err(error) => Err(error),
+        })
+    }
+
+    /// Nothing waits: ends when frames expired, which have to be reported, or when the queue is closed.
+    fn poll_empty(&mut self, cx: &mut Context<'_>, has_expired: bool) -> Poll<io::Result<Written>> {
+        if has_expired {
+            return Poll::Ready(Ok(Written::Batch(None)));
+        }
+        self.waker = Some(cx.waker().clone());
+        if self.closed {
+            return Poll::Ready(Ok(Written::Closed));
+        }
+        Poll::Pending
+    }
+
+    /// Removes the frames of which bytes were written; gives the rest of the last, if it was written in part.
+    fn remove_written(&mut self, mut written_bytes: usize) -> Option<PartialFrame> {
+        while written_bytes > 0 {
+            let mut item = self.items.pop_front()?;
+            self.queued_bytes -= item.bytes.len();
+            if written_bytes < item.bytes.len() {
+                let rest = item.bytes.split_off(written_bytes);
+                return Some(PartialFrame {
+                    ticket: item.ticket,
+                    rest,
+                });
+            }
+            written_bytes -= item.bytes.len();
+            self.sent = item.ticket;
+        }
+        None
+    }
+
     fn wake(&mut self) {
         if let Some(waker) = self.waker.take() {
             waker.wake();
@@ -144,68 +216,19 @@
         mut on_withdrawn: impl FnMut(Ticket),
     ) -> io::Result<()> {
         loop {
-            let (mut expired, mut ended) = (Vec::new(), false);
-            // The batch is put together at each poll: what waits behind a stuck stream has not begun to leave.
-            let rest = poll_fn(|cx| {
+            let mut expired = Vec::new();
+            let written = poll_fn(|cx| {
                 let inner = &mut *self.inner.borrow_mut();
                 inner.withdraw(now(), &mut expired);
-                let mut batch = std::mem::take(&mut inner.batch);
-                batch.clear();
-                for item in &inner.items {
-                    batch.extend_from_slice(&item.bytes);
-                    if batch.len() >= WRITE_BYTES {
-                        break;
-                    }
-                }
-                let polled = if batch.is_empty() && !expired.is_empty() {
-                    Poll::Ready(Ok(0))
-                } else if batch.is_empty() {
-                    ended = inner.closed;
-                    inner.waker = Some(cx.waker().clone());
-                    if ended {
-                        Poll::Ready(Ok(0))
-                    } else {
-                        Poll::Pending
-                    }
-                } else {
-                    Pin::new(&mut *stream).poll_write(cx, &batch)
-                };
-                let sent_any = !batch.is_empty();
-                inner.batch = batch;
-                polled.map(|got| match got {
-                    Ok(0) if sent_any => Err(io::ErrorKind::WriteZero.into()),
-                    Ok(mut n) => {
-                        while let Some(item) = inner.items.front_mut().filter(|_| n > 0) {
-                            inner.queued_bytes -= item.bytes.len().min(n);
-                            if n < item.bytes.len() {
-                                let rest = item.bytes.split_off(n);
-                                let ticket = item.ticket;
-                                inner.queued_bytes -= rest.len();
-                                inner.items.pop_front();
-                                return Ok(Some((ticket, rest)));
-                            }
-                            n -= item.bytes.len();
-                            inner.sent = item.ticket;
-                            inner.items.pop_front();
-                        }
-                        Ok(None)
-                    }
-                    Err(e) => Err(e),
-                })
+                inner.poll_write(cx, stream, !expired.is_empty())
             })
             .await;
             expired.into_iter().for_each(&mut on_withdrawn);
-            if ended {
-                return Ok(());
-            }
-            let done = match rest {
-                Ok(Some((ticket, rest))) => {
-                    self.inner.borrow_mut().partially_sent = Some(ticket);
-                    let done = stream.write_all(&rest).await;
-                    self.inner.borrow_mut().partially_sent = None;
-                    done.map(|()| self.inner.borrow_mut().sent = ticket)
-                }
-                other => other.map(|_| ()),
+            let done = match written {
+                Ok(Written::Closed) => return Ok(()),
+                Ok(Written::Batch(None)) => Ok(()),
+                Ok(Written::Batch(Some(partial))) => self.write_rest(stream, partial).await,
+                Err(error) => Err(error),
             };
             if done.is_err() {
                 self.inner.borrow_mut().closed = true;
@@ -213,6 +236,22 @@
             }
         }
     }
+
+    /// Writes the rest of a frame that was written in part.
+    async fn write_rest(
+        &self,
+        stream: &mut (impl AsyncWrite + Unpin),
+        partial: PartialFrame,
+    ) -> io::Result<()> {
+        self.inner.borrow_mut().partially_sent = Some(partial.ticket);
+        let done = stream.write_all(&partial.rest).await;
+        let inner = &mut *self.inner.borrow_mut();
+        inner.partially_sent = None;
+        if done.is_ok() {
+            inner.sent = partial.ticket;
+        }
+        done
+    }
 }
 
 #[cfg(test)]
--- a/src/policy/estimates.rs
+++ b/src/policy/estimates.rs
@@ -26,7 +26,7 @@
 
 impl QuantileMean {
     /// An estimate before any sample.
-    pub fn new(initial: f64) -> Self {
+    pub(super) fn new(initial: f64) -> Self {
         Self {
             low: 0.5 * initial,
             median: 0.8 * initial,
@@ -35,7 +35,7 @@
     }
 
     /// Takes one more sample.
-    pub fn update(&mut self, sample: f64) {
+    pub(super) fn update(&mut self, sample: f64) {
         self.samples += 1.0;
         let step = (2.0 / (self.samples + 1.0)).max(MIN_STEP);
         self.low *= (step * (LOW_QUANTILE - f64::from(sample < self.low))).exp();
@@ -43,7 +43,7 @@
     }
 
     /// Mean of the log-normal distribution with both quantiles.
-    pub fn mean(&self) -> f64 {
+    pub(super) fn mean(&self) -> f64 {
         let sigma = ((self.median / self.low).ln() / QUANTILE_DISTANCE).clamp(MIN_SIGMA, MAX_SIGMA);
         self.median * (0.5 * sigma * sigma).exp()
     }
@@ -58,7 +58,7 @@
 
 impl TimedValue {
     /// The value, decayed towards 0 since then.
-    pub fn decayed(&self, now: Ticks, time_constant_s: f64) -> f64 {
+    pub(super) fn decayed(&self, now: Ticks, time_constant_s: f64) -> f64 {
         self.value * decay(now - self.at, time_constant_s)
     }
 }
--- a/src/policy/functions.rs
+++ b/src/policy/functions.rs
@@ -44,12 +44,12 @@
 
 impl Instance {
     /// Whether an instance is believed to be loaded now.
-    pub fn is_warm(&self, now: Ticks, keep_alive: Ticks) -> bool {
+    pub(super) fn is_warm(&self, now: Ticks, keep_alive: Ticks) -> bool {
         self.is_loaded && (self.in_flight > 0 || now < self.last_used + keep_alive)
     }
 
     /// Invocations believed to be running or waiting here: this controller's, or those of all as last reported.
-    pub fn concurrency(&self, now: Ticks) -> f64 {
+    pub(super) fn concurrency(&self, now: Ticks) -> f64 {
         f64::from(self.in_flight).max(
             self.reported_concurrency
                 .decayed(now, CONCURRENCY_TIME_CONSTANT_S),
@@ -83,7 +83,7 @@
 
 impl FunctionState {
     /// Expected load time, in ticks.
-    pub fn load_time(&self) -> f64 {
+    pub(super) fn load_time(&self) -> f64 {
         let seen = if self.longest_load_time > 0.0 {
             self.longest_load_time
         } else {
@@ -93,7 +93,7 @@
     }
 
     /// Expected time until an instance is loaded at an invoker, in ticks, if a load begins now or has begun.
-    pub fn remaining_load_time(&self, instance: Option<&Instance>, now: Ticks) -> f64 {
+    pub(super) fn remaining_load_time(&self, instance: Option<&Instance>, now: Ticks) -> f64 {
         let load_time = self.load_time();
         match instance.and_then(|instance| instance.loading_since) {
             Some(since) => {
@@ -104,7 +104,7 @@
     }
 
     /// Expected run time of this invocation alone on an invoker, in ticks.
-    pub fn expected_run_time(&self, request: &Invocation, trigger: &TriggerStats) -> f64 {
+    pub(super) fn expected_run_time(&self, request: &Invocation, trigger: &TriggerStats) -> f64 {
         match request.work_hint {
             Some(hint) => hint as f64 * trigger.run_time_per_hint.mean(),
             None => self.run_time.mean(),
@@ -112,14 +112,14 @@
     }
 
     /// Whether an instance is believed to be loaded at this invoker.
-    pub fn is_warm_at(&self, invoker: InvokerId, now: Ticks, keep_alive: Ticks) -> bool {
+    pub(super) fn is_warm_at(&self, invoker: InvokerId, now: Ticks, keep_alive: Ticks) -> bool {
         self.instances
             .get(&invoker)
             .is_some_and(|instance| instance.is_warm(now, keep_alive))
     }
 
     /// Calls a second: over the longest time constant, or over a shorter one as far as chance cannot explain it.
-    pub fn call_rate(&self, now: Ticks, started_at: Ticks) -> f64 {
+    pub(super) fn call_rate(&self, now: Ticks, started_at: Ticks) -> f64 {
         let calls =
             |i: usize| self.calls[i] * decay(now - self.last_called, RATE_TIME_CONSTANTS_S[i]);
         let lower_bound = |i: usize| (calls(i) - calls(i).sqrt()) / RATE_TIME_CONSTANTS_S[i];
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -45,7 +45,7 @@
 }
 
 impl FleetHealth {
-    pub fn new(now: Ticks) -> Self {
+    pub(super) fn new(now: Ticks) -> Self {
         Self {
             in_flight: 0,
             slowdown: TimedValue {
@@ -59,33 +59,33 @@
     }
 
     /// Slowdown of the fleet: it decays to 1.
-    pub fn current_slowdown(&self, now: Ticks) -> f64 {
+    pub(super) fn current_slowdown(&self, now: Ticks) -> f64 {
         let elapsed = now - self.slowdown.at;
         1.0 + (self.slowdown.value - 1.0) * decay(elapsed, SLOWDOWN_TIME_CONSTANT_S)
     }
 
     /// An invoker was heard `lateness` ticks past what was expected of it, with an answer `overdue` ticks past due.
-    pub fn record_lateness(&mut self, lateness: f64, overdue: f64) {
+    pub(super) fn record_lateness(&mut self, lateness: f64, overdue: f64) {
         self.mean_lateness += LATENESS_WEIGHT * (lateness - self.mean_lateness);
         self.mean_lateness = self.mean_lateness.max(MIN_LATENESS);
         self.late_answers.update(overdue);
     }
 
     /// An attempt took `ratio` times as long as expected.
-    pub fn record_duration(&mut self, now: Ticks, ratio: f64) {
+    pub(super) fn record_duration(&mut self, now: Ticks, ratio: f64) {
         let fleet = self.current_slowdown(now);
         let value = step_median(fleet, ratio > MEDIAN_OVER_MEAN * fleet);
         self.slowdown = TimedValue { value, at: now };
     }
 
     /// An attempt timed out. Left out, an overload would be judged by the answers that still come.
-    pub fn record_timeout(&mut self, now: Ticks) {
+    pub(super) fn record_timeout(&mut self, now: Ticks) {
         let value = step_median(self.current_slowdown(now), true).min(MAX_SLOWDOWN_BY_TIMEOUTS);
         self.slowdown = TimedValue { value, at: now };
     }
 
     /// An invoker had no capacity for an attempt.
-    pub fn record_full(&mut self, now: Ticks) {
+    pub(super) fn record_full(&mut self, now: Ticks) {
         let value = step_median(self.current_slowdown(now), true);
         self.slowdown = TimedValue { value, at: now };
     }
@@ -110,20 +110,20 @@
 
 impl InvokerState {
     /// Slowdown of this invoker: it decays to the fleet's, as a controller hears of one invoker too seldom.
-    pub fn current_slowdown(&self, now: Ticks, fleet_slowdown: f64) -> f64 {
+    pub(super) fn current_slowdown(&self, now: Ticks, fleet_slowdown: f64) -> f64 {
         let elapsed = now.saturating_sub(self.slowdown.at);
         fleet_slowdown
             + (self.slowdown.value - fleet_slowdown) * decay(elapsed, SLOWDOWN_TIME_CONSTANT_S)
     }
 
     /// Whether an attempt may go there. After an ejection a single one may, whose end decides.
-    pub fn is_available(&self, now: Ticks) -> bool {
+    pub(super) fn is_available(&self, now: Ticks) -> bool {
         now >= self.ejected_until && (self.ejection_time == 0 || self.in_flight == 0)
     }
 
     /// No connection could be made. When that happens again, at once or in the trial after an ejection, its process is down,
     /// and will start anew.
-    pub fn record_unreachable(&mut self, now: Ticks, duration: Ticks) {
+    pub(super) fn record_unreachable(&mut self, now: Ticks, duration: Ticks) {
         let failed_at_once = duration < DEADLINE_MARGIN;
         let is_down =
             self.ejection_time > 0 && (failed_at_once || now - duration >= self.ejected_until);
@@ -134,7 +134,7 @@
     }
 
     /// Sends nothing there for a while.
-    pub fn eject(&mut self, now: Ticks) {
+    pub(super) fn eject(&mut self, now: Ticks) {
         if now >= self.ejected_until {
             self.ejection_time =
                 (2 * self.ejection_time).clamp(EJECTION_TIME_BASE, EJECTION_TIME_MAX);
--- a/src/policy/invocations.rs
+++ b/src/policy/invocations.rs
@@ -60,7 +60,7 @@
     }
 
     /// The first attempt that may have run, in flight or ended.
-    pub fn attempt_that_may_have_run(&self) -> Option<EarlierAttempt> {
+    pub(super) fn attempt_that_may_have_run(&self) -> Option<EarlierAttempt> {
         let in_flight = self.in_flight.as_ref();
         self.may_have_run
             .or(in_flight.map(|attempt| EarlierAttempt {
--- a/src/policy/load_breaker.rs
+++ b/src/policy/load_breaker.rs
@@ -17,19 +17,19 @@
 
 impl LoadBreaker {
     /// A load begins. In the half-open state it is the trial: no other begins for a while.
-    pub fn load_began(&mut self, now: Ticks) {
+    pub(super) fn load_began(&mut self, now: Ticks) {
         if self.open_until > 0 {
             self.open_until = now + OPEN_TIME;
         }
     }
 
     /// A load succeeded: the store works.
-    pub fn load_succeeded(&mut self) {
+    pub(super) fn load_succeeded(&mut self) {
         *self = Self::default();
     }
 
     /// A load failed at this invoker, and the store may be the reason.
-    pub fn load_failed(&mut self, now: Ticks, invoker: InvokerId) {
+    pub(super) fn load_failed(&mut self, now: Ticks, invoker: InvokerId) {
         let failed_elsewhere = self.failed_at.is_some_and(|other| other != invoker);
         let opens = self.open_until > 0 || failed_elsewhere;
         self.open_until = if opens { now + OPEN_TIME } else { 0 };
@@ -37,12 +37,12 @@
     }
 
     /// Whether no load may begin.
-    pub fn is_open(&self, now: Ticks) -> bool {
+    pub(super) fn is_open(&self, now: Ticks) -> bool {
         now < self.open_until
     }
 
     /// For how long no load may begin.
-    pub fn remaining(&self, now: Ticks) -> Ticks {
+    pub(super) fn remaining(&self, now: Ticks) -> Ticks {
         self.open_until.saturating_sub(now)
     }
 }
--- a/src/policy/load_budget.rs
+++ b/src/policy/load_budget.rs
@@ -23,18 +23,18 @@
 
 impl LoadBudget {
     /// Counts an invocation that widens the budget.
-    pub fn invocation_arrived(&mut self, at: Ticks) {
+    pub(super) fn invocation_arrived(&mut self, at: Ticks) {
         insert_sorted(&mut self.arrivals, at);
     }
 
     /// Counts an order that is given now.
-    pub fn order_given(&mut self, now: Ticks) {
+    pub(super) fn order_given(&mut self, now: Ticks) {
         self.in_flight += 1;
         insert_sorted(&mut self.orders, now);
     }
 
     /// An order that was given at `given_at` has ended; it was sent at `sent_at`, if that is known.
-    pub fn order_ended(&mut self, given_at: Ticks, sent_at: Option<Ticks>) {
+    pub(super) fn order_ended(&mut self, given_at: Ticks, sent_at: Option<Ticks>) {
         self.in_flight = self.in_flight.saturating_sub(1);
         let Some(sent_at) = sent_at.filter(|sent_at| *sent_at > given_at) else {
             return;
@@ -46,12 +46,17 @@
     }
 
     /// Orders in flight.
-    pub fn orders_in_flight(&self) -> usize {
+    pub(super) fn orders_in_flight(&self) -> usize {
         self.in_flight
     }
 
     /// Whether one more order stays within `share` of what the window allows now.
-    pub fn allows_one_more(&mut self, now: Ticks, deployment: &Deployment, share: f64) -> bool {
+    pub(super) fn allows_one_more(
+        &mut self,
+        now: Ticks,
+        deployment: &Deployment,
+        share: f64,
+    ) -> bool {
         let window = deployment.load_window;
         self.forget_expired(now, window);
         let arrived = self.arrivals.len() - self.arrivals.partition_point(|at| *at + window <= now);
@@ -61,7 +66,7 @@
     }
 
     /// Forgets what no window that ends at `now` or later reaches back to.
-    pub fn forget_expired(&mut self, now: Ticks, window: Ticks) {
+    pub(super) fn forget_expired(&mut self, now: Ticks, window: Ticks) {
         while self
             .arrivals
             .pop_front_if(|at| *at + window <= now)
@@ -75,12 +80,12 @@
     }
 
     /// Orders that count against the budget, as of the last check.
-    pub fn orders_counted(&self) -> usize {
+    pub(super) fn orders_counted(&self) -> usize {
         self.orders.len()
     }
 
     /// Invocations that widen the budget, as of the last check.
-    pub fn invocations_counted(&self) -> usize {
+    pub(super) fn invocations_counted(&self) -> usize {
         self.arrivals.len()
     }
 }
--- a/src/policy/loads.rs
+++ b/src/policy/loads.rs
@@ -43,7 +43,7 @@
 
 impl Loads {
     /// Functions with an entry at this invoker, ascending.
-    pub fn functions_at(&self, invoker: InvokerId) -> Vec<FunctionId> {
+    pub(super) fn functions_at(&self, invoker: InvokerId) -> Vec<FunctionId> {
         let range = self
             .instances
             .range((invoker, 0)..=(invoker, FunctionId::MAX));
@@ -51,7 +51,7 @@
     }
 
     /// An invoker with an unknown instance turned out to lack it, or not.
-    pub fn record_unknown_instance(&mut self, was_absent: bool) {
+    pub(super) fn record_unknown_instance(&mut self, was_absent: bool) {
         self.absence_rate += ABSENCE_WEIGHT * (f64::from(was_absent) - self.absence_rate);
     }
 }
--- a/src/policy/pool_sizing.rs
+++ b/src/policy/pool_sizing.rs
@@ -49,7 +49,7 @@
 
 impl PoolSizing {
     /// Starts with a drawn part of a planned load, so that controllers do not act in step.
-    pub fn new(planned_loads: f64) -> Self {
+    pub(super) fn new(planned_loads: f64) -> Self {
         Self {
             to_fill: VecDeque::new(),
             fills_per_check: 0,
--- a/src/policy/ranking.rs
+++ b/src/policy/ranking.rs
@@ -44,17 +44,17 @@
 
 impl Ranking {
     /// Invokers that are held in order.
-    pub fn len(&self) -> usize {
+    pub(super) fn len(&self) -> usize {
         self.head.len()
     }
 
     /// The invokers that are held, in order.
-    pub fn head(&self) -> impl Iterator<Item = Ranked> {
+    pub(super) fn head(&self) -> impl Iterator<Item = Ranked> {
         self.head.iter().copied()
     }
 
     /// Drops all but the first `len`.
-    pub fn truncate(&mut self, len: usize) {
+    pub(super) fn truncate(&mut self, len: usize) {
         self.head = self.head[..len].to_vec();
         self.weight_limit = self.head[len - 1].weight;
     }
@@ -89,7 +89,7 @@
 
 impl ReadyInvokers {
     /// Before the first endpoint list.
-    pub fn new() -> Self {
+    pub(super) fn new() -> Self {
         Self {
             version: 1,
             ..Self::default()
@@ -97,42 +97,42 @@
     }
 
     /// Number of ready invokers.
-    pub fn len(&self) -> usize {
+    pub(super) fn len(&self) -> usize {
         self.by_id.len()
     }
 
     /// Whether this invoker is ready.
-    pub fn contains(&self, invoker: InvokerId) -> bool {
+    pub(super) fn contains(&self, invoker: InvokerId) -> bool {
         self.by_id.contains_key(&invoker)
     }
 
     /// Ids of the ready invokers, ascending.
-    pub fn ids(&self) -> impl Iterator<Item = InvokerId> {
+    pub(super) fn ids(&self) -> impl Iterator<Item = InvokerId> {
         self.by_id.keys().copied()
     }
 
     /// Capacity of a ready invoker.
-    pub fn capacity(&self, invoker: InvokerId) -> Option<f64> {
+    pub(super) fn capacity(&self, invoker: InvokerId) -> Option<f64> {
         self.by_id.get(&invoker).map(|ready| ready.capacity)
     }
 
     /// Sum of the capacities of all ready invokers.
-    pub fn total_capacity(&self) -> f64 {
+    pub(super) fn total_capacity(&self) -> f64 {
         self.total_capacity
     }
 
     /// Invokers looked at to rank them, since the start.
-    pub fn rank_steps(&self) -> u64 {
+    pub(super) fn rank_steps(&self) -> u64 {
         self.rank_steps
     }
 
     /// A version of the endpoint list begins.
-    pub fn begin_version(&mut self) {
+    pub(super) fn begin_version(&mut self) {
         self.version += 1;
     }
 
     /// Notes an invoker's capacity, or that it is not ready (`None`). Only a change is new to rankings.
-    pub fn set_capacity(&mut self, invoker: InvokerId, capacity: Option<f64>) {
+    pub(super) fn set_capacity(&mut self, invoker: InvokerId, capacity: Option<f64>) {
         if capacity != self.capacity(invoker) {
             self.by_id.remove(&invoker);
             if let Some(capacity) = capacity {
@@ -154,7 +154,7 @@
     }
 
     /// The changes of this version are noted.
-    pub fn end_version(&mut self) {
+    pub(super) fn end_version(&mut self) {
         self.list = self
             .by_id
             .iter()
@@ -164,7 +164,7 @@
     }
 
     /// Extends a function's ranking to its first `count` invokers, or to all ready ones.
-    pub fn rank(&mut self, function: FunctionId, ranking: &mut Ranking, count: usize) {
+    pub(super) fn rank(&mut self, function: FunctionId, ranking: &mut Ranking, count: usize) {
         self.update_ranking(function, ranking);
         let count_ready = count.min(self.by_id.len());
         self.rank_steps += count_ready as u64;
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -33,18 +33,18 @@
 
 impl CompletedWork {
     /// The ready invokers have this capacity.
-    pub fn fleet_grew(&mut self, ready_capacity: f64) {
+    pub(super) fn fleet_grew(&mut self, ready_capacity: f64) {
         self.fleet_capacity = self.fleet_capacity.max(ready_capacity);
     }
 
     /// The same, after `elapsed` in which the remembered capacity decays.
-    pub fn decay_fleet(&mut self, ready_capacity: f64, elapsed: Ticks) {
+    pub(super) fn decay_fleet(&mut self, ready_capacity: f64, elapsed: Ticks) {
         self.fleet_capacity =
             ready_capacity.max(self.fleet_capacity * decay(elapsed, WORK_TIME_CONSTANT_S));
     }
 
     /// Work of `run_time` ticks was completed.
-    pub fn completed(&mut self, now: Ticks, run_time: f64) {
+    pub(super) fn completed(&mut self, now: Ticks, run_time: f64) {
         let decayed = self.rate.decayed(now, WORK_TIME_CONSTANT_S);
         let value = decayed + run_time / (WORK_TIME_CONSTANT_S * SECOND as f64);
         self.rate = TimedValue { value, at: now };
--- a/tests/cases.rs
+++ b/tests/cases.rs
@@ -1,5 +1,7 @@
 //! Plain cases of the ordinary path, and one for each failure found.
 
+#![allow(clippy::too_many_lines, reason = "a test reads as one story")]
+
 mod support;
 
 use saltdrum::interface::*;
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -5,17 +5,17 @@
 use saltdrum::interface::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-pub const RUN: Ticks = 150 * MILLISECOND;
-pub const CORES: f64 = 4.0;
+pub(crate) const RUN: Ticks = 150 * MILLISECOND;
+pub(crate) const CORES: f64 = 4.0;
 const SLACK: Ticks = 16 * MILLISECOND;
 
-pub struct Sent {
+pub(crate) struct Sent {
     pub invoker: InvokerId,
     pub at: Ticks,
     pub ended: Option<Outcome>,
 }
 
-pub struct Taken {
+pub(crate) struct Taken {
     pub call: Invocation,
     pub sent: Vec<Sent>,
     /// How often it got a final answer, and whether that was a success, a throttle or an error.
@@ -24,7 +24,7 @@
 }
 
 /// What the controller did, checked as it does it.
-pub struct Checker {
+pub(crate) struct Checker {
     pub now: Ticks,
     pub stated: Deployment,
     pub invs: BTreeMap<InvocationId, Taken>,
@@ -50,7 +50,7 @@
 
 impl Checker {
     /// It asks for what is no function: rule 5 does not count it.
-    pub fn strange(&mut self, id: InvocationId) {
+    pub(crate) fn strange(&mut self, id: InvocationId) {
         assert!(self.invs.contains_key(&id), "the one taken last");
         self.taken.pop();
     }
@@ -119,7 +119,7 @@
     }
 
     /// What must hold whenever the controller has had its turn.
-    pub fn check(&self) {
+    pub(crate) fn check(&self) {
         for (id, t) in &self.invs {
             let owed = t.finals.is_empty() && !t.gone;
             let by = t.call.expires_at.max(self.stood) + SLACK;
@@ -217,7 +217,7 @@
 }
 
 /// A controller and what it is told, one thing at a time.
-pub struct Bed {
+pub(crate) struct Bed {
     pub c: DispatchPolicy,
     pub k: Checker,
     /// Whose the next invocations are.
@@ -225,7 +225,7 @@
     next: InvocationId,
 }
 
-pub fn terms(effect: Effect, scope: KeyScope) -> TriggerType {
+pub(crate) fn terms(effect: Effect, scope: KeyScope) -> TriggerType {
     TriggerType {
         latency_objective: SECOND,
         client_timeout: 4 * SECOND,
@@ -237,7 +237,7 @@
     }
 }
 
-pub fn deployment() -> Deployment {
+pub(crate) fn deployment() -> Deployment {
     Deployment {
         controllers: 2,
         zone: 0,
@@ -265,7 +265,11 @@
     }
 }
 
-pub fn listed(invoker: InvokerId, life: InvokerStatus, started: Option<Ticks>) -> InvokerRecord {
+pub(crate) fn listed(
+    invoker: InvokerId,
+    life: InvokerStatus,
+    started: Option<Ticks>,
+) -> InvokerRecord {
     let zone = (invoker % 3) as u8;
     InvokerRecord {
         invoker,
@@ -279,16 +283,16 @@
 }
 
 impl Bed {
-    pub fn new(stated: Deployment, invokers: u32) -> Self {
+    pub(crate) fn new(stated: Deployment, invokers: u32) -> Self {
         Self::seeded(stated, invokers, 7)
     }
 
-    pub fn seeded(stated: Deployment, invokers: u32, seed: u64) -> Self {
+    pub(crate) fn seeded(stated: Deployment, invokers: u32, seed: u64) -> Self {
         Self::begun(stated, invokers, seed, 100 * SECOND)
     }
 
     /// Started at `now`: it knows its list, and nothing of before.
-    pub fn begun(stated: Deployment, invokers: u32, seed: u64, now: Ticks) -> Self {
+    pub(crate) fn begun(stated: Deployment, invokers: u32, seed: u64, now: Ticks) -> Self {
         let (list, invs) = (BTreeMap::new(), BTreeMap::new());
         let mut k = Checker {
             now,
@@ -323,7 +327,7 @@
         bed
     }
 
-    pub fn list(&mut self, whole: bool, entries: &[InvokerRecord]) {
+    pub(crate) fn list(&mut self, whole: bool, entries: &[InvokerRecord]) {
         let now = self.k.now;
         if whole {
             let kept = |w: &InvokerId| entries.iter().any(|l| l.invoker == *w);
@@ -345,7 +349,7 @@
         self.c.invokers_changed(now, whole, entries);
     }
 
-    pub fn invoke(
+    pub(crate) fn invoke(
         &mut self,
         trigger: usize,
         function: FunctionId,
@@ -355,7 +359,7 @@
     }
 
     /// With a hint of its work.
-    pub fn invoke_hinted(
+    pub(crate) fn invoke_hinted(
         &mut self,
         trigger: usize,
         function: FunctionId,
@@ -391,7 +395,7 @@
         id
     }
 
-    pub fn answer(
+    pub(crate) fn answer(
         &mut self,
         id: InvocationId,
         hop: usize,
@@ -423,7 +427,7 @@
         self.k.check();
     }
 
-    pub fn held(&mut self, i: usize, outcome: LoadOutcome) {
+    pub(crate) fn held(&mut self, i: usize, outcome: LoadOutcome) {
         let (invoker, function, at) = self.k.holds.remove(i);
         let took = self.k.now - at;
         let a = LoadResult {
@@ -438,13 +442,13 @@
         self.k.check();
     }
 
-    pub fn leave(&mut self, id: InvocationId) {
+    pub(crate) fn leave(&mut self, id: InvocationId) {
         self.k.invs.get_mut(&id).unwrap().gone = true;
         self.c.client_left(self.k.now, id);
     }
 
     /// Dispatches that are out, oldest first.
-    pub fn out(&self) -> Vec<(InvocationId, usize)> {
+    pub(crate) fn out(&self) -> Vec<(InvocationId, usize)> {
         let of = |(id, t): (&InvocationId, &Taken)| {
             let open = t.sent.iter().enumerate().filter(|(_, s)| s.ended.is_none());
             open.map(|(hop, s)| (s.at, *id, hop)).collect::<Vec<_>>()
@@ -455,13 +459,13 @@
     }
 
     /// The controller gets no turn for so long; what fell due meanwhile comes after it.
-    pub fn stand_still(&mut self, time: Ticks) {
+    pub(crate) fn stand_still(&mut self, time: Ticks) {
         self.k.now += time;
         self.k.stood = self.k.now;
     }
 
     /// Lets time pass: timers fire, dispatches end with the client timeout, cancelled ones as cancelled.
-    pub fn pass(&mut self, time: Ticks) {
+    pub(crate) fn pass(&mut self, time: Ticks) {
         let end = self.k.now + time;
         while self.k.now < end {
             self.k.now = (self.k.now + 4 * MILLISECOND).min(end);
