--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -19,6 +19,7 @@
 mod leases;
 #[cfg(feature = "whole")]
 mod load;
+mod logging;
 mod node;
 #[cfg(feature = "whole")]
 mod process;
@@ -168,8 +169,9 @@
     #[command(subcommand)]
     Registry(registry::Registry),
     #[cfg(feature = "whole")]
-    /// Runs one steward of a fleet until interrupted.
-    Steward(fleet::Runs),
+    /// Runs one coordinator of a fleet until interrupted.
+    #[command(name = "coordinator", alias = "steward")]
+    Coordinator(fleet::Runs),
     #[cfg(feature = "whole")]
     /// Members, drains and halts of a fleet.
     #[command(subcommand)]
@@ -254,17 +256,7 @@
 /// 0 all kept, 1 a rule broken, 2 bad input, 3 the record does not tell.
 fn main() -> ExitCode {
     let args = Args::parse();
-    let filter = tracing_subscriber::EnvFilter::try_from_env("SALTDRUM_LOG")
-        .unwrap_or_else(|_| tracing_subscriber::EnvFilter::new("warn"));
-    let logs = tracing_subscriber::fmt()
-        .with_env_filter(filter)
-        .with_writer(std::io::stderr);
-    let logs = logs.with_ansi(std::io::IsTerminal::is_terminal(&std::io::stderr()));
-    if args.log_json {
-        logs.json().init();
-    } else {
-        logs.init();
-    }
+    logging::start(args.log_json);
     let done = match args.what {
         #[cfg(feature = "whole")]
         What::Serve {
@@ -406,7 +398,7 @@
         #[cfg(feature = "whole")]
         What::Registry(what) => registry::run(&what),
         #[cfg(feature = "whole")]
-        What::Steward(runs) => fleet::steward(&runs),
+        What::Coordinator(runs) => fleet::steward(&runs),
         #[cfg(feature = "whole")]
         What::Fleet(what) => fleet::run(&what),
         #[cfg(feature = "whole")]
