--- a/tests/ranking.rs
+++ b/tests/ranking.rs
@@ -24,7 +24,7 @@
 const LONG_PAST: Option<Ticks> = Some(1);
 
 struct Fleet {
-    bed: Bed,
+    bed: TestBed,
     ready: BTreeMap<InvokerId, f64>,
     rng: fastrand::Rng,
     next: InvokerId,
@@ -38,7 +38,7 @@
             ..deployment()
         };
         let (bed, rng) = (
-            Bed::seeded(d, 0, seed),
+            TestBed::seeded(d, 0, seed),
             fastrand::Rng::with_seed(seed ^ 0x4a4),
         );
         let mut fleet = Self {
@@ -74,7 +74,7 @@
             .map(|w| self.line(w, InvokerStatus::Ready))
             .collect();
         self.next += n;
-        self.bed.list(false, &new);
+        self.bed.update_endpoint_list(false, &new);
     }
 
     fn some(&mut self, n: usize) -> Vec<InvokerId> {
@@ -98,7 +98,7 @@
                 let named = self.some(n);
                 let lines: Vec<InvokerRecord> =
                     named.into_iter().map(|w| self.line(w, life)).collect();
-                self.bed.list(false, &lines);
+                self.bed.update_endpoint_list(false, &lines);
             }
             // In another size, or in the same; some come back under their old ids.
             3 => {
@@ -110,7 +110,7 @@
                     .into_iter()
                     .map(|w| self.line(w, InvokerStatus::Ready))
                     .collect();
-                self.bed.list(false, &lines);
+                self.bed.update_endpoint_list(false, &lines);
             }
             // A whole list that leaves some out, and one that repeats what is known.
             _ => {
@@ -124,7 +124,8 @@
                     capacity: *size,
                     ..listed(*w, InvokerStatus::Ready, LONG_PAST)
                 });
-                self.bed.list(true, &all.collect::<Vec<_>>());
+                self.bed
+                    .update_endpoint_list(true, &all.collect::<Vec<_>>());
             }
         }
     }
@@ -133,17 +134,17 @@
     fn asked(&mut self, function: FunctionId, deep: usize) -> Vec<InvokerId> {
         let id = self.bed.invoke(0, function, 4 * SECOND);
         for hop in 0..deep - 1 {
-            self.bed.answer(id, hop, Outcome::NotSent, None);
+            self.bed.end_attempt(id, hop, Outcome::NotSent, None);
         }
-        self.bed.leave(id);
-        self.bed.answer(id, deep - 1, Outcome::NotSent, None);
-        let taken = self.bed.k.invs.remove(&id).unwrap();
-        taken.sent.iter().map(|s| s.invoker).collect()
+        self.bed.client_leaves(id);
+        self.bed.end_attempt(id, deep - 1, Outcome::NotSent, None);
+        let taken = self.bed.checker.invocations.remove(&id).unwrap();
+        taken.attempts.iter().map(|s| s.invoker).collect()
     }
 }
 
 #[test]
-fn who_is_asked_is_the_next_of_the_whole_ranking() {
+fn pools_follow_the_complete_ranking() {
     let mut beyond = 0;
     for seed in 0..40 {
         let mut fleet = Fleet::new([110, 250, 600][seed as usize % 3], seed);
@@ -178,31 +179,31 @@
 /// By count: a line costs each function that is used a few looks at invokers, not the fleet; what a function holds does not
 /// grow with the fleet.
 #[test]
-fn a_change_of_the_list_costs_what_it_names() {
+fn a_watch_event_costs_the_entries_it_names() {
     const FUNCTIONS: u64 = 200;
     let steps_and_held = |invokers: u32| {
         let mut fleet = Fleet::new(invokers, 7);
         let ask_all = |fleet: &mut Fleet| (0..FUNCTIONS).for_each(|f| drop(fleet.asked(f, 1)));
         ask_all(&mut fleet);
-        let first = fleet.bed.c.table_sizes();
+        let first = fleet.bed.policy.table_sizes();
         let mut costs = Vec::new();
         for n in [1, 40] {
-            let before = fleet.bed.c.table_sizes().rank_steps;
+            let before = fleet.bed.policy.table_sizes().rank_steps;
             let named = fleet.some(n);
             let gone: Vec<InvokerRecord> = named
                 .iter()
                 .map(|w| fleet.line(*w, InvokerStatus::Gone))
                 .collect();
-            fleet.bed.list(false, &gone);
+            fleet.bed.update_endpoint_list(false, &gone);
             ask_all(&mut fleet);
             fleet.come(n as u32);
             ask_all(&mut fleet);
-            costs.push((fleet.bed.c.table_sizes().rank_steps - before) / FUNCTIONS);
+            costs.push((fleet.bed.policy.table_sizes().rank_steps - before) / FUNCTIONS);
         }
         (
             first.rank_steps / FUNCTIONS,
             costs,
-            fleet.bed.c.table_sizes().ranked / FUNCTIONS as usize,
+            fleet.bed.policy.table_sizes().ranked / FUNCTIONS as usize,
         )
     };
     let (small, large) = (steps_and_held(500), steps_and_held(5_000));
@@ -232,18 +233,18 @@
 
 /// A fifth of a large fleet at once, and back cold at once: no turn looks at more than a bounded number.
 #[test]
-fn a_zone_that_goes_and_comes_back_is_taken_in_by_bounded_turns() {
+fn a_lost_and_returned_zone_is_absorbed_in_bounded_steps() {
     let mut fleet = Fleet::new(3_000, 11);
     for function in 0..600 {
         for _ in 0..1 + function % 3 {
             fleet.asked(function, 1);
         }
     }
-    fleet.bed.pass(2 * SECOND);
+    fleet.bed.advance(2 * SECOND);
     let zone: Vec<InvokerId> = fleet.ready.keys().copied().filter(|w| w % 5 == 0).collect();
     let mut most = 0;
     for back in [false, true] {
-        let now = fleet.bed.k.now;
+        let now = fleet.bed.checker.now;
         let line = |w: &InvokerId| match back {
             true => InvokerRecord {
                 capacity: 2.0,
@@ -252,16 +253,16 @@
             false => listed(*w, InvokerStatus::Gone, None),
         };
         let lines: Vec<InvokerRecord> = zone.iter().map(line).collect();
-        let before = fleet.bed.c.table_sizes().rank_steps;
-        fleet.bed.list(false, &lines);
+        let before = fleet.bed.policy.table_sizes().rank_steps;
+        fleet.bed.update_endpoint_list(false, &lines);
         assert!(
-            fleet.bed.c.table_sizes().rank_steps == before,
+            fleet.bed.policy.table_sizes().rank_steps == before,
             "the event itself ranks nothing"
         );
         for _ in 0..400 {
-            let before = fleet.bed.c.table_sizes().rank_steps;
-            fleet.bed.pass(4 * MILLISECOND);
-            most = most.max(fleet.bed.c.table_sizes().rank_steps - before);
+            let before = fleet.bed.policy.table_sizes().rank_steps;
+            fleet.bed.advance(4 * MILLISECOND);
+            most = most.max(fleet.bed.policy.table_sizes().rank_steps - before);
         }
     }
     // What a turn may take, and the last function's own ranking.
@@ -272,7 +273,7 @@
 /// Found by reading: where sizes added up to more than a number holds, or to nothing, the head never grew, and its ranking
 /// never ended.
 #[test]
-fn sizes_that_can_not_be_end_no_less_than_others() {
+fn ranking_terminates_with_invalid_capacities() {
     for odd in [f64::INFINITY, f64::MAX, 0.0, -1e300, f64::NAN] {
         let mut fleet = Fleet::new(300, 5);
         let lines: Vec<InvokerRecord> = (1..=3)
@@ -281,14 +282,14 @@
                 ..listed(w, InvokerStatus::Ready, None)
             })
             .collect();
-        fleet.bed.list(false, &lines);
+        fleet.bed.update_endpoint_list(false, &lines);
         (0..20).for_each(|function| assert_eq!(fleet.asked(function, 40).len(), 40, "{odd}"));
         let gone: Vec<InvokerRecord> = (1..=3)
             .map(|w| listed(w, InvokerStatus::Gone, None))
             .collect();
         gone.iter()
             .for_each(|l| fleet.ready.retain(|w, _| *w != l.invoker));
-        fleet.bed.list(false, &gone);
+        fleet.bed.update_endpoint_list(false, &gone);
         for function in 0..20 {
             assert_eq!(
                 fleet.asked(function, 2),
--- a/tests/ramp.rs
+++ b/tests/slow_start.rs
@@ -135,7 +135,7 @@
         INVOKERS + 1..=2 * INVOKERS - self.stay
     }
 
-    fn tell_change(&self, bed: &mut Bed, with_start: bool) {
+    fn tell_change(&self, bed: &mut TestBed, with_start: bool) {
         if self.news == News::Untold {
             return;
         }
@@ -144,7 +144,7 @@
         let cold = self
             .replaced()
             .map(|w| self.listed(w, InvokerStatus::Ready, start));
-        bed.list(false, &gone.chain(cold).collect::<Vec<_>>());
+        bed.update_endpoint_list(false, &gone.chain(cold).collect::<Vec<_>>());
     }
 
     fn restart_of(&self, seed: u64) -> Option<Ticks> {
@@ -179,17 +179,17 @@
         (0..self.controllers).map(weight).collect()
     }
 
-    fn begin(&self, seed: u64, now: Ticks) -> Bed {
+    fn begin(&self, seed: u64, now: Ticks) -> TestBed {
         let deployment = Deployment {
             controllers: self.controllers,
             ..self.told.clone()
         };
-        let mut bed = Bed::begun(deployment, INVOKERS, seed, now);
+        let mut bed = TestBed::started_at(deployment, INVOKERS, seed, now);
         let all: Vec<InvokerRecord> = (1..=INVOKERS)
             .map(|w| self.listed(w, InvokerStatus::Ready, None))
             .collect();
-        bed.list(true, &all);
-        bed.k.even = false;
+        bed.update_endpoint_list(true, &all);
+        bed.checker.has_even_shares = false;
         bed
     }
 
@@ -205,9 +205,10 @@
         let rate = self.load * f64::from(INVOKERS) * CORES / (self.run as f64 * heavier) * part;
         let mut bed = self.begin(seed, 100 * SECOND);
         let mut all = Vec::new();
-        let (mut next, mut replaced, mut told, mut restarted) = (bed.k.now, false, false, false);
-        while bed.k.now < END {
-            let now = bed.k.now;
+        let (mut next, mut replaced, mut told, mut restarted) =
+            (bed.checker.now, false, false, false);
+        while bed.checker.now < END {
+            let now = bed.checker.now;
             if now >= COLD && !replaced {
                 replaced = true;
                 self.tell_change(&mut bed, false);
@@ -226,7 +227,7 @@
                 }
                 next = now;
             }
-            while next <= bed.k.now {
+            while next <= bed.checker.now {
                 let hint = self.heavy.then(|| {
                     if rng.u64(0..HEAVY_ONE_IN) == 0 {
                         HEAVY_TIMES
@@ -242,7 +243,7 @@
                 );
                 next += 1 + (-(1.0 - rng.f64()).ln() / rate) as Ticks;
             }
-            bed.pass(20 * MILLISECOND);
+            bed.advance(20 * MILLISECOND);
             self.answer(&mut bed, &mut rng, &mut all);
         }
         all.extend(self.sent(&bed));
@@ -250,15 +251,17 @@
     }
 
     /// Dispatches to the cold invokers, by their work.
-    fn sent(&self, bed: &Bed) -> Vec<(InvokerId, Ticks, f64)> {
-        let work = |t: &Taken| t.call.work_hint.unwrap_or(self.run) as f64 / self.run as f64;
-        let of = |t: &Taken| {
-            t.sent
+    fn sent(&self, bed: &TestBed) -> Vec<(InvokerId, Ticks, f64)> {
+        let work = |t: &TrackedInvocation| {
+            t.request.work_hint.unwrap_or(self.run) as f64 / self.run as f64
+        };
+        let of = |t: &TrackedInvocation| {
+            t.attempts
                 .iter()
-                .map(move |s| (s.invoker, s.at, work(t)))
+                .map(move |s| (s.invoker, s.sent_at, work(t)))
                 .collect::<Vec<_>>()
         };
-        let all = bed.k.invs.values().flat_map(of);
+        let all = bed.checker.invocations.values().flat_map(of);
         all.filter(|(w, at, _)| self.is_cold(*w) && *at >= COLD)
             .collect()
     }
@@ -266,31 +269,38 @@
     /// Answers whatever has run for long enough, at a pace that its invoker's state allows.
     fn answer(
         &self,
-        bed: &mut Bed,
+        bed: &mut TestBed,
         rng: &mut fastrand::Rng,
         all: &mut Vec<(InvokerId, Ticks, f64)>,
     ) {
-        for (id, hop) in bed.out() {
-            let (call, s) = (&bed.k.invs[&id].call, &bed.k.invs[&id].sent[hop]);
-            if self.refuses(s.invoker, s.at) {
-                bed.answer(id, hop, Outcome::NoConnection, None);
+        for (id, hop) in bed.in_flight() {
+            let (call, s) = (
+                &bed.checker.invocations[&id].request,
+                &bed.checker.invocations[&id].attempts[hop],
+            );
+            if self.refuses(s.invoker, s.sent_at) {
+                bed.end_attempt(id, hop, Outcome::NoConnection, None);
                 continue;
             }
             let takes = (call.work_hint.unwrap_or(self.run) as f64 * (0.5 + rng.f64())) as Ticks;
-            if bed.k.now >= s.at + takes {
-                let found = if bed.k.stands.insert((call.function, s.invoker)) {
+            if bed.checker.now >= s.sent_at + takes {
+                let found = if bed
+                    .checker
+                    .known_instances
+                    .insert((call.function, s.invoker))
+                {
                     StartKind::BeganLoad
                 } else {
                     StartKind::Warm
                 };
-                bed.answer(id, hop, Outcome::Succeeded, Some(found));
+                bed.end_attempt(id, hop, Outcome::Succeeded, Some(found));
             }
         }
-        while let Some((invoker, _, at)) = bed.k.holds.first().copied() {
+        while let Some((invoker, _, at)) = bed.checker.loads.first().copied() {
             let counts = self.counts_orders && self.is_cold(invoker) && at >= COLD;
             all.extend(counts.then_some((invoker, at, 1.0)));
             let refuses = self.refuses(invoker, at);
-            bed.held(
+            bed.end_load(
                 0,
                 if refuses {
                     LoadOutcome::Unreachable
@@ -358,7 +368,7 @@
 /// Asked for by the operators: beyond the budget only 2 x root of N + 2 are put down to chance, also where few controllers
 /// share it, where some carry ten times the load of others, and where some know neither rate nor size yet.
 #[test]
-fn the_sum_of_all_controllers_keeps_the_budget_of_a_cold_invoker() {
+fn all_controllers_together_keep_the_slow_start_budget() {
     for (controllers, draws) in [(20, 4), (30, 3), (300, 1)] {
         for draw in 0..draws {
             let judged = Scenario::new(controllers, draw).judged(|n| 2.0 * n.sqrt() + 2.0);
@@ -377,7 +387,7 @@
 
 /// However few controllers there are, and however small the budget.
 #[test]
-fn few_controllers_keep_every_budget() {
+fn few_controllers_keep_every_slow_start_budget() {
     for controllers in [1, 2, 4, 8] {
         for calls in [1, 2, 5, 12, 30, 60] {
             for spread in [Spread::Even, Spread::OneHasMost] {
@@ -414,34 +424,34 @@
 }
 
 #[test]
-fn the_budget_holds_where_sizes_are_unequal() {
+fn keeps_the_budget_with_unequal_capacities() {
     holds_where("unequal sizes", |s| s.unequal = true);
 }
 
 #[test]
-fn the_budget_holds_where_all_controllers_start_anew_at_once() {
+fn keeps_the_budget_when_all_controllers_restart_at_once() {
     holds_where("restarts", |s| s.restarts = Restarts::AllAtOnce);
 }
 
 #[test]
-fn the_budget_holds_where_one_warm_invoker_is_left() {
+fn keeps_the_budget_with_one_warm_invoker_left() {
     holds_where("one warm left", |s| s.stay = 1);
 }
 
 #[test]
-fn the_budget_holds_where_some_invocations_are_heavy() {
+fn keeps_the_budget_with_some_heavy_invocations() {
     holds_where("heavy ones", |s| s.heavy = true);
 }
 
 #[test]
-fn the_budget_holds_where_an_invoker_is_listed_before_its_start_is_told() {
+fn keeps_the_budget_when_an_invoker_is_listed_before_its_start_time() {
     holds_where("listed before its start", |s| {
         s.news = News::ListedBeforeStart
     });
 }
 
 #[test]
-fn the_budget_holds_where_invokers_come_back_and_nobody_tells() {
+fn keeps_the_budget_when_invokers_restart_unreported() {
     holds_where("untold", |s| {
         (s.news, s.restarts, s.counts_orders) = (News::Untold, Restarts::None, false);
     });
@@ -449,7 +459,7 @@
 
 /// Controllers that take a cold invoker for one that is warm.
 #[test]
-fn the_judge_of_the_sum_catches_a_fleet_that_takes_too_much() {
+fn the_checker_detects_a_fleet_that_exceeds_the_budget() {
     let told = Deployment {
         initial_capacity_share: 1.0,
         ..deployment()
--- a/tests/store_down.rs
+++ b/tests/store_down.rs
@@ -10,24 +10,24 @@
 const OPEN: Ticks = 500 * MILLISECOND;
 
 /// Ends all that is out: what stands runs, and loads fail while the store is down.
-fn end_all(bed: &mut Bed, store_is_down: bool) -> usize {
-    let out = bed.out();
+fn end_all(bed: &mut TestBed, store_is_down: bool) -> usize {
+    let out = bed.in_flight();
     for (id, hop) in &out {
         let (function, invoker) = (
-            bed.k.invs[id].call.function,
-            bed.k.invs[id].sent[*hop].invoker,
+            bed.checker.invocations[id].request.function,
+            bed.checker.invocations[id].attempts[*hop].invoker,
         );
-        if bed.k.stands.contains(&(function, invoker)) {
-            bed.answer(*id, *hop, Outcome::Succeeded, Some(StartKind::Warm));
+        if bed.checker.known_instances.contains(&(function, invoker)) {
+            bed.end_attempt(*id, *hop, Outcome::Succeeded, Some(StartKind::Warm));
         } else if store_is_down {
-            bed.answer(*id, *hop, Outcome::Errored, Some(StartKind::LoadFailed));
+            bed.end_attempt(*id, *hop, Outcome::Errored, Some(StartKind::LoadFailed));
         } else {
-            bed.k.stands.insert((function, invoker));
-            bed.answer(*id, *hop, Outcome::Succeeded, Some(StartKind::BeganLoad));
+            bed.checker.known_instances.insert((function, invoker));
+            bed.end_attempt(*id, *hop, Outcome::Succeeded, Some(StartKind::BeganLoad));
         }
     }
-    while !bed.k.holds.is_empty() {
-        bed.held(
+    while !bed.checker.loads.is_empty() {
+        bed.end_load(
             0,
             if store_is_down {
                 LoadOutcome::LoadFailed
@@ -39,27 +39,31 @@
     out.len()
 }
 
-fn attempts(bed: &Bed) -> usize {
-    bed.k.invs.values().map(|t| t.sent.len()).sum()
+fn attempts(bed: &TestBed) -> usize {
+    bed.checker
+        .invocations
+        .values()
+        .map(|t| t.attempts.len())
+        .sum()
 }
 
 /// Two functions have failed to load, each at an invoker of its own.
-fn failed_everywhere() -> Bed {
-    let mut bed = Bed::new(deployment(), INVOKERS);
+fn failed_everywhere() -> TestBed {
+    let mut bed = TestBed::new(deployment(), INVOKERS);
     bed.invoke(0, 1, 4 * SECOND);
     while end_all(&mut bed, true) > 0 {}
     bed
 }
 
 #[test]
-fn an_invocation_is_not_tried_at_one_invoker_after_the_other() {
+fn an_invocation_does_not_try_invoker_after_invoker() {
     let mut bed = failed_everywhere();
     let first = attempts(&bed);
     assert_eq!(first, 2, "the second failure, at another invoker, tells");
     for function in 2..40 {
         let id = bed.invoke(0, function, 4 * SECOND);
         assert_eq!(
-            bed.k.invs[&id].finals,
+            bed.checker.invocations[&id].final_responses,
             ["throttled"],
             "at once, and it may come again"
         );
@@ -67,18 +71,20 @@
     }
     assert_eq!(attempts(&bed), first, "no load begins");
     assert!(
-        bed.k.come_back[1..].iter().all(|wait| *wait >= OPEN),
+        bed.checker.retry_after[1..]
+            .iter()
+            .all(|wait| *wait >= OPEN),
         "{:?}",
-        bed.k.come_back
+        bed.checker.retry_after
     );
 }
 
 #[test]
-fn one_load_at_a_time_tries_whether_the_store_is_back() {
+fn one_trial_load_at_a_time_while_the_breaker_is_half_open() {
     let mut bed = failed_everywhere();
     let mut trials = 0;
     for _ in 0..20 {
-        bed.pass(OPEN);
+        bed.advance(OPEN);
         let before = attempts(&bed);
         for function in 100..110 {
             bed.invoke(0, function, 4 * SECOND);
@@ -94,56 +100,61 @@
 }
 
 #[test]
-fn a_load_that_ends_well_lets_all_others_begin() {
+fn a_successful_load_closes_the_breaker() {
     let mut bed = failed_everywhere();
-    bed.pass(OPEN);
+    bed.advance(OPEN);
     bed.invoke(0, 200, 4 * SECOND);
     end_all(&mut bed, false);
     for function in 201..220 {
         let id = bed.invoke(0, function, 4 * SECOND);
-        assert_eq!(bed.k.invs[&id].sent.len(), 1);
+        assert_eq!(bed.checker.invocations[&id].attempts.len(), 1);
     }
 }
 
 /// A load that fails says nothing of the invoker: what stands there is used.
 #[test]
-fn copies_that_stand_are_used_while_the_store_is_down() {
-    let mut bed = Bed::new(deployment(), INVOKERS);
+fn uses_loaded_instances_while_the_store_is_down() {
+    let mut bed = TestBed::new(deployment(), INVOKERS);
     for _ in 0..5 {
         bed.invoke(0, 7, 4 * SECOND);
         end_all(&mut bed, false);
-        bed.pass(RUN);
+        bed.advance(RUN);
     }
-    let home: Vec<InvokerId> = bed.k.stands.iter().map(|(_, invoker)| *invoker).collect();
+    let home: Vec<InvokerId> = bed
+        .checker
+        .known_instances
+        .iter()
+        .map(|(_, invoker)| *invoker)
+        .collect();
     for function in 300..400 {
         bed.invoke(0, function, 4 * SECOND);
         while end_all(&mut bed, true) > 0 {}
-        bed.pass(20 * MILLISECOND);
+        bed.advance(20 * MILLISECOND);
     }
     let id = bed.invoke(0, 7, 4 * SECOND);
     assert!(
-        bed.k.invs[&id]
-            .sent
+        bed.checker.invocations[&id]
+            .attempts
             .iter()
             .all(|s| home.contains(&s.invoker))
-            && bed.k.invs[&id].sent.len() == 1
+            && bed.checker.invocations[&id].attempts.len() == 1
     );
 }
 
 /// One invoker whose loads fail, as its disk is full, keeps nobody else from loading.
 #[test]
-fn loads_that_fail_at_one_invoker_alone_stop_no_others() {
-    let mut bed = Bed::new(deployment(), INVOKERS);
+fn failures_at_one_invoker_do_not_open_the_breaker() {
+    let mut bed = TestBed::new(deployment(), INVOKERS);
     let mut ended_well = 0;
     for function in 0..60 {
         bed.invoke(0, function, 4 * SECOND);
         loop {
-            let out = bed.out();
+            let out = bed.in_flight();
             if out.is_empty() {
                 break;
             }
             for (id, hop) in out {
-                let broken = bed.k.invs[&id].sent[hop].invoker == 1;
+                let broken = bed.checker.invocations[&id].attempts[hop].invoker == 1;
                 let found = if broken {
                     StartKind::LoadFailed
                 } else {
@@ -155,10 +166,10 @@
                     Outcome::Succeeded
                 };
                 ended_well += usize::from(!broken);
-                bed.answer(id, hop, outcome, Some(found));
+                bed.end_attempt(id, hop, outcome, Some(found));
             }
         }
-        bed.pass(20 * MILLISECOND);
+        bed.advance(20 * MILLISECOND);
     }
     assert_eq!(ended_well, 60);
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -9,56 +9,56 @@
 pub(crate) const CORES: f64 = 4.0;
 const SLACK: Ticks = 16 * MILLISECOND;
 
-pub(crate) struct Sent {
+pub(crate) struct TrackedAttempt {
     pub invoker: InvokerId,
-    pub at: Ticks,
-    pub ended: Option<Outcome>,
+    pub sent_at: Ticks,
+    pub outcome: Option<Outcome>,
 }
 
-pub(crate) struct Taken {
-    pub call: Invocation,
-    pub sent: Vec<Sent>,
+pub(crate) struct TrackedInvocation {
+    pub request: Invocation,
+    pub attempts: Vec<TrackedAttempt>,
     /// How often it got a final answer, and whether that was a success, a throttle or an error.
-    pub finals: Vec<&'static str>,
-    pub gone: bool,
+    pub final_responses: Vec<&'static str>,
+    pub client_left: bool,
 }
 
 /// What the controller did, checked as it does it.
 pub(crate) struct Checker {
     pub now: Ticks,
-    pub stated: Deployment,
-    pub invs: BTreeMap<InvocationId, Taken>,
-    pub list: BTreeMap<InvokerId, (InvokerRecord, Ticks)>,
-    pub holds: Vec<(InvokerId, FunctionId, Ticks)>,
+    pub deployment: Deployment,
+    pub invocations: BTreeMap<InvocationId, TrackedInvocation>,
+    pub endpoint_list: BTreeMap<InvokerId, (InvokerRecord, Ticks)>,
+    pub loads: Vec<(InvokerId, FunctionId, Ticks)>,
     pub unloads: Vec<(InvokerId, FunctionId)>,
     pub cancels: Vec<(InvocationId, u8)>,
-    pub wakes: Vec<(Ticks, u64)>,
-    pub come_back: Vec<Ticks>,
+    pub timers: Vec<(Ticks, u64)>,
+    pub retry_after: Vec<Ticks>,
     /// A timer has its turn; and how long before their client timeout invocations got final answers in such turns.
     in_timer: bool,
-    pub after_waits: Vec<Ticks>,
+    pub lead_of_timer_responses: Vec<Ticks>,
     /// When the controller last stood still.
-    pub stood: Ticks,
+    pub last_stop: Ticks,
     /// Whether all controllers carry alike, so that each has an even part of a cold invoker.
-    pub even: bool,
+    pub has_even_shares: bool,
     /// Where a copy has been seen to stand.
-    pub stands: BTreeSet<(FunctionId, InvokerId)>,
-    pub ordered: Vec<Ticks>,
-    taken: Vec<Ticks>,
-    work: Vec<(InvokerId, Ticks)>,
+    pub known_instances: BTreeSet<(FunctionId, InvokerId)>,
+    pub load_times: Vec<Ticks>,
+    counted_invocations: Vec<Ticks>,
+    sent_work: Vec<(InvokerId, Ticks)>,
 }
 
 impl Checker {
     /// It asks for what is no function: rule 5 does not count it.
-    pub(crate) fn strange(&mut self, id: InvocationId) {
-        assert!(self.invs.contains_key(&id), "the one taken last");
-        self.taken.pop();
+    pub(crate) fn uncount(&mut self, id: InvocationId) {
+        assert!(self.invocations.contains_key(&id), "the one taken last");
+        self.counted_invocations.pop();
     }
 
-    fn may_be_told(&self, w: InvokerId) {
-        let (listed, told) = &self.list[&w];
+    fn check_not_draining(&self, w: InvokerId) {
+        let (listed, told) = &self.endpoint_list[&w];
         let late =
-            listed.status != InvokerStatus::Ready && self.now > told + self.stated.drain_grace;
+            listed.status != InvokerStatus::Ready && self.now > told + self.deployment.drain_grace;
         assert!(
             !late,
             "rule 3: new work to {w}, {:?} since {told}, now {}",
@@ -67,21 +67,21 @@
     }
 
     /// Rule 2 for whatever is done next with an invocation that may have been dispatched before.
-    fn harmless(&self, id: InvocationId, to: Option<InvokerId>) {
-        let taken = &self.invs[&id];
-        let terms = &self.stated.trigger_types[taken.call.trigger];
-        let risky: Vec<&Sent> = taken
-            .sent
+    fn check_retry_is_safe(&self, id: InvocationId, to: Option<InvokerId>) {
+        let taken = &self.invocations[&id];
+        let terms = &self.deployment.trigger_types[taken.request.trigger];
+        let risky: Vec<&TrackedAttempt> = taken
+            .attempts
             .iter()
-            .filter(|s| !s.ended.is_some_and(|end| end.never_ran()))
+            .filter(|s| !s.outcome.is_some_and(|end| end.never_ran()))
             .collect();
-        let Some(first) = risky.iter().map(|s| s.at).min() else {
+        let Some(first) = risky.iter().map(|s| s.sent_at).min() else {
             return;
         };
         let group = |w: InvokerId| match terms.key_scope {
             KeyScope::All => 0,
-            KeyScope::Zone => u32::from(self.list[&w].0.zone),
-            KeyScope::Cell => u32::from(self.list[&w].0.cell),
+            KeyScope::Zone => u32::from(self.endpoint_list[&w].0.zone),
+            KeyScope::Cell => u32::from(self.endpoint_list[&w].0.cell),
         };
         match (terms.effect, to) {
             (Effect::Idempotent, _) => {}
@@ -105,24 +105,28 @@
     }
 
     fn finish(&mut self, id: InvocationId, how: &'static str) {
-        let taken = self.invs.get_mut(&id).expect("an invocation taken");
+        let taken = self.invocations.get_mut(&id).expect("an invocation taken");
         assert!(
-            !taken.gone,
+            !taken.client_left,
             "rule 1: answer for {id}, whose client had left"
         );
-        taken.finals.push(how);
-        assert_eq!(taken.finals.len(), 1, "rule 1: {id} answered again");
-        self.after_waits.extend(
+        taken.final_responses.push(how);
+        assert_eq!(
+            taken.final_responses.len(),
+            1,
+            "rule 1: {id} answered again"
+        );
+        self.lead_of_timer_responses.extend(
             self.in_timer
-                .then(|| taken.call.expires_at.saturating_sub(self.now)),
+                .then(|| taken.request.expires_at.saturating_sub(self.now)),
         );
     }
 
     /// What must hold whenever the controller has had its turn.
     pub(crate) fn check(&self) {
-        for (id, t) in &self.invs {
-            let owed = t.finals.is_empty() && !t.gone;
-            let by = t.call.expires_at.max(self.stood) + SLACK;
+        for (id, t) in &self.invocations {
+            let owed = t.final_responses.is_empty() && !t.client_left;
+            let by = t.request.expires_at.max(self.last_stop) + SLACK;
             assert!(!owed || self.now <= by, "rule 1: {id} has no answer");
         }
     }
@@ -130,51 +134,55 @@
 
 impl Actions for Checker {
     fn dispatch(&mut self, id: InvocationId, w: InvokerId, _time_out: Ticks) {
-        self.may_be_told(w);
-        self.harmless(id, Some(w));
-        let out = |t: &Taken| t.sent.iter().filter(|s| s.ended.is_none()).count();
-        let t = &self.invs[&id];
+        self.check_not_draining(w);
+        self.check_retry_is_safe(id, Some(w));
+        let out = |t: &TrackedInvocation| t.attempts.iter().filter(|s| s.outcome.is_none()).count();
+        let t = &self.invocations[&id];
         assert!(
-            t.finals.is_empty() && !t.gone,
+            t.final_responses.is_empty() && !t.client_left,
             "rule 1: {id} sent after its end"
         );
         assert!(
-            self.stated.parallel_attempts || out(t) == 0,
+            self.deployment.parallel_attempts || out(t) == 0,
             "rule 2: {id} out twice at once"
         );
         assert!(
-            t.sent.len() < usize::from(self.stated.attempt_limit),
+            t.attempts.len() < usize::from(self.deployment.attempt_limit),
             "{id} sent too often"
         );
-        self.invs.get_mut(&id).unwrap().sent.push(Sent {
-            invoker: w,
-            at: self.now,
-            ended: None,
-        });
-        self.work.push((w, self.now));
-        let Some(started) = self.list[&w].0.started_at else {
+        self.invocations
+            .get_mut(&id)
+            .unwrap()
+            .attempts
+            .push(TrackedAttempt {
+                invoker: w,
+                sent_at: self.now,
+                outcome: None,
+            });
+        self.sent_work.push((w, self.now));
+        let Some(started) = self.endpoint_list[&w].0.started_at else {
             return;
         };
-        let d = &self.stated;
+        let d = &self.deployment;
         let age = ((self.now - started) as f64 / d.warm_up_time as f64).min(1.0);
         if age < 1.0 {
             let risen = d.initial_capacity_share + (1.0 - d.initial_capacity_share) * age;
             let part = CORES * d.overload_window as f64 / f64::from(d.controllers);
             let recent =
                 |(v, at): &&(InvokerId, Ticks)| *v == w && at + d.overload_window > self.now;
-            let work = self.work.iter().filter(recent).count() as f64 * RUN as f64;
+            let work = self.sent_work.iter().filter(recent).count() as f64 * RUN as f64;
             // A part under one invocation may be drawn for; all of them together are checked by their test.
             let most = (d.overload_factor * risen * part).max(RUN as f64);
             assert!(
-                !self.even || work <= most,
+                !self.has_even_shares || work <= most,
                 "rule 4: {work} of work to cold {w}, {risen} risen"
             );
         }
     }
 
     fn throttle(&mut self, id: InvocationId, come_back: Ticks) {
-        self.harmless(id, None);
-        self.come_back.push(come_back);
+        self.check_retry_is_safe(id, None);
+        self.retry_after.push(come_back);
         self.finish(id, "throttled");
     }
 
@@ -183,25 +191,27 @@
     }
 
     fn cancel(&mut self, id: InvocationId, hop: u8) {
-        assert!(self.stated.may_cancel && usize::from(hop) < self.invs[&id].sent.len());
+        assert!(
+            self.deployment.may_cancel && usize::from(hop) < self.invocations[&id].attempts.len()
+        );
         self.cancels.push((id, hop));
     }
 
     fn load(&mut self, w: InvokerId, function: FunctionId, count: u8) {
-        assert!(self.stated.may_load);
+        assert!(self.deployment.may_load);
         if count > 0 {
-            self.may_be_told(w);
-            self.ordered.push(self.now);
-            let recent = |at: &&Ticks| **at + self.stated.load_window > self.now;
-            let orders = self.ordered.iter().filter(recent).count() as f64;
-            let taken = self.taken.iter().filter(recent).count() as f64;
-            let most = self.stated.free_loads + self.stated.loads_per_invocation * taken;
+            self.check_not_draining(w);
+            self.load_times.push(self.now);
+            let recent = |at: &&Ticks| **at + self.deployment.load_window > self.now;
+            let orders = self.load_times.iter().filter(recent).count() as f64;
+            let taken = self.counted_invocations.iter().filter(recent).count() as f64;
+            let most = self.deployment.free_loads + self.deployment.loads_per_invocation * taken;
             assert!(
-                self.stated.load_window == 0 || orders <= most,
+                self.deployment.load_window == 0 || orders <= most,
                 "rule 5: {orders} orders, {most} allowed"
             );
         }
-        self.holds.push((w, function, self.now));
+        self.loads.push((w, function, self.now));
     }
 
     fn unload(&mut self, w: InvokerId, function: FunctionId) {
@@ -211,15 +221,15 @@
         panic!("nothing is asked of probes");
     }
     fn set_timer(&mut self, at: Ticks, token: u64) {
-        self.wakes.push((at, token));
+        self.timers.push((at, token));
     }
     fn log(&mut self, _: &str) {}
 }
 
 /// A controller and what it is told, one thing at a time.
-pub(crate) struct Bed {
-    pub c: DispatchPolicy,
-    pub k: Checker,
+pub(crate) struct TestBed {
+    pub policy: DispatchPolicy,
+    pub checker: Checker,
     /// Whose the next invocations are.
     pub tenant: usize,
     next: InvocationId,
@@ -282,56 +292,56 @@
     }
 }
 
-impl Bed {
+impl TestBed {
     pub(crate) fn new(stated: Deployment, invokers: u32) -> Self {
         Self::seeded(stated, invokers, 7)
     }
 
     pub(crate) fn seeded(stated: Deployment, invokers: u32, seed: u64) -> Self {
-        Self::begun(stated, invokers, seed, 100 * SECOND)
+        Self::started_at(stated, invokers, seed, 100 * SECOND)
     }
 
     /// Started at `now`: it knows its list, and nothing of before.
-    pub(crate) fn begun(stated: Deployment, invokers: u32, seed: u64, now: Ticks) -> Self {
+    pub(crate) fn started_at(stated: Deployment, invokers: u32, seed: u64, now: Ticks) -> Self {
         let (list, invs) = (BTreeMap::new(), BTreeMap::new());
         let mut k = Checker {
             now,
-            stated: stated.clone(),
-            invs,
-            list,
-            holds: vec![],
+            deployment: stated.clone(),
+            invocations: invs,
+            endpoint_list: list,
+            loads: vec![],
             unloads: vec![],
             cancels: vec![],
-            wakes: vec![],
-            come_back: vec![],
+            timers: vec![],
+            retry_after: vec![],
             in_timer: false,
-            after_waits: vec![],
-            stood: 0,
-            even: true,
-            stands: BTreeSet::new(),
-            ordered: vec![],
-            taken: vec![],
-            work: vec![],
+            lead_of_timer_responses: vec![],
+            last_stop: 0,
+            has_even_shares: true,
+            known_instances: BTreeSet::new(),
+            load_times: vec![],
+            counted_invocations: vec![],
+            sent_work: vec![],
         };
         let c = DispatchPolicy::new(now, stated, seed, &mut k);
         let mut bed = Self {
-            c,
-            k,
+            policy: c,
+            checker: k,
             tenant: 0,
             next: 0,
         };
         let all: Vec<InvokerRecord> = (1..=invokers)
             .map(|w| listed(w, InvokerStatus::Ready, None))
             .collect();
-        bed.list(true, &all);
+        bed.update_endpoint_list(true, &all);
         bed
     }
 
-    pub(crate) fn list(&mut self, whole: bool, entries: &[InvokerRecord]) {
-        let now = self.k.now;
+    pub(crate) fn update_endpoint_list(&mut self, whole: bool, entries: &[InvokerRecord]) {
+        let now = self.checker.now;
         if whole {
             let kept = |w: &InvokerId| entries.iter().any(|l| l.invoker == *w);
-            for (w, (l, told)) in &mut self.k.list {
+            for (w, (l, told)) in &mut self.checker.endpoint_list {
                 if !kept(w) && l.status == InvokerStatus::Ready {
                     (l.status, *told) = (InvokerStatus::Gone, now);
                 }
@@ -339,14 +349,16 @@
         }
         for l in entries {
             let same = self
-                .k
-                .list
+                .checker
+                .endpoint_list
                 .get(&l.invoker)
                 .filter(|(old, _)| old.status == l.status)
                 .map(|(_, told)| *told);
-            self.k.list.insert(l.invoker, (*l, same.unwrap_or(now)));
+            self.checker
+                .endpoint_list
+                .insert(l.invoker, (*l, same.unwrap_or(now)));
         }
-        self.c.invokers_changed(now, whole, entries);
+        self.policy.invokers_changed(now, whole, entries);
     }
 
     pub(crate) fn invoke(
@@ -367,7 +379,7 @@
         work_hint: Option<Ticks>,
     ) -> InvocationId {
         self.next += 1;
-        let (id, now) = (self.next, self.k.now);
+        let (id, now) = (self.next, self.checker.now);
         let call = Invocation {
             id,
             trigger,
@@ -380,35 +392,35 @@
             concurrency_limit: 2.0,
             load_time_hint: Some(SECOND),
         };
-        self.k.taken.push(now);
-        self.k.invs.insert(
+        self.checker.counted_invocations.push(now);
+        self.checker.invocations.insert(
             id,
-            Taken {
-                call: call.clone(),
-                sent: vec![],
-                finals: vec![],
-                gone: false,
+            TrackedInvocation {
+                request: call.clone(),
+                attempts: vec![],
+                final_responses: vec![],
+                client_left: false,
             },
         );
-        self.c.invocation_arrived(now, call, &mut self.k);
-        self.k.check();
+        self.policy.invocation_arrived(now, call, &mut self.checker);
+        self.checker.check();
         id
     }
 
-    pub(crate) fn answer(
+    pub(crate) fn end_attempt(
         &mut self,
         id: InvocationId,
         hop: usize,
         outcome: Outcome,
         found: Option<StartKind>,
     ) {
-        let now = self.k.now;
-        let t = self.k.invs.get_mut(&id).unwrap();
-        t.sent[hop].ended = Some(outcome);
-        let (invoker, took) = (t.sent[hop].invoker, now - t.sent[hop].at);
-        let open = t.finals.is_empty() && !t.gone;
+        let now = self.checker.now;
+        let t = self.checker.invocations.get_mut(&id).unwrap();
+        t.attempts[hop].outcome = Some(outcome);
+        let (invoker, took) = (t.attempts[hop].invoker, now - t.attempts[hop].sent_at);
+        let open = t.final_responses.is_empty() && !t.client_left;
         if outcome == Outcome::Succeeded && open {
-            t.finals.push("succeeded");
+            t.final_responses.push("succeeded");
         }
         let finished = !open || outcome == Outcome::Succeeded;
         let (hop, report) = (hop as u8, LoadReport::default());
@@ -423,13 +435,13 @@
             duration: took,
             report,
         };
-        self.c.attempt_ended(now, a, &mut self.k);
-        self.k.check();
+        self.policy.attempt_ended(now, a, &mut self.checker);
+        self.checker.check();
     }
 
-    pub(crate) fn held(&mut self, i: usize, outcome: LoadOutcome) {
-        let (invoker, function, at) = self.k.holds.remove(i);
-        let took = self.k.now - at;
+    pub(crate) fn end_load(&mut self, i: usize, outcome: LoadOutcome) {
+        let (invoker, function, at) = self.checker.loads.remove(i);
+        let took = self.checker.now - at;
         let a = LoadResult {
             invoker,
             function,
@@ -438,59 +450,68 @@
             duration: took,
             sent_at: None,
         };
-        self.c.load_ended(self.k.now, a, &mut self.k);
-        self.k.check();
+        self.policy
+            .load_ended(self.checker.now, a, &mut self.checker);
+        self.checker.check();
     }
 
-    pub(crate) fn leave(&mut self, id: InvocationId) {
-        self.k.invs.get_mut(&id).unwrap().gone = true;
-        self.c.client_left(self.k.now, id);
+    pub(crate) fn client_leaves(&mut self, id: InvocationId) {
+        self.checker.invocations.get_mut(&id).unwrap().client_left = true;
+        self.policy.client_left(self.checker.now, id);
     }
 
     /// Dispatches that are out, oldest first.
-    pub(crate) fn out(&self) -> Vec<(InvocationId, usize)> {
-        let of = |(id, t): (&InvocationId, &Taken)| {
-            let open = t.sent.iter().enumerate().filter(|(_, s)| s.ended.is_none());
-            open.map(|(hop, s)| (s.at, *id, hop)).collect::<Vec<_>>()
+    pub(crate) fn in_flight(&self) -> Vec<(InvocationId, usize)> {
+        let of = |(id, t): (&InvocationId, &TrackedInvocation)| {
+            let open = t
+                .attempts
+                .iter()
+                .enumerate()
+                .filter(|(_, s)| s.outcome.is_none());
+            open.map(|(hop, s)| (s.sent_at, *id, hop))
+                .collect::<Vec<_>>()
         };
-        let mut all: Vec<_> = self.k.invs.iter().flat_map(of).collect();
+        let mut all: Vec<_> = self.checker.invocations.iter().flat_map(of).collect();
         all.sort_unstable();
         all.into_iter().map(|(_, id, hop)| (id, hop)).collect()
     }
 
     /// The controller gets no turn for so long; what fell due meanwhile comes after it.
-    pub(crate) fn stand_still(&mut self, time: Ticks) {
-        self.k.now += time;
-        self.k.stood = self.k.now;
+    pub(crate) fn stop_process(&mut self, time: Ticks) {
+        self.checker.now += time;
+        self.checker.last_stop = self.checker.now;
     }
 
     /// Lets time pass: timers fire, dispatches end with the client timeout, cancelled ones as cancelled.
-    pub(crate) fn pass(&mut self, time: Ticks) {
-        let end = self.k.now + time;
-        while self.k.now < end {
-            self.k.now = (self.k.now + 4 * MILLISECOND).min(end);
-            let now = self.k.now;
-            let (due, later) = std::mem::take(&mut self.k.wakes)
+    pub(crate) fn advance(&mut self, time: Ticks) {
+        let end = self.checker.now + time;
+        while self.checker.now < end {
+            self.checker.now = (self.checker.now + 4 * MILLISECOND).min(end);
+            let now = self.checker.now;
+            let (due, later) = std::mem::take(&mut self.checker.timers)
                 .into_iter()
                 .partition(|(at, _)| *at <= now);
-            self.k.wakes = later;
+            self.checker.timers = later;
             let due: Vec<(Ticks, u64)> = due;
-            self.k.in_timer = true;
+            self.checker.in_timer = true;
             for (_, token) in due {
-                self.c.timer_fired(now, token, &mut self.k);
+                self.policy.timer_fired(now, token, &mut self.checker);
             }
-            self.k.in_timer = false;
-            for (id, hop) in std::mem::take(&mut self.k.cancels) {
-                if self.k.invs[&id].sent[usize::from(hop)].ended.is_none() {
-                    self.answer(id, hop.into(), Outcome::Cancelled, None);
+            self.checker.in_timer = false;
+            for (id, hop) in std::mem::take(&mut self.checker.cancels) {
+                if self.checker.invocations[&id].attempts[usize::from(hop)]
+                    .outcome
+                    .is_none()
+                {
+                    self.end_attempt(id, hop.into(), Outcome::Cancelled, None);
                 }
             }
-            for (id, hop) in self.out() {
-                if self.k.invs[&id].call.expires_at <= now {
-                    self.answer(id, hop, Outcome::TimedOut, None);
+            for (id, hop) in self.in_flight() {
+                if self.checker.invocations[&id].request.expires_at <= now {
+                    self.end_attempt(id, hop, Outcome::TimedOut, None);
                 }
             }
-            self.k.check();
+            self.checker.check();
         }
     }
 }
