--- a/crates/platform-wire/src/config.rs
+++ b/crates/platform-wire/src/config.rs
@@ -3,7 +3,7 @@
 
 use crate::feed::{Event, Line, id_of};
 use saltdrum::interface::{Deployment, InvokerStatus, Ticks};
-use saltdrum_settings::{Pairs, Stated};
+use saltdrum_settings::{ParsedSettings, SettingError, SettingValues};
 use serde_json::Value;
 use std::net::SocketAddrV4;
 
@@ -132,16 +132,17 @@
     let seed = text(&v, "seed")?;
     let mut pairs = Vec::new();
     flatten("", at(&v, "settings")?, &mut pairs);
-    let pairs = Pairs::of(
+    let pairs = SettingValues::from_pairs(
         pairs
             .iter()
             .map(|(path, value)| (path.as_str(), value.as_str())),
     );
-    let of_settings = |e: String| fault("settings", e, "the settings of an instance are expected");
-    let Stated {
+    let of_settings =
+        |e: SettingError| fault("settings", e, "the settings of an instance are expected");
+    let ParsedSettings {
         deployment,
-        report: _,
-    } = saltdrum_settings::read(&pairs).map_err(of_settings)?;
+        report_fields: _,
+    } = saltdrum_settings::parse(&pairs).map_err(of_settings)?;
     let trigger_names = (0..deployment.trigger_types.len())
         .map(|i| {
             pairs
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,31 +1,79 @@
-//! The deployment as it is stated at start, value by value: by the first message of an instance on the simulator's wire,
-//! by the configuration of a real controller. One mapping for both, so that the module meets the same deployment.
+//! The settings of a deployment, value by value: from the first message of an instance on the simulator's wire, and from the
+//! start file of a real controller. One mapping for both, so that the decision module meets the same deployment.
+//!
+//! Names and words of settings are the platform's; they are mapped to the module's terms here and nowhere else.
 
 use saltdrum::interface::*;
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
-/// Which value is missing or wrong, and what was expected.
-pub type Fault = String;
+/// A setting that is missing or wrong.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum SettingError {
+    /// A line that is no `path=value`.
+    #[error("settings line {number}: no '='")]
+    NotAPair {
+        /// Number of the line, from 1.
+        number: usize,
+    },
+    /// A setting that is not there.
+    #[error("setting {path}: missing")]
+    Missing {
+        /// The setting.
+        path: String,
+    },
+    /// A text that cannot be read as what the setting holds.
+    #[error("setting {path}: cannot read '{text}'")]
+    Unreadable {
+        /// The setting.
+        path: String,
+        /// What was found.
+        text: String,
+    },
+    /// A number that the setting cannot have.
+    #[error("setting {path}: cannot be {number}")]
+    OutOfRange {
+        /// The setting.
+        path: String,
+        /// What was found; a finite number from 0 on was expected.
+        number: f64,
+    },
+    /// A word that the setting does not know.
+    #[error("setting {path}: unknown word '{word}'")]
+    UnknownWord {
+        /// The setting.
+        path: String,
+        /// What was found.
+        word: String,
+    },
+    /// A list that needs an entry.
+    #[error("setting {path}: at least one is needed")]
+    Empty {
+        /// The setting.
+        path: &'static str,
+    },
+}
 
-pub struct Stated {
+/// What the settings say.
+pub struct ParsedSettings {
+    /// The deployment, for the decision module.
     pub deployment: Deployment,
-    /// Names of the values in a load report, in order.
-    pub report: Vec<String>,
+    /// Names of the values in a load report, in their order.
+    pub report_fields: Vec<String>,
 }
 
-/// Whole tenths of a millisecond, rounded down, so that a deadline never moves out.
-pub fn tenths(ms: f64) -> Ticks {
+/// Milliseconds as [`Ticks`], rounded down, so that a deadline is never extended.
+pub fn ticks_from_ms(ms: f64) -> Ticks {
     // The wire's own unit is the microsecond; a sum of such steps may fall a hair short of a tenth.
     (ms * 10.0 + 1e-4).floor() as u64
 }
 
-/// Stated values by their path, as in `classes.0.aim_ms`.
-pub struct Pairs<'a>(BTreeMap<&'a str, &'a str>);
+/// Settings by their path, as in `classes.0.aim_ms`.
+pub struct SettingValues<'a>(BTreeMap<&'a str, &'a str>);
 
-impl<'a> Pairs<'a> {
+impl<'a> SettingValues<'a> {
     /// Reads lines of `path=value`.
-    pub fn of_lines(text: &'a str) -> Result<Self, Fault> {
+    pub fn from_lines(text: &'a str) -> Result<Self, SettingError> {
         let mut pairs = BTreeMap::new();
         for (n, line) in text
             .lines()
@@ -34,42 +82,55 @@
         {
             let (path, value) = line
                 .split_once('=')
-                .ok_or_else(|| format!("settings line {}: no '='", n + 1))?;
+                .ok_or_else(|| SettingError::NotAPair { number: n + 1 })?;
             pairs.insert(path.trim(), value.trim());
         }
         Ok(Self(pairs))
     }
 
-    pub fn of(pairs: impl IntoIterator<Item = (&'a str, &'a str)>) -> Self {
+    /// Takes pairs of path and value.
+    pub fn from_pairs(pairs: impl IntoIterator<Item = (&'a str, &'a str)>) -> Self {
         Self(pairs.into_iter().collect())
     }
 
-    pub fn text(&self, path: &str) -> Result<&str, Fault> {
+    /// The text of a setting.
+    pub fn text(&self, path: &str) -> Result<&str, SettingError> {
         self.0
             .get(path)
             .copied()
-            .ok_or_else(|| format!("setting {path}: missing"))
+            .ok_or_else(|| SettingError::Missing {
+                path: path.to_owned(),
+            })
     }
 
-    pub fn value<T: FromStr>(&self, path: &str) -> Result<T, Fault> {
+    /// A setting, parsed.
+    pub fn value<T: FromStr>(&self, path: &str) -> Result<T, SettingError> {
         let text = self.text(path)?;
-        text.parse()
-            .map_err(|_| format!("setting {path}: cannot read '{text}'"))
+        text.parse().map_err(|_| SettingError::Unreadable {
+            path: path.to_owned(),
+            text: text.to_owned(),
+        })
     }
 
-    pub fn number(&self, path: &str) -> Result<f64, Fault> {
+    /// A finite number from 0 on.
+    pub fn number(&self, path: &str) -> Result<f64, SettingError> {
         let n: f64 = self.value(path)?;
         if n.is_finite() && n >= 0.0 {
             Ok(n)
         } else {
-            Err(format!("setting {path}: cannot be {n}"))
+            Err(SettingError::OutOfRange {
+                path: path.to_owned(),
+                number: n,
+            })
         }
     }
 
-    pub fn time(&self, path: &str) -> Result<Ticks, Fault> {
-        self.number(path).map(tenths)
+    /// A time that is set in milliseconds.
+    pub fn time(&self, path: &str) -> Result<Ticks, SettingError> {
+        self.number(path).map(ticks_from_ms)
     }
 
+    /// A list, empty where the setting is missing; entries are separated by commas.
     pub fn list(&self, path: &str) -> Vec<&str> {
         let text = self.0.get(path).copied().unwrap_or_default();
         text.split(',')
@@ -78,15 +139,18 @@
             .collect()
     }
 
-    fn word<T: Copy>(&self, path: &str, words: &[(&str, T)]) -> Result<T, Fault> {
+    fn word<T: Copy>(&self, path: &str, words: &[(&str, T)]) -> Result<T, SettingError> {
         let text = self.text(path)?;
         let known = words.iter().find(|(word, _)| *word == text);
         known
             .map(|(_, is)| *is)
-            .ok_or_else(|| format!("setting {path}: unknown word '{text}'"))
+            .ok_or_else(|| SettingError::UnknownWord {
+                path: path.to_owned(),
+                word: text.to_owned(),
+            })
     }
 
-    fn trigger_type(&self, i: usize) -> Result<TriggerType, Fault> {
+    fn trigger_type(&self, i: usize) -> Result<TriggerType, SettingError> {
         let at = |key: &str| format!("classes.{i}.{key}");
         let effects = [
             ("safe", Effect::Idempotent),
@@ -108,71 +172,87 @@
             late_share: self.number(&at("late_share"))?,
         })
     }
-}
 
-/// Makes the deployment of what is stated.
-pub fn read(p: &Pairs) -> Result<Stated, Fault> {
-    // Counts are walked entry by entry, each of which must be there, so a false one ends at the first gap.
-    let types: usize = p.value("classes.count")?;
-    let tenants: usize = if p.0.contains_key("realms.count") {
-        p.value("realms.count")?
-    } else {
-        0
-    };
-    let trigger_types = (0..types)
-        .map(|i| p.trigger_type(i))
-        .collect::<Result<Vec<_>, _>>()?;
-    if trigger_types.is_empty() {
-        return Err("setting classes.count: at least one is needed".into());
+    /// Counts are walked entry by entry, each of which must be there, so a false one ends at the first gap.
+    fn trigger_types(&self, count: usize) -> Result<Vec<TriggerType>, SettingError> {
+        let types = (0..count).map(|i| self.trigger_type(i));
+        let types = types.collect::<Result<Vec<_>, _>>()?;
+        if types.is_empty() {
+            let path = "classes.count";
+            return Err(SettingError::Empty { path });
+        }
+        Ok(types)
+    }
+
+    fn tenant_count(&self) -> Result<usize, SettingError> {
+        let path = "realms.count";
+        if self.0.contains_key(path) {
+            self.value(path)
+        } else {
+            Ok(0)
+        }
     }
-    let quota = |i| {
-        p.number(&format!("realms.{i}.quota_rps"))
-            .map(|quota| Tenant {
-                quota_per_second: quota,
+
+    fn tenants(&self, count: usize) -> Result<Vec<Tenant>, SettingError> {
+        let quotas = (0..count).map(|i| self.number(&format!("realms.{i}.quota_rps")));
+        let tenants = quotas.map(|quota| quota.map(|quota_per_second| Tenant { quota_per_second }));
+        tenants.collect()
+    }
+
+    fn machine_memory_mb(&self) -> Result<Vec<f64>, SettingError> {
+        let path = "family_info.kind_memory_mb";
+        let parse = |text: &str| {
+            text.parse().map_err(|_| SettingError::Unreadable {
+                path: path.into(),
+                text: text.to_owned(),
             })
-    };
-    let memory = p
-        .list("family_info.kind_memory_mb")
-        .into_iter()
-        .map(|text| {
-            text.parse()
-                .map_err(|_| format!("setting family_info.kind_memory_mb: cannot read '{text}'"))
-        });
+        };
+        self.list(path).into_iter().map(parse).collect()
+    }
+
+    fn max_retry_after(&self) -> Result<Option<Ticks>, SettingError> {
+        if self.value("bounds.retry_after")? {
+            self.time("bounds.max_retry_after_ms").map(Some)
+        } else {
+            Ok(None)
+        }
+    }
+}
+
+/// Reads all settings of a deployment.
+pub fn parse(settings: &SettingValues) -> Result<ParsedSettings, SettingError> {
+    let type_count = settings.value("classes.count")?;
+    let tenant_count = settings.tenant_count()?;
+    let trigger_types = settings.trigger_types(type_count)?;
+    let load_words = [("miss", true), ("load", false)];
     let deployment = Deployment {
-        controllers: p.value::<u32>("balancers")?.max(1),
-        zone: p.value("zone")?,
+        controllers: settings.value::<u32>("balancers")?.max(1),
+        zone: settings.value("zone")?,
         trigger_types,
-        tenants: (0..tenants).map(quota).collect::<Result<_, _>>()?,
-        over_share_value: p.number("over_share_worth")?,
-        machine_memory_mb: memory.collect::<Result<_, _>>()?,
-        attempt_limit: p.value("bounds.try_limit")?,
-        parallel_attempts: p.value("bounds.parallel_tries")?,
-        may_cancel: p.value("bounds.cancel")?,
-        may_probe: p.value("bounds.probing")?,
-        may_load: p.value("family_info.may_order")?,
-        reports_misses: p.word("family_info.not_loaded", &[("miss", true), ("load", false)])?,
-        keep_alive: p.time("family_info.linger_idle_ms")?,
-        max_retry_after: if p.value("bounds.retry_after")? {
-            Some(p.time("bounds.max_retry_after_ms")?)
-        } else {
-            None
-        },
-        tick: p.time("tick_ms")?,
-        load_window: p.time("family_info.load_window_ms")?,
-        free_loads: p.number("family_info.loads_anyway")?,
-        loads_per_invocation: p.number("family_info.load_share")?,
-        drain_grace: p.time("rules.drain_grace_ms")?,
-        initial_capacity_share: p.number("rules.cold_from")?,
-        warm_up_time: p.time("rules.cold_ms")?,
-        overload_factor: p.number("rules.overload_factor")?,
-        overload_window: p.time("rules.tip_after_ms")?,
+        tenants: settings.tenants(tenant_count)?,
+        over_share_value: settings.number("over_share_worth")?,
+        machine_memory_mb: settings.machine_memory_mb()?,
+        attempt_limit: settings.value("bounds.try_limit")?,
+        parallel_attempts: settings.value("bounds.parallel_tries")?,
+        may_cancel: settings.value("bounds.cancel")?,
+        may_probe: settings.value("bounds.probing")?,
+        may_load: settings.value("family_info.may_order")?,
+        reports_misses: settings.word("family_info.not_loaded", &load_words)?,
+        keep_alive: settings.time("family_info.linger_idle_ms")?,
+        max_retry_after: settings.max_retry_after()?,
+        tick: settings.time("tick_ms")?,
+        load_window: settings.time("family_info.load_window_ms")?,
+        free_loads: settings.number("family_info.loads_anyway")?,
+        loads_per_invocation: settings.number("family_info.load_share")?,
+        drain_grace: settings.time("rules.drain_grace_ms")?,
+        initial_capacity_share: settings.number("rules.cold_from")?,
+        warm_up_time: settings.time("rules.cold_ms")?,
+        overload_factor: settings.number("rules.overload_factor")?,
+        overload_window: settings.time("rules.tip_after_ms")?,
     };
-    Ok(Stated {
+    let fields = settings.list("reporting.fields");
+    Ok(ParsedSettings {
         deployment,
-        report: p
-            .list("reporting.fields")
-            .into_iter()
-            .map(String::from)
-            .collect(),
+        report_fields: fields.into_iter().map(String::from).collect(),
     })
 }
--- a/crates/settings/tests/settings_fixtures.rs
+++ b/crates/settings/tests/settings_fixtures.rs
@@ -3,8 +3,13 @@
 //!
 //! `settings.txt` is written by hand; `setting_faults.txt` is rewritten only when `SALTDRUM_WRITE_FIXTURES` is set.
 
+#![allow(
+    clippy::too_many_lines,
+    reason = "a test compares every setting in one place"
+)]
+
 use saltdrum::interface::{Deployment, Effect, KeyScope, Tenant, TriggerType};
-use saltdrum_settings::{Pairs, Stated};
+use saltdrum_settings::{ParsedSettings, SettingError, SettingValues};
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 
@@ -35,8 +40,8 @@
     );
 }
 
-fn read(settings: &str) -> Result<Stated, String> {
-    saltdrum_settings::read(&Pairs::of_lines(settings)?)
+fn read(settings: &str) -> Result<ParsedSettings, SettingError> {
+    saltdrum_settings::parse(&SettingValues::from_lines(settings)?)
 }
 
 /// The settings with the value of one of them replaced.
@@ -55,7 +60,10 @@
 
 #[test]
 fn every_setting_reaches_its_field() {
-    let Stated { deployment, report } = read(&read_fixture("settings.txt")).unwrap();
+    let ParsedSettings {
+        deployment,
+        report_fields: report,
+    } = read(&read_fixture("settings.txt")).unwrap();
     assert_eq!(report, ["queue", "util"]);
     // Without `..`, so that a new field does not compile until it is compared here.
     let Deployment {
@@ -202,7 +210,11 @@
 #[test]
 fn missing_and_wrong_settings_are_reported_with_the_same_text() {
     let settings = read_fixture("settings.txt");
-    let outcome = |changed: &str| read(changed).err().unwrap_or_else(|| "accepted".into());
+    let outcome = |changed: &str| {
+        read(changed)
+            .err()
+            .map_or_else(|| "accepted".into(), |error| error.to_string())
+    };
     let mut lines = String::new();
     for line in settings.lines() {
         let (path, _) = line.split_once('=').unwrap();
--- a/crates/wirehost/src/codec.rs
+++ b/crates/wirehost/src/codec.rs
@@ -1,6 +1,6 @@
 //! Frames and fields of the wire. Nothing here trusts a length before the bytes are there.
 
-pub use saltdrum_settings::tenths;
+pub use saltdrum_settings::ticks_from_ms;
 use std::io::{self, ErrorKind, Read};
 
 pub type Fault = String;
@@ -49,7 +49,7 @@
         if !(0.0..1e15).contains(&ms) {
             return Err(format!("byte {at}: {what} is no time: {ms}"));
         }
-        Ok(tenths(ms))
+        Ok(ticks_from_ms(ms))
     }
 
     /// Load reports: a count, then as many values.
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -3,7 +3,7 @@
 use crate::codec::{Fault, Fields, Reply};
 use saltdrum::DispatchPolicy;
 use saltdrum::interface::*;
-use saltdrum_settings::{Pairs, Stated};
+use saltdrum_settings::{ParsedSettings, SettingValues};
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
@@ -109,7 +109,12 @@
             let info = f.take(n as usize, "info")?;
             let text = std::str::from_utf8(info)
                 .map_err(|e| format!("settings: not UTF-8 at byte {}", e.valid_up_to()))?;
-            let Stated { deployment, report } = saltdrum_settings::read(&Pairs::of_lines(text)?)?;
+            let settings = SettingValues::from_lines(text).map_err(|error| error.to_string())?;
+            let parsed = saltdrum_settings::parse(&settings).map_err(|error| error.to_string())?;
+            let ParsedSettings {
+                deployment,
+                report_fields: report,
+            } = parsed;
             let trigger_types = deployment.trigger_types.len();
             let controller = self.guard(id, |w| DispatchPolicy::new(now, deployment, seed, w));
             if let Some(controller) = controller {
@@ -338,12 +343,12 @@
         expires_at: expires,
         work_hint: Some(hint)
             .filter(|ms| options & 1 != 0 && usable(*ms))
-            .map(crate::codec::tenths),
+            .map(crate::codec::ticks_from_ms),
         memory_mb: if usable(memory) { memory } else { 0.0 },
         concurrency_limit: if usable(lanes) { lanes.max(1.0) } else { 1.0 },
         load_time_hint: Some(load)
             .filter(|ms| usable(*ms))
-            .map(crate::codec::tenths),
+            .map(crate::codec::ticks_from_ms),
     })
 }
 
