--- a/crates/wirehost/src/codec.rs
+++ b/crates/wirehost/src/codec.rs
@@ -1,124 +1,133 @@
 //! Frames and fields of the wire. Nothing here trusts a length before the bytes are there.
 
-pub use saltdrum_settings::ticks_from_ms;
-use std::io::{self, ErrorKind, Read};
-
-pub type Fault = String;
-
-/// Reads little-endian fields and names the place of what is wrong.
-pub struct Fields<'a> {
+use crate::error::WireError;
+use saltdrum::interface::{MILLISECOND, Ticks};
+use saltdrum_settings::ticks_from_ms;
+use std::io::{ErrorKind, Read};
+
+/// Bytes of a frame's header: count of records, length, time.
+const HEADER_BYTES: usize = 16;
+/// Bytes of a reply's header: count of records, length.
+const REPLY_HEADER_BYTES: usize = 8;
+/// A frame is read in pieces of this size, so that a false length takes no memory.
+const CHUNK_BYTES: usize = 1 << 16;
+/// Times in milliseconds from here on are no times.
+const MAX_TIME_MS: f64 = 1e15;
+
+/// Reads little-endian fields, and names the place of what is wrong.
+pub(crate) struct Fields<'a> {
     bytes: &'a [u8],
     at: usize,
 }
 
 macro_rules! number {
     ($($name:ident: $kind:ty),*) => {$(
-        pub fn $name(&mut self, what: &str) -> Result<$kind, Fault> {
-            let raw = self.take(size_of::<$kind>(), what)?;
+        /// The next field, as a number.
+        pub(crate) fn $name(&mut self, field: &str) -> Result<$kind, WireError> {
+            let raw = self.take(size_of::<$kind>(), field)?;
             Ok(<$kind>::from_le_bytes(raw.try_into().expect("take gives the asked length")))
         }
     )*};
 }
 
 impl<'a> Fields<'a> {
-    pub fn new(bytes: &'a [u8], at: usize) -> Self {
-        Self { bytes, at }
+    /// Reads from the first byte on.
+    pub(crate) fn new(bytes: &'a [u8]) -> Self {
+        Self { bytes, at: 0 }
     }
 
     number!(u8: u8, u16: u16, u32: u32, u64: u64, f32: f32, f64: f64);
 
-    pub fn take(&mut self, n: usize, what: &str) -> Result<&'a [u8], Fault> {
+    /// The next bytes.
+    pub(crate) fn take(&mut self, count: usize, field: &str) -> Result<&'a [u8], WireError> {
         let left = self.bytes.len() - self.at;
-        if n > left {
-            return Err(format!(
-                "byte {}: {what} needs {n} bytes, {left} are left",
-                self.at
-            ));
+        if count > left {
+            return Err(WireError::Truncated {
+                at: self.at,
+                field: field.to_owned(),
+                needed: count,
+                left,
+            });
         }
-        self.at += n;
-        Ok(&self.bytes[self.at - n..self.at])
+        self.at += count;
+        Ok(&self.bytes[self.at - count..self.at])
     }
 
-    pub fn at(&self) -> usize {
+    /// The place of the next field.
+    pub(crate) fn at(&self) -> usize {
         self.at
     }
 
-    pub fn time(&mut self, what: &str) -> Result<u64, Fault> {
+    /// The next field, as a time in milliseconds.
+    pub(crate) fn time(&mut self, field: &str) -> Result<Ticks, WireError> {
         let at = self.at;
-        let ms = self.f64(what)?;
-        if !(0.0..1e15).contains(&ms) {
-            return Err(format!("byte {at}: {what} is no time: {ms}"));
+        let ms = self.f64(field)?;
+        if !(0.0..MAX_TIME_MS).contains(&ms) {
+            return Err(WireError::NotATime {
+                at,
+                field: field.to_owned(),
+                found: ms,
+            });
         }
         Ok(ticks_from_ms(ms))
     }
 
-    /// Load reports: a count, then as many values.
-    pub fn values(&mut self) -> Result<Vec<f32>, Fault> {
-        let n = self.u8("count of report values")?;
-        (0..n).map(|_| self.f32("report value")).collect()
+    /// The values of a load report: a count, then as many values.
+    pub(crate) fn values(&mut self) -> Result<Vec<f32>, WireError> {
+        let count = self.u8("count of report values")?;
+        (0..count).map(|_| self.f32("report value")).collect()
     }
 }
 
-pub fn millis(tenths: u64) -> f64 {
-    tenths as f64 / 10.0
-}
-
-const HEADER: usize = 16;
-const CHUNK: usize = 1 << 16;
-
-/// The next frame with its header, or None at a clean end of input.
-pub fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>) -> Result<bool, Fault> {
+/// Reads the next frame, header included. False at the end of the input between two frames.
+pub(crate) fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>) -> Result<bool, WireError> {
     frame.clear();
-    fill(input, frame, HEADER)?;
+    fill(input, frame, HEADER_BYTES)?;
     match frame.len() {
         0 => return Ok(false),
-        HEADER => {}
-        n => {
-            return Err(format!(
-                "frame header: input ends after {n} of {HEADER} bytes"
-            ));
+        HEADER_BYTES => {}
+        found => {
+            return Err(WireError::TruncatedHeader {
+                found,
+                expected: HEADER_BYTES,
+            });
         }
     }
     let length = u32::from_le_bytes([frame[4], frame[5], frame[6], frame[7]]) as usize;
-    if length < HEADER {
-        return Err(format!(
-            "frame header: length {length} is shorter than the header"
-        ));
+    if length < HEADER_BYTES {
+        return Err(WireError::ShortLength(length));
     }
     while frame.len() < length {
-        let had = frame.len();
-        fill(input, frame, length.min(had + CHUNK))?;
-        if frame.len() < length.min(had + CHUNK) {
-            return Err(format!(
-                "frame: input ends after {} of {length} bytes",
-                frame.len()
-            ));
+        let target = length.min(frame.len() + CHUNK_BYTES);
+        fill(input, frame, target)?;
+        if frame.len() < target {
+            return Err(WireError::TruncatedFrame {
+                found: frame.len(),
+                expected: length,
+            });
         }
     }
     Ok(true)
 }
 
-fn fill(input: &mut impl Read, frame: &mut Vec<u8>, to: usize) -> Result<(), Fault> {
-    let mut have = frame.len();
-    frame.resize(to, 0);
-    while have < to {
-        match input.read(&mut frame[have..]) {
+/// Reads until the frame has this many bytes, or the input ends.
+fn fill(input: &mut impl Read, frame: &mut Vec<u8>, target: usize) -> Result<(), WireError> {
+    let mut filled = frame.len();
+    frame.resize(target, 0);
+    while filled < target {
+        match input.read(&mut frame[filled..]) {
             Ok(0) => break,
-            Ok(n) => have += n,
-            Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            Err(e) => return Err(format!("frame: {}", io_text(&e))),
+            Ok(read) => filled += read,
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            Err(error) => return Err(WireError::Read(error.to_string())),
         }
     }
-    frame.truncate(have);
+    frame.truncate(filled);
     Ok(())
 }
 
-pub fn io_text(e: &io::Error) -> String {
-    format!("input or output failed: {e}")
-}
-
 /// One reply, written record by record.
-pub struct Reply {
+pub(crate) struct Reply {
     bytes: Vec<u8>,
     records: u32,
 }
@@ -126,35 +135,40 @@
 impl Default for Reply {
     fn default() -> Self {
         Self {
-            bytes: vec![0; 8],
+            bytes: vec![0; REPLY_HEADER_BYTES],
             records: 0,
         }
     }
 }
 
 impl Reply {
-    pub fn record(&mut self, code: u8, controller: u32) -> &mut Self {
+    /// Begins a record of this kind, of one controller.
+    pub(crate) fn record(&mut self, code: u8, controller: u32) -> &mut Self {
         self.records += 1;
         self.bytes.push(code);
         self.put(&controller.to_le_bytes())
     }
 
-    pub fn put(&mut self, field: &[u8]) -> &mut Self {
+    /// Adds a field.
+    pub(crate) fn put(&mut self, field: &[u8]) -> &mut Self {
         self.bytes.extend_from_slice(field);
         self
     }
 
-    pub fn time(&mut self, tenths: u64) -> &mut Self {
-        self.put(&millis(tenths).to_le_bytes())
+    /// Adds a time, in milliseconds on the wire.
+    pub(crate) fn time(&mut self, time: Ticks) -> &mut Self {
+        let ms = time as f64 / MILLISECOND as f64;
+        self.put(&ms.to_le_bytes())
     }
 
-    pub fn text(&mut self, text: &str) -> &mut Self {
+    /// Adds a text, cut at the longest that the wire can carry.
+    pub(crate) fn text(&mut self, text: &str) -> &mut Self {
         let cut = &text.as_bytes()[..text.len().min(usize::from(u16::MAX))];
         self.put(&(cut.len() as u16).to_le_bytes()).put(cut)
     }
 
-    /// The finished frame; the reply starts anew.
-    pub fn finish(&mut self) -> Vec<u8> {
+    /// Gives the finished frame; the reply starts anew.
+    pub(crate) fn finish(&mut self) -> Vec<u8> {
         let Self { mut bytes, records } = std::mem::take(self);
         let length = bytes.len() as u32;
         bytes[..4].copy_from_slice(&records.to_le_bytes());
--- a/crates/wirehost/src/host/tests.rs
+++ b/crates/wirehost/src/host/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use crate::codec::read_frame;
+use saltdrum::interface::Actions;
 
 fn bytes(hex: &str) -> Vec<u8> {
     let digits: Vec<u8> = hex.bytes().filter(u8::is_ascii_hexdigit).collect();
@@ -51,11 +52,11 @@
 }
 
 #[test]
-fn the_examples_of_actions_encode_byte_for_byte() {
+fn encodes_the_example_actions_byte_for_byte() {
     let mut reply = Reply::default();
-    let mut w = Writer {
+    let mut w = ActionWriter {
         reply: &mut reply,
-        id: 3,
+        controller: 3,
     };
     w.dispatch(0x5d3a91c4, 0x03124a07, 800);
     w.set_timer(84_165, 77);
@@ -70,9 +71,9 @@
         &got[50..],
         &bytes("09 03000000 1100 74776f2073657276657273206b6e6f776e")[..]
     );
-    let mut w = Writer {
+    let mut w = ActionWriter {
         reply: &mut reply,
-        id: 3,
+        controller: 3,
     };
     w.throttle(0x0e6f2b19, 2_500);
     w.error(0x0e6f2b19);
@@ -115,8 +116,13 @@
 }
 
 #[test]
-fn bad_input_is_named_by_its_place() {
-    let fault = |records: &[&[u8]]| Host::default().frame(&frame(records)).unwrap_err();
+fn names_the_place_of_bad_input() {
+    let fault = |records: &[&[u8]]| {
+        Host::default()
+            .frame(&frame(records))
+            .unwrap_err()
+            .to_string()
+    };
     let (born, knock) = (born(3, INFO), bytes(KNOCK));
     assert!(fault(&[&born, &knock[..40]]).starts_with("record 1 at byte"));
     assert!(fault(&[&knock]).contains("unknown instance 3"));
--- a/crates/wirehost/tests/wirehost_fixtures.rs
+++ b/crates/wirehost/tests/wirehost_fixtures.rs
@@ -46,31 +46,31 @@
 
 /// Codes of the events that the adapter reads.
 mod event_code {
-    pub const CLOSED: u8 = 1;
-    pub const WOKEN: u8 = 2;
-    pub const LEFT: u8 = 3;
-    pub const LISTED: u8 = 4;
-    pub const FROM_PEER: u8 = 5;
-    pub const ESTABLISHED: u8 = 6;
-    pub const ANSWERED: u8 = 7;
-    pub const PROBED: u8 = 8;
-    pub const INVOKED: u8 = 9;
-    pub const HELD: u8 = 10;
-    pub const STARTED: u8 = 11;
+    pub(crate) const CLOSED: u8 = 1;
+    pub(crate) const WOKEN: u8 = 2;
+    pub(crate) const LEFT: u8 = 3;
+    pub(crate) const LISTED: u8 = 4;
+    pub(crate) const FROM_PEER: u8 = 5;
+    pub(crate) const ESTABLISHED: u8 = 6;
+    pub(crate) const ANSWERED: u8 = 7;
+    pub(crate) const PROBED: u8 = 8;
+    pub(crate) const INVOKED: u8 = 9;
+    pub(crate) const HELD: u8 = 10;
+    pub(crate) const STARTED: u8 = 11;
 }
 
 /// Codes of the ends of dispatches and orders.
 mod result_code {
-    pub const SUCCEEDED: u8 = 0;
-    pub const MISS: u8 = 1;
-    pub const NOT_SENT: u8 = 249;
-    pub const CANCELLED: u8 = 250;
-    pub const RESET: u8 = 251;
-    pub const NO_CONNECTION: u8 = 252;
-    pub const TIMED_OUT: u8 = 253;
-    pub const FULL: u8 = 254;
-    pub const ERRORED: u8 = 255;
-    pub const ALL: [u8; 9] = [
+    pub(crate) const SUCCEEDED: u8 = 0;
+    pub(crate) const MISS: u8 = 1;
+    pub(crate) const NOT_SENT: u8 = 249;
+    pub(crate) const CANCELLED: u8 = 250;
+    pub(crate) const RESET: u8 = 251;
+    pub(crate) const NO_CONNECTION: u8 = 252;
+    pub(crate) const TIMED_OUT: u8 = 253;
+    pub(crate) const FULL: u8 = 254;
+    pub(crate) const ERRORED: u8 = 255;
+    pub(crate) const ALL: [u8; 9] = [
         SUCCEEDED,
         MISS,
         NOT_SENT,
