--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -18,11 +18,10 @@
 use saltdrum_deployment::Terms;
 use saltdrum_fakes::Invoker;
 use saltdrum_faulty_peers::leases::FaultySteward;
-use saltdrum_fleet::bounds::Bound;
 use saltdrum_fleet::change::Change;
-use saltdrum_fleet::fleet::{self as agreed, About, MemberId, Phase};
-use saltdrum_fleet::next::{Batch, Seen};
+use saltdrum_fleet::drain_scheduler::{Batch, Seen};
 use saltdrum_fleet::register::{Config, Voter};
+use saltdrum_fleet::state::{self as agreed, About, Bound, MemberId, Phase};
 use saltdrum_protocol::list::Life;
 use saltdrum_transport::{Address, Clock, SocketNetwork};
 use serde::Deserialize;
--- a/crates/coordinator/src/acceptor_store.rs
+++ b/crates/coordinator/src/acceptor_store.rs
@@ -3,9 +3,9 @@
 use crate::disk::Disk;
 use crate::server::Refused;
 use crate::wire::{Accept, NO_VOTE, Prepare, Vote};
-use saltdrum_fleet::fleet::Fleet;
 use saltdrum_fleet::recovery::{Heard, Returning, Verdict};
 use saltdrum_fleet::register::{Acceptor, Ballot, Config, Voter};
+use saltdrum_fleet::state::Fleet;
 use std::collections::BTreeMap;
 use tracing::{info, warn};
 
--- a/crates/coordinator/src/disk.rs
+++ b/crates/coordinator/src/disk.rs
@@ -2,8 +2,8 @@
 
 use redb::{Database, ReadableDatabase, TableDefinition};
 use saltdrum_durable::{DiskFailure, database};
-use saltdrum_fleet::fleet::Fleet;
 use saltdrum_fleet::register::{Acceptor, Voter};
+use saltdrum_fleet::state::Fleet;
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
--- a/crates/coordinator/src/lease_watch.rs
+++ b/crates/coordinator/src/lease_watch.rs
@@ -1,8 +1,7 @@
 //! What a member knows of the leases it holds. It comes with the answers to its heartbeats; nothing is sent for it.
 
 use saltdrum::interface::Ticks;
-use saltdrum_fleet::fleet::{Fleet, MemberId};
-use saltdrum_fleet::lease::{Epoch, LeaseName, ResourceName};
+use saltdrum_fleet::state::{Epoch, Fleet, LeaseName, MemberId, ResourceName};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
--- a/crates/coordinator/src/list.rs
+++ b/crates/coordinator/src/list.rs
@@ -4,7 +4,7 @@
 use crate::coordinator::Coordinator;
 use bytes::BytesMut;
 use saltdrum::interface::Ticks;
-use saltdrum_fleet::fleet::{Fleet, Kind, Member, Phase};
+use saltdrum_fleet::state::{Fleet, Kind, Member, Phase};
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::list::{Change, Entry, Life, ToList, Whole};
 use saltdrum_transport::{Listener, SendQueue, Stream, split};
--- a/crates/coordinator/src/terms.rs
+++ b/crates/coordinator/src/terms.rs
@@ -3,9 +3,7 @@
 use saltdrum::interface::Ticks;
 use saltdrum_deployment::units::{Memory, Span};
 use saltdrum_deployment::{Fault, Statement};
-use saltdrum_fleet::bounds::{Bound, Per};
-use saltdrum_fleet::fleet::Kind;
-use saltdrum_fleet::lease::{LeaseName, LeaseTerms};
+use saltdrum_fleet::state::{Bound, Kind, LeaseName, LeaseTerms, Per};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
--- a/crates/coordinator/src/wire.rs
+++ b/crates/coordinator/src/wire.rs
@@ -2,9 +2,9 @@
 
 use crate::lease_watch::HeldLease;
 use saltdrum_fleet::change::Change;
-use saltdrum_fleet::fleet::{Fleet, MemberId, Phase};
-use saltdrum_fleet::next::Seen;
+use saltdrum_fleet::drain_scheduler::Seen;
 use saltdrum_fleet::register::{Ballot, Mark, Voter};
+use saltdrum_fleet::state::{Fleet, MemberId, Phase};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/coordinator/tests/all/holder.rs
+++ b/crates/coordinator/tests/all/holder.rs
@@ -6,7 +6,7 @@
 use saltdrum_coordinator::caller::Caller;
 use saltdrum_coordinator::server::{Answers, Refused, said, serve};
 use saltdrum_fleet::fence::Token;
-use saltdrum_fleet::lease::LeaseName;
+use saltdrum_fleet::state::LeaseName;
 use saltdrum_leases::holder::EffectFault;
 use saltdrum_leases::journal::{Accepted, Append, Appended, Journal, JournalDisk, Tells};
 use saltdrum_leases::messages::{Effect, REJECTED};
--- a/crates/coordinator/tests/all/leases.rs
+++ b/crates/coordinator/tests/all/leases.rs
@@ -5,8 +5,7 @@
 use crate::holder::LeaseMode;
 use crate::world::{JOURNALS, SMALL, STEWARDS, Size, TASK, World};
 use saltdrum_fleet::change::Change;
-use saltdrum_fleet::fleet::{Kind, MemberId};
-use saltdrum_fleet::lease::{LeaseName, LeaseTerms};
+use saltdrum_fleet::state::{Kind, LeaseName, LeaseTerms, MemberId};
 use saltdrum_trial::lease_judge::judge_leases;
 use saltdrum_trial::record::Line;
 use std::collections::BTreeSet;
--- a/crates/coordinator/tests/all/many_days.rs
+++ b/crates/coordinator/tests/all/many_days.rs
@@ -3,7 +3,7 @@
 
 use crate::world::{SMALL, STEWARDS, World};
 use saltdrum_fleet::change::Change;
-use saltdrum_fleet::fleet::MemberId;
+use saltdrum_fleet::state::MemberId;
 use saltdrum_trial::judge::judge;
 use saltdrum_trial::record::Line;
 use std::rc::Rc;
--- a/crates/coordinator/tests/all/pace.rs
+++ b/crates/coordinator/tests/all/pace.rs
@@ -4,7 +4,7 @@
 use crate::world::{STEWARDS, Size, World};
 use saltdrum::interface::{MILLISECOND, SECOND, Ticks};
 use saltdrum_fleet::change::Change;
-use saltdrum_fleet::fleet::MemberId;
+use saltdrum_fleet::state::MemberId;
 use saltdrum_trial::judge::judge;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/coordinator/tests/all/planted.rs
+++ b/crates/coordinator/tests/all/planted.rs
@@ -2,7 +2,7 @@
 
 use crate::world::{SMALL, STEWARDS, Size, World};
 use saltdrum_fleet::change::Change;
-use saltdrum_fleet::fleet::MemberId;
+use saltdrum_fleet::state::MemberId;
 use saltdrum_trial::judge::{RULES, judge};
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/coordinator/tests/all/world.rs
+++ b/crates/coordinator/tests/all/world.rs
@@ -10,12 +10,12 @@
 use saltdrum_coordinator::{
     CoordinatorConfig, FleetTerms, LeaseWatch, MemberRole, Membership, join, service,
 };
-use saltdrum_fleet::bounds::{Bound, Per};
 use saltdrum_fleet::change::Change;
-use saltdrum_fleet::fleet::{About, Fleet, Kind, MemberId, Phase};
-use saltdrum_fleet::lease::{LeaseName, LeaseTerms};
-use saltdrum_fleet::next::Seen;
+use saltdrum_fleet::drain_scheduler::Seen;
 use saltdrum_fleet::register::{Config, Voter};
+use saltdrum_fleet::state::{
+    About, Bound, Fleet, Kind, LeaseName, LeaseTerms, MemberId, Per, Phase,
+};
 use saltdrum_leases::journal::{Accepted, JournalDisk};
 use saltdrum_simulated_network::{Ether, Hold, Line as Wire, Lines, stoppable};
 use saltdrum_transport::{Address, Clock, EventLoopClock};
--- a/crates/coordinator/tests/coordinator_fixtures.rs
+++ b/crates/coordinator/tests/coordinator_fixtures.rs
@@ -18,13 +18,11 @@
 };
 use saltdrum_coordinator::{CoordinatorConfig, FleetTerms, HeldLease, server, service};
 use saltdrum_deployment::script;
-use saltdrum_fleet::bounds::{Bound, Per};
 use saltdrum_fleet::change::Change;
-use saltdrum_fleet::fleet::{Fleet, Kind, MemberId, Phase};
-use saltdrum_fleet::lease::LeaseTerms;
-use saltdrum_fleet::next::Batch;
+use saltdrum_fleet::drain_scheduler::Batch;
 use saltdrum_fleet::recovery::Heard;
 use saltdrum_fleet::register::{Ballot, Voter};
+use saltdrum_fleet::state::{Bound, Fleet, Kind, LeaseTerms, MemberId, Per, Phase};
 use saltdrum_protocol::rpc;
 use saltdrum_transport::{Clock, MemoryNetwork, Network};
 use samples::{
--- a/crates/fleet/examples/suspicion.rs
+++ b/crates/fleet/examples/suspicion.rs
@@ -3,7 +3,7 @@
 //!
 //!     cargo run --release -p saltdrum-fleet --example suspicion
 
-use saltdrum_fleet::suspicion::{ArrivalWindow, weighed};
+use saltdrum_fleet::failure_detector::{ArrivalWindow, weighed};
 
 const EVERY: u64 = 5_000;
 const LOOK: u64 = 500;
--- a/crates/fleet/src/bounds.rs
+++ b/crates/fleet/src/bounds.rs
@@ -1,46 +1,9 @@
 //! How many may be out at a time, counted over all that are out, for whatever reason.
 
-use crate::fleet::{Fleet, Kind, Member, MemberId};
-use serde::{Deserialize, Serialize};
+use crate::state::{Bound, Fleet, Kind, Member, MemberId, Per, Phase};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// What a bound is counted for, each apart.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Per {
-    #[default]
-    Fleet,
-    Site,
-    Cell,
-}
-
-/// Holds for each group of members that it is counted for.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Bound {
-    /// None: members of all kinds together.
-    #[serde(default)]
-    pub kind: Option<Kind>,
-    /// This site alone.
-    #[serde(default)]
-    pub site: Option<String>,
-    #[serde(default)]
-    pub per: Per,
-    /// Most members out.
-    #[serde(default)]
-    pub out: Option<u32>,
-    /// Most of them out, as a share, rounded down.
-    #[serde(default)]
-    pub share: Option<f64>,
-    /// Least size that is up.
-    #[serde(default)]
-    pub least_size: Option<f64>,
-    /// Least memory of those that are up, in MB.
-    #[serde(default)]
-    pub least_memory_mb: Option<f64>,
-}
-
 /// A group in which there is no room, and what was counted.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub struct Over {
@@ -204,9 +167,7 @@
 /// Whether each of them could go if everybody else were up.
 pub fn ever(fleet: &Fleet, members: &[MemberId]) -> Result<(), Unfit> {
     let mut calm = fleet.clone();
-    calm.members
-        .values_mut()
-        .for_each(|m| m.phase = crate::fleet::Phase::Up);
+    calm.members.values_mut().for_each(|m| m.phase = Phase::Up);
     members.iter().try_for_each(|member| {
         against(&calm, member).map_or(Ok(()), |over| {
             Err(Unfit::Never {
--- a/crates/fleet/src/change/drains.rs
+++ b/crates/fleet/src/change/drains.rs
@@ -1,8 +1,8 @@
 //! Who may go and when: asks, grants, begins, halts.
 
-use super::{ALREADY, CHANGED, Done, ID_MOST_BYTES, Refusal, TEXT_MOST_BYTES, text};
+use super::outcome::{ALREADY, CHANGED, Done, ID_MOST_BYTES, Refusal, TEXT_MOST_BYTES, text};
 use crate::bounds;
-use crate::fleet::{Ask, Event, Fleet, Grant, Halt, MemberId, Phase};
+use crate::state::{Ask, Event, Fleet, Grant, Halt, MemberId, Phase};
 use std::collections::BTreeSet;
 
 const ASKS_MOST: usize = 64;
--- a/crates/fleet/src/change/leases.rs
+++ b/crates/fleet/src/change/leases.rs
@@ -1,10 +1,35 @@
 //! Who holds the leases of fleet-wide tasks.
 
-use super::{ALREADY, CHANGED, Done, Refusal, TEXT_MOST_BYTES, text};
-use crate::fleet::{Event, Fleet};
-use crate::lease::{Epoch, LEASES_MOST, Lease, LeaseName, LeaseState, LeaseTerms};
+use super::outcome::{ALREADY, CHANGED, Done, ID_MOST_BYTES, Refusal, TEXT_MOST_BYTES, text};
+use crate::leases::{LEASES_MOST, RESOURCES_MOST, Unfit};
+use crate::state::{Epoch, Event, Fleet, Lease, LeaseName, LeaseState, LeaseTerms};
 use std::collections::BTreeMap;
 
+impl LeaseTerms {
+    /// Whether this can be stated of a lease of that name.
+    pub fn fits(&self, lease: &LeaseName) -> Result<(), Refusal> {
+        text("lease", &lease.0, ID_MOST_BYTES)?;
+        text("task", &self.task, ID_MOST_BYTES)?;
+        if self.resources.is_empty() {
+            return Err(Unfit::NoResource {
+                lease: lease.clone(),
+            }
+            .into());
+        }
+        if self.resources.len() > RESOURCES_MOST {
+            let (found, most) = (self.resources.len(), RESOURCES_MOST);
+            return Err(Refusal::Many {
+                place: "resources",
+                found,
+                most,
+            });
+        }
+        self.resources
+            .iter()
+            .try_for_each(|name| text("resource", name, TEXT_MOST_BYTES))
+    }
+}
+
 impl Fleet {
     /// States which leases there are. One that changes its terms is granted anew; epochs go on where they were.
     pub(super) fn state_leases(
--- a/crates/fleet/src/change/membership.rs
+++ b/crates/fleet/src/change/membership.rs
@@ -1,8 +1,8 @@
 //! Who is there: members that join, prove themselves, fall silent, are heard again, leave and are forgotten.
 
-use super::{ALREADY, CHANGED, Done, ID_MOST_BYTES, Refusal, TEXT_MOST_BYTES, text};
-use crate::fleet::{About, Fleet, Member, MemberId, Phase};
-use crate::lease;
+use super::outcome::{ALREADY, CHANGED, Done, ID_MOST_BYTES, Refusal, TEXT_MOST_BYTES, text};
+use crate::leases;
+use crate::state::{About, Fleet, Member, MemberId, Phase};
 
 /// Lives of a member that are remembered, so that a process which slept through its own replacement is told apart.
 const PAST_MOST: usize = 8;
@@ -22,8 +22,8 @@
                 expected: "a life and sizes of 0 or more",
             });
         }
-        if about.tasks.len() > lease::TASKS_MOST {
-            let (found, most) = (about.tasks.len(), lease::TASKS_MOST);
+        if about.tasks.len() > leases::TASKS_MOST {
+            let (found, most) = (about.tasks.len(), leases::TASKS_MOST);
             return Err(Refusal::Many {
                 place: "tasks",
                 found,
--- a/crates/fleet/src/change/settings.rs
+++ b/crates/fleet/src/change/settings.rs
@@ -1,9 +1,8 @@
 //! What operators state of the fleet itself: its bounds and the stewards that hold it.
 
-use super::{ALREADY, CHANGED, Done, Refusal, TEXT_MOST_BYTES, text};
-use crate::bounds::Bound;
-use crate::fleet::Fleet;
+use super::outcome::{ALREADY, CHANGED, Done, Refusal, TEXT_MOST_BYTES, text};
 use crate::register::{Config, Voter};
+use crate::state::{Bound, Fleet};
 use std::collections::{BTreeMap, BTreeSet};
 
 const BOUNDS_MOST: usize = 100;
--- a/crates/fleet/src/next.rs
+++ b/crates/fleet/src/drain_scheduler.rs
@@ -2,7 +2,7 @@
 
 use crate::bounds;
 use crate::change::Change;
-use crate::fleet::{Fleet, MemberId, Phase};
+use crate::state::{Fleet, MemberId, Phase};
 use std::collections::BTreeMap;
 
 /// What stewards heard of a member lately. It steers, and nothing rests on it.
@@ -22,7 +22,7 @@
     place: usize,
 ) -> (bool, u32, u32, usize, u32, usize) {
     let m = &fleet.members[id];
-    let beside = |same: &dyn Fn(&crate::fleet::Member) -> bool| {
+    let beside = |same: &dyn Fn(&crate::state::Member) -> bool| {
         fleet
             .out()
             .filter(|(other, o)| other.kind == id.kind && same(o))
--- a/crates/fleet/src/fence.rs
+++ b/crates/fleet/src/fence.rs
@@ -11,7 +11,7 @@
 //! So when a later holder acts, every resource is sealed to it, is not sealed at all, or was sealed to one later still. None of
 //! it rests on a clock.
 
-use crate::lease::{Epoch, LeaseName, ResourceName};
+use crate::state::{Epoch, LeaseName, ResourceName};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/fleet/src/monitor.rs
+++ b/crates/fleet/src/monitor.rs
@@ -4,10 +4,10 @@
 //! waits, and how unusual a silence is, is taken from them.
 
 use crate::change::Change;
-use crate::fleet::{Fleet, MemberId, Phase};
-use crate::next::{Seen, next};
+use crate::drain_scheduler::{Seen, next};
+use crate::failure_detector::{ArrivalWindow, Opinion, is_deaf, weighed};
 use crate::register::Voter;
-use crate::suspicion::{ArrivalWindow, Opinion, is_deaf, weighed};
+use crate::state::{Fleet, MemberId, Phase};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What another steward said counts for so long.
--- a/crates/fleet/tests/all/changes.rs
+++ b/crates/fleet/tests/all/changes.rs
@@ -1,10 +1,10 @@
 //! Drawn changes of a fleet: what holds after each, whatever came before.
 
-use saltdrum_fleet::bounds::{self, Bound, Per};
+use saltdrum_fleet::bounds;
 use saltdrum_fleet::change::{Change, Refusal};
-use saltdrum_fleet::fleet::{About, Fleet, Kind, MemberId, Phase};
-use saltdrum_fleet::next::{Seen, dry_run, next};
+use saltdrum_fleet::drain_scheduler::{Seen, dry_run, next};
 use saltdrum_fleet::register::Config;
+use saltdrum_fleet::state::{About, Bound, Fleet, Kind, MemberId, Per, Phase};
 use std::collections::{BTreeMap, BTreeSet};
 
 pub fn bound(kind: Kind, out: u32) -> Bound {
@@ -295,7 +295,7 @@
         None,
         "one is lost: it has the third place"
     );
-    let waits = saltdrum_fleet::next::waits_for(&fleet).unwrap();
+    let waits = saltdrum_fleet::drain_scheduler::waits_for(&fleet).unwrap();
     assert!(waits.contains("4 where 3 is the bound"), "{waits}");
     let steps = dry_run(
         &with(8, vec![bound(Kind::Invoker, 3)]),
--- a/crates/fleet/tests/all/fence_orders.rs
+++ b/crates/fleet/tests/all/fence_orders.rs
@@ -3,7 +3,7 @@
 //! none is accepted with an earlier epoch than one that was accepted before, anywhere.
 
 use saltdrum_fleet::fence::{Fence, Holding, SealStep, Token};
-use saltdrum_fleet::lease::{Epoch, LeaseName};
+use saltdrum_fleet::state::{Epoch, LeaseName};
 use std::collections::BTreeSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
--- a/crates/fleet/tests/all/leases.rs
+++ b/crates/fleet/tests/all/leases.rs
@@ -2,8 +2,10 @@
 
 use crate::changes::{about, ask, bound, drawn, with};
 use saltdrum_fleet::change::{Change, Refusal};
-use saltdrum_fleet::fleet::{About, Fleet, Kind, MemberId, Phase};
-use saltdrum_fleet::lease::{Epoch, LEASES_MOST, LeaseName, LeaseState, LeaseTerms};
+use saltdrum_fleet::leases::LEASES_MOST;
+use saltdrum_fleet::state::{
+    About, Epoch, Fleet, Kind, LeaseName, LeaseState, LeaseTerms, MemberId, Phase,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 const TASK: &str = "collect";
--- a/crates/fleet/tests/all/monitor.rs
+++ b/crates/fleet/tests/all/monitor.rs
@@ -3,9 +3,9 @@
 use crate::changes::{about, ask, bound, with};
 use crate::support::voter;
 use saltdrum_fleet::change::Change;
-use saltdrum_fleet::fleet::{Fleet, Kind, MemberId};
+use saltdrum_fleet::drain_scheduler::Seen;
 use saltdrum_fleet::monitor::{Levels, MemberMonitor, Timeouts};
-use saltdrum_fleet::next::Seen;
+use saltdrum_fleet::state::{Fleet, Kind, MemberId};
 
 const EVERY: u64 = 1_000;
 
--- a/crates/fleet/tests/fixture_support/samples.rs
+++ b/crates/fleet/tests/fixture_support/samples.rs
@@ -2,12 +2,13 @@
 
 #![allow(dead_code, reason = "each package uses a part of it")]
 
-use saltdrum_fleet::bounds::{Bound, Per};
 use saltdrum_fleet::change::Change;
-use saltdrum_fleet::fleet::{About, Ask, Event, Fleet, Halt, Kind, Member, MemberId, Phase};
-use saltdrum_fleet::lease::{Lease, LeaseName, LeaseState, LeaseTerms};
 use saltdrum_fleet::recovery::Heard;
 use saltdrum_fleet::register::{Accepted, Acceptor, Ballot, Config, Lives, Mark, Voter};
+use saltdrum_fleet::state::{
+    About, Ask, Bound, Event, Fleet, Halt, Kind, Lease, LeaseName, LeaseState, LeaseTerms, Member,
+    MemberId, Per, Phase,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 pub const FLEET: &str = "museums";
--- a/crates/fleet/tests/fleet_fixtures.rs
+++ b/crates/fleet/tests/fleet_fixtures.rs
@@ -6,13 +6,11 @@
 mod samples;
 
 use fixtures::FixtureLines;
-use saltdrum_fleet::bounds::Per;
 use saltdrum_fleet::change::{Change, Done};
+use saltdrum_fleet::drain_scheduler::Batch;
 use saltdrum_fleet::fence::{Rejection, Token};
-use saltdrum_fleet::fleet::{Fleet, MemberId};
-use saltdrum_fleet::lease::{LeaseName, LeaseState};
-use saltdrum_fleet::next::Batch;
 use saltdrum_fleet::register::Acceptor;
+use saltdrum_fleet::state::{Fleet, LeaseName, LeaseState, MemberId, Per};
 use samples::{
     about, ballot, every_change, founded_fleet, full_acceptor, full_fleet, heard, lease_terms,
 };
--- a/crates/leases/src/guard.rs
+++ b/crates/leases/src/guard.rs
@@ -8,7 +8,7 @@
 use saltdrum_coordinator::wire::{Changed, Changes, REFUSED};
 use saltdrum_fleet::change::Change;
 use saltdrum_fleet::fence::{Fence, Rejection, SealStep, Token};
-use saltdrum_fleet::lease::{Epoch, LeaseName};
+use saltdrum_fleet::state::{Epoch, LeaseName};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use tracing::{info, warn};
--- a/crates/leases/src/holder.rs
+++ b/crates/leases/src/holder.rs
@@ -5,7 +5,7 @@
 use saltdrum_coordinator::caller::{Caller, Fault};
 use saltdrum_coordinator::{HeldLease, LeaseWatch};
 use saltdrum_fleet::fence::{Holding, Rejection};
-use saltdrum_fleet::lease::{Epoch, LeaseName, ResourceName};
+use saltdrum_fleet::state::{Epoch, LeaseName, ResourceName};
 use saltdrum_transport::Clock;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
--- a/crates/leases/src/journal.rs
+++ b/crates/leases/src/journal.rs
@@ -8,7 +8,7 @@
 use saltdrum_coordinator::server::{Answers, Refused, said};
 use saltdrum_durable::{DiskFailure, database};
 use saltdrum_fleet::fence::Token;
-use saltdrum_fleet::lease::{Epoch, LeaseName};
+use saltdrum_fleet::state::{Epoch, LeaseName};
 use saltdrum_protocol::rpc::{self, Call};
 use serde::{Deserialize, Serialize};
 use serde_json::json;
--- a/crates/leases/src/messages.rs
+++ b/crates/leases/src/messages.rs
@@ -1,7 +1,7 @@
 //! What holders and resources say to each other: JSON-RPC by lines, in the envelope of the stewards' messages.
 
 use saltdrum_fleet::fence::{Rejection, Token};
-use saltdrum_fleet::lease::{Epoch, LeaseName};
+use saltdrum_fleet::state::{Epoch, LeaseName};
 use serde::{Deserialize, Serialize};
 
 /// The resource rejects the epoch or the token; the message is a [`Rejection`] as JSON.
--- a/crates/leases/tests/leases_fixtures.rs
+++ b/crates/leases/tests/leases_fixtures.rs
@@ -12,7 +12,7 @@
 use saltdrum_coordinator::server::Answers;
 use saltdrum_coordinator::wire::Changed;
 use saltdrum_fleet::fence::{Rejection, Token};
-use saltdrum_fleet::lease::LeaseName;
+use saltdrum_fleet::state::LeaseName;
 use saltdrum_leases::SealStore;
 use saltdrum_leases::journal::{Append, Appended, Journal, JournalDisk};
 use saltdrum_leases::messages::{
--- a/crates/registry/src/collection.rs
+++ b/crates/registry/src/collection.rs
@@ -3,7 +3,7 @@
 use crate::service::Registry;
 use saltdrum_coordinator::caller::Caller;
 use saltdrum_coordinator::server::{Answers, Refused, said};
-use saltdrum_fleet::lease::{Epoch, LeaseName};
+use saltdrum_fleet::state::{Epoch, LeaseName};
 use saltdrum_leases::messages::{Effect, REJECTED, Seal, Sealed, UNWRITABLE, rejection_text};
 use saltdrum_leases::{Guard, SealStore};
 use saltdrum_protocol::rpc::{self, Call};
--- a/crates/scale/src/members.rs
+++ b/crates/scale/src/members.rs
@@ -10,10 +10,11 @@
 use saltdrum_coordinator::wire::{Changed, Changes};
 use saltdrum_coordinator::{CoordinatorConfig, FleetTerms, MemberRole, Membership, join, service};
 use saltdrum_fleet::change::Change;
-use saltdrum_fleet::fleet::{About, Fleet, Kind, Member, MemberId, Phase};
-use saltdrum_fleet::lease::{LeaseName, LeaseState, LeaseTerms};
-use saltdrum_fleet::next::Seen;
+use saltdrum_fleet::drain_scheduler::Seen;
 use saltdrum_fleet::register::{Config, Voter};
+use saltdrum_fleet::state::{
+    About, Fleet, Kind, LeaseName, LeaseState, LeaseTerms, Member, MemberId, Phase,
+};
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::list::{Follow, FromList};
 use saltdrum_simulated_network::{Ether, Line as Wire, Lines};
--- a/crates/trial/src/script.rs
+++ b/crates/trial/src/script.rs
@@ -3,8 +3,7 @@
 use saltdrum_coordinator::FleetTerms;
 use saltdrum_deployment::units::Span;
 use saltdrum_deployment::{Fault, Statement, Terms, script};
-use saltdrum_fleet::bounds::Per;
-use saltdrum_fleet::fleet::Kind;
+use saltdrum_fleet::state::{Kind, Per};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
