--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -19,9 +19,9 @@
 use saltdrum_fakes::Invoker;
 use saltdrum_faulty_peers::leases::FaultySteward;
 use saltdrum_fleet::change::Change;
-use saltdrum_fleet::drain_scheduler::{Batch, Seen};
+use saltdrum_fleet::drain_scheduler::{Batch, MemberLoad};
 use saltdrum_fleet::register::{Config, Voter};
-use saltdrum_fleet::state::{self as agreed, About, Bound, MemberId, Phase};
+use saltdrum_fleet::state::{self as agreed, Bound, MemberId, MemberInfo, Phase};
 use saltdrum_protocol::list::Life;
 use saltdrum_transport::{Address, Clock, SocketNetwork};
 use serde::Deserialize;
@@ -86,7 +86,7 @@
 }
 
 impl Joined {
-    fn stays_member(&self, member: MemberId, about: About) -> Membership {
+    fn stays_member(&self, member: MemberId, about: MemberInfo) -> Membership {
         Membership {
             fleet: self.terms.name.clone(),
             member,
@@ -112,7 +112,7 @@
         tasks: BTreeSet<String>,
     ) -> (Membership, Rc<dyn MemberRole>) {
         let member = MemberId::controller(number);
-        let about = About {
+        let about = MemberInfo {
             incarnation,
             site: terms
                 .zones
@@ -155,7 +155,7 @@
         let entry = invoker.entry(Life::Ready);
         let site = &invoker.site;
         let member = MemberId::invoker(entry.invoker);
-        let about = About {
+        let about = MemberInfo {
             incarnation: entry.incarnation,
             site: site
                 .terms
@@ -205,8 +205,8 @@
         look.has_endpoint_list && look.connections_up * 2 >= look.connections
     }
 
-    fn seen(&self) -> Seen {
-        Seen {
+    fn seen(&self) -> MemberLoad {
+        MemberLoad {
             busy: self.going.status().in_flight as f64 / 1_000.0,
             last_copies: 0,
         }
@@ -260,9 +260,9 @@
         entry.age_tenths >= site.terms.deployment.warm_up_time
     }
 
-    fn seen(&self) -> Seen {
+    fn seen(&self) -> MemberLoad {
         let size = f64::from(self.invoker.entry(Life::Ready).size).max(1.0);
-        Seen {
+        MemberLoad {
             busy: self.invoker.in_hand() as f64 / size,
             last_copies: 0,
         }
--- a/crates/coordinator/examples/agreement.rs
+++ b/crates/coordinator/examples/agreement.rs
@@ -11,7 +11,7 @@
 use saltdrum_coordinator::{CoordinatorConfig, FleetTerms, service};
 use saltdrum_fleet::change::Change;
 use saltdrum_fleet::register::{Config, Voter};
-use saltdrum_fleet::state::{About, Fleet, MemberId};
+use saltdrum_fleet::state::{Fleet, MemberId, MemberInfo};
 use saltdrum_transport::{Address, Clock, SocketNetwork};
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -160,7 +160,7 @@
                 let caller = callers[0].clone();
                 joining.spawn_local(async move {
                     let member = MemberId::invoker(number);
-                    let about = About {
+                    let about = MemberInfo {
                         incarnation: 1,
                         site: "kigali".into(),
                         cell: (number / 4) as u16,
--- a/crates/coordinator/src/acceptor_store.rs
+++ b/crates/coordinator/src/acceptor_store.rs
@@ -3,7 +3,7 @@
 use crate::disk::Disk;
 use crate::server::Refused;
 use crate::wire::{Accept, NO_VOTE, Prepare, Vote};
-use saltdrum_fleet::recovery::{Heard, Returning, Verdict};
+use saltdrum_fleet::recovery::{RecoveryReply, Returning, Verdict};
 use saltdrum_fleet::register::{Acceptor, Ballot, Config, Voter};
 use saltdrum_fleet::state::Fleet;
 use std::collections::BTreeMap;
@@ -111,7 +111,7 @@
     pub fn prepare(&mut self, asked: &Prepare) -> Result<Vote, Refused> {
         self.may_vote(asked.to)?;
         let told = self.change(|a| a.prepare(asked.ballot).map(|a| a.cloned()))?;
-        let (mark, writes) = (self.acceptor.mark(self.me()), self.acceptor.writes);
+        let (mark, writes) = (self.acceptor.stamp(self.me()), self.acceptor.writes);
         Ok(match told {
             Err(promised) => Vote::Refused { promised },
             Ok(None) => Vote::Promised {
@@ -135,7 +135,7 @@
     pub fn accept(&mut self, asked: Accept) -> Result<Vote, Refused> {
         self.may_vote(asked.to)?;
         let told = self.change(|a| a.accept(asked.ballot, *asked.value))?;
-        let (mark, writes) = (self.acceptor.mark(self.me()), self.acceptor.writes);
+        let (mark, writes) = (self.acceptor.stamp(self.me()), self.acceptor.writes);
         Ok(match told {
             Err(promised) => Vote::Refused { promised },
             Ok(()) => Vote::Accepted { mark, writes },
@@ -143,11 +143,11 @@
     }
 
     /// What another that starts is told, once the life that it begins is on this disk.
-    pub fn recover(&mut self, from: Voter, life: u64) -> Result<Heard<Fleet>, Refused> {
+    pub fn recover(&mut self, from: Voter, life: u64) -> Result<RecoveryReply<Fleet>, Refused> {
         let life_before = self.change(|a| a.life_begins(from, life))?;
         let writes_of_yours = self.writes.get(&from).copied().unwrap_or(0);
         let acceptor = self.acceptor.clone();
-        Ok(Heard {
+        Ok(RecoveryReply {
             returning: self.returning.is_some(),
             acceptor,
             life_before,
@@ -168,7 +168,7 @@
     }
 
     /// Another answered this one, which has started.
-    pub fn heard(&mut self, from: Voter, what: Heard<Fleet>) -> Result<Verdict, Refused> {
+    pub fn heard(&mut self, from: Voter, what: RecoveryReply<Fleet>) -> Result<Verdict, Refused> {
         let Some(returning) = &mut self.returning else {
             return Ok(Verdict::Vote);
         };
--- a/crates/coordinator/src/coordinator.rs
+++ b/crates/coordinator/src/coordinator.rs
@@ -5,7 +5,7 @@
 use crate::disk::Disk;
 use crate::terms::FleetTerms;
 use saltdrum::interface::{MILLISECOND, Ticks};
-use saltdrum_fleet::change::{Change, Done};
+use saltdrum_fleet::change::{Change, ChangeOutcome};
 use saltdrum_fleet::monitor::{MemberMonitor, Timeouts};
 use saltdrum_fleet::register::{Acceptor, Ballot};
 use saltdrum_fleet::state::Fleet;
@@ -18,7 +18,7 @@
 use tracing::debug;
 
 /// What came of a change: done, at which revision; or a code and why not.
-pub(crate) type Told = Result<(Done, u64), (i64, String)>;
+pub(crate) type Told = Result<(ChangeOutcome, u64), (i64, String)>;
 
 /// A change that somebody waits for.
 pub(crate) struct PendingProposal {
--- a/crates/coordinator/src/list.rs
+++ b/crates/coordinator/src/list.rs
@@ -4,7 +4,7 @@
 use crate::coordinator::Coordinator;
 use bytes::BytesMut;
 use saltdrum::interface::Ticks;
-use saltdrum_fleet::state::{Fleet, Kind, Member, Phase};
+use saltdrum_fleet::state::{Fleet, Member, MemberKind, Phase};
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::list::{Change, Entry, Life, ToList, Whole};
 use saltdrum_transport::{Listener, SendQueue, Stream, split};
@@ -52,7 +52,7 @@
         let invokers = fleet
             .members
             .iter()
-            .filter(|(id, _)| id.kind == Kind::Invoker);
+            .filter(|(id, _)| id.kind == MemberKind::Invoker);
         let lines = invokers.map(|(id, m)| (id.number, self.entry(id.number, m)));
         lines.filter(|(_, e)| e.life != Life::Gone).collect()
     }
--- a/crates/coordinator/src/member.rs
+++ b/crates/coordinator/src/member.rs
@@ -5,9 +5,9 @@
 use crate::lease_watch::LeaseWatch;
 use crate::wire::{Changed, Changes, NO_VOTE, REFUSED, Renew, STRANGER, Standing};
 use saltdrum::interface::{MILLISECOND, SECOND, Ticks};
-use saltdrum_fleet::change::Change;
-use saltdrum_fleet::drain_scheduler::Seen;
-use saltdrum_fleet::state::{About, MemberId, Phase};
+use saltdrum_fleet::change::{Change, REPLACED_TEXT};
+use saltdrum_fleet::drain_scheduler::MemberLoad;
+use saltdrum_fleet::state::{MemberId, MemberInfo, Phase};
 use saltdrum_transport::{Address, Clock, Network};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -23,7 +23,7 @@
 pub trait MemberRole {
     /// It serves as it should.
     fn is_proven(&self) -> bool;
-    fn seen(&self) -> Seen;
+    fn seen(&self) -> MemberLoad;
     /// Begins to drain: nothing new, all that was taken is ended. Called once for a drain.
     fn drain(&self);
     fn is_drained(&self) -> bool;
@@ -37,7 +37,7 @@
 pub struct Membership {
     pub fleet: String,
     pub member: MemberId,
-    pub about: About,
+    pub about: MemberInfo,
     pub stewards: Vec<Address>,
     pub renew: Ticks,
     /// Hears of the leases that it holds.
@@ -230,7 +230,8 @@
                     let about = self.with.about.clone();
                     if let Some(Err(why)) = self.change(Change::Join { member, about }).await {
                         warn!(%member, why, "can't join");
-                        if why.contains("was replaced") {
+                        // Part of the protocol: the refusal is recognised by its text.
+                        if why.contains(REPLACED_TEXT) {
                             part.told("replaced", 0);
                             return Ended::Replaced;
                         }
--- a/crates/coordinator/src/monitoring.rs
+++ b/crates/coordinator/src/monitoring.rs
@@ -6,7 +6,7 @@
 use crate::wire::{Opinions, Recover, Renew, Standing};
 use saltdrum::interface::{MILLISECOND, Ticks};
 use saltdrum_fleet::change::Change;
-use saltdrum_fleet::recovery::{Heard, Verdict};
+use saltdrum_fleet::recovery::{RecoveryReply, Verdict};
 use saltdrum_fleet::register::Voter;
 use saltdrum_fleet::state::Fleet;
 use std::rc::Rc;
@@ -154,7 +154,7 @@
                         from: me,
                         life: this.acceptor_store.borrow().life(),
                     };
-                    peer.call::<(Voter, Heard<Fleet>)>("recover", &asked, 500 * MILLISECOND)
+                    peer.call::<(Voter, RecoveryReply<Fleet>)>("recover", &asked, 500 * MILLISECOND)
                         .await
                         .ok()
                 });
--- a/crates/coordinator/src/propose.rs
+++ b/crates/coordinator/src/propose.rs
@@ -7,7 +7,7 @@
 use crate::server::Refused;
 use crate::wire::{Accept, NO_VOTE, Prepare, REFUSED, UNSETTLED, Vote};
 use saltdrum::interface::{MILLISECOND, Ticks};
-use saltdrum_fleet::change::{Change, Done};
+use saltdrum_fleet::change::{Change, ChangeOutcome};
 use saltdrum_fleet::register::{Accepted, Ballot, Round, Voter};
 use saltdrum_fleet::state::Fleet;
 use serde::Serialize;
@@ -109,7 +109,13 @@
     async fn round(
         self: &Rc<Self>,
         changes: &[&Change],
-    ) -> Result<(Rc<Fleet>, Vec<Result<Done, saltdrum_fleet::Refusal>>), Lost> {
+    ) -> Result<
+        (
+            Rc<Fleet>,
+            Vec<Result<ChangeOutcome, saltdrum_fleet::Refusal>>,
+        ),
+        Lost,
+    > {
         // What it says it has is kept for the whole round: its own acceptor may have another value by the time of an answer.
         let (me, config, mine) = {
             let acceptor_store = self.acceptor_store.borrow();
--- a/crates/coordinator/src/service.rs
+++ b/crates/coordinator/src/service.rs
@@ -6,7 +6,7 @@
 use crate::wire::{Accept, Changed, Changes, DryRun, Opinions, Prepare, REFUSED, Recover, Renew};
 use saltdrum::interface::{MILLISECOND, SECOND};
 use saltdrum_fleet::change::Change;
-use saltdrum_fleet::drain_scheduler::{dry_run, waits_for};
+use saltdrum_fleet::drain_scheduler::{blocking_reason, dry_run};
 use saltdrum_fleet::register::Acceptor;
 use saltdrum_fleet::state::Fleet;
 use saltdrum_protocol::rpc::{self, Call};
@@ -104,7 +104,7 @@
         json!({
             "steward": self.config.number, "voter": acceptor_store.me().to_string(), "life": self.config.life,
             "votes": !acceptor_store.is_returning() && acceptor_store.is_writable(), "writes": acceptor_store.writes(),
-            "settled": self.is_settled(), "heard_ms_ago": heard_ms_ago, "waits_for": fleet.as_ref().and_then(|f| waits_for(f)),
+            "settled": self.is_settled(), "heard_ms_ago": heard_ms_ago, "waits_for": fleet.as_ref().and_then(|f| blocking_reason(f)),
             "fleet": fleet.as_deref(),
         })
     }
--- a/crates/coordinator/src/terms.rs
+++ b/crates/coordinator/src/terms.rs
@@ -3,7 +3,7 @@
 use saltdrum::interface::Ticks;
 use saltdrum_deployment::units::{Memory, Span};
 use saltdrum_deployment::{Fault, Statement};
-use saltdrum_fleet::state::{Bound, Kind, LeaseName, LeaseTerms, Per};
+use saltdrum_fleet::state::{Bound, BoundScope, LeaseName, LeaseTerms, MemberKind};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
@@ -152,11 +152,14 @@
 
 fn bound(s: &Statement) -> Result<Bound, Fault> {
     let said: SaidBound = s.read()?;
-    let kinds = [("controller", Kind::Controller), ("invoker", Kind::Invoker)];
+    let kinds = [
+        ("controller", MemberKind::Controller),
+        ("invoker", MemberKind::Invoker),
+    ];
     let pers = [
-        ("fleet", Per::Fleet),
-        ("site", Per::Site),
-        ("cell", Per::Cell),
+        ("fleet", BoundScope::Fleet),
+        ("site", BoundScope::Site),
+        ("cell", BoundScope::Cell),
     ];
     let bound = Bound {
         kind: said
@@ -168,7 +171,7 @@
         per: said
             .per
             .as_ref()
-            .map_or(Ok(Per::Fleet), |p| word(s, "per", p, &pers))?,
+            .map_or(Ok(BoundScope::Fleet), |p| word(s, "per", p, &pers))?,
         out: said.out,
         share: said.share,
         least_size: said.least_size,
@@ -180,7 +183,10 @@
 
 fn lease(s: &Statement) -> Result<(LeaseName, LeaseTerms), Fault> {
     let said: SaidLease = s.read()?;
-    let kinds = [("controller", Kind::Controller), ("invoker", Kind::Invoker)];
+    let kinds = [
+        ("controller", MemberKind::Controller),
+        ("invoker", MemberKind::Invoker),
+    ];
     let eligible = word(s, "eligible", &said.eligible, &kinds)?;
     let terms = LeaseTerms {
         task: said.task,
--- a/crates/coordinator/src/wire.rs
+++ b/crates/coordinator/src/wire.rs
@@ -2,8 +2,8 @@
 
 use crate::lease_watch::HeldLease;
 use saltdrum_fleet::change::Change;
-use saltdrum_fleet::drain_scheduler::Seen;
-use saltdrum_fleet::register::{Ballot, Mark, Voter};
+use saltdrum_fleet::drain_scheduler::MemberLoad;
+use saltdrum_fleet::register::{Ballot, Voter, VoterStamp};
 use saltdrum_fleet::state::{Fleet, MemberId, Phase};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -59,11 +59,11 @@
     Promised {
         accepted: Option<Ballot>,
         value: Option<Box<Fleet>>,
-        mark: Mark,
+        mark: VoterStamp,
         writes: u64,
     },
     Accepted {
-        mark: Mark,
+        mark: VoterStamp,
         writes: u64,
     },
     /// More was promised to another.
@@ -113,8 +113,8 @@
 }
 
 impl Renew {
-    pub fn seen(&self) -> Seen {
-        Seen {
+    pub fn seen(&self) -> MemberLoad {
+        MemberLoad {
             busy: self.busy,
             last_copies: self.last_copies,
         }
--- a/crates/coordinator/src/wire/tests.rs
+++ b/crates/coordinator/src/wire/tests.rs
@@ -57,7 +57,7 @@
         disk: 7,
     };
     let lives = vec![(one, 3)].into();
-    let mark = Mark {
+    let mark = VoterStamp {
         from: one,
         life: 2,
         lives,
--- a/crates/coordinator/tests/all/leases.rs
+++ b/crates/coordinator/tests/all/leases.rs
@@ -5,7 +5,7 @@
 use crate::holder::LeaseMode;
 use crate::world::{JOURNALS, SMALL, STEWARDS, Size, TASK, World};
 use saltdrum_fleet::change::Change;
-use saltdrum_fleet::state::{Kind, LeaseName, LeaseTerms, MemberId};
+use saltdrum_fleet::state::{LeaseName, LeaseTerms, MemberId, MemberKind};
 use saltdrum_trial::lease_judge::judge_leases;
 use saltdrum_trial::record::Line;
 use std::collections::BTreeSet;
@@ -181,7 +181,7 @@
         let resources = JOURNALS.iter().map(|name| (*name).to_owned()).collect();
         let terms = LeaseTerms {
             task: TASK.into(),
-            eligible: Kind::Invoker,
+            eligible: MemberKind::Invoker,
             resources,
         };
         world.leases.borrow_mut().insert(lease(), terms);
--- a/crates/coordinator/tests/all/world.rs
+++ b/crates/coordinator/tests/all/world.rs
@@ -11,10 +11,10 @@
     CoordinatorConfig, FleetTerms, LeaseWatch, MemberRole, Membership, join, service,
 };
 use saltdrum_fleet::change::Change;
-use saltdrum_fleet::drain_scheduler::Seen;
+use saltdrum_fleet::drain_scheduler::MemberLoad;
 use saltdrum_fleet::register::{Config, Voter};
 use saltdrum_fleet::state::{
-    About, Bound, Fleet, Kind, LeaseName, LeaseTerms, MemberId, Per, Phase,
+    Bound, BoundScope, Fleet, LeaseName, LeaseTerms, MemberId, MemberInfo, MemberKind, Phase,
 };
 use saltdrum_leases::journal::{Accepted, JournalDisk};
 use saltdrum_simulated_network::{Ether, Hold, Line as Wire, Lines, stoppable};
@@ -84,9 +84,9 @@
 
 fn terms(bound: u32) -> FleetTerms {
     let bound = Bound {
-        kind: Some(Kind::Invoker),
+        kind: Some(MemberKind::Invoker),
         site: None,
-        per: Per::Fleet,
+        per: BoundScope::Fleet,
         out: Some(bound),
         share: None,
         least_size: None,
@@ -113,8 +113,8 @@
     at * 100_000
 }
 
-fn about(id: MemberId, incarnation: u64) -> About {
-    About {
+fn about(id: MemberId, incarnation: u64) -> MemberInfo {
+    MemberInfo {
         incarnation,
         site: if id.number.is_multiple_of(2) {
             "huye"
@@ -148,8 +148,8 @@
         self.clock.now() > self.since + self.size.prove
     }
 
-    fn seen(&self) -> Seen {
-        Seen::default()
+    fn seen(&self) -> MemberLoad {
+        MemberLoad::default()
     }
 
     fn drain(&self) {
--- a/crates/coordinator/tests/coordinator_fixtures.rs
+++ b/crates/coordinator/tests/coordinator_fixtures.rs
@@ -20,9 +20,9 @@
 use saltdrum_deployment::script;
 use saltdrum_fleet::change::Change;
 use saltdrum_fleet::drain_scheduler::Batch;
-use saltdrum_fleet::recovery::Heard;
+use saltdrum_fleet::recovery::RecoveryReply;
 use saltdrum_fleet::register::{Ballot, Voter};
-use saltdrum_fleet::state::{Bound, Fleet, Kind, LeaseTerms, MemberId, Per, Phase};
+use saltdrum_fleet::state::{Bound, BoundScope, Fleet, LeaseTerms, MemberId, MemberKind, Phase};
 use saltdrum_protocol::rpc;
 use saltdrum_transport::{Clock, MemoryNetwork, Network};
 use samples::{
@@ -237,7 +237,7 @@
         for (name, vote) in votes() {
             check_answer(all, &format!("vote-{name}"), vote).await;
         }
-        check_answer::<(Voter, Heard<Fleet>)>(all, "recover", (voter(2), heard())).await;
+        check_answer::<(Voter, RecoveryReply<Fleet>)>(all, "recover", (voter(2), heard())).await;
         check_answer::<(Ballot, Option<Fleet>)>(all, "decided", (ballot(11), Some(full_fleet())))
             .await;
         check_answer::<(Ballot, Option<Fleet>)>(all, "decided-nothing", (ballot(0), None)).await;
@@ -335,7 +335,7 @@
         drain_for: 600_000,
         prove_within: 0,
         halt_at_lost: 0,
-        bounds: vec![samples::bound_with_least_fields(Per::Fleet)],
+        bounds: vec![samples::bound_with_least_fields(BoundScope::Fleet)],
         leases: BTreeMap::new(),
     }
 }
@@ -612,13 +612,13 @@
     let stated = FleetTerms::take(&mut statements).unwrap().unwrap();
     assert!(statements.is_empty());
     let bound_of_kind = Bound {
-        kind: Some(Kind::Controller),
-        ..samples::bound_with_least_fields(Per::Site)
+        kind: Some(MemberKind::Controller),
+        ..samples::bound_with_least_fields(BoundScope::Site)
     };
     let bound_of_share = Bound {
         out: None,
         share: Some(0.5),
-        ..samples::bound_with_least_fields(Per::Fleet)
+        ..samples::bound_with_least_fields(BoundScope::Fleet)
     };
     let bound_in_full = Bound {
         least_memory_mb: Some(2_000.0),
@@ -626,7 +626,7 @@
     };
     let reporting = LeaseTerms {
         task: "report".into(),
-        eligible: Kind::Controller,
+        eligible: MemberKind::Controller,
         resources: BTreeSet::from(["journal-3".into()]),
     };
     let expected = FleetTerms {
--- a/crates/fleet/examples/suspicion.rs
+++ b/crates/fleet/examples/suspicion.rs
@@ -3,7 +3,7 @@
 //!
 //!     cargo run --release -p saltdrum-fleet --example suspicion
 
-use saltdrum_fleet::failure_detector::{ArrivalWindow, weighed};
+use saltdrum_fleet::failure_detector::{ArrivalWindow, majority_level};
 
 const EVERY: u64 = 5_000;
 const LOOK: u64 = 500;
@@ -66,7 +66,8 @@
             next += EVERY;
         }
         let stewards = lines.len();
-        let level = weighed(stewards, lines.iter_mut().map(|l| Some(l.look(now)))).unwrap_or(0.0);
+        let level =
+            majority_level(stewards, lines.iter_mut().map(|l| Some(l.look(now)))).unwrap_or(0.0);
         for (n, at) in levels.iter().enumerate() {
             let is = level >= *at;
             if is && now >= dies && noticed[n].is_none() {
--- a/crates/fleet/src/bounds.rs
+++ b/crates/fleet/src/bounds.rs
@@ -1,19 +1,23 @@
-//! How many may be out at a time, counted over all that are out, for whatever reason.
+//! Rules on how many members may be out at a time, counted over all that are out, for whatever reason.
 
-use crate::state::{Bound, Fleet, Kind, Member, MemberId, Per, Phase};
+use crate::state::{Bound, BoundScope, Fleet, Member, MemberId, MemberKind, Phase};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A group in which there is no room, and what was counted.
+/// A group of members in which a bound does not hold, and what was counted.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub struct Over {
+pub struct BoundExceeded {
+    /// What the bound limits.
     pub bound: String,
+    /// The group of members, in words.
     pub group: String,
+    /// What was counted.
     pub found: f64,
+    /// What is allowed.
     pub allowed: f64,
 }
 
-impl fmt::Display for Over {
+impl fmt::Display for BoundExceeded {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -23,18 +27,31 @@
     }
 }
 
-/// What a bound can't be.
+/// Why a bound can't be stated, or a drain can't be requested.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Unfit {
+    /// It limits nothing.
     #[error("a bound states nothing: one of out, share, least_size, least_memory is expected")]
     Nothing,
+    /// Not a share.
     #[error("share = {0}: 0 to 1 is expected")]
     Share(f64),
+    /// Not a size.
     #[error("{name} = {value}: 0 or more is expected")]
-    Least { name: &'static str, value: f64 },
-    /// Holds with nobody out or not at all.
+    Least {
+        /// As in the deployment's script.
+        name: &'static str,
+        /// What was found.
+        value: f64,
+    },
+    /// The bound would be exceeded with this member alone out.
     #[error("{member} could never go: {over}")]
-    Never { member: MemberId, over: Over },
+    Never {
+        /// The member that could never drain.
+        member: MemberId,
+        /// The bound in its way.
+        over: BoundExceeded,
+    },
 }
 
 #[derive(Default)]
@@ -46,6 +63,7 @@
 }
 
 impl Bound {
+    /// Whether the bound can be stated.
     pub fn fits(&self) -> Result<(), Unfit> {
         let least = [
             ("least_size", self.least_size),
@@ -72,33 +90,33 @@
 
     fn group(&self, m: &Member) -> (String, u16) {
         match self.per {
-            Per::Fleet => (String::new(), 0),
-            Per::Site => (m.about.site.clone(), 0),
-            Per::Cell => (m.about.site.clone(), m.about.cell),
+            BoundScope::Fleet => (String::new(), 0),
+            BoundScope::Site => (m.about.site.clone(), 0),
+            BoundScope::Cell => (m.about.site.clone(), m.about.cell),
         }
     }
 
     fn name(&self, (site, cell): &(String, u16)) -> String {
         let kind = match self.kind {
             None => "members",
-            Some(Kind::Controller) => "controllers",
-            Some(Kind::Invoker) => "invokers",
+            Some(MemberKind::Controller) => "controllers",
+            Some(MemberKind::Invoker) => "invokers",
         };
         match (self.per, &self.site) {
-            (Per::Fleet, None) => kind.to_owned(),
-            (Per::Fleet, Some(site)) => format!("{kind} of site {site}"),
-            (Per::Site, _) => format!("{kind} of site {site}"),
-            (Per::Cell, _) => format!("{kind} of cell {cell} of site {site}"),
+            (BoundScope::Fleet, None) => kind.to_owned(),
+            (BoundScope::Fleet, Some(site)) => format!("{kind} of site {site}"),
+            (BoundScope::Site, _) => format!("{kind} of site {site}"),
+            (BoundScope::Cell, _) => format!("{kind} of cell {cell} of site {site}"),
         }
     }
 
-    /// Where this bound does not hold, of the groups that `of` is in; of all where it is none. `leaves` counts as out.
+    /// The first group in which this bound does not hold: the group of `of`, or any where that is none. `leaves` counts as out.
     fn broken(
         &self,
         fleet: &Fleet,
         of: Option<&MemberId>,
         leaves: Option<&MemberId>,
-    ) -> Option<Over> {
+    ) -> Option<BoundExceeded> {
         let only = match of {
             None => None,
             Some(id) => {
@@ -124,14 +142,14 @@
         groups.iter().find_map(|(group, c)| {
             let over = |bound: &str, found: f64, allowed: f64, broken: bool| {
                 let bound = bound.to_owned();
-                broken.then(|| Over {
+                broken.then(|| BoundExceeded {
                     bound,
                     group: self.name(group),
                     found,
                     allowed,
                 })
             };
-            // A hair above, as three tenths of ten are a little under three in binary.
+            // The epsilon makes up for rounding: 0.3 * 10 is a little under 3 in binary.
             let share = self.share.map(|s| (s * f64::from(c.all) + 1e-9).floor());
             let out = f64::from(c.out);
             None.or_else(|| self.out.and_then(|m| over("out", out, m.into(), c.out > m)))
@@ -148,28 +166,28 @@
     }
 }
 
-/// What stands against this member's going out now, if anything; it may be out already.
-pub fn against(fleet: &Fleet, member: &MemberId) -> Option<Over> {
+/// The bound that would be exceeded with this member out, if there is one; it may be out already.
+pub fn exceeded_without(fleet: &Fleet, member: &MemberId) -> Option<BoundExceeded> {
     fleet
         .bounds
         .iter()
         .find_map(|b| b.broken(fleet, Some(member), Some(member)))
 }
 
-/// Where a bound does not hold as things are.
-pub fn broken(fleet: &Fleet) -> Option<Over> {
+/// A bound that is exceeded at the moment, if there is one.
+pub fn exceeded(fleet: &Fleet) -> Option<BoundExceeded> {
     fleet
         .bounds
         .iter()
         .find_map(|b| b.broken(fleet, None, None))
 }
 
-/// Whether each of them could go if everybody else were up.
-pub fn ever(fleet: &Fleet, members: &[MemberId]) -> Result<(), Unfit> {
+/// Whether each of them could drain if all others were up.
+pub fn check_feasible(fleet: &Fleet, members: &[MemberId]) -> Result<(), Unfit> {
     let mut calm = fleet.clone();
     calm.members.values_mut().for_each(|m| m.phase = Phase::Up);
     members.iter().try_for_each(|member| {
-        against(&calm, member).map_or(Ok(()), |over| {
+        exceeded_without(&calm, member).map_or(Ok(()), |over| {
             Err(Unfit::Never {
                 member: *member,
                 over,
--- a/crates/fleet/src/change/apply.rs
+++ b/crates/fleet/src/change/apply.rs
@@ -1,23 +1,23 @@
 //! Applies one change to the fleet and records it in the history.
 
 use super::Change;
-use super::description::told;
-use super::outcome::{CHANGED, Done, Refusal};
-use crate::state::{Event, Fleet, Member, MemberId, Phase};
+use super::description::describe;
+use super::outcome::{CHANGED, ChangeOutcome, Refusal};
+use crate::state::{Fleet, HistoryEntry, Member, MemberId, Phase};
 
 /// Entries that the history keeps.
 const HISTORY_MOST: usize = 256;
 
 impl Fleet {
-    /// Makes one change, or none and says why.
-    pub fn apply(&mut self, change: &Change) -> Result<Done, Refusal> {
+    /// Makes one change and what follows from it, or changes nothing and says why.
+    pub fn apply(&mut self, change: &Change) -> Result<ChangeOutcome, Refusal> {
         let done = self.change(change)?;
         if done.changed {
             self.revision += 1;
             let revision = self.revision;
-            self.history.push_back(Event {
+            self.history.push_back(HistoryEntry {
                 revision,
-                what: told(change, done.grant),
+                what: describe(change, done.grant),
             });
             self.halt_when_many_are_lost();
             self.hand_over_leases();
@@ -27,12 +27,13 @@
         Ok(done)
     }
 
+    /// The member of this name.
     pub(super) fn member(&mut self, id: MemberId) -> Result<&mut Member, Refusal> {
         self.members.get_mut(&id).ok_or(Refusal::Unknown(id))
     }
 
-    /// The member, if this is the life of it that counts.
-    pub(super) fn living(
+    /// The member, if this is its current incarnation.
+    pub(super) fn current_incarnation(
         &mut self,
         member: MemberId,
         incarnation: u64,
@@ -47,25 +48,31 @@
         }
     }
 
-    pub(super) fn enter(&mut self, id: MemberId, phase: Phase) -> Result<Done, Refusal> {
+    /// Moves a member into a phase as of the next revision.
+    pub(super) fn enter_phase(
+        &mut self,
+        id: MemberId,
+        phase: Phase,
+    ) -> Result<ChangeOutcome, Refusal> {
         let revision = self.revision + 1;
         let m = self.member(id)?;
         (m.phase, m.since) = (phase, revision);
         CHANGED
     }
 
-    fn change(&mut self, change: &Change) -> Result<Done, Refusal> {
+    /// Dispatches the change to the method that makes it.
+    fn change(&mut self, change: &Change) -> Result<ChangeOutcome, Refusal> {
         match change {
             Change::Join { member, about } => self.join(*member, about),
             Change::Proven {
                 member,
                 incarnation,
-            } => self.proven(*member, *incarnation),
+            } => self.mark_healthy(*member, *incarnation),
             Change::Begin {
                 member,
                 incarnation,
                 grant,
-            } => self.begin(*member, *incarnation, *grant),
+            } => self.start_drain(*member, *incarnation, *grant),
             Change::Leave {
                 member,
                 incarnation,
@@ -74,19 +81,19 @@
                 member,
                 incarnation,
                 grant,
-            } => self.turned_back(*member, *incarnation, *grant),
+            } => self.drain_cancelled(*member, *incarnation, *grant),
             Change::Silent {
                 member,
                 incarnation,
-            } => self.silent(*member, *incarnation),
+            } => self.mark_unreachable(*member, *incarnation),
             Change::Heard {
                 member,
                 incarnation,
-            } => self.heard(*member, *incarnation),
-            Change::Grant { member } => self.grant(*member),
-            Change::TakeBack { grant } => self.take_back(*grant),
-            Change::Ask { id, members, by } => self.ask(id, members, by),
-            Change::Withdraw { members, by } => self.withdraw(members, by),
+            } => self.mark_reachable(*member, *incarnation),
+            Change::Grant { member } => self.issue_grant(*member),
+            Change::TakeBack { grant } => self.revoke_grant(*grant),
+            Change::Ask { id, members, by } => self.request_drain(id, members, by),
+            Change::Withdraw { members, by } => self.withdraw_requests(members, by),
             Change::Halt { by, why, ends } => self.halt_drains(by, why, ends),
             Change::Resume { by } => self.resume_drains(by),
             Change::Forget { member, by } => self.forget(*member, by),
--- a/crates/fleet/src/change/description.rs
+++ b/crates/fleet/src/change/description.rs
@@ -4,7 +4,7 @@
 use crate::state::{Grant, MemberId};
 
 /// The line of the history for a change; `grant` is the one that it issued.
-pub(super) fn told(change: &Change, grant: Option<Grant>) -> String {
+pub(super) fn describe(change: &Change, grant: Option<Grant>) -> String {
     let some = |all: &[MemberId]| match all {
         [one] => one.to_string(),
         [first, ..] => format!("{} members from {first} on", all.len()),
--- a/crates/fleet/src/change/drains.rs
+++ b/crates/fleet/src/change/drains.rs
@@ -1,15 +1,39 @@
-//! Who may go and when: asks, grants, begins, halts.
+//! Who may drain and when: drain requests, grants, starts, halts.
 
-use super::outcome::{ALREADY, CHANGED, Done, ID_MOST_BYTES, Refusal, TEXT_MOST_BYTES, text};
+use super::outcome::{
+    ALREADY, CHANGED, ChangeOutcome, ID_MOST_BYTES, Refusal, TEXT_MOST_BYTES, check_text,
+};
 use crate::bounds;
-use crate::state::{Ask, Event, Fleet, Grant, Halt, MemberId, Phase};
+use crate::state::{DrainRequest, Fleet, Grant, Halt, HistoryEntry, MemberId, Phase};
 use std::collections::BTreeSet;
 
+/// Drain requests that are remembered.
 const ASKS_MOST: usize = 64;
 
+fn without_duplicates(members: &[MemberId]) -> Vec<MemberId> {
+    let mut distinct = Vec::new();
+    for member in members {
+        if !distinct.contains(member) {
+            distinct.push(*member);
+        }
+    }
+    distinct
+}
+
+fn names_the_same_members(known: &DrainRequest, requested: &[MemberId]) -> bool {
+    let lists = [
+        &known.waiting,
+        &known.under_way,
+        &known.finished,
+        &known.withdrawn,
+    ];
+    let named: BTreeSet<_> = lists.into_iter().flatten().copied().collect();
+    named == requested.iter().copied().collect()
+}
+
 impl Fleet {
-    /// Its grant is gone and nothing came of it: it is to go later.
-    pub(super) fn back_to_waiting(&mut self, id: MemberId) {
+    /// Its grant is gone without a drain: it goes back to those that wait for one.
+    pub(super) fn return_to_waiting(&mut self, id: MemberId) {
         for ask in self.asks.values_mut() {
             if let Some(at) = ask.under_way.iter().position(|m| *m == id) {
                 ask.under_way.remove(at);
@@ -18,13 +42,14 @@
         }
     }
 
-    pub(super) fn begin(
+    /// The member starts the drain that it was granted. It is checked again: others may have been lost since the grant.
+    pub(super) fn start_drain(
         &mut self,
         id: MemberId,
         incarnation: u64,
         grant: Grant,
-    ) -> Result<Done, Refusal> {
-        match self.living(id, incarnation)?.phase {
+    ) -> Result<ChangeOutcome, Refusal> {
+        match self.current_incarnation(id, incarnation)?.phase {
             Phase::Draining { grant: held } if held == grant => return ALREADY,
             Phase::Granted { grant: held } if held == grant => {}
             _ => return Err(Refusal::NoGrant { member: id, grant }),
@@ -35,32 +60,33 @@
                 why: h.why.clone(),
             });
         }
-        // It is counted since it was granted. Others may have been lost since then, though.
-        if let Some(over) = bounds::against(self, &id) {
+        if let Some(over) = bounds::exceeded_without(self, &id) {
             return Err(Refusal::NoRoom { member: id, over });
         }
-        self.enter(id, Phase::Draining { grant })
+        self.enter_phase(id, Phase::Draining { grant })
     }
 
-    pub(super) fn turned_back(
+    /// The member whose drain was withdrawn serves again, and has to prove itself.
+    pub(super) fn drain_cancelled(
         &mut self,
         id: MemberId,
         incarnation: u64,
         grant: Grant,
-    ) -> Result<Done, Refusal> {
-        match self.living(id, incarnation)?.phase {
+    ) -> Result<ChangeOutcome, Refusal> {
+        match self.current_incarnation(id, incarnation)?.phase {
             Phase::Draining { grant: held } if held == grant => {
-                self.enter(id, Phase::Starting { planned: true })
+                self.enter_phase(id, Phase::Starting { planned: true })
             }
             Phase::Starting { .. } | Phase::Up => ALREADY,
             _ => Err(Refusal::NoGrant { member: id, grant }),
         }
     }
 
-    pub(super) fn grant(&mut self, id: MemberId) -> Result<Done, Refusal> {
+    /// Issues a grant to a member that is up, requested and allowed by the bounds.
+    pub(super) fn issue_grant(&mut self, id: MemberId) -> Result<ChangeOutcome, Refusal> {
         let phase = &self.member(id)?.phase;
         if let Some(grant) = phase.grant() {
-            return Ok(Done {
+            return Ok(ChangeOutcome {
                 changed: false,
                 grant: Some(grant),
             });
@@ -78,7 +104,7 @@
                 why: h.why.clone(),
             });
         }
-        if let Some(over) = bounds::against(self, &id) {
+        if let Some(over) = bounds::exceeded_without(self, &id) {
             return Err(Refusal::NoRoom { member: id, over });
         }
         let ask = self.asks.values_mut().find(|a| a.waiting.contains(&id));
@@ -87,82 +113,42 @@
         ask.under_way.push(id);
         self.grants += 1;
         let grant = self.grants;
-        self.enter(id, Phase::Granted { grant })?;
-        Ok(Done {
+        self.enter_phase(id, Phase::Granted { grant })?;
+        Ok(ChangeOutcome {
             changed: true,
             grant: Some(grant),
         })
     }
 
-    pub(super) fn ask(
+    /// Takes a drain request, or recognises one that was taken before.
+    pub(super) fn request_drain(
         &mut self,
         id: &str,
         members: &[MemberId],
         by: &str,
-    ) -> Result<Done, Refusal> {
-        text("id", id, ID_MOST_BYTES)?;
-        text("by", by, TEXT_MOST_BYTES)?;
-        let mut asked = Vec::new();
-        for m in members {
-            if !asked.contains(m) {
-                asked.push(*m);
-            }
-        }
-        if asked.is_empty() {
-            let expected = "at least one member";
+    ) -> Result<ChangeOutcome, Refusal> {
+        check_text("id", id, ID_MOST_BYTES)?;
+        check_text("by", by, TEXT_MOST_BYTES)?;
+        let requested = without_duplicates(members);
+        if requested.is_empty() {
             return Err(Refusal::Value {
                 place: "members",
                 found: String::new(),
-                expected,
+                expected: "at least one member",
             });
         }
         if let Some(known) = self.asks.get(id) {
-            let all = [
-                &known.waiting,
-                &known.under_way,
-                &known.finished,
-                &known.withdrawn,
-            ];
-            let all: BTreeSet<_> = all.into_iter().flatten().copied().collect();
-            let same = all == asked.iter().copied().collect();
-            return if same {
-                ALREADY
-            } else {
-                Err(Refusal::OtherAsk(id.to_owned()))
-            };
-        }
-        for m in &asked {
-            self.member(*m)?;
-            let other = self
-                .asks
-                .iter()
-                .find(|(_, a)| a.waiting.contains(m) || a.under_way.contains(m));
-            if let Some((id, _)) = other {
-                return Err(Refusal::AskedElsewhere {
-                    member: *m,
-                    id: id.clone(),
-                });
-            }
-        }
-        bounds::ever(self, &asked)?;
-        if self.asks.len() >= ASKS_MOST {
-            let over = self
-                .asks
-                .iter()
-                .filter(|(_, a)| a.is_over())
-                .min_by_key(|(_, a)| a.revision);
-            let Some(oldest) = over.map(|(id, _)| id.clone()) else {
-                return Err(Refusal::Many {
-                    place: "asks",
-                    found: ASKS_MOST + 1,
-                    most: ASKS_MOST,
-                });
+            return match names_the_same_members(known, &requested) {
+                true => ALREADY,
+                false => Err(Refusal::OtherAsk(id.to_owned())),
             };
-            self.asks.remove(&oldest);
         }
-        let ask = Ask {
+        self.check_requested_once(&requested)?;
+        bounds::check_feasible(self, &requested)?;
+        self.make_room_for_request()?;
+        let ask = DrainRequest {
             by: by.to_owned(),
-            waiting: asked,
+            waiting: requested,
             under_way: Vec::new(),
             finished: Vec::new(),
             withdrawn: Vec::new(),
@@ -172,8 +158,48 @@
         CHANGED
     }
 
-    pub(super) fn withdraw(&mut self, members: &[MemberId], by: &str) -> Result<Done, Refusal> {
-        text("by", by, TEXT_MOST_BYTES)?;
+    /// Every member exists, and no unfinished request names it.
+    fn check_requested_once(&mut self, requested: &[MemberId]) -> Result<(), Refusal> {
+        for member in requested {
+            self.member(*member)?;
+            let other = self.asks.iter().find(|(_, request)| {
+                request.waiting.contains(member) || request.under_way.contains(member)
+            });
+            if let Some((id, _)) = other {
+                return Err(Refusal::AskedElsewhere {
+                    member: *member,
+                    id: id.clone(),
+                });
+            }
+        }
+        Ok(())
+    }
+
+    /// Forgets the oldest finished request where there are too many.
+    fn make_room_for_request(&mut self) -> Result<(), Refusal> {
+        if self.asks.len() < ASKS_MOST {
+            return Ok(());
+        }
+        let finished = self.asks.iter().filter(|(_, request)| request.is_over());
+        let oldest = finished.min_by_key(|(_, request)| request.revision);
+        let Some(oldest) = oldest.map(|(id, _)| id.clone()) else {
+            return Err(Refusal::Many {
+                place: "asks",
+                found: ASKS_MOST + 1,
+                most: ASKS_MOST,
+            });
+        };
+        self.asks.remove(&oldest);
+        Ok(())
+    }
+
+    /// Withdraws members from their requests; grants that were not used are gone.
+    pub(super) fn withdraw_requests(
+        &mut self,
+        members: &[MemberId],
+        by: &str,
+    ) -> Result<ChangeOutcome, Refusal> {
+        check_text("by", by, TEXT_MOST_BYTES)?;
         for m in members {
             self.member(*m)?;
         }
@@ -192,16 +218,16 @@
                 }
             }
             if matches!(self.members[id].phase, Phase::Granted { .. }) {
-                self.enter(*id, Phase::Up)?;
+                self.enter_phase(*id, Phase::Up)?;
             }
         }
-        Ok(Done {
+        Ok(ChangeOutcome {
             changed,
             grant: None,
         })
     }
 
-    /// Whether a member that drains may go back to serving: nobody waits for its end any more.
+    /// Whether a member that drains may go back to serving: its request was withdrawn.
     pub fn may_turn_back(&self, id: &MemberId) -> bool {
         let draining = self
             .members
@@ -210,7 +236,8 @@
         draining && !self.asks.values().any(|a| a.under_way.contains(id))
     }
 
-    pub(super) fn take_back(&mut self, grant: Grant) -> Result<Done, Refusal> {
+    /// Revokes a grant that was not used.
+    pub(super) fn revoke_grant(&mut self, grant: Grant) -> Result<ChangeOutcome, Refusal> {
         let held = self
             .members
             .iter()
@@ -218,13 +245,19 @@
         let Some(id) = held.map(|(id, _)| *id) else {
             return ALREADY;
         };
-        self.back_to_waiting(id);
-        self.enter(id, Phase::Up)
+        self.return_to_waiting(id);
+        self.enter_phase(id, Phase::Up)
     }
 
-    pub(super) fn halt_drains(&mut self, by: &str, why: &str, ends: &str) -> Result<Done, Refusal> {
-        text("by", by, TEXT_MOST_BYTES)?;
-        text("why", why, TEXT_MOST_BYTES)?;
+    /// Halts drains until an operator resumes them.
+    pub(super) fn halt_drains(
+        &mut self,
+        by: &str,
+        why: &str,
+        ends: &str,
+    ) -> Result<ChangeOutcome, Refusal> {
+        check_text("by", by, TEXT_MOST_BYTES)?;
+        check_text("why", why, TEXT_MOST_BYTES)?;
         if self.halt.is_some() {
             return ALREADY;
         }
@@ -238,8 +271,9 @@
         CHANGED
     }
 
-    pub(super) fn resume_drains(&mut self, by: &str) -> Result<Done, Refusal> {
-        text("by", by, TEXT_MOST_BYTES)?;
+    /// Ends a halt.
+    pub(super) fn resume_drains(&mut self, by: &str) -> Result<ChangeOutcome, Refusal> {
+        check_text("by", by, TEXT_MOST_BYTES)?;
         if self.halt.take().is_some() {
             CHANGED
         } else {
@@ -247,12 +281,12 @@
         }
     }
 
-    /// Halts itself where it was told to.
+    /// Halts drains when more members are lost than the deployment allows.
     pub(super) fn halt_when_many_are_lost(&mut self) {
         let lost = self.lost();
         if self.halt.is_none() && self.halt_at_lost > 0 && lost > self.halt_at_lost {
             let why = format!("{lost} members are lost, more than {}", self.halt_at_lost);
-            self.halted(
+            self.halt_automatically(
                 "the fleet",
                 &why,
                 "an operator's resume, once they are back or forgotten",
@@ -260,7 +294,7 @@
         }
     }
 
-    fn halted(&mut self, by: &str, why: &str, ends: &str) {
+    fn halt_automatically(&mut self, by: &str, why: &str, ends: &str) {
         self.revision += 1;
         let revision = self.revision;
         let halt = Halt {
@@ -269,7 +303,7 @@
             ends: ends.into(),
             revision,
         };
-        self.history.push_back(Event {
+        self.history.push_back(HistoryEntry {
             revision,
             what: format!("halt by {by}: {why}"),
         });
--- a/crates/fleet/src/change/leases.rs
+++ b/crates/fleet/src/change/leases.rs
@@ -1,15 +1,17 @@
-//! Who holds the leases of fleet-wide tasks.
+//! Which leases there are and who holds them.
 
-use super::outcome::{ALREADY, CHANGED, Done, ID_MOST_BYTES, Refusal, TEXT_MOST_BYTES, text};
+use super::outcome::{
+    ALREADY, CHANGED, ChangeOutcome, ID_MOST_BYTES, Refusal, TEXT_MOST_BYTES, check_text,
+};
 use crate::leases::{LEASES_MOST, RESOURCES_MOST, Unfit};
-use crate::state::{Epoch, Event, Fleet, Lease, LeaseName, LeaseState, LeaseTerms};
+use crate::state::{Epoch, Fleet, HistoryEntry, Lease, LeaseName, LeaseState, LeaseTerms};
 use std::collections::BTreeMap;
 
 impl LeaseTerms {
     /// Whether this can be stated of a lease of that name.
     pub fn fits(&self, lease: &LeaseName) -> Result<(), Refusal> {
-        text("lease", &lease.0, ID_MOST_BYTES)?;
-        text("task", &self.task, ID_MOST_BYTES)?;
+        check_text("lease", &lease.0, ID_MOST_BYTES)?;
+        check_text("task", &self.task, ID_MOST_BYTES)?;
         if self.resources.is_empty() {
             return Err(Unfit::NoResource {
                 lease: lease.clone(),
@@ -26,7 +28,7 @@
         }
         self.resources
             .iter()
-            .try_for_each(|name| text("resource", name, TEXT_MOST_BYTES))
+            .try_for_each(|name| check_text("resource", name, TEXT_MOST_BYTES))
     }
 }
 
@@ -36,8 +38,8 @@
         &mut self,
         leases: &BTreeMap<LeaseName, LeaseTerms>,
         by: &str,
-    ) -> Result<Done, Refusal> {
-        text("by", by, TEXT_MOST_BYTES)?;
+    ) -> Result<ChangeOutcome, Refusal> {
+        check_text("by", by, TEXT_MOST_BYTES)?;
         if leases.len() > LEASES_MOST {
             return Err(Refusal::Many {
                 place: "leases",
@@ -67,14 +69,15 @@
         CHANGED
     }
 
+    /// Takes the lease from its holder and grants it to nobody until it is resumed.
     pub(super) fn pause_lease(
         &mut self,
         name: &LeaseName,
         by: &str,
         why: &str,
-    ) -> Result<Done, Refusal> {
-        text("by", by, TEXT_MOST_BYTES)?;
-        text("why", why, TEXT_MOST_BYTES)?;
+    ) -> Result<ChangeOutcome, Refusal> {
+        check_text("by", by, TEXT_MOST_BYTES)?;
+        check_text("why", why, TEXT_MOST_BYTES)?;
         if matches!(self.lease(name)?.state, LeaseState::Paused { .. }) {
             return ALREADY;
         }
@@ -88,8 +91,13 @@
         CHANGED
     }
 
-    pub(super) fn resume_lease(&mut self, name: &LeaseName, by: &str) -> Result<Done, Refusal> {
-        text("by", by, TEXT_MOST_BYTES)?;
+    /// Lets a paused lease be granted again.
+    pub(super) fn resume_lease(
+        &mut self,
+        name: &LeaseName,
+        by: &str,
+    ) -> Result<ChangeOutcome, Refusal> {
+        check_text("by", by, TEXT_MOST_BYTES)?;
         let lease = self.lease(name)?;
         if !matches!(lease.state, LeaseState::Paused { .. }) {
             return ALREADY;
@@ -99,12 +107,12 @@
         CHANGED
     }
 
-    /// Tells whether the epoch is the lease's last, by a round of its own: whoever asks reads what a quorum holds.
+    /// Whether the epoch is the lease's latest. As a change it goes through a round, so it is answered from what a quorum holds.
     pub(super) fn confirm_epoch(
         &mut self,
         name: &LeaseName,
         found: Epoch,
-    ) -> Result<Done, Refusal> {
+    ) -> Result<ChangeOutcome, Refusal> {
         let expected = self.lease(name)?.epoch;
         match expected == found {
             true => ALREADY,
@@ -116,7 +124,7 @@
         }
     }
 
-    /// Takes leases from holders that lost them by the change just made, and gives vacant ones to who is eligible.
+    /// Takes leases from holders that lost them by the change just made, and grants vacant ones to eligible members.
     pub(super) fn hand_over_leases(&mut self) {
         for name in self.lost_leases() {
             let epoch = self.leases[&name].epoch;
@@ -143,14 +151,14 @@
             };
             self.enter_lease(&name, state, epoch, self.revision);
             let what = format!("lease {name} goes to {holder}, epoch {epoch}");
-            self.history.push_back(Event {
+            self.history.push_back(HistoryEntry {
                 revision: self.revision,
                 what,
             });
         }
     }
 
-    /// Leases whose holders may not go on.
+    /// Leases whose holders may not keep them.
     fn lost_leases(&self) -> Vec<LeaseName> {
         let is_lost = |lease: &Lease| match lease.state {
             LeaseState::Held {
@@ -182,6 +190,7 @@
         self.lease_epochs
     }
 
+    /// Moves a lease into a state.
     fn enter_lease(&mut self, name: &LeaseName, state: LeaseState, epoch: Epoch, since: u64) {
         let Some(lease) = self.leases.get_mut(name) else {
             return;
--- a/crates/fleet/src/change/membership.rs
+++ b/crates/fleet/src/change/membership.rs
@@ -1,39 +1,54 @@
-//! Who is there: members that join, prove themselves, fall silent, are heard again, leave and are forgotten.
+//! Who is a member: members join, become healthy, become unreachable and reachable again, leave and are forgotten.
 
-use super::outcome::{ALREADY, CHANGED, Done, ID_MOST_BYTES, Refusal, TEXT_MOST_BYTES, text};
+use super::outcome::{
+    ALREADY, CHANGED, ChangeOutcome, ID_MOST_BYTES, Refusal, TEXT_MOST_BYTES, check_text,
+};
 use crate::leases;
-use crate::state::{About, Fleet, Member, MemberId, Phase};
+use crate::state::{Fleet, Member, MemberId, MemberInfo, Phase};
 
-/// Lives of a member that are remembered, so that a process which slept through its own replacement is told apart.
+/// Former incarnations of a member that are remembered, so that a process that was paused while it was replaced is recognised.
 const PAST_MOST: usize = 8;
+/// Members that a fleet may have.
 const MEMBERS_MOST: usize = 20_000;
 
+/// What a member says of itself is complete and within limits.
+fn check_info(about: &MemberInfo) -> Result<(), Refusal> {
+    check_text("site", &about.site, ID_MOST_BYTES)?;
+    check_text("version", &about.version, ID_MOST_BYTES)?;
+    check_text("address", &about.address, TEXT_MOST_BYTES)?;
+    let sizes = [about.size, about.memory_mb];
+    if about.incarnation == 0 || sizes.iter().any(|x| !x.is_finite() || *x < 0.0) {
+        // Peers know the type by its former name.
+        let described = format!("{about:?}").replacen("MemberInfo", "About", 1);
+        let found = described.chars().take(80).collect();
+        return Err(Refusal::Value {
+            place: "about",
+            found,
+            expected: "a life and sizes of 0 or more",
+        });
+    }
+    if about.tasks.len() > leases::TASKS_MOST {
+        let (found, most) = (about.tasks.len(), leases::TASKS_MOST);
+        return Err(Refusal::Many {
+            place: "tasks",
+            found,
+            most,
+        });
+    }
+    about
+        .tasks
+        .iter()
+        .try_for_each(|task| check_text("task", task, ID_MOST_BYTES))
+}
+
 impl Fleet {
-    pub(super) fn join(&mut self, id: MemberId, about: &About) -> Result<Done, Refusal> {
-        text("site", &about.site, ID_MOST_BYTES)?;
-        text("version", &about.version, ID_MOST_BYTES)?;
-        text("address", &about.address, TEXT_MOST_BYTES)?;
-        let sizes = [about.size, about.memory_mb];
-        if about.incarnation == 0 || sizes.iter().any(|x| !x.is_finite() || *x < 0.0) {
-            let found = format!("{about:?}").chars().take(80).collect();
-            return Err(Refusal::Value {
-                place: "about",
-                found,
-                expected: "a life and sizes of 0 or more",
-            });
-        }
-        if about.tasks.len() > leases::TASKS_MOST {
-            let (found, most) = (about.tasks.len(), leases::TASKS_MOST);
-            return Err(Refusal::Many {
-                place: "tasks",
-                found,
-                most,
-            });
-        }
-        about
-            .tasks
-            .iter()
-            .try_for_each(|task| text("task", task, ID_MOST_BYTES))?;
+    /// A member joins, for the first time or in a new incarnation.
+    pub(super) fn join(
+        &mut self,
+        id: MemberId,
+        about: &MemberInfo,
+    ) -> Result<ChangeOutcome, Refusal> {
+        check_info(about)?;
         let since = self.revision + 1;
         let Some(m) = self.members.get_mut(&id) else {
             if self.members.len() >= MEMBERS_MOST {
@@ -72,15 +87,20 @@
         m.about = about.clone();
         let before = m.phase.clone();
         if matches!(before, Phase::Granted { .. }) {
-            // The life that it was granted to is over, and has done nothing about it.
-            self.back_to_waiting(id);
+            // The incarnation that it was granted to is over and did not use it.
+            self.return_to_waiting(id);
         }
         let planned = before.is_planned() && !matches!(before, Phase::Granted { .. });
-        self.enter(id, Phase::Starting { planned })
+        self.enter_phase(id, Phase::Starting { planned })
     }
 
-    pub(super) fn proven(&mut self, id: MemberId, incarnation: u64) -> Result<Done, Refusal> {
-        let m = self.living(id, incarnation)?;
+    /// The member serves; a planned return ends its drain.
+    pub(super) fn mark_healthy(
+        &mut self,
+        id: MemberId,
+        incarnation: u64,
+    ) -> Result<ChangeOutcome, Refusal> {
+        let m = self.current_incarnation(id, incarnation)?;
         let planned = match m.phase {
             Phase::Starting { planned } => planned,
             Phase::Up => return ALREADY,
@@ -101,38 +121,49 @@
                 }
             }
         }
-        self.enter(id, Phase::Up)
+        self.enter_phase(id, Phase::Up)
     }
 
-    pub(super) fn leave(&mut self, id: MemberId, incarnation: u64) -> Result<Done, Refusal> {
-        match self.living(id, incarnation)?.phase {
-            Phase::Draining { grant } => self.enter(id, Phase::Away { grant }),
+    /// The member ends: drained as planned, or lost.
+    pub(super) fn leave(
+        &mut self,
+        id: MemberId,
+        incarnation: u64,
+    ) -> Result<ChangeOutcome, Refusal> {
+        match self.current_incarnation(id, incarnation)?.phase {
+            Phase::Draining { grant } => self.enter_phase(id, Phase::Away { grant }),
             Phase::Away { .. } | Phase::Lost { .. } => ALREADY,
             Phase::Granted { .. } => {
-                self.back_to_waiting(id);
-                self.enter(id, Phase::Lost { planned: false })
+                self.return_to_waiting(id);
+                self.enter_phase(id, Phase::Lost { planned: false })
             }
-            Phase::Starting { planned } => self.enter(id, Phase::Lost { planned }),
-            Phase::Up => self.enter(id, Phase::Lost { planned: false }),
+            Phase::Starting { planned } => self.enter_phase(id, Phase::Lost { planned }),
+            Phase::Up => self.enter_phase(id, Phase::Lost { planned: false }),
         }
     }
 
-    pub(super) fn silent(&mut self, id: MemberId, incarnation: u64) -> Result<Done, Refusal> {
-        match self.living(id, incarnation)?.phase {
-            Phase::Up => self.enter(id, Phase::Lost { planned: false }),
-            Phase::Starting { planned } => self.enter(id, Phase::Lost { planned }),
+    /// A majority of coordinators finds the member silent: it is lost.
+    pub(super) fn mark_unreachable(
+        &mut self,
+        id: MemberId,
+        incarnation: u64,
+    ) -> Result<ChangeOutcome, Refusal> {
+        match self.current_incarnation(id, incarnation)?.phase {
+            Phase::Up => self.enter_phase(id, Phase::Lost { planned: false }),
+            Phase::Starting { planned } => self.enter_phase(id, Phase::Lost { planned }),
             Phase::Granted { .. } => {
-                // Whether it meant to begin nobody knows; from now on it can't.
-                self.back_to_waiting(id);
-                self.enter(id, Phase::Lost { planned: false })
+                // Whether it meant to start its drain is not known; from now on it can't.
+                self.return_to_waiting(id);
+                self.enter_phase(id, Phase::Lost { planned: false })
             }
-            // Counted, and may well be ending its work behind a cut.
+            // Counted as out already, and may well be draining behind a network partition.
             Phase::Draining { .. } | Phase::Away { .. } | Phase::Lost { .. } => ALREADY,
         }
     }
 
-    pub(super) fn forget(&mut self, id: MemberId, by: &str) -> Result<Done, Refusal> {
-        text("by", by, TEXT_MOST_BYTES)?;
+    /// Removes a member that does not come back.
+    pub(super) fn forget(&mut self, id: MemberId, by: &str) -> Result<ChangeOutcome, Refusal> {
+        check_text("by", by, TEXT_MOST_BYTES)?;
         let Some(m) = self.members.get(&id) else {
             return ALREADY;
         };
@@ -154,10 +185,15 @@
         CHANGED
     }
 
-    pub(super) fn heard(&mut self, id: MemberId, incarnation: u64) -> Result<Done, Refusal> {
-        match self.living(id, incarnation)?.phase {
-            // What it missed while it was silent nobody knows: it has to prove itself again.
-            Phase::Lost { planned } => self.enter(id, Phase::Starting { planned }),
+    /// A lost member is heard again.
+    pub(super) fn mark_reachable(
+        &mut self,
+        id: MemberId,
+        incarnation: u64,
+    ) -> Result<ChangeOutcome, Refusal> {
+        match self.current_incarnation(id, incarnation)?.phase {
+            // What it missed while it was silent is not known: it has to prove itself again.
+            Phase::Lost { planned } => self.enter_phase(id, Phase::Starting { planned }),
             _ => ALREADY,
         }
     }
--- a/crates/fleet/src/change/outcome.rs
+++ b/crates/fleet/src/change/outcome.rs
@@ -9,82 +9,141 @@
 /// Longest text of an operator, and longest address.
 pub(super) const TEXT_MOST_BYTES: usize = 256;
 
+/// What a change that was accepted came to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Done {
-    /// False: it had been done before.
+#[serde(rename = "Done", expecting = "struct Done")]
+pub struct ChangeOutcome {
+    /// False: it had been made before.
     pub changed: bool,
+    /// The grant that was issued, if it was a [`Change::Grant`](super::Change::Grant).
     pub grant: Option<Grant>,
 }
 
-/// Why nothing was changed.
+/// Part of the protocol: a member recognises by these words, in the text of [`Refusal::Replaced`], that it was replaced.
+pub const REPLACED_TEXT: &str = "was replaced";
+
+/// Why nothing was changed. The texts go to members and operators.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Refusal {
+    /// No such member.
     #[error("{0}: no such member")]
     Unknown(MemberId),
-    #[error("{member}: this life of it ({incarnation:x}) was replaced")]
-    Replaced { member: MemberId, incarnation: u64 },
+    /// Another incarnation of the member has taken its place.
+    #[error("{member}: this life of it ({incarnation:x}) {}", REPLACED_TEXT)]
+    Replaced {
+        /// The member concerned.
+        member: MemberId,
+        /// The one that was replaced.
+        incarnation: u64,
+    },
+    /// The member is in another phase than the change needs.
     #[error("{member} is {found}: {expected} is expected")]
     Phase {
+        /// The member concerned.
         member: MemberId,
+        /// What was found.
         found: &'static str,
+        /// What is expected.
         expected: &'static str,
     },
+    /// The grant is not the member's any more.
     #[error("{member}: grant {grant} is not its own any more")]
-    NoGrant { member: MemberId, grant: Grant },
+    NoGrant {
+        /// The member concerned.
+        member: MemberId,
+        /// The grant that was given.
+        grant: Grant,
+    },
+    /// Drains are halted.
     #[error("halted by {by}: {why}")]
-    Halted { by: String, why: String },
+    Halted {
+        /// Who halted them.
+        by: String,
+        /// The reason of the halt.
+        why: String,
+    },
+    /// The drain would exceed a bound.
     #[error("no room for {member}: {over}")]
     NoRoom {
+        /// The member concerned.
         member: MemberId,
-        over: bounds::Over,
+        /// The bound, and what was counted.
+        over: bounds::BoundExceeded,
     },
+    /// No request names the member.
     #[error("{member}: nobody asked for its drain")]
-    NotAsked { member: MemberId },
+    NotAsked {
+        /// The member concerned.
+        member: MemberId,
+    },
+    /// Another request names the member already.
     #[error("{member} belongs to ask '{id}' already")]
-    AskedElsewhere { member: MemberId, id: String },
+    AskedElsewhere {
+        /// The member concerned.
+        member: MemberId,
+        /// The other request.
+        id: String,
+    },
+    /// The request is known with other members.
     #[error("ask '{0}' is known with other members")]
     OtherAsk(String),
+    /// A value that can't be.
     #[error("{place} = '{found}': {expected} is expected")]
     Value {
+        /// Where it was found.
         place: &'static str,
+        /// What was found.
         found: String,
+        /// What is expected.
         expected: &'static str,
     },
+    /// More of something than is allowed.
     #[error("{place}: {found} is more than {most}")]
     Many {
+        /// Where it was found.
         place: &'static str,
+        /// What was found.
         found: usize,
+        /// The most that is allowed.
         most: usize,
     },
+    /// No such lease.
     #[error("{0}: no such lease")]
     UnknownLease(LeaseName),
+    /// Another epoch is the lease's.
     #[error("lease {lease}: epoch {expected} is expected, {found} was given")]
     Epoch {
+        /// The lease concerned.
         lease: LeaseName,
+        /// What is expected.
         expected: Epoch,
+        /// What was found.
         found: Epoch,
     },
+    /// Terms of a lease that can't be.
     #[error(transparent)]
     Lease(#[from] leases::Unfit),
+    /// A bound that can't be.
     #[error(transparent)]
     Bounds(#[from] bounds::Unfit),
+    /// A set of coordinators that can't be.
     #[error(transparent)]
     Stewards(#[from] register::Unfit),
 }
 
 /// The outcome of a change that was made.
-pub(super) const CHANGED: Result<Done, Refusal> = Ok(Done {
+pub(super) const CHANGED: Result<ChangeOutcome, Refusal> = Ok(ChangeOutcome {
     changed: true,
     grant: None,
 });
 /// The outcome of a change that had been made before.
-pub(super) const ALREADY: Result<Done, Refusal> = Ok(Done {
+pub(super) const ALREADY: Result<ChangeOutcome, Refusal> = Ok(ChangeOutcome {
     changed: false,
     grant: None,
 });
 
 /// Checks a text that comes from outside: not empty, no longer than `most` bytes, no control characters.
-pub(super) fn text(place: &'static str, found: &str, most: usize) -> Result<(), Refusal> {
+pub(super) fn check_text(place: &'static str, found: &str, most: usize) -> Result<(), Refusal> {
     let plain = found.chars().all(|c| !c.is_control());
     if found.is_empty() || found.len() > most || !plain {
         let found = found.chars().take(80).collect();
--- a/crates/fleet/src/change/settings.rs
+++ b/crates/fleet/src/change/settings.rs
@@ -1,15 +1,21 @@
-//! What operators state of the fleet itself: its bounds and the stewards that hold it.
+//! What operators state of the fleet itself: its bounds and its coordinators.
 
-use super::outcome::{ALREADY, CHANGED, Done, Refusal, TEXT_MOST_BYTES, text};
+use super::outcome::{ALREADY, CHANGED, ChangeOutcome, Refusal, TEXT_MOST_BYTES, check_text};
 use crate::register::{Config, Voter};
 use crate::state::{Bound, Fleet};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Bounds that a fleet may have.
 const BOUNDS_MOST: usize = 100;
 
 impl Fleet {
-    pub(super) fn state_bounds(&mut self, bounds: &[Bound], by: &str) -> Result<Done, Refusal> {
-        text("by", by, TEXT_MOST_BYTES)?;
+    /// Replaces the bounds.
+    pub(super) fn state_bounds(
+        &mut self,
+        bounds: &[Bound],
+        by: &str,
+    ) -> Result<ChangeOutcome, Refusal> {
+        check_text("by", by, TEXT_MOST_BYTES)?;
         bounds.iter().try_for_each(Bound::fits)?;
         if bounds.len() > BOUNDS_MOST {
             return Err(Refusal::Many {
@@ -25,13 +31,14 @@
         CHANGED
     }
 
+    /// Starts to replace the coordinators; until it is settled both sets decide.
     pub(super) fn change_stewards(
         &mut self,
         voters: &BTreeSet<Voter>,
         at: &BTreeMap<u32, String>,
         by: &str,
-    ) -> Result<Done, Refusal> {
-        text("by", by, TEXT_MOST_BYTES)?;
+    ) -> Result<ChangeOutcome, Refusal> {
+        check_text("by", by, TEXT_MOST_BYTES)?;
         if let Some(v) = voters.iter().find(|v| !at.contains_key(&v.steward)) {
             let found = format!("steward-{}", v.steward);
             return Err(Refusal::Value {
@@ -49,7 +56,8 @@
         CHANGED
     }
 
-    pub(super) fn settle_stewards(&mut self, seen: &Config) -> Result<Done, Refusal> {
+    /// Ends the replacement that `seen` shows, once a quorum holds it.
+    pub(super) fn settle_stewards(&mut self, seen: &Config) -> Result<ChangeOutcome, Refusal> {
         if self.config != *seen || !seen.is_changing() {
             return ALREADY;
         }
--- a/crates/fleet/src/drain_scheduler.rs
+++ b/crates/fleet/src/drain_scheduler.rs
@@ -1,24 +1,24 @@
-//! Who goes next: of those that were asked for and for whom there is room, the one that is missed least.
+//! Who drains next: of the requested members that the bounds allow, the one whose absence costs least.
 
 use crate::bounds;
 use crate::change::Change;
 use crate::state::{Fleet, MemberId, Phase};
 use std::collections::BTreeMap;
 
-/// What stewards heard of a member lately. It steers, and nothing rests on it.
+/// What a member last reported of its load. A hint for the order of drains; safety does not depend on it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Seen {
-    /// Work in hand, as a share of its size.
+pub struct MemberLoad {
+    /// Work in flight, as a share of its size.
     pub busy: f64,
-    /// It holds the last copies of so many functions.
+    /// Functions of which it has the last loaded copy.
     pub last_copies: u32,
 }
 
-/// How much a member's going is to be avoided, worst first.
+/// How much a drain of the member is to be avoided; the most important criterion first.
 fn weight(
     fleet: &Fleet,
     id: &MemberId,
-    seen: Seen,
+    seen: MemberLoad,
     place: usize,
 ) -> (bool, u32, u32, usize, u32, usize) {
     let m = &fleet.members[id];
@@ -44,8 +44,8 @@
     fleet.members.get(id).map(|m| &m.about.site)
 }
 
-/// The next to be granted, if there is room for anybody and nothing is halted.
-pub fn next(fleet: &Fleet, seen: &BTreeMap<MemberId, Seen>) -> Option<MemberId> {
+/// The next member to be granted a drain, if the bounds allow any and drains are not halted.
+pub fn next_to_drain(fleet: &Fleet, seen: &BTreeMap<MemberId, MemberLoad>) -> Option<MemberId> {
     if fleet.halt.is_some() {
         return None;
     }
@@ -53,15 +53,15 @@
     asks.sort_by_key(|a| a.revision);
     let waiting = asks.iter().flat_map(|a| &a.waiting).enumerate();
     let can = waiting.filter(|(_, id)| fleet.members.get(id).is_some_and(|m| m.phase == Phase::Up));
-    let can = can.filter(|(_, id)| bounds::against(fleet, id).is_none());
+    let can = can.filter(|(_, id)| bounds::exceeded_without(fleet, id).is_none());
     let weigh = |(place, id): &(usize, &MemberId)| {
         weight(fleet, id, seen.get(id).copied().unwrap_or_default(), *place)
     };
     can.min_by_key(weigh).map(|(_, id)| *id)
 }
 
-/// What stands in the way of an ask that does not move, for those who wait.
-pub fn waits_for(fleet: &Fleet) -> Option<String> {
+/// Why no requested drain is granted, for those who wait.
+pub fn blocking_reason(fleet: &Fleet) -> Option<String> {
     if let Some(h) = &fleet.halt {
         return Some(format!("halted by {}: {}; ends by {}", h.by, h.why, h.ends));
     }
@@ -73,7 +73,7 @@
         };
         if m.phase != Phase::Up {
             why = why.or_else(|| Some(format!("{id} is {}", m.phase.word())));
-        } else if let Some(over) = bounds::against(fleet, id) {
+        } else if let Some(over) = bounds::exceeded_without(fleet, id) {
             why = Some(format!("no room for {id}: {over}"));
             break;
         }
@@ -81,15 +81,16 @@
     why
 }
 
-/// One step of a dry run: who would be out together, in their order.
+/// One step of a dry run: members that would be out together, in their order.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Batch {
+    /// Who would drain.
     pub go: Vec<MemberId>,
-    /// What keeps the next one back.
+    /// Why the next one has to wait.
     pub limit: Option<String>,
 }
 
-/// How these members would go if each took as long as the other and nobody else was lost, on a copy of the fleet.
+/// How these members would drain if each took as long as the other and no other was lost, on a copy of the fleet.
 pub fn dry_run(fleet: &Fleet, members: &[MemberId]) -> Result<Vec<Batch>, crate::change::Refusal> {
     let mut fleet = fleet.clone();
     fleet.halt = None;
@@ -102,14 +103,14 @@
     let (mut batches, seen) = (Vec::new(), BTreeMap::new());
     loop {
         let mut go = Vec::new();
-        while let Some(id) = next(&fleet, &seen) {
+        while let Some(id) = next_to_drain(&fleet, &seen) {
             fleet.apply(&Change::Grant { member: id })?;
             go.push(id);
         }
         if go.is_empty() {
             return Ok(batches);
         }
-        let limit = waits_for(&fleet);
+        let limit = blocking_reason(&fleet);
         for id in &go {
             let incarnation = fleet.members[id].about.incarnation;
             let grant = fleet.members[id].phase.grant().unwrap_or(0);
--- a/crates/fleet/src/failure_detector.rs
+++ b/crates/fleet/src/failure_detector.rs
@@ -1,25 +1,26 @@
-//! ArrivalWindow: how unusual it is for one member on one line, and what several stewards make of it together. It tells only
-//! that nobody knows; members that are suspected count as out.
+//! An accrual failure detector: how unusual a member's silence is to one coordinator, and how a majority of coordinators
+//! weighs it. Members that are suspected count as out.
 
 use std::collections::VecDeque;
 
-/// Timeouts between signs of life that are remembered.
+/// Intervals between heartbeats that are remembered.
 const SPANS: usize = 64;
-/// Two lines are never told apart by less than this, in tenths of a millisecond: a thread's turn.
+/// Least standard deviation that is assumed, in ticks of 100 us: the scheduling delay of a thread.
 const LEAST_DEVIATION: f64 = 200.0;
 
-/// One member's signs of life, as one steward hears them. Times are tenths of a millisecond.
+/// One member's heartbeats, as one coordinator receives them. Times are ticks of 100 us.
 #[derive(Clone, Debug)]
 pub struct ArrivalWindow {
     last: u64,
     spans: VecDeque<f64>,
-    /// Of renewals, as the member promised them.
+    /// The interval that the member promised.
     promised: f64,
-    /// Nobody listened since the last sign: the next one tells nothing of how long spans are.
+    /// The coordinator was paused since the last heartbeat: the next one says nothing of how long intervals are.
     deaf: bool,
 }
 
 impl ArrivalWindow {
+    /// A window that opens now, for heartbeats promised each `promised` ticks.
     pub fn new(now: u64, promised: u64) -> Self {
         Self {
             last: now,
@@ -29,6 +30,7 @@
         }
     }
 
+    /// A heartbeat arrived.
     pub fn heard(&mut self, now: u64) {
         if !std::mem::take(&mut self.deaf) {
             self.spans.push_back(now.saturating_sub(self.last) as f64);
@@ -39,11 +41,12 @@
         self.last = now;
     }
 
-    /// This steward stood still: what came meanwhile it could not hear, and it begins to listen anew.
+    /// This coordinator was paused: silence counts from now on.
     pub fn was_deaf(&mut self, now: u64) {
         (self.last, self.deaf) = (self.last.max(now), true);
     }
 
+    /// How long ago the last heartbeat arrived.
     pub fn since(&self, now: u64) -> u64 {
         now.saturating_sub(self.last)
     }
@@ -69,18 +72,21 @@
     }
 }
 
-/// What one steward says of a member; `None`: it does not know, because it has not listened for long enough, or has lost so
-/// many at once that the fault is more likely its own.
-pub type Opinion = Option<f64>;
+/// The level of suspicion that one coordinator reports for a member; `None`: it does not know, because it has not listened
+/// for long enough, or has lost so many members at once that the fault is more likely its own.
+pub type SuspicionReport = Option<f64>;
 
-/// The level that a majority of all stewards reaches or exceeds; none where fewer have an opinion than that.
-pub fn weighed(stewards: usize, opinions: impl Iterator<Item = Opinion>) -> Option<f64> {
+/// The level that a majority of all coordinators reaches or exceeds; none where fewer than that report one.
+pub fn majority_level(
+    stewards: usize,
+    opinions: impl Iterator<Item = SuspicionReport>,
+) -> Option<f64> {
     let mut known: Vec<f64> = opinions.flatten().collect();
     known.sort_by(|a, b| b.total_cmp(a));
     known.get(stewards / 2).copied()
 }
 
-/// Whether a steward that finds so many of its members silent at once should think itself deaf.
+/// Whether a coordinator that finds so many members silent at once should take itself to be cut off.
 pub fn is_deaf(silent: usize, members: usize) -> bool {
     members >= 3 && silent * 2 > members
 }
--- a/crates/fleet/src/fence.rs
+++ b/crates/fleet/src/fence.rs
@@ -3,9 +3,9 @@
 //! Promised: no effect of a task is accepted from a holder once a later holder's first effect has been accepted anywhere.
 //! What holds it, in order:
 //!
-//! 1. A holder seals every resource of the task with its epoch before its first effect anywhere ([`Holding::token`]).
+//! 1. A holder seals every resource of the task with its epoch before its first effect anywhere ([`HolderFence::token`]).
 //! 2. A resource is sealed when the epoch is on its disk, and from then on accepts that epoch alone ([`Fence::admit`]).
-//! 3. A resource that has started accepts nothing until it is sealed anew, and has the first seal of its life confirmed by a
+//! 3. A resource that has started accepts nothing until it is sealed anew, and has the first seal of its incarnation confirmed by a
 //!    quorum of the fleet ([`SealStep::Confirm`]): its disk may be an old copy.
 //!
 //! So when a later holder acts, every resource is sealed to it, is not sealed at all, or was sealed to one later still. None of
@@ -19,9 +19,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Token {
+    /// The lease of the task.
     pub lease: LeaseName,
+    /// Of the holder's grant.
     pub epoch: Epoch,
-    /// Of the resource, at the seal: an effect that was on its way to a life before is not accepted.
+    /// Of the resource, at the seal: an effect that was on its way to a former incarnation is not accepted.
     pub incarnation: u64,
 }
 
@@ -29,14 +31,31 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
 #[serde(tag = "why", rename_all = "kebab-case")]
 pub enum Rejection {
+    /// No epoch is accepted before the first seal.
     #[error("not sealed since it started")]
     Unsealed,
+    /// Another epoch is sealed.
     #[error("sealed to epoch {expected}, {found} was given")]
-    Epoch { expected: Epoch, found: Epoch },
+    Epoch {
+        /// The sealed one.
+        expected: Epoch,
+        /// The one given.
+        found: Epoch,
+    },
+    /// The resource has restarted since the seal.
     #[error("incarnation {expected:x} is here, {found:x} was meant")]
-    Incarnation { expected: u64, found: u64 },
+    Incarnation {
+        /// The resource's.
+        expected: u64,
+        /// The one given.
+        found: u64,
+    },
+    /// The resource belongs to the task of another lease.
     #[error("another lease than {expected}")]
-    Lease { expected: LeaseName },
+    Lease {
+        /// The resource's lease.
+        expected: LeaseName,
+    },
 }
 
 /// What a resource has to do about a seal that it was asked for.
@@ -44,20 +63,20 @@
 pub enum SealStep {
     /// It is sealed so already.
     Done,
-    /// Ask a quorum whether this epoch is the lease's, then call [`Fence::confirmed`].
+    /// DrainRequest a quorum whether this epoch is the lease's, then call [`Fence::confirmed`].
     Confirm,
     /// Write the epoch to the disk, synced, then call [`Fence::written`].
     Write,
 }
 
-/// A resource's side of one lease, in one life of the resource.
+/// A resource's side of one lease, in one incarnation of the resource.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Fence {
     lease: LeaseName,
     incarnation: u64,
     /// The epoch on the disk; 0: none.
     durable: Epoch,
-    /// Sealed in this life.
+    /// Sealed in this incarnation.
     sealed: Option<Epoch>,
 }
 
@@ -72,7 +91,7 @@
         }
     }
 
-    /// The life of the resource that this fence belongs to.
+    /// The incarnation of the resource that this fence belongs to.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
@@ -159,15 +178,15 @@
 
 /// A holder's side of one grant.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Holding {
+pub struct HolderFence {
     lease: LeaseName,
     epoch: Epoch,
-    /// For each resource of the task the life that it was sealed in.
+    /// For each resource of the task the incarnation that it was sealed in.
     seals: BTreeMap<ResourceName, Option<u64>>,
     is_over: bool,
 }
 
-impl Holding {
+impl HolderFence {
     /// A grant of which nothing was done yet.
     pub fn granted(lease: LeaseName, epoch: Epoch, resources: &BTreeSet<ResourceName>) -> Self {
         let seals = resources.iter().map(|name| (name.clone(), None)).collect();
@@ -207,7 +226,7 @@
             .map(|(name, _)| name)
     }
 
-    /// A resource says that it is sealed to this epoch, in this life of it.
+    /// A resource says that it is sealed to this epoch, in this incarnation.
     pub fn sealed(&mut self, resource: &str, incarnation: u64) {
         if let Some(life) = self.seals.get_mut(resource) {
             *life = Some(incarnation);
--- a/crates/fleet/src/leases.rs
+++ b/crates/fleet/src/leases.rs
@@ -1,4 +1,4 @@
-//! Leases of fleet-wide tasks: who may do a task that one process at a time is to do.
+//! Rules on the leases of fleet-wide tasks: who may hold one, and who gets it next.
 //!
 //! A lease is part of the fleet's value, so whoever loses its membership loses its leases in the same agreed change, and the
 //! successor is chosen there. Each grant has an epoch of its own (Chubby's sequencers, Kleppmann's fencing tokens). That only
@@ -17,8 +17,12 @@
 /// Why what is stated of a lease can't be.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Unfit {
+    /// The task has an effect on nothing.
     #[error("lease {lease}: no resource is named, at least one is expected")]
-    NoResource { lease: LeaseName },
+    NoResource {
+        /// The lease concerned.
+        lease: LeaseName,
+    },
 }
 
 impl LeaseTerms {
@@ -31,13 +35,13 @@
 }
 
 impl Lease {
-    /// Whether the holder may go on: it lives, and no drain of it has begun.
+    /// Whether the holder may keep it: it is reachable, and no drain of it has started.
     pub(crate) fn stays_with(&self, holder: &Member, life: u64) -> bool {
         let serves = matches!(holder.phase, Phase::Up | Phase::Granted { .. });
         serves && holder.about.incarnation == life && holder.about.tasks.contains(&self.terms.task)
     }
 
-    /// Of the eligible members the one with the highest random weight: the same wherever it is reckoned.
+    /// Of the eligible members the one with the highest random weight: the same wherever it is computed (rendezvous hashing).
     pub(crate) fn successor<'a>(
         &self,
         name: &LeaseName,
@@ -49,7 +53,7 @@
     }
 }
 
-/// The weight of a member for a lease: 64-bit FNV-1a over both names, mixed so that near numbers are far apart.
+/// The weight of a member for a lease, from the display text of the member, which therefore never changes: 64-bit FNV-1a over both names, mixed so that near numbers are far apart.
 fn weight(lease: &LeaseName, member: &MemberId) -> u64 {
     let mut hash = Fnv::default();
     hash.write(lease.0.as_bytes());
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -24,6 +24,6 @@
 pub mod register;
 pub mod state;
 
-pub use change::{Change, Done, Refusal};
-pub use register::{Acceptor, Ballot, Config, Mark, Round, Voter};
-pub use state::{Fleet, Kind, Member, MemberId, Phase};
+pub use change::{Change, ChangeOutcome, Refusal};
+pub use register::{Acceptor, Ballot, Config, Round, Voter, VoterStamp};
+pub use state::{Fleet, Member, MemberId, MemberKind, Phase};
--- a/crates/fleet/src/monitor.rs
+++ b/crates/fleet/src/monitor.rs
@@ -1,73 +1,80 @@
-//! What a steward makes of what it hears of members and of other stewards, and what the fleet owes its members by that. Any
-//! steward may propose any of it at any time; the first in order of those that others hear does, so that they do not
-//! overtake each other all the while. Times are tenths of a millisecond of this steward's own clock; only how long something
-//! waits, and how unusual a silence is, is taken from them.
+//! What a coordinator concludes from what it hears of members and of other coordinators, and which changes it proposes for
+//! that. Any coordinator may propose them at any time; to avoid conflicts the first that others hear does. Times are ticks of
+//! 100 us of this coordinator's own clock; only how long something waits, and how unusual a silence is, is taken from them.
 
 use crate::change::Change;
-use crate::drain_scheduler::{Seen, next};
-use crate::failure_detector::{ArrivalWindow, Opinion, is_deaf, weighed};
+use crate::drain_scheduler::{MemberLoad, next_to_drain};
+use crate::failure_detector::{ArrivalWindow, SuspicionReport, is_deaf, majority_level};
 use crate::register::Voter;
-use crate::state::{Fleet, MemberId, Phase};
+use crate::state::{Fleet, Member, MemberId, Phase};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What another steward said counts for so long.
-const FRESH: u64 = 10_000;
-/// A steward that took no turn for so long heard nothing meanwhile.
-const STOOD: u64 = 3_000;
-/// Levels below this are not told.
-const LOW: f64 = 0.5;
-/// Of a member that was never heard, and more than which is not told.
-const UNHEARD: f64 = 1_000.0;
-const LIVES_MOST: usize = 20_000;
+/// How long the report of another coordinator counts, in ticks.
+const REPORT_VALIDITY: u64 = 10_000;
+/// A coordinator that was paused for longer than this, in ticks, starts to listen anew.
+const PAUSE_LIMIT: u64 = 3_000;
+/// Levels of suspicion below this are not reported.
+const LEAST_REPORTED_LEVEL: f64 = 0.5;
+/// The level of a member that was never heard, and the highest that is reported.
+const HIGHEST_LEVEL: f64 = 1_000.0;
+/// While so many members are remembered, heartbeats of members that are not in the agreed value are ignored.
+const UNKNOWN_MEMBERS_MOST: usize = 20_000;
 
-/// As the deployment states it.
+/// Times in ticks of 100 us, and the level of suspicion, as the deployment states them.
 #[derive(Clone, Debug)]
 pub struct Timeouts {
+    /// Interval between heartbeats.
     pub renew: u64,
+    /// Level at which a member is taken for lost.
     pub suspect_level: f64,
+    /// After that a grant that was not used is revoked.
     pub grant_for: u64,
+    /// After that a drain is reported as late.
     pub drain_for: u64,
-    /// 0: for ever.
+    /// After that a member that returned from a drain and is not healthy halts drains. 0: never.
     pub prove_within: u64,
 }
 
-/// Levels of suspicion that are not low, by member.
-pub type Levels = BTreeMap<MemberId, f64>;
+/// Levels of suspicion that are worth reporting, by member.
+pub type SuspicionLevels = BTreeMap<MemberId, f64>;
 
-struct Life {
+/// What was heard from one incarnation of a member.
+struct MemberHeartbeats {
     incarnation: u64,
-    silence: ArrivalWindow,
-    seen: Seen,
+    window: ArrivalWindow,
+    load: MemberLoad,
 }
 
-struct Peer {
-    at: u64,
-    levels: Option<Levels>,
+/// The latest report of another coordinator.
+struct PeerReport {
+    received_at: u64,
+    levels: Option<SuspicionLevels>,
     returning: bool,
 }
 
-/// What one steward has heard of members and of other stewards, and since when.
+/// What one coordinator has heard of members and of other coordinators, and since when.
 pub struct MemberMonitor {
     me: Voter,
     timeouts: Timeouts,
-    lives: BTreeMap<MemberId, Life>,
-    peers: BTreeMap<Voter, Peer>,
+    heartbeats: BTreeMap<MemberId, MemberHeartbeats>,
+    peers: BTreeMap<Voter, PeerReport>,
     /// Since when a member is in its phase: the revision at which it came into it, and when that was first seen here.
     since: BTreeMap<MemberId, (u64, u64)>,
-    /// Drains that were told as late.
+    /// Drains that were reported as late, by member and revision.
     late: BTreeSet<(MemberId, u64)>,
+    /// Before that it reports nothing.
     listens_from: u64,
     last_turn: u64,
 }
 
 impl MemberMonitor {
-    /// One that has heard nobody yet.
+    /// A monitor that has heard nobody yet.
     pub fn new(now: u64, me: Voter, timeouts: Timeouts) -> Self {
         Self {
             me,
             listens_from: now + 4 * timeouts.renew,
             timeouts,
-            lives: BTreeMap::new(),
+            heartbeats: BTreeMap::new(),
             peers: BTreeMap::new(),
             since: BTreeMap::new(),
             late: BTreeSet::new(),
@@ -75,22 +82,22 @@
         }
     }
 
-    /// To be called often, whatever else the steward waits for. Gives how long it stood still, if it did: then what came
-    /// meanwhile was not heard in time, and it begins to listen anew.
+    /// To be called often, whatever else the coordinator waits for. Returns how long the process was paused, if it was: then
+    /// what arrived meanwhile was not read in time, and it starts to listen anew.
     pub fn turn(&mut self, now: u64) -> Option<u64> {
         let gap = now - std::mem::replace(&mut self.last_turn, now).min(now);
-        if gap <= STOOD {
+        if gap <= PAUSE_LIMIT {
             return None;
         }
-        self.lives
+        self.heartbeats
             .values_mut()
-            .for_each(|l| l.silence.was_deaf(now));
+            .for_each(|heartbeats| heartbeats.window.was_deaf(now));
         self.peers.clear();
         self.listens_from = now + 2 * self.timeouts.renew;
         Some(gap)
     }
 
-    /// A member gave a sign of life, and will again within `every`.
+    /// A member sent a heartbeat, and promises the next within `every`.
     pub fn renewed(
         &mut self,
         now: u64,
@@ -98,34 +105,41 @@
         member: MemberId,
         incarnation: u64,
         every: u64,
-        seen: Seen,
+        seen: MemberLoad,
     ) {
         let known = fleet.and_then(|f| f.members.get(&member));
-        // An older life that wakes must not speak for the one that replaced it.
+        // A former incarnation that was paused must not speak for the one that replaced it.
         let replaced = known.is_some_and(|m| m.past.contains(&incarnation));
-        if replaced || (known.is_none() && self.lives.len() >= LIVES_MOST) {
+        if replaced || (known.is_none() && self.heartbeats.len() >= UNKNOWN_MEMBERS_MOST) {
             return;
         }
-        let new = || Life {
+        let new = || MemberHeartbeats {
             incarnation,
-            silence: ArrivalWindow::new(now, every),
-            seen,
+            window: ArrivalWindow::new(now, every),
+            load: seen,
         };
-        let life = self.lives.entry(member).or_insert_with(new);
-        if life.incarnation != incarnation {
-            *life = new();
+        let heard = self.heartbeats.entry(member).or_insert_with(new);
+        if heard.incarnation != incarnation {
+            *heard = new();
         }
-        life.silence.heard(now);
-        life.seen = seen;
+        heard.window.heard(now);
+        heard.load = seen;
     }
 
-    pub fn opinions(&mut self, now: u64, from: Voter, levels: Option<Levels>, returning: bool) {
-        // Whoever claims to be a steward is kept no longer than it counts.
+    /// Another coordinator reported its levels; `returning`: it does not vote yet.
+    pub fn opinions(
+        &mut self,
+        now: u64,
+        from: Voter,
+        levels: Option<SuspicionLevels>,
+        returning: bool,
+    ) {
+        // Anybody may claim to be a coordinator: reports are kept no longer than they count.
         self.peers.retain(|_, p| Self::is_fresh(now, p));
         self.peers.insert(
             from,
-            Peer {
-                at: now,
+            PeerReport {
+                received_at: now,
                 levels,
                 returning,
             },
@@ -134,65 +148,67 @@
 
     /// How long ago each member was heard here.
     pub fn heard_ago(&self, now: u64) -> BTreeMap<MemberId, u64> {
-        self.lives
+        self.heartbeats
             .iter()
-            .map(|(id, l)| (*id, l.silence.since(now)))
+            .map(|(id, heartbeats)| (*id, heartbeats.window.since(now)))
             .collect()
     }
 
-    /// What this steward makes of each member's silence; none: it is deaf, or has not listened for long enough.
-    pub fn levels(&self, now: u64, fleet: &Fleet) -> Option<Levels> {
+    /// This coordinator's level of suspicion of each member; none: it is cut off, or has not listened for long enough.
+    pub fn levels(&self, now: u64, fleet: &Fleet) -> Option<SuspicionLevels> {
         if now < self.listens_from {
             return None;
         }
-        let mut levels = Levels::new();
+        let mut levels = SuspicionLevels::new();
         let (mut there, mut silent) = (0, 0);
         for (id, m) in fleet
             .members
             .iter()
             .filter(|(_, m)| !matches!(m.phase, Phase::Away { .. }))
         {
-            let life = self
-                .lives
+            let heard = self
+                .heartbeats
                 .get(id)
-                .filter(|l| l.incarnation == m.about.incarnation);
-            let level = life.map_or(UNHEARD, |l| l.silence.level(now).min(UNHEARD));
-            // Those that are lost tell nothing of whether this steward is deaf.
+                .filter(|heartbeats| heartbeats.incarnation == m.about.incarnation);
+            let level = heard.map_or(HIGHEST_LEVEL, |heartbeats| {
+                heartbeats.window.level(now).min(HIGHEST_LEVEL)
+            });
+            // Those that are lost say nothing of whether this coordinator is cut off.
             if !matches!(m.phase, Phase::Lost { .. }) {
                 there += 1;
                 silent += usize::from(level >= self.timeouts.suspect_level);
             }
-            if level >= LOW {
+            if level >= LEAST_REPORTED_LEVEL {
                 levels.insert(*id, level);
             }
         }
         (!is_deaf(silent, there)).then_some(levels)
     }
 
-    fn is_fresh(now: u64, peer: &Peer) -> bool {
-        now <= peer.at + FRESH
+    fn is_fresh(now: u64, peer: &PeerReport) -> bool {
+        now <= peer.received_at + REPORT_VALIDITY
     }
 
-    /// The level that a majority of all stewards reaches for this member.
+    /// The level that a majority of all coordinators reaches for this member.
     fn level_of(
         &self,
         now: u64,
         id: &MemberId,
-        mine: Option<&Levels>,
+        mine: Option<&SuspicionLevels>,
         voters: &BTreeSet<Voter>,
     ) -> Option<f64> {
-        let of = |levels: &Levels| levels.get(id).copied().unwrap_or(0.0);
-        let opinions = voters.iter().map(|v| -> Opinion {
+        let of = |levels: &SuspicionLevels| levels.get(id).copied().unwrap_or(0.0);
+        let opinions = voters.iter().map(|v| -> SuspicionReport {
             if *v == self.me {
                 return mine.map(of);
             }
             let peer = self.peers.get(v).filter(|p| Self::is_fresh(now, p))?;
             peer.levels.as_ref().map(of)
         });
-        weighed(voters.len(), opinions)
+        majority_level(voters.len(), opinions)
     }
 
-    /// Whether it is this steward's turn to propose what nobody asked for.
+    /// Whether it is this coordinator's turn to propose what nobody asked for.
     pub fn leads(&self, now: u64, fleet: &Fleet) -> bool {
         let speaks = |v: &Voter| {
             *v == self.me
@@ -204,9 +220,9 @@
         fleet.config.voters().into_iter().find(speaks) == Some(self.me)
     }
 
-    /// Drains that take longer than is stated, each told once: who, and for how long by now.
+    /// Drains that take longer than the deployment states, each reported once: the member, and how long it drains by now.
     pub fn late(&mut self, now: u64, fleet: &Fleet) -> Vec<(MemberId, u64)> {
-        self.look(now, fleet);
+        self.observe_phases(now, fleet);
         let mut late = Vec::new();
         for (id, m) in fleet
             .members
@@ -221,8 +237,8 @@
         late
     }
 
-    /// Notes since when members are in their phases.
-    fn look(&mut self, now: u64, fleet: &Fleet) {
+    /// Records since when members are in their phases.
+    fn observe_phases(&mut self, now: u64, fleet: &Fleet) {
         self.since.retain(|id, _| fleet.members.contains_key(id));
         self.late
             .retain(|(id, since)| fleet.members.get(id).is_some_and(|m| m.since == *since));
@@ -234,67 +250,91 @@
         }
     }
 
-    /// What the fleet owes its members as things are, for whoever leads. `fleet` is known to be agreed.
+    /// The changes that are due, for the coordinator whose turn it is. `fleet` is known to be agreed.
     pub fn owed(&mut self, now: u64, fleet: &Fleet) -> Vec<Change> {
-        self.look(now, fleet);
+        self.observe_phases(now, fleet);
         let (voters, mine) = (fleet.config.voters(), self.levels(now, fleet));
-        let mut changes = Vec::new();
-        for (id, m) in &fleet.members {
-            let (member, incarnation, waited) = (*id, m.about.incarnation, now - self.since[id].1);
-            let level = self.level_of(now, id, mine.as_ref(), &voters);
-            let is_silent = level.is_some_and(|l| l >= self.timeouts.suspect_level);
-            match &m.phase {
-                Phase::Away { .. } | Phase::Draining { .. } => {}
-                // Well below what it was lost for, so that it does not go back and forth.
-                Phase::Lost { .. }
-                    if level.is_some_and(|l| l < self.timeouts.suspect_level / 2.0) =>
-                {
-                    changes.push(Change::Heard {
-                        member,
-                        incarnation,
-                    });
-                }
-                Phase::Lost { .. } => {}
-                _ if is_silent => changes.push(Change::Silent {
-                    member,
-                    incarnation,
-                }),
-                Phase::Granted { grant } if waited > self.timeouts.grant_for => {
-                    changes.push(Change::TakeBack { grant: *grant });
-                }
-                Phase::Starting { planned: true }
-                    if (1..waited).contains(&self.timeouts.prove_within)
-                        && fleet.halt.is_none() =>
-                {
-                    let why = format!("{id} came back and is not proven after {} ms", waited / 10);
-                    let ends = "an operator's resume, once it is up, lost or forgotten".into();
-                    changes.push(Change::Halt {
-                        by: "the fleet".into(),
-                        why,
-                        ends,
-                    });
-                }
-                _ => {}
-            }
-        }
+        let mut changes: Vec<Change> = fleet
+            .members
+            .iter()
+            .filter_map(|(id, member)| {
+                let level = self.level_of(now, id, mine.as_ref(), &voters);
+                self.due_for_member(now, fleet, *id, member, level)
+            })
+            .collect();
         if fleet.config.is_changing() {
-            // That both sets hold it is known: it was agreed.
+            // Both sets are known to hold it: it was agreed.
             changes.push(Change::Settle {
                 seen: fleet.config.clone(),
             });
         }
         // Grants wait until the losses that are known are counted.
         if changes.is_empty() && mine.is_some() {
-            let seen: BTreeMap<MemberId, Seen> =
-                self.lives.iter().map(|(id, l)| (*id, l.seen)).collect();
-            let mut after = fleet.clone();
-            while let Some(member) = next(&after, &seen) {
-                if after.apply(&Change::Grant { member }).is_err() {
-                    break;
-                }
-                changes.push(Change::Grant { member });
-            }
+            changes = self.grants_due(fleet);
         }
         changes
     }
+
+    /// The change that one member needs, if it needs any; `level` is the suspicion that a majority of coordinators shares.
+    fn due_for_member(
+        &self,
+        now: u64,
+        fleet: &Fleet,
+        member: MemberId,
+        state: &Member,
+        level: Option<f64>,
+    ) -> Option<Change> {
+        let incarnation = state.about.incarnation;
+        let waited = now - self.since[&member].1;
+        let suspect_level = self.timeouts.suspect_level;
+        let is_silent = level.is_some_and(|level| level >= suspect_level);
+        // Hysteresis: well below the level at which it was lost.
+        let is_heard = level.is_some_and(|level| level < suspect_level / 2.0);
+        match &state.phase {
+            Phase::Away { .. } | Phase::Draining { .. } => None,
+            Phase::Lost { .. } => is_heard.then_some(Change::Heard {
+                member,
+                incarnation,
+            }),
+            _ if is_silent => Some(Change::Silent {
+                member,
+                incarnation,
+            }),
+            Phase::Granted { grant } if waited > self.timeouts.grant_for => {
+                Some(Change::TakeBack { grant: *grant })
+            }
+            Phase::Starting { planned: true }
+                if (1..waited).contains(&self.timeouts.prove_within) && fleet.halt.is_none() =>
+            {
+                Some(Change::Halt {
+                    by: "the fleet".into(),
+                    why: format!(
+                        "{member} came back and is not proven after {} ms",
+                        waited / 10
+                    ),
+                    ends: "an operator's resume, once it is up, lost or forgotten".into(),
+                })
+            }
+            _ => None,
+        }
+    }
+
+    /// All grants that the bounds allow now, on a copy of the fleet.
+    fn grants_due(&self, fleet: &Fleet) -> Vec<Change> {
+        let loads: BTreeMap<MemberId, MemberLoad> = self
+            .heartbeats
+            .iter()
+            .map(|(id, heartbeats)| (*id, heartbeats.load))
+            .collect();
+        let mut after = fleet.clone();
+        let mut grants = Vec::new();
+        while let Some(member) = next_to_drain(&after, &loads) {
+            let grant = Change::Grant { member };
+            if after.apply(&grant).is_err() {
+                break;
+            }
+            grants.push(grant);
+        }
+        grants
+    }
 }
--- a/crates/fleet/src/recovery.rs
+++ b/crates/fleet/src/recovery.rs
@@ -1,26 +1,29 @@
-//! When a steward that starts may vote again. Its disk may be an old copy, or another disk than it voted from; then it has
+//! When a coordinator that starts may vote again. Its disk may be an old copy, or another disk than it voted from; then it has
 //! forgotten promises, and with its vote a second majority could form beside the first.
 //!
-//! What counts is heard after the start, and so after all that it may have forgotten. Votes of the life before that are
-//! still on their way would count for what it has forgotten: so it begins another life, and those who answer know of it
-//! before they do (crash-consistent quorums; Michael and others, 2017).
+//! What counts is heard after the start, and so after all that it may have forgotten. Votes of the former incarnation that are
+//! still on their way would count for what it has forgotten: so it starts another incarnation, and those who answer know of
+//! it before they do (crash-consistent quorums; Michael and others, 2017).
 
 use crate::register::{Acceptor, Ballot, Config, Value, Voter};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What another steward answers to one that starts.
+/// What another coordinator answers to one that starts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Heard<V> {
+#[serde(rename = "Heard", expecting = "struct Heard")]
+pub struct RecoveryReply<V> {
     /// It does not vote itself yet.
     pub returning: bool,
+    /// What it holds.
     pub acceptor: Acceptor<V>,
-    /// The latest life of the asker that it knew of before.
+    /// The latest incarnation of the asker that it knew of before.
     pub life_before: u64,
     /// The most writes that it has heard of from the one that starts.
     pub writes_of_yours: u64,
 }
 
+/// Whether a coordinator that has started may vote.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// Not enough was heard.
@@ -29,17 +32,23 @@
     Vote,
     /// Others heard of more writes than are on the disk: it is an old copy. It waits until all quorums that it may have
     /// been part of are known from others.
-    OldDisk { mine: u64, heard: u64 },
+    OldDisk {
+        /// Writes on this disk.
+        mine: u64,
+        /// Writes that others heard of.
+        heard: u64,
+    },
 }
 
+/// A coordinator that has started and does not vote yet.
 #[derive(Clone, Debug)]
 pub struct Returning<V> {
     me: Voter,
     mine: Acceptor<V>,
     founding: Config,
-    /// The life that it begins.
+    /// The incarnation that it starts.
     life: u64,
-    heard: BTreeMap<Voter, Heard<V>>,
+    heard: BTreeMap<Voter, RecoveryReply<V>>,
 }
 
 impl<V: Value> Returning<V> {
@@ -55,12 +64,13 @@
         }
     }
 
-    pub fn heard(&mut self, from: Voter, what: Heard<V>) {
+    /// Another coordinator answered.
+    pub fn heard(&mut self, from: Voter, what: RecoveryReply<V>) {
         if from == self.me || what.acceptor.lives.of(self.me) < self.life {
             return;
         }
         if what.life_before >= self.life && !self.heard.contains_key(&from) {
-            // Another start may have had this life already: those who answered know of none of ours.
+            // Another start may have had this incarnation already: those who answered know of none of ours.
             self.life = what.life_before + 1;
             self.heard.clear();
             return;
@@ -68,7 +78,7 @@
         self.heard.insert(from, what);
     }
 
-    /// What others are to be told when they are asked.
+    /// The incarnation that it starts, to be sent with each question.
     pub fn life(&self) -> u64 {
         self.life
     }
@@ -82,6 +92,7 @@
         latest.map_or_else(|| self.founding.clone(), |a| a.value.config().clone())
     }
 
+    /// Whether it may vote, by what was heard so far.
     pub fn verdict(&self) -> Verdict {
         let config = self.config();
         let known = self
--- a/crates/fleet/src/register.rs
+++ b/crates/fleet/src/register.rs
@@ -1,19 +1,21 @@
 //! One register. An acceptor promises and accepts; a round reads a value from a quorum and puts another in its place.
 //!
-//! The value names the stewards that hold it, as one set or, while that changes, two: then a quorum is a majority of
+//! The value names the coordinators that hold it, as one set or, while that changes, two: then a quorum is a majority of
 //! each. What a round puts has to be accepted by a quorum both of the value it read and of the value it puts, and a round
-//! that finds other stewards in what it read asks those as well before it goes on. A change to one set alone is made only
+//! that finds other coordinators in what it read asks those as well before it goes on. A change to one set alone is made only
 //! after a value that names both is known to be held by a quorum ([`Config::settled`]).
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// A steward by its number and the disk it votes from. Another disk is another voter: what the old one promised is not
+/// A coordinator by its number and the disk it votes from. Another disk is another voter: what the old one promised is not
 /// on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Voter {
+    /// The coordinator's number.
     pub steward: u32,
+    /// Drawn at random when the disk is first used.
     pub disk: u64,
 }
 
@@ -29,8 +31,11 @@
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Ballot {
+    /// Counts up.
     pub number: u64,
+    /// The proposer's number.
     pub steward: u32,
+    /// Of the proposer's start.
     pub life: u64,
 }
 
@@ -57,14 +62,19 @@
     of.intersection(have).count() * 2 > of.len()
 }
 
+/// Why the coordinators can't be changed so.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Unfit {
+    /// A change is not settled yet.
     #[error("the stewards are being changed already")]
     UnderWay,
+    /// There is no change to settle.
     #[error("the stewards are not being changed")]
     NotUnderWay,
+    /// Not an odd number from 1 to 9.
     #[error("{0} stewards: an odd number from 1 to 9 is expected")]
     Count(usize),
+    /// One coordinator with two disks.
     #[error("steward-{0} is named with two disks")]
     TwoDisks(u32),
 }
@@ -90,6 +100,7 @@
         }
     }
 
+    /// This set and the next one, both of which decide until it is settled.
     pub fn changing_to(&self, next: BTreeSet<Voter>) -> Result<Self, Unfit> {
         if self.next.is_some() {
             return Err(Unfit::UnderWay);
@@ -111,14 +122,17 @@
         })
     }
 
+    /// Whether two sets decide.
     pub fn is_changing(&self) -> bool {
         self.next.is_some()
     }
 
+    /// Whether these voters are a majority of each set.
     pub fn is_quorum(&self, have: &BTreeSet<Voter>) -> bool {
         majority(&self.now, have) && self.next.as_ref().is_none_or(|next| majority(next, have))
     }
 
+    /// The voters of both sets.
     pub fn voters(&self) -> BTreeSet<Voter> {
         self.now
             .iter()
@@ -127,6 +141,7 @@
             .collect()
     }
 
+    /// Whether this voter is in either set.
     pub fn holds(&self, voter: Voter) -> bool {
         self.now.contains(&voter) || self.next.as_ref().is_some_and(|n| n.contains(&voter))
     }
@@ -148,25 +163,26 @@
     }
 }
 
-/// Which life of each voter is the latest that somebody knows of. A voter begins another when it can't be sure that it
+/// The latest incarnation of each voter that somebody knows of. A voter starts another when it can't be sure that it
 /// remembers all that it promised.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(from = "Vec<(Voter, u64)>", into = "Vec<(Voter, u64)>")]
-pub struct Lives(BTreeMap<Voter, u64>);
+pub struct Incarnations(BTreeMap<Voter, u64>);
 
-impl From<Vec<(Voter, u64)>> for Lives {
+impl From<Vec<(Voter, u64)>> for Incarnations {
     fn from(pairs: Vec<(Voter, u64)>) -> Self {
         Self(pairs.into_iter().collect())
     }
 }
 
-impl From<Lives> for Vec<(Voter, u64)> {
-    fn from(lives: Lives) -> Self {
+impl From<Incarnations> for Vec<(Voter, u64)> {
+    fn from(lives: Incarnations) -> Self {
         lives.0.into_iter().collect()
     }
 }
 
-impl Lives {
+impl Incarnations {
+    /// The latest known incarnation of a voter; 0: its first.
     pub fn of(&self, voter: Voter) -> u64 {
         self.0.get(&voter).copied().unwrap_or(0)
     }
@@ -180,44 +196,57 @@
         news
     }
 
-    pub fn learn_all(&mut self, other: &Lives) {
+    /// Learns all that another knows.
+    pub fn learn_all(&mut self, other: &Incarnations) {
         for (voter, life) in &other.0 {
             self.learn(*voter, *life);
         }
     }
 }
 
-/// Who votes, in which of its lives, and which lives of others it knows of. What an earlier life said while a later one is
-/// known does not count: the later one may not remember it.
+/// Goes with each vote: who votes, in which incarnation, and which incarnations of others it knows of. What an earlier
+/// incarnation said does not count once a later one is known: the later one may not remember it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Mark {
+#[serde(rename = "Mark", expecting = "struct Mark")]
+pub struct VoterStamp {
+    /// The voter.
     pub from: Voter,
+    /// The incarnation that votes.
     pub life: u64,
-    pub lives: Lives,
+    /// Incarnations of others that it knows of.
+    pub lives: Incarnations,
 }
 
-/// What is kept in the register.
+/// A value that a register may hold.
 pub trait Value: Clone {
+    /// The coordinators that hold it.
     fn config(&self) -> &Config;
 }
 
+/// A value that an acceptor has accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Accepted<V> {
+    /// The round that it was accepted in.
     pub ballot: Ballot,
+    /// The value.
     pub value: V,
 }
 
-/// What a steward holds. All of it is on its disk before it answers.
+/// What a coordinator holds as an acceptor. All of it is on its disk before it answers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Acceptor<V> {
+    /// Nothing below this is accepted.
     pub promised: Ballot,
+    /// What was accepted last.
     pub accepted: Option<Accepted<V>>,
     /// How often it changed; others remember it, and so an old copy of the disk shows.
     pub writes: u64,
+    /// Its incarnation.
     #[serde(default)]
     pub life: u64,
+    /// Incarnations of others that it knows of.
     #[serde(default)]
-    pub lives: Lives,
+    pub lives: Incarnations,
 }
 
 impl<V> Default for Acceptor<V> {
@@ -227,22 +256,22 @@
             accepted: None,
             writes: 0,
             life: 0,
-            lives: Lives::default(),
+            lives: Incarnations::default(),
         }
     }
 }
 
 impl<V: Value> Acceptor<V> {
     /// Goes with each vote.
-    pub fn mark(&self, me: Voter) -> Mark {
-        Mark {
+    pub fn stamp(&self, me: Voter) -> VoterStamp {
+        VoterStamp {
             from: me,
             life: self.life,
             lives: self.lives.clone(),
         }
     }
 
-    /// Another voter begins a life. Gives the latest that was known of it before.
+    /// Another voter starts an incarnation. Returns the latest that was known of it before.
     pub fn life_begins(&mut self, of: Voter, life: u64) -> u64 {
         let before = self.lives.of(of);
         if self.lives.learn(of, life) {
@@ -251,7 +280,7 @@
         before
     }
 
-    /// Promises to take nothing below `ballot`; gives what was accepted last. Refused with what was promised to another.
+    /// Promises to accept nothing below `ballot`; returns what was accepted last. Refused with what was promised to another.
     pub fn prepare(&mut self, ballot: Ballot) -> Result<Option<&Accepted<V>>, Ballot> {
         if ballot < self.promised {
             return Err(self.promised);
@@ -263,6 +292,7 @@
         Ok(self.accepted.as_ref())
     }
 
+    /// Accepts a value. Refused with what was promised to another.
     pub fn accept(&mut self, ballot: Ballot, value: V) -> Result<(), Ballot> {
         if ballot < self.promised {
             return Err(self.promised);
@@ -281,6 +311,7 @@
 /// One try to change the register, by one proposer.
 #[derive(Clone, Debug, Hash)]
 pub struct Round<V> {
+    /// Orders the round among all others.
     pub ballot: Ballot,
     /// Whose promises are needed.
     config: Config,
@@ -288,7 +319,7 @@
     latest: Option<Accepted<V>>,
     put: Option<V>,
     accepted: BTreeMap<Voter, u64>,
-    lives: Lives,
+    lives: Incarnations,
 }
 
 impl<V: Value> Round<V> {
@@ -306,13 +337,13 @@
         }
     }
 
-    /// Whose promises are asked for; more when a promise shows other stewards.
+    /// Whose promises are asked for; more when a promise shows other coordinators.
     pub fn asks(&self) -> BTreeSet<Voter> {
         self.config.voters()
     }
 
     /// A promise came. True: the value was read, and [`Self::read`] and [`Self::put`] may be used.
-    pub fn promised(&mut self, by: &Mark, accepted: Option<Accepted<V>>) -> bool {
+    pub fn promised(&mut self, by: &VoterStamp, accepted: Option<Accepted<V>>) -> bool {
         if self.put.is_some() {
             return false;
         }
@@ -327,13 +358,13 @@
         self.is_read()
     }
 
-    fn hear(&mut self, by: &Mark) {
+    fn hear(&mut self, by: &VoterStamp) {
         self.lives.learn_all(&by.lives);
         self.lives.learn(by.from, by.life);
     }
 
-    /// Those whose life has not ended since they spoke, as far as anybody who spoke knows.
-    fn living(&self, spoke: &BTreeMap<Voter, u64>) -> BTreeSet<Voter> {
+    /// Those of whom no later incarnation is known to anybody who answered.
+    fn current_incarnations(&self, spoke: &BTreeMap<Voter, u64>) -> BTreeSet<Voter> {
         spoke
             .iter()
             .filter(|(v, life)| **life >= self.lives.of(**v))
@@ -341,8 +372,10 @@
             .collect()
     }
 
+    /// Whether a quorum has promised.
     pub fn is_read(&self) -> bool {
-        self.config.is_quorum(&self.living(&self.promised))
+        self.config
+            .is_quorum(&self.current_incarnations(&self.promised))
     }
 
     /// What a quorum holds, or may hold; none: nothing was ever put.
@@ -354,7 +387,7 @@
         self.latest.as_ref()
     }
 
-    /// Says what is to stand in the place of what was read; gives who has to be asked to accept it.
+    /// Sets the value that is to replace what was read; returns who has to be asked to accept it.
     pub fn put(&mut self, value: V) -> BTreeSet<Voter> {
         assert!(
             self.is_read() && self.put.is_none(),
@@ -370,18 +403,19 @@
         to
     }
 
+    /// The value that was put.
     pub fn value(&self) -> Option<&V> {
         self.put.as_ref()
     }
 
     /// True: the value is chosen, by quorums of what was read and of what was put.
-    pub fn accepted(&mut self, by: &Mark) -> bool {
+    pub fn accepted(&mut self, by: &VoterStamp) -> bool {
         if self.put.is_none() {
             return false;
         }
         self.hear(by);
         self.accepted.insert(by.from, by.life);
-        let accepted = self.living(&self.accepted);
+        let accepted = self.current_incarnations(&self.accepted);
         let put = self
             .put
             .as_ref()
@@ -390,11 +424,13 @@
         put && self.config.is_quorum(&accepted) && self.is_read()
     }
 
+    /// Who has accepted the value.
     pub fn has_accepted(&self) -> BTreeSet<Voter> {
-        self.living(&self.accepted)
+        self.current_incarnations(&self.accepted)
     }
 
+    /// Who has promised.
     pub fn has_promised(&self) -> BTreeSet<Voter> {
-        self.living(&self.promised)
+        self.current_incarnations(&self.promised)
     }
 }
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -5,71 +5,93 @@
 mod lease;
 mod member;
 
-pub use bound::{Bound, Per};
+pub use bound::{Bound, BoundScope};
 pub use lease::{Epoch, Lease, LeaseName, LeaseState, LeaseTerms, ResourceName};
-pub use member::{About, Grant, Kind, Member, MemberId, NoMember, Phase};
+pub use member::{Grant, InvalidMemberId, Member, MemberId, MemberInfo, MemberKind, Phase};
 
 use crate::register::{Config, Value};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Why no further drain begins.
+/// Why no further drain starts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Halt {
+    /// Who halted them.
     pub by: String,
+    /// The reason.
     pub why: String,
     /// What would end it, for those who read it.
     pub ends: String,
+    /// Revision at which it was halted.
     pub revision: u64,
 }
 
-/// Members that an operator wants drained and returned, in the order of who goes.
+/// Members that an operator wants drained and returned, in the order in which they drain.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+#[serde(rename = "Ask", expecting = "struct Ask")]
+pub struct DrainRequest {
+    /// Who asked for it.
     pub by: String,
-    /// Still to go.
+    /// Without a grant yet.
     pub waiting: Vec<MemberId>,
     /// Granted, draining, away or coming back.
     pub under_way: Vec<MemberId>,
+    /// Drained and returned.
     pub finished: Vec<MemberId>,
+    /// Withdrawn by an operator, or forgotten.
     pub withdrawn: Vec<MemberId>,
+    /// Revision at which it was made.
     pub revision: u64,
 }
 
-impl Ask {
+impl DrainRequest {
+    /// Whether nothing of it is left to do.
     pub fn is_over(&self) -> bool {
         self.waiting.is_empty() && self.under_way.is_empty()
     }
 }
 
-/// One line of what happened, for those who read it.
+/// One line of the history, for operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Event {
+#[serde(rename = "Event", expecting = "struct Event")]
+pub struct HistoryEntry {
+    /// Revision that it brought.
     pub revision: u64,
+    /// What happened.
     pub what: String,
 }
 
+/// The value that the fleet agrees on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fleet {
+    /// The fleet's name; messages to another fleet are refused.
     pub name: String,
+    /// The coordinators whose majorities decide.
     pub config: Config,
-    /// Where each steward listens.
+    /// Where each coordinator listens.
     pub stewards: BTreeMap<u32, String>,
+    /// Counts changes.
     pub revision: u64,
+    /// Grants issued so far.
     pub grants: Grant,
+    /// How many members may be out.
     pub bounds: Vec<Bound>,
-    /// It halts itself when more members than this are lost that nobody planned; 0: never.
+    /// Drains are halted when more members than this are lost; 0: never.
     pub halt_at_lost: usize,
+    /// All members, whatever their phase.
     pub members: BTreeMap<MemberId, Member>,
+    /// Set while no further drain may start.
     pub halt: Option<Halt>,
-    pub asks: BTreeMap<String, Ask>,
+    /// Drain requests by their names.
+    pub asks: BTreeMap<String, DrainRequest>,
     /// Leases of fleet-wide tasks.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub leases: BTreeMap<LeaseName, Lease>,
     /// Epochs given so far, over all leases.
     #[serde(default)]
     pub lease_epochs: Epoch,
-    pub history: VecDeque<Event>,
+    /// The last few changes.
+    pub history: VecDeque<HistoryEntry>,
 }
 
 impl Value for Fleet {
@@ -79,7 +101,7 @@
 }
 
 impl Fleet {
-    /// A fleet of which nobody knows yet but its stewards.
+    /// A new fleet, without members.
     pub fn founded(
         name: &str,
         config: Config,
@@ -104,10 +126,12 @@
         }
     }
 
+    /// Members that are out, for whatever reason.
     pub fn out(&self) -> impl Iterator<Item = (&MemberId, &Member)> {
         self.members.iter().filter(|(_, m)| m.phase.is_out())
     }
 
+    /// How many members are out as planned.
     pub fn planned_out(&self) -> usize {
         self.members
             .values()
@@ -115,6 +139,7 @@
             .count()
     }
 
+    /// How many members are lost.
     pub fn lost(&self) -> usize {
         self.members
             .values()
--- a/crates/fleet/src/state/lease.rs
+++ b/crates/fleet/src/state/lease.rs
@@ -1,6 +1,6 @@
 //! Leases of fleet-wide tasks: tasks that one process at a time is to do.
 
-use super::{Kind, MemberId};
+use super::{MemberId, MemberKind};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::fmt;
@@ -25,17 +25,17 @@
     }
 }
 
-/// What a task does its effects on, by its name.
+/// The name of something that a task has effects on.
 pub type ResourceName = String;
 
-/// What is stated of a lease.
+/// What operators state of a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LeaseTerms {
     /// The task that its holder does. Only members that offer it are eligible.
     pub task: String,
     /// The kind of members that are eligible.
-    pub eligible: Kind,
+    pub eligible: MemberKind,
     /// All that the task has an effect on; sealed before the first.
     pub resources: BTreeSet<ResourceName>,
 }
@@ -46,15 +46,22 @@
 pub enum LeaseState {
     /// No member is eligible.
     Vacant,
+    /// A member holds it.
     Held {
+        /// Who holds it.
         holder: MemberId,
+        /// Of the holder.
         incarnation: u64,
+        /// Of the grant.
         epoch: Epoch,
     },
-    /// Given to nobody until an operator resumes it. The epoch is the operators' own.
+    /// Granted to nobody until an operator resumes it. The pause has an epoch of its own.
     Paused {
+        /// Who paused it.
         by: String,
+        /// The reason.
         why: String,
+        /// Of the pause.
         epoch: Epoch,
     },
 }
@@ -62,7 +69,9 @@
 /// A lease as the fleet has agreed on it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
+    /// What operators stated of it.
     pub terms: LeaseTerms,
+    /// Who has it.
     pub state: LeaseState,
     /// Of the last grant or pause; 0: there was none.
     pub epoch: Epoch,
@@ -84,7 +93,7 @@
         }
     }
 
-    /// Its holder, if this member is the one in that life.
+    /// The epoch of the grant, if this incarnation of the member holds the lease.
     pub fn epoch_held_by(&self, member: MemberId, life: u64) -> Option<Epoch> {
         match self.state {
             LeaseState::Held {
--- a/crates/fleet/src/state/member.rs
+++ b/crates/fleet/src/state/member.rs
@@ -5,31 +5,39 @@
 use std::fmt;
 use std::str::FromStr;
 
+/// What a member is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
+#[serde(rename = "Kind", expecting = "enum Kind")]
+pub enum MemberKind {
+    /// Takes invocations from clients and dispatches them.
     Controller,
+    /// Runs functions.
     Invoker,
 }
 
 /// A member as it is named in scripts, on the wire and to operators: `invoker-7`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MemberId {
-    pub kind: Kind,
+    /// Controller or invoker.
+    pub kind: MemberKind,
+    /// Within its kind, from 1 on.
     pub number: u32,
 }
 
 impl MemberId {
+    /// The controller of this number.
     pub fn controller(number: u32) -> Self {
         Self {
-            kind: Kind::Controller,
+            kind: MemberKind::Controller,
             number,
         }
     }
 
+    /// The invoker of this number.
     pub fn invoker(number: u32) -> Self {
         Self {
-            kind: Kind::Invoker,
+            kind: MemberKind::Invoker,
             number,
         }
     }
@@ -38,26 +46,27 @@
 impl fmt::Display for MemberId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let kind = match self.kind {
-            Kind::Controller => "controller",
-            Kind::Invoker => "invoker",
+            MemberKind::Controller => "controller",
+            MemberKind::Invoker => "invoker",
         };
         write!(f, "{kind}-{}", self.number)
     }
 }
 
+/// A text that names no member.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("'{0}': controller-N or invoker-N is expected")]
-pub struct NoMember(pub String);
+pub struct InvalidMemberId(pub String);
 
 impl FromStr for MemberId {
-    type Err = NoMember;
+    type Err = InvalidMemberId;
 
-    fn from_str(text: &str) -> Result<Self, NoMember> {
-        let fault = || NoMember(text.to_owned());
+    fn from_str(text: &str) -> Result<Self, InvalidMemberId> {
+        let fault = || InvalidMemberId(text.to_owned());
         let (kind, number) = text.rsplit_once('-').ok_or_else(fault)?;
         let kind = match kind {
-            "controller" => Kind::Controller,
-            "invoker" => Kind::Invoker,
+            "controller" => MemberKind::Controller,
+            "invoker" => MemberKind::Invoker,
             _ => return Err(fault()),
         };
         let digits = number.bytes().all(|b| b.is_ascii_digit()) && !number.starts_with('0');
@@ -81,42 +90,49 @@
     }
 }
 
-/// A permission to drain, by its number; never given twice.
+/// The number of a permission to drain; none is ever issued twice.
 pub type Grant = u64;
 
-/// Where a member stands. All but `Up` count as out.
+/// The phase of a member. All but `Up` count as out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "is", rename_all = "kebab-case")]
 pub enum Phase {
-    /// Proven: it serves.
+    /// It serves.
     Up,
-    /// Started and not yet proven. `planned`: it comes back from a drain.
+    /// Started and not yet known to be healthy.
     Starting {
+        /// Whether it returns from a drain.
         planned: bool,
     },
-    /// May begin to drain, and has not.
+    /// May start to drain, and has not.
     Granted {
+        /// The permission to drain.
         grant: Grant,
     },
+    /// Takes no new work and ends what it has.
     Draining {
+        /// The permission to drain.
         grant: Grant,
     },
-    /// Drained, and not there.
+    /// Drained and ended; it is to return.
     Away {
+        /// The permission to drain.
         grant: Grant,
     },
-    /// Gone without a grant, or silent for too long: nobody knows. `planned`: while it came back from a drain.
+    /// Ended without a grant, or silent for too long.
     Lost {
+        /// Whether it returns from a drain.
         planned: bool,
     },
 }
 
 impl Phase {
+    /// Whether it counts as out of service.
     pub fn is_out(&self) -> bool {
         *self != Self::Up
     }
 
-    /// Out by somebody's plan, not by chance.
+    /// Whether it is out as planned, rather than by a fault.
     pub fn is_planned(&self) -> bool {
         match self {
             Self::Granted { .. } | Self::Draining { .. } | Self::Away { .. } => true,
@@ -125,6 +141,7 @@
         }
     }
 
+    /// The grant that it drains by.
     pub fn grant(&self) -> Option<Grant> {
         match self {
             Self::Granted { grant } | Self::Draining { grant } | Self::Away { grant } => {
@@ -134,6 +151,7 @@
         }
     }
 
+    /// The phase as messages and commands name it.
     pub fn word(&self) -> &'static str {
         match self {
             Self::Up => "up",
@@ -149,13 +167,17 @@
 /// What a member says of itself when it joins.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct About {
-    /// Differs at each start, and is never 0.
+#[serde(rename = "About", expecting = "struct About")]
+pub struct MemberInfo {
+    /// The member's start: differs at each start, and is never 0.
     pub incarnation: u64,
+    /// The site that it runs in.
     pub site: String,
+    /// The cell within the site.
     pub cell: u16,
-    /// Ready capacity, without unit, comparable inside a kind.
+    /// Capacity without a unit, comparable within a kind.
     pub size: f64,
+    /// Memory in MB.
     pub memory_mb: f64,
     /// Of the program.
     pub version: String,
@@ -172,13 +194,16 @@
     pub tasks: BTreeSet<String>,
 }
 
+/// A member as the fleet has agreed on it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Member {
-    pub about: About,
+    /// What it said of itself when it joined.
+    pub about: MemberInfo,
+    /// Where it stands.
     pub phase: Phase,
     /// Revision at which it came into its phase.
     pub since: u64,
-    /// Lives before this one, the last few.
+    /// Its last few incarnations before this one.
     #[serde(default)]
     pub past: Vec<u64>,
 }
--- a/crates/fleet/tests/all/changes.rs
+++ b/crates/fleet/tests/all/changes.rs
@@ -2,16 +2,16 @@
 
 use saltdrum_fleet::bounds;
 use saltdrum_fleet::change::{Change, Refusal};
-use saltdrum_fleet::drain_scheduler::{Seen, dry_run, next};
+use saltdrum_fleet::drain_scheduler::{MemberLoad, dry_run, next_to_drain};
 use saltdrum_fleet::register::Config;
-use saltdrum_fleet::state::{About, Bound, Fleet, Kind, MemberId, Per, Phase};
+use saltdrum_fleet::state::{Bound, BoundScope, Fleet, MemberId, MemberInfo, MemberKind, Phase};
 use std::collections::{BTreeMap, BTreeSet};
 
-pub fn bound(kind: Kind, out: u32) -> Bound {
+pub(crate) fn bound(kind: MemberKind, out: u32) -> Bound {
     Bound {
         kind: Some(kind),
         site: None,
-        per: Per::Fleet,
+        per: BoundScope::Fleet,
         out: Some(out),
         share: None,
         least_size: None,
@@ -19,8 +19,8 @@
     }
 }
 
-pub fn about(incarnation: u64, number: u32) -> About {
-    About {
+pub(crate) fn about(incarnation: u64, number: u32) -> MemberInfo {
+    MemberInfo {
         incarnation,
         site: if number.is_multiple_of(2) {
             "huye"
@@ -45,7 +45,7 @@
 }
 
 /// All up, in their first life.
-pub fn with(members: u32, bounds: Vec<Bound>) -> Fleet {
+pub(crate) fn with(members: u32, bounds: Vec<Bound>) -> Fleet {
     let mut fleet = founded(bounds);
     for n in 1..=members {
         let member = MemberId::invoker(n);
@@ -65,7 +65,7 @@
     fleet
 }
 
-pub fn ask(id: &str, members: impl IntoIterator<Item = u32>) -> Change {
+pub(crate) fn ask(id: &str, members: impl IntoIterator<Item = u32>) -> Change {
     let members = members.into_iter().map(MemberId::invoker).collect();
     Change::Ask {
         id: id.into(),
@@ -82,7 +82,7 @@
     }
 }
 
-pub fn drawn(rng: &mut fastrand::Rng, fleet: &Fleet, n: usize) -> Change {
+pub(crate) fn drawn(rng: &mut fastrand::Rng, fleet: &Fleet, n: usize) -> Change {
     let member = MemberId::invoker(rng.u32(1..=8));
     let known = fleet.members.get(&member);
     // Mostly the life that counts, sometimes one before or after it.
@@ -176,7 +176,7 @@
     let (mut begun_in_all, mut refused) = (0, 0);
     for seed in 0..3_000 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut fleet = with(8, vec![bound(Kind::Invoker, 2)]);
+        let mut fleet = with(8, vec![bound(MemberKind::Invoker, 2)]);
         let (mut begun, mut taken_back, mut halted) = (BTreeSet::new(), BTreeSet::new(), false);
         for n in 0..120 {
             let change = drawn(&mut rng, &fleet, n);
@@ -193,7 +193,7 @@
             assert_eq!(done.changed, fleet != before, "seed {seed}: {change:?}");
             match &change {
                 Change::Grant { .. } | Change::Begin { .. } if done.changed => {
-                    assert_eq!(bounds::broken(&fleet), None, "seed {seed}: {change:?}");
+                    assert_eq!(bounds::exceeded(&fleet), None, "seed {seed}: {change:?}");
                     assert!(!halted, "seed {seed}: {change:?} after a halt");
                 }
                 Change::Halt { .. } => halted = true,
@@ -239,14 +239,14 @@
 
 #[test]
 fn the_one_whose_absence_costs_least_goes_next() {
-    let mut fleet = with(8, vec![bound(Kind::Invoker, 3)]);
+    let mut fleet = with(8, vec![bound(MemberKind::Invoker, 3)]);
     fleet.apply(&ask("all", 1..=8)).unwrap();
     let member = MemberId::invoker;
-    let mut seen: BTreeMap<MemberId, Seen> = (1..=8)
+    let mut seen: BTreeMap<MemberId, MemberLoad> = (1..=8)
         .map(|n| {
             (
                 member(n),
-                Seen {
+                MemberLoad {
                     busy: 0.5,
                     last_copies: 0,
                 },
@@ -254,32 +254,32 @@
         })
         .collect();
     assert_eq!(
-        next(&fleet, &seen),
+        next_to_drain(&fleet, &seen),
         Some(member(1)),
         "all alike: the first asked for"
     );
     seen.insert(
         member(1),
-        Seen {
+        MemberLoad {
             busy: 0.0,
             last_copies: 2,
         },
     );
     seen.insert(
         member(6),
-        Seen {
+        MemberLoad {
             busy: 0.1,
             last_copies: 0,
         },
     );
     assert_eq!(
-        next(&fleet, &seen),
+        next_to_drain(&fleet, &seen),
         Some(member(6)),
         "not the last place of a copy, then the least busy"
     );
     fleet.apply(&Change::Grant { member: member(6) }).unwrap();
     assert_eq!(
-        next(&fleet, &seen),
+        next_to_drain(&fleet, &seen),
         Some(member(3)),
         "neither its cell nor its site"
     );
@@ -291,14 +291,14 @@
         })
         .unwrap();
     assert_eq!(
-        next(&fleet, &seen),
+        next_to_drain(&fleet, &seen),
         None,
         "one is lost: it has the third place"
     );
-    let waits = saltdrum_fleet::drain_scheduler::waits_for(&fleet).unwrap();
+    let waits = saltdrum_fleet::drain_scheduler::blocking_reason(&fleet).unwrap();
     assert!(waits.contains("4 where 3 is the bound"), "{waits}");
     let steps = dry_run(
-        &with(8, vec![bound(Kind::Invoker, 3)]),
+        &with(8, vec![bound(MemberKind::Invoker, 3)]),
         &(1..=8).map(member).collect::<Vec<_>>(),
     )
     .unwrap();
@@ -310,12 +310,12 @@
 
 #[test]
 fn bad_asks_are_told_with_member_and_figure_and_change_nothing() {
-    let mut fleet = with(4, vec![bound(Kind::Invoker, 1)]);
+    let mut fleet = with(4, vec![bound(MemberKind::Invoker, 1)]);
     fleet.apply(&ask("a", [1, 2])).unwrap();
     let never = Bound {
         out: None,
         least_size: Some(4.0),
-        ..bound(Kind::Invoker, 0)
+        ..bound(MemberKind::Invoker, 0)
     };
     let strict = with(4, vec![never]);
     let told = strict
@@ -362,7 +362,7 @@
 /// A member that slept through its own replacement can neither join again nor speak for the one that took its place.
 #[test]
 fn a_life_that_was_replaced_does_nothing() {
-    let mut fleet = with(2, vec![bound(Kind::Invoker, 1)]);
+    let mut fleet = with(2, vec![bound(MemberKind::Invoker, 1)]);
     let member = MemberId::invoker(1);
     fleet.apply(&ask("a", [1])).unwrap();
     let grant = fleet
--- a/crates/fleet/tests/all/every_order.rs
+++ b/crates/fleet/tests/all/every_order.rs
@@ -1,6 +1,6 @@
 //! Every order in which two proposers' messages can reach the acceptors and come back, each message late, twice or never.
 
-use crate::support::{Lines, Seen, linearizable, mark, voter, voters};
+use crate::support::{Lines, ProposedLine, linearizable, mark, voter, voters};
 use saltdrum_fleet::register::{Accepted, Acceptor, Ballot, Config, Round, Voter};
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -32,7 +32,7 @@
     proposers: Vec<Proposer>,
     /// All that was ever sent, and to whom; anything may come again.
     sent: Vec<(Option<Voter>, Message)>,
-    seen: Vec<Seen>,
+    seen: Vec<ProposedLine>,
     /// So many times a disk may be lost or turned back; for planted wrong-doers.
     forgets: u8,
     forgot: bool,
@@ -91,7 +91,7 @@
         let (asks, line) = (round.asks(), p.steward * 10 + p.tries);
         p.round = Some(round);
         let begun = self.steps;
-        self.seen.push(Seen {
+        self.seen.push(ProposedLine {
             line,
             begun,
             told: None,
--- a/crates/fleet/tests/all/fence_orders.rs
+++ b/crates/fleet/tests/all/fence_orders.rs
@@ -2,7 +2,7 @@
 //! twice or never, and resources that start on the disk they had or an older one. What is checked are the effects alone:
 //! none is accepted with an earlier epoch than one that was accepted before, anywhere.
 
-use saltdrum_fleet::fence::{Fence, Holding, SealStep, Token};
+use saltdrum_fleet::fence::{Fence, HolderFence, SealStep, Token};
 use saltdrum_fleet::state::{Epoch, LeaseName};
 use std::collections::BTreeSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -71,7 +71,7 @@
 struct World {
     /// Who was given each epoch, in their order: what the quorum holds.
     granted: Vec<(usize, Epoch)>,
-    holdings: [Option<Holding>; 2],
+    holdings: [Option<HolderFence>; 2],
     resources: [Resource; 2],
     /// All that was ever sent; anything may come again at any time.
     sent: BTreeSet<Message>,
@@ -222,7 +222,7 @@
         {
             return;
         }
-        self.holdings[member] = Some(Holding::granted(lease(), epoch, &resource_names()));
+        self.holdings[member] = Some(HolderFence::granted(lease(), epoch, &resource_names()));
         for resource in 0..RESOURCES.len() {
             self.sent.insert(Message::Seal {
                 member,
@@ -280,7 +280,7 @@
             let mut token = holding.token(name);
             if self.planted == Planted::ActsBeforeAllSeals && !holding.unsealed().any(|u| u == name)
             {
-                let mut alone = Holding::granted(
+                let mut alone = HolderFence::granted(
                     lease(),
                     holding.epoch(),
                     &BTreeSet::from([(*name).to_owned()]),
--- a/crates/fleet/tests/all/leases.rs
+++ b/crates/fleet/tests/all/leases.rs
@@ -4,7 +4,7 @@
 use saltdrum_fleet::change::{Change, Refusal};
 use saltdrum_fleet::leases::LEASES_MOST;
 use saltdrum_fleet::state::{
-    About, Epoch, Fleet, Kind, LeaseName, LeaseState, LeaseTerms, MemberId, Phase,
+    Epoch, Fleet, LeaseName, LeaseState, LeaseTerms, MemberId, MemberInfo, MemberKind, Phase,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,7 +13,7 @@
 fn terms() -> LeaseTerms {
     LeaseTerms {
         task: TASK.into(),
-        eligible: Kind::Invoker,
+        eligible: MemberKind::Invoker,
         resources: BTreeSet::from(["registry".into()]),
     }
 }
@@ -30,8 +30,8 @@
     }
 }
 
-fn offering(incarnation: u64, number: u32) -> About {
-    About {
+fn offering(incarnation: u64, number: u32) -> MemberInfo {
+    MemberInfo {
         tasks: BTreeSet::from([TASK.to_owned()]),
         ..about(incarnation, number)
     }
@@ -39,7 +39,7 @@
 
 /// Members that are up and offer the task, and one lease of it.
 fn fleet_with_lease(members: u32) -> Fleet {
-    let mut fleet = with(0, vec![bound(Kind::Invoker, 2)]);
+    let mut fleet = with(0, vec![bound(MemberKind::Invoker, 2)]);
     fleet.apply(&state_leases([name()])).unwrap();
     for n in 1..=members {
         let member = MemberId::invoker(n);
@@ -73,7 +73,7 @@
 /// What holds of a lease after any change.
 fn check(fleet: &Fleet, seed: u64) {
     let eligible = |(id, m): (&MemberId, &saltdrum_fleet::Member)| {
-        id.kind == Kind::Invoker && m.phase == Phase::Up && m.about.tasks.contains(TASK)
+        id.kind == MemberKind::Invoker && m.phase == Phase::Up && m.about.tasks.contains(TASK)
     };
     match holder(fleet) {
         Some((id, incarnation, _)) => {
@@ -303,7 +303,7 @@
     let tasks = (0..100).map(|n| format!("task-{n}")).collect();
     let join = Change::Join {
         member: MemberId::invoker(9),
-        about: About {
+        about: MemberInfo {
             tasks,
             ..about(1, 9)
         },
--- a/crates/fleet/tests/all/main.rs
+++ b/crates/fleet/tests/all/main.rs
@@ -6,4 +6,5 @@
 mod leases;
 mod many_orders;
 mod monitor;
+mod protocol_texts;
 mod support;
--- a/crates/fleet/tests/all/many_orders.rs
+++ b/crates/fleet/tests/all/many_orders.rs
@@ -1,9 +1,9 @@
 //! Drawn orders of more than can be tried whole: five stewards, three proposers, changes of stewards, disks that forget. A
 //! failing seed is printed; each is played again by its number alone.
 
-use crate::support::{Lines, Seen, linearizable, voter, voters};
-use saltdrum_fleet::recovery::{Heard, Returning, Verdict};
-use saltdrum_fleet::register::{Acceptor, Ballot, Config, Mark, Round, Value, Voter};
+use crate::support::{Lines, ProposedLine, linearizable, voter, voters};
+use saltdrum_fleet::recovery::{RecoveryReply, Returning, Verdict};
+use saltdrum_fleet::register::{Acceptor, Ballot, Config, Round, Value, Voter, VoterStamp};
 use std::collections::BTreeMap;
 
 /// Who does what it should not.
@@ -19,13 +19,13 @@
 enum Message {
     Prepare(Voter, usize, Ballot),
     Promise(
-        Mark,
+        VoterStamp,
         usize,
         Ballot,
         Option<saltdrum_fleet::register::Accepted<Lines>>,
     ),
     Accept(Voter, usize, Ballot, Lines),
-    Accepted(Mark, usize, Ballot),
+    Accepted(VoterStamp, usize, Ballot),
 }
 
 struct Proposer {
@@ -49,7 +49,7 @@
     stewards: BTreeMap<Voter, Steward>,
     proposers: Vec<Proposer>,
     messages: Vec<Message>,
-    seen: Vec<Seen>,
+    seen: Vec<ProposedLine>,
     step: u64,
 }
 
@@ -89,7 +89,7 @@
         let round = Round::new(ballot, proposer.config.clone());
         let asks = round.asks();
         proposer.round = Some((round, line));
-        self.seen.push(Seen {
+        self.seen.push(ProposedLine {
             line,
             begun: self.step,
             told: None,
@@ -108,7 +108,7 @@
                 match steward.acceptor.prepare(ballot) {
                     Ok(accepted) => {
                         let accepted = accepted.cloned();
-                        let mark = steward.acceptor.mark(v);
+                        let mark = steward.acceptor.stamp(v);
                         self.messages
                             .push(Message::Promise(mark, p, ballot, accepted));
                     }
@@ -119,7 +119,7 @@
                 let steward = self.stewards.get_mut(&v).unwrap();
                 if !steward.returning && steward.acceptor.accept(ballot, value).is_ok() {
                     self.messages
-                        .push(Message::Accepted(steward.acceptor.mark(v), p, ballot));
+                        .push(Message::Accepted(steward.acceptor.stamp(v), p, ballot));
                 }
             }
             Message::Promise(v, p, ballot, accepted) => {
@@ -207,7 +207,7 @@
                 let life_before = s.acceptor.life_begins(v, returning.life());
                 let acceptor = s.acceptor.clone();
                 if self.rng.u8(..6) > 0 {
-                    let heard = Heard {
+                    let heard = RecoveryReply {
                         returning: s.returning,
                         acceptor,
                         life_before,
--- a/crates/fleet/tests/all/monitor.rs
+++ b/crates/fleet/tests/all/monitor.rs
@@ -3,9 +3,9 @@
 use crate::changes::{about, ask, bound, with};
 use crate::support::voter;
 use saltdrum_fleet::change::Change;
-use saltdrum_fleet::drain_scheduler::Seen;
-use saltdrum_fleet::monitor::{Levels, MemberMonitor, Timeouts};
-use saltdrum_fleet::state::{Fleet, Kind, MemberId};
+use saltdrum_fleet::drain_scheduler::MemberLoad;
+use saltdrum_fleet::monitor::{MemberMonitor, SuspicionLevels, Timeouts};
+use saltdrum_fleet::state::{Fleet, MemberId, MemberKind};
 
 const EVERY: u64 = 1_000;
 
@@ -30,14 +30,19 @@
     fn new(members: u32) -> Self {
         let mut play = Self {
             monitor: MemberMonitor::new(0, voter(1), timeouts()),
-            fleet: with(members, vec![bound(Kind::Invoker, 2)]),
+            fleet: with(members, vec![bound(MemberKind::Invoker, 2)]),
             now: 0,
         };
-        play.on(30, &[], |_| Some(Levels::new()));
+        play.on(30, &[], |_| Some(SuspicionLevels::new()));
         play
     }
 
-    fn on(&mut self, times: u64, silent: &[u32], others: impl Fn(&Fleet) -> Option<Levels>) {
+    fn on(
+        &mut self,
+        times: u64,
+        silent: &[u32],
+        others: impl Fn(&Fleet) -> Option<SuspicionLevels>,
+    ) {
         for _ in 0..times {
             self.now += EVERY;
             self.monitor.turn(self.now);
@@ -50,7 +55,7 @@
                         id,
                         incarnation,
                         EVERY,
-                        Seen::default(),
+                        MemberLoad::default(),
                     );
                 }
             }
@@ -70,12 +75,12 @@
     }
 }
 
-fn suspect(number: u32) -> impl Fn(&Fleet) -> Option<Levels> {
-    move |_| Some(Levels::from([(MemberId::invoker(number), 50.0)]))
+fn suspect(number: u32) -> impl Fn(&Fleet) -> Option<SuspicionLevels> {
+    move |_| Some(SuspicionLevels::from([(MemberId::invoker(number), 50.0)]))
 }
 
-fn nobody(_: &Fleet) -> Option<Levels> {
-    Some(Levels::new())
+fn nobody(_: &Fleet) -> Option<SuspicionLevels> {
+    Some(SuspicionLevels::new())
 }
 
 fn silent(number: u32) -> Change {
@@ -137,7 +142,7 @@
     play.on(3, &[], nobody);
     assert_eq!(
         play.monitor.levels(play.now, &play.fleet),
-        Some(Levels::new())
+        Some(SuspicionLevels::new())
     );
     assert_eq!(
         play.monitor.levels(play.now + 900, &play.fleet),
--- a/crates/fleet/tests/all/support.rs
+++ b/crates/fleet/tests/all/support.rs
@@ -1,10 +1,10 @@
 //! A register that holds what was appended to it, and the checker of what callers saw.
 
-use saltdrum_fleet::register::{Config, Mark, Value, Voter};
+use saltdrum_fleet::register::{Config, Value, Voter, VoterStamp};
 use std::collections::BTreeSet;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Lines {
+pub(crate) struct Lines {
     pub config: Config,
     pub lines: Vec<u32>,
 }
@@ -15,26 +15,26 @@
     }
 }
 
-pub fn voter(steward: u32) -> Voter {
+pub(crate) fn voter(steward: u32) -> Voter {
     Voter { steward, disk: 0 }
 }
 
 /// Of voters that remember everything.
-pub fn mark(from: Voter) -> Mark {
-    Mark {
+pub(crate) fn mark(from: Voter) -> VoterStamp {
+    VoterStamp {
         from,
         life: 0,
         lives: Default::default(),
     }
 }
 
-pub fn voters(all: impl IntoIterator<Item = u32>) -> BTreeSet<Voter> {
+pub(crate) fn voters(all: impl IntoIterator<Item = u32>) -> BTreeSet<Voter> {
     all.into_iter().map(voter).collect()
 }
 
 /// An append as its caller saw it; moments are numbers of steps.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Seen {
+pub(crate) struct ProposedLine {
     pub line: u32,
     pub begun: u64,
     /// When it was told, and all that stood there with it; none: it never heard what came of it.
@@ -43,8 +43,8 @@
 
 /// Whether one order of all appends explains what every caller saw, and keeps to the order in which one ended before
 /// another began. Appends that each caller reads back determine that order, so no search is needed.
-pub fn linearizable(all: &[Seen]) -> Result<(), String> {
-    let told: Vec<(&Seen, u64, &Vec<u32>)> = all
+pub(crate) fn linearizable(all: &[ProposedLine]) -> Result<(), String> {
+    let told: Vec<(&ProposedLine, u64, &Vec<u32>)> = all
         .iter()
         .filter_map(|s| s.told.as_ref().map(|(at, lines)| (s, *at, lines)))
         .collect();
@@ -82,7 +82,7 @@
 
 #[test]
 fn the_checker_sees_what_is_wrong() {
-    let seen = |line, begun, told: Option<(u64, &[u32])>| Seen {
+    let seen = |line, begun, told: Option<(u64, &[u32])>| ProposedLine {
         line,
         begun,
         told: told.map(|(at, lines)| (at, lines.to_vec())),
--- a/crates/fleet/tests/fixture_support/fixtures.rs
+++ b/crates/fleet/tests/fixture_support/fixtures.rs
@@ -13,19 +13,19 @@
 use std::path::{Path, PathBuf};
 
 /// Whether fixtures are written instead of compared.
-pub fn is_writing() -> bool {
+pub(crate) fn is_writing() -> bool {
     std::env::var_os("SALTDRUM_WRITE_FIXTURES").is_some()
 }
 
 /// Where a fixture of this package lies.
-pub fn fixture_path(name: &str) -> PathBuf {
+pub(crate) fn fixture_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/fixtures")
         .join(name)
 }
 
 /// An empty folder of this package's tests. `name` differs for each test.
-pub fn scratch_folder(name: &str) -> PathBuf {
+pub(crate) fn scratch_folder(name: &str) -> PathBuf {
     let package = env!("CARGO_PKG_NAME");
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{package}-{name}"));
     if folder.exists() {
@@ -36,7 +36,7 @@
 }
 
 /// All files below a folder, by their path in it.
-pub fn files_below(folder: &Path) -> BTreeMap<String, Vec<u8>> {
+pub(crate) fn files_below(folder: &Path) -> BTreeMap<String, Vec<u8>> {
     let mut files = BTreeMap::new();
     for entry in fs::read_dir(folder).unwrap() {
         let entry = entry.unwrap();
@@ -56,7 +56,7 @@
 }
 
 /// Copies a folder with all that is in it.
-pub fn copy_folder(from: &Path, to: &Path) {
+pub(crate) fn copy_folder(from: &Path, to: &Path) {
     for (path, bytes) in files_below(from) {
         let file = to.join(path);
         fs::create_dir_all(file.parent().unwrap()).unwrap();
@@ -65,7 +65,7 @@
 }
 
 /// Stores a file or folder as a fixture if fixtures are written, and gives a copy of the fixture to work on.
-pub fn stored_copy(name: &str, written: &Path, scratch: &Path) -> PathBuf {
+pub(crate) fn stored_copy(name: &str, written: &Path, scratch: &Path) -> PathBuf {
     let (fixture, copy) = (fixture_path(name), scratch.join("stored"));
     if is_writing() {
         if fixture.is_dir() {
@@ -87,7 +87,7 @@
 }
 
 /// A fixture file of lines `name text`.
-pub struct FixtureLines {
+pub(crate) struct FixtureLines {
     file: PathBuf,
     stored: BTreeMap<String, String>,
     checked: Vec<(String, String)>,
@@ -95,7 +95,7 @@
 
 impl FixtureLines {
     /// Opens the file of this name.
-    pub fn open(name: &str) -> Self {
+    pub(crate) fn open(name: &str) -> Self {
         let file = fixture_path(name);
         let mut stored = BTreeMap::new();
         if !is_writing() {
@@ -114,7 +114,7 @@
     }
 
     /// Compares a text with the stored one of this name, and gives the stored one.
-    pub fn check_text(&mut self, name: &str, text: &str) -> String {
+    pub(crate) fn check_text(&mut self, name: &str, text: &str) -> String {
         assert!(
             !name.contains(' ') && !text.contains('\n'),
             "{name}: one line is expected"
@@ -134,7 +134,7 @@
     }
 
     /// Compares a value's JSON with the stored one, and reads the stored one back as the same value.
-    pub fn check_json<T: Serialize + DeserializeOwned + PartialEq + Debug>(
+    pub(crate) fn check_json<T: Serialize + DeserializeOwned + PartialEq + Debug>(
         &mut self,
         name: &str,
         value: &T,
@@ -145,7 +145,7 @@
     }
 
     /// The same for types that can't be compared otherwise than by all that their debug output shows.
-    pub fn check_json_by_debug<T: Serialize + DeserializeOwned + Debug>(
+    pub(crate) fn check_json_by_debug<T: Serialize + DeserializeOwned + Debug>(
         &mut self,
         name: &str,
         value: &T,
@@ -160,7 +160,7 @@
     }
 
     /// Writes the file, or makes sure that nothing is stored that was not checked.
-    pub fn finish(self) {
+    pub(crate) fn finish(self) {
         if is_writing() {
             fs::create_dir_all(self.file.parent().unwrap()).unwrap();
             let lines = self
--- a/crates/fleet/tests/fixture_support/samples.rs
+++ b/crates/fleet/tests/fixture_support/samples.rs
@@ -3,28 +3,30 @@
 #![allow(dead_code, reason = "each package uses a part of it")]
 
 use saltdrum_fleet::change::Change;
-use saltdrum_fleet::recovery::Heard;
-use saltdrum_fleet::register::{Accepted, Acceptor, Ballot, Config, Lives, Mark, Voter};
+use saltdrum_fleet::recovery::RecoveryReply;
+use saltdrum_fleet::register::{
+    Accepted, Acceptor, Ballot, Config, Incarnations, Voter, VoterStamp,
+};
 use saltdrum_fleet::state::{
-    About, Ask, Bound, Event, Fleet, Halt, Kind, Lease, LeaseName, LeaseState, LeaseTerms, Member,
-    MemberId, Per, Phase,
+    Bound, BoundScope, DrainRequest, Fleet, Halt, HistoryEntry, Lease, LeaseName, LeaseState,
+    LeaseTerms, Member, MemberId, MemberInfo, MemberKind, Phase,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-pub const FLEET: &str = "museums";
+pub(crate) const FLEET: &str = "museums";
 
-pub fn voter(steward: u32) -> Voter {
+pub(crate) fn voter(steward: u32) -> Voter {
     Voter {
         steward,
         disk: 40 + u64::from(steward),
     }
 }
 
-pub fn voters(stewards: impl IntoIterator<Item = u32>) -> BTreeSet<Voter> {
+pub(crate) fn voters(stewards: impl IntoIterator<Item = u32>) -> BTreeSet<Voter> {
     stewards.into_iter().map(voter).collect()
 }
 
-pub fn ballot(number: u64) -> Ballot {
+pub(crate) fn ballot(number: u64) -> Ballot {
     Ballot {
         number,
         steward: 2,
@@ -32,20 +34,20 @@
     }
 }
 
-pub fn lives() -> Lives {
+pub(crate) fn lives() -> Incarnations {
     vec![(voter(1), 3), (voter(2), 8)].into()
 }
 
-pub fn mark() -> Mark {
-    Mark {
+pub(crate) fn mark() -> VoterStamp {
+    VoterStamp {
         from: voter(3),
         life: 6,
         lives: lives(),
     }
 }
 
-pub fn about(incarnation: u64) -> About {
-    About {
+pub(crate) fn about(incarnation: u64) -> MemberInfo {
+    MemberInfo {
         incarnation,
         site: "kigali".into(),
         cell: 3,
@@ -59,11 +61,11 @@
     }
 }
 
-pub fn bound_with_all_fields() -> Bound {
+pub(crate) fn bound_with_all_fields() -> Bound {
     Bound {
-        kind: Some(Kind::Invoker),
+        kind: Some(MemberKind::Invoker),
         site: Some("huye".into()),
-        per: Per::Cell,
+        per: BoundScope::Cell,
         out: Some(2),
         share: Some(0.25),
         least_size: Some(12.5),
@@ -71,7 +73,7 @@
     }
 }
 
-pub fn bound_with_least_fields(per: Per) -> Bound {
+pub(crate) fn bound_with_least_fields(per: BoundScope) -> Bound {
     let (kind, site, share, least_size, least_memory_mb) = Default::default();
     Bound {
         kind,
@@ -84,11 +86,11 @@
     }
 }
 
-pub fn lease_terms() -> LeaseTerms {
+pub(crate) fn lease_terms() -> LeaseTerms {
     let resources = BTreeSet::from(["journal-1".into(), "journal-2".into()]);
     LeaseTerms {
         task: "count".into(),
-        eligible: Kind::Invoker,
+        eligible: MemberKind::Invoker,
         resources,
     }
 }
@@ -112,7 +114,7 @@
         grants: epoch + 60,
     };
     let report = LeaseTerms {
-        eligible: Kind::Controller,
+        eligible: MemberKind::Controller,
         task: "report".into(),
         ..lease_terms()
     };
@@ -157,8 +159,8 @@
 }
 
 /// A fleet in which stewards are being changed, a drain was asked for, and drains are halted.
-pub fn full_fleet() -> Fleet {
-    let ask = Ask {
+pub(crate) fn full_fleet() -> Fleet {
+    let ask = DrainRequest {
         by: "anna".into(),
         waiting: vec![MemberId::invoker(1)],
         under_way: vec![MemberId::invoker(4), MemberId::invoker(3)],
@@ -185,7 +187,10 @@
         ]),
         revision: 37,
         grants: 8,
-        bounds: vec![bound_with_all_fields(), bound_with_least_fields(Per::Site)],
+        bounds: vec![
+            bound_with_all_fields(),
+            bound_with_least_fields(BoundScope::Site),
+        ],
         halt_at_lost: 4,
         members: members(),
         halt: Some(halt),
@@ -193,7 +198,7 @@
         leases: leases(),
         lease_epochs: 23,
         history: events
-            .map(|(revision, what)| Event {
+            .map(|(revision, what)| HistoryEntry {
                 revision,
                 what: what.into(),
             })
@@ -202,19 +207,19 @@
 }
 
 /// A fleet that nobody has joined.
-pub fn founded_fleet() -> Fleet {
+pub(crate) fn founded_fleet() -> Fleet {
     let stewards = BTreeMap::from([(1, "memory:steward-1".into())]);
     let config = Config::founding(voters([1])).unwrap();
     Fleet::founded(
         FLEET,
         config,
         stewards,
-        vec![bound_with_least_fields(Per::Fleet)],
+        vec![bound_with_least_fields(BoundScope::Fleet)],
         0,
     )
 }
 
-pub fn full_acceptor() -> Acceptor<Fleet> {
+pub(crate) fn full_acceptor() -> Acceptor<Fleet> {
     Acceptor {
         promised: ballot(12),
         accepted: Some(Accepted {
@@ -227,8 +232,8 @@
     }
 }
 
-pub fn heard() -> Heard<Fleet> {
-    Heard {
+pub(crate) fn heard() -> RecoveryReply<Fleet> {
+    RecoveryReply {
         returning: true,
         acceptor: full_acceptor(),
         life_before: 2,
@@ -237,7 +242,7 @@
 }
 
 /// One change of each kind.
-pub fn every_change() -> Vec<(&'static str, Change)> {
+pub(crate) fn every_change() -> Vec<(&'static str, Change)> {
     let (member, incarnation, grant) = (MemberId::invoker(9), 109, 17);
     let (by, why) = (|| "anna".to_owned(), || "a storm".to_owned());
     let members = || vec![MemberId::invoker(9), MemberId::controller(2)];
--- a/crates/fleet/tests/fleet_fixtures.rs
+++ b/crates/fleet/tests/fleet_fixtures.rs
@@ -6,11 +6,11 @@
 mod samples;
 
 use fixtures::FixtureLines;
-use saltdrum_fleet::change::{Change, Done};
+use saltdrum_fleet::change::{Change, ChangeOutcome};
 use saltdrum_fleet::drain_scheduler::Batch;
 use saltdrum_fleet::fence::{Rejection, Token};
 use saltdrum_fleet::register::Acceptor;
-use saltdrum_fleet::state::{Fleet, LeaseName, LeaseState, MemberId, Per};
+use saltdrum_fleet::state::{BoundScope, Fleet, LeaseName, LeaseState, MemberId};
 use samples::{
     about, ballot, every_change, founded_fleet, full_acceptor, full_fleet, heard, lease_terms,
 };
@@ -24,9 +24,9 @@
     fixtures.check_json("founded", &founded_fleet());
     fixtures.check_json("bound-with-all-fields", &samples::bound_with_all_fields());
     for (name, per) in [
-        ("fleet", Per::Fleet),
-        ("site", Per::Site),
-        ("cell", Per::Cell),
+        ("fleet", BoundScope::Fleet),
+        ("site", BoundScope::Site),
+        ("cell", BoundScope::Cell),
     ] {
         let bound = samples::bound_with_least_fields(per);
         fixtures.check_json(&format!("bound-per-{name}"), &bound);
@@ -93,14 +93,14 @@
     }
     fixtures.check_json(
         "done",
-        &Done {
+        &ChangeOutcome {
             changed: true,
             grant: Some(17),
         },
     );
     fixtures.check_json(
         "done-before",
-        &Done {
+        &ChangeOutcome {
             changed: false,
             grant: None,
         },
--- a/crates/leases/src/holder.rs
+++ b/crates/leases/src/holder.rs
@@ -4,7 +4,7 @@
 use saltdrum::interface::{MILLISECOND, SECOND, Ticks};
 use saltdrum_coordinator::caller::{Caller, Fault};
 use saltdrum_coordinator::{HeldLease, LeaseWatch};
-use saltdrum_fleet::fence::{Holding, Rejection};
+use saltdrum_fleet::fence::{HolderFence, Rejection};
 use saltdrum_fleet::state::{Epoch, LeaseName, ResourceName};
 use saltdrum_transport::Clock;
 use serde::Serialize;
@@ -60,7 +60,7 @@
 /// One grant being used: the way to the resources.
 pub struct Effects<'a> {
     holder: &'a Holder,
-    holding: RefCell<Holding>,
+    holding: RefCell<HolderFence>,
     task: &'a str,
 }
 
@@ -79,7 +79,7 @@
     }
 
     async fn use_grant(&self, task: &impl Task, held: &HeldLease) {
-        let holding = Holding::granted(held.lease.clone(), held.epoch, &held.resources);
+        let holding = HolderFence::granted(held.lease.clone(), held.epoch, &held.resources);
         let effects = Effects {
             holder: self,
             holding: RefCell::new(holding),
--- a/crates/scale/src/members.rs
+++ b/crates/scale/src/members.rs
@@ -10,10 +10,10 @@
 use saltdrum_coordinator::wire::{Changed, Changes};
 use saltdrum_coordinator::{CoordinatorConfig, FleetTerms, MemberRole, Membership, join, service};
 use saltdrum_fleet::change::Change;
-use saltdrum_fleet::drain_scheduler::Seen;
+use saltdrum_fleet::drain_scheduler::MemberLoad;
 use saltdrum_fleet::register::{Config, Voter};
 use saltdrum_fleet::state::{
-    About, Fleet, Kind, LeaseName, LeaseState, LeaseTerms, Member, MemberId, Phase,
+    Fleet, LeaseName, LeaseState, LeaseTerms, Member, MemberId, MemberInfo, MemberKind, Phase,
 };
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::list::{Follow, FromList};
@@ -247,8 +247,8 @@
     }
 }
 
-fn about(n: u32, incarnation: u64) -> About {
-    About {
+fn about(n: u32, incarnation: u64) -> MemberInfo {
+    MemberInfo {
         incarnation,
         site: if n.is_multiple_of(2) { "east" } else { "west" }.into(),
         cell: (n / 40) as u16,
@@ -283,7 +283,7 @@
         let resources = BTreeSet::from(["registry".to_owned()]);
         let terms = LeaseTerms {
             task: TASK.into(),
-            eligible: Kind::Invoker,
+            eligible: MemberKind::Invoker,
             resources,
         };
         let leases = (0..leases)
@@ -314,8 +314,8 @@
     fn is_proven(&self) -> bool {
         true
     }
-    fn seen(&self) -> Seen {
-        Seen::default()
+    fn seen(&self) -> MemberLoad {
+        MemberLoad::default()
     }
     fn drain(&self) {}
     fn is_drained(&self) -> bool {
@@ -514,7 +514,7 @@
         ..Row::default()
     };
     let holder = first_holder(&founding);
-    let is_other = |n: &u32| id(n + 1).kind == Kind::Invoker && Some(id(n + 1)) != holder;
+    let is_other = |n: &u32| id(n + 1).kind == MemberKind::Invoker && Some(id(n + 1)) != holder;
     // One invoker comes back under another life: one line changes.
     let other = 1 + (0..size.members).find(is_other).unwrap_or(0);
     heard.borrow_mut().at.clear();
--- a/crates/trial/src/script.rs
+++ b/crates/trial/src/script.rs
@@ -3,7 +3,7 @@
 use saltdrum_coordinator::FleetTerms;
 use saltdrum_deployment::units::Span;
 use saltdrum_deployment::{Fault, Statement, Terms, script};
-use saltdrum_fleet::state::{Kind, Per};
+use saltdrum_fleet::state::{BoundScope, MemberKind};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
@@ -260,13 +260,19 @@
                 .unwrap_or_default()
         };
         // Controllers are started without a zone, which is the first.
-        let controllers = (1..=self.controllers)
-            .map(|n| (format!("controller-{n}"), Kind::Controller, zone(0), 0));
+        let controllers = (1..=self.controllers).map(|n| {
+            (
+                format!("controller-{n}"),
+                MemberKind::Controller,
+                zone(0),
+                0,
+            )
+        });
         let invokers = &self.terms.invokers;
         let invokers = invokers.iter().map(|i| {
             (
                 format!("invoker-{}", i.invoker),
-                Kind::Invoker,
+                MemberKind::Invoker,
                 zone(i.zone),
                 i.cell,
             )
@@ -281,9 +287,9 @@
                     continue;
                 }
                 let group = match b.per {
-                    Per::Fleet => (String::new(), 0),
-                    Per::Site => (site.clone(), 0),
-                    Per::Cell => (site.clone(), *cell),
+                    BoundScope::Fleet => (String::new(), 0),
+                    BoundScope::Site => (site.clone(), 0),
+                    BoundScope::Cell => (site.clone(), *cell),
                 };
                 groups.entry(group).or_default().push(name.clone());
             }
