--- a/crates/cli/src/collection.rs
+++ b/crates/cli/src/collection.rs
@@ -6,7 +6,7 @@
 use clap::Args;
 use saltdrum::interface::{SECOND, Ticks};
 use saltdrum_coordinator::Membership;
-use saltdrum_coordinator::caller::Caller;
+use saltdrum_coordinator::rpc_client::RpcClient;
 use saltdrum_coordinator::server;
 use saltdrum_fleet::fence::Token;
 use saltdrum_fleet::state::{Epoch, Fleet, LeaseName, LeaseState};
@@ -45,9 +45,9 @@
         self.tasks.is_some()
     }
 
-    fn stewards(&self, fleet: &str) -> Result<Vec<Caller>, String> {
+    fn stewards(&self, fleet: &str) -> Result<Vec<RpcClient>, String> {
         let caller = |at: &String| {
-            Ok(Caller::new(
+            Ok(RpcClient::new(
                 Rc::new(SocketNetwork),
                 at.parse::<Address>()?,
                 fleet,
@@ -183,7 +183,7 @@
     let (Some(tasks), Some(fleet)) = (&said.tasks, &said.fleet) else {
         return Err("--tasks is missing".into());
     };
-    let registry = Caller::new(Rc::new(SocketNetwork), tasks.parse()?, fleet);
+    let registry = RpcClient::new(Rc::new(SocketNetwork), tasks.parse()?, fleet);
     on_this_thread(async {
         let (lease, epoch) = paused_epoch(&said.stewards(fleet)?).await?;
         let asked = Seal {
@@ -217,7 +217,7 @@
 }
 
 /// The epoch that operators have while the lease of the collection is paused.
-async fn paused_epoch(stewards: &[Caller]) -> Result<(LeaseName, Epoch), String> {
+async fn paused_epoch(stewards: &[RpcClient]) -> Result<(LeaseName, Epoch), String> {
     let mut last = String::new();
     for steward in stewards {
         let status = match steward.call::<Status>("status", json!({}), PATIENCE).await {
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -9,12 +9,12 @@
 use comfy_table::{Table, presets};
 use saltdrum::interface::{SECOND, Ticks};
 use saltdrum_controller::shutdown::{ShutdownHandle, ShutdownPhase};
-use saltdrum_coordinator::caller::{Caller, Fault};
 use saltdrum_coordinator::disk::{Disk, Identity, SCHEMA};
-use saltdrum_coordinator::member::Ended;
+use saltdrum_coordinator::member::MembershipEnd;
+use saltdrum_coordinator::rpc_client::{CallError, RpcClient};
 use saltdrum_coordinator::server;
-use saltdrum_coordinator::wire::{Changed, Changes, DryRun, UNSETTLED};
-use saltdrum_coordinator::{CoordinatorConfig, FleetTerms, MemberRole, Membership, join, service};
+use saltdrum_coordinator::wire::{ChangeReply, ChangeRequest, DryRun, OUTCOME_UNKNOWN};
+use saltdrum_coordinator::{CoordinatorConfig, FleetConfig, MemberRole, Membership, join, service};
 use saltdrum_deployment::Terms;
 use saltdrum_fakes::Invoker;
 use saltdrum_faulty_peers::leases::FaultySteward;
@@ -53,11 +53,11 @@
 pub struct Joined {
     stewards: Vec<Address>,
     reached_at: Option<Address>,
-    terms: FleetTerms,
+    terms: FleetConfig,
 }
 
 impl Joins {
-    pub fn checked(&self, terms: Option<&FleetTerms>) -> Result<Option<Joined>, String> {
+    pub fn checked(&self, terms: Option<&FleetConfig>) -> Result<Option<Joined>, String> {
         if self.stewards.is_empty() {
             return Ok(None);
         }
@@ -294,8 +294,8 @@
     };
     let member = with.member;
     match join(with, Rc::new(SocketNetwork), Clock::start(), part).await {
-        Ended::Drained => Ok(()),
-        Ended::Replaced => Err(format!("{member}: another life has taken its place")),
+        MembershipEnd::Drained => Ok(()),
+        MembershipEnd::Replaced => Err(format!("{member}: another life has taken its place")),
     }
 }
 
@@ -407,7 +407,7 @@
 fn faulty_steward(runs: &Runs, fleet: &str, stewards: &BTreeMap<u32, String>) -> Done {
     let honest = stewards.iter().find(|(number, _)| **number != runs.number);
     let (_, honest) = honest.ok_or("an honest steward is expected beside it")?;
-    let honest = Caller::new(Rc::new(SocketNetwork), honest.parse()?, fleet);
+    let honest = RpcClient::new(Rc::new(SocketNetwork), honest.parse()?, fleet);
     let faulty = Rc::new(FaultySteward {
         fleet: fleet.to_owned(),
         honest,
@@ -546,10 +546,10 @@
 const PATIENCE: Ticks = 5 * SECOND;
 
 impl To {
-    fn callers(&self) -> Result<Vec<Caller>, String> {
+    fn callers(&self) -> Result<Vec<RpcClient>, String> {
         let caller = |at: &String| {
             let at = at.parse::<Address>()?;
-            Ok(Caller::new(Rc::new(SocketNetwork), at, &self.fleet))
+            Ok(RpcClient::new(Rc::new(SocketNetwork), at, &self.fleet))
         };
         self.to.iter().map(caller).collect()
     }
@@ -564,13 +564,13 @@
         for caller in self.callers()? {
             match caller.call(method, what, PATIENCE).await {
                 Ok(told) => return Ok(told),
-                Err(Fault::Told { code, message })
+                Err(CallError::Told { code, message })
                     if code == saltdrum_coordinator::wire::REFUSED =>
                 {
                     return Err(message);
                 }
-                Err(Fault::Told {
-                    code: UNSETTLED,
+                Err(CallError::Told {
+                    code: OUTCOME_UNKNOWN,
                     message,
                 }) => last = message,
                 Err(why) => last = why.to_string(),
@@ -580,7 +580,7 @@
     }
 
     async fn change(&self, change: Change) -> Done {
-        let told: Changed = self.ask("change", &Changes { change }).await?;
+        let told: ChangeReply = self.ask("change", &ChangeRequest { change }).await?;
         let what = if told.changed { "done" } else { "done before" };
         println!("{what}, at revision {}", told.revision);
         Ok(0)
--- a/crates/cli/src/leases.rs
+++ b/crates/cli/src/leases.rs
@@ -9,7 +9,7 @@
 use redb::Database;
 use saltdrum::interface::{MILLISECOND, SECOND, Ticks};
 use saltdrum_coordinator::Membership;
-use saltdrum_coordinator::caller::Caller;
+use saltdrum_coordinator::rpc_client::RpcClient;
 use saltdrum_coordinator::server;
 use saltdrum_faulty_peers::leases::{FaultyJournal, JOURNAL_FAULTS, acts_before_all_seals};
 use saltdrum_fleet::change::Change;
@@ -72,7 +72,7 @@
     on_this_thread(async {
         writes_may_fail()?;
         let disk = open_on_disk(|| JournalDisk::open_file(&runs.disk)).await?;
-        let caller = |at: Address| Caller::new(Rc::new(SocketNetwork), at, &fleet);
+        let caller = |at: Address| RpcClient::new(Rc::new(SocketNetwork), at, &fleet);
         let stewards = stewards.into_iter().map(caller).collect();
         let journal = Journal::new(&fleet, incarnation, stewards, disk, Box::new(tell_effect));
         tokio::select! {
@@ -129,7 +129,7 @@
 
 /// The same, of resources that are known by their addresses.
 pub fn holder_of(with: &Membership, resources: BTreeMap<String, Address>) -> Holder {
-    let caller = |at: Address| Caller::new(Rc::new(SocketNetwork), at, &with.fleet);
+    let caller = |at: Address| RpcClient::new(Rc::new(SocketNetwork), at, &with.fleet);
     Holder {
         by: format!("{}/{:x}", with.member, with.about.incarnation),
         clock: Clock::start(),
@@ -296,7 +296,7 @@
 async fn sealed_epochs(to: &To, resources: &[String]) -> Result<BTreeMap<String, String>, String> {
     let mut all = BTreeMap::new();
     for (name, at) in named(resources)? {
-        let told = Caller::new(Rc::new(SocketNetwork), at, &to.fleet)
+        let told = RpcClient::new(Rc::new(SocketNetwork), at, &to.fleet)
             .call::<Json>("status", json!({}), PATIENCE)
             .await;
         let told = told.map_or_else(|fault| fault.to_string(), |told| told["sealed"].to_string());
--- a/crates/cli/src/scripts.rs
+++ b/crates/cli/src/scripts.rs
@@ -1,6 +1,6 @@
 //! Reads deployment scripts.
 
-use saltdrum_coordinator::FleetTerms;
+use saltdrum_coordinator::FleetConfig;
 use saltdrum_deployment::Terms;
 use std::fs;
 use std::path::Path;
@@ -16,10 +16,10 @@
 }
 
 /// The deployment, and what its script says of its fleet.
-pub fn fleet_terms(path: &Path) -> Result<(Terms, Option<FleetTerms>), String> {
+pub fn fleet_terms(path: &Path) -> Result<(Terms, Option<FleetConfig>), String> {
     let (terms, mut rest) =
         Terms::load(&path.to_string_lossy(), &text(path)?).map_err(|e| e.to_string())?;
-    let fleet = FleetTerms::take(&mut rest).map_err(|e| e.to_string())?;
+    let fleet = FleetConfig::take(&mut rest).map_err(|e| e.to_string())?;
     match rest
         .iter()
         .find(|s| !matches!(s.what, "day" | "traffic" | "trouble" | "trial" | "step"))
@@ -30,7 +30,7 @@
 }
 
 /// What the script says of its fleet, which it has to.
-pub fn stated_fleet(path: &Path) -> Result<FleetTerms, String> {
+pub fn stated_fleet(path: &Path) -> Result<FleetConfig, String> {
     fleet_terms(path)?
         .1
         .ok_or_else(|| format!("{}: no fleet(...) is stated", path.display()))
--- a/crates/coordinator/examples/agreement.rs
+++ b/crates/coordinator/examples/agreement.rs
@@ -5,10 +5,10 @@
 #![expect(clippy::disallowed_methods, reason = "this measures time")]
 
 use saltdrum::interface::{MILLISECOND, SECOND};
-use saltdrum_coordinator::caller::Caller;
 use saltdrum_coordinator::disk::{Disk, Identity, SCHEMA};
-use saltdrum_coordinator::wire::{Changed, Changes, Renew, Standing};
-use saltdrum_coordinator::{CoordinatorConfig, FleetTerms, service};
+use saltdrum_coordinator::rpc_client::RpcClient;
+use saltdrum_coordinator::wire::{ChangeReply, ChangeRequest, Heartbeat, HeartbeatReply};
+use saltdrum_coordinator::{CoordinatorConfig, FleetConfig, service};
 use saltdrum_fleet::change::Change;
 use saltdrum_fleet::register::{Config, Voter};
 use saltdrum_fleet::state::{Fleet, MemberId, MemberInfo};
@@ -32,7 +32,7 @@
 }
 
 fn steward(folder: &Path, number: u32) {
-    let terms = FleetTerms {
+    let terms = FleetConfig {
         name: "cost".into(),
         renew: 500 * MILLISECOND,
         // Nobody renews here but when asked to.
@@ -139,9 +139,9 @@
         let folder = tempfile::tempdir().unwrap();
         (1..=3).for_each(|n| steward(folder.path(), n));
         on_this_thread(async {
-            let callers: Vec<Rc<Caller>> = (1..=3)
+            let callers: Vec<Rc<RpcClient>> = (1..=3)
                 .map(|n| {
-                    Rc::new(Caller::new(
+                    Rc::new(RpcClient::new(
                         Rc::new(SocketNetwork),
                         address(folder.path(), n),
                         "cost",
@@ -149,7 +149,7 @@
                 })
                 .collect();
             while callers[0]
-                .call::<Changed>("change", resume(), SECOND)
+                .call::<ChangeReply>("change", resume(), SECOND)
                 .await
                 .is_err()
             {
@@ -172,11 +172,11 @@
                         zone: 0,
                         tasks: Default::default(),
                     };
-                    let join = Changes {
+                    let join = ChangeRequest {
                         change: Change::Join { member, about },
                     };
                     while caller
-                        .call::<Changed>("change", &join, 10 * SECOND)
+                        .call::<ChangeReply>("change", &join, 10 * SECOND)
                         .await
                         .is_err()
                     {}
@@ -188,7 +188,7 @@
                 let begun = Instant::now();
                 let change = if n % 2 == 0 { halt() } else { resume() };
                 callers[0]
-                    .call::<Changed>("change", change, 10 * SECOND)
+                    .call::<ChangeReply>("change", change, 10 * SECOND)
                     .await
                     .unwrap();
                 took.push(begun.elapsed().as_secs_f64() * 1e3);
@@ -198,7 +198,7 @@
             let renews = 20_000u32;
             for n in 0..renews {
                 let member = MemberId::invoker(1 + n % members);
-                let said = Renew {
+                let said = Heartbeat {
                     member,
                     incarnation: 1,
                     every_tenths: 5_000,
@@ -206,7 +206,7 @@
                     last_copies: 0,
                 };
                 callers[0]
-                    .call::<Standing>("renew", &said, SECOND)
+                    .call::<HeartbeatReply>("renew", &said, SECOND)
                     .await
                     .unwrap();
             }
@@ -226,8 +226,8 @@
     std::process::exit(0);
 }
 
-fn halt() -> Changes {
-    Changes {
+fn halt() -> ChangeRequest {
+    ChangeRequest {
         change: Change::Halt {
             by: "cost".into(),
             why: "to see".into(),
@@ -236,8 +236,8 @@
     }
 }
 
-fn resume() -> Changes {
-    Changes {
+fn resume() -> ChangeRequest {
+    ChangeRequest {
         change: Change::Resume { by: "cost".into() },
     }
 }
--- a/crates/coordinator/src/acceptor_store.rs
+++ b/crates/coordinator/src/acceptor_store.rs
@@ -2,7 +2,7 @@
 
 use crate::disk::Disk;
 use crate::server::Refused;
-use crate::wire::{Accept, NO_VOTE, Prepare, Vote};
+use crate::wire::{Accept, NOT_VOTING, Prepare, Vote};
 use saltdrum_fleet::recovery::{RecoveryReply, Returning, Verdict};
 use saltdrum_fleet::register::{Acceptor, Ballot, Config, Voter};
 use saltdrum_fleet::state::Fleet;
@@ -74,10 +74,16 @@
 
     fn may_vote(&self, to: Voter) -> Result<(), Refused> {
         if to != self.me() {
-            return Err((NO_VOTE, format!("{to} is not here: this is {}", self.me())));
+            return Err((
+                NOT_VOTING,
+                format!("{to} is not here: this is {}", self.me()),
+            ));
         }
         if self.returning.is_some() {
-            return Err((NO_VOTE, format!("{to} is returning and does not vote yet")));
+            return Err((
+                NOT_VOTING,
+                format!("{to} is returning and does not vote yet"),
+            ));
         }
         Ok(())
     }
@@ -89,10 +95,13 @@
             let read = self
                 .disk
                 .come_back()
-                .map_err(|e| (NO_VOTE, e.to_string()))?;
+                .map_err(|e| (NOT_VOTING, e.to_string()))?;
             // What was told is on it, or it is no disk to vote from.
             if read.writes < self.acceptor.writes {
-                return Err((NO_VOTE, "the disk has less than was written to it".into()));
+                return Err((
+                    NOT_VOTING,
+                    "the disk has less than was written to it".into(),
+                ));
             }
             self.acceptor = read;
         }
@@ -101,7 +110,7 @@
         if next.writes != self.acceptor.writes {
             if let Err(fault) = self.disk.keep(&next) {
                 warn!(%fault, "the disk takes nothing: this steward does not vote");
-                return Err((NO_VOTE, fault.to_string()));
+                return Err((NOT_VOTING, fault.to_string()));
             }
             self.acceptor = next;
         }
--- a/crates/coordinator/src/coordinator.rs
+++ b/crates/coordinator/src/coordinator.rs
@@ -1,9 +1,9 @@
 //! What the parts of a steward share: its configuration, its acceptor, what it knows to be chosen, and its peers.
 
 use crate::acceptor_store::AcceptorStore;
-use crate::caller::Caller;
 use crate::disk::Disk;
-use crate::terms::FleetTerms;
+use crate::fleet_config::FleetConfig;
+use crate::rpc_client::RpcClient;
 use saltdrum::interface::{MILLISECOND, Ticks};
 use saltdrum_fleet::change::{Change, ChangeOutcome};
 use saltdrum_fleet::monitor::{MemberMonitor, Timeouts};
@@ -33,7 +33,7 @@
     /// Of this start; never used before.
     pub life: u64,
     pub seed: u64,
-    pub terms: FleetTerms,
+    pub terms: FleetConfig,
     /// The fleet as it is before anything was agreed.
     pub founding: Fleet,
     pub listen: Address,
@@ -55,7 +55,7 @@
     pub(crate) waiting: RefCell<Vec<PendingProposal>>,
     pub(crate) asked: Notify,
     pub(crate) news: watch::Sender<u64>,
-    peers: RefCell<BTreeMap<u32, Rc<Caller>>>,
+    peers: RefCell<BTreeMap<u32, Rc<RpcClient>>>,
     pub(crate) monitor: RefCell<MemberMonitor>,
     /// What is owed was proposed, and not all of it has come to an end.
     pub(crate) proposing: Cell<bool>,
@@ -119,11 +119,11 @@
         all
     }
 
-    pub(crate) fn peer(&self, steward: u32) -> Option<Rc<Caller>> {
+    pub(crate) fn peer(&self, steward: u32) -> Option<Rc<RpcClient>> {
         let at = self.stewards().get(&steward)?.parse::<Address>().ok()?;
         let mut peers = self.peers.borrow_mut();
         if peers.get(&steward).is_none_or(|p| p.at != at) {
-            let caller = Caller::new(self.network.clone(), at, &self.config.founding.name);
+            let caller = RpcClient::new(self.network.clone(), at, &self.config.founding.name);
             peers.insert(steward, Rc::new(caller));
         }
         peers.get(&steward).cloned()
--- a/crates/coordinator/src/terms.rs
+++ b/crates/coordinator/src/fleet_config.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug)]
-pub struct FleetTerms {
+pub struct FleetConfig {
     pub name: String,
     /// Members give a sign of life so often.
     pub renew: Ticks,
@@ -79,7 +79,7 @@
     resources: Vec<String>,
 }
 
-impl FleetTerms {
+impl FleetConfig {
     /// Takes the fleet's statements out of those that describe no deployment; none: the script states no fleet.
     pub fn take(rest: &mut Vec<Statement>) -> Result<Option<Self>, Fault> {
         let (mine, others): (Vec<_>, Vec<_>) = std::mem::take(rest)
@@ -111,7 +111,7 @@
     }
 }
 
-fn fleet(s: &Statement) -> Result<FleetTerms, Fault> {
+fn fleet(s: &Statement) -> Result<FleetConfig, Fault> {
     let said: SaidFleet = s.read()?;
     let plain = |c: char| c.is_ascii_alphanumeric() || c == '-';
     if said.name.is_empty() || said.name.len() > 64 || !said.name.chars().all(plain) {
@@ -123,7 +123,7 @@
     if !(0.5..=100.0).contains(&said.suspect_level) {
         return Err(s.fault("suspect_level: 0.5 to 100 are expected"));
     }
-    Ok(FleetTerms {
+    Ok(FleetConfig {
         name: said.name,
         renew: said.renew.0,
         suspect_level: said.suspect_level,
--- a/crates/coordinator/src/member.rs
+++ b/crates/coordinator/src/member.rs
@@ -1,9 +1,12 @@
 //! How a controller or an invoker takes part. It renews with every steward that it reaches, and does nothing about a grant
 //! before the fleet has agreed that it begins.
 
-use crate::caller::{Caller, Fault};
 use crate::lease_watch::LeaseWatch;
-use crate::wire::{Changed, Changes, NO_VOTE, REFUSED, Renew, STRANGER, Standing};
+use crate::rpc_client::{CallError, RpcClient};
+use crate::wire::{
+    ChangeReply, ChangeRequest, Heartbeat, HeartbeatReply, NOT_VOTING, REFUSED,
+    WRONG_FLEET_OR_VERSION,
+};
 use saltdrum::interface::{MILLISECOND, SECOND, Ticks};
 use saltdrum_fleet::change::{Change, REPLACED_TEXT};
 use saltdrum_fleet::drain_scheduler::MemberLoad;
@@ -46,19 +49,19 @@
 
 /// How its part ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum MembershipEnd {
     /// It drained.
     Drained,
     /// Another life has taken its place while it was away.
     Replaced,
 }
 
-struct Taking {
+struct MembershipTask {
     with: Membership,
     clock: Clock,
-    callers: Vec<Caller>,
+    callers: Vec<RpcClient>,
     /// The latest that any steward said.
-    standing: RefCell<Option<Standing>>,
+    standing: RefCell<Option<HeartbeatReply>>,
     news: Notify,
     /// The steward that answered last.
     good: Cell<usize>,
@@ -66,11 +69,11 @@
     agreed: Cell<u64>,
 }
 
-impl Taking {
+impl MembershipTask {
     async fn renewing(&self, n: usize, part: &dyn MemberRole) {
         loop {
             let seen = part.seen();
-            let said = Renew {
+            let said = Heartbeat {
                 member: self.with.member,
                 incarnation: self.with.about.incarnation,
                 every_tenths: self.with.renew,
@@ -79,7 +82,7 @@
             };
             let patience = (2 * self.with.renew).max(SECOND);
             match self.callers[n]
-                .call::<Standing>("renew", &said, patience)
+                .call::<HeartbeatReply>("renew", &said, patience)
                 .await
             {
                 Ok(told) => {
@@ -107,15 +110,15 @@
     }
 
     /// Has a change agreed, by whichever steward answers. None: whether it was done is not known.
-    async fn change(&self, change: Change) -> Option<Result<Changed, String>> {
+    async fn change(&self, change: Change) -> Option<Result<ChangeReply, String>> {
         let first = self.good.get();
         for n in 0..self.callers.len() {
             let at = (first + n) % self.callers.len();
-            let asked = Changes {
+            let asked = ChangeRequest {
                 change: change.clone(),
             };
             match self.callers[at]
-                .call::<Changed>("change", &asked, PATIENCE)
+                .call::<ChangeReply>("change", &asked, PATIENCE)
                 .await
             {
                 Ok(done) => {
@@ -123,11 +126,15 @@
                     self.agreed.set(self.agreed.get().max(done.revision));
                     return Some(Ok(done));
                 }
-                Err(Fault::Told { code, message }) if code == REFUSED => return Some(Err(message)),
-                Err(Fault::Told { code, message }) if code == STRANGER => {
+                Err(CallError::Told { code, message }) if code == REFUSED => {
+                    return Some(Err(message));
+                }
+                Err(CallError::Told { code, message }) if code == WRONG_FLEET_OR_VERSION => {
                     warn!(message, "not a steward of this fleet");
                 }
-                Err(Fault::Told { code: NO_VOTE, .. }) => {}
+                Err(CallError::Told {
+                    code: NOT_VOTING, ..
+                }) => {}
                 Err(why) => debug!(%why, "a change was not settled"),
             }
         }
@@ -140,7 +147,7 @@
         Some((s.incarnation?, s.phase.clone()?))
     }
 
-    async fn steps(&self, part: &dyn MemberRole) -> Ended {
+    async fn steps(&self, part: &dyn MemberRole) -> MembershipEnd {
         let (member, incarnation) = (self.with.member, self.with.about.incarnation);
         let (mut draining, mut serving) = (None, false);
         loop {
@@ -233,7 +240,7 @@
                         // Part of the protocol: the refusal is recognised by its text.
                         if why.contains(REPLACED_TEXT) {
                             part.told("replaced", 0);
-                            return Ended::Replaced;
+                            return MembershipEnd::Replaced;
                         }
                     }
                 }
@@ -241,7 +248,7 @@
         }
     }
 
-    async fn leave(&self, part: &dyn MemberRole, grant: u64) -> Ended {
+    async fn leave(&self, part: &dyn MemberRole, grant: u64) -> MembershipEnd {
         let (member, incarnation) = (self.with.member, self.with.about.incarnation);
         part.told("drained", grant);
         let until = self.clock.now() + LEAVING;
@@ -259,7 +266,7 @@
                 .sleep_until(self.clock.now() + 100 * MILLISECOND)
                 .await;
         }
-        Ended::Drained
+        MembershipEnd::Drained
     }
 }
 
@@ -269,10 +276,10 @@
     network: Rc<dyn Network>,
     clock: Clock,
     part: Rc<dyn MemberRole>,
-) -> Ended {
-    let caller = |at: &Address| Caller::new(network.clone(), at.clone(), &with.fleet);
-    let callers: Vec<Caller> = with.stewards.iter().map(caller).collect();
-    let taking = Rc::new(Taking {
+) -> MembershipEnd {
+    let caller = |at: &Address| RpcClient::new(network.clone(), at.clone(), &with.fleet);
+    let callers: Vec<RpcClient> = with.stewards.iter().map(caller).collect();
+    let taking = Rc::new(MembershipTask {
         with,
         clock,
         callers,
--- a/crates/coordinator/src/monitoring.rs
+++ b/crates/coordinator/src/monitoring.rs
@@ -3,7 +3,7 @@
 
 use crate::coordinator::Coordinator;
 use crate::lease_watch::held_by;
-use crate::wire::{Opinions, Recover, Renew, Standing};
+use crate::wire::{Heartbeat, HeartbeatReply, Opinions, Recover};
 use saltdrum::interface::{MILLISECOND, Ticks};
 use saltdrum_fleet::change::Change;
 use saltdrum_fleet::recovery::{RecoveryReply, Verdict};
@@ -18,7 +18,7 @@
 
 impl Coordinator {
     /// A member gave a sign of life.
-    pub(crate) fn renewed(&self, said: &Renew) -> Standing {
+    pub(crate) fn renewed(&self, said: &Heartbeat) -> HeartbeatReply {
         let fleet = self.fleet.borrow().clone();
         let fleet = fleet.as_deref();
         let now = self.clock.now();
@@ -32,7 +32,7 @@
             seen,
         );
         let member = fleet.and_then(|f| f.members.get(&said.member));
-        Standing {
+        HeartbeatReply {
             revision: fleet.map_or(0, |f| f.revision),
             incarnation: member.map(|m| m.about.incarnation),
             phase: member.map(|m| m.phase.clone()),
--- a/crates/coordinator/src/propose.rs
+++ b/crates/coordinator/src/propose.rs
@@ -2,10 +2,10 @@
 //! of one that nobody answered is not known, and whoever asked is told so.
 
 use crate::acceptor_store::AcceptorStore;
-use crate::caller::Fault;
 use crate::coordinator::{Coordinator, PendingProposal, Told};
+use crate::rpc_client::CallError;
 use crate::server::Refused;
-use crate::wire::{Accept, NO_VOTE, Prepare, REFUSED, UNSETTLED, Vote};
+use crate::wire::{Accept, NOT_VOTING, OUTCOME_UNKNOWN, Prepare, REFUSED, Vote};
 use saltdrum::interface::{MILLISECOND, Ticks};
 use saltdrum_fleet::change::{Change, ChangeOutcome};
 use saltdrum_fleet::register::{Accepted, Ballot, Round, Voter};
@@ -24,7 +24,7 @@
 /// Rounds that a batch is tried for.
 const TRIES: u32 = 12;
 
-type Votes = mpsc::UnboundedSender<(Voter, Result<Vote, Fault>)>;
+type Votes = mpsc::UnboundedSender<(Voter, Result<Vote, CallError>)>;
 
 /// How a round ended that changed nothing, as far as is known.
 enum Lost {
@@ -48,7 +48,7 @@
         }
         self.asked.notify_one();
         told.await
-            .unwrap_or_else(|_| Err((UNSETTLED, "the steward is ending".into())))
+            .unwrap_or_else(|_| Err((OUTCOME_UNKNOWN, "the steward is ending".into())))
     }
 
     /// One batch after another, for as long as the steward lives.
@@ -70,7 +70,7 @@
             if self.acceptor_store.borrow().is_returning() {
                 let told = "this steward is returning and does not propose yet";
                 for w in batch {
-                    let _ = w.to.send(Err((NO_VOTE, told.into())));
+                    let _ = w.to.send(Err((NOT_VOTING, told.into())));
                 }
                 return;
             }
@@ -101,7 +101,7 @@
         }
         for w in batch {
             let told = format!("whether it was done is not known: {last}; ask again");
-            let _ = w.to.send(Err((UNSETTLED, told)));
+            let _ = w.to.send(Err((OUTCOME_UNKNOWN, told)));
         }
     }
 
@@ -271,12 +271,12 @@
         tokio::task::spawn_local(async move {
             let vote = if voter == this.acceptor_store.borrow().me() {
                 let vote = own(&mut this.acceptor_store.borrow_mut(), asked);
-                vote.map_err(|(code, message)| Fault::Told { code, message })
+                vote.map_err(|(code, message)| CallError::Told { code, message })
             } else {
                 match this.peer(voter.steward) {
                     Some(peer) => peer.call(method, &asked, PATIENCE).await,
-                    None => Err(Fault::Told {
-                        code: NO_VOTE,
+                    None => Err(CallError::Told {
+                        code: NOT_VOTING,
                         message: "no address".into(),
                     }),
                 }
@@ -286,7 +286,7 @@
         });
     }
 
-    fn hear_vote(&self, voter: Voter, vote: &Result<Vote, Fault>) {
+    fn hear_vote(&self, voter: Voter, vote: &Result<Vote, CallError>) {
         match vote {
             Ok(Vote::Promised { writes, .. } | Vote::Accepted { writes, .. }) => {
                 self.acceptor_store.borrow_mut().hear_writes(voter, *writes);
--- a/crates/coordinator/src/caller.rs
+++ b/crates/coordinator/src/rpc_client.rs
@@ -1,6 +1,6 @@
-//! One line to a steward: calls with answers, over a stream that is dialled again when it is lost.
+//! A connection to a coordinator or a resource: calls with answers, over a stream that is opened again when it is lost.
 
-use crate::wire::{LINE_MOST_BYTES, STRANGER, Said, version_of};
+use crate::wire::{Envelope, LINE_MOST_BYTES, WRONG_FLEET_OR_VERSION, version_of};
 use bytes::{Bytes, BytesMut};
 use saltdrum::interface::Ticks;
 use saltdrum_protocol::rpc::ReplyError;
@@ -15,11 +15,13 @@
 use tokio::io::AsyncReadExt;
 use tokio::sync::oneshot;
 
+/// Why a call has no result.
 #[derive(Debug, Clone, thiserror::Error)]
-pub enum Fault {
-    /// Whether it was heard is not known.
+pub enum CallError {
+    /// The connection failed; whether the call was received is not known.
     #[error("{at}: {why}")]
     Line { at: Address, why: String },
+    /// The peer answered with an error.
     #[error("{message}")]
     Told { code: i64, message: String },
 }
@@ -31,57 +33,60 @@
     error: Option<ReplyError>,
 }
 
-type Answer = Result<Box<RawValue>, Fault>;
-type Open = BTreeMap<u64, oneshot::Sender<Answer>>;
+type Answer = Result<Box<RawValue>, CallError>;
+type PendingCalls = BTreeMap<u64, oneshot::Sender<Answer>>;
 
-struct Line {
+struct Connection {
     outbox: SendQueue,
-    open: Rc<RefCell<Open>>,
+    open: Rc<RefCell<PendingCalls>>,
     task: tokio::task::JoinHandle<()>,
 }
 
-impl Drop for Line {
+impl Drop for Connection {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-pub struct Caller {
+/// A client of one address; it connects at the first call.
+pub struct RpcClient {
     network: Rc<dyn Network>,
+    /// Where the peer listens.
     pub at: Address,
     fleet: String,
-    line: RefCell<Option<Rc<Line>>>,
-    dialling: tokio::sync::Mutex<()>,
+    connection: RefCell<Option<Rc<Connection>>>,
+    connecting: tokio::sync::Mutex<()>,
     last: Cell<u64>,
 }
 
-/// What lies unsent before a line is given up.
+/// Unsent bytes beyond which a call fails.
 const UNSENT_MOST_BYTES: usize = 4 * LINE_MOST_BYTES;
 
-impl Caller {
+impl RpcClient {
+    /// A client that is not connected yet; `fleet` goes with every call.
     pub fn new(network: Rc<dyn Network>, at: Address, fleet: &str) -> Self {
         Self {
             network,
             at,
             fleet: fleet.to_owned(),
-            line: RefCell::default(),
-            dialling: tokio::sync::Mutex::new(()),
+            connection: RefCell::default(),
+            connecting: tokio::sync::Mutex::new(()),
             last: Cell::new(0),
         }
     }
 
-    fn lost(&self, why: impl ToString) -> Fault {
-        Fault::Line {
+    fn lost(&self, why: impl ToString) -> CallError {
+        CallError::Line {
             at: self.at.clone(),
             why: why.to_string(),
         }
     }
 
-    async fn line(&self) -> Result<Rc<Line>, Fault> {
-        // One dials, others wait for it.
-        let _one = self.dialling.lock().await;
+    async fn connection(&self) -> Result<Rc<Connection>, CallError> {
+        // One call connects, others wait for it.
+        let _one = self.connecting.lock().await;
         if let Some(line) = self
-            .line
+            .connection
             .borrow()
             .as_ref()
             .filter(|l| !l.task.is_finished())
@@ -94,39 +99,41 @@
             .await
             .map_err(|e| self.lost(e))?;
         let outbox = SendQueue::new(UNSENT_MOST_BYTES);
-        let open: Rc<RefCell<Open>> = Rc::default();
-        let task =
-            tokio::task::spawn_local(keep(stream, outbox.clone(), open.clone(), self.at.clone()));
-        let line = Rc::new(Line { outbox, open, task });
-        *self.line.borrow_mut() = Some(line.clone());
+        let open: Rc<RefCell<PendingCalls>> = Rc::default();
+        let task = tokio::task::spawn_local(run_connection(
+            stream,
+            outbox.clone(),
+            open.clone(),
+            self.at.clone(),
+        ));
+        let line = Rc::new(Connection { outbox, open, task });
+        *self.connection.borrow_mut() = Some(line.clone());
         Ok(line)
     }
 
-    /// Sends one call and waits for its answer, so long at the most. A line on which nothing came back in time is given
-    /// up: it may be cut, and then says nothing for ever.
+    /// Sends one call and waits for its answer for `timeout` at most. A connection on which nothing came back in time is
+    /// closed: the network may be partitioned, and then nothing arrives on it any more.
     pub async fn call<T: DeserializeOwned>(
         &self,
         method: &str,
         what: impl Serialize,
-        patience: Ticks,
-    ) -> Result<T, Fault> {
-        let told = tokio::time::timeout(
-            Duration::from_micros(patience * 100),
-            self.ask(method, what),
-        )
-        .await;
+        timeout: Ticks,
+    ) -> Result<T, CallError> {
+        let told =
+            tokio::time::timeout(Duration::from_micros(timeout * 100), self.ask(method, what))
+                .await;
         let Ok(told) = told else {
-            *self.line.borrow_mut() = None;
-            return Err(self.lost(format!("no answer within {} ms", patience / 10)));
+            *self.connection.borrow_mut() = None;
+            return Err(self.lost(format!("no answer within {} ms", timeout / 10)));
         };
         serde_json::from_str(told?.get()).map_err(|e| self.lost(e))
     }
 
     async fn ask(&self, method: &str, what: impl Serialize) -> Answer {
-        let line = self.line().await?;
+        let line = self.connection().await?;
         let id = self.last.get() + 1;
         self.last.set(id);
-        let said = Said {
+        let said = Envelope {
             fleet: self.fleet.clone(),
             speaks: version_of(method),
             what,
@@ -143,7 +150,12 @@
     }
 }
 
-async fn keep(stream: Stream, outbox: SendQueue, open: Rc<RefCell<Open>>, at: Address) {
+async fn run_connection(
+    stream: Stream,
+    outbox: SendQueue,
+    open: Rc<RefCell<PendingCalls>>,
+    at: Address,
+) {
     let (mut input, mut output) = split(stream);
     let reading = async {
         let (mut read, mut searched) = (BytesMut::new(), 0);
@@ -159,12 +171,12 @@
                 };
                 let told = match (reply.result, reply.error) {
                     (Some(result), _) => Ok(result),
-                    (None, Some(e)) => Err(Fault::Told {
+                    (None, Some(e)) => Err(CallError::Told {
                         code: e.code,
                         message: e.message,
                     }),
-                    (None, None) => Err(Fault::Told {
-                        code: STRANGER,
+                    (None, None) => Err(CallError::Told {
+                        code: WRONG_FLEET_OR_VERSION,
                         message: format!("{at}: neither result nor error"),
                     }),
                 };
--- a/crates/coordinator/src/server.rs
+++ b/crates/coordinator/src/server.rs
@@ -1,6 +1,6 @@
 //! Answers calls that come as lines of JSON-RPC over a stream: for stewards, and for resources of fleet-wide tasks.
 
-use crate::wire::{LINE_MOST_BYTES, STRANGER, Said, version_of};
+use crate::wire::{Envelope, LINE_MOST_BYTES, WRONG_FLEET_OR_VERSION, version_of};
 use bytes::{Bytes, BytesMut};
 use saltdrum::interface::{MILLISECOND, Ticks};
 use saltdrum_protocol::rpc::{self, Call, Id, Line};
@@ -21,24 +21,25 @@
 pub type Refused = (i64, String);
 
 /// Whoever answers calls.
-pub trait Answers: 'static {
+pub trait CallHandler: 'static {
     /// The result as JSON, or a code and why not.
     fn answer(self: &Rc<Self>, call: &Call) -> impl Future<Output = Result<String, Refused>>;
 }
 
 /// Parameters that can't be.
-pub fn bad(why: impl ToString) -> Refused {
+pub fn invalid_params(why: impl ToString) -> Refused {
     (rpc::INVALID_PARAMS, why.to_string())
 }
 
 /// What was asked, if it was asked of this fleet in these messages.
-pub fn said<T: DeserializeOwned>(call: &Call, fleet: &str) -> Result<T, Refused> {
-    let said: Said<&RawValue> =
-        serde_json::from_str(call.params.as_ref().map_or("{}", |p| p.get())).map_err(bad)?;
+pub fn read_params<T: DeserializeOwned>(call: &Call, fleet: &str) -> Result<T, Refused> {
+    let said: Envelope<&RawValue> =
+        serde_json::from_str(call.params.as_ref().map_or("{}", |p| p.get()))
+            .map_err(invalid_params)?;
     let expected = version_of(&call.method);
     if said.speaks != expected {
         return Err((
-            STRANGER,
+            WRONG_FLEET_OR_VERSION,
             format!(
                 "messages of version {}: {expected} is expected",
                 said.speaks
@@ -47,19 +48,19 @@
     }
     if said.fleet != fleet {
         return Err((
-            STRANGER,
+            WRONG_FLEET_OR_VERSION,
             format!("fleet '{}': this belongs to '{fleet}'", said.fleet),
         ));
     }
     // Read where it lies: a whole fleet may be in it.
-    serde_json::from_str(said.what.get()).map_err(bad)
+    serde_json::from_str(said.what.get()).map_err(invalid_params)
 }
 
 /// After a caller could not be taken in.
 const ACCEPT_AGAIN: Ticks = 50 * MILLISECOND;
 
 /// Answers whoever calls at an address, until it is dropped.
-pub async fn serve<A: Answers>(
+pub async fn serve<A: CallHandler>(
     answers: Rc<A>,
     network: Rc<dyn Network>,
     listen: &Address,
@@ -82,7 +83,7 @@
 }
 
 /// Answers one caller until it hangs up.
-pub async fn answer_caller<A: Answers>(answers: Rc<A>, stream: Stream) {
+pub async fn answer_caller<A: CallHandler>(answers: Rc<A>, stream: Stream) {
     let (input, mut output) = split(stream);
     let outbox = SendQueue::new(UNREAD_MOST_BYTES);
     tokio::select! {
@@ -111,7 +112,7 @@
     }
 }
 
-async fn listen<A: Answers>(answers: &Rc<A>, outbox: &SendQueue, mut input: Half) -> String {
+async fn listen<A: CallHandler>(answers: &Rc<A>, outbox: &SendQueue, mut input: Half) -> String {
     let (mut read, mut searched) = (BytesMut::new(), 0);
     let mut answering: JoinSet<()> = JoinSet::new();
     loop {
--- a/crates/coordinator/src/service.rs
+++ b/crates/coordinator/src/service.rs
@@ -2,8 +2,10 @@
 
 use crate::coordinator::{Coordinator, CoordinatorConfig};
 use crate::disk::Disk;
-use crate::server::{Answers, Refused, answer_caller, bad, said};
-use crate::wire::{Accept, Changed, Changes, DryRun, Opinions, Prepare, REFUSED, Recover, Renew};
+use crate::server::{CallHandler, Refused, answer_caller, invalid_params, read_params};
+use crate::wire::{
+    Accept, ChangeReply, ChangeRequest, DryRun, Heartbeat, Opinions, Prepare, REFUSED, Recover,
+};
 use saltdrum::interface::{MILLISECOND, SECOND};
 use saltdrum_fleet::change::Change;
 use saltdrum_fleet::drain_scheduler::{blocking_reason, dry_run};
@@ -21,27 +23,27 @@
 
 impl Coordinator {
     /// What was asked, if it was asked of this fleet in these messages.
-    fn said<T: DeserializeOwned>(&self, call: &Call) -> Result<T, Refused> {
-        said(call, &self.config.founding.name)
+    fn read_params<T: DeserializeOwned>(&self, call: &Call) -> Result<T, Refused> {
+        read_params(call, &self.config.founding.name)
     }
 }
 
-impl Answers for Coordinator {
+impl CallHandler for Coordinator {
     async fn answer(self: &Rc<Self>, call: &Call) -> Result<String, Refused> {
         fn told(what: impl Serialize) -> Result<String, Refused> {
-            serde_json::to_string(&what).map_err(bad)
+            serde_json::to_string(&what).map_err(invalid_params)
         }
         match call.method.as_str() {
             "prepare" => {
-                let asked: Prepare = self.said(call)?;
+                let asked: Prepare = self.read_params(call)?;
                 told(self.acceptor_store.borrow_mut().prepare(&asked)?)
             }
             "accept" => {
-                let asked: Accept = self.said(call)?;
+                let asked: Accept = self.read_params(call)?;
                 told(self.acceptor_store.borrow_mut().accept(asked)?)
             }
             "recover" => {
-                let asked: Recover = self.said(call)?;
+                let asked: Recover = self.read_params(call)?;
                 let mut acceptor_store = self.acceptor_store.borrow_mut();
                 told((
                     acceptor_store.me(),
@@ -49,35 +51,35 @@
                 ))
             }
             "decided" => {
-                self.said::<Json>(call)?;
+                self.read_params::<Json>(call)?;
                 told((self.decided_at.get(), self.fleet.borrow().as_deref()))
             }
             "opinions" => {
-                let said: Opinions = self.said(call)?;
+                let said: Opinions = self.read_params(call)?;
                 self.opinions(said);
                 told(json!({}))
             }
             "renew" => {
-                let said: Renew = self.said(call)?;
+                let said: Heartbeat = self.read_params(call)?;
                 told(self.renewed(&said))
             }
             "change" => {
-                let asked: Changes = self.said(call)?;
+                let asked: ChangeRequest = self.read_params(call)?;
                 if !from_outside(&asked.change) {
                     return Err((REFUSED, "that is for stewards to propose".into()));
                 }
                 let (done, revision) = self.change(asked.change).await?;
-                told(Changed {
+                told(ChangeReply {
                     revision,
                     changed: done.changed,
                 })
             }
             "status" => {
-                self.said::<Json>(call)?;
+                self.read_params::<Json>(call)?;
                 told(self.status())
             }
             "dry_run" => {
-                let asked: DryRun = self.said(call)?;
+                let asked: DryRun = self.read_params(call)?;
                 let fleet = self.fleet.borrow().clone();
                 let fleet =
                     fleet.ok_or((REFUSED, "nothing is known of the fleet yet".to_owned()))?;
--- a/crates/coordinator/src/wire.rs
+++ b/crates/coordinator/src/wire.rs
@@ -1,4 +1,4 @@
-//! What is said on a steward's socket: JSON-RPC by lines.
+//! Messages on a coordinator's socket: JSON-RPC, one message a line. Serialised names say `steward` for a coordinator.
 
 use crate::lease_watch::HeldLease;
 use saltdrum_fleet::change::Change;
@@ -8,49 +8,52 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Of these messages. Who speaks another is answered so and nothing else.
-pub const SPEAKS: u16 = 1;
-/// Of the messages by which stewards vote and hand values on. It rises with what lies in the value: a steward that does not know of
-/// leases would put a value without them, and their epochs would begin anew.
-pub const VOTES_SPEAK: u16 = 2;
+/// Version of these messages. A peer of another version is told so and nothing else.
+pub const PROTOCOL_VERSION: u16 = 1;
+/// Version of the messages by which coordinators vote and pass values on. It rises with the contents of the value: a
+/// coordinator that does not know of leases would put a value without them, and their epochs would start anew.
+pub const VOTE_PROTOCOL_VERSION: u16 = 2;
 
-/// Which version a method's messages are of.
+/// The version that the messages of a method have.
 pub fn version_of(method: &str) -> u16 {
     match method {
-        "prepare" | "accept" | "recover" | "decided" => VOTES_SPEAK,
-        _ => SPEAKS,
+        "prepare" | "accept" | "recover" | "decided" => VOTE_PROTOCOL_VERSION,
+        _ => PROTOCOL_VERSION,
     }
 }
 
-/// A line is no longer: the whole fleet has to fit, ten times over.
+/// Longest line: ten times the largest fleet.
 pub const LINE_MOST_BYTES: usize = 32 << 20;
 
-/// Nothing has changed, and why.
+/// Error code: nothing was changed; the message says why.
 pub const REFUSED: i64 = -32_020;
-/// Another fleet, or other messages.
-pub const STRANGER: i64 = -32_021;
-/// Whether it was done is not known: no majority answered in time. Ask again.
-pub const UNSETTLED: i64 = -32_022;
-/// This steward does not vote: it has just started, has an old disk, or its disk takes nothing.
-pub const NO_VOTE: i64 = -32_023;
-
-/// Goes with every call.
+/// Error code: the message was meant for another fleet, or has another version.
+pub const WRONG_FLEET_OR_VERSION: i64 = -32_021;
+/// Error code: whether it was done is not known, as no majority answered in time. Ask again.
+pub const OUTCOME_UNKNOWN: i64 = -32_022;
+/// Error code: this coordinator does not vote: it has just started, has an old disk, or can't write to its disk.
+pub const NOT_VOTING: i64 = -32_023;
+
+/// The parameters of every call.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Said<T> {
+#[serde(rename = "Said", expecting = "struct Said")]
+pub struct Envelope<T> {
     pub fleet: String,
     pub speaks: u16,
     pub what: T,
 }
 
+/// `prepare`: asks for a promise.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Prepare {
     pub to: Voter,
     pub ballot: Ballot,
-    /// The proposer has the value of this ballot.
+    /// The proposer has the value of this ballot: it need not be sent.
     pub have: Ballot,
 }
 
+/// The answer to `prepare` and `accept`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 // With a tag inside, numbers that are keys of a map in the value could not be read back.
 #[serde(rename_all = "kebab-case")]
@@ -72,6 +75,7 @@
     },
 }
 
+/// `accept`: asks to accept a value.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Accept {
@@ -80,6 +84,7 @@
     pub value: Box<Fleet>,
 }
 
+/// `recover`: asked by a coordinator that starts.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Recover {
@@ -88,7 +93,7 @@
     pub life: u64,
 }
 
-/// Between stewards, several times a second.
+/// `opinions`: levels of suspicion, between coordinators, several times a second.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Opinions {
@@ -100,9 +105,11 @@
     pub returning: bool,
 }
 
+/// `renew`: a member's heartbeat.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Renew {
+#[serde(rename = "Renew", expecting = "struct Renew")]
+pub struct Heartbeat {
     pub member: MemberId,
     pub incarnation: u64,
     pub every_tenths: u64,
@@ -112,7 +119,7 @@
     pub last_copies: u32,
 }
 
-impl Renew {
+impl Heartbeat {
     pub fn seen(&self) -> MemberLoad {
         MemberLoad {
             busy: self.busy,
@@ -121,11 +128,12 @@
     }
 }
 
-/// How a steward sees the member that renews.
+/// The answer to `renew`: the member as the coordinator knows it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Standing {
+#[serde(rename = "Standing", expecting = "struct Standing")]
+pub struct HeartbeatReply {
     pub revision: u64,
-    /// None: not a member, as far as this steward knows.
+    /// None: not a member, as far as this coordinator knows.
     pub incarnation: Option<u64>,
     pub phase: Option<Phase>,
     pub turn_back: bool,
@@ -134,18 +142,23 @@
     pub leases: Vec<HeldLease>,
 }
 
+/// `change`: a change to have agreed.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Changes {
+#[serde(rename = "Changes", expecting = "struct Changes")]
+pub struct ChangeRequest {
     pub change: Change,
 }
 
+/// The answer to `change`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Changed {
+#[serde(rename = "Changed", expecting = "struct Changed")]
+pub struct ChangeReply {
     pub revision: u64,
     pub changed: bool,
 }
 
+/// `dry_run`: how these members would drain.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DryRun {
--- a/crates/coordinator/src/wire/tests.rs
+++ b/crates/coordinator/src/wire/tests.rs
@@ -8,16 +8,16 @@
         ["prepare", "accept", "recover", "decided"]
             .map(version_of)
             .iter()
-            .all(|v| *v == VOTES_SPEAK)
+            .all(|v| *v == VOTE_PROTOCOL_VERSION)
     );
     assert!(
         ["renew", "change", "status", "opinions", "seal"]
             .map(version_of)
             .iter()
-            .all(|v| *v == SPEAKS)
+            .all(|v| *v == PROTOCOL_VERSION)
     );
     let said = |speaks| {
-        let params = serde_json::to_string(&Said {
+        let params = serde_json::to_string(&Envelope {
             fleet: "museums".into(),
             speaks,
             what: 7,
@@ -28,10 +28,10 @@
             Ok(saltdrum_protocol::rpc::Line::Single(Ok(call))) => call,
             _ => panic!("a call"),
         };
-        crate::server::said::<i32>(&call, "museums")
+        crate::server::read_params::<i32>(&call, "museums")
     };
-    assert_eq!(said(VOTES_SPEAK).unwrap(), 7);
-    assert_eq!(said(1).unwrap_err().0, STRANGER);
+    assert_eq!(said(VOTE_PROTOCOL_VERSION).unwrap(), 7);
+    assert_eq!(said(1).unwrap_err().0, WRONG_FLEET_OR_VERSION);
 }
 
 /// A vote with a whole value in it could not be read: a steward that lagged behind was never brought along.
@@ -71,7 +71,7 @@
     let text = serde_json::to_string(&vote).unwrap();
     let read: Vote = serde_json::from_str(&text).unwrap();
     assert_eq!(serde_json::to_string(&read).unwrap(), text);
-    let asked = Changes {
+    let asked = ChangeRequest {
         change: Change::Stewards {
             voters,
             at,
@@ -79,6 +79,6 @@
         },
     };
     let text = serde_json::to_string(&asked).unwrap();
-    let read: Changes = serde_json::from_value(serde_json::from_str(&text).unwrap()).unwrap();
+    let read: ChangeRequest = serde_json::from_value(serde_json::from_str(&text).unwrap()).unwrap();
     assert_eq!(read.change, asked.change);
 }
--- a/crates/coordinator/tests/all/holder.rs
+++ b/crates/coordinator/tests/all/holder.rs
@@ -3,8 +3,8 @@
 use crate::world::{JOURNALS, TASK, World};
 use saltdrum::interface::{MILLISECOND, SECOND, Ticks};
 use saltdrum_coordinator::LeaseWatch;
-use saltdrum_coordinator::caller::Caller;
-use saltdrum_coordinator::server::{Answers, Refused, said, serve};
+use saltdrum_coordinator::rpc_client::RpcClient;
+use saltdrum_coordinator::server::{CallHandler, Refused, read_params, serve};
 use saltdrum_fleet::fence::Token;
 use saltdrum_fleet::state::LeaseName;
 use saltdrum_leases::holder::EffectFault;
@@ -65,7 +65,8 @@
     if world.leases.borrow().is_empty() {
         return std::future::pending().await;
     }
-    let caller = |name: &str| Caller::new(network.clone(), Address::Memory(name.into()), "museums");
+    let caller =
+        |name: &str| RpcClient::new(network.clone(), Address::Memory(name.into()), "museums");
     let resources: BTreeMap<_, _> = JOURNALS
         .iter()
         .map(|name| ((*name).to_owned(), caller(name)))
@@ -90,7 +91,7 @@
 async fn acts_without_seals(
     clock: Clock,
     watch: &LeaseWatch,
-    resources: &BTreeMap<String, Caller>,
+    resources: &BTreeMap<String, RpcClient>,
     by: &str,
 ) -> ! {
     loop {
@@ -125,12 +126,12 @@
     tells: Tells,
 }
 
-impl Answers for Unsealed {
+impl CallHandler for Unsealed {
     async fn answer(self: &Rc<Self>, call: &Call) -> Result<String, Refused> {
         if call.method == "seal" {
             return Ok(json!({"incarnation": 0}).to_string());
         }
-        let effect: Effect<Append> = said(call, "museums")?;
+        let effect: Effect<Append> = read_params(call, "museums")?;
         let mut highest = self.highest.borrow_mut();
         let seen = highest.entry(effect.token.lease.clone()).or_insert(0);
         if self.mode != LeaseMode::TimeOnly && effect.token.epoch < *seen {
@@ -152,7 +153,7 @@
 pub async fn serve_journal(
     mode: LeaseMode,
     incarnation: u64,
-    stewards: Vec<Caller>,
+    stewards: Vec<RpcClient>,
     disk: JournalDisk,
     tells: Tells,
     network: Rc<dyn Network>,
--- a/crates/coordinator/tests/all/world.rs
+++ b/crates/coordinator/tests/all/world.rs
@@ -3,12 +3,12 @@
 use crate::disk::Disk as Platter;
 use crate::holder::{self, LeaseMode};
 use saltdrum::interface::{MILLISECOND, SECOND, Ticks};
-use saltdrum_coordinator::caller::Caller;
 use saltdrum_coordinator::disk::{Disk, Identity, SCHEMA};
-use saltdrum_coordinator::member::Ended;
-use saltdrum_coordinator::wire::{Changed, Changes, Renew, Standing};
+use saltdrum_coordinator::member::MembershipEnd;
+use saltdrum_coordinator::rpc_client::RpcClient;
+use saltdrum_coordinator::wire::{ChangeReply, ChangeRequest, Heartbeat, HeartbeatReply};
 use saltdrum_coordinator::{
-    CoordinatorConfig, FleetTerms, LeaseWatch, MemberRole, Membership, join, service,
+    CoordinatorConfig, FleetConfig, LeaseWatch, MemberRole, Membership, join, service,
 };
 use saltdrum_fleet::change::Change;
 use saltdrum_fleet::drain_scheduler::MemberLoad;
@@ -63,7 +63,7 @@
     lives: RefCell<BTreeMap<String, Life>>,
     pub lines: Rc<RefCell<Vec<Line>>>,
     lifetimes: Cell<u64>,
-    callers: Vec<Caller>,
+    callers: Vec<RpcClient>,
     pub over: Cell<bool>,
     /// Leases that the fleet is founded with.
     pub leases: RefCell<BTreeMap<LeaseName, LeaseTerms>>,
@@ -82,7 +82,7 @@
 pub const JOURNALS: [&str; 2] = ["journal-1", "journal-2"];
 pub const TASK: &str = "count";
 
-fn terms(bound: u32) -> FleetTerms {
+fn terms(bound: u32) -> FleetConfig {
     let bound = Bound {
         kind: Some(MemberKind::Invoker),
         site: None,
@@ -92,7 +92,7 @@
         least_size: None,
         least_memory_mb: None,
     };
-    FleetTerms {
+    FleetConfig {
         name: "museums".into(),
         renew: 100 * MILLISECOND,
         suspect_level: 8.0,
@@ -192,7 +192,7 @@
         );
         let operator = ether.host("operator");
         let callers = (1..=STEWARDS)
-            .map(|n| Caller::new(operator.clone(), at(&format!("steward-{n}")), "museums"));
+            .map(|n| RpcClient::new(operator.clone(), at(&format!("steward-{n}")), "museums"));
         let detect_ns = 8_000_000_000;
         let members = (1..=size.invokers)
             .map(|n| format!("invoker-{n}"))
@@ -335,12 +335,19 @@
                 }
             });
             let ended = stoppable(held, part).await;
-            let code = if ended == Ended::Drained { 0 } else { 2 };
+            let code = if ended == MembershipEnd::Drained {
+                0
+            } else {
+                2
+            };
             this.note_end(&ended_name, Some(code), false);
             let again = this.clone();
             tokio::task::spawn_local(async move {
                 tokio::time::sleep(Duration::from_micros(again.size.restart * 100)).await;
-                if ended == Ended::Drained && !again.over.get() && !again.is_running(&ended_name) {
+                if ended == MembershipEnd::Drained
+                    && !again.over.get()
+                    && !again.is_running(&ended_name)
+                {
                     again.member(id);
                 }
             });
@@ -372,7 +379,7 @@
         let network = self.ether.host(name);
         let stewards = (1..=STEWARDS).map(|n| at(&format!("steward-{n}")));
         let stewards = stewards
-            .map(|at| Caller::new(network.clone(), at, "museums"))
+            .map(|at| RpcClient::new(network.clone(), at, "museums"))
             .collect();
         let (lines, clock, resource) = (self.lines.clone(), self.clock, name.to_owned());
         let tells = Box::new(move |accepted: &Accepted| {
@@ -444,8 +451,8 @@
     pub fn hasty_member(self: &Rc<Self>, id: MemberId) {
         let (name, incarnation) = (id.to_string(), self.next_life());
         let network = self.ether.host(&name);
-        let callers: Vec<Caller> = (1..=STEWARDS)
-            .map(|n| Caller::new(network.clone(), at(&format!("steward-{n}")), "museums"))
+        let callers: Vec<RpcClient> = (1..=STEWARDS)
+            .map(|n| RpcClient::new(network.clone(), at(&format!("steward-{n}")), "museums"))
             .collect();
         let about = about(id, incarnation);
         let (lines, clock, hold, told) = (
@@ -464,9 +471,9 @@
             ];
             for change in changes {
                 while callers[0]
-                    .call::<Changed>(
+                    .call::<ChangeReply>(
                         "change",
-                        &Changes {
+                        &ChangeRequest {
                             change: change.clone(),
                         },
                         SECOND,
@@ -477,7 +484,7 @@
             }
             loop {
                 let (every_tenths, busy, last_copies) = (1_000, 0.0, 0);
-                let said = Renew {
+                let said = Heartbeat {
                     member: id,
                     incarnation,
                     every_tenths,
@@ -486,11 +493,13 @@
                 };
                 // Most stewards have to hear it, or it is lost.
                 for other in &callers[1..] {
-                    let _ = other.call::<Standing>("renew", &said, SECOND).await;
+                    let _ = other.call::<HeartbeatReply>("renew", &said, SECOND).await;
                 }
-                let standing = callers[0].call::<Standing>("renew", &said, SECOND).await;
+                let standing = callers[0]
+                    .call::<HeartbeatReply>("renew", &said, SECOND)
+                    .await;
                 tokio::time::sleep(Duration::from_millis(100)).await;
-                if let Ok(Standing {
+                if let Ok(HeartbeatReply {
                     phase: Some(Phase::Granted { grant }),
                     ..
                 }) = standing
@@ -589,15 +598,18 @@
         first: usize,
         what: &str,
         change: Change,
-    ) -> Result<Changed, String> {
+    ) -> Result<ChangeReply, String> {
         let sent_ns = ns(self.clock.now());
         let mut last = String::new();
         for n in 0..self.callers.len() {
             let caller = &self.callers[(first + n) % self.callers.len()];
-            let asked = Changes {
+            let asked = ChangeRequest {
                 change: change.clone(),
             };
-            match caller.call::<Changed>("change", &asked, 4 * SECOND).await {
+            match caller
+                .call::<ChangeReply>("change", &asked, 4 * SECOND)
+                .await
+            {
                 Ok(done) => {
                     let (at_ns, answer) = (ns(self.clock.now()), String::new());
                     let what = what.to_owned();
--- a/crates/coordinator/tests/coordinator_fixtures.rs
+++ b/crates/coordinator/tests/coordinator_fixtures.rs
@@ -10,13 +10,14 @@
 use fixtures::{FixtureLines, scratch_folder, stored_copy};
 use lines::{RawLine, call_line, memory, read_call, result_line, scripted_server, without_prose};
 use redb::{Database, ReadableDatabase, TableDefinition};
-use saltdrum_coordinator::caller::{Caller, Fault};
 use saltdrum_coordinator::disk::{Disk, Identity, SCHEMA};
+use saltdrum_coordinator::rpc_client::{CallError, RpcClient};
 use saltdrum_coordinator::wire::{
-    Accept, Changed, Changes, DryRun, NO_VOTE, Opinions, Prepare, REFUSED, Recover, Renew, SPEAKS,
-    STRANGER, Said, Standing, UNSETTLED, VOTES_SPEAK, Vote,
+    Accept, ChangeReply, ChangeRequest, DryRun, Envelope, Heartbeat, HeartbeatReply, NOT_VOTING,
+    OUTCOME_UNKNOWN, Opinions, PROTOCOL_VERSION, Prepare, REFUSED, Recover, VOTE_PROTOCOL_VERSION,
+    Vote, WRONG_FLEET_OR_VERSION,
 };
-use saltdrum_coordinator::{CoordinatorConfig, FleetTerms, HeldLease, server, service};
+use saltdrum_coordinator::{CoordinatorConfig, FleetConfig, HeldLease, server, service};
 use saltdrum_deployment::script;
 use saltdrum_fleet::change::Change;
 use saltdrum_fleet::drain_scheduler::Batch;
@@ -57,10 +58,10 @@
     method: &str,
     what: &impl Serialize,
     answer: &str,
-) -> (String, Result<A, Fault>) {
+) -> (String, Result<A, CallError>) {
     let (network, at) = (network(), memory("steward-2"));
     let server = scripted_server(&network, &at, vec![answer.to_owned()]).await;
-    let answered = Caller::new(network, at, FLEET)
+    let answered = RpcClient::new(network, at, FLEET)
         .call(method, what, PATIENCE)
         .await;
     (server.await.unwrap().remove(0), answered)
@@ -74,7 +75,7 @@
     let (sent, _) = call::<serde_json::Value>(method, &what, &result_line(1, &json!({}))).await;
     let stored = read_call(&fixtures.check_text(name, &sent));
     assert_eq!(stored.method, method);
-    let read: T = server::said(&stored, FLEET).unwrap();
+    let read: T = server::read_params(&stored, FLEET).unwrap();
     assert_eq!(
         format!("{read:?}"),
         format!("{what:?}"),
@@ -100,9 +101,9 @@
     );
 }
 
-fn renew() -> Renew {
+fn renew() -> Heartbeat {
     let member = MemberId::invoker(9);
-    Renew {
+    Heartbeat {
         member,
         incarnation: 109,
         every_tenths: 5_000,
@@ -161,7 +162,13 @@
         .await;
         check_call(all, "renew", "renew", renew()).await;
         for (name, change) in samples::every_change() {
-            check_call(all, &format!("change-{name}"), "change", Changes { change }).await;
+            check_call(
+                all,
+                &format!("change-{name}"),
+                "change",
+                ChangeRequest { change },
+            )
+            .await;
         }
         check_call(all, "status", "status", json!({})).await;
         let members = vec![MemberId::invoker(9), MemberId::controller(2)];
@@ -212,7 +219,7 @@
     ]
 }
 
-fn standing(phase: Phase) -> Standing {
+fn standing(phase: Phase) -> HeartbeatReply {
     let lease = HeldLease {
         lease: "counting".into(),
         task: "count".into(),
@@ -220,7 +227,7 @@
         resources: BTreeSet::from(["journal-1".into(), "journal-2".into()]),
     };
     let (incarnation, phase) = (Some(109), Some(phase));
-    Standing {
+    HeartbeatReply {
         revision: 37,
         incarnation,
         phase,
@@ -250,7 +257,7 @@
             check_answer(all, &name, standing(member.phase)).await;
         }
         let (incarnation, phase, leases) = Default::default();
-        let stranger = Standing {
+        let stranger = HeartbeatReply {
             revision: 0,
             incarnation,
             phase,
@@ -261,7 +268,7 @@
         check_answer(
             all,
             "changed",
-            Changed {
+            ChangeReply {
                 revision: 38,
                 changed: true,
             },
@@ -270,7 +277,7 @@
         check_answer(
             all,
             "changed-before",
-            Changed {
+            ChangeReply {
                 revision: 38,
                 changed: false,
             },
@@ -286,8 +293,8 @@
         ];
         check_answer(all, "dry-run", batches).await;
         let refusal = r#"{"jsonrpc":"2.0","id":1,"error":{"code":-32020,"message":"halted"}}"#;
-        match call::<Changed>("change", &json!({}), refusal).await.1 {
-            Err(Fault::Told {
+        match call::<ChangeReply>("change", &json!({}), refusal).await.1 {
+            Err(CallError::Told {
                 code: REFUSED,
                 message,
             }) => assert_eq!(message, "halted"),
@@ -302,11 +309,11 @@
     let mut fixtures = FixtureLines::open("codes.txt");
     let codes = [
         ("refused", REFUSED),
-        ("stranger", STRANGER),
-        ("unsettled", UNSETTLED),
-        ("no-vote", NO_VOTE),
-        ("version", SPEAKS.into()),
-        ("version-of-votes", VOTES_SPEAK.into()),
+        ("stranger", WRONG_FLEET_OR_VERSION),
+        ("unsettled", OUTCOME_UNKNOWN),
+        ("no-vote", NOT_VOTING),
+        ("version", PROTOCOL_VERSION.into()),
+        ("version-of-votes", VOTE_PROTOCOL_VERSION.into()),
     ];
     for (name, code) in codes {
         fixtures.check_text(name, &code.to_string());
@@ -317,8 +324,8 @@
 #[test]
 fn a_renewal_from_before_later_fields_is_still_read() {
     let written = r#"{"member":"invoker-9","incarnation":109,"every_tenths":5000}"#;
-    let read: Renew = serde_json::from_str(written).unwrap();
-    let expected = Renew {
+    let read: Heartbeat = serde_json::from_str(written).unwrap();
+    let expected = Heartbeat {
         busy: 0.0,
         last_copies: 0,
         ..renew()
@@ -326,8 +333,8 @@
     assert_eq!(format!("{read:?}"), format!("{expected:?}"));
 }
 
-fn terms() -> FleetTerms {
-    FleetTerms {
+fn terms() -> FleetConfig {
+    FleetConfig {
         name: FLEET.into(),
         renew: 1_000,
         suspect_level: 8.0,
@@ -400,7 +407,7 @@
     }
 
     async fn change(&mut self, name: &str, change: Change) -> String {
-        self.call(name, "change", Changes { change }).await
+        self.call(name, "change", ChangeRequest { change }).await
     }
 }
 
@@ -586,11 +593,11 @@
 async fn check_refused_calls(talk: &mut Conversation) {
     talk.call("unknown-method", "dance", json!({})).await;
     let strangers = [
-        ("other-fleet", "theatres", SPEAKS),
-        ("other-version", FLEET, SPEAKS + 1),
+        ("other-fleet", "theatres", PROTOCOL_VERSION),
+        ("other-version", FLEET, PROTOCOL_VERSION + 1),
     ];
     for (name, fleet, speaks) in strangers {
-        let said = Said {
+        let said = Envelope {
             fleet: fleet.into(),
             speaks,
             what: json!({}),
@@ -609,7 +616,7 @@
 #[test]
 fn a_script_of_an_earlier_build_states_the_same_fleet() {
     let mut statements = script::run("fleet.star", include_str!("fixtures/fleet.star")).unwrap();
-    let stated = FleetTerms::take(&mut statements).unwrap().unwrap();
+    let stated = FleetConfig::take(&mut statements).unwrap().unwrap();
     assert!(statements.is_empty());
     let bound_of_kind = Bound {
         kind: Some(MemberKind::Controller),
@@ -629,7 +636,7 @@
         eligible: MemberKind::Controller,
         resources: BTreeSet::from(["journal-3".into()]),
     };
-    let expected = FleetTerms {
+    let expected = FleetConfig {
         name: FLEET.into(),
         renew: 5_000,
         suspect_level: 7.5,
@@ -649,8 +656,8 @@
 #[test]
 fn a_script_that_states_only_a_name_means_the_same_fleet() {
     let mut statements = script::run("fleet.star", r#"fleet("museums")"#).unwrap();
-    let stated = FleetTerms::take(&mut statements).unwrap().unwrap();
-    let expected = FleetTerms {
+    let stated = FleetConfig::take(&mut statements).unwrap().unwrap();
+    let expected = FleetConfig {
         renew: 5_000,
         grant_for: 100_000,
         drain_for: 3_000_000,
--- a/crates/coordinator/tests/fixture_support/lines.rs
+++ b/crates/coordinator/tests/fixture_support/lines.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code, reason = "each package uses a part of it")]
 
-use saltdrum_coordinator::wire::{Said, version_of};
+use saltdrum_coordinator::wire::{Envelope, version_of};
 use saltdrum_protocol::rpc::{self, Call, Line};
 use saltdrum_transport::{Address, Network, Stream};
 use serde::Serialize;
@@ -75,7 +75,7 @@
 
 /// A call as the stewards' messages are sent, with the fleet and the version of the messages.
 pub fn call_line(id: u64, fleet: &str, method: &str, what: &impl Serialize) -> String {
-    let said = Said {
+    let said = Envelope {
         fleet: fleet.to_owned(),
         speaks: version_of(method),
         what,
--- a/crates/faulty-peers/src/leases.rs
+++ b/crates/faulty-peers/src/leases.rs
@@ -3,9 +3,9 @@
 
 use redb::{Database, ReadableDatabase, TableDefinition};
 use saltdrum::interface::{MILLISECOND, SECOND, Ticks};
-use saltdrum_coordinator::caller::Caller;
-use saltdrum_coordinator::server::{Answers, Refused, said};
-use saltdrum_coordinator::wire::{NO_VOTE, Renew, Standing};
+use saltdrum_coordinator::rpc_client::RpcClient;
+use saltdrum_coordinator::server::{CallHandler, Refused, read_params};
+use saltdrum_coordinator::wire::{Heartbeat, HeartbeatReply, NOT_VOTING};
 use saltdrum_coordinator::{HeldLease, LeaseWatch};
 use saltdrum_fleet::fence::Token;
 use saltdrum_fleet::state::{Fleet, Lease, LeaseName};
@@ -95,12 +95,12 @@
     }
 }
 
-impl Answers for FaultyJournal {
+impl CallHandler for FaultyJournal {
     async fn answer(self: &Rc<Self>, call: &Call) -> Result<String, Refused> {
         let refused = |why: &str| Err((REJECTED, why.to_owned()));
         match call.method.as_str() {
             "seal" => {
-                let asked: Seal = said(call, &self.fleet)?;
+                let asked: Seal = read_params(call, &self.fleet)?;
                 if asked.epoch < self.sealed.get() {
                     return refused("sealed to a later epoch");
                 }
@@ -109,7 +109,7 @@
                 Ok(json!(Sealed { incarnation: 1 }).to_string())
             }
             "append" => {
-                let effect: Effect<Append> = said(call, &self.fleet)?;
+                let effect: Effect<Append> = read_params(call, &self.fleet)?;
                 let drops = self.fault == JournalFault::DropsTheEpoch;
                 if !drops && effect.token.epoch < self.sealed.get() {
                     return refused("sealed to a later epoch");
@@ -138,7 +138,7 @@
     task: &str,
     clock: Clock,
     watch: Rc<LeaseWatch>,
-    resources: BTreeMap<String, Caller>,
+    resources: BTreeMap<String, RpcClient>,
 ) {
     let sealed: RefCell<BTreeMap<(String, u64), u64>> = RefCell::default();
     loop {
@@ -187,7 +187,7 @@
 pub struct FaultySteward {
     pub fleet: String,
     /// An honest one, of which it takes all that is not its own opinion.
-    pub honest: Caller,
+    pub honest: RpcClient,
 }
 
 #[derive(Deserialize)]
@@ -196,7 +196,7 @@
 }
 
 impl FaultySteward {
-    async fn standing(&self, said: &Renew) -> Option<Standing> {
+    async fn standing(&self, said: &Heartbeat) -> Option<HeartbeatReply> {
         let status: Status = self.honest.call("status", json!({}), PATIENCE).await.ok()?;
         let fleet = status.fleet?;
         let member = fleet.members.get(&said.member);
@@ -206,7 +206,7 @@
             epoch: of.epoch,
             resources: of.terms.resources.clone(),
         };
-        Some(Standing {
+        Some(HeartbeatReply {
             revision: fleet.revision,
             incarnation: member.map(|m| m.about.incarnation),
             phase: member.map(|m| m.phase.clone()),
@@ -216,14 +216,14 @@
     }
 }
 
-impl Answers for FaultySteward {
+impl CallHandler for FaultySteward {
     async fn answer(self: &Rc<Self>, call: &Call) -> Result<String, Refused> {
         if call.method != "renew" {
-            return Err((NO_VOTE, "it does not vote".to_owned()));
+            return Err((NOT_VOTING, "it does not vote".to_owned()));
         }
-        let standing = self.standing(&said(call, &self.fleet)?).await;
+        let standing = self.standing(&read_params(call, &self.fleet)?).await;
         standing
             .map(|told| json!(told).to_string())
-            .ok_or((NO_VOTE, "nothing is known yet".to_owned()))
+            .ok_or((NOT_VOTING, "nothing is known yet".to_owned()))
     }
 }
--- a/crates/leases/src/guard.rs
+++ b/crates/leases/src/guard.rs
@@ -3,9 +3,9 @@
 
 use crate::messages::{REJECTED, UNCONFIRMED, UNWRITABLE, rejection_text};
 use saltdrum::interface::{SECOND, Ticks};
-use saltdrum_coordinator::caller::{Caller, Fault};
+use saltdrum_coordinator::rpc_client::{CallError, RpcClient};
 use saltdrum_coordinator::server::Refused;
-use saltdrum_coordinator::wire::{Changed, Changes, REFUSED};
+use saltdrum_coordinator::wire::{ChangeReply, ChangeRequest, REFUSED};
 use saltdrum_fleet::change::Change;
 use saltdrum_fleet::fence::{Fence, Rejection, SealStep, Token};
 use saltdrum_fleet::state::{Epoch, LeaseName};
@@ -49,12 +49,12 @@
 pub struct Guard {
     incarnation: u64,
     fences: RefCell<BTreeMap<LeaseName, Fence>>,
-    stewards: Vec<Caller>,
+    stewards: Vec<RpcClient>,
 }
 
 impl Guard {
     /// Of a resource that has just started; `incarnation` was never used before.
-    pub fn started(incarnation: u64, stewards: Vec<Caller>) -> Self {
+    pub fn started(incarnation: u64, stewards: Vec<RpcClient>) -> Self {
         Self {
             incarnation,
             fences: RefCell::default(),
@@ -136,11 +136,11 @@
                 epoch,
             };
             match steward
-                .call::<Changed>("change", &Changes { change }, PATIENCE)
+                .call::<ChangeReply>("change", &ChangeRequest { change }, PATIENCE)
                 .await
             {
                 Ok(_) => return Ok(()),
-                Err(Fault::Told {
+                Err(CallError::Told {
                     code: REFUSED,
                     message,
                 }) => {
--- a/crates/leases/src/holder.rs
+++ b/crates/leases/src/holder.rs
@@ -2,7 +2,7 @@
 
 use crate::messages::{Effect, REJECTED, Seal, Sealed};
 use saltdrum::interface::{MILLISECOND, SECOND, Ticks};
-use saltdrum_coordinator::caller::{Caller, Fault};
+use saltdrum_coordinator::rpc_client::{CallError, RpcClient};
 use saltdrum_coordinator::{HeldLease, LeaseWatch};
 use saltdrum_fleet::fence::{HolderFence, Rejection};
 use saltdrum_fleet::state::{Epoch, LeaseName, ResourceName};
@@ -52,7 +52,7 @@
     pub clock: Clock,
     pub watch: Rc<LeaseWatch>,
     /// How each resource is reached.
-    pub resources: BTreeMap<ResourceName, Caller>,
+    pub resources: BTreeMap<ResourceName, RpcClient>,
     /// No new effect begins while no steward was heard for so long. A courtesy: safety does not rest on it.
     pub quiet_after: Ticks,
 }
@@ -186,17 +186,17 @@
         Ok(())
     }
 
-    fn caller(&self, resource: &str) -> Result<&Caller, EffectFault> {
+    fn caller(&self, resource: &str) -> Result<&RpcClient, EffectFault> {
         self.holder
             .resources
             .get(resource)
             .ok_or_else(|| EffectFault::Unknown(resource.to_owned()))
     }
 
-    fn failed(&self, resource: &str, fault: Fault) -> EffectFault {
+    fn failed(&self, resource: &str, fault: CallError) -> EffectFault {
         let resource = resource.to_owned();
         let rejection = match &fault {
-            Fault::Told {
+            CallError::Told {
                 code: REJECTED,
                 message,
             } => serde_json::from_str(message).ok(),
--- a/crates/leases/src/journal.rs
+++ b/crates/leases/src/journal.rs
@@ -4,8 +4,8 @@
 use crate::guard::{Guard, SealStore};
 use crate::messages::{Effect, REJECTED, Seal, Sealed, UNWRITABLE, rejection_text};
 use redb::{Database, ReadableDatabase, ReadableTable, ReadableTableMetadata, TableDefinition};
-use saltdrum_coordinator::caller::Caller;
-use saltdrum_coordinator::server::{Answers, Refused, said};
+use saltdrum_coordinator::rpc_client::RpcClient;
+use saltdrum_coordinator::server::{CallHandler, Refused, read_params};
 use saltdrum_durable::{DiskFailure, database};
 use saltdrum_fleet::fence::Token;
 use saltdrum_fleet::state::{Epoch, LeaseName};
@@ -167,7 +167,7 @@
     pub fn new(
         fleet: &str,
         incarnation: u64,
-        stewards: Vec<Caller>,
+        stewards: Vec<RpcClient>,
         disk: JournalDisk,
         tells: Tells,
     ) -> Rc<Self> {
@@ -200,18 +200,18 @@
     }
 }
 
-impl Answers for Journal {
+impl CallHandler for Journal {
     async fn answer(self: &Rc<Self>, call: &Call) -> Result<String, Refused> {
         let told = |what: serde_json::Value| Ok(what.to_string());
         match call.method.as_str() {
             "seal" => {
-                let asked: Seal = said(call, &self.fleet)?;
+                let asked: Seal = read_params(call, &self.fleet)?;
                 let sealed = self.guard.seal(&self.disk, &asked.lease, asked.epoch).await;
                 let incarnation = sealed.map_err(|fault| fault.refused())?;
                 told(json!(Sealed { incarnation }))
             }
             "append" => {
-                let effect: Effect<Append> = said(call, &self.fleet)?;
+                let effect: Effect<Append> = read_params(call, &self.fleet)?;
                 told(json!(self.append(&effect)?))
             }
             "status" => {
--- a/crates/leases/tests/leases_fixtures.rs
+++ b/crates/leases/tests/leases_fixtures.rs
@@ -8,9 +8,9 @@
 use fixtures::{FixtureLines, scratch_folder, stored_copy};
 use lines::{call_line, memory, read_call, result_line, run, scripted_server};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
-use saltdrum_coordinator::caller::Caller;
-use saltdrum_coordinator::server::Answers;
-use saltdrum_coordinator::wire::Changed;
+use saltdrum_coordinator::rpc_client::RpcClient;
+use saltdrum_coordinator::server::CallHandler;
+use saltdrum_coordinator::wire::ChangeReply;
 use saltdrum_fleet::fence::{Rejection, Token};
 use saltdrum_fleet::state::LeaseName;
 use saltdrum_leases::SealStore;
@@ -143,7 +143,7 @@
     let changed = |id| {
         result_line(
             id,
-            &Changed {
+            &ChangeReply {
                 revision: 38,
                 changed: false,
             },
@@ -152,7 +152,7 @@
     let refused = r#"{"jsonrpc":"2.0","id":2,"error":{"code":-32020,"message":"another epoch"}}"#;
     let answers = vec![changed(1), refused.to_owned(), changed(3)];
     let confirming = scripted_server(&network, &steward, answers).await;
-    let stewards = vec![Caller::new(network, steward, FLEET)];
+    let stewards = vec![RpcClient::new(network, steward, FLEET)];
     let disk = JournalDisk::open_file(database).unwrap();
     let journal = Journal::new(FLEET, INCARNATION, stewards, disk, Box::new(|_| ()));
     let mut talk = Conversation {
--- a/crates/registry/src/collection.rs
+++ b/crates/registry/src/collection.rs
@@ -1,8 +1,8 @@
 //! The registry as a resource of the fleet's lease of its collection: sealed to one epoch, and collected by its holder alone.
 
 use crate::service::Registry;
-use saltdrum_coordinator::caller::Caller;
-use saltdrum_coordinator::server::{Answers, Refused, said};
+use saltdrum_coordinator::rpc_client::RpcClient;
+use saltdrum_coordinator::server::{CallHandler, Refused, read_params};
 use saltdrum_fleet::state::{Epoch, LeaseName};
 use saltdrum_leases::messages::{Effect, REJECTED, Seal, Sealed, UNWRITABLE, rejection_text};
 use saltdrum_leases::{Guard, SealStore};
@@ -44,7 +44,7 @@
     pub fn new(
         fleet: &str,
         incarnation: u64,
-        stewards: Vec<Caller>,
+        stewards: Vec<RpcClient>,
         registry: Rc<Registry>,
     ) -> Rc<Self> {
         registry.is_collected_by_fleet();
@@ -97,16 +97,16 @@
     }
 }
 
-impl Answers for CollectionResource {
+impl CallHandler for CollectionResource {
     async fn answer(self: &Rc<Self>, call: &Call) -> Result<String, Refused> {
         match call.method.as_str() {
             "seal" => {
-                let asked: Seal = said(call, &self.fleet)?;
+                let asked: Seal = read_params(call, &self.fleet)?;
                 let sealed = self.guard.seal(&**self, &asked.lease, asked.epoch).await;
                 let incarnation = sealed.map_err(|fault| fault.refused())?;
                 Ok(json!(Sealed { incarnation }).to_string())
             }
-            "collect" => self.collect(&said(call, &self.fleet)?),
+            "collect" => self.collect(&read_params(call, &self.fleet)?),
             "status" => Ok(json!({"sealed": self.guard.sealed()}).to_string()),
             other => Err((
                 rpc::METHOD_NOT_FOUND,
--- a/crates/registry/tests/registry_fixtures.rs
+++ b/crates/registry/tests/registry_fixtures.rs
@@ -15,9 +15,9 @@
     without_prose,
 };
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
-use saltdrum_coordinator::caller::Caller as StewardCaller;
-use saltdrum_coordinator::server::Answers;
-use saltdrum_coordinator::wire::Changed;
+use saltdrum_coordinator::rpc_client::RpcClient as StewardCaller;
+use saltdrum_coordinator::server::CallHandler;
+use saltdrum_coordinator::wire::ChangeReply;
 use saltdrum_fleet::fence::Token;
 use saltdrum_layers::Digest;
 use saltdrum_leases::messages::{Effect, REJECTED, Seal};
@@ -555,7 +555,7 @@
         let steward = memory("steward-1");
         let changed = result_line(
             1,
-            &Changed {
+            &ChangeReply {
                 revision: 38,
                 changed: false,
             },
--- a/crates/scale/src/members.rs
+++ b/crates/scale/src/members.rs
@@ -5,10 +5,10 @@
 use redb::StorageBackend;
 use redb::backends::InMemoryBackend;
 use saltdrum::interface::{MILLISECOND, SECOND, Ticks};
-use saltdrum_coordinator::caller::Caller;
 use saltdrum_coordinator::disk::{Disk, Identity, SCHEMA};
-use saltdrum_coordinator::wire::{Changed, Changes};
-use saltdrum_coordinator::{CoordinatorConfig, FleetTerms, MemberRole, Membership, join, service};
+use saltdrum_coordinator::rpc_client::RpcClient;
+use saltdrum_coordinator::wire::{ChangeReply, ChangeRequest};
+use saltdrum_coordinator::{CoordinatorConfig, FleetConfig, MemberRole, Membership, join, service};
 use saltdrum_fleet::change::Change;
 use saltdrum_fleet::drain_scheduler::MemberLoad;
 use saltdrum_fleet::register::{Config, Voter};
@@ -224,8 +224,8 @@
     Address::Memory(name.into())
 }
 
-fn terms() -> FleetTerms {
-    FleetTerms {
+fn terms() -> FleetConfig {
+    FleetConfig {
         name: FLEET.into(),
         renew: RENEW,
         suspect_level: 8.0,
@@ -439,12 +439,12 @@
             spent: stewards.clone(),
         });
     }
-    let operator = Caller::new(ether.host("operator"), at("steward-1"), FLEET);
-    let change = |change| Changes { change };
+    let operator = RpcClient::new(ether.host("operator"), at("steward-1"), FLEET);
+    let change = |change| ChangeRequest { change };
     // Something has to be agreed before stewards tell anybody of the fleet.
     let resume = change(Change::Resume { by: "scale".into() });
     while operator
-        .call::<Changed>("change", &resume, 10 * SECOND)
+        .call::<ChangeReply>("change", &resume, 10 * SECOND)
         .await
         .is_err()
     {
@@ -526,10 +526,10 @@
     };
     let begun = clock.now();
     let disk = written.load(Relaxed);
-    let cost = async |asked: Changes| {
+    let cost = async |asked: ChangeRequest| {
         let (before, begun) = (read(), clock.now());
         if let Err(why) = operator
-            .call::<Changed>("change", &asked, 30 * SECOND)
+            .call::<ChangeReply>("change", &asked, 30 * SECOND)
             .await
         {
             tracing::warn!(%why, "a change was not agreed");
--- a/crates/trial/src/script.rs
+++ b/crates/trial/src/script.rs
@@ -1,6 +1,6 @@
 //! A trial as its script states it: a deployment with a fleet, `trial(...)` once, and `step(...)` after `step(...)`.
 
-use saltdrum_coordinator::FleetTerms;
+use saltdrum_coordinator::FleetConfig;
 use saltdrum_deployment::units::Span;
 use saltdrum_deployment::{Fault, Statement, Terms, script};
 use saltdrum_fleet::state::{BoundScope, MemberKind};
@@ -13,7 +13,7 @@
     /// The script's own text, which the processes are given.
     pub text: String,
     pub terms: Terms,
-    pub fleet: FleetTerms,
+    pub fleet: FleetConfig,
     pub stewards: u32,
     pub controllers: u32,
     /// Append-only resources of fleet-wide tasks, on which invokers count.
@@ -184,7 +184,7 @@
             },
             why: why.into(),
         };
-        let fleet = FleetTerms::take(&mut rest)?.ok_or_else(|| at("no fleet(...) is stated"))?;
+        let fleet = FleetConfig::take(&mut rest)?.ok_or_else(|| at("no fleet(...) is stated"))?;
         let mut trials = rest.iter().filter(|s| s.what == "trial");
         let stated = trials.next().ok_or_else(|| at("no trial(...) is stated"))?;
         if let Some(second) = trials.next() {
