--- a/crates/coordinator/src/acceptor_store.rs
+++ b/crates/coordinator/src/acceptor_store.rs
@@ -109,7 +109,7 @@
         let told = change(&mut next);
         if next.writes != self.acceptor.writes {
             if let Err(fault) = self.disk.keep(&next) {
-                warn!(%fault, "the disk takes nothing: this steward does not vote");
+                warn!(%fault, "disk write failed, voting suspended");
                 return Err((NOT_VOTING, fault.to_string()));
             }
             self.acceptor = next;
@@ -198,7 +198,7 @@
             let writes = adopted.writes;
             self.change(|a| *a = adopted)?;
             self.returning = None;
-            info!(voter = %self.me(), writes, "votes");
+            info!(voter = %self.me(), writes, "voting started");
         }
         Ok(verdict)
     }
--- a/crates/coordinator/src/member.rs
+++ b/crates/coordinator/src/member.rs
@@ -1,5 +1,5 @@
-//! How a controller or an invoker takes part. It renews with every steward that it reaches, and does nothing about a grant
-//! before the fleet has agreed that it begins.
+//! How a controller or an invoker is a member of the fleet. It sends heartbeats to every coordinator that it reaches, and acts
+//! on a grant only once the fleet has agreed that its drain starts.
 
 use crate::lease_watch::LeaseWatch;
 use crate::rpc_client::{CallError, RpcClient};
@@ -17,79 +17,88 @@
 use tokio::sync::Notify;
 use tracing::{debug, info, warn};
 
-/// PendingProposal for one change to be agreed, by one steward.
-const PATIENCE: Ticks = 4 * SECOND;
-/// One that drains and reaches no steward ends all the same after so long; it stays counted.
-const LEAVING: Ticks = 3 * SECOND;
+/// How long one coordinator may take to have a change agreed.
+const CHANGE_TIMEOUT: Ticks = 4 * SECOND;
+/// A drained member that reaches no coordinator ends after this all the same; it stays counted as out.
+const LEAVE_TIMEOUT: Ticks = 3 * SECOND;
 
-/// What the process does itself.
+/// What the process itself does as a member.
 pub trait MemberRole {
     /// It serves as it should.
     fn is_proven(&self) -> bool;
+    /// Its load, for the order of drains.
     fn seen(&self) -> MemberLoad;
-    /// Begins to drain: nothing new, all that was taken is ended. Called once for a drain.
+    /// Starts to drain: takes no new work and ends what it has. Called once for a drain.
     fn drain(&self);
+    /// It has no work left.
     fn is_drained(&self) -> bool;
-    /// Goes back to serving, if it still can. True: it does.
+    /// Goes back to serving, if it still can. Returns whether it does.
     fn turn_back(&self) -> bool;
     /// For the record: what happened, and the grant that it belongs to.
     fn told(&self, what: &'static str, grant: u64);
 }
 
-/// Who joins which fleet, and how it reaches its stewards.
+/// Who joins which fleet, and how it reaches the coordinators.
 pub struct Membership {
+    /// The fleet's name.
     pub fleet: String,
+    /// The member.
     pub member: MemberId,
+    /// What it says of itself.
     pub about: MemberInfo,
+    /// Where the coordinators listen.
     pub stewards: Vec<Address>,
+    /// Interval between heartbeats.
     pub renew: Ticks,
-    /// Hears of the leases that it holds.
+    /// Is told of the leases that it holds.
     pub leases: Rc<LeaseWatch>,
 }
 
-/// How its part ended.
+/// How a membership ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipEnd {
     /// It drained.
     Drained,
-    /// Another life has taken its place while it was away.
+    /// Another incarnation has taken its place.
     Replaced,
 }
 
+/// One membership while it lasts.
 struct MembershipTask {
-    with: Membership,
+    membership: Membership,
     clock: Clock,
-    callers: Vec<RpcClient>,
-    /// The latest that any steward said.
-    standing: RefCell<Option<HeartbeatReply>>,
-    news: Notify,
-    /// The steward that answered last.
-    good: Cell<usize>,
-    /// Revision of the last change that it had agreed: what stewards say of before tells nothing.
-    agreed: Cell<u64>,
+    coordinators: Vec<RpcClient>,
+    /// The reply with the highest revision.
+    latest_reply: RefCell<Option<HeartbeatReply>>,
+    reply_changed: Notify,
+    /// Index of the coordinator that had the last change agreed.
+    preferred: Cell<usize>,
+    /// Revision of the last change that it had agreed: replies of an earlier one are out of date.
+    agreed_revision: Cell<u64>,
 }
 
 impl MembershipTask {
-    async fn renewing(&self, n: usize, part: &dyn MemberRole) {
+    /// Sends heartbeats to one coordinator for as long as it is polled.
+    async fn send_heartbeats(&self, index: usize, role: &dyn MemberRole) {
         loop {
-            let seen = part.seen();
+            let seen = role.seen();
             let said = Heartbeat {
-                member: self.with.member,
-                incarnation: self.with.about.incarnation,
-                every_tenths: self.with.renew,
+                member: self.membership.member,
+                incarnation: self.membership.about.incarnation,
+                every_tenths: self.membership.renew,
                 busy: seen.busy,
                 last_copies: seen.last_copies,
             };
-            let patience = (2 * self.with.renew).max(SECOND);
-            match self.callers[n]
-                .call::<HeartbeatReply>("renew", &said, patience)
+            let timeout = (2 * self.membership.renew).max(SECOND);
+            match self.coordinators[index]
+                .call::<HeartbeatReply>("renew", &said, timeout)
                 .await
             {
                 Ok(told) => {
-                    self.with
+                    self.membership
                         .leases
                         .heard(self.clock.now(), told.revision, &told.leases);
-                    let mut standing = self.standing.borrow_mut();
+                    let mut standing = self.latest_reply.borrow_mut();
                     if standing
                         .as_ref()
                         .is_none_or(|s| told.revision >= s.revision)
@@ -97,76 +106,78 @@
                         let news = standing.as_ref() != Some(&told);
                         *standing = Some(told);
                         if news {
-                            self.news.notify_one();
+                            self.reply_changed.notify_one();
                         }
                     }
                 }
-                Err(why) => debug!(%why, "no sign of life got through"),
+                Err(why) => debug!(%why, "heartbeat failed"),
             }
             self.clock
-                .sleep_until(self.clock.now() + self.with.renew)
+                .sleep_until(self.clock.now() + self.membership.renew)
                 .await;
         }
     }
 
-    /// Has a change agreed, by whichever steward answers. None: whether it was done is not known.
+    /// Has a change agreed by whichever coordinator answers. The error is the text of a refusal; none: the outcome is unknown.
     async fn change(&self, change: Change) -> Option<Result<ChangeReply, String>> {
-        let first = self.good.get();
-        for n in 0..self.callers.len() {
-            let at = (first + n) % self.callers.len();
+        let first = self.preferred.get();
+        for offset in 0..self.coordinators.len() {
+            let at = (first + offset) % self.coordinators.len();
             let asked = ChangeRequest {
                 change: change.clone(),
             };
-            match self.callers[at]
-                .call::<ChangeReply>("change", &asked, PATIENCE)
+            match self.coordinators[at]
+                .call::<ChangeReply>("change", &asked, CHANGE_TIMEOUT)
                 .await
             {
                 Ok(done) => {
-                    self.good.set(at);
-                    self.agreed.set(self.agreed.get().max(done.revision));
+                    self.preferred.set(at);
+                    self.agreed_revision
+                        .set(self.agreed_revision.get().max(done.revision));
                     return Some(Ok(done));
                 }
                 Err(CallError::Told { code, message }) if code == REFUSED => {
                     return Some(Err(message));
                 }
                 Err(CallError::Told { code, message }) if code == WRONG_FLEET_OR_VERSION => {
-                    warn!(message, "not a steward of this fleet");
+                    warn!(message, "peer is not a coordinator of this fleet");
                 }
                 Err(CallError::Told {
                     code: NOT_VOTING, ..
                 }) => {}
-                Err(why) => debug!(%why, "a change was not settled"),
+                Err(why) => debug!(%why, "outcome of a change is unknown"),
             }
         }
         None
     }
 
     fn phase(&self) -> Option<(u64, Phase)> {
-        let standing = self.standing.borrow();
+        let standing = self.latest_reply.borrow();
         let s = standing.as_ref()?;
         Some((s.incarnation?, s.phase.clone()?))
     }
 
-    async fn steps(&self, part: &dyn MemberRole) -> MembershipEnd {
-        let (member, incarnation) = (self.with.member, self.with.about.incarnation);
+    /// Follows the phases of the member until its membership ends.
+    async fn run(&self, role: &dyn MemberRole) -> MembershipEnd {
+        let (member, incarnation) = (self.membership.member, self.membership.about.incarnation);
         let (mut draining, mut serving) = (None, false);
         loop {
-            let wait = self.clock.now() + self.with.renew.min(100 * MILLISECOND);
+            let wait = self.clock.now() + self.membership.renew.min(100 * MILLISECOND);
             tokio::select! {
                 biased;
-                () = self.news.notified() => {}
+                () = self.reply_changed.notified() => {}
                 () = self.clock.sleep_until(wait) => {}
             }
             let standing = self
-                .standing
+                .latest_reply
                 .borrow()
                 .clone()
-                .filter(|s| s.revision >= self.agreed.get());
+                .filter(|s| s.revision >= self.agreed_revision.get());
             if let Some(grant) = draining {
-                if part.is_drained() {
-                    return self.leave(part, grant).await;
+                if role.is_drained() {
+                    return self.leave(role, grant).await;
                 }
-                if standing.is_some_and(|s| s.turn_back) && part.turn_back() {
+                if standing.is_some_and(|s| s.turn_back) && role.turn_back() {
                     // It serves again at once, and counts as out until this is agreed and it is proven.
                     let told = self
                         .change(Change::TurnedBack {
@@ -177,7 +188,7 @@
                         .await;
                     if matches!(told, Some(Ok(_))) {
                         serving = false;
-                        part.told("turned-back", grant);
+                        role.told("turned-back", grant);
                         draining = None;
                     }
                 }
@@ -186,10 +197,10 @@
             let Some(standing) = standing else { continue };
             match (standing.incarnation, standing.phase) {
                 (Some(known), Some(phase)) if known == incarnation => match phase {
-                    Phase::Starting { .. } if part.is_proven() => {
-                        // It serves from here on, whenever the fleet has agreed on that and it hears so.
+                    Phase::Starting { .. } if role.is_proven() => {
+                        // It serves from here on, even before the fleet has agreed on that.
                         if !std::mem::replace(&mut serving, true) {
-                            part.told("up", 0);
+                            role.told("up", 0);
                         }
                         self.change(Change::Proven {
                             member,
@@ -208,14 +219,14 @@
                         {
                             Some(Ok(_)) => {
                                 draining = Some(grant);
-                                part.told("began", grant);
-                                part.drain();
+                                role.told("began", grant);
+                                role.drain();
                             }
-                            Some(Err(why)) => info!(grant, why, "does not begin"),
+                            Some(Err(why)) => info!(grant, why, "start of drain refused"),
                             None => {}
                         }
                     }
-                    // It was agreed that it begins, and the answer was lost.
+                    // The start was agreed, and the answer was lost.
                     Phase::Draining { grant } => {
                         if let Some(Ok(_)) = self
                             .change(Change::Begin {
@@ -226,20 +237,20 @@
                             .await
                         {
                             draining = Some(grant);
-                            part.told("began", grant);
-                            part.drain();
+                            role.told("began", grant);
+                            role.drain();
                         }
                     }
                     Phase::Lost { .. } => serving = false,
                     _ => {}
                 },
                 _ => {
-                    let about = self.with.about.clone();
+                    let about = self.membership.about.clone();
                     if let Some(Err(why)) = self.change(Change::Join { member, about }).await {
-                        warn!(%member, why, "can't join");
+                        warn!(%member, why, "join refused");
                         // Part of the protocol: the refusal is recognised by its text.
                         if why.contains(REPLACED_TEXT) {
-                            part.told("replaced", 0);
+                            role.told("replaced", 0);
                             return MembershipEnd::Replaced;
                         }
                     }
@@ -248,10 +259,11 @@
         }
     }
 
-    async fn leave(&self, part: &dyn MemberRole, grant: u64) -> MembershipEnd {
-        let (member, incarnation) = (self.with.member, self.with.about.incarnation);
-        part.told("drained", grant);
-        let until = self.clock.now() + LEAVING;
+    /// Tells the coordinators that it ends, for as long as that may take.
+    async fn leave(&self, role: &dyn MemberRole, grant: u64) -> MembershipEnd {
+        let (member, incarnation) = (self.membership.member, self.membership.about.incarnation);
+        role.told("drained", grant);
+        let until = self.clock.now() + LEAVE_TIMEOUT;
         while self.clock.now() < until {
             let leaving = self.change(Change::Leave {
                 member,
@@ -270,30 +282,30 @@
     }
 }
 
-/// Takes part until it has drained, or its place is another's.
+/// Joins the fleet, and returns when the member has drained or was replaced.
 pub async fn join(
     with: Membership,
     network: Rc<dyn Network>,
     clock: Clock,
-    part: Rc<dyn MemberRole>,
+    role: Rc<dyn MemberRole>,
 ) -> MembershipEnd {
-    let caller = |at: &Address| RpcClient::new(network.clone(), at.clone(), &with.fleet);
-    let callers: Vec<RpcClient> = with.stewards.iter().map(caller).collect();
-    let taking = Rc::new(MembershipTask {
-        with,
+    let client = |at: &Address| RpcClient::new(network.clone(), at.clone(), &with.fleet);
+    let coordinators: Vec<RpcClient> = with.stewards.iter().map(client).collect();
+    let task = Rc::new(MembershipTask {
+        membership: with,
         clock,
-        callers,
-        standing: RefCell::default(),
-        news: Notify::new(),
-        good: Cell::new(0),
-        agreed: Cell::new(0),
+        coordinators,
+        latest_reply: RefCell::default(),
+        reply_changed: Notify::new(),
+        preferred: Cell::new(0),
+        agreed_revision: Cell::new(0),
     });
-    let mut renewing = tokio::task::JoinSet::new();
-    for n in 0..taking.callers.len() {
-        let (taking, part) = (taking.clone(), part.clone());
-        renewing.spawn_local(async move { taking.renewing(n, &*part).await });
+    let mut heartbeats = tokio::task::JoinSet::new();
+    for index in 0..task.coordinators.len() {
+        let (task, role) = (task.clone(), role.clone());
+        heartbeats.spawn_local(async move { task.send_heartbeats(index, &*role).await });
     }
-    let ended = taking.steps(&*part).await;
-    debug!(phase = ?taking.phase(), ?ended, "its part is over");
+    let ended = task.run(&*role).await;
+    debug!(phase = ?task.phase(), ?ended, "membership ended");
     ended
 }
--- a/crates/coordinator/src/monitoring.rs
+++ b/crates/coordinator/src/monitoring.rs
@@ -1,5 +1,6 @@
-//! Hands what is heard to [`MemberMonitor`](saltdrum_fleet::monitor::MemberMonitor), tells the others what it makes of it, and proposes what it says
-//! is owed. The loop itself waits for nobody, so that it knows when it stood still.
+//! Passes heartbeats and reports to [`MemberMonitor`](saltdrum_fleet::monitor::MemberMonitor), reports its levels to other
+//! coordinators and proposes the changes that it finds due. The loop itself waits for nobody, so that it notices when the
+//! process was paused.
 
 use crate::coordinator::Coordinator;
 use crate::lease_watch::held_by;
@@ -13,11 +14,13 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-const LOOK_EVERY: Ticks = 50 * MILLISECOND;
-const TELL_EVERY: Ticks = 150 * MILLISECOND;
+/// Interval between observations.
+const OBSERVE_INTERVAL: Ticks = 50 * MILLISECOND;
+/// Interval between reports to other coordinators.
+const REPORT_INTERVAL: Ticks = 150 * MILLISECOND;
 
 impl Coordinator {
-    /// A member gave a sign of life.
+    /// A member sent a heartbeat; the reply says how this coordinator knows it.
     pub(crate) fn renewed(&self, said: &Heartbeat) -> HeartbeatReply {
         let fleet = self.fleet.borrow().clone();
         let fleet = fleet.as_deref();
@@ -41,6 +44,7 @@
         }
     }
 
+    /// Another coordinator reported its levels of suspicion.
     pub(crate) fn opinions(&self, said: Opinions) {
         self.acceptor_store
             .borrow_mut()
@@ -56,21 +60,24 @@
         );
     }
 
-    pub(crate) async fn look_around(self: Rc<Self>) {
+    /// Observes members and peers, and proposes the changes that are due, for as long as it is polled.
+    pub(crate) async fn observe(self: Rc<Self>) {
         let mut told = 0;
         loop {
-            self.clock.sleep_until(self.clock.now() + LOOK_EVERY).await;
+            self.clock
+                .sleep_until(self.clock.now() + OBSERVE_INTERVAL)
+                .await;
             let now = self.clock.now();
             if let Some(gap) = self.monitor.borrow_mut().turn(now) {
                 warn!(
-                    stood_ms = gap / MILLISECOND,
-                    "this steward stood still: it listens anew"
+                    paused_ms = gap / MILLISECOND,
+                    "process was paused, listening anew"
                 );
             }
             let fleet = self.fleet.borrow().clone();
-            if now >= told + TELL_EVERY {
+            if now >= told + REPORT_INTERVAL {
                 told = now;
-                self.tell_peers(fleet.as_deref());
+                self.report_to_peers(fleet.as_deref());
             }
             if let Some((from, to)) = self.behind.take() {
                 let this = self.clone();
@@ -78,7 +85,7 @@
             }
             let Some(fleet) = fleet else { continue };
             for (member, waited) in self.monitor.borrow_mut().late(now, &fleet) {
-                warn!(%member, waited_ms = waited / MILLISECOND, "a drain is late");
+                warn!(%member, waited_ms = waited / MILLISECOND, "drain is late");
             }
             let leads = self.monitor.borrow().leads(now, &fleet);
             // One thing after another: what was proposed has to be known before what follows from it is.
@@ -86,13 +93,14 @@
                 let owed = self.monitor.borrow_mut().owed(now, &fleet);
                 if !owed.is_empty() {
                     self.proposing.set(true);
-                    tokio::task::spawn_local(self.clone().propose_owed(owed));
+                    tokio::task::spawn_local(self.clone().propose_due(owed));
                 }
             }
         }
     }
 
-    fn tell_peers(self: &Rc<Self>, fleet: Option<&Fleet>) {
+    /// Reports this coordinator's levels to the others.
+    fn report_to_peers(self: &Rc<Self>, fleet: Option<&Fleet>) {
         let acceptor_store = self.acceptor_store.borrow();
         let said = Opinions {
             from: acceptor_store.me(),
@@ -105,7 +113,7 @@
         drop(acceptor_store);
         for steward in self.stewards().into_keys().filter(|s| *s != me) {
             let (this, said) = (self.clone(), said.clone());
-            // One at a time on each line: behind a cut they must not pile up.
+            // One at a time on each connection: they must not pile up behind a network partition.
             if !self.telling.borrow_mut().insert(steward) {
                 continue;
             }
@@ -120,13 +128,14 @@
         }
     }
 
-    async fn propose_owed(self: Rc<Self>, owed: Vec<Change>) {
+    /// Has the changes agreed that are due.
+    async fn propose_due(self: Rc<Self>, owed: Vec<Change>) {
         let mut told = tokio::task::JoinSet::new();
         for change in owed {
             let this = self.clone();
             told.spawn_local(async move {
                 if let Err((_, why)) = this.change(change.clone()).await {
-                    info!(?change, why, "not agreed");
+                    info!(?change, why, "change not agreed");
                 }
             });
         }
@@ -182,9 +191,11 @@
                 Verdict::Vote => return Ok(()),
                 Verdict::OldDisk { mine, heard } if !told => {
                     told = true;
-                    let what =
-                        "an old copy of a disk: it does not vote before enough others were heard";
-                    warn!(mine, heard, what);
+                    warn!(
+                        mine,
+                        heard,
+                        "disk is an old copy, voting suspended until enough peers were heard"
+                    );
                 }
                 _ => {}
             }
--- a/crates/coordinator/src/server.rs
+++ b/crates/coordinator/src/server.rs
@@ -1,4 +1,4 @@
-//! Answers calls that come as lines of JSON-RPC over a stream: for stewards, and for resources of fleet-wide tasks.
+//! Answers calls that come as lines of JSON-RPC over a stream: for coordinators, and for resources of fleet-wide tasks.
 
 use crate::wire::{Envelope, LINE_MOST_BYTES, WRONG_FLEET_OR_VERSION, version_of};
 use bytes::{Bytes, BytesMut};
@@ -12,26 +12,26 @@
 use tokio::task::JoinSet;
 use tracing::{debug, info, warn};
 
-/// What lies unread by a caller before it is cut off.
+/// Unread bytes of answers beyond which a connection is closed.
 const UNREAD_MOST_BYTES: usize = 2 * LINE_MOST_BYTES;
-/// Of one connection, answered side by side.
-const OPEN_MOST: usize = 1_000;
+/// Calls of one connection that are answered concurrently.
+const CONCURRENT_CALLS_MOST: usize = 1_000;
 
-/// A code and why.
+/// An error of JSON-RPC: its code and its message.
 pub type Refused = (i64, String);
 
-/// Whoever answers calls.
+/// Answers calls.
 pub trait CallHandler: 'static {
-    /// The result as JSON, or a code and why not.
+    /// The result as JSON, or an error.
     fn answer(self: &Rc<Self>, call: &Call) -> impl Future<Output = Result<String, Refused>>;
 }
 
-/// Parameters that can't be.
+/// The error for parameters that can't be.
 pub fn invalid_params(why: impl ToString) -> Refused {
     (rpc::INVALID_PARAMS, why.to_string())
 }
 
-/// What was asked, if it was asked of this fleet in these messages.
+/// Reads the parameters of a call, if it is meant for this fleet and of the same version.
 pub fn read_params<T: DeserializeOwned>(call: &Call, fleet: &str) -> Result<T, Refused> {
     let said: Envelope<&RawValue> =
         serde_json::from_str(call.params.as_ref().map_or("{}", |p| p.get()))
@@ -52,14 +52,14 @@
             format!("fleet '{}': this belongs to '{fleet}'", said.fleet),
         ));
     }
-    // Read where it lies: a whole fleet may be in it.
+    // Borrowed, not copied: a whole fleet may be in it.
     serde_json::from_str(said.what.get()).map_err(invalid_params)
 }
 
-/// After a caller could not be taken in.
-const ACCEPT_AGAIN: Ticks = 50 * MILLISECOND;
+/// Delay after an accept has failed.
+const ACCEPT_RETRY_DELAY: Ticks = 50 * MILLISECOND;
 
-/// Answers whoever calls at an address, until it is dropped.
+/// Answers calls at an address until the future is dropped.
 pub async fn serve<A: CallHandler>(
     answers: Rc<A>,
     network: Rc<dyn Network>,
@@ -70,25 +70,25 @@
     info!(%at, "listening");
     loop {
         match door.accept().await {
-            Ok(stream) => drop(tokio::task::spawn_local(answer_caller(
+            Ok(stream) => drop(tokio::task::spawn_local(answer_connection(
                 answers.clone(),
                 stream,
             ))),
             Err(why) => {
-                warn!(%why, "can't accept a caller");
-                clock.sleep_until(clock.now() + ACCEPT_AGAIN).await;
+                warn!(%why, "accept failed");
+                clock.sleep_until(clock.now() + ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Answers one caller until it hangs up.
-pub async fn answer_caller<A: CallHandler>(answers: Rc<A>, stream: Stream) {
+/// Answers the calls of one connection until it is closed.
+pub async fn answer_connection<A: CallHandler>(answers: Rc<A>, stream: Stream) {
     let (input, mut output) = split(stream);
     let outbox = SendQueue::new(UNREAD_MOST_BYTES);
     tokio::select! {
         biased;
-        why = listen(&answers, &outbox, input) => debug!(why, "caller gone"),
+        why = listen(&answers, &outbox, input) => debug!(why, "connection closed"),
         _ = outbox.write_to(&mut output, || 0, |_| ()) => {}
     }
 }
@@ -98,7 +98,7 @@
     outbox.push(Bytes::from(text), Ticks::MAX);
 }
 
-/// One call of a line; `Err` is the answer to a line that is none.
+/// The call of a line; the error is the answer to a line that is no call.
 fn read_call(line: &[u8]) -> Result<Call, String> {
     match rpc::read(line) {
         Ok(Line::Single(Ok(call))) => Ok(call),
@@ -129,7 +129,7 @@
                     continue;
                 }
             };
-            while answering.len() >= OPEN_MOST {
+            while answering.len() >= CONCURRENT_CALLS_MOST {
                 answering.join_next().await;
             }
             while answering.try_join_next().is_some() {}
--- a/crates/coordinator/src/service.rs
+++ b/crates/coordinator/src/service.rs
@@ -1,8 +1,8 @@
-//! A steward on its socket.
+//! A coordinator on its socket: methods of the protocol, and the process as a whole.
 
 use crate::coordinator::{Coordinator, CoordinatorConfig};
 use crate::disk::Disk;
-use crate::server::{CallHandler, Refused, answer_caller, invalid_params, read_params};
+use crate::server::{CallHandler, Refused, answer_connection, invalid_params, read_params};
 use crate::wire::{
     Accept, ChangeReply, ChangeRequest, DryRun, Heartbeat, Opinions, Prepare, REFUSED, Recover,
 };
@@ -112,7 +112,7 @@
     }
 }
 
-/// Changes that members and operators make; the others are the stewards' own.
+/// Whether members and operators may make the change; the others are for coordinators to propose.
 fn from_outside(change: &Change) -> bool {
     !matches!(
         change,
@@ -124,8 +124,8 @@
     )
 }
 
-/// Runs one steward until the future is dropped, which is as sudden as a kill. Fails when it can't listen, or has lost its
-/// disk.
+/// Runs one coordinator until the future is dropped, which is as sudden as a kill. Fails when it can't listen, or has lost
+/// its disk.
 pub async fn serve(
     config: CoordinatorConfig,
     disk: Disk,
@@ -160,7 +160,7 @@
         tasks.spawn_local(steward.clone().serve_list(door));
     }
     tasks.spawn_local(steward.clone().propose());
-    tasks.spawn_local(steward.clone().look_around());
+    tasks.spawn_local(steward.clone().observe());
     let mut coming_back = Box::pin(steward.clone().come_back());
     let mut back = false;
     loop {
@@ -179,9 +179,9 @@
                 });
             }
             accepted = door.accept() => match accepted {
-                Ok(stream) => drop(tasks.spawn_local(answer_caller(steward.clone(), stream))),
+                Ok(stream) => drop(tasks.spawn_local(answer_connection(steward.clone(), stream))),
                 Err(e) => {
-                    warn!(%e, "can't accept a caller");
+                    warn!(%e, "accept failed");
                     tokio::time::sleep(std::time::Duration::from_millis(50)).await;
                 }
             },
--- a/crates/leases/src/guard.rs
+++ b/crates/leases/src/guard.rs
@@ -152,7 +152,7 @@
                 Err(why) => last = why.to_string(),
             }
         }
-        warn!(%lease, epoch, last, "no quorum confirms a seal");
+        warn!(%lease, epoch, last, "seal not confirmed by a quorum");
         Err(SealFault::Unconfirmed { epoch, why: last })
     }
 }
--- a/crates/leases/src/holder.rs
+++ b/crates/leases/src/holder.rs
@@ -72,9 +72,9 @@
                 self.watch.changed().await;
                 continue;
             };
-            info!(lease = %held.lease, epoch = held.epoch, by = self.by, "holds the lease");
+            info!(lease = %held.lease, epoch = held.epoch, by = self.by, "lease acquired");
             self.use_grant(task, &held).await;
-            info!(lease = %held.lease, epoch = held.epoch, by = self.by, "the grant is over");
+            info!(lease = %held.lease, epoch = held.epoch, by = self.by, "lease released");
         }
     }
 
@@ -91,7 +91,7 @@
                 continue;
             }
             if let Err(why) = task.step(&effects).await {
-                debug!(%why, "a step was not done");
+                debug!(%why, "task step failed");
                 self.pause().await;
             }
         }
@@ -163,7 +163,7 @@
         let unsealed: Vec<ResourceName> = self.holding.borrow().unsealed().cloned().collect();
         for resource in &unsealed {
             if let Err(why) = self.seal(resource).await {
-                warn!(resource, %why, epoch = self.epoch(), "not sealed");
+                warn!(resource, %why, epoch = self.epoch(), "seal failed");
                 return false;
             }
         }
