--- a/crates/coordinator/src/acceptor_store.rs
+++ b/crates/coordinator/src/acceptor_store.rs
@@ -1,4 +1,4 @@
-//! The voting side: what others ask of this steward's acceptor. Nothing is answered before it is on disk.
+//! The voting side: what others ask of this coordinator's acceptor. Nothing is answered before it is on disk.
 
 use crate::disk::Disk;
 use crate::server::Refused;
@@ -10,17 +10,17 @@
 use tracing::{info, warn};
 
 /// An acceptor and its disk, and whether it may vote yet.
-pub struct AcceptorStore {
+pub(crate) struct AcceptorStore {
     disk: Disk,
     acceptor: Acceptor<Fleet>,
     /// Until it may vote again.
     returning: Option<Returning<Fleet>>,
-    /// The most writes that each voter was heard of.
+    /// The most writes that each voter is known to have made.
     writes: BTreeMap<Voter, u64>,
 }
 
 impl AcceptorStore {
-    pub fn new(disk: Disk, acceptor: Acceptor<Fleet>, founding: Config) -> Self {
+    pub(crate) fn new(disk: Disk, acceptor: Acceptor<Fleet>, founding: Config) -> Self {
         let me = disk.identity.voter;
         let returning = Some(Returning::new(me, acceptor.clone(), founding));
         Self {
@@ -31,41 +31,41 @@
         }
     }
 
-    pub fn me(&self) -> Voter {
+    pub(crate) fn me(&self) -> Voter {
         self.disk.identity.voter
     }
 
-    pub fn is_returning(&self) -> bool {
+    pub(crate) fn is_returning(&self) -> bool {
         self.returning.is_some()
     }
 
-    pub fn is_writable(&self) -> bool {
+    pub(crate) fn is_writable(&self) -> bool {
         self.disk.is_writable()
     }
 
-    pub fn writes(&self) -> u64 {
+    pub(crate) fn writes(&self) -> u64 {
         self.acceptor.writes
     }
 
-    pub fn promised(&self) -> Ballot {
+    pub(crate) fn promised(&self) -> Ballot {
         self.acceptor.promised
     }
 
-    pub fn accepted(&self) -> Option<(Ballot, &Fleet)> {
+    pub(crate) fn accepted(&self) -> Option<(Ballot, &Fleet)> {
         self.acceptor
             .accepted
             .as_ref()
             .map(|a| (a.ballot, &a.value))
     }
 
-    /// What a voter was heard to have written; an old copy of its disk shows by that.
-    pub fn hear_writes(&mut self, of: Voter, writes: u64) {
+    /// Remembers how many writes a voter has made: an old copy of its disk is recognised by that.
+    pub(crate) fn hear_writes(&mut self, of: Voter, writes: u64) {
         let known = self.writes.entry(of).or_default();
         *known = (*known).max(writes);
     }
 
-    /// The config that this steward would ask, as far as it knows.
-    pub fn config(&self, founding: &Config) -> Config {
+    /// The latest configuration that this coordinator knows.
+    pub(crate) fn config(&self, founding: &Config) -> Config {
         self.acceptor
             .accepted
             .as_ref()
@@ -117,7 +117,7 @@
         Ok(told)
     }
 
-    pub fn prepare(&mut self, asked: &Prepare) -> Result<Vote, Refused> {
+    pub(crate) fn prepare(&mut self, asked: &Prepare) -> Result<Vote, Refused> {
         self.may_vote(asked.to)?;
         let told = self.change(|a| a.prepare(asked.ballot).map(|a| a.cloned()))?;
         let (mark, writes) = (self.acceptor.stamp(self.me()), self.acceptor.writes);
@@ -141,7 +141,7 @@
         })
     }
 
-    pub fn accept(&mut self, asked: Accept) -> Result<Vote, Refused> {
+    pub(crate) fn accept(&mut self, asked: Accept) -> Result<Vote, Refused> {
         self.may_vote(asked.to)?;
         let told = self.change(|a| a.accept(asked.ballot, *asked.value))?;
         let (mark, writes) = (self.acceptor.stamp(self.me()), self.acceptor.writes);
@@ -151,8 +151,12 @@
         })
     }
 
-    /// What another that starts is told, once the life that it begins is on this disk.
-    pub fn recover(&mut self, from: Voter, life: u64) -> Result<RecoveryReply<Fleet>, Refused> {
+    /// The answer to another that starts, once the incarnation that it starts is on this disk.
+    pub(crate) fn recover(
+        &mut self,
+        from: Voter,
+        life: u64,
+    ) -> Result<RecoveryReply<Fleet>, Refused> {
         let life_before = self.change(|a| a.life_begins(from, life))?;
         let writes_of_yours = self.writes.get(&from).copied().unwrap_or(0);
         let acceptor = self.acceptor.clone();
@@ -164,20 +168,24 @@
         })
     }
 
-    /// The life that this steward begins, until it votes.
-    pub fn life(&self) -> u64 {
+    /// The incarnation that this coordinator starts, or votes in.
+    pub(crate) fn life(&self) -> u64 {
         self.returning
             .as_ref()
             .map_or(self.acceptor.life, Returning::life)
     }
 
     /// With nobody else to ask.
-    pub fn heard_nobody(&mut self) -> Result<Verdict, Refused> {
+    pub(crate) fn heard_nobody(&mut self) -> Result<Verdict, Refused> {
         self.judge()
     }
 
     /// Another answered this one, which has started.
-    pub fn heard(&mut self, from: Voter, what: RecoveryReply<Fleet>) -> Result<Verdict, Refused> {
+    pub(crate) fn heard(
+        &mut self,
+        from: Voter,
+        what: RecoveryReply<Fleet>,
+    ) -> Result<Verdict, Refused> {
         let Some(returning) = &mut self.returning else {
             return Ok(Verdict::Vote);
         };
@@ -192,7 +200,7 @@
         let verdict = returning.verdict();
         if verdict == Verdict::Vote {
             let mut adopted = returning.clone().adopt();
-            // Others began lives while this one was returning.
+            // Others started incarnations while this one was returning.
             adopted.lives.learn_all(&self.acceptor.lives);
             adopted.writes = adopted.writes.max(self.acceptor.writes + 1);
             let writes = adopted.writes;
--- a/crates/coordinator/src/coordinator.rs
+++ b/crates/coordinator/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! What the parts of a steward share: its configuration, its acceptor, what it knows to be chosen, and its peers.
+//! What the parts of a coordinator share: its configuration, its acceptor, what it knows to be chosen, and its peers.
 
 use crate::acceptor_store::AcceptorStore;
 use crate::disk::Disk;
@@ -26,23 +26,28 @@
     pub to: oneshot::Sender<Told>,
 }
 
-/// What one steward is started with.
+/// What one coordinator is started with.
 #[derive(Clone)]
 pub struct CoordinatorConfig {
+    /// Its number, from 1 on.
     pub number: u32,
-    /// Of this start; never used before.
+    /// The incarnation of this start; never used before.
     pub life: u64,
+    /// Of its random delays.
     pub seed: u64,
+    /// As the deployment states them.
     pub terms: FleetConfig,
     /// The fleet as it is before anything was agreed.
     pub founding: Fleet,
+    /// Where it answers calls.
     pub listen: Address,
+    /// Where it serves the invoker list; none: it does not.
     pub list: Option<Address>,
 }
 
-/// A steward: what it holds, and what its parts share. `service` answers callers, `propose` has changes agreed,
-/// `monitoring` listens to members and other stewards, `list` serves the invoker list.
-pub struct Coordinator {
+/// A coordinator: what it holds, and what its parts share. `service` answers callers, `propose` has changes agreed,
+/// `monitoring` listens to members and other coordinators, `invoker_list` serves the invoker list.
+pub(crate) struct Coordinator {
     pub(crate) config: CoordinatorConfig,
     pub(crate) clock: Clock,
     network: Rc<dyn Network>,
@@ -68,8 +73,8 @@
 }
 
 impl Coordinator {
-    /// A steward that has just started, with what its disk has.
-    pub fn new(
+    /// A coordinator that has just started, with what its disk has.
+    pub(crate) fn new(
         config: CoordinatorConfig,
         disk: Disk,
         acceptor: Acceptor<Fleet>,
@@ -108,7 +113,7 @@
         })
     }
 
-    /// Stewards and where they listen, as far as this one knows.
+    /// Coordinators and where they listen, as far as this one knows.
     pub(crate) fn stewards(&self) -> BTreeMap<u32, String> {
         let mut all = BTreeMap::new();
         if let Some((_, fleet)) = self.acceptor_store.borrow().accepted() {
--- a/crates/coordinator/src/disk.rs
+++ b/crates/coordinator/src/disk.rs
@@ -1,4 +1,4 @@
-//! What a steward keeps: who it is, and what it promised and accepted. On disk before anybody is told.
+//! The disk of a coordinator: who it is, and what it promised and accepted. Written before anybody is told.
 
 use redb::{Database, ReadableDatabase, TableDefinition};
 use saltdrum_durable::{DiskFailure, database};
@@ -7,40 +7,65 @@
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
-/// Of the database's pages, held in memory.
+/// Pages of the database that are held in memory.
 const CACHE_BYTES: usize = 4 << 20;
 const KEPT: TableDefinition<&str, &[u8]> = TableDefinition::new("steward");
-/// Of what is written here. A later one is not touched.
+/// Version of what is written here. A disk of a later version is not opened.
 pub const SCHEMA: u64 = 1;
 
+/// Why a disk can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum Fault {
+    /// It can't be read or written.
     #[error("{place}: {why}")]
-    Disk { place: String, why: DiskFailure },
+    Disk {
+        /// Where the disk is.
+        place: String,
+        /// What failed.
+        why: DiskFailure,
+    },
+    /// What was read is no record of a coordinator.
     #[error("{place}: {key}: {why}")]
     Damaged {
+        /// Where the disk is.
         place: String,
+        /// The record.
         key: &'static str,
+        /// Why it can't be read.
         why: String,
     },
+    /// It was written by a later program.
     #[error("{place}: schema {found}: this program knows {SCHEMA}")]
-    Schema { place: String, found: u64 },
+    Schema {
+        /// Where the disk is.
+        place: String,
+        /// Its version.
+        found: u64,
+    },
+    /// It belongs to another coordinator.
     #[error("{place}: it is the disk of steward-{found} of fleet '{fleet}'")]
     Other {
+        /// Where the disk is.
         place: String,
+        /// The fleet that it belongs to.
         fleet: String,
+        /// The coordinator that it belongs to.
         found: u32,
     },
 }
 
+/// Whose disk it is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
+    /// Version of what is written, see [`SCHEMA`].
     pub schema: u64,
+    /// The fleet's name.
     pub fleet: String,
+    /// The coordinator and its disk.
     pub voter: Voter,
 }
 
-/// Makes the database, at each start and after each failure.
+/// Opens the database, at each start and after each failure.
 pub type Opens = Box<dyn Fn() -> Result<Database, redb::DatabaseError>>;
 
 impl Fault {
@@ -50,22 +75,25 @@
     }
 }
 
+/// The disk of a coordinator.
 pub struct Disk {
     place: String,
     opens: Opens,
     /// None: a write failed, and what the disk has is not known until it is read again.
     database: Option<Database>,
+    /// Whose disk it is.
     pub identity: Identity,
 }
 
 impl Disk {
+    /// Opens the disk in a file; `new` is written where nothing is there yet.
     pub fn open_file(path: &Path, new: Identity) -> Result<(Self, Acceptor<Fleet>), Fault> {
         let at = path.to_owned();
         let opens = move || database::open(&at, CACHE_BYTES);
         Self::open(path.display().to_string(), Box::new(opens), new)
     }
 
-    /// `new`: who this steward is, if nothing is there yet.
+    /// Opens the disk; `new` is written where nothing is there yet.
     pub fn open(
         place: String,
         opens: Opens,
@@ -153,6 +181,7 @@
         Ok(())
     }
 
+    /// Whether no write has failed since it was last read.
     pub fn is_writable(&self) -> bool {
         self.database.is_some()
     }
--- a/crates/coordinator/src/fleet_config.rs
+++ b/crates/coordinator/src/fleet_config.rs
@@ -7,21 +7,24 @@
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
+/// What a deployment states of its fleet. Times are ticks of 100 us.
 #[derive(Clone, Debug)]
 pub struct FleetConfig {
+    /// The fleet's name.
     pub name: String,
-    /// Members give a sign of life so often.
+    /// Interval between heartbeats of members.
     pub renew: Ticks,
-    /// Members whose silence is this unusual, by most stewards, are lost.
+    /// Members whose level of suspicion reaches this, to a majority of coordinators, are lost.
     pub suspect_level: f64,
-    /// A grant that nobody took up is taken back after this.
+    /// A grant that was not used is revoked after this.
     pub grant_for: Ticks,
-    /// A drain is told as late after this.
+    /// A drain is reported as late after this.
     pub drain_for: Ticks,
-    /// Halts itself when a member that came back is not proven within this; 0: never.
+    /// Drains are halted when a member that returned is not healthy within this; 0: never.
     pub prove_within: Ticks,
-    /// Halts itself when more than so many are lost; 0: never.
+    /// Drains are halted when more members than this are lost; 0: never.
     pub halt_at_lost: usize,
+    /// How many members may be out.
     pub bounds: Vec<Bound>,
     /// Leases of fleet-wide tasks.
     pub leases: BTreeMap<LeaseName, LeaseTerms>,
--- a/crates/coordinator/src/lease_watch.rs
+++ b/crates/coordinator/src/lease_watch.rs
@@ -7,17 +7,21 @@
 use std::collections::BTreeSet;
 use tokio::sync::Notify;
 
-/// A lease that a member holds, as a steward tells it.
+/// A lease that a member holds, as a coordinator tells it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HeldLease {
+    /// The lease.
     pub lease: LeaseName,
+    /// The task that its holder does.
     pub task: String,
+    /// Of the grant.
     pub epoch: Epoch,
+    /// All that the task has effects on.
     pub resources: BTreeSet<ResourceName>,
 }
 
-/// The leases of one member's life, by the value that a steward knows.
+/// The leases of one incarnation of a member, by the value that a coordinator knows.
 pub(crate) fn held_by(fleet: &Fleet, member: MemberId, incarnation: u64) -> Vec<HeldLease> {
     let held = fleet.leases.iter().filter_map(|(name, lease)| {
         let epoch = lease.epoch_held_by(member, incarnation)?;
@@ -36,7 +40,7 @@
     held.collect()
 }
 
-/// The latest that any steward said.
+/// The leases that a member holds, as the latest reply of any coordinator says.
 #[derive(Default)]
 pub struct LeaseWatch {
     held: RefCell<Vec<HeldLease>>,
@@ -46,10 +50,10 @@
 }
 
 impl LeaseWatch {
-    /// A steward said so, at this time of the member's own clock.
+    /// A coordinator replied, at this time of the member's own clock.
     pub(crate) fn heard(&self, now: Ticks, revision: u64, held: &[HeldLease]) {
         self.heard_at.set(now);
-        // A steward that lags behind tells what was.
+        // A coordinator that lags behind says what was.
         if revision < self.revision.get() {
             return;
         }
@@ -69,7 +73,7 @@
             .cloned()
     }
 
-    /// When a steward was last heard, by the member's own clock.
+    /// When a coordinator was last heard, by the member's own clock.
     pub fn heard_at(&self) -> Ticks {
         self.heard_at.get()
     }
--- a/crates/coordinator/src/propose.rs
+++ b/crates/coordinator/src/propose.rs
@@ -1,5 +1,5 @@
-//! The proposing side: changes that wait together go in one round. A round that another overtook is tried again; what came
-//! of one that nobody answered is not known, and whoever asked is told so.
+//! The proposing side: changes that wait together go in one round. A round that another overtook is retried; the outcome of
+//! one that nobody answered is unknown, and whoever asked is told so.
 
 use crate::acceptor_store::AcceptorStore;
 use crate::coordinator::{Coordinator, PendingProposal, Told};
@@ -17,28 +17,30 @@
 use tokio::sync::{mpsc, oneshot};
 use tracing::debug;
 
-/// PendingProposal changes beyond this are refused at once.
-const WAITING_MOST: usize = 10_000;
+/// Pending changes beyond this are refused at once.
+const PENDING_MOST: usize = 10_000;
 /// Of one message and its answer.
-const PATIENCE: Ticks = 700 * MILLISECOND;
-/// Rounds that a batch is tried for.
-const TRIES: u32 = 12;
+const VOTE_TIMEOUT: Ticks = 700 * MILLISECOND;
+/// Rounds in which a batch is tried.
+const ROUNDS_MOST: u32 = 12;
 
 type Votes = mpsc::UnboundedSender<(Voter, Result<Vote, CallError>)>;
 
 /// How a round ended that changed nothing, as far as is known.
 enum Lost {
+    /// A higher round was promised.
     Overtaken(Ballot),
+    /// No majority answered.
     Unanswered,
 }
 
 impl Coordinator {
-    /// Proposes a change and waits for what comes of it.
-    pub async fn change(&self, change: Change) -> Told {
+    /// Proposes a change and waits for its outcome.
+    pub(crate) async fn change(&self, change: Change) -> Told {
         let (to, told) = oneshot::channel();
         {
             let mut waiting = self.waiting.borrow_mut();
-            if waiting.len() >= WAITING_MOST {
+            if waiting.len() >= PENDING_MOST {
                 return Err((
                     REFUSED,
                     "too many changes wait: come back in a second".into(),
@@ -51,7 +53,7 @@
             .unwrap_or_else(|_| Err((OUTCOME_UNKNOWN, "the steward is ending".into())))
     }
 
-    /// One batch after another, for as long as the steward lives.
+    /// Proposes one batch after another, for as long as it is polled.
     pub(crate) async fn propose(self: Rc<Self>) {
         loop {
             self.asked.notified().await;
@@ -64,9 +66,10 @@
         }
     }
 
+    /// Proposes a batch until it is agreed, and tells those who wait.
     async fn batch(self: &Rc<Self>, batch: Vec<PendingProposal>) {
         let mut last = "no majority answered";
-        for tries in 0..TRIES {
+        for tries in 0..ROUNDS_MOST {
             if self.acceptor_store.borrow().is_returning() {
                 let told = "this steward is returning and does not propose yet";
                 for w in batch {
@@ -105,7 +108,7 @@
         }
     }
 
-    /// One round: reads, changes, puts. Gives the value that stands and what came of each change.
+    /// One round: reads the value, applies the changes, puts the result. Returns the value and the outcome of each change.
     async fn round(
         self: &Rc<Self>,
         changes: &[&Change],
@@ -258,7 +261,7 @@
         self.ask_vote(asked.to, "accept", asked, AcceptorStore::accept, to);
     }
 
-    /// One vote, of this steward itself or over its line; it comes, or that it did not, in bounded time.
+    /// One vote, of this coordinator itself or over its connection; it comes, or an error, in bounded time.
     fn ask_vote<T: Serialize + 'static>(
         self: &Rc<Self>,
         voter: Voter,
@@ -274,7 +277,7 @@
                 vote.map_err(|(code, message)| CallError::Told { code, message })
             } else {
                 match this.peer(voter.steward) {
-                    Some(peer) => peer.call(method, &asked, PATIENCE).await,
+                    Some(peer) => peer.call(method, &asked, VOTE_TIMEOUT).await,
                     None => Err(CallError::Told {
                         code: NOT_VOTING,
                         message: "no address".into(),
--- a/crates/coordinator/src/rpc_client.rs
+++ b/crates/coordinator/src/rpc_client.rs
@@ -20,10 +20,20 @@
 pub enum CallError {
     /// The connection failed; whether the call was received is not known.
     #[error("{at}: {why}")]
-    Line { at: Address, why: String },
+    Line {
+        /// Where the peer listens.
+        at: Address,
+        /// What failed.
+        why: String,
+    },
     /// The peer answered with an error.
     #[error("{message}")]
-    Told { code: i64, message: String },
+    Told {
+        /// Of JSON-RPC.
+        code: i64,
+        /// What the peer says.
+        message: String,
+    },
 }
 
 #[derive(Deserialize)]
--- a/crates/coordinator/src/wire.rs
+++ b/crates/coordinator/src/wire.rs
@@ -38,8 +38,11 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename = "Said", expecting = "struct Said")]
 pub struct Envelope<T> {
+    /// The fleet that the call is meant for.
     pub fleet: String,
+    /// Version of the message, see [`version_of`].
     pub speaks: u16,
+    /// The parameters of the method.
     pub what: T,
 }
 
@@ -47,7 +50,9 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Prepare {
+    /// Whose promise is asked for.
     pub to: Voter,
+    /// The round.
     pub ballot: Ballot,
     /// The proposer has the value of this ballot: it need not be sent.
     pub have: Ballot,
@@ -58,19 +63,27 @@
 // With a tag inside, numbers that are keys of a map in the value could not be read back.
 #[serde(rename_all = "kebab-case")]
 pub enum Vote {
-    /// `value` is left out where the proposer has it.
+    /// A promise. `value` is left out where the proposer has it.
     Promised {
+        /// The round of what was accepted last.
         accepted: Option<Ballot>,
+        /// What was accepted last.
         value: Option<Box<Fleet>>,
+        /// Who votes.
         mark: VoterStamp,
+        /// Writes of the acceptor.
         writes: u64,
     },
+    /// The value was accepted.
     Accepted {
+        /// Who votes.
         mark: VoterStamp,
+        /// Writes of the acceptor.
         writes: u64,
     },
-    /// More was promised to another.
+    /// A higher round was promised to another proposer.
     Refused {
+        /// The round that was promised.
         promised: Ballot,
     },
 }
@@ -79,8 +92,11 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Accept {
+    /// Who is asked.
     pub to: Voter,
+    /// The round.
     pub ballot: Ballot,
+    /// The value to accept.
     pub value: Box<Fleet>,
 }
 
@@ -88,8 +104,9 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Recover {
+    /// Who has started.
     pub from: Voter,
-    /// That it begins.
+    /// The incarnation that it starts.
     pub life: u64,
 }
 
@@ -97,11 +114,15 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Opinions {
+    /// Who reports.
     pub from: Voter,
     /// Levels of suspicion that are not low; none: it does not know.
     pub levels: Option<BTreeMap<MemberId, f64>>,
+    /// The round of the latest value that it knows to be chosen.
     pub decided: Ballot,
+    /// Writes of its acceptor.
     pub writes: u64,
+    /// It does not vote yet.
     pub returning: bool,
 }
 
@@ -110,16 +131,22 @@
 #[serde(deny_unknown_fields)]
 #[serde(rename = "Renew", expecting = "struct Renew")]
 pub struct Heartbeat {
+    /// Who sends it.
     pub member: MemberId,
+    /// The sender's incarnation.
     pub incarnation: u64,
+    /// Promised interval to the next, in ticks of 100 us.
     pub every_tenths: u64,
+    /// Work in flight, as a share of its size.
     #[serde(default)]
     pub busy: f64,
+    /// Functions of which it has the last loaded copy.
     #[serde(default)]
     pub last_copies: u32,
 }
 
 impl Heartbeat {
+    /// The load of the member.
     pub fn seen(&self) -> MemberLoad {
         MemberLoad {
             busy: self.busy,
@@ -132,10 +159,13 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Standing", expecting = "struct Standing")]
 pub struct HeartbeatReply {
+    /// Of the value that the coordinator knows.
     pub revision: u64,
     /// None: not a member, as far as this coordinator knows.
     pub incarnation: Option<u64>,
+    /// The phase of the member, if it is one.
     pub phase: Option<Phase>,
+    /// Its drain was withdrawn: it may go back to serving.
     pub turn_back: bool,
     /// Leases that it holds.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
@@ -147,6 +177,7 @@
 #[serde(deny_unknown_fields)]
 #[serde(rename = "Changes", expecting = "struct Changes")]
 pub struct ChangeRequest {
+    /// The change.
     pub change: Change,
 }
 
@@ -154,7 +185,9 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename = "Changed", expecting = "struct Changed")]
 pub struct ChangeReply {
+    /// Revision at which it is agreed.
     pub revision: u64,
+    /// False: it had been made before.
     pub changed: bool,
 }
 
@@ -162,6 +195,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DryRun {
+    /// In the order in which they are to drain.
     pub members: Vec<MemberId>,
 }
 
