--- a/crates/coordinator/src/coordinator.rs
+++ b/crates/coordinator/src/coordinator.rs
@@ -1,14 +1,14 @@
-//! What the parts of a steward share: its configuration, its acceptor, what it knows to be chosen, and its peers.
+//! What the parts of a coordinator share: its configuration, its acceptor, what it knows to be chosen, and its peers.
 
 use crate::acceptor_store::AcceptorStore;
-use crate::caller::Caller;
 use crate::disk::Disk;
-use crate::terms::FleetTerms;
+use crate::fleet_config::FleetConfig;
+use crate::rpc_client::RpcClient;
 use saltdrum::interface::{MILLISECOND, Ticks};
-use saltdrum_fleet::change::{Change, Done};
-use saltdrum_fleet::fleet::Fleet;
+use saltdrum_fleet::change::{Change, ChangeOutcome};
 use saltdrum_fleet::monitor::{MemberMonitor, Timeouts};
 use saltdrum_fleet::register::{Acceptor, Ballot};
+use saltdrum_fleet::state::Fleet;
 use saltdrum_transport::{Address, Clock, Network};
 use serde_json::json;
 use std::cell::{Cell, RefCell};
@@ -18,7 +18,7 @@
 use tracing::debug;
 
 /// What came of a change: done, at which revision; or a code and why not.
-pub(crate) type Told = Result<(Done, u64), (i64, String)>;
+pub(crate) type Told = Result<(ChangeOutcome, u64), (i64, String)>;
 
 /// A change that somebody waits for.
 pub(crate) struct PendingProposal {
@@ -26,23 +26,28 @@
     pub to: oneshot::Sender<Told>,
 }
 
-/// What one steward is started with.
+/// What one coordinator is started with.
 #[derive(Clone)]
 pub struct CoordinatorConfig {
+    /// Its number, from 1 on.
     pub number: u32,
-    /// Of this start; never used before.
+    /// The incarnation of this start; never used before.
     pub life: u64,
+    /// Of its random delays.
     pub seed: u64,
-    pub terms: FleetTerms,
+    /// As the deployment states them.
+    pub terms: FleetConfig,
     /// The fleet as it is before anything was agreed.
     pub founding: Fleet,
+    /// Where it answers calls.
     pub listen: Address,
+    /// Where it serves the invoker list; none: it does not.
     pub list: Option<Address>,
 }
 
-/// A steward: what it holds, and what its parts share. `service` answers callers, `propose` has changes agreed,
-/// `monitoring` listens to members and other stewards, `list` serves the invoker list.
-pub struct Coordinator {
+/// A coordinator: what it holds, and what its parts share. `service` answers callers, `propose` has changes agreed,
+/// `monitoring` listens to members and other coordinators, `invoker_list` serves the invoker list.
+pub(crate) struct Coordinator {
     pub(crate) config: CoordinatorConfig,
     pub(crate) clock: Clock,
     network: Rc<dyn Network>,
@@ -55,7 +60,7 @@
     pub(crate) waiting: RefCell<Vec<PendingProposal>>,
     pub(crate) asked: Notify,
     pub(crate) news: watch::Sender<u64>,
-    peers: RefCell<BTreeMap<u32, Rc<Caller>>>,
+    peers: RefCell<BTreeMap<u32, Rc<RpcClient>>>,
     pub(crate) monitor: RefCell<MemberMonitor>,
     /// What is owed was proposed, and not all of it has come to an end.
     pub(crate) proposing: Cell<bool>,
@@ -68,8 +73,8 @@
 }
 
 impl Coordinator {
-    /// A steward that has just started, with what its disk has.
-    pub fn new(
+    /// A coordinator that has just started, with what its disk has.
+    pub(crate) fn new(
         config: CoordinatorConfig,
         disk: Disk,
         acceptor: Acceptor<Fleet>,
@@ -108,7 +113,7 @@
         })
     }
 
-    /// Stewards and where they listen, as far as this one knows.
+    /// Coordinators and where they listen, as far as this one knows.
     pub(crate) fn stewards(&self) -> BTreeMap<u32, String> {
         let mut all = BTreeMap::new();
         if let Some((_, fleet)) = self.acceptor_store.borrow().accepted() {
@@ -119,11 +124,11 @@
         all
     }
 
-    pub(crate) fn peer(&self, steward: u32) -> Option<Rc<Caller>> {
+    pub(crate) fn peer(&self, steward: u32) -> Option<Rc<RpcClient>> {
         let at = self.stewards().get(&steward)?.parse::<Address>().ok()?;
         let mut peers = self.peers.borrow_mut();
         if peers.get(&steward).is_none_or(|p| p.at != at) {
-            let caller = Caller::new(self.network.clone(), at, &self.config.founding.name);
+            let caller = RpcClient::new(self.network.clone(), at, &self.config.founding.name);
             peers.insert(steward, Rc::new(caller));
         }
         peers.get(&steward).cloned()
--- a/crates/coordinator/src/terms.rs
+++ b/crates/coordinator/src/fleet_config.rs
@@ -3,27 +3,28 @@
 use saltdrum::interface::Ticks;
 use saltdrum_deployment::units::{Memory, Span};
 use saltdrum_deployment::{Fault, Statement};
-use saltdrum_fleet::bounds::{Bound, Per};
-use saltdrum_fleet::fleet::Kind;
-use saltdrum_fleet::lease::{LeaseName, LeaseTerms};
+use saltdrum_fleet::state::{Bound, BoundScope, LeaseName, LeaseTerms, MemberKind};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
+/// What a deployment states of its fleet. Times are ticks of 100 us.
 #[derive(Clone, Debug)]
-pub struct FleetTerms {
+pub struct FleetConfig {
+    /// The fleet's name.
     pub name: String,
-    /// Members give a sign of life so often.
+    /// Interval between heartbeats of members.
     pub renew: Ticks,
-    /// Members whose silence is this unusual, by most stewards, are lost.
+    /// Members whose level of suspicion reaches this, to a majority of coordinators, are lost.
     pub suspect_level: f64,
-    /// A grant that nobody took up is taken back after this.
+    /// A grant that was not used is revoked after this.
     pub grant_for: Ticks,
-    /// A drain is told as late after this.
+    /// A drain is reported as late after this.
     pub drain_for: Ticks,
-    /// Halts itself when a member that came back is not proven within this; 0: never.
+    /// Drains are halted when a member that returned is not healthy within this; 0: never.
     pub prove_within: Ticks,
-    /// Halts itself when more than so many are lost; 0: never.
+    /// Drains are halted when more members than this are lost; 0: never.
     pub halt_at_lost: usize,
+    /// How many members may be out.
     pub bounds: Vec<Bound>,
     /// Leases of fleet-wide tasks.
     pub leases: BTreeMap<LeaseName, LeaseTerms>,
@@ -81,7 +82,7 @@
     resources: Vec<String>,
 }
 
-impl FleetTerms {
+impl FleetConfig {
     /// Takes the fleet's statements out of those that describe no deployment; none: the script states no fleet.
     pub fn take(rest: &mut Vec<Statement>) -> Result<Option<Self>, Fault> {
         let (mine, others): (Vec<_>, Vec<_>) = std::mem::take(rest)
@@ -113,7 +114,7 @@
     }
 }
 
-fn fleet(s: &Statement) -> Result<FleetTerms, Fault> {
+fn fleet(s: &Statement) -> Result<FleetConfig, Fault> {
     let said: SaidFleet = s.read()?;
     let plain = |c: char| c.is_ascii_alphanumeric() || c == '-';
     if said.name.is_empty() || said.name.len() > 64 || !said.name.chars().all(plain) {
@@ -125,7 +126,7 @@
     if !(0.5..=100.0).contains(&said.suspect_level) {
         return Err(s.fault("suspect_level: 0.5 to 100 are expected"));
     }
-    Ok(FleetTerms {
+    Ok(FleetConfig {
         name: said.name,
         renew: said.renew.0,
         suspect_level: said.suspect_level,
@@ -154,11 +155,14 @@
 
 fn bound(s: &Statement) -> Result<Bound, Fault> {
     let said: SaidBound = s.read()?;
-    let kinds = [("controller", Kind::Controller), ("invoker", Kind::Invoker)];
+    let kinds = [
+        ("controller", MemberKind::Controller),
+        ("invoker", MemberKind::Invoker),
+    ];
     let pers = [
-        ("fleet", Per::Fleet),
-        ("site", Per::Site),
-        ("cell", Per::Cell),
+        ("fleet", BoundScope::Fleet),
+        ("site", BoundScope::Site),
+        ("cell", BoundScope::Cell),
     ];
     let bound = Bound {
         kind: said
@@ -170,7 +174,7 @@
         per: said
             .per
             .as_ref()
-            .map_or(Ok(Per::Fleet), |p| word(s, "per", p, &pers))?,
+            .map_or(Ok(BoundScope::Fleet), |p| word(s, "per", p, &pers))?,
         out: said.out,
         share: said.share,
         least_size: said.least_size,
@@ -182,7 +186,10 @@
 
 fn lease(s: &Statement) -> Result<(LeaseName, LeaseTerms), Fault> {
     let said: SaidLease = s.read()?;
-    let kinds = [("controller", Kind::Controller), ("invoker", Kind::Invoker)];
+    let kinds = [
+        ("controller", MemberKind::Controller),
+        ("invoker", MemberKind::Invoker),
+    ];
     let eligible = word(s, "eligible", &said.eligible, &kinds)?;
     let terms = LeaseTerms {
         task: said.task,
--- a/crates/coordinator/src/service.rs
+++ b/crates/coordinator/src/service.rs
@@ -1,14 +1,16 @@
-//! A steward on its socket.
+//! A coordinator on its socket: methods of the protocol, and the process as a whole.
 
 use crate::coordinator::{Coordinator, CoordinatorConfig};
 use crate::disk::Disk;
-use crate::server::{Answers, Refused, answer_caller, bad, said};
-use crate::wire::{Accept, Changed, Changes, DryRun, Opinions, Prepare, REFUSED, Recover, Renew};
+use crate::server::{CallHandler, Refused, answer_connection, invalid_params, read_params};
+use crate::wire::{
+    Accept, ChangeReply, ChangeRequest, DryRun, Heartbeat, Opinions, Prepare, REFUSED, Recover,
+};
 use saltdrum::interface::{MILLISECOND, SECOND};
 use saltdrum_fleet::change::Change;
-use saltdrum_fleet::fleet::Fleet;
-use saltdrum_fleet::next::{dry_run, waits_for};
+use saltdrum_fleet::drain_scheduler::{blocking_reason, dry_run};
 use saltdrum_fleet::register::Acceptor;
+use saltdrum_fleet::state::Fleet;
 use saltdrum_protocol::rpc::{self, Call};
 use saltdrum_transport::{Address, Clock, Network};
 use serde::Serialize;
@@ -21,27 +23,27 @@
 
 impl Coordinator {
     /// What was asked, if it was asked of this fleet in these messages.
-    fn said<T: DeserializeOwned>(&self, call: &Call) -> Result<T, Refused> {
-        said(call, &self.config.founding.name)
+    fn read_params<T: DeserializeOwned>(&self, call: &Call) -> Result<T, Refused> {
+        read_params(call, &self.config.founding.name)
     }
 }
 
-impl Answers for Coordinator {
+impl CallHandler for Coordinator {
     async fn answer(self: &Rc<Self>, call: &Call) -> Result<String, Refused> {
         fn told(what: impl Serialize) -> Result<String, Refused> {
-            serde_json::to_string(&what).map_err(bad)
+            serde_json::to_string(&what).map_err(invalid_params)
         }
         match call.method.as_str() {
             "prepare" => {
-                let asked: Prepare = self.said(call)?;
+                let asked: Prepare = self.read_params(call)?;
                 told(self.acceptor_store.borrow_mut().prepare(&asked)?)
             }
             "accept" => {
-                let asked: Accept = self.said(call)?;
+                let asked: Accept = self.read_params(call)?;
                 told(self.acceptor_store.borrow_mut().accept(asked)?)
             }
             "recover" => {
-                let asked: Recover = self.said(call)?;
+                let asked: Recover = self.read_params(call)?;
                 let mut acceptor_store = self.acceptor_store.borrow_mut();
                 told((
                     acceptor_store.me(),
@@ -49,35 +51,35 @@
                 ))
             }
             "decided" => {
-                self.said::<Json>(call)?;
+                self.read_params::<Json>(call)?;
                 told((self.decided_at.get(), self.fleet.borrow().as_deref()))
             }
             "opinions" => {
-                let said: Opinions = self.said(call)?;
+                let said: Opinions = self.read_params(call)?;
                 self.opinions(said);
                 told(json!({}))
             }
             "renew" => {
-                let said: Renew = self.said(call)?;
+                let said: Heartbeat = self.read_params(call)?;
                 told(self.renewed(&said))
             }
             "change" => {
-                let asked: Changes = self.said(call)?;
+                let asked: ChangeRequest = self.read_params(call)?;
                 if !from_outside(&asked.change) {
                     return Err((REFUSED, "that is for stewards to propose".into()));
                 }
                 let (done, revision) = self.change(asked.change).await?;
-                told(Changed {
+                told(ChangeReply {
                     revision,
                     changed: done.changed,
                 })
             }
             "status" => {
-                self.said::<Json>(call)?;
+                self.read_params::<Json>(call)?;
                 told(self.status())
             }
             "dry_run" => {
-                let asked: DryRun = self.said(call)?;
+                let asked: DryRun = self.read_params(call)?;
                 let fleet = self.fleet.borrow().clone();
                 let fleet =
                     fleet.ok_or((REFUSED, "nothing is known of the fleet yet".to_owned()))?;
@@ -104,13 +106,13 @@
         json!({
             "steward": self.config.number, "voter": acceptor_store.me().to_string(), "life": self.config.life,
             "votes": !acceptor_store.is_returning() && acceptor_store.is_writable(), "writes": acceptor_store.writes(),
-            "settled": self.is_settled(), "heard_ms_ago": heard_ms_ago, "waits_for": fleet.as_ref().and_then(|f| waits_for(f)),
+            "settled": self.is_settled(), "heard_ms_ago": heard_ms_ago, "waits_for": fleet.as_ref().and_then(|f| blocking_reason(f)),
             "fleet": fleet.as_deref(),
         })
     }
 }
 
-/// Changes that members and operators make; the others are the stewards' own.
+/// Whether members and operators may make the change; the others are for coordinators to propose.
 fn from_outside(change: &Change) -> bool {
     !matches!(
         change,
@@ -122,8 +124,8 @@
     )
 }
 
-/// Runs one steward until the future is dropped, which is as sudden as a kill. Fails when it can't listen, or has lost its
-/// disk.
+/// Runs one coordinator until the future is dropped, which is as sudden as a kill. Fails when it can't listen, or has lost
+/// its disk.
 pub async fn serve(
     config: CoordinatorConfig,
     disk: Disk,
@@ -158,7 +160,7 @@
         tasks.spawn_local(steward.clone().serve_list(door));
     }
     tasks.spawn_local(steward.clone().propose());
-    tasks.spawn_local(steward.clone().look_around());
+    tasks.spawn_local(steward.clone().observe());
     let mut coming_back = Box::pin(steward.clone().come_back());
     let mut back = false;
     loop {
@@ -177,9 +179,9 @@
                 });
             }
             accepted = door.accept() => match accepted {
-                Ok(stream) => drop(tasks.spawn_local(answer_caller(steward.clone(), stream))),
+                Ok(stream) => drop(tasks.spawn_local(answer_connection(steward.clone(), stream))),
                 Err(e) => {
-                    warn!(%e, "can't accept a caller");
+                    warn!(%e, "accept failed");
                     tokio::time::sleep(std::time::Duration::from_millis(50)).await;
                 }
             },
--- a/crates/leases/src/holder.rs
+++ b/crates/leases/src/holder.rs
@@ -2,10 +2,10 @@
 
 use crate::messages::{Effect, REJECTED, Seal, Sealed};
 use saltdrum::interface::{MILLISECOND, SECOND, Ticks};
-use saltdrum_coordinator::caller::{Caller, Fault};
+use saltdrum_coordinator::rpc_client::{CallError, RpcClient};
 use saltdrum_coordinator::{HeldLease, LeaseWatch};
-use saltdrum_fleet::fence::{Holding, Rejection};
-use saltdrum_fleet::lease::{Epoch, LeaseName, ResourceName};
+use saltdrum_fleet::fence::{HolderFence, Rejection};
+use saltdrum_fleet::state::{Epoch, LeaseName, ResourceName};
 use saltdrum_transport::Clock;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -52,7 +52,7 @@
     pub clock: Clock,
     pub watch: Rc<LeaseWatch>,
     /// How each resource is reached.
-    pub resources: BTreeMap<ResourceName, Caller>,
+    pub resources: BTreeMap<ResourceName, RpcClient>,
     /// No new effect begins while no steward was heard for so long. A courtesy: safety does not rest on it.
     pub quiet_after: Ticks,
 }
@@ -60,7 +60,7 @@
 /// One grant being used: the way to the resources.
 pub struct Effects<'a> {
     holder: &'a Holder,
-    holding: RefCell<Holding>,
+    holding: RefCell<HolderFence>,
     task: &'a str,
 }
 
@@ -72,14 +72,14 @@
                 self.watch.changed().await;
                 continue;
             };
-            info!(lease = %held.lease, epoch = held.epoch, by = self.by, "holds the lease");
+            info!(lease = %held.lease, epoch = held.epoch, by = self.by, "lease acquired");
             self.use_grant(task, &held).await;
-            info!(lease = %held.lease, epoch = held.epoch, by = self.by, "the grant is over");
+            info!(lease = %held.lease, epoch = held.epoch, by = self.by, "lease released");
         }
     }
 
     async fn use_grant(&self, task: &impl Task, held: &HeldLease) {
-        let holding = Holding::granted(held.lease.clone(), held.epoch, &held.resources);
+        let holding = HolderFence::granted(held.lease.clone(), held.epoch, &held.resources);
         let effects = Effects {
             holder: self,
             holding: RefCell::new(holding),
@@ -91,7 +91,7 @@
                 continue;
             }
             if let Err(why) = task.step(&effects).await {
-                debug!(%why, "a step was not done");
+                debug!(%why, "task step failed");
                 self.pause().await;
             }
         }
@@ -163,7 +163,7 @@
         let unsealed: Vec<ResourceName> = self.holding.borrow().unsealed().cloned().collect();
         for resource in &unsealed {
             if let Err(why) = self.seal(resource).await {
-                warn!(resource, %why, epoch = self.epoch(), "not sealed");
+                warn!(resource, %why, epoch = self.epoch(), "seal failed");
                 return false;
             }
         }
@@ -186,17 +186,17 @@
         Ok(())
     }
 
-    fn caller(&self, resource: &str) -> Result<&Caller, EffectFault> {
+    fn caller(&self, resource: &str) -> Result<&RpcClient, EffectFault> {
         self.holder
             .resources
             .get(resource)
             .ok_or_else(|| EffectFault::Unknown(resource.to_owned()))
     }
 
-    fn failed(&self, resource: &str, fault: Fault) -> EffectFault {
+    fn failed(&self, resource: &str, fault: CallError) -> EffectFault {
         let resource = resource.to_owned();
         let rejection = match &fault {
-            Fault::Told {
+            CallError::Told {
                 code: REJECTED,
                 message,
             } => serde_json::from_str(message).ok(),
--- a/crates/scale/src/members.rs
+++ b/crates/scale/src/members.rs
@@ -5,15 +5,16 @@
 use redb::StorageBackend;
 use redb::backends::InMemoryBackend;
 use saltdrum::interface::{MILLISECOND, SECOND, Ticks};
-use saltdrum_coordinator::caller::Caller;
 use saltdrum_coordinator::disk::{Disk, Identity, SCHEMA};
-use saltdrum_coordinator::wire::{Changed, Changes};
-use saltdrum_coordinator::{CoordinatorConfig, FleetTerms, MemberRole, Membership, join, service};
+use saltdrum_coordinator::rpc_client::RpcClient;
+use saltdrum_coordinator::wire::{ChangeReply, ChangeRequest};
+use saltdrum_coordinator::{CoordinatorConfig, FleetConfig, MemberRole, Membership, join, service};
 use saltdrum_fleet::change::Change;
-use saltdrum_fleet::fleet::{About, Fleet, Kind, Member, MemberId, Phase};
-use saltdrum_fleet::lease::{LeaseName, LeaseState, LeaseTerms};
-use saltdrum_fleet::next::Seen;
+use saltdrum_fleet::drain_scheduler::MemberLoad;
 use saltdrum_fleet::register::{Config, Voter};
+use saltdrum_fleet::state::{
+    Fleet, LeaseName, LeaseState, LeaseTerms, Member, MemberId, MemberInfo, MemberKind, Phase,
+};
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::list::{Follow, FromList};
 use saltdrum_simulated_network::{Ether, Line as Wire, Lines};
@@ -223,8 +224,8 @@
     Address::Memory(name.into())
 }
 
-fn terms() -> FleetTerms {
-    FleetTerms {
+fn terms() -> FleetConfig {
+    FleetConfig {
         name: FLEET.into(),
         renew: RENEW,
         suspect_level: 8.0,
@@ -246,8 +247,8 @@
     }
 }
 
-fn about(n: u32, incarnation: u64) -> About {
-    About {
+fn about(n: u32, incarnation: u64) -> MemberInfo {
+    MemberInfo {
         incarnation,
         site: if n.is_multiple_of(2) { "east" } else { "west" }.into(),
         cell: (n / 40) as u16,
@@ -282,7 +283,7 @@
         let resources = BTreeSet::from(["registry".to_owned()]);
         let terms = LeaseTerms {
             task: TASK.into(),
-            eligible: Kind::Invoker,
+            eligible: MemberKind::Invoker,
             resources,
         };
         let leases = (0..leases)
@@ -313,8 +314,8 @@
     fn is_proven(&self) -> bool {
         true
     }
-    fn seen(&self) -> Seen {
-        Seen::default()
+    fn seen(&self) -> MemberLoad {
+        MemberLoad::default()
     }
     fn drain(&self) {}
     fn is_drained(&self) -> bool {
@@ -438,12 +439,12 @@
             spent: stewards.clone(),
         });
     }
-    let operator = Caller::new(ether.host("operator"), at("steward-1"), FLEET);
-    let change = |change| Changes { change };
+    let operator = RpcClient::new(ether.host("operator"), at("steward-1"), FLEET);
+    let change = |change| ChangeRequest { change };
     // Something has to be agreed before stewards tell anybody of the fleet.
     let resume = change(Change::Resume { by: "scale".into() });
     while operator
-        .call::<Changed>("change", &resume, 10 * SECOND)
+        .call::<ChangeReply>("change", &resume, 10 * SECOND)
         .await
         .is_err()
     {
@@ -513,7 +514,7 @@
         ..Row::default()
     };
     let holder = first_holder(&founding);
-    let is_other = |n: &u32| id(n + 1).kind == Kind::Invoker && Some(id(n + 1)) != holder;
+    let is_other = |n: &u32| id(n + 1).kind == MemberKind::Invoker && Some(id(n + 1)) != holder;
     // One invoker comes back under another life: one line changes.
     let other = 1 + (0..size.members).find(is_other).unwrap_or(0);
     heard.borrow_mut().at.clear();
@@ -525,10 +526,10 @@
     };
     let begun = clock.now();
     let disk = written.load(Relaxed);
-    let cost = async |asked: Changes| {
+    let cost = async |asked: ChangeRequest| {
         let (before, begun) = (read(), clock.now());
         if let Err(why) = operator
-            .call::<Changed>("change", &asked, 30 * SECOND)
+            .call::<ChangeReply>("change", &asked, 30 * SECOND)
             .await
         {
             tracing::warn!(%why, "a change was not agreed");
--- a/crates/trial/src/script.rs
+++ b/crates/trial/src/script.rs
@@ -1,10 +1,9 @@
 //! A trial as its script states it: a deployment with a fleet, `trial(...)` once, and `step(...)` after `step(...)`.
 
-use saltdrum_coordinator::FleetTerms;
+use saltdrum_coordinator::FleetConfig;
 use saltdrum_deployment::units::Span;
 use saltdrum_deployment::{Fault, Statement, Terms, script};
-use saltdrum_fleet::bounds::Per;
-use saltdrum_fleet::fleet::Kind;
+use saltdrum_fleet::state::{BoundScope, MemberKind};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
@@ -14,7 +13,7 @@
     /// The script's own text, which the processes are given.
     pub text: String,
     pub terms: Terms,
-    pub fleet: FleetTerms,
+    pub fleet: FleetConfig,
     pub stewards: u32,
     pub controllers: u32,
     /// Append-only resources of fleet-wide tasks, on which invokers count.
@@ -185,7 +184,7 @@
             },
             why: why.into(),
         };
-        let fleet = FleetTerms::take(&mut rest)?.ok_or_else(|| at("no fleet(...) is stated"))?;
+        let fleet = FleetConfig::take(&mut rest)?.ok_or_else(|| at("no fleet(...) is stated"))?;
         let mut trials = rest.iter().filter(|s| s.what == "trial");
         let stated = trials.next().ok_or_else(|| at("no trial(...) is stated"))?;
         if let Some(second) = trials.next() {
@@ -261,13 +260,19 @@
                 .unwrap_or_default()
         };
         // Controllers are started without a zone, which is the first.
-        let controllers = (1..=self.controllers)
-            .map(|n| (format!("controller-{n}"), Kind::Controller, zone(0), 0));
+        let controllers = (1..=self.controllers).map(|n| {
+            (
+                format!("controller-{n}"),
+                MemberKind::Controller,
+                zone(0),
+                0,
+            )
+        });
         let invokers = &self.terms.invokers;
         let invokers = invokers.iter().map(|i| {
             (
                 format!("invoker-{}", i.invoker),
-                Kind::Invoker,
+                MemberKind::Invoker,
                 zone(i.zone),
                 i.cell,
             )
@@ -282,9 +287,9 @@
                     continue;
                 }
                 let group = match b.per {
-                    Per::Fleet => (String::new(), 0),
-                    Per::Site => (site.clone(), 0),
-                    Per::Cell => (site.clone(), *cell),
+                    BoundScope::Fleet => (String::new(), 0),
+                    BoundScope::Site => (site.clone(), 0),
+                    BoundScope::Cell => (site.clone(), *cell),
                 };
                 groups.entry(group).or_default().push(name.clone());
             }
