--- a/crates/cli/src/registry.rs
+++ b/crates/cli/src/registry.rs
@@ -6,7 +6,7 @@
 use clap::{Args, Subcommand};
 use saltdrum_layers::cut;
 use saltdrum_layers::layout::Layout;
-use saltdrum_registry::call::Caller;
+use saltdrum_registry::client::RegistryClient;
 use saltdrum_registry::{Name, Namespace, Role, Store, keys, service, store};
 use saltdrum_transport::{Address, Clock, Network, SocketNetwork};
 use serde_json::{Value as Json, json};
@@ -217,8 +217,8 @@
         key_file::is_free(key).map_err(text)?;
         let chance = chance()?;
         let found = |store: &mut Store| {
-            let key_text = service::found(store, id, chance, now_ms())?;
-            key_file::write_unfinished(key, &key_text).map_err(|e| store::Fault::Disk {
+            let key_text = service::create_first_owner(store, id, chance, now_ms())?;
+            key_file::write_unfinished(key, &key_text).map_err(|e| store::StoreError::Disk {
                 place: key.display().to_string(),
                 why: e.into(),
             })
@@ -242,7 +242,7 @@
         return Ok(false);
     }
     let store = Store::open_file(path).map_err(|e| e.to_string())?;
-    Ok(keys::who(&store.head().book, key_text).is_ok())
+    Ok(keys::who(&store.head().state, key_text).is_ok())
 }
 
 pub fn read_key(path: &Path) -> Result<String, String> {
@@ -254,17 +254,17 @@
 
 fn name(text: &str) -> Result<Name, String> {
     text.parse()
-        .map_err(|e: saltdrum_registry::names::BadName| e.to_string())
+        .map_err(|e: saltdrum_registry::names::InvalidName| e.to_string())
 }
 
 fn space(tenant: Option<&str>) -> Result<Namespace, String> {
     tenant.map_or(Ok(Namespace::All), |t| name(t).map(Namespace::Tenant))
 }
 
-async fn dial(to: &To) -> Result<Caller, String> {
+async fn dial(to: &To) -> Result<RegistryClient, String> {
     let at: Address = to.to.parse()?;
     let network: Rc<dyn Network> = Rc::new(SocketNetwork);
-    Caller::dial(&network, &at, &read_key(&to.key)?)
+    RegistryClient::connect(&network, &at, &read_key(&to.key)?)
         .await
         .map_err(|e| e.to_string())
 }
@@ -286,7 +286,7 @@
 }
 
 /// The alias as it is, and the revision to compare with: what the operator says, or what it is now.
-fn found(which: &Which) -> Result<(Json, u64), String> {
+fn create_first_owner(which: &Which) -> Result<(Json, u64), String> {
     let shown = call(&which.to, "show", json!({}))?;
     let at = json!(space(which.tenant.as_deref())?);
     let all = shown["aliases"].as_array().cloned().unwrap_or_default();
@@ -299,7 +299,7 @@
 }
 
 fn of(which: &Which, kind: &str) -> Result<u8, String> {
-    let (_, expect) = found(which)?;
+    let (_, expect) = create_first_owner(which)?;
     let space = space(which.tenant.as_deref())?;
     change(
         &which.to,
@@ -309,7 +309,7 @@
 
 /// 0: done. 1: something is wrong with what is kept. 2: bad input, or refused.
 pub fn run(what: &Registry) -> Result<u8, String> {
-    let fault = |e: store::Fault| e.to_string();
+    let fault = |e: store::StoreError| e.to_string();
     match what {
         Registry::Init { folder, key, id } => init(folder, key, &name(id)?),
         Registry::Serve {
@@ -449,7 +449,7 @@
             errors,
             answers,
         } => {
-            let (is, expect) = found(which)?;
+            let (is, expect) = create_first_owner(which)?;
             let stage = stage.map(|share| {
                 json!({"to": version, "per_mille": share, "errors_per_mille": errors, "answers": answers})
             });
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -15,7 +15,7 @@
 use saltdrum_layers::layout::Layout;
 use saltdrum_protocol::list::{Entry, Life};
 use saltdrum_protocol::rpc;
-use saltdrum_registry::follow::Following;
+use saltdrum_registry::follow::FollowConfig;
 use saltdrum_scenario::check::State;
 use saltdrum_scenario::{DAYS, Day, check as rules, play_on_sockets, play_virtually, summary};
 use saltdrum_transport::{
@@ -41,7 +41,7 @@
 }
 
 impl Names {
-    fn following(&self, who: String, copy: &str) -> Result<Option<Following>, String> {
+    fn following(&self, who: String, copy: &str) -> Result<Option<FollowConfig>, String> {
         let (Some(registry), Some(key)) = (&self.registry, &self.key) else {
             return Ok(None);
         };
@@ -49,7 +49,7 @@
             fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
         }
         let copy = self.copies.as_ref().map(|folder| folder.join(copy));
-        Ok(Some(Following {
+        Ok(Some(FollowConfig {
             registry: registry.parse()?,
             key: crate::registry::read_key(key)?,
             who,
--- a/crates/controller/src/native/alias_watch.rs
+++ b/crates/controller/src/native/alias_watch.rs
@@ -2,10 +2,10 @@
 
 use crate::native::aliases::AliasConfig;
 use crate::native::state::ControllerHandle;
-use saltdrum_registry::call::{Caller, Fault};
-use saltdrum_registry::follow::{Following, follow};
-use saltdrum_registry::passage::Staged;
-use saltdrum_registry::stage::Tally;
+use saltdrum_registry::client::{ClientError, RegistryClient};
+use saltdrum_registry::follow::{FollowConfig, follow};
+use saltdrum_registry::rollout::Tally;
+use saltdrum_registry::version_pin::StagedRollout;
 use serde_json::json;
 use std::rc::Rc;
 use std::time::Duration;
@@ -39,7 +39,7 @@
     tokio::join!(following, report_results(&handle, &config.following));
 }
 
-async fn report_results(handle: &Rc<ControllerHandle>, registry: &Following) {
+async fn report_results(handle: &Rc<ControllerHandle>, registry: &FollowConfig) {
     loop {
         tokio::time::sleep(REPORT_INTERVAL).await;
         let results = handle.update(|state| {
@@ -63,10 +63,11 @@
 
 async fn send_results(
     handle: &Rc<ControllerHandle>,
-    registry: &Following,
-    results: &[(Staged, Tally)],
-) -> Result<(), Fault> {
-    let mut caller = Caller::dial(&handle.network, &registry.registry, &registry.key).await?;
+    registry: &FollowConfig,
+    results: &[(StagedRollout, Tally)],
+) -> Result<(), ClientError> {
+    let mut caller =
+        RegistryClient::connect(&handle.network, &registry.registry, &registry.key).await?;
     for (stage, tally) in results {
         let params = json!({
             "space": stage.space,
--- a/crates/controller/src/native/aliases.rs
+++ b/crates/controller/src/native/aliases.rs
@@ -1,12 +1,13 @@
 //! Resolves names of the registry: an alias becomes a version here, before the policy sees an invocation.
 
 use saltdrum::interface::{FunctionId, MILLISECOND, Ticks};
-use saltdrum_registry::book::Book;
-use saltdrum_registry::follow::{Following, Heard};
-use saltdrum_registry::passage::{
-    Fixed, Passages, Said, Staged, Unfixed, function_id, function_name, offered,
+use saltdrum_registry::follow::{FollowConfig, RegistryUpdate};
+use saltdrum_registry::rollout::Tally;
+use saltdrum_registry::state::RegistryState;
+use saltdrum_registry::version_pin::{
+    PinRequest, PinnedVersion, ResolveError, StagedRollout, VersionPins, function_id,
+    function_name, offered,
 };
-use saltdrum_registry::stage::Tally;
 use serde_json::json;
 use std::collections::BTreeMap;
 use tracing::debug;
@@ -15,7 +16,7 @@
 #[derive(Clone, Debug)]
 pub struct AliasConfig {
     /// The registry, and what is kept of it on disk.
-    pub following: Following,
+    pub following: FollowConfig,
     /// How long a version stays pinned.
     pub passage: Ticks,
     /// Unix time in milliseconds when the controller's clock reads 0. Clocks of controllers have to agree within the pinning
@@ -35,13 +36,13 @@
 
 /// What is known of the registry, and the versions that clients are pinned to.
 pub(crate) struct AliasResolver {
-    book: Book,
-    passages: Passages,
+    book: RegistryState,
+    passages: VersionPins,
     epoch_ms: u64,
     last_heard: Option<Ticks>,
     /// Why the registry's last answer was not applied.
     refused: Option<String>,
-    stages: BTreeMap<Staged, StageResults>,
+    stages: BTreeMap<StagedRollout, StageResults>,
 }
 
 /// The version that an invocation runs, for the wire and the policy.
@@ -50,15 +51,15 @@
     pub name: String,
     pub memory_mb: f64,
     pub concurrency_limit: f64,
-    pub fixed: Fixed,
+    pub fixed: PinnedVersion,
 }
 
 impl AliasResolver {
     /// Knows nothing of the registry yet.
     pub fn new(config: &AliasConfig) -> Self {
         Self {
-            book: Book::default(),
-            passages: Passages::new(config.passage / MILLISECOND),
+            book: RegistryState::default(),
+            passages: VersionPins::new(config.passage / MILLISECOND),
             epoch_ms: config.epoch_ms,
             last_heard: None,
             refused: None,
@@ -73,8 +74,8 @@
         tenant: &str,
         trigger: &str,
         name: &str,
-        said: &Said,
-    ) -> Result<ResolvedVersion, Unfixed> {
+        said: &PinRequest,
+    ) -> Result<ResolvedVersion, ResolveError> {
         let fixed = self.passages.fix(
             &self.book,
             self.epoch_ms + now / MILLISECOND,
@@ -84,14 +85,14 @@
         )?;
         let full_name = function_name(&fixed.model, &fixed.version);
         let Some(version) = offered(&self.book, &fixed) else {
-            return Err(Unfixed::Unknown(full_name));
+            return Err(ResolveError::Unknown(full_name));
         };
         if !version
             .trigger_types
             .iter()
             .any(|offered| offered == trigger)
         {
-            return Err(Unfixed::Unknown(format!(
+            return Err(ResolveError::Unknown(format!(
                 "{full_name} for trigger '{trigger}'"
             )));
         }
@@ -105,8 +106,8 @@
     }
 
     /// Counts the end of an attempt on one side of a staged rollout.
-    pub fn count(&mut self, staged: &Staged, is_success: bool) {
-        let key = Staged {
+    pub fn count(&mut self, staged: &StagedRollout, is_success: bool) {
+        let key = StagedRollout {
             new: true,
             ..staged.clone()
         };
@@ -124,11 +125,11 @@
     }
 
     /// Applies what was heard of the registry.
-    pub fn apply(&mut self, now: Ticks, heard: Heard) {
+    pub fn apply(&mut self, now: Ticks, heard: RegistryUpdate) {
         match heard {
-            Heard::Book(head) => {
+            RegistryUpdate::Changed(head) => {
                 debug!(revision = head.revision(), "registry updated");
-                self.book = head.book;
+                self.book = head.state;
                 self.refused = None;
                 self.last_heard = Some(now);
                 let book = &self.book;
@@ -137,16 +138,16 @@
                     alias.is_some_and(|a| a.changed == stage.changed && a.stage.is_some())
                 });
             }
-            Heard::Still => {
+            RegistryUpdate::Unchanged => {
                 self.refused = None;
                 self.last_heard = Some(now);
             }
-            Heard::Refused(reason) => self.refused = Some(reason),
+            RegistryUpdate::Rejected(reason) => self.refused = Some(reason),
         }
     }
 
     /// Results that the registry does not know yet.
-    pub fn unreported(&self) -> Vec<(Staged, Tally)> {
+    pub fn unreported(&self) -> Vec<(StagedRollout, Tally)> {
         let changed = self
             .stages
             .iter()
@@ -157,7 +158,7 @@
     }
 
     /// The registry has taken these results.
-    pub fn mark_reported(&mut self, reported: &[(Staged, Tally)]) {
+    pub fn mark_reported(&mut self, reported: &[(StagedRollout, Tally)]) {
         for (stage, tally) in reported {
             if let Some(results) = self.stages.get_mut(stage) {
                 results.reported = *tally;
--- a/crates/controller/src/native/invoke.rs
+++ b/crates/controller/src/native/invoke.rs
@@ -5,7 +5,7 @@
 use saltdrum::interface::{FunctionId, Invocation, MILLISECOND, Ticks};
 use saltdrum_deployment::Terms;
 use saltdrum_protocol::rpc;
-use saltdrum_registry::passage::{Said, Unfixed};
+use saltdrum_registry::version_pin::{PinRequest, ResolveError};
 use tracing::info_span;
 
 /// At most this fraction of what a client waits is kept for the way of the answer.
@@ -154,7 +154,7 @@
     let Some(aliases) = &mut transport.aliases else {
         return Err(Rejection::unknown("function", &call.function));
     };
-    let said = Said {
+    let said = PinRequest {
         passage: call.passage.as_deref(),
         version: call.version.as_deref(),
         until_ms: call.passage_until_ms,
@@ -162,7 +162,7 @@
     let resolved = aliases.resolve(now, &call.tenant, &call.trigger, &call.function, &said);
     let resolved = resolved.map_err(|reason| Rejection {
         code: match reason {
-            Unfixed::Withdrawn(_) | Unfixed::Over(_) => rpc::PASSAGE_OVER,
+            ResolveError::Withdrawn(_) | ResolveError::Expired(_) => rpc::PASSAGE_OVER,
             _ => rpc::INVALID_PARAMS,
         },
         reason: reason.to_string(),
--- a/crates/controller/src/native/state.rs
+++ b/crates/controller/src/native/state.rs
@@ -12,7 +12,7 @@
 };
 use saltdrum_deployment::Terms;
 use saltdrum_protocol::{invoker as wire, rpc};
-use saltdrum_registry::passage::Fixed;
+use saltdrum_registry::version_pin::PinnedVersion;
 use saltdrum_transport::Address;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -85,7 +85,7 @@
 /// A version of the registry, as invokers know it, and what pins it.
 pub(crate) struct RegistryVersion {
     pub name: String,
-    pub fixed: Fixed,
+    pub fixed: PinnedVersion,
 }
 
 /// A client's call, and what its response says of the pinned version.
--- a/crates/controller/tests/controller_fixtures.rs
+++ b/crates/controller/tests/controller_fixtures.rs
@@ -12,8 +12,8 @@
 use saltdrum_protocol::invoker::{self as wire, Ended, FromController};
 use saltdrum_protocol::list;
 use saltdrum_registry::chain::{Entry, Head};
-use saltdrum_registry::follow::{Copy, Following};
-use saltdrum_registry::watch::Told;
+use saltdrum_registry::follow::{FollowConfig, LocalCopy};
+use saltdrum_registry::watch::WatchEvent;
 use saltdrum_transport::{Address, Clock, Listener, MemoryNetwork, Network, Stream};
 use serde_json::{Value, json};
 use std::cell::RefCell;
@@ -104,7 +104,7 @@
 }
 
 fn seat(copy: PathBuf, going: ShutdownHandle) -> ControllerConfig {
-    let following = Following {
+    let following = FollowConfig {
         registry: address("registry"),
         key: "alice.secret".into(),
         who: "controller 7".into(),
@@ -171,11 +171,11 @@
 /// What the registry sends to a watcher, line by line.
 fn registry_lines() -> String {
     let (head, entries, _) = history();
-    let whole = Told::Whole {
+    let whole = WatchEvent::Snapshot {
         head,
         restored: None,
     };
-    let next = entries.into_iter().map(|entry| Told::Next { entry });
+    let next = entries.into_iter().map(|entry| WatchEvent::Next { entry });
     let mut lines = String::new();
     for told in std::iter::once(whole).chain(next) {
         let told = serde_json::to_string(&told).unwrap();
@@ -429,7 +429,7 @@
     );
     check_fixture("names_copy.txt", &std::fs::read_to_string(&path).unwrap());
     let (_, _, last) = history();
-    let kept = Copy::read(&fixture_path("names_copy.txt"))
+    let kept = LocalCopy::read(&fixture_path("names_copy.txt"))
         .unwrap()
         .expect("a head");
     assert_eq!(kept, last);
--- a/crates/fakes/src/invoker.rs
+++ b/crates/fakes/src/invoker.rs
@@ -11,10 +11,10 @@
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::invoker as wire;
 use saltdrum_protocol::{list, store};
-use saltdrum_registry::book::{Book, Standing};
-use saltdrum_registry::call::Caller;
-use saltdrum_registry::follow::{Following, Heard, follow};
-use saltdrum_registry::passage::{function_id, function_name};
+use saltdrum_registry::client::RegistryClient;
+use saltdrum_registry::follow::{FollowConfig, RegistryUpdate, follow};
+use saltdrum_registry::state::{RegistryState, Standing};
+use saltdrum_registry::version_pin::{function_id, function_name};
 use saltdrum_transport::{
     Address, ArrivalReader, Clock, EventLoopClock, Half, Network, SendQueue, Stream, split,
 };
@@ -73,7 +73,7 @@
     /// Share of a load that is the fetch.
     pub fetch_share: f64,
     /// Functions beyond the terms are versions of this registry.
-    pub versions: Option<Following>,
+    pub versions: Option<FollowConfig>,
     /// Models come in chunks through an agent, in place of the plain store.
     pub layers: Option<Layers>,
 }
@@ -111,7 +111,7 @@
     tasks: RefCell<JoinSet<()>>,
     calm: Notify,
     /// As the registry last told it.
-    book: RefCell<Book>,
+    book: RefCell<RegistryState>,
     /// Versions that were asked for: model, and reference at the store.
     models: RefCell<BTreeMap<FunctionId, (String, String)>>,
 }
@@ -468,8 +468,8 @@
             );
             let this = Rc::downgrade(self);
             let hear = move |heard| {
-                if let (Some(this), Heard::Book(head)) = (this.upgrade(), heard) {
-                    this.told(head.book);
+                if let (Some(this), RegistryUpdate::Changed(head)) = (this.upgrade(), heard) {
+                    this.told(head.state);
                 }
             };
             tasks.spawn_local(follow(of, network, seed, hear));
@@ -478,7 +478,7 @@
     }
 
     /// The registry's book has changed: chunks of versions that a stage will bring are fetched ahead.
-    fn told(self: &Rc<Self>, book: Book) {
+    fn told(self: &Rc<Self>, book: RegistryState) {
         let stages = book
             .aliases
             .values()
@@ -811,7 +811,7 @@
         let (of, network) = (of.clone(), self.site.network.clone());
         tokio::task::spawn_local(async move {
             let telling = async {
-                let mut caller = Caller::dial(&network, &of.registry, &of.key).await?;
+                let mut caller = RegistryClient::connect(&network, &of.registry, &of.key).await?;
                 caller.call("corrupt", said).await
             };
             // The next load that fails tells it again.
--- a/crates/registry/examples/cost.rs
+++ b/crates/registry/examples/cost.rs
@@ -10,12 +10,12 @@
 
 use redb::{Database, TableDefinition};
 use saltdrum_layers::Digest;
-use saltdrum_registry::book::{Change, Version};
-use saltdrum_registry::call::Caller;
-use saltdrum_registry::follow::{Following, Heard, follow};
-use saltdrum_registry::passage::{Passages, Said};
-use saltdrum_registry::service::{Registry, found};
-use saltdrum_registry::store::Asked;
+use saltdrum_registry::client::RegistryClient;
+use saltdrum_registry::follow::{FollowConfig, RegistryUpdate, follow};
+use saltdrum_registry::service::{Registry, create_first_owner};
+use saltdrum_registry::state::{Change, Version};
+use saltdrum_registry::store::ChangeRequest;
+use saltdrum_registry::version_pin::{PinRequest, VersionPins};
 use saltdrum_registry::{Name, Namespace, Store};
 use saltdrum_transport::{Address, Clock, Network, SocketNetwork};
 use serde_json::json;
@@ -55,8 +55,8 @@
     }
 }
 
-fn asked(change: Change) -> Asked {
-    Asked {
+fn asked(change: Change) -> ChangeRequest {
+    ChangeRequest {
         who: "cost".into(),
         at_ms: 0,
         change,
@@ -112,7 +112,7 @@
 
     let path = folder.path().join("large.redb");
     let mut store = Store::open_file(&path).expect("a store");
-    let key = found(&mut store, &name("anna"), [7; 32], 0).expect("a key");
+    let key = create_first_owner(&mut store, &name("anna"), [7; 32], 0).expect("a key");
     for part in 0..100u64 {
         let all = (0..1_000).map(|k| asked(push(part * 1_000 + k))).collect();
         store.take(all).expect("disk");
@@ -124,37 +124,37 @@
     let store = Store::open_file(&path).expect("a store");
     println!(
         "coming back with {} versions, {} MB: {:.2} s, the chain checked",
-        store.head().book.versions.len(),
+        store.head().state.versions.len(),
         size >> 20,
         began.elapsed().as_secs_f64()
     );
 
-    let book = store.head().book.clone();
-    let mut passages = Passages::new(3_600_000);
+    let state = store.head().state.clone();
+    let mut passages = VersionPins::new(3_600_000);
     const FIXES: u64 = 200_000;
     let texts: Vec<String> = (0..FIXES)
         .map(|n| format!("passage-{}", n % 20_000))
         .collect();
     let begins = rate(FIXES, || {
         for text in &texts {
-            let said = Said {
+            let said = PinRequest {
                 passage: Some(text),
                 ..Default::default()
             };
             passages
-                .fix(&book, 0, "hill", "model-0-current", &said)
+                .fix(&state, 0, "hill", "model-0-current", &said)
                 .expect("it is there");
         }
     });
     let handed = rate(FIXES, || {
         for text in &texts {
-            let said = Said {
+            let said = PinRequest {
                 passage: Some(text),
                 version: Some("model-0@v0"),
                 until_ms: Some(1_000_000),
             };
             passages
-                .fix(&book, 0, "hill", "model-0-current", &said)
+                .fix(&state, 0, "hill", "model-0-current", &said)
                 .expect("it is there");
         }
     });
@@ -187,11 +187,11 @@
         for (n, at_revision) in heard.iter().enumerate() {
             let noted = at_revision.clone();
             let hear = move |heard| {
-                if let Heard::Book(head) = heard {
+                if let RegistryUpdate::Changed(head) = heard {
                     noted.set(head.revision());
                 }
             };
-            let of = Following {
+            let of = FollowConfig {
                 registry: at.clone(),
                 key: key.clone(),
                 who: n.to_string(),
@@ -207,7 +207,9 @@
             "100 watchers begin, each told 100,000 versions: {:.1} s",
             began.elapsed().as_secs_f64()
         );
-        let mut caller = Caller::dial(&network, &at, &key).await.expect("a caller");
+        let mut caller = RegistryClient::connect(&network, &at, &key)
+            .await
+            .expect("a caller");
         let (mut times, mut expect) = (Vec::new(), 100_002);
         for n in 1..=20 {
             let began = Instant::now();
--- a/crates/registry/src/gc.rs
+++ b/crates/registry/src/blob_collector.rs
@@ -11,10 +11,10 @@
     digests: BTreeSet<Digest>,
 }
 
-/// What is known of blobs beside the book. It ends with the process: leases then have to be taken anew, and every grace
+/// What is known of blobs beside the state. It ends with the process: leases then have to be taken anew, and every grace
 /// begins again.
 #[derive(Default)]
-pub struct Keeper {
+pub struct BlobCollector {
     leases: BTreeMap<LeaseId, Lease>,
     last: LeaseId,
     /// Seen without a reference, and since when.
@@ -23,14 +23,14 @@
 
 /// Why a push can't be ended.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Lost {
+pub enum PushLeaseError {
     #[error("lease {0} is not known or has run out: begin the push again")]
     Lease(LeaseId),
     #[error("blob {0} is not among those the push began with")]
     NotHeld(Digest),
 }
 
-impl Keeper {
+impl BlobCollector {
     /// Before a push looks at what is there.
     pub fn begin(&mut self, now_ms: u64, digests: BTreeSet<Digest>, lasts_ms: u64) -> LeaseId {
         self.last += 1;
@@ -46,16 +46,21 @@
     }
 
     /// Whether a push that needs these still holds them. It is asked with the version's change, in the same turn.
-    pub fn holds(&self, now_ms: u64, lease: LeaseId, needs: &[Digest]) -> Result<(), Lost> {
+    pub fn holds(
+        &self,
+        now_ms: u64,
+        lease: LeaseId,
+        needs: &[Digest],
+    ) -> Result<(), PushLeaseError> {
         let held = self
             .leases
             .get(&lease)
             .filter(|l| now_ms < l.until_ms)
-            .ok_or(Lost::Lease(lease))?;
+            .ok_or(PushLeaseError::Lease(lease))?;
         needs
             .iter()
             .find(|d| !held.digests.contains(d))
-            .map_or(Ok(()), |d| Err(Lost::NotHeld(*d)))
+            .map_or(Ok(()), |d| Err(PushLeaseError::NotHeld(*d)))
     }
 
     pub fn end(&mut self, lease: LeaseId) {
--- a/crates/registry/src/blobs.rs
+++ b/crates/registry/src/blobs.rs
@@ -1,6 +1,6 @@
 //! The folder in which the versions' manifests and chunks lie: an OCI image layout.
 
-use crate::book::Book;
+use crate::state::RegistryState;
 use saltdrum_layers::manifest::{EMPTY, MANIFEST_MOST_BYTES};
 use saltdrum_layers::{Digest, Manifest, cut};
 use std::collections::BTreeSet;
@@ -42,9 +42,9 @@
 }
 
 /// All that versions need. A manifest that can't be read stops a collection: what it needs is not known.
-pub fn named(folder: &Path, book: &Book) -> Result<BTreeSet<Digest>, String> {
+pub fn named(folder: &Path, state: &RegistryState) -> Result<BTreeSet<Digest>, String> {
     let mut all = BTreeSet::from([Digest::of(EMPTY)]);
-    for digest in book.manifests() {
+    for digest in state.manifests() {
         all.insert(digest);
         all.extend(manifest(folder, &digest)?.chunks.iter().map(|c| c.digest));
     }
@@ -52,10 +52,10 @@
 }
 
 /// Reads every byte that a version leads to, and tells what is wrong, each with its place.
-pub fn look(folder: &Path, book: &Book) -> Vec<String> {
+pub fn look(folder: &Path, state: &RegistryState) -> Vec<String> {
     let mut wrong = Vec::new();
     let mut seen = BTreeSet::new();
-    for ((model, name), held) in &book.versions {
+    for ((model, name), held) in &state.versions {
         let read = match manifest(folder, &held.version.manifest) {
             Ok(read) => read,
             Err(why) => {
--- a/crates/registry/src/chain.rs
+++ b/crates/registry/src/chain.rs
@@ -1,7 +1,7 @@
 //! The history as a chain: each entry holds the hash of the one before, so that none can be changed, left out or put in
 //! without all later ones telling.
 
-use crate::book::{Book, Change, Refusal, Revision};
+use crate::state::{Change, ChangeError, RegistryState, Revision};
 use serde::{Deserialize, Serialize};
 
 /// Hash of an entry; 32 bytes in hexadecimal.
@@ -40,17 +40,18 @@
     blake3::hash(bytes).to_hex().to_string()
 }
 
-/// A book and where its history has come to.
+/// A state and where its history has come to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    pub book: Book,
+    #[serde(rename = "book")]
+    pub state: RegistryState,
     pub hash: Hash,
 }
 
 impl Default for Head {
     fn default() -> Self {
         Self {
-            book: Book::default(),
+            state: RegistryState::default(),
             hash: nothing(),
         }
     }
@@ -58,7 +59,7 @@
 
 /// Why an entry does not follow.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Broken {
+pub enum ChainError {
     #[error(
         "entry of revision {revision}: it follows another history than the one up to revision {at}"
     )]
@@ -66,46 +67,54 @@
     #[error("entry says revision {said}, its change makes {made}")]
     Revision { said: Revision, made: Revision },
     #[error("entry of revision {revision} could never have been taken: {why}")]
-    NeverTaken { revision: Revision, why: Refusal },
+    NeverTaken {
+        revision: Revision,
+        why: ChangeError,
+    },
 }
 
 impl Head {
     pub fn revision(&self) -> Revision {
-        self.book.revision
+        self.state.revision
     }
 
     /// What a change would become, without taking it.
-    pub fn decide(&self, who: &str, at_ms: u64, change: Change) -> Result<(Entry, Head), Refusal> {
-        let book = self.book.with(&change)?;
+    pub fn decide(
+        &self,
+        who: &str,
+        at_ms: u64,
+        change: Change,
+    ) -> Result<(Entry, Head), ChangeError> {
+        let state = self.state.with(&change)?;
         let entry = Entry {
-            revision: book.revision,
+            revision: state.revision,
             at_ms,
             who: who.to_owned(),
             change,
             before: self.hash.clone(),
         };
         let hash = entry.hash();
-        Ok((entry, Head { book, hash }))
+        Ok((entry, Head { state, hash }))
     }
 
     /// The head after an entry that someone else has decided.
-    pub fn follow(&self, entry: &Entry) -> Result<Head, Broken> {
+    pub fn follow(&self, entry: &Entry) -> Result<Head, ChainError> {
         let (revision, at) = (entry.revision, self.revision());
         if entry.before != self.hash {
-            return Err(Broken::OtherHistory { revision, at });
+            return Err(ChainError::OtherHistory { revision, at });
         }
-        let book = self
-            .book
+        let state = self
+            .state
             .with(&entry.change)
-            .map_err(|why| Broken::NeverTaken { revision, why })?;
-        if book.revision != revision {
-            return Err(Broken::Revision {
+            .map_err(|why| ChainError::NeverTaken { revision, why })?;
+        if state.revision != revision {
+            return Err(ChainError::Revision {
                 said: revision,
-                made: book.revision,
+                made: state.revision,
             });
         }
         Ok(Head {
-            book,
+            state,
             hash: entry.hash(),
         })
     }
--- a/crates/registry/src/call.rs
+++ b/crates/registry/src/client.rs
@@ -9,15 +9,15 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 #[derive(Debug, thiserror::Error)]
-pub enum Fault {
+pub enum ClientError {
     #[error("{at}: {why}")]
-    Line { at: Address, why: String },
+    Connection { at: Address, why: String },
     /// What the registry answered.
     #[error("{message}")]
-    Told { code: i64, message: String },
+    Response { code: i64, message: String },
 }
 
-pub struct Caller {
+pub struct RegistryClient {
     at: Address,
     stream: Stream,
     read: BytesMut,
@@ -32,11 +32,15 @@
     error: Option<ReplyError>,
 }
 
-impl Caller {
+impl RegistryClient {
     /// Dials and logs in.
-    pub async fn dial(network: &Rc<dyn Network>, at: &Address, key: &str) -> Result<Self, Fault> {
+    pub async fn connect(
+        network: &Rc<dyn Network>,
+        at: &Address,
+        key: &str,
+    ) -> Result<Self, ClientError> {
         let dialled = network.dial(at).await;
-        let stream = dialled.map_err(|e| Fault::Line {
+        let stream = dialled.map_err(|e| ClientError::Connection {
             at: at.clone(),
             why: e.to_string(),
         })?;
@@ -50,8 +54,8 @@
         Ok(caller)
     }
 
-    pub async fn call(&mut self, method: &str, params: Json) -> Result<Json, Fault> {
-        let fault = |at: &Address, why: String| Fault::Line {
+    pub async fn call(&mut self, method: &str, params: Json) -> Result<Json, ClientError> {
+        let fault = |at: &Address, why: String| ClientError::Connection {
             at: at.clone(),
             why,
         };
@@ -70,7 +74,7 @@
                     continue;
                 }
                 return match reply.error {
-                    Some(e) => Err(Fault::Told {
+                    Some(e) => Err(ClientError::Response {
                         code: e.code,
                         message: e.message,
                     }),
--- a/crates/registry/src/collection.rs
+++ b/crates/registry/src/collection.rs
@@ -47,7 +47,7 @@
         stewards: Vec<Caller>,
         registry: Rc<Registry>,
     ) -> Rc<Self> {
-        registry.is_collected_by_fleet();
+        registry.set_collected_by_fleet();
         let guard = Guard::started(incarnation, stewards);
         Rc::new(Self {
             fleet: fleet.to_owned(),
--- a/crates/registry/src/follow.rs
+++ b/crates/registry/src/follow.rs
@@ -1,8 +1,8 @@
 //! A watcher of the registry: keeps what it is told on disk before it obeys it, and goes on from there.
 
 use crate::chain::{Entry, Head};
-use crate::service::STILL;
-use crate::watch::{Refused, Told, Watcher};
+use crate::service::HEARTBEAT_INTERVAL;
+use crate::watch::{WatchError, WatchEvent, Watcher};
 use bytes::BytesMut;
 use saltdrum_durable::file;
 use saltdrum_transport::{Address, Network, Stream};
@@ -18,16 +18,16 @@
 use tracing::{info, warn};
 
 /// Nothing heard for so long: the line is down, whatever it says.
-const SILENT: Duration = Duration::from_millis(3 * STILL.as_millis() as u64);
+const SILENT: Duration = Duration::from_millis(3 * HEARTBEAT_INTERVAL.as_millis() as u64);
 const AGAIN_LEAST: Duration = Duration::from_millis(100);
 const AGAIN_MOST: Duration = Duration::from_secs(5);
 
 /// Whom to follow, as whom.
 #[derive(Clone, Debug)]
-pub struct Following {
+pub struct FollowConfig {
     pub registry: Address,
     pub key: String,
-    /// Told to the registry, for its list of followers.
+    /// Reported to the registry, for its list of followers.
     pub who: String,
     /// What is known is kept here over starts; none: it is not.
     pub copy: Option<PathBuf>,
@@ -35,17 +35,17 @@
 
 /// What a watcher has come to, for whoever obeys it.
 #[derive(Clone, Debug)]
-pub enum Heard {
+pub enum RegistryUpdate {
     /// New, and kept.
-    Book(Head),
+    Changed(Head),
     /// The registry was heard; nothing is new.
-    Still,
+    Unchanged,
     /// What the registry says is not obeyed, and why.
-    Refused(String),
+    Rejected(String),
 }
 
 /// What is known, on disk: a head, then the entries since. It is written anew when it has grown.
-pub struct Copy {
+pub struct LocalCopy {
     path: PathBuf,
     file: File,
     entries: usize,
@@ -53,7 +53,7 @@
 
 const ENTRIES_MOST: usize = 4_096;
 
-impl Copy {
+impl LocalCopy {
     /// What was kept, as far as it is whole: a last line that was cut short was never obeyed.
     pub fn read(path: &Path) -> io::Result<Option<Head>> {
         let text = match fs::read_to_string(path) {
@@ -116,18 +116,20 @@
 
 /// Follows until dropped. `hear` is told first what was kept, then all that comes.
 pub async fn follow(
-    of: Following,
+    of: FollowConfig,
     network: Rc<dyn Network>,
     seed: u64,
-    mut hear: impl FnMut(Heard),
+    mut hear: impl FnMut(RegistryUpdate),
 ) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let kept = match &of.copy {
         None => None,
-        Some(path) => Copy::read(path).unwrap_or_else(|e| {
+        Some(path) => LocalCopy::read(path).unwrap_or_else(|e| {
             // ShutdownHandle on from nothing could turn us back: an operator has to remove it.
             warn!(%e, "what was kept of the registry can't be read");
-            hear(Heard::Refused(format!("what was kept can't be read: {e}")));
+            hear(RegistryUpdate::Rejected(format!(
+                "what was kept can't be read: {e}"
+            )));
             None
         }),
     };
@@ -139,9 +141,9 @@
     if watcher.head().revision() > 0 {
         info!(
             revision = watcher.head().revision(),
-            "the registry's book as it was kept"
+            "the registry's state as it was kept"
         );
-        hear(Heard::Book(watcher.head().clone()));
+        hear(RegistryUpdate::Changed(watcher.head().clone()));
     }
     let mut copy = None;
     let mut wait = AGAIN_LEAST;
@@ -158,11 +160,11 @@
 }
 
 async fn followed(
-    of: &Following,
+    of: &FollowConfig,
     network: &Rc<dyn Network>,
     watcher: &mut Watcher,
-    copy: &mut Option<Copy>,
-    hear: &mut impl FnMut(Heard),
+    copy: &mut Option<LocalCopy>,
+    hear: &mut impl FnMut(RegistryUpdate),
 ) -> String {
     let mut stream: Stream = match network.dial(&of.registry).await {
         Ok(stream) => stream,
@@ -188,13 +190,13 @@
                 Err(e) => return format!("a line that is none: {e}"),
             };
             if let Some(e) = notice.error {
-                hear(Heard::Refused(e.message.clone()));
+                hear(RegistryUpdate::Rejected(e.message.clone()));
                 return e.message;
             }
             let (Some("told"), Some(params)) = (notice.method.as_deref(), notice.params) else {
                 continue;
             };
-            let told: Told = match serde_json::from_str(params.get()) {
+            let told: WatchEvent = match serde_json::from_str(params.get()) {
                 Ok(told) => told,
                 Err(e) => return format!("something that is not known here: {e}"),
             };
@@ -213,42 +215,42 @@
 }
 
 fn take(
-    of: &Following,
+    of: &FollowConfig,
     watcher: &mut Watcher,
-    copy: &mut Option<Copy>,
-    told: Told,
-    hear: &mut impl FnMut(Heard),
+    copy: &mut Option<LocalCopy>,
+    told: WatchEvent,
+    hear: &mut impl FnMut(RegistryUpdate),
 ) -> Result<(), String> {
-    let entry = if let Told::Next { entry } = &told {
+    let entry = if let WatchEvent::Next { entry } = &told {
         Some(entry.clone())
     } else {
         None
     };
     let mut next = watcher.clone();
     match next.hear(told) {
-        Ok(false) => hear(Heard::Still),
+        Ok(false) => hear(RegistryUpdate::Unchanged),
         Ok(true) => {
             if let Some(path) = &of.copy {
                 // Kept before it is obeyed: after a kill we are not behind what we have answered by.
                 let kept = match (copy.as_mut(), &entry) {
                     (Some(copy), Some(entry)) => copy.add(entry, next.head()),
-                    _ => Copy::write(path, next.head()).map(|new| *copy = Some(new)),
+                    _ => LocalCopy::write(path, next.head()).map(|new| *copy = Some(new)),
                 };
                 if let Err(e) = kept {
                     *copy = None;
-                    hear(Heard::Refused(format!("it can't be kept: {e}")));
+                    hear(RegistryUpdate::Rejected(format!("it can't be kept: {e}")));
                     return Err(format!("{}: {e}", path.display()));
                 }
             }
             *watcher = next;
-            hear(Heard::Book(watcher.head().clone()));
+            hear(RegistryUpdate::Changed(watcher.head().clone()));
         }
-        Err(why @ Refused::Older { .. }) => {
-            hear(Heard::Refused(why.to_string()));
+        Err(why @ WatchError::HistoryMismatch { .. }) => {
+            hear(RegistryUpdate::Rejected(why.to_string()));
             return Err(why.to_string());
         }
-        Err(Refused::Broken(why)) => {
-            hear(Heard::Refused(why.to_string()));
+        Err(WatchError::BrokenChain(why)) => {
+            hear(RegistryUpdate::Rejected(why.to_string()));
             return Err(why.to_string());
         }
     }
--- a/crates/registry/src/keys.rs
+++ b/crates/registry/src/keys.rs
@@ -1,11 +1,11 @@
 //! Keys: `ID.SECRET`. What is kept tells whether one is right, and no more.
 
-use crate::book::{Book, Role};
 use crate::names::Name;
+use crate::state::{RegistryState, Role};
 
 /// Why a key opens nothing. It does not say which part was wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Denied {
+pub enum AccessError {
     #[error("this key opens nothing here")]
     Key,
     #[error("log in first")]
@@ -31,27 +31,27 @@
 }
 
 /// Who comes with this text.
-pub fn who(book: &Book, text: &str) -> Result<(Name, Role), Denied> {
-    let (id, secret) = text.rsplit_once('.').ok_or(Denied::Key)?;
-    let id: Name = id.parse().map_err(|_| Denied::Key)?;
-    let key = book.keys.get(&id).ok_or(Denied::Key)?;
-    let kept = blake3::Hash::from_hex(&key.hash).map_err(|_| Denied::Key)?;
+pub fn who(state: &RegistryState, text: &str) -> Result<(Name, Role), AccessError> {
+    let (id, secret) = text.rsplit_once('.').ok_or(AccessError::Key)?;
+    let id: Name = id.parse().map_err(|_| AccessError::Key)?;
+    let key = state.keys.get(&id).ok_or(AccessError::Key)?;
+    let kept = blake3::Hash::from_hex(&key.hash).map_err(|_| AccessError::Key)?;
     // Compared in constant time, as the library's hashes are.
     if kept == hash(&id.to_string(), secret) {
         Ok((id, key.role))
     } else {
-        Err(Denied::Key)
+        Err(AccessError::Key)
     }
 }
 
 /// Whether a key that once opened the door still does, and may do this.
-pub fn may(book: &Book, id: Option<&Name>, needs: Role) -> Result<Name, Denied> {
-    let id = id.ok_or(Denied::NoKey)?;
-    let key = book.keys.get(id).ok_or(Denied::Key)?;
+pub fn may(state: &RegistryState, id: Option<&Name>, needs: Role) -> Result<Name, AccessError> {
+    let id = id.ok_or(AccessError::NoKey)?;
+    let key = state.keys.get(id).ok_or(AccessError::Key)?;
     if key.role >= needs {
         Ok(id.clone())
     } else {
-        Err(Denied::Role {
+        Err(AccessError::Role {
             has: key.role,
             needs,
         })
--- a/crates/registry/src/names.rs
+++ b/crates/registry/src/names.rs
@@ -15,7 +15,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("name '{}': {why}; lower-case letters, digits, and . - _ between them are expected", shown(.name))]
-pub struct BadName {
+pub struct InvalidName {
     name: String,
     why: &'static str,
 }
@@ -28,11 +28,11 @@
 }
 
 impl FromStr for Name {
-    type Err = BadName;
+    type Err = InvalidName;
 
-    fn from_str(text: &str) -> Result<Self, BadName> {
+    fn from_str(text: &str) -> Result<Self, InvalidName> {
         let bad = |why| {
-            Err(BadName {
+            Err(InvalidName {
                 name: text.to_owned(),
                 why,
             })
@@ -59,9 +59,9 @@
 }
 
 impl TryFrom<String> for Name {
-    type Error = BadName;
+    type Error = InvalidName;
 
-    fn try_from(text: String) -> Result<Self, BadName> {
+    fn try_from(text: String) -> Result<Self, InvalidName> {
         text.parse()
     }
 }
--- a/crates/registry/src/stage.rs
+++ b/crates/registry/src/rollout.rs
@@ -1,6 +1,6 @@
 //! When a staged move ends: by what controllers have counted of the new version's answers and the old one's.
 
-use crate::book::Stage;
+use crate::state::Stage;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -22,10 +22,10 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
-    GoOn,
-    Well,
+    Undecided,
+    Complete,
     /// Shares of answers that erred.
-    Stop {
+    Abort {
         new: f64,
         old: f64,
     },
@@ -74,10 +74,10 @@
         // Before the answers waited for are in, only what chance would not do stops it; then the count as it is.
         let early = sum.new_erred >= ERRED_LEAST && new > bound + SURE * spread;
         match answers >= stage.answers {
-            _ if early => Verdict::Stop { new, old },
-            true if new > bound => Verdict::Stop { new, old },
-            true => Verdict::Well,
-            false => Verdict::GoOn,
+            _ if early => Verdict::Abort { new, old },
+            true if new > bound => Verdict::Abort { new, old },
+            true => Verdict::Complete,
+            false => Verdict::Undecided,
         }
     }
 }
--- a/crates/registry/src/service/tests.rs
+++ b/crates/registry/src/service/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use saltdrum_layers::Digest;
 use std::cell::Cell;
 use std::time::Duration;
 
--- a/crates/registry/src/store.rs
+++ b/crates/registry/src/store.rs
@@ -1,8 +1,8 @@
 //! The history on disk. The log is the truth: each start reads it whole and checks its chain, and what is not in it was
 //! never acknowledged.
 
-use crate::book::{Change, Refusal, Revision};
-use crate::chain::{Broken, Entry, Hash, Head};
+use crate::chain::{ChainError, Entry, Hash, Head};
+use crate::state::{Change, ChangeError, Revision};
 use redb::{Database, ReadableDatabase, ReadableTable, ReadableTableMetadata, TableDefinition};
 use saltdrum_durable::{DiskFailure, database, file};
 use std::collections::BTreeMap;
@@ -22,7 +22,7 @@
 const ENTRY_MOST_BYTES: usize = 64 << 10;
 
 #[derive(Debug, thiserror::Error)]
-pub enum Fault {
+pub enum StoreError {
     #[error("{place}: {why}")]
     Disk { place: String, why: DiskFailure },
     #[error("{place}: schema {found}: this program knows up to {SCHEMA}")]
@@ -40,12 +40,12 @@
         why: String,
     },
     #[error("{0}")]
-    Refused(#[from] Refusal),
+    Refused(#[from] ChangeError),
     #[error("{place}: there is a registry already")]
     Occupied { place: String },
 }
 
-impl Fault {
+impl StoreError {
     /// Whether the same may succeed a while later.
     pub fn may_pass(&self) -> bool {
         matches!(self, Self::Disk { why, .. } if why.may_pass)
@@ -53,10 +53,10 @@
 }
 
 /// Makes the database, at each start and after each failure.
-pub type Opens = Box<dyn Fn() -> Result<Database, redb::DatabaseError>>;
+pub type OpenDatabase = Box<dyn Fn() -> Result<Database, redb::DatabaseError>>;
 
 /// A change somebody waits for.
-pub struct Asked {
+pub struct ChangeRequest {
     pub who: String,
     pub at_ms: u64,
     pub change: Change,
@@ -64,7 +64,7 @@
 
 pub struct Store {
     place: String,
-    opens: Opens,
+    opens: OpenDatabase,
     /// None: a write failed, and what the disk has is not known until it is read again.
     database: Option<Database>,
     head: Head,
@@ -75,7 +75,7 @@
 
 /// Why a registry was not made.
 enum Unmade {
-    Fault(Fault),
+    StoreError(StoreError),
     File(std::io::Error),
 }
 
@@ -92,7 +92,7 @@
 }
 
 impl Store {
-    pub fn open_file(path: &Path) -> Result<Self, Fault> {
+    pub fn open_file(path: &Path) -> Result<Self, StoreError> {
         let at = path.to_owned();
         let opens = move || database::open(&at, CACHE_BYTES);
         Self::open(path.display().to_string(), Box::new(opens))
@@ -101,23 +101,23 @@
     /// Makes a registry at `path`, where there is none: with all that `fill` puts into it, or not at all.
     pub fn make_file<T>(
         path: &Path,
-        fill: impl FnOnce(&mut Self) -> Result<T, Fault>,
-    ) -> Result<T, Fault> {
+        fill: impl FnOnce(&mut Self) -> Result<T, StoreError>,
+    ) -> Result<T, StoreError> {
         let place = || path.display().to_string();
         let filled = file::make_whole(path, |unfinished| {
-            let mut store = Self::open_file(unfinished).map_err(Unmade::Fault)?;
-            fill(&mut store).map_err(Unmade::Fault)
+            let mut store = Self::open_file(unfinished).map_err(Unmade::StoreError)?;
+            fill(&mut store).map_err(Unmade::StoreError)
         });
         filled.map_err(|unmade| match unmade {
-            Unmade::Fault(fault) => fault,
-            Unmade::File(why) => Fault::Disk {
+            Unmade::StoreError(fault) => fault,
+            Unmade::File(why) => StoreError::Disk {
                 place: place(),
                 why: why.into(),
             },
         })
     }
 
-    pub fn open(place: String, opens: Opens) -> Result<Self, Fault> {
+    pub fn open(place: String, opens: OpenDatabase) -> Result<Self, StoreError> {
         let mut store = Self {
             place,
             opens,
@@ -130,15 +130,15 @@
         Ok(store)
     }
 
-    fn disk(&self, why: impl Into<DiskFailure>) -> Fault {
-        Fault::Disk {
+    fn disk(&self, why: impl Into<DiskFailure>) -> StoreError {
+        StoreError::Disk {
             place: self.place.clone(),
             why: why.into(),
         }
     }
 
     /// Reads all that the disk has, and goes on from there.
-    fn come_back(&mut self) -> Result<(), Fault> {
+    fn come_back(&mut self) -> Result<(), StoreError> {
         self.database = None;
         let database = (self.opens)().map_err(|e| self.disk(e))?;
         let read = self.read(&database)?;
@@ -153,7 +153,7 @@
         Ok(())
     }
 
-    fn read(&self, database: &Database) -> Result<Read, Fault> {
+    fn read(&self, database: &Database) -> Result<Read, StoreError> {
         let txn = database.begin_write().map_err(|e| self.disk(e))?;
         {
             let mut about = txn.open_table(ABOUT).map_err(|e| self.disk(e))?;
@@ -164,7 +164,7 @@
             match found {
                 None => drop(about.insert("schema", SCHEMA).map_err(|e| self.disk(e))?),
                 Some(found) if found > SCHEMA => {
-                    return Err(Fault::Later {
+                    return Err(StoreError::Later {
                         place: self.place.clone(),
                         found,
                     });
@@ -184,7 +184,7 @@
         };
         for line in log.iter().map_err(|e| self.disk(e))? {
             let (revision, bytes) = line.map_err(|e| self.disk(e))?;
-            let damaged = |why: String| Fault::Damaged {
+            let damaged = |why: String| StoreError::Damaged {
                 place: self.place.clone(),
                 revision: revision.value(),
                 why,
@@ -200,7 +200,7 @@
             read.head = read
                 .head
                 .follow(&entry)
-                .map_err(|e: Broken| damaged(e.to_string()))?;
+                .map_err(|e: ChainError| damaged(e.to_string()))?;
             read.hashes.insert(entry.revision, read.head.hash.clone());
             if matches!(entry.change, Change::Restored { .. }) {
                 read.last_restored = Some(entry);
@@ -229,7 +229,10 @@
 
     /// Takes changes that came together, with one write for all. Each is told apart: refused, or on disk when this
     /// returns. After a failed write nothing of it is acknowledged, and the next call reads the disk anew.
-    pub fn take(&mut self, all: Vec<Asked>) -> Result<Vec<Result<Entry, Refusal>>, Fault> {
+    pub fn take(
+        &mut self,
+        all: Vec<ChangeRequest>,
+    ) -> Result<Vec<Result<Entry, ChangeError>>, StoreError> {
         if self.database.is_none() {
             self.come_back()?;
         }
@@ -239,7 +242,7 @@
                 Ok((entry, next)) => {
                     if entry.bytes().len() > ENTRY_MOST_BYTES {
                         let why = format!("over {ENTRY_MOST_BYTES} bytes");
-                        told.push(Err(Refusal::Value {
+                        told.push(Err(ChangeError::InvalidValue {
                             place: "change",
                             why,
                         }));
@@ -286,7 +289,7 @@
     }
 
     /// The epoch that is on the disk for a lease of the fleet; 0: none.
-    pub fn sealed_epoch(&self, lease: &str) -> Result<u64, Fault> {
+    pub fn sealed_epoch(&self, lease: &str) -> Result<u64, StoreError> {
         let Some(database) = &self.database else {
             return Err(self.disk(DiskFailure::lasting(
                 "a write failed; it is not read before the next",
@@ -300,7 +303,7 @@
     }
 
     /// Seals the registry to an epoch of a lease: on disk when this returns.
-    pub fn write_seal(&mut self, lease: &str, epoch: u64) -> Result<(), Fault> {
+    pub fn write_seal(&mut self, lease: &str, epoch: u64) -> Result<(), StoreError> {
         self.with_writing(|txn| {
             txn.open_table(SEALS)?.insert(lease, epoch)?;
             Ok(())
@@ -314,7 +317,7 @@
         lease: &str,
         epoch: u64,
         work: impl FnOnce() -> T,
-    ) -> Result<Option<T>, Fault> {
+    ) -> Result<Option<T>, StoreError> {
         self.with_writing(|txn| {
             let sealed = txn
                 .open_table(SEALS)?
@@ -328,7 +331,7 @@
     fn with_writing<T>(
         &mut self,
         work: impl FnOnce(&redb::WriteTransaction) -> Result<T, redb::Error>,
-    ) -> Result<T, Fault> {
+    ) -> Result<T, StoreError> {
         if self.database.is_none() {
             self.come_back()?;
         }
@@ -349,7 +352,7 @@
     }
 
     /// Entries after a revision, so many at the most, oldest first.
-    pub fn after(&self, revision: Revision, most: usize) -> Result<Vec<Entry>, Fault> {
+    pub fn after(&self, revision: Revision, most: usize) -> Result<Vec<Entry>, StoreError> {
         let Some(database) = &self.database else {
             return Err(self.disk(DiskFailure::lasting(
                 "a write failed; it is not read before the next",
@@ -365,7 +368,7 @@
         {
             let (at, bytes) = line.map_err(|e| self.disk(e))?;
             let entry = serde_json::from_slice(bytes.value());
-            let damaged = |e: serde_json::Error| Fault::Damaged {
+            let damaged = |e: serde_json::Error| StoreError::Damaged {
                 place: self.place.clone(),
                 revision: at.value(),
                 why: e.to_string(),
@@ -376,7 +379,7 @@
     }
 
     /// Reads all that is on disk as a start would, and compares it with what is told to others. Tells how many entries.
-    pub fn verify(&self) -> Result<u64, Fault> {
+    pub fn verify(&self) -> Result<u64, StoreError> {
         let Some(database) = &self.database else {
             return Err(self.disk(DiskFailure::lasting(
                 "a write failed; it is not read before the next",
@@ -385,7 +388,7 @@
         let read = self.read(database)?;
         if read.head != self.head {
             let why = "the disk has another book than the one that is told".into();
-            return Err(Fault::Damaged {
+            return Err(StoreError::Damaged {
                 place: self.place.clone(),
                 revision: self.head.revision(),
                 why,
@@ -397,9 +400,9 @@
     }
 
     /// Writes the whole history to a file of lines: whole or not at all.
-    pub fn back_up(&self, to: &Path) -> Result<u64, Fault> {
+    pub fn back_up(&self, to: &Path) -> Result<u64, StoreError> {
         let entries = self.after(0, usize::MAX)?;
-        let fault = |e: std::io::Error| Fault::Disk {
+        let fault = |e: std::io::Error| StoreError::Disk {
             place: to.display().to_string(),
             why: e.into(),
         };
@@ -419,16 +422,16 @@
 }
 
 /// Reads a backup whole, and checks its chain.
-pub fn read_backup(from: &Path) -> Result<(Vec<Entry>, Head), Fault> {
+pub fn read_backup(from: &Path) -> Result<(Vec<Entry>, Head), StoreError> {
     let place = from.display().to_string();
-    let file = File::open(from).map_err(|e| Fault::Disk {
+    let file = File::open(from).map_err(|e| StoreError::Disk {
         place: place.clone(),
         why: e.into(),
     })?;
     let (mut entries, mut head) = (Vec::new(), Head::default());
     let mut ended = false;
     for (n, line) in BufReader::new(file).lines().enumerate() {
-        let fault = |why: String| Fault::Line {
+        let fault = |why: String| StoreError::Line {
             place: place.clone(),
             line: n + 1,
             why,
@@ -450,7 +453,7 @@
         entries.push(entry);
     }
     if !ended {
-        return Err(Fault::Line {
+        return Err(StoreError::Line {
             place,
             line: entries.len() + 1,
             why: "the end is missing: it was cut short".into(),
@@ -467,10 +470,10 @@
     over: Revision,
     who: &str,
     at_ms: u64,
-) -> Result<Head, Fault> {
+) -> Result<Head, StoreError> {
     let (entries, head) = read_backup(from)?;
     if to.exists() {
-        return Err(Fault::Occupied {
+        return Err(StoreError::Occupied {
             place: to.display().to_string(),
         });
     }
--- a/crates/registry/src/passage.rs
+++ b/crates/registry/src/version_pin.rs
@@ -4,13 +4,13 @@
 //! of a passage names it and until when it holds, and the client hands both back. A version that was handed back is used
 //! or refused, never replaced.
 
-use crate::book::{Alias, Book, Revision, Stage, Standing, Version};
 use crate::names::{Name, Namespace};
+use crate::state::{Alias, RegistryState, Revision, Stage, Standing, Version};
 use std::collections::BTreeMap;
 
 /// What an invocation says of its passage.
 #[derive(Clone, Debug, Default)]
-pub struct Said<'a> {
+pub struct PinRequest<'a> {
     pub passage: Option<&'a str>,
     /// As the answer before gave it: `MODEL@VERSION`.
     pub version: Option<&'a str>,
@@ -20,18 +20,18 @@
 
 /// What an invocation runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fixed {
+pub struct PinnedVersion {
     pub model: Name,
     pub version: Name,
     /// The passage may not go on with it later than this.
     pub until_ms: u64,
     /// Where the alias is being moved in a stage: which one, and which side this is on.
-    pub staged: Option<Staged>,
+    pub staged: Option<StagedRollout>,
 }
 
 /// A side of a stage, for counting how it does.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Staged {
+pub struct StagedRollout {
     pub space: Namespace,
     pub alias: Name,
     /// Revision at which the stage began.
@@ -40,37 +40,37 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unfixed {
+pub enum ResolveError {
     #[error("'{0}': not one of this deployment, no alias and no MODEL@VERSION of the registry")]
     Unknown(String),
     #[error("version '{0}' was withdrawn: begin the passage anew")]
     Withdrawn(String),
     #[error("version '{version}' is not one of '{name}'")]
-    NotOfIt { version: String, name: String },
+    OtherModel { version: String, name: String },
     #[error("the passage with version '{0}' is over: begin a new one")]
-    Over(String),
+    Expired(String),
     #[error("passage: 1 to {MOST_BYTES} bytes are expected")]
-    Passage,
+    InvalidPin,
 }
 
 const MOST_BYTES: usize = 128;
-/// Passages that are remembered here, for clients that do not hand the version back.
+/// VersionPins that are remembered here, for clients that do not hand the version back.
 const REMEMBERED_MOST: usize = 50_000;
 /// A clock that runs ahead elsewhere may have made an end that seems too far: it is cut to this many lengths.
 const LENGTHS_MOST: u64 = 2;
 
 type Key = (String, String, String);
 
-/// Passages that began here. Bounded; the oldest is forgotten first.
-pub struct Passages {
+/// VersionPins that began here. Bounded; the oldest is forgotten first.
+pub struct VersionPins {
     lasts_ms: u64,
-    begun: BTreeMap<Key, Fixed>,
+    begun: BTreeMap<Key, PinnedVersion>,
     by_end: BTreeMap<(u64, u64), Key>,
     ends: BTreeMap<Key, (u64, u64)>,
     count: u64,
 }
 
-impl Passages {
+impl VersionPins {
     /// How long a passage may last.
     pub fn new(lasts_ms: u64) -> Self {
         let (begun, by_end, ends, count) = Default::default();
@@ -86,24 +86,25 @@
     /// Fixes the version of one invocation.
     pub fn fix(
         &mut self,
-        book: &Book,
+        state: &RegistryState,
         now_ms: u64,
         tenant: &str,
         name: &str,
-        said: &Said,
-    ) -> Result<Fixed, Unfixed> {
+        said: &PinRequest,
+    ) -> Result<PinnedVersion, ResolveError> {
         if said
             .passage
             .is_some_and(|p| p.is_empty() || p.len() > MOST_BYTES)
         {
-            return Err(Unfixed::Passage);
+            return Err(ResolveError::InvalidPin);
         }
         if let Some(version) = said.version {
-            let fixed = self.handed_back(book, now_ms, tenant, name, version, said.until_ms)?;
+            let fixed = self.handed_back(state, now_ms, tenant, name, version, said.until_ms)?;
             // Whoever forgets to hand it back the next time is kept to it here, at least.
             if let Some(passage) = said.passage {
                 let key = (tenant.to_owned(), name.to_owned(), passage.to_owned());
-                let same = |f: &Fixed| f.version == fixed.version && f.until_ms == fixed.until_ms;
+                let same =
+                    |f: &PinnedVersion| f.version == fixed.version && f.until_ms == fixed.until_ms;
                 if !self.begun.get(&key).is_some_and(same) {
                     self.remember(key, &fixed);
                 }
@@ -111,36 +112,37 @@
             return Ok(fixed);
         }
         let Some(passage) = said.passage else {
-            return self.begins(book, now_ms, tenant, name, None);
+            return self.begins(state, now_ms, tenant, name, None);
         };
         let key = (tenant.to_owned(), name.to_owned(), passage.to_owned());
         if let Some(fixed) = self.begun.get(&key).filter(|f| now_ms < f.until_ms) {
-            usable(book, &fixed.model, &fixed.version)?;
+            usable(state, &fixed.model, &fixed.version)?;
             return Ok(fixed.clone());
         }
-        let fixed = self.begins(book, now_ms, tenant, name, Some(passage))?;
+        let fixed = self.begins(state, now_ms, tenant, name, Some(passage))?;
         self.remember(key, &fixed);
         Ok(fixed)
     }
 
     fn handed_back(
         &self,
-        book: &Book,
+        state: &RegistryState,
         now_ms: u64,
         tenant: &str,
         name: &str,
         handed: &str,
         until_ms: Option<u64>,
-    ) -> Result<Fixed, Unfixed> {
-        let (model, version) = direct(handed).ok_or_else(|| Unfixed::Unknown(handed.to_owned()))?;
+    ) -> Result<PinnedVersion, ResolveError> {
+        let (model, version) =
+            direct(handed).ok_or_else(|| ResolveError::Unknown(handed.to_owned()))?;
         // The name may have moved on, or gone; what must fit is the model.
-        let alias = named(book, tenant, name);
+        let alias = named(state, tenant, name);
         let of_it = match &alias {
             Some((_, _, alias)) => alias.model == model,
             None => direct(name).is_some_and(|(m, v)| m == model && v == version),
         };
         if !of_it {
-            return Err(Unfixed::NotOfIt {
+            return Err(ResolveError::OtherModel {
                 version: handed.to_owned(),
                 name: name.to_owned(),
             });
@@ -148,20 +150,20 @@
         let most = now_ms + LENGTHS_MOST * self.lasts_ms;
         let until_ms = until_ms.unwrap_or(now_ms + self.lasts_ms).min(most);
         if now_ms >= until_ms {
-            return Err(Unfixed::Over(handed.to_owned()));
+            return Err(ResolveError::Expired(handed.to_owned()));
         }
-        usable(book, &model, &version)?;
+        usable(state, &model, &version)?;
         let staged = alias.and_then(|(space, name, alias)| {
             let new = alias.stage.as_ref().is_some_and(|s| s.to == version);
             let side = alias.stage.is_some() && (new || version == alias.version);
-            side.then_some(Staged {
+            side.then_some(StagedRollout {
                 space,
                 alias: name,
                 changed: alias.changed,
                 new,
             })
         });
-        Ok(Fixed {
+        Ok(PinnedVersion {
             model,
             version,
             until_ms,
@@ -171,37 +173,38 @@
 
     fn begins(
         &self,
-        book: &Book,
+        state: &RegistryState,
         now_ms: u64,
         tenant: &str,
         name: &str,
         passage: Option<&str>,
-    ) -> Result<Fixed, Unfixed> {
+    ) -> Result<PinnedVersion, ResolveError> {
         let until_ms = now_ms + self.lasts_ms;
-        if let Some((space, name, alias)) = named(book, tenant, name) {
+        if let Some((space, name, alias)) = named(state, tenant, name) {
             // Whoever says no passage stays with the old version: nothing would hold it to the new one.
             let drawn =
                 |stage: &Stage| passage.is_some_and(|p| draw(&alias.model, p) < stage.per_mille);
             let new = alias.stage.as_ref().filter(|stage| drawn(stage));
             let version = new.map_or(&alias.version, |stage| &stage.to);
-            usable(book, &alias.model, version)?;
-            let side = Staged {
+            usable(state, &alias.model, version)?;
+            let side = StagedRollout {
                 space,
                 alias: name,
                 changed: alias.changed,
                 new: new.is_some(),
             };
             let staged = alias.stage.is_some().then_some(side);
-            return Ok(Fixed {
+            return Ok(PinnedVersion {
                 model: alias.model.clone(),
                 version: version.clone(),
                 until_ms,
                 staged,
             });
         }
-        let (model, version) = direct(name).ok_or_else(|| Unfixed::Unknown(name.to_owned()))?;
-        usable(book, &model, &version)?;
-        Ok(Fixed {
+        let (model, version) =
+            direct(name).ok_or_else(|| ResolveError::Unknown(name.to_owned()))?;
+        usable(state, &model, &version)?;
+        Ok(PinnedVersion {
             model,
             version,
             until_ms,
@@ -209,7 +212,7 @@
         })
     }
 
-    fn remember(&mut self, key: Key, fixed: &Fixed) {
+    fn remember(&mut self, key: Key, fixed: &PinnedVersion) {
         self.forget(&key);
         while self.begun.len() >= REMEMBERED_MOST {
             let Some((_, oldest)) = self.by_end.pop_first() else {
@@ -238,10 +241,14 @@
 }
 
 /// A tenant's own alias goes before one that all see.
-fn named<'a>(book: &'a Book, tenant: &str, name: &str) -> Option<(Namespace, Name, &'a Alias)> {
+fn named<'a>(
+    state: &'a RegistryState,
+    tenant: &str,
+    name: &str,
+) -> Option<(Namespace, Name, &'a Alias)> {
     let name: Name = name.parse().ok()?;
     let in_space = |space: Namespace| {
-        let alias = book.alias(&space, &name)?;
+        let alias = state.alias(&space, &name)?;
         Some((space, name.clone(), alias))
     };
     let own = tenant
@@ -256,15 +263,15 @@
     Some((model.parse().ok()?, version.parse().ok()?))
 }
 
-fn usable(book: &Book, model: &Name, version: &Name) -> Result<(), Unfixed> {
+fn usable(state: &RegistryState, model: &Name, version: &Name) -> Result<(), ResolveError> {
     let told = || format!("{model}@{version}");
-    match book.version(model, version) {
+    match state.version(model, version) {
         Some(held) if held.standing == Standing::Offered => Ok(()),
-        Some(_) => Err(Unfixed::Withdrawn(told())),
-        None if book.gone.contains(&(model.clone(), version.clone())) => {
-            Err(Unfixed::Withdrawn(told()))
+        Some(_) => Err(ResolveError::Withdrawn(told())),
+        None if state.gone.contains(&(model.clone(), version.clone())) => {
+            Err(ResolveError::Withdrawn(told()))
         }
-        None => Err(Unfixed::Unknown(told())),
+        None => Err(ResolveError::Unknown(told())),
     }
 }
 
@@ -297,7 +304,8 @@
 }
 
 /// A version for use: what the decisions are told of it.
-pub fn offered<'a>(book: &'a Book, fixed: &Fixed) -> Option<&'a Version> {
-    book.version(&fixed.model, &fixed.version)
+pub fn offered<'a>(state: &'a RegistryState, fixed: &PinnedVersion) -> Option<&'a Version> {
+    state
+        .version(&fixed.model, &fixed.version)
         .map(|h| &h.version)
 }
--- a/crates/registry/src/watch.rs
+++ b/crates/registry/src/watch.rs
@@ -1,41 +1,52 @@
 //! What a watcher takes of what the registry tells it. It never goes back, and never hears a change twice or not at all.
 
-use crate::book::{Change, Revision};
-use crate::chain::{Broken, Entry, Hash, Head};
+use crate::chain::{ChainError, Entry, Hash, Head};
+use crate::state::{Change, Revision};
 use serde::{Deserialize, Serialize};
 
-/// Where a watcher has come to; what it asks the registry to go on from.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Mark {
-    pub revision: Revision,
-    pub hash: Hash,
+/// The Rust name of a type shows in serde's error texts, which go to clients: it stays as clients know it.
+mod wire {
+    use super::{Deserialize, Hash, Revision, Serialize};
+
+    /// Position in the history up to which a watcher has applied entries.
+    #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+    #[serde(deny_unknown_fields)]
+    pub struct Mark {
+        /// Revision of the last entry applied; 0: none.
+        pub revision: Revision,
+        /// Hash of that entry.
+        pub hash: Hash,
+    }
 }
+pub use wire::Mark as Cursor;
 
 /// What the registry says to a watcher.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "told", rename_all = "kebab-case")]
-pub enum Told {
-    /// The whole book. `restored` is the entry that lets those on another history come over.
-    Whole { head: Head, restored: Option<Entry> },
+pub enum WatchEvent {
+    /// The whole state. `restored` is the entry that lets those on another history come over.
+    #[serde(rename = "whole")]
+    Snapshot { head: Head, restored: Option<Entry> },
     /// One change, the next.
     Next { entry: Entry },
     /// Nothing is new.
-    Still { at: Mark },
+    #[serde(rename = "still")]
+    Heartbeat { at: Cursor },
     /// The registry does not know the mark, and nobody said that it may be left behind.
-    Behind { at: Mark },
+    #[serde(rename = "behind")]
+    UnknownCursor { at: Cursor },
 }
 
 /// Why a watcher keeps what it has.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
+pub enum WatchError {
     #[error(
         "the registry is at revision {its}, revision {mine} was obeyed here and is not in its history: it came back from \
          an older backup, or it is another one. What was known stands, until an operator restores over revision {mine}"
     )]
-    Older { its: Revision, mine: Revision },
+    HistoryMismatch { its: Revision, mine: Revision },
     #[error("{0}")]
-    Broken(#[from] Broken),
+    BrokenChain(#[from] ChainError),
 }
 
 /// A watcher's own copy.
@@ -54,24 +65,24 @@
         &self.head
     }
 
-    pub fn mark(&self) -> Mark {
-        Mark {
+    pub fn mark(&self) -> Cursor {
+        Cursor {
             revision: self.head.revision(),
             hash: self.head.hash.clone(),
         }
     }
 
     /// Takes one message in. True: something is new, and is to be kept before it is obeyed.
-    pub fn hear(&mut self, told: Told) -> Result<bool, Refused> {
+    pub fn hear(&mut self, told: WatchEvent) -> Result<bool, WatchError> {
         let mine = self.head.revision();
         match told {
-            Told::Next { entry } => {
+            WatchEvent::Next { entry } => {
                 // A message that comes a second time after a gap changes nothing.
                 if entry.revision <= mine {
                     return if entry.revision < mine || entry.hash() == self.head.hash {
                         Ok(false)
                     } else {
-                        Err(Refused::Older {
+                        Err(WatchError::HistoryMismatch {
                             its: entry.revision,
                             mine,
                         })
@@ -80,7 +91,7 @@
                 self.head = self.head.follow(&entry)?;
                 Ok(true)
             }
-            Told::Whole { head, restored } => {
+            WatchEvent::Snapshot { head, restored } => {
                 if head == self.head {
                     return Ok(false);
                 }
@@ -93,18 +104,20 @@
                     _ => None,
                 });
                 if its <= mine || (mine > 0 && over.is_none_or(|over| over < mine)) {
-                    return Err(Refused::Older { its, mine });
+                    return Err(WatchError::HistoryMismatch { its, mine });
                 }
                 self.head = head;
                 Ok(true)
             }
-            Told::Still { at } if at == self.mark() => Ok(false),
+            WatchEvent::Heartbeat { at } if at == self.mark() => Ok(false),
             // Changes are under way, or something was missed: the former come, the latter shows when they do.
-            Told::Still { at } if at.revision > mine => Ok(false),
-            Told::Still { at } | Told::Behind { at } => Err(Refused::Older {
-                its: at.revision,
-                mine,
-            }),
+            WatchEvent::Heartbeat { at } if at.revision > mine => Ok(false),
+            WatchEvent::Heartbeat { at } | WatchEvent::UnknownCursor { at } => {
+                Err(WatchError::HistoryMismatch {
+                    its: at.revision,
+                    mine,
+                })
+            }
         }
     }
 }
@@ -113,21 +126,21 @@
 /// `hash_at` knows the hash after a revision of the history, none where there is no such revision.
 pub fn answer(
     head: &Head,
-    mark: &Mark,
+    mark: &Cursor,
     hash_at: impl FnOnce(Revision) -> Option<Hash>,
     last_restored: Option<Entry>,
-) -> Answer {
+) -> WatchReply {
     if mark.revision == 0 {
-        return Answer::Whole(None);
+        return WatchReply::Snapshot(None);
     }
     if hash_at(mark.revision).as_ref() == Some(&mark.hash) {
-        return Answer::After(mark.revision);
+        return WatchReply::EntriesAfter(mark.revision);
     }
     match last_restored {
         Some(e) if matches!(e.change, Change::Restored { over } if over >= mark.revision) => {
-            Answer::Whole(Some(e))
+            WatchReply::Snapshot(Some(e))
         }
-        _ => Answer::Behind(Mark {
+        _ => WatchReply::UnknownCursor(Cursor {
             revision: head.revision(),
             hash: head.hash.clone(),
         }),
@@ -135,8 +148,8 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
-    After(Revision),
-    Whole(Option<Entry>),
-    Behind(Mark),
+pub enum WatchReply {
+    EntriesAfter(Revision),
+    Snapshot(Option<Entry>),
+    UnknownCursor(Cursor),
 }
--- a/crates/registry/tests/all/interleave.rs
+++ b/crates/registry/tests/all/interleave.rs
@@ -3,10 +3,10 @@
 use crate::support::{moves, name, push};
 use saltdrum_layers::Digest;
 use saltdrum_registry::Namespace;
-use saltdrum_registry::book::Change;
+use saltdrum_registry::blob_collector::BlobCollector;
 use saltdrum_registry::chain::{Entry, Head};
-use saltdrum_registry::gc::Keeper;
-use saltdrum_registry::watch::{Answer, Told, Watcher, answer};
+use saltdrum_registry::state::Change;
+use saltdrum_registry::watch::{WatchEvent, WatchReply, Watcher, answer};
 use std::collections::BTreeSet;
 
 /// Two movers read the alias, then move it; a watcher dials, hears and is cut off, and the registry forgets its last
@@ -21,7 +21,7 @@
     took: u8,
     watcher: Watcher,
     /// On its way to the watcher; none: it is not connected.
-    line: Option<Vec<Told>>,
+    line: Option<Vec<WatchEvent>>,
     /// Up to where the registry has told this line.
     told: usize,
     refused: bool,
@@ -62,7 +62,7 @@
         let mut w = self.clone();
         let head = w.heads.last().unwrap().clone();
         let alias = head
-            .book
+            .state
             .alias(&Namespace::All, &name("kinyarwanda-current"))
             .unwrap()
             .clone();
@@ -93,18 +93,18 @@
                 };
                 let mut line = Vec::new();
                 match answer(&head, &w.watcher.mark(), hash_at, None) {
-                    Answer::Whole(restored) => {
-                        line.push(Told::Whole {
+                    WatchReply::Snapshot(restored) => {
+                        line.push(WatchEvent::Snapshot {
                             head: head.clone(),
                             restored,
                         });
                         w.told = w.entries.len();
                     }
-                    Answer::After(r) => {
+                    WatchReply::EntriesAfter(r) => {
                         w.told = w.entries.iter().filter(|e| e.revision <= r).count()
                     }
-                    Answer::Behind(at) => {
-                        line.push(Told::Behind { at });
+                    WatchReply::UnknownCursor(at) => {
+                        line.push(WatchEvent::UnknownCursor { at });
                         w.told = usize::MAX;
                     }
                 }
@@ -113,7 +113,7 @@
             5 if w.line.is_some() => {
                 let line = w.line.as_mut().unwrap();
                 if let Some(entry) = w.entries.get(w.told) {
-                    line.push(Told::Next {
+                    line.push(WatchEvent::Next {
                         entry: entry.clone(),
                     });
                     w.told += 1;
@@ -207,7 +207,7 @@
     let digest = |n: u8| Digest::of(&[n]);
     let (shared, own) = (digest(1), digest(2));
     #[derive(Clone)]
-    struct Yard {
+    struct BlobStore {
         at: usize,
         collected: u8,
         deleted: bool,
@@ -215,7 +215,7 @@
         log: Vec<(u64, char)>,
     }
     let (mut runs, mut ended, mut denied) = (0, 0, 0);
-    let mut open = vec![Yard {
+    let mut open = vec![BlobStore {
         at: 0,
         collected: 0,
         deleted: false,
@@ -224,7 +224,7 @@
     }];
     while let Some(yard) = open.pop() {
         let mut next = Vec::new();
-        let mut with = |what: char, change: &dyn Fn(&mut Yard)| {
+        let mut with = |what: char, change: &dyn Fn(&mut BlobStore)| {
             let mut y = yard.clone();
             y.now += 60;
             y.log.push((y.now, what));
@@ -246,7 +246,7 @@
         }
         runs += 1;
         // The same order, on the real keeper: an old version holds the shared chunk until it is deleted.
-        let mut keeper = Keeper::default();
+        let mut keeper = BlobCollector::default();
         let mut there = BTreeSet::from([shared]);
         let (mut named, mut lease, mut lacks) = (BTreeSet::from([shared]), 0, BTreeSet::new());
         let mut pushed = false;
@@ -299,7 +299,7 @@
 fn the_world_of_the_first_test_would_show_a_mover_that_does_not_compare() {
     let head = World::begin().heads.pop().unwrap();
     let at = head
-        .book
+        .state
         .alias(&Namespace::All, &name("kinyarwanda-current"))
         .unwrap()
         .changed;
--- a/crates/registry/tests/all/kills.rs
+++ b/crates/registry/tests/all/kills.rs
@@ -16,7 +16,7 @@
     }
 }
 
-fn open(disk: &Disk) -> Result<Store, saltdrum_registry::store::Fault> {
+fn open(disk: &Disk) -> Result<Store, saltdrum_registry::store::StoreError> {
     Store::open("disk".into(), disk.opens())
 }
 
--- a/crates/registry/tests/all/main.rs
+++ b/crates/registry/tests/all/main.rs
@@ -1,7 +1,7 @@
 //! The registry under faults of disk, network and administrators.
 
-mod book;
 mod interleave;
 mod kills;
 mod service;
+mod state;
 mod support;
--- a/crates/registry/tests/all/service.rs
+++ b/crates/registry/tests/all/service.rs
@@ -2,10 +2,10 @@
 
 use crate::support::disk::Disk;
 use crate::support::{moves, name, push};
-use saltdrum_registry::book::{Change, Role, Stage};
-use saltdrum_registry::call::{Caller, Fault};
-use saltdrum_registry::follow::{Copy, Following, Heard, follow};
-use saltdrum_registry::service::{DENIED, REFUSED, Registry, found};
+use saltdrum_registry::client::{ClientError, RegistryClient};
+use saltdrum_registry::follow::{FollowConfig, LocalCopy, RegistryUpdate, follow};
+use saltdrum_registry::service::{ACCESS_DENIED, REJECTED, Registry, create_first_owner};
+use saltdrum_registry::state::{Change, Role, Stage};
 use saltdrum_registry::{Head, Namespace, Store, keys};
 use saltdrum_transport::{Address, Clock, MemoryNetwork, Network};
 use serde_json::{Value as Json, json};
@@ -42,7 +42,7 @@
     async fn up() -> Self {
         let disk = Disk::default();
         let mut store = Store::open("disk".into(), disk.opens()).unwrap();
-        let key = found(&mut store, &name("anna"), [7; 32], 0).unwrap();
+        let key = create_first_owner(&mut store, &name("anna"), [7; 32], 0).unwrap();
         let network: Rc<dyn Network> = Rc::new(MemoryNetwork::default());
         let at = Address::Memory("registry".into());
         let registry = Registry::new(store, None, hour());
@@ -77,14 +77,14 @@
         self.disk.after_power_cut(&mut fastrand::Rng::with_seed(5))
     }
 
-    async fn caller(&self) -> Caller {
-        Caller::dial(&self.network, &self.at, &self.key)
+    async fn caller(&self) -> RegistryClient {
+        RegistryClient::connect(&self.network, &self.at, &self.key)
             .await
             .unwrap()
     }
 
-    fn following(&self, who: &str) -> Following {
-        Following {
+    fn following(&self, who: &str) -> FollowConfig {
+        FollowConfig {
             registry: self.at.clone(),
             key: self.key.clone(),
             who: who.into(),
@@ -93,10 +93,10 @@
     }
 }
 
-async fn change(caller: &mut Caller, change: &Change) -> Result<u64, (i64, String)> {
+async fn change(caller: &mut RegistryClient, change: &Change) -> Result<u64, (i64, String)> {
     match caller.call("change", json!({ "change": change })).await {
         Ok(told) => Ok(told["revision"].as_u64().unwrap()),
-        Err(Fault::Told { code, message }) => Err((code, message)),
+        Err(ClientError::Response { code, message }) => Err((code, message)),
         Err(e) => panic!("{e}"),
     }
 }
@@ -108,15 +108,15 @@
     still: u64,
 }
 
-fn watch(of: Following, network: Rc<dyn Network>) -> (Rc<RefCell<Seen>>, JoinHandle<()>) {
+fn watch(of: FollowConfig, network: Rc<dyn Network>) -> (Rc<RefCell<Seen>>, JoinHandle<()>) {
     let seen = Rc::new(RefCell::new(Seen::default()));
     let noted = seen.clone();
     let hear = move |heard| {
         let mut seen = noted.borrow_mut();
         match heard {
-            Heard::Book(head) => seen.heads.push(head),
-            Heard::Still => seen.still += 1,
-            Heard::Refused(why) => seen.refused.push(why),
+            RegistryUpdate::Changed(head) => seen.heads.push(head),
+            RegistryUpdate::Unchanged => seen.still += 1,
+            RegistryUpdate::Rejected(why) => seen.refused.push(why),
         }
     };
     (seen, spawn_local(follow(of, network, 1, hear)))
@@ -145,7 +145,7 @@
         let disk = site.kill().await;
         let mut store = Store::open("disk".into(), disk.opens()).unwrap();
         site.disk = disk;
-        let asked = |n| saltdrum_registry::store::Asked {
+        let asked = |n| saltdrum_registry::store::ChangeRequest {
             who: "anna".into(),
             at_ms: 0,
             change: push(n),
@@ -170,7 +170,7 @@
         assert_eq!(
             heads.last().unwrap(),
             &Head {
-                book: site.registry.book(),
+                state: site.registry.state(),
                 hash: last_hash(&site).await
             }
         );
@@ -199,7 +199,7 @@
             let callers = (0..4).map(|c| {
                 let (network, at, key) = (site.network.clone(), site.at.clone(), site.key.clone());
                 spawn_local(async move {
-                    let mut caller = Caller::dial(&network, &at, &key).await.unwrap();
+                    let mut caller = RegistryClient::connect(&network, &at, &key).await.unwrap();
                     let mut told = 0;
                     for n in 0..10 {
                         let asked = json!({ "change": push(life * 100 + c * 10 + n) });
@@ -222,21 +222,21 @@
             let disk = site.kill().await;
             let store = Store::open("disk".into(), disk.opens()).unwrap();
             assert!(
-                store.head().book.versions.len() as u64 >= told,
+                store.head().state.versions.len() as u64 >= told,
                 "life {life}: {told} were told"
             );
             site.disk = disk;
             site.start(Some(store)).await;
             ms(15_000).await;
         }
-        let book = site.registry.book();
+        let state = site.registry.state();
         assert!(
             told > 20 && told < tries,
             "{told} of {tries}: some were to be cut off"
         );
         for (seen, task) in &watchers {
             went_up(&seen.borrow());
-            assert_eq!(seen.borrow().heads.last().unwrap().book, book);
+            assert_eq!(seen.borrow().heads.last().unwrap().state, state);
             assert!(
                 seen.borrow().refused.is_empty(),
                 "{:?}",
@@ -258,7 +258,7 @@
         for n in 0..8 {
             change(&mut caller, &push(n)).await.unwrap();
         }
-        let of = Following {
+        let of = FollowConfig {
             copy: Some(copy.clone()),
             ..site.following("box")
         };
@@ -295,7 +295,7 @@
         let whole = half.len();
         half.extend_from_slice(b"{\"revision\":11,\"at_ms\"");
         std::fs::write(&copy, &half).unwrap();
-        assert_eq!(Copy::read(&copy).unwrap().unwrap(), known);
+        assert_eq!(LocalCopy::read(&copy).unwrap().unwrap(), known);
         // What is bent within is not gone on from, and nothing is taken in its place.
         half.truncate(whole);
         half[whole / 2] ^= 1;
@@ -353,14 +353,20 @@
         )
         .await
         .unwrap();
-        let before = site.registry.book();
-        let wrong = Caller::dial(&site.network, &site.at, "anna.00").await;
-        assert!(matches!(wrong, Err(Fault::Told { code: DENIED, .. })));
-        let mut caller = Caller::dial(&site.network, &site.at, &reader)
+        let before = site.registry.state();
+        let wrong = RegistryClient::connect(&site.network, &site.at, "anna.00").await;
+        assert!(matches!(
+            wrong,
+            Err(ClientError::Response {
+                code: ACCESS_DENIED,
+                ..
+            })
+        ));
+        let mut caller = RegistryClient::connect(&site.network, &site.at, &reader)
             .await
             .unwrap();
         let told = change(&mut caller, &push(1)).await.unwrap_err();
-        assert_eq!(told.0, DENIED);
+        assert_eq!(told.0, ACCESS_DENIED);
         assert!(told.1.contains("Publisher is needed"), "{}", told.1);
         let asks = [
             (
@@ -404,14 +410,23 @@
             let told = owner.call(method, params).await.unwrap_err().to_string();
             assert!(told.contains(why), "{method}: {told}");
         }
-        assert_eq!(site.registry.book(), before);
+        assert_eq!(site.registry.state(), before);
         // A key that is withdrawn while its line is open.
         assert!(caller.call("status", json!({})).await.is_ok());
         change(&mut owner, &Change::WithdrawKey { id: name("box") })
             .await
             .unwrap();
         let told = caller.call("status", json!({})).await.unwrap_err();
-        assert!(matches!(told, Fault::Told { code: DENIED, .. }), "{told}");
+        assert!(
+            matches!(
+                told,
+                ClientError::Response {
+                    code: ACCESS_DENIED,
+                    ..
+                }
+            ),
+            "{told}"
+        );
     });
 }
 
@@ -432,14 +447,14 @@
                 lost.clone(),
             );
             spawn_local(async move {
-                let mut caller = Caller::dial(&network, &at, &key).await.unwrap();
+                let mut caller = RegistryClient::connect(&network, &at, &key).await.unwrap();
                 for _ in 0..50 {
                     loop {
                         let told: Json = caller.call("show", json!({})).await.unwrap();
                         let expect = told["aliases"][0]["is"]["changed"].as_u64().unwrap();
                         match change(&mut caller, &moves(to, expect, None)).await {
                             Ok(_) => break,
-                            Err((REFUSED, why)) => {
+                            Err((REJECTED, why)) => {
                                 assert!(why.contains("someone else moved it"), "{why}")
                             }
                             Err(e) => panic!("{e:?}"),
@@ -452,7 +467,7 @@
         for mover in movers {
             mover.await.unwrap();
         }
-        assert_eq!(site.registry.book().revision, 104);
+        assert_eq!(site.registry.state().revision, 104);
         assert!(
             lost.get() > 10,
             "{} were refused: they never met",
@@ -471,7 +486,7 @@
         }
         let alias = || {
             site.registry
-                .book()
+                .state()
                 .alias(&Namespace::All, &name("kinyarwanda-current"))
                 .unwrap()
                 .clone()
@@ -526,7 +541,7 @@
         site.disk.room(Some(site.disk.length()));
         let (code, why) = change(&mut caller, &push(2)).await.unwrap_err();
         assert!(
-            code == saltdrum_registry::service::DISK && why.contains("no space left"),
+            code == saltdrum_registry::service::DISK_FAILURE && why.contains("no space left"),
             "{code} {why}"
         );
         let told = caller.call("status", json!({})).await.unwrap();
@@ -534,7 +549,7 @@
             (&told["revision"], &told["writable"]),
             (&json!(2), &json!(false))
         );
-        // One that comes new is told the book as it was acknowledged.
+        // One that comes new is told the state as it was acknowledged.
         let (seen, task) = watch(site.following("late"), site.network.clone());
         ms(50).await;
         assert_eq!(seen.borrow().heads.last().unwrap().revision(), 2);
--- a/crates/registry/tests/all/book.rs
+++ b/crates/registry/tests/all/state.rs
@@ -1,43 +1,44 @@
-//! What the book takes and what it refuses, watchers, passages, stages, collections.
+//! What the state takes and what it refuses, watchers, passages, stages, collections.
 
 use crate::support::{moves, name, push, version};
 use proptest::prelude::*;
 use saltdrum_layers::Digest;
-use saltdrum_registry::book::{Book, Change, Refusal, Role, Stage};
+use saltdrum_registry::blob_collector::BlobCollector;
 use saltdrum_registry::chain::{Entry, Head, nothing};
-use saltdrum_registry::gc::Keeper;
 use saltdrum_registry::keys;
-use saltdrum_registry::passage::{Passages, Said, Unfixed};
-use saltdrum_registry::stage::{Tallies, Tally, Verdict};
-use saltdrum_registry::watch::{Answer, Refused, Told, Watcher, answer};
+use saltdrum_registry::rollout::{Tallies, Tally, Verdict};
+use saltdrum_registry::state::{Change, ChangeError, RegistryState, Role, Stage};
+use saltdrum_registry::version_pin::{PinRequest, ResolveError, VersionPins};
+use saltdrum_registry::watch::{WatchError, WatchEvent, WatchReply, Watcher, answer};
 use saltdrum_registry::{Name, Namespace};
 use std::collections::BTreeSet;
 
-fn after(changes: impl IntoIterator<Item = Change>) -> Book {
+fn after(changes: impl IntoIterator<Item = Change>) -> RegistryState {
     changes
         .into_iter()
-        .fold(Book::default(), |book, c| book.with(&c).unwrap())
+        .fold(RegistryState::default(), |state, c| state.with(&c).unwrap())
 }
 
-fn two() -> Book {
+fn two() -> RegistryState {
     after([push(1), push(2), moves(1, 0, None)])
 }
 
-fn current(book: &Book) -> &saltdrum_registry::book::Alias {
-    book.alias(&Namespace::All, &name("kinyarwanda-current"))
+fn current(state: &RegistryState) -> &saltdrum_registry::state::Alias {
+    state
+        .alias(&Namespace::All, &name("kinyarwanda-current"))
         .unwrap()
 }
 
 #[test]
 fn of_two_administrators_who_move_one_alias_one_is_told_that_the_other_did() {
-    let book = two();
-    let at = current(&book).changed;
-    let first = book.with(&moves(2, at, None)).unwrap();
+    let state = two();
+    let at = current(&state).changed;
+    let first = state.with(&moves(2, at, None)).unwrap();
     let told = first.with(&moves(1, at, None)).unwrap_err();
     assert!(
         matches!(
             told,
-            Refusal::Moved {
+            ChangeError::AliasChanged {
                 at: 4,
                 expected: 3,
                 ..
@@ -56,36 +57,42 @@
 
 #[test]
 fn versions_never_change_and_their_names_are_never_used_again() {
-    let book = two();
+    let state = two();
     let other = Change::Push {
         model: name("kinyarwanda"),
         name: name("v2"),
         version: version(99),
     };
-    assert!(matches!(book.with(&other), Err(Refusal::Exists { .. })));
+    assert!(matches!(
+        state.with(&other),
+        Err(ChangeError::VersionExists { .. })
+    ));
     let gone = Change::Delete {
         model: name("kinyarwanda"),
         name: name("v1"),
     };
     assert!(
-        matches!(book.with(&gone), Err(Refusal::Named { .. })),
+        matches!(state.with(&gone), Err(ChangeError::VersionInUse { .. })),
         "an alias names it"
     );
-    let gone = book
+    let gone = state
         .with(&Change::Delete {
             model: name("kinyarwanda"),
             name: name("v2"),
         })
         .unwrap();
-    assert!(matches!(gone.with(&other), Err(Refusal::Withdrawn { .. })));
+    assert!(matches!(
+        gone.with(&other),
+        Err(ChangeError::VersionWithdrawn { .. })
+    ));
     let unused = Change::Withdraw {
         model: name("kinyarwanda"),
         name: name("v1"),
     };
-    let withdrawn = book.with(&unused).unwrap();
+    let withdrawn = state.with(&unused).unwrap();
     assert!(matches!(
         withdrawn.with(&moves(1, 3, None)),
-        Err(Refusal::Withdrawn { .. })
+        Err(ChangeError::VersionWithdrawn { .. })
     ));
 }
 
@@ -108,7 +115,7 @@
         let told = text.parse::<Name>().unwrap_err().to_string();
         assert!(told.starts_with("name '") && !told.contains('\n'), "{told}");
     }
-    let book = two();
+    let state = two();
     for (lanes, memory, bytes, place) in [
         (0, 1, 1, "lanes"),
         (1, 0, 1, "memory_mb"),
@@ -120,7 +127,7 @@
             bytes,
             ..version(5)
         };
-        let told = book
+        let told = state
             .with(&Change::Push {
                 model: name("m"),
                 name: name("v"),
@@ -148,8 +155,8 @@
             stage,
         };
         assert!(matches!(
-            book.with(&change),
-            Err(Refusal::Value { place: "stage", .. })
+            state.with(&change),
+            Err(ChangeError::InvalidValue { place: "stage", .. })
         ));
     }
     assert!(
@@ -167,12 +174,12 @@
 fn keys_open_what_their_role_may_and_nothing_once_withdrawn() {
     let (text, hash) = keys::make(&name("anna"), [7; 32]);
     assert!(!hash.contains(&text[5..]));
-    let book = after([Change::AddKey {
+    let state = after([Change::AddKey {
         id: name("anna"),
         role: Role::Owner,
         hash,
     }]);
-    assert_eq!(keys::who(&book, &text), Ok((name("anna"), Role::Owner)));
+    assert_eq!(keys::who(&state, &text), Ok((name("anna"), Role::Owner)));
     for wrong in [
         "",
         "anna",
@@ -181,15 +188,19 @@
         &text[..text.len() - 1],
         &text.replace("anna", "bert"),
     ] {
-        assert_eq!(keys::who(&book, wrong), Err(keys::Denied::Key), "{wrong}");
+        assert_eq!(
+            keys::who(&state, wrong),
+            Err(keys::AccessError::Key),
+            "{wrong}"
+        );
     }
     let last = Change::WithdrawKey { id: name("anna") };
     assert!(
-        matches!(book.with(&last), Err(Refusal::LastOwner(_))),
+        matches!(state.with(&last), Err(ChangeError::LastOwner(_))),
         "no one could hand out another"
     );
     let (reader, hash) = keys::make(&name("box"), [8; 32]);
-    let book = book
+    let state = state
         .with(&Change::AddKey {
             id: name("box"),
             role: Role::Reader,
@@ -197,14 +208,16 @@
         })
         .unwrap();
     assert!(matches!(
-        keys::may(&book, Some(&name("box")), Role::Mover),
-        Err(keys::Denied::Role { .. })
+        keys::may(&state, Some(&name("box")), Role::Mover),
+        Err(keys::AccessError::Role { .. })
     ));
-    let book = book.with(&Change::WithdrawKey { id: name("box") }).unwrap();
-    assert_eq!(keys::who(&book, &reader), Err(keys::Denied::Key));
+    let state = state
+        .with(&Change::WithdrawKey { id: name("box") })
+        .unwrap();
+    assert_eq!(keys::who(&state, &reader), Err(keys::AccessError::Key));
     assert_eq!(
-        keys::may(&book, Some(&name("box")), Role::Reader),
-        Err(keys::Denied::Key)
+        keys::may(&state, Some(&name("box")), Role::Reader),
+        Err(keys::AccessError::Key)
     );
 }
 
@@ -236,7 +249,7 @@
     let mut watcher = Watcher::default();
     assert!(
         watcher
-            .hear(Told::Whole {
+            .hear(WatchEvent::Snapshot {
                 head: heads[20].clone(),
                 restored: None
             })
@@ -245,7 +258,7 @@
     for entry in &entries[20..] {
         assert!(
             watcher
-                .hear(Told::Next {
+                .hear(WatchEvent::Next {
                     entry: entry.clone()
                 })
                 .unwrap()
@@ -262,22 +275,28 @@
         let all = [&heads[..41], &later[..]].concat();
         let told = answer(back, &watcher.mark(), |r| hash_at(&all, r), None);
         assert!(
-            matches!(&told, Answer::Behind(m) if m.revision == at),
+            matches!(&told, WatchReply::UnknownCursor(m) if m.revision == at),
             "{told:?}"
         );
-        let refused = watcher.hear(Told::Behind {
-            at: saltdrum_registry::watch::Mark {
+        let refused = watcher.hear(WatchEvent::UnknownCursor {
+            at: saltdrum_registry::watch::Cursor {
                 revision: at,
                 hash: back.hash.clone(),
             },
         });
-        assert!(matches!(refused, Err(Refused::Older { mine: 52, .. })));
+        assert!(matches!(
+            refused,
+            Err(WatchError::HistoryMismatch { mine: 52, .. })
+        ));
         // Whatever a registry that does not know better says, it is not obeyed.
-        let whole = Told::Whole {
+        let whole = WatchEvent::Snapshot {
             head: back.clone(),
             restored: None,
         };
-        assert!(matches!(watcher.hear(whole), Err(Refused::Older { .. })));
+        assert!(matches!(
+            watcher.hear(whole),
+            Err(WatchError::HistoryMismatch { .. })
+        ));
         assert_eq!(watcher, known);
     }
     // An operator restores over too little, then over enough.
@@ -286,7 +305,7 @@
             .decide("root", 3, Change::Restored { over })
             .unwrap();
         let mut watcher = known.clone();
-        let told = watcher.hear(Told::Whole {
+        let told = watcher.hear(WatchEvent::Snapshot {
             head: head.clone(),
             restored: Some(entry.clone()),
         });
@@ -302,7 +321,7 @@
             Some(entry),
         );
         assert_eq!(
-            matches!(said, Answer::Whole(Some(_))),
+            matches!(said, WatchReply::Snapshot(Some(_))),
             obeyed,
             "over {over}"
         );
@@ -322,27 +341,27 @@
     for bend in bent {
         let mut entry = entries[3].clone();
         bend(&mut entry);
-        assert!(watcher.hear(Told::Next { entry }).is_err());
+        assert!(watcher.hear(WatchEvent::Next { entry }).is_err());
         assert_eq!(watcher.head(), &heads[3]);
     }
     // Left one out, then the same twice.
     assert!(
         watcher
-            .hear(Told::Next {
+            .hear(WatchEvent::Next {
                 entry: entries[4].clone()
             })
             .is_err()
     );
     assert!(
         watcher
-            .hear(Told::Next {
+            .hear(WatchEvent::Next {
                 entry: entries[3].clone()
             })
             .unwrap()
     );
     assert!(
         !watcher
-            .hear(Told::Next {
+            .hear(WatchEvent::Next {
                 entry: entries[3].clone()
             })
             .unwrap()
@@ -352,8 +371,8 @@
 
 const HOUR: u64 = 3_600_000;
 
-fn say<'a>(passage: &'a str, version: Option<&'a str>) -> Said<'a> {
-    Said {
+fn say<'a>(passage: &'a str, version: Option<&'a str>) -> PinRequest<'a> {
+    PinRequest {
         passage: Some(passage),
         version,
         until_ms: None,
@@ -362,13 +381,13 @@
 
 #[test]
 fn a_passage_holds_over_moves_and_controllers_that_share_nothing() {
-    let book = two();
-    let (mut here, mut there) = (Passages::new(HOUR), Passages::new(HOUR));
+    let state = two();
+    let (mut here, mut there) = (VersionPins::new(HOUR), VersionPins::new(HOUR));
     let first = here
-        .fix(&book, 0, "hill", "kinyarwanda-current", &say("p", None))
+        .fix(&state, 0, "hill", "kinyarwanda-current", &say("p", None))
         .unwrap();
     assert_eq!(first.version, name("v1"));
-    let moved = book.with(&moves(2, 3, None)).unwrap();
+    let moved = state.with(&moves(2, 3, None)).unwrap();
     // Another controller, told of the move: by what the client hands back.
     let handed = say("p", Some("kinyarwanda@v1"));
     assert_eq!(
@@ -409,16 +428,16 @@
         here.fix(&gone, 6, "hill", "kinyarwanda-current", &say("p", None)),
         there.fix(&gone, 6, "hill", "kinyarwanda-current", &handed),
     ] {
-        assert_eq!(told, Err(Unfixed::Withdrawn("kinyarwanda@v1".into())));
+        assert_eq!(told, Err(ResolveError::Withdrawn("kinyarwanda@v1".into())));
     }
     // Its time is over; a client that makes its end up gains twice the length at most.
-    let late = Said {
+    let late = PinRequest {
         until_ms: Some(first.until_ms),
         ..handed.clone()
     };
     let told = there.fix(&moved, HOUR, "hill", "kinyarwanda-current", &late);
-    assert_eq!(told, Err(Unfixed::Over("kinyarwanda@v1".into())));
-    let forged = Said {
+    assert_eq!(told, Err(ResolveError::Expired("kinyarwanda@v1".into())));
+    let forged = PinRequest {
         until_ms: Some(u64::MAX),
         ..handed
     };
@@ -431,10 +450,13 @@
     );
     let other = say("p", Some("swahili@v1"));
     let told = there.fix(&moved, 0, "hill", "kinyarwanda-current", &other);
-    assert!(matches!(told, Err(Unfixed::NotOfIt { .. })), "{told:?}");
+    assert!(
+        matches!(told, Err(ResolveError::OtherModel { .. })),
+        "{told:?}"
+    );
     assert!(matches!(
         there.fix(&moved, 0, "hill", "nothing", &say("p", None)),
-        Err(Unfixed::Unknown(_))
+        Err(ResolveError::Unknown(_))
     ));
     assert!(
         matches!(there.fix(&moved, 0, "hill", "kinyarwanda@v2", &say("p", None)), Ok(f) if f.staged.is_none())
@@ -453,11 +475,11 @@
         expect: 0,
         stage: None,
     };
-    let book = two().with(&own).unwrap();
-    let mut passages = Passages::new(HOUR);
+    let state = two().with(&own).unwrap();
+    let mut passages = VersionPins::new(HOUR);
     let mut of = |tenant| {
         passages
-            .fix(&book, 0, tenant, "kinyarwanda-current", &say("p", None))
+            .fix(&state, 0, tenant, "kinyarwanda-current", &say("p", None))
             .unwrap()
             .version
     };
@@ -469,14 +491,14 @@
 
 #[test]
 fn a_stage_takes_its_share_of_passages_the_same_at_each_controller() {
-    let book = two().with(&moves(2, 3, Some(200))).unwrap();
-    let (mut here, mut there) = (Passages::new(HOUR), Passages::new(HOUR));
+    let state = two().with(&moves(2, 3, Some(200))).unwrap();
+    let (mut here, mut there) = (VersionPins::new(HOUR), VersionPins::new(HOUR));
     let mut new = 0;
     for n in 0..2_000 {
         let passage = format!("visitor {n}");
         let fixed = here
             .fix(
-                &book,
+                &state,
                 0,
                 "hill",
                 "kinyarwanda-current",
@@ -486,7 +508,7 @@
         assert_eq!(
             there
                 .fix(
-                    &book,
+                    &state,
                     0,
                     "hill",
                     "kinyarwanda-current",
@@ -505,9 +527,9 @@
         (330..470).contains(&new),
         "{new} of 2,000 began with the new version"
     );
-    let none = Said::default();
+    let none = PinRequest::default();
     assert_eq!(
-        here.fix(&book, 0, "hill", "kinyarwanda-current", &none)
+        here.fix(&state, 0, "hill", "kinyarwanda-current", &none)
             .unwrap()
             .version,
         name("v1")
@@ -516,11 +538,11 @@
 
 #[test]
 fn passages_that_are_remembered_are_bounded() {
-    let (book, mut passages) = (two(), Passages::new(HOUR));
+    let (state, mut passages) = (two(), VersionPins::new(HOUR));
     for n in 0..50_200 {
         passages
             .fix(
-                &book,
+                &state,
                 n,
                 "hill",
                 "kinyarwanda-current",
@@ -568,36 +590,40 @@
         );
         tallies.judge(&stage)
     };
-    assert_eq!(judge(40, 0, 400, 0), Verdict::GoOn);
+    assert_eq!(judge(40, 0, 400, 0), Verdict::Undecided);
     assert!(
-        matches!(judge(40, 10, 400, 0), Verdict::Stop { .. }),
+        matches!(judge(40, 10, 400, 0), Verdict::Abort { .. }),
         "a fifth of fifty"
     );
     assert_eq!(
         judge(40, 4, 400, 0),
-        Verdict::GoOn,
+        Verdict::Undecided,
         "four errors prove nothing"
     );
-    assert_eq!(judge(990, 10, 9_000, 0), Verdict::Well, "within the bound");
+    assert_eq!(
+        judge(990, 10, 9_000, 0),
+        Verdict::Complete,
+        "within the bound"
+    );
     assert!(
-        matches!(judge(970, 30, 9_000, 0), Verdict::Stop { .. }),
+        matches!(judge(970, 30, 9_000, 0), Verdict::Abort { .. }),
         "over the bound, all counted"
     );
     assert_eq!(
         judge(970, 30, 9_000, 500),
-        Verdict::Well,
+        Verdict::Complete,
         "the old one errs as much"
     );
-    assert_eq!(judge(0, 0, u64::MAX / 2, 3), Verdict::GoOn);
+    assert_eq!(judge(0, 0, u64::MAX / 2, 3), Verdict::Undecided);
 }
 
 #[test]
 fn collections_spare_what_a_push_was_told_to_be_there() {
     let digest = |n: u8| Digest::of(&[n]);
     let (a, b, c) = (digest(1), digest(2), digest(3));
-    let mut keeper = Keeper::default();
+    let mut keeper = BlobCollector::default();
     let named = BTreeSet::from([a]);
-    let collect = |keeper: &mut Keeper, now| keeper.collect(now, [a, b, c], &named, 100);
+    let collect = |keeper: &mut BlobCollector, now| keeper.collect(now, [a, b, c], &named, 100);
     assert!(collect(&mut keeper, 0).is_empty());
     let lease = keeper.begin(50, BTreeSet::from([b]), 500);
     assert_eq!(collect(&mut keeper, 150), [c], "b is leased");
@@ -623,7 +649,7 @@
         cases: 128, rng_seed: proptest::test_runner::RngSeed::Fixed(13), failure_persistence: None, ..Default::default()
     })]
 
-    /// Whatever is asked, an alias names a version that is there, revisions go up by one, and a replay makes the same book.
+    /// Whatever is asked, an alias names a version that is there, revisions go up by one, and a replay makes the same state.
     #[test]
     fn any_changes_keep_the_book_whole(asks in prop::collection::vec((0u8..7, 1u64..5, 0u64..12, any::<bool>()), 1..60)) {
         let (mut head, mut replayed) = (Head::default(), Head::default());
@@ -631,7 +657,7 @@
             let (model, version) = (name("kinyarwanda"), name(&format!("v{n}")));
             let (space, alias) = (Namespace::All, name("kinyarwanda-current"));
             // Half of those who move know what is current.
-            let known = head.book.alias(&space, &alias).map_or(0, |a| a.changed);
+            let known = head.state.alias(&space, &alias).map_or(0, |a| a.changed);
             let expect = if flag { known } else { expect };
             let change = match what {
                 0 | 1 => push(n),
@@ -650,9 +676,9 @@
                 }
                 Err(_) => prop_assert_eq!(&before, &head),
             }
-            for ((_, _), a) in &head.book.aliases {
-                prop_assert!(head.book.version(&a.model, &a.version).is_some());
-                prop_assert!(a.stage.as_ref().is_none_or(|s| head.book.version(&a.model, &s.to).is_some()));
+            for ((_, _), a) in &head.state.aliases {
+                prop_assert!(head.state.version(&a.model, &a.version).is_some());
+                prop_assert!(a.stage.as_ref().is_none_or(|s| head.state.version(&a.model, &s.to).is_some()));
                 prop_assert!(a.changed <= head.revision());
             }
             prop_assert_eq!(&replayed, &head);
--- a/crates/registry/tests/all/support/disk.rs
+++ b/crates/registry/tests/all/support/disk.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 
 #[derive(Debug, Default, Clone)]
-struct Platter {
+struct MemoryDisk {
     /// As after the last sync.
     safe: Vec<u8>,
     /// As the program sees it.
@@ -23,14 +23,14 @@
 
 /// Handles to one disk.
 #[derive(Debug, Clone, Default)]
-pub struct Disk(Arc<Mutex<Platter>>);
+pub struct Disk(Arc<Mutex<MemoryDisk>>);
 
 fn dead(why: &'static str) -> io::Error {
     io::Error::other(why)
 }
 
 impl Disk {
-    pub fn opens(&self) -> saltdrum_registry::store::Opens {
+    pub fn opens(&self) -> saltdrum_registry::store::OpenDatabase {
         let disk = self.clone();
         Box::new(move || Database::builder().create_with_backend(disk.clone()))
     }
@@ -72,7 +72,7 @@
                 safe[at as usize..end].copy_from_slice(&bytes[..kept]);
             }
         }
-        Disk(Arc::new(Mutex::new(Platter {
+        Disk(Arc::new(Mutex::new(MemoryDisk {
             seen: safe.clone(),
             safe,
             ..Default::default()
@@ -83,7 +83,7 @@
     pub fn bent(&self, at: u64) -> Disk {
         let mut safe = self.0.lock().unwrap().seen.clone();
         safe[at as usize] ^= 0x20;
-        Disk(Arc::new(Mutex::new(Platter {
+        Disk(Arc::new(Mutex::new(MemoryDisk {
             seen: safe.clone(),
             safe,
             ..Default::default()
@@ -91,7 +91,7 @@
     }
 }
 
-impl Platter {
+impl MemoryDisk {
     fn step(&mut self) -> Result<(), io::Error> {
         if self.dies_at.is_some_and(|at| self.operations >= at) {
             return Err(dead("the power is gone"));
--- a/crates/registry/tests/all/support/mod.rs
+++ b/crates/registry/tests/all/support/mod.rs
@@ -1,8 +1,8 @@
 pub mod disk;
 
 use saltdrum_layers::Digest;
-use saltdrum_registry::book::{Change, Stage, Version};
-use saltdrum_registry::store::Asked;
+use saltdrum_registry::state::{Change, Stage, Version};
+use saltdrum_registry::store::ChangeRequest;
 use saltdrum_registry::{Name, Namespace, Revision};
 
 pub fn name(text: &str) -> Name {
@@ -46,8 +46,8 @@
     }
 }
 
-pub fn asked(change: Change) -> Asked {
-    Asked {
+pub fn asked(change: Change) -> ChangeRequest {
+    ChangeRequest {
         who: "tests".into(),
         at_ms: 1_000,
         change,
--- a/crates/registry/tests/fixture_support/history.rs
+++ b/crates/registry/tests/fixture_support/history.rs
@@ -2,9 +2,9 @@
 
 use saltdrum_layers::Digest;
 use saltdrum_layers::layout::Layout;
-use saltdrum_registry::book::{Change, Role, Stage, Version};
-use saltdrum_registry::service::found;
-use saltdrum_registry::store::{Asked, Store};
+use saltdrum_registry::service::create_first_owner;
+use saltdrum_registry::state::{Change, Role, Stage, Version};
+use saltdrum_registry::store::{ChangeRequest, Store};
 use saltdrum_registry::{Name, Namespace, Revision, keys};
 use std::fs;
 use std::path::Path;
@@ -169,14 +169,14 @@
 pub fn make_registry(folder: &Path) -> String {
     let changes = changes(folder);
     Store::make_file(&folder.join("registry.redb"), |store| {
-        let key = found(store, &name("anna"), OWNER_CHANCE, 1_000)?;
+        let key = create_first_owner(store, &name("anna"), OWNER_CHANCE, 1_000)?;
         for (change, number) in changes.into_iter().zip(1..) {
             let who = if matches!(change, Change::Push { .. }) {
                 "press"
             } else {
                 "anna"
             };
-            let asked = Asked {
+            let asked = ChangeRequest {
                 who: who.into(),
                 at_ms: 1_000 + number,
                 change,
--- a/crates/registry/tests/registry_fixtures.rs
+++ b/crates/registry/tests/registry_fixtures.rs
@@ -21,16 +21,18 @@
 use saltdrum_fleet::fence::Token;
 use saltdrum_layers::Digest;
 use saltdrum_leases::messages::{Effect, REJECTED, Seal};
-use saltdrum_registry::book::{Book, Role};
-use saltdrum_registry::call;
 use saltdrum_registry::chain::{Entry, Head};
+use saltdrum_registry::client;
 use saltdrum_registry::collection::{CollectBlobs, Collected, CollectionResource, RESOURCE, TASK};
-use saltdrum_registry::follow::{Copy, Following, Heard, follow};
-use saltdrum_registry::passage::{Passages, Said, function_id, function_name};
-use saltdrum_registry::service::{DENIED, DISK, REFUSED, Registry};
-use saltdrum_registry::stage::Tally;
-use saltdrum_registry::store::{Asked, read_backup, restore};
-use saltdrum_registry::watch::{Mark, Told};
+use saltdrum_registry::follow::{FollowConfig, LocalCopy, RegistryUpdate, follow};
+use saltdrum_registry::rollout::Tally;
+use saltdrum_registry::service::{
+    ACCESS_DENIED, DISK_FAILURE, REJECTED as CHANGE_REJECTED, Registry,
+};
+use saltdrum_registry::state::{RegistryState, Role};
+use saltdrum_registry::store::{ChangeRequest, read_backup, restore};
+use saltdrum_registry::version_pin::{PinRequest, VersionPins, function_id, function_name};
+use saltdrum_registry::watch::{Cursor, WatchEvent};
 use saltdrum_registry::{Change, Namespace, Store, blobs, keys};
 use saltdrum_transport::{Clock, MemoryNetwork, Network};
 use serde::Serialize;
@@ -75,8 +77,8 @@
         .unwrap()
 }
 
-fn mark(head: &Head) -> Mark {
-    Mark {
+fn mark(head: &Head) -> Cursor {
+    Cursor {
         revision: head.revision(),
         hash: head.hash.clone(),
     }
@@ -106,26 +108,26 @@
     let told = [
         (
             "whole",
-            Told::Whole {
+            WatchEvent::Snapshot {
                 head: last.clone(),
                 restored: None,
             },
         ),
         (
             "whole-restored",
-            Told::Whole {
+            WatchEvent::Snapshot {
                 head: after,
                 restored: Some(restored),
             },
         ),
         (
             "next",
-            Told::Next {
+            WatchEvent::Next {
                 entry: entries[3].clone(),
             },
         ),
-        ("still", Told::Still { at: mark(last) }),
-        ("behind", Told::Behind { at: mark(last) }),
+        ("still", WatchEvent::Heartbeat { at: mark(last) }),
+        ("behind", WatchEvent::UnknownCursor { at: mark(last) }),
     ];
     for (name, told) in told {
         fixtures.check_json(&format!("told-{name}"), &told);
@@ -145,7 +147,11 @@
             bytes: 16,
         },
     );
-    for (name, code) in [("refused", REFUSED), ("denied", DENIED), ("disk", DISK)] {
+    for (name, code) in [
+        ("refused", CHANGE_REJECTED),
+        ("denied", ACCESS_DENIED),
+        ("disk", DISK_FAILURE),
+    ] {
         fixtures.check_text(&format!("code-{name}"), &code.to_string());
     }
     fixtures.check_text("task", TASK);
@@ -198,11 +204,11 @@
     assert_eq!(store.head(), made.head());
     assert_eq!(store.verify().unwrap(), LAST_REVISION);
     assert_eq!(store.sealed_epoch(LEASE).unwrap(), EPOCH);
-    let book = &store.head().book;
-    assert_eq!(keys::who(book, &key).unwrap(), (name("anna"), Role::Owner));
-    assert_eq!(blobs::look(&stored, book), Vec::<String>::new());
+    let state = &store.head().state;
+    assert_eq!(keys::who(state, &key).unwrap(), (name("anna"), Role::Owner));
+    assert_eq!(blobs::look(&stored, state), Vec::<String>::new());
     let change = adds_key("box-2", Role::Reader);
-    let asked = Asked {
+    let asked = ChangeRequest {
         who: "anna".into(),
         at_ms: NOW_MS,
         change,
@@ -211,8 +217,9 @@
     assert_eq!(taken.revision, LAST_REVISION + 1);
 }
 
-fn manifest_of(book: &Book, version: &str) -> Digest {
-    book.version(&name("kinyarwanda"), &name(version))
+fn manifest_of(state: &RegistryState, version: &str) -> Digest {
+    state
+        .version(&name("kinyarwanda"), &name(version))
         .unwrap()
         .version
         .manifest
@@ -351,7 +358,7 @@
 
 /// A push of a version that is there already, and of a new one.
 async fn check_push(fixtures: &mut FixtureLines, talk: &mut Conversation, site: &Site) {
-    let manifest = manifest_of(&site.registry.book(), "v2");
+    let manifest = manifest_of(&site.registry.state(), "v2");
     let mut digests: Vec<Digest> = blobs::manifest(Path::new(&site.folder), &manifest)
         .unwrap()
         .chunks
@@ -419,13 +426,13 @@
         let heads = heads_of(&site.registry.history().unwrap());
         let mut fixtures = FixtureLines::open("followers.txt");
         let all = &mut fixtures;
-        let watch = |mark: Mark| json!({"who": "box-1", "mark": mark});
+        let watch = |mark: Cursor| json!({"who": "box-1", "mark": mark});
         let marks = [
             ("new", mark(&Head::default())),
             ("late", mark(&heads[20])),
             (
                 "elsewhere",
-                Mark {
+                Cursor {
                     revision: 50,
                     hash: heads[20].hash.clone(),
                 },
@@ -455,7 +462,7 @@
     });
 }
 
-fn notice(told: &Told) -> String {
+fn notice(told: &WatchEvent) -> String {
     let told = serde_json::to_string(told).unwrap();
     format!(r#"{{"jsonrpc":"2.0","method":"told","params":{told}}}"#)
 }
@@ -470,14 +477,14 @@
             .after(0, 100)
             .unwrap();
         let (network, at) = (network(), memory("registry"));
-        let whole = Told::Whole {
+        let whole = WatchEvent::Snapshot {
             head: heads[20].clone(),
             restored: None,
         };
         let next: Vec<String> = entries[21..]
             .iter()
             .map(|entry| {
-                notice(&Told::Next {
+                notice(&WatchEvent::Next {
                     entry: entry.clone(),
                 })
             })
@@ -487,7 +494,7 @@
         let written = scratch.join("written");
         let (registry, copy) = (at, Some(written.clone()));
         let key = "box-1.secret".to_owned();
-        let following = Following {
+        let following = FollowConfig {
             registry,
             key,
             who: "box-1".into(),
@@ -496,7 +503,7 @@
         let heard: Rc<RefCell<Vec<Head>>> = Rc::default();
         let noted = heard.clone();
         let hear = move |what| {
-            if let Heard::Book(head) = what {
+            if let RegistryUpdate::Changed(head) = what {
                 noted.borrow_mut().push(head);
             }
         };
@@ -514,7 +521,7 @@
             fs::read_to_string(&written).unwrap(),
             fs::read_to_string(&stored).unwrap()
         );
-        assert_eq!(Copy::read(&stored).unwrap().as_ref(), heads.last());
+        assert_eq!(LocalCopy::read(&stored).unwrap().as_ref(), heads.last());
     });
 }
 
@@ -527,7 +534,7 @@
             result_line(2, &json!({"revision": 24})),
         ];
         let server = scripted_server(&network, &at, answers).await;
-        let mut caller = call::Caller::dial(&network, &at, "anna.secret")
+        let mut caller = client::RegistryClient::connect(&network, &at, "anna.secret")
             .await
             .unwrap();
         let change = push("v6", absent_version());
@@ -617,25 +624,25 @@
 fn versions_are_named_and_passages_drawn_as_before() {
     let mut fixtures = FixtureLines::open("passages.txt");
     let entries = made_history(&scratch_folder("passages"));
-    let book = heads_of(&entries).pop().unwrap().book;
+    let state = heads_of(&entries).pop().unwrap().state;
     let (model, version) = (name("kinyarwanda"), name("v3"));
     fixtures.check_text("function-id", &function_id(&model, &version).to_string());
     fixtures.check_text("function-name", &function_name(&model, &version));
-    let mut passages = Passages::new(60_000);
+    let mut passages = VersionPins::new(60_000);
     for number in 0..16 {
         let passage = format!("visit-{number}");
-        let said = Said {
+        let said = PinRequest {
             passage: Some(&passage),
-            ..Said::default()
+            ..PinRequest::default()
         };
         let fixed = passages
-            .fix(&book, NOW_MS, "prado", "current", &said)
+            .fix(&state, NOW_MS, "prado", "current", &said)
             .unwrap();
         assert_eq!(fixed.staged.unwrap().space, Namespace::All);
         fixtures.check_text(&passage, &format!("{} {}", fixed.version, fixed.until_ms));
     }
     let own = passages
-        .fix(&book, NOW_MS, "louvre", "current", &Said::default())
+        .fix(&state, NOW_MS, "louvre", "current", &PinRequest::default())
         .unwrap();
     fixtures.check_text("tenants-own", &format!("{} {}", own.version, own.until_ms));
     fixtures.finish();
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -15,10 +15,10 @@
 use saltdrum_layers::Digest;
 use saltdrum_layers::plan::Member;
 use saltdrum_protocol::list::Life;
-use saltdrum_registry::book::{Change, Stage as Trial, Version};
-use saltdrum_registry::call::Caller;
-use saltdrum_registry::follow::Following;
-use saltdrum_registry::store::Asked;
+use saltdrum_registry::client::RegistryClient;
+use saltdrum_registry::follow::FollowConfig;
+use saltdrum_registry::state::{Change, Stage as Trial, Version};
+use saltdrum_registry::store::ChangeRequest;
 use saltdrum_registry::{Name, Namespace, Store as Ledger, service};
 use saltdrum_simulated_network::{Ether, Hold, Line as Wire, Lines, stoppable};
 use saltdrum_transport::{
@@ -163,8 +163,8 @@
 }
 
 impl Names {
-    fn following(&self, who: String, copy: Option<PathBuf>) -> Following {
-        Following {
+    fn following(&self, who: String, copy: Option<PathBuf>) -> FollowConfig {
+        FollowConfig {
             registry: self.address.clone(),
             key: self.key.clone(),
             who,
@@ -234,7 +234,8 @@
     models: &mut BTreeMap<String, Vec<u8>>,
 ) -> io::Result<String> {
     let mut ledger = Ledger::open_file(ledger).map_err(io::Error::other)?;
-    let key = service::found(&mut ledger, &name("stage"), [7; 32], 0).map_err(io::Error::other)?;
+    let key = service::create_first_owner(&mut ledger, &name("stage"), [7; 32], 0)
+        .map_err(io::Error::other)?;
     let mut all = Vec::new();
     for f in day.terms.functions.values() {
         for n in 1..=day.versions {
@@ -278,7 +279,7 @@
     }
     let asked = all
         .into_iter()
-        .map(|change| Asked {
+        .map(|change| ChangeRequest {
             who: "stage".into(),
             at_ms: 0,
             change,
@@ -818,7 +819,8 @@
         let Some(names) = &self.names else {
             return Ok(());
         };
-        let dialled = Caller::dial(&self.cast.host("admin"), &names.address, &names.key).await;
+        let dialled =
+            RegistryClient::connect(&self.cast.host("admin"), &names.address, &names.key).await;
         let mut caller = dialled.map_err(|e| e.to_string())?;
         let asked = caller.call("change", serde_json::json!({ "change": change }));
         let told = tokio::time::timeout(Duration::from_secs(2), asked)
@@ -843,7 +845,7 @@
                     .as_ref()
                     .and_then(|n| Some(n.life.borrow().as_ref()?.0.clone()));
                 // Lost for now: nobody can move anything.
-                let Some(book) = life.map(|registry| registry.book()) else {
+                let Some(book) = life.map(|registry| registry.state()) else {
                     break;
                 };
                 let Some(is) = book.alias(&Namespace::All, &alias).cloned() else {
@@ -1056,7 +1058,7 @@
                         .names
                         .as_ref()
                         .and_then(|n| Some(n.life.borrow().as_ref()?.0.clone()));
-                    let Some(book) = life.map(|registry| registry.book()) else {
+                    let Some(book) = life.map(|registry| registry.state()) else {
                         continue;
                     };
                     let alias = book.alias(&Namespace::All, &name(&format!("{f}-current")));
