--- a/crates/registry/src/follow.rs
+++ b/crates/registry/src/follow.rs
@@ -1,109 +1,69 @@
-//! A watcher of the registry: keeps what it is told on disk before it obeys it, and goes on from there.
+//! A follower of the registry: it writes what it learns to disk before it applies it, and goes on from there.
 
-use crate::chain::{Entry, Head};
+use crate::chain::Head;
+pub use crate::local_copy::LocalCopy;
 use crate::service::HEARTBEAT_INTERVAL;
 use crate::watch::{WatchError, WatchEvent, Watcher};
 use bytes::BytesMut;
-use saltdrum_durable::file;
 use saltdrum_transport::{Address, Network, Stream};
 use serde::Deserialize;
 use serde_json::json;
 use serde_json::value::RawValue;
-use std::fs::{self, File, OpenOptions};
-use std::io::{self, Write};
-use std::path::{Path, PathBuf};
+use std::io;
+use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tracing::{info, warn};
 
-/// Nothing heard for so long: the line is down, whatever it says.
-const SILENT: Duration = Duration::from_millis(3 * HEARTBEAT_INTERVAL.as_millis() as u64);
-const AGAIN_LEAST: Duration = Duration::from_millis(100);
-const AGAIN_MOST: Duration = Duration::from_secs(5);
+/// Nothing received for so long: the connection is down.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(3 * HEARTBEAT_INTERVAL.as_millis() as u64);
+const RECONNECT_DELAY_MIN: Duration = Duration::from_millis(100);
+const RECONNECT_DELAY_MAX: Duration = Duration::from_secs(5);
 
-/// Whom to follow, as whom.
+/// Which registry to follow, and as whom.
 #[derive(Clone, Debug)]
 pub struct FollowConfig {
+    /// Where the registry listens.
     pub registry: Address,
+    /// Text of the key to log in with.
     pub key: String,
     /// Reported to the registry, for its list of followers.
     pub who: String,
-    /// What is known is kept here over starts; none: it is not.
+    /// File in which the state is kept over restarts; none: it is not kept.
     pub copy: Option<PathBuf>,
 }
 
-/// What a watcher has come to, for whoever obeys it.
+/// What a follower learned.
 #[derive(Clone, Debug)]
 pub enum RegistryUpdate {
-    /// New, and kept.
+    /// A new state, which is on disk.
     Changed(Head),
     /// The registry was heard; nothing is new.
     Unchanged,
-    /// What the registry says is not obeyed, and why.
+    /// What the registry sent is not applied, and why.
     Rejected(String),
 }
 
-/// What is known, on disk: a head, then the entries since. It is written anew when it has grown.
-pub struct LocalCopy {
-    path: PathBuf,
-    file: File,
-    entries: usize,
-}
-
-const ENTRIES_MOST: usize = 4_096;
-
-impl LocalCopy {
-    /// What was kept, as far as it is whole: a last line that was cut short was never obeyed.
-    pub fn read(path: &Path) -> io::Result<Option<Head>> {
-        let text = match fs::read_to_string(path) {
-            Ok(text) => text,
-            Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(None),
-            Err(e) => return Err(e),
-        };
-        let fault = |why: String| io::Error::other(format!("{}: {why}", path.display()));
-        let whole = text.rfind('\n').map_or("", |end| &text[..end]);
-        let mut lines = whole.lines();
-        let Some(first) = lines.next() else {
-            return Err(fault("the head is missing".into()));
-        };
-        let mut head: Head =
-            serde_json::from_str(first).map_err(|e| fault(format!("line 1: {e}")))?;
-        for (n, line) in lines.enumerate() {
-            let entry: Result<Entry, _> = serde_json::from_str(line);
-            let next = entry
-                .map_err(|e| e.to_string())
-                .and_then(|e| head.follow(&e).map_err(|e| e.to_string()));
-            head = next.map_err(|why| fault(format!("line {}: {why}", n + 2)))?;
-        }
-        Ok(Some(head))
-    }
-
-    /// Begins anew with a head.
-    pub fn write(path: &Path, head: &Head) -> io::Result<Self> {
-        let mut line = serde_json::to_vec(head)?;
-        line.push(b'\n');
-        file::make_whole(path, |unfinished| file::write_synced(unfinished, &line))?;
-        let file = OpenOptions::new().append(true).open(path)?;
-        Ok(Self {
-            path: path.to_owned(),
-            file,
-            entries: 0,
-        })
-    }
-
-    pub fn add(&mut self, entry: &Entry, head: &Head) -> io::Result<()> {
-        if self.entries >= ENTRIES_MOST {
-            *self = Self::write(&self.path, head)?;
-            return Ok(());
-        }
-        let mut line = entry.bytes();
-        line.push(b'\n');
-        self.file.write_all(&line)?;
-        self.file.sync_data()?;
-        self.entries += 1;
-        Ok(())
-    }
+/// Why a connection ended.
+#[derive(Debug, thiserror::Error)]
+enum ConnectionEnd {
+    #[error("{0}")]
+    Network(#[from] io::Error),
+    #[error("hung up")]
+    Closed,
+    #[error("silence")]
+    Silence,
+    #[error("a line that is none: {0}")]
+    InvalidLine(serde_json::Error),
+    #[error("something that is not known here: {0}")]
+    UnknownEvent(serde_json::Error),
+    #[error("{0}")]
+    ErrorResponse(String),
+    #[error("{0}")]
+    Rejected(#[from] WatchError),
+    #[error("{}: {error}", path.display())]
+    CopyFailed { path: PathBuf, error: io::Error },
 }
 
 #[derive(Deserialize)]
@@ -114,145 +74,167 @@
     error: Option<saltdrum_protocol::rpc::ReplyError>,
 }
 
-/// Follows until dropped. `hear` is told first what was kept, then all that comes.
+/// Follows until dropped. `on_update` gets first what was kept, then all that comes.
+///
+/// A copy that can't be read is reported once, and nothing is followed: an operator has to remove it.
 pub async fn follow(
-    of: FollowConfig,
+    config: FollowConfig,
     network: Rc<dyn Network>,
     seed: u64,
-    mut hear: impl FnMut(RegistryUpdate),
+    mut on_update: impl FnMut(RegistryUpdate),
 ) {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let kept = match &of.copy {
-        None => None,
-        Some(path) => LocalCopy::read(path).unwrap_or_else(|e| {
-            // ShutdownHandle on from nothing could turn us back: an operator has to remove it.
-            warn!(%e, "what was kept of the registry can't be read");
-            hear(RegistryUpdate::Rejected(format!(
-                "what was kept can't be read: {e}"
-            )));
-            None
-        }),
-    };
-    let unreadable = of.copy.as_ref().is_some_and(|p| p.exists()) && kept.is_none();
-    if unreadable {
+    let Some(kept) = read_copy(&config, &mut on_update) else {
         return std::future::pending().await;
-    }
-    let mut watcher = Watcher::from(kept.unwrap_or_default());
-    if watcher.head().revision() > 0 {
-        info!(
-            revision = watcher.head().revision(),
-            "the registry's state as it was kept"
-        );
-        hear(RegistryUpdate::Changed(watcher.head().clone()));
-    }
-    let mut copy = None;
-    let mut wait = AGAIN_LEAST;
+    };
+    let mut follower = Follower {
+        config,
+        watcher: Watcher::from(kept),
+        copy: None,
+        on_update,
+    };
+    follower.report_kept();
+    let mut delay = RECONNECT_DELAY_MIN;
     loop {
-        let before = watcher.head().revision();
-        let why = followed(&of, &network, &mut watcher, &mut copy, &mut hear).await;
-        if watcher.head().revision() > before {
-            wait = AGAIN_LEAST;
+        let before = follower.watcher.head().revision();
+        let Err(reason) = follower.run_connection(&network).await;
+        if follower.watcher.head().revision() > before {
+            delay = RECONNECT_DELAY_MIN;
         }
-        warn!(registry = %of.registry, why, "registry lost; what it said stands");
-        tokio::time::sleep(wait.mul_f64(0.5 + rng.f64())).await;
-        wait = (wait * 2).min(AGAIN_MOST);
+        warn!(registry = %follower.config.registry, %reason, "registry connection lost, keeping the state");
+        tokio::time::sleep(delay.mul_f64(0.5 + rng.f64())).await;
+        delay = (delay * 2).min(RECONNECT_DELAY_MAX);
     }
 }
 
-async fn followed(
-    of: &FollowConfig,
-    network: &Rc<dyn Network>,
-    watcher: &mut Watcher,
-    copy: &mut Option<LocalCopy>,
-    hear: &mut impl FnMut(RegistryUpdate),
-) -> String {
-    let mut stream: Stream = match network.dial(&of.registry).await {
-        Ok(stream) => stream,
-        Err(e) => return e.to_string(),
+/// The head that was kept, or an empty one; none: there is a copy, and it can't be used.
+fn read_copy(config: &FollowConfig, on_update: &mut impl FnMut(RegistryUpdate)) -> Option<Head> {
+    let Some(path) = &config.copy else {
+        return Some(Head::default());
     };
-    let asks = [
-        json!({"jsonrpc": "2.0", "id": 1, "method": "login", "params": {"key": of.key}}),
-        json!({"jsonrpc": "2.0", "id": 2, "method": "watch", "params": {"who": of.who, "mark": watcher.mark()}}),
-    ];
-    for ask in asks {
-        if let Err(e) = stream.write_all(format!("{ask}\n").as_bytes()).await {
-            return e.to_string();
+    let kept = LocalCopy::read(path).unwrap_or_else(|error| {
+        // Starting without it could lead back to an older state.
+        warn!(%error, "local copy of the registry is unreadable");
+        on_update(RegistryUpdate::Rejected(format!(
+            "what was kept can't be read: {error}"
+        )));
+        None
+    });
+    if kept.is_none() && path.exists() {
+        return None;
+    }
+    Some(kept.unwrap_or_default())
+}
+
+struct Follower<F> {
+    config: FollowConfig,
+    watcher: Watcher,
+    copy: Option<LocalCopy>,
+    on_update: F,
+}
+
+impl<F: FnMut(RegistryUpdate)> Follower<F> {
+    fn report_kept(&mut self) {
+        let head = self.watcher.head();
+        if head.revision() > 0 {
+            info!(
+                revision = head.revision(),
+                "registry state read from the local copy"
+            );
+            (self.on_update)(RegistryUpdate::Changed(head.clone()));
         }
     }
-    let mut read = BytesMut::new();
-    let mut searched = 0;
-    loop {
-        while let Some(end) = read[searched..].iter().position(|b| *b == b'\n') {
-            let line = read.split_to(searched + end + 1);
-            searched = 0;
-            let notice: Notice = match serde_json::from_slice(&line) {
-                Ok(notice) => notice,
-                Err(e) => return format!("a line that is none: {e}"),
-            };
-            if let Some(e) = notice.error {
-                hear(RegistryUpdate::Rejected(e.message.clone()));
-                return e.message;
+
+    async fn run_connection(
+        &mut self,
+        network: &Rc<dyn Network>,
+    ) -> Result<std::convert::Infallible, ConnectionEnd> {
+        let mut stream = network.dial(&self.config.registry).await?;
+        self.start_watch(&mut stream).await?;
+        let mut buffer = BytesMut::new();
+        let mut searched = 0;
+        loop {
+            while let Some(end) = buffer[searched..].iter().position(|byte| *byte == b'\n') {
+                let line = buffer.split_to(searched + end + 1);
+                searched = 0;
+                self.receive_line(&line)?;
             }
-            let (Some("told"), Some(params)) = (notice.method.as_deref(), notice.params) else {
-                continue;
-            };
-            let told: WatchEvent = match serde_json::from_str(params.get()) {
-                Ok(told) => told,
-                Err(e) => return format!("something that is not known here: {e}"),
-            };
-            if let Err(why) = take(of, watcher, copy, told, hear) {
-                return why;
+            searched = buffer.len();
+            match tokio::time::timeout(SILENCE_TIMEOUT, stream.read_buf(&mut buffer)).await {
+                Err(_) => return Err(ConnectionEnd::Silence),
+                Ok(Ok(0)) => return Err(ConnectionEnd::Closed),
+                Ok(Ok(_)) => {}
+                Ok(Err(error)) => return Err(error.into()),
             }
         }
-        searched = read.len();
-        match tokio::time::timeout(SILENT, stream.read_buf(&mut read)).await {
-            Err(_) => return "silence".into(),
-            Ok(Ok(0)) => return "hung up".into(),
-            Ok(Ok(_)) => {}
-            Ok(Err(e)) => return e.to_string(),
-        }
     }
-}
 
-fn take(
-    of: &FollowConfig,
-    watcher: &mut Watcher,
-    copy: &mut Option<LocalCopy>,
-    told: WatchEvent,
-    hear: &mut impl FnMut(RegistryUpdate),
-) -> Result<(), String> {
-    let entry = if let WatchEvent::Next { entry } = &told {
-        Some(entry.clone())
-    } else {
-        None
-    };
-    let mut next = watcher.clone();
-    match next.hear(told) {
-        Ok(false) => hear(RegistryUpdate::Unchanged),
-        Ok(true) => {
-            if let Some(path) = &of.copy {
-                // Kept before it is obeyed: after a kill we are not behind what we have answered by.
-                let kept = match (copy.as_mut(), &entry) {
-                    (Some(copy), Some(entry)) => copy.add(entry, next.head()),
-                    _ => LocalCopy::write(path, next.head()).map(|new| *copy = Some(new)),
-                };
-                if let Err(e) = kept {
-                    *copy = None;
-                    hear(RegistryUpdate::Rejected(format!("it can't be kept: {e}")));
-                    return Err(format!("{}: {e}", path.display()));
-                }
-            }
-            *watcher = next;
-            hear(RegistryUpdate::Changed(watcher.head().clone()));
+    async fn start_watch(&self, stream: &mut Stream) -> io::Result<()> {
+        let (key, who, cursor) = (&self.config.key, &self.config.who, self.watcher.mark());
+        let calls = [
+            json!({"jsonrpc": "2.0", "id": 1, "method": "login", "params": {"key": key}}),
+            json!({"jsonrpc": "2.0", "id": 2, "method": "watch", "params": {"who": who, "mark": cursor}}),
+        ];
+        for call in calls {
+            stream.write_all(format!("{call}\n").as_bytes()).await?;
         }
-        Err(why @ WatchError::HistoryMismatch { .. }) => {
-            hear(RegistryUpdate::Rejected(why.to_string()));
-            return Err(why.to_string());
+        Ok(())
+    }
+
+    fn receive_line(&mut self, line: &[u8]) -> Result<(), ConnectionEnd> {
+        let notice: Notice = serde_json::from_slice(line).map_err(ConnectionEnd::InvalidLine)?;
+        if let Some(error) = notice.error {
+            (self.on_update)(RegistryUpdate::Rejected(error.message.clone()));
+            return Err(ConnectionEnd::ErrorResponse(error.message));
         }
-        Err(WatchError::BrokenChain(why)) => {
-            hear(RegistryUpdate::Rejected(why.to_string()));
-            return Err(why.to_string());
+        let (Some("told"), Some(params)) = (notice.method.as_deref(), notice.params) else {
+            return Ok(());
+        };
+        let event = serde_json::from_str(params.get()).map_err(ConnectionEnd::UnknownEvent)?;
+        self.receive_event(event)
+    }
+
+    fn receive_event(&mut self, event: WatchEvent) -> Result<(), ConnectionEnd> {
+        let entry = match &event {
+            WatchEvent::Next { entry } => Some(entry.clone()),
+            _ => None,
+        };
+        let mut next = self.watcher.clone();
+        match next.hear(event) {
+            Ok(false) => (self.on_update)(RegistryUpdate::Unchanged),
+            Ok(true) => {
+                self.write_copy(entry.as_ref(), next.head())?;
+                self.watcher = next;
+                (self.on_update)(RegistryUpdate::Changed(self.watcher.head().clone()));
+            }
+            Err(error) => {
+                (self.on_update)(RegistryUpdate::Rejected(error.to_string()));
+                return Err(error.into());
+            }
         }
+        Ok(())
+    }
+
+    /// Writes the head before it is applied, so that a restart never goes back behind what was answered by.
+    fn write_copy(
+        &mut self,
+        entry: Option<&crate::Entry>,
+        head: &Head,
+    ) -> Result<(), ConnectionEnd> {
+        let Some(path) = &self.config.copy else {
+            return Ok(());
+        };
+        let written = match (self.copy.as_mut(), entry) {
+            (Some(copy), Some(entry)) => copy.add(entry, head),
+            _ => LocalCopy::write(path, head).map(|copy| self.copy = Some(copy)),
+        };
+        written.map_err(|error| {
+            let path = path.clone();
+            self.copy = None;
+            (self.on_update)(RegistryUpdate::Rejected(format!(
+                "it can't be kept: {error}"
+            )));
+            ConnectionEnd::CopyFailed { path, error }
+        })
     }
-    Ok(())
 }
