--- a/crates/registry/src/blob_collector.rs
+++ b/crates/registry/src/blob_collector.rs
@@ -4,6 +4,7 @@
 use saltdrum_layers::Digest;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Identifies the lease of a push.
 pub type LeaseId = u64;
 
 struct Lease {
@@ -24,8 +25,10 @@
 /// Why a push can't be ended.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PushLeaseError {
+    /// The lease is unknown or has expired.
     #[error("lease {0} is not known or has run out: begin the push again")]
     Lease(LeaseId),
+    /// The lease does not cover a blob.
     #[error("blob {0} is not among those the push began with")]
     NotHeld(Digest),
 }
@@ -63,11 +66,12 @@
             .map_or(Ok(()), |d| Err(PushLeaseError::NotHeld(*d)))
     }
 
+    /// Ends a lease.
     pub fn end(&mut self, lease: LeaseId) {
         self.leases.remove(&lease);
     }
 
-    /// PollTimes at all that is there, and gives what may go: neither named by a manifest that counts nor leased for all of
+    /// Looks at all blobs present, and gives those that may be removed: neither named by a manifest that counts nor leased for all of
     /// the grace, which is longer than the longest load.
     pub fn collect(
         &mut self,
--- a/crates/registry/src/blobs.rs
+++ b/crates/registry/src/blobs.rs
@@ -13,6 +13,7 @@
     folder.join("blobs").join("sha256").join(digest.hex())
 }
 
+/// Reads and verifies a manifest.
 pub fn manifest(folder: &Path, digest: &Digest) -> Result<Manifest, String> {
     let at = path(folder, digest);
     let told = |why: String| format!("manifest {digest}: {why}");
@@ -30,6 +31,7 @@
     Manifest::read(&bytes).map_err(|e| told(e.to_string()))
 }
 
+/// Digests of all blobs of the folder, in order.
 pub fn present(folder: &Path) -> io::Result<Vec<Digest>> {
     let mut all = Vec::new();
     for entry in fs::read_dir(folder.join("blobs").join("sha256"))? {
--- a/crates/registry/src/chain.rs
+++ b/crates/registry/src/chain.rs
@@ -16,12 +16,15 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Entry {
+    /// Revision of the entry.
     pub revision: Revision,
     /// Milliseconds since 1970, by the registry's clock.
     pub at_ms: u64,
     /// The key that asked.
     pub who: String,
+    /// What is changed.
     pub change: Change,
+    /// Hash of the entry before.
     pub before: Hash,
 }
 
@@ -31,11 +34,13 @@
         hash(&self.bytes())
     }
 
+    /// As written to disk.
     pub fn bytes(&self) -> Vec<u8> {
         serde_json::to_vec(self).expect("an entry is JSON")
     }
 }
 
+/// Hash of an entry's bytes.
 pub fn hash(bytes: &[u8]) -> Hash {
     blake3::hash(bytes).to_hex().to_string()
 }
@@ -43,8 +48,10 @@
 /// A state and where its history has come to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
+    /// The state.
     #[serde(rename = "book")]
     pub state: RegistryState,
+    /// Hash, in hexadecimal.
     pub hash: Hash,
 }
 
@@ -60,20 +67,36 @@
 /// Why an entry does not follow.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChainError {
+    /// It does not follow the entry before.
     #[error(
         "entry of revision {revision}: it follows another history than the one up to revision {at}"
     )]
-    OtherHistory { revision: Revision, at: Revision },
+    OtherHistory {
+        /// Revision of the entry.
+        revision: Revision,
+        /// Where it is, or was expected to be.
+        at: Revision,
+    },
+    /// The revision is not the next one.
     #[error("entry says revision {said}, its change makes {made}")]
-    Revision { said: Revision, made: Revision },
+    Revision {
+        /// Revision that the entry names.
+        said: Revision,
+        /// Revision that its change leads to.
+        made: Revision,
+    },
+    /// The change is invalid.
     #[error("entry of revision {revision} could never have been taken: {why}")]
     NeverTaken {
+        /// Revision of the entry.
         revision: Revision,
+        /// The reason.
         why: ChangeError,
     },
 }
 
 impl Head {
+    /// Revision of the last entry.
     pub fn revision(&self) -> Revision {
         self.state.revision
     }
--- a/crates/registry/src/client.rs
+++ b/crates/registry/src/client.rs
@@ -8,15 +8,28 @@
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
+/// Why a call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
+    /// The connection failed.
     #[error("{at}: {why}")]
-    Connection { at: Address, why: String },
+    Connection {
+        /// Where it is, or was expected to be.
+        at: Address,
+        /// The reason.
+        why: String,
+    },
     /// What the registry answered.
     #[error("{message}")]
-    Response { code: i64, message: String },
+    Response {
+        /// JSON-RPC error code.
+        code: i64,
+        /// Text of the error.
+        message: String,
+    },
 }
 
+/// A connection to the registry that has logged in.
 pub struct RegistryClient {
     at: Address,
     stream: Stream,
@@ -54,6 +67,7 @@
         Ok(caller)
     }
 
+    /// Calls a method and waits for its answer.
     pub async fn call(&mut self, method: &str, params: Json) -> Result<Json, ClientError> {
         let fault = |at: &Address, why: String| ClientError::Connection {
             at: at.clone(),
--- a/crates/registry/src/collection.rs
+++ b/crates/registry/src/collection.rs
@@ -21,6 +21,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CollectBlobs {
+    /// How long a blob has to be unreferenced, in milliseconds.
     pub grace_ms: u64,
 }
 
@@ -29,6 +30,7 @@
 pub struct Collected {
     /// Blobs removed.
     pub gone: u64,
+    /// Sum of their sizes.
     pub bytes: u64,
 }
 
--- a/crates/registry/src/keys.rs
+++ b/crates/registry/src/keys.rs
@@ -6,12 +6,20 @@
 /// Why a key opens nothing. It does not say which part was wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AccessError {
+    /// The key is unknown or wrong.
     #[error("this key opens nothing here")]
     Key,
+    /// There was no login.
     #[error("log in first")]
     NoKey,
+    /// The role is too low.
     #[error("role {has:?} may not do this: {needs:?} is needed")]
-    Role { has: Role, needs: Role },
+    Role {
+        /// What there is.
+        has: Role,
+        /// What is needed.
+        needs: Role,
+    },
 }
 
 fn hash(id: &str, secret: &str) -> blake3::Hash {
--- a/crates/registry/src/names.rs
+++ b/crates/registry/src/names.rs
@@ -13,6 +13,7 @@
 #[serde(try_from = "String", into = "String")]
 pub struct Name(Arc<str>);
 
+/// Why a text is no name.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("name '{}': {why}; lower-case letters, digits, and . - _ between them are expected", shown(.name))]
 pub struct InvalidName {
@@ -88,11 +89,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Namespace {
+    /// Aliases that all tenants see.
     All,
+    /// Aliases of one tenant.
     Tenant(Name),
 }
 
 impl Namespace {
+    /// For error texts.
     pub fn told(&self) -> String {
         match self {
             Self::All => "all tenants".into(),
@@ -106,10 +110,12 @@
     use super::*;
     use serde::{Deserializer, Serializer, de::Error};
 
+    /// Writes the digest's text.
     pub fn serialize<S: Serializer>(digest: &Digest, to: S) -> Result<S::Ok, S::Error> {
         to.collect_str(digest)
     }
 
+    /// Reads the digest's text.
     pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Digest, D::Error> {
         String::deserialize(from)?.parse().map_err(D::Error::custom)
     }
@@ -120,6 +126,7 @@
     use imbl::OrdMap;
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
+    /// Writes a list of pairs.
     pub fn serialize<S: Serializer, K: Serialize + Ord, V: Serialize>(
         map: &OrdMap<K, V>,
         to: S,
@@ -127,6 +134,7 @@
         to.collect_seq(map.iter())
     }
 
+    /// Reads a list of pairs.
     pub fn deserialize<'de, D, K, V>(from: D) -> Result<OrdMap<K, V>, D::Error>
     where
         D: Deserializer<'de>,
--- a/crates/registry/src/rollout.rs
+++ b/crates/registry/src/rollout.rs
@@ -8,9 +8,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tally {
+    /// Answers of the new version that succeeded.
     pub new_well: u64,
+    /// Answers of the new version that failed.
     pub new_erred: u64,
+    /// Answers of the old version that succeeded.
     pub old_well: u64,
+    /// Answers of the old version that failed.
     pub old_erred: u64,
 }
 
@@ -20,13 +24,18 @@
     of: BTreeMap<(u32, u64), Tally>,
 }
 
+/// What the results say of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
+    /// More answers are needed.
     Undecided,
+    /// The rollout succeeded.
     Complete,
     /// Shares of answers that erred.
     Abort {
+        /// Of the new version.
         new: f64,
+        /// Of the old version.
         old: f64,
     },
 }
@@ -49,6 +58,7 @@
         };
     }
 
+    /// Results of all controllers.
     pub fn sum(&self) -> Tally {
         self.of.values().fold(Tally::default(), |s, t| Tally {
             new_well: s.new_well.saturating_add(t.new_well),
@@ -58,6 +68,7 @@
         })
     }
 
+    /// Whether the rollout ends, and how.
     pub fn judge(&self, stage: &Stage) -> Verdict {
         let sum = self.sum();
         let share =
--- a/crates/registry/src/state.rs
+++ b/crates/registry/src/state.rs
@@ -79,58 +79,93 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "change", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Change {
+    /// Adds a version.
     Push {
+        /// The model.
         model: Name,
+        /// The version's name.
         name: Name,
+        /// The version.
         version: Version,
     },
+    /// Forbids the use of a version.
     Withdraw {
+        /// The model.
         model: Name,
+        /// The version's name.
         name: Name,
     },
     /// Only what no alias names.
     Delete {
+        /// The model.
         model: Name,
+        /// The version's name.
         name: Name,
     },
     /// Moves an alias, or makes it where `expect` is 0. With a stage, it goes on standing for what it did and a share of
     /// passages begin with the new one.
     Move {
+        /// Namespace of the alias.
         space: Namespace,
+        /// The alias.
         alias: Name,
+        /// The model.
         model: Name,
+        /// The version.
         version: Name,
+        /// Revision at which the caller saw the alias; it has to be still there.
         expect: Revision,
+        /// Present: the move is tried on a share of pins first.
         stage: Option<Stage>,
     },
     /// Ends a stage: all passages begin with the new version, or none.
     EndStage {
+        /// Namespace of the alias.
         space: Namespace,
+        /// The alias.
         alias: Name,
+        /// Revision at which the caller saw the alias; it has to be still there.
         expect: Revision,
+        /// Whether the new version succeeded.
         well: bool,
+        /// The reason.
         why: String,
     },
+    /// Moves an alias back to the version before, or gives its rollout up.
     RollBack {
+        /// Namespace of the alias.
         space: Namespace,
+        /// The alias.
         alias: Name,
+        /// Revision at which the caller saw the alias; it has to be still there.
         expect: Revision,
     },
+    /// Removes an alias.
     DropAlias {
+        /// Namespace of the alias.
         space: Namespace,
+        /// The alias.
         alias: Name,
+        /// Revision at which the caller saw the alias; it has to be still there.
         expect: Revision,
     },
+    /// Adds a key.
     AddKey {
+        /// Identifier of the key.
         id: Name,
+        /// What the key permits.
         role: Role,
+        /// Hash, in hexadecimal.
         hash: String,
     },
+    /// Removes a key.
     WithdrawKey {
+        /// Identifier of the key.
         id: Name,
     },
     /// The state came from a backup; whoever obeyed revisions up to `over` is told to obey this one.
     Restored {
+        /// Revision that the restored history goes over.
         over: Revision,
     },
 }
@@ -161,47 +196,97 @@
 /// Why a change is rejected. Nothing has changed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChangeError {
+    /// It is not known.
     #[error("{what} '{name}' is not known")]
-    NotFound { what: &'static str, name: String },
+    NotFound {
+        /// Kind of the thing.
+        what: &'static str,
+        /// The version's name.
+        name: String,
+    },
+    /// The name is taken by another version.
     #[error(
         "model '{model}' has a version '{name}' already, with manifest {has}: a version never changes"
     )]
     VersionExists {
+        /// The model.
         model: Name,
+        /// The version's name.
         name: Name,
+        /// What there is.
         has: Digest,
     },
+    /// Another change came first.
     #[error("alias '{alias}' is at revision {at}, {expected} was expected: someone else moved it")]
     AliasChanged {
+        /// The alias.
         alias: Name,
+        /// Where it is, or was expected to be.
         at: Revision,
+        /// What the caller expected.
         expected: Revision,
     },
+    /// The version may not be used.
     #[error("version '{name}' of model '{model}' was withdrawn")]
-    VersionWithdrawn { model: Name, name: Name },
+    VersionWithdrawn {
+        /// The model.
+        model: Name,
+        /// The version's name.
+        name: Name,
+    },
+    /// An alias names the version.
     #[error("version '{name}' of model '{model}' is named by alias '{alias}' of {space}")]
     VersionInUse {
+        /// The model.
         model: Name,
+        /// The version's name.
         name: Name,
+        /// The alias.
         alias: Name,
+        /// Namespace of the alias.
         space: String,
     },
+    /// An alias stays with its model.
     #[error(
         "alias '{alias}' stands for model '{has}': a move to model '{asked}' needs another alias"
     )]
-    ModelMismatch { alias: Name, has: Name, asked: Name },
+    ModelMismatch {
+        /// The alias.
+        alias: Name,
+        /// What there is.
+        has: Name,
+        /// What was requested.
+        asked: Name,
+    },
+    /// There is nothing to roll back to.
     #[error("alias '{0}' has nothing to go back to")]
     NoPreviousVersion(Name),
+    /// No rollout is under way.
     #[error("alias '{0}' has no stage to end")]
     NoRollout(Name),
+    /// A value is out of bounds.
     #[error("{place}: {why}")]
-    InvalidValue { place: &'static str, why: String },
+    InvalidValue {
+        /// Where it was found.
+        place: &'static str,
+        /// The reason.
+        why: String,
+    },
+    /// The identifier is taken.
     #[error("key '{0}' is there already")]
     KeyExists(Name),
+    /// Without it no key could be added.
     #[error("key '{0}' is the last owner's: no one could hand out another")]
     LastOwner(Name),
+    /// The revision to go over is below the history's, or too high.
     #[error("a restored book must go over revision {at} at least, {over} was said")]
-    RestoreBelowHead { over: Revision, at: Revision },
+    RestoreBelowHead {
+        /// Revision that the restored history goes over.
+        over: Revision,
+        /// Where it is, or was expected to be.
+        at: Revision,
+    },
+    /// Revisions are exhausted.
     #[error("no such change: revision {0} is above all there can be")]
     RevisionTooHigh(Revision),
 }
@@ -355,19 +440,7 @@
                 version,
                 expect,
                 stage,
-            } => {
-                self.offered(model, version)?;
-                let moved = match self.alias(space, alias) {
-                    None if *expect != 0 || stage.is_some() => return Err(unknown_alias(alias)),
-                    None => self.new_alias(model, version),
-                    Some(_) => {
-                        let current = self.expected_alias(space, alias, *expect)?;
-                        self.moved_alias(current, alias, model, version, stage.as_ref())?
-                    }
-                };
-                self.set_alias(space, alias, moved);
-                Ok(())
-            }
+            } => self.move_alias(space, alias, model, version, *expect, stage.as_ref()),
             Change::EndStage {
                 space,
                 alias,
@@ -445,6 +518,28 @@
         Ok(())
     }
 
+    fn move_alias(
+        &mut self,
+        namespace: &Namespace,
+        alias: &Name,
+        model: &Name,
+        version: &Name,
+        expected: Revision,
+        stage: Option<&Stage>,
+    ) -> Result<(), ChangeError> {
+        self.offered(model, version)?;
+        let moved = match self.alias(namespace, alias) {
+            None if expected != 0 || stage.is_some() => return Err(unknown_alias(alias)),
+            None => self.new_alias(model, version),
+            Some(_) => {
+                let current = self.expected_alias(namespace, alias, expected)?;
+                self.moved_alias(current, alias, model, version, stage)?
+            }
+        };
+        self.set_alias(namespace, alias, moved);
+        Ok(())
+    }
+
     fn new_alias(&self, model: &Name, version: &Name) -> Alias {
         Alias {
             model: model.clone(),
--- a/crates/registry/src/store.rs
+++ b/crates/registry/src/store.rs
@@ -21,28 +21,54 @@
 /// An entry is no longer: a change is bounded by what its names and digests are.
 const ENTRY_MOST_BYTES: usize = 64 << 10;
 
+/// Why the history could not be read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
+    /// The disk failed.
     #[error("{place}: {why}")]
-    Disk { place: String, why: DiskFailure },
+    Disk {
+        /// Where it was found.
+        place: String,
+        /// The reason.
+        why: DiskFailure,
+    },
+    /// It was written by a later build.
     #[error("{place}: schema {found}: this program knows up to {SCHEMA}")]
-    Later { place: String, found: u64 },
+    Later {
+        /// Where it was found.
+        place: String,
+        /// What was found.
+        found: u64,
+    },
+    /// An entry is damaged.
     #[error("{place}: revision {revision}: {why}")]
     Damaged {
+        /// Where it was found.
         place: String,
+        /// Revision of the entry.
         revision: Revision,
+        /// The reason.
         why: String,
     },
+    /// A line of a backup is invalid.
     #[error("{place}: line {line}: {why}")]
     Line {
+        /// Where it was found.
         place: String,
+        /// Number of the line, from 1.
         line: usize,
+        /// The reason.
         why: String,
     },
+    /// The change was rejected.
     #[error("{0}")]
     Refused(#[from] ChangeError),
+    /// Nothing is overwritten.
     #[error("{place}: there is a registry already")]
-    Occupied { place: String },
+    Occupied {
+        /// Where it was found.
+        place: String,
+    },
 }
 
 impl StoreError {
@@ -57,11 +83,15 @@
 
 /// A change somebody waits for.
 pub struct ChangeRequest {
+    /// Identifier of the key that requests it.
     pub who: String,
+    /// Unix time in milliseconds.
     pub at_ms: u64,
+    /// What is changed.
     pub change: Change,
 }
 
+/// The history on disk, and the head that it leads to.
 pub struct Store {
     place: String,
     opens: OpenDatabase,
@@ -92,6 +122,7 @@
 }
 
 impl Store {
+    /// Opens the database at a path.
     pub fn open_file(path: &Path) -> Result<Self, StoreError> {
         let at = path.to_owned();
         let opens = move || database::open(&at, CACHE_BYTES);
@@ -117,6 +148,7 @@
         })
     }
 
+    /// Opens a database; `place` names it in errors.
     pub fn open(place: String, opens: OpenDatabase) -> Result<Self, StoreError> {
         let mut store = Self {
             place,
@@ -153,7 +185,8 @@
         Ok(())
     }
 
-    fn read(&self, database: &Database) -> Result<Read, StoreError> {
+    /// Makes the tables where they are missing. Fails where a later build wrote them.
+    fn prepare_tables(&self, database: &Database) -> Result<(), StoreError> {
         let txn = database.begin_write().map_err(|e| self.disk(e))?;
         {
             let mut about = txn.open_table(ABOUT).map_err(|e| self.disk(e))?;
@@ -174,7 +207,12 @@
             txn.open_table(LOG).map_err(|e| self.disk(e))?;
             txn.open_table(SEALS).map_err(|e| self.disk(e))?;
         }
-        txn.commit().map_err(|e| self.disk(e))?;
+        txn.commit().map_err(|e| self.disk(e))
+    }
+
+    /// Reads the complete history and checks its chain.
+    fn read(&self, database: &Database) -> Result<Read, StoreError> {
+        self.prepare_tables(database)?;
         let txn = database.begin_read().map_err(|e| self.disk(e))?;
         let log = txn.open_table(LOG).map_err(|e| self.disk(e))?;
         let mut read = Read {
@@ -214,10 +252,12 @@
         &self.head
     }
 
+    /// Hash after a revision of the history.
     pub fn hash_at(&self, revision: Revision) -> Option<Hash> {
         self.hashes.get(&revision).cloned()
     }
 
+    /// The last entry that came from a restore.
     pub fn last_restored(&self) -> Option<Entry> {
         self.last_restored.clone()
     }
--- a/crates/registry/src/version_pin.rs
+++ b/crates/registry/src/version_pin.rs
@@ -1,16 +1,17 @@
-//! Which version an invocation runs: names become versions here, before anything is decided about it.
+//! Which version an invocation runs: a name becomes a version here, before the policy sees the invocation.
 //!
-//! Controllers share nothing and may be at different revisions, so the version travels with the client: the first answer
-//! of a passage names it and until when it holds, and the client hands both back. A version that was handed back is used
-//! or refused, never replaced.
+//! A client pins a version under a name of its own; in the protocol this is a passage. Controllers share nothing and may be
+//! at different revisions, so the version travels with the client: the first answer names it and until when it holds, and
+//! the client sends both back. A version that was sent back is used or rejected, never replaced.
 
 use crate::names::{Name, Namespace};
 use crate::state::{Alias, RegistryState, Revision, Stage, Standing, Version};
 use std::collections::BTreeMap;
 
-/// What an invocation says of its passage.
+/// What an invocation asks for.
 #[derive(Clone, Debug, Default)]
 pub struct PinRequest<'a> {
+    /// The client's name for its pin.
     pub passage: Option<&'a str>,
     /// As the answer before gave it: `MODEL@VERSION`.
     pub version: Option<&'a str>,
@@ -21,120 +22,137 @@
 /// What an invocation runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PinnedVersion {
+    /// The model.
     pub model: Name,
+    /// The version.
     pub version: Name,
-    /// The passage may not go on with it later than this.
+    /// Unix time in milliseconds when the pin ends.
     pub until_ms: u64,
-    /// Where the alias is being moved in a stage: which one, and which side this is on.
+    /// Where the alias is being moved in a stage: which one, and which rollout_side this is on.
     pub staged: Option<StagedRollout>,
 }
 
-/// A side of a stage, for counting how it does.
+/// A rollout_side of a stage, for counting how it does.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StagedRollout {
+    /// Namespace of the alias.
     pub space: Namespace,
+    /// The alias.
     pub alias: Name,
     /// Revision at which the stage began.
     pub changed: Revision,
+    /// Of the new version.
     pub new: bool,
 }
 
+/// Why an invocation gets no version.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ResolveError {
+    /// There is no such version or alias.
     #[error("'{0}': not one of this deployment, no alias and no MODEL@VERSION of the registry")]
     Unknown(String),
+    /// The version was withdrawn.
     #[error("version '{0}' was withdrawn: begin the passage anew")]
     Withdrawn(String),
+    /// The version is of another model than the alias.
     #[error("version '{version}' is not one of '{name}'")]
-    OtherModel { version: String, name: String },
+    OtherModel {
+        /// The version.
+        version: String,
+        /// The version's name.
+        name: String,
+    },
+    /// The pin has ended.
     #[error("the passage with version '{0}' is over: begin a new one")]
     Expired(String),
-    #[error("passage: 1 to {MOST_BYTES} bytes are expected")]
+    /// The pin's name is empty or too long.
+    #[error("passage: 1 to {MAX_PIN_NAME_BYTES} bytes are expected")]
     InvalidPin,
 }
 
-const MOST_BYTES: usize = 128;
+const MAX_PIN_NAME_BYTES: usize = 128;
 /// VersionPins that are remembered here, for clients that do not hand the version back.
-const REMEMBERED_MOST: usize = 50_000;
+const MAX_REMEMBERED: usize = 50_000;
 /// A clock that runs ahead elsewhere may have made an end that seems too far: it is cut to this many lengths.
-const LENGTHS_MOST: u64 = 2;
+const MAX_LENGTHS: u64 = 2;
 
 type Key = (String, String, String);
 
 /// VersionPins that began here. Bounded; the oldest is forgotten first.
 pub struct VersionPins {
-    lasts_ms: u64,
-    begun: BTreeMap<Key, PinnedVersion>,
+    duration_ms: u64,
+    pins: BTreeMap<Key, PinnedVersion>,
     by_end: BTreeMap<(u64, u64), Key>,
     ends: BTreeMap<Key, (u64, u64)>,
     count: u64,
 }
 
 impl VersionPins {
-    /// How long a passage may last.
-    pub fn new(lasts_ms: u64) -> Self {
-        let (begun, by_end, ends, count) = Default::default();
+    /// `duration_ms`: how long a pin holds, in milliseconds.
+    pub fn new(duration_ms: u64) -> Self {
+        let (pins, by_end, ends, count) = Default::default();
         Self {
-            lasts_ms,
-            begun,
+            duration_ms,
+            pins,
             by_end,
             ends,
             count,
         }
     }
 
-    /// Fixes the version of one invocation.
+    /// Resolves the version of one invocation.
     pub fn fix(
         &mut self,
         state: &RegistryState,
         now_ms: u64,
         tenant: &str,
         name: &str,
-        said: &PinRequest,
+        request: &PinRequest,
     ) -> Result<PinnedVersion, ResolveError> {
-        if said
+        if request
             .passage
-            .is_some_and(|p| p.is_empty() || p.len() > MOST_BYTES)
+            .is_some_and(|p| p.is_empty() || p.len() > MAX_PIN_NAME_BYTES)
         {
             return Err(ResolveError::InvalidPin);
         }
-        if let Some(version) = said.version {
-            let fixed = self.handed_back(state, now_ms, tenant, name, version, said.until_ms)?;
-            // Whoever forgets to hand it back the next time is kept to it here, at least.
-            if let Some(passage) = said.passage {
+        if let Some(version) = request.version {
+            let pinned = self.resume(state, now_ms, tenant, name, version, request.until_ms)?;
+            // A client that does not send it back the next time is kept to it here.
+            if let Some(passage) = request.passage {
                 let key = (tenant.to_owned(), name.to_owned(), passage.to_owned());
-                let same =
-                    |f: &PinnedVersion| f.version == fixed.version && f.until_ms == fixed.until_ms;
-                if !self.begun.get(&key).is_some_and(same) {
-                    self.remember(key, &fixed);
+                let same = |f: &PinnedVersion| {
+                    f.version == pinned.version && f.until_ms == pinned.until_ms
+                };
+                if !self.pins.get(&key).is_some_and(same) {
+                    self.remember(key, &pinned);
                 }
             }
-            return Ok(fixed);
+            return Ok(pinned);
         }
-        let Some(passage) = said.passage else {
-            return self.begins(state, now_ms, tenant, name, None);
+        let Some(passage) = request.passage else {
+            return self.start(state, now_ms, tenant, name, None);
         };
         let key = (tenant.to_owned(), name.to_owned(), passage.to_owned());
-        if let Some(fixed) = self.begun.get(&key).filter(|f| now_ms < f.until_ms) {
-            usable(state, &fixed.model, &fixed.version)?;
-            return Ok(fixed.clone());
+        if let Some(pinned) = self.pins.get(&key).filter(|f| now_ms < f.until_ms) {
+            check_usable(state, &pinned.model, &pinned.version)?;
+            return Ok(pinned.clone());
         }
-        let fixed = self.begins(state, now_ms, tenant, name, Some(passage))?;
-        self.remember(key, &fixed);
-        Ok(fixed)
+        let pinned = self.start(state, now_ms, tenant, name, Some(passage))?;
+        self.remember(key, &pinned);
+        Ok(pinned)
     }
 
-    fn handed_back(
+    fn resume(
         &self,
         state: &RegistryState,
         now_ms: u64,
         tenant: &str,
         name: &str,
-        handed: &str,
+        requested: &str,
         until_ms: Option<u64>,
     ) -> Result<PinnedVersion, ResolveError> {
         let (model, version) =
-            direct(handed).ok_or_else(|| ResolveError::Unknown(handed.to_owned()))?;
+            direct(requested).ok_or_else(|| ResolveError::Unknown(requested.to_owned()))?;
         // The name may have moved on, or gone; what must fit is the model.
         let alias = named(state, tenant, name);
         let of_it = match &alias {
@@ -143,20 +161,20 @@
         };
         if !of_it {
             return Err(ResolveError::OtherModel {
-                version: handed.to_owned(),
+                version: requested.to_owned(),
                 name: name.to_owned(),
             });
         }
-        let most = now_ms + LENGTHS_MOST * self.lasts_ms;
-        let until_ms = until_ms.unwrap_or(now_ms + self.lasts_ms).min(most);
+        let latest_ms = now_ms + MAX_LENGTHS * self.duration_ms;
+        let until_ms = until_ms.unwrap_or(now_ms + self.duration_ms).min(latest_ms);
         if now_ms >= until_ms {
-            return Err(ResolveError::Expired(handed.to_owned()));
+            return Err(ResolveError::Expired(requested.to_owned()));
         }
-        usable(state, &model, &version)?;
+        check_usable(state, &model, &version)?;
         let staged = alias.and_then(|(space, name, alias)| {
             let new = alias.stage.as_ref().is_some_and(|s| s.to == version);
-            let side = alias.stage.is_some() && (new || version == alias.version);
-            side.then_some(StagedRollout {
+            let rollout_side = alias.stage.is_some() && (new || version == alias.version);
+            rollout_side.then_some(StagedRollout {
                 space,
                 alias: name,
                 changed: alias.changed,
@@ -171,7 +189,7 @@
         })
     }
 
-    fn begins(
+    fn start(
         &self,
         state: &RegistryState,
         now_ms: u64,
@@ -179,21 +197,22 @@
         name: &str,
         passage: Option<&str>,
     ) -> Result<PinnedVersion, ResolveError> {
-        let until_ms = now_ms + self.lasts_ms;
+        let until_ms = now_ms + self.duration_ms;
         if let Some((space, name, alias)) = named(state, tenant, name) {
-            // Whoever says no passage stays with the old version: nothing would hold it to the new one.
-            let drawn =
-                |stage: &Stage| passage.is_some_and(|p| draw(&alias.model, p) < stage.per_mille);
+            // Without a pin the old version is used: nothing would hold the client to the new one.
+            let drawn = |stage: &Stage| {
+                passage.is_some_and(|p| draw_per_mille(&alias.model, p) < stage.per_mille)
+            };
             let new = alias.stage.as_ref().filter(|stage| drawn(stage));
             let version = new.map_or(&alias.version, |stage| &stage.to);
-            usable(state, &alias.model, version)?;
-            let side = StagedRollout {
+            check_usable(state, &alias.model, version)?;
+            let rollout_side = StagedRollout {
                 space,
                 alias: name,
                 changed: alias.changed,
                 new: new.is_some(),
             };
-            let staged = alias.stage.is_some().then_some(side);
+            let staged = alias.stage.is_some().then_some(rollout_side);
             return Ok(PinnedVersion {
                 model: alias.model.clone(),
                 version: version.clone(),
@@ -203,7 +222,7 @@
         }
         let (model, version) =
             direct(name).ok_or_else(|| ResolveError::Unknown(name.to_owned()))?;
-        usable(state, &model, &version)?;
+        check_usable(state, &model, &version)?;
         Ok(PinnedVersion {
             model,
             version,
@@ -212,31 +231,32 @@
         })
     }
 
-    fn remember(&mut self, key: Key, fixed: &PinnedVersion) {
+    fn remember(&mut self, key: Key, pinned: &PinnedVersion) {
         self.forget(&key);
-        while self.begun.len() >= REMEMBERED_MOST {
+        while self.pins.len() >= MAX_REMEMBERED {
             let Some((_, oldest)) = self.by_end.pop_first() else {
                 break;
             };
-            self.begun.remove(&oldest);
+            self.pins.remove(&oldest);
             self.ends.remove(&oldest);
         }
         self.count += 1;
-        let end = (fixed.until_ms, self.count);
+        let end = (pinned.until_ms, self.count);
         self.by_end.insert(end, key.clone());
         self.ends.insert(key.clone(), end);
-        self.begun.insert(key, fixed.clone());
+        self.pins.insert(key, pinned.clone());
     }
 
     fn forget(&mut self, key: &Key) {
         if let Some(end) = self.ends.remove(key) {
             self.by_end.remove(&end);
-            self.begun.remove(key);
+            self.pins.remove(key);
         }
     }
 
+    /// Pins that are remembered.
     pub fn remembered(&self) -> usize {
-        self.begun.len()
+        self.pins.len()
     }
 }
 
@@ -263,20 +283,20 @@
     Some((model.parse().ok()?, version.parse().ok()?))
 }
 
-fn usable(state: &RegistryState, model: &Name, version: &Name) -> Result<(), ResolveError> {
-    let told = || format!("{model}@{version}");
+fn check_usable(state: &RegistryState, model: &Name, version: &Name) -> Result<(), ResolveError> {
+    let full_name = || format!("{model}@{version}");
     match state.version(model, version) {
         Some(held) if held.standing == Standing::Offered => Ok(()),
-        Some(_) => Err(ResolveError::Withdrawn(told())),
+        Some(_) => Err(ResolveError::Withdrawn(full_name())),
         None if state.gone.contains(&(model.clone(), version.clone())) => {
-            Err(ResolveError::Withdrawn(told()))
+            Err(ResolveError::Withdrawn(full_name()))
         }
-        None => Err(ResolveError::Unknown(told())),
+        None => Err(ResolveError::Unknown(full_name())),
     }
 }
 
-/// The same passage draws the same, whichever controller it comes to. 0 to 999.
-fn draw(model: &Name, passage: &str) -> u16 {
+/// A number from 0 to 999, the same for a pin at each controller.
+fn draw_per_mille(model: &Name, passage: &str) -> u16 {
     let mut hash = blake3::Hasher::new();
     hash.update(model.to_string().as_bytes())
         .update(b"\0")
@@ -288,10 +308,10 @@
 
 /// What a version is called on the wire between controllers and invokers, and so to the decisions.
 pub fn function_id(model: &Name, version: &Name) -> u64 {
-    let told = format!("{model}@{version}");
+    let full_name = format!("{model}@{version}");
     // Small numbers are those of the deployment's own functions.
     u64::from_le_bytes(
-        *blake3::hash(told.as_bytes())
+        *blake3::hash(full_name.as_bytes())
             .as_bytes()
             .first_chunk()
             .expect("32 bytes"),
@@ -303,9 +323,9 @@
     format!("{model}@{version}")
 }
 
-/// A version for use: what the decisions are told of it.
-pub fn offered<'a>(state: &'a RegistryState, fixed: &PinnedVersion) -> Option<&'a Version> {
+/// A version for use: what the policy needs to know of it.
+pub fn offered<'a>(state: &'a RegistryState, pinned: &PinnedVersion) -> Option<&'a Version> {
     state
-        .version(&fixed.model, &fixed.version)
+        .version(&pinned.model, &pinned.version)
         .map(|h| &h.version)
 }
--- a/crates/registry/src/watch.rs
+++ b/crates/registry/src/watch.rs
@@ -26,25 +26,46 @@
 pub enum WatchEvent {
     /// The whole state. `restored` is the entry that lets those on another history come over.
     #[serde(rename = "whole")]
-    Snapshot { head: Head, restored: Option<Entry> },
+    Snapshot {
+        /// The complete state.
+        head: Head,
+        /// The entry of the last restore, by which followers of another history may accept it.
+        restored: Option<Entry>,
+    },
     /// One change, the next.
-    Next { entry: Entry },
+    Next {
+        /// The entry.
+        entry: Entry,
+    },
     /// Nothing is new.
     #[serde(rename = "still")]
-    Heartbeat { at: Cursor },
+    Heartbeat {
+        /// Where it is, or was expected to be.
+        at: Cursor,
+    },
     /// The registry does not know the mark, and nobody said that it may be left behind.
     #[serde(rename = "behind")]
-    UnknownCursor { at: Cursor },
+    UnknownCursor {
+        /// Where it is, or was expected to be.
+        at: Cursor,
+    },
 }
 
 /// Why a watcher keeps what it has.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WatchError {
+    /// The registry's history lacks what was applied here.
     #[error(
         "the registry is at revision {its}, revision {mine} was obeyed here and is not in its history: it came back from \
          an older backup, or it is another one. What was known stands, until an operator restores over revision {mine}"
     )]
-    HistoryMismatch { its: Revision, mine: Revision },
+    HistoryMismatch {
+        /// Revision of the registry.
+        its: Revision,
+        /// Revision applied here.
+        mine: Revision,
+    },
+    /// An entry does not follow.
     #[error("{0}")]
     BrokenChain(#[from] ChainError),
 }
@@ -61,10 +82,12 @@
         Self { head }
     }
 
+    /// What was accepted so far.
     pub fn head(&self) -> &Head {
         &self.head
     }
 
+    /// Where to go on from.
     pub fn mark(&self) -> Cursor {
         Cursor {
             revision: self.head.revision(),
@@ -147,9 +170,13 @@
     }
 }
 
+/// How the registry answers a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchReply {
+    /// The entries after a revision.
     EntriesAfter(Revision),
+    /// The complete state, and the restore that explains it.
     Snapshot(Option<Entry>),
+    /// The cursor is not in the history.
     UnknownCursor(Cursor),
 }
--- a/crates/registry/tests/all/support/disk.rs
+++ b/crates/registry/tests/all/support/disk.rs
@@ -23,37 +23,37 @@
 
 /// Handles to one disk.
 #[derive(Debug, Clone, Default)]
-pub struct Disk(Arc<Mutex<MemoryDisk>>);
+pub(crate) struct Disk(Arc<Mutex<MemoryDisk>>);
 
 fn dead(why: &'static str) -> io::Error {
     io::Error::other(why)
 }
 
 impl Disk {
-    pub fn opens(&self) -> saltdrum_registry::store::OpenDatabase {
+    pub(crate) fn opens(&self) -> saltdrum_registry::store::OpenDatabase {
         let disk = self.clone();
         Box::new(move || Database::builder().create_with_backend(disk.clone()))
     }
 
-    pub fn dies_at(&self, operation: Option<u64>) {
+    pub(crate) fn dies_at(&self, operation: Option<u64>) {
         self.0.lock().unwrap().dies_at = operation;
     }
 
-    pub fn room(&self, bytes: Option<u64>) {
+    pub(crate) fn room(&self, bytes: Option<u64>) {
         self.0.lock().unwrap().room = bytes;
     }
 
-    pub fn operations(&self) -> u64 {
+    pub(crate) fn operations(&self) -> u64 {
         self.0.lock().unwrap().operations
     }
 
-    pub fn length(&self) -> u64 {
+    pub(crate) fn length(&self) -> u64 {
         self.0.lock().unwrap().seen.len() as u64
     }
 
     /// What is found after the power came back: of each loose write, chance says whether it is there, half there or not,
     /// and they reached the disk in any order.
-    pub fn after_power_cut(&self, rng: &mut fastrand::Rng) -> Disk {
+    pub(crate) fn after_power_cut(&self, rng: &mut fastrand::Rng) -> Disk {
         let old = self.0.lock().unwrap();
         let mut safe = old.safe.clone();
         if old.resized && rng.bool() {
@@ -80,7 +80,7 @@
     }
 
     /// The same bytes with one of them other.
-    pub fn bent(&self, at: u64) -> Disk {
+    pub(crate) fn bent(&self, at: u64) -> Disk {
         let mut safe = self.0.lock().unwrap().seen.clone();
         safe[at as usize] ^= 0x20;
         Disk(Arc::new(Mutex::new(MemoryDisk {
--- a/crates/registry/tests/all/support/mod.rs
+++ b/crates/registry/tests/all/support/mod.rs
@@ -5,11 +5,11 @@
 use saltdrum_registry::store::ChangeRequest;
 use saltdrum_registry::{Name, Namespace, Revision};
 
-pub fn name(text: &str) -> Name {
+pub(crate) fn name(text: &str) -> Name {
     text.parse().unwrap()
 }
 
-pub fn version(seed: u64) -> Version {
+pub(crate) fn version(seed: u64) -> Version {
     Version {
         manifest: Digest::of(&seed.to_le_bytes()),
         bytes: 1_000,
@@ -19,7 +19,7 @@
     }
 }
 
-pub fn push(n: u64) -> Change {
+pub(crate) fn push(n: u64) -> Change {
     Change::Push {
         model: name("kinyarwanda"),
         name: name(&format!("v{n}")),
@@ -27,7 +27,7 @@
     }
 }
 
-pub fn moves(to: u64, expect: Revision, stage: Option<u16>) -> Change {
+pub(crate) fn moves(to: u64, expect: Revision, stage: Option<u16>) -> Change {
     let version = name(&format!("v{to}"));
     let stage = stage.map(|per_mille| Stage {
         to: version.clone(),
@@ -46,7 +46,7 @@
     }
 }
 
-pub fn asked(change: Change) -> ChangeRequest {
+pub(crate) fn asked(change: Change) -> ChangeRequest {
     ChangeRequest {
         who: "tests".into(),
         at_ms: 1_000,
