--- a/crates/registry/src/gc.rs
+++ b/crates/registry/src/blob_collector.rs
@@ -4,6 +4,7 @@
 use saltdrum_layers::Digest;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Identifies the lease of a push.
 pub type LeaseId = u64;
 
 struct Lease {
@@ -11,10 +12,10 @@
     digests: BTreeSet<Digest>,
 }
 
-/// What is known of blobs beside the book. It ends with the process: leases then have to be taken anew, and every grace
+/// What is known of blobs beside the state. It ends with the process: leases then have to be taken anew, and every grace
 /// begins again.
 #[derive(Default)]
-pub struct Keeper {
+pub struct BlobCollector {
     leases: BTreeMap<LeaseId, Lease>,
     last: LeaseId,
     /// Seen without a reference, and since when.
@@ -23,14 +24,16 @@
 
 /// Why a push can't be ended.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Lost {
+pub enum PushLeaseError {
+    /// The lease is unknown or has expired.
     #[error("lease {0} is not known or has run out: begin the push again")]
     Lease(LeaseId),
+    /// The lease does not cover a blob.
     #[error("blob {0} is not among those the push began with")]
     NotHeld(Digest),
 }
 
-impl Keeper {
+impl BlobCollector {
     /// Before a push looks at what is there.
     pub fn begin(&mut self, now_ms: u64, digests: BTreeSet<Digest>, lasts_ms: u64) -> LeaseId {
         self.last += 1;
@@ -46,23 +49,29 @@
     }
 
     /// Whether a push that needs these still holds them. It is asked with the version's change, in the same turn.
-    pub fn holds(&self, now_ms: u64, lease: LeaseId, needs: &[Digest]) -> Result<(), Lost> {
+    pub fn holds(
+        &self,
+        now_ms: u64,
+        lease: LeaseId,
+        needs: &[Digest],
+    ) -> Result<(), PushLeaseError> {
         let held = self
             .leases
             .get(&lease)
             .filter(|l| now_ms < l.until_ms)
-            .ok_or(Lost::Lease(lease))?;
+            .ok_or(PushLeaseError::Lease(lease))?;
         needs
             .iter()
             .find(|d| !held.digests.contains(d))
-            .map_or(Ok(()), |d| Err(Lost::NotHeld(*d)))
+            .map_or(Ok(()), |d| Err(PushLeaseError::NotHeld(*d)))
     }
 
+    /// Ends a lease.
     pub fn end(&mut self, lease: LeaseId) {
         self.leases.remove(&lease);
     }
 
-    /// PollTimes at all that is there, and gives what may go: neither named by a manifest that counts nor leased for all of
+    /// Looks at all blobs present, and gives those that may be removed: neither named by a manifest that counts nor leased for all of
     /// the grace, which is longer than the longest load.
     pub fn collect(
         &mut self,
--- a/crates/registry/src/chain.rs
+++ b/crates/registry/src/chain.rs
@@ -1,7 +1,7 @@
 //! The history as a chain: each entry holds the hash of the one before, so that none can be changed, left out or put in
 //! without all later ones telling.
 
-use crate::book::{Book, Change, Refusal, Revision};
+use crate::state::{Change, ChangeError, RegistryState, Revision};
 use serde::{Deserialize, Serialize};
 
 /// Hash of an entry; 32 bytes in hexadecimal.
@@ -16,12 +16,15 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Entry {
+    /// Revision of the entry.
     pub revision: Revision,
     /// Milliseconds since 1970, by the registry's clock.
     pub at_ms: u64,
     /// The key that asked.
     pub who: String,
+    /// What is changed.
     pub change: Change,
+    /// Hash of the entry before.
     pub before: Hash,
 }
 
@@ -31,26 +34,31 @@
         hash(&self.bytes())
     }
 
+    /// As written to disk.
     pub fn bytes(&self) -> Vec<u8> {
         serde_json::to_vec(self).expect("an entry is JSON")
     }
 }
 
+/// Hash of an entry's bytes.
 pub fn hash(bytes: &[u8]) -> Hash {
     blake3::hash(bytes).to_hex().to_string()
 }
 
-/// A book and where its history has come to.
+/// A state and where its history has come to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    pub book: Book,
+    /// The state.
+    #[serde(rename = "book")]
+    pub state: RegistryState,
+    /// Hash, in hexadecimal.
     pub hash: Hash,
 }
 
 impl Default for Head {
     fn default() -> Self {
         Self {
-            book: Book::default(),
+            state: RegistryState::default(),
             hash: nothing(),
         }
     }
@@ -58,54 +66,78 @@
 
 /// Why an entry does not follow.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Broken {
+pub enum ChainError {
+    /// It does not follow the entry before.
     #[error(
         "entry of revision {revision}: it follows another history than the one up to revision {at}"
     )]
-    OtherHistory { revision: Revision, at: Revision },
+    OtherHistory {
+        /// Revision of the entry.
+        revision: Revision,
+        /// Where it is, or was expected to be.
+        at: Revision,
+    },
+    /// The revision is not the next one.
     #[error("entry says revision {said}, its change makes {made}")]
-    Revision { said: Revision, made: Revision },
+    Revision {
+        /// Revision that the entry names.
+        said: Revision,
+        /// Revision that its change leads to.
+        made: Revision,
+    },
+    /// The change is invalid.
     #[error("entry of revision {revision} could never have been taken: {why}")]
-    NeverTaken { revision: Revision, why: Refusal },
+    NeverTaken {
+        /// Revision of the entry.
+        revision: Revision,
+        /// The reason.
+        why: ChangeError,
+    },
 }
 
 impl Head {
+    /// Revision of the last entry.
     pub fn revision(&self) -> Revision {
-        self.book.revision
+        self.state.revision
     }
 
     /// What a change would become, without taking it.
-    pub fn decide(&self, who: &str, at_ms: u64, change: Change) -> Result<(Entry, Head), Refusal> {
-        let book = self.book.with(&change)?;
+    pub fn decide(
+        &self,
+        who: &str,
+        at_ms: u64,
+        change: Change,
+    ) -> Result<(Entry, Head), ChangeError> {
+        let state = self.state.with(&change)?;
         let entry = Entry {
-            revision: book.revision,
+            revision: state.revision,
             at_ms,
             who: who.to_owned(),
             change,
             before: self.hash.clone(),
         };
         let hash = entry.hash();
-        Ok((entry, Head { book, hash }))
+        Ok((entry, Head { state, hash }))
     }
 
     /// The head after an entry that someone else has decided.
-    pub fn follow(&self, entry: &Entry) -> Result<Head, Broken> {
+    pub fn follow(&self, entry: &Entry) -> Result<Head, ChainError> {
         let (revision, at) = (entry.revision, self.revision());
         if entry.before != self.hash {
-            return Err(Broken::OtherHistory { revision, at });
+            return Err(ChainError::OtherHistory { revision, at });
         }
-        let book = self
-            .book
+        let state = self
+            .state
             .with(&entry.change)
-            .map_err(|why| Broken::NeverTaken { revision, why })?;
-        if book.revision != revision {
-            return Err(Broken::Revision {
+            .map_err(|why| ChainError::NeverTaken { revision, why })?;
+        if state.revision != revision {
+            return Err(ChainError::Revision {
                 said: revision,
-                made: book.revision,
+                made: state.revision,
             });
         }
         Ok(Head {
-            book,
+            state,
             hash: entry.hash(),
         })
     }
--- a/crates/registry/src/call.rs
+++ b/crates/registry/src/client.rs
@@ -8,16 +8,29 @@
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
+/// Why a call failed.
 #[derive(Debug, thiserror::Error)]
-pub enum Fault {
+pub enum ClientError {
+    /// The connection failed.
     #[error("{at}: {why}")]
-    Line { at: Address, why: String },
+    Connection {
+        /// Where it is, or was expected to be.
+        at: Address,
+        /// The reason.
+        why: String,
+    },
     /// What the registry answered.
     #[error("{message}")]
-    Told { code: i64, message: String },
+    Response {
+        /// JSON-RPC error code.
+        code: i64,
+        /// Text of the error.
+        message: String,
+    },
 }
 
-pub struct Caller {
+/// A connection to the registry that has logged in.
+pub struct RegistryClient {
     at: Address,
     stream: Stream,
     read: BytesMut,
@@ -32,11 +45,15 @@
     error: Option<ReplyError>,
 }
 
-impl Caller {
+impl RegistryClient {
     /// Dials and logs in.
-    pub async fn dial(network: &Rc<dyn Network>, at: &Address, key: &str) -> Result<Self, Fault> {
+    pub async fn connect(
+        network: &Rc<dyn Network>,
+        at: &Address,
+        key: &str,
+    ) -> Result<Self, ClientError> {
         let dialled = network.dial(at).await;
-        let stream = dialled.map_err(|e| Fault::Line {
+        let stream = dialled.map_err(|e| ClientError::Connection {
             at: at.clone(),
             why: e.to_string(),
         })?;
@@ -50,8 +67,9 @@
         Ok(caller)
     }
 
-    pub async fn call(&mut self, method: &str, params: Json) -> Result<Json, Fault> {
-        let fault = |at: &Address, why: String| Fault::Line {
+    /// Calls a method and waits for its answer.
+    pub async fn call(&mut self, method: &str, params: Json) -> Result<Json, ClientError> {
+        let fault = |at: &Address, why: String| ClientError::Connection {
             at: at.clone(),
             why,
         };
@@ -70,7 +88,7 @@
                     continue;
                 }
                 return match reply.error {
-                    Some(e) => Err(Fault::Told {
+                    Some(e) => Err(ClientError::Response {
                         code: e.code,
                         message: e.message,
                     }),
--- a/crates/registry/src/collection.rs
+++ b/crates/registry/src/collection.rs
@@ -21,6 +21,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CollectBlobs {
+    /// How long a blob has to be unreferenced, in milliseconds.
     pub grace_ms: u64,
 }
 
@@ -29,6 +30,7 @@
 pub struct Collected {
     /// Blobs removed.
     pub gone: u64,
+    /// Sum of their sizes.
     pub bytes: u64,
 }
 
@@ -47,7 +49,7 @@
         stewards: Vec<RpcClient>,
         registry: Rc<Registry>,
     ) -> Rc<Self> {
-        registry.is_collected_by_fleet();
+        registry.set_collected_by_fleet();
         let guard = Guard::started(incarnation, stewards);
         Rc::new(Self {
             fleet: fleet.to_owned(),
--- a/crates/registry/src/stage.rs
+++ b/crates/registry/src/rollout.rs
@@ -1,6 +1,6 @@
 //! When a staged move ends: by what controllers have counted of the new version's answers and the old one's.
 
-use crate::book::Stage;
+use crate::state::Stage;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -8,9 +8,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tally {
+    /// Answers of the new version that succeeded.
     pub new_well: u64,
+    /// Answers of the new version that failed.
     pub new_erred: u64,
+    /// Answers of the old version that succeeded.
     pub old_well: u64,
+    /// Answers of the old version that failed.
     pub old_erred: u64,
 }
 
@@ -20,13 +24,18 @@
     of: BTreeMap<(u32, u64), Tally>,
 }
 
+/// What the results say of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
-    GoOn,
-    Well,
+    /// More answers are needed.
+    Undecided,
+    /// The rollout succeeded.
+    Complete,
     /// Shares of answers that erred.
-    Stop {
+    Abort {
+        /// Of the new version.
         new: f64,
+        /// Of the old version.
         old: f64,
     },
 }
@@ -49,6 +58,7 @@
         };
     }
 
+    /// Results of all controllers.
     pub fn sum(&self) -> Tally {
         self.of.values().fold(Tally::default(), |s, t| Tally {
             new_well: s.new_well.saturating_add(t.new_well),
@@ -58,6 +68,7 @@
         })
     }
 
+    /// Whether the rollout ends, and how.
     pub fn judge(&self, stage: &Stage) -> Verdict {
         let sum = self.sum();
         let share =
@@ -74,10 +85,10 @@
         // Before the answers waited for are in, only what chance would not do stops it; then the count as it is.
         let early = sum.new_erred >= ERRED_LEAST && new > bound + SURE * spread;
         match answers >= stage.answers {
-            _ if early => Verdict::Stop { new, old },
-            true if new > bound => Verdict::Stop { new, old },
-            true => Verdict::Well,
-            false => Verdict::GoOn,
+            _ if early => Verdict::Abort { new, old },
+            true if new > bound => Verdict::Abort { new, old },
+            true => Verdict::Complete,
+            false => Verdict::Undecided,
         }
     }
 }
--- a/crates/trial/tests/trial_script_fixtures.rs
+++ b/crates/trial/tests/trial_script_fixtures.rs
@@ -4,7 +4,7 @@
 
 mod fixture_file;
 
-use saltdrum_coordinator::FleetTerms;
+use saltdrum_coordinator::FleetConfig;
 use saltdrum_deployment::script;
 use saltdrum_trial::script::{Do, Step};
 use saltdrum_trial::{TRIALS, Trial};
@@ -26,7 +26,7 @@
     String::from_utf8(fixture_file::read(fixture)).unwrap()
 }
 
-fn fleet_summary(fleet: &FleetTerms) -> Json {
+fn fleet_summary(fleet: &FleetConfig) -> Json {
     let leases = fleet
         .leases
         .iter()
