--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -2,7 +2,7 @@
 
 use saltdrum::interface::{MILLISECOND, Ticks};
 use saltdrum_controller::dispatch_policy;
-use saltdrum_platform::{Life, serve};
+use saltdrum_platform::{StartOptions, serve};
 use saltdrum_transport::{Clock, SocketNetwork};
 use std::env::var;
 use std::rc::Rc;
@@ -18,7 +18,7 @@
     let config =
         var("RELAY_CONFIG").map_err(|e| format!("RELAY_CONFIG: {e}: a file is expected"))?;
     let (listen, name) = (var("RELAY_LISTEN").ok(), var("RELAY_NAME").ok());
-    let life = Life {
+    let life = StartOptions {
         config: config.into(),
         listen,
         name,
--- a/crates/platform/src/taking.rs
+++ b/crates/platform/src/admission.rs
@@ -1,7 +1,7 @@
-//! How an invocation that a client asks for is taken: what is checked, and how long its client waits.
+//! Admission of an invocation: what is checked, and how long its client waits.
 
-use crate::clients::{ANY_TIME, Client, FULL_COME_BACK_MS, Reply};
-use crate::reach::{ControllerHandle, ControllerState};
+use crate::clients::{Client, ClientResponder, NO_DEADLINE, OVERLOAD_RETRY_AFTER_MS};
+use crate::state::{ControllerHandle, ControllerState};
 use saltdrum::interface::{Invocation, MILLISECOND, Ticks};
 use saltdrum_controller::{FinalResponse, Responder};
 use saltdrum_platform_wire::frames::Request;
@@ -10,13 +10,13 @@
 use tracing::{debug, info_span};
 
 /// Taken off what a client says it will wait, for the answer's way back.
-const ANSWER_MARGIN: Ticks = 10 * MILLISECOND;
+const RESPONSE_MARGIN: Ticks = 10 * MILLISECOND;
 /// A client that has not left is owed its answer for so long after its client timeout: such a one earns nothing, and
-/// without it the invocation counts as lost. Only a controller that stood still comes so late.
-const ANSWER_OWED: Ticks = 500 * MILLISECOND;
+/// without it the invocation counts as lost. Only a process that was stopped comes so late.
+const LATE_RESPONSE_GRACE: Ticks = 500 * MILLISECOND;
 
 /// Takes an invocation that came at `earliest` or later; `Err` says why it can't be taken.
-pub(crate) fn invoke(
+pub(crate) fn admit(
     handle: &Rc<ControllerHandle>,
     state: &mut ControllerState,
     client: &Rc<Client>,
@@ -75,15 +75,20 @@
         );
         return Err("the client timeout is over".into());
     }
-    if !seat.clients.txns.borrow_mut().insert(request.txn) {
+    if !seat
+        .clients
+        .open_transactions
+        .borrow_mut()
+        .insert(request.txn)
+    {
         return Err("txn: open already".into());
     }
-    let (txn, txns) = (request.txn, seat.clients.txns.clone());
-    let reply = Reply {
+    let (txn, open_transactions) = (request.txn, seat.clients.open_transactions.clone());
+    let reply = ClientResponder {
         client: client.clone(),
         stream,
         txn,
-        txns,
+        open_transactions,
         clock: handle.clock,
     };
     let carried =
@@ -97,9 +102,9 @@
         );
         reply.respond(
             0,
-            FinalResponse::Throttled(FULL_COME_BACK_MS * MILLISECOND),
+            FinalResponse::Throttled(OVERLOAD_RETRY_AFTER_MS * MILLISECOND),
             0,
-            ANY_TIME,
+            NO_DEADLINE,
         );
         return Ok(());
     };
@@ -113,7 +118,7 @@
         function: request.function,
         earliest_arrival: earliest,
         // Short waits keep their larger part for the work.
-        expires_at: gone - ANSWER_MARGIN.min(limit / 4),
+        expires_at: gone - RESPONSE_MARGIN.min(limit / 4),
         work_hint: request.work_hint_ms.map(tenths),
         memory_mb: request.memory_mb,
         concurrency_limit: request.lanes,
@@ -129,6 +134,6 @@
             "taken"
         );
     });
-    state.accept(invocation, gone + ANSWER_OWED, carried, reply, span);
+    state.accept(invocation, gone + LATE_RESPONSE_GRACE, carried, reply, span);
     Ok(())
 }
--- a/crates/platform/src/attempt.rs
+++ b/crates/platform/src/attempt.rs
@@ -1,8 +1,9 @@
-//! One request to an invoker on its way: a dispatch, an order, or what nobody waits for. It goes over an idle connection or a
-//! new one, is put together when it leaves, and ends with an answer or with what is proven of it.
+//! One request to an invoker: a dispatch, a load order, or a background request. It goes over an idle connection or a new
+//! one, its headers are completed when it is sent, and it ends with a response or with what is proven about it.
 
-use crate::line::{Departure, Line, Whole};
-use crate::reach::{ControllerHandle, Counted};
+use crate::invoker_connection::{InvokerConnection, InvokerResponse, SendDeadline};
+use crate::invoker_pools::DescriptorGuard;
+use crate::state::ControllerHandle;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
@@ -16,28 +17,28 @@
 use std::time::Duration;
 use tracing::{debug, info};
 
-const SMALL_ANSWER: usize = 4 << 10;
+const SMALL_RESPONSE_BYTES_MAX: usize = 4 << 10;
 /// What a request says of the time that is left, and what is known of its client, is good for so long. Well within the
 /// 100 ms after which it must not be sent on for a client that has left, and the 150 ms by which it may say too much.
-pub(crate) const FRESH: Ticks = 40 * MILLISECOND;
-/// A request that grew old on its way out is worded anew so many times: only a process that stands still again and again
+pub(crate) const REQUEST_STALENESS_LIMIT: Ticks = 40 * MILLISECOND;
+/// A request that grew old on its way out is prepared anew so many times: only a process that stands still again and again
 /// needs more, and then it is not sent.
-const WORDINGS_MOST: usize = 3;
-/// An order without an answer of its own, and a probe, are given up after this.
-const ASIDE_MOST: Duration = Duration::from_secs(2);
+const REBUILDS_MAX: usize = 3;
+/// A load order without an answer of its own, and a probe, are given up after this.
+const BACKGROUND_REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long it is waited for the next look of the machine at a time.
-const TURN: Duration = Duration::from_millis(1);
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 /// A request, but for what it says of the time that is left.
-pub(crate) struct Worded {
+pub(crate) struct PreparedRequest {
     pub request: Request<Full<Bytes>>,
     pub body: usize,
     /// Who waits for it; none: nobody, so that it may leave at any time.
-    pub client: Option<Waiting>,
+    pub client: Option<WaitingClient>,
 }
 
 /// The client that a request is sent on for.
-pub(crate) struct Waiting {
+pub(crate) struct WaitingClient {
     /// It waits until then.
     pub until: Ticks,
     /// Nothing begins to leave from then on.
@@ -45,7 +46,7 @@
     pub backlog: ReadBacklog,
 }
 
-impl Worded {
+impl PreparedRequest {
     pub fn alone(request: Request<Full<Bytes>>) -> Self {
         Self {
             request,
@@ -56,32 +57,32 @@
 }
 
 /// One request on its way.
-pub(crate) struct Ask {
+pub(crate) struct Attempt {
     pub handle: Rc<ControllerHandle>,
     pub invoker: InvokerId,
     pub epoch: u32,
-    pub job: u64,
+    pub request_id: u64,
     pub address: Address,
     pub within: Duration,
-    /// The descriptor of the line that is to be made, counted from the start.
-    pub counted: Cell<Option<Counted>>,
+    /// The descriptor of the connection to be made, counted from the start.
+    pub descriptor: Cell<Option<DescriptorGuard>>,
     pub open: Rc<Cell<usize>>,
-    pub departure: Departure,
-    pub worded: Worded,
+    pub send_deadline: SendDeadline,
+    pub prepared: PreparedRequest,
 }
 
 /// A request's end: the answer and its line, or whether it may have run and what went wrong.
-enum End {
-    Answered(Whole, Line),
-    NeverLeft(String),
+enum AttemptEnd {
+    Answered(InvokerResponse, InvokerConnection),
+    NotSent(String),
     /// It never left, as it had grown old on its way out.
     Stale,
     /// It never left for want of something of this machine's own.
-    Withheld(String),
+    LocalFailure(String),
     Lost(String),
 }
 
-/// Why a connection could not be made.
+/// Why a connection could not be established.
 struct DialFailure {
     why: String,
     /// It is this machine's, and tells nothing of the invoker.
@@ -97,15 +98,15 @@
     }
 }
 
-impl Ask {
-    async fn dial(&self) -> Result<Line, DialFailure> {
-        let counted = self
-            .counted
+impl Attempt {
+    async fn dial(&self) -> Result<InvokerConnection, DialFailure> {
+        let descriptor = self
+            .descriptor
             .take()
-            .unwrap_or_else(|| Counted::new(&self.open));
-        let dialled =
+            .unwrap_or_else(|| DescriptorGuard::new(&self.open));
+        let connected =
             tokio::time::timeout(self.within, self.handle.network.dial(&self.address)).await;
-        let stream = match dialled {
+        let stream = match connected {
             Ok(Ok(stream)) => stream,
             Ok(Err(e)) => return Err(e.into()),
             Err(_) => {
@@ -116,75 +117,88 @@
                 });
             }
         };
-        let stream = Box::new(Held {
+        let stream = Box::new(CountedStream {
             stream,
-            _counted: counted,
+            _counted: descriptor,
         });
-        let over = Line::over(stream, self.handle.clock).await;
+        let over = InvokerConnection::handshake(stream, self.handle.clock).await;
         let line = over.map_err(|e| DialFailure {
             why: e.to_string(),
             is_local: false,
         })?;
         let socket = line.socket.clone();
-        self.handle
-            .update(|state| state.invocations.transport.dialled(self.job, socket));
+        self.handle.update(|state| {
+            state
+                .invocations
+                .transport
+                .connected(self.request_id, socket)
+        });
         Ok(line)
     }
 
-    /// Goes over `line`, or a new one where there is none or it breaks before the request has left whole.
-    async fn go(&self, line: Option<Line>, most: usize) -> End {
+    /// Goes over `line`, or a new one where there is none or it breaks before the request was sent completely.
+    async fn go(&self, line: Option<InvokerConnection>, most: usize) -> AttemptEnd {
         if let Some(line) = line {
             match self.over(line, most).await {
-                End::NeverLeft(why) => {
-                    debug!(invoker = self.invoker, why, "an idle line was broken")
+                AttemptEnd::NotSent(why) => {
+                    debug!(invoker = self.invoker, why, "idle connection was broken")
                 }
-                End::Stale => debug!(invoker = self.invoker, "a request grew old on its way out"),
+                AttemptEnd::Stale => debug!(
+                    invoker = self.invoker,
+                    "request became stale before it was sent"
+                ),
                 end => return end,
             }
         }
-        for _ in 0..WORDINGS_MOST {
+        for _ in 0..REBUILDS_MAX {
             let end = match self.dial().await {
                 Ok(line) => self.over(line, most).await,
-                Err(failure) if failure.is_local => End::Withheld(failure.why),
-                Err(failure) => End::NeverLeft(failure.why),
+                Err(failure) if failure.is_local => AttemptEnd::LocalFailure(failure.why),
+                Err(failure) => AttemptEnd::NotSent(failure.why),
             };
-            // What nobody waits for is not worded anew: its time to leave is over.
-            if !matches!(end, End::Stale) || self.worded.client.is_none() {
+            // What nobody waits for is not prepared anew: its time to leave is over.
+            if !matches!(end, AttemptEnd::Stale) || self.prepared.client.is_none() {
                 return end;
             }
         }
-        End::Stale
+        AttemptEnd::Stale
     }
 
-    async fn over(&self, mut line: Line, most: usize) -> End {
-        self.readers_are_up_to_date().await;
-        let Some((request, departure)) = self.wording(self.handle.clock.now()) else {
-            return End::Stale;
+    async fn over(&self, mut line: InvokerConnection, most: usize) -> AttemptEnd {
+        self.wait_for_readers().await;
+        let Some((request, send_deadline)) = self.prepare(self.handle.clock.now()) else {
+            return AttemptEnd::Stale;
         };
-        match line.ask(request, self.worded.body, departure, most).await {
-            Ok(whole) => End::Answered(whole, line),
-            Err(why) if line.socket.left_whole() => End::Lost(why),
-            Err(_) if line.socket.is_stale() => End::Stale,
-            Err(why) => End::NeverLeft(why),
+        match line
+            .request(request, self.prepared.body, send_deadline, most)
+            .await
+        {
+            Ok(response) => AttemptEnd::Answered(response, line),
+            Err(why) if line.socket.sent_completely() => AttemptEnd::Lost(why),
+            Err(_) if line.socket.is_stale() => AttemptEnd::Stale,
+            Err(why) => AttemptEnd::NotSent(why),
         }
     }
 
     /// Waits until whatever had come from its client and from the feed some moments ago has been read. A process that stood
     /// still hears of what fell due meanwhile, of who left and of which invoker drains in any order.
-    async fn readers_are_up_to_date(&self) {
-        while self.handle.event_loop.last_polled() + FRESH <= self.handle.clock.now() {
-            tokio::time::sleep(TURN).await;
+    async fn wait_for_readers(&self) {
+        while self.handle.event_loop.last_polled() + REQUEST_STALENESS_LIMIT
+            <= self.handle.clock.now()
+        {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        let client = self.worded.client.as_ref().map(|client| &client.backlog);
+        let client = self.prepared.client.as_ref().map(|client| &client.backlog);
         while self.handle.config.feed.is_behind() || client.is_some_and(ReadBacklog::is_behind) {
             tokio::task::yield_now().await;
         }
     }
 
     /// The request as it is to leave at `now`; none: it is too late for that.
-    fn wording(&self, now: Ticks) -> Option<(Request<Full<Bytes>>, Departure)> {
-        let (mut request, mut departure) = (self.worded.request.clone(), self.departure.clone());
-        if let Some(client) = &self.worded.client {
+    fn prepare(&self, now: Ticks) -> Option<(Request<Full<Bytes>>, SendDeadline)> {
+        let (mut request, mut send_deadline) =
+            (self.prepared.request.clone(), self.send_deadline.clone());
+        if let Some(client) = &self.prepared.client {
             let left_ms = client.until.checked_sub(now).filter(|left| *left > 0)? / MILLISECOND;
             request
                 .headers_mut()
@@ -192,20 +206,25 @@
             if now >= client.leave_by {
                 return None;
             }
-            departure.fresh_until = client.leave_by.min(now + FRESH);
+            send_deadline.stale_at = client.leave_by.min(now + REQUEST_STALENESS_LIMIT);
         }
-        Some((request, departure))
+        Some((request, send_deadline))
     }
 }
 
-pub(crate) async fn dispatch(ask: Ask, line: Option<Line>, inv: InvocationId, hop: u8) {
-    let (invoker, epoch, job) = (ask.invoker, ask.epoch, ask.job);
+pub(crate) async fn run_dispatch(
+    attempt: Attempt,
+    line: Option<InvokerConnection>,
+    invocation: InvocationId,
+    attempt_number: u8,
+) {
+    let (invoker, epoch, request_id) = (attempt.invoker, attempt.epoch, attempt.request_id);
     let mut told = AttemptReport::default();
-    let (outcome, line) = match ask.go(line, frames::OUTPUT_MOST).await {
-        End::Answered(whole, line) => {
-            let notes = http::notes(|name| whole.field(name));
-            let outcome = http::outcome(whole.status, |name| whole.field(name));
-            let output = whole.body;
+    let (outcome, line) = match attempt.go(line, frames::OUTPUT_MOST).await {
+        AttemptEnd::Answered(response, line) => {
+            let notes = http::notes(|name| response.field(name));
+            let outcome = http::outcome(response.status, |name| response.field(name));
+            let output = response.body;
             told = AttemptReport {
                 start_kind: notes.found,
                 concurrency: notes.crowd,
@@ -214,98 +233,103 @@
             };
             (outcome, Some(line))
         }
-        End::NeverLeft(why) => {
-            debug!(invoker, inv, why, "never left");
+        AttemptEnd::NotSent(why) => {
+            debug!(invoker, invocation, why, "request not sent");
             (Outcome::NoConnection, None)
         }
-        End::Stale => (Outcome::NotSent, None),
-        End::Withheld(why) => {
-            info!(invoker, inv, why, "withheld: this machine's own failure");
+        AttemptEnd::Stale => (Outcome::NotSent, None),
+        AttemptEnd::LocalFailure(why) => {
+            info!(invoker, invocation, why, "request not sent: local failure");
             (Outcome::NotSent, None)
         }
-        End::Lost(why) => {
-            info!(invoker, inv, why, "an answer was lost");
+        AttemptEnd::Lost(why) => {
+            info!(invoker, invocation, why, "answer lost");
             (Outcome::Reset, None)
         }
     };
-    ask.handle.update(|state| {
-        if !state.invocations.transport.finish(job) {
+    attempt.handle.update(|state| {
+        if !state.invocations.transport.finish(request_id) {
             return;
         }
         if let Some(line) = line {
-            state
-                .invocations
-                .transport
-                .put_back(state.invocations.now, invoker, epoch, line);
+            state.invocations.transport.return_connection(
+                state.invocations.now,
+                invoker,
+                epoch,
+                line,
+            );
         }
-        state.attempt_ended(inv, hop, outcome, &told);
+        state.attempt_ended(invocation, attempt_number, outcome, &told);
     });
 }
 
-pub(crate) async fn order(ask: Ask, line: Option<Line>) {
-    let (invoker, epoch, job) = (ask.invoker, ask.epoch, ask.job);
-    let (outcome, standing, line) = match ask.go(line, SMALL_ANSWER).await {
-        End::Answered(whole, line) => {
-            let standing = http::notes(|name| whole.field(name)).standing;
+pub(crate) async fn run_load(attempt: Attempt, line: Option<InvokerConnection>) {
+    let (invoker, epoch, request_id) = (attempt.invoker, attempt.epoch, attempt.request_id);
+    let (outcome, standing, line) = match attempt.go(line, SMALL_RESPONSE_BYTES_MAX).await {
+        AttemptEnd::Answered(response, line) => {
+            let standing = http::notes(|name| response.field(name)).standing;
             (
-                http::held(whole.status, |name| whole.field(name)),
+                http::held(response.status, |name| response.field(name)),
                 standing,
                 Some(line),
             )
         }
-        End::NeverLeft(why) | End::Lost(why) => {
-            debug!(invoker, why, "an order was lost");
+        AttemptEnd::NotSent(why) | AttemptEnd::Lost(why) => {
+            debug!(invoker, why, "load order lost");
             (LoadOutcome::Unreachable, 0, None)
         }
-        End::Stale => (LoadOutcome::NotSent, 0, None),
-        End::Withheld(why) => {
-            info!(
-                invoker,
-                why, "an order was withheld: this machine's own failure"
-            );
+        AttemptEnd::Stale => (LoadOutcome::NotSent, 0, None),
+        AttemptEnd::LocalFailure(why) => {
+            info!(invoker, why, "load order not sent: local failure");
             (LoadOutcome::NotSent, 0, None)
         }
     };
-    ask.handle.update(|state| {
-        if !state.invocations.transport.finish(job) {
+    attempt.handle.update(|state| {
+        if !state.invocations.transport.finish(request_id) {
             return;
         }
         if let Some(line) = line {
-            state
-                .invocations
-                .transport
-                .put_back(state.invocations.now, invoker, epoch, line);
+            state.invocations.transport.return_connection(
+                state.invocations.now,
+                invoker,
+                epoch,
+                line,
+            );
         }
-        state.load_ended(invoker, job, outcome, standing);
+        state.load_ended(invoker, request_id, outcome, standing);
     });
 }
 
 /// What no one waits for: to unload, and probes.
-pub(crate) async fn aside(ask: Ask, line: Option<Line>) {
-    let (invoker, epoch, job) = (ask.invoker, ask.epoch, ask.job);
-    let end = tokio::time::timeout(ASIDE_MOST, ask.go(line, SMALL_ANSWER)).await;
-    ask.handle.update(|state| {
+pub(crate) async fn background_request(attempt: Attempt, line: Option<InvokerConnection>) {
+    let (invoker, epoch, request_id) = (attempt.invoker, attempt.epoch, attempt.request_id);
+    let end = tokio::time::timeout(
+        BACKGROUND_REQUEST_TIMEOUT,
+        attempt.go(line, SMALL_RESPONSE_BYTES_MAX),
+    )
+    .await;
+    attempt.handle.update(|state| {
         let reach = &mut state.invocations.transport;
-        if let (true, Ok(End::Answered(_, line))) = (reach.finish(job), end) {
-            reach.put_back(state.invocations.now, invoker, epoch, line);
+        if let (true, Ok(AttemptEnd::Answered(_, line))) = (reach.finish(request_id), end) {
+            reach.return_connection(state.invocations.now, invoker, epoch, line);
         }
     });
 }
 
 /// A stream that counts against the budget until it is closed.
-struct Held {
+struct CountedStream {
     stream: saltdrum_transport::Stream,
-    _counted: Counted,
+    _counted: DescriptorGuard,
 }
 
 mod passes {
-    use super::Held;
+    use super::CountedStream;
     use std::io;
     use std::pin::Pin;
     use std::task::{Context, Poll};
     use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-    impl AsyncRead for Held {
+    impl AsyncRead for CountedStream {
         fn poll_read(
             mut self: Pin<&mut Self>,
             cx: &mut Context<'_>,
@@ -315,7 +339,7 @@
         }
     }
 
-    impl AsyncWrite for Held {
+    impl AsyncWrite for CountedStream {
         fn poll_write(
             mut self: Pin<&mut Self>,
             cx: &mut Context<'_>,
--- a/crates/platform/src/connection.rs
+++ b/crates/platform/src/client_connection.rs
@@ -1,12 +1,12 @@
-//! The life of one client's connection, from its entry to its close.
+//! One client's connection, from accept to close.
 //!
 //! Before a connection is closed by us, all that lies in the machine is read and answered: what can't be taken any more is
 //! refused, with when to come back. A client that is closed for being idle hears so first (type 48) and has a moment in
 //! which whatever it had sent meanwhile still arrives.
 
-use crate::clients::{ANY_TIME, Client, CloseReason};
-use crate::reach::ControllerHandle;
-use crate::taking::invoke;
+use crate::admission::admit;
+use crate::clients::{Client, CloseReason, NO_DEADLINE};
+use crate::state::ControllerHandle;
 use saltdrum::interface::{InvocationId, Ticks};
 use saltdrum_platform_wire::Malformed;
 use saltdrum_platform_wire::frames::{self, Code, FromClient};
@@ -17,26 +17,26 @@
 use tracing::{debug, info};
 
 /// For what was sent before its client heard that the connection ends.
-const LINGER: Duration = Duration::from_millis(60);
+const CLOSE_LINGER: Duration = Duration::from_millis(60);
 /// For the last words to a client whose connection ends, and for it to have read them.
-const LAST_WORDS: Duration = Duration::from_millis(300);
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(300);
 /// Who is turned away has so long to say what it came for.
-const TURNED_AWAY_FOR: Duration = Duration::from_millis(200);
+const REJECTED_LINGER: Duration = Duration::from_millis(200);
 /// What of a client is read and answered, and what is read and thrown away after, while its connection ends: bytes that
 /// lie unread at a close make the kernel reset it, and a reset destroys the answers that are still on their way.
-const LAST_READ_MOST: usize = 1 << 20;
-const DISCARDED_MOST: usize = 256 << 10;
+const FINAL_READ_BYTES_MAX: usize = 1 << 20;
+const DISCARDED_BYTES_MAX: usize = 256 << 10;
 
 /// What a connection is let in for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Entry {
     Served,
     /// There is no room: all that it asks for is refused, then it is closed.
-    TurnedAway,
+    Rejected,
 }
 
 /// Why a connection ends.
-enum End {
+enum ConnectionEnd {
     /// The client has closed it, or it broke.
     Left,
     /// We close it.
@@ -45,8 +45,8 @@
     Malformed(String),
 }
 
-/// Attends to one client, whose connection can have been open since `opened`, until its end.
-pub(crate) async fn attend(
+/// Serves one client, whose connection can have been open since `opened`, until its end.
+pub(crate) async fn serve_connection(
     handle: Rc<ControllerHandle>,
     stream: Stream,
     opened: Ticks,
@@ -63,23 +63,23 @@
         let write = client.outbox.write_to(&mut output, || clock.now(), |_| ());
         let mut write = std::pin::pin!(write);
         let mut wrote = None;
-        if entry == Entry::TurnedAway {
-            client.cut_off(CloseReason::TurnedAway);
+        if entry == Entry::Rejected {
+            client.cut_off(CloseReason::Rejected);
         }
         let end = tokio::select! {
             // Before it reads: what comes in the turn in which a connection was chosen to end is not taken, as its client
             // may bring it again on a new one.
             biased;
-            () = client.cut.notified() => End::Closed,
+            () = client.cut.notified() => ConnectionEnd::Closed,
             end = listen(&handle, &client, &mut read) => end,
-            done = &mut write => { wrote = Some(done); End::Left }
+            done = &mut write => { wrote = Some(done); ConnectionEnd::Left }
         };
         // First of all: nothing more is sent on for who has left, however long its last words take.
         client.closing.set(true);
         log_close(number, &client, &end);
         let linger = match entry {
-            Entry::TurnedAway => TURNED_AWAY_FOR,
-            Entry::Served if client.active.get().is_some() => LINGER,
+            Entry::Rejected => REJECTED_LINGER,
+            Entry::Served if client.active.get().is_some() => CLOSE_LINGER,
             // Silence ends in silence.
             Entry::Served => Duration::ZERO,
         };
@@ -104,13 +104,13 @@
                     None => (&mut write).await,
                 };
                 if let Err(e) = done {
-                    return debug!(%e, "a client is gone");
+                    return debug!(%e, "client connection lost");
                 }
-                if client.active.get().is_some() || matches!(end, End::Malformed(_)) {
+                if client.active.get().is_some() || matches!(end, ConnectionEnd::Malformed(_)) {
                     farewell(&mut last, &mut read).await;
                 }
             };
-            let _ = tokio::time::timeout(LAST_WORDS, written).await;
+            let _ = tokio::time::timeout(CLOSE_TIMEOUT, written).await;
             true
         };
         let hurried = async {
@@ -125,7 +125,7 @@
             is_over = hurried => is_over,
         };
         if !is_over && wrote.is_none() && !client.outbox.is_closed() {
-            answer_what_lies(&handle, &client, &mut read).await;
+            reject_buffered_frames(&handle, &client, &mut read).await;
             client.outbox.close();
             // As far as the machine takes it at once.
             tokio::select! {
@@ -139,14 +139,25 @@
 }
 
 /// Says why a connection ends, and what was open on it.
-fn log_close(number: u64, client: &Client, end: &End) {
+fn log_close(number: u64, client: &Client, end: &ConnectionEnd) {
     let open = client.open.borrow().len();
     match end {
-        End::Left => debug!(number, open, "a client has left"),
-        End::Closed => {
-            debug!(number, open, reason = ?client.close_reason.get(), "a client's connection is closed")
+        ConnectionEnd::Left => debug!(
+            number,
+            open,
+            reason = "closed by the client",
+            "client connection closed"
+        ),
+        ConnectionEnd::Closed => {
+            debug!(number, open, reason = ?client.close_reason.get(), "client connection closed")
         }
-        End::Malformed(why) => info!(number, open, why, "a client is cut off"),
+        ConnectionEnd::Malformed(why) => info!(
+            number,
+            open,
+            reason = "malformed",
+            why,
+            "client connection closed"
+        ),
     }
 }
 
@@ -155,35 +166,36 @@
     handle: &Rc<ControllerHandle>,
     client: &Rc<Client>,
     read: &mut ArrivalReader<Half>,
-    end: &End,
+    end: &ConnectionEnd,
     linger: Duration,
 ) {
     let open: Vec<InvocationId> = client.open.borrow().values().copied().collect();
     match end {
-        End::Left => open
+        ConnectionEnd::Left => open
             .into_iter()
             .for_each(|id| handle.update(|state| state.client_left(id))),
-        End::Malformed(why) => {
+        ConnectionEnd::Malformed(why) => {
             open.into_iter()
                 .for_each(|id| handle.update(|state| state.abandon(id)));
             client.put(
                 frames::answer(0, Code::Errored, None, why.as_bytes()),
-                ANY_TIME,
+                NO_DEADLINE,
             );
         }
-        End::Closed => {
+        ConnectionEnd::Closed => {
             open.into_iter()
                 .for_each(|id| handle.update(|state| state.abandon(id)));
             if !linger.is_zero() {
-                client.go_away();
+                client.send_go_away();
                 // Its end is heard of in time, or it is not waited for any more.
-                let _ = tokio::time::timeout(linger, refuse_what_comes(handle, client, read)).await;
+                let _ =
+                    tokio::time::timeout(linger, reject_until_closed(handle, client, read)).await;
             }
-            answer_what_lies(handle, client, read).await;
+            reject_buffered_frames(handle, client, read).await;
             if client.partial_since.get().is_some() {
                 client.put(
                     frames::answer(0, Code::Errored, None, b"a frame that does not end"),
-                    ANY_TIME,
+                    NO_DEADLINE,
                 );
             }
         }
@@ -191,13 +203,13 @@
 }
 
 /// Refuses whatever comes, until the client has closed its side.
-async fn refuse_what_comes(
+async fn reject_until_closed(
     handle: &Rc<ControllerHandle>,
     client: &Rc<Client>,
     read: &mut ArrivalReader<Half>,
 ) {
     loop {
-        refuse_frames(handle, client, read);
+        reject_frames(handle, client, read);
         match read.read_more().await {
             Ok(Some(_)) => {}
             Ok(None) | Err(_) => return,
@@ -206,19 +218,19 @@
 }
 
 /// Reads what lies in the machine and refuses it.
-async fn answer_what_lies(
+async fn reject_buffered_frames(
     handle: &Rc<ControllerHandle>,
     client: &Rc<Client>,
     read: &mut ArrivalReader<Half>,
 ) {
     // The machine is asked what has come before this goes on.
     tokio::task::yield_now().await;
-    read.read_available(LAST_READ_MOST);
-    refuse_frames(handle, client, read);
+    read.read_available(FINAL_READ_BYTES_MAX);
+    reject_frames(handle, client, read);
 }
 
 /// Answers all whole frames that were read, and takes nothing.
-fn refuse_frames(
+fn reject_frames(
     handle: &Rc<ControllerHandle>,
     client: &Rc<Client>,
     read: &mut ArrivalReader<Half>,
@@ -228,11 +240,11 @@
         client.partial_since.set(None);
         match frame {
             FromClient::Invoke { stream, .. } => {
-                debug!(stream, reason = ?client.close_reason.get(), "refused: its connection ends");
+                debug!(stream, reason = ?client.close_reason.get(), "request rejected: connection closing");
                 client.refuse(stream);
             }
             FromClient::AskReady { stream } => {
-                client.put(frames::readiness(stream, false), ANY_TIME)
+                client.put(frames::readiness(stream, false), NO_DEADLINE)
             }
             FromClient::Left { .. } => {}
         }
@@ -245,7 +257,7 @@
         return;
     }
     let mut discarded = read.bytes.len();
-    while discarded < DISCARDED_MOST {
+    while discarded < DISCARDED_BYTES_MAX {
         read.bytes.clear();
         match read.read_more().await {
             Ok(Some(_)) => discarded += read.bytes.len(),
@@ -259,32 +271,32 @@
     handle: &Rc<ControllerHandle>,
     client: &Rc<Client>,
     read: &mut ArrivalReader<Half>,
-) -> End {
+) -> ConnectionEnd {
     let backlog = read.backlog();
     loop {
         let earliest = match read.read_more().await {
             Ok(Some(earliest)) => earliest,
-            Ok(None) | Err(_) => return End::Left,
+            Ok(None) | Err(_) => return ConnectionEnd::Left,
         };
         loop {
             if client.closing.get() {
-                return End::Closed;
+                return ConnectionEnd::Closed;
             }
             let frame = match frames::cut(&mut read.bytes) {
                 Ok(None) => break,
                 Ok(Some(frame)) => frame,
-                Err(why) => return End::Malformed(why.to_string()),
+                Err(why) => return ConnectionEnd::Malformed(why.to_string()),
             };
             handle.config.clients.count_frame();
             client.active.set(Some(handle.clock.now()));
             client.partial_since.set(None);
             let heard = match frame {
                 FromClient::Invoke { stream, payload } => {
-                    invoked(handle, client, stream, payload, earliest, &backlog)
+                    accept_invoke_frame(handle, client, stream, payload, earliest, &backlog)
                 }
                 FromClient::AskReady { stream } => {
                     let is_ready = !handle.config.clients.are_ending();
-                    client.put(frames::readiness(stream, is_ready), ANY_TIME);
+                    client.put(frames::readiness(stream, is_ready), NO_DEADLINE);
                     Ok(())
                 }
                 FromClient::Left { stream } => {
@@ -295,7 +307,7 @@
                 }
             };
             if let Err(why) = heard {
-                return End::Malformed(why.to_string());
+                return ConnectionEnd::Malformed(why.to_string());
             }
         }
         if read.bytes.is_empty() {
@@ -310,7 +322,7 @@
 }
 
 /// A request on a stream of its own. `Err`: nothing more of this connection can be believed.
-fn invoked(
+fn accept_invoke_frame(
     handle: &Rc<ControllerHandle>,
     client: &Rc<Client>,
     stream: u32,
@@ -327,28 +339,25 @@
     }
     client.last_stream.set(stream);
     if client.open.borrow().len() >= frames::OPEN_MOST {
-        debug!(
-            stream,
-            "refused: as many are open on its connection as may be"
-        );
+        debug!(stream, "request rejected: too many open streams");
         client.refuse(stream);
         return Ok(());
     }
     let taken = frames::request(payload)
         .map_err(|e| e.to_string())
         .and_then(|request| {
-            handle.update(|state| invoke(handle, state, client, stream, request, earliest, backlog))
+            handle.update(|state| admit(handle, state, client, stream, request, earliest, backlog))
         });
     if let Err(why) = taken {
-        debug!(why, "an invocation that can't be taken");
+        debug!(why, "invocation rejected");
         client.put(
             frames::answer(stream, Code::Errored, None, why.as_bytes()),
-            ANY_TIME,
+            NO_DEADLINE,
         );
     }
     // Who came after SIGTERM came for this one: it hears so only now, or it would take it elsewhere.
     if handle.config.clients.are_ending() {
-        client.go_away();
+        client.send_go_away();
     }
     Ok(())
 }
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -1,9 +1,9 @@
 //! All clients of a controller: who is let in, who is closed to make room or for saying nothing, and the replies that they
-//! are owed. `connection` is the life of one connection, `taking` how an invocation is taken. A client that lies, floods or
+//! are owed. `client_connection` is one connection, `admission` the admission of an invocation. A client that lies, floods or
 //! says nothing suffers alone.
 
-use crate::connection::{Entry, attend};
-use crate::reach::ControllerHandle;
+use crate::client_connection::{Entry, serve_connection};
+use crate::state::ControllerHandle;
 use saltdrum::interface::{InvocationId, MILLISECOND, SECOND, Ticks};
 use saltdrum_controller::{FinalResponse, Responder};
 use saltdrum_platform_wire::frames::{self, Code};
@@ -16,25 +16,25 @@
 use tracing::{debug, warn};
 
 /// Answers that a client lets lie are bounded; it is cut off when they are more.
-const ANSWERS_MOST_BYTES: usize = 1 << 20;
+const RESPONSE_QUEUE_BYTES_MAX: usize = 1 << 20;
 /// Who has said nothing whole for this long since it came has nothing to say.
-const SILENT_MOST: Ticks = 2 * SECOND;
+const FIRST_FRAME_TIMEOUT: Ticks = 2 * SECOND;
 /// A frame that has begun is whole after this, or never will be.
-const PARTIAL_MOST: Ticks = SECOND;
+const PARTIAL_FRAME_TIMEOUT: Ticks = SECOND;
 /// Clients close a connection that long idle themselves, well before this.
-const IDLE_MOST: Ticks = 6 * SECOND;
-const SWEEP_EVERY: Duration = Duration::from_millis(200);
+const IDLE_TIMEOUT: Ticks = 6 * SECOND;
+const SWEEP_INTERVAL: Duration = Duration::from_millis(200);
 /// In rounds of the sweep.
-const BELIEFS_EVERY: u64 = 5;
+const VIEW_LOG_SWEEPS: u64 = 5;
 /// So many connections beyond the clients' part may be at their end, or there to be turned away; past it their ends are
-/// cut short, and who comes waits at the door. Well within what the budget sets aside, or a crowd would take the
+/// cut short, and who comes waits at the door. Well within what the limits reserve, or a crowd would take the
 /// descriptors of the feed and of lines.
-const GOING_MOST: usize = 4;
+const CLOSING_CONNECTIONS_MAX: usize = 4;
 /// How long who comes waits at the door at the most before it is looked for room again.
-const DOOR_WAIT: Duration = Duration::from_millis(10);
-pub(crate) const ANY_TIME: Ticks = Ticks::MAX;
+const ADMIT_POLL_INTERVAL: Duration = Duration::from_millis(10);
+pub(crate) const NO_DEADLINE: Ticks = Ticks::MAX;
 /// Where a refusal is for want of room, the wait that is advised.
-pub(crate) const FULL_COME_BACK_MS: u64 = 100;
+pub(crate) const OVERLOAD_RETRY_AFTER_MS: u64 = 100;
 
 /// Why this controller closes a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -50,7 +50,7 @@
     /// Another client needs its place.
     MadeRoom,
     /// It came when all places were taken.
-    TurnedAway,
+    Rejected,
     /// This controller ends.
     ControllerEnds,
 }
@@ -73,14 +73,14 @@
     /// Its place is needed: no more time for last words.
     pub hurried: Cell<bool>,
     /// It was told to bring nothing new.
-    pub told_away: Cell<bool>,
+    pub go_away_sent: Cell<bool>,
 }
 
 impl Client {
     /// A connection that was let in now.
     pub fn new(came: Ticks) -> Self {
         Self {
-            outbox: SendQueue::new(ANSWERS_MOST_BYTES),
+            outbox: SendQueue::new(RESPONSE_QUEUE_BYTES_MAX),
             open: RefCell::default(),
             last_stream: Cell::new(0),
             came,
@@ -90,15 +90,15 @@
             closing: Cell::new(false),
             close_reason: Cell::new(None),
             hurried: Cell::new(false),
-            told_away: Cell::new(false),
+            go_away_sent: Cell::new(false),
         }
     }
 
     /// Refuses a request for want of room, with when to come back.
     pub fn refuse(&self, stream: u32) {
         self.put(
-            frames::answer(stream, Code::Throttled, Some(FULL_COME_BACK_MS), &[]),
-            ANY_TIME,
+            frames::answer(stream, Code::Throttled, Some(OVERLOAD_RETRY_AFTER_MS), &[]),
+            NO_DEADLINE,
         );
     }
 
@@ -125,9 +125,9 @@
     }
 
     /// Tells it, once, to bring nothing new on this connection.
-    pub fn go_away(&self) {
-        if !self.told_away.replace(true) {
-            self.put(frames::go_away(), ANY_TIME);
+    pub fn send_go_away(&self) {
+        if !self.go_away_sent.replace(true) {
+            self.put(frames::go_away(), NO_DEADLINE);
         }
     }
 
@@ -141,14 +141,14 @@
 
     /// Why it has had time enough, if so.
     fn overdue(&self, now: Ticks) -> Option<CloseReason> {
-        let silent = self.active.get().is_none() && now >= self.came + SILENT_MOST;
+        let silent = self.active.get().is_none() && now >= self.came + FIRST_FRAME_TIMEOUT;
         let stuck = self
             .partial_since
             .get()
-            .is_some_and(|since| now >= since + PARTIAL_MOST);
+            .is_some_and(|since| now >= since + PARTIAL_FRAME_TIMEOUT);
         let idle = self
             .idle_since()
-            .is_some_and(|since| now >= since + IDLE_MOST);
+            .is_some_and(|since| now >= since + IDLE_TIMEOUT);
         match (silent, stuck, idle) {
             (true, _, _) => Some(CloseReason::NeverSpoke),
             (_, true, _) => Some(CloseReason::PartialFrame),
@@ -163,10 +163,10 @@
 pub(crate) struct Clients {
     all: RefCell<BTreeMap<u64, Rc<Client>>>,
     last: Cell<u64>,
-    pub(crate) txns: Rc<RefCell<BTreeSet<u64>>>,
+    pub(crate) open_transactions: Rc<RefCell<BTreeSet<u64>>>,
     /// Frames read, of all clients.
     frames: Cell<u64>,
-    /// AttemptReport to end: no client is to bring anything new.
+    /// Told to end: no client is to bring anything new.
     ending: Cell<bool>,
     shut: Notify,
     /// A connection has ended, and its place is free.
@@ -181,7 +181,10 @@
     /// Connections, and ids that are open: for tests and the log.
     #[cfg(test)]
     pub fn sizes(&self) -> (usize, usize) {
-        (self.all.borrow().len(), self.txns.borrow().len())
+        (
+            self.all.borrow().len(),
+            self.open_transactions.borrow().len(),
+        )
     }
 
     /// How many connections are being ended.
@@ -195,9 +198,9 @@
     }
 
     /// Asks all to bring nothing new on these connections.
-    pub fn go_away(&self) {
+    pub fn send_go_away(&self) {
         self.ending.set(true);
-        self.all.borrow().values().for_each(|c| c.go_away());
+        self.all.borrow().values().for_each(|c| c.send_go_away());
     }
 
     /// Lets in who waits at the door, then shuts it.
@@ -206,7 +209,7 @@
     }
 
     /// Whether answers wait to leave, or a request has come in part.
-    pub fn are_under_way(&self) -> bool {
+    pub fn have_pending_output(&self) -> bool {
         let half = |c: &Client| c.partial_since.get().is_some() && !c.closing.get();
         self.all
             .borrow()
@@ -266,7 +269,7 @@
     pub(crate) fn room(&self, most: usize) -> Option<Entry> {
         let all = self.all.borrow();
         let served = all.values().filter(|c| !c.closing.get());
-        let is_crowded = all.len() >= most + GOING_MOST;
+        let is_crowded = all.len() >= most + CLOSING_CONNECTIONS_MAX;
         if served.clone().count() < most && !is_crowded {
             return Some(Entry::Served);
         }
@@ -283,7 +286,7 @@
                 client.cut_off(CloseReason::MadeRoom);
                 Some(Entry::Served)
             }
-            None => Some(Entry::TurnedAway),
+            None => Some(Entry::Rejected),
         }
     }
 }
@@ -296,23 +299,23 @@
 }
 
 /// Where the one answer to an invocation goes. Whatever becomes of it, its stream and id are free after.
-pub(crate) struct Reply {
+pub(crate) struct ClientResponder {
     pub client: Rc<Client>,
     pub stream: u32,
     pub txn: u64,
-    pub txns: Rc<RefCell<BTreeSet<u64>>>,
+    pub open_transactions: Rc<RefCell<BTreeSet<u64>>>,
     pub clock: saltdrum_transport::Clock,
 }
 
-impl Drop for Reply {
+impl Drop for ClientResponder {
     fn drop(&mut self) {
-        self.txns.borrow_mut().remove(&self.txn);
+        self.open_transactions.borrow_mut().remove(&self.txn);
         self.client.open.borrow_mut().remove(&self.stream);
         self.client.active.set(Some(self.clock.now()));
     }
 }
 
-impl Responder for Reply {
+impl Responder for ClientResponder {
     fn respond(self, _: InvocationId, how: FinalResponse, _: u8, until: Ticks) {
         let frame = match how {
             FinalResponse::Succeeded(output) => {
@@ -349,17 +352,18 @@
             Ok(stream) => {
                 let opened = arrivals.earliest();
                 let waited_most_ms = handle.clock.now().saturating_sub(opened) / MILLISECOND;
-                debug!(waited_most_ms, "a client connects");
+                debug!(waited_most_ms, "client connected");
                 let entry = loop {
                     match clients.room(handle.config.budget.clients) {
                         Some(entry) => break entry,
                         // One that was hurried is gone within a turn or two.
-                        None => {
-                            drop(tokio::time::timeout(DOOR_WAIT, clients.freed.notified()).await)
-                        }
+                        None => drop(
+                            tokio::time::timeout(ADMIT_POLL_INTERVAL, clients.freed.notified())
+                                .await,
+                        ),
                     }
                 };
-                drop(tokio::task::spawn_local(attend(
+                drop(tokio::task::spawn_local(serve_connection(
                     handle.clone(),
                     stream,
                     opened,
@@ -367,7 +371,7 @@
                 )));
             }
             Err(e) => {
-                warn!(%e, "can't accept a client");
+                warn!(%e, "accept failed");
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         }
@@ -379,9 +383,9 @@
 /// Closes those who say nothing, or never end what they began.
 pub(crate) async fn sweep(handle: Rc<ControllerHandle>) {
     for round in 1u64.. {
-        tokio::time::sleep(SWEEP_EVERY).await;
-        if round.is_multiple_of(BELIEFS_EVERY) && tracing::enabled!(tracing::Level::INFO) {
-            handle.inspect(crate::reach::log_beliefs);
+        tokio::time::sleep(SWEEP_INTERVAL).await;
+        if round.is_multiple_of(VIEW_LOG_SWEEPS) && tracing::enabled!(tracing::Level::INFO) {
+            handle.inspect(crate::invoker_pools::log_invoker_views);
         }
         let now = handle.clock.now();
         for client in handle.config.clients.all.borrow().values() {
--- a/crates/platform/src/feed.rs
+++ b/crates/platform/src/endpoint_watch.rs
@@ -1,6 +1,7 @@
-//! Follows the control feed. What it last said stands while it is away.
+//! Watches the control feed for the list of invokers. While the feed is lost, the last list stands.
 
-use crate::reach::{ControllerHandle, told};
+use crate::invoker_pools::told;
+use crate::state::ControllerHandle;
 use saltdrum::interface::{MILLISECOND, Ticks};
 use saltdrum_platform_wire::feed::{Event, cut};
 use saltdrum_transport::{Address, ArrivalReader, ReadBacklog, Stream};
@@ -13,18 +14,18 @@
 
 /// An empty frame comes each second. What the feed would have told counts as told 4 s after it fell silent: by then a
 /// second connection, should the first after a silence be silent as well, must have been followed.
-const SILENT: Ticks = 1_600 * MILLISECOND;
+const SILENCE_TIMEOUT: Ticks = 1_600 * MILLISECOND;
 /// The first frame comes within a second of asking.
-const SILENT_FIRST: Ticks = 1_200 * MILLISECOND;
+const FIRST_FRAME_TIMEOUT: Ticks = 1_200 * MILLISECOND;
 /// After that the machine is asked once more: a turn or two.
-const LOOKED_AGAIN_WITHIN: Duration = Duration::from_millis(30);
-const DIAL_WITHIN: Duration = Duration::from_millis(500);
-/// A lost feed is dialled again after a wait drawn up to a bound that doubles; all controllers lose it at once.
-const WAIT_FIRST: Ticks = 100 * MILLISECOND;
-const WAIT_MOST: Ticks = 400 * MILLISECOND;
+const LAST_POLL_TIMEOUT: Duration = Duration::from_millis(30);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Reconnects use a jittered backoff whose bound doubles, as all controllers lose the feed at once.
+const BACKOFF_FIRST: Ticks = 100 * MILLISECOND;
+const BACKOFF_MAX: Ticks = 400 * MILLISECOND;
 
-/// Where the feed is, and how far it was followed.
-pub(crate) struct Feed {
+/// Address of the feed, and the number of the last event applied.
+pub(crate) struct EndpointWatch {
     address: RefCell<std::net::SocketAddrV4>,
     moved: Notify,
     last: Cell<u64>,
@@ -32,7 +33,7 @@
     backlog: RefCell<ReadBacklog>,
 }
 
-impl Feed {
+impl EndpointWatch {
     pub fn new(address: std::net::SocketAddrV4, last: u64) -> Self {
         let backlog = RefCell::new(ReadBacklog::none());
         Self {
@@ -62,25 +63,25 @@
 }
 
 pub(crate) async fn follow(handle: Rc<ControllerHandle>) {
-    let (feed, mut wait) = (&handle.config.feed, WAIT_FIRST);
+    let (feed, mut wait) = (&handle.config.feed, BACKOFF_FIRST);
     let mut rng = fastrand::Rng::with_seed(handle.config.seed ^ 0xfeed);
     loop {
         let before = feed.last.get();
         let why = tokio::select! {
             biased;
             () = feed.moved.notified() => {
-                info!(address = %feed.address.borrow(), "the control feed is elsewhere");
-                wait = WAIT_FIRST;
+                info!(address = %feed.address.borrow(), "control feed address changed");
+                wait = BACKOFF_FIRST;
                 continue;
             }
             why = followed(&handle) => why,
         };
         wait = if feed.last.get() > before {
-            WAIT_FIRST
+            BACKOFF_FIRST
         } else {
-            (2 * wait).min(WAIT_MOST)
+            (2 * wait).min(BACKOFF_MAX)
         };
-        warn!(address = %feed.address.borrow(), why, last = feed.last.get(), "control feed lost; what it said stands");
+        warn!(address = %feed.address.borrow(), why, last = feed.last.get(), "control feed lost, the last list stands");
         tokio::select! {
             biased;
             () = feed.moved.notified() => {}
@@ -92,18 +93,19 @@
 async fn followed(handle: &Rc<ControllerHandle>) -> String {
     let feed = &handle.config.feed;
     let address = Address::Tcp(feed.address.borrow().to_string());
-    let mut stream = match tokio::time::timeout(DIAL_WITHIN, handle.network.dial(&address)).await {
-        Ok(Ok(stream)) => stream,
-        Ok(Err(e)) => return e.to_string(),
-        Err(_) => return "no connection in time".into(),
-    };
+    let mut stream =
+        match tokio::time::timeout(CONNECT_TIMEOUT, handle.network.dial(&address)).await {
+            Ok(Ok(stream)) => stream,
+            Ok(Err(e)) => return e.to_string(),
+            Err(_) => return "no connection in time".into(),
+        };
     if let Err(e) = stream.write_all(&feed.last.get().to_be_bytes()).await {
         return e.to_string();
     }
     let mut read = ArrivalReader::new(stream, handle.clock, handle.event_loop.clone());
     feed.backlog.replace(read.backlog());
     // Only whole frames break a silence: one that comes byte by byte tells nothing.
-    let mut due = handle.clock.now() + SILENT_FIRST;
+    let mut due = handle.clock.now() + FIRST_FRAME_TIMEOUT;
     let mut came = handle.clock.now();
     loop {
         match cut(&mut read.bytes) {
@@ -112,7 +114,7 @@
                 if let Err(why) = hear(handle, came, number, &event) {
                     return why;
                 }
-                due = handle.clock.now() + SILENT;
+                due = handle.clock.now() + SILENCE_TIMEOUT;
                 continue;
             }
             Ok(None) => {}
@@ -135,7 +137,7 @@
     let got = match tokio::time::timeout_at(handle.clock.instant(due), &mut more).await {
         Ok(got) => got,
         Err(_) => {
-            let looked = tokio::time::timeout(LOOKED_AGAIN_WITHIN, more).await;
+            let looked = tokio::time::timeout(LAST_POLL_TIMEOUT, more).await;
             looked.map_err(|_| String::from("silent"))?
         }
     };
@@ -180,7 +182,7 @@
         whole,
         lines = lines.len(),
         waited_most_ms,
-        "control feed"
+        "control feed event received"
     );
     last.set(number);
     handle.update(|state| tell(handle, state, came, whole, lines));
@@ -189,14 +191,20 @@
 
 pub(crate) fn tell(
     handle: &ControllerHandle,
-    state: &mut crate::reach::ControllerState,
+    state: &mut crate::state::ControllerState,
     came: Ticks,
     whole: bool,
     lines: &[saltdrum_platform_wire::feed::Line],
 ) {
     let now = state.invocations.now;
     handle.config.look_at_wall_clock(now);
-    let started = |unix_ms: u64| handle.config.wall_settings.borrow().start(unix_ms, now);
+    let started = |unix_ms: u64| {
+        handle
+            .config
+            .wall_clock_history
+            .borrow()
+            .start(unix_ms, now)
+    };
     told(
         state,
         whole,
--- a/crates/platform/src/line.rs
+++ b/crates/platform/src/invoker_connection.rs
@@ -1,4 +1,4 @@
-//! One connection to an invoker: HTTP/1.1 by hyper, over a stream that counts what left.
+//! One connection to an invoker: HTTP/1.1 by hyper, over a stream that counts the bytes sent.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -17,39 +17,39 @@
 use tokio::task::AbortHandle;
 
 /// Heads longer than this are no heads.
-const HEAD_MOST: usize = 16 << 10;
-const HEADERS_MOST: usize = 64;
+const HEAD_BYTES_MAX: usize = 16 << 10;
+const HEADERS_MAX: usize = 64;
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// The socket under a line. Whoever gives a request up closes it at once, whatever hyper holds of it.
+/// The socket under a connection. Aborting a request closes it at once, whatever hyper still holds of it.
 pub(crate) struct Socket {
     stream: RefCell<Option<Stream>>,
     clock: Clock,
-    /// Of the request on it: what left of it, how much of its head's end was met, what of its body is missing.
+    /// Of the request on it: how many bytes were sent, how much of its head's end was met, what of its body is missing.
     left: Cell<u64>,
     head: Cell<usize>,
     body: Cell<u64>,
-    departure: RefCell<Departure>,
+    send_deadline: RefCell<SendDeadline>,
     /// When its last byte was handed to the machine.
-    left_at: Cell<Option<Ticks>>,
+    sent_at: Cell<Option<Ticks>>,
     /// A request was not sent, as its time to leave was over.
     is_stale: Cell<bool>,
 }
 
 /// Until when a request may begin to leave.
 #[derive(Clone)]
-pub(crate) struct Departure {
+pub(crate) struct SendDeadline {
     /// Rule 3: nothing new begins from then on at an invoker that drains or is gone.
     pub cutoff: Rc<Cell<Ticks>>,
     /// What it says of the time that is left, and what is known of its client, is good until then.
-    pub fresh_until: Ticks,
+    pub stale_at: Ticks,
 }
 
-impl Default for Departure {
+impl Default for SendDeadline {
     fn default() -> Self {
         Self {
             cutoff: Rc::new(Cell::new(Ticks::MAX)),
-            fresh_until: Ticks::MAX,
+            stale_at: Ticks::MAX,
         }
     }
 }
@@ -57,27 +57,27 @@
 impl Socket {
     fn new(stream: Stream, clock: Clock) -> Self {
         let stream = RefCell::new(Some(stream));
-        let (left, head, body, departure, left_at, is_stale) = Default::default();
+        let (left, head, body, send_deadline, sent_at, is_stale) = Default::default();
         Self {
             stream,
             clock,
             left,
             head,
             body,
-            departure,
-            left_at,
+            send_deadline,
+            sent_at,
             is_stale,
         }
     }
 
-    /// Another request is to go over it: what left of the one before is no longer counted.
-    pub fn begin(&self, body: usize, departure: Departure) {
+    /// Another request is to go over it: the bytes sent of the previous one are no longer counted.
+    pub fn begin(&self, body: usize, send_deadline: SendDeadline) {
         self.left.set(0);
         self.head.set(0);
         self.body.set(body as u64);
-        self.left_at.set(None);
+        self.sent_at.set(None);
         self.is_stale.set(false);
-        *self.departure.borrow_mut() = departure;
+        *self.send_deadline.borrow_mut() = send_deadline;
     }
 
     /// Whether nothing of the request left because it would have been out of date.
@@ -86,23 +86,23 @@
     }
 
     /// Whether a request may begin to leave now.
-    fn may_begin(&self) -> bool {
-        let (now, departure) = (self.clock.now(), self.departure.borrow());
-        self.is_stale.set(now >= departure.fresh_until);
-        !self.is_stale.get() && now < departure.cutoff.get()
+    fn may_begin_sending(&self) -> bool {
+        let (now, send_deadline) = (self.clock.now(), self.send_deadline.borrow());
+        self.is_stale.set(now >= send_deadline.stale_at);
+        !self.is_stale.get() && now < send_deadline.cutoff.get()
     }
 
     /// Whether the request on it was handed to the machine to its last byte. If not, no invoker can have run it.
-    pub fn left_whole(&self) -> bool {
+    pub fn sent_completely(&self) -> bool {
         self.head.get() == HEAD_END.len() && self.body.get() == 0
     }
 
     /// When the request on it was handed to the machine to its last byte.
-    pub fn left_at(&self) -> Option<Ticks> {
-        self.left_at.get()
+    pub fn sent_at(&self) -> Option<Ticks> {
+        self.sent_at.get()
     }
 
-    pub fn has_begun(&self) -> bool {
+    pub fn has_begun_sending(&self) -> bool {
         self.left.get() > 0
     }
 
@@ -141,9 +141,9 @@
     }
 }
 
-struct Io(Rc<Socket>);
+struct SocketIo(Rc<Socket>);
 
-impl Io {
+impl SocketIo {
     fn with<T>(
         &self,
         act: impl FnOnce(Pin<&mut Stream>) -> Poll<io::Result<T>>,
@@ -155,7 +155,7 @@
     }
 }
 
-impl AsyncRead for Io {
+impl AsyncRead for SocketIo {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -165,21 +165,21 @@
     }
 }
 
-impl AsyncWrite for Io {
+impl AsyncWrite for SocketIo {
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let socket = &self.0;
-        if !socket.has_begun() && !socket.may_begin() {
+        if !socket.has_begun_sending() && !socket.may_begin_sending() {
             return Poll::Ready(Err(io::ErrorKind::TimedOut.into()));
         }
         let polled = self.with(|s| s.poll_write(cx, bytes));
         if let Poll::Ready(Ok(n)) = polled {
             socket.count(&bytes[..n]);
-            if socket.left_whole() && socket.left_at().is_none() {
-                socket.left_at.set(Some(socket.clock.now()));
+            if socket.sent_completely() && socket.sent_at().is_none() {
+                socket.sent_at.set(Some(socket.clock.now()));
             }
         }
         polled
@@ -194,38 +194,42 @@
     }
 }
 
-/// An answer read to its end.
-pub(crate) struct Whole {
+/// A response read to its end.
+pub(crate) struct InvokerResponse {
     pub status: u16,
     pub headers: hyper::HeaderMap,
     pub body: Bytes,
 }
 
-impl Whole {
+impl InvokerResponse {
     pub fn field(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|v| v.to_str().ok())
     }
 }
 
-pub(crate) struct Line {
+pub(crate) struct InvokerConnection {
     pub socket: Rc<Socket>,
     sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
 }
 
-impl Drop for Line {
+impl Drop for InvokerConnection {
     fn drop(&mut self) {
         self.socket.close();
         self.task.abort();
     }
 }
 
-impl Line {
-    pub async fn over(stream: Stream, clock: Clock) -> Result<Self, hyper::Error> {
+impl InvokerConnection {
+    pub async fn handshake(stream: Stream, clock: Clock) -> Result<Self, hyper::Error> {
         let socket = Rc::new(Socket::new(stream, clock));
         let mut builder = Builder::new();
-        builder.max_buf_size(HEAD_MOST).max_headers(HEADERS_MOST);
-        let (sender, connection) = builder.handshake(TokioIo::new(Io(socket.clone()))).await?;
+        builder
+            .max_buf_size(HEAD_BYTES_MAX)
+            .max_headers(HEADERS_MAX);
+        let (sender, connection) = builder
+            .handshake(TokioIo::new(SocketIo(socket.clone())))
+            .await?;
         let task = tokio::task::spawn_local(async move { drop(connection.await) }).abort_handle();
         Ok(Self {
             socket,
@@ -240,25 +244,25 @@
     }
 
     /// Asks, and reads the answer to its end: at most `most` bytes of it, as a spoilt one may never end.
-    pub async fn ask(
+    pub async fn request(
         &mut self,
         request: Request<Full<Bytes>>,
         body: usize,
-        departure: Departure,
+        send_deadline: SendDeadline,
         most: usize,
-    ) -> Result<Whole, String> {
-        self.socket.begin(body, departure);
+    ) -> Result<InvokerResponse, String> {
+        self.socket.begin(body, send_deadline);
         let answer = self
             .sender
             .send_request(request)
             .await
-            .map_err(|e| said(&e))?;
+            .map_err(|e| error_chain(&e))?;
         let (head, body): (_, Incoming) = Response::into_parts(answer);
         let body = http_body_util::Limited::new(body, most)
             .collect()
             .await
             .map_err(|e| e.to_string())?;
-        Ok(Whole {
+        Ok(InvokerResponse {
             status: head.status.as_u16(),
             headers: head.headers,
             body: body.to_bytes(),
@@ -266,7 +270,7 @@
     }
 }
 
-fn said(e: &hyper::Error) -> String {
+fn error_chain(e: &hyper::Error) -> String {
     let inner = std::error::Error::source(e)
         .map(|s| format!(": {s}"))
         .unwrap_or_default();
--- a/crates/platform/src/reach.rs
+++ b/crates/platform/src/invoker_pools.rs
@@ -1,10 +1,13 @@
-//! How invokers are reached: a pool of lines to each, by its id and never by its address, one request a line at a time.
-
-use crate::attempt::{Ask, FRESH, Waiting, Worded, aside, dispatch, order};
-use crate::budget::Budget;
-use crate::clients::Reply;
-use crate::life::ControllerConfig;
-use crate::line::{Departure, Line, Socket};
+//! A pool of connections to each invoker, keyed by its id and never by its address; one request a connection at a time.
+
+use crate::attempt::{
+    Attempt, PreparedRequest, REQUEST_STALENESS_LIMIT, WaitingClient, background_request,
+    run_dispatch, run_load,
+};
+use crate::clients::ClientResponder;
+use crate::invoker_connection::{InvokerConnection, SendDeadline, Socket};
+use crate::limits::ResourceLimits;
+use crate::state::{ControllerHandle, ControllerState, NodeConfig};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
@@ -21,16 +24,13 @@
 use tokio::task::AbortHandle;
 use tracing::{debug, info};
 
-pub(crate) type ControllerHandle = saltdrum_controller::ControllerHandle<Lines>;
-pub(crate) type ControllerState = saltdrum_controller::ControllerState<Lines>;
-
-/// An idle line is closed by us before the invoker would close it: at this share of the stated time.
-const IDLE_SHARE: (Ticks, Ticks) = (3, 4);
-/// A line rests so long after an answer before it is used again, by looks of the machine: a second answer, or noise, may
-/// come some milliseconds late, and on a line in use it would be read as the answer to the next request.
-const RESTS: Ticks = 30 * MILLISECOND;
+/// An idle connection is closed before the invoker would close it: at this fraction of the configured idle timeout.
+const IDLE_TIMEOUT_FRACTION: (Ticks, Ticks) = (3, 4);
+/// A connection is not reused for this long after a response, as measured at event loop polls: a duplicate response, or
+/// noise, may come some milliseconds late, and would be read as the response to the next request.
+const CONNECTION_REUSE_DELAY: Ticks = 30 * MILLISECOND;
 
-/// What of an invocation goes along with its dispatches.
+/// What the dispatches of an invocation carry.
 pub(crate) struct Payload {
     pub trigger: usize,
     pub txn: u64,
@@ -58,12 +58,12 @@
     /// Counts up when lines that stand lead to somebody else: those under way are not used again then.
     epoch: u32,
     /// The freshest last, each with when it became idle.
-    idle: Vec<(Ticks, Line)>,
+    idle: Vec<(Ticks, InvokerConnection)>,
     /// Requests under way.
-    under_way: usize,
+    active_requests: usize,
 }
 
-enum Of {
+enum RequestKind {
     Dispatch {
         inv: InvocationId,
         hop: u8,
@@ -75,86 +75,86 @@
     Aside,
 }
 
-struct Job {
+struct PendingRequest {
     invoker: InvokerId,
-    of: Of,
+    of: RequestKind,
     socket: Option<Rc<Socket>>,
     task: AbortHandle,
 }
 
-impl Job {
-    fn left_at(&self) -> Option<Ticks> {
-        self.socket.as_ref()?.left_at()
+impl PendingRequest {
+    fn sent_at(&self) -> Option<Ticks> {
+        self.socket.as_ref()?.sent_at()
     }
 
     /// A dispatch whose request has left whole.
     fn is_out(&self) -> bool {
-        matches!(self.of, Of::Dispatch { .. })
-            && self.socket.as_ref().is_some_and(|s| s.left_whole())
+        matches!(self.of, RequestKind::Dispatch { .. })
+            && self.socket.as_ref().is_some_and(|s| s.sent_completely())
     }
 }
 
 /// Sizes of the tables: none may grow with what was ever seen.
 #[cfg(test)]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Sizes {
+pub(crate) struct PoolSizes {
     pub pools: usize,
     pub lines: usize,
     pub jobs: usize,
     pub bytes: usize,
 }
 
-pub(crate) struct Lines {
+pub(crate) struct InvokerPools {
     handle: Weak<ControllerHandle>,
-    budget: Budget,
+    budget: ResourceLimits,
     connect_timeout: Ticks,
-    conn_idle: Ticks,
+    connection_idle_timeout: Ticks,
     trigger_names: Rc<[String]>,
     pools: BTreeMap<InvokerId, Pool>,
-    jobs: BTreeMap<u64, Job>,
+    jobs: BTreeMap<u64, PendingRequest>,
     last: u64,
     /// When orders left whose end is being told.
-    orders_left: BTreeMap<u64, Ticks>,
-    /// Lines that stand, are made or were just given up, idle ones among them.
+    load_sent_times: BTreeMap<u64, Ticks>,
+    /// Connections that are open, being made or just aborted, idle ones among them.
     open: Rc<Cell<usize>>,
     held: Rc<Cell<usize>>,
 }
 
 /// Counts a descriptor for as long as it lives.
-pub(crate) struct Counted(Rc<Cell<usize>>);
+pub(crate) struct DescriptorGuard(Rc<Cell<usize>>);
 
-impl Counted {
+impl DescriptorGuard {
     pub fn new(of: &Rc<Cell<usize>>) -> Self {
         of.set(of.get() + 1);
         Self(of.clone())
     }
 }
 
-impl Drop for Counted {
+impl Drop for DescriptorGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-impl Lines {
+impl InvokerPools {
     pub fn new(
-        budget: Budget,
+        budget: ResourceLimits,
         connect_timeout: Ticks,
-        conn_idle: Ticks,
+        connection_idle_timeout: Ticks,
         trigger_names: Rc<[String]>,
     ) -> Self {
-        let (pools, jobs, last, orders_left, open, held) = Default::default();
+        let (pools, jobs, last, load_sent_times, open, held) = Default::default();
         let handle = Weak::new();
         Self {
             handle,
             budget,
             connect_timeout,
-            conn_idle,
+            connection_idle_timeout,
             trigger_names,
             pools,
             jobs,
             last,
-            orders_left,
+            load_sent_times,
             open,
             held,
         }
@@ -188,9 +188,9 @@
     }
 
     #[cfg(test)]
-    pub fn sizes(&self) -> Sizes {
+    pub fn sizes(&self) -> PoolSizes {
         let (pools, lines, jobs) = (self.pools.len(), self.open.get(), self.jobs.len());
-        Sizes {
+        PoolSizes {
             pools,
             lines,
             jobs,
@@ -200,13 +200,13 @@
 
     /// Lets go of idle lines that the invoker would soon close, of those that are broken, and of pools that are gone.
     pub fn sweep(&mut self, now: Ticks) {
-        let most = self.conn_idle * IDLE_SHARE.0 / IDLE_SHARE.1;
+        let most = self.connection_idle_timeout * IDLE_TIMEOUT_FRACTION.0 / IDLE_TIMEOUT_FRACTION.1;
         for p in self.pools.values_mut() {
             p.idle
                 .retain(|(since, line)| now < since + most && line.is_reusable());
         }
         self.pools
-            .retain(|_, p| p.life != InvokerStatus::Gone || p.under_way > 0);
+            .retain(|_, p| p.life != InvokerStatus::Gone || p.active_requests > 0);
     }
 
     /// Makes room for one more line: the idle line that was idle longest goes, wherever it leads.
@@ -231,11 +231,14 @@
         &mut self,
         now: Ticks,
         invoker: InvokerId,
-        of: Of,
-        worded: Worded,
+        of: RequestKind,
+        prepared: PreparedRequest,
     ) -> Result<u64, Outcome> {
-        let most = self.conn_idle * IDLE_SHARE.0 / IDLE_SHARE.1;
-        let new_work = !matches!(of, Of::Order { new_work: false } | Of::Aside);
+        let most = self.connection_idle_timeout * IDLE_TIMEOUT_FRACTION.0 / IDLE_TIMEOUT_FRACTION.1;
+        let new_work = !matches!(
+            of,
+            RequestKind::Order { new_work: false } | RequestKind::Aside
+        );
         let pool = self.pools.get_mut(&invoker).ok_or(Outcome::NoConnection)?;
         if new_work && now >= pool.cutoff.get() {
             return Err(Outcome::NotSent);
@@ -244,7 +247,7 @@
         let (looked, mut line) = (handle.event_loop.last_polled(), None);
         for i in (0..pool.idle.len()).rev() {
             let since = pool.idle[i].0;
-            if looked < since + RESTS {
+            if looked < since + CONNECTION_REUSE_DELAY {
                 continue;
             }
             let (_, idle) = pool.idle.remove(i);
@@ -258,7 +261,7 @@
             return Err(Outcome::NotSent);
         }
         let pool = self.pools.get_mut(&invoker).ok_or(Outcome::NoConnection)?;
-        pool.under_way += 1;
+        pool.active_requests += 1;
         self.last += 1;
         let cutoff = if new_work {
             pool.cutoff.clone()
@@ -266,40 +269,39 @@
             Rc::new(Cell::new(Ticks::MAX))
         };
         // A decision that could not leave by then is made anew: what it rests on has changed.
-        let leaves_by = now + self.connect_timeout + FRESH;
-        let fresh_until = if matches!(of, Of::Dispatch { .. }) {
+        let leaves_by = now + self.connect_timeout + REQUEST_STALENESS_LIMIT;
+        let stale_at = if matches!(of, RequestKind::Dispatch { .. }) {
             Ticks::MAX
         } else {
             leaves_by
         };
-        let departure = Departure {
-            cutoff,
-            fresh_until,
-        };
+        let send_deadline = SendDeadline { cutoff, stale_at };
         // At once: who takes it back before its task had a turn must not be told of the request before.
         line.iter()
-            .for_each(|l| l.socket.begin(worded.body, departure.clone()));
-        let ask = Ask {
+            .for_each(|l| l.socket.begin(prepared.body, send_deadline.clone()));
+        let ask = Attempt {
             handle,
             invoker,
             epoch: pool.epoch,
-            job: self.last,
+            request_id: self.last,
             address: Address::Tcp(pool.address.to_string()),
             within: Duration::from_micros(self.connect_timeout * 100),
-            counted: Cell::new(line.is_none().then(|| Counted::new(&self.open))),
+            descriptor: Cell::new(line.is_none().then(|| DescriptorGuard::new(&self.open))),
             open: self.open.clone(),
-            departure,
-            worded,
+            send_deadline,
+            prepared,
         };
         let socket = line.as_ref().map(|l| l.socket.clone());
         let task = match of {
-            Of::Dispatch { inv, hop } => tokio::task::spawn_local(dispatch(ask, line, inv, hop)),
-            Of::Order { .. } => tokio::task::spawn_local(order(ask, line)),
-            Of::Aside => tokio::task::spawn_local(aside(ask, line)),
+            RequestKind::Dispatch { inv, hop } => {
+                tokio::task::spawn_local(run_dispatch(ask, line, inv, hop))
+            }
+            RequestKind::Order { .. } => tokio::task::spawn_local(run_load(ask, line)),
+            RequestKind::Aside => tokio::task::spawn_local(background_request(ask, line)),
         };
         self.jobs.insert(
             self.last,
-            Job {
+            PendingRequest {
                 invoker,
                 of,
                 socket,
@@ -309,34 +311,34 @@
         Ok(self.last)
     }
 
-    /// A connection of a request was made.
-    pub(crate) fn dialled(&mut self, job: u64, socket: Rc<Socket>) {
+    /// The connection of a request was established.
+    pub(crate) fn connected(&mut self, job: u64, socket: Rc<Socket>) {
         if let Some(job) = self.jobs.get_mut(&job) {
             job.socket = Some(socket);
         }
     }
 
-    /// A request has come to its end by itself: false when it was given up before.
+    /// A request has ended by itself: false when it was aborted before.
     pub(crate) fn finish(&mut self, job: u64) -> bool {
         let Some(ended) = self.jobs.remove(&job) else {
             return false;
         };
         if let Some(pool) = self.pools.get_mut(&ended.invoker) {
-            pool.under_way -= 1;
+            pool.active_requests -= 1;
         }
-        if let (Of::Order { .. }, Some(left)) = (&ended.of, ended.left_at()) {
-            self.orders_left.insert(job, left);
+        if let (RequestKind::Order { .. }, Some(left)) = (&ended.of, ended.sent_at()) {
+            self.load_sent_times.insert(job, left);
         }
         true
     }
 
-    /// Gives a request up: its connection is closed at once.
-    fn give_up(&mut self, job: u64) {
+    /// Aborts a request: its connection is closed at once.
+    fn abort(&mut self, job: u64) {
         let Some(job) = self.jobs.remove(&job) else {
             return;
         };
         if let Some(pool) = self.pools.get_mut(&job.invoker) {
-            pool.under_way -= 1;
+            pool.active_requests -= 1;
         }
         if let Some(socket) = job.socket {
             socket.close();
@@ -344,7 +346,13 @@
         job.task.abort();
     }
 
-    pub(crate) fn put_back(&mut self, now: Ticks, invoker: InvokerId, epoch: u32, line: Line) {
+    pub(crate) fn return_connection(
+        &mut self,
+        now: Ticks,
+        invoker: InvokerId,
+        epoch: u32,
+        line: InvokerConnection,
+    ) {
         if let Some(pool) = self
             .pools
             .get_mut(&invoker)
@@ -355,10 +363,10 @@
     }
 }
 
-impl InvokerTransport for Lines {
+impl InvokerTransport for InvokerPools {
     type Payload = Payload;
-    type Responder = Reply;
-    type Config = ControllerConfig;
+    type Responder = ClientResponder;
+    type Config = NodeConfig;
 
     fn dispatch(&mut self, s: &OutgoingDispatch<Payload>) -> Result<u64, Outcome> {
         let c = s.payload;
@@ -379,12 +387,12 @@
             .body(Full::new(c.body.clone()))
             .map_err(|_| Outcome::NotSent)?;
         let (until, leave_by) = (s.deadline, s.send_by);
-        let client = Some(Waiting {
+        let client = Some(WaitingClient {
             until,
             leave_by,
             backlog: c.client_backlog.clone(),
         });
-        let worded = Worded {
+        let prepared = PreparedRequest {
             request,
             body: c.body.len(),
             client,
@@ -392,11 +400,11 @@
         self.start(
             s.now,
             s.invoker,
-            Of::Dispatch {
+            RequestKind::Dispatch {
                 inv: s.invocation,
                 hop: s.attempt,
             },
-            worded,
+            prepared,
         )
     }
 
@@ -404,15 +412,15 @@
         let Some(job) = self.jobs.get(&dispatch) else {
             return false;
         };
-        let never = job.socket.as_ref().is_none_or(|s| !s.left_whole());
+        let never = job.socket.as_ref().is_none_or(|s| !s.sent_completely());
         if never {
-            self.give_up(dispatch);
+            self.abort(dispatch);
         }
         never
     }
 
     fn cancel(&mut self, _: InvokerId, dispatch: u64) -> bool {
-        self.give_up(dispatch);
+        self.abort(dispatch);
         true
     }
 
@@ -424,7 +432,7 @@
         _: Outcome,
         _: &AttemptReport,
     ) {
-        self.give_up(dispatch);
+        self.abort(dispatch);
     }
 
     fn load(
@@ -442,10 +450,10 @@
         let request = request
             .body(Full::default())
             .map_err(|_| LoadOutcome::NotSent)?;
-        let of = Of::Order {
+        let of = RequestKind::Order {
             new_work: count > 0,
         };
-        self.start(now, invoker, of, Worded::alone(request))
+        self.start(now, invoker, of, PreparedRequest::alone(request))
             .map_err(|outcome| match outcome {
                 Outcome::NoConnection => LoadOutcome::Unreachable,
                 _ => LoadOutcome::NotSent,
@@ -453,14 +461,15 @@
     }
 
     fn load_sent_at(&self, order: u64) -> Option<Ticks> {
-        self.jobs
-            .get(&order)
-            .map_or_else(|| self.orders_left.get(&order).copied(), Job::left_at)
+        self.jobs.get(&order).map_or_else(
+            || self.load_sent_times.get(&order).copied(),
+            PendingRequest::sent_at,
+        )
     }
 
     fn load_ended(&mut self, _: InvokerId, order: u64) {
-        self.orders_left.remove(&order);
-        self.give_up(order);
+        self.load_sent_times.remove(&order);
+        self.abort(order);
     }
 
     fn unload(&mut self, now: Ticks, invoker: InvokerId, function: FunctionId) {
@@ -468,14 +477,24 @@
             .method("DELETE")
             .uri(http::function_path(function));
         if let Ok(request) = request.header("host", "invoker").body(Full::default()) {
-            let _ = self.start(now, invoker, Of::Aside, Worded::alone(request));
+            let _ = self.start(
+                now,
+                invoker,
+                RequestKind::Aside,
+                PreparedRequest::alone(request),
+            );
         }
     }
 
     fn probe(&mut self, now: Ticks, invoker: InvokerId) {
         let request = Request::builder().uri("/busy").header("host", "invoker");
         if let Ok(request) = request.body(Full::default()) {
-            let _ = self.start(now, invoker, Of::Aside, Worded::alone(request));
+            let _ = self.start(
+                now,
+                invoker,
+                RequestKind::Aside,
+                PreparedRequest::alone(request),
+            );
         }
     }
 }
@@ -513,14 +532,14 @@
             started: None,
             epoch: 0,
             idle: Vec::new(),
-            under_way: 0,
+            active_requests: 0,
         });
         if pool.address != l.address || l.life == InvokerStatus::Gone {
             pool.epoch += 1;
             pool.idle.clear();
         }
         (pool.address, pool.life) = (l.address, l.life);
-        // AttemptReport again, a start is the same: a later one would be another start.
+        // Reported again, a start is the same: a later one would be another start.
         let known = pool
             .started
             .filter(|(unix_ms, _)| Some(*unix_ms) == l.started_ms);
@@ -552,7 +571,7 @@
 }
 
 /// What the module believes of each invoker, beside what is on its sockets.
-pub(crate) fn log_beliefs(state: &ControllerState) {
+pub(crate) fn log_invoker_views(state: &ControllerState) {
     let (reach, c, held) = (
         &state.invocations.transport,
         &state.invocations.counters,
@@ -577,12 +596,12 @@
     );
     for b in state.policy.invoker_views(state.invocations.now) {
         let id = saltdrum_platform_wire::feed::id_text(b.invoker);
-        let of = |j: &&Job| j.invoker == b.invoker;
+        let of = |j: &&PendingRequest| j.invoker == b.invoker;
         let sent = reach
             .jobs
             .values()
             .filter(of)
-            .filter(|j| matches!(j.of, Of::Dispatch { .. }))
+            .filter(|j| matches!(j.of, RequestKind::Dispatch { .. }))
             .count();
         let on_sockets = reach
             .jobs
@@ -615,15 +634,16 @@
     {
         return;
     }
-    let waits =
-        |job: &&Job| job.invoker == invoker && job.socket.as_ref().is_none_or(|s| !s.has_begun());
+    let waits = |job: &&PendingRequest| {
+        job.invoker == invoker && job.socket.as_ref().is_none_or(|s| !s.has_begun_sending())
+    };
     let mut dispatches = Vec::new();
     let mut orders = Vec::new();
     for (n, job) in reach.jobs.iter().filter(|(_, job)| waits(job)) {
         match job.of {
-            Of::Dispatch { inv, hop } => dispatches.push((inv, hop)),
-            Of::Order { new_work: true } => orders.push(*n),
-            Of::Order { .. } | Of::Aside => {}
+            RequestKind::Dispatch { inv, hop } => dispatches.push((inv, hop)),
+            RequestKind::Order { new_work: true } => orders.push(*n),
+            RequestKind::Order { .. } | RequestKind::Aside => {}
         }
     }
     dispatches.into_iter().for_each(|(inv, hop)| {
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,36 +1,29 @@
 //! The controller on the platform's own sockets.
 //!
-//! `saltdrum_controller::invocations` keeps invocations, timers and the one answer; here are its two seams on this platform:
-//! `clients` is whom answers are owed (`connection`: one of them, `taking`: one invocation), `reach` how invokers are
-//! reached (`attempt`: one request), over the `line`s of its pools. `feed` follows the
-//! list of invokers, `life` starts, reloads and ends, `budget` says what this machine has room for.
+//! `saltdrum_controller::invocations` keeps invocations, timers and the one final response; this package connects it to the
+//! platform. `clients` is the table of client connections, `client_connection` one of them, `admission` the checks of one
+//! invocation. `invoker_pools` holds the connections to each invoker, `invoker_connection` is one of them, `attempt` one
+//! request on it. `endpoint_watch` follows the list of invokers, `limits` derives what this machine has room for,
+//! `state` is what the files share, and `lifecycle` starts, reloads and stops all of them: start reading there.
 //!
-//! Nothing here chooses an invoker, repeats, holds back or turns away, but for what can't be held or isn't valid.
+//! Nothing here chooses an invoker, retries, delays or rejects, except what can't be held or isn't valid.
 
+mod admission;
 mod attempt;
-mod budget;
+mod client_connection;
 mod clients;
-mod connection;
-mod feed;
-mod life;
-mod line;
-mod reach;
-mod starts;
-mod taking;
+mod endpoint_watch;
+mod invoker_connection;
+mod invoker_pools;
+mod lifecycle;
+mod limits;
+mod start_times;
+mod state;
 
-pub use budget::Budget;
-pub use life::{ControllerConfig, Failure, Life, serve};
-pub use starts::WallClock;
+pub use lifecycle::{StartError, StartOptions, serve};
+pub use limits::ResourceLimits;
+pub use start_times::WallClock;
+pub use state::NodeConfig;
 
-#[cfg(test)]
-mod closes;
-#[cfg(test)]
-mod crossings;
-#[cfg(test)]
-mod in_time;
-#[cfg(test)]
-mod no_excuse;
-#[cfg(test)]
-mod stalls;
 #[cfg(test)]
 mod tests;
--- a/crates/platform/src/life.rs
+++ b/crates/platform/src/lifecycle.rs
@@ -1,10 +1,11 @@
 //! A controller's life: start, ready, SIGHUP, SIGTERM, end.
 
-use crate::budget::Budget;
 use crate::clients::{self, Clients};
-use crate::feed::{self, Feed};
-use crate::reach::{ControllerHandle, Lines};
-use crate::starts::{WallClock, WallSettings};
+use crate::endpoint_watch::{self, EndpointWatch};
+use crate::invoker_pools::InvokerPools;
+use crate::limits::ResourceLimits;
+use crate::start_times::{WallClock, WallClockHistory};
+use crate::state::{ControllerHandle, NodeConfig};
 use saltdrum::interface::*;
 use saltdrum_controller::InvocationTable;
 use saltdrum_controller::MakePolicy;
@@ -20,29 +21,29 @@
 use tracing::{info, warn};
 
 /// For so long after SIGTERM invocations still come, on connections old and new.
-const STILL_COME: Duration = Duration::from_millis(800);
+const ACCEPT_GRACE: Duration = Duration::from_millis(800);
 /// A bad file is read again so often and so many times: a second in all, well within the 4 s after which what the feed has
 /// to tell counts as told.
-const REREAD_EVERY: Duration = Duration::from_millis(100);
-const REREADS: usize = 10;
+const RELOAD_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+const RELOAD_RETRIES_MAX: usize = 10;
 /// How often it is looked whether all is answered.
-const LOOK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// The platform kills what was told to end no sooner than the longest client timeout, counted as this where it is longer,
 /// and so much more after it.
-const KILLED_AFTER_MOST: Duration = Duration::from_secs(3);
-const KILLED_AFTER_MORE: Duration = Duration::from_millis(700);
+const CLIENT_TIMEOUT_CAP: Duration = Duration::from_secs(3);
+const KILL_MARGIN: Duration = Duration::from_millis(700);
 /// Who stands still for less has too little of a core; for longer, it was stopped.
-const STOPPED_LEAST: Ticks = 500 * MILLISECOND;
+const STOPPED_THRESHOLD: Ticks = 500 * MILLISECOND;
 /// A signal that is heard within this is heard at once.
-const HEARD_AT_ONCE: Duration = Duration::from_millis(40);
+const SIGNAL_DELAY_TOLERANCE: Duration = Duration::from_millis(40);
 /// Kept of that for the last answers' way, and for a signal that was heard late.
-const LAST_ANSWERS: Duration = Duration::from_millis(200);
+const FINAL_RESPONSE_MARGIN: Duration = Duration::from_millis(200);
 /// What was answered has so long to arrive before the process ends: a little more than one client's last words.
-const ARRIVES: Duration = Duration::from_millis(400);
+const RESPONSE_DELIVERY_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Why a controller can't be started.
 #[derive(Debug, thiserror::Error)]
-pub enum Failure {
+pub enum StartError {
     #[error("{place}: {why}")]
     Unreadable { place: String, why: std::io::Error },
     #[error("{place}: {fault}")]
@@ -59,31 +60,8 @@
     Signals(std::io::Error),
 }
 
-/// Where a controller sits on the platform.
-pub struct ControllerConfig {
-    pub(crate) seed: u64,
-    pub(crate) deployment: Deployment,
-    pub(crate) trigger_names: Rc<[String]>,
-    pub(crate) tenant_names: Vec<String>,
-    pub(crate) budget: Budget,
-    pub(crate) clients: Clients,
-    pub(crate) feed: Feed,
-    pub(crate) wall_clock: WallClock,
-    /// How the wall clock has stood, to tell starts of invokers by.
-    pub(crate) wall_settings: RefCell<WallSettings>,
-}
-
-impl ControllerConfig {
-    /// Keeps in mind how the wall clock stands.
-    pub(crate) fn look_at_wall_clock(&self, now: Ticks) {
-        self.wall_settings
-            .borrow_mut()
-            .seen((self.wall_clock)(), now);
-    }
-}
-
 /// What a controller is started with.
-pub struct Life {
+pub struct StartOptions {
     pub config: PathBuf,
     /// As the environment says it; must be what the file says, where it is said.
     pub listen: Option<String>,
@@ -92,13 +70,13 @@
     pub wall_clock: WallClock,
 }
 
-fn read(life: &Life) -> Result<Config, Failure> {
+fn read(life: &StartOptions) -> Result<Config, StartError> {
     let place = life.config.display().to_string();
-    let text = std::fs::read_to_string(&life.config).map_err(|why| Failure::Unreadable {
+    let text = std::fs::read_to_string(&life.config).map_err(|why| StartError::Unreadable {
         place: place.clone(),
         why,
     })?;
-    let config = config::read(&text).map_err(|fault| Failure::Config { place, fault })?;
+    let config = config::read(&text).map_err(|fault| StartError::Config { place, fault })?;
     let listen = config.listen.to_string();
     let said = [
         ("RELAY_LISTEN", &life.listen, listen),
@@ -106,7 +84,7 @@
     ];
     for (what, got, expected) in said {
         if let Some(got) = got.as_ref().filter(|got| **got != expected) {
-            return Err(Failure::Differs {
+            return Err(StartError::Differs {
                 what,
                 got: got.clone(),
                 expected,
@@ -118,13 +96,13 @@
 
 /// Runs one controller until SIGTERM and its last answer.
 pub async fn serve(
-    life: Life,
+    life: StartOptions,
     network: Rc<dyn Network>,
     clock: Clock,
     make: MakePolicy,
-) -> Result<(), Failure> {
-    let mut reloads = signal(SignalKind::hangup()).map_err(Failure::Signals)?;
-    let mut ends = signal(SignalKind::terminate()).map_err(Failure::Signals)?;
+) -> Result<(), StartError> {
+    let mut reloads = signal(SignalKind::hangup()).map_err(StartError::Signals)?;
+    let mut ends = signal(SignalKind::terminate()).map_err(StartError::Signals)?;
     let handle = start(read(&life)?, life.wall_clock.clone(), network, clock, make).await?;
     loop {
         tokio::select! {
@@ -156,17 +134,17 @@
     network: Rc<dyn Network>,
     clock: Clock,
     make: MakePolicy,
-) -> Result<Rc<ControllerHandle>, Failure> {
+) -> Result<Rc<ControllerHandle>, StartError> {
     let (now, d) = (clock.now(), config.deployment);
-    let budget = Budget::of(&config.limits);
+    let budget = ResourceLimits::of(&config.limits);
     info!(
         name = config.name,
         ?budget,
         controllers = d.controllers,
-        "starts"
+        "controller starting"
     );
     let trigger_names: Rc<[String]> = config.trigger_names.into();
-    let reach = Lines::new(
+    let reach = InvokerPools::new(
         budget,
         config.connect_timeout,
         config.conn_idle,
@@ -174,15 +152,15 @@
     );
     let mut invocations = InvocationTable::new(now, reach, &d, config.order_timeout);
     let module = make(now, d.clone(), config.seed, &mut invocations);
-    let seat = ControllerConfig {
+    let seat = NodeConfig {
         seed: config.seed,
         deployment: d,
         trigger_names,
         tenant_names: config.tenant_names,
         budget,
         clients: Clients::default(),
-        feed: Feed::new(config.feed, config.known.0),
-        wall_settings: RefCell::new(WallSettings::new(wall_clock(), now)),
+        feed: EndpointWatch::new(config.feed, config.known.0),
+        wall_clock_history: RefCell::new(WallClockHistory::new(wall_clock(), now)),
         wall_clock,
     };
     let handle = Rc::new(ControllerHandle::new(
@@ -197,27 +175,27 @@
         for (_, event) in &config.known.1 {
             match event {
                 Event::Nothing => {}
-                Event::Whole(lines) => feed::tell(&handle, state, now, true, lines),
-                Event::Changes(lines) => feed::tell(&handle, state, now, false, lines),
+                Event::Whole(lines) => endpoint_watch::tell(&handle, state, now, true, lines),
+                Event::Changes(lines) => endpoint_watch::tell(&handle, state, now, false, lines),
             }
         }
     });
     let (at, opened_at) = (Address::Tcp(config.listen.to_string()), clock.now());
     let listening = handle.network.listen(&at).await;
-    let (door, _) = listening.map_err(|why| Failure::Listen {
+    let (door, _) = listening.map_err(|why| StartError::Listen {
         at: at.to_string(),
         why,
     })?;
     let turns = handle.event_loop.clone();
     spawn_local(run_event_loop_clock(turns, clock, |_, gap| {
-        let stood_ms = gap / MILLISECOND;
-        if gap >= STOPPED_LEAST {
-            warn!(stood_ms, "this controller stood still");
+        let for_ms = gap / MILLISECOND;
+        if gap >= STOPPED_THRESHOLD {
+            warn!(for_ms, "process was stopped");
         } else {
-            info!(stood_ms, "this controller stood still");
+            info!(for_ms, "process was stopped");
         }
     }));
-    spawn_local(feed::follow(handle.clone()));
+    spawn_local(endpoint_watch::follow(handle.clone()));
     spawn_local(clients::sweep(handle.clone()));
     let timers = handle.clone();
     spawn_local(async move { timers.run_timers().await });
@@ -231,11 +209,11 @@
     let Err(why) = follow_file(config, handle) else {
         return;
     };
-    warn!(%why, "the new configuration is bad: the old one stands");
+    warn!(%why, "configuration reload failed, the old one stands");
     let (config, handle) = (config.to_owned(), handle.clone());
     spawn_local(async move {
-        for _ in 0..REREADS {
-            tokio::time::sleep(REREAD_EVERY).await;
+        for _ in 0..RELOAD_RETRIES_MAX {
+            tokio::time::sleep(RELOAD_RETRY_INTERVAL).await;
             if follow_file(&config, &handle).is_ok() {
                 return;
             }
@@ -244,14 +222,14 @@
 }
 
 /// Follows the feed where the file says that it is.
-fn follow_file(config: &Path, handle: &ControllerHandle) -> Result<(), Failure> {
+fn follow_file(config: &Path, handle: &ControllerHandle) -> Result<(), StartError> {
     let place = config.display().to_string();
-    let text = std::fs::read_to_string(config).map_err(|why| Failure::Unreadable {
+    let text = std::fs::read_to_string(config).map_err(|why| StartError::Unreadable {
         place: place.clone(),
         why,
     })?;
-    let address = config::read_feed(&text).map_err(|fault| Failure::Config { place, fault })?;
-    info!(%address, "configuration read again");
+    let address = config::read_feed(&text).map_err(|fault| StartError::Config { place, fault })?;
+    info!(%address, "configuration reloaded");
     handle.config.feed.moves(address);
     Ok(())
 }
@@ -267,44 +245,46 @@
         .map(|t| t.client_timeout)
         .max()
         .unwrap_or(0);
-    let killed = Duration::from_micros(longest * 100).min(KILLED_AFTER_MOST) + KILLED_AFTER_MORE;
+    let killed = Duration::from_micros(longest * 100).min(CLIENT_TIMEOUT_CAP) + KILL_MARGIN;
     // A process that was stopped hears late that it is to end; when it is killed counts from when it was told.
     let told_ago = Duration::from_micros(handle.event_loop.max_wait(handle.clock.now()) * 100);
-    let killed = if told_ago > HEARD_AT_ONCE {
+    let killed = if told_ago > SIGNAL_DELAY_TOLERANCE {
         killed.saturating_sub(told_ago)
     } else {
         killed
     };
-    info!(
-        ?told_ago,
-        "told to end: takes what still comes, then answers the rest"
-    );
-    clients.go_away();
+    info!(?told_ago, "shutting down: draining");
+    clients.send_go_away();
     let answered = async {
-        tokio::time::sleep(STILL_COME).await;
+        tokio::time::sleep(ACCEPT_GRACE).await;
         clients.shut();
         while !is_quiet(handle).await {}
     };
     match tokio::time::timeout(
-        killed.saturating_sub(LAST_ANSWERS).max(STILL_COME),
+        killed
+            .saturating_sub(FINAL_RESPONSE_MARGIN)
+            .max(ACCEPT_GRACE),
         answered,
     )
     .await
     {
-        Ok(()) => info!("all is answered: ends"),
+        Ok(()) => info!("drained, stopping"),
         Err(_) => {
             let owed = handle.update(|state| state.answer_all());
-            warn!(owed, "ends before all is settled: the rest is answered now");
+            warn!(owed, "drain timed out, remaining invocations answered now");
         }
     }
     clients.close();
     let arrived = async {
         while !clients.are_gone() {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    if tokio::time::timeout(ARRIVES, arrived).await.is_err() {
-        warn!("ends with answers that nobody reads");
+    if tokio::time::timeout(RESPONSE_DELIVERY_TIMEOUT, arrived)
+        .await
+        .is_err()
+    {
+        warn!("stopped with unread responses");
     }
 }
 
@@ -315,10 +295,10 @@
     let clients = &handle.config.clients;
     let (was_shut, before) = (clients.is_shut(), clients.frames());
     // The machine is asked before a sleep ends, and whoever it wakes is queued before the task that follows.
-    tokio::time::sleep(LOOK).await;
+    tokio::time::sleep(POLL_INTERVAL).await;
     for _ in 0..2 {
         let _ = spawn_local(async {}).await;
     }
     let owed = handle.inspect(|state| state.invocations.awaiting_response()) > 0;
-    was_shut && !owed && !clients.are_under_way() && clients.frames() == before
+    was_shut && !owed && !clients.have_pending_output() && clients.frames() == before
 }
--- a/crates/platform/src/starts.rs
+++ b/crates/platform/src/start_times.rs
@@ -11,14 +11,14 @@
 pub type WallClock = Rc<dyn Fn() -> u64>;
 
 /// So many different settings of the wall clock are kept in mind.
-const SETTINGS_MOST: usize = 16;
+const OFFSETS_MAX: usize = 16;
 /// Settings that differ by less are one that drifts.
-const DRIFT_MOST: i64 = 50 * MILLISECOND as i64;
+const DRIFT_MAX: i64 = 50 * MILLISECOND as i64;
 
 /// How the wall clock has stood: what it read, in tenths of a millisecond, when the controller's clock read 0.
-pub(crate) struct WallSettings(VecDeque<i64>);
+pub(crate) struct WallClockHistory(VecDeque<i64>);
 
-impl WallSettings {
+impl WallClockHistory {
     /// The wall clock reads this at the start.
     pub fn new(unix_ms: u64, now: Ticks) -> Self {
         Self([origin(unix_ms, now)].into())
@@ -28,10 +28,10 @@
     pub fn seen(&mut self, unix_ms: u64, now: Ticks) {
         let origin = origin(unix_ms, now);
         match self.0.back_mut() {
-            Some(last) if (origin - *last).abs() <= DRIFT_MOST => *last = origin,
+            Some(last) if (origin - *last).abs() <= DRIFT_MAX => *last = origin,
             _ => self.0.push_back(origin),
         }
-        if self.0.len() > SETTINGS_MOST {
+        if self.0.len() > OFFSETS_MAX {
             self.0.pop_front();
         }
     }
--- a/crates/platform/src/starts/tests.rs
+++ b/crates/platform/src/start_times/tests.rs
@@ -13,7 +13,7 @@
 fn a_start_is_when_it_was_however_the_wall_clock_is_stepped() {
     let now = 4_000 * SECOND;
     for stepped_ms in [HOUR_MS, -HOUR_MS, 3_000, -3_000, 120, -120] {
-        let mut settings = WallSettings::new(wall(now, 0), now);
+        let mut settings = WallClockHistory::new(wall(now, 0), now);
         // Started before the step and heard of after it, then started after it.
         let (before, after, heard) = (
             now + SECOND,
@@ -50,13 +50,13 @@
 
 #[test]
 fn a_start_that_no_setting_explains_is_now() {
-    let settings = WallSettings::new(UNIX_MS, 100 * SECOND);
+    let settings = WallClockHistory::new(UNIX_MS, 100 * SECOND);
     assert_eq!(settings.start(UNIX_MS + 5_000, 101 * SECOND), 101 * SECOND);
 }
 
 #[test]
 fn settings_are_bounded_and_drift_is_none() {
-    let mut settings = WallSettings::new(UNIX_MS, 0);
+    let mut settings = WallClockHistory::new(UNIX_MS, 0);
     for n in 1..1_000 {
         settings.seen(UNIX_MS + n * 1_000 + n, n * SECOND);
     }
@@ -64,5 +64,5 @@
     for n in 1_000..2_000 {
         settings.seen(UNIX_MS + n * 9_000, n * SECOND);
     }
-    assert_eq!(settings.0.len(), SETTINGS_MOST);
+    assert_eq!(settings.0.len(), OFFSETS_MAX);
 }
--- a/crates/platform/src/closes.rs
+++ b/crates/platform/src/tests/closes.rs
@@ -1,8 +1,8 @@
 //! Before any close of ours, all that lies in the machine is read and answered. Over loopback sockets, as `crossings`.
 
-use crate::connection::Entry;
-use crate::crossings::{Conn, Stage, before_their_turn, http, staged, until};
-use crate::tests::First;
+use crate::client_connection::Entry;
+use crate::tests::socket_support::{Conn, Stage, before_their_turn, http, staged, until};
+use crate::tests::support::First;
 use saltdrum_platform_wire::frames::{self, Code};
 
 /// The frames that a connection had until it was ended: kind, stream, code.
--- a/crates/platform/src/in_time.rs
+++ b/crates/platform/src/tests/deadlines.rs
@@ -1,8 +1,8 @@
 //! Crossings that are made of time, in virtual time: silences of the feed, drains within a grace, the end before a kill,
 //! and settings at their edges. Those of single turns are in `crossings`.
 
-use crate::life::leave;
-use crate::tests::{
+use crate::lifecycle::leave;
+use crate::tests::support::{
     RESTED, Stage, TOLD, answer, configuration, feed_at, first, invoker_at, pass, staged,
 };
 use bytes::Bytes;
--- a/crates/platform/src/no_excuse.rs
+++ b/crates/platform/src/tests/degraded_peers.rs
@@ -1,6 +1,6 @@
 //! Trouble at invokers, or with other clients, frees no request of its final answer in its time. In virtual time.
 
-use crate::tests::{Stage, answer, pass, staged};
+use crate::tests::support::{Stage, answer, pass, staged};
 use saltdrum_controller::dispatch_policy;
 use saltdrum_fakes::platform::{Call, FrameClient, Heard, Spoilt};
 use saltdrum_platform_wire::frames::{self, Code};
--- a/crates/platform/src/stalls.rs
+++ b/crates/platform/src/tests/stalls.rs
@@ -2,7 +2,7 @@
 //! for who left meanwhile. Over loopback sockets, as `crossings`; the test stands still in its own turn, and with it the
 //! controller.
 
-use crate::crossings::{Stage, before_their_turn, http, staged, until};
+use crate::tests::socket_support::{Stage, before_their_turn, http, staged, until};
 use saltdrum::interface::*;
 use saltdrum_controller::Policy;
 use saltdrum_platform_wire::frames;
