--- a/crates/platform/src/tests/closes.rs
+++ b/crates/platform/src/tests/closes.rs
@@ -25,7 +25,7 @@
 
 /// What was taken before a frame that can't be read was given up without an answer.
 #[test]
-fn a_good_request_before_a_malformed_frame_is_answered() {
+fn answers_valid_request_before_malformed_frame() {
     for (dispatched, code) in [(true, Code::Errored), (false, Code::Errored)] {
         staged(|| async move {
             let stage = Stage::new().await;
@@ -52,7 +52,7 @@
 
 /// A request that crosses the close of an idle connection: the client has heard that it ends, and not yet acted on it.
 #[test]
-fn what_comes_while_an_idle_connection_is_closed_is_refused() {
+fn rejects_request_crossing_idle_close() {
     staged(|| async {
         let stage = Stage::new().await;
         let mut client = stage.known().await;
@@ -78,7 +78,7 @@
 
 /// So many are going that one has to go at once: what lies in the machine is answered all the same.
 #[test]
-fn what_lies_on_a_connection_that_is_hurried_is_refused() {
+fn rejects_buffered_request_on_evicted_connection() {
     staged(|| async {
         let stage = Stage::new().await;
         let mut clients = Vec::new();
@@ -102,7 +102,7 @@
 
 /// All places are taken by clients with something open: who comes was closed unread.
 #[test]
-fn who_comes_when_all_are_busy_is_refused_and_the_others_are_served() {
+fn rejects_new_client_when_all_are_busy_and_serves_others() {
     staged(|| async {
         let stage = Stage::with_sockets(|_, _, _, _| Box::new(First), &[], 48).await;
         let (mut busy, mut lines) = (Vec::new(), Vec::new());
@@ -131,7 +131,7 @@
 
 /// All is answered, and the process ends: a client that has not heard of it yet sends one more.
 #[test]
-fn what_comes_after_the_last_answers_on_an_open_connection_is_refused() {
+fn rejects_request_after_final_responses() {
     staged(|| async {
         let stage = Stage::new().await;
         let mut client = stage.known().await;
@@ -144,7 +144,7 @@
 
 /// Half a frame that is never ended, with a good request open before it.
 #[test]
-fn a_request_before_half_a_frame_is_answered() {
+fn answers_request_before_partial_frame() {
     staged(|| async {
         let stage = Stage::new().await;
         let mut client = stage.client();
--- a/crates/platform/src/tests/deadlines.rs
+++ b/crates/platform/src/tests/deadlines.rs
@@ -114,7 +114,7 @@
 /// What a silent feed would have told counts as told 4 s after it fell silent, whatever it does when it is asked again:
 /// the waits of two silences were 4.5 s. A byte now and then, or empty frames, kept a feed from ever being asked.
 #[test]
-fn what_a_silent_feed_would_have_told_is_known_before_it_counts_as_told() {
+fn recovers_events_of_silent_feed_within_bound() {
     const CASES: [(&[Does], u64); 5] = [
         (&[Does::FallsSilent(3), Does::Tells], 2_010),
         (
@@ -136,7 +136,7 @@
 
 /// Sound, by test: the timers of a drain that was taken back do not act on the next one.
 #[test]
-fn drain_ready_drain_within_a_grace_goes_by_the_last() {
+fn repeated_drain_within_grace_uses_last_status() {
     staged(|| async {
         // The module takes no notice of the list: what is sent, and what is not, is the pool's doing alone.
         let stage = Stage::new(first, &[1], 256).await;
@@ -171,7 +171,7 @@
 /// An answer came after its invoker had gone and come again under the same id elsewhere: its line went into the new pool,
 /// and the next request to the old place.
 #[test]
-fn a_line_from_before_is_not_used_for_who_came_after() {
+fn does_not_reuse_connection_of_previous_incarnation() {
     staged(|| async {
         let mut stage = Stage::new(first, &[1], 256).await;
         let old = stage.invokers[&1].clone();
@@ -211,7 +211,7 @@
 /// With client timeouts beyond what a restart waits for, what an invoker never answered was still owed when the process was
 /// killed, 3.7 s after it was told to end. Readiness asked while ending is answered no.
 #[test]
-fn what_can_not_be_settled_before_the_kill_is_answered_before_it() {
+fn answers_unfinished_invocations_before_kill() {
     staged(|| async {
         let text = changed(|c| {
             c["settings"]["classes"]
@@ -277,7 +277,7 @@
 /// New versions of what is loaded, on a quiet day: all copies are gone at once. No wave of orders follows (the ration is
 /// judged on the traffic), and all is served again.
 #[test]
-fn copies_that_are_all_gone_at_once_are_loaded_again_without_a_wave() {
+fn reloads_lost_instances_without_load_spike() {
     staged(|| async {
         let stage = Stage::new(dispatch_policy, &[1, 2], 256).await;
         let mut client = stage.client().await;
@@ -349,7 +349,7 @@
 /// Another customer's settings: any two values drawn anew, left out, zero or at an edge. The file is refused in one line,
 /// or the controller starts, answers each invocation once and in time, and keeps what is judged on the traffic.
 #[test]
-fn drawn_settings_are_refused_in_one_line_or_served_by_the_rules() {
+fn random_settings_are_rejected_in_one_line_or_served_by_the_rules() {
     let mut all = Vec::new();
     let base: Value = serde_json::from_str(&configuration(&[1, 2], 256)).unwrap();
     paths("/settings".into(), &base["settings"], &mut all);
@@ -486,7 +486,7 @@
 /// Clients that close or cancel while their invocation is dispatched, waits for a copy, for the ration, or for a further
 /// try: the judge finds nothing that was sent on, first attempt or further, over 0.1 s later, and nothing is kept.
 #[test]
-fn who_leaves_at_any_time_is_not_sent_on() {
+fn never_dispatches_after_client_left_at_any_time() {
     const SPOILT: [Spoilt; 6] = [
         Spoilt::No,
         Spoilt::Miss,
@@ -544,7 +544,7 @@
 
 /// Noise in place of a frame of the feed: it is asked again, and what it told stands.
 #[test]
-fn noise_from_the_feed_changes_nothing() {
+fn ignores_malformed_feed_data() {
     staged(|| async {
         let stage = Stage::new(dispatch_policy, &[1], 256).await;
         let (network, at) = (stage.network.clone(), feed_at(3));
--- a/crates/platform/src/tests/degraded_peers.rs
+++ b/crates/platform/src/tests/degraded_peers.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn whatever_invokers_do_all_are_answered_in_time() {
+fn answers_all_in_time_with_faulty_invokers() {
     use Spoilt as S;
     for spoilt in [
         S::Silent,
@@ -67,7 +67,7 @@
 
 /// No connection to an invoker can be made: all descriptors of its part are used by requests that nobody answers.
 #[test]
-fn without_a_descriptor_left_all_are_answered_in_time() {
+fn answers_all_in_time_without_free_descriptors() {
     staged(|| async {
         let stage = Stage::new(dispatch_policy, &[1, 2], 32).await;
         stage
@@ -80,7 +80,7 @@
 
 /// One client asks without end and one never reads what it is told; a third is served as ever.
 #[test]
-fn who_floods_and_who_never_reads_harm_nobody_else() {
+fn flooding_and_stalled_clients_affect_nobody_else() {
     staged(|| async {
         let stage = Stage::new(dispatch_policy, &[1, 2], 256).await;
         let (mut floods, mut never_reads) = (stage.client().await, stage.client().await);
@@ -132,7 +132,7 @@
 /// Found on a short day of the fleet bench (crowd): each of a crowd of idle clients took 10 ms at the door, so that who came
 /// behind them waited for seconds.
 #[test]
-fn who_comes_behind_a_crowd_of_idle_clients_is_served_at_once() {
+fn serves_new_client_behind_many_idle_clients() {
     const CROWD: usize = 400;
     staged(|| async {
         let stage = Stage::new(dispatch_policy, &[1], 64).await;
--- a/crates/platform/src/tests/races.rs
+++ b/crates/platform/src/tests/races.rs
@@ -20,7 +20,7 @@
 /// A reset that the writer meets before the reader has heard of it. The writer, which had ended, was asked again for its
 /// last words: its task died of it, the client stayed in the tables and what it had open was never given up.
 #[test]
-fn a_reset_that_an_answer_meets_is_a_client_that_left() {
+fn reset_during_response_counts_as_client_left() {
     staged(|| async {
         let stage = Stage::new().await;
         let mut client = stage.client();
@@ -53,7 +53,7 @@
 /// `left` was told after the last words, which a client that does not read takes 300 ms of: all of the term in which
 /// nothing may be sent on.
 #[test]
-fn who_has_left_is_told_of_before_its_last_words() {
+fn reports_client_left_before_closing_handshake() {
     staged(|| async {
         let stage = Stage::new().await;
         let mut client = stage.client();
@@ -91,7 +91,7 @@
 /// The reader went first: it took and dispatched what it found, and in the same turn the connection was closed. Its client
 /// brings it again on a new connection, and a non-idempotent one had left.
 #[test]
-fn nothing_is_taken_on_a_connection_that_is_to_be_closed() {
+fn rejects_request_on_closing_connection() {
     staged(|| async {
         let stage = Stage::new().await;
         let mut client = stage.known().await;
@@ -129,7 +129,7 @@
 
 /// A close with bytes unread is a reset, and a reset throws away what the machine had not sent yet.
 #[test]
-fn an_answer_that_is_on_its_way_survives_the_close_of_its_connection() {
+fn pending_response_survives_connection_close() {
     staged(|| async {
         let stage = Stage::new().await;
         let mut client = stage.client();
@@ -162,7 +162,7 @@
 
 /// The end was reached in the turn in which nothing was owed: what lay in the machine then was cut off with the process.
 #[test]
-fn what_lies_in_the_machine_at_the_end_is_still_taken() {
+fn shutdown_accepts_buffered_requests() {
     staged(|| async {
         let stage = Stage::new().await;
         let mut client = stage.known().await;
@@ -188,7 +188,7 @@
 
 /// Connections that the machine has accepted and the controller has not, with a request in each, when its wait ends.
 #[test]
-fn who_waits_at_the_door_at_the_end_is_let_in() {
+fn shutdown_accepts_pending_connections() {
     staged(|| async {
         let stage = Stage::new().await;
         let mut known = stage.known().await;
@@ -225,7 +225,7 @@
 
 /// An answer out of the outbox is not with its client yet: the end waits until it has been read, or a moment.
 #[test]
-fn the_end_waits_for_answers_to_arrive_and_not_for_who_never_reads() {
+fn shutdown_waits_for_delivery_but_not_for_stalled_readers() {
     staged(|| async {
         let stage = Stage::new().await;
         let (mut reads, mut never) = (stage.known().await, stage.known().await);
@@ -257,7 +257,7 @@
 
 /// A second answer that comes while the next request is already there would be read as that one's.
 #[test]
-fn a_second_answer_is_never_taken_for_the_next_requests() {
+fn duplicate_response_is_not_read_as_next_response() {
     staged(|| async {
         let stage = Stage::new().await;
         let mut client = stage.known().await;
@@ -313,7 +313,7 @@
 
 /// Sound, by test: a dial that comes up late brings nothing of a client that has left meanwhile.
 #[test]
-fn a_dial_that_comes_up_late_sends_nothing_of_who_has_left() {
+fn late_connect_sends_nothing_for_departed_client() {
     for leaves in [Leaves::Says, Leaves::Closes, Leaves::Resets] {
         staged(|| async move {
             let stage = Stage::new().await;
@@ -354,7 +354,7 @@
 
 /// Sound, by test: type 18 in the same read as its request, before it, twice, and for a stream that was answered.
 #[test]
-fn leaving_in_the_same_breath_as_asking_sends_nothing() {
+fn request_cancelled_at_once_is_not_sent() {
     staged(|| async {
         let stage = Stage::new().await;
         let mut client = stage.known().await;
@@ -397,7 +397,7 @@
 
 /// Sound, by test: an idle line that breaks before, in or after the write. Dialled again only where nothing can have run.
 #[test]
-fn a_line_that_breaks_under_a_request_is_replaced_only_if_nothing_left_whole() {
+fn replaces_broken_connection_only_if_request_was_not_sent_completely() {
     for after in [false, true] {
         staged(|| async move {
             let stage = Stage::new().await;
@@ -450,7 +450,7 @@
 
 /// Sound, by test: what has something open is never chosen to make room.
 #[test]
-fn nobody_with_an_open_invocation_makes_room() {
+fn never_evicts_client_with_open_invocation() {
     staged(|| async {
         let stage = Stage::new().await;
         let mut busy = stage.known().await;
@@ -488,7 +488,7 @@
 
 /// Every invocation was the first tenant's, whoever's it was.
 #[test]
-fn an_invocation_is_its_tenants_where_there_are_tenants() {
+fn assigns_invocation_to_its_tenant() {
     for tenants in [&["a hall", "b.2"][..], &[]] {
         staged(|| async move {
             let stage = Stage::of(|_, _, _, _| Box::new(Whose), tenants).await;
@@ -528,7 +528,7 @@
 
 /// Sound, by test: an answer in pieces of one byte, with 1xx before it, is one answer.
 #[test]
-fn an_answer_in_pieces_of_one_byte_is_read_whole() {
+fn reads_response_sent_byte_by_byte() {
     staged(|| async {
         let stage = Stage::new().await;
         let mut client = stage.known().await;
@@ -549,7 +549,7 @@
 /// Sound, by test: a drain that is heard while a dial is under way. What has not begun to leave half a grace later never
 /// does, whenever the dial comes up; and it is told as never run.
 #[test]
-fn a_dial_that_comes_up_after_a_drain_sends_nothing() {
+fn late_connect_sends_nothing_to_draining_invoker() {
     staged(|| async {
         let stage = Stage::new().await;
         let mut client = stage.known().await;
@@ -583,7 +583,7 @@
 /// Found by rereading: who was let in after the last answers had been given, as with client timeouts so short that the door
 /// shuts in that turn, was taken by a process that had no time left for it.
 #[test]
-fn who_comes_in_after_the_last_answers_is_not_taken() {
+fn rejects_client_after_final_responses() {
     staged(|| async {
         let stage = Stage::new().await;
         stage.handle.config.clients.close();
--- a/crates/platform/src/tests/stalls.rs
+++ b/crates/platform/src/tests/stalls.rs
@@ -21,7 +21,7 @@
 
 /// The time left was worded when the attempt was chosen, before the dial.
 #[test]
-fn a_slow_dial_takes_from_the_time_that_an_invoker_is_told() {
+fn slow_connect_reduces_stated_time_limit() {
     staged(|| async {
         let stage = Stage::new().await;
         let mut client = stage.known().await;
@@ -66,7 +66,7 @@
 /// Found by reading: a repeat under a token was decided within its window, and left after it, as its dial was slow or the
 /// process stood still meanwhile. Invokers drop repeats within the window alone.
 #[test]
-fn what_may_leave_until_an_instant_does_not_leave_after_it() {
+fn request_is_not_sent_after_its_deadline() {
     staged(|| async {
         let stage = Stage::with_sockets(|_, _, _, _| Box::new(LeavesSoon), &[], 256).await;
         let mut client = stage.known().await;
@@ -84,7 +84,7 @@
 
 /// A connection that was made, with a request in it, while the process stood still was taken for one of now.
 #[test]
-fn what_lay_at_the_door_while_the_process_stood_still_has_the_less_time() {
+fn stop_before_accept_reduces_time_limit() {
     staged(|| async {
         let stage = Stage::new().await;
         stage.known().await;
@@ -103,7 +103,7 @@
 
 /// Sound, by test: the same on a connection that is known.
 #[test]
-fn what_lay_in_the_socket_while_the_process_stood_still_has_the_less_time() {
+fn stop_before_read_reduces_time_limit() {
     staged(|| async {
         let stage = Stage::new().await;
         let mut client = stage.known().await;
@@ -129,7 +129,7 @@
 /// Requests that fill the read buffer some times over, and behind them the news that nobody waits: all of it came while the
 /// process stood still, and the first requests were sent on before the last bytes were read.
 #[test]
-fn what_is_cancelled_behind_a_full_read_buffer_is_not_sent_on() {
+fn cancel_behind_full_read_buffer_prevents_dispatch() {
     for leaves in [Leaves::Cancels, Leaves::Closes] {
         staged(|| async move {
             let stage = Stage::new().await;
@@ -159,7 +159,7 @@
 
 /// A repeat, or what waited for a load, falls due in the turn in which the process wakes; the close lies in the machine.
 #[test]
-fn what_falls_due_when_the_process_wakes_is_not_sent_on_for_who_left() {
+fn timer_due_after_stop_does_not_dispatch_for_departed_client() {
     staged(|| async {
         let stage = Stage::new().await;
         let mut client = stage.known().await;
