--- a/crates/platform/src/admission.rs
+++ b/crates/platform/src/admission.rs
@@ -15,7 +15,30 @@
 /// without it the invocation counts as lost. Only a process that was stopped comes so late.
 const LATE_RESPONSE_GRACE: Ticks = 500 * MILLISECOND;
 
-/// Takes an invocation that came at `earliest` or later; `Err` says why it can't be taken.
+/// Why an invocation is not admitted. The text is the body of the response.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum AdmissionError {
+    #[error(transparent)]
+    Malformed(#[from] saltdrum_platform_wire::Malformed),
+    #[error("verb '{0}': not one of this deployment")]
+    UnknownTrigger(String),
+    #[error("team '{0}': not one of this deployment")]
+    UnknownTenant(String),
+    #[error("team: needed in this deployment")]
+    TenantMissing,
+    #[error("limit {0}: more than the client timeout")]
+    LimitTooLong(f64),
+    #[error("unique: needed for this verb")]
+    TokenMissing,
+    #[error("memory_mb {0}: more than any invoker has")]
+    TooMuchMemory(f64),
+    #[error("the client timeout is over")]
+    Expired,
+    #[error("txn: open already")]
+    TransactionOpen,
+}
+
+/// Admits an invocation that came at `earliest` or later; `Err` says why it can't be taken.
 pub(crate) fn admit(
     handle: &Rc<ControllerHandle>,
     state: &mut ControllerState,
@@ -24,33 +47,29 @@
     request: Request,
     earliest: Ticks,
     backlog: &ReadBacklog,
-) -> Result<(), String> {
+) -> Result<(), AdmissionError> {
     let (seat, invocations) = (&handle.config, &mut state.invocations);
     let trigger = seat
         .trigger_names
         .iter()
         .position(|n| *n == request.trigger);
-    let trigger =
-        trigger.ok_or_else(|| format!("verb '{}': not one of this deployment", request.trigger))?;
+    let trigger = trigger.ok_or_else(|| AdmissionError::UnknownTrigger(request.trigger.clone()))?;
     let stated = &seat.deployment.trigger_types[trigger];
     // Where there are no tenants the field says nothing; where there are, whose it is decides whose share it uses.
     let tenant = match &request.tenant {
         _ if seat.tenant_names.is_empty() => 0,
         Some(name) => {
             let tenant = seat.tenant_names.iter().position(|n| n == name);
-            tenant.ok_or_else(|| format!("team '{name}': not one of this deployment"))?
+            tenant.ok_or_else(|| AdmissionError::UnknownTenant(name.clone()))?
         }
-        None => return Err("team: needed in this deployment".into()),
+        None => return Err(AdmissionError::TenantMissing),
     };
     let limit = (request.limit_ms * MILLISECOND as f64) as Ticks;
     if limit > stated.client_timeout {
-        return Err(format!(
-            "limit {}: more than the client timeout",
-            request.limit_ms
-        ));
+        return Err(AdmissionError::LimitTooLong(request.limit_ms));
     }
     if stated.effect == saltdrum::interface::Effect::IdempotencyKey && request.token.is_none() {
-        return Err("unique: needed for this verb".into());
+        return Err(AdmissionError::TokenMissing);
     }
     let memory_most = seat
         .deployment
@@ -59,10 +78,7 @@
         .copied()
         .fold(0.0, f64::max);
     if memory_most > 0.0 && request.memory_mb > memory_most {
-        return Err(format!(
-            "memory_mb {}: more than any invoker has",
-            request.memory_mb
-        ));
+        return Err(AdmissionError::TooMuchMemory(request.memory_mb));
     }
     let gone = earliest + limit;
     if invocations.now >= gone {
@@ -73,7 +89,7 @@
             waited_most_ms = (invocations.now - earliest) / MILLISECOND,
             "not taken: it may have waited for all of its time"
         );
-        return Err("the client timeout is over".into());
+        return Err(AdmissionError::Expired);
     }
     if !seat
         .clients
@@ -81,7 +97,7 @@
         .borrow_mut()
         .insert(request.txn)
     {
-        return Err("txn: open already".into());
+        return Err(AdmissionError::TransactionOpen);
     }
     let (txn, open_transactions) = (request.txn, seat.clients.open_transactions.clone());
     let reply = ClientResponder {
--- a/crates/platform/src/client_connection.rs
+++ b/crates/platform/src/client_connection.rs
@@ -4,7 +4,7 @@
 //! refused, with when to come back. A client that is closed for being idle hears so first (type 48) and has a moment in
 //! which whatever it had sent meanwhile still arrives.
 
-use crate::admission::admit;
+use crate::admission::{AdmissionError, admit};
 use crate::clients::{Client, CloseReason, NO_DEADLINE};
 use crate::state::ControllerHandle;
 use saltdrum::interface::{InvocationId, Ticks};
@@ -344,11 +344,12 @@
         return Ok(());
     }
     let taken = frames::request(payload)
-        .map_err(|e| e.to_string())
+        .map_err(AdmissionError::from)
         .and_then(|request| {
             handle.update(|state| admit(handle, state, client, stream, request, earliest, backlog))
         });
-    if let Err(why) = taken {
+    if let Err(error) = taken {
+        let why = error.to_string();
         debug!(why, "invocation rejected");
         client.put(
             frames::answer(stream, Code::Errored, None, why.as_bytes()),
--- a/crates/platform/src/lifecycle.rs
+++ b/crates/platform/src/lifecycle.rs
@@ -11,7 +11,7 @@
 use saltdrum_controller::MakePolicy;
 use saltdrum_platform_wire::config::{self, Config};
 use saltdrum_platform_wire::feed::Event;
-use saltdrum_transport::{Address, Clock, Network, run_event_loop_clock};
+use saltdrum_transport::{Address, Clock, Listener, Network, run_event_loop_clock};
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -116,7 +116,7 @@
     Ok(())
 }
 
-/// Puts a controller up: it knows its list before it listens.
+/// Starts a controller: it knows its list of invokers before it listens.
 pub(crate) async fn start(
     config: Config,
     wall_clock: WallClock,
@@ -124,26 +124,46 @@
     clock: Clock,
     make: MakePolicy,
 ) -> Result<Rc<ControllerHandle>, StartError> {
-    let (now, d) = (clock.now(), config.deployment);
+    let address = Address::Tcp(config.listen.to_string());
+    let handle = build(config, wall_clock, network, clock, make);
+    let opened_at = clock.now();
+    let listening = handle.network.listen(&address).await;
+    let (listener, _) = listening.map_err(|why| StartError::Listen {
+        at: address.to_string(),
+        why,
+    })?;
+    spawn_tasks(&handle, listener, opened_at);
+    Ok(handle)
+}
+
+/// The controller's state with the list of invokers that its configuration states; nothing runs yet.
+fn build(
+    config: Config,
+    wall_clock: WallClock,
+    network: Rc<dyn Network>,
+    clock: Clock,
+    make: MakePolicy,
+) -> Rc<ControllerHandle> {
+    let (now, deployment) = (clock.now(), config.deployment);
     let budget = ResourceLimits::of(&config.limits);
     info!(
         name = config.name,
         ?budget,
-        controllers = d.controllers,
+        controllers = deployment.controllers,
         "controller starting"
     );
     let trigger_names: Rc<[String]> = config.trigger_names.into();
-    let reach = InvokerPools::new(
+    let pools = InvokerPools::new(
         budget,
         config.connect_timeout,
         config.conn_idle,
         trigger_names.clone(),
     );
-    let mut invocations = InvocationTable::new(now, reach, &d, config.order_timeout);
-    let module = make(now, d.clone(), config.seed, &mut invocations);
-    let seat = NodeConfig {
+    let mut invocations = InvocationTable::new(now, pools, &deployment, config.order_timeout);
+    let policy = make(now, deployment.clone(), config.seed, &mut invocations);
+    let node = NodeConfig {
         seed: config.seed,
-        deployment: d,
+        deployment,
         trigger_names,
         tenant_names: config.tenant_names,
         budget,
@@ -152,13 +172,8 @@
         wall_clock_history: RefCell::new(WallClockHistory::new(wall_clock(), now)),
         wall_clock,
     };
-    let handle = Rc::new(ControllerHandle::new(
-        module,
-        invocations,
-        clock,
-        network,
-        seat,
-    ));
+    let handle = ControllerHandle::new(policy, invocations, clock, network, node);
+    let handle = Rc::new(handle);
     handle.update(|state| {
         state.invocations.transport.know(&handle);
         for (_, event) in &config.known.1 {
@@ -169,14 +184,13 @@
             }
         }
     });
-    let (at, opened_at) = (Address::Tcp(config.listen.to_string()), clock.now());
-    let listening = handle.network.listen(&at).await;
-    let (door, _) = listening.map_err(|why| StartError::Listen {
-        at: at.to_string(),
-        why,
-    })?;
-    let turns = handle.event_loop.clone();
-    spawn_local(run_event_loop_clock(turns, clock, |_, gap| {
+    handle
+}
+
+/// Starts the tasks of a controller that listens.
+fn spawn_tasks(handle: &Rc<ControllerHandle>, listener: Box<dyn Listener>, opened_at: Ticks) {
+    let event_loop = handle.event_loop.clone();
+    spawn_local(run_event_loop_clock(event_loop, handle.clock, |_, gap| {
         let for_ms = gap / MILLISECOND;
         if gap >= STOPPED_THRESHOLD {
             warn!(for_ms, "process was stopped");
@@ -188,8 +202,7 @@
     spawn_local(clients::sweep(handle.clone()));
     let timers = handle.clone();
     spawn_local(async move { timers.run_timers().await });
-    spawn_local(clients::receive(handle.clone(), door, opened_at));
-    Ok(handle)
+    spawn_local(clients::receive(handle.clone(), listener, opened_at));
 }
 
 /// A file that is bad changes nothing. It may be one that is still being written when the signal comes, and no second
