--- a/crates/platform-wire/src/lib.rs
+++ b/crates/platform-wire/src/lib.rs
@@ -11,6 +11,7 @@
 /// Why bytes can't be taken for a message: what, and what was expected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Malformed {
+    /// A length outside its bounds, in bytes.
     #[error("{what} of {got} bytes: {least} to {most} are expected")]
     Length {
         what: &'static str,
@@ -18,12 +19,14 @@
         least: u64,
         most: u64,
     },
+    /// A value that is not allowed.
     #[error("{what} {got}: {expected}")]
     Value {
         what: &'static str,
         got: String,
         expected: &'static str,
     },
+    /// The bytes end before the value does.
     #[error("{what}: ends early")]
     Short { what: &'static str },
 }
--- a/crates/platform/src/admission.rs
+++ b/crates/platform/src/admission.rs
@@ -1,8 +1,8 @@
 //! Admission of an invocation: what is checked, and how long its client waits.
 
 use crate::clients::{Client, ClientResponder, NO_DEADLINE, OVERLOAD_RETRY_AFTER_MS};
-use crate::state::{ControllerHandle, ControllerState};
-use saltdrum::interface::{Invocation, MILLISECOND, Ticks};
+use crate::state::{ControllerHandle, ControllerState, NodeConfig};
+use saltdrum::interface::{FunctionId, Invocation, InvocationId, MILLISECOND, Ticks};
 use saltdrum_controller::{FinalResponse, Responder};
 use saltdrum_platform_wire::frames::Request;
 use saltdrum_transport::ReadBacklog;
@@ -48,38 +48,9 @@
     earliest: Ticks,
     backlog: &ReadBacklog,
 ) -> Result<(), AdmissionError> {
-    let (seat, invocations) = (&handle.config, &mut state.invocations);
-    let trigger = seat
-        .trigger_names
-        .iter()
-        .position(|n| *n == request.trigger);
-    let trigger = trigger.ok_or_else(|| AdmissionError::UnknownTrigger(request.trigger.clone()))?;
-    let stated = &seat.deployment.trigger_types[trigger];
-    // Where there are no tenants the field says nothing; where there are, whose it is decides whose share it uses.
-    let tenant = match &request.tenant {
-        _ if seat.tenant_names.is_empty() => 0,
-        Some(name) => {
-            let tenant = seat.tenant_names.iter().position(|n| n == name);
-            tenant.ok_or_else(|| AdmissionError::UnknownTenant(name.clone()))?
-        }
-        None => return Err(AdmissionError::TenantMissing),
-    };
-    let limit = (request.limit_ms * MILLISECOND as f64) as Ticks;
-    if limit > stated.client_timeout {
-        return Err(AdmissionError::LimitTooLong(request.limit_ms));
-    }
-    if stated.effect == saltdrum::interface::Effect::IdempotencyKey && request.token.is_none() {
-        return Err(AdmissionError::TokenMissing);
-    }
-    let memory_most = seat
-        .deployment
-        .machine_memory_mb
-        .iter()
-        .copied()
-        .fold(0.0, f64::max);
-    if memory_most > 0.0 && request.memory_mb > memory_most {
-        return Err(AdmissionError::TooMuchMemory(request.memory_mb));
-    }
+    let (node, invocations) = (&handle.config, &mut state.invocations);
+    let resolved = resolve(node, &request)?;
+    let limit = resolved.limit;
     let gone = earliest + limit;
     if invocations.now >= gone {
         invocations.counters.expired_on_arrival += 1;
@@ -87,11 +58,11 @@
             txn = format_args!("{:016x}", request.txn),
             limit_ms = request.limit_ms,
             waited_most_ms = (invocations.now - earliest) / MILLISECOND,
-            "not taken: it may have waited for all of its time"
+            "request rejected: client timeout may be over"
         );
         return Err(AdmissionError::Expired);
     }
-    if !seat
+    if !node
         .clients
         .open_transactions
         .borrow_mut()
@@ -99,7 +70,7 @@
     {
         return Err(AdmissionError::TransactionOpen);
     }
-    let (txn, open_transactions) = (request.txn, seat.clients.open_transactions.clone());
+    let (txn, open_transactions) = (request.txn, node.clients.open_transactions.clone());
     let reply = ClientResponder {
         client: client.clone(),
         stream,
@@ -107,14 +78,24 @@
         open_transactions,
         clock: handle.clock,
     };
-    let carried =
-        invocations
-            .transport
-            .carry(trigger, txn, request.token, request.body, backlog.clone());
+    let traits = FunctionTraits {
+        function: request.function,
+        work_hint_ms: request.work_hint_ms,
+        memory_mb: request.memory_mb,
+        concurrency_limit: request.lanes,
+        load_ms: request.load_ms,
+    };
+    let carried = invocations.transport.carry(
+        resolved.trigger,
+        txn,
+        request.token,
+        request.body,
+        backlog.clone(),
+    );
     let Some(carried) = carried else {
         debug!(
             txn = format_args!("{txn:016x}"),
-            "refused: no room for its input"
+            "request rejected: no memory for its input"
         );
         reply.respond(
             0,
@@ -126,30 +107,98 @@
     };
     let id = invocations.next_invocation();
     client.open.borrow_mut().insert(stream, id);
-    let tenths = |ms: f64| (ms * MILLISECOND as f64) as Ticks;
-    let invocation = Invocation {
-        id,
-        trigger,
-        tenant,
-        function: request.function,
-        earliest_arrival: earliest,
-        // Short waits keep their larger part for the work.
-        expires_at: gone - RESPONSE_MARGIN.min(limit / 4),
-        work_hint: request.work_hint_ms.map(tenths),
-        memory_mb: request.memory_mb,
-        concurrency_limit: request.lanes,
-        load_time_hint: request.load_ms.map(tenths),
-    };
+    let invocation = describe(id, &resolved, &traits, earliest);
     let span = info_span!("invocation", id, txn = format_args!("{txn:016x}"));
     span.in_scope(|| {
         debug!(
-            trigger,
+            trigger = resolved.trigger,
             function = format_args!("{:016x}", invocation.function),
             limit_ms = request.limit_ms,
             waited_most_ms = (invocations.now - earliest) / MILLISECOND,
-            "taken"
+            "invocation admitted"
         );
     });
     state.accept(invocation, gone + LATE_RESPONSE_GRACE, carried, reply, span);
     Ok(())
 }
+
+/// What a request says, found in the deployment.
+struct ResolvedRequest {
+    trigger: usize,
+    tenant: usize,
+    /// How long its client waits.
+    limit: Ticks,
+}
+
+/// Checks a request against the deployment.
+fn resolve(node: &NodeConfig, request: &Request) -> Result<ResolvedRequest, AdmissionError> {
+    let trigger = node
+        .trigger_names
+        .iter()
+        .position(|n| *n == request.trigger);
+    let trigger = trigger.ok_or_else(|| AdmissionError::UnknownTrigger(request.trigger.clone()))?;
+    let stated = &node.deployment.trigger_types[trigger];
+    // Where there are no tenants the field says nothing; where there are, whose it is decides whose share it uses.
+    let tenant = match &request.tenant {
+        _ if node.tenant_names.is_empty() => 0,
+        Some(name) => {
+            let tenant = node.tenant_names.iter().position(|n| n == name);
+            tenant.ok_or_else(|| AdmissionError::UnknownTenant(name.clone()))?
+        }
+        None => return Err(AdmissionError::TenantMissing),
+    };
+    let limit = (request.limit_ms * MILLISECOND as f64) as Ticks;
+    if limit > stated.client_timeout {
+        return Err(AdmissionError::LimitTooLong(request.limit_ms));
+    }
+    if stated.effect == saltdrum::interface::Effect::IdempotencyKey && request.token.is_none() {
+        return Err(AdmissionError::TokenMissing);
+    }
+    let memory_most = node
+        .deployment
+        .machine_memory_mb
+        .iter()
+        .copied()
+        .fold(0.0, f64::max);
+    if memory_most > 0.0 && request.memory_mb > memory_most {
+        return Err(AdmissionError::TooMuchMemory(request.memory_mb));
+    }
+    Ok(ResolvedRequest {
+        trigger,
+        tenant,
+        limit,
+    })
+}
+
+/// What a request says of its function; its body and token go to the transport.
+struct FunctionTraits {
+    function: FunctionId,
+    work_hint_ms: Option<f64>,
+    memory_mb: f64,
+    concurrency_limit: f64,
+    load_ms: Option<f64>,
+}
+
+/// The invocation as the policy sees it.
+fn describe(
+    id: InvocationId,
+    resolved: &ResolvedRequest,
+    traits: &FunctionTraits,
+    earliest: Ticks,
+) -> Invocation {
+    let ticks = |ms: f64| (ms * MILLISECOND as f64) as Ticks;
+    let client_leaves_at = earliest + resolved.limit;
+    Invocation {
+        id,
+        trigger: resolved.trigger,
+        tenant: resolved.tenant,
+        function: traits.function,
+        earliest_arrival: earliest,
+        // Short waits keep their larger part for the work.
+        expires_at: client_leaves_at - RESPONSE_MARGIN.min(resolved.limit / 4),
+        work_hint: traits.work_hint_ms.map(ticks),
+        memory_mb: traits.memory_mb,
+        concurrency_limit: traits.concurrency_limit,
+        load_time_hint: traits.load_ms.map(ticks),
+    }
+}
--- a/crates/platform/src/lifecycle.rs
+++ b/crates/platform/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! A controller's life: start, ready, SIGHUP, SIGTERM, end.
+//! Lifecycle of a controller: start, ready, reload on SIGHUP, shutdown on SIGTERM.
 
 use crate::clients::{self, Clients};
 use crate::endpoint_watch::{self, EndpointWatch};
@@ -33,27 +33,52 @@
 /// Why a controller can't be started.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
+    /// The configuration file can't be read.
     #[error("{place}: {why}")]
-    Unreadable { place: String, why: std::io::Error },
+    Unreadable {
+        /// The file.
+        place: String,
+        /// What the system says.
+        why: std::io::Error,
+    },
+    /// The configuration file holds a fault.
     #[error("{place}: {fault}")]
-    Config { place: String, fault: config::Fault },
+    Config {
+        /// The file.
+        place: String,
+        /// The field at fault.
+        fault: config::Fault,
+    },
+    /// An environment variable contradicts the configuration file.
     #[error("{what} {got}: {expected} is expected, as in the configuration")]
     Differs {
+        /// The variable.
         what: &'static str,
+        /// Its value.
         got: String,
+        /// What the configuration file says.
         expected: String,
     },
+    /// The listening socket can't be opened.
     #[error("can't listen on {at}: {why}")]
-    Listen { at: String, why: std::io::Error },
+    Listen {
+        /// The address.
+        at: String,
+        /// What the system says.
+        why: std::io::Error,
+    },
+    /// Signal handlers can't be installed.
     #[error("signals: {0}")]
     Signals(std::io::Error),
 }
 
 /// What a controller is started with.
 pub struct StartOptions {
+    /// The configuration file.
     pub config: PathBuf,
     /// As the environment says it; must be what the file says, where it is said.
     pub listen: Option<String>,
+    /// The name from the environment, with the same condition.
     pub name: Option<String>,
     /// From the one place that reads the system's clock.
     pub wall_clock: WallClock,
@@ -83,7 +108,7 @@
     Ok(config)
 }
 
-/// Runs one controller until SIGTERM and its last answer.
+/// Runs one controller until SIGTERM and its last response.
 pub async fn serve(
     life: StartOptions,
     network: Rc<dyn Network>,
--- a/crates/platform/src/lifecycle/shutdown.rs
+++ b/crates/platform/src/lifecycle/shutdown.rs
@@ -21,25 +21,10 @@
 /// What was answered has so long to arrive before the process ends: a little more than one client's last words.
 const RESPONSE_DELIVERY_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Takes what still comes, answers all that was taken, then ends.
+/// Accepts for a grace period, waits until all is answered or the kill is near, then closes all connections.
 pub(crate) async fn leave(handle: &Rc<ControllerHandle>) {
     let clients = &handle.config.clients;
-    let longest = handle
-        .config
-        .deployment
-        .trigger_types
-        .iter()
-        .map(|t| t.client_timeout)
-        .max()
-        .unwrap_or(0);
-    let killed = Duration::from_micros(longest * 100).min(CLIENT_TIMEOUT_CAP) + KILL_MARGIN;
-    // A process that was stopped hears late that it is to end; when it is killed counts from when it was told.
-    let told_ago = Duration::from_micros(handle.event_loop.max_wait(handle.clock.now()) * 100);
-    let killed = if told_ago > SIGNAL_DELAY_TOLERANCE {
-        killed.saturating_sub(told_ago)
-    } else {
-        killed
-    };
+    let (told_ago, kill_after) = kill_time(handle);
     info!(?told_ago, "shutting down: draining");
     clients.send_go_away();
     let answered = async {
@@ -48,7 +33,7 @@
         while !is_quiet(handle).await {}
     };
     match tokio::time::timeout(
-        killed
+        kill_after
             .saturating_sub(FINAL_RESPONSE_MARGIN)
             .max(ACCEPT_GRACE),
         answered,
@@ -89,3 +74,24 @@
     let owed = handle.inspect(|state| state.invocations.awaiting_response()) > 0;
     was_shut && !owed && !clients.have_pending_output() && clients.frames() == before
 }
+
+/// How long ago this process was told to end, and how long from now it may be killed.
+fn kill_time(handle: &ControllerHandle) -> (Duration, Duration) {
+    let longest = handle
+        .config
+        .deployment
+        .trigger_types
+        .iter()
+        .map(|t| t.client_timeout)
+        .max()
+        .unwrap_or(0);
+    let kill_after = Duration::from_micros(longest * 100).min(CLIENT_TIMEOUT_CAP) + KILL_MARGIN;
+    // A process that was stopped hears late that it is to end; when it is killed counts from when it was told.
+    let told_ago = Duration::from_micros(handle.event_loop.max_wait(handle.clock.now()) * 100);
+    let kill_after = if told_ago > SIGNAL_DELAY_TOLERANCE {
+        kill_after.saturating_sub(told_ago)
+    } else {
+        kill_after
+    };
+    (told_ago, kill_after)
+}
--- a/crates/platform/src/limits.rs
+++ b/crates/platform/src/limits.rs
@@ -19,6 +19,7 @@
 }
 
 impl ResourceLimits {
+    /// Derives the bounds from the configured limits of the machine.
     pub fn of(limits: &Limits) -> Self {
         let left = limits.sockets.saturating_sub(RESERVED_DESCRIPTORS).max(8);
         // Clients keep to a third of the limit; strangers beside them are closed first.
