--- a/crates/coordinator/tests/all/holder.rs
+++ b/crates/coordinator/tests/all/holder.rs
@@ -8,7 +8,7 @@
 use saltdrum_fleet::fence::Token;
 use saltdrum_fleet::state::LeaseName;
 use saltdrum_leases::holder::EffectFault;
-use saltdrum_leases::journal::{Accepted, Append, Appended, Journal, JournalDisk, Tells};
+use saltdrum_leases::journal::{Accepted, Append, Appended, Journal, JournalDisk, OnAccepted};
 use saltdrum_leases::messages::{Effect, REJECTED};
 use saltdrum_leases::{Effects, Holder, Task};
 use saltdrum_protocol::rpc::Call;
@@ -123,7 +123,7 @@
 struct Unsealed {
     mode: LeaseMode,
     highest: RefCell<BTreeMap<LeaseName, u64>>,
-    tells: Tells,
+    tells: OnAccepted,
 }
 
 impl CallHandler for Unsealed {
@@ -155,7 +155,7 @@
     incarnation: u64,
     stewards: Vec<RpcClient>,
     disk: JournalDisk,
-    tells: Tells,
+    tells: OnAccepted,
     network: Rc<dyn Network>,
     listen: Address,
     clock: Clock,
--- a/crates/faulty-peers/src/leases.rs
+++ b/crates/faulty-peers/src/leases.rs
@@ -9,7 +9,7 @@
 use saltdrum_coordinator::{HeldLease, LeaseWatch};
 use saltdrum_fleet::fence::Token;
 use saltdrum_fleet::state::{Fleet, Lease, LeaseName};
-use saltdrum_leases::journal::{Accepted, Append, Appended, Tells};
+use saltdrum_leases::journal::{Accepted, Append, Appended, OnAccepted};
 use saltdrum_leases::messages::{Effect, REJECTED, Seal, Sealed};
 use saltdrum_protocol::rpc::{self, Call};
 use saltdrum_transport::Clock;
@@ -49,7 +49,7 @@
     sealed: Cell<u64>,
     database: Database,
     lines: Cell<u64>,
-    tells: Tells,
+    tells: OnAccepted,
 }
 
 impl FaultyJournal {
@@ -58,7 +58,7 @@
         fault: JournalFault,
         fleet: &str,
         database: Database,
-        tells: Tells,
+        tells: OnAccepted,
     ) -> Result<Rc<Self>, redb::Error> {
         let journal = Self {
             fault,
--- a/crates/leases/src/guard.rs
+++ b/crates/leases/src/fenced_resource.rs
@@ -1,5 +1,5 @@
-//! A resource's side of its leases: seals that are on disk before they are told, and confirmed by a quorum of stewards at
-//! the first of each life.
+//! A resource's side of its leases. A seal raises the fence: it is on disk before it is answered, and the first of each
+//! incarnation is confirmed by a quorum of coordinators.
 
 use crate::messages::{REJECTED, UNCONFIRMED, UNWRITABLE, rejection_text};
 use saltdrum::interface::{SECOND, Ticks};
@@ -13,29 +13,38 @@
 use std::collections::BTreeMap;
 use tracing::{info, warn};
 
-/// Waiting for a quorum's word, by one steward.
-const PATIENCE: Ticks = 4 * SECOND;
+/// How long one coordinator may take to confirm an epoch.
+const CONFIRM_TIMEOUT: Ticks = 4 * SECOND;
 
 /// Where a resource keeps its seals. Both are synced when they return.
 pub trait SealStore {
     /// The epoch that is on the disk for a lease; 0: none.
     fn sealed_epoch(&self, lease: &LeaseName) -> Result<Epoch, String>;
+    /// Writes the epoch of a lease.
     fn write_seal(&self, lease: &LeaseName, epoch: Epoch) -> Result<(), String>;
 }
 
 /// Why a resource was not sealed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SealFault {
+    /// The epoch is not the one to accept.
     #[error(transparent)]
     Rejected(#[from] Rejection),
+    /// No quorum confirmed the epoch, or another one is the lease's.
     #[error("epoch {epoch} was not confirmed: {why}")]
-    Unconfirmed { epoch: Epoch, why: String },
+    Unconfirmed {
+        /// The epoch that was given.
+        epoch: Epoch,
+        /// The last answer.
+        why: String,
+    },
+    /// The disk failed.
     #[error("the seal can't be written: {0}")]
     Unwritable(String),
 }
 
 impl SealFault {
-    /// As it goes over the line.
+    /// The error as it goes over the wire.
     pub fn refused(&self) -> Refused {
         match self {
             Self::Rejected(why) => (REJECTED, rejection_text(why)),
@@ -46,14 +55,14 @@
 }
 
 /// The fences of a resource, one for each lease that has sealed it.
-pub struct Guard {
+pub struct FencedResource {
     incarnation: u64,
     fences: RefCell<BTreeMap<LeaseName, Fence>>,
     stewards: Vec<RpcClient>,
 }
 
-impl Guard {
-    /// Of a resource that has just started; `incarnation` was never used before.
+impl FencedResource {
+    /// A resource that has just started; `incarnation` was never used before.
     pub fn started(incarnation: u64, stewards: Vec<RpcClient>) -> Self {
         Self {
             incarnation,
@@ -62,7 +71,7 @@
         }
     }
 
-    /// Seals the resource: afterwards it accepts this epoch of the lease alone. Gives the resource's incarnation.
+    /// Seals the resource: afterwards it accepts this epoch of the lease alone. Returns the resource's incarnation.
     pub async fn seal(
         &self,
         store: &impl SealStore,
@@ -118,7 +127,7 @@
             .admit(token)
     }
 
-    /// Epochs that this life was sealed to.
+    /// Epochs that this incarnation is sealed to.
     pub fn sealed(&self) -> BTreeMap<LeaseName, Epoch> {
         let fences = self.fences.borrow();
         fences
@@ -127,7 +136,7 @@
             .collect()
     }
 
-    /// Asks stewards, one after the other, to have it agreed that this epoch is the lease's.
+    /// Asks coordinators, one after the other, to have it agreed that this epoch is the lease's.
     async fn confirm(&self, lease: &LeaseName, epoch: Epoch) -> Result<(), SealFault> {
         let mut last = "no steward is known".to_owned();
         for steward in &self.stewards {
@@ -136,7 +145,7 @@
                 epoch,
             };
             match steward
-                .call::<ChangeReply>("change", &ChangeRequest { change }, PATIENCE)
+                .call::<ChangeReply>("change", &ChangeRequest { change }, CONFIRM_TIMEOUT)
                 .await
             {
                 Ok(_) => return Ok(()),
--- a/crates/leases/src/holder.rs
+++ b/crates/leases/src/holder.rs
@@ -14,10 +14,10 @@
 use std::rc::Rc;
 use tracing::{debug, info, warn};
 
-/// Waiting for one resource.
-const PATIENCE: Ticks = 5 * SECOND;
-/// Between tries to seal, and looks whether the lease is still held.
-const RETRY_EVERY: Ticks = 100 * MILLISECOND;
+/// How long one resource may take to answer.
+const RESOURCE_TIMEOUT: Ticks = 5 * SECOND;
+/// Delay before another try to seal, or another look whether the lease is still held.
+const RETRY_DELAY: Ticks = 100 * MILLISECOND;
 
 /// A fleet-wide task.
 pub trait Task {
@@ -32,15 +32,29 @@
 pub enum EffectFault {
     /// The lease is over, or not all resources are sealed.
     #[error("lease {lease}, epoch {epoch}: nothing may be done now")]
-    NotNow { lease: LeaseName, epoch: Epoch },
+    NotNow {
+        /// The lease.
+        lease: LeaseName,
+        /// Of the grant that was used.
+        epoch: Epoch,
+    },
+    /// The resource rejected it.
     #[error("{resource}: {why}")]
     Rejected {
+        /// The resource.
         resource: ResourceName,
+        /// Its reason.
         why: Rejection,
     },
     /// Whether it was made is not known.
     #[error("{resource}: {why}")]
-    Unsettled { resource: ResourceName, why: String },
+    Unsettled {
+        /// The resource.
+        resource: ResourceName,
+        /// What failed.
+        why: String,
+    },
+    /// No way to the resource is configured.
     #[error("{0}: no such resource")]
     Unknown(ResourceName),
 }
@@ -49,11 +63,13 @@
 pub struct Holder {
     /// Who it is, for records alone.
     pub by: String,
+    /// Of the process.
     pub clock: Clock,
+    /// What the member knows of its leases.
     pub watch: Rc<LeaseWatch>,
     /// How each resource is reached.
     pub resources: BTreeMap<ResourceName, RpcClient>,
-    /// No new effect begins while no steward was heard for so long. A courtesy: safety does not rest on it.
+    /// No new effect starts after no coordinator was heard for this long, in ticks. Safety does not depend on it.
     pub quiet_after: Ticks,
 }
 
@@ -97,14 +113,14 @@
         }
     }
 
-    /// No steward was heard for long.
+    /// Whether no coordinator was heard for too long.
     fn is_quiet(&self) -> bool {
         self.clock.now() > self.watch.heard_at() + self.quiet_after
     }
 
     async fn pause(&self) {
         tokio::select! {
-            () = self.clock.sleep_until(self.clock.now() + RETRY_EVERY) => {}
+            () = self.clock.sleep_until(self.clock.now() + RETRY_DELAY) => {}
             () = self.watch.changed() => {}
         }
     }
@@ -153,7 +169,7 @@
             what,
         };
         caller
-            .call(method, &effect, PATIENCE)
+            .call(method, &effect, RESOURCE_TIMEOUT)
             .await
             .map_err(|fault| self.failed(resource, fault))
     }
@@ -177,7 +193,7 @@
             epoch: self.epoch(),
         };
         let sealed: Sealed = caller
-            .call("seal", &asked, PATIENCE)
+            .call("seal", &asked, RESOURCE_TIMEOUT)
             .await
             .map_err(|fault| self.failed(resource, fault))?;
         self.holding
--- a/crates/leases/src/journal.rs
+++ b/crates/leases/src/journal.rs
@@ -1,7 +1,7 @@
 //! A small append-only resource: it keeps the lines that holders append, and the epoch that it is sealed to, in one
-//! database. A stand-in for the resources of real tasks.
+//! database. A fake for the resources of real tasks.
 
-use crate::guard::{Guard, SealStore};
+use crate::fenced_resource::{FencedResource, SealStore};
 use crate::messages::{Effect, REJECTED, Seal, Sealed, UNWRITABLE, rejection_text};
 use redb::{Database, ReadableDatabase, ReadableTable, ReadableTableMetadata, TableDefinition};
 use saltdrum_coordinator::rpc_client::RpcClient;
@@ -16,7 +16,7 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// Of the database's pages, held in memory.
+/// Pages of the database that are held in memory.
 const CACHE_BYTES: usize = 4 << 20;
 const SEALS: TableDefinition<&str, u64> = TableDefinition::new("seals");
 const LINES: TableDefinition<u64, &str> = TableDefinition::new("lines");
@@ -24,32 +24,34 @@
 /// An effect that was accepted, for whoever keeps the record.
 #[derive(Clone, Debug)]
 pub struct Accepted {
+    /// That it carried.
     pub token: Token,
+    /// Who made it.
     pub by: String,
 }
 
-/// Hears of each accepted effect once it is on disk.
-pub type Tells = Box<dyn Fn(&Accepted)>;
+/// Called for each accepted effect once it is on disk.
+pub type OnAccepted = Box<dyn Fn(&Accepted)>;
 
-/// Makes the database, at each start and after each failure.
-pub type Opens = Box<dyn Fn() -> Result<Database, redb::DatabaseError>>;
+/// Opens the database, at each start and after each failure.
+pub type OpenDatabase = Box<dyn Fn() -> Result<Database, redb::DatabaseError>>;
 
 /// The journal's disk.
 pub struct JournalDisk {
-    opens: Opens,
+    opens: OpenDatabase,
     /// None: a write failed, and what the disk has is read again before the next.
     database: RefCell<Option<Database>>,
 }
 
 impl JournalDisk {
-    /// Opens the disk, or makes what is missing on it.
+    /// OpenDatabase the disk, or makes what is missing on it.
     pub fn open_file(path: &Path) -> Result<Self, DiskFailure> {
         let path = path.to_owned();
         Self::open(Box::new(move || database::open(&path, CACHE_BYTES)))
     }
 
     /// The same, of a database that may be elsewhere than in a file.
-    pub fn open(opens: Opens) -> Result<Self, DiskFailure> {
+    pub fn open(opens: OpenDatabase) -> Result<Self, DiskFailure> {
         let disk = Self {
             opens,
             database: RefCell::default(),
@@ -145,21 +147,24 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Append {
+    /// The line to append.
     pub line: String,
 }
 
 /// The answer to `append`: the line's number.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Appended {
+    /// From 1 on.
     pub number: u64,
 }
 
 /// A journal as it is started.
 pub struct Journal {
+    /// The fleet that it belongs to.
     pub fleet: String,
-    guard: Guard,
+    guard: FencedResource,
     disk: JournalDisk,
-    tells: Tells,
+    on_accepted: OnAccepted,
 }
 
 impl Journal {
@@ -169,14 +174,14 @@
         incarnation: u64,
         stewards: Vec<RpcClient>,
         disk: JournalDisk,
-        tells: Tells,
+        on_accepted: OnAccepted,
     ) -> Rc<Self> {
-        let guard = Guard::started(incarnation, stewards);
+        let guard = FencedResource::started(incarnation, stewards);
         Rc::new(Self {
             fleet: fleet.to_owned(),
             guard,
             disk,
-            tells,
+            on_accepted,
         })
     }
 
@@ -192,7 +197,7 @@
             UNWRITABLE,
             "the disk has another seal than this life".to_owned(),
         ))?;
-        (self.tells)(&Accepted {
+        (self.on_accepted)(&Accepted {
             token: effect.token.clone(),
             by: effect.by.clone(),
         });
--- a/crates/leases/src/messages.rs
+++ b/crates/leases/src/messages.rs
@@ -1,4 +1,4 @@
-//! What holders and resources say to each other: JSON-RPC by lines, in the envelope of the stewards' messages.
+//! What holders and resources say to each other: JSON-RPC by lines, in the envelope of the coordinators' messages.
 
 use saltdrum_fleet::fence::{Rejection, Token};
 use saltdrum_fleet::state::{Epoch, LeaseName};
@@ -6,7 +6,7 @@
 
 /// The resource rejects the epoch or the token; the message is a [`Rejection`] as JSON.
 pub const REJECTED: i64 = -32_030;
-/// No quorum of stewards confirmed the epoch, or another is the lease's.
+/// No quorum of coordinators confirmed the epoch, or another is the lease's.
 pub const UNCONFIRMED: i64 = -32_031;
 /// The resource can't write: it is not sealed, and nothing was done.
 pub const UNWRITABLE: i64 = -32_032;
@@ -15,7 +15,9 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Seal {
+    /// The lease.
     pub lease: LeaseName,
+    /// To accept from now on.
     pub epoch: Epoch,
 }
 
@@ -30,12 +32,15 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Effect<T> {
+    /// Checked by the fence.
     pub token: Token,
+    /// Who makes it.
     pub by: String,
+    /// The effect.
     pub what: T,
 }
 
-/// A rejection as it goes over the line.
+/// A rejection as it goes over the wire.
 pub fn rejection_text(why: &Rejection) -> String {
     serde_json::to_string(why).unwrap_or_else(|_| why.to_string())
 }
--- a/crates/registry/src/collection.rs
+++ b/crates/registry/src/collection.rs
@@ -5,7 +5,7 @@
 use saltdrum_coordinator::server::{CallHandler, Refused, read_params};
 use saltdrum_fleet::state::{Epoch, LeaseName};
 use saltdrum_leases::messages::{Effect, REJECTED, Seal, Sealed, UNWRITABLE, rejection_text};
-use saltdrum_leases::{Guard, SealStore};
+use saltdrum_leases::{FencedResource, SealStore};
 use saltdrum_protocol::rpc::{self, Call};
 use serde::{Deserialize, Serialize};
 use serde_json::json;
@@ -36,7 +36,7 @@
 pub struct CollectionResource {
     fleet: String,
     registry: Rc<Registry>,
-    guard: Guard,
+    guard: FencedResource,
 }
 
 impl CollectionResource {
@@ -48,7 +48,7 @@
         registry: Rc<Registry>,
     ) -> Rc<Self> {
         registry.is_collected_by_fleet();
-        let guard = Guard::started(incarnation, stewards);
+        let guard = FencedResource::started(incarnation, stewards);
         Rc::new(Self {
             fleet: fleet.to_owned(),
             registry,
