--- a/crates/fakes/src/platform.rs
+++ b/crates/fakes/src/platform.rs
@@ -4,7 +4,7 @@
 use crate::record::{How, Line, Record, Try, Who};
 use bytes::{Buf, Bytes, BytesMut};
 use saltdrum::interface::{InvokerStatus, MILLISECOND, Ticks};
-use saltdrum_platform_wire::feed::{self, Event, Line as Listing};
+use saltdrum_platform_wire::feed::{self, EndpointRecord as Listing, Event};
 use saltdrum_platform_wire::frames::{self, Code};
 use saltdrum_transport::{Address, Clock, Network, Stream};
 use std::cell::{Cell, RefCell};
--- a/crates/platform-wire/src/config.rs
+++ b/crates/platform-wire/src/config.rs
@@ -1,7 +1,7 @@
 //! The configuration file: JSON, read at start and at each SIGHUP. A fault names the field, its value and what was
 //! expected.
 
-use crate::feed::{Event, Line, id_of};
+use crate::feed::{EndpointRecord, Event, id_of};
 use saltdrum::interface::{Deployment, InvokerStatus, Ticks};
 use saltdrum_settings::{Pairs, Stated};
 use serde_json::Value;
@@ -218,7 +218,7 @@
         .collect()
 }
 
-fn line(l: &Value, zones: &[&str], kinds: &[&str]) -> Result<Line, Fault> {
+fn line(l: &Value, zones: &[&str], kinds: &[&str]) -> Result<EndpointRecord, Fault> {
     let id = text(l, "id")?;
     let place = |path: &str, of: &[&str]| {
         let name = text(l, path)?;
@@ -231,7 +231,7 @@
         "removed" => InvokerStatus::Gone,
         other => return Err(fault("phase", other, "up, draining or removed is expected")),
     };
-    Ok(Line {
+    Ok(EndpointRecord {
         invoker: id_of(id).map_err(|e| fault("id", id, e))?,
         address: address(l, "host_port")?,
         life,
--- a/crates/platform-wire/src/feed.rs
+++ b/crates/platform-wire/src/feed.rs
@@ -5,15 +5,15 @@
 use saltdrum::interface::{InvokerId, InvokerRecord, InvokerStatus};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-const RECORD: usize = 27;
+const RECORD_BYTES: usize = 27;
 /// Bytes of a frame that its length counts beside its records.
-const HEAD: usize = 9;
+const HEAD_BYTES: usize = 9;
 /// A list of so many lines is none.
-const RECORDS_MOST: usize = 65_536;
+const RECORDS_MAX: usize = 65_536;
 
-/// One line of the list, and where the invoker listens.
+/// One invoker of the list, and where it listens.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Line {
+pub struct EndpointRecord {
     pub invoker: InvokerId,
     pub address: SocketAddrV4,
     pub life: InvokerStatus,
@@ -25,7 +25,7 @@
     pub started_ms: Option<u64>,
 }
 
-impl Line {
+impl EndpointRecord {
     /// As the module is told of it; `started` is the start on the controller's own clock.
     pub fn listed(&self, started: Option<saltdrum::interface::Ticks>) -> InvokerRecord {
         let Self {
@@ -53,8 +53,8 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     Nothing,
-    Whole(Vec<Line>),
-    Changes(Vec<Line>),
+    Whole(Vec<EndpointRecord>),
+    Changes(Vec<EndpointRecord>),
 }
 
 /// Cuts the next whole frame off, with its number; `None`: more bytes are needed.
@@ -63,9 +63,10 @@
         return Ok(None);
     };
     let length = u32::from_be_bytes(head.try_into().expect("four bytes")) as usize;
-    let most = HEAD + RECORDS_MOST * RECORD;
-    if !(HEAD..=most).contains(&length) || !(length - HEAD).is_multiple_of(RECORD) {
-        let (least, most) = (HEAD as u64, most as u64);
+    let most = HEAD_BYTES + RECORDS_MAX * RECORD_BYTES;
+    if !(HEAD_BYTES..=most).contains(&length) || !(length - HEAD_BYTES).is_multiple_of(RECORD_BYTES)
+    {
+        let (least, most) = (HEAD_BYTES as u64, most as u64);
         return Err(Malformed::Length {
             what: "event",
             got: length as u64,
@@ -79,7 +80,7 @@
     let mut frame = bytes.split_to(4 + length);
     frame.advance(4);
     let (number, kind) = (frame.get_u64(), frame.get_u8());
-    let mut lines = Vec::with_capacity(frame.len() / RECORD);
+    let mut lines = Vec::with_capacity(frame.len() / RECORD_BYTES);
     while frame.has_remaining() {
         lines.push(record(&mut frame)?);
     }
@@ -98,7 +99,7 @@
     Ok(Some((number, event)))
 }
 
-fn record(frame: &mut BytesMut) -> Result<Line, Malformed> {
+fn record(frame: &mut BytesMut) -> Result<EndpointRecord, Malformed> {
     let invoker = frame.get_u32();
     let address = Ipv4Addr::from(frame.get_u32());
     let address = SocketAddrV4::new(address, frame.get_u16());
@@ -117,7 +118,7 @@
     let (zone, kind, cell) = (frame.get_u8(), u16::from(frame.get_u8()), frame.get_u16());
     let (size, started) = (f64::from(frame.get_u32()) / 1_000.0, frame.get_u64());
     let started_ms = Some(started).filter(|ms| *ms > 0);
-    Ok(Line {
+    Ok(EndpointRecord {
         invoker,
         address,
         life,
@@ -131,12 +132,12 @@
 
 /// Writes a frame, for those who play the feed.
 pub fn encode(number: u64, event: &Event) -> Vec<u8> {
-    let (kind, lines): (u8, &[Line]) = match event {
+    let (kind, lines): (u8, &[EndpointRecord]) = match event {
         Event::Nothing => (0, &[]),
         Event::Whole(lines) => (1, lines),
         Event::Changes(lines) => (2, lines),
     };
-    let mut out = ((HEAD + lines.len() * RECORD) as u32)
+    let mut out = ((HEAD_BYTES + lines.len() * RECORD_BYTES) as u32)
         .to_be_bytes()
         .to_vec();
     out.extend(number.to_be_bytes());
--- a/crates/platform-wire/src/frames.rs
+++ b/crates/platform-wire/src/frames.rs
@@ -7,12 +7,12 @@
 pub const LENGTH_LEAST: usize = 5;
 pub const LENGTH_MOST: usize = 262_144;
 /// No frame of a client is held that is longer: a body and its fields have room in it.
-const HELD_MOST: usize = BODY_MOST + (8 << 10);
+const CLIENT_FRAME_BYTES_MAX: usize = BODY_MOST + (8 << 10);
 pub const BODY_MOST: usize = 16 << 10;
 /// Invocations that may be open on one connection.
 pub const OPEN_MOST: usize = 32;
 /// Bytes before the payload.
-const HEAD: usize = 9;
+const HEAD_BYTES: usize = 9;
 
 /// What a client may send.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -49,8 +49,8 @@
         return Ok(None);
     };
     let length = u32::from_be_bytes(head.try_into().expect("four bytes")) as usize;
-    if !(LENGTH_LEAST..=HELD_MOST).contains(&length) {
-        let (least, most) = (LENGTH_LEAST as u64, HELD_MOST as u64);
+    if !(LENGTH_LEAST..=CLIENT_FRAME_BYTES_MAX).contains(&length) {
+        let (least, most) = (LENGTH_LEAST as u64, CLIENT_FRAME_BYTES_MAX as u64);
         return Err(Malformed::Length {
             what: "frame",
             got: length as u64,
@@ -168,9 +168,9 @@
 }
 
 /// Longest wait that a client may state, in ms; a day, beside which no client timeout is long.
-const LIMIT_MOST_MS: f64 = 86_400_000.0;
-const TOKEN_MOST: usize = 128;
-const FIGURE_MOST: f64 = 1e9;
+const LIMIT_MAX_MS: f64 = 86_400_000.0;
+const TOKEN_BYTES_MAX: usize = 128;
+const NUMBER_MAX: f64 = 1e9;
 
 /// Reads the payload of an invocation.
 pub fn request(mut payload: Bytes) -> Result<Request, Malformed> {
@@ -200,7 +200,7 @@
             let token = text(value, "unique")?;
             // It goes on as a header: what would break out of one is no token.
             if token.is_empty()
-                || token.len() > TOKEN_MOST
+                || token.len() > TOKEN_BYTES_MAX
                 || !token.bytes().all(|b| b.is_ascii_graphic())
             {
                 return Err(Malformed::value(
@@ -219,7 +219,7 @@
             .map(|value| text(value, "team"))
             .transpose()?
             .map(ToOwned::to_owned),
-        limit_ms: number(stated("limit")?, "limit", 0.001, LIMIT_MOST_MS)?,
+        limit_ms: number(stated("limit")?, "limit", 0.001, LIMIT_MAX_MS)?,
         token,
         function: hex16(stated("item")?, "item")?,
         memory_mb: 0.0,
@@ -231,14 +231,14 @@
     };
     if field("cpu").is_some() {
         request.work_hint_ms =
-            Some(number(stated("cpu")?, "cpu", 0.0, FIGURE_MOST)?).filter(|ms| *ms > 0.0);
+            Some(number(stated("cpu")?, "cpu", 0.0, NUMBER_MAX)?).filter(|ms| *ms > 0.0);
     }
     if field("extras").is_some() {
         for figure in stated("extras")?.split(';').filter(|f| !f.is_empty()) {
             let (name, value) = figure
                 .split_once(':')
                 .ok_or_else(|| Malformed::value("extras", figure, "name:value is expected"))?;
-            let value = number(value, "extras", 0.0, FIGURE_MOST)?;
+            let value = number(value, "extras", 0.0, NUMBER_MAX)?;
             match name {
                 "memory_mb" => request.memory_mb = value,
                 "lanes" => request.lanes = value.max(1.0),
@@ -264,7 +264,7 @@
     let coded = usize::from(code.is_some());
     let named: usize = fields.iter().map(|(n, v)| 3 + n.len() + v.len()).sum();
     let payload = code.map_or(0, |_| 1 + named) + coded + body.len();
-    let mut out = BytesMut::with_capacity(HEAD + payload);
+    let mut out = BytesMut::with_capacity(HEAD_BYTES + payload);
     out.put_u32((LENGTH_LEAST + payload) as u32);
     out.put_u8(kind);
     out.put_u32(stream);
--- a/crates/platform-wire/tests/codecs.rs
+++ b/crates/platform-wire/tests/codecs.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use saltdrum::interface::{InvokerStatus, LoadOutcome, Outcome, StartKind};
-use saltdrum_platform_wire::feed::{self, Event, Line};
+use saltdrum_platform_wire::feed::{self, EndpointRecord, Event};
 use saltdrum_platform_wire::frames::{self, FromClient};
 use saltdrum_platform_wire::{config, http};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -18,7 +18,7 @@
     }
 }
 
-fn any_line() -> impl Strategy<Value = Line> {
+fn any_line() -> impl Strategy<Value = EndpointRecord> {
     let life = prop_oneof![
         Just(InvokerStatus::Ready),
         Just(InvokerStatus::Draining),
@@ -36,7 +36,7 @@
         any::<u64>(),
     )
         .prop_map(
-            |(invoker, ip, port, life, zone, kind, cell, size, started)| Line {
+            |(invoker, ip, port, life, zone, kind, cell, size, started)| EndpointRecord {
                 invoker,
                 address: SocketAddrV4::new(Ipv4Addr::from(ip), port),
                 life,
--- a/crates/platform-wire/tests/platform_wire_fixtures.rs
+++ b/crates/platform-wire/tests/platform_wire_fixtures.rs
@@ -9,7 +9,7 @@
     Deployment, Effect, InvokerRecord, InvokerStatus, KeyScope, LoadOutcome, Outcome, StartKind,
 };
 use saltdrum_platform_wire::config::{self, Config, Limits};
-use saltdrum_platform_wire::feed::{self, Event, Line};
+use saltdrum_platform_wire::feed::{self, EndpointRecord, Event};
 use saltdrum_platform_wire::frames::{self, Code, FromClient};
 use saltdrum_platform_wire::http;
 use serde_json::Value;
@@ -244,8 +244,8 @@
     check_fixture("request_faults.txt", &lines);
 }
 
-fn line(invoker: u32, life: InvokerStatus, started_ms: Option<u64>) -> Line {
-    Line {
+fn line(invoker: u32, life: InvokerStatus, started_ms: Option<u64>) -> EndpointRecord {
+    EndpointRecord {
         invoker,
         address: SocketAddrV4::new(Ipv4Addr::new(10, 3, 0, 1), 9_001),
         life,
@@ -443,7 +443,7 @@
         (2_510, 150_005, 100_000)
     );
 
-    let ready = Line {
+    let ready = EndpointRecord {
         invoker: 0x0a0b_0c0d,
         address: address("10.3.0.1:9001"),
         life: InvokerStatus::Ready,
@@ -453,7 +453,7 @@
         size: 4.25,
         started_ms: None,
     };
-    let draining = Line {
+    let draining = EndpointRecord {
         invoker: 0x1112_1314,
         address: address("10.3.0.2:9002"),
         life: InvokerStatus::Draining,
@@ -463,7 +463,7 @@
         size: 2.5,
         started_ms: Some(1_700_000_000_123),
     };
-    let gone = Line {
+    let gone = EndpointRecord {
         invoker: 0x2122_2324,
         address: address("10.3.0.3:9003"),
         life: InvokerStatus::Gone,
--- a/crates/platform/src/endpoint_watch.rs
+++ b/crates/platform/src/endpoint_watch.rs
@@ -1,6 +1,6 @@
 //! Watches the control feed for the list of invokers. While the feed is lost, the last list stands.
 
-use crate::invoker_pools::told;
+use crate::invoker_pools::apply_list_change;
 use crate::state::ControllerHandle;
 use saltdrum::interface::{MILLISECOND, Ticks};
 use saltdrum_platform_wire::feed::{Event, cut};
@@ -62,7 +62,7 @@
     }
 }
 
-pub(crate) async fn follow(handle: Rc<ControllerHandle>) {
+pub(crate) async fn watch(handle: Rc<ControllerHandle>) {
     let (feed, mut wait) = (&handle.config.feed, BACKOFF_FIRST);
     let mut rng = fastrand::Rng::with_seed(handle.config.seed ^ 0xfeed);
     loop {
@@ -74,7 +74,7 @@
                 wait = BACKOFF_FIRST;
                 continue;
             }
-            why = followed(&handle) => why,
+            why = watch_connection(&handle) => why,
         };
         wait = if feed.last.get() > before {
             BACKOFF_FIRST
@@ -90,7 +90,7 @@
     }
 }
 
-async fn followed(handle: &Rc<ControllerHandle>) -> String {
+async fn watch_connection(handle: &Rc<ControllerHandle>) -> String {
     let feed = &handle.config.feed;
     let address = Address::Tcp(feed.address.borrow().to_string());
     let mut stream =
@@ -111,7 +111,7 @@
         match cut(&mut read.bytes) {
             Err(e) => return e.to_string(),
             Ok(Some((number, event))) => {
-                if let Err(why) = hear(handle, came, number, &event) {
+                if let Err(why) = handle_event(handle, came, number, &event) {
                     return why;
                 }
                 due = handle.clock.now() + SILENCE_TIMEOUT;
@@ -149,7 +149,7 @@
 }
 
 /// One event that came at this time or later; `Err`: some were missed, and have to be asked for.
-pub(crate) fn hear(
+pub(crate) fn handle_event(
     handle: &ControllerHandle,
     came: Ticks,
     number: u64,
@@ -185,16 +185,16 @@
         "control feed event received"
     );
     last.set(number);
-    handle.update(|state| tell(handle, state, came, whole, lines));
+    handle.update(|state| apply_event(handle, state, came, whole, lines));
     Ok(())
 }
 
-pub(crate) fn tell(
+pub(crate) fn apply_event(
     handle: &ControllerHandle,
     state: &mut crate::state::ControllerState,
     came: Ticks,
     whole: bool,
-    lines: &[saltdrum_platform_wire::feed::Line],
+    lines: &[saltdrum_platform_wire::feed::EndpointRecord],
 ) {
     let now = state.invocations.now;
     handle.config.look_at_wall_clock(now);
@@ -205,7 +205,7 @@
             .borrow()
             .start(unix_ms, now)
     };
-    told(
+    apply_list_change(
         state,
         whole,
         lines,
--- a/crates/platform/src/invoker_pools.rs
+++ b/crates/platform/src/invoker_pools.rs
@@ -21,7 +21,7 @@
 mod transport;
 mod views;
 
-pub(crate) use list_changes::told;
+pub(crate) use list_changes::apply_list_change;
 pub(crate) use views::log_invoker_views;
 
 /// An idle connection is closed before the invoker would close it: at this fraction of the configured idle timeout.
--- a/crates/platform/src/invoker_pools/list_changes.rs
+++ b/crates/platform/src/invoker_pools/list_changes.rs
@@ -3,7 +3,7 @@
 use crate::state::ControllerState;
 use saltdrum::interface::*;
 use saltdrum_controller::AttemptReport;
-use saltdrum_platform_wire::feed::Line as Listing;
+use saltdrum_platform_wire::feed::EndpointRecord;
 use std::cell::Cell;
 use std::rc::Rc;
 
@@ -11,10 +11,10 @@
 
 /// What the feed says reaches the pools first, so that nothing the module then does meets an old one. It has been in the feed
 /// since `came` at the earliest, and counts as told since then, however late it is read.
-pub(crate) fn told(
+pub(crate) fn apply_list_change(
     state: &mut ControllerState,
     whole: bool,
-    lines: &[Listing],
+    lines: &[EndpointRecord],
     came: Ticks,
     started: impl Fn(u64) -> Ticks,
     grace: Ticks,
@@ -60,7 +60,7 @@
             cut.push(l.invoker);
         }
     }
-    let start_of = |l: &Listing| {
+    let start_of = |l: &EndpointRecord| {
         reach
             .pools
             .get(&l.invoker)
--- a/crates/platform/src/lifecycle.rs
+++ b/crates/platform/src/lifecycle.rs
@@ -204,8 +204,12 @@
         for (_, event) in &config.known.1 {
             match event {
                 Event::Nothing => {}
-                Event::Whole(lines) => endpoint_watch::tell(&handle, state, now, true, lines),
-                Event::Changes(lines) => endpoint_watch::tell(&handle, state, now, false, lines),
+                Event::Whole(lines) => {
+                    endpoint_watch::apply_event(&handle, state, now, true, lines)
+                }
+                Event::Changes(lines) => {
+                    endpoint_watch::apply_event(&handle, state, now, false, lines)
+                }
             }
         }
     });
@@ -223,7 +227,7 @@
             info!(for_ms, "process was stopped");
         }
     }));
-    spawn_local(endpoint_watch::follow(handle.clone()));
+    spawn_local(endpoint_watch::watch(handle.clone()));
     spawn_local(clients::sweep(handle.clone()));
     let timers = handle.clone();
     spawn_local(async move { timers.run_timers().await });
--- a/crates/platform/src/tests/races.rs
+++ b/crates/platform/src/tests/races.rs
@@ -565,7 +565,8 @@
             .parse()
             .unwrap();
         let draining = Event::Changes(vec![listing(1, at, InvokerStatus::Draining, None)]);
-        crate::endpoint_watch::hear(&stage.handle, stage.handle.clock.now(), 2, &draining).unwrap();
+        crate::endpoint_watch::handle_event(&stage.handle, stage.handle.clock.now(), 2, &draining)
+            .unwrap();
         assert_eq!(
             client.hear().await.2[0],
             Code::Throttled as u8,
--- a/crates/scale/src/controller.rs
+++ b/crates/scale/src/controller.rs
@@ -218,8 +218,8 @@
 
 /// The list as the platform's feed would carry it: bytes of a whole one, and of an event with one line.
 fn list_bytes(invokers: u32) -> (u64, u64) {
-    use saltdrum_platform_wire::feed::{Event, Line, encode};
-    let line = |w: u32| Line {
+    use saltdrum_platform_wire::feed::{EndpointRecord, Event, encode};
+    let line = |w: u32| EndpointRecord {
         invoker: w,
         address: std::net::SocketAddrV4::new(std::net::Ipv4Addr::from(0x0a00_0000 + w), 7_001),
         zone: (w % u32::from(ZONES)) as u8,
--- a/crates/scale/src/real.rs
+++ b/crates/scale/src/real.rs
@@ -4,7 +4,7 @@
 use saltdrum::interface::{InvokerStatus, MILLISECOND, Ticks};
 use saltdrum_fakes::platform::Feed;
 use saltdrum_fakes::record::{Record, Who};
-use saltdrum_platform_wire::feed::{Event, Line};
+use saltdrum_platform_wire::feed::{EndpointRecord, Event};
 use saltdrum_transport::{Clock, SocketNetwork};
 use serde::Serialize;
 use serde_json::json;
@@ -80,10 +80,10 @@
     Ok(SocketAddrV4::new(Ipv4Addr::LOCALHOST, port))
 }
 
-fn line(invoker: u32, life: InvokerStatus) -> Line {
+fn line(invoker: u32, life: InvokerStatus) -> EndpointRecord {
     let address = SocketAddrV4::new(Ipv4Addr::from(0x7f01_0000 + (invoker & 0xffff)), 9);
     let zone = (invoker % u32::from(ZONES)) as u8;
-    Line {
+    EndpointRecord {
         invoker,
         address,
         life,
