--- a/crates/platform-wire/src/config.rs
+++ b/crates/platform-wire/src/config.rs
@@ -10,10 +10,13 @@
 /// What a machine allows its controller.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limits {
+    /// Memory in MB.
     pub memory_mb: f64,
+    /// Open file descriptors.
     pub sockets: usize,
 }
 
+/// A configuration file that was read and checked.
 #[derive(Debug, Clone)]
 pub struct Config {
     pub name: String,
@@ -32,24 +35,32 @@
     pub order_timeout: Ticks,
 }
 
+/// A field of the configuration file that can't be used.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {got}: {expected}")]
-pub struct Fault {
+pub struct ConfigError {
+    /// Path of the field in the file.
     pub field: String,
+    /// What it holds, cut to 60 characters.
     pub got: String,
+    /// What was expected.
     pub expected: String,
 }
 
-fn fault(field: &str, got: impl std::fmt::Display, expected: impl std::fmt::Display) -> Fault {
+fn fault(
+    field: &str,
+    got: impl std::fmt::Display,
+    expected: impl std::fmt::Display,
+) -> ConfigError {
     let got: String = got.to_string().chars().take(60).collect();
-    Fault {
+    ConfigError {
         field: field.into(),
         got,
         expected: expected.to_string(),
     }
 }
 
-fn at<'a>(v: &'a Value, path: &str) -> Result<&'a Value, Fault> {
+fn at<'a>(v: &'a Value, path: &str) -> Result<&'a Value, ConfigError> {
     let mut here = v;
     for step in path.split('.') {
         here = here
@@ -59,14 +70,14 @@
     Ok(here)
 }
 
-fn text<'a>(v: &'a Value, path: &str) -> Result<&'a str, Fault> {
+fn text<'a>(v: &'a Value, path: &str) -> Result<&'a str, ConfigError> {
     let value = at(v, path)?;
     value
         .as_str()
         .ok_or_else(|| fault(path, value, "text is expected"))
 }
 
-fn number(v: &Value, path: &str, least: f64, most: f64) -> Result<f64, Fault> {
+fn number(v: &Value, path: &str, least: f64, most: f64) -> Result<f64, ConfigError> {
     let value = at(v, path)?;
     let n = value.as_f64().filter(|n| (least..=most).contains(n));
     n.ok_or_else(|| {
@@ -78,14 +89,14 @@
     })
 }
 
-fn whole(v: &Value, path: &str) -> Result<u64, Fault> {
+fn whole(v: &Value, path: &str) -> Result<u64, ConfigError> {
     let value = at(v, path)?;
     value
         .as_u64()
         .ok_or_else(|| fault(path, value, "a whole number is expected"))
 }
 
-fn address(v: &Value, path: &str) -> Result<SocketAddrV4, Fault> {
+fn address(v: &Value, path: &str) -> Result<SocketAddrV4, ConfigError> {
     let value = text(v, path)?;
     value
         .parse()
@@ -126,7 +137,7 @@
 }
 
 /// Reads the whole file.
-pub fn read(text_of_file: &str) -> Result<Config, Fault> {
+pub fn read(text_of_file: &str) -> Result<Config, ConfigError> {
     let v: Value =
         serde_json::from_str(text_of_file).map_err(|e| fault("file", e, "JSON is expected"))?;
     let seed = text(&v, "seed")?;
@@ -183,13 +194,13 @@
 }
 
 /// Only where the feed is now, as a SIGHUP asks for it.
-pub fn read_feed(text_of_file: &str) -> Result<SocketAddrV4, Fault> {
+pub fn read_feed(text_of_file: &str) -> Result<SocketAddrV4, ConfigError> {
     let v: Value =
         serde_json::from_str(text_of_file).map_err(|e| fault("file", e, "JSON is expected"))?;
     address(&v, "feed")
 }
 
-fn known(v: &Value, zones: &[&str], kinds: &[&str]) -> Result<Vec<(u64, Event)>, Fault> {
+fn known(v: &Value, zones: &[&str], kinds: &[&str]) -> Result<Vec<(u64, Event)>, ConfigError> {
     let events = at(v, "known.events")?;
     let events = events
         .as_array()
@@ -218,7 +229,7 @@
         .collect()
 }
 
-fn line(l: &Value, zones: &[&str], kinds: &[&str]) -> Result<EndpointRecord, Fault> {
+fn line(l: &Value, zones: &[&str], kinds: &[&str]) -> Result<EndpointRecord, ConfigError> {
     let id = text(l, "id")?;
     let place = |path: &str, of: &[&str]| {
         let name = text(l, path)?;
--- a/crates/platform/src/lifecycle.rs
+++ b/crates/platform/src/lifecycle.rs
@@ -47,7 +47,7 @@
         /// The file.
         place: String,
         /// The field at fault.
-        fault: config::Fault,
+        fault: config::ConfigError,
     },
     /// An environment variable contradicts the configuration file.
     #[error("{what} {got}: {expected} is expected, as in the configuration")]
