--- a/crates/cli/src/process.rs
+++ b/crates/cli/src/process.rs
@@ -17,7 +17,7 @@
 
 impl OpenFailure for saltdrum_durable::DiskFailure {
     fn may_pass(&self) -> bool {
-        self.may_pass
+        self.is_transient
     }
 }
 
--- a/crates/coordinator/src/disk.rs
+++ b/crates/coordinator/src/disk.rs
@@ -46,7 +46,7 @@
 impl Fault {
     /// Whether the same may succeed a while later.
     pub fn may_pass(&self) -> bool {
-        matches!(self, Self::Disk { why, .. } if why.may_pass)
+        matches!(self, Self::Disk { why, .. } if why.is_transient)
     }
 }
 
--- a/crates/durable/src/database.rs
+++ b/crates/durable/src/database.rs
@@ -6,39 +6,39 @@
 use std::io;
 use std::path::Path;
 
-fn disk(error: io::Error) -> DatabaseError {
+fn storage_error(error: io::Error) -> DatabaseError {
     DatabaseError::Storage(StorageError::Io(error))
 }
 
-/// Whether there is a file in which something stands.
-fn is_there(path: &Path) -> io::Result<bool> {
+/// Whether there is a file that is not empty.
+fn has_content(path: &Path) -> io::Result<bool> {
     match fs::metadata(path) {
         Ok(found) => Ok(found.len() > 0),
-        Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(false),
-        Err(e) => Err(e),
+        Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(false),
+        Err(error) => Err(error),
     }
 }
 
 /// An error on the way to a new database.
-struct Unmade(DatabaseError);
+struct CreateError(DatabaseError);
 
-impl From<io::Error> for Unmade {
+impl From<io::Error> for CreateError {
     fn from(error: io::Error) -> Self {
-        Self(disk(error))
+        Self(storage_error(error))
     }
 }
 
-/// Opens the database at `path`. Where there is none, an empty one is made first, whole or not at all: the database's own
-/// way of making one leaves, after a kill, a file that it never opens again.
+/// Opens the database at `path`. Where there is none, an empty one is made first, complete or not at all: redb's own
+/// way of creating one leaves, after a kill, a file that it never opens again.
 pub fn open(path: &Path, cache_bytes: usize) -> Result<Database, DatabaseError> {
-    if !is_there(path).map_err(disk)? {
-        let made = file::make_whole(path, |unfinished| {
+    if !has_content(path).map_err(storage_error)? {
+        let made = file::create_atomically(path, |unfinished| {
             Database::builder()
                 .create(unfinished)
                 .map(drop)
-                .map_err(Unmade)
+                .map_err(CreateError)
         });
-        made.map_err(|Unmade(error)| error)?;
+        made.map_err(|CreateError(error)| error)?;
     }
     Database::builder().set_cache_size(cache_bytes).open(path)
 }
--- a/crates/durable/src/failure.rs
+++ b/crates/durable/src/failure.rs
@@ -1,4 +1,4 @@
-//! Why a disk did not do what was asked, and whether that may pass.
+//! Failures of a disk, and whether they are transient.
 
 use std::fmt;
 use std::io;
@@ -9,31 +9,32 @@
 /// A failure of a disk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DiskFailure {
-    pub why: String,
+    /// Text of the failure.
+    pub reason: String,
     /// The same may succeed a while later: there was no space, or the device did not answer.
-    pub may_pass: bool,
+    pub is_transient: bool,
 }
 
 impl DiskFailure {
-    /// A failure that trying again does not mend.
-    pub fn lasting(why: impl Into<String>) -> Self {
+    /// A failure that a retry does not mend.
+    pub fn lasting(reason: impl Into<String>) -> Self {
         Self {
-            why: why.into(),
-            may_pass: false,
+            reason: reason.into(),
+            is_transient: false,
         }
     }
 }
 
 impl fmt::Display for DiskFailure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.why)
+        f.write_str(&self.reason)
     }
 }
 
 impl std::error::Error for DiskFailure {}
 
 /// Whether the same call may succeed a while later.
-pub fn may_pass(error: &io::Error) -> bool {
+pub fn is_transient(error: &io::Error) -> bool {
     let is_full = matches!(
         error.kind(),
         io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded
@@ -44,29 +45,29 @@
 impl From<io::Error> for DiskFailure {
     fn from(error: io::Error) -> Self {
         Self {
-            may_pass: may_pass(&error),
-            why: error.to_string(),
+            is_transient: is_transient(&error),
+            reason: error.to_string(),
         }
     }
 }
 
 impl From<redb::Error> for DiskFailure {
     fn from(error: redb::Error) -> Self {
-        let may_pass = match &error {
-            redb::Error::Io(error) => may_pass(error),
+        let is_transient = match &error {
+            redb::Error::Io(error) => is_transient(error),
             // A write failed before: what is on disk is known once it is opened anew.
             redb::Error::PreviousIo => true,
             _ => false,
         };
         Self {
-            may_pass,
-            why: error.to_string(),
+            is_transient,
+            reason: error.to_string(),
         }
     }
 }
 
-/// The same for the errors of one kind of call.
-macro_rules! from_errors_of {
+/// Conversions of redb's errors of one kind of call.
+macro_rules! from_redb_errors {
     ($($error:ident),*) => {
         $(impl From<redb::$error> for DiskFailure {
             fn from(error: redb::$error) -> Self {
@@ -76,7 +77,7 @@
     };
 }
 
-from_errors_of!(
+from_redb_errors!(
     CommitError,
     DatabaseError,
     StorageError,
--- a/crates/durable/src/file.rs
+++ b/crates/durable/src/file.rs
@@ -1,4 +1,4 @@
-//! Files that are there whole or not at all.
+//! Files that are there complete or not at all.
 
 use std::ffi::OsString;
 use std::fs::{self, File};
@@ -6,25 +6,25 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Ends the name of what is being made.
-const UNFINISHED: &str = ".half";
+/// Ends the name of a file that is being written.
+const UNFINISHED_SUFFIX: &str = ".half";
 
-/// `path` with more at the end of its name.
-fn beside(path: &Path, more: &str) -> PathBuf {
+/// `path` with a suffix to its name.
+fn with_suffix(path: &Path, suffix: &str) -> PathBuf {
     let mut name = OsString::from(path);
-    name.push(more);
+    name.push(suffix);
     name.into()
 }
 
-/// Where what is to stand at `path` is made, by the one process that makes it.
+/// Where the file for `path` is written, by the one process that creates it.
 pub fn unfinished(path: &Path) -> PathBuf {
-    beside(path, UNFINISHED)
+    with_suffix(path, UNFINISHED_SUFFIX)
 }
 
 /// Removes a file, if it is there.
 pub fn remove_if_there(path: &Path) -> io::Result<()> {
     match fs::remove_file(path) {
-        Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(()),
+        Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(()),
         removed => removed,
     }
 }
@@ -38,11 +38,11 @@
     File::open(folder.unwrap_or(Path::new(".")))?.sync_all()
 }
 
-/// Lets `make` make a file at the path it is given, and puts that to `path` when it is whole. What an earlier process left
-/// unfinished is removed first. One process at a time may do this for a path.
+/// Lets `make` write a file at the path it is given, and renames that to `path` when it is complete. What an earlier
+/// process left unfinished is removed first. One process at a time may do this for a path.
 ///
 /// `make` has to bring what it writes to disk.
-pub fn make_whole<T, E: From<io::Error>>(
+pub fn create_atomically<T, E: From<io::Error>>(
     path: &Path,
     make: impl FnOnce(&Path) -> Result<T, E>,
 ) -> Result<T, E> {
@@ -51,13 +51,13 @@
     finish(&unfinished, path, make(&unfinished))
 }
 
-/// Writes a file whole. Any number of processes may do this for the same path: the last one stands.
-pub fn write_whole(path: &Path, bytes: &[u8]) -> io::Result<()> {
-    static WRITTEN: AtomicU64 = AtomicU64::new(0);
-    let number = WRITTEN.fetch_add(1, Ordering::Relaxed);
-    let unfinished = beside(
+/// Writes a file, complete or not at all. Any number of processes may do this for the same path: the last one stands.
+pub fn write_atomically(path: &Path, bytes: &[u8]) -> io::Result<()> {
+    static WRITE_COUNT: AtomicU64 = AtomicU64::new(0);
+    let number = WRITE_COUNT.fetch_add(1, Ordering::Relaxed);
+    let unfinished = with_suffix(
         path,
-        &format!(".{}-{number}{UNFINISHED}", std::process::id()),
+        &format!(".{}-{number}{UNFINISHED_SUFFIX}", std::process::id()),
     );
     let written = write_synced(&unfinished, bytes);
     finish(&unfinished, path, written)
@@ -77,7 +77,7 @@
 ) -> Result<T, E> {
     let finished = made.and_then(|made| Ok(rename(unfinished, path).map(|()| made)?));
     if finished.is_err() {
-        // A full disk is not to keep what nobody will look at.
+        // Frees the space of a file that nobody will read.
         let _ = fs::remove_file(unfinished);
     }
     finished
--- a/crates/durable/src/file/tests.rs
+++ b/crates/durable/src/file/tests.rs
@@ -10,11 +10,11 @@
 }
 
 #[test]
-fn what_fails_leaves_what_was_there_and_nothing_beside_it() {
+fn failed_write_keeps_the_old_file_and_leaves_no_other() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("file");
-    write_whole(&path, b"first").unwrap();
-    let failed: io::Result<()> = make_whole(&path, |unfinished| {
+    write_atomically(&path, b"first").unwrap();
+    let failed: io::Result<()> = create_atomically(&path, |unfinished| {
         fs::write(unfinished, b"half a")?;
         Err(io::ErrorKind::StorageFull.into())
     });
@@ -26,11 +26,11 @@
 }
 
 #[test]
-fn what_a_killed_process_left_is_replaced() {
+fn replaces_unfinished_file_of_killed_process() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("file");
     fs::write(unfinished(&path), b"more than is written now").unwrap();
-    make_whole(&path, |unfinished| write_synced(unfinished, b"new")).unwrap();
+    create_atomically(&path, |unfinished| write_synced(unfinished, b"new")).unwrap();
     assert_eq!(
         (fs::read(&path).unwrap(), names(folder.path())),
         (b"new".to_vec(), vec!["file".into()])
--- a/crates/layers/src/layout.rs
+++ b/crates/layers/src/layout.rs
@@ -78,7 +78,7 @@
         let is_whole = |found: Vec<u8>| serde_json::from_slice::<IgnoredAny>(&found).is_ok();
         if !fs::read(&marker).is_ok_and(is_whole) {
             let made = fs::create_dir_all(layout.blobs())
-                .and_then(|()| file::write_whole(&marker, MARKER_CONTENT));
+                .and_then(|()| file::write_atomically(&marker, MARKER_CONTENT));
             made.map_err(|why| Fault::File { path: marker, why })?;
         }
         Ok(layout)
@@ -99,7 +99,7 @@
         if there {
             Ok(())
         } else {
-            file::write_whole(&path, bytes)
+            file::write_atomically(&path, bytes)
         }
     }
 
@@ -144,7 +144,7 @@
         // The index last: what it names is there.
         self.put_blob(&Digest::of(EMPTY), EMPTY)
             .and_then(|()| self.put_blob(&digest, &bytes))
-            .and_then(|()| file::write_whole(&path, &written))
+            .and_then(|()| file::write_atomically(&path, &written))
             .map_err(|why| Fault::File { path, why })?;
         Ok(manifest)
     }
--- a/crates/leases/src/journal.rs
+++ b/crates/leases/src/journal.rs
@@ -125,7 +125,7 @@
                 .get(lease.0.as_str())?
                 .map_or(0, |epoch| epoch.value()))
         })
-        .map_err(|failure| failure.why)
+        .map_err(|failure| failure.reason)
     }
 
     fn write_seal(&self, lease: &LeaseName, epoch: Epoch) -> Result<(), String> {
@@ -137,7 +137,7 @@
             transaction.commit()?;
             Ok(())
         })
-        .map_err(|failure| failure.why)
+        .map_err(|failure| failure.reason)
     }
 }
 
@@ -187,7 +187,7 @@
         let number = self
             .disk
             .append(&effect.token, &effect.what.line)
-            .map_err(|failure| (UNWRITABLE, failure.why))?;
+            .map_err(|failure| (UNWRITABLE, failure.reason))?;
         let number = number.ok_or((
             UNWRITABLE,
             "the disk has another seal than this life".to_owned(),
--- a/crates/registry/src/local_copy.rs
+++ b/crates/registry/src/local_copy.rs
@@ -49,7 +49,7 @@
     pub fn write(path: &Path, head: &Head) -> io::Result<Self> {
         let mut line = serde_json::to_vec(head)?;
         line.push(b'\n');
-        file::make_whole(path, |unfinished| file::write_synced(unfinished, &line))?;
+        file::create_atomically(path, |unfinished| file::write_synced(unfinished, &line))?;
         let file = OpenOptions::new().append(true).open(path)?;
         Ok(Self {
             path: path.to_owned(),
--- a/crates/registry/src/store.rs
+++ b/crates/registry/src/store.rs
@@ -74,7 +74,7 @@
 impl StoreError {
     /// Whether the same may succeed a while later.
     pub fn may_pass(&self) -> bool {
-        matches!(self, Self::Disk { why, .. } if why.may_pass)
+        matches!(self, Self::Disk { why, .. } if why.is_transient)
     }
 }
 
@@ -135,7 +135,7 @@
         fill: impl FnOnce(&mut Self) -> Result<T, StoreError>,
     ) -> Result<T, StoreError> {
         let place = || path.display().to_string();
-        let filled = file::make_whole(path, |unfinished| {
+        let filled = file::create_atomically(path, |unfinished| {
             let mut store = Self::open_file(unfinished).map_err(Unmade::StoreError)?;
             fill(&mut store).map_err(Unmade::StoreError)
         });
@@ -456,7 +456,7 @@
             writeln!(file, "end {} {}", entries.len(), self.head.hash)?;
             file.into_inner().map_err(|e| e.into_error())?.sync_all()
         };
-        file::make_whole(to, write).map_err(fault)?;
+        file::create_atomically(to, write).map_err(fault)?;
         Ok(entries.len() as u64)
     }
 }
