--- a/crates/leases/src/journal.rs
+++ b/crates/leases/src/journal.rs
@@ -127,7 +127,7 @@
                 .get(lease.0.as_str())?
                 .map_or(0, |epoch| epoch.value()))
         })
-        .map_err(|failure| failure.why)
+        .map_err(|failure| failure.reason)
     }
 
     fn write_seal(&self, lease: &LeaseName, epoch: Epoch) -> Result<(), String> {
@@ -139,7 +139,7 @@
             transaction.commit()?;
             Ok(())
         })
-        .map_err(|failure| failure.why)
+        .map_err(|failure| failure.reason)
     }
 }
 
@@ -192,7 +192,7 @@
         let number = self
             .disk
             .append(&effect.token, &effect.what.line)
-            .map_err(|failure| (UNWRITABLE, failure.why))?;
+            .map_err(|failure| (UNWRITABLE, failure.reason))?;
         let number = number.ok_or((
             UNWRITABLE,
             "the disk has another seal than this life".to_owned(),
