--- a/crates/platform/src/invoker_pools.rs
+++ b/crates/platform/src/invoker_pools.rs
@@ -30,54 +30,105 @@
 /// noise, may come some milliseconds late, and would be read as the response to the next request.
 const CONNECTION_REUSE_DELAY: Ticks = 30 * MILLISECOND;
 
-/// What the dispatches of an invocation carry.
+/// What the attempts of an invocation carry.
 pub(crate) struct Payload {
     pub trigger: usize,
     pub txn: u64,
+    /// The idempotency key.
     pub token: Option<String>,
     pub body: Bytes,
-    /// Where its client's stream holds what was not read yet, it may have left.
+    /// While its client's stream holds unread bytes, the client may have left.
     client_backlog: ReadBacklog,
-    /// Inputs held, over all invocations.
-    held: Rc<Cell<usize>>,
+    /// Bytes of all bodies that are held.
+    held_bytes: Rc<Cell<usize>>,
 }
 
 impl Drop for Payload {
     fn drop(&mut self) {
-        self.held.set(self.held.get() - self.body.len());
+        self.held_bytes.set(self.held_bytes.get() - self.body.len());
     }
 }
 
+/// The connections to one invoker.
 struct Pool {
     address: SocketAddrV4,
-    life: InvokerStatus,
-    /// Rule 3: nothing begins to leave from then on.
+    status: InvokerStatus,
+    /// Rule 3: no new work begins to be sent from then on.
     cutoff: Rc<Cell<Ticks>>,
-    /// When it started, as first told: in Unix milliseconds, and on the controller's clock.
+    /// When the invoker started, as first reported: in Unix milliseconds, and on the controller's clock.
     started: Option<(u64, Ticks)>,
-    /// Counts up when lines that stand lead to somebody else: those under way are not used again then.
+    /// Rises when open connections lead to another process: those in use are not reused then.
     epoch: u32,
-    /// The freshest last, each with when it became idle.
+    /// Idle connections, each with when it became idle; the freshest last.
     idle: Vec<(Ticks, InvokerConnection)>,
-    /// Requests under way.
+    /// Requests in flight.
     active_requests: usize,
 }
 
+impl Pool {
+    /// Until when a request that is decided now may begin to be sent. An order that could not be sent by `stale_base` and a
+    /// little more is decided anew: what it rests on has changed.
+    fn send_deadline(&self, kind: &RequestKind, stale_base: Ticks) -> SendDeadline {
+        let cutoff = if kind.is_new_work() {
+            self.cutoff.clone()
+        } else {
+            Rc::new(Cell::new(Ticks::MAX))
+        };
+        let stale_at = match kind {
+            RequestKind::Dispatch { .. } => Ticks::MAX,
+            _ => stale_base + REQUEST_STALENESS_LIMIT,
+        };
+        SendDeadline { cutoff, stale_at }
+    }
+}
+
+/// What a request is for.
 enum RequestKind {
+    /// An attempt of an invocation.
     Dispatch {
-        inv: InvocationId,
-        hop: u8,
-    },
-    /// New work or not: to ask and to unload are no new work.
-    Order {
-        new_work: bool,
+        invocation: InvocationId,
+        attempt: u8,
     },
-    Aside,
+    /// A load order. To query and to unload are no new work.
+    Load { is_new_work: bool },
+    /// A request whose end nobody waits for.
+    Background,
+}
+
+impl RequestKind {
+    /// Whether it must not reach an invoker that is draining.
+    fn is_new_work(&self) -> bool {
+        match self {
+            Self::Dispatch { .. } => true,
+            Self::Load { is_new_work } => *is_new_work,
+            Self::Background => false,
+        }
+    }
 }
 
+/// Runs a request in a task of its own.
+fn spawn_request(
+    kind: &RequestKind,
+    request: Attempt,
+    connection: Option<InvokerConnection>,
+) -> AbortHandle {
+    let task = match *kind {
+        RequestKind::Dispatch {
+            invocation,
+            attempt,
+        } => tokio::task::spawn_local(run_dispatch(request, connection, invocation, attempt)),
+        RequestKind::Load { .. } => tokio::task::spawn_local(run_load(request, connection)),
+        RequestKind::Background => {
+            tokio::task::spawn_local(background_request(request, connection))
+        }
+    };
+    task.abort_handle()
+}
+
+/// A request in flight.
 struct PendingRequest {
     invoker: InvokerId,
-    of: RequestKind,
+    kind: RequestKind,
     socket: Option<Rc<Socket>>,
     task: AbortHandle,
 }
@@ -87,9 +138,9 @@
         self.socket.as_ref()?.sent_at()
     }
 
-    /// A dispatch whose request has left whole.
-    fn is_out(&self) -> bool {
-        matches!(self.of, RequestKind::Dispatch { .. })
+    /// Whether it is an attempt whose request was sent completely.
+    fn is_at_invoker(&self) -> bool {
+        matches!(self.kind, RequestKind::Dispatch { .. })
             && self.socket.as_ref().is_some_and(|s| s.sent_completely())
     }
 }
@@ -104,6 +155,7 @@
     pub bytes: usize,
 }
 
+/// The connections to all invokers, and the requests on them.
 pub(crate) struct InvokerPools {
     handle: Weak<ControllerHandle>,
     budget: ResourceLimits,
@@ -111,22 +163,23 @@
     connection_idle_timeout: Ticks,
     trigger_names: Rc<[String]>,
     pools: BTreeMap<InvokerId, Pool>,
-    jobs: BTreeMap<u64, PendingRequest>,
-    last: u64,
-    /// When orders left whose end is being told.
+    requests: BTreeMap<u64, PendingRequest>,
+    last_request: u64,
+    /// When load orders were sent whose end is being reported.
     load_sent_times: BTreeMap<u64, Ticks>,
     /// Connections that are open, being made or just aborted, idle ones among them.
     open: Rc<Cell<usize>>,
-    held: Rc<Cell<usize>>,
+    held_bytes: Rc<Cell<usize>>,
 }
 
 /// Counts a descriptor for as long as it lives.
 pub(crate) struct DescriptorGuard(Rc<Cell<usize>>);
 
 impl DescriptorGuard {
-    pub fn new(of: &Rc<Cell<usize>>) -> Self {
-        of.set(of.get() + 1);
-        Self(of.clone())
+    /// Counts one more.
+    pub fn new(count: &Rc<Cell<usize>>) -> Self {
+        count.set(count.get() + 1);
+        Self(count.clone())
     }
 }
 
@@ -137,34 +190,34 @@
 }
 
 impl InvokerPools {
+    /// Without any invoker.
     pub fn new(
         budget: ResourceLimits,
         connect_timeout: Ticks,
         connection_idle_timeout: Ticks,
         trigger_names: Rc<[String]>,
     ) -> Self {
-        let (pools, jobs, last, load_sent_times, open, held) = Default::default();
-        let handle = Weak::new();
         Self {
-            handle,
+            handle: Weak::new(),
             budget,
             connect_timeout,
             connection_idle_timeout,
             trigger_names,
-            pools,
-            jobs,
-            last,
-            load_sent_times,
-            open,
-            held,
+            pools: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            last_request: 0,
+            load_sent_times: BTreeMap::new(),
+            open: Rc::default(),
+            held_bytes: Rc::default(),
         }
     }
 
-    pub fn know(&mut self, handle: &Rc<ControllerHandle>) {
+    /// Sets the handle through which requests report their ends.
+    pub fn set_handle(&mut self, handle: &Rc<ControllerHandle>) {
         self.handle = Rc::downgrade(handle);
     }
 
-    /// What goes along with an invocation, if there is room to hold it.
+    /// What the attempts of an invocation carry, if there is memory to hold it.
     pub fn carry(
         &self,
         trigger: usize,
@@ -173,192 +226,192 @@
         body: Bytes,
         client_backlog: ReadBacklog,
     ) -> Option<Payload> {
-        let held = self.held.get() + body.len();
-        (held <= self.budget.bytes).then(|| {
-            self.held.set(held);
+        let held_bytes = self.held_bytes.get() + body.len();
+        (held_bytes <= self.budget.bytes).then(|| {
+            self.held_bytes.set(held_bytes);
             Payload {
                 trigger,
                 txn,
                 token,
                 body,
                 client_backlog,
-                held: self.held.clone(),
+                held_bytes: self.held_bytes.clone(),
             }
         })
     }
 
     #[cfg(test)]
     pub fn sizes(&self) -> PoolSizes {
-        let (pools, lines, jobs) = (self.pools.len(), self.open.get(), self.jobs.len());
+        let (pools, lines, jobs) = (self.pools.len(), self.open.get(), self.requests.len());
         PoolSizes {
             pools,
             lines,
             jobs,
-            bytes: self.held.get(),
+            bytes: self.held_bytes.get(),
         }
     }
 
-    /// Lets go of idle lines that the invoker would soon close, of those that are broken, and of pools that are gone.
+    /// Drops idle connections that the invoker would soon close or that are broken, and pools of invokers that are gone.
     pub fn sweep(&mut self, now: Ticks) {
-        let most = self.connection_idle_timeout * IDLE_TIMEOUT_FRACTION.0 / IDLE_TIMEOUT_FRACTION.1;
-        for p in self.pools.values_mut() {
-            p.idle
-                .retain(|(since, line)| now < since + most && line.is_reusable());
+        let max_idle_time = self.max_idle_time();
+        for pool in self.pools.values_mut() {
+            pool.idle.retain(|(since, connection)| {
+                now < since + max_idle_time && connection.is_reusable()
+            });
         }
         self.pools
-            .retain(|_, p| p.life != InvokerStatus::Gone || p.active_requests > 0);
+            .retain(|_, pool| pool.status != InvokerStatus::Gone || pool.active_requests > 0);
     }
 
-    /// Makes room for one more line: the idle line that was idle longest goes, wherever it leads.
-    fn room(&mut self) -> bool {
+    /// Makes capacity for one more connection: closes the one that was idle longest, wherever it leads.
+    fn make_capacity(&mut self) -> bool {
         if self.open.get() < self.budget.lines {
             return true;
         }
         let longest = self
             .pools
             .iter()
-            .filter_map(|(w, p)| Some((p.idle.first()?.0, *w)))
+            .filter_map(|(invoker, pool)| Some((pool.idle.first()?.0, *invoker)))
             .min();
-        let Some(pool) = longest.and_then(|(_, w)| self.pools.get_mut(&w)) else {
+        let Some(pool) = longest.and_then(|(_, invoker)| self.pools.get_mut(&invoker)) else {
             return false;
         };
         pool.idle.remove(0);
         self.open.get() < self.budget.lines
     }
 
-    /// Starts a request. `Err`: it never left.
-    fn start(
+    /// How long an idle connection may be kept.
+    fn max_idle_time(&self) -> Ticks {
+        self.connection_idle_timeout * IDLE_TIMEOUT_FRACTION.0 / IDLE_TIMEOUT_FRACTION.1
+    }
+
+    /// Takes the freshest idle connection that may be reused now, and drops those that may not any more.
+    fn take_idle(
         &mut self,
         now: Ticks,
+        last_polled: Ticks,
         invoker: InvokerId,
-        of: RequestKind,
-        prepared: PreparedRequest,
-    ) -> Result<u64, Outcome> {
-        let most = self.connection_idle_timeout * IDLE_TIMEOUT_FRACTION.0 / IDLE_TIMEOUT_FRACTION.1;
-        let new_work = !matches!(
-            of,
-            RequestKind::Order { new_work: false } | RequestKind::Aside
-        );
-        let pool = self.pools.get_mut(&invoker).ok_or(Outcome::NoConnection)?;
-        if new_work && now >= pool.cutoff.get() {
-            return Err(Outcome::NotSent);
-        }
-        let handle = self.handle.upgrade().ok_or(Outcome::NotSent)?;
-        let (looked, mut line) = (handle.event_loop.last_polled(), None);
+    ) -> Option<InvokerConnection> {
+        let max_idle_time = self.max_idle_time();
+        let pool = self.pools.get_mut(&invoker)?;
         for i in (0..pool.idle.len()).rev() {
             let since = pool.idle[i].0;
-            if looked < since + CONNECTION_REUSE_DELAY {
+            if last_polled < since + CONNECTION_REUSE_DELAY {
                 continue;
             }
             let (_, idle) = pool.idle.remove(i);
-            if now < since + most && idle.is_reusable() {
-                line = Some(idle);
-                break;
+            if now < since + max_idle_time && idle.is_reusable() {
+                return Some(idle);
             }
         }
-        if line.is_none() && !self.room() {
-            debug!(invoker, "no descriptor is left for a connection");
+        None
+    }
+
+    /// Starts a request. `Err`: it was never sent.
+    fn start(
+        &mut self,
+        now: Ticks,
+        invoker: InvokerId,
+        kind: RequestKind,
+        prepared: PreparedRequest,
+    ) -> Result<u64, Outcome> {
+        let pool = self.pools.get(&invoker).ok_or(Outcome::NoConnection)?;
+        if kind.is_new_work() && now >= pool.cutoff.get() {
+            return Err(Outcome::NotSent);
+        }
+        let handle = self.handle.upgrade().ok_or(Outcome::NotSent)?;
+        let connection = self.take_idle(now, handle.event_loop.last_polled(), invoker);
+        if connection.is_none() && !self.make_capacity() {
+            debug!(invoker, "no descriptor left for a connection");
             return Err(Outcome::NotSent);
         }
         let pool = self.pools.get_mut(&invoker).ok_or(Outcome::NoConnection)?;
         pool.active_requests += 1;
-        self.last += 1;
-        let cutoff = if new_work {
-            pool.cutoff.clone()
-        } else {
-            Rc::new(Cell::new(Ticks::MAX))
-        };
-        // A decision that could not leave by then is made anew: what it rests on has changed.
-        let leaves_by = now + self.connect_timeout + REQUEST_STALENESS_LIMIT;
-        let stale_at = if matches!(of, RequestKind::Dispatch { .. }) {
-            Ticks::MAX
-        } else {
-            leaves_by
-        };
-        let send_deadline = SendDeadline { cutoff, stale_at };
-        // At once: who takes it back before its task had a turn must not be told of the request before.
-        line.iter()
-            .for_each(|l| l.socket.begin(prepared.body, send_deadline.clone()));
-        let ask = Attempt {
+        let (epoch, address) = (pool.epoch, Address::Tcp(pool.address.to_string()));
+        let send_deadline = pool.send_deadline(&kind, now + self.connect_timeout);
+        self.last_request += 1;
+        // At once: a request that is withdrawn before its task runs must not be judged by the request before.
+        if let Some(connection) = &connection {
+            connection
+                .socket
+                .begin(prepared.body, send_deadline.clone());
+        }
+        let is_new_connection = connection.is_none();
+        let attempt = Attempt {
             handle,
             invoker,
-            epoch: pool.epoch,
-            request_id: self.last,
-            address: Address::Tcp(pool.address.to_string()),
+            epoch,
+            request_id: self.last_request,
+            address,
             within: Duration::from_micros(self.connect_timeout * 100),
-            descriptor: Cell::new(line.is_none().then(|| DescriptorGuard::new(&self.open))),
+            descriptor: Cell::new(is_new_connection.then(|| DescriptorGuard::new(&self.open))),
             open: self.open.clone(),
             send_deadline,
             prepared,
         };
-        let socket = line.as_ref().map(|l| l.socket.clone());
-        let task = match of {
-            RequestKind::Dispatch { inv, hop } => {
-                tokio::task::spawn_local(run_dispatch(ask, line, inv, hop))
-            }
-            RequestKind::Order { .. } => tokio::task::spawn_local(run_load(ask, line)),
-            RequestKind::Aside => tokio::task::spawn_local(background_request(ask, line)),
+        let socket = connection
+            .as_ref()
+            .map(|connection| connection.socket.clone());
+        let task = spawn_request(&kind, attempt, connection);
+        let request = PendingRequest {
+            invoker,
+            kind,
+            socket,
+            task,
         };
-        self.jobs.insert(
-            self.last,
-            PendingRequest {
-                invoker,
-                of,
-                socket,
-                task: task.abort_handle(),
-            },
-        );
-        Ok(self.last)
+        self.requests.insert(self.last_request, request);
+        Ok(self.last_request)
     }
 
     /// The connection of a request was established.
-    pub(crate) fn connected(&mut self, job: u64, socket: Rc<Socket>) {
-        if let Some(job) = self.jobs.get_mut(&job) {
-            job.socket = Some(socket);
+    pub(crate) fn connected(&mut self, request: u64, socket: Rc<Socket>) {
+        if let Some(request) = self.requests.get_mut(&request) {
+            request.socket = Some(socket);
         }
     }
 
     /// A request has ended by itself: false when it was aborted before.
-    pub(crate) fn finish(&mut self, job: u64) -> bool {
-        let Some(ended) = self.jobs.remove(&job) else {
+    pub(crate) fn finish(&mut self, request: u64) -> bool {
+        let Some(ended) = self.requests.remove(&request) else {
             return false;
         };
         if let Some(pool) = self.pools.get_mut(&ended.invoker) {
             pool.active_requests -= 1;
         }
-        if let (RequestKind::Order { .. }, Some(left)) = (&ended.of, ended.sent_at()) {
-            self.load_sent_times.insert(job, left);
+        if let (RequestKind::Load { .. }, Some(sent_at)) = (&ended.kind, ended.sent_at()) {
+            self.load_sent_times.insert(request, sent_at);
         }
         true
     }
 
     /// Aborts a request: its connection is closed at once.
-    fn abort(&mut self, job: u64) {
-        let Some(job) = self.jobs.remove(&job) else {
+    fn abort(&mut self, request: u64) {
+        let Some(request) = self.requests.remove(&request) else {
             return;
         };
-        if let Some(pool) = self.pools.get_mut(&job.invoker) {
+        if let Some(pool) = self.pools.get_mut(&request.invoker) {
             pool.active_requests -= 1;
         }
-        if let Some(socket) = job.socket {
+        if let Some(socket) = request.socket {
             socket.close();
         }
-        job.task.abort();
+        request.task.abort();
     }
 
+    /// Takes back a connection whose request has ended, unless it leads to another process by now.
     pub(crate) fn return_connection(
         &mut self,
         now: Ticks,
         invoker: InvokerId,
         epoch: u32,
-        line: InvokerConnection,
+        connection: InvokerConnection,
     ) {
         if let Some(pool) = self
             .pools
             .get_mut(&invoker)
-            .filter(|p| p.epoch == epoch && p.life != InvokerStatus::Gone)
+            .filter(|pool| pool.epoch == epoch && pool.status != InvokerStatus::Gone)
         {
-            pool.idle.push((now, line));
+            pool.idle.push((now, connection));
         }
     }
 }
--- a/crates/platform/src/invoker_pools/transport.rs
+++ b/crates/platform/src/invoker_pools/transport.rs
@@ -3,6 +3,7 @@
 use crate::attempt::{PreparedRequest, WaitingClient};
 use crate::clients::ClientResponder;
 use crate::state::NodeConfig;
+use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
 use saltdrum::interface::*;
@@ -11,60 +12,64 @@
 
 use super::{InvokerPools, Payload, PendingRequest, RequestKind};
 
+/// The HTTP request of an attempt.
+fn dispatch_request(
+    payload: &Payload,
+    trigger_name: &str,
+    function: FunctionId,
+) -> Result<Request<Full<Bytes>>, Outcome> {
+    let has_body = !payload.body.is_empty();
+    let mut request = Request::builder()
+        .method(if has_body { "POST" } else { "GET" })
+        .uri(format!("/obj/{trigger_name}"))
+        .header("host", "invoker")
+        .header(http::TXN, format!("{:016x}", payload.txn))
+        .header(http::FUNCTION, format!("{function:016x}"));
+    if let Some(token) = &payload.token {
+        request = request.header(http::TOKEN, token);
+    }
+    if has_body {
+        request = request.header("content-length", payload.body.len());
+    }
+    let request = request.body(Full::new(payload.body.clone()));
+    request.map_err(|_| Outcome::NotSent)
+}
+
 impl InvokerTransport for InvokerPools {
     type Payload = Payload;
     type Responder = ClientResponder;
     type Config = NodeConfig;
 
-    fn dispatch(&mut self, s: &OutgoingDispatch<Payload>) -> Result<u64, Outcome> {
-        let c = s.payload;
-        let method = if c.body.is_empty() { "GET" } else { "POST" };
-        let mut request = Request::builder()
-            .method(method)
-            .uri(format!("/obj/{}", self.trigger_names[c.trigger]))
-            .header("host", "invoker")
-            .header(http::TXN, format!("{:016x}", c.txn))
-            .header(http::FUNCTION, format!("{:016x}", s.function));
-        if let Some(token) = &c.token {
-            request = request.header(http::TOKEN, token);
-        }
-        if !c.body.is_empty() {
-            request = request.header("content-length", c.body.len());
-        }
-        let request = request
-            .body(Full::new(c.body.clone()))
-            .map_err(|_| Outcome::NotSent)?;
-        let (until, leave_by) = (s.deadline, s.send_by);
-        let client = Some(WaitingClient {
-            until,
-            leave_by,
-            backlog: c.client_backlog.clone(),
-        });
+    fn dispatch(&mut self, outgoing: &OutgoingDispatch<Payload>) -> Result<u64, Outcome> {
+        let payload = outgoing.payload;
+        let trigger_name = &self.trigger_names[payload.trigger];
+        let request = dispatch_request(payload, trigger_name, outgoing.function)?;
         let prepared = PreparedRequest {
             request,
-            body: c.body.len(),
-            client,
+            body: payload.body.len(),
+            client: Some(WaitingClient {
+                until: outgoing.deadline,
+                leave_by: outgoing.send_by,
+                backlog: payload.client_backlog.clone(),
+            }),
         };
-        self.start(
-            s.now,
-            s.invoker,
-            RequestKind::Dispatch {
-                inv: s.invocation,
-                hop: s.attempt,
-            },
-            prepared,
-        )
+        let kind = RequestKind::Dispatch {
+            invocation: outgoing.invocation,
+            attempt: outgoing.attempt,
+        };
+        self.start(outgoing.now, outgoing.invoker, kind, prepared)
     }
 
     fn withdraw(&mut self, _: InvokerId, dispatch: u64) -> bool {
-        let Some(job) = self.jobs.get(&dispatch) else {
+        let Some(request) = self.requests.get(&dispatch) else {
             return false;
         };
-        let never = job.socket.as_ref().is_none_or(|s| !s.sent_completely());
-        if never {
+        let socket = request.socket.as_ref();
+        let never_ran = socket.is_none_or(|socket| !socket.sent_completely());
+        if never_ran {
             self.abort(dispatch);
         }
-        never
+        never_ran
     }
 
     fn cancel(&mut self, _: InvokerId, dispatch: u64) -> bool {
@@ -98,10 +103,9 @@
         let request = request
             .body(Full::default())
             .map_err(|_| LoadOutcome::NotSent)?;
-        let of = RequestKind::Order {
-            new_work: count > 0,
-        };
-        self.start(now, invoker, of, PreparedRequest::alone(request))
+        let is_new_work = count > 0;
+        let kind = RequestKind::Load { is_new_work };
+        self.start(now, invoker, kind, PreparedRequest::alone(request))
             .map_err(|outcome| match outcome {
                 Outcome::NoConnection => LoadOutcome::Unreachable,
                 _ => LoadOutcome::NotSent,
@@ -109,7 +113,7 @@
     }
 
     fn load_sent_at(&self, order: u64) -> Option<Ticks> {
-        self.jobs.get(&order).map_or_else(
+        self.requests.get(&order).map_or_else(
             || self.load_sent_times.get(&order).copied(),
             PendingRequest::sent_at,
         )
@@ -128,7 +132,7 @@
             let _ = self.start(
                 now,
                 invoker,
-                RequestKind::Aside,
+                RequestKind::Background,
                 PreparedRequest::alone(request),
             );
         }
@@ -140,7 +144,7 @@
             let _ = self.start(
                 now,
                 invoker,
-                RequestKind::Aside,
+                RequestKind::Background,
                 PreparedRequest::alone(request),
             );
         }
--- a/crates/platform/src/invoker_pools/views.rs
+++ b/crates/platform/src/invoker_pools/views.rs
@@ -1,60 +1,58 @@
 //! The periodic log of counters and of the policy's view of each invoker.
 
+use super::RequestKind;
 use crate::state::ControllerState;
+use saltdrum::interface::InvokerView;
 use tracing::info;
 
-use super::{PendingRequest, RequestKind};
-
-/// What the module believes of each invoker, beside what is on its sockets.
+/// Logs the counters, and what the policy believes of each invoker beside what is on its sockets.
 pub(crate) fn log_invoker_views(state: &ControllerState) {
-    let (reach, c, held) = (
-        &state.invocations.transport,
-        &state.invocations.counters,
-        state.policy.table_sizes(),
-    );
+    log_counters(state);
+    for view in state.policy.invoker_views(state.invocations.now) {
+        log_invoker_view(state, &view);
+    }
+}
+
+fn log_counters(state: &ControllerState) {
+    let transport = &state.invocations.transport;
+    let counters = &state.invocations.counters;
+    let sizes = state.policy.table_sizes();
     info!(
-        taken = c.accepted,
-        stale = c.expired_on_arrival,
-        succeeded = c.succeeded,
-        throttled = c.throttled,
-        errored = c.errored,
-        left = c.client_left,
-        too_late = c.answered_too_late,
-        dispatches = c.attempts,
-        orders = c.load_orders,
-        orders_counted = held.loads_counted,
-        invocations_counted = held.invocations_counted,
+        taken = counters.accepted,
+        stale = counters.expired_on_arrival,
+        succeeded = counters.succeeded,
+        throttled = counters.throttled,
+        errored = counters.errored,
+        left = counters.client_left,
+        too_late = counters.answered_too_late,
+        dispatches = counters.attempts,
+        orders = counters.load_orders,
+        orders_counted = sizes.loads_counted,
+        invocations_counted = sizes.invocations_counted,
         in_flight = state.invocations.in_flight(),
-        lines = reach.open.get(),
-        held_bytes = reach.held.get(),
+        lines = transport.open.get(),
+        held_bytes = transport.held_bytes.get(),
         "counts"
     );
-    for b in state.policy.invoker_views(state.invocations.now) {
-        let id = saltdrum_platform_wire::feed::id_text(b.invoker);
-        let of = |j: &&PendingRequest| j.invoker == b.invoker;
-        let sent = reach
-            .jobs
-            .values()
-            .filter(of)
-            .filter(|j| matches!(j.of, RequestKind::Dispatch { .. }))
-            .count();
-        let on_sockets = reach
-            .jobs
-            .values()
-            .filter(of)
-            .filter(|j| j.is_out())
-            .count();
-        let idle = reach.pools.get(&b.invoker).map_or(0, |p| p.idle.len());
-        info!(
-            id,
-            out = b.in_flight,
-            sent,
-            on_sockets,
-            idle,
-            slow = b.slowdown,
-            errors = b.error_rate,
-            shut = b.is_ejected,
-            "belief"
-        );
-    }
+}
+
+fn log_invoker_view(state: &ControllerState, view: &InvokerView) {
+    let transport = &state.invocations.transport;
+    let requests = transport.requests.values();
+    let requests = requests.filter(|request| request.invoker == view.invoker);
+    let attempts = requests.filter(|request| matches!(request.kind, RequestKind::Dispatch { .. }));
+    let sent = attempts.clone().count();
+    let on_sockets = attempts.filter(|attempt| attempt.is_at_invoker()).count();
+    let pool = transport.pools.get(&view.invoker);
+    info!(
+        id = saltdrum_platform_wire::feed::id_text(view.invoker),
+        out = view.in_flight,
+        sent,
+        on_sockets,
+        idle = pool.map_or(0, |pool| pool.idle.len()),
+        slow = view.slowdown,
+        errors = view.error_rate,
+        shut = view.is_ejected,
+        "belief"
+    );
 }
--- a/crates/platform/src/lifecycle.rs
+++ b/crates/platform/src/lifecycle.rs
@@ -200,7 +200,7 @@
     let handle = ControllerHandle::new(policy, invocations, clock, network, node);
     let handle = Rc::new(handle);
     handle.update(|state| {
-        state.invocations.transport.know(&handle);
+        state.invocations.transport.set_handle(&handle);
         for (_, event) in &config.known.1 {
             match event {
                 Event::Nothing => {}
