--- a/crates/cli/tests/command_line_fixtures.rs
+++ b/crates/cli/tests/command_line_fixtures.rs
@@ -179,6 +179,15 @@
         .collect()
 }
 
+/// Commands whose present name, which their line on usage shows, is another than the one that is typed as an alias.
+const RENAMED_COMMANDS: [(&str, &str); 1] = [("steward", "coordinator")];
+
+/// Whether a word of the line on usage is this subcommand, by its present name.
+fn is_subcommand(word: &str, typed: &str) -> bool {
+    let renamed = RENAMED_COMMANDS.iter().find(|(alias, _)| *alias == typed);
+    word == renamed.map_or(typed, |(_, present)| *present)
+}
+
 /// Required flags and positional arguments by the line on usage.
 fn usage(path: &str, help: &str) -> (Vec<String>, Vec<String>) {
     let line = help
@@ -188,7 +197,10 @@
     let path = words_of(path);
     let mut subcommands = path.iter().peekable();
     let after_program = line.split_whitespace().skip(2);
-    let arguments = after_program.filter(|word| subcommands.next_if(|next| next == word).is_none());
+    let arguments = after_program.filter(|word| {
+        let is_next = |next: &&String| is_subcommand(word, next);
+        subcommands.next_if(is_next).is_none()
+    });
     let (mut required, mut positionals) = (Vec::new(), Vec::new());
     let mut is_value = false;
     for word in arguments.filter(|word| *word != "[OPTIONS]" && *word != "<COMMAND>") {
