--- a/crates/platform/src/attempt.rs
+++ b/crates/platform/src/attempt.rs
@@ -1,8 +1,8 @@
 //! One request to an invoker: a dispatch, a load order, or a background request. It goes over an idle connection or a new
 //! one, its headers are completed when it is sent, and it ends with a response or with what is proven about it.
 
+use crate::descriptor_guard::DescriptorGuard;
 use crate::invoker_connection::{InvokerConnection, InvokerResponse, SendDeadline};
-use crate::invoker_pools::DescriptorGuard;
 use crate::state::ControllerHandle;
 use bytes::Bytes;
 use http_body_util::Full;
--- a/crates/platform/src/client_connection.rs
+++ b/crates/platform/src/client_connection.rs
@@ -5,7 +5,7 @@
 //! which whatever it had sent meanwhile still arrives.
 
 use crate::admission::{AdmissionError, admit};
-use crate::clients::{Client, CloseReason, NO_DEADLINE};
+use crate::clients::{Client, CloseReason, Entry, NO_DEADLINE};
 use crate::state::ControllerHandle;
 use saltdrum::interface::{InvocationId, Ticks};
 use saltdrum_platform_wire::Malformed;
@@ -27,14 +27,6 @@
 const FINAL_READ_BYTES_MAX: usize = 1 << 20;
 const DISCARDED_BYTES_MAX: usize = 256 << 10;
 
-/// What a connection is let in for.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Entry {
-    Served,
-    /// There is no room: all that it asks for is refused, then it is closed.
-    Rejected,
-}
-
 /// Why a connection ends.
 enum ConnectionEnd {
     /// The client has closed it, or it broke.
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -2,18 +2,14 @@
 //! are owed. `client_connection` is one connection, `admission` the admission of an invocation. A client that lies, floods or
 //! says nothing suffers alone.
 
-use crate::client_connection::{Entry, serve_connection};
-use crate::state::ControllerHandle;
 use saltdrum::interface::{InvocationId, MILLISECOND, SECOND, Ticks};
 use saltdrum_controller::{FinalResponse, Responder};
 use saltdrum_platform_wire::frames::{self, Code};
-use saltdrum_transport::{ArrivalClock, Listener, SendQueue};
+use saltdrum_transport::SendQueue;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
-use std::time::Duration;
 use tokio::sync::Notify;
-use tracing::{debug, warn};
 
 /// Answers that a client lets lie are bounded; it is cut off when they are more.
 const RESPONSE_QUEUE_BYTES_MAX: usize = 1 << 20;
@@ -23,19 +19,23 @@
 const PARTIAL_FRAME_TIMEOUT: Ticks = SECOND;
 /// Clients close a connection that long idle themselves, well before this.
 const IDLE_TIMEOUT: Ticks = 6 * SECOND;
-const SWEEP_INTERVAL: Duration = Duration::from_millis(200);
-/// In rounds of the sweep.
-const VIEW_LOG_SWEEPS: u64 = 5;
 /// So many connections beyond the clients' part may be at their end, or there to be turned away; past it their ends are
 /// cut short, and who comes waits at the door. Well within what the limits reserve, or a crowd would take the
 /// descriptors of the feed and of lines.
 const CLOSING_CONNECTIONS_MAX: usize = 4;
-/// How long who comes waits at the door at the most before it is looked for room again.
-const ADMIT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 pub(crate) const NO_DEADLINE: Ticks = Ticks::MAX;
 /// Where a refusal is for want of room, the wait that is advised.
 pub(crate) const OVERLOAD_RETRY_AFTER_MS: u64 = 100;
 
+/// What a connection is accepted for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Entry {
+    /// Its requests are served.
+    Served,
+    /// There is no capacity: all its requests are rejected, then it is closed.
+    Rejected,
+}
+
 /// Why this controller closes a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CloseReason {
@@ -203,11 +203,35 @@
         self.all.borrow().values().for_each(|c| c.send_go_away());
     }
 
-    /// Lets in who waits at the door, then shuts it.
+    /// Accepts what waits to be accepted, then no more.
     pub fn shut(&self) {
         self.shut.notify_one();
     }
 
+    /// Waits until no more clients are to be accepted.
+    pub(crate) async fn shut_requested(&self) {
+        self.shut.notified().await;
+    }
+
+    /// No more clients are accepted.
+    pub(crate) fn set_shut(&self) {
+        self.is_shut.set(true);
+    }
+
+    /// Waits until a connection has ended.
+    pub(crate) async fn connection_freed(&self) {
+        self.freed.notified().await;
+    }
+
+    /// Closes connections of clients that say nothing, or never end a frame that they began.
+    pub(crate) fn close_overdue(&self, now: Ticks) {
+        for client in self.all.borrow().values() {
+            if let Some(reason) = client.overdue(now) {
+                client.cut_off(reason);
+            }
+        }
+    }
+
     /// Whether answers wait to leave, or a request has come in part.
     pub fn have_pending_output(&self) -> bool {
         let half = |c: &Client| c.partial_since.get().is_some() && !c.closing.get();
@@ -217,10 +241,12 @@
             .any(|c| c.outbox.queued_bytes() > 0 || half(c))
     }
 
+    /// Whether no more clients are accepted.
     pub fn is_shut(&self) -> bool {
         self.is_shut.get()
     }
 
+    /// Complete frames that were read.
     pub fn frames(&self) -> u64 {
         self.frames.get()
     }
@@ -255,18 +281,20 @@
         number
     }
 
+    /// A connection has ended.
     pub(crate) fn remove(&self, number: u64) {
         self.all.borrow_mut().remove(&number);
         self.freed.notify_one();
     }
 
+    /// Whether no connection is left.
     pub fn are_gone(&self) -> bool {
         self.all.borrow().is_empty()
     }
 
-    /// Makes room for one more: of those with nothing open, the one idle longest goes. Where all have something open, who
-    /// comes is turned away. None: so many are going that it has to wait, and one of them goes at once.
-    pub(crate) fn room(&self, most: usize) -> Option<Entry> {
+    /// Makes capacity for one more: of those with nothing open, the one idle longest is closed. Where all have something open,
+    /// the new one is rejected. None: so many are closing that it has to wait, and one of them ends at once.
+    pub(crate) fn make_capacity(&self, most: usize) -> Option<Entry> {
         let all = self.all.borrow();
         let served = all.values().filter(|c| !c.closing.get());
         let is_crowded = all.len() >= most + CLOSING_CONNECTIONS_MAX;
@@ -332,68 +360,3 @@
 
     fn abandon(self, _: InvocationId) {}
 }
-
-/// Takes in clients for as long as the controller lives.
-pub(crate) async fn receive(
-    handle: Rc<ControllerHandle>,
-    mut door: Box<dyn Listener>,
-    opened_at: Ticks,
-) {
-    let mut arrivals = ArrivalClock::new(opened_at, handle.clock, &handle.event_loop);
-    let clients = &handle.config.clients;
-    loop {
-        let came = tokio::select! {
-            // Who came before the door shuts is let in: the machine has accepted it already.
-            biased;
-            came = arrivals.accept(&mut *door) => came,
-            () = clients.shut.notified() => return clients.is_shut.set(true),
-        };
-        match came {
-            Ok(stream) => {
-                let opened = arrivals.earliest();
-                let waited_most_ms = handle.clock.now().saturating_sub(opened) / MILLISECOND;
-                debug!(waited_most_ms, "client connected");
-                let entry = loop {
-                    match clients.room(handle.config.budget.clients) {
-                        Some(entry) => break entry,
-                        // One that was hurried is gone within a turn or two.
-                        None => drop(
-                            tokio::time::timeout(ADMIT_POLL_INTERVAL, clients.freed.notified())
-                                .await,
-                        ),
-                    }
-                };
-                drop(tokio::task::spawn_local(serve_connection(
-                    handle.clone(),
-                    stream,
-                    opened,
-                    entry,
-                )));
-            }
-            Err(e) => {
-                warn!(%e, "accept failed");
-                tokio::time::sleep(Duration::from_millis(20)).await;
-            }
-        }
-        // A crowd at the door must not hold up those inside.
-        tokio::task::yield_now().await;
-    }
-}
-
-/// Closes those who say nothing, or never end what they began.
-pub(crate) async fn sweep(handle: Rc<ControllerHandle>) {
-    for round in 1u64.. {
-        tokio::time::sleep(SWEEP_INTERVAL).await;
-        if round.is_multiple_of(VIEW_LOG_SWEEPS) && tracing::enabled!(tracing::Level::INFO) {
-            handle.inspect(crate::invoker_pools::log_invoker_views);
-        }
-        let now = handle.clock.now();
-        for client in handle.config.clients.all.borrow().values() {
-            if let Some(reason) = client.overdue(now) {
-                client.cut_off(reason);
-            }
-        }
-        handle.config.look_at_wall_clock(now);
-        handle.update(|state| state.invocations.transport.sweep(now));
-    }
-}
--- a/crates/platform/src/invoker_pools.rs
+++ b/crates/platform/src/invoker_pools.rs
@@ -3,6 +3,7 @@
 use crate::attempt::{
     Attempt, PreparedRequest, REQUEST_STALENESS_LIMIT, background_request, run_dispatch, run_load,
 };
+use crate::descriptor_guard::DescriptorGuard;
 use crate::invoker_connection::{InvokerConnection, SendDeadline, Socket};
 use crate::limits::ResourceLimits;
 use crate::state::ControllerHandle;
@@ -172,23 +173,6 @@
     held_bytes: Rc<Cell<usize>>,
 }
 
-/// Counts a descriptor for as long as it lives.
-pub(crate) struct DescriptorGuard(Rc<Cell<usize>>);
-
-impl DescriptorGuard {
-    /// Counts one more.
-    pub fn new(count: &Rc<Cell<usize>>) -> Self {
-        count.set(count.get() + 1);
-        Self(count.clone())
-    }
-}
-
-impl Drop for DescriptorGuard {
-    fn drop(&mut self) {
-        self.0.set(self.0.get() - 1);
-    }
-}
-
 impl InvokerPools {
     /// Without any invoker.
     pub fn new(
--- a/crates/platform/src/lifecycle.rs
+++ b/crates/platform/src/lifecycle.rs
@@ -1,6 +1,7 @@
 //! Lifecycle of a controller: start, ready, reload on SIGHUP, shutdown on SIGTERM.
 
-use crate::clients::{self, Clients};
+use crate::acceptor::{accept_clients, sweep};
+use crate::clients::Clients;
 use crate::endpoint_watch::{self, EndpointWatch};
 use crate::invoker_pools::InvokerPools;
 use crate::limits::ResourceLimits;
@@ -228,10 +229,10 @@
         }
     }));
     spawn_local(endpoint_watch::watch(handle.clone()));
-    spawn_local(clients::sweep(handle.clone()));
+    spawn_local(sweep(handle.clone()));
     let timers = handle.clone();
     spawn_local(async move { timers.run_timers().await });
-    spawn_local(clients::receive(handle.clone(), listener, opened_at));
+    spawn_local(accept_clients(handle.clone(), listener, opened_at));
 }
 
 /// A file that is bad changes nothing. It may be one that is still being written when the signal comes, and no second
--- a/crates/platform/src/tests/closes.rs
+++ b/crates/platform/src/tests/closes.rs
@@ -1,6 +1,6 @@
 //! Before any close of ours, all that lies in the machine is read and answered. Over loopback sockets, as `crossings`.
 
-use crate::client_connection::Entry;
+use crate::clients::Entry;
 use crate::tests::socket_support::{Conn, Stage, before_their_turn, http, staged, until};
 use crate::tests::support::First;
 use saltdrum_platform_wire::frames::{self, Code};
@@ -20,7 +20,10 @@
 
 /// A connection that is chosen to end with nothing open on it.
 fn chosen_to_end(stage: &Stage) {
-    assert_eq!(stage.handle.config.clients.room(1), Some(Entry::Served));
+    assert_eq!(
+        stage.handle.config.clients.make_capacity(1),
+        Some(Entry::Served)
+    );
 }
 
 /// What was taken before a frame that can't be read was given up without an answer.
@@ -88,7 +91,7 @@
         clients[0].write(&stage.call(2).0);
         before_their_turn(|| {
             assert_eq!(
-                stage.handle.config.clients.room(1),
+                stage.handle.config.clients.make_capacity(1),
                 None,
                 "four may be going"
             )
--- a/crates/platform/src/tests/races.rs
+++ b/crates/platform/src/tests/races.rs
@@ -3,7 +3,7 @@
 //! the controller's tasks) and let go when the other has been seen to act. `docs/crossings.md` lists them all.
 
 use super::socket_support::*;
-use crate::client_connection::Entry;
+use crate::clients::Entry;
 use crate::lifecycle::leave;
 use saltdrum::interface::*;
 use saltdrum_controller::AttemptReport;
@@ -97,8 +97,13 @@
         let mut client = stage.known().await;
         let (call, txn) = stage.call(2);
         client.write(&call);
-        before_their_turn(|| assert_eq!(stage.handle.config.clients.room(1), Some(Entry::Served)))
-            .await;
+        before_their_turn(|| {
+            assert_eq!(
+                stage.handle.config.clients.make_capacity(1),
+                Some(Entry::Served)
+            )
+        })
+        .await;
         until(|| {
             client.look();
             client.ended
@@ -458,7 +463,7 @@
         let mut line = stage.line().await;
         line.asked().await;
         assert_eq!(
-            stage.handle.config.clients.room(1),
+            stage.handle.config.clients.make_capacity(1),
             Some(Entry::Rejected),
             "nobody is idle"
         );
