--- a/crates/platform/src/admission.rs
+++ b/crates/platform/src/admission.rs
@@ -38,87 +38,72 @@
     TransactionOpen,
 }
 
-/// Admits an invocation that came at `earliest` or later; `Err` says why it can't be taken.
+/// When a request arrived, and whether its client's stream holds unread bytes.
+pub(crate) struct Arrival<'a> {
+    pub earliest: Ticks,
+    pub backlog: &'a ReadBacklog,
+}
+
+/// Admits an invocation, or says why it cannot be admitted.
 pub(crate) fn admit(
     handle: &Rc<ControllerHandle>,
     state: &mut ControllerState,
     client: &Rc<Client>,
     stream: u32,
     request: Request,
-    earliest: Ticks,
-    backlog: &ReadBacklog,
+    arrival: &Arrival,
 ) -> Result<(), AdmissionError> {
-    let (node, invocations) = (&handle.config, &mut state.invocations);
+    let node = &handle.config;
     let resolved = resolve(node, &request)?;
-    let limit = resolved.limit;
-    let gone = earliest + limit;
-    if invocations.now >= gone {
-        invocations.counters.expired_on_arrival += 1;
+    let client_deadline = arrival.earliest + resolved.limit;
+    let waited_most_ms = state.invocations.now.saturating_sub(arrival.earliest) / MILLISECOND;
+    let (txn, limit_ms) = (request.txn, request.limit_ms);
+    if state.invocations.now >= client_deadline {
+        state.invocations.counters.expired_on_arrival += 1;
         debug!(
-            txn = format_args!("{:016x}", request.txn),
-            limit_ms = request.limit_ms,
-            waited_most_ms = (invocations.now - earliest) / MILLISECOND,
-            "request rejected: client timeout may be over"
+            txn = format_args!("{txn:016x}"),
+            limit_ms, waited_most_ms, "request rejected: client timeout may be over"
         );
         return Err(AdmissionError::Expired);
     }
-    if !node
-        .clients
-        .open_transactions
-        .borrow_mut()
-        .insert(request.txn)
-    {
+    let open_transactions = node.clients.open_transactions.clone();
+    if !open_transactions.borrow_mut().insert(txn) {
         return Err(AdmissionError::TransactionOpen);
     }
-    let (txn, open_transactions) = (request.txn, node.clients.open_transactions.clone());
-    let reply = ClientResponder {
+    let responder = ClientResponder {
         client: client.clone(),
         stream,
         txn,
         open_transactions,
         clock: handle.clock,
     };
-    let traits = FunctionTraits {
-        function: request.function,
-        work_hint_ms: request.work_hint_ms,
-        memory_mb: request.memory_mb,
-        concurrency_limit: request.lanes,
-        load_ms: request.load_ms,
-    };
-    let carried = invocations.transport.carry(
-        resolved.trigger,
-        txn,
-        request.token,
-        request.body,
-        backlog.clone(),
-    );
-    let Some(carried) = carried else {
+    let traits = FunctionTraits::new(&request);
+    let (token, body, backlog) = (request.token, request.body, arrival.backlog.clone());
+    let transport = &state.invocations.transport;
+    let Some(payload) = transport.carry(resolved.trigger, txn, token, body, backlog) else {
         debug!(
             txn = format_args!("{txn:016x}"),
             "request rejected: no memory for its input"
         );
-        reply.respond(
-            0,
-            FinalResponse::Throttled(OVERLOAD_RETRY_AFTER_MS * MILLISECOND),
-            0,
-            NO_DEADLINE,
-        );
+        let retry_after = OVERLOAD_RETRY_AFTER_MS * MILLISECOND;
+        responder.respond(0, FinalResponse::Throttled(retry_after), 0, NO_DEADLINE);
         return Ok(());
     };
-    let id = invocations.next_invocation();
+    let id = state.invocations.next_invocation();
     client.open.borrow_mut().insert(stream, id);
-    let invocation = describe(id, &resolved, &traits, earliest);
+    let invocation = describe(id, &resolved, &traits, arrival.earliest);
     let span = info_span!("invocation", id, txn = format_args!("{txn:016x}"));
     span.in_scope(|| {
         debug!(
             trigger = resolved.trigger,
             function = format_args!("{:016x}", invocation.function),
-            limit_ms = request.limit_ms,
-            waited_most_ms = (invocations.now - earliest) / MILLISECOND,
+            limit_ms,
+            waited_most_ms,
             "invocation admitted"
         );
     });
-    state.accept(invocation, gone + LATE_RESPONSE_GRACE, carried, reply, span);
+    let answer_until = client_deadline + LATE_RESPONSE_GRACE;
+    state.accept(invocation, answer_until, payload, responder, span);
     Ok(())
 }
 
@@ -179,6 +164,18 @@
     load_ms: Option<f64>,
 }
 
+impl FunctionTraits {
+    fn new(request: &Request) -> Self {
+        Self {
+            function: request.function,
+            work_hint_ms: request.work_hint_ms,
+            memory_mb: request.memory_mb,
+            concurrency_limit: request.lanes,
+            load_ms: request.load_ms,
+        }
+    }
+}
+
 /// The invocation as the policy sees it.
 fn describe(
     id: InvocationId,
--- a/crates/platform/src/client_connection.rs
+++ b/crates/platform/src/client_connection.rs
@@ -4,7 +4,7 @@
 //! refused, with when to come back. A client that is closed for being idle hears so first (type 48) and has a moment in
 //! which whatever it had sent meanwhile still arrives.
 
-use crate::admission::{AdmissionError, admit};
+use crate::admission::{AdmissionError, Arrival, admit};
 use crate::clients::{Client, CloseReason, Entry, NO_DEADLINE};
 use crate::state::ControllerHandle;
 use saltdrum::interface::{InvocationId, Ticks};
@@ -338,7 +338,8 @@
     let taken = frames::request(payload)
         .map_err(AdmissionError::from)
         .and_then(|request| {
-            handle.update(|state| admit(handle, state, client, stream, request, earliest, backlog))
+            let arrival = Arrival { earliest, backlog };
+            handle.update(|state| admit(handle, state, client, stream, request, &arrival))
         });
     if let Err(error) = taken {
         let why = error.to_string();
