--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -228,7 +228,7 @@
     // It has said that the half is bad before the rest is written.
     let mut said = std::io::BufReader::new(running.0.stderr.take().unwrap());
     let mut line = String::new();
-    while !line.contains("the new configuration is bad") {
+    while !line.contains("configuration reload failed") {
         line.clear();
         assert!(
             std::io::BufRead::read_line(&mut said, &mut line).unwrap() > 0,
