--- a/crates/cli/tests/command_line_fixtures.rs
+++ b/crates/cli/tests/command_line_fixtures.rs
@@ -8,6 +8,7 @@
 
 #![cfg(feature = "whole")]
 
+#[path = "../../../tests/support/fixture_file.rs"]
 mod fixture_file;
 mod node_peers;
 
--- a/crates/deployment/tests/deployment_script_fixtures.rs
+++ b/crates/deployment/tests/deployment_script_fixtures.rs
@@ -1,6 +1,7 @@
 //! Deployment scripts load to the same deployment as when the fixtures were written: each script in
 //! the repository that states one, and a fixture script that uses the whole vocabulary.
 
+#[path = "../../../tests/support/fixture_file.rs"]
 mod fixture_file;
 
 use saltdrum::interface::{Deployment, Effect, KeyScope, TriggerType};
--- a/crates/fakes/tests/record_fixtures.rs
+++ b/crates/fakes/tests/record_fixtures.rs
@@ -1,6 +1,7 @@
 //! The record of a day, a line of JSON each, is written as it was when the fixture was written, and
 //! read back the same.
 
+#[path = "../../../tests/support/fixture_file.rs"]
 mod fixture_file;
 
 use saltdrum_fakes::record::{How, Line, Place, Stated, Trigger, Try, Who, read, write};
--- a/crates/lab/tests/lab_results_fixtures.rs
+++ b/crates/lab/tests/lab_results_fixtures.rs
@@ -1,6 +1,7 @@
 //! Runs that the lab keeps as Parquet files, the list beside them, and the report on them as JSON
 //! are what they were when the fixtures were written.
 
+#[path = "../../../tests/support/fixture_file.rs"]
 mod fixture_file;
 
 use parquet::arrow::arrow_reader::ParquetRecordBatchReaderBuilder;
--- a/crates/lab/tests/lab_script_fixtures.rs
+++ b/crates/lab/tests/lab_script_fixtures.rs
@@ -1,6 +1,7 @@
 //! Experiments' scripts load to the same experiments as when the fixtures were written, and days
 //! that searches found are read and written out the same.
 
+#[path = "../../../tests/support/fixture_file.rs"]
 mod fixture_file;
 
 use saltdrum_deployment::script;
--- a/crates/load/tests/load_trace_fixtures.rs
+++ b/crates/load/tests/load_trace_fixtures.rs
@@ -1,6 +1,7 @@
 //! Recorded load as a Parquet file is written as it was when the fixture was written, and read back
 //! the same.
 
+#[path = "../../../tests/support/fixture_file.rs"]
 mod fixture_file;
 
 use parquet::arrow::arrow_reader::ParquetRecordBatchReaderBuilder;
--- a/crates/scenario/tests/summary_fixtures.rs
+++ b/crates/scenario/tests/summary_fixtures.rs
@@ -2,6 +2,7 @@
 //! is what it was when the fixtures were written. Days in virtual time repeat to the byte, so
 //! records and summaries are compared whole.
 
+#[path = "../../../tests/support/fixture_file.rs"]
 mod fixture_file;
 
 use saltdrum_fakes::record::{self, Line};
--- a/crates/trial/tests/record_fixtures.rs
+++ b/crates/trial/tests/record_fixtures.rs
@@ -1,6 +1,7 @@
 //! The record of a trial, a line of JSON each, is written as it was when the fixture was written,
 //! and read back the same. Verdicts on a stored record are told the same.
 
+#[path = "../../../tests/support/fixture_file.rs"]
 mod fixture_file;
 
 use saltdrum_trial::judge::judge;
--- a/crates/trial/tests/trial_script_fixtures.rs
+++ b/crates/trial/tests/trial_script_fixtures.rs
@@ -2,6 +2,7 @@
 //! the program, and fixture scripts that use the whole vocabulary. What they state of the
 //! deployment is looked at by the deployment package.
 
+#[path = "../../../tests/support/fixture_file.rs"]
 mod fixture_file;
 
 use saltdrum_coordinator::FleetConfig;
--- a/crates/cli/tests/fixture_file/mod.rs
+++ b/tests/support/fixture_file.rs
@@ -7,20 +7,20 @@
 const WRITE: &str = "SALTDRUM_WRITE_FIXTURES";
 
 /// Where a fixture is stored.
-pub fn path(name: &str) -> PathBuf {
+pub(crate) fn path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/fixtures")
         .join(name)
 }
 
 /// The bytes of a fixture; a missing one is a failure.
-pub fn read(name: &str) -> Vec<u8> {
+pub(crate) fn read(name: &str) -> Vec<u8> {
     let path = path(name);
     fs::read(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
 /// Asserts that a fixture holds exactly these bytes, or writes it.
-pub fn assert_equals(name: &str, actual: &[u8]) {
+pub(crate) fn assert_equals(name: &str, actual: &[u8]) {
     let path = path(name);
     if std::env::var_os(WRITE).is_some() {
         fs::create_dir_all(path.parent().unwrap()).unwrap();
