--- a/crates/fakes/src/platform.rs
+++ b/crates/fakes/src/platform.rs
@@ -380,9 +380,9 @@
 
     /// The next event, told from now on.
     pub fn say(&self, number: u64, event: Event) {
-        if let Event::Whole(lines) | Event::Changes(lines) = &event {
+        if let Event::Snapshot(lines) | Event::Changes(lines) = &event {
             for l in lines {
-                let life = match l.life {
+                let life = match l.status {
                     InvokerStatus::Ready => "ready",
                     InvokerStatus::Draining => "draining",
                     InvokerStatus::Gone => "gone",
@@ -426,7 +426,7 @@
                 tokio::select! {
                     () = self.more.notified() => {}
                     () = tokio::time::sleep(Duration::from_secs(1)) => {
-                        if self.torn.get() == Torn::Stalls || stream.write_all(&feed::encode(last, &Event::Nothing)).await.is_err() {
+                        if self.torn.get() == Torn::Stalls || stream.write_all(&feed::encode(last, &Event::Heartbeat)).await.is_err() {
                             return std::future::pending().await;
                         }
                     }
@@ -466,11 +466,11 @@
     Listing {
         invoker,
         address,
-        life,
+        status: life,
         zone: 0,
-        kind: 0,
+        machine_kind: 0,
         cell: 0,
-        size: 4.0,
+        capacity: 4.0,
         started_ms,
     }
 }
@@ -509,7 +509,7 @@
         if let Some(token) = &self.token {
             fields.push(("unique", token));
         }
-        frames::invoke(stream, &fields, &self.body)
+        frames::encode_invoke(stream, &fields, &self.body)
     }
 }
 
@@ -593,7 +593,10 @@
                 of,
             });
         }
-        let _ = self.stream.write_all(&frames::bare(18, stream)).await;
+        let _ = self
+            .stream
+            .write_all(&frames::encode_empty(18, stream))
+            .await;
     }
 
     /// Closes the connection, whatever is open on it.
@@ -634,7 +637,7 @@
             },
             17 => {
                 let code = frame.get_u8();
-                let fields = frames::fields(&mut frame).expect("fields of an answer");
+                let fields = frames::parse_fields(&mut frame).expect("fields of an answer");
                 let later = fields.iter().find(|(n, _)| n == "later").map(|(_, v)| v);
                 let later_ms = later.and_then(|v| std::str::from_utf8(v).ok()?.parse().ok());
                 self.note(stream, code);
--- a/crates/platform-wire/src/config.rs
+++ b/crates/platform-wire/src/config.rs
@@ -1,7 +1,7 @@
 //! The configuration file: JSON, read at start and at each SIGHUP. A fault names the field, its value and what was
 //! expected.
 
-use crate::feed::{EndpointRecord, Event, id_of};
+use crate::feed::{EndpointRecord, Event, parse_invoker_id};
 use saltdrum::interface::{Deployment, InvokerStatus, Ticks};
 use saltdrum_settings::{ParsedSettings, SettingError, SettingValues};
 use serde_json::Value;
@@ -9,11 +9,11 @@
 
 /// What a machine allows its controller.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Limits {
+pub struct MachineLimits {
     /// Memory in MB.
     pub memory_mb: f64,
     /// Open file descriptors.
-    pub sockets: usize,
+    pub descriptors: usize,
 }
 
 /// A configuration file that was read and checked.
@@ -22,17 +22,17 @@
     pub name: String,
     pub listen: SocketAddrV4,
     pub seed: u64,
-    pub limits: Limits,
+    pub limits: MachineLimits,
     pub feed: SocketAddrV4,
     /// Number of the last event that is known, and the events.
-    pub known: (u64, Vec<(u64, Event)>),
+    pub known_events: (u64, Vec<(u64, Event)>),
     pub deployment: Deployment,
     pub trigger_names: Vec<String>,
     /// As invocations name them, in the order of the deployment's tenants.
     pub tenant_names: Vec<String>,
     pub connect_timeout: Ticks,
-    pub conn_idle: Ticks,
-    pub order_timeout: Ticks,
+    pub connection_idle_timeout: Ticks,
+    pub load_timeout: Ticks,
 }
 
 /// A field of the configuration file that can't be used.
@@ -137,7 +137,7 @@
 }
 
 /// Reads the whole file.
-pub fn read(text_of_file: &str) -> Result<Config, ConfigError> {
+pub fn parse(text_of_file: &str) -> Result<Config, ConfigError> {
     let v: Value =
         serde_json::from_str(text_of_file).map_err(|e| fault("file", e, "JSON is expected"))?;
     let seed = text(&v, "seed")?;
@@ -176,18 +176,18 @@
         listen: address(&v, "listen")?,
         seed: u64::from_str_radix(seed, 16)
             .map_err(|_| fault("seed", seed, "hex digits are expected"))?,
-        limits: Limits {
+        limits: MachineLimits {
             memory_mb: number(&v, "limits.memory_mb", 1.0, 1e9)?,
-            sockets: number(&v, "limits.sockets", 32.0, 1e7)? as usize,
+            descriptors: number(&v, "limits.sockets", 32.0, 1e7)? as usize,
         },
         feed: address(&v, "feed")?,
-        known: (
+        known_events: (
             whole(&v, "known.n")?,
             known(&v, &pairs.list("zones"), &pairs.list("kinds"))?,
         ),
         connect_timeout: time("bounds.connect_timeout_ms")?,
-        conn_idle: time("bounds.conn_idle_ms")?,
-        order_timeout: time("family_info.load_wait_ms")?,
+        connection_idle_timeout: time("bounds.conn_idle_ms")?,
+        load_timeout: time("family_info.load_wait_ms")?,
         deployment,
         trigger_names,
         tenant_names,
@@ -195,7 +195,7 @@
 }
 
 /// Only where the feed is now, as a SIGHUP asks for it.
-pub fn read_feed(text_of_file: &str) -> Result<SocketAddrV4, ConfigError> {
+pub fn parse_feed_address(text_of_file: &str) -> Result<SocketAddrV4, ConfigError> {
     let v: Value =
         serde_json::from_str(text_of_file).map_err(|e| fault("file", e, "JSON is expected"))?;
     address(&v, "feed")
@@ -221,7 +221,7 @@
             Ok((
                 whole(e, "n")?,
                 if complete {
-                    Event::Whole(lines)
+                    Event::Snapshot(lines)
                 } else {
                     Event::Changes(lines)
                 },
@@ -237,20 +237,20 @@
         let i = of.iter().position(|n| *n == name);
         i.ok_or_else(|| fault(path, name, format!("one of {} is expected", of.join(", "))))
     };
-    let life = match text(l, "phase")? {
+    let status = match text(l, "phase")? {
         "up" => InvokerStatus::Ready,
         "draining" => InvokerStatus::Draining,
         "removed" => InvokerStatus::Gone,
         other => return Err(fault("phase", other, "up, draining or removed is expected")),
     };
     Ok(EndpointRecord {
-        invoker: id_of(id).map_err(|e| fault("id", id, e))?,
+        invoker: parse_invoker_id(id).map_err(|e| fault("id", id, e))?,
         address: address(l, "host_port")?,
-        life,
+        status,
         zone: place("locality", zones)? as u8,
-        kind: place("flavor", kinds)? as u16,
+        machine_kind: place("flavor", kinds)? as u16,
         cell: number(l, "cell", 0.0, 65_535.0)? as u16,
-        size: number(l, "size", 0.0, 1e9)?,
+        capacity: number(l, "size", 0.0, 1e9)?,
         started_ms: Some(whole(l, "up_since_ms")?).filter(|ms| *ms > 0),
     })
 }
--- a/crates/platform-wire/src/feed.rs
+++ b/crates/platform-wire/src/feed.rs
@@ -26,34 +26,34 @@
 pub struct EndpointRecord {
     pub invoker: InvokerId,
     pub address: SocketAddrV4,
-    pub life: InvokerStatus,
+    pub status: InvokerStatus,
     pub zone: u8,
-    pub kind: u16,
+    pub machine_kind: u16,
     pub cell: u16,
-    pub size: f64,
+    pub capacity: f64,
     /// Unix milliseconds of a late start.
     pub started_ms: Option<u64>,
 }
 
 impl EndpointRecord {
     /// As the module is told of it; `started` is the start on the controller's own clock.
-    pub fn listed(&self, started: Option<Ticks>) -> InvokerRecord {
+    pub fn to_invoker_record(&self, started: Option<Ticks>) -> InvokerRecord {
         let Self {
             invoker,
-            life,
+            status,
             zone,
-            kind,
+            machine_kind,
             cell,
-            size,
+            capacity,
             ..
         } = *self;
         InvokerRecord {
             invoker,
             zone,
-            machine_kind: kind,
+            machine_kind,
             cell,
-            status: life,
-            capacity: size,
+            status,
+            capacity,
             started_at: started,
         }
     }
@@ -62,13 +62,13 @@
 /// One frame of the feed.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    Nothing,
-    Whole(Vec<EndpointRecord>),
+    Heartbeat,
+    Snapshot(Vec<EndpointRecord>),
     Changes(Vec<EndpointRecord>),
 }
 
 /// Cuts the next whole frame off, with its number; `None`: more bytes are needed.
-pub fn cut(bytes: &mut BytesMut) -> Result<Option<(u64, Event)>, Malformed> {
+pub fn decode(bytes: &mut BytesMut) -> Result<Option<(u64, Event)>, Malformed> {
     let Some(head) = bytes.get(..4) else {
         return Ok(None);
     };
@@ -95,8 +95,8 @@
         lines.push(record(&mut frame)?);
     }
     let event = match kind {
-        0 => Event::Nothing,
-        1 => Event::Whole(lines),
+        0 => Event::Heartbeat,
+        1 => Event::Snapshot(lines),
         2 => Event::Changes(lines),
         _ => {
             return Err(Malformed::value(
@@ -113,7 +113,7 @@
     let invoker = frame.get_u32();
     let address = Ipv4Addr::from(frame.get_u32());
     let address = SocketAddrV4::new(address, frame.get_u16());
-    let life = match frame.get_u8() {
+    let status = match frame.get_u8() {
         0 => InvokerStatus::Ready,
         1 => InvokerStatus::Draining,
         2 => InvokerStatus::Gone,
@@ -125,17 +125,17 @@
             ));
         }
     };
-    let (zone, kind, cell) = (frame.get_u8(), u16::from(frame.get_u8()), frame.get_u16());
-    let (size, started) = (f64::from(frame.get_u32()) / 1_000.0, frame.get_u64());
+    let (zone, machine_kind, cell) = (frame.get_u8(), u16::from(frame.get_u8()), frame.get_u16());
+    let (capacity, started) = (f64::from(frame.get_u32()) / 1_000.0, frame.get_u64());
     let started_ms = Some(started).filter(|ms| *ms > 0);
     Ok(EndpointRecord {
         invoker,
         address,
-        life,
+        status,
         zone,
-        kind,
+        machine_kind,
         cell,
-        size,
+        capacity,
         started_ms,
     })
 }
@@ -143,8 +143,8 @@
 /// Writes a frame, for those who play the feed.
 pub fn encode(number: u64, event: &Event) -> Vec<u8> {
     let (kind, lines): (u8, &[EndpointRecord]) = match event {
-        Event::Nothing => (0, &[]),
-        Event::Whole(lines) => (1, lines),
+        Event::Heartbeat => (0, &[]),
+        Event::Snapshot(lines) => (1, lines),
         Event::Changes(lines) => (2, lines),
     };
     let mut out = ((HEAD_BYTES + lines.len() * RECORD_BYTES) as u32)
@@ -156,25 +156,25 @@
         out.extend(l.invoker.to_be_bytes());
         out.extend(l.address.ip().octets());
         out.extend(l.address.port().to_be_bytes());
-        out.push(match l.life {
+        out.push(match l.status {
             InvokerStatus::Ready => 0,
             InvokerStatus::Draining => 1,
             InvokerStatus::Gone => 2,
         });
-        out.extend([l.zone, l.kind as u8]);
+        out.extend([l.zone, l.machine_kind as u8]);
         out.extend(l.cell.to_be_bytes());
-        out.extend(((l.size * 1_000.0).round() as u32).to_be_bytes());
+        out.extend(((l.capacity * 1_000.0).round() as u32).to_be_bytes());
         out.extend(l.started_ms.unwrap_or(0).to_be_bytes());
     }
     out
 }
 
 /// An id as it stands in text.
-pub fn id_text(id: InvokerId) -> String {
+pub fn format_invoker_id(id: InvokerId) -> String {
     format!("s-{id:08x}")
 }
 
-pub fn id_of(text: &str) -> Result<InvokerId, Malformed> {
+pub fn parse_invoker_id(text: &str) -> Result<InvokerId, Malformed> {
     let digits = text
         .strip_prefix("s-")
         .filter(|d| d.len() == 8 && d.bytes().all(|b| b.is_ascii_hexdigit()));
--- a/crates/platform-wire/src/frames.rs
+++ b/crates/platform-wire/src/frames.rs
@@ -4,28 +4,28 @@
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use saltdrum::interface::FunctionId;
 
-pub const LENGTH_LEAST: usize = 5;
-pub const LENGTH_MOST: usize = 262_144;
+pub const FRAME_LENGTH_MIN: usize = 5;
+pub const FRAME_LENGTH_MAX: usize = 262_144;
 /// No frame of a client is held that is longer: a body and its fields have room in it.
-const CLIENT_FRAME_BYTES_MAX: usize = BODY_MOST + (8 << 10);
-pub const BODY_MOST: usize = 16 << 10;
+const CLIENT_FRAME_BYTES_MAX: usize = BODY_BYTES_MAX + (8 << 10);
+pub const BODY_BYTES_MAX: usize = 16 << 10;
 /// Invocations that may be open on one connection.
-pub const OPEN_MOST: usize = 32;
+pub const OPEN_STREAMS_MAX: usize = 32;
 /// Bytes before the payload.
 const HEAD_BYTES: usize = 9;
 
 /// What a client may send.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum FromClient {
+pub enum ClientFrame {
     Invoke {
         stream: u32,
         payload: Bytes,
     },
     /// Nobody waits for this stream any more.
-    Left {
+    Cancel {
         stream: u32,
     },
-    AskReady {
+    ReadinessQuery {
         stream: u32,
     },
 }
@@ -44,13 +44,13 @@
 const GO_AWAY: u8 = 48;
 
 /// Cuts the next whole frame off; `None`: more bytes are needed. An error means that the connection is of no more use.
-pub fn cut(bytes: &mut BytesMut) -> Result<Option<FromClient>, Malformed> {
+pub fn decode(bytes: &mut BytesMut) -> Result<Option<ClientFrame>, Malformed> {
     let Some(head) = bytes.get(..4) else {
         return Ok(None);
     };
     let length = u32::from_be_bytes(head.try_into().expect("four bytes")) as usize;
-    if !(LENGTH_LEAST..=CLIENT_FRAME_BYTES_MAX).contains(&length) {
-        let (least, most) = (LENGTH_LEAST as u64, CLIENT_FRAME_BYTES_MAX as u64);
+    if !(FRAME_LENGTH_MIN..=CLIENT_FRAME_BYTES_MAX).contains(&length) {
+        let (least, most) = (FRAME_LENGTH_MIN as u64, CLIENT_FRAME_BYTES_MAX as u64);
         return Err(Malformed::Length {
             what: "frame",
             got: length as u64,
@@ -73,12 +73,12 @@
     frame.advance(4);
     let (kind, stream) = (frame.get_u8(), frame.get_u32());
     Ok(Some(match kind {
-        16 => FromClient::Invoke {
+        16 => ClientFrame::Invoke {
             stream,
             payload: frame,
         },
-        18 => FromClient::Left { stream },
-        _ => FromClient::AskReady { stream },
+        18 => ClientFrame::Cancel { stream },
+        _ => ClientFrame::ReadinessQuery { stream },
     }))
 }
 
@@ -95,7 +95,7 @@
     pub token: Option<String>,
     pub function: FunctionId,
     pub memory_mb: f64,
-    pub lanes: f64,
+    pub concurrency_limit: f64,
     pub load_ms: Option<f64>,
     pub work_hint_ms: Option<f64>,
     pub body: Bytes,
@@ -107,7 +107,7 @@
 }
 
 /// The names and values at the head of a payload.
-pub fn fields(payload: &mut Bytes) -> Result<Vec<(Bytes, Bytes)>, Malformed> {
+pub fn parse_fields(payload: &mut Bytes) -> Result<Vec<(Bytes, Bytes)>, Malformed> {
     let what = "fields";
     let count = payload
         .try_get_u8()
@@ -146,7 +146,7 @@
 }
 
 /// 16 hex digits, lower case, as ids are written.
-pub fn hex16(text: &str, what: &'static str) -> Result<u64, Malformed> {
+pub fn parse_hex16(text: &str, what: &'static str) -> Result<u64, Malformed> {
     let well = text.len() == 16 && text.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
     well.then(|| u64::from_str_radix(text, 16).ok())
         .flatten()
@@ -173,8 +173,8 @@
 const NUMBER_MAX: f64 = 1e9;
 
 /// Reads the payload of an invocation.
-pub fn request(mut payload: Bytes) -> Result<Request, Malformed> {
-    let fields = fields(&mut payload)?;
+pub fn parse_request(mut payload: Bytes) -> Result<Request, Malformed> {
+    let fields = parse_fields(&mut payload)?;
     let field = |name: &str| {
         fields
             .iter()
@@ -185,8 +185,8 @@
         Some(value) => text(value, name),
         None => Err(Malformed::value(name, "left out", "the field is needed")),
     };
-    if payload.len() > BODY_MOST {
-        let (got, most) = (payload.len() as u64, BODY_MOST as u64);
+    if payload.len() > BODY_BYTES_MAX {
+        let (got, most) = (payload.len() as u64, BODY_BYTES_MAX as u64);
         return Err(Malformed::Length {
             what: "body",
             got,
@@ -214,16 +214,16 @@
     };
     let mut request = Request {
         trigger: stated("verb")?.to_owned(),
-        txn: hex16(stated("txn")?, "txn")?,
+        txn: parse_hex16(stated("txn")?, "txn")?,
         tenant: field("team")
             .map(|value| text(value, "team"))
             .transpose()?
             .map(ToOwned::to_owned),
         limit_ms: number(stated("limit")?, "limit", 0.001, LIMIT_MAX_MS)?,
         token,
-        function: hex16(stated("item")?, "item")?,
+        function: parse_hex16(stated("item")?, "item")?,
         memory_mb: 0.0,
-        lanes: 1.0,
+        concurrency_limit: 1.0,
         load_ms: None,
         work_hint_ms: None,
         // On its own: a slice would keep the whole buffer that it was read into.
@@ -241,7 +241,7 @@
             let value = number(value, "extras", 0.0, NUMBER_MAX)?;
             match name {
                 "memory_mb" => request.memory_mb = value,
-                "lanes" => request.lanes = value.max(1.0),
+                "lanes" => request.concurrency_limit = value.max(1.0),
                 "load_ms" => request.load_ms = Some(value).filter(|ms| *ms > 0.0),
                 _ => {}
             }
@@ -265,7 +265,7 @@
     let named: usize = fields.iter().map(|(n, v)| 3 + n.len() + v.len()).sum();
     let payload = code.map_or(0, |_| 1 + named) + coded + body.len();
     let mut out = BytesMut::with_capacity(HEAD_BYTES + payload);
-    out.put_u32((LENGTH_LEAST + payload) as u32);
+    out.put_u32((FRAME_LENGTH_MIN + payload) as u32);
     out.put_u8(kind);
     out.put_u32(stream);
     if let Some(code) = code {
@@ -277,16 +277,16 @@
 }
 
 /// The longest output that an answer has room for.
-pub const OUTPUT_MOST: usize = LENGTH_MOST - 64;
+pub const OUTPUT_BYTES_MAX: usize = FRAME_LENGTH_MAX - 64;
 
 /// The answer to the invocation of a stream; on stream 0, an error that belongs to none.
-pub fn answer(stream: u32, code: Code, later_ms: Option<u64>, body: &[u8]) -> Bytes {
+pub fn encode_response(stream: u32, code: Code, later_ms: Option<u64>, body: &[u8]) -> Bytes {
     let later = later_ms.map(|ms| ms.to_string());
     let fields: Vec<(&str, &str)> = later.iter().map(|ms| ("later", ms.as_str())).collect();
     frame(ANSWER, stream, Some(code as u8), &fields, body)
 }
 
-pub fn readiness(stream: u32, ready: bool) -> Bytes {
+pub fn encode_readiness(stream: u32, ready: bool) -> Bytes {
     let code = if ready {
         Code::Succeeded
     } else {
@@ -296,12 +296,12 @@
 }
 
 /// No new invocation on this connection.
-pub fn go_away() -> Bytes {
+pub fn encode_go_away() -> Bytes {
     frame(GO_AWAY, 0, None, &[], &[])
 }
 
 /// Writes an invocation as clients do, for those who play them.
-pub fn invoke(stream: u32, fields: &[(&str, &str)], body: &[u8]) -> Bytes {
+pub fn encode_invoke(stream: u32, fields: &[(&str, &str)], body: &[u8]) -> Bytes {
     let mut payload = BytesMut::new();
     put_fields(&mut payload, fields);
     payload.put_slice(body);
@@ -309,6 +309,6 @@
 }
 
 /// Writes a frame without fields as clients do.
-pub fn bare(kind: u8, stream: u32) -> Bytes {
+pub fn encode_empty(kind: u8, stream: u32) -> Bytes {
     frame(kind, stream, None, &[], &[])
 }
--- a/crates/platform-wire/src/http.rs
+++ b/crates/platform-wire/src/http.rs
@@ -2,10 +2,10 @@
 
 use saltdrum::interface::{LoadOutcome, LoadReport, Outcome, ProbeOutcome, StartKind};
 
-pub const TXN: &str = "x-txn";
-pub const FUNCTION: &str = "x-name";
-pub const LIMIT_MS: &str = "x-limit-ms";
-pub const TOKEN: &str = "x-dedupe";
+pub const TRANSACTION_HEADER: &str = "x-txn";
+pub const FUNCTION_HEADER: &str = "x-name";
+pub const TIME_LIMIT_HEADER: &str = "x-limit-ms";
+pub const TOKEN_HEADER: &str = "x-dedupe";
 /// Where an invoker tells whether it takes new work.
 pub const HEALTH_PATH: &str = "/healthz";
 const UNRUN: &str = "x-unrun";
@@ -16,11 +16,11 @@
 
 /// What an answer tells beside its outcome.
 #[derive(Debug, Clone, Default)]
-pub struct Notes {
-    pub found: Option<StartKind>,
-    pub crowd: Option<u8>,
-    pub report: LoadReport,
-    pub standing: u8,
+pub struct ResponseDetails {
+    pub start_kind: Option<StartKind>,
+    pub concurrency: Option<u8>,
+    pub load_report: LoadReport,
+    pub loaded_instances: u8,
 }
 
 pub fn function_path(function: u64) -> String {
@@ -28,7 +28,7 @@
 }
 
 /// Reads a load report such as `inflight:7;util:0.61`. What can't be read is left out: it is advice.
-pub fn report(text: &str) -> LoadReport {
+pub fn parse_load_report(text: &str) -> LoadReport {
     let mut report = LoadReport::default();
     for (name, value) in text.split(';').filter_map(|pair| pair.split_once(':')) {
         let value = value.trim().parse::<f64>().ok().filter(|v| v.is_finite());
@@ -42,8 +42,8 @@
 }
 
 /// What the fields of an answer say; `field` looks one up by its lower-case name.
-pub fn notes<'a>(field: impl Fn(&str) -> Option<&'a str>) -> Notes {
-    let found = field(HOW).and_then(|how| match how.trim() {
+pub fn parse_response_details<'a>(field: impl Fn(&str) -> Option<&'a str>) -> ResponseDetails {
+    let start_kind = field(HOW).and_then(|how| match how.trim() {
         "resident" => Some(StartKind::Warm),
         "booted" => Some(StartKind::BeganLoad),
         "rode" => Some(StartKind::JoinedLoad),
@@ -55,11 +55,11 @@
             .and_then(|n| n.trim().parse::<u32>().ok())
             .map(|n| n.min(255) as u8)
     };
-    Notes {
-        found,
-        crowd: small(AHEAD).filter(|n| *n > 0),
-        report: field(GAUGES).map(report).unwrap_or_default(),
-        standing: small(UNITS).unwrap_or(0),
+    ResponseDetails {
+        start_kind,
+        concurrency: small(AHEAD).filter(|n| *n > 0),
+        load_report: field(GAUGES).map(parse_load_report).unwrap_or_default(),
+        loaded_instances: small(UNITS).unwrap_or(0),
     }
 }
 
@@ -68,7 +68,7 @@
 }
 
 /// How a dispatch ended by its answer's status. What is not known for certain never to have run may have run.
-pub fn outcome<'a>(status: u16, field: impl Fn(&str) -> Option<&'a str>) -> Outcome {
+pub fn dispatch_outcome<'a>(status: u16, field: impl Fn(&str) -> Option<&'a str>) -> Outcome {
     match status {
         200 => Outcome::Succeeded,
         404 => Outcome::Miss,
@@ -79,7 +79,7 @@
 }
 
 /// Whether an invoker takes new work, by the status of its answer to a health check.
-pub fn readiness(status: u16) -> ProbeOutcome {
+pub fn probe_outcome(status: u16) -> ProbeOutcome {
     match status {
         200 => ProbeOutcome::Ready,
         _ => ProbeOutcome::NotReady,
@@ -87,7 +87,7 @@
 }
 
 /// How an order to hold ended.
-pub fn held<'a>(status: u16, field: impl Fn(&str) -> Option<&'a str>) -> LoadOutcome {
+pub fn load_outcome<'a>(status: u16, field: impl Fn(&str) -> Option<&'a str>) -> LoadOutcome {
     match status {
         200 => LoadOutcome::Loaded,
         503 if unrun(&field) => LoadOutcome::NoCapacity,
--- a/crates/platform-wire/tests/codecs.rs
+++ b/crates/platform-wire/tests/codecs.rs
@@ -5,7 +5,7 @@
 use proptest::test_runner::RngSeed;
 use saltdrum::interface::{InvokerStatus, LoadOutcome, Outcome, StartKind};
 use saltdrum_platform_wire::feed::{self, EndpointRecord, Event};
-use saltdrum_platform_wire::frames::{self, FromClient};
+use saltdrum_platform_wire::frames::{self, ClientFrame};
 use saltdrum_platform_wire::{config, http};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -19,7 +19,7 @@
 }
 
 fn any_line() -> impl Strategy<Value = EndpointRecord> {
-    let life = prop_oneof![
+    let status = prop_oneof![
         Just(InvokerStatus::Ready),
         Just(InvokerStatus::Draining),
         Just(InvokerStatus::Gone)
@@ -28,7 +28,7 @@
         any::<u32>(),
         any::<u32>(),
         any::<u16>(),
-        life,
+        status,
         any::<u8>(),
         any::<u8>(),
         any::<u16>(),
@@ -36,15 +36,17 @@
         any::<u64>(),
     )
         .prop_map(
-            |(invoker, ip, port, life, zone, kind, cell, size, started)| EndpointRecord {
-                invoker,
-                address: SocketAddrV4::new(Ipv4Addr::from(ip), port),
-                life,
-                zone,
-                kind: kind.into(),
-                cell,
-                size: f64::from(size) / 1_000.0,
-                started_ms: Some(started).filter(|ms| *ms > 0),
+            |(invoker, ip, port, status, zone, machine_kind, cell, capacity, started)| {
+                EndpointRecord {
+                    invoker,
+                    address: SocketAddrV4::new(Ipv4Addr::from(ip), port),
+                    status,
+                    zone,
+                    machine_kind: machine_kind.into(),
+                    cell,
+                    capacity: f64::from(capacity) / 1_000.0,
+                    started_ms: Some(started).filter(|ms| *ms > 0),
+                }
             },
         )
 }
@@ -52,8 +54,8 @@
 fn any_event() -> impl Strategy<Value = (u64, Event)> {
     let lines = || prop::collection::vec(any_line(), 0..5);
     let event = prop_oneof![
-        Just(Event::Nothing),
-        lines().prop_map(Event::Whole),
+        Just(Event::Heartbeat),
+        lines().prop_map(Event::Snapshot),
         lines().prop_map(Event::Changes)
     ];
     (any::<u64>(), event)
@@ -83,7 +85,7 @@
     fn events_are_read_as_written_wherever_they_are_cut(events in prop::collection::vec(any_event(), 1..4)) {
         let bytes: Vec<u8> = events.iter().flat_map(|(n, e)| feed::encode(*n, e)).collect();
         for at in 0..=bytes.len() {
-            prop_assert_eq!(&in_two(&bytes, at, feed::cut), &events);
+            prop_assert_eq!(&in_two(&bytes, at, feed::decode), &events);
         }
     }
 
@@ -95,15 +97,15 @@
         let (txn_text, item_text, limit_text) = (format!("{txn:016x}"), format!("{item:016x}"), limit.to_string());
         let fields = [("verb", "look"), ("txn", &txn_text), ("limit", &limit_text), ("item", &item_text),
             ("unique", &token), ("extras", "memory_mb:512;lanes:2;load_ms:640;new:1")];
-        let bytes = [frames::invoke(stream, &fields, &body), frames::bare(18, stream), frames::bare(32, 0)].concat();
+        let bytes = [frames::encode_invoke(stream, &fields, &body), frames::encode_empty(18, stream), frames::encode_empty(32, 0)].concat();
         for at in 0..=bytes.len() {
-            let all = in_two(&bytes, at, frames::cut);
-            prop_assert_eq!(&all[1..], &[FromClient::Left { stream }, FromClient::AskReady { stream: 0 }]);
-            let FromClient::Invoke { stream: s, payload } = all[0].clone() else { panic!() };
-            let r = frames::request(payload).unwrap();
+            let all = in_two(&bytes, at, frames::decode);
+            prop_assert_eq!(&all[1..], &[ClientFrame::Cancel { stream }, ClientFrame::ReadinessQuery { stream: 0 }]);
+            let ClientFrame::Invoke { stream: s, payload } = all[0].clone() else { panic!() };
+            let r = frames::parse_request(payload).unwrap();
             prop_assert_eq!((s, r.txn, r.function, r.limit_ms), (stream, txn, item, f64::from(limit)));
             prop_assert_eq!((r.trigger.as_str(), r.token.as_deref(), &r.body[..]), ("look", Some(&token[..]), &body[..]));
-            prop_assert_eq!((r.memory_mb, r.lanes, r.load_ms), (512.0, 2.0, Some(640.0)));
+            prop_assert_eq!((r.memory_mb, r.concurrency_limit, r.load_ms), (512.0, 2.0, Some(640.0)));
         }
     }
 
@@ -111,16 +113,16 @@
     #[test]
     fn noise_is_refused_or_waited_for(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
         let mut read = BytesMut::from(&bytes[..]);
-        while let Ok(Some(frame)) = frames::cut(&mut read) {
-            if let FromClient::Invoke { payload, .. } = frame {
-                let _ = frames::request(payload);
+        while let Ok(Some(frame)) = frames::decode(&mut read) {
+            if let ClientFrame::Invoke { payload, .. } = frame {
+                let _ = frames::parse_request(payload);
             }
         }
         let mut read = BytesMut::from(&bytes[..]);
-        while let Ok(Some(_)) = feed::cut(&mut read) {}
-        let _ = frames::request(Bytes::from(bytes.clone()));
-        let _ = http::report(&String::from_utf8_lossy(&bytes));
-        let _ = config::read(&String::from_utf8_lossy(&bytes));
+        while let Ok(Some(_)) = feed::decode(&mut read) {}
+        let _ = frames::parse_request(Bytes::from(bytes.clone()));
+        let _ = http::parse_load_report(&String::from_utf8_lossy(&bytes));
+        let _ = config::parse(&String::from_utf8_lossy(&bytes));
     }
 }
 
@@ -128,13 +130,13 @@
 fn lengths_are_judged_before_anything_is_held() {
     for length in [0u32, 4, 24_577, 60_000_000, u32::MAX] {
         assert!(
-            frames::cut(&mut BytesMut::from(&length.to_be_bytes()[..])).is_err(),
+            frames::decode(&mut BytesMut::from(&length.to_be_bytes()[..])).is_err(),
             "{length}"
         );
     }
     for length in [0u32, 8, 10, 35, u32::MAX] {
         assert!(
-            feed::cut(&mut BytesMut::from(&length.to_be_bytes()[..])).is_err(),
+            feed::decode(&mut BytesMut::from(&length.to_be_bytes()[..])).is_err(),
             "{length}"
         );
     }
@@ -154,15 +156,18 @@
     ];
     for (status, noted, plain) in outcomes {
         assert_eq!(
-            (http::outcome(status, unrun), http::outcome(status, bare)),
+            (
+                http::dispatch_outcome(status, unrun),
+                http::dispatch_outcome(status, bare)
+            ),
             (noted, plain),
             "{status}"
         );
     }
-    assert_eq!(http::held(200, bare), LoadOutcome::Loaded);
-    assert_eq!(http::held(503, unrun), LoadOutcome::NoCapacity);
-    assert_eq!(http::held(500, bare), LoadOutcome::LoadFailed);
-    let notes = http::notes(|name| match name {
+    assert_eq!(http::load_outcome(200, bare), LoadOutcome::Loaded);
+    assert_eq!(http::load_outcome(503, unrun), LoadOutcome::NoCapacity);
+    assert_eq!(http::load_outcome(500, bare), LoadOutcome::LoadFailed);
+    let details = http::parse_response_details(|name| match name {
         "x-how" => Some("rode"),
         "x-ahead" => Some("300"),
         "x-gauges" => Some("queue:7;util:0.61;x:nan"),
@@ -170,19 +175,29 @@
         _ => None,
     });
     assert_eq!(
-        (notes.found, notes.crowd, notes.standing),
+        (
+            details.start_kind,
+            details.concurrency,
+            details.loaded_instances
+        ),
         (Some(StartKind::JoinedLoad), Some(255), 2)
     );
     assert_eq!(
-        (notes.report.queue_length, notes.report.utilization),
+        (
+            details.load_report.queue_length,
+            details.load_report.utilization
+        ),
         (Some(7.0), Some(0.61))
     );
-    assert_eq!(http::report("util:inf;queue:x").utilization, None);
+    assert_eq!(
+        http::parse_load_report("util:inf;queue:x").utilization,
+        None
+    );
 }
 
 #[test]
 fn a_bad_configuration_names_field_value_and_what_was_expected() {
-    let fault = |text: &str| config::read(text).unwrap_err().to_string();
+    let fault = |text: &str| config::parse(text).unwrap_err().to_string();
     assert!(fault("{").contains("JSON is expected"));
     assert!(
         fault(r#"{"seed":7}"#).starts_with("seed: 7: text"),
@@ -195,13 +210,13 @@
     );
     assert!(fault(r#"{"seed":"1f","settings":{}}"#).contains("classes.count: missing"));
     assert!(
-        config::read_feed(r#"{"feed":"nowhere"}"#)
+        config::parse_feed_address(r#"{"feed":"nowhere"}"#)
             .unwrap_err()
             .to_string()
             .contains("ADDRESS:PORT")
     );
     assert_eq!(
-        config::read_feed(r#"{"feed":"10.2.0.1:8500"}"#)
+        config::parse_feed_address(r#"{"feed":"10.2.0.1:8500"}"#)
             .unwrap()
             .port(),
         8_500
--- a/crates/platform-wire/tests/platform_wire_fixtures.rs
+++ b/crates/platform-wire/tests/platform_wire_fixtures.rs
@@ -8,9 +8,9 @@
 use saltdrum::interface::{
     Deployment, Effect, InvokerRecord, InvokerStatus, KeyScope, LoadOutcome, Outcome, StartKind,
 };
-use saltdrum_platform_wire::config::{self, Config, Limits};
+use saltdrum_platform_wire::config::{self, Config, MachineLimits};
 use saltdrum_platform_wire::feed::{self, EndpointRecord, Event};
-use saltdrum_platform_wire::frames::{self, Code, FromClient};
+use saltdrum_platform_wire::frames::{self, ClientFrame, Code};
 use saltdrum_platform_wire::http;
 use serde_json::Value;
 use std::fmt::Write;
@@ -89,23 +89,23 @@
     let sent = [
         (
             "invoke_all_fields",
-            frames::invoke(0x3132_3334, &ALL_FIELDS, b"body \x00\xff"),
+            frames::encode_invoke(0x3132_3334, &ALL_FIELDS, b"body \x00\xff"),
         ),
         (
             "invoke_needed_fields",
-            frames::invoke(0x4142_4344, &NEEDED_FIELDS, b""),
+            frames::encode_invoke(0x4142_4344, &NEEDED_FIELDS, b""),
         ),
-        ("left", frames::bare(18, 0x5152_5354)),
-        ("ask_ready", frames::bare(32, 0x6162_6364)),
+        ("left", frames::encode_empty(18, 0x5152_5354)),
+        ("ask_ready", frames::encode_empty(32, 0x6162_6364)),
     ];
     let mut stored = check_frames("client_frames.txt", &sent);
-    let received: Vec<FromClient> = stored
+    let received: Vec<ClientFrame> = stored
         .iter_mut()
-        .map(|frame| frames::cut(frame).unwrap().expect("a whole frame"))
+        .map(|frame| frames::decode(frame).unwrap().expect("a whole frame"))
         .collect();
     assert!(stored.iter().all(|rest| rest.is_empty()));
 
-    let FromClient::Invoke { stream, payload } = received[0].clone() else {
+    let ClientFrame::Invoke { stream, payload } = received[0].clone() else {
         panic!("an invoke")
     };
     assert_eq!(stream, 0x3132_3334);
@@ -117,14 +117,14 @@
         token: Some("token-9".into()),
         function: 0x8182_8384_8586_8788,
         memory_mb: 512.0,
-        lanes: 2.0,
+        concurrency_limit: 2.0,
         load_ms: Some(640.0),
         work_hint_ms: Some(12.5),
         body: Bytes::from_static(b"body \x00\xff"),
     };
-    assert_eq!(frames::request(payload), Ok(expected));
+    assert_eq!(frames::parse_request(payload), Ok(expected));
 
-    let FromClient::Invoke { stream, payload } = received[1].clone() else {
+    let ClientFrame::Invoke { stream, payload } = received[1].clone() else {
         panic!("an invoke")
     };
     assert_eq!(stream, 0x4142_4344);
@@ -136,21 +136,21 @@
         token: None,
         function: 0x2122_2324_2526_2728,
         memory_mb: 0.0,
-        lanes: 1.0,
+        concurrency_limit: 1.0,
         load_ms: None,
         work_hint_ms: None,
         body: Bytes::new(),
     };
-    assert_eq!(frames::request(payload), Ok(expected));
+    assert_eq!(frames::parse_request(payload), Ok(expected));
     assert_eq!(
         received[2],
-        FromClient::Left {
+        ClientFrame::Cancel {
             stream: 0x5152_5354
         }
     );
     assert_eq!(
         received[3],
-        FromClient::AskReady {
+        ClientFrame::ReadinessQuery {
             stream: 0x6162_6364
         }
     );
@@ -162,23 +162,23 @@
     let sent = [
         (
             "succeeded",
-            frames::answer(0x0102_0304, Code::Succeeded, None, b"output"),
+            frames::encode_response(0x0102_0304, Code::Succeeded, None, b"output"),
         ),
         (
             "throttled",
-            frames::answer(0x1112_1314, Code::Throttled, later, b""),
+            frames::encode_response(0x1112_1314, Code::Throttled, later, b""),
         ),
         (
             "throttled_without_advice",
-            frames::answer(0x1112_1315, Code::Throttled, None, b""),
+            frames::encode_response(0x1112_1315, Code::Throttled, None, b""),
         ),
         (
             "errored",
-            frames::answer(0x2122_2324, Code::Errored, None, b"reason"),
+            frames::encode_response(0x2122_2324, Code::Errored, None, b"reason"),
         ),
-        ("ready", frames::readiness(0x3132_3334, true)),
-        ("not_ready", frames::readiness(0x3132_3335, false)),
-        ("go_away", frames::go_away()),
+        ("ready", frames::encode_readiness(0x3132_3334, true)),
+        ("not_ready", frames::encode_readiness(0x3132_3335, false)),
+        ("go_away", frames::encode_go_away()),
     ];
     let stored = check_frames("frames_to_client.txt", &sent);
     // There is no decoder of these frames outside the tests: the layout is read field by field.
@@ -198,7 +198,7 @@
             (frame.get_u8(), frame.get_u32(), frame.get_u8()),
             (kind, stream, code)
         );
-        assert_eq!(frames::fields(&mut frame), Ok(fields));
+        assert_eq!(frames::parse_fields(&mut frame), Ok(fields));
         assert_eq!(frame, body);
     }
     assert_eq!(stored[6][..], [0, 0, 0, 5, 48, 0, 0, 0, 0]);
@@ -206,18 +206,24 @@
 
 #[test]
 fn bounds_of_client_frames_are_unchanged() {
-    assert_eq!((frames::LENGTH_LEAST, frames::LENGTH_MOST), (5, 262_144));
-    assert_eq!((frames::BODY_MOST, frames::OUTPUT_MOST), (16_384, 262_080));
-    assert_eq!(frames::OPEN_MOST, 32);
+    assert_eq!(
+        (frames::FRAME_LENGTH_MIN, frames::FRAME_LENGTH_MAX),
+        (5, 262_144)
+    );
+    assert_eq!(
+        (frames::BODY_BYTES_MAX, frames::OUTPUT_BYTES_MAX),
+        (16_384, 262_080)
+    );
+    assert_eq!(frames::OPEN_STREAMS_MAX, 32);
 }
 
 /// The error text of a request with these fields, or `accepted`.
 fn request_outcome(fields: &[(&str, &str)]) -> String {
-    let mut frame = BytesMut::from(&frames::invoke(1, fields, b"")[..]);
-    let Ok(Some(FromClient::Invoke { payload, .. })) = frames::cut(&mut frame) else {
+    let mut frame = BytesMut::from(&frames::encode_invoke(1, fields, b"")[..]);
+    let Ok(Some(ClientFrame::Invoke { payload, .. })) = frames::decode(&mut frame) else {
         panic!("an invoke")
     };
-    frames::request(payload)
+    frames::parse_request(payload)
         .err()
         .map_or_else(|| "accepted".into(), |error| error.to_string())
 }
@@ -236,10 +242,11 @@
     let twice = [&NEEDED_FIELDS[..], &NEEDED_FIELDS[..1]].concat();
     writeln!(lines, "verb twice: {}", request_outcome(&twice)).unwrap();
     for kind in [17, 33, 48, 0] {
-        let refused = frames::cut(&mut BytesMut::from(&frames::bare(kind, 1)[..])).unwrap_err();
+        let refused =
+            frames::decode(&mut BytesMut::from(&frames::encode_empty(kind, 1)[..])).unwrap_err();
         writeln!(lines, "frame type {kind}: {refused}").unwrap();
     }
-    let oversize = frames::cut(&mut BytesMut::from(&[255; 4][..])).unwrap_err();
+    let oversize = frames::decode(&mut BytesMut::from(&[255; 4][..])).unwrap_err();
     writeln!(lines, "frame length: {oversize}").unwrap();
     check_fixture("request_faults.txt", &lines);
 }
@@ -248,11 +255,11 @@
     EndpointRecord {
         invoker,
         address: SocketAddrV4::new(Ipv4Addr::new(10, 3, 0, 1), 9_001),
-        life,
+        status: life,
         zone: 2,
-        kind: 3,
+        machine_kind: 3,
         cell: 0x0405,
-        size: 4.25,
+        capacity: 4.25,
         started_ms,
     }
 }
@@ -265,13 +272,13 @@
         line(0x2122_2324, InvokerStatus::Gone, None),
     ];
     let events = [
-        ("nothing", 0x0102_0304_0506_0708, Event::Nothing),
+        ("nothing", 0x0102_0304_0506_0708, Event::Heartbeat),
         (
             "whole",
             0x1112,
-            Event::Whole(vec![line(0x0a0b_0c0d, InvokerStatus::Ready, None)]),
+            Event::Snapshot(vec![line(0x0a0b_0c0d, InvokerStatus::Ready, None)]),
         ),
-        ("whole_of_no_lines", 0x1113, Event::Whole(vec![])),
+        ("whole_of_no_lines", 0x1113, Event::Snapshot(vec![])),
         ("changes", 0x1114, Event::Changes(changed)),
     ];
     let encoded = events
@@ -279,7 +286,11 @@
         .map(|(name, number, event)| (name, Bytes::from(feed::encode(number, &event))));
     let stored = check_frames("feed.txt", &encoded);
     for (mut frame, (name, number, event)) in stored.into_iter().zip(events) {
-        assert_eq!(feed::cut(&mut frame), Ok(Some((number, event))), "{name}");
+        assert_eq!(
+            feed::decode(&mut frame),
+            Ok(Some((number, event))),
+            "{name}"
+        );
         assert!(frame.is_empty(), "{name}");
     }
 }
@@ -294,7 +305,7 @@
         status: life,
         capacity: size,
         started_at: started,
-    } = line(7, InvokerStatus::Draining, Some(99)).listed(Some(123));
+    } = line(7, InvokerStatus::Draining, Some(99)).to_invoker_record(Some(123));
     assert_eq!((invoker, zone, kind, cell), (7, 2, 3, 0x0405));
     assert_eq!(
         (life, size, started),
@@ -304,9 +315,9 @@
 
 #[test]
 fn invoker_ids_keep_their_text() {
-    assert_eq!(feed::id_text(0x0a0b_0c0d), "s-0a0b0c0d");
-    assert_eq!(feed::id_of("s-0a0b0c0d"), Ok(0x0a0b_0c0d));
-    let refused = feed::id_of("n-0a0b0c0d").unwrap_err();
+    assert_eq!(feed::format_invoker_id(0x0a0b_0c0d), "s-0a0b0c0d");
+    assert_eq!(feed::parse_invoker_id("s-0a0b0c0d"), Ok(0x0a0b_0c0d));
+    let refused = feed::parse_invoker_id("n-0a0b0c0d").unwrap_err();
     let expected = "id of an invoker n-0a0b0c0d: s- and 8 hex digits are expected";
     assert_eq!(refused.to_string(), expected);
 }
@@ -350,10 +361,10 @@
 fn http_fields_and_statuses_keep_their_names_and_meaning() {
     let mut lines = String::new();
     let sent = [
-        ("transaction", http::TXN),
-        ("function", http::FUNCTION),
-        ("time limit", http::LIMIT_MS),
-        ("token", http::TOKEN),
+        ("transaction", http::TRANSACTION_HEADER),
+        ("function", http::FUNCTION_HEADER),
+        ("time limit", http::TIME_LIMIT_HEADER),
+        ("token", http::TOKEN_HEADER),
     ];
     for (name, field) in sent {
         writeln!(lines, "{name} is sent as {field}").unwrap();
@@ -363,8 +374,8 @@
     for status in [200, 302, 404, 429, 500, 503, 504] {
         for unrun in [None, Some("1"), Some("0")] {
             let field = |name: &str| unrun.filter(|_| name == "x-unrun");
-            let outcome = outcome_word(http::outcome(status, field));
-            let held = hold_outcome_word(http::held(status, field));
+            let outcome = outcome_word(http::dispatch_outcome(status, field));
+            let held = hold_outcome_word(http::load_outcome(status, field));
             let unrun = unrun.unwrap_or("-");
             writeln!(
                 lines,
@@ -389,16 +400,16 @@
         ("x-units", "300"),
     ];
     for (name, value) in answers {
-        let notes = http::notes(|asked| (asked == name).then_some(value));
+        let notes = http::parse_response_details(|asked| (asked == name).then_some(value));
         let number = |number: Option<f64>| number.map_or("-".into(), |number| number.to_string());
         writeln!(
             lines,
             "{name}={value}: found {}, crowd {}, busy {}, queue {}, standing {}",
-            found_word(notes.found),
-            number(notes.crowd.map(f64::from)),
-            number(notes.report.utilization),
-            number(notes.report.queue_length),
-            notes.standing,
+            found_word(notes.start_kind),
+            number(notes.concurrency.map(f64::from)),
+            number(notes.load_report.utilization),
+            number(notes.load_report.queue_length),
+            notes.loaded_instances,
         )
         .unwrap();
     }
@@ -415,67 +426,70 @@
         seed,
         limits,
         feed,
-        known,
+        known_events,
         deployment,
         trigger_names,
         tenant_names,
         connect_timeout,
-        conn_idle,
-        order_timeout,
-    } = config::read(&text).unwrap();
+        connection_idle_timeout,
+        load_timeout,
+    } = config::parse(&text).unwrap();
     let address = |text: &str| text.parse::<SocketAddrV4>().unwrap();
     assert_eq!(name, "n1");
     assert_eq!(listen, address("10.2.0.5:7443"));
     assert_eq!(seed, 0x8c1f_30d2_7a5b_e964);
     assert_eq!(
         limits,
-        Limits {
+        MachineLimits {
             memory_mb: 640.5,
-            sockets: 4_096
+            descriptors: 4_096
         }
     );
     assert_eq!(feed, address("10.2.0.1:8500"));
-    assert_eq!(config::read_feed(&text), Ok(address("10.2.0.1:8500")));
+    assert_eq!(
+        config::parse_feed_address(&text),
+        Ok(address("10.2.0.1:8500"))
+    );
     assert_eq!(trigger_names, ["look", "charge"]);
     assert_eq!(tenant_names, ["hill", "dale"]);
     assert_eq!(
-        (connect_timeout, conn_idle, order_timeout),
+        (connect_timeout, connection_idle_timeout, load_timeout),
         (2_510, 150_005, 100_000)
     );
 
     let ready = EndpointRecord {
         invoker: 0x0a0b_0c0d,
         address: address("10.3.0.1:9001"),
-        life: InvokerStatus::Ready,
+        status: InvokerStatus::Ready,
         zone: 1,
-        kind: 1,
+        machine_kind: 1,
         cell: 300,
-        size: 4.25,
+        capacity: 4.25,
         started_ms: None,
     };
     let draining = EndpointRecord {
         invoker: 0x1112_1314,
         address: address("10.3.0.2:9002"),
-        life: InvokerStatus::Draining,
+        status: InvokerStatus::Draining,
         zone: 0,
-        kind: 0,
+        machine_kind: 0,
         cell: 301,
-        size: 2.5,
+        capacity: 2.5,
         started_ms: Some(1_700_000_000_123),
     };
     let gone = EndpointRecord {
         invoker: 0x2122_2324,
         address: address("10.3.0.3:9003"),
-        life: InvokerStatus::Gone,
+        status: InvokerStatus::Gone,
         zone: 0,
-        kind: 1,
+        machine_kind: 1,
         cell: 302,
-        size: 1.75,
+        capacity: 1.75,
         started_ms: Some(5),
     };
-    let whole = Event::Whole(vec![ready, draining]);
+    let whole = Event::Snapshot(vec![ready, draining]);
     assert_eq!(
-        known,
+        known_events,
         (42, vec![(40, whole), (42, Event::Changes(vec![gone]))])
     );
     check_deployment(&deployment);
@@ -571,7 +585,7 @@
 #[test]
 fn missing_and_wrong_values_of_the_start_file_are_reported_with_the_same_text() {
     let start_file: Value = serde_json::from_str(&read_fixture("start_file.json")).unwrap();
-    let outcome = |changed: &Value| match config::read(&changed.to_string()) {
+    let outcome = |changed: &Value| match config::parse(&changed.to_string()) {
         Ok(_) => "accepted".to_owned(),
         Err(fault) => fault.to_string(),
     };
--- a/crates/platform/src/admission.rs
+++ b/crates/platform/src/admission.rs
@@ -170,7 +170,7 @@
             function: request.function,
             work_hint_ms: request.work_hint_ms,
             memory_mb: request.memory_mb,
-            concurrency_limit: request.lanes,
+            concurrency_limit: request.concurrency_limit,
             load_ms: request.load_ms,
         }
     }
--- a/crates/platform/src/attempt.rs
+++ b/crates/platform/src/attempt.rs
@@ -225,7 +225,7 @@
             let left_ms = client.until.checked_sub(now).filter(|left| *left > 0)? / MILLISECOND;
             request
                 .headers_mut()
-                .insert(http::LIMIT_MS, HeaderValue::from(left_ms.max(1)));
+                .insert(http::TIME_LIMIT_HEADER, HeaderValue::from(left_ms.max(1)));
             if now >= client.leave_by {
                 return None;
             }
@@ -243,15 +243,15 @@
 ) {
     let (invoker, epoch, request_id) = (attempt.invoker, attempt.epoch, attempt.request_id);
     let mut told = AttemptReport::default();
-    let (outcome, line) = match attempt.go(line, frames::OUTPUT_MOST).await {
+    let (outcome, line) = match attempt.go(line, frames::OUTPUT_BYTES_MAX).await {
         AttemptEnd::Answered(response, line) => {
-            let notes = http::notes(|name| response.field(name));
-            let outcome = http::outcome(response.status, |name| response.field(name));
+            let details = http::parse_response_details(|name| response.field(name));
+            let outcome = http::dispatch_outcome(response.status, |name| response.field(name));
             let output = response.body;
             told = AttemptReport {
-                start_kind: notes.found,
-                concurrency: notes.crowd,
-                load_report: notes.report,
+                start_kind: details.start_kind,
+                concurrency: details.concurrency,
+                load_report: details.load_report,
                 output,
             };
             (outcome, Some(line))
@@ -291,9 +291,10 @@
     let (invoker, epoch, request_id) = (attempt.invoker, attempt.epoch, attempt.request_id);
     let (outcome, standing, line) = match attempt.go(line, SMALL_RESPONSE_BYTES_MAX).await {
         AttemptEnd::Answered(response, line) => {
-            let standing = http::notes(|name| response.field(name)).standing;
+            let standing =
+                http::parse_response_details(|name| response.field(name)).loaded_instances;
             (
-                http::held(response.status, |name| response.field(name)),
+                http::load_outcome(response.status, |name| response.field(name)),
                 standing,
                 Some(line),
             )
@@ -331,7 +332,9 @@
     let started_at = attempt.handle.clock.now();
     let going = attempt.go(line, SMALL_RESPONSE_BYTES_MAX);
     let (outcome, line) = match tokio::time::timeout(BACKGROUND_REQUEST_TIMEOUT, going).await {
-        Ok(AttemptEnd::Answered(response, line)) => (http::readiness(response.status), Some(line)),
+        Ok(AttemptEnd::Answered(response, line)) => {
+            (http::probe_outcome(response.status), Some(line))
+        }
         Ok(AttemptEnd::NotSent(_) | AttemptEnd::Lost(_)) => (ProbeOutcome::Unreachable, None),
         Ok(AttemptEnd::Stale | AttemptEnd::LocalFailure(_)) => (ProbeOutcome::NotSent, None),
         Err(_) => (ProbeOutcome::TimedOut, None),
--- a/crates/platform/src/client_connection.rs
+++ b/crates/platform/src/client_connection.rs
@@ -9,7 +9,7 @@
 use crate::state::ControllerHandle;
 use saltdrum::interface::{InvocationId, Ticks};
 use saltdrum_platform_wire::Malformed;
-use saltdrum_platform_wire::frames::{self, Code, FromClient};
+use saltdrum_platform_wire::frames::{self, ClientFrame, Code};
 use saltdrum_transport::{ArrivalReader, Half, ReadBacklog, Stream, split};
 use std::rc::Rc;
 use std::time::Duration;
@@ -170,7 +170,7 @@
             open.into_iter()
                 .for_each(|id| handle.update(|state| state.abandon(id)));
             client.put(
-                frames::answer(0, Code::Errored, None, why.as_bytes()),
+                frames::encode_response(0, Code::Errored, None, why.as_bytes()),
                 NO_DEADLINE,
             );
         }
@@ -186,7 +186,7 @@
             reject_buffered_frames(handle, client, read).await;
             if client.partial_since.get().is_some() {
                 client.put(
-                    frames::answer(0, Code::Errored, None, b"a frame that does not end"),
+                    frames::encode_response(0, Code::Errored, None, b"a frame that does not end"),
                     NO_DEADLINE,
                 );
             }
@@ -227,18 +227,18 @@
     client: &Rc<Client>,
     read: &mut ArrivalReader<Half>,
 ) {
-    while let Ok(Some(frame)) = frames::cut(&mut read.bytes) {
+    while let Ok(Some(frame)) = frames::decode(&mut read.bytes) {
         client.active.set(Some(handle.clock.now()));
         client.partial_since.set(None);
         match frame {
-            FromClient::Invoke { stream, .. } => {
+            ClientFrame::Invoke { stream, .. } => {
                 debug!(stream, reason = ?client.close_reason.get(), "request rejected: connection closing");
                 client.refuse(stream);
             }
-            FromClient::AskReady { stream } => {
-                client.put(frames::readiness(stream, false), NO_DEADLINE)
+            ClientFrame::ReadinessQuery { stream } => {
+                client.put(frames::encode_readiness(stream, false), NO_DEADLINE)
             }
-            FromClient::Left { .. } => {}
+            ClientFrame::Cancel { .. } => {}
         }
     }
 }
@@ -274,7 +274,7 @@
             if client.closing.get() {
                 return ConnectionEnd::Closed;
             }
-            let frame = match frames::cut(&mut read.bytes) {
+            let frame = match frames::decode(&mut read.bytes) {
                 Ok(None) => break,
                 Ok(Some(frame)) => frame,
                 Err(why) => return ConnectionEnd::Malformed(why.to_string()),
@@ -283,15 +283,15 @@
             client.active.set(Some(handle.clock.now()));
             client.partial_since.set(None);
             let heard = match frame {
-                FromClient::Invoke { stream, payload } => {
+                ClientFrame::Invoke { stream, payload } => {
                     accept_invoke_frame(handle, client, stream, payload, earliest, &backlog)
                 }
-                FromClient::AskReady { stream } => {
+                ClientFrame::ReadinessQuery { stream } => {
                     let is_ready = !handle.config.clients.are_ending();
-                    client.put(frames::readiness(stream, is_ready), NO_DEADLINE);
+                    client.put(frames::encode_readiness(stream, is_ready), NO_DEADLINE);
                     Ok(())
                 }
-                FromClient::Left { stream } => {
+                ClientFrame::Cancel { stream } => {
                     let id = client.open.borrow().get(&stream).copied();
                     id.into_iter()
                         .for_each(|id| handle.update(|state| state.client_left(id)));
@@ -330,12 +330,12 @@
         });
     }
     client.last_stream.set(stream);
-    if client.open.borrow().len() >= frames::OPEN_MOST {
+    if client.open.borrow().len() >= frames::OPEN_STREAMS_MAX {
         debug!(stream, "request rejected: too many open streams");
         client.refuse(stream);
         return Ok(());
     }
-    let taken = frames::request(payload)
+    let taken = frames::parse_request(payload)
         .map_err(AdmissionError::from)
         .and_then(|request| {
             let arrival = Arrival { earliest, backlog };
@@ -345,7 +345,7 @@
         let why = error.to_string();
         debug!(why, "invocation rejected");
         client.put(
-            frames::answer(stream, Code::Errored, None, why.as_bytes()),
+            frames::encode_response(stream, Code::Errored, None, why.as_bytes()),
             NO_DEADLINE,
         );
     }
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -97,7 +97,7 @@
     /// Refuses a request for want of room, with when to come back.
     pub fn refuse(&self, stream: u32) {
         self.put(
-            frames::answer(stream, Code::Throttled, Some(OVERLOAD_RETRY_AFTER_MS), &[]),
+            frames::encode_response(stream, Code::Throttled, Some(OVERLOAD_RETRY_AFTER_MS), &[]),
             NO_DEADLINE,
         );
     }
@@ -127,7 +127,7 @@
     /// Tells it, once, to bring nothing new on this connection.
     pub fn send_go_away(&self) {
         if !self.go_away_sent.replace(true) {
-            self.put(frames::go_away(), NO_DEADLINE);
+            self.put(frames::encode_go_away(), NO_DEADLINE);
         }
     }
 
@@ -347,13 +347,15 @@
     fn respond(self, _: InvocationId, how: FinalResponse, _: u8, until: Ticks) {
         let frame = match how {
             FinalResponse::Succeeded(output) => {
-                frames::answer(self.stream, Code::Succeeded, None, output)
+                frames::encode_response(self.stream, Code::Succeeded, None, output)
             }
             FinalResponse::Throttled(wait) => {
                 let later = Some(wait / MILLISECOND).filter(|ms| *ms > 0);
-                frames::answer(self.stream, Code::Throttled, later, &[])
+                frames::encode_response(self.stream, Code::Throttled, later, &[])
+            }
+            FinalResponse::Errored(_) => {
+                frames::encode_response(self.stream, Code::Errored, None, &[])
             }
-            FinalResponse::Errored(_) => frames::answer(self.stream, Code::Errored, None, &[]),
         };
         self.client.put(frame, until);
     }
--- a/crates/platform/src/endpoint_watch.rs
+++ b/crates/platform/src/endpoint_watch.rs
@@ -4,7 +4,7 @@
 use crate::state::ControllerHandle;
 use saltdrum::interface::{InvokerStatus, MILLISECOND, Ticks};
 use saltdrum_platform_wire::Malformed;
-use saltdrum_platform_wire::feed::{EndpointRecord, Event, cut, id_text};
+use saltdrum_platform_wire::feed::{EndpointRecord, Event, decode, format_invoker_id};
 use saltdrum_transport::{Address, ArrivalReader, ReadBacklog, Stream};
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -197,7 +197,7 @@
     let mut due = handle.clock.now() + FIRST_FRAME_TIMEOUT;
     let mut came = dialled_at;
     loop {
-        if let Some((number, event)) = cut(&mut read.bytes)? {
+        if let Some((number, event)) = decode(&mut read.bytes)? {
             handle_event(handle, came, number, &event)?;
             due = handle.clock.now() + SILENCE_TIMEOUT;
         } else {
@@ -235,8 +235,8 @@
     let last = feed.last.get();
     let (whole, lines) = match event {
         // It carries the number of the last event: a later one than ours was never told us.
-        Event::Nothing if number > last => return Err(WatchError::Untold { told: number, last }),
-        Event::Nothing => {
+        Event::Heartbeat if number > last => return Err(WatchError::Untold { told: number, last }),
+        Event::Heartbeat => {
             feed.is_caught_up.set(true);
             list_heard(handle, came);
             return Ok(());
@@ -244,7 +244,7 @@
         // Written twice: heard once.
         _ if number <= last => return Ok(()),
         Event::Changes(_) if number > last + 1 => return Err(WatchError::Gap { number, last }),
-        Event::Whole(lines) => (true, lines),
+        Event::Snapshot(lines) => (true, lines),
         Event::Changes(lines) => (false, lines),
     };
     let now = handle.clock.now();
@@ -278,10 +278,10 @@
         waited_most_ms = waited / MILLISECOND,
         "control feed event received"
     );
-    let not_ready = lines.iter().filter(|l| l.life != InvokerStatus::Ready);
+    let not_ready = lines.iter().filter(|l| l.status != InvokerStatus::Ready);
     for line in not_ready {
-        let id = id_text(line.invoker);
-        info!(number, id, status = ?line.life, "invoker takes no new work");
+        let id = format_invoker_id(line.invoker);
+        info!(number, id, status = ?line.status, "invoker takes no new work");
     }
 }
 
--- a/crates/platform/src/invoker_pools/list_changes.rs
+++ b/crates/platform/src/invoker_pools/list_changes.rs
@@ -33,14 +33,14 @@
         }
     }
     for record in records {
-        if record.life == InvokerStatus::Gone && !pools.contains_key(&record.invoker) {
+        if record.status == InvokerStatus::Gone && !pools.contains_key(&record.invoker) {
             continue;
         }
         let pool = pools
             .entry(record.invoker)
             .or_insert_with(|| Pool::new(record));
         pool.apply(record, &start_time);
-        if record.life != InvokerStatus::Ready {
+        if record.status != InvokerStatus::Ready {
             not_ready.push(record.invoker);
         }
     }
@@ -50,7 +50,7 @@
     };
     let invokers = records
         .iter()
-        .map(|record| record.listed(started_at(record)));
+        .map(|record| record.to_invoker_record(started_at(record)));
     let invokers: Vec<InvokerRecord> = invokers.collect();
     state.policy.invokers_changed(now, is_complete, &invokers);
     for invoker in not_ready {
@@ -115,7 +115,7 @@
     fn new(record: &EndpointRecord) -> Self {
         Self {
             address: record.address,
-            status: record.life,
+            status: record.status,
             cutoff: Rc::new(Cell::new(Ticks::MAX)),
             started: None,
             epoch: 0,
@@ -132,18 +132,18 @@
     }
 
     fn apply(&mut self, record: &EndpointRecord, start_time: impl Fn(u64) -> Ticks) {
-        if self.address != record.address || record.life == InvokerStatus::Gone {
+        if self.address != record.address || record.status == InvokerStatus::Gone {
             self.disconnect();
         }
         self.address = record.address;
-        self.status = record.life;
+        self.status = record.status;
         // A start that is reported again is the same: a later one would be another start.
         let known = self
             .started
             .filter(|(unix_ms, _)| Some(*unix_ms) == record.started_ms);
         let reported = || Some((record.started_ms?, start_time(record.started_ms?)));
         self.started = known.or_else(reported);
-        if record.life == InvokerStatus::Ready {
+        if record.status == InvokerStatus::Ready {
             self.cutoff.set(Ticks::MAX);
         }
     }
--- a/crates/platform/src/invoker_pools/transport.rs
+++ b/crates/platform/src/invoker_pools/transport.rs
@@ -23,10 +23,10 @@
         .method(if has_body { "POST" } else { "GET" })
         .uri(format!("/obj/{trigger_name}"))
         .header("host", "invoker")
-        .header(http::TXN, format!("{:016x}", payload.txn))
-        .header(http::FUNCTION, format!("{function:016x}"));
+        .header(http::TRANSACTION_HEADER, format!("{:016x}", payload.txn))
+        .header(http::FUNCTION_HEADER, format!("{function:016x}"));
     if let Some(token) = &payload.token {
-        request = request.header(http::TOKEN, token);
+        request = request.header(http::TOKEN_HEADER, token);
     }
     if has_body {
         request = request.header("content-length", payload.body.len());
--- a/crates/platform/src/invoker_pools/views.rs
+++ b/crates/platform/src/invoker_pools/views.rs
@@ -4,7 +4,7 @@
 use crate::endpoint_watch::EndpointWatch;
 use crate::state::ControllerState;
 use saltdrum::interface::{InvokerId, InvokerView, MILLISECOND, ProbeOutcome, Ticks};
-use saltdrum_platform_wire::feed::id_text;
+use saltdrum_platform_wire::feed::format_invoker_id;
 use tracing::{debug, info, warn};
 
 /// Logs the counters, and what the policy believes of each invoker beside what is on its sockets.
@@ -57,7 +57,7 @@
     let on_sockets = attempts.filter(|attempt| attempt.is_at_invoker()).count();
     let pool = transport.pools.get(&view.invoker);
     info!(
-        id = id_text(view.invoker),
+        id = format_invoker_id(view.invoker),
         out = view.in_flight,
         sent,
         on_sockets,
@@ -75,7 +75,7 @@
         let Some(pool) = self.pools.get_mut(&invoker) else {
             return;
         };
-        let id = id_text(invoker);
+        let id = format_invoker_id(invoker);
         let was_not_ready = pool.is_not_ready;
         match outcome {
             ProbeOutcome::NotReady => pool.is_not_ready = true,
--- a/crates/platform/src/lifecycle.rs
+++ b/crates/platform/src/lifecycle.rs
@@ -35,38 +35,38 @@
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// The configuration file can't be read.
-    #[error("{place}: {why}")]
+    #[error("{path}: {error}")]
     Unreadable {
         /// The file.
-        place: String,
+        path: String,
         /// What the system says.
-        why: std::io::Error,
+        error: std::io::Error,
     },
     /// The configuration file holds a fault.
-    #[error("{place}: {fault}")]
+    #[error("{path}: {fault}")]
     Config {
         /// The file.
-        place: String,
+        path: String,
         /// The field at fault.
         fault: config::ConfigError,
     },
     /// An environment variable contradicts the configuration file.
-    #[error("{what} {got}: {expected} is expected, as in the configuration")]
-    Differs {
+    #[error("{variable} {value}: {expected} is expected, as in the configuration")]
+    EnvironmentMismatch {
         /// The variable.
-        what: &'static str,
+        variable: &'static str,
         /// Its value.
-        got: String,
+        value: String,
         /// What the configuration file says.
         expected: String,
     },
     /// The listening socket can't be opened.
-    #[error("can't listen on {at}: {why}")]
+    #[error("can't listen on {address}: {error}")]
     Listen {
         /// The address.
-        at: String,
+        address: String,
         /// What the system says.
-        why: std::io::Error,
+        error: std::io::Error,
     },
     /// Signal handlers can't be installed.
     #[error("signals: {0}")]
@@ -86,22 +86,22 @@
 }
 
 fn read(life: &StartOptions) -> Result<Config, StartError> {
-    let place = life.config.display().to_string();
-    let text = std::fs::read_to_string(&life.config).map_err(|why| StartError::Unreadable {
-        place: place.clone(),
-        why,
+    let path = life.config.display().to_string();
+    let text = std::fs::read_to_string(&life.config).map_err(|error| StartError::Unreadable {
+        path: path.clone(),
+        error,
     })?;
-    let config = config::read(&text).map_err(|fault| StartError::Config { place, fault })?;
+    let config = config::parse(&text).map_err(|fault| StartError::Config { path, fault })?;
     let listen = config.listen.to_string();
     let said = [
         ("RELAY_LISTEN", &life.listen, listen),
         ("RELAY_NAME", &life.name, config.name.clone()),
     ];
-    for (what, got, expected) in said {
-        if let Some(got) = got.as_ref().filter(|got| **got != expected) {
-            return Err(StartError::Differs {
-                what,
-                got: got.clone(),
+    for (variable, value, expected) in said {
+        if let Some(value) = value.as_ref().filter(|value| **value != expected) {
+            return Err(StartError::EnvironmentMismatch {
+                variable,
+                value: value.clone(),
                 expected,
             });
         }
@@ -154,9 +154,9 @@
     let handle = build(config, wall_clock, network, clock, make);
     let opened_at = clock.now();
     let listening = handle.network.listen(&address).await;
-    let (listener, _) = listening.map_err(|why| StartError::Listen {
-        at: address.to_string(),
-        why,
+    let (listener, _) = listening.map_err(|error| StartError::Listen {
+        address: address.to_string(),
+        error,
     })?;
     spawn_tasks(&handle, listener, opened_at);
     Ok(handle)
@@ -183,10 +183,10 @@
     let pools = InvokerPools::new(
         budget,
         config.connect_timeout,
-        config.conn_idle,
+        config.connection_idle_timeout,
         trigger_names.clone(),
     );
-    let mut invocations = InvocationTable::new(now, pools, &deployment, config.order_timeout);
+    let mut invocations = InvocationTable::new(now, pools, &deployment, config.load_timeout);
     let policy = make(now, deployment.clone(), config.seed, &mut invocations);
     let node = NodeConfig {
         seed: config.seed,
@@ -195,7 +195,7 @@
         tenant_names: config.tenant_names,
         budget,
         clients: Clients::default(),
-        feed: EndpointWatch::new(config.feed, config.known.0, now),
+        feed: EndpointWatch::new(config.feed, config.known_events.0, now),
         wall_clock_history: RefCell::new(WallClockHistory::new(wall_clock(), now)),
         wall_clock,
     };
@@ -203,10 +203,10 @@
     let handle = Rc::new(handle);
     handle.update(|state| {
         state.invocations.transport.set_handle(&handle);
-        for (_, event) in &config.known.1 {
+        for (_, event) in &config.known_events.1 {
             match event {
-                Event::Nothing => {}
-                Event::Whole(lines) => {
+                Event::Heartbeat => {}
+                Event::Snapshot(lines) => {
                     endpoint_watch::apply_event(&handle, state, now, true, lines)
                 }
                 Event::Changes(lines) => {
@@ -256,12 +256,13 @@
 
 /// Follows the feed where the file says that it is.
 fn follow_file(config: &Path, handle: &ControllerHandle) -> Result<(), StartError> {
-    let place = config.display().to_string();
-    let text = std::fs::read_to_string(config).map_err(|why| StartError::Unreadable {
-        place: place.clone(),
-        why,
+    let path = config.display().to_string();
+    let text = std::fs::read_to_string(config).map_err(|error| StartError::Unreadable {
+        path: path.clone(),
+        error,
     })?;
-    let address = config::read_feed(&text).map_err(|fault| StartError::Config { place, fault })?;
+    let address =
+        config::parse_feed_address(&text).map_err(|fault| StartError::Config { path, fault })?;
     info!(%address, "configuration reloaded");
     handle.config.feed.moves(address);
     Ok(())
--- a/crates/platform/src/limits.rs
+++ b/crates/platform/src/limits.rs
@@ -1,6 +1,6 @@
 //! What this machine has room for, derived from its limits.
 
-use saltdrum_platform_wire::config::Limits;
+use saltdrum_platform_wire::config::MachineLimits;
 
 /// Standard streams, epoll and its waker, the signal pipe, listener, feed (an old and a new one), the file at a
 /// reload, a connection that is only accepted to be turned away, and some to spare.
@@ -20,10 +20,13 @@
 
 impl ResourceLimits {
     /// Derives the bounds from the configured limits of the machine.
-    pub fn of(limits: &Limits) -> Self {
-        let left = limits.sockets.saturating_sub(RESERVED_DESCRIPTORS).max(8);
+    pub fn of(limits: &MachineLimits) -> Self {
+        let left = limits
+            .descriptors
+            .saturating_sub(RESERVED_DESCRIPTORS)
+            .max(8);
         // Clients keep to a third of the limit; strangers beside them are closed first.
-        let clients = (limits.sockets / 3 + left / 20).min(left / 2);
+        let clients = (limits.descriptors / 3 + left / 20).min(left / 2);
         let bytes = (limits.memory_mb * 1_048_576.0 / 8.0) as usize;
         Self {
             clients,
--- a/crates/platform/src/limits/tests.rs
+++ b/crates/platform/src/limits/tests.rs
@@ -3,9 +3,9 @@
 #[test]
 fn all_parts_together_stay_under_the_limit() {
     for sockets in [32, 64, 256, 1_024, 4_096] {
-        let b = ResourceLimits::of(&Limits {
+        let b = ResourceLimits::of(&MachineLimits {
             memory_mb: 32.0,
-            sockets,
+            descriptors: sockets,
         });
         assert!(
             b.clients + b.lines + RESERVED_DESCRIPTORS <= sockets,
--- a/crates/platform/src/tests/closes.rs
+++ b/crates/platform/src/tests/closes.rs
@@ -65,7 +65,7 @@
             &[
                 stage.call(2).0,
                 stage.call(3).0,
-                frames::bare(32, 4).to_vec(),
+                frames::encode_empty(32, 4).to_vec(),
             ]
             .concat(),
         );
--- a/crates/platform/src/tests/deadlines.rs
+++ b/crates/platform/src/tests/deadlines.rs
@@ -53,7 +53,7 @@
     let Ok(last) = stream.read_u64().await else {
         return;
     };
-    let empty = |number| encode(number, &Event::Nothing);
+    let empty = |number| encode(number, &Event::Heartbeat);
     let (number, event) = event();
     let beats = |n: u64| match does {
         Does::FallsSilent(beats) => (n < beats).then(|| empty(last)),
@@ -241,7 +241,7 @@
             .await;
         client
             .stream
-            .write_all(&frames::bare(32, 77))
+            .write_all(&frames::encode_empty(32, 77))
             .await
             .unwrap();
         let mut heard = Vec::new();
@@ -404,7 +404,7 @@
                 }
             }
         });
-        match config::read(&text) {
+        match config::parse(&text) {
             Err(fault) => {
                 READ.with_borrow_mut(|r| r.1 += 1);
                 let said = fault.to_string();
@@ -558,7 +558,7 @@
                 };
                 seen.borrow_mut().push(last);
                 let noise = [
-                    encode(1, &Event::Nothing),
+                    encode(1, &Event::Heartbeat),
                     vec![0, 0, 0, 10, 9, 9, 9, 9, 9, 9, 9, 9, 9, 9],
                 ]
                 .concat();
--- a/crates/platform/src/tests/degraded_peers.rs
+++ b/crates/platform/src/tests/degraded_peers.rs
@@ -87,9 +87,9 @@
         let flood = spawn_local(async move {
             for n in 1..20_000u32 {
                 let frame = if n % 2 == 0 {
-                    frames::bare(32, n)
+                    frames::encode_empty(32, n)
                 } else {
-                    frames::bare(18, n)
+                    frames::encode_empty(18, n)
                 };
                 if floods.stream.write_all(&frame).await.is_err() {
                     return;
@@ -103,7 +103,7 @@
             for n in 1..20_000u32 {
                 if never_reads
                     .stream
-                    .write_all(&frames::bare(32, n))
+                    .write_all(&frames::encode_empty(32, n))
                     .await
                     .is_err()
                 {
@@ -139,7 +139,10 @@
         let mut crowd = Vec::new();
         for _ in 0..CROWD {
             let mut idle = stage.client().await;
-            idle.stream.write_all(&frames::bare(32, 1)).await.unwrap();
+            idle.stream
+                .write_all(&frames::encode_empty(32, 1))
+                .await
+                .unwrap();
             crowd.push(idle);
         }
         let began = stage.clock.now();
--- a/crates/platform/src/tests/endpoint_list.rs
+++ b/crates/platform/src/tests/endpoint_list.rs
@@ -51,7 +51,7 @@
         stage.invoker(2, invoker_at(2));
         let moved = Feed::new(WHO, stage.record.clone(), stage.clock);
         spawn_local(moved.clone().serve(stage.network.clone(), feed_at(2)));
-        stage.feed.say(2, Event::Nothing);
+        stage.feed.say(2, Event::Heartbeat);
         stage.handle.config.feed.moves(feed_at(2));
         moved.say(
             2,
--- a/crates/platform/src/tests/hostile_clients.rs
+++ b/crates/platform/src/tests/hostile_clients.rs
@@ -35,7 +35,7 @@
         if !fields.iter().any(|f| f.0 == name) && value.is_some() {
             fields.push((name, value.unwrap_or_default()));
         }
-        frames::invoke(1, &fields, &[]).to_vec()
+        frames::encode_invoke(1, &fields, &[]).to_vec()
     };
     let mut all = vec![
         vec![0; 4],
@@ -44,11 +44,11 @@
         [60_000_000u32.to_be_bytes().to_vec(), vec![16; 100_000]].concat(),
         [3u32.to_be_bytes().to_vec(), vec![16; 9]].concat(),
         [9u32.to_be_bytes().to_vec(), vec![77; 9]].concat(),
-        frames::invoke(1, &[], &[]).to_vec(),
-        frames::invoke(1, &[("verb", "look"), ("verb", "look")], &[]).to_vec(),
+        frames::encode_invoke(1, &[], &[]).to_vec(),
+        frames::encode_invoke(1, &[("verb", "look"), ("verb", "look")], &[]).to_vec(),
         [
-            frames::invoke(1, &[], &[]).to_vec(),
-            frames::invoke(1, &[], &[]).to_vec(),
+            frames::encode_invoke(1, &[], &[]).to_vec(),
+            frames::encode_invoke(1, &[], &[]).to_vec(),
         ]
         .concat(),
         good.frame(1)[..40].to_vec(),
--- a/crates/platform/src/tests/lost_connections.rs
+++ b/crates/platform/src/tests/lost_connections.rs
@@ -63,7 +63,7 @@
     staged(|| async {
         let stage = Stage::new().await;
         let (mut client, mut line) = under_way(&stage).await;
-        client.write(&saltdrum_platform_wire::frames::bare(18, 2));
+        client.write(&saltdrum_platform_wire::frames::encode_empty(18, 2));
         until(|| stage.in_flight() == 0).await;
         assert!(line.request().is_none());
         tokio::time::sleep(SWEPT).await;
--- a/crates/platform/src/tests/races.rs
+++ b/crates/platform/src/tests/races.rs
@@ -27,7 +27,7 @@
         let (one, _) = stage.call(2);
         let (two, _) = stage.call(3);
         // The answer to the first frame is never read: so the close is a reset.
-        client.write(&[frames::bare(32, 1).to_vec(), one, two].concat());
+        client.write(&[frames::encode_empty(32, 1).to_vec(), one, two].concat());
         until(|| stage.in_flight() == 2).await;
         let mut lines = [stage.line().await, stage.line().await];
         for line in &mut lines {
@@ -323,7 +323,7 @@
         staged(|| async move {
             let stage = Stage::new().await;
             let mut client = stage.client();
-            client.write(&frames::bare(32, 1));
+            client.write(&frames::encode_empty(32, 1));
             until(|| client.stream.peek(&mut [0]).is_ok()).await;
             if !matches!(leaves, Leaves::Resets) {
                 client.hear().await;
@@ -333,7 +333,7 @@
             client.write(&stage.call(2).0);
             until(|| stage.network.waiting.get() > dials).await;
             match leaves {
-                Leaves::Says => client.write(&frames::bare(18, 2)),
+                Leaves::Says => client.write(&frames::encode_empty(18, 2)),
                 Leaves::Closes | Leaves::Resets => drop(client),
             }
             until(|| stage.in_flight() == 0).await;
@@ -363,7 +363,7 @@
     staged(|| async {
         let stage = Stage::new().await;
         let mut client = stage.known().await;
-        let left = |stream| frames::bare(18, stream).to_vec();
+        let left = |stream| frames::encode_empty(18, stream).to_vec();
         client.write(
             &[
                 left(2),
@@ -371,7 +371,7 @@
                 left(2),
                 left(2),
                 left(9),
-                frames::bare(32, 3).to_vec(),
+                frames::encode_empty(32, 3).to_vec(),
             ]
             .concat(),
         );
@@ -390,7 +390,7 @@
         assert_eq!(line.asked().await, txn);
         line.write(&http("done"));
         client.hear().await;
-        client.write(&[left(4), frames::bare(32, 5).to_vec()].concat());
+        client.write(&[left(4), frames::encode_empty(32, 5).to_vec()].concat());
         assert_eq!(client.hear().await.0, 33);
         assert_eq!(
             stage.handle.inspect(|s| s.invocations.counters.client_left),
@@ -511,7 +511,7 @@
                     ("item", "00000000000000f1"),
                 ];
                 fields.extend(team.map(|team| ("team", team)));
-                client.write(&frames::invoke(n, &fields, &[]));
+                client.write(&frames::encode_invoke(n, &fields, &[]));
                 codes.push(client.hear().await.2[0]);
             }
             let (full, ill) = (Code::Throttled as u8, Code::Errored as u8);
@@ -579,7 +579,7 @@
         );
         stage.network.shut.set(false);
         stage.network.opened.notify_waiters();
-        client.write(&[stage.call(4).0, frames::bare(32, 5).to_vec()].concat());
+        client.write(&[stage.call(4).0, frames::encode_empty(32, 5).to_vec()].concat());
         let heard = [client.hear().await.1, client.hear().await.1];
         assert!(heard.contains(&4) && heard.contains(&5));
         assert!(stage.nothing_came());
--- a/crates/platform/src/tests/socket_support.rs
+++ b/crates/platform/src/tests/socket_support.rs
@@ -226,7 +226,7 @@
         let realm =
             |name: &&str| serde_json::json!({"name": name, "quota_rps": 10.0, "share": 0.5});
         text["settings"]["realms"] = tenants.iter().map(realm).collect();
-        let config = config::read(&text.to_string()).unwrap();
+        let config = config::parse(&text.to_string()).unwrap();
         let clock = Clock::start();
         let handle = start(config, wall_clock(clock), network.clone(), clock, make)
             .await
@@ -248,7 +248,7 @@
     /// A client of which the controller has heard something whole.
     pub async fn known(&self) -> Conn {
         let mut client = self.client();
-        client.write(&frames::bare(32, 1));
+        client.write(&frames::encode_empty(32, 1));
         client.hear().await;
         client
     }
@@ -268,7 +268,7 @@
             ("limit", "2500"),
             ("item", "00000000000000f1"),
         ];
-        (frames::invoke(stream, &fields, body).to_vec(), txn)
+        (frames::encode_invoke(stream, &fields, body).to_vec(), txn)
     }
 
     /// The next connection that the controller makes to the invoker.
--- a/crates/platform/src/tests/stalls.rs
+++ b/crates/platform/src/tests/stalls.rs
@@ -139,7 +139,9 @@
                 .collect();
             client.write(&calls);
             if matches!(leaves, Leaves::Cancels) {
-                let cancels: Vec<u8> = (2..34).flat_map(|n| frames::bare(18, n).to_vec()).collect();
+                let cancels: Vec<u8> = (2..34)
+                    .flat_map(|n| frames::encode_empty(18, n).to_vec())
+                    .collect();
                 client.write(&cancels);
             } else {
                 drop(client);
--- a/crates/platform/src/tests/support.rs
+++ b/crates/platform/src/tests/support.rs
@@ -159,7 +159,7 @@
         record.note(stated());
         let feed = Feed::new(WHO, record.clone(), clock);
         spawn_local(feed.clone().serve(network.clone(), feed_at(1)));
-        let config = config::read(text).unwrap();
+        let config = config::parse(text).unwrap();
         let started = start(config, wall_clock(clock), network.clone(), clock, make).await;
         let handle = started.unwrap_or_else(|e| panic!("{e}"));
         let (next, none) = (Cell::new(0), BTreeMap::new());
--- a/crates/scale/src/controller.rs
+++ b/crates/scale/src/controller.rs
@@ -226,13 +226,13 @@
         invoker: w,
         address: std::net::SocketAddrV4::new(std::net::Ipv4Addr::from(0x0a00_0000 + w), 7_001),
         zone: (w % u32::from(ZONES)) as u8,
-        kind: 0,
+        machine_kind: 0,
         cell: 0,
-        life: InvokerStatus::Ready,
-        size: 4.0,
+        status: InvokerStatus::Ready,
+        capacity: 4.0,
         started_ms: None,
     };
-    let whole = encode(1, &Event::Whole((1..=invokers).map(line).collect()));
+    let whole = encode(1, &Event::Snapshot((1..=invokers).map(line).collect()));
     let one = encode(2, &Event::Changes(vec![line(1)]));
     (whole.len() as u64, one.len() as u64)
 }
--- a/crates/scale/src/real.rs
+++ b/crates/scale/src/real.rs
@@ -86,11 +86,11 @@
     EndpointRecord {
         invoker,
         address,
-        life,
+        status: life,
         zone,
-        kind: 0,
+        machine_kind: 0,
         cell: 0,
-        size: 4.0,
+        capacity: 4.0,
         started_ms: None,
     }
 }
@@ -149,7 +149,7 @@
     spawn_local(feed.clone().serve(Rc::new(SocketNetwork), feed_at));
     feed.say(
         2,
-        Event::Whole((1..=lines).map(|w| line(w, InvokerStatus::Ready)).collect()),
+        Event::Snapshot((1..=lines).map(|w| line(w, InvokerStatus::Ready)).collect()),
     );
     let path = folder.join("config.json");
     std::fs::write(&path, configuration(lines, listen, feed_at))?;
