--- a/crates/platform-wire/src/config.rs
+++ b/crates/platform-wire/src/config.rs
@@ -1,5 +1,5 @@
-//! The configuration file: JSON, read at start and at each SIGHUP. A fault names the field, its value and what was
-//! expected.
+//! The configuration file, in JSON, which is read at start and at each SIGHUP. An error names the field, its value and
+//! what was expected.
 
 use crate::feed::{EndpointRecord, Event, parse_invoker_id};
 use saltdrum::interface::{Deployment, InvokerStatus, Ticks};
@@ -7,47 +7,53 @@
 use serde_json::Value;
 use std::net::SocketAddrV4;
 
-/// What a machine allows its controller.
+/// Limits of the machine that a controller runs on.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct MachineLimits {
-    /// Memory in MB.
+    /// Memory for the controller, in MB.
     pub memory_mb: f64,
     /// Open file descriptors.
     pub descriptors: usize,
 }
 
-/// A configuration file that was read and checked.
+/// A validated configuration file.
 #[derive(Debug, Clone)]
 pub struct Config {
+    /// Name of the controller.
     pub name: String,
+    /// Address on which clients connect.
     pub listen: SocketAddrV4,
     pub seed: u64,
     pub limits: MachineLimits,
+    /// Address of the endpoint feed.
     pub feed: SocketAddrV4,
-    /// Number of the last event that is known, and the events.
+    /// The number of the last known feed event, and the known events with their numbers.
     pub known_events: (u64, Vec<(u64, Event)>),
     pub deployment: Deployment,
+    /// Names of the trigger types, in the order of `deployment.trigger_types`.
     pub trigger_names: Vec<String>,
-    /// As invocations name them, in the order of the deployment's tenants.
+    /// Names of the deployment's tenants, in the order of `deployment.tenants`.
     pub tenant_names: Vec<String>,
     pub connect_timeout: Ticks,
+    /// Idle time after which an invoker closes a connection.
     pub connection_idle_timeout: Ticks,
+    /// Time limit of a load order.
     pub load_timeout: Ticks,
 }
 
-/// A field of the configuration file that can't be used.
+/// A field of the configuration file is missing or invalid.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {got}: {expected}")]
 pub struct ConfigError {
     /// Path of the field in the file.
     pub field: String,
-    /// What it holds, cut to 60 characters.
+    /// Its value, truncated to 60 characters.
     pub got: String,
     /// What was expected.
     pub expected: String,
 }
 
-fn fault(
+fn config_error(
     field: &str,
     got: impl std::fmt::Display,
     expected: impl std::fmt::Display,
@@ -60,130 +66,133 @@
     }
 }
 
-fn at<'a>(v: &'a Value, path: &str) -> Result<&'a Value, ConfigError> {
-    let mut here = v;
-    for step in path.split('.') {
-        here = here
-            .get(step)
-            .ok_or_else(|| fault(path, "missing", "the field is needed"))?;
+fn value_at<'a>(root: &'a Value, path: &str) -> Result<&'a Value, ConfigError> {
+    let mut value = root;
+    for name in path.split('.') {
+        value = value
+            .get(name)
+            .ok_or_else(|| config_error(path, "missing", "the field is needed"))?;
     }
-    Ok(here)
+    Ok(value)
 }
 
-fn text<'a>(v: &'a Value, path: &str) -> Result<&'a str, ConfigError> {
-    let value = at(v, path)?;
+fn text_at<'a>(root: &'a Value, path: &str) -> Result<&'a str, ConfigError> {
+    let value = value_at(root, path)?;
     value
         .as_str()
-        .ok_or_else(|| fault(path, value, "text is expected"))
+        .ok_or_else(|| config_error(path, value, "text is expected"))
 }
 
-fn number(v: &Value, path: &str, least: f64, most: f64) -> Result<f64, ConfigError> {
-    let value = at(v, path)?;
-    let n = value.as_f64().filter(|n| (least..=most).contains(n));
-    n.ok_or_else(|| {
-        fault(
+fn number_at(root: &Value, path: &str, min: f64, max: f64) -> Result<f64, ConfigError> {
+    let value = value_at(root, path)?;
+    let number = value.as_f64().filter(|n| (min..=max).contains(n));
+    number.ok_or_else(|| {
+        config_error(
             path,
             value,
-            format!("a number from {least} to {most} is expected"),
+            format!("a number from {min} to {max} is expected"),
         )
     })
 }
 
-fn whole(v: &Value, path: &str) -> Result<u64, ConfigError> {
-    let value = at(v, path)?;
+fn integer_at(root: &Value, path: &str) -> Result<u64, ConfigError> {
+    let value = value_at(root, path)?;
     value
         .as_u64()
-        .ok_or_else(|| fault(path, value, "a whole number is expected"))
+        .ok_or_else(|| config_error(path, value, "a whole number is expected"))
 }
 
-fn address(v: &Value, path: &str) -> Result<SocketAddrV4, ConfigError> {
-    let value = text(v, path)?;
+fn address_at(root: &Value, path: &str) -> Result<SocketAddrV4, ConfigError> {
+    let value = text_at(root, path)?;
     value
         .parse()
-        .map_err(|_| fault(path, value, "ADDRESS:PORT is expected"))
+        .map_err(|_| config_error(path, value, "ADDRESS:PORT is expected"))
 }
 
-/// Nested values as paths; lists of plain values are joined by commas, lists of objects are numbered and counted.
-fn flatten(path: &str, v: &Value, out: &mut Vec<(String, String)>) {
-    let under = |name: &str| {
+/// Flattens nested values into pairs of path and text. Lists of scalars are joined by commas; lists of objects are
+/// numbered, with their length under `count`.
+fn flatten(path: &str, value: &Value, pairs: &mut Vec<(String, String)>) {
+    let child_path = |name: &str| {
         if path.is_empty() {
             name.to_owned()
         } else {
             format!("{path}.{name}")
         }
     };
-    match v {
-        Value::Object(inside) => inside
+    match value {
+        Value::Object(members) => members
             .iter()
-            .for_each(|(name, v)| flatten(&under(name), v, out)),
+            .for_each(|(name, member)| flatten(&child_path(name), member, pairs)),
         Value::Array(items) if items.iter().any(Value::is_object) => {
-            out.push((under("count"), items.len().to_string()));
+            pairs.push((child_path("count"), items.len().to_string()));
             items
                 .iter()
                 .enumerate()
-                .for_each(|(i, v)| flatten(&under(&i.to_string()), v, out));
+                .for_each(|(index, item)| flatten(&child_path(&index.to_string()), item, pairs));
         }
         Value::Array(items) => {
-            let all: Vec<String> = items.iter().map(plain).collect();
-            out.push((path.to_owned(), all.join(",")));
+            let texts: Vec<String> = items.iter().map(scalar_text).collect();
+            pairs.push((path.to_owned(), texts.join(",")));
         }
         Value::Null => {}
-        other => out.push((path.to_owned(), plain(other))),
+        scalar => pairs.push((path.to_owned(), scalar_text(scalar))),
     }
 }
 
-fn plain(v: &Value) -> String {
-    v.as_str().map_or_else(|| v.to_string(), ToOwned::to_owned)
+fn scalar_text(value: &Value) -> String {
+    value
+        .as_str()
+        .map_or_else(|| value.to_string(), ToOwned::to_owned)
 }
 
-/// Reads the whole file.
-pub fn parse(text_of_file: &str) -> Result<Config, ConfigError> {
-    let v: Value =
-        serde_json::from_str(text_of_file).map_err(|e| fault("file", e, "JSON is expected"))?;
-    let seed = text(&v, "seed")?;
+/// Parses a configuration file.
+pub fn parse(text: &str) -> Result<Config, ConfigError> {
+    let root: Value =
+        serde_json::from_str(text).map_err(|e| config_error("file", e, "JSON is expected"))?;
+    let seed = text_at(&root, "seed")?;
     let mut pairs = Vec::new();
-    flatten("", at(&v, "settings")?, &mut pairs);
-    let pairs = SettingValues::from_pairs(
+    flatten("", value_at(&root, "settings")?, &mut pairs);
+    let settings = SettingValues::from_pairs(
         pairs
             .iter()
             .map(|(path, value)| (path.as_str(), value.as_str())),
     );
-    let of_settings =
-        |e: SettingError| fault("settings", e, "the settings of an instance are expected");
+    let settings_error =
+        |e: SettingError| config_error("settings", e, "the settings of an instance are expected");
     let ParsedSettings {
         deployment,
         report_fields: _,
-    } = saltdrum_settings::parse(&pairs).map_err(of_settings)?;
+    } = saltdrum_settings::parse(&settings).map_err(settings_error)?;
     let trigger_names = (0..deployment.trigger_types.len())
-        .map(|i| {
-            pairs
-                .text(&format!("classes.{i}.name"))
+        .map(|index| {
+            settings
+                .text(&format!("classes.{index}.name"))
                 .map(ToOwned::to_owned)
         })
         .collect::<Result<_, _>>()
-        .map_err(of_settings)?;
+        .map_err(settings_error)?;
     let tenant_names = (0..deployment.tenants.len())
-        .map(|i| {
-            pairs
-                .text(&format!("realms.{i}.name"))
+        .map(|index| {
+            settings
+                .text(&format!("realms.{index}.name"))
                 .map(ToOwned::to_owned)
         })
         .collect::<Result<_, _>>()
-        .map_err(of_settings)?;
-    let time = |path: &str| pairs.time(path).map_err(of_settings);
+        .map_err(settings_error)?;
+    let time = |path: &str| settings.time(path).map_err(settings_error);
     Ok(Config {
-        name: text(&v, "name")?.to_owned(),
-        listen: address(&v, "listen")?,
+        name: text_at(&root, "name")?.to_owned(),
+        listen: address_at(&root, "listen")?,
         seed: u64::from_str_radix(seed, 16)
-            .map_err(|_| fault("seed", seed, "hex digits are expected"))?,
+            .map_err(|_| config_error("seed", seed, "hex digits are expected"))?,
         limits: MachineLimits {
-            memory_mb: number(&v, "limits.memory_mb", 1.0, 1e9)?,
-            descriptors: number(&v, "limits.sockets", 32.0, 1e7)? as usize,
+            memory_mb: number_at(&root, "limits.memory_mb", 1.0, 1e9)?,
+            descriptors: number_at(&root, "limits.sockets", 32.0, 1e7)? as usize,
         },
-        feed: address(&v, "feed")?,
+        feed: address_at(&root, "feed")?,
         known_events: (
-            whole(&v, "known.n")?,
-            known(&v, &pairs.list("zones"), &pairs.list("kinds"))?,
+            integer_at(&root, "known.n")?,
+            known_events(&root, &settings.list("zones"), &settings.list("kinds"))?,
         ),
         connect_timeout: time("bounds.connect_timeout_ms")?,
         connection_idle_timeout: time("bounds.conn_idle_ms")?,
@@ -194,63 +203,85 @@
     })
 }
 
-/// Only where the feed is now, as a SIGHUP asks for it.
-pub fn parse_feed_address(text_of_file: &str) -> Result<SocketAddrV4, ConfigError> {
-    let v: Value =
-        serde_json::from_str(text_of_file).map_err(|e| fault("file", e, "JSON is expected"))?;
-    address(&v, "feed")
+/// Parses only the address of the endpoint feed, as needed for a reload on SIGHUP.
+pub fn parse_feed_address(text: &str) -> Result<SocketAddrV4, ConfigError> {
+    let root: Value =
+        serde_json::from_str(text).map_err(|e| config_error("file", e, "JSON is expected"))?;
+    address_at(&root, "feed")
 }
 
-fn known(v: &Value, zones: &[&str], kinds: &[&str]) -> Result<Vec<(u64, Event)>, ConfigError> {
-    let events = at(v, "known.events")?;
+fn known_events(
+    root: &Value,
+    zones: &[&str],
+    kinds: &[&str],
+) -> Result<Vec<(u64, Event)>, ConfigError> {
+    let events = value_at(root, "known.events")?;
     let events = events
         .as_array()
-        .ok_or_else(|| fault("known.events", events, "a list is expected"))?;
+        .ok_or_else(|| config_error("known.events", events, "a list is expected"))?;
     events
         .iter()
-        .map(|e| {
-            let lines = at(e, "members.members")?;
-            let lines = lines
+        .map(|event| {
+            let members = value_at(event, "members.members")?;
+            let members = members
                 .as_array()
-                .ok_or_else(|| fault("members", lines, "a list is expected"))?;
-            let lines = lines
+                .ok_or_else(|| config_error("members", members, "a list is expected"))?;
+            let records = members
                 .iter()
-                .map(|l| line(l, zones, kinds))
+                .map(|member| endpoint_record(member, zones, kinds))
                 .collect::<Result<Vec<_>, _>>()?;
-            let complete = at(e, "members.complete")?.as_bool().unwrap_or(false);
+            let is_complete = value_at(event, "members.complete")?
+                .as_bool()
+                .unwrap_or(false);
             Ok((
-                whole(e, "n")?,
-                if complete {
-                    Event::Snapshot(lines)
+                integer_at(event, "n")?,
+                if is_complete {
+                    Event::Snapshot(records)
                 } else {
-                    Event::Changes(lines)
+                    Event::Changes(records)
                 },
             ))
         })
         .collect()
 }
 
-fn line(l: &Value, zones: &[&str], kinds: &[&str]) -> Result<EndpointRecord, ConfigError> {
-    let id = text(l, "id")?;
-    let place = |path: &str, of: &[&str]| {
-        let name = text(l, path)?;
-        let i = of.iter().position(|n| *n == name);
-        i.ok_or_else(|| fault(path, name, format!("one of {} is expected", of.join(", "))))
+fn endpoint_record(
+    member: &Value,
+    zones: &[&str],
+    kinds: &[&str],
+) -> Result<EndpointRecord, ConfigError> {
+    let id = text_at(member, "id")?;
+    let index_at = |path: &str, names: &[&str]| {
+        let name = text_at(member, path)?;
+        let index = names.iter().position(|n| *n == name);
+        index.ok_or_else(|| {
+            config_error(
+                path,
+                name,
+                format!("one of {} is expected", names.join(", ")),
+            )
+        })
     };
-    let status = match text(l, "phase")? {
+    let status = match text_at(member, "phase")? {
         "up" => InvokerStatus::Ready,
         "draining" => InvokerStatus::Draining,
         "removed" => InvokerStatus::Gone,
-        other => return Err(fault("phase", other, "up, draining or removed is expected")),
+        other => {
+            return Err(config_error(
+                "phase",
+                other,
+                "up, draining or removed is expected",
+            ));
+        }
     };
     Ok(EndpointRecord {
-        invoker: parse_invoker_id(id).map_err(|e| fault("id", id, e))?,
-        address: address(l, "host_port")?,
+        invoker: parse_invoker_id(id).map_err(|e| config_error("id", id, e))?,
+        address: address_at(member, "host_port")?,
         status,
-        zone: place("locality", zones)? as u8,
-        machine_kind: place("flavor", kinds)? as u16,
-        cell: number(l, "cell", 0.0, 65_535.0)? as u16,
-        capacity: number(l, "size", 0.0, 1e9)?,
-        started_ms: Some(whole(l, "up_since_ms")?).filter(|ms| *ms > 0),
+        zone: index_at("locality", zones)? as u8,
+        machine_kind: index_at("flavor", kinds)? as u16,
+        cell: number_at(member, "cell", 0.0, 65_535.0)? as u16,
+        capacity: number_at(member, "size", 0.0, 1e9)?,
+        started_ms: Some(integer_at(member, "up_since_ms")?).filter(|ms| *ms > 0),
     })
 }
--- a/crates/platform-wire/src/feed.rs
+++ b/crates/platform-wire/src/feed.rs
@@ -1,4 +1,4 @@
-//! The control feed: numbered events about the list of invokers. Numbers are big-endian.
+//! Frames of the endpoint feed, which publishes numbered events about the list of invokers. Integers are big-endian.
 
 use crate::Malformed;
 use bytes::{Buf, BytesMut};
@@ -6,22 +6,23 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 const RECORD_BYTES: usize = 27;
-/// Bytes of a frame that its length counts beside its records.
+/// Bytes of a frame that its length field counts in addition to its records.
 const HEAD_BYTES: usize = 9;
-/// What the feed would have told counts as told so long after it broke off.
-const TOLD_AFTER_BREAK: Ticks = 2 * SECOND;
-/// The same after it fell silent.
-const TOLD_AFTER_SILENCE: Ticks = 4 * SECOND;
-/// So long after the last frame nothing that the feed would have told since counts as told yet, whichever way it was lost.
-pub const LIST_LIFETIME: Ticks = if TOLD_AFTER_BREAK < TOLD_AFTER_SILENCE {
-    TOLD_AFTER_BREAK
+/// Events that a controller missed count as reported to it this long after its connection to the feed broke.
+const REPORTED_AFTER_BREAK: Ticks = 2 * SECOND;
+/// Events that a controller missed count as reported to it this long after the feed became silent.
+const REPORTED_AFTER_SILENCE: Ticks = 4 * SECOND;
+/// How long after its last frame the list is current: no event missed since then counts as reported yet, whether the
+/// connection broke or the feed became silent.
+pub const LIST_LIFETIME: Ticks = if REPORTED_AFTER_BREAK < REPORTED_AFTER_SILENCE {
+    REPORTED_AFTER_BREAK
 } else {
-    TOLD_AFTER_SILENCE
+    REPORTED_AFTER_SILENCE
 };
-/// A list of so many lines is none.
+/// Records that one frame may hold; a longer one is malformed.
 const RECORDS_MAX: usize = 65_536;
 
-/// One invoker of the list, and where it listens.
+/// One invoker of the list, with the address on which it listens.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointRecord {
     pub invoker: InvokerId,
@@ -31,12 +32,12 @@
     pub machine_kind: u16,
     pub cell: u16,
     pub capacity: f64,
-    /// Unix milliseconds of a late start.
+    /// When the invoker's process started, in Unix milliseconds; none: long ago, or not reported.
     pub started_ms: Option<u64>,
 }
 
 impl EndpointRecord {
-    /// As the module is told of it; `started` is the start on the controller's own clock.
+    /// Converts the record for the decision module; `started` is the time of the start on the controller's own clock.
     pub fn to_invoker_record(&self, started: Option<Ticks>) -> InvokerRecord {
         let Self {
             invoker,
@@ -62,21 +63,24 @@
 /// One frame of the feed.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
+    /// No event; the number is that of the last one.
     Heartbeat,
+    /// The complete list.
     Snapshot(Vec<EndpointRecord>),
+    /// The records that changed.
     Changes(Vec<EndpointRecord>),
 }
 
-/// Cuts the next whole frame off, with its number; `None`: more bytes are needed.
+/// Splits off and decodes the next complete frame with its number; `None`: more bytes are needed.
 pub fn decode(bytes: &mut BytesMut) -> Result<Option<(u64, Event)>, Malformed> {
     let Some(head) = bytes.get(..4) else {
         return Ok(None);
     };
     let length = u32::from_be_bytes(head.try_into().expect("four bytes")) as usize;
-    let most = HEAD_BYTES + RECORDS_MAX * RECORD_BYTES;
-    if !(HEAD_BYTES..=most).contains(&length) || !(length - HEAD_BYTES).is_multiple_of(RECORD_BYTES)
+    let max = HEAD_BYTES + RECORDS_MAX * RECORD_BYTES;
+    if !(HEAD_BYTES..=max).contains(&length) || !(length - HEAD_BYTES).is_multiple_of(RECORD_BYTES)
     {
-        let (least, most) = (HEAD_BYTES as u64, most as u64);
+        let (least, most) = (HEAD_BYTES as u64, max as u64);
         return Err(Malformed::Length {
             what: "event",
             got: length as u64,
@@ -90,14 +94,14 @@
     let mut frame = bytes.split_to(4 + length);
     frame.advance(4);
     let (number, kind) = (frame.get_u64(), frame.get_u8());
-    let mut lines = Vec::with_capacity(frame.len() / RECORD_BYTES);
+    let mut records = Vec::with_capacity(frame.len() / RECORD_BYTES);
     while frame.has_remaining() {
-        lines.push(record(&mut frame)?);
+        records.push(decode_record(&mut frame)?);
     }
     let event = match kind {
         0 => Event::Heartbeat,
-        1 => Event::Snapshot(lines),
-        2 => Event::Changes(lines),
+        1 => Event::Snapshot(records),
+        2 => Event::Changes(records),
         _ => {
             return Err(Malformed::value(
                 "kind of an event",
@@ -109,7 +113,7 @@
     Ok(Some((number, event)))
 }
 
-fn record(frame: &mut BytesMut) -> Result<EndpointRecord, Malformed> {
+fn decode_record(frame: &mut BytesMut) -> Result<EndpointRecord, Malformed> {
     let invoker = frame.get_u32();
     let address = Ipv4Addr::from(frame.get_u32());
     let address = SocketAddrV4::new(address, frame.get_u16());
@@ -140,40 +144,41 @@
     })
 }
 
-/// Writes a frame, for those who play the feed.
+/// Encodes a frame, for stand-ins of the feed.
 pub fn encode(number: u64, event: &Event) -> Vec<u8> {
-    let (kind, lines): (u8, &[EndpointRecord]) = match event {
+    let (kind, records): (u8, &[EndpointRecord]) = match event {
         Event::Heartbeat => (0, &[]),
-        Event::Snapshot(lines) => (1, lines),
-        Event::Changes(lines) => (2, lines),
+        Event::Snapshot(records) => (1, records),
+        Event::Changes(records) => (2, records),
     };
-    let mut out = ((HEAD_BYTES + lines.len() * RECORD_BYTES) as u32)
+    let mut out = ((HEAD_BYTES + records.len() * RECORD_BYTES) as u32)
         .to_be_bytes()
         .to_vec();
     out.extend(number.to_be_bytes());
     out.push(kind);
-    for l in lines {
-        out.extend(l.invoker.to_be_bytes());
-        out.extend(l.address.ip().octets());
-        out.extend(l.address.port().to_be_bytes());
-        out.push(match l.status {
+    for record in records {
+        out.extend(record.invoker.to_be_bytes());
+        out.extend(record.address.ip().octets());
+        out.extend(record.address.port().to_be_bytes());
+        out.push(match record.status {
             InvokerStatus::Ready => 0,
             InvokerStatus::Draining => 1,
             InvokerStatus::Gone => 2,
         });
-        out.extend([l.zone, l.machine_kind as u8]);
-        out.extend(l.cell.to_be_bytes());
-        out.extend(((l.capacity * 1_000.0).round() as u32).to_be_bytes());
-        out.extend(l.started_ms.unwrap_or(0).to_be_bytes());
+        out.extend([record.zone, record.machine_kind as u8]);
+        out.extend(record.cell.to_be_bytes());
+        out.extend(((record.capacity * 1_000.0).round() as u32).to_be_bytes());
+        out.extend(record.started_ms.unwrap_or(0).to_be_bytes());
     }
     out
 }
 
-/// An id as it stands in text.
+/// Formats an invoker id, as in `s-0a0b0c0d`.
 pub fn format_invoker_id(id: InvokerId) -> String {
     format!("s-{id:08x}")
 }
 
+/// Parses an invoker id.
 pub fn parse_invoker_id(text: &str) -> Result<InvokerId, Malformed> {
     let digits = text
         .strip_prefix("s-")
--- a/crates/platform-wire/src/frames.rs
+++ b/crates/platform-wire/src/frames.rs
@@ -1,36 +1,34 @@
-//! Frames between clients and a controller. Numbers are big-endian.
+//! Frames between clients and a controller. Integers are big-endian.
 
 use crate::Malformed;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use saltdrum::interface::FunctionId;
 
+/// Least value of the length field of a frame, which counts the type and the stream but not itself.
 pub const FRAME_LENGTH_MIN: usize = 5;
+/// Greatest value of the length field of a frame.
 pub const FRAME_LENGTH_MAX: usize = 262_144;
-/// No frame of a client is held that is longer: a body and its fields have room in it.
+/// Greatest length of a frame from a client: the longest body and 8 KiB for its fields. Longer frames are not buffered.
 const CLIENT_FRAME_BYTES_MAX: usize = BODY_BYTES_MAX + (8 << 10);
+/// Longest body of an invocation.
 pub const BODY_BYTES_MAX: usize = 16 << 10;
-/// Invocations that may be open on one connection.
+/// Invocations that may be in flight on one connection.
 pub const OPEN_STREAMS_MAX: usize = 32;
 /// Bytes before the payload.
 const HEAD_BYTES: usize = 9;
 
-/// What a client may send.
+/// A frame from a client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClientFrame {
-    Invoke {
-        stream: u32,
-        payload: Bytes,
-    },
-    /// Nobody waits for this stream any more.
-    Cancel {
-        stream: u32,
-    },
-    ReadinessQuery {
-        stream: u32,
-    },
+    /// An invocation.
+    Invoke { stream: u32, payload: Bytes },
+    /// The client no longer waits for the response on this stream.
+    Cancel { stream: u32 },
+    /// Asks whether the controller accepts new invocations.
+    ReadinessQuery { stream: u32 },
 }
 
-/// How an answer begins.
+/// The outcome in a response frame.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Code {
@@ -39,11 +37,12 @@
     Errored = 69,
 }
 
-const ANSWER: u8 = 17;
-const READINESS: u8 = 33;
-const GO_AWAY: u8 = 48;
+const RESPONSE_TYPE: u8 = 17;
+const READINESS_TYPE: u8 = 33;
+const GO_AWAY_TYPE: u8 = 48;
 
-/// Cuts the next whole frame off; `None`: more bytes are needed. An error means that the connection is of no more use.
+/// Splits off and decodes the next complete frame; `None`: more bytes are needed. After an error the connection cannot
+/// be read any further.
 pub fn decode(bytes: &mut BytesMut) -> Result<Option<ClientFrame>, Malformed> {
     let Some(head) = bytes.get(..4) else {
         return Ok(None);
@@ -58,7 +57,7 @@
             most,
         });
     }
-    // A type that no client may send is told before its payload is waited for.
+    // A frame type that clients may not send is rejected before its payload arrives.
     if let Some(kind) = bytes.get(4).filter(|kind| !matches!(kind, 16 | 18 | 32)) {
         return Err(Malformed::value(
             "frame type",
@@ -82,37 +81,43 @@
     }))
 }
 
-/// One invocation as a client states it.
+/// An invocation as sent by a client.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Request {
+    /// Name of the trigger type.
     pub trigger: String,
+    /// Id of the invocation.
     pub txn: u64,
-    /// Whose invocation it is, by name; only where the deployment has tenants.
+    /// Name of the tenant; required if the deployment has tenants.
     pub tenant: Option<String>,
-    /// How long the client waits, from when it sent this.
+    /// How long the client waits, from when it sent the request.
     pub limit_ms: f64,
-    /// By which a repeat is known.
+    /// The idempotency token.
     pub token: Option<String>,
     pub function: FunctionId,
+    /// Memory of an instance; 0 if not stated.
     pub memory_mb: f64,
+    /// Invocations that one instance runs at once.
     pub concurrency_limit: f64,
+    /// Expected time to load the function.
     pub load_ms: Option<f64>,
+    /// Expected time to run the invocation.
     pub work_hint_ms: Option<f64>,
     pub body: Bytes,
 }
 
-fn text<'a>(bytes: &'a [u8], what: &'static str) -> Result<&'a str, Malformed> {
+fn parse_utf8<'a>(bytes: &'a [u8], what: &'static str) -> Result<&'a str, Malformed> {
     std::str::from_utf8(bytes)
         .map_err(|_| Malformed::value(what, "that is not text", "UTF-8 is expected"))
 }
 
-/// The names and values at the head of a payload.
+/// Splits off and parses the names and values at the start of a payload.
 pub fn parse_fields(payload: &mut Bytes) -> Result<Vec<(Bytes, Bytes)>, Malformed> {
     let what = "fields";
     let count = payload
         .try_get_u8()
         .map_err(|_| Malformed::Short { what })?;
-    let mut all: Vec<(Bytes, Bytes)> = Vec::with_capacity(usize::from(count));
+    let mut fields: Vec<(Bytes, Bytes)> = Vec::with_capacity(usize::from(count));
     for _ in 0..count {
         let size = usize::from(
             payload
@@ -132,57 +137,59 @@
             return Err(Malformed::Short { what });
         }
         let value = payload.split_to(size);
-        text(&name, "name of a field")?;
-        if all.iter().any(|(n, _)| *n == name) {
+        parse_utf8(&name, "name of a field")?;
+        if fields.iter().any(|(other, _)| *other == name) {
             return Err(Malformed::value(
                 "field",
-                text(&name, "")?,
+                parse_utf8(&name, "")?,
                 "given once is expected",
             ));
         }
-        all.push((name, value));
+        fields.push((name, value));
     }
-    Ok(all)
+    Ok(fields)
 }
 
-/// 16 hex digits, lower case, as ids are written.
+/// Parses an id of 16 lower-case hex digits.
 pub fn parse_hex16(text: &str, what: &'static str) -> Result<u64, Malformed> {
-    let well = text.len() == 16 && text.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
-    well.then(|| u64::from_str_radix(text, 16).ok())
+    let is_valid = text.len() == 16 && text.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
+    is_valid
+        .then(|| u64::from_str_radix(text, 16).ok())
         .flatten()
         .ok_or_else(|| Malformed::value(what, text, "16 hex digits are expected"))
 }
 
-/// A plain decimal number: no sign, no exponent, nothing round it.
-fn number(text: &str, what: &'static str, least: f64, most: f64) -> Result<f64, Malformed> {
-    let plain = !text.is_empty()
+/// Parses a decimal number without sign, exponent or white space.
+fn parse_number(text: &str, what: &'static str, min: f64, max: f64) -> Result<f64, Malformed> {
+    let is_plain = !text.is_empty()
         && text.len() <= 24
         && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    let n = if plain {
+    let number = if is_plain {
         text.parse::<f64>().ok()
     } else {
         None
     };
-    n.filter(|n| (least..=most).contains(n))
+    number
+        .filter(|n| (min..=max).contains(n))
         .ok_or_else(|| Malformed::value(what, text, "a number within its range is expected"))
 }
 
-/// Longest wait that a client may state, in ms; a day, beside which no client timeout is long.
-const LIMIT_MAX_MS: f64 = 86_400_000.0;
+/// Longest time limit that a client may state: a day, well above any client timeout.
+const TIME_LIMIT_MAX_MS: f64 = 86_400_000.0;
 const TOKEN_BYTES_MAX: usize = 128;
 const NUMBER_MAX: f64 = 1e9;
 
-/// Reads the payload of an invocation.
+/// Parses the payload of an invocation.
 pub fn parse_request(mut payload: Bytes) -> Result<Request, Malformed> {
     let fields = parse_fields(&mut payload)?;
     let field = |name: &str| {
         fields
             .iter()
-            .find(|(n, _)| n == name.as_bytes())
+            .find(|(candidate, _)| candidate == name.as_bytes())
             .map(|(_, value)| value)
     };
-    let stated = |name: &'static str| match field(name) {
-        Some(value) => text(value, name),
+    let required = |name: &'static str| match field(name) {
+        Some(value) => parse_utf8(value, name),
         None => Err(Malformed::value(name, "left out", "the field is needed")),
     };
     if payload.len() > BODY_BYTES_MAX {
@@ -197,8 +204,8 @@
     let token = match field("unique") {
         None => None,
         Some(value) => {
-            let token = text(value, "unique")?;
-            // It goes on as a header: what would break out of one is no token.
+            let token = parse_utf8(value, "unique")?;
+            // The token is forwarded as an HTTP header: characters that would end the header are rejected.
             if token.is_empty()
                 || token.len() > TOKEN_BYTES_MAX
                 || !token.bytes().all(|b| b.is_ascii_graphic())
@@ -213,32 +220,32 @@
         }
     };
     let mut request = Request {
-        trigger: stated("verb")?.to_owned(),
-        txn: parse_hex16(stated("txn")?, "txn")?,
+        trigger: required("verb")?.to_owned(),
+        txn: parse_hex16(required("txn")?, "txn")?,
         tenant: field("team")
-            .map(|value| text(value, "team"))
+            .map(|value| parse_utf8(value, "team"))
             .transpose()?
             .map(ToOwned::to_owned),
-        limit_ms: number(stated("limit")?, "limit", 0.001, LIMIT_MAX_MS)?,
+        limit_ms: parse_number(required("limit")?, "limit", 0.001, TIME_LIMIT_MAX_MS)?,
         token,
-        function: parse_hex16(stated("item")?, "item")?,
+        function: parse_hex16(required("item")?, "item")?,
         memory_mb: 0.0,
         concurrency_limit: 1.0,
         load_ms: None,
         work_hint_ms: None,
-        // On its own: a slice would keep the whole buffer that it was read into.
+        // Copied, because a slice would keep the whole read buffer in memory.
         body: Bytes::copy_from_slice(&payload),
     };
     if field("cpu").is_some() {
         request.work_hint_ms =
-            Some(number(stated("cpu")?, "cpu", 0.0, NUMBER_MAX)?).filter(|ms| *ms > 0.0);
+            Some(parse_number(required("cpu")?, "cpu", 0.0, NUMBER_MAX)?).filter(|ms| *ms > 0.0);
     }
     if field("extras").is_some() {
-        for figure in stated("extras")?.split(';').filter(|f| !f.is_empty()) {
-            let (name, value) = figure
+        for pair in required("extras")?.split(';').filter(|p| !p.is_empty()) {
+            let (name, value) = pair
                 .split_once(':')
-                .ok_or_else(|| Malformed::value("extras", figure, "name:value is expected"))?;
-            let value = number(value, "extras", 0.0, NUMBER_MAX)?;
+                .ok_or_else(|| Malformed::value("extras", pair, "name:value is expected"))?;
+            let value = parse_number(value, "extras", 0.0, NUMBER_MAX)?;
             match name {
                 "memory_mb" => request.memory_mb = value,
                 "lanes" => request.concurrency_limit = value.max(1.0),
@@ -260,10 +267,16 @@
     }
 }
 
-fn frame(kind: u8, stream: u32, code: Option<u8>, fields: &[(&str, &str)], body: &[u8]) -> Bytes {
-    let coded = usize::from(code.is_some());
-    let named: usize = fields.iter().map(|(n, v)| 3 + n.len() + v.len()).sum();
-    let payload = code.map_or(0, |_| 1 + named) + coded + body.len();
+fn encode_frame(
+    kind: u8,
+    stream: u32,
+    code: Option<u8>,
+    fields: &[(&str, &str)],
+    body: &[u8],
+) -> Bytes {
+    let code_bytes = usize::from(code.is_some());
+    let field_bytes: usize = fields.iter().map(|(n, v)| 3 + n.len() + v.len()).sum();
+    let payload = code.map_or(0, |_| 1 + field_bytes) + code_bytes + body.len();
     let mut out = BytesMut::with_capacity(HEAD_BYTES + payload);
     out.put_u32((FRAME_LENGTH_MIN + payload) as u32);
     out.put_u8(kind);
@@ -276,39 +289,40 @@
     out.freeze()
 }
 
-/// The longest output that an answer has room for.
+/// Longest output that fits into a response; 64 bytes are reserved for its fields.
 pub const OUTPUT_BYTES_MAX: usize = FRAME_LENGTH_MAX - 64;
 
-/// The answer to the invocation of a stream; on stream 0, an error that belongs to none.
+/// Encodes the response to the invocation on a stream. On stream 0 it is an error that concerns the whole connection.
 pub fn encode_response(stream: u32, code: Code, later_ms: Option<u64>, body: &[u8]) -> Bytes {
     let later = later_ms.map(|ms| ms.to_string());
     let fields: Vec<(&str, &str)> = later.iter().map(|ms| ("later", ms.as_str())).collect();
-    frame(ANSWER, stream, Some(code as u8), &fields, body)
+    encode_frame(RESPONSE_TYPE, stream, Some(code as u8), &fields, body)
 }
 
+/// Encodes whether the controller accepts new invocations.
 pub fn encode_readiness(stream: u32, ready: bool) -> Bytes {
     let code = if ready {
         Code::Succeeded
     } else {
         Code::Throttled
     };
-    frame(READINESS, stream, Some(code as u8), &[], &[])
+    encode_frame(READINESS_TYPE, stream, Some(code as u8), &[], &[])
 }
 
-/// No new invocation on this connection.
+/// Encodes the request to send no new invocation on this connection.
 pub fn encode_go_away() -> Bytes {
-    frame(GO_AWAY, 0, None, &[], &[])
+    encode_frame(GO_AWAY_TYPE, 0, None, &[], &[])
 }
 
-/// Writes an invocation as clients do, for those who play them.
+/// Encodes an invocation, for stand-ins of clients.
 pub fn encode_invoke(stream: u32, fields: &[(&str, &str)], body: &[u8]) -> Bytes {
     let mut payload = BytesMut::new();
     put_fields(&mut payload, fields);
     payload.put_slice(body);
-    frame(16, stream, None, &[], &payload)
+    encode_frame(16, stream, None, &[], &payload)
 }
 
-/// Writes a frame without fields as clients do.
+/// Encodes a frame without a payload, for stand-ins of clients.
 pub fn encode_empty(kind: u8, stream: u32) -> Bytes {
-    frame(kind, stream, None, &[], &[])
+    encode_frame(kind, stream, None, &[], &[])
 }
--- a/crates/platform-wire/src/lib.rs
+++ b/crates/platform-wire/src/lib.rs
@@ -1,17 +1,18 @@
-//! What crosses the platform's sockets, as bytes: no I/O, no clock, no decision.
+//! Codecs of the platform's protocols. They perform no I/O, read no clock and make no decisions.
 //!
-//! `frames` are the clients', `feed` the records of the control feed, `http` the fields towards invokers, `config` the
-//! file that a controller is started with. Lengths and numbers are checked before anything is held.
+//! `frames` holds the frames between clients and controllers, `feed` the events of the endpoint feed, `http` the header
+//! fields of requests to invokers, and `config` the configuration file of a controller. Lengths and numbers are checked
+//! before anything is buffered.
 
 pub mod config;
 pub mod feed;
 pub mod frames;
 pub mod http;
 
-/// Why bytes can't be taken for a message: what, and what was expected.
+/// Why bytes are not a valid message.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Malformed {
-    /// A length outside its bounds, in bytes.
+    /// A length in bytes is outside its bounds.
     #[error("{what} of {got} bytes: {least} to {most} are expected")]
     Length {
         what: &'static str,
@@ -19,7 +20,7 @@
         least: u64,
         most: u64,
     },
-    /// A value that is not allowed.
+    /// A value is not allowed.
     #[error("{what} {got}: {expected}")]
     Value {
         what: &'static str,
@@ -37,7 +38,7 @@
         got: impl std::fmt::Display,
         expected: &'static str,
     ) -> Self {
-        // What a stranger sent may be long; enough of it to be known again is kept.
+        // The peer's value may be long; 40 characters are enough to identify it.
         Self::Value {
             what,
             got: got.to_string().chars().take(40).collect(),
--- a/crates/platform-wire/tests/codecs.rs
+++ b/crates/platform-wire/tests/codecs.rs
@@ -1,4 +1,5 @@
-//! Codecs of the platform: what is written is read, whatever the pieces it comes in; what is bent is refused.
+//! Property tests of the codecs: encoded messages are decoded from any split into pieces, and malformed ones are
+//! rejected.
 
 use bytes::{Bytes, BytesMut};
 use proptest::prelude::*;
@@ -9,7 +10,7 @@
 use saltdrum_platform_wire::{config, http};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-fn seeded(cases: u32) -> ProptestConfig {
+fn fixed_seed_config(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
         rng_seed: RngSeed::Fixed(18),
@@ -18,7 +19,7 @@
     }
 }
 
-fn any_line() -> impl Strategy<Value = EndpointRecord> {
+fn any_record() -> impl Strategy<Value = EndpointRecord> {
     let status = prop_oneof![
         Just(InvokerStatus::Ready),
         Just(InvokerStatus::Draining),
@@ -52,45 +53,45 @@
 }
 
 fn any_event() -> impl Strategy<Value = (u64, Event)> {
-    let lines = || prop::collection::vec(any_line(), 0..5);
+    let records = || prop::collection::vec(any_record(), 0..5);
     let event = prop_oneof![
         Just(Event::Heartbeat),
-        lines().prop_map(Event::Snapshot),
-        lines().prop_map(Event::Changes)
+        records().prop_map(Event::Snapshot),
+        records().prop_map(Event::Changes)
     ];
     (any::<u64>(), event)
 }
 
-/// All frames that come out when the bytes arrive cut at one place.
-fn in_two<T>(
+/// Decodes all frames from bytes that arrive in two pieces, split at `at`.
+fn decode_in_two_pieces<T>(
     bytes: &[u8],
     at: usize,
-    mut cut: impl FnMut(&mut BytesMut) -> Result<Option<T>, saltdrum_platform_wire::Malformed>,
+    mut decode: impl FnMut(&mut BytesMut) -> Result<Option<T>, saltdrum_platform_wire::Malformed>,
 ) -> Vec<T> {
-    let (mut read, mut all) = (BytesMut::new(), Vec::new());
-    for part in [&bytes[..at], &bytes[at..]] {
-        read.extend_from_slice(part);
-        while let Some(frame) = cut(&mut read).unwrap() {
-            all.push(frame);
+    let (mut buffer, mut frames) = (BytesMut::new(), Vec::new());
+    for piece in [&bytes[..at], &bytes[at..]] {
+        buffer.extend_from_slice(piece);
+        while let Some(frame) = decode(&mut buffer).unwrap() {
+            frames.push(frame);
         }
     }
-    assert!(read.is_empty());
-    all
+    assert!(buffer.is_empty());
+    frames
 }
 
 proptest! {
-    #![proptest_config(seeded(64))]
+    #![proptest_config(fixed_seed_config(64))]
 
     #[test]
-    fn events_are_read_as_written_wherever_they_are_cut(events in prop::collection::vec(any_event(), 1..4)) {
+    fn decodes_events_split_at_any_byte(events in prop::collection::vec(any_event(), 1..4)) {
         let bytes: Vec<u8> = events.iter().flat_map(|(n, e)| feed::encode(*n, e)).collect();
         for at in 0..=bytes.len() {
-            prop_assert_eq!(&in_two(&bytes, at, feed::decode), &events);
+            prop_assert_eq!(&decode_in_two_pieces(&bytes, at, feed::decode), &events);
         }
     }
 
     #[test]
-    fn requests_are_read_as_written_wherever_they_are_cut(
+    fn decodes_client_frames_split_at_any_byte(
         txn in any::<u64>(), item in any::<u64>(), limit in 1u32..100_000, token in "[!-~]{1,40}",
         body in prop::collection::vec(any::<u8>(), 0..300), stream in any::<u32>(),
     ) {
@@ -99,27 +100,27 @@
             ("unique", &token), ("extras", "memory_mb:512;lanes:2;load_ms:640;new:1")];
         let bytes = [frames::encode_invoke(stream, &fields, &body), frames::encode_empty(18, stream), frames::encode_empty(32, 0)].concat();
         for at in 0..=bytes.len() {
-            let all = in_two(&bytes, at, frames::decode);
-            prop_assert_eq!(&all[1..], &[ClientFrame::Cancel { stream }, ClientFrame::ReadinessQuery { stream: 0 }]);
-            let ClientFrame::Invoke { stream: s, payload } = all[0].clone() else { panic!() };
-            let r = frames::parse_request(payload).unwrap();
-            prop_assert_eq!((s, r.txn, r.function, r.limit_ms), (stream, txn, item, f64::from(limit)));
-            prop_assert_eq!((r.trigger.as_str(), r.token.as_deref(), &r.body[..]), ("look", Some(&token[..]), &body[..]));
-            prop_assert_eq!((r.memory_mb, r.concurrency_limit, r.load_ms), (512.0, 2.0, Some(640.0)));
+            let received = decode_in_two_pieces(&bytes, at, frames::decode);
+            prop_assert_eq!(&received[1..], &[ClientFrame::Cancel { stream }, ClientFrame::ReadinessQuery { stream: 0 }]);
+            let ClientFrame::Invoke { stream: received_stream, payload } = received[0].clone() else { panic!() };
+            let request = frames::parse_request(payload).unwrap();
+            prop_assert_eq!((received_stream, request.txn, request.function, request.limit_ms), (stream, txn, item, f64::from(limit)));
+            prop_assert_eq!((request.trigger.as_str(), request.token.as_deref(), &request.body[..]), ("look", Some(&token[..]), &body[..]));
+            prop_assert_eq!((request.memory_mb, request.concurrency_limit, request.load_ms), (512.0, 2.0, Some(640.0)));
         }
     }
 
-    /// Whatever the bytes are, nothing panics and nothing is held past the bound.
+    /// No input makes a decoder or parser panic.
     #[test]
-    fn noise_is_refused_or_waited_for(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
-        let mut read = BytesMut::from(&bytes[..]);
-        while let Ok(Some(frame)) = frames::decode(&mut read) {
+    fn arbitrary_bytes_cause_no_panic(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
+        let mut buffer = BytesMut::from(&bytes[..]);
+        while let Ok(Some(frame)) = frames::decode(&mut buffer) {
             if let ClientFrame::Invoke { payload, .. } = frame {
                 let _ = frames::parse_request(payload);
             }
         }
-        let mut read = BytesMut::from(&bytes[..]);
-        while let Ok(Some(_)) = feed::decode(&mut read) {}
+        let mut buffer = BytesMut::from(&bytes[..]);
+        while let Ok(Some(_)) = feed::decode(&mut buffer) {}
         let _ = frames::parse_request(Bytes::from(bytes.clone()));
         let _ = http::parse_load_report(&String::from_utf8_lossy(&bytes));
         let _ = config::parse(&String::from_utf8_lossy(&bytes));
@@ -127,7 +128,7 @@
 }
 
 #[test]
-fn lengths_are_judged_before_anything_is_held() {
+fn rejects_invalid_length_before_the_payload_arrives() {
     for length in [0u32, 4, 24_577, 60_000_000, u32::MAX] {
         assert!(
             frames::decode(&mut BytesMut::from(&length.to_be_bytes()[..])).is_err(),
@@ -143,9 +144,9 @@
 }
 
 #[test]
-fn statuses_mean_what_the_protocol_says() {
+fn maps_statuses_and_headers_to_outcomes() {
     let unrun = |name: &str| (name == "x-unrun").then_some("1");
-    let bare = |_: &str| None;
+    let no_headers = |_: &str| None;
     let outcomes = [
         (200, Outcome::Succeeded, Outcome::Succeeded),
         (404, Outcome::Miss, Outcome::Miss),
@@ -154,19 +155,19 @@
         (504, Outcome::NotSent, Outcome::Errored),
         (302, Outcome::Errored, Outcome::Errored),
     ];
-    for (status, noted, plain) in outcomes {
+    for (status, with_unrun, without) in outcomes {
         assert_eq!(
             (
                 http::dispatch_outcome(status, unrun),
-                http::dispatch_outcome(status, bare)
+                http::dispatch_outcome(status, no_headers)
             ),
-            (noted, plain),
+            (with_unrun, without),
             "{status}"
         );
     }
-    assert_eq!(http::load_outcome(200, bare), LoadOutcome::Loaded);
+    assert_eq!(http::load_outcome(200, no_headers), LoadOutcome::Loaded);
     assert_eq!(http::load_outcome(503, unrun), LoadOutcome::NoCapacity);
-    assert_eq!(http::load_outcome(500, bare), LoadOutcome::LoadFailed);
+    assert_eq!(http::load_outcome(500, no_headers), LoadOutcome::LoadFailed);
     let details = http::parse_response_details(|name| match name {
         "x-how" => Some("rode"),
         "x-ahead" => Some("300"),
@@ -196,19 +197,19 @@
 }
 
 #[test]
-fn a_bad_configuration_names_field_value_and_what_was_expected() {
-    let fault = |text: &str| config::parse(text).unwrap_err().to_string();
-    assert!(fault("{").contains("JSON is expected"));
+fn configuration_error_names_field_value_and_expectation() {
+    let error_text = |text: &str| config::parse(text).unwrap_err().to_string();
+    assert!(error_text("{").contains("JSON is expected"));
     assert!(
-        fault(r#"{"seed":7}"#).starts_with("seed: 7: text"),
+        error_text(r#"{"seed":7}"#).starts_with("seed: 7: text"),
         "{}",
-        fault(r#"{"seed":7}"#)
+        error_text(r#"{"seed":7}"#)
     );
     assert_eq!(
-        fault(r#"{"seed":"1f"}"#),
+        error_text(r#"{"seed":"1f"}"#),
         "settings: missing: the field is needed"
     );
-    assert!(fault(r#"{"seed":"1f","settings":{}}"#).contains("classes.count: missing"));
+    assert!(error_text(r#"{"seed":"1f","settings":{}}"#).contains("classes.count: missing"));
     assert!(
         config::parse_feed_address(r#"{"feed":"nowhere"}"#)
             .unwrap_err()
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! The settings of a deployment, value by value: from the first message of an instance on the simulator's wire, and from the
-//! start file of a real controller. One mapping for both, so that the decision module meets the same deployment.
+//! Parses the settings of a deployment, from the first message of an instance on the simulator's wire or from the start
+//! file of a real controller. Both use this mapping, so that the decision module gets the same deployment.
 //!
-//! Names and words of settings are the platform's; they are mapped to the module's terms here and nowhere else.
+//! Setting paths and keywords are the platform's. Only this package maps them to the terms of the decision module.
 
 use saltdrum::interface::*;
 use std::collections::BTreeMap;
@@ -10,90 +10,91 @@
 /// A setting that is missing or wrong.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingError {
-    /// A line that is no `path=value`.
+    /// A line is not of the form `path=value`.
     #[error("settings line {number}: no '='")]
     NotAPair {
-        /// Number of the line, from 1.
+        /// Line number, from 1.
         number: usize,
     },
-    /// A setting that is not there.
+    /// A required setting is missing.
     #[error("setting {path}: missing")]
     Missing {
-        /// The setting.
+        /// Path of the setting.
         path: String,
     },
-    /// A text that cannot be read as what the setting holds.
+    /// The text cannot be parsed as the type of the setting.
     #[error("setting {path}: cannot read '{text}'")]
     Unreadable {
-        /// The setting.
+        /// Path of the setting.
         path: String,
-        /// What was found.
+        /// The text found.
         text: String,
     },
-    /// A number that the setting cannot have.
+    /// The number is negative or not finite.
     #[error("setting {path}: cannot be {number}")]
     OutOfRange {
-        /// The setting.
+        /// Path of the setting.
         path: String,
-        /// What was found; a finite number from 0 on was expected.
+        /// The number found; a finite number of at least 0 is expected.
         number: f64,
     },
-    /// A word that the setting does not know.
+    /// The keyword is not one of those that the setting allows.
     #[error("setting {path}: unknown word '{word}'")]
     UnknownWord {
-        /// The setting.
+        /// Path of the setting.
         path: String,
-        /// What was found.
+        /// The keyword found.
         word: String,
     },
-    /// A list that needs an entry.
+    /// A list that requires at least one entry is empty.
     #[error("setting {path}: at least one is needed")]
     Empty {
-        /// The setting.
+        /// Path of the setting.
         path: &'static str,
     },
 }
 
-/// What the settings say.
+/// The parsed settings of a deployment.
 pub struct ParsedSettings {
     /// The deployment, for the decision module.
     pub deployment: Deployment,
-    /// Names of the values in a load report, in their order.
+    /// Names of the values in a load report, in order.
     pub report_fields: Vec<String>,
 }
 
 /// Milliseconds as [`Ticks`], rounded down, so that a deadline is never extended.
 pub fn ticks_from_ms(ms: f64) -> Ticks {
-    // The wire's own unit is the microsecond; a sum of such steps may fall a hair short of a tenth.
+    // The unit on the wire is the microsecond; rounding in a sum of microseconds may leave it slightly below a whole
+    // tick.
     (ms * 10.0 + 1e-4).floor() as u64
 }
 
-/// Settings by their path, as in `classes.0.aim_ms`.
+/// Settings by path, such as `classes.0.aim_ms`.
 pub struct SettingValues<'a>(BTreeMap<&'a str, &'a str>);
 
 impl<'a> SettingValues<'a> {
-    /// Reads lines of `path=value`.
+    /// Parses lines of the form `path=value`.
     pub fn from_lines(text: &'a str) -> Result<Self, SettingError> {
         let mut pairs = BTreeMap::new();
-        for (n, line) in text
+        for (index, line) in text
             .lines()
             .enumerate()
             .filter(|(_, line)| !line.trim().is_empty())
         {
             let (path, value) = line
                 .split_once('=')
-                .ok_or_else(|| SettingError::NotAPair { number: n + 1 })?;
+                .ok_or_else(|| SettingError::NotAPair { number: index + 1 })?;
             pairs.insert(path.trim(), value.trim());
         }
         Ok(Self(pairs))
     }
 
-    /// Takes pairs of path and value.
+    /// Collects pairs of path and value.
     pub fn from_pairs(pairs: impl IntoIterator<Item = (&'a str, &'a str)>) -> Self {
         Self(pairs.into_iter().collect())
     }
 
-    /// The text of a setting.
+    /// Returns the text of a setting.
     pub fn text(&self, path: &str) -> Result<&str, SettingError> {
         self.0
             .get(path)
@@ -103,7 +104,7 @@
             })
     }
 
-    /// A setting, parsed.
+    /// Parses the value of a setting.
     pub fn value<T: FromStr>(&self, path: &str) -> Result<T, SettingError> {
         let text = self.text(path)?;
         text.parse().map_err(|_| SettingError::Unreadable {
@@ -112,25 +113,25 @@
         })
     }
 
-    /// A finite number from 0 on.
+    /// Parses a finite number of at least 0.
     pub fn number(&self, path: &str) -> Result<f64, SettingError> {
-        let n: f64 = self.value(path)?;
-        if n.is_finite() && n >= 0.0 {
-            Ok(n)
+        let number: f64 = self.value(path)?;
+        if number.is_finite() && number >= 0.0 {
+            Ok(number)
         } else {
             Err(SettingError::OutOfRange {
                 path: path.to_owned(),
-                number: n,
+                number,
             })
         }
     }
 
-    /// A time that is set in milliseconds.
+    /// Parses a duration that is set in milliseconds.
     pub fn time(&self, path: &str) -> Result<Ticks, SettingError> {
         self.number(path).map(ticks_from_ms)
     }
 
-    /// A list, empty where the setting is missing; entries are separated by commas.
+    /// Returns the comma-separated entries of a list, or an empty list if the setting is missing.
     pub fn list(&self, path: &str) -> Vec<&str> {
         let text = self.0.get(path).copied().unwrap_or_default();
         text.split(',')
@@ -139,19 +140,19 @@
             .collect()
     }
 
-    fn word<T: Copy>(&self, path: &str, words: &[(&str, T)]) -> Result<T, SettingError> {
+    fn keyword<T: Copy>(&self, path: &str, keywords: &[(&str, T)]) -> Result<T, SettingError> {
         let text = self.text(path)?;
-        let known = words.iter().find(|(word, _)| *word == text);
+        let known = keywords.iter().find(|(keyword, _)| *keyword == text);
         known
-            .map(|(_, is)| *is)
+            .map(|(_, value)| *value)
             .ok_or_else(|| SettingError::UnknownWord {
                 path: path.to_owned(),
                 word: text.to_owned(),
             })
     }
 
-    fn trigger_type(&self, i: usize) -> Result<TriggerType, SettingError> {
-        let at = |key: &str| format!("classes.{i}.{key}");
+    fn trigger_type(&self, index: usize) -> Result<TriggerType, SettingError> {
+        let path_of = |key: &str| format!("classes.{index}.{key}");
         let effects = [
             ("safe", Effect::Idempotent),
             ("keyed", Effect::IdempotencyKey),
@@ -163,19 +164,19 @@
             ("cell", KeyScope::Cell),
         ];
         Ok(TriggerType {
-            latency_objective: self.time(&at("aim_ms"))?,
-            client_timeout: self.time(&at("give_up_ms"))?,
-            effect: self.word(&at("effect"), &effects)?,
-            key_scope: self.word(&at("key_scope"), &scopes)?,
-            idempotency_window: self.time(&at("repeat_window_ms"))?,
-            billed_value: self.number(&at("worth"))?,
-            late_share: self.number(&at("late_share"))?,
+            latency_objective: self.time(&path_of("aim_ms"))?,
+            client_timeout: self.time(&path_of("give_up_ms"))?,
+            effect: self.keyword(&path_of("effect"), &effects)?,
+            key_scope: self.keyword(&path_of("key_scope"), &scopes)?,
+            idempotency_window: self.time(&path_of("repeat_window_ms"))?,
+            billed_value: self.number(&path_of("worth"))?,
+            late_share: self.number(&path_of("late_share"))?,
         })
     }
 
-    /// Counts are walked entry by entry, each of which must be there, so a false one ends at the first gap.
+    /// Parses the trigger types one by one. Each must be present, so a wrong count fails at the first missing entry.
     fn trigger_types(&self, count: usize) -> Result<Vec<TriggerType>, SettingError> {
-        let types = (0..count).map(|i| self.trigger_type(i));
+        let types = (0..count).map(|index| self.trigger_type(index));
         let types = types.collect::<Result<Vec<_>, _>>()?;
         if types.is_empty() {
             let path = "classes.count";
@@ -194,7 +195,7 @@
     }
 
     fn tenants(&self, count: usize) -> Result<Vec<Tenant>, SettingError> {
-        let quotas = (0..count).map(|i| self.number(&format!("realms.{i}.quota_rps")));
+        let quotas = (0..count).map(|index| self.number(&format!("realms.{index}.quota_rps")));
         let tenants = quotas.map(|quota| quota.map(|quota_per_second| Tenant { quota_per_second }));
         tenants.collect()
     }
@@ -219,12 +220,12 @@
     }
 }
 
-/// Reads all settings of a deployment.
+/// Parses all settings of a deployment.
 pub fn parse(settings: &SettingValues) -> Result<ParsedSettings, SettingError> {
     let type_count = settings.value("classes.count")?;
     let tenant_count = settings.tenant_count()?;
     let trigger_types = settings.trigger_types(type_count)?;
-    let load_words = [("miss", true), ("load", false)];
+    let miss_keywords = [("miss", true), ("load", false)];
     let deployment = Deployment {
         controllers: settings.value::<u32>("balancers")?.max(1),
         zone: settings.value("zone")?,
@@ -237,7 +238,7 @@
         may_cancel: settings.value("bounds.cancel")?,
         may_probe: settings.value("bounds.probing")?,
         may_load: settings.value("family_info.may_order")?,
-        reports_misses: settings.word("family_info.not_loaded", &load_words)?,
+        reports_misses: settings.keyword("family_info.not_loaded", &miss_keywords)?,
         keep_alive: settings.time("family_info.linger_idle_ms")?,
         max_retry_after: settings.max_retry_after()?,
         tick: settings.time("tick_ms")?,
