--- a/crates/platform/src/acceptor.rs
+++ b/crates/platform/src/acceptor.rs
@@ -1,7 +1,7 @@
-//! Accepts clients, and closes those that are overdue.
+//! Accepts clients, and closes those whose timeouts have expired.
 
 use crate::client_connection::serve_connection;
-use crate::clients::Entry;
+use crate::clients::AcceptDecision;
 use crate::invoker_pools::{log_invoker_views, report_lost_connections};
 use crate::state::ControllerHandle;
 use saltdrum::interface::{MILLISECOND, Ticks};
@@ -10,16 +10,16 @@
 use std::time::Duration;
 use tracing::{debug, warn};
 
-/// How often overdue clients and idle connections are looked for.
+/// How often overdue clients and idle connections are closed.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(200);
-/// The policy's views of invokers are logged each so many sweeps.
+/// Sweeps between two logs of the policy's views of invokers.
 const VIEW_LOG_SWEEPS: u64 = 5;
-/// How long a new client waits at most before capacity is looked for again.
+/// Longest time after which capacity for a waiting client is checked again.
 const CAPACITY_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// After a failed accept the next is tried after this long.
+/// Delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Accepts clients for as long as the controller lives, or until it is told to accept no more.
+/// Accepts clients until the controller stops accepting.
 pub(crate) async fn accept_clients(
     handle: Rc<ControllerHandle>,
     mut listener: Box<dyn Listener>,
@@ -29,18 +29,18 @@
     let clients = &handle.config.clients;
     loop {
         let accepted = tokio::select! {
-            // A client that came before is accepted: the kernel has done so already.
+            // Pending connections are accepted first: the kernel has accepted them already.
             biased;
             accepted = arrivals.accept(&mut *listener) => accepted,
-            () = clients.shut_requested() => return clients.set_shut(),
+            () = clients.stop_accepting_requested() => return clients.set_stopped_accepting(),
         };
         match accepted {
             Ok(stream) => {
                 let opened = arrivals.earliest();
                 let waited_most_ms = handle.clock.now().saturating_sub(opened) / MILLISECOND;
                 debug!(waited_most_ms, "client connected");
-                let entry = wait_for_capacity(&handle).await;
-                let connection = serve_connection(handle.clone(), stream, opened, entry);
+                let decision = wait_for_capacity(&handle).await;
+                let connection = serve_connection(handle.clone(), stream, opened, decision);
                 drop(tokio::task::spawn_local(connection));
             }
             Err(error) => {
@@ -53,29 +53,30 @@
     }
 }
 
-/// Waits until there is capacity for one more client, or it is to be rejected.
-async fn wait_for_capacity(handle: &ControllerHandle) -> Entry {
+/// Waits until there is capacity for one more client, or it has to be rejected.
+async fn wait_for_capacity(handle: &ControllerHandle) -> AcceptDecision {
     let clients = &handle.config.clients;
     loop {
-        if let Some(entry) = clients.make_capacity(handle.config.budget.clients) {
-            return entry;
+        if let Some(decision) = clients.make_capacity(handle.config.budget.clients) {
+            return decision;
         }
-        // A connection that was told to end at once does so within a turn or two.
-        let freed = tokio::time::timeout(CAPACITY_POLL_INTERVAL, clients.connection_freed());
-        drop(freed.await);
+        // A connection that is to be closed at once closes within one or two event loop turns.
+        let closed =
+            tokio::time::timeout(CAPACITY_POLL_INTERVAL, clients.wait_for_closed_connection());
+        drop(closed.await);
     }
 }
 
-/// Closes overdue clients and idle connections to invokers, for as long as the controller lives.
+/// Periodically closes overdue clients and idle connections to invokers.
 pub(crate) async fn sweep(handle: Rc<ControllerHandle>) {
-    for round in 1u64.. {
+    for sweep_count in 1u64.. {
         tokio::time::sleep(SWEEP_INTERVAL).await;
-        if round.is_multiple_of(VIEW_LOG_SWEEPS) && tracing::enabled!(tracing::Level::INFO) {
+        if sweep_count.is_multiple_of(VIEW_LOG_SWEEPS) && tracing::enabled!(tracing::Level::INFO) {
             handle.inspect(|state| log_invoker_views(state, &handle.config.feed));
         }
         let now = handle.clock.now();
         handle.config.clients.close_overdue(now);
-        handle.config.look_at_wall_clock(now);
+        handle.config.observe_wall_clock(now);
         handle.update(|state| {
             state.invocations.transport.sweep(now);
             report_lost_connections(state);
--- a/crates/platform/src/admission.rs
+++ b/crates/platform/src/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of an invocation: what is checked, and how long its client waits.
+//! Admission of an invocation: its validation and its deadlines.
 
 use crate::clients::{Client, ClientResponder, NO_DEADLINE, OVERLOAD_RETRY_AFTER_MS};
 use crate::state::{ControllerHandle, ControllerState, NodeConfig};
@@ -9,13 +9,13 @@
 use std::rc::Rc;
 use tracing::{debug, info_span};
 
-/// Taken off what a client says it will wait, for the answer's way back.
+/// Subtracted from the time limit that a client states, for the transit of the response.
 const RESPONSE_MARGIN: Ticks = 10 * MILLISECOND;
-/// A client that has not left is owed its answer for so long after its client timeout: such a one earns nothing, and
-/// without it the invocation counts as lost. Only a process that was stopped comes so late.
+/// How long after the client timeout a response is still sent to a client that has not left. A late response earns
+/// nothing, but without it the invocation counts as lost. Responses are this late only if the process was stopped.
 const LATE_RESPONSE_GRACE: Ticks = 500 * MILLISECOND;
 
-/// Why an invocation is not admitted. The text is the body of the response.
+/// Why an invocation is rejected. The text is the body of the response.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum AdmissionError {
     #[error(transparent)]
@@ -38,13 +38,13 @@
     TransactionOpen,
 }
 
-/// When a request arrived, and whether its client's stream holds unread bytes.
+/// The earliest time at which a request can have arrived, and whether its client's stream has unread bytes.
 pub(crate) struct Arrival<'a> {
     pub earliest: Ticks,
     pub backlog: &'a ReadBacklog,
 }
 
-/// Admits an invocation, or says why it cannot be admitted.
+/// Admits an invocation, or returns why it is rejected.
 pub(crate) fn admit(
     handle: &Rc<ControllerHandle>,
     state: &mut ControllerState,
@@ -55,14 +55,14 @@
 ) -> Result<(), AdmissionError> {
     let node = &handle.config;
     let resolved = resolve(node, &request)?;
-    let client_deadline = arrival.earliest + resolved.limit;
+    let client_deadline = arrival.earliest + resolved.time_limit;
     let waited_most_ms = state.invocations.now.saturating_sub(arrival.earliest) / MILLISECOND;
     let (txn, limit_ms) = (request.txn, request.limit_ms);
     if state.invocations.now >= client_deadline {
         state.invocations.counters.expired_on_arrival += 1;
         debug!(
             txn = format_args!("{txn:016x}"),
-            limit_ms, waited_most_ms, "request rejected: client timeout may be over"
+            limit_ms, waited_most_ms, "request rejected: client timeout may have expired"
         );
         return Err(AdmissionError::Expired);
     }
@@ -80,17 +80,17 @@
     let traits = FunctionTraits::new(&request);
     let (token, body, backlog) = (request.token, request.body, arrival.backlog.clone());
     let transport = &state.invocations.transport;
-    let Some(payload) = transport.carry(resolved.trigger, txn, token, body, backlog) else {
+    let Some(payload) = transport.make_payload(resolved.trigger, txn, token, body, backlog) else {
         debug!(
             txn = format_args!("{txn:016x}"),
-            "request rejected: no memory for its input"
+            "request rejected: input memory limit reached"
         );
         let retry_after = OVERLOAD_RETRY_AFTER_MS * MILLISECOND;
         responder.respond(0, FinalResponse::Throttled(retry_after), 0, NO_DEADLINE);
         return Ok(());
     };
     let id = state.invocations.next_invocation();
-    client.open.borrow_mut().insert(stream, id);
+    client.open_streams.borrow_mut().insert(stream, id);
     let invocation = describe(id, &resolved, &traits, arrival.earliest);
     let span = info_span!("invocation", id, txn = format_args!("{txn:016x}"));
     span.in_scope(|| {
@@ -102,28 +102,28 @@
             "invocation admitted"
         );
     });
-    let answer_until = client_deadline + LATE_RESPONSE_GRACE;
-    state.accept(invocation, answer_until, payload, responder, span);
+    let response_deadline = client_deadline + LATE_RESPONSE_GRACE;
+    state.accept(invocation, response_deadline, payload, responder, span);
     Ok(())
 }
 
-/// What a request says, found in the deployment.
+/// The values of a request that were resolved against the deployment.
 struct ResolvedRequest {
     trigger: usize,
     tenant: usize,
-    /// How long its client waits.
-    limit: Ticks,
+    /// How long the client waits.
+    time_limit: Ticks,
 }
 
-/// Checks a request against the deployment.
+/// Validates a request against the deployment.
 fn resolve(node: &NodeConfig, request: &Request) -> Result<ResolvedRequest, AdmissionError> {
     let trigger = node
         .trigger_names
         .iter()
-        .position(|n| *n == request.trigger);
+        .position(|name| *name == request.trigger);
     let trigger = trigger.ok_or_else(|| AdmissionError::UnknownTrigger(request.trigger.clone()))?;
-    let stated = &node.deployment.trigger_types[trigger];
-    // Where there are no tenants the field says nothing; where there are, whose it is decides whose share it uses.
+    let trigger_type = &node.deployment.trigger_types[trigger];
+    // Without tenants the field is ignored; otherwise the tenant determines whose quota the invocation uses.
     let tenant = match &request.tenant {
         _ if node.tenant_names.is_empty() => 0,
         Some(name) => {
@@ -132,30 +132,31 @@
         }
         None => return Err(AdmissionError::TenantMissing),
     };
-    let limit = (request.limit_ms * MILLISECOND as f64) as Ticks;
-    if limit > stated.client_timeout {
+    let time_limit = (request.limit_ms * MILLISECOND as f64) as Ticks;
+    if time_limit > trigger_type.client_timeout {
         return Err(AdmissionError::LimitTooLong(request.limit_ms));
     }
-    if stated.effect == saltdrum::interface::Effect::IdempotencyKey && request.token.is_none() {
+    if trigger_type.effect == saltdrum::interface::Effect::IdempotencyKey && request.token.is_none()
+    {
         return Err(AdmissionError::TokenMissing);
     }
-    let memory_most = node
+    let max_memory_mb = node
         .deployment
         .machine_memory_mb
         .iter()
         .copied()
         .fold(0.0, f64::max);
-    if memory_most > 0.0 && request.memory_mb > memory_most {
+    if max_memory_mb > 0.0 && request.memory_mb > max_memory_mb {
         return Err(AdmissionError::TooMuchMemory(request.memory_mb));
     }
     Ok(ResolvedRequest {
         trigger,
         tenant,
-        limit,
+        time_limit,
     })
 }
 
-/// What a request says of its function; its body and token go to the transport.
+/// What a request states about its function. Its body and token are passed to the transport instead.
 struct FunctionTraits {
     function: FunctionId,
     work_hint_ms: Option<f64>,
@@ -184,15 +185,15 @@
     earliest: Ticks,
 ) -> Invocation {
     let ticks = |ms: f64| (ms * MILLISECOND as f64) as Ticks;
-    let client_leaves_at = earliest + resolved.limit;
+    let client_leaves_at = earliest + resolved.time_limit;
     Invocation {
         id,
         trigger: resolved.trigger,
         tenant: resolved.tenant,
         function: traits.function,
         earliest_arrival: earliest,
-        // Short waits keep their larger part for the work.
-        expires_at: client_leaves_at - RESPONSE_MARGIN.min(resolved.limit / 4),
+        // At most a quarter of a short time limit is reserved for the transit.
+        expires_at: client_leaves_at - RESPONSE_MARGIN.min(resolved.time_limit / 4),
         work_hint: traits.work_hint_ms.map(ticks),
         memory_mb: traits.memory_mb,
         concurrency_limit: traits.concurrency_limit,
--- a/crates/platform/src/attempt.rs
+++ b/crates/platform/src/attempt.rs
@@ -1,5 +1,6 @@
-//! One request to an invoker: a dispatch, a load order, or a background request. It goes over an idle connection or a new
-//! one, its headers are completed when it is sent, and it ends with a response or with what is proven about it.
+//! One request to an invoker: a dispatch, a load order, a probe or a background request. It is sent on an idle
+//! connection or a new one, its headers are completed right before it is sent, and it ends with a response or with
+//! whether it may have run.
 
 use crate::descriptor_guard::DescriptorGuard;
 use crate::invoker_connection::{InvokerConnection, InvokerResponse, SendDeadline};
@@ -19,83 +20,88 @@
 use std::time::Duration;
 use tracing::{debug, info};
 
+/// Longest response to a request that returns no output.
 const SMALL_RESPONSE_BYTES_MAX: usize = 4 << 10;
-/// What a request says of the time that is left, and what is known of its client, is good for so long. Well within the
-/// 100 ms after which it must not be sent on for a client that has left, and the 150 ms by which it may say too much.
+/// How long the time limit stated in a request, and the knowledge that its client still waits, remain valid. Well
+/// within the 100 ms after which nothing may be sent for a client that has left, and the 150 ms by which the stated
+/// time limit may exceed the actual one.
 pub(crate) const REQUEST_STALENESS_LIMIT: Ticks = 40 * MILLISECOND;
-/// A request that grew old on its way out is prepared anew so many times: only a process that stands still again and again
-/// needs more, and then it is not sent.
-const REBUILDS_MAX: usize = 3;
-/// A load order without an answer of its own, and a probe, are given up after this.
+/// How often a request that became stale before it was sent is prepared again. Only a process that is stopped
+/// repeatedly needs more; the request is not sent then.
+const PREPARATIONS_MAX: usize = 3;
+/// Timeout of probes and background requests.
 const BACKGROUND_REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long it is waited for the next look of the machine at a time.
+/// How often a request checks whether the event loop has polled the kernel.
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// A request, but for what it says of the time that is left.
+/// A request without the header that states its time limit.
 pub(crate) struct PreparedRequest {
     pub request: Request<Full<Bytes>>,
-    pub body: usize,
-    /// Who waits for it; none: nobody, so that it may leave at any time.
+    pub body_bytes: usize,
+    /// The client that waits for it; none: no client, so that it may be sent at any time.
     pub client: Option<WaitingClient>,
 }
 
-/// The client that a request is sent on for.
+/// The client that waits for the response to a request.
 pub(crate) struct WaitingClient {
-    /// It waits until then.
-    pub until: Ticks,
-    /// Nothing begins to leave from then on.
-    pub leave_by: Ticks,
+    /// The client waits until then.
+    pub deadline: Ticks,
+    /// The request must not begin to be sent from then on.
+    pub send_by: Ticks,
     pub backlog: ReadBacklog,
 }
 
 impl PreparedRequest {
-    pub fn alone(request: Request<Full<Bytes>>) -> Self {
+    /// A request for which no client waits.
+    pub fn without_client(request: Request<Full<Bytes>>) -> Self {
         Self {
             request,
-            body: 0,
+            body_bytes: 0,
             client: None,
         }
     }
 }
 
-/// One request on its way.
+/// One request in flight.
 pub(crate) struct Attempt {
     pub handle: Rc<ControllerHandle>,
     pub invoker: InvokerId,
     pub epoch: u32,
     pub request_id: u64,
     pub address: Address,
-    pub within: Duration,
-    /// The descriptor of the connection to be made, counted from the start.
+    pub connect_timeout: Duration,
+    /// Counts the descriptor of the new connection, if one is needed, from the start of the request.
     pub descriptor: Cell<Option<DescriptorGuard>>,
-    pub open: Rc<Cell<usize>>,
+    pub open_descriptors: Rc<Cell<usize>>,
     pub send_deadline: SendDeadline,
     pub prepared: PreparedRequest,
 }
 
-/// A request's end: the answer and its line, or whether it may have run and what went wrong.
+/// How a request ended: with a response and the connection it arrived on, or with whether it may have run.
 enum AttemptEnd {
-    Answered(InvokerResponse, InvokerConnection),
+    Responded(InvokerResponse, InvokerConnection),
+    /// It was not sent completely, so it never ran.
     NotSent(String),
-    /// It never left, as it had grown old on its way out.
+    /// It was not sent completely, as it had become stale.
     Stale,
-    /// It never left for want of something of this machine's own.
+    /// It was not sent, because of a failure of this machine.
     LocalFailure(String),
+    /// It was sent completely, so it may have run, but no response arrived.
     Lost(String),
 }
 
 /// Why a connection could not be established.
 struct DialFailure {
-    why: String,
-    /// It is this machine's, and tells nothing of the invoker.
+    error: String,
+    /// The failure is this machine's, and says nothing about the invoker.
     is_local: bool,
 }
 
 impl From<std::io::Error> for DialFailure {
-    fn from(e: std::io::Error) -> Self {
+    fn from(error: std::io::Error) -> Self {
         Self {
-            why: e.to_string(),
-            is_local: is_local_failure(&e),
+            error: error.to_string(),
+            is_local: is_local_failure(&error),
         }
     }
 }
@@ -105,45 +111,51 @@
         let descriptor = self
             .descriptor
             .take()
-            .unwrap_or_else(|| DescriptorGuard::new(&self.open));
-        let connected =
-            tokio::time::timeout(self.within, self.handle.network.dial(&self.address)).await;
+            .unwrap_or_else(|| DescriptorGuard::new(&self.open_descriptors));
+        let connected = tokio::time::timeout(
+            self.connect_timeout,
+            self.handle.network.dial(&self.address),
+        )
+        .await;
         let stream = match connected {
             Ok(Ok(stream)) => stream,
-            Ok(Err(e)) => {
-                if e.kind() == ErrorKind::ConnectionRefused {
+            Ok(Err(error)) => {
+                if error.kind() == ErrorKind::ConnectionRefused {
                     self.note_lost_connection();
                 }
-                return Err(e.into());
+                return Err(error.into());
             }
             Err(_) => {
-                let why = format!("no connection within {} ms", self.within.as_millis());
+                let error = format!(
+                    "no connection within {} ms",
+                    self.connect_timeout.as_millis()
+                );
                 return Err(DialFailure {
-                    why,
+                    error,
                     is_local: false,
                 });
             }
         };
         let stream = Box::new(CountedStream {
             stream,
-            _counted: descriptor,
+            _descriptor: descriptor,
         });
-        let over = InvokerConnection::handshake(stream, self.handle.clock).await;
-        let line = over.map_err(|e| DialFailure {
-            why: e.to_string(),
+        let handshake = InvokerConnection::handshake(stream, self.handle.clock).await;
+        let connection = handshake.map_err(|error| DialFailure {
+            error: error.to_string(),
             is_local: false,
         })?;
-        let socket = line.socket.clone();
+        let socket = connection.socket.clone();
         self.handle.update(|state| {
             state
                 .invocations
                 .transport
-                .connected(self.request_id, socket)
+                .set_socket(self.request_id, socket)
         });
-        Ok(line)
+        Ok(connection)
     }
 
-    /// The invoker refused a connection of this request, or ended it.
+    /// Records that the invoker refused or closed a connection of this request.
     fn note_lost_connection(&self) {
         self.handle.update(|state| {
             let now = state.invocations.now;
@@ -152,10 +164,15 @@
         });
     }
 
-    /// Goes over `line`, or a new one where there is none or it breaks before the request was sent completely.
-    async fn go(&self, line: Option<InvokerConnection>, most: usize) -> AttemptEnd {
-        if let Some(line) = line {
-            match self.over(line, most).await {
+    /// Sends the request on the idle connection, or on a new one if there is none or it breaks before the request was
+    /// sent completely.
+    async fn send(
+        &self,
+        idle_connection: Option<InvokerConnection>,
+        max_response_bytes: usize,
+    ) -> AttemptEnd {
+        if let Some(connection) = idle_connection {
+            match self.send_on(connection, max_response_bytes).await {
                 AttemptEnd::NotSent(why) => {
                     debug!(invoker = self.invoker, why, "idle connection was broken");
                     self.note_lost_connection();
@@ -167,16 +184,16 @@
                 end => return end,
             }
         }
-        for _ in 0..REBUILDS_MAX {
+        for _ in 0..PREPARATIONS_MAX {
             if self.prepare(self.handle.clock.now()).is_none() {
                 return AttemptEnd::Stale;
             }
             let end = match self.dial().await {
-                Ok(line) => self.over(line, most).await,
-                Err(failure) if failure.is_local => AttemptEnd::LocalFailure(failure.why),
-                Err(failure) => AttemptEnd::NotSent(failure.why),
+                Ok(connection) => self.send_on(connection, max_response_bytes).await,
+                Err(failure) if failure.is_local => AttemptEnd::LocalFailure(failure.error),
+                Err(failure) => AttemptEnd::NotSent(failure.error),
             };
-            // What nobody waits for is not prepared anew: its time to leave is over.
+            // A request without a client is not prepared again: its send deadline has passed.
             if !matches!(end, AttemptEnd::Stale) || self.prepared.client.is_none() {
                 return end;
             }
@@ -184,27 +201,36 @@
         AttemptEnd::Stale
     }
 
-    async fn over(&self, mut line: InvokerConnection, most: usize) -> AttemptEnd {
+    async fn send_on(
+        &self,
+        mut connection: InvokerConnection,
+        max_response_bytes: usize,
+    ) -> AttemptEnd {
         self.wait_for_readers().await;
         let Some((request, send_deadline)) = self.prepare(self.handle.clock.now()) else {
             return AttemptEnd::Stale;
         };
-        match line
-            .request(request, self.prepared.body, send_deadline, most)
+        match connection
+            .request(
+                request,
+                self.prepared.body_bytes,
+                send_deadline,
+                max_response_bytes,
+            )
             .await
         {
-            Ok(response) => AttemptEnd::Answered(response, line),
-            Err(why) if line.socket.sent_completely() => {
+            Ok(response) => AttemptEnd::Responded(response, connection),
+            Err(why) if connection.socket.sent_completely() => {
                 self.note_lost_connection();
                 AttemptEnd::Lost(why)
             }
-            Err(_) if line.socket.is_stale() => AttemptEnd::Stale,
+            Err(_) if connection.socket.is_stale() => AttemptEnd::Stale,
             Err(why) => AttemptEnd::NotSent(why),
         }
     }
 
-    /// Waits until whatever had come from its client and from the feed some moments ago has been read. A process that stood
-    /// still hears of what fell due meanwhile, of who left and of which invoker drains in any order.
+    /// Waits until all data that had arrived from the client and the endpoint feed before the staleness limit has been
+    /// read. After a stop, a process handles expired timers, departed clients and draining invokers in any order.
     async fn wait_for_readers(&self) {
         while self.handle.event_loop.last_polled() + REQUEST_STALENESS_LIMIT
             <= self.handle.clock.now()
@@ -217,44 +243,48 @@
         }
     }
 
-    /// The request as it is to leave at `now`; none: it is too late for that.
+    /// Completes the request for sending at `now`; none: its client's deadline or its send deadline has passed.
     fn prepare(&self, now: Ticks) -> Option<(Request<Full<Bytes>>, SendDeadline)> {
         let (mut request, mut send_deadline) =
             (self.prepared.request.clone(), self.send_deadline.clone());
         if let Some(client) = &self.prepared.client {
-            let left_ms = client.until.checked_sub(now).filter(|left| *left > 0)? / MILLISECOND;
+            let left_ms = client.deadline.checked_sub(now).filter(|left| *left > 0)? / MILLISECOND;
             request
                 .headers_mut()
                 .insert(http::TIME_LIMIT_HEADER, HeaderValue::from(left_ms.max(1)));
-            if now >= client.leave_by {
+            if now >= client.send_by {
                 return None;
             }
-            send_deadline.stale_at = client.leave_by.min(now + REQUEST_STALENESS_LIMIT);
+            send_deadline.stale_at = client.send_by.min(now + REQUEST_STALENESS_LIMIT);
         }
         Some((request, send_deadline))
     }
 }
 
+/// Sends an attempt of an invocation, and reports how it ended.
 pub(crate) async fn run_dispatch(
     attempt: Attempt,
-    line: Option<InvokerConnection>,
+    idle_connection: Option<InvokerConnection>,
     invocation: InvocationId,
     attempt_number: u8,
 ) {
     let (invoker, epoch, request_id) = (attempt.invoker, attempt.epoch, attempt.request_id);
-    let mut told = AttemptReport::default();
-    let (outcome, line) = match attempt.go(line, frames::OUTPUT_BYTES_MAX).await {
-        AttemptEnd::Answered(response, line) => {
+    let mut report = AttemptReport::default();
+    let (outcome, connection) = match attempt
+        .send(idle_connection, frames::OUTPUT_BYTES_MAX)
+        .await
+    {
+        AttemptEnd::Responded(response, connection) => {
             let details = http::parse_response_details(|name| response.field(name));
             let outcome = http::dispatch_outcome(response.status, |name| response.field(name));
             let output = response.body;
-            told = AttemptReport {
+            report = AttemptReport {
                 start_kind: details.start_kind,
                 concurrency: details.concurrency,
                 load_report: details.load_report,
                 output,
             };
-            (outcome, Some(line))
+            (outcome, Some(connection))
         }
         AttemptEnd::NotSent(why) => {
             debug!(invoker, invocation, why, "request not sent");
@@ -266,7 +296,7 @@
             (Outcome::NotSent, None)
         }
         AttemptEnd::Lost(why) => {
-            info!(invoker, invocation, why, "answer lost");
+            info!(invoker, invocation, why, "response lost");
             (Outcome::Reset, None)
         }
     };
@@ -275,28 +305,32 @@
         if !state.invocations.transport.finish(request_id) {
             return;
         }
-        if let Some(line) = line {
+        if let Some(connection) = connection {
             state.invocations.transport.return_connection(
                 state.invocations.now,
                 invoker,
                 epoch,
-                line,
+                connection,
             );
         }
-        state.attempt_ended(invocation, attempt_number, outcome, &told);
+        state.attempt_ended(invocation, attempt_number, outcome, &report);
     });
 }
 
-pub(crate) async fn run_load(attempt: Attempt, line: Option<InvokerConnection>) {
+/// Sends a load order, and reports how it ended.
+pub(crate) async fn run_load(attempt: Attempt, idle_connection: Option<InvokerConnection>) {
     let (invoker, epoch, request_id) = (attempt.invoker, attempt.epoch, attempt.request_id);
-    let (outcome, standing, line) = match attempt.go(line, SMALL_RESPONSE_BYTES_MAX).await {
-        AttemptEnd::Answered(response, line) => {
-            let standing =
+    let (outcome, loaded_instances, connection) = match attempt
+        .send(idle_connection, SMALL_RESPONSE_BYTES_MAX)
+        .await
+    {
+        AttemptEnd::Responded(response, connection) => {
+            let loaded_instances =
                 http::parse_response_details(|name| response.field(name)).loaded_instances;
             (
                 http::load_outcome(response.status, |name| response.field(name)),
-                standing,
-                Some(line),
+                loaded_instances,
+                Some(connection),
             )
         }
         AttemptEnd::NotSent(why) | AttemptEnd::Lost(why) => {
@@ -314,41 +348,42 @@
         if !state.invocations.transport.finish(request_id) {
             return;
         }
-        if let Some(line) = line {
+        if let Some(connection) = connection {
             state.invocations.transport.return_connection(
                 state.invocations.now,
                 invoker,
                 epoch,
-                line,
+                connection,
             );
         }
-        state.load_ended(invoker, request_id, outcome, standing);
+        state.load_ended(invoker, request_id, outcome, loaded_instances);
     });
 }
 
-/// Asks an invoker whether it takes new work.
-pub(crate) async fn run_probe(attempt: Attempt, line: Option<InvokerConnection>) {
+/// Asks an invoker whether it accepts new work, and reports its response.
+pub(crate) async fn run_probe(attempt: Attempt, idle_connection: Option<InvokerConnection>) {
     let (invoker, epoch, request_id) = (attempt.invoker, attempt.epoch, attempt.request_id);
     let started_at = attempt.handle.clock.now();
-    let going = attempt.go(line, SMALL_RESPONSE_BYTES_MAX);
-    let (outcome, line) = match tokio::time::timeout(BACKGROUND_REQUEST_TIMEOUT, going).await {
-        Ok(AttemptEnd::Answered(response, line)) => {
-            (http::probe_outcome(response.status), Some(line))
-        }
-        Ok(AttemptEnd::NotSent(_) | AttemptEnd::Lost(_)) => (ProbeOutcome::Unreachable, None),
-        Ok(AttemptEnd::Stale | AttemptEnd::LocalFailure(_)) => (ProbeOutcome::NotSent, None),
-        Err(_) => (ProbeOutcome::TimedOut, None),
-    };
+    let request = attempt.send(idle_connection, SMALL_RESPONSE_BYTES_MAX);
+    let (outcome, connection) =
+        match tokio::time::timeout(BACKGROUND_REQUEST_TIMEOUT, request).await {
+            Ok(AttemptEnd::Responded(response, connection)) => {
+                (http::probe_outcome(response.status), Some(connection))
+            }
+            Ok(AttemptEnd::NotSent(_) | AttemptEnd::Lost(_)) => (ProbeOutcome::Unreachable, None),
+            Ok(AttemptEnd::Stale | AttemptEnd::LocalFailure(_)) => (ProbeOutcome::NotSent, None),
+            Err(_) => (ProbeOutcome::TimedOut, None),
+        };
     attempt.handle.update(|state| {
         report_lost_connections(state);
         let now = state.invocations.now;
         let pools = &mut state.invocations.transport;
-        let sent_at = pools.begun_at(request_id).unwrap_or(started_at);
+        let sent_at = pools.last_unsent_at(request_id).unwrap_or(started_at);
         if !pools.finish(request_id) {
             return;
         }
-        if let Some(line) = line {
-            pools.return_connection(now, invoker, epoch, line);
+        if let Some(connection) = connection {
+            pools.return_connection(now, invoker, epoch, connection);
         }
         pools.log_readiness(invoker, outcome);
         state.probe_ended(ProbeResult {
@@ -360,29 +395,32 @@
     });
 }
 
-/// What no one waits for: to unload.
-pub(crate) async fn background_request(attempt: Attempt, line: Option<InvokerConnection>) {
+/// Sends a request whose outcome is not reported, such as an unload.
+pub(crate) async fn run_background_request(
+    attempt: Attempt,
+    idle_connection: Option<InvokerConnection>,
+) {
     let (invoker, epoch, request_id) = (attempt.invoker, attempt.epoch, attempt.request_id);
     let end = tokio::time::timeout(
         BACKGROUND_REQUEST_TIMEOUT,
-        attempt.go(line, SMALL_RESPONSE_BYTES_MAX),
+        attempt.send(idle_connection, SMALL_RESPONSE_BYTES_MAX),
     )
     .await;
     attempt.handle.update(|state| {
-        let reach = &mut state.invocations.transport;
-        if let (true, Ok(AttemptEnd::Answered(_, line))) = (reach.finish(request_id), end) {
-            reach.return_connection(state.invocations.now, invoker, epoch, line);
+        let pools = &mut state.invocations.transport;
+        if let (true, Ok(AttemptEnd::Responded(_, connection))) = (pools.finish(request_id), end) {
+            pools.return_connection(state.invocations.now, invoker, epoch, connection);
         }
     });
 }
 
-/// A stream that counts against the budget until it is closed.
+/// A stream that counts against the descriptor budget until it is closed.
 struct CountedStream {
     stream: saltdrum_transport::Stream,
-    _counted: DescriptorGuard,
+    _descriptor: DescriptorGuard,
 }
 
-mod passes {
+mod counted_stream_io {
     use super::CountedStream;
     use std::io;
     use std::pin::Pin;
@@ -393,9 +431,9 @@
         fn poll_read(
             mut self: Pin<&mut Self>,
             cx: &mut Context<'_>,
-            b: &mut ReadBuf<'_>,
+            buf: &mut ReadBuf<'_>,
         ) -> Poll<io::Result<()>> {
-            Pin::new(&mut self.stream).poll_read(cx, b)
+            Pin::new(&mut self.stream).poll_read(cx, buf)
         }
     }
 
@@ -403,9 +441,9 @@
         fn poll_write(
             mut self: Pin<&mut Self>,
             cx: &mut Context<'_>,
-            b: &[u8],
+            bytes: &[u8],
         ) -> Poll<io::Result<usize>> {
-            Pin::new(&mut self.stream).poll_write(cx, b)
+            Pin::new(&mut self.stream).poll_write(cx, bytes)
         }
         fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
             Pin::new(&mut self.stream).poll_flush(cx)
--- a/crates/platform/src/client_connection.rs
+++ b/crates/platform/src/client_connection.rs
@@ -1,11 +1,11 @@
 //! One client's connection, from accept to close.
 //!
-//! Before a connection is closed by us, all that lies in the machine is read and answered: what can't be taken any more is
-//! refused, with when to come back. A client that is closed for being idle hears so first (type 48) and has a moment in
-//! which whatever it had sent meanwhile still arrives.
+//! Before the controller closes a connection, it reads and answers everything in the kernel's receive buffer: requests
+//! that can no longer be admitted are rejected with a retry-after. An idle client is notified first (frame type 48),
+//! and the connection stays open for a moment, so that requests already sent still arrive.
 
 use crate::admission::{AdmissionError, Arrival, admit};
-use crate::clients::{Client, CloseReason, Entry, NO_DEADLINE};
+use crate::clients::{AcceptDecision, Client, CloseReason, NO_DEADLINE};
 use crate::state::ControllerHandle;
 use saltdrum::interface::{InvocationId, Ticks};
 use saltdrum_platform_wire::Malformed;
@@ -16,110 +16,111 @@
 use tokio::io::AsyncWriteExt;
 use tracing::{debug, info};
 
-/// For what was sent before its client heard that the connection ends.
+/// How long requests that the client sent before it received the close notification are still answered.
 const CLOSE_LINGER: Duration = Duration::from_millis(60);
-/// For the last words to a client whose connection ends, and for it to have read them.
+/// Time limit to send the remaining responses on a closing connection, and for the client to read them.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(300);
-/// Who is turned away has so long to say what it came for.
+/// How long a rejected connection stays open to receive the requests that are to be rejected.
 const REJECTED_LINGER: Duration = Duration::from_millis(200);
-/// What of a client is read and answered, and what is read and thrown away after, while its connection ends: bytes that
-/// lie unread at a close make the kernel reset it, and a reset destroys the answers that are still on their way.
+/// How much is read and answered, and how much is read and discarded after that, while a connection closes. If bytes
+/// are unread at the close, the kernel resets the connection, and a reset discards responses that are still in transit.
 const FINAL_READ_BYTES_MAX: usize = 1 << 20;
 const DISCARDED_BYTES_MAX: usize = 256 << 10;
 
 /// Why a connection ends.
 enum ConnectionEnd {
-    /// The client has closed it, or it broke.
-    Left,
-    /// We close it.
-    Closed,
-    /// Nothing more of it can be believed.
+    /// The client closed it, or it broke.
+    ClosedByClient,
+    /// The controller closes it.
+    ClosedByController,
+    /// The client violated the protocol, so its bytes can no longer be decoded.
     Malformed(String),
 }
 
-/// Serves one client, whose connection can have been open since `opened`, until its end.
+/// Serves one client until its connection ends. The connection may have been open since `opened`.
 pub(crate) async fn serve_connection(
     handle: Rc<ControllerHandle>,
     stream: Stream,
     opened: Ticks,
-    entry: Entry,
+    decision: AcceptDecision,
 ) {
     let (input, mut output) = split(stream);
-    let mut last = output.clone();
+    let mut shutdown_output = output.clone();
     let clock = handle.clock;
     let client = Rc::new(Client::new(clock.now()));
     let clients = &handle.config.clients;
-    let number = clients.enter(&client);
+    let number = clients.insert(&client);
     let mut read = ArrivalReader::opened_at(input, opened, clock, handle.event_loop.clone());
     {
         let write = client.outbox.write_to(&mut output, || clock.now(), |_| ());
         let mut write = std::pin::pin!(write);
-        let mut wrote = None;
-        if entry == Entry::Rejected {
-            client.cut_off(CloseReason::Rejected);
+        let mut write_result = None;
+        if decision == AcceptDecision::Rejected {
+            client.request_close(CloseReason::Rejected);
         }
         let end = tokio::select! {
-            // Before it reads: what comes in the turn in which a connection was chosen to end is not taken, as its client
-            // may bring it again on a new one.
+            // Polled before the reader: a request that arrives in the same event loop turn as the close is not
+            // admitted, as its client may send it again on a new connection.
             biased;
-            () = client.cut.notified() => ConnectionEnd::Closed,
-            end = listen(&handle, &client, &mut read) => end,
-            done = &mut write => { wrote = Some(done); ConnectionEnd::Left }
+            () = client.close_signal.notified() => ConnectionEnd::ClosedByController,
+            end = read_frames(&handle, &client, &mut read) => end,
+            result = &mut write => { write_result = Some(result); ConnectionEnd::ClosedByClient }
         };
-        // First of all: nothing more is sent on for who has left, however long its last words take.
-        client.closing.set(true);
+        // Set first: no more attempts are sent for a client that has left, however long the remaining responses take.
+        client.is_closing.set(true);
         log_close(number, &client, &end);
-        let linger = match entry {
-            Entry::Rejected => REJECTED_LINGER,
-            Entry::Served if client.active.get().is_some() => CLOSE_LINGER,
-            // Silence ends in silence.
-            Entry::Served => Duration::ZERO,
+        let linger = match decision {
+            AcceptDecision::Rejected => REJECTED_LINGER,
+            AcceptDecision::Served if client.last_active.get().is_some() => CLOSE_LINGER,
+            // A client that never sent a frame gets no notification.
+            AcceptDecision::Served => Duration::ZERO,
         };
-        let last_words = async {
-            let settled = settle(&handle, &client, &mut read, &end, linger);
-            if wrote.is_none() {
-                // A writer that has ended is not asked again.
-                let mut settled = std::pin::pin!(settled);
+        let graceful_end = async {
+            let finished = finish_open_invocations(&handle, &client, &mut read, &end, linger);
+            if write_result.is_none() {
+                // A writer that has finished must not be polled again.
+                let mut finished = std::pin::pin!(finished);
                 tokio::select! {
                     biased;
-                    () = &mut settled => {}
-                    done = &mut write => { wrote = Some(done); settled.await; }
+                    () = &mut finished => {}
+                    result = &mut write => { write_result = Some(result); finished.await; }
                 }
             } else {
-                settled.await;
+                finished.await;
             }
-            // What was answered before goes out too, and has a moment to arrive.
+            // Responses that are already queued are sent too, within the time limit.
             client.outbox.close();
             let written = async {
-                let done = match wrote.take() {
-                    Some(done) => done,
+                let result = match write_result.take() {
+                    Some(result) => result,
                     None => (&mut write).await,
                 };
-                if let Err(e) = done {
-                    return debug!(%e, "client connection lost");
+                if let Err(error) = result {
+                    return debug!(e = %error, "client connection lost");
                 }
-                if client.active.get().is_some() || matches!(end, ConnectionEnd::Malformed(_)) {
-                    farewell(&mut last, &mut read).await;
+                if client.last_active.get().is_some() || matches!(end, ConnectionEnd::Malformed(_))
+                {
+                    close_gracefully(&mut shutdown_output, &mut read).await;
                 }
             };
             let _ = tokio::time::timeout(CLOSE_TIMEOUT, written).await;
             true
         };
-        let hurried = async {
-            while !client.hurried.get() {
-                client.cut.notified().await;
+        let immediate_close = async {
+            while !client.must_close_now.get() {
+                client.close_signal.notified().await;
             }
             false
         };
-        let is_over = tokio::select! {
+        let ended_gracefully = tokio::select! {
             biased;
-            is_over = last_words => is_over,
-            is_over = hurried => is_over,
+            ended_gracefully = graceful_end => ended_gracefully,
+            ended_gracefully = immediate_close => ended_gracefully,
         };
-        if !is_over && wrote.is_none() && !client.outbox.is_closed() {
+        if !ended_gracefully && write_result.is_none() && !client.outbox.is_closed() {
             reject_buffered_frames(&handle, &client, &mut read).await;
             client.outbox.close();
-            // As far as the machine takes it at once.
+            // Polled once: only what the kernel accepts at once is sent.
             tokio::select! {
                 biased;
                 _ = &mut write => {}
@@ -130,17 +131,17 @@
     clients.remove(number);
 }
 
-/// Says why a connection ends, and what was open on it.
+/// Logs why a connection ends, and the number of its invocations in flight.
 fn log_close(number: u64, client: &Client, end: &ConnectionEnd) {
-    let open = client.open.borrow().len();
+    let open = client.open_streams.borrow().len();
     match end {
-        ConnectionEnd::Left => debug!(
+        ConnectionEnd::ClosedByClient => debug!(
             number,
             open,
             reason = "closed by the client",
             "client connection closed"
         ),
-        ConnectionEnd::Closed => {
+        ConnectionEnd::ClosedByController => {
             debug!(number, open, reason = ?client.close_reason.get(), "client connection closed")
         }
         ConnectionEnd::Malformed(why) => info!(
@@ -153,39 +154,40 @@
     }
 }
 
-/// Ends what is open on a connection that ends, and answers what still comes for so long on one that we close.
-async fn settle(
+/// Ends the invocations in flight on a closing connection. If the controller closes it, requests that arrive within
+/// `linger` are rejected.
+async fn finish_open_invocations(
     handle: &Rc<ControllerHandle>,
     client: &Rc<Client>,
     read: &mut ArrivalReader<Half>,
     end: &ConnectionEnd,
     linger: Duration,
 ) {
-    let open: Vec<InvocationId> = client.open.borrow().values().copied().collect();
+    let open: Vec<InvocationId> = client.open_streams.borrow().values().copied().collect();
     match end {
-        ConnectionEnd::Left => open
+        ConnectionEnd::ClosedByClient => open
             .into_iter()
             .for_each(|id| handle.update(|state| state.client_left(id))),
         ConnectionEnd::Malformed(why) => {
             open.into_iter()
                 .for_each(|id| handle.update(|state| state.abandon(id)));
-            client.put(
+            client.send(
                 frames::encode_response(0, Code::Errored, None, why.as_bytes()),
                 NO_DEADLINE,
             );
         }
-        ConnectionEnd::Closed => {
+        ConnectionEnd::ClosedByController => {
             open.into_iter()
                 .for_each(|id| handle.update(|state| state.abandon(id)));
             if !linger.is_zero() {
                 client.send_go_away();
-                // Its end is heard of in time, or it is not waited for any more.
+                // Whether the client closes its side in time makes no difference.
                 let _ =
                     tokio::time::timeout(linger, reject_until_closed(handle, client, read)).await;
             }
             reject_buffered_frames(handle, client, read).await;
             if client.partial_since.get().is_some() {
-                client.put(
+                client.send(
                     frames::encode_response(0, Code::Errored, None, b"a frame that does not end"),
                     NO_DEADLINE,
                 );
@@ -194,7 +196,7 @@
     }
 }
 
-/// Refuses whatever comes, until the client has closed its side.
+/// Rejects all requests until the client closes its side.
 async fn reject_until_closed(
     handle: &Rc<ControllerHandle>,
     client: &Rc<Client>,
@@ -209,43 +211,43 @@
     }
 }
 
-/// Reads what lies in the machine and refuses it.
+/// Reads the kernel's receive buffer and rejects all requests in it.
 async fn reject_buffered_frames(
     handle: &Rc<ControllerHandle>,
     client: &Rc<Client>,
     read: &mut ArrivalReader<Half>,
 ) {
-    // The machine is asked what has come before this goes on.
+    // The event loop polls the kernel before this task continues.
     tokio::task::yield_now().await;
     read.read_available(FINAL_READ_BYTES_MAX);
     reject_frames(handle, client, read);
 }
 
-/// Answers all whole frames that were read, and takes nothing.
+/// Rejects the requests in all complete frames that were read.
 fn reject_frames(
     handle: &Rc<ControllerHandle>,
     client: &Rc<Client>,
     read: &mut ArrivalReader<Half>,
 ) {
     while let Ok(Some(frame)) = frames::decode(&mut read.bytes) {
-        client.active.set(Some(handle.clock.now()));
+        client.last_active.set(Some(handle.clock.now()));
         client.partial_since.set(None);
         match frame {
             ClientFrame::Invoke { stream, .. } => {
                 debug!(stream, reason = ?client.close_reason.get(), "request rejected: connection closing");
-                client.refuse(stream);
+                client.reject(stream);
             }
             ClientFrame::ReadinessQuery { stream } => {
-                client.put(frames::encode_readiness(stream, false), NO_DEADLINE)
+                client.send(frames::encode_readiness(stream, false), NO_DEADLINE)
             }
             ClientFrame::Cancel { .. } => {}
         }
     }
 }
 
-/// Says that nothing more comes, and waits until the client has ended the connection too: then it has read all.
-async fn farewell(last: &mut Half, read: &mut ArrivalReader<Half>) {
-    if last.shutdown().await.is_err() {
+/// Closes the sending side, and waits until the client closes its side too: it has read everything then.
+async fn close_gracefully(output: &mut Half, read: &mut ArrivalReader<Half>) {
+    if output.shutdown().await.is_err() {
         return;
     }
     let mut discarded = read.bytes.len();
@@ -258,8 +260,8 @@
     }
 }
 
-/// Reads frames until the connection ends, and says why it does.
-async fn listen(
+/// Reads frames until the connection ends, and returns why it ended.
+async fn read_frames(
     handle: &Rc<ControllerHandle>,
     client: &Rc<Client>,
     read: &mut ArrivalReader<Half>,
@@ -268,11 +270,11 @@
     loop {
         let earliest = match read.read_more().await {
             Ok(Some(earliest)) => earliest,
-            Ok(None) | Err(_) => return ConnectionEnd::Left,
+            Ok(None) | Err(_) => return ConnectionEnd::ClosedByClient,
         };
         loop {
-            if client.closing.get() {
-                return ConnectionEnd::Closed;
+            if client.is_closing.get() {
+                return ConnectionEnd::ClosedByController;
             }
             let frame = match frames::decode(&mut read.bytes) {
                 Ok(None) => break,
@@ -280,25 +282,25 @@
                 Err(why) => return ConnectionEnd::Malformed(why.to_string()),
             };
             handle.config.clients.count_frame();
-            client.active.set(Some(handle.clock.now()));
+            client.last_active.set(Some(handle.clock.now()));
             client.partial_since.set(None);
-            let heard = match frame {
+            let handled = match frame {
                 ClientFrame::Invoke { stream, payload } => {
                     accept_invoke_frame(handle, client, stream, payload, earliest, &backlog)
                 }
                 ClientFrame::ReadinessQuery { stream } => {
-                    let is_ready = !handle.config.clients.are_ending();
-                    client.put(frames::encode_readiness(stream, is_ready), NO_DEADLINE);
+                    let is_ready = !handle.config.clients.is_shutting_down();
+                    client.send(frames::encode_readiness(stream, is_ready), NO_DEADLINE);
                     Ok(())
                 }
                 ClientFrame::Cancel { stream } => {
-                    let id = client.open.borrow().get(&stream).copied();
+                    let id = client.open_streams.borrow().get(&stream).copied();
                     id.into_iter()
                         .for_each(|id| handle.update(|state| state.client_left(id)));
                     Ok(())
                 }
             };
-            if let Err(why) = heard {
+            if let Err(why) = handled {
                 return ConnectionEnd::Malformed(why.to_string());
             }
         }
@@ -307,13 +309,13 @@
         } else if client.partial_since.get().is_none() {
             client.partial_since.set(Some(handle.clock.now()));
         }
-        // What clients ask for must not hold up what invokers answer: in a backlog the answers would look slow, and the
-        // module would take the controller's own lag for a jam of the fleet.
+        // Requests of clients must not delay the handling of invokers' responses. Delayed responses would look slow,
+        // and the decision module would take the controller's own lag for overload of the invokers.
         tokio::task::yield_now().await;
     }
 }
 
-/// A request on a stream of its own. `Err`: nothing more of this connection can be believed.
+/// Handles a request, which needs a new stream. `Err`: the client violated the protocol.
 fn accept_invoke_frame(
     handle: &Rc<ControllerHandle>,
     client: &Rc<Client>,
@@ -330,27 +332,28 @@
         });
     }
     client.last_stream.set(stream);
-    if client.open.borrow().len() >= frames::OPEN_STREAMS_MAX {
+    if client.open_streams.borrow().len() >= frames::OPEN_STREAMS_MAX {
         debug!(stream, "request rejected: too many open streams");
-        client.refuse(stream);
+        client.reject(stream);
         return Ok(());
     }
-    let taken = frames::parse_request(payload)
+    let admitted = frames::parse_request(payload)
         .map_err(AdmissionError::from)
         .and_then(|request| {
             let arrival = Arrival { earliest, backlog };
             handle.update(|state| admit(handle, state, client, stream, request, &arrival))
         });
-    if let Err(error) = taken {
+    if let Err(error) = admitted {
         let why = error.to_string();
         debug!(why, "invocation rejected");
-        client.put(
+        client.send(
             frames::encode_response(stream, Code::Errored, None, why.as_bytes()),
             NO_DEADLINE,
         );
     }
-    // Who came after SIGTERM came for this one: it hears so only now, or it would take it elsewhere.
-    if handle.config.clients.are_ending() {
+    // A client that connected after SIGTERM is asked to send nothing new only after its first request is admitted;
+    // otherwise it would send this request elsewhere.
+    if handle.config.clients.is_shutting_down() {
         client.send_go_away();
     }
     Ok(())
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -1,6 +1,6 @@
-//! All clients of a controller: who is let in, who is closed to make room or for saying nothing, and the replies that they
-//! are owed. `client_connection` is one connection, `admission` the admission of an invocation. A client that lies, floods or
-//! says nothing suffers alone.
+//! The table of client connections: which are accepted, which are closed for being idle or to free capacity, and the
+//! responses that wait to be sent. `client_connection` serves one connection, `admission` admits one invocation. A
+//! malformed, flooding or silent client affects no other client.
 
 use saltdrum::interface::{InvocationId, MILLISECOND, SECOND, Ticks};
 use saltdrum_controller::{FinalResponse, Responder};
@@ -11,145 +11,148 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Answers that a client lets lie are bounded; it is cut off when they are more.
+/// Bound on the responses that a client has not read. A client that exceeds it is disconnected.
 const RESPONSE_QUEUE_BYTES_MAX: usize = 1 << 20;
-/// Who has said nothing whole for this long since it came has nothing to say.
+/// A client that has not sent a complete frame this long after it connected is disconnected.
 const FIRST_FRAME_TIMEOUT: Ticks = 2 * SECOND;
-/// A frame that has begun is whole after this, or never will be.
+/// A client whose partially received frame is not complete after this time is disconnected.
 const PARTIAL_FRAME_TIMEOUT: Ticks = SECOND;
-/// Clients close a connection that long idle themselves, well before this.
+/// Idle time after which a connection is closed. Clients close idle connections themselves, well before this.
 const IDLE_TIMEOUT: Ticks = 6 * SECOND;
-/// So many connections beyond the clients' part may be at their end, or there to be turned away; past it their ends are
-/// cut short, and who comes waits at the door. Well within what the limits reserve, or a crowd would take the
-/// descriptors of the feed and of lines.
+/// Connections beyond the limit on served clients that may be closing or rejected at once. Beyond it closing
+/// connections are closed at once, and new connections wait to be accepted. It is well within the reserved descriptors;
+/// otherwise many clients would use up the descriptors of the endpoint feed and of invoker connections.
 const CLOSING_CONNECTIONS_MAX: usize = 4;
+/// The send deadline of frames that never expire.
 pub(crate) const NO_DEADLINE: Ticks = Ticks::MAX;
-/// Where a refusal is for want of room, the wait that is advised.
+/// Retry-after of requests that are rejected for lack of capacity.
 pub(crate) const OVERLOAD_RETRY_AFTER_MS: u64 = 100;
 
-/// What a connection is accepted for.
+/// How a new connection is handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Entry {
+pub(crate) enum AcceptDecision {
     /// Its requests are served.
     Served,
-    /// There is no capacity: all its requests are rejected, then it is closed.
+    /// There is no capacity: its requests are rejected, then it is closed.
     Rejected,
 }
 
 /// Why this controller closes a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CloseReason {
-    /// Nothing was asked or answered for long.
+    /// No request or response for the idle timeout.
     Idle,
-    /// It has said nothing whole since it came.
+    /// No complete frame since it was accepted.
     NeverSpoke,
-    /// A frame has begun and does not end.
+    /// A frame was not completed in time.
     PartialFrame,
-    /// Its answers pile up unread.
+    /// Its queue of unread responses exceeds the bound.
     AnswersUnread,
-    /// Another client needs its place.
+    /// Its capacity is needed for another client.
     MadeRoom,
-    /// It came when all places were taken.
+    /// It connected when there was no capacity.
     Rejected,
-    /// This controller ends.
+    /// This controller shuts down.
     ControllerEnds,
 }
 
-/// One client's connection, as others see it.
+/// The shared state of one client's connection.
 pub(crate) struct Client {
     pub outbox: SendQueue,
-    /// Streams whose answer is owed.
-    pub open: RefCell<BTreeMap<u32, InvocationId>>,
+    /// Streams whose response has not been sent yet.
+    pub open_streams: RefCell<BTreeMap<u32, InvocationId>>,
     pub last_stream: Cell<u32>,
-    pub came: Ticks,
-    /// When it last asked or was answered; none: it has said nothing whole yet.
-    pub active: Cell<Option<Ticks>>,
+    pub accepted_at: Ticks,
+    /// When a frame was last received or a response sent; none: no complete frame was received yet.
+    pub last_active: Cell<Option<Ticks>>,
+    /// Since when a frame has been received in part.
     pub partial_since: Cell<Option<Ticks>>,
-    pub cut: Notify,
-    /// Its connection is to end: nothing more is taken on it, and its last words are on their way.
-    pub closing: Cell<bool>,
-    /// Why it is to end, as first said.
+    /// Wakes the connection's task when it is to close.
+    pub close_signal: Notify,
+    /// The connection is closing: no more requests are admitted on it, and its remaining responses are being sent.
+    pub is_closing: Cell<bool>,
+    /// The first reason for which it was to be closed.
     pub close_reason: Cell<Option<CloseReason>>,
-    /// Its place is needed: no more time for last words.
-    pub hurried: Cell<bool>,
-    /// It was told to bring nothing new.
+    /// Its capacity is needed at once: it does not wait for its remaining responses to be delivered.
+    pub must_close_now: Cell<bool>,
+    /// The client was asked to send nothing new on this connection.
     pub go_away_sent: Cell<bool>,
 }
 
 impl Client {
-    /// A connection that was let in now.
-    pub fn new(came: Ticks) -> Self {
+    /// Creates the state of a connection that was accepted at `accepted_at`.
+    pub fn new(accepted_at: Ticks) -> Self {
         Self {
             outbox: SendQueue::new(RESPONSE_QUEUE_BYTES_MAX),
-            open: RefCell::default(),
+            open_streams: RefCell::default(),
             last_stream: Cell::new(0),
-            came,
-            active: Cell::new(None),
+            accepted_at,
+            last_active: Cell::new(None),
             partial_since: Cell::new(None),
-            cut: Notify::new(),
-            closing: Cell::new(false),
+            close_signal: Notify::new(),
+            is_closing: Cell::new(false),
             close_reason: Cell::new(None),
-            hurried: Cell::new(false),
+            must_close_now: Cell::new(false),
             go_away_sent: Cell::new(false),
         }
     }
 
-    /// Refuses a request for want of room, with when to come back.
-    pub fn refuse(&self, stream: u32) {
-        self.put(
+    /// Rejects a request for lack of capacity, with a retry-after.
+    pub fn reject(&self, stream: u32) {
+        self.send(
             frames::encode_response(stream, Code::Throttled, Some(OVERLOAD_RETRY_AFTER_MS), &[]),
             NO_DEADLINE,
         );
     }
 
-    /// Its connection is to end.
-    /// The first reason given is the one that is told.
-    pub fn cut_off(&self, reason: CloseReason) {
+    /// Asks the connection's task to close it. Only the first reason is recorded.
+    pub fn request_close(&self, reason: CloseReason) {
         self.close_reason
             .set(self.close_reason.get().or(Some(reason)));
-        self.closing.set(true);
-        self.cut.notify_one();
+        self.is_closing.set(true);
+        self.close_signal.notify_one();
     }
 
-    /// Its place is needed now.
-    fn hurry(&self) {
-        self.hurried.set(true);
-        self.cut_off(CloseReason::MadeRoom);
+    /// Asks the connection's task to close it at once.
+    fn request_immediate_close(&self) {
+        self.must_close_now.set(true);
+        self.request_close(CloseReason::MadeRoom);
     }
 
-    /// Who does not read what it asked for is cut off.
-    pub fn put(&self, frame: bytes::Bytes, until: Ticks) {
-        if self.outbox.push(frame, until).is_none() {
-            self.cut_off(CloseReason::AnswersUnread);
+    /// Queues a frame. A client that does not read its responses is disconnected.
+    pub fn send(&self, frame: bytes::Bytes, deadline: Ticks) {
+        if self.outbox.push(frame, deadline).is_none() {
+            self.request_close(CloseReason::AnswersUnread);
         }
     }
 
-    /// Tells it, once, to bring nothing new on this connection.
+    /// Asks the client, once, to send nothing new on this connection.
     pub fn send_go_away(&self) {
         if !self.go_away_sent.replace(true) {
-            self.put(frames::encode_go_away(), NO_DEADLINE);
+            self.send(frames::encode_go_away(), NO_DEADLINE);
         }
     }
 
-    /// Since when it does nothing that keeps its connection, if so.
+    /// Since when the connection has been idle, if nothing is in flight on it.
     fn idle_since(&self) -> Option<Ticks> {
-        self.open
+        self.open_streams
             .borrow()
             .is_empty()
-            .then(|| self.active.get().unwrap_or(self.came))
+            .then(|| self.last_active.get().unwrap_or(self.accepted_at))
     }
 
-    /// Why it has had time enough, if so.
-    fn overdue(&self, now: Ticks) -> Option<CloseReason> {
-        let silent = self.active.get().is_none() && now >= self.came + FIRST_FRAME_TIMEOUT;
-        let stuck = self
+    /// Why the connection is to be closed at `now`, if a timeout has expired.
+    fn overdue_reason(&self, now: Ticks) -> Option<CloseReason> {
+        let never_spoke =
+            self.last_active.get().is_none() && now >= self.accepted_at + FIRST_FRAME_TIMEOUT;
+        let is_partial = self
             .partial_since
             .get()
             .is_some_and(|since| now >= since + PARTIAL_FRAME_TIMEOUT);
-        let idle = self
+        let is_idle = self
             .idle_since()
             .is_some_and(|since| now >= since + IDLE_TIMEOUT);
-        match (silent, stuck, idle) {
+        match (never_spoke, is_partial, is_idle) {
             (true, _, _) => Some(CloseReason::NeverSpoke),
             (_, true, _) => Some(CloseReason::PartialFrame),
             (_, _, true) => Some(CloseReason::Idle),
@@ -158,175 +161,181 @@
     }
 }
 
-/// All clients of a controller, and the ids that are open.
+/// All client connections of a controller, and the ids of their invocations in flight.
 #[derive(Default)]
 pub(crate) struct Clients {
-    all: RefCell<BTreeMap<u64, Rc<Client>>>,
-    last: Cell<u64>,
+    connections: RefCell<BTreeMap<u64, Rc<Client>>>,
+    last_number: Cell<u64>,
     pub(crate) open_transactions: Rc<RefCell<BTreeSet<u64>>>,
-    /// Frames read, of all clients.
-    frames: Cell<u64>,
-    /// Told to end: no client is to bring anything new.
-    ending: Cell<bool>,
-    shut: Notify,
-    /// A connection has ended, and its place is free.
-    freed: Notify,
-    /// The door is shut, and whoever had come to it is in.
-    is_shut: Cell<bool>,
-    /// All is settled: nothing is taken any more, on whatever connection.
+    /// Complete frames read from all clients.
+    frames_read: Cell<u64>,
+    /// Clients were asked to send nothing new.
+    is_shutting_down: Cell<bool>,
+    stop_accepting: Notify,
+    /// A connection was closed, and its capacity is free.
+    connection_closed: Notify,
+    /// The listener is closed, and all pending connections have been accepted.
+    has_stopped_accepting: Cell<bool>,
+    /// All responses were sent: no connection admits requests any more.
     is_closed: Cell<bool>,
 }
 
 impl Clients {
-    /// Connections, and ids that are open: for tests and the log.
+    /// Number of connections, and of invocations in flight.
     #[cfg(test)]
     pub fn sizes(&self) -> (usize, usize) {
         (
-            self.all.borrow().len(),
+            self.connections.borrow().len(),
             self.open_transactions.borrow().len(),
         )
     }
 
-    /// How many connections are being ended.
+    /// Number of connections that are closing.
     #[cfg(test)]
-    pub fn going(&self) -> usize {
-        self.all
+    pub fn closing_count(&self) -> usize {
+        self.connections
             .borrow()
             .values()
-            .filter(|c| c.closing.get())
+            .filter(|c| c.is_closing.get())
             .count()
     }
 
-    /// Asks all to bring nothing new on these connections.
+    /// Asks all clients to send nothing new on their connections.
     pub fn send_go_away(&self) {
-        self.ending.set(true);
-        self.all.borrow().values().for_each(|c| c.send_go_away());
+        self.is_shutting_down.set(true);
+        self.connections
+            .borrow()
+            .values()
+            .for_each(|c| c.send_go_away());
     }
 
-    /// Accepts what waits to be accepted, then no more.
-    pub fn shut(&self) {
-        self.shut.notify_one();
+    /// Asks the acceptor to accept all pending connections, and no more after that.
+    pub fn stop_accepting(&self) {
+        self.stop_accepting.notify_one();
     }
 
-    /// Waits until no more clients are to be accepted.
-    pub(crate) async fn shut_requested(&self) {
-        self.shut.notified().await;
+    /// Waits for [`Clients::stop_accepting`].
+    pub(crate) async fn stop_accepting_requested(&self) {
+        self.stop_accepting.notified().await;
     }
 
-    /// No more clients are accepted.
-    pub(crate) fn set_shut(&self) {
-        self.is_shut.set(true);
+    /// Records that no more clients are accepted.
+    pub(crate) fn set_stopped_accepting(&self) {
+        self.has_stopped_accepting.set(true);
     }
 
-    /// Waits until a connection has ended.
-    pub(crate) async fn connection_freed(&self) {
-        self.freed.notified().await;
+    /// Waits until a connection was closed.
+    pub(crate) async fn wait_for_closed_connection(&self) {
+        self.connection_closed.notified().await;
     }
 
-    /// Closes connections of clients that say nothing, or never end a frame that they began.
+    /// Closes connections that are idle, or whose partially received frame is overdue.
     pub(crate) fn close_overdue(&self, now: Ticks) {
-        for client in self.all.borrow().values() {
-            if let Some(reason) = client.overdue(now) {
-                client.cut_off(reason);
+        for client in self.connections.borrow().values() {
+            if let Some(reason) = client.overdue_reason(now) {
+                client.request_close(reason);
             }
         }
     }
 
-    /// Whether answers wait to leave, or a request has come in part.
+    /// Whether responses wait to be sent, or a request was received in part.
     pub fn have_pending_output(&self) -> bool {
-        let half = |c: &Client| c.partial_since.get().is_some() && !c.closing.get();
-        self.all
+        let has_partial_frame = |c: &Client| c.partial_since.get().is_some() && !c.is_closing.get();
+        self.connections
             .borrow()
             .values()
-            .any(|c| c.outbox.queued_bytes() > 0 || half(c))
+            .any(|c| c.outbox.queued_bytes() > 0 || has_partial_frame(c))
     }
 
     /// Whether no more clients are accepted.
-    pub fn is_shut(&self) -> bool {
-        self.is_shut.get()
+    pub fn has_stopped_accepting(&self) -> bool {
+        self.has_stopped_accepting.get()
     }
 
     /// Complete frames that were read.
-    pub fn frames(&self) -> u64 {
-        self.frames.get()
+    pub fn frames_read(&self) -> u64 {
+        self.frames_read.get()
     }
 
-    /// Ends all connections, each once what it is owed has left.
-    pub fn close(&self) {
+    /// Closes all connections, each once its responses have been sent.
+    pub fn close_all(&self) {
         self.is_closed.set(true);
-        self.all
+        self.connections
             .borrow()
             .values()
-            .for_each(|client| client.cut_off(CloseReason::ControllerEnds));
+            .for_each(|client| client.request_close(CloseReason::ControllerEnds));
     }
 
-    /// Whether a controller that ends has told its clients so.
-    pub(crate) fn are_ending(&self) -> bool {
-        self.ending.get()
+    /// Whether clients were asked to send nothing new.
+    pub(crate) fn is_shutting_down(&self) -> bool {
+        self.is_shutting_down.get()
     }
 
-    /// A whole frame was read.
+    /// Counts a complete frame that was read.
     pub(crate) fn count_frame(&self) {
-        self.frames.set(self.frames.get() + 1);
+        self.frames_read.set(self.frames_read.get() + 1);
     }
 
-    /// Takes a client into the table. Gives its number there.
-    pub(crate) fn enter(&self, client: &Rc<Client>) -> u64 {
-        let number = self.last.get() + 1;
-        self.last.set(number);
-        self.all.borrow_mut().insert(number, client.clone());
+    /// Inserts a connection into the table and returns its number.
+    pub(crate) fn insert(&self, client: &Rc<Client>) -> u64 {
+        let number = self.last_number.get() + 1;
+        self.last_number.set(number);
+        self.connections.borrow_mut().insert(number, client.clone());
         if self.is_closed.get() {
-            client.cut_off(CloseReason::ControllerEnds);
+            client.request_close(CloseReason::ControllerEnds);
         }
         number
     }
 
-    /// A connection has ended.
+    /// Removes a connection that was closed.
     pub(crate) fn remove(&self, number: u64) {
-        self.all.borrow_mut().remove(&number);
-        self.freed.notify_one();
+        self.connections.borrow_mut().remove(&number);
+        self.connection_closed.notify_one();
     }
 
-    /// Whether no connection is left.
-    pub fn are_gone(&self) -> bool {
-        self.all.borrow().is_empty()
+    /// Whether all connections are closed.
+    pub fn are_all_closed(&self) -> bool {
+        self.connections.borrow().is_empty()
     }
 
-    /// Makes capacity for one more: of those with nothing open, the one idle longest is closed. Where all have something open,
-    /// the new one is rejected. None: so many are closing that it has to wait, and one of them ends at once.
-    pub(crate) fn make_capacity(&self, most: usize) -> Option<Entry> {
-        let all = self.all.borrow();
-        let served = all.values().filter(|c| !c.closing.get());
-        let is_crowded = all.len() >= most + CLOSING_CONNECTIONS_MAX;
-        if served.clone().count() < most && !is_crowded {
-            return Some(Entry::Served);
+    /// Makes capacity for one more connection by closing the longest idle one. If all have invocations in flight, the
+    /// new one is rejected. None: so many are closing that it has to wait; one of them is then closed at once.
+    pub(crate) fn make_capacity(&self, max_served: usize) -> Option<AcceptDecision> {
+        let connections = self.connections.borrow();
+        let served = connections.values().filter(|c| !c.is_closing.get());
+        let is_crowded = connections.len() >= max_served + CLOSING_CONNECTIONS_MAX;
+        if served.clone().count() < max_served && !is_crowded {
+            return Some(AcceptDecision::Served);
         }
         if is_crowded {
-            let going = all.values().find(|c| c.closing.get() && !c.hurried.get());
-            going
+            let closing = connections
+                .values()
+                .find(|c| c.is_closing.get() && !c.must_close_now.get());
+            closing
                 .or(longest_idle(served))
                 .into_iter()
-                .for_each(|client| client.hurry());
+                .for_each(|client| client.request_immediate_close());
             return None;
         }
         match longest_idle(served) {
             Some(client) => {
-                client.cut_off(CloseReason::MadeRoom);
-                Some(Entry::Served)
+                client.request_close(CloseReason::MadeRoom);
+                Some(AcceptDecision::Served)
             }
-            None => Some(Entry::Rejected),
+            None => Some(AcceptDecision::Rejected),
         }
     }
 }
 
-/// Of clients with nothing open the one that is idle longest; those first that never said anything.
+/// Returns the longest idle of the clients without invocations in flight, preferring those that never sent a frame.
 fn longest_idle<'a>(clients: impl Iterator<Item = &'a Rc<Client>>) -> Option<&'a Rc<Client>> {
-    let idle = clients.filter_map(|c| Some((c.active.get().is_some(), c.idle_since()?, c)));
-    idle.min_by_key(|(spoke, since, _)| (*spoke, *since))
+    let idle = clients.filter_map(|c| Some((c.last_active.get().is_some(), c.idle_since()?, c)));
+    idle.min_by_key(|(has_sent_frame, since, _)| (*has_sent_frame, *since))
         .map(|(_, _, client)| client)
 }
 
-/// Where the one answer to an invocation goes. Whatever becomes of it, its stream and id are free after.
+/// Sends the final response of an invocation. However the invocation ends, its stream and id are free when this is
+/// dropped.
 pub(crate) struct ClientResponder {
     pub client: Rc<Client>,
     pub stream: u32,
@@ -338,14 +347,14 @@
 impl Drop for ClientResponder {
     fn drop(&mut self) {
         self.open_transactions.borrow_mut().remove(&self.txn);
-        self.client.open.borrow_mut().remove(&self.stream);
-        self.client.active.set(Some(self.clock.now()));
+        self.client.open_streams.borrow_mut().remove(&self.stream);
+        self.client.last_active.set(Some(self.clock.now()));
     }
 }
 
 impl Responder for ClientResponder {
-    fn respond(self, _: InvocationId, how: FinalResponse, _: u8, until: Ticks) {
-        let frame = match how {
+    fn respond(self, _: InvocationId, response: FinalResponse, _: u8, deadline: Ticks) {
+        let frame = match response {
             FinalResponse::Succeeded(output) => {
                 frames::encode_response(self.stream, Code::Succeeded, None, output)
             }
@@ -357,7 +366,7 @@
                 frames::encode_response(self.stream, Code::Errored, None, &[])
             }
         };
-        self.client.put(frame, until);
+        self.client.send(frame, deadline);
     }
 
     fn abandon(self, _: InvocationId) {}
--- a/crates/platform/src/descriptor_guard.rs
+++ b/crates/platform/src/descriptor_guard.rs
@@ -1,13 +1,13 @@
-//! Counts descriptors in use.
+//! Counts open file descriptors.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Counts a descriptor for as long as it lives.
+/// Counts one descriptor until it is dropped.
 pub(crate) struct DescriptorGuard(Rc<Cell<usize>>);
 
 impl DescriptorGuard {
-    /// Counts one more.
+    /// Increments the count.
     pub fn new(count: &Rc<Cell<usize>>) -> Self {
         count.set(count.get() + 1);
         Self(count.clone())
--- a/crates/platform/src/endpoint_watch.rs
+++ b/crates/platform/src/endpoint_watch.rs
@@ -1,4 +1,4 @@
-//! Watches the control feed for the list of invokers. While the feed is lost, the last list stands.
+//! Watches the endpoint feed for the list of invokers. While the feed is lost, the last list remains in use.
 
 use crate::invoker_pools::apply_list_change;
 use crate::state::ControllerHandle;
@@ -16,66 +16,67 @@
 use tokio::sync::Notify;
 use tracing::{info, warn};
 
-/// An empty frame comes each second. What the feed would have told counts as told 4 s after it fell silent: by then a
-/// second connection, should the first after a silence be silent as well, must have been followed.
+/// Longest time between complete frames; the feed sends a heartbeat each second. Events missed on a silent feed count
+/// as reported after 4 s: by then a second reconnect, if the connection of the first is silent too, must have delivered
+/// them.
 const SILENCE_TIMEOUT: Ticks = 1_600 * MILLISECOND;
-/// The first frame comes within a second of asking.
+/// Longest time until the first complete frame, which the feed sends within a second of the request.
 const FIRST_FRAME_TIMEOUT: Ticks = 1_200 * MILLISECOND;
-/// After that the machine is asked once more: a turn or two.
+/// After a timeout the kernel is polled once more, within one or two event loop turns.
 const LAST_POLL_TIMEOUT: Duration = Duration::from_millis(30);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Reconnects use a jittered backoff whose bound doubles, as all controllers lose the feed at once.
+/// Reconnects use a jittered backoff whose bound doubles, as all controllers lose the feed at the same time.
 const BACKOFF_FIRST: Ticks = 100 * MILLISECOND;
 const BACKOFF_MAX: Ticks = 400 * MILLISECOND;
 
-/// Why a connection to the feed is not followed any more.
+/// Why a connection to the feed ended.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum WatchError {
     #[error(transparent)]
     Io(#[from] io::Error),
     #[error(transparent)]
     Malformed(#[from] Malformed),
-    #[error("no connection in time")]
-    NoConnection,
-    #[error("silent")]
+    #[error("connect timed out")]
+    ConnectTimedOut,
+    #[error("no complete frame in time")]
     Silent,
-    #[error("hung up")]
+    #[error("closed by the feed")]
     Closed,
-    #[error("events to {told} after {last}: they were expected before")]
-    Untold { told: u64, last: u64 },
-    #[error("event {number} after {last}: the next was expected")]
+    #[error("heartbeat at event {number}, but the last event received is {last}")]
+    MissedEvents { number: u64, last: u64 },
+    #[error("event {number} after {last}: the next one is expected")]
     Gap { number: u64, last: u64 },
 }
 
 /// Address of the feed, the number of the last event applied, and how long the feed has been lost.
 pub(crate) struct EndpointWatch {
     address: RefCell<SocketAddrV4>,
-    moved: Notify,
-    last: Cell<u64>,
-    /// What lies in the machine of the connection that is followed.
+    address_changed: Notify,
+    last_event: Cell<u64>,
+    /// Whether the current connection has unread bytes in the kernel.
     backlog: RefCell<ReadBacklog>,
-    /// All events up to then are known: the earliest time at which the frame that shows it can have arrived; before the first
-    /// one, when the controller started.
-    heard_at: Cell<Ticks>,
-    /// Since when the feed is lost: nothing complete came since.
+    /// All events up to this time are known: the earliest time at which the frame that proves it can have arrived;
+    /// before the first frame, the start of the controller.
+    current_at: Cell<Ticks>,
+    /// Since when the feed is lost, that is, when the list was last known to be current.
     lost_since: Cell<Option<Ticks>>,
-    /// How often a connection to the feed was lost, or was not made.
+    /// How often a connection to the feed was lost or could not be established.
     losses: Cell<u64>,
-    /// Whether all events up to the present were read from the connection that is followed.
+    /// Whether all events up to the present were read from the current connection.
     is_caught_up: Cell<bool>,
-    /// Whether it was logged that the list is out of date, since the feed was last heard.
+    /// Whether the list was logged as out of date since it was last current.
     is_out_of_date_logged: Cell<bool>,
 }
 
 impl EndpointWatch {
-    /// A feed that was not heard yet; the list up to event `last` was known at `now`.
-    pub fn new(address: SocketAddrV4, last: u64, now: Ticks) -> Self {
+    /// Creates the watch of a feed without a connection; the list up to `last_event` is known at `now`.
+    pub fn new(address: SocketAddrV4, last_event: u64, now: Ticks) -> Self {
         Self {
             address: RefCell::new(address),
-            moved: Notify::new(),
-            last: Cell::new(last),
+            address_changed: Notify::new(),
+            last_event: Cell::new(last_event),
             backlog: RefCell::new(ReadBacklog::none()),
-            heard_at: Cell::new(now),
+            current_at: Cell::new(now),
             lost_since: Cell::new(None),
             losses: Cell::new(0),
             is_caught_up: Cell::new(false),
@@ -83,38 +84,38 @@
         }
     }
 
-    /// Whether there may be events in the machine that were not read yet.
+    /// Whether there may be unread events in the kernel.
     pub fn is_behind(&self) -> bool {
         self.backlog.borrow().is_behind()
     }
 
     /// Number of the last event applied.
-    pub fn last(&self) -> u64 {
-        self.last.get()
+    pub fn last_event(&self) -> u64 {
+        self.last_event.get()
     }
 
-    /// How long ago the last complete frame came.
+    /// Time since the list was last known to be current.
     pub fn age(&self, now: Ticks) -> Ticks {
-        now.saturating_sub(self.heard_at.get())
+        now.saturating_sub(self.current_at.get())
     }
 
-    /// How often a connection to the feed was lost, or was not made.
+    /// How often a connection to the feed was lost or could not be established.
     pub fn losses(&self) -> u64 {
         self.losses.get()
     }
 
-    /// It is elsewhere from now on; its numbers go on.
-    pub fn moves(&self, to: SocketAddrV4) {
-        if self.address.replace(to) != to {
-            self.moved.notify_one();
+    /// Changes the address of the feed; its event numbers continue.
+    pub fn set_address(&self, address: SocketAddrV4) {
+        if self.address.replace(address) != address {
+            self.address_changed.notify_one();
         }
     }
 
-    /// Logs that the list is out of date, once until the feed is heard again.
+    /// Logs that the list is out of date, once until it is current again.
     pub fn log_out_of_date(&self, now: Ticks) {
         if !self.is_out_of_date_logged.replace(true) {
             let list_age_ms = self.age(now) / MILLISECOND;
-            let last = self.last.get();
+            let last = self.last_event.get();
             warn!(
                 last,
                 list_age_ms, "endpoint list out of date, invokers are probed before new work"
@@ -122,191 +123,198 @@
         }
     }
 
-    /// A complete frame came, at `came` or later, with which all events up to then are known.
-    fn heard(&self, now: Ticks, came: Ticks) {
-        self.heard_at.set(came.max(self.heard_at.get()));
+    /// Records a complete frame that arrived at `arrived_at` or later and proves that all events up to then are known.
+    fn set_current(&self, now: Ticks, arrived_at: Ticks) {
+        self.current_at.set(arrived_at.max(self.current_at.get()));
         self.is_out_of_date_logged.set(false);
         if let Some(since) = self.lost_since.take() {
             warn!(
                 address = %self.address.borrow(),
                 out_for_ms = now.saturating_sub(since) / MILLISECOND,
                 losses = self.losses.get(),
-                last = self.last.get(),
-                "control feed heard again"
+                last = self.last_event.get(),
+                "endpoint feed recovered"
             );
         }
     }
 
-    /// A connection to the feed was lost, or was not made.
+    /// Records that a connection to the feed was lost or could not be established.
     fn connection_lost(&self, now: Ticks, reason: &WatchError) {
         self.losses.set(self.losses.get() + 1);
         self.lost_since
-            .set(self.lost_since.get().or(Some(self.heard_at.get())));
+            .set(self.lost_since.get().or(Some(self.current_at.get())));
         warn!(
             address = %self.address.borrow(),
             why = %reason,
-            last = self.last.get(),
+            last = self.last_event.get(),
             list_age_ms = self.age(now) / MILLISECOND,
             losses = self.losses.get(),
-            "control feed lost"
+            "endpoint feed lost"
         );
     }
 }
 
+/// Watches the feed, and reconnects when a connection is lost.
 pub(crate) async fn watch(handle: Rc<ControllerHandle>) {
-    let (feed, mut wait) = (&handle.config.feed, BACKOFF_FIRST);
+    let (feed, mut backoff) = (&handle.config.feed, BACKOFF_FIRST);
     let mut rng = fastrand::Rng::with_seed(handle.config.seed ^ 0xfeed);
     loop {
-        let before = feed.last.get();
+        let before = feed.last_event.get();
         let reason = tokio::select! {
             biased;
-            () = feed.moved.notified() => {
-                info!(address = %feed.address.borrow(), "control feed address changed");
-                wait = BACKOFF_FIRST;
+            () = feed.address_changed.notified() => {
+                info!(address = %feed.address.borrow(), "endpoint feed address changed");
+                backoff = BACKOFF_FIRST;
                 continue;
             }
             Err(reason) = watch_connection(&handle) => reason,
         };
-        wait = if feed.last.get() > before {
+        backoff = if feed.last_event.get() > before {
             BACKOFF_FIRST
         } else {
-            (2 * wait).min(BACKOFF_MAX)
+            (2 * backoff).min(BACKOFF_MAX)
         };
         feed.connection_lost(handle.clock.now(), &reason);
         tokio::select! {
             biased;
-            () = feed.moved.notified() => {}
-            () = tokio::time::sleep(Duration::from_micros(rng.u64(0..=wait) * 100)) => {}
+            () = feed.address_changed.notified() => {}
+            () = tokio::time::sleep(Duration::from_micros(rng.u64(0..=backoff) * 100)) => {}
         }
     }
 }
 
+/// Follows one connection to the feed until it ends.
 async fn watch_connection(handle: &Rc<ControllerHandle>) -> Result<Infallible, WatchError> {
     let feed = &handle.config.feed;
     let address = Address::Tcp(feed.address.borrow().to_string());
-    // What the feed tells may lie in the machine from the dial on, however late the process goes on.
+    // Events may be in the kernel from the dial on, however long the process is stopped before it reads them.
     let dialled_at = handle.clock.now();
     let dialled = tokio::time::timeout(CONNECT_TIMEOUT, handle.network.dial(&address)).await;
-    let mut stream = dialled.map_err(|_| WatchError::NoConnection)??;
-    stream.write_all(&feed.last.get().to_be_bytes()).await?;
+    let mut stream = dialled.map_err(|_| WatchError::ConnectTimedOut)??;
+    stream
+        .write_all(&feed.last_event.get().to_be_bytes())
+        .await?;
     let event_loop = handle.event_loop.clone();
     let mut read = ArrivalReader::opened_at(stream, dialled_at, handle.clock, event_loop);
     feed.backlog.replace(read.backlog());
     feed.is_caught_up.set(false);
-    // Only whole frames break a silence: one that comes byte by byte tells nothing.
-    let mut due = handle.clock.now() + FIRST_FRAME_TIMEOUT;
-    let mut came = dialled_at;
+    // Only complete frames extend the deadline: one that arrives byte by byte carries no event yet.
+    let mut deadline = handle.clock.now() + FIRST_FRAME_TIMEOUT;
+    let mut arrived_at = dialled_at;
     loop {
         if let Some((number, event)) = decode(&mut read.bytes)? {
-            handle_event(handle, came, number, &event)?;
-            due = handle.clock.now() + SILENCE_TIMEOUT;
+            handle_event(handle, arrived_at, number, &event)?;
+            deadline = handle.clock.now() + SILENCE_TIMEOUT;
         } else {
-            came = read_by(handle, &mut read, due).await?;
+            arrived_at = read_until(handle, &mut read, deadline).await?;
         }
     }
 }
 
-/// Reads more until `due`. A process that was stopped over that time hears its timers before its sockets: what lies in the
-/// machine by then was no silence.
-async fn read_by(
+/// Reads more bytes until `deadline`. A process that was stopped past the deadline handles its timers before its
+/// sockets, so that the kernel is polled once more before the feed counts as silent.
+async fn read_until(
     handle: &ControllerHandle,
     read: &mut ArrivalReader<Stream>,
-    due: Ticks,
+    deadline: Ticks,
 ) -> Result<Ticks, WatchError> {
     let mut more = std::pin::pin!(read.read_more());
-    let got = match tokio::time::timeout_at(handle.clock.instant(due), &mut more).await {
-        Ok(got) => got,
+    let result = match tokio::time::timeout_at(handle.clock.instant(deadline), &mut more).await {
+        Ok(result) => result,
         Err(_) => {
-            let looked = tokio::time::timeout(LAST_POLL_TIMEOUT, more).await;
-            looked.map_err(|_| WatchError::Silent)?
+            let last_poll = tokio::time::timeout(LAST_POLL_TIMEOUT, more).await;
+            last_poll.map_err(|_| WatchError::Silent)?
         }
     };
-    got?.ok_or(WatchError::Closed)
+    result?.ok_or(WatchError::Closed)
 }
 
-/// One event that came at this time or later; `Err`: some were missed, and have to be asked for.
+/// Handles one event that arrived at `arrived_at` or later. `Err`: events were missed and have to be requested again.
 pub(crate) fn handle_event(
     handle: &ControllerHandle,
-    came: Ticks,
+    arrived_at: Ticks,
     number: u64,
     event: &Event,
 ) -> Result<(), WatchError> {
     let feed = &handle.config.feed;
-    let last = feed.last.get();
-    let (whole, lines) = match event {
-        // It carries the number of the last event: a later one than ours was never told us.
-        Event::Heartbeat if number > last => return Err(WatchError::Untold { told: number, last }),
+    let last = feed.last_event.get();
+    let (is_complete, records) = match event {
+        // A heartbeat carries the number of the last event: a later one than ours was not sent to us.
+        Event::Heartbeat if number > last => return Err(WatchError::MissedEvents { number, last }),
         Event::Heartbeat => {
             feed.is_caught_up.set(true);
-            list_heard(handle, came);
+            list_is_current(handle, arrived_at);
             return Ok(());
         }
-        // Written twice: heard once.
+        // A duplicate event is ignored.
         _ if number <= last => return Ok(()),
         Event::Changes(_) if number > last + 1 => return Err(WatchError::Gap { number, last }),
-        Event::Snapshot(lines) => (true, lines),
-        Event::Changes(lines) => (false, lines),
+        Event::Snapshot(records) => (true, records),
+        Event::Changes(records) => (false, records),
     };
     let now = handle.clock.now();
-    log_event(number, whole, lines, now.saturating_sub(came));
-    feed.last.set(number);
-    handle.update(|state| apply_event(handle, state, came, whole, lines));
-    // Others may follow an event that was asked for after a gap, and count as told like it: they are known with the next
-    // empty frame.
+    log_event(number, is_complete, records, now.saturating_sub(arrived_at));
+    feed.last_event.set(number);
+    handle.update(|state| apply_event(handle, state, arrived_at, is_complete, records));
+    // After a reconnect, further missed events may follow this one, and count as reported as well: the list is current
+    // only with the next heartbeat.
     if feed.is_caught_up.get() {
-        list_heard(handle, came);
+        list_is_current(handle, arrived_at);
     }
     Ok(())
 }
 
-/// All events up to `came` are known.
-fn list_heard(handle: &ControllerHandle, came: Ticks) {
+/// Records and reports to the policy that all events up to `arrived_at` are known.
+fn list_is_current(handle: &ControllerHandle, arrived_at: Ticks) {
     let feed = &handle.config.feed;
-    feed.heard(handle.clock.now(), came);
+    feed.set_current(handle.clock.now(), arrived_at);
     handle.update(|state| {
         let now = state.invocations.now;
-        state.policy.endpoint_list_heard(now, came);
+        state.policy.endpoint_list_heard(now, arrived_at);
     });
 }
 
-/// Logs an event, and each invoker in it that takes no new work.
-fn log_event(number: u64, whole: bool, lines: &[EndpointRecord], waited: Ticks) {
+/// Logs an event, and each invoker in it that accepts no new work.
+fn log_event(number: u64, is_complete: bool, records: &[EndpointRecord], waited: Ticks) {
     info!(
         number,
-        whole,
-        lines = lines.len(),
+        whole = is_complete,
+        lines = records.len(),
         waited_most_ms = waited / MILLISECOND,
-        "control feed event received"
+        "endpoint feed event received"
     );
-    let not_ready = lines.iter().filter(|l| l.status != InvokerStatus::Ready);
-    for line in not_ready {
-        let id = format_invoker_id(line.invoker);
-        info!(number, id, status = ?line.status, "invoker takes no new work");
+    let not_ready = records
+        .iter()
+        .filter(|record| record.status != InvokerStatus::Ready);
+    for record in not_ready {
+        let id = format_invoker_id(record.invoker);
+        info!(number, id, status = ?record.status, "invoker accepts no new work");
     }
 }
 
+/// Applies the records of an event to the pools and the policy.
 pub(crate) fn apply_event(
     handle: &ControllerHandle,
     state: &mut crate::state::ControllerState,
-    came: Ticks,
-    whole: bool,
-    lines: &[EndpointRecord],
+    arrived_at: Ticks,
+    is_complete: bool,
+    records: &[EndpointRecord],
 ) {
     let now = state.invocations.now;
-    handle.config.look_at_wall_clock(now);
-    let started = |unix_ms: u64| {
+    handle.config.observe_wall_clock(now);
+    let start_time = |unix_ms: u64| {
         handle
             .config
             .wall_clock_history
             .borrow()
-            .start(unix_ms, now)
+            .start_time(unix_ms, now)
     };
     apply_list_change(
         state,
-        whole,
-        lines,
-        came,
-        started,
+        is_complete,
+        records,
+        arrived_at,
+        start_time,
         handle.config.deployment.drain_grace,
     );
 }
--- a/crates/platform/src/invoker_connection.rs
+++ b/crates/platform/src/invoker_connection.rs
@@ -1,4 +1,4 @@
-//! One connection to an invoker: HTTP/1.1 by hyper, over a stream that counts the bytes sent.
+//! One connection to an invoker: HTTP/1.1 with hyper, over a stream that counts the bytes sent.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -16,34 +16,36 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::task::AbortHandle;
 
-/// Heads longer than this are no heads.
+/// Longest head of a response.
 const HEAD_BYTES_MAX: usize = 16 << 10;
 const HEADERS_MAX: usize = 64;
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// The socket under a connection. Aborting a request closes it at once, whatever hyper still holds of it.
+/// The socket of a connection. Aborting a request closes it at once, even while hyper holds a reference to it.
 pub(crate) struct Socket {
     stream: RefCell<Option<Stream>>,
     clock: Clock,
-    /// Of the request on it: how many bytes were sent, how much of its head's end was met, what of its body is missing.
-    left: Cell<u64>,
-    head: Cell<usize>,
-    body: Cell<u64>,
+    /// Bytes of the current request that were sent.
+    sent_bytes: Cell<u64>,
+    /// Length of the matched prefix of the head's end.
+    head_end_matched: Cell<usize>,
+    /// Bytes of the body that remain to be sent.
+    body_remaining: Cell<u64>,
     send_deadline: RefCell<SendDeadline>,
-    /// When its last byte was handed to the machine.
+    /// When the last byte was handed to the kernel.
     sent_at: Cell<Option<Ticks>>,
-    /// Before its first byte was.
-    begun_at: Cell<Option<Ticks>>,
-    /// A request was not sent completely, as its time to leave was over.
+    /// The latest time at which no byte had been handed to the kernel.
+    last_unsent_at: Cell<Option<Ticks>>,
+    /// The request was not sent completely, because it became stale.
     is_stale: Cell<bool>,
 }
 
-/// Until when a request may begin to leave.
+/// Until when a request may begin to be sent.
 #[derive(Clone)]
 pub(crate) struct SendDeadline {
-    /// Rule 3: nothing new begins from then on at an invoker that drains or is gone.
+    /// Rule 3: from then on no new work begins to be sent to a draining or gone invoker.
     pub cutoff: Rc<Cell<Ticks>>,
-    /// What it says of the time that is left, and what is known of its client, is good until then.
+    /// Until then the time limit that the request states, and the knowledge that its client still waits, are valid.
     pub stale_at: Ticks,
 }
 
@@ -59,92 +61,95 @@
 impl Socket {
     fn new(stream: Stream, clock: Clock) -> Self {
         let stream = RefCell::new(Some(stream));
-        let (left, head, body, send_deadline) = Default::default();
-        let (sent_at, begun_at, is_stale) = Default::default();
+        let (sent_bytes, head_end_matched, body_remaining, send_deadline) = Default::default();
+        let (sent_at, last_unsent_at, is_stale) = Default::default();
         Self {
             stream,
             clock,
-            left,
-            head,
-            body,
+            sent_bytes,
+            head_end_matched,
+            body_remaining,
             send_deadline,
             sent_at,
-            begun_at,
+            last_unsent_at,
             is_stale,
         }
     }
 
-    /// Another request is to go over it: the bytes sent of the previous one are no longer counted.
-    pub fn begin(&self, body: usize, send_deadline: SendDeadline) {
-        self.left.set(0);
-        self.head.set(0);
-        self.body.set(body as u64);
+    /// Resets the counters of the previous request for a new one.
+    pub fn begin(&self, body_bytes: usize, send_deadline: SendDeadline) {
+        self.sent_bytes.set(0);
+        self.head_end_matched.set(0);
+        self.body_remaining.set(body_bytes as u64);
         self.sent_at.set(None);
-        self.begun_at.set(None);
+        self.last_unsent_at.set(None);
         self.is_stale.set(false);
         *self.send_deadline.borrow_mut() = send_deadline;
     }
 
-    /// Whether the request was not sent, or not to its end, because it would have been out of date.
+    /// Whether the request was not sent completely because it became stale.
     pub fn is_stale(&self) -> bool {
         self.is_stale.get()
     }
 
-    /// Whether a request, or what is left of it, may be sent now. One that was sent in part never ran, so it can still be given
-    /// up; the cutoff concerns its first byte alone.
+    /// Whether the request, or its remaining bytes, may be sent now. A partially sent request never ran, so it can
+    /// still be dropped; the cutoff applies to its first byte only.
     fn may_send(&self) -> bool {
         let (now, send_deadline) = (self.clock.now(), self.send_deadline.borrow());
         self.is_stale.set(now >= send_deadline.stale_at);
         if self.has_begun_sending() {
             return !self.is_stale.get();
         }
-        self.begun_at.set(Some(now));
+        self.last_unsent_at.set(Some(now));
         !self.is_stale.get() && now < send_deadline.cutoff.get()
     }
 
-    /// Whether the request on it was handed to the machine to its last byte. If not, no invoker can have run it.
+    /// Whether the request was handed to the kernel completely. If not, no invoker can have run it.
     pub fn sent_completely(&self) -> bool {
-        self.head.get() == HEAD_END.len() && self.body.get() == 0
+        self.head_end_matched.get() == HEAD_END.len() && self.body_remaining.get() == 0
     }
 
-    /// When the request on it was handed to the machine to its last byte.
+    /// When the request was handed to the kernel completely.
     pub fn sent_at(&self) -> Option<Ticks> {
         self.sent_at.get()
     }
 
-    /// The latest time at which nothing of the request on it had left, if some has. A process may be stopped right after it
-    /// sent, and then read the clock: what an invoker answers is no younger than this.
-    pub fn begun_at(&self) -> Option<Ticks> {
-        self.begun_at.get()
+    /// The latest time at which no byte of the request had been sent, if any has. A process may be stopped between
+    /// sending and reading the clock: the invoker's response reflects its state at this time or later.
+    pub fn last_unsent_at(&self) -> Option<Ticks> {
+        self.last_unsent_at.get()
     }
 
     pub fn has_begun_sending(&self) -> bool {
-        self.left.get() > 0
+        self.sent_bytes.get() > 0
     }
 
     pub fn close(&self) {
         self.stream.borrow_mut().take();
     }
 
-    fn count(&self, bytes: &[u8]) {
-        self.left.set(self.left.get() + bytes.len() as u64);
-        for (n, b) in bytes.iter().enumerate() {
-            let met = self.head.get();
-            if met == HEAD_END.len() {
-                self.body
-                    .set(self.body.get().saturating_sub((bytes.len() - n) as u64));
+    /// Counts bytes of the request that were handed to the kernel.
+    fn count_sent(&self, bytes: &[u8]) {
+        self.sent_bytes
+            .set(self.sent_bytes.get() + bytes.len() as u64);
+        for (index, byte) in bytes.iter().enumerate() {
+            let matched = self.head_end_matched.get();
+            if matched == HEAD_END.len() {
+                let remaining = self.body_remaining.get();
+                self.body_remaining
+                    .set(remaining.saturating_sub((bytes.len() - index) as u64));
                 return;
             }
-            self.head.set(if *b == HEAD_END[met] {
-                met + 1
+            self.head_end_matched.set(if *byte == HEAD_END[matched] {
+                matched + 1
             } else {
-                usize::from(*b == HEAD_END[0])
+                usize::from(*byte == HEAD_END[0])
             });
         }
     }
 
-    /// Nothing to read, and not at its end: it may be used once more.
-    fn is_quiet(&self) -> bool {
+    /// Whether the stream is open and has no bytes to read, so that it can be reused.
+    fn is_open_and_empty(&self) -> bool {
         let mut byte = [0];
         let mut cx = Context::from_waker(Waker::noop());
         let mut stream = self.stream.borrow_mut();
@@ -157,15 +162,16 @@
     }
 }
 
+/// The I/O of a socket, for hyper.
 struct SocketIo(Rc<Socket>);
 
 impl SocketIo {
-    fn with<T>(
+    fn with_stream<T>(
         &self,
-        act: impl FnOnce(Pin<&mut Stream>) -> Poll<io::Result<T>>,
+        operation: impl FnOnce(Pin<&mut Stream>) -> Poll<io::Result<T>>,
     ) -> Poll<io::Result<T>> {
         match self.0.stream.borrow_mut().as_mut() {
-            Some(stream) => act(Pin::new(stream)),
+            Some(stream) => operation(Pin::new(stream)),
             None => Poll::Ready(Err(io::ErrorKind::BrokenPipe.into())),
         }
     }
@@ -177,7 +183,7 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        self.with(|s| s.poll_read(cx, buf))
+        self.with_stream(|s| s.poll_read(cx, buf))
     }
 }
 
@@ -191,9 +197,9 @@
         if !socket.sent_completely() && !socket.may_send() {
             return Poll::Ready(Err(io::ErrorKind::TimedOut.into()));
         }
-        let polled = self.with(|s| s.poll_write(cx, bytes));
+        let polled = self.with_stream(|s| s.poll_write(cx, bytes));
         if let Poll::Ready(Ok(n)) = polled {
-            socket.count(&bytes[..n]);
+            socket.count_sent(&bytes[..n]);
             if socket.sent_completely() && socket.sent_at().is_none() {
                 socket.sent_at.set(Some(socket.clock.now()));
             }
@@ -202,15 +208,15 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.with(|s| s.poll_flush(cx))
+        self.with_stream(|s| s.poll_flush(cx))
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.with(|s| s.poll_shutdown(cx))
+        self.with_stream(|s| s.poll_shutdown(cx))
     }
 }
 
-/// A response read to its end.
+/// A response that was read completely.
 pub(crate) struct InvokerResponse {
     pub status: u16,
     pub headers: hyper::HeaderMap,
@@ -218,11 +224,13 @@
 }
 
 impl InvokerResponse {
+    /// Returns the value of a header field.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|v| v.to_str().ok())
     }
 }
 
+/// One HTTP connection to an invoker. Dropping it closes the socket.
 pub(crate) struct InvokerConnection {
     pub socket: Rc<Socket>,
     sender: SendRequest<Full<Bytes>>,
@@ -237,6 +245,7 @@
 }
 
 impl InvokerConnection {
+    /// Establishes HTTP on a stream.
     pub async fn handshake(stream: Stream, clock: Clock) -> Result<Self, hyper::Error> {
         let socket = Rc::new(Socket::new(stream, clock));
         let mut builder = Builder::new();
@@ -254,27 +263,27 @@
         })
     }
 
-    /// Whether another request may go over it.
+    /// Whether another request can be sent on the connection.
     pub fn is_reusable(&self) -> bool {
-        !self.task.is_finished() && self.sender.is_ready() && self.socket.is_quiet()
+        !self.task.is_finished() && self.sender.is_ready() && self.socket.is_open_and_empty()
     }
 
-    /// Asks, and reads the answer to its end: at most `most` bytes of it, as a spoilt one may never end.
+    /// Sends a request and reads the response, of at most `max_response_bytes`, as a faulty response may never end.
     pub async fn request(
         &mut self,
         request: Request<Full<Bytes>>,
-        body: usize,
+        body_bytes: usize,
         send_deadline: SendDeadline,
-        most: usize,
+        max_response_bytes: usize,
     ) -> Result<InvokerResponse, String> {
-        self.socket.begin(body, send_deadline);
-        let answer = self
+        self.socket.begin(body_bytes, send_deadline);
+        let response = self
             .sender
             .send_request(request)
             .await
             .map_err(|e| error_chain(&e))?;
-        let (head, body): (_, Incoming) = Response::into_parts(answer);
-        let body = http_body_util::Limited::new(body, most)
+        let (head, body): (_, Incoming) = Response::into_parts(response);
+        let body = http_body_util::Limited::new(body, max_response_bytes)
             .collect()
             .await
             .map_err(|e| e.to_string())?;
@@ -286,9 +295,9 @@
     }
 }
 
-fn error_chain(e: &hyper::Error) -> String {
-    let inner = std::error::Error::source(e)
-        .map(|s| format!(": {s}"))
+fn error_chain(error: &hyper::Error) -> String {
+    let source = std::error::Error::source(error)
+        .map(|source| format!(": {source}"))
         .unwrap_or_default();
-    format!("{e}{inner}")
+    format!("{error}{source}")
 }
--- a/crates/platform/src/invoker_pools.rs
+++ b/crates/platform/src/invoker_pools.rs
@@ -1,8 +1,8 @@
-//! A pool of connections to each invoker, keyed by its id and never by its address; one request a connection at a time.
+//! A pool of connections to each invoker, by its id, not its address. A connection carries one request at a time.
 
 use crate::attempt::{
-    Attempt, PreparedRequest, REQUEST_STALENESS_LIMIT, background_request, run_dispatch, run_load,
-    run_probe,
+    Attempt, PreparedRequest, REQUEST_STALENESS_LIMIT, run_background_request, run_dispatch,
+    run_load, run_probe,
 };
 use crate::descriptor_guard::DescriptorGuard;
 use crate::invoker_connection::{InvokerConnection, SendDeadline, Socket};
@@ -29,16 +29,16 @@
 pub(crate) use lost_connections::report_lost_connections;
 pub(crate) use views::log_invoker_views;
 
-/// What the attempts of an invocation carry.
+/// The data that is sent with each attempt of an invocation.
 pub(crate) struct Payload {
     pub trigger: usize,
     pub txn: u64,
     /// The idempotency key.
     pub token: Option<String>,
     pub body: Bytes,
-    /// While its client's stream holds unread bytes, the client may have left.
+    /// Whether the client's stream has unread bytes; while it has, the client may have left.
     client_backlog: ReadBacklog,
-    /// Bytes of all bodies that are held.
+    /// Total bytes of all bodies in memory.
     held_bytes: Rc<Cell<usize>>,
 }
 
@@ -52,23 +52,23 @@
 struct Pool {
     address: SocketAddrV4,
     status: InvokerStatus,
-    /// Rule 3: no new work begins to be sent from then on.
+    /// Rule 3: from then on no new work begins to be sent.
     cutoff: Rc<Cell<Ticks>>,
     /// When the invoker started, as first reported: in Unix milliseconds, and on the controller's clock.
     started: Option<(u64, Ticks)>,
-    /// Rises when open connections lead to another process: those in use are not reused then.
+    /// Incremented when open connections lead to another process; those in use are not reused then.
     epoch: u32,
-    /// Idle connections, each with when it became idle; the freshest last.
+    /// Idle connections, each with the time at which it became idle; the most recent is last.
     idle: Vec<(Ticks, InvokerConnection)>,
     /// Requests in flight.
     active_requests: usize,
-    /// By its own word, when it was last probed, it takes no new work.
+    /// The invoker reported, at the last probe, that it accepts no new work.
     is_not_ready: bool,
 }
 
 impl Pool {
-    /// Until when a request that is decided now may begin to be sent. An order that could not be sent by `stale_base` and a
-    /// little more is decided anew: what it rests on has changed.
+    /// The deadline for a request to begin to be sent. A load order that was not sent within the staleness limit after
+    /// `stale_base` is not sent, so that the policy decides again on current data.
     fn send_deadline(&self, kind: &RequestKind, stale_base: Ticks) -> SendDeadline {
         let cutoff = if kind.is_new_work() {
             self.cutoff.clone()
@@ -86,23 +86,23 @@
     }
 }
 
-/// What a request is for.
+/// The purpose of a request.
 enum RequestKind {
     /// An attempt of an invocation.
     Dispatch {
         invocation: InvocationId,
         attempt: u8,
     },
-    /// A load order, which begins to be sent before `send_by`. To query and to unload are no new work.
+    /// A load order, which must begin to be sent before `send_by`. Queries and unloads are not new work.
     Load { is_new_work: bool, send_by: Ticks },
-    /// Asks whether the invoker takes new work.
+    /// Asks whether the invoker accepts new work.
     Probe,
-    /// A request whose end nobody waits for.
+    /// A request whose outcome is not reported.
     Background,
 }
 
 impl RequestKind {
-    /// Whether it must not reach an invoker that is draining.
+    /// Whether the request must not be sent to a draining invoker.
     fn is_new_work(&self) -> bool {
         match self {
             Self::Dispatch { .. } => true,
@@ -112,7 +112,7 @@
     }
 }
 
-/// Runs a request in a task of its own.
+/// Spawns the task of a request.
 fn spawn_request(
     kind: &RequestKind,
     request: Attempt,
@@ -126,7 +126,7 @@
         RequestKind::Load { .. } => tokio::task::spawn_local(run_load(request, connection)),
         RequestKind::Probe => tokio::task::spawn_local(run_probe(request, connection)),
         RequestKind::Background => {
-            tokio::task::spawn_local(background_request(request, connection))
+            tokio::task::spawn_local(run_background_request(request, connection))
         }
     };
     task.abort_handle()
@@ -145,21 +145,21 @@
         self.socket.as_ref()?.sent_at()
     }
 
-    /// Whether it is an attempt whose request was sent completely.
+    /// Whether this is an attempt whose request was sent completely.
     fn is_at_invoker(&self) -> bool {
         matches!(self.kind, RequestKind::Dispatch { .. })
             && self.socket.as_ref().is_some_and(|s| s.sent_completely())
     }
 }
 
-/// Sizes of the tables: none may grow with what was ever seen.
+/// Sizes of the tables, none of which may grow without bound.
 #[cfg(test)]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct PoolSizes {
     pub pools: usize,
-    pub lines: usize,
-    pub jobs: usize,
-    pub bytes: usize,
+    pub connections: usize,
+    pub requests: usize,
+    pub body_bytes: usize,
 }
 
 /// The connections to all invokers, and the requests on them.
@@ -172,17 +172,18 @@
     pools: BTreeMap<InvokerId, Pool>,
     requests: BTreeMap<u64, PendingRequest>,
     last_request: u64,
-    /// Invokers that ended connections, each with when that was noticed; not reported to the policy yet.
+    /// Invokers that refused or closed connections, each with the time at which this was noticed, not yet reported to
+    /// the policy.
     lost_connections: BTreeMap<InvokerId, Ticks>,
-    /// When load orders were sent whose end is being reported.
+    /// When load orders were sent whose outcome is being reported.
     load_sent_times: BTreeMap<u64, Ticks>,
-    /// Connections that are open, being made or just aborted, idle ones among them.
-    open: Rc<Cell<usize>>,
+    /// Number of connections that are open (idle ones included), being established or just aborted.
+    open_connections: Rc<Cell<usize>>,
     held_bytes: Rc<Cell<usize>>,
 }
 
 impl InvokerPools {
-    /// Without any invoker.
+    /// Creates pools without any invokers.
     pub fn new(
         budget: ResourceLimits,
         connect_timeout: Ticks,
@@ -200,18 +201,18 @@
             last_request: 0,
             lost_connections: BTreeMap::new(),
             load_sent_times: BTreeMap::new(),
-            open: Rc::default(),
+            open_connections: Rc::default(),
             held_bytes: Rc::default(),
         }
     }
 
-    /// Sets the handle through which requests report their ends.
+    /// Sets the handle through which requests report their outcomes.
     pub fn set_handle(&mut self, handle: &Rc<ControllerHandle>) {
         self.handle = Rc::downgrade(handle);
     }
 
-    /// What the attempts of an invocation carry, if there is memory to hold it.
-    pub fn carry(
+    /// Creates the payload of an invocation, unless the memory limit for bodies would be exceeded.
+    pub fn make_payload(
         &self,
         trigger: usize,
         txn: u64,
@@ -235,12 +236,11 @@
 
     #[cfg(test)]
     pub fn sizes(&self) -> PoolSizes {
-        let (pools, lines, jobs) = (self.pools.len(), self.open.get(), self.requests.len());
         PoolSizes {
-            pools,
-            lines,
-            jobs,
-            bytes: self.held_bytes.get(),
+            pools: self.pools.len(),
+            connections: self.open_connections.get(),
+            requests: self.requests.len(),
+            body_bytes: self.held_bytes.get(),
         }
     }
 
@@ -267,11 +267,12 @@
         let (epoch, address) = (pool.epoch, Address::Tcp(pool.address.to_string()));
         let send_deadline = pool.send_deadline(&kind, now + self.connect_timeout);
         self.last_request += 1;
-        // At once: a request that is withdrawn before its task runs must not be judged by the request before.
+        // Reset here, as a request may be withdrawn before its task runs: the state of the previous request must not
+        // decide whether this one was sent.
         if let Some(connection) = &connection {
             connection
                 .socket
-                .begin(prepared.body, send_deadline.clone());
+                .begin(prepared.body_bytes, send_deadline.clone());
         }
         let is_new_connection = connection.is_none();
         let attempt = Attempt {
@@ -280,9 +281,11 @@
             epoch,
             request_id: self.last_request,
             address,
-            within: Duration::from_micros(self.connect_timeout * 100),
-            descriptor: Cell::new(is_new_connection.then(|| DescriptorGuard::new(&self.open))),
-            open: self.open.clone(),
+            connect_timeout: Duration::from_micros(self.connect_timeout * 100),
+            descriptor: Cell::new(
+                is_new_connection.then(|| DescriptorGuard::new(&self.open_connections)),
+            ),
+            open_descriptors: self.open_connections.clone(),
             send_deadline,
             prepared,
         };
@@ -300,14 +303,14 @@
         Ok(self.last_request)
     }
 
-    /// The connection of a request was established.
-    pub(crate) fn connected(&mut self, request: u64, socket: Rc<Socket>) {
+    /// Records the connection that was established for a request.
+    pub(crate) fn set_socket(&mut self, request: u64, socket: Rc<Socket>) {
         if let Some(request) = self.requests.get_mut(&request) {
             request.socket = Some(socket);
         }
     }
 
-    /// A request has ended by itself: false when it was aborted before.
+    /// Removes a request that has ended. False: it was aborted before.
     pub(crate) fn finish(&mut self, request: u64) -> bool {
         let Some(ended) = self.requests.remove(&request) else {
             return false;
@@ -321,12 +324,16 @@
         true
     }
 
-    /// The latest time at which nothing of a request in flight had left.
-    pub(crate) fn begun_at(&self, request: u64) -> Option<Ticks> {
-        self.requests.get(&request)?.socket.as_ref()?.begun_at()
+    /// The latest time at which no byte of a request in flight had been sent.
+    pub(crate) fn last_unsent_at(&self, request: u64) -> Option<Ticks> {
+        self.requests
+            .get(&request)?
+            .socket
+            .as_ref()?
+            .last_unsent_at()
     }
 
-    /// Aborts a request: its connection is closed at once.
+    /// Aborts a request and closes its connection at once.
     fn abort(&mut self, request: u64) {
         let Some(request) = self.requests.remove(&request) else {
             return;
--- a/crates/platform/src/invoker_pools/idle_connections.rs
+++ b/crates/platform/src/invoker_pools/idle_connections.rs
@@ -1,24 +1,25 @@
-//! Idle connections to invokers: which are kept, reused and closed.
+//! Reuse and closing of idle connections to invokers.
 
 use super::InvokerPools;
 use crate::invoker_connection::InvokerConnection;
 use saltdrum::interface::*;
 
-/// An idle connection is closed before the invoker would close it: at this fraction of the configured idle timeout.
+/// Fraction of the configured idle timeout after which an idle connection is closed, before the invoker closes it.
 const IDLE_TIMEOUT_FRACTION: (Ticks, Ticks) = (3, 4);
-/// A connection is not reused for this long after a response, as measured at event loop polls: a duplicate response, or
-/// noise, may come some milliseconds late, and would be read as the response to the next request.
+/// A connection is not reused for this long after a response, measured at event loop polls: a duplicate response or
+/// garbage may arrive some milliseconds late, and would be read as the response to the next request.
 const CONNECTION_REUSE_DELAY: Ticks = 30 * MILLISECOND;
 
 impl InvokerPools {
-    /// Drops idle connections that the invoker would soon close or that are broken, and pools of invokers that are gone.
+    /// Closes idle connections that are broken or that the invoker would close soon, and removes pools of gone
+    /// invokers.
     pub(crate) fn sweep(&mut self, now: Ticks) {
         let max_idle_time = self.max_idle_time();
         for (invoker, pool) in &mut self.pools {
             pool.idle.retain(|(since, _)| now < since + max_idle_time);
-            let kept = pool.idle.len();
+            let before = pool.idle.len();
             pool.idle.retain(|(_, connection)| connection.is_reusable());
-            if pool.idle.len() < kept {
+            if pool.idle.len() < before {
                 self.lost_connections.insert(*invoker, now);
             }
         }
@@ -26,21 +27,21 @@
             .retain(|_, pool| pool.status != InvokerStatus::Gone || pool.active_requests > 0);
     }
 
-    /// Makes capacity for one more connection: closes the one that was idle longest, wherever it leads.
+    /// Makes capacity for one more connection by closing the longest idle connection to any invoker.
     pub(super) fn make_capacity(&mut self) -> bool {
-        if self.open.get() < self.budget.lines {
+        if self.open_connections.get() < self.budget.lines {
             return true;
         }
-        let longest = self
+        let longest_idle = self
             .pools
             .iter()
             .filter_map(|(invoker, pool)| Some((pool.idle.first()?.0, *invoker)))
             .min();
-        let Some(pool) = longest.and_then(|(_, invoker)| self.pools.get_mut(&invoker)) else {
+        let Some(pool) = longest_idle.and_then(|(_, invoker)| self.pools.get_mut(&invoker)) else {
             return false;
         };
         pool.idle.remove(0);
-        self.open.get() < self.budget.lines
+        self.open_connections.get() < self.budget.lines
     }
 
     /// How long an idle connection may be kept.
@@ -48,7 +49,8 @@
         self.connection_idle_timeout * IDLE_TIMEOUT_FRACTION.0 / IDLE_TIMEOUT_FRACTION.1
     }
 
-    /// Takes the freshest idle connection that may be reused now, and drops those that may not any more.
+    /// Removes and returns the most recently used idle connection that may be reused now, and closes those that expired
+    /// or broke.
     pub(super) fn take_idle(
         &mut self,
         now: Ticks,
@@ -57,12 +59,12 @@
     ) -> Option<InvokerConnection> {
         let max_idle_time = self.max_idle_time();
         let pool = self.pools.get_mut(&invoker)?;
-        for i in (0..pool.idle.len()).rev() {
-            let since = pool.idle[i].0;
+        for index in (0..pool.idle.len()).rev() {
+            let since = pool.idle[index].0;
             if last_polled < since + CONNECTION_REUSE_DELAY {
                 continue;
             }
-            let (_, idle) = pool.idle.remove(i);
+            let (_, idle) = pool.idle.remove(index);
             if now >= since + max_idle_time {
                 continue;
             }
@@ -74,7 +76,7 @@
         None
     }
 
-    /// Takes back a connection whose request has ended, unless it leads to another process by now.
+    /// Returns a connection whose request has ended to its pool, unless the invoker's process has changed since.
     pub(crate) fn return_connection(
         &mut self,
         now: Ticks,
--- a/crates/platform/src/invoker_pools/list_changes.rs
+++ b/crates/platform/src/invoker_pools/list_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the endpoint list, applied to the pools before the policy sees them.
+//! Applies changes of the endpoint list to the pools before the policy sees them.
 
 use super::{PendingRequest, Pool, RequestKind};
 use crate::state::ControllerState;
@@ -8,9 +8,9 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Applies the list, or an event of it, to the pools first, so that nothing the policy then does meets an old one. It has been in
-/// the feed since `arrived_at` at the earliest, and counts as notified since then, however late it is read. `start_time` gives
-/// the controller's time of a start in Unix milliseconds.
+/// Applies a complete list or an event to the pools and then to the policy, so that the policy's actions use the
+/// current pools. It arrived at `arrived_at` at the earliest, and the drain grace counts from then, however late it is
+/// read. `start_time` converts a start in Unix milliseconds to the controller's clock.
 pub(crate) fn apply_list_change(
     state: &mut ControllerState,
     is_complete: bool,
@@ -54,12 +54,12 @@
     let invokers: Vec<InvokerRecord> = invokers.collect();
     state.policy.invokers_changed(now, is_complete, &invokers);
     for invoker in not_ready {
-        // Half the grace is for the way, and for what is partially sent.
+        // Half the grace is reserved for the transit and for partially sent requests.
         set_cutoff(state, invoker, arrived_at + grace / 2);
     }
 }
 
-/// No new work begins to be sent to an invoker from `at` on.
+/// Sets the time from which no new work begins to be sent to an invoker.
 fn set_cutoff(state: &mut ControllerState, invoker: InvokerId, at: Ticks) {
     if let Some(pool) = state.invocations.transport.pools.get(&invoker) {
         pool.cutoff.set(pool.cutoff.get().min(at));
@@ -68,7 +68,7 @@
     state.invocations.schedule(at, Box::new(enforce));
 }
 
-/// The time of a pool's cutoff has come: new work that has not begun to be sent never is.
+/// At the cutoff of a pool, ends new work that has not begun to be sent.
 fn enforce_cutoff(state: &mut ControllerState, invoker: InvokerId) {
     let now = state.invocations.now;
     let transport = &state.invocations.transport;
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Open connections lead to another process, or to none.
+    /// Closes idle connections, and prevents the reuse of those in use: they lead to another process, or to none.
     fn disconnect(&mut self) {
         self.epoch += 1;
         self.idle.clear();
@@ -137,12 +137,12 @@
         }
         self.address = record.address;
         self.status = record.status;
-        // A start that is reported again is the same: a later one would be another start.
-        let known = self
+        // The same start may be reported again; its converted time does not change then.
+        let known_start = self
             .started
             .filter(|(unix_ms, _)| Some(*unix_ms) == record.started_ms);
-        let reported = || Some((record.started_ms?, start_time(record.started_ms?)));
-        self.started = known.or_else(reported);
+        let reported_start = || Some((record.started_ms?, start_time(record.started_ms?)));
+        self.started = known_start.or_else(reported_start);
         if record.status == InvokerStatus::Ready {
             self.cutoff.set(Ticks::MAX);
         }
--- a/crates/platform/src/invoker_pools/lost_connections.rs
+++ b/crates/platform/src/invoker_pools/lost_connections.rs
@@ -1,11 +1,12 @@
-//! Connections that invokers refused or ended: signs that their processes may have ended too.
+//! Tracks connections that invokers refused or closed, as signs that their processes may have ended.
 
 use super::InvokerPools;
 use crate::state::ControllerState;
 use saltdrum::interface::*;
 
 impl InvokerPools {
-    /// A connection to an invoker was refused, or ended by its other side. `epoch` is the one in which it was dialled.
+    /// Records that a connection to an invoker was refused, or closed by the invoker. `epoch` is the pool's epoch at
+    /// the dial.
     pub(crate) fn connection_lost(&mut self, now: Ticks, invoker: InvokerId, epoch: u32) {
         let pool = self.pools.get(&invoker);
         if pool.is_some_and(|pool| pool.epoch == epoch) {
--- a/crates/platform/src/invoker_pools/transport.rs
+++ b/crates/platform/src/invoker_pools/transport.rs
@@ -1,4 +1,4 @@
-//! The pools as the controller core sees them: dispatches, load orders and background requests.
+//! The pools as the transport of the controller core: dispatches, load orders, probes and background requests.
 
 use crate::attempt::{PreparedRequest, WaitingClient};
 use crate::clients::ClientResponder;
@@ -12,8 +12,8 @@
 
 use super::{InvokerPools, Payload, PendingRequest, RequestKind};
 
-/// The HTTP request of an attempt.
-fn dispatch_request(
+/// Builds the HTTP request of an attempt.
+fn build_dispatch_request(
     payload: &Payload,
     trigger_name: &str,
     function: FunctionId,
@@ -43,13 +43,13 @@
     fn dispatch(&mut self, outgoing: &OutgoingDispatch<Payload>) -> Result<u64, Outcome> {
         let payload = outgoing.payload;
         let trigger_name = &self.trigger_names[payload.trigger];
-        let request = dispatch_request(payload, trigger_name, outgoing.function)?;
+        let request = build_dispatch_request(payload, trigger_name, outgoing.function)?;
         let prepared = PreparedRequest {
             request,
-            body: payload.body.len(),
+            body_bytes: payload.body.len(),
             client: Some(WaitingClient {
-                until: outgoing.deadline,
-                leave_by: outgoing.send_by,
+                deadline: outgoing.deadline,
+                send_by: outgoing.send_by,
                 backlog: payload.client_backlog.clone(),
             }),
         };
@@ -109,7 +109,7 @@
             is_new_work,
             send_by,
         };
-        self.start(now, invoker, kind, PreparedRequest::alone(request))
+        self.start(now, invoker, kind, PreparedRequest::without_client(request))
             .map_err(|outcome| match outcome {
                 Outcome::NoConnection => LoadOutcome::Unreachable,
                 _ => LoadOutcome::NotSent,
@@ -137,7 +137,7 @@
                 now,
                 invoker,
                 RequestKind::Background,
-                PreparedRequest::alone(request),
+                PreparedRequest::without_client(request),
             );
         }
     }
@@ -149,7 +149,7 @@
             .body(Full::default())
             .map_err(|_| ProbeOutcome::NotSent)?;
         self.log_list_out_of_date(now);
-        let prepared = PreparedRequest::alone(request);
+        let prepared = PreparedRequest::without_client(request);
         let started = self.start(now, invoker, RequestKind::Probe, prepared);
         started.map(|_| ()).map_err(|outcome| match outcome {
             Outcome::NoConnection => ProbeOutcome::Unreachable,
--- a/crates/platform/src/invoker_pools/views.rs
+++ b/crates/platform/src/invoker_pools/views.rs
@@ -1,4 +1,5 @@
-//! What is logged of invokers: counters, the policy's view of each, and what each says of its readiness.
+//! Logs the controller's counters, the policy's view of each invoker, and changes of the readiness that invokers
+//! report.
 
 use super::{InvokerPools, RequestKind};
 use crate::endpoint_watch::EndpointWatch;
@@ -7,7 +8,7 @@
 use saltdrum_platform_wire::feed::format_invoker_id;
 use tracing::{debug, info, warn};
 
-/// Logs the counters, and what the policy believes of each invoker beside what is on its sockets.
+/// Logs the counters, and the policy's view of each invoker with the state of its connections.
 pub(crate) fn log_invoker_views(state: &ControllerState, feed: &EndpointWatch) {
     log_counters(state, feed);
     for view in state.policy.invoker_views(state.invocations.now) {
@@ -35,9 +36,9 @@
         orders_counted = sizes.loads_counted,
         invocations_counted = sizes.invocations_counted,
         in_flight = state.invocations.in_flight(),
-        lines = transport.open.get(),
+        lines = transport.open_connections.get(),
         held_bytes = transport.held_bytes.get(),
-        list_event = feed.last(),
+        list_event = feed.last_event(),
         list_age_ms = feed.age(state.invocations.now) / MILLISECOND,
         feed_losses = feed.losses(),
         probes = readiness.probes,
@@ -70,7 +71,7 @@
 }
 
 impl InvokerPools {
-    /// Logs when an invoker's own word on its readiness changes.
+    /// Logs when the readiness that an invoker reports changes.
     pub(crate) fn log_readiness(&mut self, invoker: InvokerId, outcome: ProbeOutcome) {
         let Some(pool) = self.pools.get_mut(&invoker) else {
             return;
@@ -80,16 +81,16 @@
         match outcome {
             ProbeOutcome::NotReady => pool.is_not_ready = true,
             ProbeOutcome::Ready => pool.is_not_ready = false,
-            _ => debug!(id, ?outcome, "probe without an answer"),
+            _ => debug!(id, ?outcome, "probe not answered"),
         }
         match (was_not_ready, pool.is_not_ready) {
-            (false, true) => warn!(id, "invoker takes no new work, by its own word"),
-            (true, false) => warn!(id, "invoker takes new work again, by its own word"),
+            (false, true) => warn!(id, "invoker reported not ready"),
+            (true, false) => warn!(id, "invoker reported ready again"),
             _ => {}
         }
     }
 
-    /// Logs, once for each time that the feed is lost, that invokers are probed before they get new work.
+    /// Logs, once per loss of the feed, that invokers are probed before they receive new work.
     pub(super) fn log_list_out_of_date(&self, now: Ticks) {
         if let Some(handle) = self.handle.upgrade() {
             handle.config.feed.log_out_of_date(now);
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,12 +1,14 @@
-//! The controller on the platform's own sockets.
+//! The controller on the platform's protocols and sockets.
 //!
-//! `saltdrum_controller::invocations` keeps invocations, timers and the one final response; this package connects it to the
-//! platform. `clients` is the table of client connections, `acceptor` fills it, `client_connection` is one of them, `admission` the checks of one
-//! invocation. `invoker_pools` holds the connections to each invoker, `invoker_connection` is one of them, `attempt` one
-//! request on it. `endpoint_watch` follows the list of invokers, `limits` derives what this machine has room for,
-//! `state` is what the files share, and `lifecycle` starts, reloads and stops all of them: start reading there.
+//! `saltdrum_controller::invocations` manages invocations, timers and the one final response of each; this package
+//! connects it to the platform. `clients` is the table of client connections, `acceptor` fills it, `client_connection`
+//! serves one of them, and `admission` validates one invocation. `invoker_pools` holds the connections to each invoker,
+//! `invoker_connection` is one of them, and `attempt` is one request on it. `endpoint_watch` follows the list of
+//! invokers, `limits` derives resource bounds from the limits of the machine, `state` is the state that the modules
+//! share, and `lifecycle` starts, reloads and stops all of them: start reading there.
 //!
-//! Nothing here chooses an invoker, retries, delays or rejects, except what can't be held or isn't valid.
+//! This package does not choose invokers, retry, delay or reject, except for requests that are invalid or exceed a
+//! bound.
 
 mod acceptor;
 mod admission;
--- a/crates/platform/src/lifecycle.rs
+++ b/crates/platform/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Lifecycle of a controller: start, ready, reload on SIGHUP, shutdown on SIGTERM.
+//! Lifecycle of a controller: start, reload on SIGHUP, shutdown on SIGTERM.
 
 use crate::acceptor::{accept_clients, sweep};
 use crate::clients::Clients;
@@ -23,14 +23,15 @@
 
 mod shutdown;
 
-pub(crate) use shutdown::leave;
+pub(crate) use shutdown::shut_down;
 
-/// A bad file is read again so often and so many times: a second in all, well within the 4 s after which what the feed has
-/// to tell counts as told.
+/// An invalid configuration file is read again at this interval, at most `RELOAD_RETRIES_MAX` times. This takes a
+/// second, well within the 4 s after which events missed on the feed count as reported.
 const RELOAD_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 const RELOAD_RETRIES_MAX: usize = 10;
-/// Who stands still for less has too little of a core; for longer, it was stopped.
+/// Stops of at least this length are logged as warnings; shorter ones may be due to a lack of CPU time.
 const STOPPED_THRESHOLD: Ticks = 500 * MILLISECOND;
+
 /// Why a controller can't be started.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
@@ -39,7 +40,7 @@
     Unreadable {
         /// The file.
         path: String,
-        /// What the system says.
+        /// The error of the system.
         error: std::io::Error,
     },
     /// The configuration file holds a fault.
@@ -47,7 +48,7 @@
     Config {
         /// The file.
         path: String,
-        /// The field at fault.
+        /// The invalid field.
         fault: config::ConfigError,
     },
     /// An environment variable contradicts the configuration file.
@@ -57,7 +58,7 @@
         variable: &'static str,
         /// Its value.
         value: String,
-        /// What the configuration file says.
+        /// The value in the configuration file.
         expected: String,
     },
     /// The listening socket can't be opened.
@@ -65,7 +66,7 @@
     Listen {
         /// The address.
         address: String,
-        /// What the system says.
+        /// The error of the system.
         error: std::io::Error,
     },
     /// Signal handlers can't be installed.
@@ -73,31 +74,33 @@
     Signals(std::io::Error),
 }
 
-/// What a controller is started with.
+/// Parameters to start a controller.
 pub struct StartOptions {
     /// The configuration file.
     pub config: PathBuf,
-    /// As the environment says it; must be what the file says, where it is said.
+    /// The listening address from the environment; if set, it must match the file.
     pub listen: Option<String>,
-    /// The name from the environment, with the same condition.
+    /// The name from the environment; if set, it must match the file.
     pub name: Option<String>,
-    /// From the one place that reads the system's clock.
+    /// Reads the wall clock of the system.
     pub wall_clock: WallClock,
 }
 
-fn read(life: &StartOptions) -> Result<Config, StartError> {
-    let path = life.config.display().to_string();
-    let text = std::fs::read_to_string(&life.config).map_err(|error| StartError::Unreadable {
-        path: path.clone(),
-        error,
-    })?;
+/// Reads the configuration file, and checks the environment against it.
+fn read_config(options: &StartOptions) -> Result<Config, StartError> {
+    let path = options.config.display().to_string();
+    let text =
+        std::fs::read_to_string(&options.config).map_err(|error| StartError::Unreadable {
+            path: path.clone(),
+            error,
+        })?;
     let config = config::parse(&text).map_err(|fault| StartError::Config { path, fault })?;
     let listen = config.listen.to_string();
-    let said = [
-        ("RELAY_LISTEN", &life.listen, listen),
-        ("RELAY_NAME", &life.name, config.name.clone()),
+    let variables = [
+        ("RELAY_LISTEN", &options.listen, listen),
+        ("RELAY_NAME", &options.name, config.name.clone()),
     ];
-    for (variable, value, expected) in said {
+    for (variable, value, expected) in variables {
         if let Some(value) = value.as_ref().filter(|value| **value != expected) {
             return Err(StartError::EnvironmentMismatch {
                 variable,
@@ -109,49 +112,56 @@
     Ok(config)
 }
 
-/// Runs one controller until SIGTERM and its last response.
+/// Runs a controller until SIGTERM and its last response.
 pub async fn serve(
-    life: StartOptions,
+    options: StartOptions,
     network: Rc<dyn Network>,
     clock: Clock,
-    make: MakePolicy,
+    make_policy: MakePolicy,
 ) -> Result<(), StartError> {
-    let mut reloads = signal(SignalKind::hangup()).map_err(StartError::Signals)?;
-    let mut ends = signal(SignalKind::terminate()).map_err(StartError::Signals)?;
-    let handle = start(read(&life)?, life.wall_clock.clone(), network, clock, make).await?;
+    let mut hangups = signal(SignalKind::hangup()).map_err(StartError::Signals)?;
+    let mut terminations = signal(SignalKind::terminate()).map_err(StartError::Signals)?;
+    let handle = start(
+        read_config(&options)?,
+        options.wall_clock.clone(),
+        network,
+        clock,
+        make_policy,
+    )
+    .await?;
     loop {
         tokio::select! {
             biased;
-            _ = ends.recv() => break,
-            _ = reloads.recv() => reload(&life.config, &handle),
+            _ = terminations.recv() => break,
+            _ = hangups.recv() => reload(&options.config, &handle),
         }
     }
     let signals = async {
         loop {
             tokio::select! {
-                _ = ends.recv() => {}
-                _ = reloads.recv() => reload(&life.config, &handle),
+                _ = terminations.recv() => {}
+                _ = hangups.recv() => reload(&options.config, &handle),
             }
         }
     };
     tokio::select! {
         biased;
-        () = leave(&handle) => {}
+        () = shut_down(&handle) => {}
         () = signals => {}
     }
     Ok(())
 }
 
-/// Starts a controller: it knows its list of invokers before it listens.
+/// Starts a controller. It has the configured list of invokers before it listens.
 pub(crate) async fn start(
     config: Config,
     wall_clock: WallClock,
     network: Rc<dyn Network>,
     clock: Clock,
-    make: MakePolicy,
+    make_policy: MakePolicy,
 ) -> Result<Rc<ControllerHandle>, StartError> {
     let address = Address::Tcp(config.listen.to_string());
-    let handle = build(config, wall_clock, network, clock, make);
+    let handle = build(config, wall_clock, network, clock, make_policy);
     let opened_at = clock.now();
     let listening = handle.network.listen(&address).await;
     let (listener, _) = listening.map_err(|error| StartError::Listen {
@@ -162,13 +172,13 @@
     Ok(handle)
 }
 
-/// The controller's state with the list of invokers that its configuration states; nothing runs yet.
+/// Builds the controller's state with the configured list of invokers, without starting its tasks.
 fn build(
     config: Config,
     wall_clock: WallClock,
     network: Rc<dyn Network>,
     clock: Clock,
-    make: MakePolicy,
+    make_policy: MakePolicy,
 ) -> Rc<ControllerHandle> {
     let (now, mut deployment) = (clock.now(), config.deployment);
     deployment.list_lifetime = Some(LIST_LIFETIME);
@@ -187,7 +197,7 @@
         trigger_names.clone(),
     );
     let mut invocations = InvocationTable::new(now, pools, &deployment, config.load_timeout);
-    let policy = make(now, deployment.clone(), config.seed, &mut invocations);
+    let policy = make_policy(now, deployment.clone(), config.seed, &mut invocations);
     let node = NodeConfig {
         seed: config.seed,
         deployment,
@@ -206,11 +216,11 @@
         for (_, event) in &config.known_events.1 {
             match event {
                 Event::Heartbeat => {}
-                Event::Snapshot(lines) => {
-                    endpoint_watch::apply_event(&handle, state, now, true, lines)
+                Event::Snapshot(records) => {
+                    endpoint_watch::apply_event(&handle, state, now, true, records)
                 }
-                Event::Changes(lines) => {
-                    endpoint_watch::apply_event(&handle, state, now, false, lines)
+                Event::Changes(records) => {
+                    endpoint_watch::apply_event(&handle, state, now, false, records)
                 }
             }
         }
@@ -218,7 +228,7 @@
     handle
 }
 
-/// Starts the tasks of a controller that listens.
+/// Starts the tasks of a listening controller.
 fn spawn_tasks(handle: &Rc<ControllerHandle>, listener: Box<dyn Listener>, opened_at: Ticks) {
     let event_loop = handle.event_loop.clone();
     spawn_local(run_event_loop_clock(event_loop, handle.clock, |_, gap| {
@@ -236,26 +246,26 @@
     spawn_local(accept_clients(handle.clone(), listener, opened_at));
 }
 
-/// A file that is bad changes nothing. It may be one that is still being written when the signal comes, and no second
-/// signal tells of its end: so it is read again for a while.
+/// Reloads the configuration file. An invalid file changes nothing. The file may still be being written when the signal
+/// arrives, and no second signal follows when it is complete: so it is read again for a while.
 fn reload(config: &Path, handle: &Rc<ControllerHandle>) {
-    let Err(why) = follow_file(config, handle) else {
+    let Err(why) = reload_feed_address(config, handle) else {
         return;
     };
-    warn!(%why, "configuration reload failed, the old one stands");
+    warn!(%why, "configuration reload failed, keeping the previous one");
     let (config, handle) = (config.to_owned(), handle.clone());
     spawn_local(async move {
         for _ in 0..RELOAD_RETRIES_MAX {
             tokio::time::sleep(RELOAD_RETRY_INTERVAL).await;
-            if follow_file(&config, &handle).is_ok() {
+            if reload_feed_address(&config, &handle).is_ok() {
                 return;
             }
         }
     });
 }
 
-/// Follows the feed where the file says that it is.
-fn follow_file(config: &Path, handle: &ControllerHandle) -> Result<(), StartError> {
+/// Applies the feed's address in the configuration file.
+fn reload_feed_address(config: &Path, handle: &ControllerHandle) -> Result<(), StartError> {
     let path = config.display().to_string();
     let text = std::fs::read_to_string(config).map_err(|error| StartError::Unreadable {
         path: path.clone(),
@@ -264,6 +274,6 @@
     let address =
         config::parse_feed_address(&text).map_err(|fault| StartError::Config { path, fault })?;
     info!(%address, "configuration reloaded");
-    handle.config.feed.moves(address);
+    handle.config.feed.set_address(address);
     Ok(())
 }
--- a/crates/platform/src/lifecycle/shutdown.rs
+++ b/crates/platform/src/lifecycle/shutdown.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown: accept for a grace period, drain, answer the rest before the process is killed.
+//! Graceful shutdown: accept invocations for a grace period, drain, and respond to the remaining invocations before the
+//! process is killed.
 
 use crate::state::ControllerHandle;
 use std::rc::Rc;
@@ -6,53 +7,57 @@
 use tokio::task::spawn_local;
 use tracing::{info, warn};
 
-/// For so long after SIGTERM invocations still come, on connections old and new.
+/// How long after SIGTERM invocations are still accepted, on existing and new connections.
 const ACCEPT_GRACE: Duration = Duration::from_millis(800);
-/// How often it is looked whether all is answered.
+/// How often the drain and the delivery of responses are checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// The platform kills what was told to end no sooner than the longest client timeout, counted as this where it is longer,
-/// and so much more after it.
+/// The platform kills a terminating process no earlier than the longest client timeout, capped at `CLIENT_TIMEOUT_CAP`,
+/// plus `KILL_MARGIN`.
 const CLIENT_TIMEOUT_CAP: Duration = Duration::from_secs(3);
 const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// A signal that is heard within this is heard at once.
+/// A shorter delay of the signal is ignored.
 const SIGNAL_DELAY_TOLERANCE: Duration = Duration::from_millis(40);
-/// Kept of that for the last answers' way, and for a signal that was heard late.
+/// Reserved before the kill for the transit of the last responses, and for an ignored delay of the signal.
 const FINAL_RESPONSE_MARGIN: Duration = Duration::from_millis(200);
-/// What was answered has so long to arrive before the process ends: a little more than one client's last words.
+/// Time limit for the delivery of the last responses: slightly more than that of closing one connection.
 const RESPONSE_DELIVERY_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Accepts for a grace period, waits until all is answered or the kill is near, then closes all connections.
-pub(crate) async fn leave(handle: &Rc<ControllerHandle>) {
+/// Accepts for a grace period, waits until all invocations have their response or the kill is near, then closes all
+/// connections.
+pub(crate) async fn shut_down(handle: &Rc<ControllerHandle>) {
     let clients = &handle.config.clients;
-    let (told_ago, kill_after) = kill_time(handle);
-    info!(?told_ago, "shutting down: draining");
+    let (signal_age, kill_after) = kill_time(handle);
+    info!(told_ago = ?signal_age, "shutting down: draining");
     clients.send_go_away();
-    let answered = async {
+    let drained = async {
         tokio::time::sleep(ACCEPT_GRACE).await;
-        clients.shut();
-        while !is_quiet(handle).await {}
+        clients.stop_accepting();
+        while !is_drained(handle).await {}
     };
     match tokio::time::timeout(
         kill_after
             .saturating_sub(FINAL_RESPONSE_MARGIN)
             .max(ACCEPT_GRACE),
-        answered,
+        drained,
     )
     .await
     {
         Ok(()) => info!("drained, stopping"),
         Err(_) => {
-            let owed = handle.update(|state| state.answer_all());
-            warn!(owed, "drain timed out, remaining invocations answered now");
+            let unanswered = handle.update(|state| state.answer_all());
+            warn!(
+                owed = unanswered,
+                "drain timed out, responded to remaining invocations"
+            );
         }
     }
-    clients.close();
-    let arrived = async {
-        while !clients.are_gone() {
+    clients.close_all();
+    let delivered = async {
+        while !clients.are_all_closed() {
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    if tokio::time::timeout(RESPONSE_DELIVERY_TIMEOUT, arrived)
+    if tokio::time::timeout(RESPONSE_DELIVERY_TIMEOUT, delivered)
         .await
         .is_err()
     {
@@ -60,38 +65,43 @@
     }
 }
 
-/// Whether nothing is owed, nothing waits to leave, and nothing has come meanwhile. A request may lie in the machine, on
-/// a connection old or new, with nothing owed yet: so this takes a look of the machine at all sockets, and a turn of
-/// whoever has something to read, before it says so.
-async fn is_quiet(handle: &Rc<ControllerHandle>) -> bool {
+/// Whether all invocations have their response, nothing waits to be sent, and nothing arrived meanwhile. A request may
+/// be in the kernel, on an existing or a new connection, while no response is pending. So the kernel is polled for all
+/// sockets, and every task with something to read runs once, before this returns true.
+async fn is_drained(handle: &Rc<ControllerHandle>) -> bool {
     let clients = &handle.config.clients;
-    let (was_shut, before) = (clients.is_shut(), clients.frames());
-    // The machine is asked before a sleep ends, and whoever it wakes is queued before the task that follows.
+    let (had_stopped, frames_before) = (clients.has_stopped_accepting(), clients.frames_read());
+    // The kernel is polled before a sleep ends, and the tasks that it wakes are queued before those spawned below.
     tokio::time::sleep(POLL_INTERVAL).await;
     for _ in 0..2 {
         let _ = spawn_local(async {}).await;
     }
-    let owed = handle.inspect(|state| state.invocations.awaiting_response()) > 0;
-    was_shut && !owed && !clients.have_pending_output() && clients.frames() == before
+    let is_awaiting = handle.inspect(|state| state.invocations.awaiting_response()) > 0;
+    had_stopped
+        && !is_awaiting
+        && !clients.have_pending_output()
+        && clients.frames_read() == frames_before
 }
 
-/// How long ago this process was told to end, and how long from now it may be killed.
+/// Returns how long ago SIGTERM can have arrived, and after what time from now the process may be killed.
 fn kill_time(handle: &ControllerHandle) -> (Duration, Duration) {
-    let longest = handle
+    let longest_timeout = handle
         .config
         .deployment
         .trigger_types
         .iter()
-        .map(|t| t.client_timeout)
+        .map(|trigger_type| trigger_type.client_timeout)
         .max()
         .unwrap_or(0);
-    let kill_after = Duration::from_micros(longest * 100).min(CLIENT_TIMEOUT_CAP) + KILL_MARGIN;
-    // A process that was stopped hears late that it is to end; when it is killed counts from when it was told.
-    let told_ago = Duration::from_micros(handle.event_loop.max_wait(handle.clock.now()) * 100);
-    let kill_after = if told_ago > SIGNAL_DELAY_TOLERANCE {
-        kill_after.saturating_sub(told_ago)
+    let kill_after =
+        Duration::from_micros(longest_timeout * 100).min(CLIENT_TIMEOUT_CAP) + KILL_MARGIN;
+    // A process that was stopped handles the signal late, but the time of the kill counts from when the signal was
+    // sent.
+    let signal_age = Duration::from_micros(handle.event_loop.max_wait(handle.clock.now()) * 100);
+    let kill_after = if signal_age > SIGNAL_DELAY_TOLERANCE {
+        kill_after.saturating_sub(signal_age)
     } else {
         kill_after
     };
-    (told_ago, kill_after)
+    (signal_age, kill_after)
 }
--- a/crates/platform/src/limits.rs
+++ b/crates/platform/src/limits.rs
@@ -1,36 +1,37 @@
-//! What this machine has room for, derived from its limits.
+//! Resource bounds of a controller, derived from the limits of its machine.
 
 use saltdrum_platform_wire::config::MachineLimits;
 
-/// Standard streams, epoll and its waker, the signal pipe, listener, feed (an old and a new one), the file at a
-/// reload, a connection that is only accepted to be turned away, and some to spare.
+/// Descriptors for the standard streams, epoll and its waker, the signal pipe, the listener, the feed (an old and a new
+/// connection), the configuration file during a reload, connections that are accepted only to be rejected, and some
+/// spare ones.
 const RESERVED_DESCRIPTORS: usize = 24;
 
-/// Past these a controller stops reading, closes the silent and refuses: it never grows, and never fails for want of
-/// a descriptor.
+/// Resource bounds of a controller. At a bound it stops accepting, closes idle connections and rejects requests, so
+/// that its memory stays bounded and it never runs out of descriptors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResourceLimits {
-    /// Connections of clients.
+    /// Client connections.
     pub clients: usize,
-    /// Connections to invokers, idle ones among them.
+    /// Connections to invokers, idle ones included.
     pub lines: usize,
-    /// Bytes of inputs that are held for invocations.
+    /// Total bytes of the inputs of invocations.
     pub bytes: usize,
 }
 
 impl ResourceLimits {
     /// Derives the bounds from the configured limits of the machine.
     pub fn of(limits: &MachineLimits) -> Self {
-        let left = limits
+        let available = limits
             .descriptors
             .saturating_sub(RESERVED_DESCRIPTORS)
             .max(8);
-        // Clients keep to a third of the limit; strangers beside them are closed first.
-        let clients = (limits.descriptors / 3 + left / 20).min(left / 2);
+        // The platform's clients use at most a third of the limit; other connections are closed first.
+        let clients = (limits.descriptors / 3 + available / 20).min(available / 2);
         let bytes = (limits.memory_mb * 1_048_576.0 / 8.0) as usize;
         Self {
             clients,
-            lines: left - clients,
+            lines: available - clients,
             bytes,
         }
     }
--- a/crates/platform/src/limits/tests.rs
+++ b/crates/platform/src/limits/tests.rs
@@ -1,20 +1,23 @@
 use super::*;
 
 #[test]
-fn all_parts_together_stay_under_the_limit() {
+fn bounds_stay_within_the_descriptor_limit() {
     for sockets in [32, 64, 256, 1_024, 4_096] {
-        let b = ResourceLimits::of(&MachineLimits {
+        let bounds = ResourceLimits::of(&MachineLimits {
             memory_mb: 32.0,
             descriptors: sockets,
         });
         assert!(
-            b.clients + b.lines + RESERVED_DESCRIPTORS <= sockets,
-            "{sockets}: {b:?}"
+            bounds.clients + bounds.lines + RESERVED_DESCRIPTORS <= sockets,
+            "{sockets}: {bounds:?}"
         );
         assert!(
-            b.clients >= 4 && b.lines >= 4 && b.bytes == 4 << 20,
-            "{sockets}: {b:?}"
+            bounds.clients >= 4 && bounds.lines >= 4 && bounds.bytes == 4 << 20,
+            "{sockets}: {bounds:?}"
+        );
+        assert!(
+            sockets < 256 || bounds.clients > sockets / 3,
+            "{sockets}: {bounds:?}"
         );
-        assert!(sockets < 256 || b.clients > sockets / 3, "{sockets}: {b:?}");
     }
 }
--- a/crates/platform/src/state.rs
+++ b/crates/platform/src/state.rs
@@ -1,4 +1,4 @@
-//! What all files of a controller on the platform share: its handle, its state and its fixed configuration.
+//! Types that the modules of this package share: the controller's handle, state and configuration.
 
 use crate::clients::Clients;
 use crate::endpoint_watch::EndpointWatch;
@@ -11,10 +11,10 @@
 
 /// The controller core with the platform's transport.
 pub(crate) type ControllerHandle = saltdrum_controller::ControllerHandle<InvokerPools>;
-/// What the handle guards: the policy and the invocations in flight.
+/// The state behind the handle: the policy and the invocations in flight.
 pub(crate) type ControllerState = saltdrum_controller::ControllerState<InvokerPools>;
 
-/// Where a controller sits on the platform.
+/// The configuration of a controller on the platform, with its client connections and its endpoint feed.
 pub struct NodeConfig {
     pub(crate) seed: u64,
     pub(crate) deployment: Deployment,
@@ -24,15 +24,15 @@
     pub(crate) clients: Clients,
     pub(crate) feed: EndpointWatch,
     pub(crate) wall_clock: WallClock,
-    /// How the wall clock has stood, to tell starts of invokers by.
+    /// Past offsets of the wall clock, to convert the start times of invokers.
     pub(crate) wall_clock_history: RefCell<WallClockHistory>,
 }
 
 impl NodeConfig {
-    /// Keeps in mind how the wall clock stands.
-    pub(crate) fn look_at_wall_clock(&self, now: Ticks) {
+    /// Records the current offset of the wall clock.
+    pub(crate) fn observe_wall_clock(&self, now: Ticks) {
         self.wall_clock_history
             .borrow_mut()
-            .seen((self.wall_clock)(), now);
+            .observe((self.wall_clock)(), now);
     }
 }
--- a/crates/platform/src/tests.rs
+++ b/crates/platform/src/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the complete controller; one file for each topic, helpers in the two `support` files.
+//! Tests of the complete controller, with one file per topic. Helpers are in `support` and `socket_support`.
 
 mod attempts;
 mod bounds;
--- a/crates/platform/src/tests/attempts.rs
+++ b/crates/platform/src/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! What each fault of an invoker or a connection is reported as.
+//! Outcomes that are reported for faults of invokers and connections.
 
 use super::support::*;
 use bytes::Bytes;
@@ -12,12 +12,12 @@
 fn reports_proven_outcome_of_each_fault_and_discards_faulty_connections() {
     use Spoilt as S;
     let may_have_run = [Outcome::Reset, Outcome::Errored, Outcome::TimedOut];
-    let (well, throttled) = ([Outcome::Succeeded], |o| [o]);
+    let (succeeded, throttled) = ([Outcome::Succeeded], |outcome| [outcome]);
     let cases: Vec<(Spoilt, Vec<Outcome>, Code, bool)> = vec![
-        (S::No, well.to_vec(), Code::Succeeded, true),
-        (S::Early1xx, well.to_vec(), Code::Succeeded, true),
-        (S::NoiseAfter, well.to_vec(), Code::Succeeded, false),
-        (S::TwiceOver, well.to_vec(), Code::Succeeded, false),
+        (S::No, succeeded.to_vec(), Code::Succeeded, true),
+        (S::Early1xx, succeeded.to_vec(), Code::Succeeded, true),
+        (S::NoiseAfter, succeeded.to_vec(), Code::Succeeded, false),
+        (S::TwiceOver, succeeded.to_vec(), Code::Succeeded, false),
         (
             S::Miss,
             throttled(Outcome::Miss).to_vec(),
@@ -65,110 +65,128 @@
         ),
         (S::Silent, vec![Outcome::TimedOut], Code::Errored, false),
     ];
-    for (spoilt, outcomes, code, reused) in cases {
-        staged(|| async move {
-            let stage = Stage::new(first, &[1], 256).await;
-            let (invoker, mut client) = (stage.invokers[&1].clone(), stage.client().await);
+    for (spoilt, outcomes, code, is_reused) in cases {
+        run_test(|| async move {
+            let controller = TestController::new(first_invoker_policy, &[1], 256).await;
+            let (invoker, mut client) = (
+                controller.invokers[&1].clone(),
+                controller.connect_client().await,
+            );
             invoker.spoilt.set(spoilt);
-            let call = stage.call("book");
+            let call = controller.new_call("book");
             client.ask(&call).await;
-            let answered = answer(&mut client).await;
-            assert_eq!(answered.code, code as u8, "{spoilt:?}");
-            let told = TOLD.take();
+            let response = expect_response(&mut client).await;
+            assert_eq!(response.code, code as u8, "{spoilt:?}");
+            let ends = ATTEMPT_ENDS.take();
             assert!(
-                told.len() == 1 && outcomes.contains(&told[0].0),
-                "{spoilt:?}: {told:?}"
+                ends.len() == 1 && outcomes.contains(&ends[0].0),
+                "{spoilt:?}: {ends:?}"
             );
             if code == Code::Succeeded {
                 assert_eq!(
-                    answered.body,
+                    response.body,
                     format!("ran {} {}", call.txn(), call.body.len()),
                     "{spoilt:?}"
                 );
             }
             assert_eq!(
-                answered.later_ms,
+                response.later_ms,
                 (code == Code::Throttled).then_some(10),
                 "{spoilt:?}"
             );
-            pass(RESTED).await;
+            sleep_ms(CONNECTION_REUSABLE_MS).await;
             invoker.spoilt.set(Spoilt::No);
-            client.ask(&stage.call("book")).await;
+            client.ask(&controller.new_call("book")).await;
             assert_eq!(
-                answer(&mut client).await.code,
+                expect_response(&mut client).await.code,
                 Code::Succeeded as u8,
                 "{spoilt:?}"
             );
             assert_eq!(
                 invoker.accepted.get(),
-                if reused { 1 } else { 2 },
+                if is_reused { 1 } else { 2 },
                 "connections after {spoilt:?}"
             );
-            assert_eq!(stage.broken(), [0u8; 0], "{spoilt:?}");
+            assert_eq!(controller.broken_rules(), [0u8; 0], "{spoilt:?}");
         });
     }
 }
 
 #[test]
 fn reports_request_that_was_never_sent() {
-    staged(|| async {
-        let stage = Stage::new(first, &[], 256).await;
-        let mut client = stage.client().await;
-        // Listed, but nobody listens there.
-        stage.feed.say(
+    run_test(|| async {
+        let controller = TestController::new(first_invoker_policy, &[], 256).await;
+        let mut client = controller.connect_client().await;
+        // The invoker is listed, but nothing listens at its address.
+        controller.feed.say(
             2,
-            Event::Changes(vec![listing(1, invoker_at(9), InvokerStatus::Ready, None)]),
+            Event::Changes(vec![listing(
+                1,
+                invoker_address(9),
+                InvokerStatus::Ready,
+                None,
+            )]),
+        );
+        sleep_ms(10).await;
+        client.ask(&controller.new_call("book")).await;
+        assert_eq!(
+            expect_response(&mut client).await.code,
+            Code::Throttled as u8
         );
-        pass(10).await;
-        client.ask(&stage.call("book")).await;
-        assert_eq!(answer(&mut client).await.code, Code::Throttled as u8);
-        assert_eq!(TOLD.take(), [(Outcome::NoConnection, false)]);
+        assert_eq!(ATTEMPT_ENDS.take(), [(Outcome::NoConnection, false)]);
     });
 }
 
-/// Found by reading: on a line used before, it was told by the request before.
+/// Guards against a request that is withdrawn on a reused connection before it is sent, but is reported by the state of
+/// the connection's previous request.
 #[test]
 fn request_withdrawn_before_sending_never_runs_on_reused_connection() {
-    staged(|| async {
-        let stage = Stage::new(first, &[1], 256).await;
-        let mut client = stage.client().await;
-        client.ask(&stage.call("book")).await;
-        assert_eq!(answer(&mut client).await.code, Code::Succeeded as u8);
-        pass(RESTED).await;
+    run_test(|| async {
+        let controller = TestController::new(first_invoker_policy, &[1], 256).await;
+        let mut client = controller.connect_client().await;
+        client.ask(&controller.new_call("book")).await;
+        assert_eq!(
+            expect_response(&mut client).await.code,
+            Code::Succeeded as u8
+        );
+        sleep_ms(CONNECTION_REUSABLE_MS).await;
         client
             .ask(&Call {
-                function: TAKEN_BACK,
-                ..stage.call("book")
+                function: CANCELLED_FUNCTION,
+                ..controller.new_call("book")
             })
             .await;
-        assert_eq!(answer(&mut client).await.code, Code::Throttled as u8);
-        assert_eq!(TOLD.take()[1..], [(Outcome::NotSent, false)]);
-        assert_eq!(stage.invokers[&1].arrived.borrow().len(), 1);
+        assert_eq!(
+            expect_response(&mut client).await.code,
+            Code::Throttled as u8
+        );
+        assert_eq!(ATTEMPT_ENDS.take()[1..], [(Outcome::NotSent, false)]);
+        assert_eq!(controller.invokers[&1].arrived.borrow().len(), 1);
     });
 }
 
-/// Found on a fleet day as lost: a busy controller had no turn for 40 ms, settled after the client timeout, and kept the
-/// answer to itself, though its client still waited.
+/// Guards against an invocation that counts as lost: a busy controller did not run for 40 ms, ended the invocation
+/// after the client timeout, and did not send the response although the client still waited.
 #[test]
 fn answers_after_client_timeout_when_process_was_stopped() {
-    for (stood_ms, answers) in [(300, true), (650, true), (900, false)] {
-        staged(|| async move {
-            let stage = Stage::new(first, &[1], 256).await;
-            let mut client = stage.client().await;
-            stage.invokers[&1].spoilt.set(Spoilt::Silent);
+    for (stopped_ms, is_answered) in [(300, true), (650, true), (900, false)] {
+        run_test(|| async move {
+            let controller = TestController::new(first_invoker_policy, &[1], 256).await;
+            let mut client = controller.connect_client().await;
+            controller.invokers[&1].spoilt.set(Spoilt::Silent);
             client
                 .ask(&Call {
                     limit_ms: 200,
-                    ..stage.call("book")
+                    ..controller.new_call("book")
                 })
                 .await;
-            pass(100).await;
-            tokio::time::advance(Duration::from_millis(stood_ms - 100)).await;
+            sleep_ms(100).await;
+            tokio::time::advance(Duration::from_millis(stopped_ms - 100)).await;
             let heard = tokio::time::timeout(Duration::from_millis(20), client.hear()).await;
             assert_eq!(
                 matches!(heard, Ok(Some(Heard::Answer(_)))),
-                answers,
-                "{stood_ms}: {heard:?}"
+                is_answered,
+                "{stopped_ms}: {heard:?}"
             );
         });
     }
@@ -176,67 +194,79 @@
 
 #[test]
 fn forwards_ids_fields_and_bodies_unchanged() {
-    staged(|| async {
-        let stage = Stage::new(first, &[1], 256).await;
-        let mut client = stage.client().await;
+    run_test(|| async {
+        let controller = TestController::new(first_invoker_policy, &[1], 256).await;
+        let mut client = controller.connect_client().await;
         let body: Vec<u8> = (0..=255).cycle().take(16 << 10).collect();
         let call = Call {
             body: body.clone(),
-            ..stage.call("charge")
+            ..controller.new_call("charge")
         };
         client.ask(&call).await;
-        assert_eq!(answer(&mut client).await.code, Code::Succeeded as u8);
+        assert_eq!(
+            expect_response(&mut client).await.code,
+            Code::Succeeded as u8
+        );
         client
             .ask(&Call {
                 body: vec![],
-                ..stage.call("look")
+                ..controller.new_call("look")
             })
             .await;
-        answer(&mut client).await;
-        let arrived = stage.invokers[&1].arrived.borrow();
-        let (a, b) = (&arrived[0], &arrived[1]);
+        expect_response(&mut client).await;
+        let arrived = controller.invokers[&1].arrived.borrow();
+        let (post, get) = (&arrived[0], &arrived[1]);
         assert_eq!(
-            (a.method.as_str(), a.path.as_str()),
+            (post.method.as_str(), post.path.as_str()),
             ("POST", "/obj/charge")
         );
         assert_eq!(
-            (&a.fields["x-txn"], a.fields.get("x-dedupe")),
+            (&post.fields["x-txn"], post.fields.get("x-dedupe")),
             (&call.txn(), call.token.as_ref())
         );
-        assert_eq!(a.fields["x-name"], format!("{:016x}", call.function));
+        assert_eq!(post.fields["x-name"], format!("{:016x}", call.function));
         assert!(
-            (1_900..2_000).contains(&a.fields["x-limit-ms"].parse::<u32>().unwrap()),
+            (1_900..2_000).contains(&post.fields["x-limit-ms"].parse::<u32>().unwrap()),
             "{:?}",
-            a.fields
+            post.fields
+        );
+        assert_eq!(post.body, Bytes::from(body));
+        assert_eq!(
+            (get.method.as_str(), get.path.as_str()),
+            ("GET", "/obj/look")
         );
-        assert_eq!(a.body, Bytes::from(body));
-        assert_eq!((b.method.as_str(), b.path.as_str()), ("GET", "/obj/look"));
         assert!(
-            !b.fields.contains_key("x-dedupe") && !b.fields.contains_key("content-length"),
-            "{b:?}"
+            !get.fields.contains_key("x-dedupe") && !get.fields.contains_key("content-length"),
+            "{get:?}"
         );
     });
 }
 
 #[test]
 fn reuses_connections_until_idle_timeout() {
-    staged(|| async {
-        let stage = Stage::new(first, &[1], 256).await;
-        let (invoker, mut client) = (stage.invokers[&1].clone(), stage.client().await);
+    run_test(|| async {
+        let controller = TestController::new(first_invoker_policy, &[1], 256).await;
+        let (invoker, mut client) = (
+            controller.invokers[&1].clone(),
+            controller.connect_client().await,
+        );
         for n in 0..30 {
-            client.ask(&stage.call("look")).await;
-            assert_eq!(answer(&mut client).await.code, Code::Succeeded as u8);
-            pass(RESTED + n * 20).await;
+            client.ask(&controller.new_call("look")).await;
+            assert_eq!(
+                expect_response(&mut client).await.code,
+                Code::Succeeded as u8
+            );
+            sleep_ms(CONNECTION_REUSABLE_MS + n * 20).await;
         }
         assert_eq!(invoker.accepted.get(), 1);
-        pass(12_000).await;
-        let mut client = stage.client().await;
-        client.ask(&stage.call("look")).await;
-        answer(&mut client).await;
+        sleep_ms(12_000).await;
+        let mut client = controller.connect_client().await;
+        client.ask(&controller.new_call("look")).await;
+        expect_response(&mut client).await;
         assert_eq!(
             invoker.accepted.get(),
             2,
-            "an idle one is closed before the invoker would"
+            "an idle connection is closed before the invoker would close it"
         );
         assert_eq!(invoker.connections.get(), 1);
     });
--- a/crates/platform/src/tests/closes.rs
+++ b/crates/platform/src/tests/closes.rs
@@ -1,160 +1,180 @@
-//! Before any close of ours, all that lies in the machine is read and answered. Over loopback sockets, as `crossings`.
+//! Before the controller closes a connection, it reads and answers everything in the kernel's receive buffer. Uses
+//! loopback sockets, as in `races`.
 
-use crate::clients::Entry;
-use crate::tests::socket_support::{Conn, Stage, before_their_turn, http, staged, until};
-use crate::tests::support::First;
+use crate::clients::AcceptDecision;
+use crate::tests::socket_support::{
+    PeerConnection, TestController, before_controller_tasks, http_response, run_test, wait_until,
+};
+use crate::tests::support::FirstInvokerPolicy;
 use saltdrum_platform_wire::frames::{self, Code};
 
-/// The frames that a connection had until it was ended: kind, stream, code.
-async fn heard_until_the_end(client: &mut Conn) -> Vec<(u8, u32, u8)> {
-    until(|| {
-        client.look();
-        client.ended
+/// Returns the frames that a client receives until its connection ends: type, stream, code.
+async fn receive_until_end(client: &mut PeerConnection) -> Vec<(u8, u32, u8)> {
+    wait_until(|| {
+        client.read_available();
+        client.is_ended
     })
     .await;
-    let frames = std::iter::from_fn(|| client.frame());
+    let frames = std::iter::from_fn(|| client.next_frame());
     frames
         .map(|(kind, stream, payload)| (kind, stream, payload.first().copied().unwrap_or(0)))
         .collect()
 }
 
-/// A connection that is chosen to end with nothing open on it.
-fn chosen_to_end(stage: &Stage) {
+/// Makes the controller close the idle connection to free capacity.
+fn close_idle_connection(controller: &TestController) {
     assert_eq!(
-        stage.handle.config.clients.make_capacity(1),
-        Some(Entry::Served)
+        controller.handle.config.clients.make_capacity(1),
+        Some(AcceptDecision::Served)
     );
 }
 
-/// What was taken before a frame that can't be read was given up without an answer.
+/// Guards against requests that were admitted before a malformed frame and end without a response.
 #[test]
 fn answers_valid_request_before_malformed_frame() {
     for (dispatched, code) in [(true, Code::Errored), (false, Code::Errored)] {
-        staged(|| async move {
-            let stage = Stage::new().await;
-            let mut client = stage.client();
+        run_test(|| async move {
+            let controller = TestController::new().await;
+            let mut client = controller.connect_client();
             let noise = [0, 0, 0, 9, 77, 0, 0, 0, 0, 0, 0, 0, 0];
-            let call = stage.call(2).0;
+            let call = controller.new_call(2).0;
             if dispatched {
                 client.write(&call);
-                stage.line().await.asked().await;
+                controller.accept_connection().await.receive_request().await;
                 client.write(&noise);
             } else {
                 client.write(&[&call[..], &noise[..]].concat());
             }
-            let heard = heard_until_the_end(&mut client).await;
+            let received = receive_until_end(&mut client).await;
             assert_eq!(
-                heard,
+                received,
                 [(17, 2, code as u8), (17, 0, Code::Errored as u8)],
                 "{dispatched}"
             );
-            assert_eq!(stage.in_flight(), 0);
+            assert_eq!(controller.in_flight(), 0);
         });
     }
 }
 
-/// A request that crosses the close of an idle connection: the client has heard that it ends, and not yet acted on it.
+/// The client has received the close notification of an idle connection, but has already sent requests.
 #[test]
 fn rejects_request_crossing_idle_close() {
-    staged(|| async {
-        let stage = Stage::new().await;
-        let mut client = stage.known().await;
-        chosen_to_end(&stage);
-        assert_eq!(client.hear().await.0, 48);
+    run_test(|| async {
+        let controller = TestController::new().await;
+        let mut client = controller.connect_active_client().await;
+        close_idle_connection(&controller);
+        assert_eq!(client.receive_frame().await.0, 48);
         client.write(
             &[
-                stage.call(2).0,
-                stage.call(3).0,
+                controller.new_call(2).0,
+                controller.new_call(3).0,
                 frames::encode_empty(32, 4).to_vec(),
             ]
             .concat(),
         );
-        let (refused, not_ready) = (Code::Throttled as u8, Code::Throttled as u8);
-        let heard = heard_until_the_end(&mut client).await;
+        let (rejected, not_ready) = (Code::Throttled as u8, Code::Throttled as u8);
+        let received = receive_until_end(&mut client).await;
         assert_eq!(
-            heard,
-            [(17, 2, refused), (17, 3, refused), (33, 4, not_ready)]
+            received,
+            [(17, 2, rejected), (17, 3, rejected), (33, 4, not_ready)]
+        );
+        assert_eq!(
+            controller
+                .handle
+                .inspect(|s| s.invocations.counters.accepted),
+            0
         );
-        assert_eq!(stage.handle.inspect(|s| s.invocations.counters.accepted), 0);
     });
 }
 
-/// So many are going that one has to go at once: what lies in the machine is answered all the same.
+/// When too many connections are closing, one is closed at once. Its buffered requests are still answered.
 #[test]
 fn rejects_buffered_request_on_evicted_connection() {
-    staged(|| async {
-        let stage = Stage::new().await;
+    run_test(|| async {
+        let controller = TestController::new().await;
         let mut clients = Vec::new();
         for _ in 0..5 {
-            clients.push(stage.known().await);
+            clients.push(controller.connect_active_client().await);
         }
-        clients[0].write(&stage.call(2).0);
-        before_their_turn(|| {
+        clients[0].write(&controller.new_call(2).0);
+        before_controller_tasks(|| {
             assert_eq!(
-                stage.handle.config.clients.make_capacity(1),
+                controller.handle.config.clients.make_capacity(1),
                 None,
-                "four may be going"
+                "four may be closing"
             )
         })
         .await;
-        let heard = heard_until_the_end(&mut clients[0]).await;
-        assert_eq!(heard, [(48, 0, 0), (17, 2, Code::Throttled as u8)]);
-        assert_eq!(stage.handle.inspect(|s| s.invocations.counters.accepted), 0);
+        let received = receive_until_end(&mut clients[0]).await;
+        assert_eq!(received, [(48, 0, 0), (17, 2, Code::Throttled as u8)]);
+        assert_eq!(
+            controller
+                .handle
+                .inspect(|s| s.invocations.counters.accepted),
+            0
+        );
     });
 }
 
-/// All places are taken by clients with something open: who comes was closed unread.
+/// Guards against a new client whose connection is closed without reading it, when all served clients have invocations
+/// in flight.
 #[test]
 fn rejects_new_client_when_all_are_busy_and_serves_others() {
-    staged(|| async {
-        let stage = Stage::with_sockets(|_, _, _, _| Box::new(First), &[], 48).await;
-        let (mut busy, mut lines) = (Vec::new(), Vec::new());
-        for _ in 0..stage.handle.config.budget.clients {
-            let mut client = stage.known().await;
-            client.write(&stage.call(2).0);
-            let mut line = stage.line().await;
-            line.asked().await;
+    run_test(|| async {
+        let controller =
+            TestController::with_sockets(|_, _, _, _| Box::new(FirstInvokerPolicy), &[], 48).await;
+        let (mut busy, mut connections) = (Vec::new(), Vec::new());
+        for _ in 0..controller.handle.config.budget.clients {
+            let mut client = controller.connect_active_client().await;
+            client.write(&controller.new_call(2).0);
+            let mut connection = controller.accept_connection().await;
+            connection.receive_request().await;
             busy.push(client);
-            lines.push(line);
+            connections.push(connection);
         }
-        let mut late: Vec<Conn> = (0..10).map(|_| stage.client()).collect();
+        let mut late: Vec<PeerConnection> = (0..10).map(|_| controller.connect_client()).collect();
         for client in &mut late {
-            client.write(&stage.call(1).0);
+            client.write(&controller.new_call(1).0);
         }
         for client in &mut late {
-            let heard = heard_until_the_end(client).await;
-            assert_eq!(heard, [(48, 0, 0), (17, 1, Code::Throttled as u8)]);
+            let received = receive_until_end(client).await;
+            assert_eq!(received, [(48, 0, 0), (17, 1, Code::Throttled as u8)]);
         }
-        lines.iter_mut().for_each(|line| line.write(&http("done")));
+        connections
+            .iter_mut()
+            .for_each(|connection| connection.write(&http_response("done")));
         for client in &mut busy {
-            assert_eq!(client.hear().await.2[0], Code::Succeeded as u8);
+            assert_eq!(client.receive_frame().await.2[0], Code::Succeeded as u8);
         }
     });
 }
 
-/// All is answered, and the process ends: a client that has not heard of it yet sends one more.
+/// A client that has not been notified of the shutdown yet sends a request after the last responses.
 #[test]
 fn rejects_request_after_final_responses() {
-    staged(|| async {
-        let stage = Stage::new().await;
-        let mut client = stage.known().await;
-        stage.handle.config.clients.close();
-        client.write(&stage.call(2).0);
-        let heard = heard_until_the_end(&mut client).await;
-        assert_eq!(heard, [(48, 0, 0), (17, 2, Code::Throttled as u8)]);
+    run_test(|| async {
+        let controller = TestController::new().await;
+        let mut client = controller.connect_active_client().await;
+        controller.handle.config.clients.close_all();
+        client.write(&controller.new_call(2).0);
+        let received = receive_until_end(&mut client).await;
+        assert_eq!(received, [(48, 0, 0), (17, 2, Code::Throttled as u8)]);
     });
 }
 
-/// Half a frame that is never ended, with a good request open before it.
+/// A frame that is never completed follows a valid request in flight.
 #[test]
 fn answers_request_before_partial_frame() {
-    staged(|| async {
-        let stage = Stage::new().await;
-        let mut client = stage.client();
-        let (call, half) = (stage.call(2).0, stage.call(3).0);
+    run_test(|| async {
+        let controller = TestController::new().await;
+        let mut client = controller.connect_client();
+        let (call, half) = (controller.new_call(2).0, controller.new_call(3).0);
         client.write(&[&call[..], &half[..20]].concat());
-        stage.line().await.asked().await;
-        let heard = heard_until_the_end(&mut client).await;
-        assert!(heard.contains(&(17, 2, Code::Errored as u8)), "{heard:?}");
+        controller.accept_connection().await.receive_request().await;
+        let received = receive_until_end(&mut client).await;
+        assert!(
+            received.contains(&(17, 2, Code::Errored as u8)),
+            "{received:?}"
+        );
     });
 }
