--- a/crates/platform/src/tests/deadlines.rs
+++ b/crates/platform/src/tests/deadlines.rs
@@ -1,9 +1,10 @@
-//! Crossings that are made of time, in virtual time: silences of the feed, drains within a grace, the end before a kill,
-//! and settings at their edges. Those of single turns are in `crossings`.
+//! Deadlines in virtual time: silent feeds, drains within the grace, shutdown before the kill, and extreme settings.
+//! Races within single event loop turns are in `races`.
 
-use crate::lifecycle::leave;
+use crate::lifecycle::shut_down;
 use crate::tests::support::{
-    RESTED, Stage, TOLD, answer, configuration, feed_at, first, invoker_at, pass, staged,
+    ATTEMPT_ENDS, CONNECTION_REUSABLE_MS, TestController, configuration, expect_response,
+    feed_address, first_invoker_policy, invoker_address, run_test, sleep_ms,
 };
 use bytes::Bytes;
 use proptest::prelude::*;
@@ -22,19 +23,19 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::task::spawn_local;
 
-/// What the feed does on one of its connections, in their order.
+/// The behaviour of the feed on one connection.
 #[derive(Clone, Copy, Debug)]
-enum Does {
-    /// So many empty frames, a second apart, then nothing more.
-    FallsSilent(u64),
-    /// Takes the connection, and is silent from the first.
-    SaysNothing,
-    /// An event, a byte every 300 ms.
-    Drips,
-    /// Only empty frames, with the number of an event that was never told.
-    TellsNoEvents,
-    /// The event, then empty frames.
-    Tells,
+enum FeedBehaviour {
+    /// This number of heartbeats, a second apart, then nothing more.
+    BecomesSilent(u64),
+    /// Accepts the connection and sends nothing.
+    Silent,
+    /// Sends an event, one byte every 300 ms.
+    SendsSlowly,
+    /// Sends only heartbeats, with the number of an event that was not sent.
+    OmitsEvents,
+    /// Sends the event, then heartbeats.
+    SendsEvent,
 }
 
 fn event() -> (u64, Event) {
@@ -42,201 +43,230 @@
         2,
         Event::Changes(vec![listing(
             1,
-            invoker_at(1),
+            invoker_address(1),
             InvokerStatus::Draining,
             None,
         )]),
     )
 }
 
-async fn plays(mut stream: Stream, does: Does) {
+async fn run_feed_connection(mut stream: Stream, behaviour: FeedBehaviour) {
     let Ok(last) = stream.read_u64().await else {
         return;
     };
-    let empty = |number| encode(number, &Event::Heartbeat);
+    let heartbeat = |number| encode(number, &Event::Heartbeat);
     let (number, event) = event();
-    let beats = |n: u64| match does {
-        Does::FallsSilent(beats) => (n < beats).then(|| empty(last)),
-        Does::SaysNothing | Does::Drips => None,
-        Does::TellsNoEvents => Some(empty(number)),
-        Does::Tells => Some(if n == 0 {
+    let frame_at = |n: u64| match behaviour {
+        FeedBehaviour::BecomesSilent(count) => (n < count).then(|| heartbeat(last)),
+        FeedBehaviour::Silent | FeedBehaviour::SendsSlowly => None,
+        FeedBehaviour::OmitsEvents => Some(heartbeat(number)),
+        FeedBehaviour::SendsEvent => Some(if n == 0 {
             encode(number, &event)
         } else {
-            empty(number)
+            heartbeat(number)
         }),
     };
-    if matches!(does, Does::Drips) {
+    if matches!(behaviour, FeedBehaviour::SendsSlowly) {
         for byte in encode(number, &event) {
             if stream.write_all(&[byte]).await.is_err() {
                 return;
             }
-            pass(300).await;
+            sleep_ms(300).await;
         }
     }
     for n in 0.. {
-        let Some(bytes) = beats(n) else {
+        let Some(bytes) = frame_at(n) else {
             return std::future::pending().await;
         };
         if stream.write_all(&bytes).await.is_err() {
             return;
         }
-        pass(1_000).await;
+        sleep_ms(1_000).await;
     }
 }
 
-/// How many ms after the feed fell silent an event was known that it has told nobody since.
-async fn known_after(stage: &Stage, does: &'static [Does], silent_after: u64) -> u64 {
-    let (network, at) = (stage.network.clone(), feed_at(2));
+/// Returns how many ms after the feed became silent the controller knows an event that was published since.
+async fn recovery_time_ms(
+    controller: &TestController,
+    behaviours: &'static [FeedBehaviour],
+    silent_after_ms: u64,
+) -> u64 {
+    let (network, at) = (controller.network.clone(), feed_address(2));
     let connections = Rc::new(Cell::new(0));
     let counted = connections.clone();
     spawn_local(async move {
-        let (mut door, _) = network.listen(&Address::Tcp(at.to_string())).await.unwrap();
-        while let Ok(stream) = door.accept().await {
+        let (mut listener, _) = network.listen(&Address::Tcp(at.to_string())).await.unwrap();
+        while let Ok(stream) = listener.accept().await {
             let n = counted.replace(counted.get() + 1);
-            spawn_local(plays(stream, does[n.min(does.len() - 1)]));
+            spawn_local(run_feed_connection(
+                stream,
+                behaviours[n.min(behaviours.len() - 1)],
+            ));
         }
     });
-    stage.handle.config.feed.moves(at);
-    pass(silent_after).await;
-    let since = stage.clock.now();
-    while stage.handle.config.feed.last() < 2 {
+    controller.handle.config.feed.set_address(at);
+    sleep_ms(silent_after_ms).await;
+    let since = controller.clock.now();
+    while controller.handle.config.feed.last_event() < 2 {
         assert!(
-            stage.clock.now() < since + 30 * SECOND,
-            "never, over {} connections",
+            controller.clock.now() < since + 30 * SECOND,
+            "event not received over {} connections",
             connections.get()
         );
-        pass(1).await;
+        sleep_ms(1).await;
     }
-    assert_eq!(connections.get(), does.len(), "{does:?}");
-    (stage.clock.now() - since) / MILLISECOND
+    assert_eq!(connections.get(), behaviours.len(), "{behaviours:?}");
+    (controller.clock.now() - since) / MILLISECOND
 }
 
-/// What a silent feed would have told counts as told 4 s after it fell silent, whatever it does when it is asked again:
-/// the waits of two silences were 4.5 s. A byte now and then, or empty frames, kept a feed from ever being asked.
+/// Events missed on a silent feed count as reported after 4 s, however it behaves on the next connection. Guards
+/// against two silence timeouts that add up to 4.5 s, and against single bytes or heartbeats that prevent a reconnect.
 #[test]
 fn recovers_events_of_silent_feed_within_bound() {
-    const CASES: [(&[Does], u64); 5] = [
-        (&[Does::FallsSilent(3), Does::Tells], 2_010),
-        (
-            &[Does::FallsSilent(3), Does::SaysNothing, Does::Tells],
-            2_010,
-        ),
-        (&[Does::SaysNothing, Does::FallsSilent(1), Does::Tells], 10),
-        (&[Does::Drips, Does::Tells], 10),
-        (&[Does::TellsNoEvents, Does::Tells], 10),
+    use FeedBehaviour as F;
+    const CASES: [(&[F], u64); 5] = [
+        (&[F::BecomesSilent(3), F::SendsEvent], 2_010),
+        (&[F::BecomesSilent(3), F::Silent, F::SendsEvent], 2_010),
+        (&[F::Silent, F::BecomesSilent(1), F::SendsEvent], 10),
+        (&[F::SendsSlowly, F::SendsEvent], 10),
+        (&[F::OmitsEvents, F::SendsEvent], 10),
     ];
-    for (does, silent_after) in CASES {
-        staged(|| async move {
-            let stage = Stage::new(dispatch_policy, &[1], 256).await;
-            let ms = known_after(&stage, does, silent_after).await;
-            assert!(ms < 3_700, "{does:?}: {ms} ms");
+    for (behaviours, silent_after_ms) in CASES {
+        run_test(|| async move {
+            let controller = TestController::new(dispatch_policy, &[1], 256).await;
+            let ms = recovery_time_ms(&controller, behaviours, silent_after_ms).await;
+            assert!(ms < 3_700, "{behaviours:?}: {ms} ms");
         });
     }
 }
 
-/// Sound, by test: the timers of a drain that was taken back do not act on the next one.
+/// The timers of a revoked drain do not affect the next drain.
 #[test]
 fn repeated_drain_within_grace_uses_last_status() {
-    staged(|| async {
-        // The module takes no notice of the list: what is sent, and what is not, is the pool's doing alone.
-        let stage = Stage::new(first, &[1], 256).await;
-        let mut client = stage.client().await;
-        let lives = [
+    run_test(|| async {
+        // The policy ignores the list: the pool alone decides what is sent.
+        let controller = TestController::new(first_invoker_policy, &[1], 256).await;
+        let mut client = controller.connect_client().await;
+        let statuses = [
             InvokerStatus::Draining,
             InvokerStatus::Ready,
             InvokerStatus::Draining,
         ];
-        for (n, life) in lives.into_iter().enumerate() {
-            stage.feed.say(
+        for (n, status) in statuses.into_iter().enumerate() {
+            controller.feed.say(
                 2 + n as u64,
-                Event::Changes(vec![listing(1, invoker_at(1), life, None)]),
+                Event::Changes(vec![listing(1, invoker_address(1), status, None)]),
             );
-            pass(50).await;
+            sleep_ms(50).await;
         }
         // 150 ms after the first, 50 ms after the last; half the grace is 125 ms.
-        client.ask(&stage.call("book")).await;
-        assert_eq!(answer(&mut client).await.code, Code::Succeeded as u8);
-        pass(60).await;
-        client.ask(&stage.call("book")).await;
-        assert_eq!(answer(&mut client).await.code, Code::Throttled as u8);
+        client.ask(&controller.new_call("book")).await;
         assert_eq!(
-            TOLD.take(),
+            expect_response(&mut client).await.code,
+            Code::Succeeded as u8
+        );
+        sleep_ms(60).await;
+        client.ask(&controller.new_call("book")).await;
+        assert_eq!(
+            expect_response(&mut client).await.code,
+            Code::Throttled as u8
+        );
+        assert_eq!(
+            ATTEMPT_ENDS.take(),
             [(Outcome::Succeeded, true), (Outcome::NotSent, false)]
         );
-        assert_eq!(stage.invokers[&1].arrived.borrow().len(), 1);
-        assert_eq!(stage.broken(), [0u8; 0]);
+        assert_eq!(controller.invokers[&1].arrived.borrow().len(), 1);
+        assert_eq!(controller.broken_rules(), [0u8; 0]);
     });
 }
 
-/// An answer came after its invoker had gone and come again under the same id elsewhere: its line went into the new pool,
-/// and the next request to the old place.
+/// Guards against a response that arrives after its invoker restarted at another address under the same id: its
+/// connection was returned to the new pool, and the next request was sent to the old address.
 #[test]
 fn does_not_reuse_connection_of_previous_incarnation() {
-    staged(|| async {
-        let mut stage = Stage::new(first, &[1], 256).await;
-        let old = stage.invokers[&1].clone();
-        let mut client = stage.client().await;
-        client.ask(&stage.call("look")).await;
-        pass(10).await;
-        assert_eq!(old.arrived.borrow().len(), 1, "under way");
-        stage.feed.say(
+    run_test(|| async {
+        let mut controller = TestController::new(first_invoker_policy, &[1], 256).await;
+        let old = controller.invokers[&1].clone();
+        let mut client = controller.connect_client().await;
+        client.ask(&controller.new_call("look")).await;
+        sleep_ms(10).await;
+        assert_eq!(old.arrived.borrow().len(), 1, "in flight");
+        controller.feed.say(
             2,
-            Event::Changes(vec![listing(1, invoker_at(1), InvokerStatus::Gone, None)]),
+            Event::Changes(vec![listing(
+                1,
+                invoker_address(1),
+                InvokerStatus::Gone,
+                None,
+            )]),
         );
-        stage.feed.say(
+        controller.feed.say(
             3,
-            Event::Changes(vec![listing(1, invoker_at(8), InvokerStatus::Ready, None)]),
+            Event::Changes(vec![listing(
+                1,
+                invoker_address(8),
+                InvokerStatus::Ready,
+                None,
+            )]),
+        );
+        controller.start_invoker(1, invoker_address(8));
+        assert_eq!(
+            expect_response(&mut client).await.code,
+            Code::Succeeded as u8
+        );
+        sleep_ms(CONNECTION_REUSABLE_MS).await;
+        client.ask(&controller.new_call("look")).await;
+        assert_eq!(
+            expect_response(&mut client).await.code,
+            Code::Succeeded as u8
         );
-        stage.invoker(1, invoker_at(8));
-        assert_eq!(answer(&mut client).await.code, Code::Succeeded as u8);
-        pass(RESTED).await;
-        client.ask(&stage.call("look")).await;
-        assert_eq!(answer(&mut client).await.code, Code::Succeeded as u8);
         assert_eq!(
             (
                 old.arrived.borrow().len(),
-                stage.invokers[&1].arrived.borrow().len()
+                controller.invokers[&1].arrived.borrow().len()
             ),
             (1, 1)
         );
     });
 }
 
-fn changed(change: impl FnOnce(&mut Value)) -> String {
-    let mut text: Value = serde_json::from_str(&configuration(&[1, 2], 256)).unwrap();
-    change(&mut text);
-    text.to_string()
+/// Returns the configuration with a change.
+fn changed_configuration(change: impl FnOnce(&mut Value)) -> String {
+    let mut configuration: Value = serde_json::from_str(&configuration(&[1, 2], 256)).unwrap();
+    change(&mut configuration);
+    configuration.to_string()
 }
 
-/// With client timeouts beyond what a restart waits for, what an invoker never answered was still owed when the process was
-/// killed, 3.7 s after it was told to end. Readiness asked while ending is answered no.
+/// Guards against invocations without a response when the process is killed, 3.7 s after SIGTERM, while client timeouts
+/// are longer than that. During the shutdown readiness queries are answered with not ready.
 #[test]
 fn answers_unfinished_invocations_before_kill() {
-    staged(|| async {
-        let text = changed(|c| {
+    run_test(|| async {
+        let text = changed_configuration(|c| {
             c["settings"]["classes"]
                 .as_array_mut()
                 .unwrap()
                 .iter_mut()
                 .for_each(|t| t["give_up_ms"] = json!(12_000.0));
         });
-        let stage = Stage::with(first, &[1, 2], &text).await;
-        stage.invokers[&1].spoilt.set(Spoilt::Silent);
-        let mut client = stage.client().await;
+        let controller =
+            TestController::with_configuration(first_invoker_policy, &[1, 2], &text).await;
+        controller.invokers[&1].spoilt.set(Spoilt::Silent);
+        let mut client = controller.connect_client().await;
         client
             .ask(&Call {
                 limit_ms: 12_000,
-                ..stage.call("book")
+                ..controller.new_call("book")
             })
             .await;
-        pass(20).await;
-        let (handle, told) = (stage.handle.clone(), stage.clock.now());
-        let ending = spawn_local(async move { leave(&handle).await });
-        pass(500).await;
+        sleep_ms(20).await;
+        let (handle, signalled_at) = (controller.handle.clone(), controller.clock.now());
+        let shutdown = spawn_local(async move { shut_down(&handle).await });
+        sleep_ms(500).await;
         client
             .ask(&Call {
                 limit_ms: 12_000,
-                ..stage.call("look")
+                ..controller.new_call("look")
             })
             .await;
         client
@@ -248,9 +278,9 @@
         while let Some(what) = client.hear().await {
             heard.push(what);
         }
-        let took = (stage.clock.now() - told) / MILLISECOND;
-        assert!((3_000..3_650).contains(&took), "{took} ms");
-        ending.await.unwrap();
+        let took_ms = (controller.clock.now() - signalled_at) / MILLISECOND;
+        assert!((3_000..3_650).contains(&took_ms), "{took_ms} ms");
+        shutdown.await.unwrap();
         assert_eq!(
             heard[..2],
             [
@@ -270,89 +300,96 @@
             [Code::Errored as u8; 2],
             "both may have run"
         );
-        assert_eq!(stage.broken(), [0u8; 0]);
+        assert_eq!(controller.broken_rules(), [0u8; 0]);
     });
 }
 
-/// New versions of what is loaded, on a quiet day: all copies are gone at once. No wave of orders follows (the ration is
-/// judged on the traffic), and all is served again.
+/// All instances are lost at once while the traffic is low, as when new versions are published. The load orders stay
+/// within their budget, which the checker verifies on the traffic, and all functions are served again.
 #[test]
 fn reloads_lost_instances_without_load_spike() {
-    staged(|| async {
-        let stage = Stage::new(dispatch_policy, &[1, 2], 256).await;
-        let mut client = stage.client().await;
-        let ask = |n: u64| Call {
+    run_test(|| async {
+        let controller = TestController::new(dispatch_policy, &[1, 2], 256).await;
+        let mut client = controller.connect_client().await;
+        let call = |n: u64| Call {
             function: 700 + n % 12,
             limit_ms: 2_500,
-            ..stage.call("look")
+            ..controller.new_call("look")
         };
-        let orders = || {
-            let of = |w: u32| {
-                stage.invokers[&w]
+        let order_count = || {
+            let orders_to = |invoker: u32| {
+                controller.invokers[&invoker]
                     .arrived
                     .borrow()
                     .iter()
                     .filter(|a| a.method == "PUT")
                     .count()
             };
-            of(1) + of(2)
+            orders_to(1) + orders_to(2)
         };
         for n in 0..120 {
-            client.ask(&ask(n)).await;
-            answer(&mut client).await;
+            client.ask(&call(n)).await;
+            expect_response(&mut client).await;
         }
-        let before = orders();
-        stage
+        let before = order_count();
+        controller
             .invokers
             .values()
             .for_each(|i| i.spoilt.set(Spoilt::Miss));
         for n in 0..12 {
-            client.ask(&ask(n)).await;
+            client.ask(&call(n)).await;
         }
-        pass(200).await;
-        let wave = orders() - before;
-        stage
+        sleep_ms(200).await;
+        let orders = order_count() - before;
+        controller
             .invokers
             .values()
             .for_each(|i| i.spoilt.set(Spoilt::No));
         for _ in 0..12 {
-            answer(&mut client).await;
+            expect_response(&mut client).await;
         }
-        // Stated are 3 and a tenth of the 132 that were taken; all copies together would be 24.
-        assert!((1..=16).contains(&wave), "{wave} orders for 12 functions");
+        // The budget is 3 and a tenth of the 132 admitted invocations; reloading all instances would take 24 orders.
+        assert!(
+            (1..=16).contains(&orders),
+            "{orders} orders for 12 functions"
+        );
         for n in 0..60 {
-            client.ask(&ask(n)).await;
-            assert_eq!(answer(&mut client).await.code, Code::Succeeded as u8);
+            client.ask(&call(n)).await;
+            assert_eq!(
+                expect_response(&mut client).await.code,
+                Code::Succeeded as u8
+            );
         }
-        assert_eq!(stage.broken(), [0u8; 0]);
+        assert_eq!(controller.broken_rules(), [0u8; 0]);
     });
 }
 
-/// Every path of the settings, with what it holds.
-fn paths(at: String, v: &Value, all: &mut Vec<String>) {
-    match v {
-        Value::Object(inside) => inside
+/// Collects the paths of all scalar settings.
+fn collect_paths(path: String, value: &Value, paths: &mut Vec<String>) {
+    match value {
+        Value::Object(members) => members
             .iter()
-            .for_each(|(k, v)| paths(format!("{at}/{k}"), v, all)),
+            .for_each(|(name, member)| collect_paths(format!("{path}/{name}"), member, paths)),
         Value::Array(items) => items
             .iter()
             .enumerate()
-            .for_each(|(i, v)| paths(format!("{at}/{i}"), v, all)),
-        _ => all.push(at),
+            .for_each(|(index, item)| collect_paths(format!("{path}/{index}"), item, paths)),
+        _ => paths.push(path),
     }
 }
 
 thread_local! {
-    static READ: RefCell<(usize, usize)> = const { RefCell::new((0, 0)) };
+    /// Numbers of accepted and rejected configurations.
+    static OUTCOMES: RefCell<(usize, usize)> = const { RefCell::new((0, 0)) };
 }
 
-/// Another customer's settings: any two values drawn anew, left out, zero or at an edge. The file is refused in one line,
-/// or the controller starts, answers each invocation once and in time, and keeps what is judged on the traffic.
+/// Up to two settings are replaced by random or extreme values, or removed. Either the file is rejected with an error
+/// of one line, or the controller starts, responds to each invocation once and in time, and keeps the rules.
 #[test]
 fn random_settings_are_rejected_in_one_line_or_served_by_the_rules() {
-    let mut all = Vec::new();
+    let mut setting_paths = Vec::new();
     let base: Value = serde_json::from_str(&configuration(&[1, 2], 256)).unwrap();
-    paths("/settings".into(), &base["settings"], &mut all);
+    collect_paths("/settings".into(), &base["settings"], &mut setting_paths);
     let value = prop_oneof![
         Just(None),
         prop_oneof![
@@ -379,112 +416,117 @@
         any::<bool>().prop_map(|b| Some(json!(b))),
         prop_oneof![Just(0), Just(1), Just(2), Just(255)].prop_map(|n: i64| Some(json!(n))),
     ];
-    let change = (prop::sample::select(all), value);
-    let seeded = Config {
+    let change = (prop::sample::select(setting_paths), value);
+    let fixed_seed_config = Config {
         cases: 800,
         rng_seed: RngSeed::Fixed(29),
         failure_persistence: None,
         ..Config::default()
     };
-    READ.take();
-    let done = TestRunner::new(seeded).run(&prop::collection::vec(change, 1..3), |changes| {
-        let text = changed(|c| {
-            for (path, value) in &changes {
-                match value {
-                    Some(value) => c
-                        .pointer_mut(path)
-                        .into_iter()
-                        .for_each(|at| *at = value.clone()),
-                    None => {
-                        let (parent, name) = path.rsplit_once('/').unwrap();
-                        if let Some(parent) = c.pointer_mut(parent).and_then(Value::as_object_mut) {
-                            parent.remove(name);
+    OUTCOMES.take();
+    let result =
+        TestRunner::new(fixed_seed_config).run(&prop::collection::vec(change, 1..3), |changes| {
+            let text = changed_configuration(|c| {
+                for (path, value) in &changes {
+                    match value {
+                        Some(value) => c
+                            .pointer_mut(path)
+                            .into_iter()
+                            .for_each(|at| *at = value.clone()),
+                        None => {
+                            let (parent, name) = path.rsplit_once('/').unwrap();
+                            if let Some(parent) =
+                                c.pointer_mut(parent).and_then(Value::as_object_mut)
+                            {
+                                parent.remove(name);
+                            }
                         }
                     }
                 }
+            });
+            match config::parse(&text) {
+                Err(fault) => {
+                    OUTCOMES.with_borrow_mut(|outcomes| outcomes.1 += 1);
+                    let error = fault.to_string();
+                    prop_assert!(!error.contains('\n') && error.len() < 300, "{error}");
+                }
+                Ok(config) => {
+                    OUTCOMES.with_borrow_mut(|outcomes| outcomes.0 += 1);
+                    check_served(&text, &config.trigger_names, &config.deployment);
+                }
             }
+            Ok(())
         });
-        match config::parse(&text) {
-            Err(fault) => {
-                READ.with_borrow_mut(|r| r.1 += 1);
-                let said = fault.to_string();
-                prop_assert!(!said.contains('\n') && said.len() < 300, "{said}");
-            }
-            Ok(config) => {
-                READ.with_borrow_mut(|r| r.0 += 1);
-                served(&text, &config.trigger_names, &config.deployment);
-            }
-        }
-        Ok(())
-    });
-    done.unwrap();
-    let (started, refused) = READ.take();
+    result.unwrap();
+    let (started, rejected) = OUTCOMES.take();
     assert!(
-        started > 100 && refused > 100,
-        "{started} started, {refused} refused"
+        started > 100 && rejected > 100,
+        "{started} started, {rejected} rejected"
     );
 }
 
-/// One invocation of each type, with a drain among them: each is answered once, within its time and the half second after.
-fn served(text: &str, names: &[String], d: &Deployment) {
+/// Sends invocations of each type, with a drain between them. Each gets one response, within its time limit and the
+/// grace of half a second.
+fn check_served(text: &str, names: &[String], deployment: &Deployment) {
     let (names, timeouts) = (
         names.to_vec(),
-        d.trigger_types
+        deployment
+            .trigger_types
             .iter()
             .map(|t| t.client_timeout / MILLISECOND),
     );
     let timeouts: Vec<u64> = timeouts.collect();
-    staged(|| async move {
-        let stage = Stage::with(dispatch_policy, &[1, 2], text).await;
-        let mut client = stage.client().await;
-        let mut owed = 0;
+    run_test(|| async move {
+        let controller = TestController::with_configuration(dispatch_policy, &[1, 2], text).await;
+        let mut client = controller.connect_client().await;
+        let mut sent = 0;
         for round in 0..3u64 {
             for (name, timeout) in names.iter().zip(&timeouts).filter(|(_, t)| **t > 0) {
-                let token = Some(format!("{:032x}", 100 + owed));
+                let token = Some(format!("{:032x}", 100 + sent));
                 let limit_ms = (*timeout).min(800);
                 client
                     .ask(&Call {
                         token,
                         limit_ms,
                         trigger: name.clone(),
-                        ..stage.call("look")
+                        ..controller.new_call("look")
                     })
                     .await;
-                owed += 1;
+                sent += 1;
             }
             if round == 1 {
-                stage.feed.say(
+                controller.feed.say(
                     2,
                     Event::Changes(vec![listing(
                         1,
-                        invoker_at(1),
+                        invoker_address(1),
                         InvokerStatus::Draining,
                         None,
                     )]),
                 );
             }
-            pass(30).await;
+            sleep_ms(30).await;
         }
         let mut streams = std::collections::BTreeSet::new();
-        for _ in 0..owed {
+        for _ in 0..sent {
             let heard = tokio::time::timeout(Duration::from_millis(1_500), client.hear()).await;
             match heard {
                 Ok(Some(Heard::Answer(a))) => {
                     assert!(streams.insert(a.stream), "answered twice: {a:?}")
                 }
                 other => panic!(
-                    "{other:?} with {owed} owed, {} answered, on {text}",
+                    "{other:?} with {sent} sent, {} answered, on {text}",
                     streams.len()
                 ),
             }
         }
         let more = tokio::time::timeout(Duration::from_millis(600), client.hear()).await;
-        assert!(more.is_err(), "{more:?} after all was answered");
+        assert!(more.is_err(), "{more:?} after all responses");
     });
 }
 
-/// Clients that close or cancel while their invocation is dispatched, waits for a copy, for the ration, or for a further
-/// try: the judge finds nothing that was sent on, first attempt or further, over 0.1 s later, and nothing is kept.
+/// Clients close or cancel while their invocation is dispatched, or waits for a load, for the load budget or for a
+/// retry. The checker finds no attempt that was sent more than 0.1 s later, and no invocation stays in the tables.
 #[test]
 fn never_dispatches_after_client_left_at_any_time() {
     const SPOILT: [Spoilt; 6] = [
@@ -498,83 +540,86 @@
     let requests = Rc::new(Cell::new(0));
     for seed in 0..24 {
         let requests = requests.clone();
-        staged(|| async move {
+        run_test(|| async move {
             let mut rng = fastrand::Rng::with_seed(seed);
-            let stage = Stage::new(dispatch_policy, &[1, 2], 256).await;
+            let controller = TestController::new(dispatch_policy, &[1, 2], 256).await;
             for n in 0..60 {
-                stage
+                controller
                     .invokers
                     .values()
                     .for_each(|i| i.spoilt.set(SPOILT[rng.usize(..SPOILT.len())]));
-                let mut client = stage.client().await;
-                // Not "charge": the stand-ins share no memory of tokens.
+                let mut client = controller.connect_client().await;
+                // Not "charge": the test invokers do not share idempotency tokens.
                 let trigger = if rng.bool() { "look" } else { "book" };
-                // Few functions, so that some have copies; some that nobody has, which wait for a load.
+                // One function is loaded after a while; the others are not loaded anywhere and wait for a load.
                 let function = if rng.bool() { 0xf1 } else { 0x1_000 + n };
                 let stream = client
                     .ask(&Call {
                         function,
-                        ..stage.call(trigger)
+                        ..controller.new_call(trigger)
                     })
                     .await;
-                pass(rng.u64(0..300)).await;
+                sleep_ms(rng.u64(0..300)).await;
                 if rng.bool() {
                     client.leave(stream).await;
-                    pass(rng.u64(0..30)).await;
+                    sleep_ms(rng.u64(0..30)).await;
                 }
                 client.close();
             }
-            pass(200).await;
+            sleep_ms(200).await;
             assert_eq!(
-                stage.handle.inspect(|s| s.invocations.in_flight()),
+                controller.handle.inspect(|s| s.invocations.in_flight()),
                 0,
                 "seed {seed}"
             );
-            let further = stage
+            let arrived = controller
                 .invokers
                 .values()
                 .map(|i| i.arrived.borrow().len())
                 .sum::<usize>();
-            requests.set(requests.get() + further);
-            assert_eq!(stage.broken(), [0u8; 0], "seed {seed}");
+            requests.set(requests.get() + arrived);
+            assert_eq!(controller.broken_rules(), [0u8; 0], "seed {seed}");
         });
     }
     assert!(requests.get() >= 24 * 30, "{} requests", requests.get());
 }
 
-/// Noise in place of a frame of the feed: it is asked again, and what it told stands.
+/// After a malformed frame of the feed the controller reconnects, and the last list remains in use.
 #[test]
 fn ignores_malformed_feed_data() {
-    staged(|| async {
-        let stage = Stage::new(dispatch_policy, &[1], 256).await;
-        let (network, at) = (stage.network.clone(), feed_at(3));
-        let asked = Rc::new(RefCell::new(Vec::new()));
-        let seen = asked.clone();
+    run_test(|| async {
+        let controller = TestController::new(dispatch_policy, &[1], 256).await;
+        let (network, at) = (controller.network.clone(), feed_address(3));
+        let requested = Rc::new(RefCell::new(Vec::new()));
+        let requested_events = requested.clone();
         spawn_local(async move {
-            let (mut door, _) = network.listen(&Address::Tcp(at.to_string())).await.unwrap();
-            while let Ok(mut stream) = door.accept().await {
+            let (mut listener, _) = network.listen(&Address::Tcp(at.to_string())).await.unwrap();
+            while let Ok(mut stream) = listener.accept().await {
                 let Ok(last) = stream.read_u64().await else {
                     continue;
                 };
-                seen.borrow_mut().push(last);
-                let noise = [
+                requested_events.borrow_mut().push(last);
+                let malformed = [
                     encode(1, &Event::Heartbeat),
                     vec![0, 0, 0, 10, 9, 9, 9, 9, 9, 9, 9, 9, 9, 9],
                 ]
                 .concat();
-                let _ = stream.write_all(&Bytes::from(noise)).await;
-                pass(50).await;
+                let _ = stream.write_all(&Bytes::from(malformed)).await;
+                sleep_ms(50).await;
             }
         });
-        stage.handle.config.feed.moves(at);
-        pass(3_000).await;
-        let asked = asked.borrow().clone();
+        controller.handle.config.feed.set_address(at);
+        sleep_ms(3_000).await;
+        let requested = requested.borrow().clone();
         assert!(
-            (5..40).contains(&asked.len()) && asked.iter().all(|n| *n == 1),
-            "{asked:?}"
+            (5..40).contains(&requested.len()) && requested.iter().all(|n| *n == 1),
+            "{requested:?}"
+        );
+        let mut client = controller.connect_client().await;
+        client.ask(&controller.new_call("look")).await;
+        assert_eq!(
+            expect_response(&mut client).await.code,
+            Code::Succeeded as u8
         );
-        let mut client = stage.client().await;
-        client.ask(&stage.call("look")).await;
-        assert_eq!(answer(&mut client).await.code, Code::Succeeded as u8);
     });
 }
--- a/crates/platform/src/tests/degraded_peers.rs
+++ b/crates/platform/src/tests/degraded_peers.rs
@@ -1,6 +1,7 @@
-//! Trouble at invokers, or with other clients, frees no request of its final answer in its time. In virtual time.
+//! Every request gets its final response in time while invokers are faulty or other clients misbehave. Runs in virtual
+//! time.
 
-use crate::tests::support::{Stage, answer, pass, staged};
+use crate::tests::support::{TestController, expect_response, run_test, sleep_ms};
 use saltdrum_controller::dispatch_policy;
 use saltdrum_fakes::platform::{Call, FrameClient, Heard, Spoilt};
 use saltdrum_platform_wire::frames::{self, Code};
@@ -8,41 +9,47 @@
 use tokio::io::AsyncWriteExt;
 use tokio::task::spawn_local;
 
-const LIMIT_MS: u64 = 2_000;
-const EACH_CLIENT_ASKS: usize = 20;
+const TIME_LIMIT_MS: u64 = 2_000;
+const CALL_PAIRS_PER_CLIENT: usize = 20;
 
-/// One client that asks all it has, and then hears as many answers.
-async fn asks_and_hears(mut client: FrameClient, calls: Vec<Call>) -> Result<(), String> {
-    let asked = calls.len();
+/// Sends all calls, and then receives as many responses.
+async fn send_and_receive(mut client: FrameClient, calls: Vec<Call>) -> Result<(), String> {
+    let call_count = calls.len();
     for pair in calls.chunks(2) {
         for call in pair {
             client.ask(call).await;
         }
-        pass(20).await;
+        sleep_ms(20).await;
     }
-    for n in 0..asked {
-        let heard =
-            tokio::time::timeout(Duration::from_millis(LIMIT_MS + 100), answer(&mut client)).await;
-        heard.map_err(|_| format!("{n} of {asked} are answered"))?;
+    for answered in 0..call_count {
+        let received = tokio::time::timeout(
+            Duration::from_millis(TIME_LIMIT_MS + 100),
+            expect_response(&mut client),
+        )
+        .await;
+        received.map_err(|_| format!("{answered} of {call_count} are answered"))?;
     }
     Ok(())
 }
 
-/// Four clients that ask side by side: each is answered once, within its time, as the judge sees it too.
-async fn all_are_answered_in_time(stage: &Stage, trouble: &str) {
+/// Four concurrent clients send calls. Each call gets one response in time, and the checker finds no broken rule.
+async fn check_all_answered_in_time(controller: &TestController, fault: &str) {
     let mut clients = Vec::new();
     for _ in 0..4 {
         let call = |n: usize| Call {
-            limit_ms: LIMIT_MS,
-            ..stage.call(if n.is_multiple_of(2) { "look" } else { "book" })
+            limit_ms: TIME_LIMIT_MS,
+            ..controller.new_call(if n.is_multiple_of(2) { "look" } else { "book" })
         };
-        let calls = (0..2 * EACH_CLIENT_ASKS).map(call).collect();
-        clients.push(spawn_local(asks_and_hears(stage.client().await, calls)));
+        let calls = (0..2 * CALL_PAIRS_PER_CLIENT).map(call).collect();
+        clients.push(spawn_local(send_and_receive(
+            controller.connect_client().await,
+            calls,
+        )));
     }
     for client in clients {
-        assert_eq!(client.await.unwrap(), Ok(()), "{trouble}");
+        assert_eq!(client.await.unwrap(), Ok(()), "{fault}");
     }
-    assert_eq!(stage.broken(), [0u8; 0], "{trouble}");
+    assert_eq!(controller.broken_rules(), [0u8; 0], "{fault}");
 }
 
 #[test]
@@ -57,33 +64,39 @@
         S::ClosedUnread,
         S::ResetAfterReading,
     ] {
-        staged(|| async move {
-            let stage = Stage::new(dispatch_policy, &[1, 2], 256).await;
-            stage.invokers.values().for_each(|i| i.spoilt.set(spoilt));
-            all_are_answered_in_time(&stage, &format!("{spoilt:?}")).await;
+        run_test(|| async move {
+            let controller = TestController::new(dispatch_policy, &[1, 2], 256).await;
+            controller
+                .invokers
+                .values()
+                .for_each(|i| i.spoilt.set(spoilt));
+            check_all_answered_in_time(&controller, &format!("{spoilt:?}")).await;
         });
     }
 }
 
-/// No connection to an invoker can be made: all descriptors of its part are used by requests that nobody answers.
+/// No connection to an invoker can be established, because requests without a response use all descriptors.
 #[test]
 fn answers_all_in_time_without_free_descriptors() {
-    staged(|| async {
-        let stage = Stage::new(dispatch_policy, &[1, 2], 32).await;
-        stage
+    run_test(|| async {
+        let controller = TestController::new(dispatch_policy, &[1, 2], 32).await;
+        controller
             .invokers
             .values()
             .for_each(|i| i.spoilt.set(Spoilt::Silent));
-        all_are_answered_in_time(&stage, "no descriptor").await;
+        check_all_answered_in_time(&controller, "no descriptor").await;
     });
 }
 
-/// One client asks without end and one never reads what it is told; a third is served as ever.
+/// One client floods the controller and one never reads its responses; a third is served normally.
 #[test]
 fn flooding_and_stalled_clients_affect_nobody_else() {
-    staged(|| async {
-        let stage = Stage::new(dispatch_policy, &[1, 2], 256).await;
-        let (mut floods, mut never_reads) = (stage.client().await, stage.client().await);
+    run_test(|| async {
+        let controller = TestController::new(dispatch_policy, &[1, 2], 256).await;
+        let (mut flooding, mut never_reads) = (
+            controller.connect_client().await,
+            controller.connect_client().await,
+        );
         let flood = spawn_local(async move {
             for n in 1..20_000u32 {
                 let frame = if n % 2 == 0 {
@@ -91,11 +104,11 @@
                 } else {
                     frames::encode_empty(18, n)
                 };
-                if floods.stream.write_all(&frame).await.is_err() {
+                if flooding.stream.write_all(&frame).await.is_err() {
                     return;
                 }
                 while let Ok(Some(Heard::Ready { .. })) =
-                    tokio::time::timeout(Duration::ZERO, floods.hear()).await
+                    tokio::time::timeout(Duration::ZERO, flooding.hear()).await
                 {}
             }
         });
@@ -110,51 +123,60 @@
                     return;
                 }
             }
-            pass(60_000).await;
+            sleep_ms(60_000).await;
         });
-        let mut usual = stage.client().await;
+        let mut normal = controller.connect_client().await;
         for _ in 0..30 {
-            usual.ask(&stage.call("book")).await;
-            let heard =
-                tokio::time::timeout(Duration::from_millis(LIMIT_MS), answer(&mut usual)).await;
+            normal.ask(&controller.new_call("book")).await;
+            let received = tokio::time::timeout(
+                Duration::from_millis(TIME_LIMIT_MS),
+                expect_response(&mut normal),
+            )
+            .await;
             assert_eq!(
-                heard.expect("an answer in time").code,
+                received.expect("a response in time").code,
                 Code::Succeeded as u8
             );
-            pass(10).await;
+            sleep_ms(10).await;
         }
         flood.abort();
         unread.abort();
-        assert_eq!(stage.broken(), [0u8; 0]);
+        assert_eq!(controller.broken_rules(), [0u8; 0]);
     });
 }
 
-/// Found on a short day of the fleet bench (crowd): each of a crowd of idle clients took 10 ms at the door, so that who came
-/// behind them waited for seconds.
+/// Guards against idle clients that each delay the accept loop by 10 ms, so that a new client behind many of them waits
+/// for seconds.
 #[test]
 fn serves_new_client_behind_many_idle_clients() {
-    const CROWD: usize = 400;
-    staged(|| async {
-        let stage = Stage::new(dispatch_policy, &[1], 64).await;
-        let mut crowd = Vec::new();
-        for _ in 0..CROWD {
-            let mut idle = stage.client().await;
+    const IDLE_CLIENTS: usize = 400;
+    run_test(|| async {
+        let controller = TestController::new(dispatch_policy, &[1], 64).await;
+        let mut idle_clients = Vec::new();
+        for _ in 0..IDLE_CLIENTS {
+            let mut idle = controller.connect_client().await;
             idle.stream
                 .write_all(&frames::encode_empty(32, 1))
                 .await
                 .unwrap();
-            crowd.push(idle);
+            idle_clients.push(idle);
         }
-        let began = stage.clock.now();
-        let mut client = stage.client().await;
+        let began = controller.clock.now();
+        let mut client = controller.connect_client().await;
         client
             .ask(&Call {
-                limit_ms: LIMIT_MS,
-                ..stage.call("look")
+                limit_ms: TIME_LIMIT_MS,
+                ..controller.new_call("look")
             })
             .await;
-        assert_eq!(answer(&mut client).await.code, Code::Succeeded as u8);
-        let took_ms = (stage.clock.now() - began) / saltdrum::interface::MILLISECOND;
-        assert!(took_ms < 1_000, "{took_ms} ms behind a crowd of {CROWD}");
+        assert_eq!(
+            expect_response(&mut client).await.code,
+            Code::Succeeded as u8
+        );
+        let took_ms = (controller.clock.now() - began) / saltdrum::interface::MILLISECOND;
+        assert!(
+            took_ms < 1_000,
+            "{took_ms} ms behind {IDLE_CLIENTS} idle clients"
+        );
     });
 }
--- a/crates/platform/src/tests/endpoint_list.rs
+++ b/crates/platform/src/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The list of invokers over broken and moved feeds.
+//! The endpoint list when connections to the feed break or its address changes.
 
 use super::support::*;
 use saltdrum::interface::*;
@@ -16,28 +16,32 @@
         Torn::Stalls,
         Torn::Length,
     ] {
-        staged(|| async move {
-            let mut stage = Stage::new(dispatch_policy, &[1], 256).await;
-            stage.invoker(2, invoker_at(2));
-            pass(1_500).await;
-            stage.feed.torn.set(torn);
-            let one = listing(1, invoker_at(1), InvokerStatus::Draining, None);
-            let two = listing(2, invoker_at(2), InvokerStatus::Ready, LONG_PAST_MS);
-            stage.feed.say(2, Event::Changes(vec![one]));
-            stage.feed.say(3, Event::Changes(vec![two]));
-            pass(3_500).await;
-            let asked = stage.feed.asked.borrow().clone();
-            let again = !matches!(torn, Torn::No | Torn::Twice);
-            assert_eq!(asked, if again { vec![1, 1] } else { vec![1] }, "{torn:?}");
-            let mut client = stage.client().await;
-            client.ask(&stage.call("look")).await;
-            answer(&mut client).await;
+        run_test(|| async move {
+            let mut controller = TestController::new(dispatch_policy, &[1], 256).await;
+            controller.start_invoker(2, invoker_address(2));
+            sleep_ms(1_500).await;
+            controller.feed.torn.set(torn);
+            let draining = listing(1, invoker_address(1), InvokerStatus::Draining, None);
+            let ready = listing(2, invoker_address(2), InvokerStatus::Ready, LONG_PAST_MS);
+            controller.feed.say(2, Event::Changes(vec![draining]));
+            controller.feed.say(3, Event::Changes(vec![ready]));
+            sleep_ms(3_500).await;
+            let asked = controller.feed.asked.borrow().clone();
+            let has_reconnected = !matches!(torn, Torn::No | Torn::Twice);
+            assert_eq!(
+                asked,
+                if has_reconnected { vec![1, 1] } else { vec![1] },
+                "{torn:?}"
+            );
+            let mut client = controller.connect_client().await;
+            client.ask(&controller.new_call("look")).await;
+            expect_response(&mut client).await;
             assert!(
-                stage.invokers[&1].arrived.borrow().is_empty(),
-                "{torn:?}: it drains"
+                controller.invokers[&1].arrived.borrow().is_empty(),
+                "{torn:?}: it is draining"
             );
             assert!(
-                !stage.invokers[&2].arrived.borrow().is_empty(),
+                !controller.invokers[&2].arrived.borrow().is_empty(),
                 "{torn:?}: it is ready"
             );
         });
@@ -46,64 +50,78 @@
 
 #[test]
 fn follows_feed_to_address_of_reloaded_configuration() {
-    staged(|| async {
-        let mut stage = Stage::new(dispatch_policy, &[1], 256).await;
-        stage.invoker(2, invoker_at(2));
-        let moved = Feed::new(WHO, stage.record.clone(), stage.clock);
-        spawn_local(moved.clone().serve(stage.network.clone(), feed_at(2)));
-        stage.feed.say(2, Event::Heartbeat);
-        stage.handle.config.feed.moves(feed_at(2));
+    run_test(|| async {
+        let mut controller = TestController::new(dispatch_policy, &[1], 256).await;
+        controller.start_invoker(2, invoker_address(2));
+        let moved = Feed::new(CONTROLLER, controller.record.clone(), controller.clock);
+        spawn_local(
+            moved
+                .clone()
+                .serve(controller.network.clone(), feed_address(2)),
+        );
+        controller.feed.say(2, Event::Heartbeat);
+        controller.handle.config.feed.set_address(feed_address(2));
         moved.say(
             2,
-            Event::Changes(vec![listing(1, invoker_at(1), InvokerStatus::Gone, None)]),
+            Event::Changes(vec![listing(
+                1,
+                invoker_address(1),
+                InvokerStatus::Gone,
+                None,
+            )]),
         );
         moved.say(
             3,
             Event::Changes(vec![listing(
                 2,
-                invoker_at(2),
+                invoker_address(2),
                 InvokerStatus::Ready,
                 LONG_PAST_MS,
             )]),
         );
-        pass(600).await;
+        sleep_ms(600).await;
         assert_eq!(*moved.asked.borrow(), [1]);
-        let mut client = stage.client().await;
-        client.ask(&stage.call("look")).await;
-        answer(&mut client).await;
-        assert!(!stage.invokers[&2].arrived.borrow().is_empty());
+        let mut client = controller.connect_client().await;
+        client.ask(&controller.new_call("look")).await;
+        expect_response(&mut client).await;
+        assert!(!controller.invokers[&2].arrived.borrow().is_empty());
     });
 }
 
 #[test]
 fn new_invoker_on_reused_address_gets_new_connection() {
-    staged(|| async {
-        let stage = Stage::new(dispatch_policy, &[1], 256).await;
-        let mut client = stage.client().await;
-        client.ask(&stage.call("look")).await;
-        answer(&mut client).await;
-        let before = stage.invokers[&1].accepted.get();
-        stage.feed.say(
+    run_test(|| async {
+        let controller = TestController::new(dispatch_policy, &[1], 256).await;
+        let mut client = controller.connect_client().await;
+        client.ask(&controller.new_call("look")).await;
+        expect_response(&mut client).await;
+        let before = controller.invokers[&1].accepted.get();
+        controller.feed.say(
             2,
-            Event::Changes(vec![listing(1, invoker_at(1), InvokerStatus::Gone, None)]),
+            Event::Changes(vec![listing(
+                1,
+                invoker_address(1),
+                InvokerStatus::Gone,
+                None,
+            )]),
         );
-        stage.feed.say(
+        controller.feed.say(
             3,
             Event::Changes(vec![listing(
                 7,
-                invoker_at(1),
+                invoker_address(1),
                 InvokerStatus::Ready,
                 LONG_PAST_MS,
             )]),
         );
-        pass(50).await;
+        sleep_ms(50).await;
         assert_eq!(
-            stage.invokers[&1].connections.get(),
+            controller.invokers[&1].connections.get(),
             0,
-            "those of the old id are closed"
+            "connections of the old id are closed"
         );
-        client.ask(&stage.call("look")).await;
-        answer(&mut client).await;
-        assert!(stage.invokers[&1].accepted.get() > before);
+        client.ask(&controller.new_call("look")).await;
+        expect_response(&mut client).await;
+        assert!(controller.invokers[&1].accepted.get() > before);
     });
 }
--- a/crates/platform/src/tests/hostile_clients.rs
+++ b/crates/platform/src/tests/hostile_clients.rs
@@ -1,4 +1,4 @@
-//! Clients that send malformed data, reuse ids, or leave.
+//! Clients that send malformed data, reuse ids or disconnect.
 
 use super::support::*;
 use saltdrum_controller::dispatch_policy;
@@ -7,9 +7,9 @@
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 
-/// Bytes that no client may send.
-fn lies() -> Vec<Vec<u8>> {
-    let good = Call {
+/// Byte sequences that no client may send.
+fn malformed_inputs() -> Vec<Vec<u8>> {
+    let valid = Call {
         n: 900,
         attempt: 0,
         trigger: "look".into(),
@@ -18,8 +18,8 @@
         token: None,
         body: vec![],
     };
-    let with = |name: &str, value: Option<&str>| {
-        let (txn, mut fields) = (good.txn(), Vec::new());
+    let request_with = |name: &str, value: Option<&str>| {
+        let (txn, mut fields) = (valid.txn(), Vec::new());
         for (n, v) in [
             ("verb", "look"),
             ("txn", &txn),
@@ -37,7 +37,7 @@
         }
         frames::encode_invoke(1, &fields, &[]).to_vec()
     };
-    let mut all = vec![
+    let mut inputs = vec![
         vec![0; 4],
         vec![0xff; 64],
         b"GET / HTTP/1.1\r\n\r\n".to_vec(),
@@ -51,16 +51,16 @@
             frames::encode_invoke(1, &[], &[]).to_vec(),
         ]
         .concat(),
-        good.frame(1)[..40].to_vec(),
+        valid.frame(1)[..40].to_vec(),
         Call {
             body: vec![0; 17 << 10],
-            ..good.clone()
+            ..valid.clone()
         }
         .frame(1)
         .to_vec(),
         Call {
             trigger: "charge".into(),
-            ..good.clone()
+            ..valid.clone()
         }
         .frame(1)
         .to_vec(),
@@ -118,81 +118,86 @@
         ),
     ];
     for (name, values) in values {
-        all.extend(values.into_iter().map(|value| with(name, value)));
+        inputs.extend(values.into_iter().map(|value| request_with(name, value)));
     }
-    all
+    inputs
 }
 
 #[test]
 fn malformed_clients_are_answered_or_closed_and_affect_nobody_else() {
-    staged(|| async {
-        let stage = Stage::new(dispatch_policy, &[1, 2], 256).await;
-        let mut usual = stage.client().await;
-        for (n, lie) in lies().into_iter().enumerate() {
-            let mut client = stage.client().await;
-            let wrote = client.stream.write_all(&lie).await;
+    run_test(|| async {
+        let controller = TestController::new(dispatch_policy, &[1, 2], 256).await;
+        let mut usual = controller.connect_client().await;
+        for (index, input) in malformed_inputs().into_iter().enumerate() {
+            let mut client = controller.connect_client().await;
+            let wrote = client.stream.write_all(&input).await;
             let heard = tokio::time::timeout(Duration::from_millis(2_900), client.hear()).await;
             match heard {
                 Ok(None) => {}
-                Ok(Some(Heard::Answer(a))) => assert_ne!(a.code, Code::Succeeded as u8, "lie {n}"),
-                other => panic!("lie {n}: {other:?} after {wrote:?}"),
+                Ok(Some(Heard::Answer(a))) => {
+                    assert_ne!(a.code, Code::Succeeded as u8, "input {index}")
+                }
+                other => panic!("input {index}: {other:?} after {wrote:?}"),
             }
-            usual.ask(&stage.call("look")).await;
-            answer(&mut usual).await;
+            usual.ask(&controller.new_call("look")).await;
+            expect_response(&mut usual).await;
         }
-        // Those who only connect are closed; so are those who stay after one invocation.
-        let mut silent = stage.client().await;
+        // A connection without any frame is closed, and so is one that is idle after its invocations.
+        let mut silent = controller.connect_client().await;
         assert_eq!(
             tokio::time::timeout(Duration::from_millis(2_900), silent.hear()).await,
             Ok(None)
         );
-        let farewell = tokio::time::timeout(Duration::from_millis(8_000), usual.hear()).await;
+        let notification = tokio::time::timeout(Duration::from_millis(8_000), usual.hear()).await;
         assert_eq!(
-            farewell,
+            notification,
             Ok(Some(Heard::GoAway)),
-            "it hears so before its connection is closed"
+            "the client is notified before its connection is closed"
         );
         assert_eq!(
             tokio::time::timeout(Duration::from_millis(300), usual.hear()).await,
             Ok(None)
         );
-        let asked: Vec<u64> = stage
+        let arrived: Vec<u64> = controller
             .invokers
             .values()
             .flat_map(|i| i.arrived.borrow().clone())
-            .filter_map(|a| u64::from_str_radix(a.fields.get("x-txn")?, 16).ok())
+            .filter_map(|request| u64::from_str_radix(request.fields.get("x-txn")?, 16).ok())
             .collect();
         assert!(
-            asked.iter().all(|txn| txn >> 8 < 900),
-            "a lie came to an invoker: {asked:x?}"
+            arrived.iter().all(|txn| txn >> 8 < 900),
+            "a malformed request reached an invoker: {arrived:x?}"
         );
-        assert_eq!(stage.broken(), [0u8; 0]);
+        assert_eq!(controller.broken_rules(), [0u8; 0]);
     });
 }
 
 #[test]
 fn rejects_duplicate_open_transaction_and_streams_over_the_limit() {
-    staged(|| async {
-        let stage = Stage::new(first, &[1], 256).await;
-        let (mut one, mut other) = (stage.client().await, stage.client().await);
-        let call = stage.call("look");
+    run_test(|| async {
+        let controller = TestController::new(first_invoker_policy, &[1], 256).await;
+        let (mut one, mut other) = (
+            controller.connect_client().await,
+            controller.connect_client().await,
+        );
+        let call = controller.new_call("look");
         one.ask(&call).await;
-        pass(1).await;
+        sleep_ms(1).await;
         other
             .ask(&Call {
                 body: vec![1],
                 ..call.clone()
             })
             .await;
-        assert_eq!(answer(&mut other).await.code, Code::Errored as u8);
-        assert_eq!(answer(&mut one).await.code, Code::Succeeded as u8);
-        assert_eq!(stage.invokers[&1].arrived.borrow().len(), 1);
+        assert_eq!(expect_response(&mut other).await.code, Code::Errored as u8);
+        assert_eq!(expect_response(&mut one).await.code, Code::Succeeded as u8);
+        assert_eq!(controller.invokers[&1].arrived.borrow().len(), 1);
         for _ in 0..40 {
-            one.ask(&stage.call("look")).await;
+            one.ask(&controller.new_call("look")).await;
         }
         let mut codes = Vec::new();
         for _ in 0..40 {
-            codes.push(answer(&mut one).await.code);
+            codes.push(expect_response(&mut one).await.code);
         }
         assert_eq!(
             codes
@@ -213,24 +218,24 @@
 
 #[test]
 fn cancels_attempt_when_client_leaves() {
-    staged(|| async {
-        let stage = Stage::new(dispatch_policy, &[1], 256).await;
-        // Once the list was heard no invoker is probed: the only connection is that of the attempt.
-        pass(LIST_HEARD).await;
-        let mut client = stage.client().await;
-        client.ask(&stage.call("look")).await;
-        answer(&mut client).await;
-        pass(RESTED).await;
-        let stream = client.ask(&stage.call("look")).await;
-        pass(10).await;
+    run_test(|| async {
+        let controller = TestController::new(dispatch_policy, &[1], 256).await;
+        // Once the list is current no invoker is probed: the only connection is that of the attempt.
+        sleep_ms(LIST_CURRENT_MS).await;
+        let mut client = controller.connect_client().await;
+        client.ask(&controller.new_call("look")).await;
+        expect_response(&mut client).await;
+        sleep_ms(CONNECTION_REUSABLE_MS).await;
+        let stream = client.ask(&controller.new_call("look")).await;
+        sleep_ms(10).await;
         client.leave(stream).await;
-        pass(10).await;
-        assert_eq!(stage.sizes().2, 0, "nothing of it is kept");
+        sleep_ms(10).await;
+        assert_eq!(controller.sizes().2, 0, "the invocation was removed");
         assert_eq!(
-            stage.invokers[&1].connections.get(),
+            controller.invokers[&1].connections.get(),
             0,
             "its connection is closed"
         );
-        assert_eq!(stage.broken(), [0u8; 0]);
+        assert_eq!(controller.broken_rules(), [0u8; 0]);
     });
 }
--- a/crates/platform/src/tests/lost_connections.rs
+++ b/crates/platform/src/tests/lost_connections.rs
@@ -1,72 +1,75 @@
-//! Which ends of connections are reported as signs that an invoker's process may have ended.
+//! Ends of connections that are reported to the policy as signs that an invoker's process may have ended.
 
 use super::socket_support::*;
-use super::support::LOST;
+use super::support::LOST_CONNECTIONS;
 use std::time::Duration;
 
-/// Long enough for a sweep of the idle connections.
-const SWEPT: Duration = Duration::from_millis(500);
+/// Longer than the interval between sweeps of the idle connections.
+const AFTER_SWEEP: Duration = Duration::from_millis(500);
 
-/// A stage with an invocation under way: the client's connection, and the invoker's.
-async fn under_way(stage: &Stage) -> (Conn, Conn) {
-    LOST.take();
-    let mut client = stage.known().await;
-    client.write(&stage.call(2).0);
-    let mut line = stage.line().await;
-    line.asked().await;
-    (client, line)
+/// Starts an invocation, and returns the client's connection and the invoker's.
+async fn start_invocation(controller: &TestController) -> (PeerConnection, PeerConnection) {
+    LOST_CONNECTIONS.take();
+    let mut client = controller.connect_active_client().await;
+    client.write(&controller.new_call(2).0);
+    let mut connection = controller.accept_connection().await;
+    connection.receive_request().await;
+    (client, connection)
 }
 
 #[test]
-fn idle_connection_that_the_invoker_closes_is_reported() {
-    staged(|| async {
-        let stage = Stage::new().await;
-        let (mut client, mut line) = under_way(&stage).await;
-        line.write(&http("done"));
-        client.hear().await;
-        tokio::time::sleep(SWEPT).await;
-        assert!(LOST.take().is_empty(), "it is open");
-        drop(line);
-        tokio::time::sleep(SWEPT).await;
-        assert_eq!(LOST.take(), [1]);
+fn reports_idle_connection_closed_by_invoker() {
+    run_test(|| async {
+        let controller = TestController::new().await;
+        let (mut client, mut connection) = start_invocation(&controller).await;
+        connection.write(&http_response("done"));
+        client.receive_frame().await;
+        tokio::time::sleep(AFTER_SWEEP).await;
+        assert!(LOST_CONNECTIONS.take().is_empty(), "the connection is open");
+        drop(connection);
+        tokio::time::sleep(AFTER_SWEEP).await;
+        assert_eq!(LOST_CONNECTIONS.take(), [1]);
     });
 }
 
 #[test]
-fn connection_that_ends_under_a_request_is_reported() {
-    staged(|| async {
-        let stage = Stage::new().await;
-        let (mut client, line) = under_way(&stage).await;
-        drop(line);
-        client.hear().await;
-        assert_eq!(LOST.take(), [1]);
+fn reports_connection_closed_during_request() {
+    run_test(|| async {
+        let controller = TestController::new().await;
+        let (mut client, connection) = start_invocation(&controller).await;
+        drop(connection);
+        client.receive_frame().await;
+        assert_eq!(LOST_CONNECTIONS.take(), [1]);
     });
 }
 
 #[test]
-fn connection_that_is_refused_is_reported() {
-    staged(|| async {
-        let mut stage = Stage::new().await;
-        let (mut client, line) = under_way(&stage).await;
-        let other_listener = door().0;
-        drop((line, std::mem::replace(&mut stage.invoker, other_listener)));
-        client.hear().await;
-        LOST.take();
-        client.write(&stage.call(3).0);
-        client.hear().await;
-        assert_eq!(LOST.take(), [1]);
+fn reports_refused_connection() {
+    run_test(|| async {
+        let mut controller = TestController::new().await;
+        let (mut client, connection) = start_invocation(&controller).await;
+        let other_listener = listen().0;
+        drop((
+            connection,
+            std::mem::replace(&mut controller.invoker, other_listener),
+        ));
+        client.receive_frame().await;
+        LOST_CONNECTIONS.take();
+        client.write(&controller.new_call(3).0);
+        client.receive_frame().await;
+        assert_eq!(LOST_CONNECTIONS.take(), [1]);
     });
 }
 
 #[test]
-fn connection_that_we_close_is_not_reported() {
-    staged(|| async {
-        let stage = Stage::new().await;
-        let (mut client, mut line) = under_way(&stage).await;
+fn does_not_report_connection_closed_by_controller() {
+    run_test(|| async {
+        let controller = TestController::new().await;
+        let (mut client, mut connection) = start_invocation(&controller).await;
         client.write(&saltdrum_platform_wire::frames::encode_empty(18, 2));
-        until(|| stage.in_flight() == 0).await;
-        assert!(line.request().is_none());
-        tokio::time::sleep(SWEPT).await;
-        assert!(LOST.take().is_empty());
+        wait_until(|| controller.in_flight() == 0).await;
+        assert!(connection.next_request().is_none());
+        tokio::time::sleep(AFTER_SWEEP).await;
+        assert!(LOST_CONNECTIONS.take().is_empty());
     });
 }
--- a/crates/platform/src/tests/partial_sends.rs
+++ b/crates/platform/src/tests/partial_sends.rs
@@ -1,6 +1,6 @@
-//! Requests that leave in pieces.
+//! Requests that are sent in pieces.
 
-use super::support::{pass, staged};
+use super::support::{run_test, sleep_ms};
 use crate::invoker_connection::{InvokerConnection, SendDeadline};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -18,25 +18,25 @@
 const FIRST_PIECE_BYTES: usize = 3;
 const RESPONSE_BYTES_MAX: usize = 4_096;
 
-/// The other end of a [`NarrowStream`].
+/// The receiving side of a [`LimitedStream`].
 #[derive(Default)]
-struct Narrow {
-    taken: RefCell<Vec<u8>>,
-    is_wide: Cell<bool>,
+struct LimitedReceiver {
+    received: RefCell<Vec<u8>>,
+    is_unlimited: Cell<bool>,
     writer: RefCell<Option<Waker>>,
 }
 
-impl Narrow {
-    fn widen(&self) {
-        self.is_wide.set(true);
+impl LimitedReceiver {
+    fn remove_limit(&self) {
+        self.is_unlimited.set(true);
         self.writer.take().into_iter().for_each(Waker::wake);
     }
 }
 
-/// A stream that takes the first few bytes, and the rest only once it is widened. Nothing comes on it.
-struct NarrowStream(Rc<Narrow>);
+/// A stream that accepts the first few bytes, and more only once its limit is removed. It has no input.
+struct LimitedStream(Rc<LimitedReceiver>);
 
-impl AsyncRead for NarrowStream {
+impl AsyncRead for LimitedStream {
     fn poll_read(
         self: Pin<&mut Self>,
         _: &mut Context<'_>,
@@ -46,24 +46,24 @@
     }
 }
 
-impl AsyncWrite for NarrowStream {
+impl AsyncWrite for LimitedStream {
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let mut taken = self.0.taken.borrow_mut();
-        let room = if self.0.is_wide.get() {
+        let mut received = self.0.received.borrow_mut();
+        let capacity = if self.0.is_unlimited.get() {
             bytes.len()
         } else {
-            FIRST_PIECE_BYTES - taken.len()
+            FIRST_PIECE_BYTES - received.len()
         };
-        if room == 0 {
+        if capacity == 0 {
             *self.0.writer.borrow_mut() = Some(cx.waker().clone());
             return Poll::Pending;
         }
-        taken.extend_from_slice(&bytes[..room.min(bytes.len())]);
-        Poll::Ready(Ok(room.min(bytes.len())))
+        received.extend_from_slice(&bytes[..capacity.min(bytes.len())]);
+        Poll::Ready(Ok(capacity.min(bytes.len())))
     }
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
@@ -73,11 +73,11 @@
     }
 }
 
-/// What came of a request whose first piece left at once and whose rest could leave `widened_ms` later, where what it says is
-/// good for 40 ms: whether it was sent completely, and whether it was stale.
-async fn sent_in_two_pieces(widened_ms: u64) -> (bool, bool) {
-    let (clock, narrow) = (Clock::start(), Rc::<Narrow>::default());
-    let stream = Box::new(NarrowStream(narrow.clone()));
+/// Sends the first piece of a request at once and the rest after `delay_ms`. The request is valid for 40 ms. Returns
+/// whether it was sent completely, and whether it became stale.
+async fn send_in_two_pieces(delay_ms: u64) -> (bool, bool) {
+    let (clock, receiver) = (Clock::start(), Rc::<LimitedReceiver>::default());
+    let stream = Box::new(LimitedStream(receiver.clone()));
     let mut connection = InvokerConnection::handshake(stream, clock).await.unwrap();
     let socket = connection.socket.clone();
     let deadline = SendDeadline {
@@ -95,22 +95,23 @@
                 .await,
         );
     });
-    pass(widened_ms).await;
-    assert_eq!(narrow.taken.borrow().len(), FIRST_PIECE_BYTES);
-    narrow.widen();
-    pass(1).await;
-    let seen = (socket.sent_completely(), socket.is_stale());
+    sleep_ms(delay_ms).await;
+    assert_eq!(receiver.received.borrow().len(), FIRST_PIECE_BYTES);
+    receiver.remove_limit();
+    sleep_ms(1).await;
+    let result = (socket.sent_completely(), socket.is_stale());
     request.abort();
-    seen
+    result
 }
 
 #[test]
-fn rest_of_a_request_leaves_while_it_is_fresh() {
-    staged(|| async { assert_eq!(sent_in_two_pieces(20).await, (true, false)) });
+fn sends_rest_of_fresh_request() {
+    run_test(|| async { assert_eq!(send_in_two_pieces(20).await, (true, false)) });
 }
 
-/// Guards against a request that left in part before a stop and to its end after it, and told of the time left before.
+/// Guards against a request that is sent in part before a stop of the process and completely after it, with the time
+/// limit from before the stop.
 #[test]
-fn rest_of_a_request_does_not_leave_once_it_is_stale() {
-    staged(|| async { assert_eq!(sent_in_two_pieces(300).await, (false, true)) });
+fn does_not_send_rest_of_stale_request() {
+    run_test(|| async { assert_eq!(send_in_two_pieces(300).await, (false, true)) });
 }
--- a/crates/platform/src/tests/races.rs
+++ b/crates/platform/src/tests/races.rs
@@ -1,10 +1,10 @@
-//! What crosses at the wrong instant, over loopback sockets with the real reader and writer. Nobody sleeps until it
-//! happens: one side is held (a gate, a socket that nobody reads, the turn of the test itself, which comes before those of
-//! the controller's tasks) and let go when the other has been seen to act. `docs/crossings.md` lists them all.
+//! Races between events, over loopback sockets with the real reader and writer. The tests don't rely on sleeps to
+//! produce them: one side is blocked (by a gate, by a socket that is not read, or by the test itself, which runs before
+//! the controller's tasks) and released when the other side has acted. `docs/crossings.md` lists all of them.
 
 use super::socket_support::*;
-use crate::clients::Entry;
-use crate::lifecycle::leave;
+use crate::clients::AcceptDecision;
+use crate::lifecycle::shut_down;
 use saltdrum::interface::*;
 use saltdrum_controller::AttemptReport;
 use saltdrum_controller::Policy;
@@ -17,472 +17,518 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// A reset that the writer meets before the reader has heard of it. The writer, which had ended, was asked again for its
-/// last words: its task died of it, the client stayed in the tables and what it had open was never given up.
+/// The writer gets a connection reset before the reader does. Guards against polling the finished writer again: its
+/// task panicked, the client stayed in the tables, and its invocations were never abandoned.
 #[test]
 fn reset_during_response_counts_as_client_left() {
-    staged(|| async {
-        let stage = Stage::new().await;
-        let mut client = stage.client();
-        let (one, _) = stage.call(2);
-        let (two, _) = stage.call(3);
-        // The answer to the first frame is never read: so the close is a reset.
+    run_test(|| async {
+        let controller = TestController::new().await;
+        let mut client = controller.connect_client();
+        let (one, _) = controller.new_call(2);
+        let (two, _) = controller.new_call(3);
+        // The response to the first frame is never read, so that the close is a reset.
         client.write(&[frames::encode_empty(32, 1).to_vec(), one, two].concat());
-        until(|| stage.in_flight() == 2).await;
-        let mut lines = [stage.line().await, stage.line().await];
-        for line in &mut lines {
-            line.asked().await;
+        wait_until(|| controller.in_flight() == 2).await;
+        let mut connections = [
+            controller.accept_connection().await,
+            controller.accept_connection().await,
+        ];
+        for connection in &mut connections {
+            connection.receive_request().await;
         }
-        until(|| client.stream.peek(&mut [0]).is_ok()).await;
+        wait_until(|| client.stream.peek(&mut [0]).is_ok()).await;
         drop(client);
-        stage
+        controller
             .handle
             .update(|s| s.attempt_ended(1, 0, Outcome::Errored, &AttemptReport::default()));
-        until(|| stage.in_flight() == 0).await;
-        until(|| stage.clients() == 0).await;
-        until(|| {
-            lines.iter_mut().all(|l| {
-                l.look();
-                l.ended
+        wait_until(|| controller.in_flight() == 0).await;
+        wait_until(|| controller.client_count() == 0).await;
+        wait_until(|| {
+            connections.iter_mut().all(|l| {
+                l.read_available();
+                l.is_ended
             })
         })
         .await;
     });
 }
 
-/// `left` was told after the last words, which a client that does not read takes 300 ms of: all of the term in which
-/// nothing may be sent on.
+/// Guards against reporting that a client has left only after its remaining responses were sent: a client that does not
+/// read delays this by 300 ms, longer than the time within which attempts may still be sent for it.
 #[test]
 fn reports_client_left_before_closing_handshake() {
-    staged(|| async {
-        let stage = Stage::new().await;
-        let mut client = stage.client();
+    run_test(|| async {
+        let controller = TestController::new().await;
+        let mut client = controller.connect_client();
         rustix::net::sockopt::set_socket_recv_buffer_size(&client.stream, 32_768).unwrap();
-        let (mut line, mut stream) = (None::<Conn>, 1);
-        // Answers that nobody reads, until one waits.
-        while !stage.handle.config.clients.have_pending_output() {
-            let (call, _) = stage.call(stream);
+        let (mut last_connection, mut stream) = (None::<PeerConnection>, 1);
+        // Unread responses, until one waits to be sent.
+        while !controller.handle.config.clients.have_pending_output() {
+            let (call, _) = controller.new_call(stream);
             stream += 1;
             client.write(&call);
-            let mut new = stage.line().await;
-            new.asked().await;
-            new.write(&http(&"x".repeat(150_000)));
-            until(|| stage.in_flight() == 0).await;
-            line = Some(new);
+            let mut new = controller.accept_connection().await;
+            new.receive_request().await;
+            new.write(&http_response(&"x".repeat(150_000)));
+            wait_until(|| controller.in_flight() == 0).await;
+            last_connection = Some(new);
         }
-        drop(line);
-        let (call, _) = stage.call(stream);
+        drop(last_connection);
+        let (call, _) = controller.new_call(stream);
         client.write(&call);
-        let mut last = stage.line().await;
-        last.asked().await;
+        let mut last = controller.accept_connection().await;
+        last.receive_request().await;
         client.stream.shutdown(Shutdown::Write).unwrap();
-        until(|| stage.in_flight() == 0).await;
-        assert_eq!(stage.clients(), 1, "its last words are still on their way");
-        until(|| {
-            last.look();
-            last.ended
+        wait_until(|| controller.in_flight() == 0).await;
+        assert_eq!(
+            controller.client_count(),
+            1,
+            "its remaining responses are still being sent"
+        );
+        wait_until(|| {
+            last.read_available();
+            last.is_ended
         })
         .await;
         drop(client);
-        until(|| stage.clients() == 0).await;
+        wait_until(|| controller.client_count() == 0).await;
     });
 }
 
-/// The reader went first: it took and dispatched what it found, and in the same turn the connection was closed. Its client
-/// brings it again on a new connection, and a non-idempotent one had left.
+/// Guards against admitting and dispatching a request in the event loop turn in which its connection is closed: the
+/// client sends it again on a new connection, although a non-idempotent attempt may already have been sent.
 #[test]
 fn rejects_request_on_closing_connection() {
-    staged(|| async {
-        let stage = Stage::new().await;
-        let mut client = stage.known().await;
-        let (call, txn) = stage.call(2);
+    run_test(|| async {
+        let controller = TestController::new().await;
+        let mut client = controller.connect_active_client().await;
+        let (call, txn) = controller.new_call(2);
         client.write(&call);
-        before_their_turn(|| {
+        before_controller_tasks(|| {
             assert_eq!(
-                stage.handle.config.clients.make_capacity(1),
-                Some(Entry::Served)
+                controller.handle.config.clients.make_capacity(1),
+                Some(AcceptDecision::Served)
             )
         })
         .await;
-        until(|| {
-            client.look();
-            client.ended
+        wait_until(|| {
+            client.read_available();
+            client.is_ended
         })
         .await;
         assert_eq!(
-            client.frame().unwrap().0,
+            client.next_frame().unwrap().0,
             48,
-            "it hears to bring nothing more"
+            "the client is asked to send nothing new"
+        );
+        assert!(
+            client.is_rejected(2),
+            "the request was read, and is rejected"
+        );
+        assert_eq!(
+            controller
+                .handle
+                .inspect(|s| s.invocations.counters.accepted),
+            0
         );
-        assert!(client.is_refused(2), "it was read, and is answered");
-        assert_eq!(stage.handle.inspect(|s| s.invocations.counters.accepted), 0);
         drop(client);
-        until(|| stage.clients() == 0).await;
-        assert!(stage.nothing_came());
-        // It comes again, and is served.
-        let mut again = stage.client();
+        wait_until(|| controller.client_count() == 0).await;
+        assert!(controller.received_nothing());
+        // The client sends it again, and it is served.
+        let mut again = controller.connect_client();
         again.write(&call);
-        let mut line = stage.line().await;
-        assert_eq!(line.asked().await, txn);
-        line.write(&http("done"));
+        let mut connection = controller.accept_connection().await;
+        assert_eq!(connection.receive_request().await, txn);
+        connection.write(&http_response("done"));
         assert_eq!(
-            again.hear().await,
+            again.receive_frame().await,
             (17, 2, [&[79, 0][..], b"done"].concat())
         );
     });
 }
 
-/// A close with bytes unread is a reset, and a reset throws away what the machine had not sent yet.
+/// A close with unread bytes is a reset, and a reset discards the bytes that the kernel has not sent yet.
 #[test]
 fn pending_response_survives_connection_close() {
-    staged(|| async {
-        let stage = Stage::new().await;
-        let mut client = stage.client();
+    run_test(|| async {
+        let controller = TestController::new().await;
+        let mut client = controller.connect_client();
         rustix::net::sockopt::set_socket_recv_buffer_size(&client.stream, 32_768).unwrap();
-        let (call, _) = stage.call(1);
+        let (call, _) = controller.new_call(1);
         client.write(&call);
-        let mut line = stage.line().await;
-        line.asked().await;
+        let mut connection = controller.accept_connection().await;
+        connection.receive_request().await;
         let body = "y".repeat(200_000);
-        line.write(&http(&body));
-        until(|| stage.in_flight() == 0).await;
-        // What nobody may send, and more behind it than is read at once.
+        connection.write(&http_response(&body));
+        wait_until(|| controller.in_flight() == 0).await;
+        // A malformed frame, followed by more bytes than are read at once.
         client.write(&[&[0, 0, 0, 9, 77][..], &[0; 60_000]].concat());
-        until(|| stage.handle.config.clients.going() == 1).await;
-        let mut heard = Vec::new();
-        until(|| {
-            heard.extend(client.frame());
-            client.ended
+        wait_until(|| controller.handle.config.clients.closing_count() == 1).await;
+        let mut received = Vec::new();
+        wait_until(|| {
+            received.extend(client.next_frame());
+            client.is_ended
         })
         .await;
-        heard.extend(std::iter::from_fn(|| client.frame()));
-        assert_eq!(heard[0], (17, 1, [&[79, 0][..], body.as_bytes()].concat()));
+        received.extend(std::iter::from_fn(|| client.next_frame()));
+        assert_eq!(
+            received[0],
+            (17, 1, [&[79, 0][..], body.as_bytes()].concat())
+        );
         assert_eq!(
-            (heard[1].0, heard[1].1, heard[1].2[0]),
+            (received[1].0, received[1].1, received[1].2[0]),
             (17, 0, Code::Errored as u8)
         );
-        assert_eq!(heard.len(), 2);
+        assert_eq!(received.len(), 2);
     });
 }
 
-/// The end was reached in the turn in which nothing was owed: what lay in the machine then was cut off with the process.
+/// Guards against a shutdown in the event loop turn in which no response is pending: requests in the kernel at that
+/// time were lost with the process.
 #[test]
 fn shutdown_accepts_buffered_requests() {
-    staged(|| async {
-        let stage = Stage::new().await;
-        let mut client = stage.known().await;
-        let handle = stage.handle.clone();
-        let ending = spawn_local(async move { leave(&handle).await });
-        assert_eq!(client.hear().await.0, 48);
-        // The controller is behind: its wait ends late, and the request comes after it last asked the machine.
+    run_test(|| async {
+        let controller = TestController::new().await;
+        let mut client = controller.connect_active_client().await;
+        let handle = controller.handle.clone();
+        let shutdown = spawn_local(async move { shut_down(&handle).await });
+        assert_eq!(client.receive_frame().await.0, 48);
+        // The controller is delayed: its wait ends late, and the request arrives after the last poll of the kernel.
         tokio::time::sleep(Duration::from_millis(780)).await;
         std::thread::sleep(Duration::from_millis(40));
-        let (call, _) = stage.call(2);
-        before_their_turn(|| client.write(&call)).await;
-        let mut line = stage.line().await;
-        line.asked().await;
-        assert!(!ending.is_finished());
-        line.write(&http("last"));
-        ending.await.unwrap();
+        let (call, _) = controller.new_call(2);
+        before_controller_tasks(|| client.write(&call)).await;
+        let mut connection = controller.accept_connection().await;
+        connection.receive_request().await;
+        assert!(!shutdown.is_finished());
+        connection.write(&http_response("last"));
+        shutdown.await.unwrap();
         assert_eq!(
-            client.frame(),
+            client.next_frame(),
             Some((17, 2, [&[79, 0][..], b"last"].concat()))
         );
     });
 }
 
-/// Connections that the machine has accepted and the controller has not, with a request in each, when its wait ends.
+/// Connections that the kernel has accepted and the controller has not, with a request on each, when the grace ends.
 #[test]
 fn shutdown_accepts_pending_connections() {
-    staged(|| async {
-        let stage = Stage::new().await;
-        let mut known = stage.known().await;
-        let handle = stage.handle.clone();
-        let ending = spawn_local(async move { leave(&handle).await });
-        assert_eq!(known.hear().await.0, 48);
+    run_test(|| async {
+        let controller = TestController::new().await;
+        let mut known = controller.connect_active_client().await;
+        let handle = controller.handle.clone();
+        let shutdown = spawn_local(async move { shut_down(&handle).await });
+        assert_eq!(known.receive_frame().await.0, 48);
         tokio::time::sleep(Duration::from_millis(780)).await;
         std::thread::sleep(Duration::from_millis(40));
-        let mut clients: Vec<Conn> = (0..5).map(|_| stage.client()).collect();
+        let mut clients: Vec<PeerConnection> =
+            (0..5).map(|_| controller.connect_client()).collect();
         for client in &mut clients {
-            let (call, _) = stage.call(1);
+            let (call, _) = controller.new_call(1);
             client.write(&call);
         }
         for n in 0..5 {
-            let mut line = stage.line().await;
-            line.asked().await;
-            line.write(&http(&n.to_string()));
+            let mut connection = controller.accept_connection().await;
+            connection.receive_request().await;
+            connection.write(&http_response(&n.to_string()));
         }
-        ending.await.unwrap();
+        shutdown.await.unwrap();
         for client in &mut clients {
-            let heard = [client.frame().unwrap(), client.frame().unwrap()];
+            let received = [client.next_frame().unwrap(), client.next_frame().unwrap()];
             assert_eq!(
-                heard[0].0, 48,
-                "it hears to bring nothing more, once what it came for is taken"
+                received[0].0, 48,
+                "the client is asked to send nothing new, once its request is admitted"
             );
             assert_eq!(
-                (heard[1].0, heard[1].1, heard[1].2[0]),
+                (received[1].0, received[1].1, received[1].2[0]),
                 (17, 1, Code::Succeeded as u8)
             );
         }
-        assert!(TcpStream::connect(stage.at).is_err(), "the door is shut");
+        assert!(
+            TcpStream::connect(controller.address).is_err(),
+            "connections are refused after shutdown"
+        );
     });
 }
 
-/// An answer out of the outbox is not with its client yet: the end waits until it has been read, or a moment.
+/// A response that was handed to the kernel has not reached its client yet: the shutdown waits until it was read, up to
+/// a time limit.
 #[test]
 fn shutdown_waits_for_delivery_but_not_for_stalled_readers() {
-    staged(|| async {
-        let stage = Stage::new().await;
-        let (mut reads, mut never) = (stage.known().await, stage.known().await);
-        for (client, size) in [(&mut reads, 32_768), (&mut never, 32_768)] {
+    run_test(|| async {
+        let controller = TestController::new().await;
+        let (mut reading, mut stalled) = (
+            controller.connect_active_client().await,
+            controller.connect_active_client().await,
+        );
+        for (client, size) in [(&mut reading, 32_768), (&mut stalled, 32_768)] {
             rustix::net::sockopt::set_socket_recv_buffer_size(&client.stream, size).unwrap();
-            let (call, _) = stage.call(2);
+            let (call, _) = controller.new_call(2);
             client.write(&call);
-            let mut line = stage.line().await;
-            line.asked().await;
-            line.write(&http(&"z".repeat(120_000)));
-            until(|| stage.in_flight() == 0).await;
+            let mut connection = controller.accept_connection().await;
+            connection.receive_request().await;
+            connection.write(&http_response(&"z".repeat(120_000)));
+            wait_until(|| controller.in_flight() == 0).await;
         }
-        let handle = stage.handle.clone();
-        let ending = spawn_local(async move { leave(&handle).await });
-        // Nobody reads until nothing is owed any more and connections are being ended.
-        until(|| stage.handle.config.clients.going() > 0 || ending.is_finished()).await;
-        assert!(!ending.is_finished());
-        until(|| {
-            reads.look();
-            reads.ended
+        let handle = controller.handle.clone();
+        let shutdown = spawn_local(async move { shut_down(&handle).await });
+        // Neither client reads until all responses are queued and connections are being closed.
+        wait_until(|| {
+            controller.handle.config.clients.closing_count() > 0 || shutdown.is_finished()
         })
         .await;
-        let heard = reads.frame().unwrap();
-        assert_eq!((heard.0, heard.1, heard.2.len()), (17, 2, 120_002));
-        ending.await.unwrap();
-        assert!(never.frame().is_some(), "what had arrived is there");
+        assert!(!shutdown.is_finished());
+        wait_until(|| {
+            reading.read_available();
+            reading.is_ended
+        })
+        .await;
+        let received = reading.next_frame().unwrap();
+        assert_eq!((received.0, received.1, received.2.len()), (17, 2, 120_002));
+        shutdown.await.unwrap();
+        assert!(
+            stalled.next_frame().is_some(),
+            "the bytes that had arrived are readable"
+        );
     });
 }
 
-/// A second answer that comes while the next request is already there would be read as that one's.
+/// Guards against a duplicate response that is read as the response to the next request.
 #[test]
 fn duplicate_response_is_not_read_as_next_response() {
-    staged(|| async {
-        let stage = Stage::new().await;
-        let mut client = stage.known().await;
+    run_test(|| async {
+        let controller = TestController::new().await;
+        let mut client = controller.connect_active_client().await;
         for round in 0..5u32 {
-            let (call, txn) = stage.call(2 + 2 * round);
+            let (call, txn) = controller.new_call(2 + 2 * round);
             client.write(&call);
-            let mut first = stage.line().await;
-            assert_eq!(first.asked().await, txn);
-            let answer = http(&txn);
+            let mut first = controller.accept_connection().await;
+            assert_eq!(first.receive_request().await, txn);
+            let answer = http_response(&txn);
             first.write(&answer);
-            assert_eq!(client.hear().await.2[2..], *txn.as_bytes());
-            let (call, txn) = stage.call(3 + 2 * round);
+            assert_eq!(client.receive_frame().await.2[2..], *txn.as_bytes());
+            let (call, txn) = controller.new_call(3 + 2 * round);
             client.write(&call);
-            // On the line of the first, or on one of its own: the second answer comes now, before the true one.
+            // The next request uses the same connection or a new one. The duplicate arrives now, before the true
+            // response.
             let mut second = None;
-            until(|| {
-                let Ok((stream, _)) = stage.invoker.accept() else {
-                    return first.request().is_some();
+            wait_until(|| {
+                let Ok((stream, _)) = controller.invoker.accept() else {
+                    return first.next_request().is_some();
                 };
-                second = Some(Conn::new(stream));
+                second = Some(PeerConnection::new(stream));
                 true
             })
             .await;
             let _ = first.stream.write_all(&answer);
             match second {
                 Some(mut second) => {
-                    assert_eq!(second.asked().await, txn);
-                    second.write(&http(&txn));
+                    assert_eq!(second.receive_request().await, txn);
+                    second.write(&http_response(&txn));
                 }
-                None => first.write(&http(&txn)),
+                None => first.write(&http_response(&txn)),
             }
             assert_eq!(
-                client.hear().await.2[2..],
+                client.receive_frame().await.2[2..],
                 *txn.as_bytes(),
-                "the answer that was made for it"
+                "its own response"
             );
-            until(|| {
-                first.look();
-                first.ended || round > 3
+            wait_until(|| {
+                first.read_available();
+                first.is_ended || round > 3
             })
             .await;
         }
     });
 }
 
-/// How a client goes.
+/// How a client departure.
 #[derive(Clone, Copy, Debug)]
-enum Leaves {
-    Says,
+enum Departure {
+    Cancels,
     Closes,
     Resets,
 }
 
-/// Sound, by test: a dial that comes up late brings nothing of a client that has left meanwhile.
+/// A connection that is established late carries no request of a client that has left meanwhile.
 #[test]
 fn late_connect_sends_nothing_for_departed_client() {
-    for leaves in [Leaves::Says, Leaves::Closes, Leaves::Resets] {
-        staged(|| async move {
-            let stage = Stage::new().await;
-            let mut client = stage.client();
+    for departure in [Departure::Cancels, Departure::Closes, Departure::Resets] {
+        run_test(|| async move {
+            let controller = TestController::new().await;
+            let mut client = controller.connect_client();
             client.write(&frames::encode_empty(32, 1));
-            until(|| client.stream.peek(&mut [0]).is_ok()).await;
-            if !matches!(leaves, Leaves::Resets) {
-                client.hear().await;
+            wait_until(|| client.stream.peek(&mut [0]).is_ok()).await;
+            if !matches!(departure, Departure::Resets) {
+                client.receive_frame().await;
             }
-            let dials = stage.network.waiting.get();
-            stage.network.shut.set(true);
-            client.write(&stage.call(2).0);
-            until(|| stage.network.waiting.get() > dials).await;
-            match leaves {
-                Leaves::Says => client.write(&frames::encode_empty(18, 2)),
-                Leaves::Closes | Leaves::Resets => drop(client),
+            let dials = controller.network.dial_count.get();
+            controller.network.is_closed.set(true);
+            client.write(&controller.new_call(2).0);
+            wait_until(|| controller.network.dial_count.get() > dials).await;
+            match departure {
+                Departure::Cancels => client.write(&frames::encode_empty(18, 2)),
+                Departure::Closes | Departure::Resets => drop(client),
             }
-            until(|| stage.in_flight() == 0).await;
-            stage.network.shut.set(false);
-            stage.network.opened.notify_waiters();
+            wait_until(|| controller.in_flight() == 0).await;
+            controller.network.is_closed.set(false);
+            controller.network.opened.notify_waiters();
             assert_eq!(
-                stage
+                controller
                     .handle
-                    .inspect(|s| s.invocations.transport.sizes().jobs),
+                    .inspect(|s| s.invocations.transport.sizes().requests),
                 0,
-                "{leaves:?}"
+                "{departure:?}"
             );
-            // Another's request goes through the same gate, and is all that comes.
-            let mut other = stage.client();
-            let (call, txn) = stage.call(1);
+            // The request of another client passes the same gate, and is the only one that arrives.
+            let mut other = controller.connect_client();
+            let (call, txn) = controller.new_call(1);
             other.write(&call);
-            let mut line = stage.line().await;
-            assert_eq!(line.asked().await, txn, "{leaves:?}");
-            assert!(stage.nothing_came(), "{leaves:?}");
+            let mut connection = controller.accept_connection().await;
+            assert_eq!(connection.receive_request().await, txn, "{departure:?}");
+            assert!(controller.received_nothing(), "{departure:?}");
         });
     }
 }
 
-/// Sound, by test: type 18 in the same read as its request, before it, twice, and for a stream that was answered.
+/// Cancellations (type 18) in the same read as their request, before it, twice, and for a stream that has its response.
 #[test]
 fn request_cancelled_at_once_is_not_sent() {
-    staged(|| async {
-        let stage = Stage::new().await;
-        let mut client = stage.known().await;
-        let left = |stream| frames::encode_empty(18, stream).to_vec();
+    run_test(|| async {
+        let controller = TestController::new().await;
+        let mut client = controller.connect_active_client().await;
+        let cancel = |stream| frames::encode_empty(18, stream).to_vec();
         client.write(
             &[
-                left(2),
-                stage.call(2).0,
-                left(2),
-                left(2),
-                left(9),
+                cancel(2),
+                controller.new_call(2).0,
+                cancel(2),
+                cancel(2),
+                cancel(9),
                 frames::encode_empty(32, 3).to_vec(),
             ]
             .concat(),
         );
-        assert_eq!(client.hear().await.0, 33, "all before it was read");
         assert_eq!(
-            stage.handle.inspect(|s| (
+            client.receive_frame().await.0,
+            33,
+            "all frames before it were read"
+        );
+        assert_eq!(
+            controller.handle.inspect(|s| (
                 s.invocations.counters.accepted,
                 s.invocations.counters.client_left
             )),
             (1, 1)
         );
-        until(|| stage.in_flight() == 0).await;
-        let (call, txn) = stage.call(4);
+        wait_until(|| controller.in_flight() == 0).await;
+        let (call, txn) = controller.new_call(4);
         client.write(&call);
-        let mut line = stage.line().await;
-        assert_eq!(line.asked().await, txn);
-        line.write(&http("done"));
-        client.hear().await;
-        client.write(&[left(4), frames::encode_empty(32, 5).to_vec()].concat());
-        assert_eq!(client.hear().await.0, 33);
+        let mut connection = controller.accept_connection().await;
+        assert_eq!(connection.receive_request().await, txn);
+        connection.write(&http_response("done"));
+        client.receive_frame().await;
+        client.write(&[cancel(4), frames::encode_empty(32, 5).to_vec()].concat());
+        assert_eq!(client.receive_frame().await.0, 33);
         assert_eq!(
-            stage.handle.inspect(|s| s.invocations.counters.client_left),
+            controller
+                .handle
+                .inspect(|s| s.invocations.counters.client_left),
             1
         );
-        assert!(stage.nothing_came());
+        assert!(controller.received_nothing());
     });
 }
 
-/// Sound, by test: an idle line that breaks before, in or after the write. Dialled again only where nothing can have run.
+/// An idle connection breaks before, during or after the write. The request is sent on a new one only if it cannot have
+/// run.
 #[test]
 fn replaces_broken_connection_only_if_request_was_not_sent_completely() {
-    for after in [false, true] {
-        staged(|| async move {
-            let stage = Stage::new().await;
-            let mut client = stage.known().await;
-            client.write(&stage.call(2).0);
-            let mut line = stage.line().await;
-            line.asked().await;
-            line.write(&http("one"));
-            client.hear().await;
-            // It rests, and is used again.
-            let rested = stage.handle.clock.now() + 60 * MILLISECOND;
-            until(|| stage.handle.event_loop.last_polled() > rested).await;
-            let (call, txn) = stage.call(4);
-            if after {
+    for closes_after_request in [false, true] {
+        run_test(|| async move {
+            let controller = TestController::new().await;
+            let mut client = controller.connect_active_client().await;
+            client.write(&controller.new_call(2).0);
+            let mut connection = controller.accept_connection().await;
+            connection.receive_request().await;
+            connection.write(&http_response("one"));
+            client.receive_frame().await;
+            // The connection becomes reusable.
+            let reusable_at = controller.handle.clock.now() + 60 * MILLISECOND;
+            wait_until(|| controller.handle.event_loop.last_polled() > reusable_at).await;
+            let (call, txn) = controller.new_call(4);
+            if closes_after_request {
                 client.write(&call);
-                assert_eq!(line.asked().await, txn, "on the same line");
-                drop(line);
                 assert_eq!(
-                    client.hear().await.2[0],
+                    connection.receive_request().await,
+                    txn,
+                    "on the same connection"
+                );
+                drop(connection);
+                assert_eq!(
+                    client.receive_frame().await.2[0],
                     Code::Errored as u8,
-                    "it may have run"
+                    "the invocation may have run"
                 );
-                assert!(stage.nothing_came());
+                assert!(controller.received_nothing());
             } else {
-                // The close arrives after the machine was last asked: the write meets it.
+                // The close arrives after the last poll of the kernel, so that the write fails.
                 client.write(&call);
-                before_their_turn(|| drop(line)).await;
-                let mut heard = None;
+                before_controller_tasks(|| drop(connection)).await;
+                let mut received = None;
                 let mut new = None;
-                until(|| {
-                    new = stage.invoker.accept().ok().or(new.take());
-                    heard = client.frame();
-                    heard.is_some() || new.is_some()
+                wait_until(|| {
+                    new = controller.invoker.accept().ok().or(new.take());
+                    received = client.next_frame();
+                    received.is_some() || new.is_some()
                 })
                 .await;
                 match new {
                     Some((stream, _)) => {
-                        let mut new = Conn::new(stream);
-                        assert_eq!(new.asked().await, txn);
-                        new.write(&http("two"));
-                        assert_eq!(client.hear().await.2[0], Code::Succeeded as u8);
+                        let mut new = PeerConnection::new(stream);
+                        assert_eq!(new.receive_request().await, txn);
+                        new.write(&http_response("two"));
+                        assert_eq!(client.receive_frame().await.2[0], Code::Succeeded as u8);
                     }
-                    // It left whole towards a peer that was gone: not known, so never sent again.
-                    None => assert_eq!(heard.unwrap().2[0], Code::Errored as u8),
+                    // The request was sent completely to a closed peer: it may have run, so it is not sent again.
+                    None => assert_eq!(received.unwrap().2[0], Code::Errored as u8),
                 }
             }
         });
     }
 }
 
-/// Sound, by test: what has something open is never chosen to make room.
+/// A client with an invocation in flight is never disconnected to free capacity.
 #[test]
 fn never_evicts_client_with_open_invocation() {
-    staged(|| async {
-        let stage = Stage::new().await;
-        let mut busy = stage.known().await;
-        busy.write(&stage.call(2).0);
-        let mut line = stage.line().await;
-        line.asked().await;
+    run_test(|| async {
+        let controller = TestController::new().await;
+        let mut busy = controller.connect_active_client().await;
+        busy.write(&controller.new_call(2).0);
+        let mut connection = controller.accept_connection().await;
+        connection.receive_request().await;
         assert_eq!(
-            stage.handle.config.clients.make_capacity(1),
-            Some(Entry::Rejected),
-            "nobody is idle"
+            controller.handle.config.clients.make_capacity(1),
+            Some(AcceptDecision::Rejected),
+            "no client is idle"
         );
-        line.write(&http("done"));
-        assert_eq!(busy.hear().await.2[0], Code::Succeeded as u8);
+        connection.write(&http_response("done"));
+        assert_eq!(busy.receive_frame().await.2[0], Code::Succeeded as u8);
     });
 }
 
 thread_local! {
-    static WHOSE: RefCell<Vec<usize>> = const { RefCell::new(Vec::new()) };
+    /// Tenants of the invocations that arrived.
+    static TENANTS: RefCell<Vec<usize>> = const { RefCell::new(Vec::new()) };
 }
 
-/// Throttles all, and keeps whose it was.
-struct Whose;
+/// Throttles all invocations, and records their tenants.
+struct RecordTenants;
 
-impl Policy for Whose {
+impl Policy for RecordTenants {
     fn invokers_changed(&mut self, _: Ticks, _: bool, _: &[InvokerRecord]) {}
     fn invocation_arrived(&mut self, _: Ticks, call: Invocation, acts: &mut dyn Actions) {
-        WHOSE.with_borrow_mut(|whose| whose.push(call.tenant));
+        TENANTS.with_borrow_mut(|tenants| tenants.push(call.tenant));
         acts.throttle(call.id, 0);
     }
     fn client_left(&mut self, _: Ticks, _: InvocationId) {}
@@ -491,19 +537,20 @@
     fn timer_fired(&mut self, _: Ticks, _: u64, _: &mut dyn Actions) {}
 }
 
-/// Every invocation was the first tenant's, whoever's it was.
+/// Guards against assigning every invocation to the first tenant.
 #[test]
 fn assigns_invocation_to_its_tenant() {
     for tenants in [&["a hall", "b.2"][..], &[]] {
-        staged(|| async move {
-            let stage = Stage::of(|_, _, _, _| Box::new(Whose), tenants).await;
-            let mut client = stage.known().await;
+        run_test(|| async move {
+            let controller =
+                TestController::with_tenants(|_, _, _, _| Box::new(RecordTenants), tenants).await;
+            let mut client = controller.connect_active_client().await;
             let mut codes = Vec::new();
             for (n, team) in [Some("b.2"), Some("a hall"), Some("nobody's"), None]
                 .into_iter()
                 .enumerate()
             {
-                let (n, txn) = (n as u32 + 2, format!("{n:016x}"));
+                let (stream, txn) = (n as u32 + 2, format!("{n:016x}"));
                 let mut fields = vec![
                     ("verb", "book"),
                     ("txn", &txn),
@@ -511,97 +558,121 @@
                     ("item", "00000000000000f1"),
                 ];
                 fields.extend(team.map(|team| ("team", team)));
-                client.write(&frames::encode_invoke(n, &fields, &[]));
-                codes.push(client.hear().await.2[0]);
+                client.write(&frames::encode_invoke(stream, &fields, &[]));
+                codes.push(client.receive_frame().await.2[0]);
             }
-            let (full, ill) = (Code::Throttled as u8, Code::Errored as u8);
+            let (throttled, errored) = (Code::Throttled as u8, Code::Errored as u8);
             if tenants.is_empty() {
                 assert_eq!(
-                    (codes, WHOSE.take()),
-                    (vec![full; 4], vec![0; 4]),
-                    "the field says nothing"
+                    (codes, TENANTS.take()),
+                    (vec![throttled; 4], vec![0; 4]),
+                    "the field is ignored"
                 );
             } else {
                 assert_eq!(
-                    (codes, WHOSE.take()),
-                    (vec![full, full, ill, ill], vec![1, 0])
+                    (codes, TENANTS.take()),
+                    (vec![throttled, throttled, errored, errored], vec![1, 0])
                 );
             }
         });
     }
 }
 
-/// Sound, by test: an answer in pieces of one byte, with 1xx before it, is one answer.
+/// A response in pieces of one byte, preceded by a 1xx response, is read as one response.
 #[test]
 fn reads_response_sent_byte_by_byte() {
-    staged(|| async {
-        let stage = Stage::new().await;
-        let mut client = stage.known().await;
-        client.write(&stage.call(2).0);
-        let mut line = stage.line().await;
-        line.asked().await;
-        for byte in [&b"HTTP/1.1 102 Processing\r\n\r\n"[..], &http("piecemeal")].concat() {
-            line.write(&[byte]);
+    run_test(|| async {
+        let controller = TestController::new().await;
+        let mut client = controller.connect_active_client().await;
+        client.write(&controller.new_call(2).0);
+        let mut connection = controller.accept_connection().await;
+        connection.receive_request().await;
+        for byte in [
+            &b"HTTP/1.1 102 Processing\r\n\r\n"[..],
+            &http_response("piecemeal"),
+        ]
+        .concat()
+        {
+            connection.write(&[byte]);
             tokio::task::yield_now().await;
         }
         assert_eq!(
-            client.hear().await,
+            client.receive_frame().await,
             (17, 2, [&[79, 0][..], b"piecemeal"].concat())
         );
     });
 }
 
-/// Sound, by test: a drain that is heard while a dial is under way. What has not begun to leave half a grace later never
-/// does, whenever the dial comes up; and it is told as never run.
+/// An invoker begins to drain during a dial. A request that has not begun to be sent after half the grace is never
+/// sent, whenever the dial completes, and is reported as never run.
 #[test]
 fn late_connect_sends_nothing_to_draining_invoker() {
-    staged(|| async {
-        let stage = Stage::new().await;
-        let mut client = stage.known().await;
-        let dials = stage.network.waiting.get();
-        stage.network.shut.set(true);
-        client.write(&stage.call(2).0);
-        until(|| stage.network.waiting.get() > dials).await;
-        let at = stage
+    run_test(|| async {
+        let controller = TestController::new().await;
+        let mut client = controller.connect_active_client().await;
+        let dials = controller.network.dial_count.get();
+        controller.network.is_closed.set(true);
+        client.write(&controller.new_call(2).0);
+        wait_until(|| controller.network.dial_count.get() > dials).await;
+        let address = controller
             .invoker
             .local_addr()
             .unwrap()
             .to_string()
             .parse()
             .unwrap();
-        let draining = Event::Changes(vec![listing(1, at, InvokerStatus::Draining, None)]);
-        crate::endpoint_watch::handle_event(&stage.handle, stage.handle.clock.now(), 2, &draining)
-            .unwrap();
+        let draining = Event::Changes(vec![listing(1, address, InvokerStatus::Draining, None)]);
+        crate::endpoint_watch::handle_event(
+            &controller.handle,
+            controller.handle.clock.now(),
+            2,
+            &draining,
+        )
+        .unwrap();
         assert_eq!(
-            client.hear().await.2[0],
+            client.receive_frame().await.2[0],
             Code::Throttled as u8,
-            "it never ran"
+            "the invocation never ran"
+        );
+        controller.network.is_closed.set(false);
+        controller.network.opened.notify_waiters();
+        client.write(
+            &[
+                controller.new_call(4).0,
+                frames::encode_empty(32, 5).to_vec(),
+            ]
+            .concat(),
         );
-        stage.network.shut.set(false);
-        stage.network.opened.notify_waiters();
-        client.write(&[stage.call(4).0, frames::encode_empty(32, 5).to_vec()].concat());
-        let heard = [client.hear().await.1, client.hear().await.1];
-        assert!(heard.contains(&4) && heard.contains(&5));
-        assert!(stage.nothing_came());
+        let received = [
+            client.receive_frame().await.1,
+            client.receive_frame().await.1,
+        ];
+        assert!(received.contains(&4) && received.contains(&5));
+        assert!(controller.received_nothing());
     });
 }
 
-/// Found by rereading: who was let in after the last answers had been given, as with client timeouts so short that the door
-/// shuts in that turn, was taken by a process that had no time left for it.
+/// Guards against admitting requests of a client that is accepted after the last responses, just before the process
+/// exits. This occurs with client timeouts so short that accepting stops in the same event loop turn.
 #[test]
 fn rejects_client_after_final_responses() {
-    staged(|| async {
-        let stage = Stage::new().await;
-        stage.handle.config.clients.close();
-        let mut late = stage.client();
-        late.write(&stage.call(1).0);
-        until(|| {
-            late.look();
-            late.ended
+    run_test(|| async {
+        let controller = TestController::new().await;
+        controller.handle.config.clients.close_all();
+        let mut late = controller.connect_client();
+        late.write(&controller.new_call(1).0);
+        wait_until(|| {
+            late.read_available();
+            late.is_ended
         })
         .await;
-        assert!(late.is_refused(1), "it was read, and is answered");
-        assert_eq!(stage.handle.inspect(|s| s.invocations.counters.accepted), 0);
-        assert!(stage.nothing_came());
+        assert!(late.is_rejected(1), "the request was read, and is rejected");
+        assert_eq!(
+            controller
+                .handle
+                .inspect(|s| s.invocations.counters.accepted),
+            0
+        );
+        assert!(controller.received_nothing());
     });
 }
--- a/crates/platform/src/tests/rules.rs
+++ b/crates/platform/src/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The five rules hold on the traffic, and the checker catches who breaks them.
+//! The five rules hold on the traffic, and the checker detects violations.
 
 use super::support::*;
 use saltdrum::interface::*;
@@ -12,15 +12,15 @@
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 
-/// A mixed load with invokers that drain, die and spoil answers.
-async fn busy(stage: &Stage, rounds: u64) {
-    let mut client = stage.client().await;
+/// Sends a mixed load while invokers drain, fail and return faulty responses.
+async fn send_mixed_load(controller: &TestController, rounds: u64) {
+    let mut client = controller.connect_client().await;
     for round in 0..rounds {
         for trigger in ["look", "book", "charge"] {
             client
                 .ask(&Call {
                     limit_ms: 1_000,
-                    ..stage.call(trigger)
+                    ..controller.new_call(trigger)
                 })
                 .await;
         }
@@ -32,25 +32,25 @@
             Spoilt::No,
             Spoilt::ResetAfterReading,
         ];
-        stage.invokers[&((round % 2) as u32 + 1)]
+        controller.invokers[&((round % 2) as u32 + 1)]
             .spoilt
             .set(spoilt[round as usize % spoilt.len()]);
         if round == rounds / 2 {
-            stage.feed.say(
+            controller.feed.say(
                 2,
                 Event::Changes(vec![listing(
                     1,
-                    invoker_at(1),
+                    invoker_address(1),
                     InvokerStatus::Draining,
                     None,
                 )]),
             );
-            let started = Some(UNIX_MS + stage.clock.now() / 10 - 3_600_000);
-            stage.feed.say(
+            let started = Some(UNIX_MS + controller.clock.now() / 10 - 3_600_000);
+            controller.feed.say(
                 3,
                 Event::Changes(vec![listing(
                     3,
-                    invoker_at(3),
+                    invoker_address(3),
                     InvokerStatus::Ready,
                     started,
                 )]),
@@ -69,53 +69,57 @@
 
 #[test]
 fn keeps_five_rules_with_faulty_peers() {
-    staged(|| async {
-        let mut stage = Stage::new(dispatch_policy, &[1, 2], 256).await;
-        stage.invoker(3, invoker_at(3));
-        busy(&stage, 120).await;
-        let arrived: usize = stage
+    run_test(|| async {
+        let mut controller = TestController::new(dispatch_policy, &[1, 2], 256).await;
+        controller.start_invoker(3, invoker_address(3));
+        send_mixed_load(&controller, 120).await;
+        let arrived: usize = controller
             .invokers
             .values()
             .map(|i| i.arrived.borrow().len())
             .sum();
         assert!(arrived > 200, "{arrived}");
-        assert_eq!(stage.broken(), [0u8; 0]);
+        assert_eq!(controller.broken_rules(), [0u8; 0]);
     });
 }
 
-/// How a module is made to break a rule.
+/// A policy that breaks a rule.
 #[derive(Clone, Copy, PartialEq)]
-enum Rash {
-    AnswersNothing,
-    RunsAgain,
-    OrdersAtWill,
-    FloodsColdOnes,
+enum FaultyPolicy {
+    NeverResponds,
+    RepeatsAttempts,
+    ExceedsLoadBudget,
+    OverloadsColdInvoker,
 }
 
 thread_local! {
-    static RASH: Cell<Rash> = const { Cell::new(Rash::RunsAgain) };
+    static FAULTY_POLICY: Cell<FaultyPolicy> = const { Cell::new(FaultyPolicy::RepeatsAttempts) };
 }
 
-impl Policy for Rash {
+impl Policy for FaultyPolicy {
     fn invokers_changed(&mut self, _: Ticks, _: bool, _: &[InvokerRecord]) {}
     fn invocation_arrived(&mut self, _: Ticks, call: Invocation, acts: &mut dyn Actions) {
         match self {
-            Self::AnswersNothing => return,
-            Self::OrdersAtWill => (0..4).for_each(|_| acts.load(2, call.function, 1)),
-            Self::RunsAgain | Self::FloodsColdOnes => {}
+            Self::NeverResponds => return,
+            Self::ExceedsLoadBudget => (0..4).for_each(|_| acts.load(2, call.function, 1)),
+            Self::RepeatsAttempts | Self::OverloadsColdInvoker => {}
         }
         acts.dispatch(
             call.id,
-            if *self == Self::FloodsColdOnes { 3 } else { 2 },
+            if *self == Self::OverloadsColdInvoker {
+                3
+            } else {
+                2
+            },
             0,
         );
     }
     fn client_left(&mut self, _: Ticks, _: InvocationId) {}
-    fn attempt_ended(&mut self, _: Ticks, a: AttemptResult, acts: &mut dyn Actions) {
-        if !a.finished && *self == Self::RunsAgain && a.attempt == 0 {
-            acts.dispatch(a.invocation, 1, 0);
-        } else if !a.finished {
-            acts.error(a.invocation);
+    fn attempt_ended(&mut self, _: Ticks, ended: AttemptResult, acts: &mut dyn Actions) {
+        if !ended.finished && *self == Self::RepeatsAttempts && ended.attempt == 0 {
+            acts.dispatch(ended.invocation, 1, 0);
+        } else if !ended.finished {
+            acts.error(ended.invocation);
         }
     }
     fn load_ended(&mut self, _: Ticks, _: LoadResult, _: &mut dyn Actions) {}
@@ -124,21 +128,22 @@
 
 #[test]
 fn checker_catches_each_injected_fault() {
-    for (rash, rule) in [
-        (Rash::AnswersNothing, 1),
-        (Rash::RunsAgain, 2),
-        (Rash::OrdersAtWill, 5),
+    for (policy, rule) in [
+        (FaultyPolicy::NeverResponds, 1),
+        (FaultyPolicy::RepeatsAttempts, 2),
+        (FaultyPolicy::ExceedsLoadBudget, 5),
     ] {
-        staged(|| async move {
-            RASH.set(rash);
-            let stage = Stage::new(|_, _, _, _| Box::new(RASH.get()), &[1, 2], 256).await;
-            let mut client = stage.client().await;
-            stage.invokers[&2].spoilt.set(Spoilt::ShortBody);
+        run_test(|| async move {
+            FAULTY_POLICY.set(policy);
+            let controller =
+                TestController::new(|_, _, _, _| Box::new(FAULTY_POLICY.get()), &[1, 2], 256).await;
+            let mut client = controller.connect_client().await;
+            controller.invokers[&2].spoilt.set(Spoilt::ShortBody);
             for _ in 0..10 {
                 client
                     .ask(&Call {
                         limit_ms: 500,
-                        ..stage.call("book")
+                        ..controller.new_call("book")
                     })
                     .await;
             }
@@ -146,50 +151,50 @@
                 while client.hear().await.is_some() {}
             })
             .await;
-            assert!(stage.broken().contains(&rule), "rule {rule}");
+            assert!(controller.broken_rules().contains(&rule), "rule {rule}");
         });
     }
 }
 
 #[test]
 fn checker_catches_late_dispatch_to_draining_invoker() {
-    staged(|| async {
-        // The module hears nothing of it: the news is noted, and never written.
-        let stage = Stage::new(first, &[1], 256).await;
-        let (at, who) = (stage.clock.now(), WHO);
-        stage.record.note(Line::Told {
+    run_test(|| async {
+        // The drain is recorded as reported, but never sent to the controller.
+        let controller = TestController::new(first_invoker_policy, &[1], 256).await;
+        let (at, who) = (controller.clock.now(), CONTROLLER);
+        controller.record.note(Line::Told {
             at,
             who,
             invoker: 1,
             incarnation: 0,
             life: "draining".into(),
         });
-        pass(400).await;
-        let mut client = stage.client().await;
-        client.ask(&stage.call("look")).await;
-        answer(&mut client).await;
-        assert_eq!(stage.broken(), [3]);
+        sleep_ms(400).await;
+        let mut client = controller.connect_client().await;
+        client.ask(&controller.new_call("look")).await;
+        expect_response(&mut client).await;
+        assert_eq!(controller.broken_rules(), [3]);
     });
 }
 
-/// A gateway that does not care who still waits, as a record of its traffic.
+/// Uses a record of a gateway that dispatches without checking whether the client still waits.
 #[test]
 fn checker_catches_dispatch_after_client_left() {
-    for (after, caught) in [(100, false), (101, true)] {
+    for (delay_ms, is_caught) in [(100, false), (101, true)] {
         let (of, at) = (
             saltdrum_fakes::record::Try { n: 1, attempt: 0 },
             1_000 * MILLISECOND,
         );
-        let sent_on = at + after * MILLISECOND;
+        let sent_on = at + delay_ms * MILLISECOND;
         let (invoker, invocation, hop, trigger) = (1, 1, 0, "look".to_owned());
         let lines = [
-            stated(),
+            stated_line(),
             Line::HungUp { at, of },
             Line::Dispatched {
                 at: sent_on,
                 earliest: sent_on,
                 invoker,
-                who: WHO,
+                who: CONTROLLER,
                 invocation,
                 hop,
                 of,
@@ -198,66 +203,74 @@
         ];
         assert_eq!(
             !sent_on_after_leaving(&lines).is_empty(),
-            caught,
-            "{after} ms"
+            is_caught,
+            "{delay_ms} ms"
         );
     }
 }
 
-/// A gateway that hands the output of one to another: two clients whose streams it has exchanged.
+/// A request arrives late with almost the full time limit.
 #[test]
 fn checker_catches_overstated_time_limit() {
-    staged(|| async {
-        let stage = Stage::new(dispatch_policy, &[1], 256).await;
-        let mut client = stage.client().await;
-        let call = stage.call("look");
+    run_test(|| async {
+        let controller = TestController::new(dispatch_policy, &[1], 256).await;
+        let mut client = controller.connect_client().await;
+        let call = controller.new_call("look");
         client.ask(&call).await;
-        answer(&mut client).await;
-        assert_eq!(stage.invokers[&1].limit_faults.borrow().len(), 0);
-        pass(500).await;
-        let mut line = stage
+        expect_response(&mut client).await;
+        assert_eq!(controller.invokers[&1].limit_faults.borrow().len(), 0);
+        sleep_ms(500).await;
+        let mut connection = controller
             .network
-            .dial(&Address::Tcp(invoker_at(1).to_string()))
+            .dial(&Address::Tcp(invoker_address(1).to_string()))
             .await
             .unwrap();
-        let late = format!(
+        let late_request = format!(
             "GET /obj/look HTTP/1.1\r\nX-Txn: {}\r\nX-Limit-Ms: 1900\r\n\r\n",
             call.txn()
         );
-        line.write_all(late.as_bytes()).await.unwrap();
-        pass(100).await;
-        assert!(stage.broken().contains(&8));
+        connection.write_all(late_request.as_bytes()).await.unwrap();
+        sleep_ms(100).await;
+        assert!(controller.broken_rules().contains(&8));
     });
 }
 
+/// Two clients whose streams are exchanged receive each other's output.
 #[test]
 fn checker_catches_swapped_outputs() {
-    for exchanged in [false, true] {
-        staged(|| async move {
-            let stage = Stage::new(first, &[1], 256).await;
-            let (mut client, mut other) = (stage.client().await, stage.client().await);
+    for is_exchanged in [false, true] {
+        run_test(|| async move {
+            let controller = TestController::new(first_invoker_policy, &[1], 256).await;
+            let (mut client, mut other) = (
+                controller.connect_client().await,
+                controller.connect_client().await,
+            );
             for one in [&mut client, &mut other] {
-                one.ask(&stage.call("look")).await;
+                one.ask(&controller.new_call("look")).await;
             }
-            if exchanged {
+            if is_exchanged {
                 std::mem::swap(&mut client.stream, &mut other.stream);
             }
             for one in [&mut client, &mut other] {
-                answer(one).await;
+                expect_response(one).await;
             }
-            assert_eq!(stage.broken(), if exchanged { vec![7] } else { vec![] });
+            assert_eq!(
+                controller.broken_rules(),
+                if is_exchanged { vec![7] } else { vec![] }
+            );
         });
     }
 }
 
 #[test]
 fn checker_catches_overload_of_cold_invoker() {
-    staged(|| async {
-        RASH.set(Rash::FloodsColdOnes);
-        let mut stage = Stage::new(|_, _, _, _| Box::new(RASH.get()), &[], 1_024).await;
-        stage.invoker(3, invoker_at(3));
-        let (at, invoker) = (stage.clock.now(), 3);
-        stage.record.note(Line::Invoker {
+    run_test(|| async {
+        FAULTY_POLICY.set(FaultyPolicy::OverloadsColdInvoker);
+        let mut controller =
+            TestController::new(|_, _, _, _| Box::new(FAULTY_POLICY.get()), &[], 1_024).await;
+        controller.start_invoker(3, invoker_address(3));
+        let (at, invoker) = (controller.clock.now(), 3);
+        controller.record.note(Line::Invoker {
             at,
             invoker,
             incarnation: 1,
@@ -265,23 +278,23 @@
             cold: true,
         });
         let started = Some(UNIX_MS);
-        stage.feed.say(
+        controller.feed.say(
             2,
             Event::Changes(vec![listing(
                 3,
-                invoker_at(3),
+                invoker_address(3),
                 InvokerStatus::Ready,
                 started,
             )]),
         );
-        pass(20).await;
-        let mut client = stage.client().await;
+        sleep_ms(20).await;
+        let mut client = controller.connect_client().await;
         for _ in 0..400 {
             for _ in 0..10 {
-                let call = stage.call("look");
-                stage.record.note(Line::Sent {
-                    at: stage.clock.now(),
-                    who: WHO,
+                let call = controller.new_call("look");
+                controller.record.note(Line::Sent {
+                    at: controller.clock.now(),
+                    who: CONTROLLER,
                     of: saltdrum_fakes::record::Try {
                         n: call.n,
                         attempt: 0,
@@ -294,11 +307,11 @@
                 });
                 client.ask(&call).await;
             }
-            pass(4).await;
+            sleep_ms(4).await;
             for _ in 0..10 {
-                answer(&mut client).await;
+                expect_response(&mut client).await;
             }
         }
-        assert!(stage.broken().contains(&4));
+        assert!(controller.broken_rules().contains(&4));
     });
 }
--- a/crates/platform/src/tests/socket_support.rs
+++ b/crates/platform/src/tests/socket_support.rs
@@ -1,8 +1,8 @@
-//! A controller on loopback sockets, and peers whose every read and write is a step of the test.
+//! A controller on loopback sockets, with peers whose reads and writes are steps of the test.
 
 use crate::lifecycle::start;
 use crate::state::ControllerHandle;
-use crate::tests::support::{First, configuration_at, wall_clock};
+use crate::tests::support::{FirstInvokerPolicy, configuration_at, wall_clock};
 use saltdrum_platform_wire::config;
 use saltdrum_platform_wire::frames::{self, Code};
 use saltdrum_transport::{Address, Clock, Listener, Network, SocketNetwork, Stream};
@@ -17,52 +17,56 @@
 use tokio::sync::Notify;
 use tokio::task::LocalSet;
 
-/// Long past any wait of a sound run; only a broken one meets it.
-pub(crate) const LONG: Duration = Duration::from_secs(20);
+/// Timeout of each wait, well above the waits of a passing test.
+pub(crate) const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Sockets whose dials to invokers a test can hold.
+/// A network whose dials to invokers a test can block.
 #[derive(Default)]
-pub(crate) struct Gated {
-    pub shut: Cell<bool>,
-    pub waiting: Cell<usize>,
+pub(crate) struct GatedNetwork {
+    pub is_closed: Cell<bool>,
+    /// Number of dials so far.
+    pub dial_count: Cell<usize>,
     pub opened: Notify,
 }
 
-pub(crate) type Dialled<'a, T> = Pin<Box<dyn Future<Output = std::io::Result<T>> + 'a>>;
+pub(crate) type NetworkFuture<'a, T> = Pin<Box<dyn Future<Output = std::io::Result<T>> + 'a>>;
 
-impl Network for Gated {
-    fn dial<'a>(&'a self, address: &'a Address) -> Dialled<'a, Stream> {
+impl Network for GatedNetwork {
+    fn dial<'a>(&'a self, address: &'a Address) -> NetworkFuture<'a, Stream> {
         Box::pin(async move {
-            self.waiting.set(self.waiting.get() + 1);
-            while self.shut.get() {
+            self.dial_count.set(self.dial_count.get() + 1);
+            while self.is_closed.get() {
                 self.opened.notified().await;
             }
             SocketNetwork.dial(address).await
         })
     }
 
-    fn listen<'a>(&'a self, address: &'a Address) -> Dialled<'a, (Box<dyn Listener>, Address)> {
+    fn listen<'a>(
+        &'a self,
+        address: &'a Address,
+    ) -> NetworkFuture<'a, (Box<dyn Listener>, Address)> {
         Box::pin(async move { SocketNetwork.listen(address).await })
     }
 }
 
-/// One end of a connection in the test's hands: nothing is read or written but when the test does it.
-pub(crate) struct Conn {
+/// The test's end of a connection, which is read and written only by steps of the test.
+pub(crate) struct PeerConnection {
     pub stream: TcpStream,
-    pub read: Vec<u8>,
-    pub ended: bool,
-    /// Of the last request that came whole: what it said of the time that is left.
+    pub received: Vec<u8>,
+    pub is_ended: bool,
+    /// The time limit stated in the last complete request.
     pub limit_ms: Option<u64>,
 }
 
-impl Conn {
+impl PeerConnection {
     pub fn new(stream: TcpStream) -> Self {
         stream.set_nonblocking(true).unwrap();
         stream.set_nodelay(true).unwrap();
         Self {
             stream,
-            read: Vec::new(),
-            ended: false,
+            received: Vec::new(),
+            is_ended: false,
             limit_ms: None,
         }
     }
@@ -71,31 +75,31 @@
         self.stream.write_all(bytes).unwrap();
     }
 
-    /// Reads what is there; whether anything was.
-    pub fn look(&mut self) -> usize {
+    /// Reads the available bytes, and returns the number of undecoded bytes.
+    pub fn read_available(&mut self) -> usize {
         let mut bytes = [0; 65_536];
         loop {
             match self.stream.read(&mut bytes) {
-                Ok(0) => self.ended = true,
+                Ok(0) => self.is_ended = true,
                 Ok(n) => {
-                    self.read.extend_from_slice(&bytes[..n]);
+                    self.received.extend_from_slice(&bytes[..n]);
                     continue;
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {}
-                Err(_) => self.ended = true,
+                Err(_) => self.is_ended = true,
             }
-            return self.read.len();
+            return self.received.len();
         }
     }
 
-    /// The next whole frame from the controller: type, stream, payload.
-    pub fn frame(&mut self) -> Option<(u8, u32, Vec<u8>)> {
-        self.look();
-        let length = u32::from_be_bytes(self.read.get(..4)?.try_into().ok()?) as usize;
-        if self.read.len() < 4 + length {
+    /// Decodes the next complete frame from the controller: type, stream, payload.
+    pub fn next_frame(&mut self) -> Option<(u8, u32, Vec<u8>)> {
+        self.read_available();
+        let length = u32::from_be_bytes(self.received.get(..4)?.try_into().ok()?) as usize;
+        if self.received.len() < 4 + length {
             return None;
         }
-        let frame: Vec<u8> = self.read.drain(..4 + length).collect();
+        let frame: Vec<u8> = self.received.drain(..4 + length).collect();
         Some((
             frame[4],
             u32::from_be_bytes(frame[5..9].try_into().unwrap()),
@@ -103,57 +107,59 @@
         ))
     }
 
-    pub async fn hear(&mut self) -> (u8, u32, Vec<u8>) {
-        let mut heard = None;
-        until(|| {
-            heard = self.frame();
-            heard.is_some()
+    /// Waits for the next frame.
+    pub async fn receive_frame(&mut self) -> (u8, u32, Vec<u8>) {
+        let mut frame = None;
+        wait_until(|| {
+            frame = self.next_frame();
+            frame.is_some()
         })
         .await;
-        heard.unwrap()
+        frame.unwrap()
     }
 
-    /// Whether the next frame refuses the request on this stream, with when to come back.
-    pub fn is_refused(&mut self, stream: u32) -> bool {
-        let Some((kind, of, payload)) = self.frame() else {
+    /// Whether the next frame rejects the request on this stream, with a retry-after.
+    pub fn is_rejected(&mut self, stream: u32) -> bool {
+        let Some((kind, frame_stream, payload)) = self.next_frame() else {
             return false;
         };
-        let says_when = payload.windows(5).any(|w| w == b"later");
-        (kind, of, payload[0]) == (17, stream, Code::Throttled as u8) && says_when
+        let has_retry_after = payload.windows(5).any(|w| w == b"later");
+        (kind, frame_stream, payload[0]) == (17, stream, Code::Throttled as u8) && has_retry_after
     }
 
-    /// The next request at an invoker, if it is there whole: its id.
-    pub fn request(&mut self) -> Option<String> {
-        self.look();
-        let text = String::from_utf8_lossy(&self.read).into_owned();
+    /// Decodes the next complete request to an invoker, and returns its id.
+    pub fn next_request(&mut self) -> Option<String> {
+        self.read_available();
+        let text = String::from_utf8_lossy(&self.received).into_owned();
         let end = text.find("\r\n\r\n")? + 4;
         let field = |name: &str| {
             let line = text[..end]
                 .lines()
-                .find(|l| l.to_ascii_lowercase().starts_with(name))?;
+                .find(|line| line.to_ascii_lowercase().starts_with(name))?;
             Some(line[name.len()..].trim().to_owned())
         };
         let length: usize = field("content-length:").map_or(0, |n| n.parse().unwrap());
-        if self.read.len() < end + length {
+        if self.received.len() < end + length {
             return None;
         }
-        self.read.drain(..end + length);
+        self.received.drain(..end + length);
         self.limit_ms = field("x-limit-ms:").map(|n| n.parse().unwrap());
         Some(field("x-txn:").unwrap_or_default())
     }
 
-    pub async fn asked(&mut self) -> String {
-        let mut asked = None;
-        until(|| {
-            asked = self.request();
-            asked.is_some()
+    /// Waits for the next request, and returns its id.
+    pub async fn receive_request(&mut self) -> String {
+        let mut request = None;
+        wait_until(|| {
+            request = self.next_request();
+            request.is_some()
         })
         .await;
-        asked.unwrap()
+        request.unwrap()
     }
 }
 
-pub(crate) fn http(body: &str) -> Vec<u8> {
+pub(crate) fn http_response(body: &str) -> Vec<u8> {
     format!(
         "HTTP/1.1 200 OK\r\nX-How: resident\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
@@ -161,30 +167,30 @@
     .into()
 }
 
-pub(crate) fn door() -> (TcpListener, SocketAddrV4) {
-    let door = TcpListener::bind("127.0.0.1:0").unwrap();
-    door.set_nonblocking(true).unwrap();
-    let at = door.local_addr().unwrap().to_string().parse().unwrap();
-    (door, at)
+pub(crate) fn listen() -> (TcpListener, SocketAddrV4) {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    listener.set_nonblocking(true).unwrap();
+    let address = listener.local_addr().unwrap().to_string().parse().unwrap();
+    (listener, address)
 }
 
-/// Lets the controller work until something is seen.
-pub(crate) async fn until(mut seen: impl FnMut() -> bool) {
-    let look = async {
-        while !seen() {
+/// Lets the controller run until a condition holds.
+pub(crate) async fn wait_until(mut condition: impl FnMut() -> bool) {
+    let wait = async {
+        while !condition() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     };
-    tokio::time::timeout(LONG, look)
+    tokio::time::timeout(STEP_TIMEOUT, wait)
         .await
-        .expect("what was waited for was never seen");
+        .expect("the condition never held");
 }
 
-/// Actions after the machine has been asked what has come, and before any of the controller's tasks has had a turn since.
-pub(crate) async fn before_their_turn<T>(act: impl FnOnce() -> T) -> T {
-    let (mut asked, mut act) = (false, Some(act));
+/// Runs an action after the kernel was polled and before any of the controller's tasks runs.
+pub(crate) async fn before_controller_tasks<T>(act: impl FnOnce() -> T) -> T {
+    let (mut has_yielded, mut act) = (false, Some(act));
     poll_fn(|cx| {
-        if !std::mem::replace(&mut asked, true) {
+        if !std::mem::replace(&mut has_yielded, true) {
             cx.waker().wake_by_ref();
             return Poll::Pending;
         }
@@ -193,35 +199,38 @@
     .await
 }
 
-/// A controller that sends all to invoker 1, which is the test.
-pub(crate) struct Stage {
-    pub network: Rc<Gated>,
+/// A controller that sends all attempts to invoker 1, which the test plays.
+pub(crate) struct TestController {
+    pub network: Rc<GatedNetwork>,
     pub handle: Rc<ControllerHandle>,
-    pub at: SocketAddrV4,
+    pub address: SocketAddrV4,
     pub invoker: TcpListener,
     _feed: TcpListener,
-    pub(crate) next: Cell<u64>,
+    pub(crate) next_call: Cell<u64>,
 }
 
-impl Stage {
+impl TestController {
     pub async fn new() -> Self {
-        Self::of(|_, _, _, _| Box::new(First), &[]).await
+        Self::with_tenants(|_, _, _, _| Box::new(FirstInvokerPolicy), &[]).await
     }
 
-    pub(crate) async fn of(make: saltdrum_controller::MakePolicy, tenants: &[&str]) -> Self {
+    pub(crate) async fn with_tenants(
+        make: saltdrum_controller::MakePolicy,
+        tenants: &[&str],
+    ) -> Self {
         Self::with_sockets(make, tenants, 256).await
     }
 
-    /// With a limit of its own on descriptors.
+    /// Starts a controller with a limit on descriptors.
     pub async fn with_sockets(
         make: saltdrum_controller::MakePolicy,
         tenants: &[&str],
         sockets: usize,
     ) -> Self {
-        let network = Rc::new(Gated::default());
-        let ((invoker, invoker_at), (_feed, feed_at)) = (door(), door());
-        let at = door().1;
-        let text = configuration_at(at, feed_at, &[(1, invoker_at)], sockets);
+        let network = Rc::new(GatedNetwork::default());
+        let ((invoker, invoker_address), (_feed, feed_address)) = (listen(), listen());
+        let address = listen().1;
+        let text = configuration_at(address, feed_address, &[(1, invoker_address)], sockets);
         let mut text: serde_json::Value = serde_json::from_str(&text).unwrap();
         let realm =
             |name: &&str| serde_json::json!({"name": name, "quota_rps": 10.0, "share": 0.5});
@@ -234,34 +243,34 @@
         Self {
             network,
             handle,
-            at,
+            address,
             invoker,
             _feed,
-            next: Cell::new(0),
+            next_call: Cell::new(0),
         }
     }
 
-    pub fn client(&self) -> Conn {
-        Conn::new(TcpStream::connect(self.at).unwrap())
+    pub fn connect_client(&self) -> PeerConnection {
+        PeerConnection::new(TcpStream::connect(self.address).unwrap())
     }
 
-    /// A client of which the controller has heard something whole.
-    pub async fn known(&self) -> Conn {
-        let mut client = self.client();
+    /// Connects a client from which the controller has received a complete frame.
+    pub async fn connect_active_client(&self) -> PeerConnection {
+        let mut client = self.connect_client();
         client.write(&frames::encode_empty(32, 1));
-        client.hear().await;
+        client.receive_frame().await;
         client
     }
 
-    /// The frame of a new invocation, and its id.
-    pub fn call(&self, stream: u32) -> (Vec<u8>, String) {
-        self.call_with(stream, &[])
+    /// Encodes a new invocation, and returns its frame and id.
+    pub fn new_call(&self, stream: u32) -> (Vec<u8>, String) {
+        self.new_call_with_body(stream, &[])
     }
 
-    /// With a body.
-    pub fn call_with(&self, stream: u32, body: &[u8]) -> (Vec<u8>, String) {
-        self.next.set(self.next.get() + 1);
-        let txn = format!("{:016x}", self.next.get());
+    /// Encodes a new invocation with a body.
+    pub fn new_call_with_body(&self, stream: u32, body: &[u8]) -> (Vec<u8>, String) {
+        self.next_call.set(self.next_call.get() + 1);
+        let txn = format!("{:016x}", self.next_call.get());
         let fields = [
             ("verb", "book"),
             ("txn", &txn),
@@ -271,18 +280,18 @@
         (frames::encode_invoke(stream, &fields, body).to_vec(), txn)
     }
 
-    /// The next connection that the controller makes to the invoker.
-    pub async fn line(&self) -> Conn {
-        let mut line = None;
-        until(|| {
-            line = self.invoker.accept().ok();
-            line.is_some()
+    /// Accepts the next connection of the controller to the invoker.
+    pub async fn accept_connection(&self) -> PeerConnection {
+        let mut accepted = None;
+        wait_until(|| {
+            accepted = self.invoker.accept().ok();
+            accepted.is_some()
         })
         .await;
-        Conn::new(line.unwrap().0)
+        PeerConnection::new(accepted.unwrap().0)
     }
 
-    pub fn clients(&self) -> usize {
+    pub fn client_count(&self) -> usize {
         self.handle.config.clients.sizes().0
     }
 
@@ -290,17 +299,17 @@
         self.handle.inspect(|s| s.invocations.in_flight())
     }
 
-    /// Nothing came to the invoker that was not taken out yet.
-    pub fn nothing_came(&self) -> bool {
+    /// Whether the invoker has received nothing on a new connection.
+    pub fn received_nothing(&self) -> bool {
         match self.invoker.accept() {
             Err(e) => e.kind() == ErrorKind::WouldBlock,
-            Ok((stream, _)) => Conn::new(stream).look() == 0,
+            Ok((stream, _)) => PeerConnection::new(stream).read_available() == 0,
         }
     }
 }
 
-pub(crate) fn staged<F: Future<Output = ()>>(play: impl FnOnce() -> F) {
+pub(crate) fn run_test<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
     let mut runtime = tokio::runtime::Builder::new_current_thread();
     let runtime = runtime.enable_all().build().unwrap();
-    LocalSet::new().block_on(&runtime, play());
+    LocalSet::new().block_on(&runtime, test());
 }
--- a/crates/platform/src/tests/stalls.rs
+++ b/crates/platform/src/tests/stalls.rs
@@ -1,144 +1,152 @@
-//! A process that stood still: what its clients have left is counted from when their requests came, and nothing is sent on
-//! for who left meanwhile. Over loopback sockets, as `crossings`; the test stands still in its own turn, and with it the
-//! controller.
+//! A process that is stopped: the time that its clients have left counts from when their requests can have arrived, and
+//! nothing is sent for clients that left during the stop. Uses loopback sockets, as in `races`. The test blocks the
+//! event loop, and the controller with it.
 
-use crate::tests::socket_support::{Stage, before_their_turn, http, staged, until};
+use crate::tests::socket_support::{
+    TestController, before_controller_tasks, http_response, run_test, wait_until,
+};
 use saltdrum::interface::*;
 use saltdrum_controller::Policy;
 use saltdrum_platform_wire::frames;
 use std::time::Duration;
 
-/// How long the process stands still, or a dial takes.
+/// How long the process is stopped, or a dial takes.
 const STALL: Duration = Duration::from_millis(400);
-/// What the clients of `Stage::call` wait, and by how much more an invoker may be told.
+/// Time limit of the calls of `TestController::new_call`, by how much the limit stated to an invoker may exceed the
+/// actual one, and the greatest limit that may be stated after a stall.
 const LIMIT_MS: u64 = 2_500;
 const SLACK_MS: u64 = 150;
-const LEFT_MOST_MS: u64 = LIMIT_MS - STALL.as_millis() as u64 + SLACK_MS;
+const STATED_LIMIT_MAX_MS: u64 = LIMIT_MS - STALL.as_millis() as u64 + SLACK_MS;
 
-fn stand_still() {
+fn stop_process() {
     std::thread::sleep(STALL);
 }
 
-/// The time left was worded when the attempt was chosen, before the dial.
+/// Guards against a stated time limit that was computed before the dial.
 #[test]
 fn slow_connect_reduces_stated_time_limit() {
-    staged(|| async {
-        let stage = Stage::new().await;
-        let mut client = stage.known().await;
-        let dials = stage.network.waiting.get();
-        stage.network.shut.set(true);
-        client.write(&stage.call(2).0);
-        until(|| stage.network.waiting.get() > dials).await;
-        // A dial may take 250 ms here; the process stands still for the rest of it.
-        before_their_turn(stand_still).await;
-        stage.network.shut.set(false);
-        stage.network.opened.notify_waiters();
-        let mut line = stage.line().await;
-        line.asked().await;
+    run_test(|| async {
+        let controller = TestController::new().await;
+        let mut client = controller.connect_active_client().await;
+        let dials = controller.network.dial_count.get();
+        controller.network.is_closed.set(true);
+        client.write(&controller.new_call(2).0);
+        wait_until(|| controller.network.dial_count.get() > dials).await;
+        // A dial may take 250 ms here; the process is stopped for the remaining time.
+        before_controller_tasks(stop_process).await;
+        controller.network.is_closed.set(false);
+        controller.network.opened.notify_waiters();
+        let mut connection = controller.accept_connection().await;
+        connection.receive_request().await;
         assert!(
-            line.limit_ms.unwrap() <= LEFT_MOST_MS,
-            "{:?} ms are told",
-            line.limit_ms
+            connection.limit_ms.unwrap() <= STATED_LIMIT_MAX_MS,
+            "{:?} ms are stated",
+            connection.limit_ms
         );
-        line.write(&http("done"));
-        assert_eq!(client.hear().await.1, 2);
+        connection.write(&http_response("done"));
+        assert_eq!(client.receive_frame().await.1, 2);
     });
 }
 
-/// Sends all to invoker 1, to leave within 100 ms; tells of what never left by throttling.
-struct LeavesSoon;
+/// Sends all invocations to invoker 1 with a send deadline of 100 ms, and throttles those that were not sent.
+struct ShortSendDeadline;
 
-impl Policy for LeavesSoon {
+impl Policy for ShortSendDeadline {
     fn invokers_changed(&mut self, _: Ticks, _: bool, _: &[InvokerRecord]) {}
     fn invocation_arrived(&mut self, now: Ticks, call: Invocation, acts: &mut dyn Actions) {
         acts.dispatch_by(call.id, 1, 0, now + 100 * MILLISECOND);
     }
     fn client_left(&mut self, _: Ticks, _: InvocationId) {}
-    fn attempt_ended(&mut self, _: Ticks, a: AttemptResult, acts: &mut dyn Actions) {
-        if !a.finished && a.outcome.never_ran() {
-            acts.throttle(a.invocation, 100);
+    fn attempt_ended(&mut self, _: Ticks, ended: AttemptResult, acts: &mut dyn Actions) {
+        if !ended.finished && ended.outcome.never_ran() {
+            acts.throttle(ended.invocation, 100);
         }
     }
     fn load_ended(&mut self, _: Ticks, _: LoadResult, _: &mut dyn Actions) {}
     fn timer_fired(&mut self, _: Ticks, _: u64, _: &mut dyn Actions) {}
 }
 
-/// Found by reading: a repeat under a token was decided within its window, and left after it, as its dial was slow or the
-/// process stood still meanwhile. Invokers drop repeats within the window alone.
+/// Guards against a retry with an idempotency token that is decided within the token's window but sent after it,
+/// because the dial was slow or the process was stopped. Invokers deduplicate only within the window.
 #[test]
 fn request_is_not_sent_after_its_deadline() {
-    staged(|| async {
-        let stage = Stage::with_sockets(|_, _, _, _| Box::new(LeavesSoon), &[], 256).await;
-        let mut client = stage.known().await;
-        let dials = stage.network.waiting.get();
-        stage.network.shut.set(true);
-        client.write(&stage.call(2).0);
-        until(|| stage.network.waiting.get() > dials).await;
-        before_their_turn(|| std::thread::sleep(Duration::from_millis(150))).await;
-        stage.network.shut.set(false);
-        stage.network.opened.notify_waiters();
-        assert_eq!(client.hear().await.1, 2, "it is answered: it never ran");
-        assert!(stage.nothing_came());
+    run_test(|| async {
+        let controller =
+            TestController::with_sockets(|_, _, _, _| Box::new(ShortSendDeadline), &[], 256).await;
+        let mut client = controller.connect_active_client().await;
+        let dials = controller.network.dial_count.get();
+        controller.network.is_closed.set(true);
+        client.write(&controller.new_call(2).0);
+        wait_until(|| controller.network.dial_count.get() > dials).await;
+        before_controller_tasks(|| std::thread::sleep(Duration::from_millis(150))).await;
+        controller.network.is_closed.set(false);
+        controller.network.opened.notify_waiters();
+        assert_eq!(
+            client.receive_frame().await.1,
+            2,
+            "the invocation never ran, and is rejected"
+        );
+        assert!(controller.received_nothing());
     });
 }
 
-/// A connection that was made, with a request in it, while the process stood still was taken for one of now.
+/// Guards against a connection, with a request, that is established during a stop but counts as established after it.
 #[test]
 fn stop_before_accept_reduces_time_limit() {
-    staged(|| async {
-        let stage = Stage::new().await;
-        stage.known().await;
-        let mut client = stage.client();
-        client.write(&stage.call(1).0);
-        stand_still();
-        let mut line = stage.line().await;
-        line.asked().await;
+    run_test(|| async {
+        let controller = TestController::new().await;
+        controller.connect_active_client().await;
+        let mut client = controller.connect_client();
+        client.write(&controller.new_call(1).0);
+        stop_process();
+        let mut connection = controller.accept_connection().await;
+        connection.receive_request().await;
         assert!(
-            line.limit_ms.unwrap() <= LEFT_MOST_MS,
-            "{:?} ms are told",
-            line.limit_ms
+            connection.limit_ms.unwrap() <= STATED_LIMIT_MAX_MS,
+            "{:?} ms are stated",
+            connection.limit_ms
         );
     });
 }
 
-/// Sound, by test: the same on a connection that is known.
+/// The same on a connection that was accepted before the stop.
 #[test]
 fn stop_before_read_reduces_time_limit() {
-    staged(|| async {
-        let stage = Stage::new().await;
-        let mut client = stage.known().await;
-        client.write(&stage.call(2).0);
-        stand_still();
-        let mut line = stage.line().await;
-        line.asked().await;
+    run_test(|| async {
+        let controller = TestController::new().await;
+        let mut client = controller.connect_active_client().await;
+        client.write(&controller.new_call(2).0);
+        stop_process();
+        let mut connection = controller.accept_connection().await;
+        connection.receive_request().await;
         assert!(
-            line.limit_ms.unwrap() <= LEFT_MOST_MS,
-            "{:?} ms are told",
-            line.limit_ms
+            connection.limit_ms.unwrap() <= STATED_LIMIT_MAX_MS,
+            "{:?} ms are stated",
+            connection.limit_ms
         );
     });
 }
 
-/// How a client goes behind what it asked for.
+/// How a client departure after sending its requests.
 #[derive(Clone, Copy, Debug)]
-enum Leaves {
+enum Departure {
     Cancels,
     Closes,
 }
 
-/// Requests that fill the read buffer some times over, and behind them the news that nobody waits: all of it came while the
-/// process stood still, and the first requests were sent on before the last bytes were read.
+/// Requests that exceed the read buffer, followed by their cancellations or the close, arrive during a stop. Guards
+/// against dispatching the first requests before the last bytes are read.
 #[test]
 fn cancel_behind_full_read_buffer_prevents_dispatch() {
-    for leaves in [Leaves::Cancels, Leaves::Closes] {
-        staged(|| async move {
-            let stage = Stage::new().await;
-            let mut client = stage.known().await;
+    for departure in [Departure::Cancels, Departure::Closes] {
+        run_test(|| async move {
+            let controller = TestController::new().await;
+            let mut client = controller.connect_active_client().await;
             let calls: Vec<u8> = (2..34)
-                .flat_map(|n| stage.call_with(n, &[7; 3_000]).0)
+                .flat_map(|n| controller.new_call_with_body(n, &[7; 3_000]).0)
                 .collect();
             client.write(&calls);
-            if matches!(leaves, Leaves::Cancels) {
+            if matches!(departure, Departure::Cancels) {
                 let cancels: Vec<u8> = (2..34)
                     .flat_map(|n| frames::encode_empty(18, n).to_vec())
                     .collect();
@@ -146,38 +154,42 @@
             } else {
                 drop(client);
             }
-            stand_still();
-            until(|| {
-                stage.handle.inspect(|s| s.invocations.counters.accepted) == 32
-                    && stage.in_flight() == 0
+            stop_process();
+            wait_until(|| {
+                controller
+                    .handle
+                    .inspect(|s| s.invocations.counters.accepted)
+                    == 32
+                    && controller.in_flight() == 0
             })
             .await;
-            // Whatever was on its way would be there by then.
+            // Any dispatched request would have arrived by then.
             tokio::time::sleep(Duration::from_millis(100)).await;
-            assert!(stage.nothing_came(), "{leaves:?}");
+            assert!(controller.received_nothing(), "{departure:?}");
         });
     }
 }
 
-/// A repeat, or what waited for a load, falls due in the turn in which the process wakes; the close lies in the machine.
+/// A retry, or an invocation that waited for a load, becomes due in the event loop turn in which the process resumes,
+/// while the client's close is still unread.
 #[test]
 fn timer_due_after_stop_does_not_dispatch_for_departed_client() {
-    staged(|| async {
-        let stage = Stage::new().await;
-        let mut client = stage.known().await;
-        client.write(&stage.call(2).0);
-        let mut line = stage.line().await;
-        line.asked().await;
-        until(|| stage.in_flight() == 1).await;
+    run_test(|| async {
+        let controller = TestController::new().await;
+        let mut client = controller.connect_active_client().await;
+        client.write(&controller.new_call(2).0);
+        let mut connection = controller.accept_connection().await;
+        connection.receive_request().await;
+        wait_until(|| controller.in_flight() == 1).await;
         drop(client);
-        stand_still();
-        // Before the reader has heard of the close.
-        stage
+        stop_process();
+        // Dispatched before the reader handles the close.
+        controller
             .handle
             .update(|state| state.invocations.dispatch(1, 1, 0));
-        until(|| stage.in_flight() == 0).await;
+        wait_until(|| controller.in_flight() == 0).await;
         tokio::time::sleep(Duration::from_millis(100)).await;
-        assert!(stage.nothing_came());
-        assert!(line.request().is_none());
+        assert!(controller.received_nothing());
+        assert!(connection.next_request().is_none());
     });
 }
--- a/crates/platform/src/tests/support.rs
+++ b/crates/platform/src/tests/support.rs
@@ -1,4 +1,4 @@
-//! A controller with scripted peers on in-memory streams under a paused clock.
+//! A controller with scripted peers on in-memory streams, with a paused clock.
 
 use crate::invoker_pools::PoolSizes;
 use crate::lifecycle::start;
@@ -20,50 +20,54 @@
 use std::time::Duration;
 use tokio::task::{LocalSet, spawn_local};
 
-pub(crate) const WHO: Who = Who {
+pub(crate) const CONTROLLER: Who = Who {
     controller: 1,
     incarnation: 1,
 };
 pub(crate) const UNIX_MS: u64 = 1_800_000_000_000;
 
-/// A wall clock that reads `UNIX_MS` now and runs as the other does.
+/// Returns a wall clock that starts at `UNIX_MS` now and advances with `clock`.
 pub(crate) fn wall_clock(clock: Clock) -> WallClock {
-    let began = clock.now();
-    Rc::new(move || UNIX_MS + (clock.now() - began) / MILLISECOND)
+    let started_at = clock.now();
+    Rc::new(move || UNIX_MS + (clock.now() - started_at) / MILLISECOND)
 }
 
-pub(crate) const TAKES: Duration = Duration::from_millis(40);
-/// A start long ago, in Unix ms: who is listed later without one is taken for cold.
+/// How long an invoker runs an invocation.
+pub(crate) const WORK_TIME: Duration = Duration::from_millis(40);
+/// A start long ago, in Unix ms. An invoker that is listed later without a start time counts as cold.
 pub(crate) const LONG_PAST_MS: Option<u64> = Some(UNIX_MS - 3_600_000);
-/// In ms: by then the feed has sent its first empty frame.
-pub(crate) const LIST_HEARD: u64 = 1_010;
-/// In ms: after it a line that was answered on is used again.
-pub(crate) const RESTED: u64 = 70;
+/// Time after which the feed has sent its first heartbeat.
+pub(crate) const LIST_CURRENT_MS: u64 = 1_010;
+/// Time after a response after which its connection is reused.
+pub(crate) const CONNECTION_REUSABLE_MS: u64 = 70;
 
-pub(crate) fn address(text: &str) -> SocketAddrV4 {
+pub(crate) fn parse_address(text: &str) -> SocketAddrV4 {
     text.parse().unwrap()
 }
 
-pub(crate) fn invoker_at(invoker: u32) -> SocketAddrV4 {
-    address(&format!("10.1.0.{invoker}:7001"))
+pub(crate) fn invoker_address(invoker: u32) -> SocketAddrV4 {
+    parse_address(&format!("10.1.0.{invoker}:7001"))
 }
 
-pub(crate) fn here() -> SocketAddrV4 {
-    address("10.0.0.4:7001")
+pub(crate) fn controller_address() -> SocketAddrV4 {
+    parse_address("10.0.0.4:7001")
 }
 
-pub(crate) fn feed_at(n: u8) -> SocketAddrV4 {
-    address(&format!("10.2.0.{n}:8500"))
+pub(crate) fn feed_address(n: u8) -> SocketAddrV4 {
+    parse_address(&format!("10.2.0.{n}:8500"))
 }
 
 pub(crate) fn configuration(invokers: &[u32], sockets: usize) -> String {
-    let invokers: Vec<_> = invokers.iter().map(|w| (*w, invoker_at(*w))).collect();
-    configuration_at(here(), feed_at(1), &invokers, sockets)
+    let invokers: Vec<_> = invokers
+        .iter()
+        .map(|id| (*id, invoker_address(*id)))
+        .collect();
+    configuration_at(controller_address(), feed_address(1), &invokers, sockets)
 }
 
-/// The settings as the platform states them, with the three kinds of effect.
+/// Returns a configuration file in the platform's format, with a trigger type for each of the three effects.
 pub(crate) fn configuration_at(
-    here: SocketAddrV4,
+    listen: SocketAddrV4,
     feed: SocketAddrV4,
     invokers: &[(u32, SocketAddrV4)],
     sockets: usize,
@@ -74,13 +78,13 @@
     };
     let members: Vec<_> = invokers
         .iter()
-        .map(|(w, at)| {
-            serde_json::json!({"id": format!("s-{w:08x}"), "host_port": at.to_string(), "locality": "a",
+        .map(|(invoker, address)| {
+            serde_json::json!({"id": format!("s-{invoker:08x}"), "host_port": address.to_string(), "locality": "a",
                 "flavor": "std", "cell": 0, "phase": "up", "size": 4.0, "up_since_ms": 0})
         })
         .collect();
     serde_json::json!({
-        "name": "n1", "listen": here.to_string(), "seed": "8c1f30d27a5be964",
+        "name": "n1", "listen": listen.to_string(), "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": sockets}, "feed": feed.to_string(),
         "known": {"n": 1, "events": [{"n": 1, "members": {"revision": 1, "complete": true, "members": members}}]},
         "settings": {
@@ -99,7 +103,8 @@
     .to_string()
 }
 
-pub(crate) fn stated() -> Line {
+/// Returns the record line that states the deployment to the checker.
+pub(crate) fn stated_line() -> Line {
     let trigger = |name: &str, effect: &str| Trigger {
         name: name.into(),
         effect: effect.into(),
@@ -134,8 +139,8 @@
     })
 }
 
-/// A controller and its peers.
-pub(crate) struct Stage {
+/// A controller with its peers.
+pub(crate) struct TestController {
     pub network: Rc<dyn Network>,
     pub clock: Clock,
     pub(crate) record: Record,
@@ -143,59 +148,67 @@
     pub(crate) hops: Rc<RefCell<BTreeMap<u64, u8>>>,
     pub feed: Rc<Feed>,
     pub handle: Rc<ControllerHandle>,
-    pub(crate) next: Cell<u64>,
+    pub(crate) next_call: Cell<u64>,
 }
 
-impl Stage {
+impl TestController {
     pub async fn new(make: MakePolicy, invokers: &[u32], sockets: usize) -> Self {
-        Self::with(make, invokers, &configuration(invokers, sockets)).await
+        Self::with_configuration(make, invokers, &configuration(invokers, sockets)).await
     }
 
-    /// With a configuration of its own.
-    pub async fn with(make: MakePolicy, invokers: &[u32], text: &str) -> Self {
+    /// Starts a controller with the given configuration.
+    pub async fn with_configuration(make: MakePolicy, invokers: &[u32], text: &str) -> Self {
         let (network, clock): (Rc<dyn Network>, _) =
             (Rc::new(MemoryNetwork::default()), Clock::start());
         let (record, hops) = (Record::default(), Rc::default());
-        record.note(stated());
-        let feed = Feed::new(WHO, record.clone(), clock);
-        spawn_local(feed.clone().serve(network.clone(), feed_at(1)));
+        record.note(stated_line());
+        let feed = Feed::new(CONTROLLER, record.clone(), clock);
+        spawn_local(feed.clone().serve(network.clone(), feed_address(1)));
         let config = config::parse(text).unwrap();
         let started = start(config, wall_clock(clock), network.clone(), clock, make).await;
         let handle = started.unwrap_or_else(|e| panic!("{e}"));
-        let (next, none) = (Cell::new(0), BTreeMap::new());
-        let mut stage = Self {
+        let (next_call, no_invokers) = (Cell::new(0), BTreeMap::new());
+        let mut controller = Self {
             network,
             clock,
             record,
-            invokers: none,
+            invokers: no_invokers,
             hops,
             feed,
             handle,
-            next,
+            next_call,
         };
         invokers
             .iter()
-            .for_each(|w| stage.invoker(*w, invoker_at(*w)));
-        pass(10).await;
-        stage
+            .for_each(|id| controller.start_invoker(*id, invoker_address(*id)));
+        sleep_ms(10).await;
+        controller
     }
 
-    pub fn invoker(&mut self, w: u32, at: SocketAddrV4) {
+    /// Starts an invoker at an address.
+    pub fn start_invoker(&mut self, id: u32, address: SocketAddrV4) {
         let (record, hops) = (self.record.clone(), self.hops.clone());
-        let invoker = HttpInvoker::new(w, WHO, TAKES, hops, record, self.clock);
-        spawn_local(invoker.clone().serve(self.network.clone(), at));
-        self.invokers.insert(w, invoker);
+        let invoker = HttpInvoker::new(id, CONTROLLER, WORK_TIME, hops, record, self.clock);
+        spawn_local(invoker.clone().serve(self.network.clone(), address));
+        self.invokers.insert(id, invoker);
     }
 
-    pub async fn client(&self) -> FrameClient {
-        FrameClient::dial(&*self.network, here(), WHO, self.record.clone(), self.clock)
-            .await
-            .unwrap()
+    pub async fn connect_client(&self) -> FrameClient {
+        FrameClient::dial(
+            &*self.network,
+            controller_address(),
+            CONTROLLER,
+            self.record.clone(),
+            self.clock,
+        )
+        .await
+        .unwrap()
     }
 
-    pub fn call(&self, trigger: &str) -> Call {
-        self.next.set(self.next.get() + 1);
-        let n = self.next.get();
+    /// Creates a call with a new number, and a token for "charge".
+    pub fn new_call(&self, trigger: &str) -> Call {
+        self.next_call.set(self.next_call.get() + 1);
+        let n = self.next_call.get();
         let token = (trigger == "charge").then(|| format!("{n:032x}"));
         let (trigger, body) = (trigger.to_owned(), vec![7; (n % 3) as usize * 50]);
         Call {
@@ -209,6 +222,7 @@
         }
     }
 
+    /// Returns the sizes of the pools, the sizes of the client tables, and the number of invocations in flight.
     pub(crate) fn sizes(&self) -> (PoolSizes, (usize, usize), usize) {
         let (sizes, in_flight) = self
             .handle
@@ -216,81 +230,89 @@
         (sizes, self.handle.config.clients.sizes(), in_flight)
     }
 
-    /// Rules that were broken, by the record; 6: something was sent on long after its client had left; 7: an output went to
-    /// another than it was made for; 8: an invoker was told of more time than the client had.
-    pub fn broken(&self) -> Vec<u8> {
+    /// Returns the rules that the record shows as broken. Besides the five rules, 6: an attempt was sent long after its
+    /// client had left; 7: a client received another invocation's output; 8: the time limit stated to an invoker
+    /// exceeded that of the client.
+    pub fn broken_rules(&self) -> Vec<u8> {
         let lines = self.record.take();
         let (verdicts, late) = (check(&lines).unwrap(), sent_on_after_leaving(&lines));
         let others = outputs_of_others(&lines);
         late.iter().chain(&others).for_each(|f| println!("{f:?}"));
         let broken: Vec<_> = verdicts.iter().filter(|v| v.state != Kept::Kept).collect();
         broken.iter().for_each(|v| println!("{v:?}"));
-        let limits = self.invokers.values().flat_map(|i| i.limit_faults.take());
-        let limits: Vec<String> = limits.inspect(|fault| println!("{fault}")).collect();
+        let limit_faults = self.invokers.values().flat_map(|i| i.limit_faults.take());
+        let limit_faults: Vec<String> = limit_faults.inspect(|fault| println!("{fault}")).collect();
         broken
             .iter()
             .map(|v| v.rule)
             .chain(late.first().map(|_| 6))
             .chain(others.first().map(|_| 7))
-            .chain(limits.first().map(|_| 8))
+            .chain(limit_faults.first().map(|_| 8))
             .collect()
     }
 }
 
-pub(crate) async fn pass(ms: u64) {
+pub(crate) async fn sleep_ms(ms: u64) {
     tokio::time::sleep(Duration::from_millis(ms)).await;
 }
 
-pub(crate) fn staged<F: Future<Output = ()>>(play: impl FnOnce() -> F) {
+pub(crate) fn run_test<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
     let mut runtime = tokio::runtime::Builder::new_current_thread();
     let runtime = runtime.enable_all().start_paused(true).build().unwrap();
-    LocalSet::new().block_on(&runtime, play());
+    LocalSet::new().block_on(&runtime, test());
 }
 
 thread_local! {
-    pub(crate) static TOLD: RefCell<Vec<(Outcome, bool)>> = const { RefCell::new(Vec::new()) };
-    /// Invokers that were reported to have ended connections.
-    pub(crate) static LOST: RefCell<Vec<InvokerId>> = const { RefCell::new(Vec::new()) };
+    /// The outcomes of attempts that were reported to the policy, and whether the invocation had finished.
+    pub(crate) static ATTEMPT_ENDS: RefCell<Vec<(Outcome, bool)>> = const { RefCell::new(Vec::new()) };
+    /// Invokers whose lost connections were reported to the policy.
+    pub(crate) static LOST_CONNECTIONS: RefCell<Vec<InvokerId>> = const { RefCell::new(Vec::new()) };
 }
 
-/// What is dispatched for it is cancelled in the same turn.
-pub(crate) const TAKEN_BACK: FunctionId = 0xbac;
+/// A function whose attempts are cancelled right after their dispatch.
+pub(crate) const CANCELLED_FUNCTION: FunctionId = 0xbac;
 
-/// Sends everything to invoker 1 and answers by what came of it; keeps what it was told.
-pub(crate) struct First;
+/// Sends all attempts to invoker 1, responds by their outcome, and records what is reported to it.
+pub(crate) struct FirstInvokerPolicy;
 
-pub(crate) fn first(_: Ticks, _: Deployment, _: u64, _: &mut dyn Actions) -> Box<dyn Policy> {
-    TOLD.take();
-    Box::new(First)
+pub(crate) fn first_invoker_policy(
+    _: Ticks,
+    _: Deployment,
+    _: u64,
+    _: &mut dyn Actions,
+) -> Box<dyn Policy> {
+    ATTEMPT_ENDS.take();
+    Box::new(FirstInvokerPolicy)
 }
 
-impl Policy for First {
+impl Policy for FirstInvokerPolicy {
     fn invokers_changed(&mut self, _: Ticks, _: bool, _: &[InvokerRecord]) {}
     fn invocation_arrived(&mut self, _: Ticks, call: Invocation, acts: &mut dyn Actions) {
         acts.dispatch(call.id, 1, 0);
-        if call.function == TAKEN_BACK {
+        if call.function == CANCELLED_FUNCTION {
             acts.cancel(call.id, 0);
         }
     }
     fn client_left(&mut self, _: Ticks, _: InvocationId) {}
-    fn attempt_ended(&mut self, _: Ticks, a: AttemptResult, acts: &mut dyn Actions) {
-        TOLD.with_borrow_mut(|told| told.push((a.outcome, a.finished)));
-        match a.finished {
+    fn attempt_ended(&mut self, _: Ticks, ended: AttemptResult, acts: &mut dyn Actions) {
+        ATTEMPT_ENDS.with_borrow_mut(|ends| ends.push((ended.outcome, ended.finished)));
+        match ended.finished {
             true => {}
-            false if a.outcome.never_ran() => acts.throttle(a.invocation, 100),
-            false => acts.error(a.invocation),
+            false if ended.outcome.never_ran() => acts.throttle(ended.invocation, 100),
+            false => acts.error(ended.invocation),
         }
     }
     fn load_ended(&mut self, _: Ticks, _: LoadResult, _: &mut dyn Actions) {}
     fn timer_fired(&mut self, _: Ticks, _: u64, _: &mut dyn Actions) {}
     fn connection_lost(&mut self, _: Ticks, invoker: InvokerId, _: Ticks) {
-        LOST.with_borrow_mut(|lost| lost.push(invoker));
+        LOST_CONNECTIONS.with_borrow_mut(|lost| lost.push(invoker));
     }
 }
 
-pub(crate) async fn answer(client: &mut FrameClient) -> Answered {
+/// Receives the next frame, which must be a response.
+pub(crate) async fn expect_response(client: &mut FrameClient) -> Answered {
     match client.hear().await {
         Some(Heard::Answer(answered)) => answered,
-        other => panic!("{other:?} where an answer was expected"),
+        other => panic!("{other:?} where a response was expected"),
     }
 }
