--- a/crates/platform/src/admission.rs
+++ b/crates/platform/src/admission.rs
@@ -91,7 +91,7 @@
     };
     let id = state.invocations.next_invocation();
     client.open_streams.borrow_mut().insert(stream, id);
-    let invocation = describe(id, &resolved, &traits, arrival.earliest);
+    let invocation = to_policy_invocation(id, &resolved, &traits, arrival.earliest);
     let span = info_span!("invocation", id, txn = format_args!("{txn:016x}"));
     span.in_scope(|| {
         debug!(
@@ -178,7 +178,7 @@
 }
 
 /// The invocation as the policy sees it.
-fn describe(
+fn to_policy_invocation(
     id: InvocationId,
     resolved: &ResolvedRequest,
     traits: &FunctionTraits,
--- a/crates/platform/src/tests/bounds.rs
+++ b/crates/platform/src/tests/bounds.rs
@@ -145,13 +145,13 @@
             .invokers
             .values()
             .for_each(|i| i.spoilt.set(Spoilt::Silent));
-        let mut crowd = Vec::new();
+        let mut silent_clients = Vec::new();
         for _ in 0..300 {
-            crowd.push(controller.connect_client().await);
+            silent_clients.push(controller.connect_client().await);
         }
-        let mut usual = controller.connect_client().await;
+        let mut normal = controller.connect_client().await;
         for _ in 0..32 {
-            usual
+            normal
                 .ask(&Call {
                     limit_ms: 1_500,
                     ..controller.new_call("look")
@@ -167,11 +167,11 @@
         }
         for _ in 0..32 {
             assert_ne!(
-                expect_response(&mut usual).await.code,
+                expect_response(&mut normal).await.code,
                 Code::Succeeded as u8
             );
         }
-        drop(crowd);
+        drop(silent_clients);
         assert_eq!(controller.broken_rules(), [0u8; 0]);
     });
 }
--- a/crates/platform/src/tests/closes.rs
+++ b/crates/platform/src/tests/closes.rs
@@ -36,14 +36,14 @@
         run_test(|| async move {
             let controller = TestController::new().await;
             let mut client = controller.connect_client();
-            let noise = [0, 0, 0, 9, 77, 0, 0, 0, 0, 0, 0, 0, 0];
+            let malformed = [0, 0, 0, 9, 77, 0, 0, 0, 0, 0, 0, 0, 0];
             let call = controller.new_call(2).0;
             if dispatched {
                 client.write(&call);
                 controller.accept_connection().await.receive_request().await;
-                client.write(&noise);
+                client.write(&malformed);
             } else {
-                client.write(&[&call[..], &noise[..]].concat());
+                client.write(&[&call[..], &malformed[..]].concat());
             }
             let received = receive_until_end(&mut client).await;
             assert_eq!(
--- a/crates/platform/src/tests/degraded_peers.rs
+++ b/crates/platform/src/tests/degraded_peers.rs
@@ -161,7 +161,7 @@
                 .unwrap();
             idle_clients.push(idle);
         }
-        let began = controller.clock.now();
+        let started_at = controller.clock.now();
         let mut client = controller.connect_client().await;
         client
             .ask(&Call {
@@ -173,7 +173,7 @@
             expect_response(&mut client).await.code,
             Code::Succeeded as u8
         );
-        let took_ms = (controller.clock.now() - began) / saltdrum::interface::MILLISECOND;
+        let took_ms = (controller.clock.now() - started_at) / saltdrum::interface::MILLISECOND;
         assert!(
             took_ms < 1_000,
             "{took_ms} ms behind {IDLE_CLIENTS} idle clients"
--- a/crates/platform/src/tests/endpoint_list.rs
+++ b/crates/platform/src/tests/endpoint_list.rs
@@ -26,10 +26,10 @@
             controller.feed.say(2, Event::Changes(vec![draining]));
             controller.feed.say(3, Event::Changes(vec![ready]));
             sleep_ms(3_500).await;
-            let asked = controller.feed.asked.borrow().clone();
+            let requested_events = controller.feed.asked.borrow().clone();
             let has_reconnected = !matches!(torn, Torn::No | Torn::Twice);
             assert_eq!(
-                asked,
+                requested_events,
                 if has_reconnected { vec![1, 1] } else { vec![1] },
                 "{torn:?}"
             );
--- a/crates/platform/src/tests/hostile_clients.rs
+++ b/crates/platform/src/tests/hostile_clients.rs
@@ -127,7 +127,7 @@
 fn malformed_clients_are_answered_or_closed_and_affect_nobody_else() {
     run_test(|| async {
         let controller = TestController::new(dispatch_policy, &[1, 2], 256).await;
-        let mut usual = controller.connect_client().await;
+        let mut normal = controller.connect_client().await;
         for (index, input) in malformed_inputs().into_iter().enumerate() {
             let mut client = controller.connect_client().await;
             let wrote = client.stream.write_all(&input).await;
@@ -139,8 +139,8 @@
                 }
                 other => panic!("input {index}: {other:?} after {wrote:?}"),
             }
-            usual.ask(&controller.new_call("look")).await;
-            expect_response(&mut usual).await;
+            normal.ask(&controller.new_call("look")).await;
+            expect_response(&mut normal).await;
         }
         // A connection without any frame is closed, and so is one that is idle after its invocations.
         let mut silent = controller.connect_client().await;
@@ -148,14 +148,14 @@
             tokio::time::timeout(Duration::from_millis(2_900), silent.hear()).await,
             Ok(None)
         );
-        let notification = tokio::time::timeout(Duration::from_millis(8_000), usual.hear()).await;
+        let notification = tokio::time::timeout(Duration::from_millis(8_000), normal.hear()).await;
         assert_eq!(
             notification,
             Ok(Some(Heard::GoAway)),
             "the client is notified before its connection is closed"
         );
         assert_eq!(
-            tokio::time::timeout(Duration::from_millis(300), usual.hear()).await,
+            tokio::time::timeout(Duration::from_millis(300), normal.hear()).await,
             Ok(None)
         );
         let arrived: Vec<u64> = controller
--- a/crates/platform/src/tests/races.rs
+++ b/crates/platform/src/tests/races.rs
@@ -44,9 +44,9 @@
         wait_until(|| controller.in_flight() == 0).await;
         wait_until(|| controller.client_count() == 0).await;
         wait_until(|| {
-            connections.iter_mut().all(|l| {
-                l.read_available();
-                l.is_ended
+            connections.iter_mut().all(|connection| {
+                connection.read_available();
+                connection.is_ended
             })
         })
         .await;
@@ -215,10 +215,10 @@
 fn shutdown_accepts_pending_connections() {
     run_test(|| async {
         let controller = TestController::new().await;
-        let mut known = controller.connect_active_client().await;
+        let mut active = controller.connect_active_client().await;
         let handle = controller.handle.clone();
         let shutdown = spawn_local(async move { shut_down(&handle).await });
-        assert_eq!(known.receive_frame().await.0, 48);
+        assert_eq!(active.receive_frame().await.0, 48);
         tokio::time::sleep(Duration::from_millis(780)).await;
         std::thread::sleep(Duration::from_millis(40));
         let mut clients: Vec<PeerConnection> =
--- a/crates/platform/src/tests/stalls.rs
+++ b/crates/platform/src/tests/stalls.rs
@@ -12,10 +12,11 @@
 
 /// How long the process is stopped, or a dial takes.
 const STALL: Duration = Duration::from_millis(400);
-/// Time limit of the calls of `TestController::new_call`, by how much the limit stated to an invoker may exceed the
-/// actual one, and the greatest limit that may be stated after a stall.
+/// Time limit of the calls of `TestController::new_call`.
 const LIMIT_MS: u64 = 2_500;
+/// By how much the time limit stated to an invoker may exceed the actual one.
 const SLACK_MS: u64 = 150;
+/// Greatest time limit that may be stated to an invoker after a stall.
 const STATED_LIMIT_MAX_MS: u64 = LIMIT_MS - STALL.as_millis() as u64 + SLACK_MS;
 
 fn stop_process() {
