--- a/crates/controller/src/baselines.rs
+++ b/crates/controller/src/baselines.rs
@@ -106,14 +106,14 @@
         actions.dispatch(request.id, target, 0);
     }
 
-    fn client_left(&mut self, _: Ticks, _: InvocationId) {}
+    fn invocation_abandoned(&mut self, _: Ticks, _: InvocationId) {}
 
     fn attempt_ended(&mut self, _: Ticks, result: AttemptResult, actions: &mut dyn Actions) {
         let target = self.targets.remove(&result.invocation);
         if let Some(in_flight) = target.and_then(|target| self.in_flight.get_mut(&target)) {
             *in_flight -= 1;
         }
-        if result.finished {
+        if result.invocation_finished {
             return;
         }
         if result.outcome.never_ran() {
--- a/crates/controller/src/invocations.rs
+++ b/crates/controller/src/invocations.rs
@@ -254,7 +254,7 @@
                 table.defer_attempt_end(id, attempt, Outcome::Cancelled);
             }
         }
-        self.policy.client_left(self.invocations.now, id);
+        self.policy.invocation_abandoned(self.invocations.now, id);
         self.invocations.forget_if_finished(id);
     }
 
@@ -316,7 +316,7 @@
             invocation: id,
             invoker,
             attempt,
-            finished: entry.is_none_or(|entry| entry.responder.is_none()),
+            invocation_finished: entry.is_none_or(|entry| entry.responder.is_none()),
             outcome,
             start_kind: report.start_kind,
             concurrency: report.concurrency,
--- a/crates/controller/src/policy.rs
+++ b/crates/controller/src/policy.rs
@@ -10,15 +10,15 @@
     /// An invocation was read.
     fn invocation_arrived(&mut self, now: Ticks, request: Invocation, actions: &mut dyn Actions);
     /// The client waits no more.
-    fn client_left(&mut self, now: Ticks, id: InvocationId);
+    fn invocation_abandoned(&mut self, now: Ticks, id: InvocationId);
     /// An attempt has ended.
     fn attempt_ended(&mut self, now: Ticks, result: AttemptResult, actions: &mut dyn Actions);
     /// A load order has ended.
     fn load_ended(&mut self, now: Ticks, result: LoadResult, actions: &mut dyn Actions);
     /// A probe has ended.
     fn probe_ended(&mut self, _now: Ticks, _result: ProbeResult, _actions: &mut dyn Actions) {}
-    /// The endpoint list was heard: everything that it told up to `heard_at` is known.
-    fn endpoint_list_heard(&mut self, _now: Ticks, _heard_at: Ticks) {}
+    /// The endpoint list was heard: everything that it told up to `current_as_of` is known.
+    fn endpoint_list_refreshed(&mut self, _now: Ticks, _current_as_of: Ticks) {}
     /// A connection to an invoker was refused, or ended by its other side.
     fn connection_lost(&mut self, _now: Ticks, _invoker: InvokerId, _noticed_at: Ticks) {}
     /// A timer has come due.
@@ -57,8 +57,8 @@
     fn invocation_arrived(&mut self, now: Ticks, request: Invocation, actions: &mut dyn Actions) {
         Self::invocation_arrived(self, now, request, actions);
     }
-    fn client_left(&mut self, now: Ticks, id: InvocationId) {
-        Self::client_left(self, now, id);
+    fn invocation_abandoned(&mut self, now: Ticks, id: InvocationId) {
+        Self::invocation_abandoned(self, now, id);
     }
     fn attempt_ended(&mut self, now: Ticks, result: AttemptResult, actions: &mut dyn Actions) {
         Self::attempt_ended(self, now, result, actions);
@@ -69,8 +69,8 @@
     fn probe_ended(&mut self, now: Ticks, result: ProbeResult, actions: &mut dyn Actions) {
         Self::probe_ended(self, now, result, actions);
     }
-    fn endpoint_list_heard(&mut self, now: Ticks, heard_at: Ticks) {
-        Self::endpoint_list_heard(self, now, heard_at);
+    fn endpoint_list_refreshed(&mut self, now: Ticks, current_as_of: Ticks) {
+        Self::endpoint_list_refreshed(self, now, current_as_of);
     }
     fn connection_lost(&mut self, now: Ticks, invoker: InvokerId, noticed_at: Ticks) {
         Self::connection_lost(self, now, invoker, noticed_at);
--- a/crates/controller/tests/controller_fixtures.rs
+++ b/crates/controller/tests/controller_fixtures.rs
@@ -87,11 +87,11 @@
         }
         acts.dispatch(call.id, 1, 0);
     }
-    fn client_left(&mut self, _: Ticks, _: InvocationId) {}
+    fn invocation_abandoned(&mut self, _: Ticks, _: InvocationId) {}
     fn attempt_ended(&mut self, _: Ticks, answer: AttemptResult, acts: &mut dyn Actions) {
-        if !answer.finished && answer.outcome.never_ran() {
+        if !answer.invocation_finished && answer.outcome.never_ran() {
             acts.throttle(answer.invocation, 100);
-        } else if !answer.finished {
+        } else if !answer.invocation_finished {
             acts.error(answer.invocation);
         }
     }
--- a/crates/controller/tests/sockets.rs
+++ b/crates/controller/tests/sockets.rs
@@ -53,12 +53,12 @@
             _ => {}
         }
     }
-    fn client_left(&mut self, _: Ticks, _: InvocationId) {}
+    fn invocation_abandoned(&mut self, _: Ticks, _: InvocationId) {}
     fn attempt_ended(&mut self, _: Ticks, a: AttemptResult, acts: &mut dyn Actions) {
-        TOLD.with_borrow_mut(|told| told.push((a.outcome, a.finished)));
-        if !a.finished && a.outcome.never_ran() {
+        TOLD.with_borrow_mut(|told| told.push((a.outcome, a.invocation_finished)));
+        if !a.invocation_finished && a.outcome.never_ran() {
             acts.throttle(a.invocation, 100);
-        } else if !a.finished {
+        } else if !a.invocation_finished {
             acts.error(a.invocation);
         }
     }
--- a/crates/deployment/src/terms.rs
+++ b/crates/deployment/src/terms.rs
@@ -321,7 +321,7 @@
         self.deployment = Deployment {
             controllers: said.controllers,
             attempt_limit: said.dispatches,
-            parallel_attempts: said.parallel_dispatches,
+            may_attempt_in_parallel: said.parallel_dispatches,
             may_cancel: said.cancel,
             may_load: said.orders,
             reports_misses: misses,
@@ -335,8 +335,8 @@
             warm_up_time: said.cold_time.0,
             overload_factor: said.tip_factor,
             overload_window: said.tip_window.0,
-            over_share_value: said.over_share_value,
-            tick: 10,
+            over_quota_value_share: said.over_share_value,
+            max_event_interval: 10,
             ..std::mem::take(&mut self.deployment)
         };
         Ok(())
@@ -361,7 +361,7 @@
             key_scope: word(s, "scope", &said.scope, &scopes)?,
             idempotency_window: said.repeat_window.0,
             billed_value: share(s, "billed_value", said.billed_value, 0.0, 1e9)?,
-            late_share: share(s, "late_share", said.late_share, 0.0, 1.0)?,
+            late_value_share: share(s, "late_share", said.late_share, 0.0, 1.0)?,
         });
         self.trigger_names.push(said.name);
         Ok(())
--- a/crates/deployment/tests/deployment_script_fixtures.rs
+++ b/crates/deployment/tests/deployment_script_fixtures.rs
@@ -47,7 +47,7 @@
     json!({
         "name": name, "objective": trigger.latency_objective, "client_timeout": trigger.client_timeout,
         "effect": effect, "scope": scope, "repeat_window": trigger.idempotency_window,
-        "billed_value": trigger.billed_value, "late_share": trigger.late_share,
+        "billed_value": trigger.billed_value, "late_share": trigger.late_value_share,
     })
 }
 
@@ -56,13 +56,13 @@
         "controllers": deployment.controllers, "zone": deployment.zone,
         "quotas": deployment.tenants.iter().map(|tenant| tenant.quota_per_second).collect::<Vec<_>>(),
         "kind_memory": deployment.machine_memory_mb,
-        "over_share_value": deployment.over_share_value,
+        "over_share_value": deployment.over_quota_value_share,
         "dispatch_limit": deployment.attempt_limit,
-        "parallel_dispatches": deployment.parallel_attempts,
+        "parallel_dispatches": deployment.may_attempt_in_parallel,
         "may_cancel": deployment.may_cancel, "may_probe": deployment.may_probe,
         "may_order": deployment.may_load, "misses": deployment.reports_misses,
         "keep_alive": deployment.keep_alive, "come_back_max": deployment.max_retry_after,
-        "tick": deployment.tick, "order_window": deployment.load_window,
+        "tick": deployment.max_event_interval, "order_window": deployment.load_window,
         "orders_free": deployment.free_loads, "orders_share": deployment.loads_per_invocation,
         "drain_grace": deployment.drain_grace, "cold_share": deployment.initial_capacity_share,
         "cold_time": deployment.warm_up_time, "tip_factor": deployment.overload_factor,
--- a/crates/load/src/retry.rs
+++ b/crates/load/src/retry.rs
@@ -74,7 +74,7 @@
             latency_objective: 10_000,
             client_timeout: 40_000,
             billed_value: 1.0,
-            late_share: 0.0,
+            late_value_share: 0.0,
         };
         Patience {
             retries: 2,
--- a/crates/platform-wire/tests/platform_wire_fixtures.rs
+++ b/crates/platform-wire/tests/platform_wire_fixtures.rs
@@ -484,10 +484,16 @@
 /// The settings of the start file. Their names are covered one by one by the fixtures of `saltdrum-settings`.
 fn check_deployment(deployment: &Deployment) {
     assert_eq!((deployment.controllers, deployment.zone), (3, 1));
-    assert_eq!((deployment.over_share_value, deployment.tick), (0.15, 25));
+    assert_eq!(
+        (
+            deployment.over_quota_value_share,
+            deployment.max_event_interval
+        ),
+        (0.15, 25)
+    );
     assert_eq!(deployment.machine_memory_mb, [42_000.0, 84_000.5]);
     assert_eq!(
-        (deployment.attempt_limit, deployment.parallel_attempts),
+        (deployment.attempt_limit, deployment.may_attempt_in_parallel),
         (6, false)
     );
     assert_eq!((deployment.may_cancel, deployment.may_probe), (true, true));
@@ -536,7 +542,7 @@
         (look.effect, look.key_scope),
         (Effect::Idempotent, KeyScope::All)
     );
-    assert_eq!((look.billed_value, look.late_share), (1.5, 0.25));
+    assert_eq!((look.billed_value, look.late_value_share), (1.5, 0.25));
     assert_eq!(
         (charge.latency_objective, charge.client_timeout),
         (9_000, 29_000)
@@ -545,7 +551,7 @@
         (charge.effect, charge.key_scope),
         (Effect::IdempotencyKey, KeyScope::Zone)
     );
-    assert_eq!((charge.billed_value, charge.late_share), (2.5, 0.35));
+    assert_eq!((charge.billed_value, charge.late_value_share), (2.5, 0.35));
     assert_eq!(charge.idempotency_window, 19_000);
 }
 
--- a/crates/platform/src/endpoint_watch.rs
+++ b/crates/platform/src/endpoint_watch.rs
@@ -265,7 +265,7 @@
     feed.heard(handle.clock.now(), came);
     handle.update(|state| {
         let now = state.invocations.now;
-        state.policy.endpoint_list_heard(now, came);
+        state.policy.endpoint_list_refreshed(now, came);
     });
 }
 
--- a/crates/platform/src/tests/races.rs
+++ b/crates/platform/src/tests/races.rs
@@ -485,7 +485,7 @@
         WHOSE.with_borrow_mut(|whose| whose.push(call.tenant));
         acts.throttle(call.id, 0);
     }
-    fn client_left(&mut self, _: Ticks, _: InvocationId) {}
+    fn invocation_abandoned(&mut self, _: Ticks, _: InvocationId) {}
     fn attempt_ended(&mut self, _: Ticks, _: AttemptResult, _: &mut dyn Actions) {}
     fn load_ended(&mut self, _: Ticks, _: LoadResult, _: &mut dyn Actions) {}
     fn timer_fired(&mut self, _: Ticks, _: u64, _: &mut dyn Actions) {}
--- a/crates/platform/src/tests/rules.rs
+++ b/crates/platform/src/tests/rules.rs
@@ -110,11 +110,11 @@
             0,
         );
     }
-    fn client_left(&mut self, _: Ticks, _: InvocationId) {}
+    fn invocation_abandoned(&mut self, _: Ticks, _: InvocationId) {}
     fn attempt_ended(&mut self, _: Ticks, a: AttemptResult, acts: &mut dyn Actions) {
-        if !a.finished && *self == Self::RunsAgain && a.attempt == 0 {
+        if !a.invocation_finished && *self == Self::RunsAgain && a.attempt == 0 {
             acts.dispatch(a.invocation, 1, 0);
-        } else if !a.finished {
+        } else if !a.invocation_finished {
             acts.error(a.invocation);
         }
     }
--- a/crates/platform/src/tests/stalls.rs
+++ b/crates/platform/src/tests/stalls.rs
@@ -53,9 +53,9 @@
     fn invocation_arrived(&mut self, now: Ticks, call: Invocation, acts: &mut dyn Actions) {
         acts.dispatch_by(call.id, 1, 0, now + 100 * MILLISECOND);
     }
-    fn client_left(&mut self, _: Ticks, _: InvocationId) {}
+    fn invocation_abandoned(&mut self, _: Ticks, _: InvocationId) {}
     fn attempt_ended(&mut self, _: Ticks, a: AttemptResult, acts: &mut dyn Actions) {
-        if !a.finished && a.outcome.never_ran() {
+        if !a.invocation_finished && a.outcome.never_ran() {
             acts.throttle(a.invocation, 100);
         }
     }
--- a/crates/platform/src/tests/support.rs
+++ b/crates/platform/src/tests/support.rs
@@ -272,10 +272,10 @@
             acts.cancel(call.id, 0);
         }
     }
-    fn client_left(&mut self, _: Ticks, _: InvocationId) {}
+    fn invocation_abandoned(&mut self, _: Ticks, _: InvocationId) {}
     fn attempt_ended(&mut self, _: Ticks, a: AttemptResult, acts: &mut dyn Actions) {
-        TOLD.with_borrow_mut(|told| told.push((a.outcome, a.finished)));
-        match a.finished {
+        TOLD.with_borrow_mut(|told| told.push((a.outcome, a.invocation_finished)));
+        match a.invocation_finished {
             true => {}
             false if a.outcome.never_ran() => acts.throttle(a.invocation, 100),
             false => acts.error(a.invocation),
--- a/crates/scale/src/controller.rs
+++ b/crates/scale/src/controller.rs
@@ -128,8 +128,8 @@
             |c| c.invocation_arrived(now, call, acts),
         );
     }
-    fn client_left(&mut self, now: Ticks, id: InvocationId) {
-        self.inner.borrow_mut().client_left(now, id);
+    fn invocation_abandoned(&mut self, now: Ticks, id: InvocationId) {
+        self.inner.borrow_mut().invocation_abandoned(now, id);
     }
     fn attempt_ended(&mut self, now: Ticks, a: AttemptResult, acts: &mut dyn Actions) {
         self.turn(|t| &mut t.answered, |c| c.attempt_ended(now, a, acts));
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -347,7 +347,7 @@
             .map(trigger)
             .collect(),
         places: terms.invokers.iter().map(place).collect(),
-        parallel_dispatches: d.parallel_attempts,
+        parallel_dispatches: d.may_attempt_in_parallel,
         drain_grace: d.drain_grace,
         cold_share: d.initial_capacity_share,
         cold_time: d.warm_up_time,
--- a/crates/settings/tests/settings_fixtures.rs
+++ b/crates/settings/tests/settings_fixtures.rs
@@ -71,17 +71,17 @@
         zone,
         trigger_types,
         tenants,
-        over_share_value,
+        over_quota_value_share: over_share_value,
         machine_memory_mb: kind_memory,
         attempt_limit: dispatch_limit,
-        parallel_attempts: parallel_dispatches,
+        may_attempt_in_parallel: parallel_dispatches,
         may_cancel,
         may_probe,
         may_load: may_order,
         reports_misses: misses,
         keep_alive,
         max_retry_after: come_back_max,
-        tick,
+        max_event_interval: tick,
         load_window: order_window,
         free_loads: orders_free,
         loads_per_invocation: orders_share,
@@ -162,7 +162,7 @@
             key_scope: scope,
             idempotency_window: repeat_window,
             billed_value,
-            late_share,
+            late_value_share: late_share,
         } = trigger_type;
         let read = (
             objective,
@@ -182,7 +182,7 @@
     let settings = read_fixture("settings.txt");
     let flags = |deployment: &Deployment| {
         [
-            deployment.parallel_attempts,
+            deployment.may_attempt_in_parallel,
             deployment.may_cancel,
             deployment.may_probe,
             deployment.may_load,
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -130,7 +130,7 @@
             }
             code::CLIENT_LEFT => {
                 let invocation = fields.u32("xid")?;
-                self.guard(id, |_| policy.client_left(now, invocation))
+                self.guard(id, |_| policy.invocation_abandoned(now, invocation))
             }
             code::INVOKERS => {
                 let form = fields.u8("form")?;
--- a/crates/wirehost/src/records.rs
+++ b/crates/wirehost/src/records.rs
@@ -108,7 +108,7 @@
         invocation,
         invoker,
         attempt,
-        finished,
+        invocation_finished: finished,
         outcome,
         start_kind: start_kind(remark % REMARK_RADIX),
         concurrency: (has_concurrency && concurrency > 0).then_some(concurrency),
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -58,7 +58,7 @@
     /// Value of an answer within the latency objective.
     pub billed_value: f64,
     /// Share of that value which a later answer earns.
-    pub late_share: f64,
+    pub late_value_share: f64,
 }
 
 /// What is configured for a tenant.
@@ -80,13 +80,13 @@
     /// Tenants; [`Invocation::tenant`] is an index into them.
     pub tenants: Vec<Tenant>,
     /// Share of its value that an invocation beyond its tenant's quota earns.
-    pub over_share_value: f64,
+    pub over_quota_value_share: f64,
     /// Memory of an invoker by machine kind, in MB.
     pub machine_memory_mb: Vec<f64>,
     /// Attempts that one invocation may make.
     pub attempt_limit: u8,
     /// Whether two attempts of one invocation may be in flight at once.
-    pub parallel_attempts: bool,
+    pub may_attempt_in_parallel: bool,
     /// Whether attempts may be cancelled.
     pub may_cancel: bool,
     /// Whether invokers may be probed.
@@ -100,7 +100,7 @@
     /// Longest `retry_after` of a rejection; none: rejections carry no advice.
     pub max_retry_after: Option<Ticks>,
     /// Longest time between two rounds in which the host delivers events.
-    pub tick: Ticks,
+    pub max_event_interval: Ticks,
     /// Window over which load orders are limited; 0: no limit.
     pub load_window: Ticks,
     /// Load orders that are always allowed within a window.
@@ -244,7 +244,7 @@
     /// Number of the attempt, from 0.
     pub attempt: u8,
     /// Whether the invocation is finished: no final answer is expected any more.
-    pub finished: bool,
+    pub invocation_finished: bool,
     /// How the attempt ended.
     pub outcome: Outcome,
     /// Whether it found an instance, where that is reported.
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -3,8 +3,8 @@
 //! # How to call it
 //!
 //! Create a [`DispatchPolicy`] at start, then call one method for each event: [`invokers_changed`], [`invocation_arrived`],
-//! [`client_left`], [`attempt_ended`], [`load_ended`], [`timer_fired`]; where the endpoint list can go out of date, also
-//! [`endpoint_list_heard`] and [`probe_ended`]. Each takes the time, and most an [`Actions`] through which the policy acts before
+//! [`invocation_abandoned`], [`attempt_ended`], [`load_ended`], [`timer_fired`]; where the endpoint list can go out of date, also
+//! [`endpoint_list_refreshed`] and [`probe_ended`]. Each takes the time, and most an [`Actions`] through which the policy acts before
 //! it returns. The same calls give the same actions.
 //!
 //! # Where to read
@@ -18,11 +18,11 @@
 //!
 //! [`invokers_changed`]: DispatchPolicy::invokers_changed
 //! [`invocation_arrived`]: DispatchPolicy::invocation_arrived
-//! [`client_left`]: DispatchPolicy::client_left
+//! [`invocation_abandoned`]: DispatchPolicy::invocation_abandoned
 //! [`attempt_ended`]: DispatchPolicy::attempt_ended
 //! [`load_ended`]: DispatchPolicy::load_ended
 //! [`timer_fired`]: DispatchPolicy::timer_fired
-//! [`endpoint_list_heard`]: DispatchPolicy::endpoint_list_heard
+//! [`endpoint_list_refreshed`]: DispatchPolicy::endpoint_list_refreshed
 //! [`probe_ended`]: DispatchPolicy::probe_ended
 
 mod admission;
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -176,7 +176,7 @@
         if result.outcome != Outcome::Miss {
             state.tried.push(attempt.invoker);
         }
-        state.is_finished |= result.finished;
+        state.is_finished |= result.invocation_finished;
         let request = state.request.clone();
         if result.outcome == Outcome::Succeeded {
             self.record_first_success(&request);
--- a/src/policy/invocations.rs
+++ b/src/policy/invocations.rs
@@ -93,7 +93,7 @@
     }
 
     /// The client waits no more: no final answer is given.
-    pub fn client_left(&mut self, now: Ticks, id: InvocationId) {
+    pub fn invocation_abandoned(&mut self, now: Ticks, id: InvocationId) {
         self.advance_clock(now);
         self.finish(id);
     }
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -165,7 +165,11 @@
         if self.slow_start_allowance(invoker, work) < work {
             return false;
         }
-        self.retry_is_safe(request.state, Some(invoker_id), now + self.deployment.tick)
+        self.retry_is_safe(
+            request.state,
+            Some(invoker_id),
+            now + self.deployment.max_event_interval,
+        )
     }
 
     /// Estimates when this invoker would finish.
--- a/src/policy/readiness.rs
+++ b/src/policy/readiness.rs
@@ -40,7 +40,7 @@
 impl DispatchPolicy {
     /// Everything that the endpoint list told up to `heard_at` is known. Where the list has a lifetime, each sign of life of it
     /// is reported here, also one that brings no change.
-    pub fn endpoint_list_heard(&mut self, now: Ticks, heard_at: Ticks) {
+    pub fn endpoint_list_refreshed(&mut self, now: Ticks, heard_at: Ticks) {
         self.advance_clock(now);
         self.list_age.heard_at = self.list_age.heard_at.max(Some(heard_at));
     }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -21,7 +21,7 @@
         terms(Effect::IdempotencyKey, KeyScope::Cell),
         terms(Effect::NonIdempotent, KeyScope::All),
     ];
-    d.parallel_attempts = on(1);
+    d.may_attempt_in_parallel = on(1);
     d.reports_misses = on(2);
     d.may_cancel = on(3);
     d.controllers = if on(4) { 200 } else { 1 };
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -147,7 +147,7 @@
             "rule 1: {id} sent after its end"
         );
         assert!(
-            self.deployment.parallel_attempts || out(t) == 0,
+            self.deployment.may_attempt_in_parallel || out(t) == 0,
             "rule 2: {id} out twice at once"
         );
         assert!(
@@ -262,7 +262,7 @@
         key_scope: scope,
         idempotency_window: 2 * SECOND,
         billed_value: 1.0,
-        late_share: 0.2,
+        late_value_share: 0.2,
     }
 }
 
@@ -272,17 +272,17 @@
         zone: 0,
         trigger_types: vec![terms(Effect::Idempotent, KeyScope::All)],
         tenants: vec![],
-        over_share_value: 0.2,
+        over_quota_value_share: 0.2,
         machine_memory_mb: vec![10_000.0],
         attempt_limit: 4,
-        parallel_attempts: false,
+        may_attempt_in_parallel: false,
         may_cancel: true,
         may_probe: true,
         may_load: true,
         reports_misses: false,
         keep_alive: 8 * SECOND,
         max_retry_after: Some(SECOND),
-        tick: MILLISECOND,
+        max_event_interval: MILLISECOND,
         load_window: 0,
         free_loads: 0.0,
         loads_per_invocation: 0.0,
@@ -450,7 +450,7 @@
             invocation: id,
             invoker,
             attempt: hop,
-            finished,
+            invocation_finished: finished,
             outcome,
             start_kind: found,
             concurrency: None,
@@ -479,7 +479,7 @@
 
     pub(crate) fn hear_endpoint_list(&mut self) {
         let now = self.checker.now;
-        self.policy.endpoint_list_heard(now, now);
+        self.policy.endpoint_list_refreshed(now, now);
     }
 
     /// A connection to an invoker is lost now.
@@ -505,7 +505,7 @@
 
     pub(crate) fn client_leaves(&mut self, id: InvocationId) {
         self.checker.invocations.get_mut(&id).unwrap().client_left = true;
-        self.policy.client_left(self.checker.now, id);
+        self.policy.invocation_abandoned(self.checker.now, id);
     }
 
     /// Dispatches that are out, oldest first.
