--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -354,8 +354,8 @@
             disk: 0,
         })
         .collect();
-    let config = Config::founding(founders).map_err(|e| format!("--steward: {e}"))?;
-    let mut founding = agreed::Fleet::founded(
+    let config = Config::initial(founders).map_err(|e| format!("--steward: {e}"))?;
+    let mut founding = agreed::Fleet::new(
         &terms.name,
         config,
         stewards,
@@ -622,7 +622,7 @@
             .next()
             .unwrap_or_default()
             .to_owned();
-        *counts.entry((kind, m.phase.word())).or_default() += 1;
+        *counts.entry((kind, m.phase.name())).or_default() += 1;
     }
     for ((kind, phase), n) in counts {
         println!("  {n} {kind}s {phase}");
@@ -633,23 +633,23 @@
             h.revision, h.by, h.why, h.ends
         );
     }
-    let out: Vec<_> = fleet.out().collect();
+    let out: Vec<_> = fleet.out_members().collect();
     if !out.is_empty() {
         let mut t = table(&["out", "is", "since revision", "site", "cell", "version"]);
         for (id, m) in out {
-            let (phase, site) = (m.phase.word().to_owned(), m.about.site.clone());
+            let (phase, site) = (m.phase.name().to_owned(), m.info.site.clone());
             t.add_row([
                 id.to_string(),
                 phase,
                 m.since.to_string(),
                 site,
-                m.about.cell.to_string(),
-                m.about.version.clone(),
+                m.info.cell.to_string(),
+                m.info.version.clone(),
             ]);
         }
         println!("{t}");
     }
-    for (id, a) in &fleet.asks {
+    for (id, a) in &fleet.drain_requests {
         let n = [
             a.waiting.len(),
             a.under_way.len(),
@@ -672,7 +672,7 @@
         // A steward that does not answer now may do so again: the ask goes on without us.
         if let Ok(s) = to.status().await
             && let Some(fleet) = &s.fleet
-            && let Some(ask) = fleet.asks.get(id)
+            && let Some(ask) = fleet.drain_requests.get(id)
         {
             let n = ask.waiting.len() + ask.under_way.len();
             let away = ask.under_way.iter().filter(|m| {
@@ -696,7 +696,7 @@
                 println!("{now}");
                 last = now;
             }
-            if ask.is_over() {
+            if ask.is_finished() {
                 return Ok(0);
             }
         }
@@ -725,7 +725,7 @@
                 for event in &fleet.history {
                     match json {
                         true => println!("{}", json!(event)),
-                        false => println!("{:>8}  {}", event.revision, event.what),
+                        false => println!("{:>8}  {}", event.revision, event.description),
                     }
                 }
                 Ok(0)
@@ -753,7 +753,7 @@
                     .await?;
                 let mut t = table(&["step", "out together", "what limits it"]);
                 for (n, b) in batches.iter().enumerate() {
-                    let go: Vec<String> = b.go.iter().map(ToString::to_string).collect();
+                    let go: Vec<String> = b.members.iter().map(ToString::to_string).collect();
                     t.add_row([
                         (n + 1).to_string(),
                         go.join(" "),
--- a/crates/cli/src/leases.rs
+++ b/crates/cli/src/leases.rs
@@ -282,7 +282,7 @@
             let offering = fleet
                 .members
                 .values()
-                .filter(|m| m.about.tasks.contains(task))
+                .filter(|m| m.info.tasks.contains(task))
                 .count();
             match offering {
                 0 => format!("vacant: no member offers the task '{task}'"),
--- a/crates/coordinator/examples/agreement.rs
+++ b/crates/coordinator/examples/agreement.rs
@@ -48,9 +48,9 @@
         .map(|n| (n, address(folder, n).to_string()))
         .collect();
     let voters = (1..=3).map(|steward| Voter { steward, disk: 0 }).collect();
-    let founding = Fleet::founded(
+    let founding = Fleet::new(
         "cost",
-        Config::founding(voters).unwrap(),
+        Config::initial(voters).unwrap(),
         stewards,
         Vec::new(),
         0,
@@ -111,8 +111,8 @@
     let (mut disk, mut acceptor) = Disk::open_file(&folder.join("alone"), new).unwrap();
     let ballot = saltdrum_fleet::Ballot {
         number: 1,
-        steward: 1,
-        life: 1,
+        proposer: 1,
+        incarnation: 1,
     };
     acceptor.accepted = Some(saltdrum_fleet::register::Accepted {
         ballot,
--- a/crates/coordinator/src/acceptor_store.rs
+++ b/crates/coordinator/src/acceptor_store.rs
@@ -3,7 +3,7 @@
 use crate::disk::Disk;
 use crate::server::Refused;
 use crate::wire::{Accept, NOT_VOTING, Prepare, Vote};
-use saltdrum_fleet::recovery::{RecoveryReply, Returning, Verdict};
+use saltdrum_fleet::recovery::{RecoveringVoter, RecoveryReply, Verdict};
 use saltdrum_fleet::register::{Acceptor, Ballot, Config, Voter};
 use saltdrum_fleet::state::Fleet;
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
     disk: Disk,
     acceptor: Acceptor<Fleet>,
     /// Until it may vote again.
-    returning: Option<Returning<Fleet>>,
+    returning: Option<RecoveringVoter<Fleet>>,
     /// The most writes that each voter is known to have made.
     writes: BTreeMap<Voter, u64>,
 }
@@ -22,7 +22,7 @@
 impl AcceptorStore {
     pub(crate) fn new(disk: Disk, acceptor: Acceptor<Fleet>, founding: Config) -> Self {
         let me = disk.identity.voter;
-        let returning = Some(Returning::new(me, acceptor.clone(), founding));
+        let returning = Some(RecoveringVoter::new(me, acceptor.clone(), founding));
         Self {
             disk,
             acceptor,
@@ -157,14 +157,14 @@
         from: Voter,
         life: u64,
     ) -> Result<RecoveryReply<Fleet>, Refused> {
-        let life_before = self.change(|a| a.life_begins(from, life))?;
-        let writes_of_yours = self.writes.get(&from).copied().unwrap_or(0);
+        let previous_incarnation = self.change(|a| a.record_incarnation(from, life))?;
+        let known_writes = self.writes.get(&from).copied().unwrap_or(0);
         let acceptor = self.acceptor.clone();
         Ok(RecoveryReply {
-            returning: self.returning.is_some(),
+            is_recovering: self.returning.is_some(),
             acceptor,
-            life_before,
-            writes_of_yours,
+            previous_incarnation,
+            known_writes,
         })
     }
 
@@ -172,7 +172,7 @@
     pub(crate) fn life(&self) -> u64 {
         self.returning
             .as_ref()
-            .map_or(self.acceptor.life, Returning::life)
+            .map_or(self.acceptor.incarnation, RecoveringVoter::incarnation)
     }
 
     /// With nobody else to ask.
@@ -189,7 +189,7 @@
         let Some(returning) = &mut self.returning else {
             return Ok(Verdict::Vote);
         };
-        returning.heard(from, what);
+        returning.record_reply(from, what);
         self.judge()
     }
 
@@ -201,7 +201,7 @@
         if verdict == Verdict::Vote {
             let mut adopted = returning.clone().adopt();
             // Others started incarnations while this one was returning.
-            adopted.lives.learn_all(&self.acceptor.lives);
+            adopted.incarnations.merge(&self.acceptor.incarnations);
             adopted.writes = adopted.writes.max(self.acceptor.writes + 1);
             let writes = adopted.writes;
             self.change(|a| *a = adopted)?;
--- a/crates/coordinator/src/coordinator.rs
+++ b/crates/coordinator/src/coordinator.rs
@@ -84,11 +84,11 @@
         let acceptor_store = AcceptorStore::new(disk, acceptor, config.founding.config.clone());
         let (news, _) = watch::channel(0);
         let timeouts = Timeouts {
-            renew: config.terms.renew,
+            heartbeat_interval: config.terms.renew,
             suspect_level: config.terms.suspect_level,
-            grant_for: config.terms.grant_for,
-            drain_for: config.terms.drain_for,
-            prove_within: config.terms.prove_within,
+            grant_timeout: config.terms.grant_for,
+            drain_timeout: config.terms.drain_for,
+            health_timeout: config.terms.prove_within,
         };
         let monitor = MemberMonitor::new(clock.now(), acceptor_store.me(), timeouts);
         let rng = fastrand::Rng::with_seed(config.seed);
@@ -117,10 +117,10 @@
     pub(crate) fn stewards(&self) -> BTreeMap<u32, String> {
         let mut all = BTreeMap::new();
         if let Some((_, fleet)) = self.acceptor_store.borrow().accepted() {
-            all.extend(fleet.stewards.clone());
+            all.extend(fleet.coordinators.clone());
         }
         // What it was started with goes first: how this process reaches them.
-        all.extend(self.config.founding.stewards.clone());
+        all.extend(self.config.founding.coordinators.clone());
         all
     }
 
@@ -146,7 +146,7 @@
             let lives = fleet
                 .members
                 .iter()
-                .map(|(id, m)| (id.number, m.about.incarnation));
+                .map(|(id, m)| (id.number, m.info.incarnation));
             let lives: BTreeSet<(u32, u64)> = lives.collect();
             first.retain(|life, _| lives.contains(life));
             for life in lives {
--- a/crates/coordinator/src/fleet_config.rs
+++ b/crates/coordinator/src/fleet_config.rs
@@ -180,7 +180,7 @@
         least_size: said.least_size,
         least_memory_mb: said.least_memory.map(|m| m.0),
     };
-    bound.fits().map_err(|e| s.fault(e))?;
+    bound.validate().map_err(|e| s.fault(e))?;
     Ok(bound)
 }
 
@@ -197,6 +197,6 @@
         resources: said.resources.into_iter().collect(),
     };
     let name = LeaseName(said.name);
-    terms.fits(&name).map_err(|e| s.fault(e))?;
+    terms.validate(&name).map_err(|e| s.fault(e))?;
     Ok((name, terms))
 }
--- a/crates/coordinator/src/invoker_list.rs
+++ b/crates/coordinator/src/invoker_list.rs
@@ -32,17 +32,17 @@
         let age = self
             .first_seen
             .borrow()
-            .get(&(number, m.about.incarnation))
+            .get(&(number, m.info.incarnation))
             .map_or(0, |at| self.clock.now() - at);
         Entry {
             invoker: number,
-            address: m.about.address.clone(),
-            zone: m.about.zone,
-            kind: m.about.machine,
-            cell: m.about.cell,
+            address: m.info.address.clone(),
+            zone: m.info.zone,
+            kind: m.info.machine,
+            cell: m.info.cell,
             life: life(&m.phase),
-            size: m.about.size as f32,
-            incarnation: m.about.incarnation,
+            size: m.info.size as f32,
+            incarnation: m.info.incarnation,
             age_tenths: age,
             agent: None,
         }
--- a/crates/coordinator/src/monitoring.rs
+++ b/crates/coordinator/src/monitoring.rs
@@ -26,7 +26,7 @@
         let fleet = fleet.as_deref();
         let now = self.clock.now();
         let seen = said.seen();
-        self.monitor.borrow_mut().renewed(
+        self.monitor.borrow_mut().record_heartbeat(
             now,
             fleet,
             said.member,
@@ -37,9 +37,9 @@
         let member = fleet.and_then(|f| f.members.get(&said.member));
         HeartbeatReply {
             revision: fleet.map_or(0, |f| f.revision),
-            incarnation: member.map(|m| m.about.incarnation),
+            incarnation: member.map(|m| m.info.incarnation),
             phase: member.map(|m| m.phase.clone()),
-            turn_back: fleet.is_some_and(|f| f.may_turn_back(&said.member)),
+            turn_back: fleet.is_some_and(|f| f.may_cancel_drain(&said.member)),
             leases: fleet.map_or_else(Vec::new, |f| held_by(f, said.member, said.incarnation)),
         }
     }
@@ -52,7 +52,7 @@
         if said.decided > self.decided_at.get() {
             self.behind.set(Some((said.from.steward, said.decided)));
         }
-        self.monitor.borrow_mut().opinions(
+        self.monitor.borrow_mut().record_report(
             self.clock.now(),
             said.from,
             said.levels,
@@ -68,7 +68,7 @@
                 .sleep_until(self.clock.now() + OBSERVE_INTERVAL)
                 .await;
             let now = self.clock.now();
-            if let Some(gap) = self.monitor.borrow_mut().turn(now) {
+            if let Some(gap) = self.monitor.borrow_mut().detect_pause(now) {
                 warn!(
                     paused_ms = gap / MILLISECOND,
                     "process was paused, listening anew"
@@ -84,13 +84,13 @@
                 tokio::task::spawn_local(async move { this.catch_up(from, to).await });
             }
             let Some(fleet) = fleet else { continue };
-            for (member, waited) in self.monitor.borrow_mut().late(now, &fleet) {
+            for (member, waited) in self.monitor.borrow_mut().late_drains(now, &fleet) {
                 warn!(%member, waited_ms = waited / MILLISECOND, "drain is late");
             }
-            let leads = self.monitor.borrow().leads(now, &fleet);
+            let leads = self.monitor.borrow().is_proposer(now, &fleet);
             // One thing after another: what was proposed has to be known before what follows from it is.
             if leads && !self.acceptor_store.borrow().is_returning() && !self.proposing.get() {
-                let owed = self.monitor.borrow_mut().owed(now, &fleet);
+                let owed = self.monitor.borrow_mut().due_changes(now, &fleet);
                 if !owed.is_empty() {
                     self.proposing.set(true);
                     tokio::task::spawn_local(self.clone().propose_due(owed));
@@ -104,7 +104,7 @@
         let acceptor_store = self.acceptor_store.borrow();
         let said = Opinions {
             from: acceptor_store.me(),
-            levels: fleet.and_then(|f| self.monitor.borrow().levels(self.clock.now(), f)),
+            levels: fleet.and_then(|f| self.monitor.borrow().suspicion_levels(self.clock.now(), f)),
             decided: self.decided_at.get(),
             writes: acceptor_store.writes(),
             returning: acceptor_store.is_returning(),
@@ -189,7 +189,10 @@
             }
             match verdict {
                 Verdict::Vote => return Ok(()),
-                Verdict::OldDisk { mine, heard } if !told => {
+                Verdict::StaleDisk {
+                    own_writes: mine,
+                    known_writes: heard,
+                } if !told => {
                     told = true;
                     warn!(
                         mine,
--- a/crates/coordinator/src/propose.rs
+++ b/crates/coordinator/src/propose.rs
@@ -139,7 +139,7 @@
         let mut round: Round<Fleet> = Round::new(ballot, config);
         let (to, mut votes) = mpsc::unbounded_channel();
         let mut asked = BTreeSet::new();
-        self.ask_all(&mut asked, round.asks(), |voter, this| {
+        self.ask_all(&mut asked, round.prepare_targets(), |voter, this| {
             this.ask_promise(
                 Prepare {
                     to: voter,
@@ -175,9 +175,9 @@
                         let accepted = accepted
                             .zip(value)
                             .map(|(ballot, value)| Accepted { ballot, value });
-                        round.promised(&mark, accepted);
+                        round.record_promise(&mark, accepted);
                     }
-                    self.ask_all(&mut asked, round.asks(), |voter, this| {
+                    self.ask_all(&mut asked, round.prepare_targets(), |voter, this| {
                         this.ask_promise(
                             Prepare {
                                 to: voter,
@@ -194,7 +194,7 @@
                 }
                 _ => drop(silent.insert(from)),
             }
-            if !round.is_read() && round.has_promised().len() + silent.len() >= asked.len() {
+            if !round.is_read() && round.promised_voters().len() + silent.len() >= asked.len() {
                 return Err(overtaken.map_or(Lost::Unanswered, Lost::Overtaken));
             }
         }
@@ -203,7 +203,7 @@
             .map_or_else(|| self.config.founding.clone(), |a| a.value.clone());
         let told: Vec<_> = changes.iter().map(|c| fleet.apply(c)).collect();
         let fleet = Rc::new(fleet);
-        let to_accept = round.put((*fleet).clone());
+        let to_accept = round.propose((*fleet).clone());
         let (to, mut votes) = mpsc::unbounded_channel();
         let value = Rc::new(Box::new((*fleet).clone()));
         let mut asked = BTreeSet::new();
@@ -221,7 +221,7 @@
         let mut overtaken = None;
         while let Some((_, vote)) = votes.recv().await {
             match vote {
-                Ok(Vote::Accepted { mark, .. }) if round.accepted(&mark) => {
+                Ok(Vote::Accepted { mark, .. }) if round.record_acceptance(&mark) => {
                     self.decided(ballot, fleet.clone());
                     debug!(revision = fleet.revision, changes = changes.len(), "agreed");
                     return Ok((fleet, told));
--- a/crates/coordinator/src/service.rs
+++ b/crates/coordinator/src/service.rs
@@ -100,7 +100,7 @@
         let heard = self
             .monitor
             .borrow()
-            .heard_ago(self.clock.now())
+            .heartbeat_ages(self.clock.now())
             .into_iter();
         let heard_ms_ago: BTreeMap<_, _> = heard.map(|(id, ago)| (id, ago / MILLISECOND)).collect();
         json!({
--- a/crates/coordinator/src/wire/tests.rs
+++ b/crates/coordinator/src/wire/tests.rs
@@ -44,8 +44,8 @@
     ]);
     let voters: std::collections::BTreeSet<Voter> =
         (1..=3).map(|steward| Voter { steward, disk: 7 }).collect();
-    let config = Config::founding(voters.clone()).unwrap();
-    let value = Some(Box::new(Fleet::founded(
+    let config = Config::initial(voters.clone()).unwrap();
+    let value = Some(Box::new(Fleet::new(
         "museums",
         config,
         at.clone(),
@@ -59,8 +59,8 @@
     let lives = vec![(one, 3)].into();
     let mark = VoterStamp {
         from: one,
-        life: 2,
-        lives,
+        incarnation: 2,
+        incarnations: lives,
     };
     let vote = Vote::Promised {
         accepted: Some(Ballot::default()),
--- a/crates/coordinator/tests/all/world.rs
+++ b/crates/coordinator/tests/all/world.rs
@@ -240,8 +240,8 @@
         let founders = (1..=STEWARDS)
             .map(|steward| Voter { steward, disk: 0 })
             .collect();
-        let config = Config::founding(founders).unwrap();
-        let mut founding = Fleet::founded(
+        let config = Config::initial(founders).unwrap();
+        let mut founding = Fleet::new(
             "museums",
             config,
             stewards,
--- a/crates/coordinator/tests/coordinator_fixtures.rs
+++ b/crates/coordinator/tests/coordinator_fixtures.rs
@@ -251,7 +251,7 @@
         for member in full_fleet().members.into_values() {
             let name = format!(
                 "standing-{}-{}",
-                member.phase.word(),
+                member.phase.name(),
                 member.phase.is_planned()
             );
             check_answer(all, &name, standing(member.phase)).await;
@@ -286,10 +286,13 @@
         let go = vec![MemberId::invoker(9)];
         let batches = vec![
             Batch {
-                go: go.clone(),
+                members: go.clone(),
                 limit: Some("no room".into()),
             },
-            Batch { go, limit: None },
+            Batch {
+                members: go,
+                limit: None,
+            },
         ];
         check_answer(all, "dry-run", batches).await;
         let refusal = r#"{"jsonrpc":"2.0","id":1,"error":{"code":-32020,"message":"halted"}}"#;
--- a/crates/faulty-peers/src/leases.rs
+++ b/crates/faulty-peers/src/leases.rs
@@ -210,7 +210,7 @@
         };
         Some(HeartbeatReply {
             revision: fleet.revision,
-            incarnation: member.map(|m| m.about.incarnation),
+            incarnation: member.map(|m| m.info.incarnation),
             phase: member.map(|m| m.phase.clone()),
             turn_back: false,
             leases: fleet.leases.iter().map(given).collect(),
--- a/crates/fleet/examples/suspicion.rs
+++ b/crates/fleet/examples/suspicion.rs
@@ -21,7 +21,7 @@
         self.due.sort_unstable();
         while self.due.first().is_some_and(|at| *at <= now) {
             let at = self.due.remove(0);
-            self.silence.heard(at);
+            self.silence.record_heartbeat(at);
         }
         self.silence.level(now)
     }
--- a/crates/fleet/src/bounds.rs
+++ b/crates/fleet/src/bounds.rs
@@ -29,28 +29,28 @@
 
 /// Why a bound can't be stated, or a drain can't be requested.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum Unfit {
+pub enum InvalidBound {
     /// It limits nothing.
     #[error("a bound states nothing: one of out, share, least_size, least_memory is expected")]
-    Nothing,
+    NoLimit,
     /// Not a share.
     #[error("share = {0}: 0 to 1 is expected")]
     Share(f64),
     /// Not a size.
     #[error("{name} = {value}: 0 or more is expected")]
-    Least {
+    Minimum {
         /// As in the deployment's script.
         name: &'static str,
         /// What was found.
         value: f64,
     },
     /// The bound would be exceeded with this member alone out.
-    #[error("{member} could never go: {over}")]
-    Never {
+    #[error("{member} could never go: {exceeded}")]
+    NeverAllowed {
         /// The member that could never drain.
         member: MemberId,
         /// The bound in its way.
-        over: BoundExceeded,
+        exceeded: BoundExceeded,
     },
 }
 
@@ -64,20 +64,20 @@
 
 impl Bound {
     /// Whether the bound can be stated.
-    pub fn fits(&self) -> Result<(), Unfit> {
+    pub fn validate(&self) -> Result<(), InvalidBound> {
         let least = [
             ("least_size", self.least_size),
             ("least_memory", self.least_memory_mb),
         ];
         if self.out.is_none() && self.share.is_none() && least.iter().all(|l| l.1.is_none()) {
-            return Err(Unfit::Nothing);
+            return Err(InvalidBound::NoLimit);
         }
         if let Some(share) = self.share.filter(|s| !(0.0..=1.0).contains(s)) {
-            return Err(Unfit::Share(share));
+            return Err(InvalidBound::Share(share));
         }
         for (name, value) in least {
             if let Some(value) = value.filter(|v| !v.is_finite() || *v < 0.0) {
-                return Err(Unfit::Least { name, value });
+                return Err(InvalidBound::Minimum { name, value });
             }
         }
         Ok(())
@@ -85,14 +85,14 @@
 
     fn covers(&self, id: &MemberId, m: &Member) -> bool {
         self.kind.is_none_or(|k| k == id.kind)
-            && self.site.as_ref().is_none_or(|s| *s == m.about.site)
+            && self.site.as_ref().is_none_or(|s| *s == m.info.site)
     }
 
     fn group(&self, m: &Member) -> (String, u16) {
         match self.per {
             BoundScope::Fleet => (String::new(), 0),
-            BoundScope::Site => (m.about.site.clone(), 0),
-            BoundScope::Cell => (m.about.site.clone(), m.about.cell),
+            BoundScope::Site => (m.info.site.clone(), 0),
+            BoundScope::Cell => (m.info.site.clone(), m.info.cell),
         }
     }
 
@@ -135,8 +135,8 @@
             if m.phase.is_out() || leaves == Some(id) {
                 c.out += 1;
             } else {
-                c.size += m.about.size;
-                c.memory_mb += m.about.memory_mb;
+                c.size += m.info.size;
+                c.memory_mb += m.info.memory_mb;
             }
         }
         groups.iter().find_map(|(group, c)| {
@@ -167,7 +167,7 @@
 }
 
 /// The bound that would be exceeded with this member out, if there is one; it may be out already.
-pub fn exceeded_without(fleet: &Fleet, member: &MemberId) -> Option<BoundExceeded> {
+pub fn exceeded_if_out(fleet: &Fleet, member: &MemberId) -> Option<BoundExceeded> {
     fleet
         .bounds
         .iter()
@@ -183,14 +183,14 @@
 }
 
 /// Whether each of them could drain if all others were up.
-pub fn check_feasible(fleet: &Fleet, members: &[MemberId]) -> Result<(), Unfit> {
+pub fn check_feasible(fleet: &Fleet, members: &[MemberId]) -> Result<(), InvalidBound> {
     let mut calm = fleet.clone();
     calm.members.values_mut().for_each(|m| m.phase = Phase::Up);
     members.iter().try_for_each(|member| {
-        exceeded_without(&calm, member).map_or(Ok(()), |over| {
-            Err(Unfit::Never {
+        exceeded_if_out(&calm, member).map_or(Ok(()), |exceeded| {
+            Err(InvalidBound::NeverAllowed {
                 member: *member,
-                over,
+                exceeded,
             })
         })
     })
--- a/crates/fleet/src/change/apply.rs
+++ b/crates/fleet/src/change/apply.rs
@@ -17,7 +17,7 @@
             let revision = self.revision;
             self.history.push_back(HistoryEntry {
                 revision,
-                what: describe(change, done.grant),
+                description: describe(change, done.grant),
             });
             self.halt_when_many_are_lost();
             self.hand_over_leases();
@@ -29,7 +29,7 @@
 
     /// The member of this name.
     pub(super) fn member(&mut self, id: MemberId) -> Result<&mut Member, Refusal> {
-        self.members.get_mut(&id).ok_or(Refusal::Unknown(id))
+        self.members.get_mut(&id).ok_or(Refusal::UnknownMember(id))
     }
 
     /// The member, if this is its current incarnation.
@@ -39,7 +39,7 @@
         incarnation: u64,
     ) -> Result<&mut Member, Refusal> {
         let m = self.member(member)?;
-        match m.about.incarnation == incarnation {
+        match m.info.incarnation == incarnation {
             true => Ok(m),
             false => Err(Refusal::Replaced {
                 member,
--- a/crates/fleet/src/change/drains.rs
+++ b/crates/fleet/src/change/drains.rs
@@ -34,7 +34,7 @@
 impl Fleet {
     /// Its grant is gone without a drain: it goes back to those that wait for one.
     pub(super) fn return_to_waiting(&mut self, id: MemberId) {
-        for ask in self.asks.values_mut() {
+        for ask in self.drain_requests.values_mut() {
             if let Some(at) = ask.under_way.iter().position(|m| *m == id) {
                 ask.under_way.remove(at);
                 ask.waiting.push(id);
@@ -52,7 +52,7 @@
         match self.current_incarnation(id, incarnation)?.phase {
             Phase::Draining { grant: held } if held == grant => return ALREADY,
             Phase::Granted { grant: held } if held == grant => {}
-            _ => return Err(Refusal::NoGrant { member: id, grant }),
+            _ => return Err(Refusal::GrantNotHeld { member: id, grant }),
         }
         if let Some(h) = &self.halt {
             return Err(Refusal::Halted {
@@ -60,8 +60,11 @@
                 why: h.why.clone(),
             });
         }
-        if let Some(over) = bounds::exceeded_without(self, &id) {
-            return Err(Refusal::NoRoom { member: id, over });
+        if let Some(exceeded) = bounds::exceeded_if_out(self, &id) {
+            return Err(Refusal::ExceedsBound {
+                member: id,
+                exceeded,
+            });
         }
         self.enter_phase(id, Phase::Draining { grant })
     }
@@ -78,7 +81,7 @@
                 self.enter_phase(id, Phase::Starting { planned: true })
             }
             Phase::Starting { .. } | Phase::Up => ALREADY,
-            _ => Err(Refusal::NoGrant { member: id, grant }),
+            _ => Err(Refusal::GrantNotHeld { member: id, grant }),
         }
     }
 
@@ -92,9 +95,9 @@
             });
         }
         if *phase != Phase::Up {
-            return Err(Refusal::Phase {
+            return Err(Refusal::WrongPhase {
                 member: id,
-                found: phase.word(),
+                found: phase.name(),
                 expected: "up",
             });
         }
@@ -104,11 +107,17 @@
                 why: h.why.clone(),
             });
         }
-        if let Some(over) = bounds::exceeded_without(self, &id) {
-            return Err(Refusal::NoRoom { member: id, over });
+        if let Some(exceeded) = bounds::exceeded_if_out(self, &id) {
+            return Err(Refusal::ExceedsBound {
+                member: id,
+                exceeded,
+            });
         }
-        let ask = self.asks.values_mut().find(|a| a.waiting.contains(&id));
-        let ask = ask.ok_or(Refusal::NotAsked { member: id })?;
+        let ask = self
+            .drain_requests
+            .values_mut()
+            .find(|a| a.waiting.contains(&id));
+        let ask = ask.ok_or(Refusal::NotRequested { member: id })?;
         ask.waiting.retain(|m| *m != id);
         ask.under_way.push(id);
         self.grants += 1;
@@ -131,16 +140,16 @@
         check_text("by", by, TEXT_MOST_BYTES)?;
         let requested = without_duplicates(members);
         if requested.is_empty() {
-            return Err(Refusal::Value {
+            return Err(Refusal::InvalidValue {
                 place: "members",
                 found: String::new(),
                 expected: "at least one member",
             });
         }
-        if let Some(known) = self.asks.get(id) {
+        if let Some(known) = self.drain_requests.get(id) {
             return match names_the_same_members(known, &requested) {
                 true => ALREADY,
-                false => Err(Refusal::OtherAsk(id.to_owned())),
+                false => Err(Refusal::RequestIdInUse(id.to_owned())),
             };
         }
         self.check_requested_once(&requested)?;
@@ -154,7 +163,7 @@
             withdrawn: Vec::new(),
             revision: self.revision + 1,
         };
-        self.asks.insert(id.to_owned(), ask);
+        self.drain_requests.insert(id.to_owned(), ask);
         CHANGED
     }
 
@@ -162,11 +171,11 @@
     fn check_requested_once(&mut self, requested: &[MemberId]) -> Result<(), Refusal> {
         for member in requested {
             self.member(*member)?;
-            let other = self.asks.iter().find(|(_, request)| {
+            let other = self.drain_requests.iter().find(|(_, request)| {
                 request.waiting.contains(member) || request.under_way.contains(member)
             });
             if let Some((id, _)) = other {
-                return Err(Refusal::AskedElsewhere {
+                return Err(Refusal::AlreadyRequested {
                     member: *member,
                     id: id.clone(),
                 });
@@ -177,19 +186,22 @@
 
     /// Forgets the oldest finished request where there are too many.
     fn make_room_for_request(&mut self) -> Result<(), Refusal> {
-        if self.asks.len() < ASKS_MOST {
+        if self.drain_requests.len() < ASKS_MOST {
             return Ok(());
         }
-        let finished = self.asks.iter().filter(|(_, request)| request.is_over());
+        let finished = self
+            .drain_requests
+            .iter()
+            .filter(|(_, request)| request.is_finished());
         let oldest = finished.min_by_key(|(_, request)| request.revision);
         let Some(oldest) = oldest.map(|(id, _)| id.clone()) else {
-            return Err(Refusal::Many {
+            return Err(Refusal::TooMany {
                 place: "asks",
                 found: ASKS_MOST + 1,
                 most: ASKS_MOST,
             });
         };
-        self.asks.remove(&oldest);
+        self.drain_requests.remove(&oldest);
         Ok(())
     }
 
@@ -205,7 +217,7 @@
         }
         let mut changed = false;
         for id in members {
-            for ask in self.asks.values_mut() {
+            for ask in self.drain_requests.values_mut() {
                 let mut held = false;
                 for list in [&mut ask.waiting, &mut ask.under_way] {
                     let before = list.len();
@@ -228,12 +240,16 @@
     }
 
     /// Whether a member that drains may go back to serving: its request was withdrawn.
-    pub fn may_turn_back(&self, id: &MemberId) -> bool {
+    pub fn may_cancel_drain(&self, id: &MemberId) -> bool {
         let draining = self
             .members
             .get(id)
             .is_some_and(|m| matches!(m.phase, Phase::Draining { .. }));
-        draining && !self.asks.values().any(|a| a.under_way.contains(id))
+        draining
+            && !self
+                .drain_requests
+                .values()
+                .any(|a| a.under_way.contains(id))
     }
 
     /// Revokes a grant that was not used.
@@ -283,7 +299,7 @@
 
     /// Halts drains when more members are lost than the deployment allows.
     pub(super) fn halt_when_many_are_lost(&mut self) {
-        let lost = self.lost();
+        let lost = self.lost_count();
         if self.halt.is_none() && self.halt_at_lost > 0 && lost > self.halt_at_lost {
             let why = format!("{lost} members are lost, more than {}", self.halt_at_lost);
             self.halt_automatically(
@@ -305,7 +321,7 @@
         };
         self.history.push_back(HistoryEntry {
             revision,
-            what: format!("halt by {by}: {why}"),
+            description: format!("halt by {by}: {why}"),
         });
         self.halt = Some(halt);
     }
--- a/crates/fleet/src/change/leases.rs
+++ b/crates/fleet/src/change/leases.rs
@@ -3,24 +3,24 @@
 use super::outcome::{
     ALREADY, CHANGED, ChangeOutcome, ID_MOST_BYTES, Refusal, TEXT_MOST_BYTES, check_text,
 };
-use crate::leases::{LEASES_MOST, RESOURCES_MOST, Unfit};
+use crate::leases::{InvalidLease, MAX_LEASES, MAX_RESOURCES_PER_LEASE};
 use crate::state::{Epoch, Fleet, HistoryEntry, Lease, LeaseName, LeaseState, LeaseTerms};
 use std::collections::BTreeMap;
 
 impl LeaseTerms {
     /// Whether this can be stated of a lease of that name.
-    pub fn fits(&self, lease: &LeaseName) -> Result<(), Refusal> {
+    pub fn validate(&self, lease: &LeaseName) -> Result<(), Refusal> {
         check_text("lease", &lease.0, ID_MOST_BYTES)?;
         check_text("task", &self.task, ID_MOST_BYTES)?;
         if self.resources.is_empty() {
-            return Err(Unfit::NoResource {
+            return Err(InvalidLease::NoResource {
                 lease: lease.clone(),
             }
             .into());
         }
-        if self.resources.len() > RESOURCES_MOST {
-            let (found, most) = (self.resources.len(), RESOURCES_MOST);
-            return Err(Refusal::Many {
+        if self.resources.len() > MAX_RESOURCES_PER_LEASE {
+            let (found, most) = (self.resources.len(), MAX_RESOURCES_PER_LEASE);
+            return Err(Refusal::TooMany {
                 place: "resources",
                 found,
                 most,
@@ -40,16 +40,16 @@
         by: &str,
     ) -> Result<ChangeOutcome, Refusal> {
         check_text("by", by, TEXT_MOST_BYTES)?;
-        if leases.len() > LEASES_MOST {
-            return Err(Refusal::Many {
+        if leases.len() > MAX_LEASES {
+            return Err(Refusal::TooMany {
                 place: "leases",
                 found: leases.len(),
-                most: LEASES_MOST,
+                most: MAX_LEASES,
             });
         }
         leases
             .iter()
-            .try_for_each(|(name, terms)| terms.fits(name))?;
+            .try_for_each(|(name, terms)| terms.validate(name))?;
         let stated: BTreeMap<_, _> = self
             .leases
             .iter()
@@ -116,7 +116,7 @@
         let expected = self.lease(name)?.epoch;
         match expected == found {
             true => ALREADY,
-            false => Err(Refusal::Epoch {
+            false => Err(Refusal::WrongEpoch {
                 lease: name.clone(),
                 expected,
                 found,
@@ -150,10 +150,10 @@
                 epoch,
             };
             self.enter_lease(&name, state, epoch, self.revision);
-            let what = format!("lease {name} goes to {holder}, epoch {epoch}");
+            let description = format!("lease {name} goes to {holder}, epoch {epoch}");
             self.history.push_back(HistoryEntry {
                 revision: self.revision,
-                what,
+                description,
             });
         }
     }
--- a/crates/fleet/src/change/membership.rs
+++ b/crates/fleet/src/change/membership.rs
@@ -21,15 +21,15 @@
         // Peers know the type by its former name.
         let described = format!("{about:?}").replacen("MemberInfo", "About", 1);
         let found = described.chars().take(80).collect();
-        return Err(Refusal::Value {
+        return Err(Refusal::InvalidValue {
             place: "about",
             found,
             expected: "a life and sizes of 0 or more",
         });
     }
-    if about.tasks.len() > leases::TASKS_MOST {
-        let (found, most) = (about.tasks.len(), leases::TASKS_MOST);
-        return Err(Refusal::Many {
+    if about.tasks.len() > leases::MAX_TASKS_PER_MEMBER {
+        let (found, most) = (about.tasks.len(), leases::MAX_TASKS_PER_MEMBER);
+        return Err(Refusal::TooMany {
             place: "tasks",
             found,
             most,
@@ -53,7 +53,7 @@
         let Some(m) = self.members.get_mut(&id) else {
             if self.members.len() >= MEMBERS_MOST {
                 let (found, most) = (self.members.len() + 1, MEMBERS_MOST);
-                return Err(Refusal::Many {
+                return Err(Refusal::TooMany {
                     place: "members",
                     found,
                     most,
@@ -63,28 +63,28 @@
             self.members.insert(
                 id,
                 Member {
-                    about: about.clone(),
+                    info: about.clone(),
                     phase,
                     since,
-                    past: Vec::new(),
+                    past_incarnations: Vec::new(),
                 },
             );
             return CHANGED;
         };
-        if m.past.contains(&about.incarnation) {
+        if m.past_incarnations.contains(&about.incarnation) {
             return Err(Refusal::Replaced {
                 member: id,
                 incarnation: about.incarnation,
             });
         }
-        if m.about.incarnation == about.incarnation {
+        if m.info.incarnation == about.incarnation {
             return ALREADY;
         }
-        m.past.push(m.about.incarnation);
-        if m.past.len() > PAST_MOST {
-            m.past.remove(0);
+        m.past_incarnations.push(m.info.incarnation);
+        if m.past_incarnations.len() > PAST_MOST {
+            m.past_incarnations.remove(0);
         }
-        m.about = about.clone();
+        m.info = about.clone();
         let before = m.phase.clone();
         if matches!(before, Phase::Granted { .. }) {
             // The incarnation that it was granted to is over and did not use it.
@@ -105,8 +105,8 @@
             Phase::Starting { planned } => planned,
             Phase::Up => return ALREADY,
             ref other => {
-                let found = other.word();
-                return Err(Refusal::Phase {
+                let found = other.name();
+                return Err(Refusal::WrongPhase {
                     member: id,
                     found,
                     expected: "starting",
@@ -114,7 +114,7 @@
             }
         };
         if planned {
-            for ask in self.asks.values_mut() {
+            for ask in self.drain_requests.values_mut() {
                 if let Some(at) = ask.under_way.iter().position(|m| *m == id) {
                     ask.under_way.remove(at);
                     ask.finished.push(id);
@@ -168,15 +168,15 @@
             return ALREADY;
         };
         if !matches!(m.phase, Phase::Lost { .. } | Phase::Away { .. }) {
-            let found = m.phase.word();
-            return Err(Refusal::Phase {
+            let found = m.phase.name();
+            return Err(Refusal::WrongPhase {
                 member: id,
                 found,
                 expected: "lost or away",
             });
         }
         self.members.remove(&id);
-        for ask in self.asks.values_mut() {
+        for ask in self.drain_requests.values_mut() {
             let held = ask.waiting.contains(&id) || ask.under_way.contains(&id);
             ask.waiting.retain(|m| *m != id);
             ask.under_way.retain(|m| *m != id);
--- a/crates/fleet/src/change/outcome.rs
+++ b/crates/fleet/src/change/outcome.rs
@@ -27,7 +27,7 @@
 pub enum Refusal {
     /// No such member.
     #[error("{0}: no such member")]
-    Unknown(MemberId),
+    UnknownMember(MemberId),
     /// Another incarnation of the member has taken its place.
     #[error("{member}: this life of it ({incarnation:x}) {}", REPLACED_TEXT)]
     Replaced {
@@ -38,7 +38,7 @@
     },
     /// The member is in another phase than the change needs.
     #[error("{member} is {found}: {expected} is expected")]
-    Phase {
+    WrongPhase {
         /// The member concerned.
         member: MemberId,
         /// What was found.
@@ -48,7 +48,7 @@
     },
     /// The grant is not the member's any more.
     #[error("{member}: grant {grant} is not its own any more")]
-    NoGrant {
+    GrantNotHeld {
         /// The member concerned.
         member: MemberId,
         /// The grant that was given.
@@ -63,22 +63,22 @@
         why: String,
     },
     /// The drain would exceed a bound.
-    #[error("no room for {member}: {over}")]
-    NoRoom {
+    #[error("no room for {member}: {exceeded}")]
+    ExceedsBound {
         /// The member concerned.
         member: MemberId,
         /// The bound, and what was counted.
-        over: bounds::BoundExceeded,
+        exceeded: bounds::BoundExceeded,
     },
     /// No request names the member.
     #[error("{member}: nobody asked for its drain")]
-    NotAsked {
+    NotRequested {
         /// The member concerned.
         member: MemberId,
     },
     /// Another request names the member already.
     #[error("{member} belongs to ask '{id}' already")]
-    AskedElsewhere {
+    AlreadyRequested {
         /// The member concerned.
         member: MemberId,
         /// The other request.
@@ -86,10 +86,10 @@
     },
     /// The request is known with other members.
     #[error("ask '{0}' is known with other members")]
-    OtherAsk(String),
+    RequestIdInUse(String),
     /// A value that can't be.
     #[error("{place} = '{found}': {expected} is expected")]
-    Value {
+    InvalidValue {
         /// Where it was found.
         place: &'static str,
         /// What was found.
@@ -99,7 +99,7 @@
     },
     /// More of something than is allowed.
     #[error("{place}: {found} is more than {most}")]
-    Many {
+    TooMany {
         /// Where it was found.
         place: &'static str,
         /// What was found.
@@ -112,7 +112,7 @@
     UnknownLease(LeaseName),
     /// Another epoch is the lease's.
     #[error("lease {lease}: epoch {expected} is expected, {found} was given")]
-    Epoch {
+    WrongEpoch {
         /// The lease concerned.
         lease: LeaseName,
         /// What is expected.
@@ -122,13 +122,13 @@
     },
     /// Terms of a lease that can't be.
     #[error(transparent)]
-    Lease(#[from] leases::Unfit),
+    InvalidLease(#[from] leases::InvalidLease),
     /// A bound that can't be.
     #[error(transparent)]
-    Bounds(#[from] bounds::Unfit),
+    InvalidBound(#[from] bounds::InvalidBound),
     /// A set of coordinators that can't be.
     #[error(transparent)]
-    Stewards(#[from] register::Unfit),
+    InvalidConfig(#[from] register::InvalidConfig),
 }
 
 /// The outcome of a change that was made.
@@ -147,7 +147,7 @@
     let plain = found.chars().all(|c| !c.is_control());
     if found.is_empty() || found.len() > most || !plain {
         let found = found.chars().take(80).collect();
-        return Err(Refusal::Value {
+        return Err(Refusal::InvalidValue {
             place,
             found,
             expected: "plain text of a stated length",
--- a/crates/fleet/src/change/settings.rs
+++ b/crates/fleet/src/change/settings.rs
@@ -16,9 +16,9 @@
         by: &str,
     ) -> Result<ChangeOutcome, Refusal> {
         check_text("by", by, TEXT_MOST_BYTES)?;
-        bounds.iter().try_for_each(Bound::fits)?;
+        bounds.iter().try_for_each(Bound::validate)?;
         if bounds.len() > BOUNDS_MOST {
-            return Err(Refusal::Many {
+            return Err(Refusal::TooMany {
                 place: "bounds",
                 found: bounds.len(),
                 most: BOUNDS_MOST,
@@ -41,18 +41,18 @@
         check_text("by", by, TEXT_MOST_BYTES)?;
         if let Some(v) = voters.iter().find(|v| !at.contains_key(&v.steward)) {
             let found = format!("steward-{}", v.steward);
-            return Err(Refusal::Value {
+            return Err(Refusal::InvalidValue {
                 place: "voters",
                 found,
                 expected: "an address for each",
             });
         }
-        let done = Config::founding(voters.clone())?;
+        let done = Config::initial(voters.clone())?;
         if self.config == done {
             return ALREADY;
         }
         self.config = self.config.changing_to(voters.clone())?;
-        self.stewards.extend(at.clone());
+        self.coordinators.extend(at.clone());
         CHANGED
     }
 
@@ -63,7 +63,7 @@
         }
         self.config = seen.settled()?;
         let voters = self.config.voters();
-        self.stewards
+        self.coordinators
             .retain(|n, _| voters.iter().any(|v| v.steward == *n));
         CHANGED
     }
--- a/crates/fleet/src/drain_scheduler.rs
+++ b/crates/fleet/src/drain_scheduler.rs
@@ -24,16 +24,16 @@
     let m = &fleet.members[id];
     let beside = |same: &dyn Fn(&crate::state::Member) -> bool| {
         fleet
-            .out()
+            .out_members()
             .filter(|(other, o)| other.kind == id.kind && same(o))
             .count() as u32
     };
-    let cell = beside(&|o| o.about.site == m.about.site && o.about.cell == m.about.cell);
-    let site = beside(&|o| o.about.site == m.about.site);
+    let cell = beside(&|o| o.info.site == m.info.site && o.info.cell == m.info.cell);
+    let site = beside(&|o| o.info.site == m.info.site);
     // Sites in turn: one that has given more waits for the others.
-    let given = fleet.asks.values().flat_map(|a| &a.finished);
+    let given = fleet.drain_requests.values().flat_map(|a| &a.finished);
     let given = given
-        .filter(|f| f.kind == id.kind && site_of(fleet, f) == Some(&m.about.site))
+        .filter(|f| f.kind == id.kind && site_of(fleet, f) == Some(&m.info.site))
         .count();
     // In tenths, so that what is nearly alike goes in the order in which it was asked for.
     let busy = (seen.busy.clamp(0.0, 10.0) * 10.0) as u32;
@@ -41,7 +41,7 @@
 }
 
 fn site_of<'a>(fleet: &'a Fleet, id: &MemberId) -> Option<&'a String> {
-    fleet.members.get(id).map(|m| &m.about.site)
+    fleet.members.get(id).map(|m| &m.info.site)
 }
 
 /// The next member to be granted a drain, if the bounds allow any and drains are not halted.
@@ -49,11 +49,11 @@
     if fleet.halt.is_some() {
         return None;
     }
-    let mut asks: Vec<_> = fleet.asks.values().collect();
+    let mut asks: Vec<_> = fleet.drain_requests.values().collect();
     asks.sort_by_key(|a| a.revision);
     let waiting = asks.iter().flat_map(|a| &a.waiting).enumerate();
     let can = waiting.filter(|(_, id)| fleet.members.get(id).is_some_and(|m| m.phase == Phase::Up));
-    let can = can.filter(|(_, id)| bounds::exceeded_without(fleet, id).is_none());
+    let can = can.filter(|(_, id)| bounds::exceeded_if_out(fleet, id).is_none());
     let weigh = |(place, id): &(usize, &MemberId)| {
         weight(fleet, id, seen.get(id).copied().unwrap_or_default(), *place)
     };
@@ -65,15 +65,15 @@
     if let Some(h) = &fleet.halt {
         return Some(format!("halted by {}: {}; ends by {}", h.by, h.why, h.ends));
     }
-    let waiting = fleet.asks.values().flat_map(|a| &a.waiting);
+    let waiting = fleet.drain_requests.values().flat_map(|a| &a.waiting);
     let mut why = None;
     for id in waiting {
         let Some(m) = fleet.members.get(id) else {
             continue;
         };
         if m.phase != Phase::Up {
-            why = why.or_else(|| Some(format!("{id} is {}", m.phase.word())));
-        } else if let Some(over) = bounds::exceeded_without(fleet, id) {
+            why = why.or_else(|| Some(format!("{id} is {}", m.phase.name())));
+        } else if let Some(over) = bounds::exceeded_if_out(fleet, id) {
             why = Some(format!("no room for {id}: {over}"));
             break;
         }
@@ -85,7 +85,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Batch {
     /// Who would drain.
-    pub go: Vec<MemberId>,
+    #[serde(rename = "go")]
+    pub members: Vec<MemberId>,
     /// Why the next one has to wait.
     pub limit: Option<String>,
 }
@@ -112,7 +113,7 @@
         }
         let limit = blocking_reason(&fleet);
         for id in &go {
-            let incarnation = fleet.members[id].about.incarnation;
+            let incarnation = fleet.members[id].info.incarnation;
             let grant = fleet.members[id].phase.grant().unwrap_or(0);
             fleet.apply(&Change::Begin {
                 member: *id,
@@ -123,7 +124,7 @@
                 member: *id,
                 incarnation,
             })?;
-            let mut about = fleet.members[id].about.clone();
+            let mut about = fleet.members[id].info.clone();
             about.incarnation = incarnation.wrapping_add(1).max(1);
             let incarnation = about.incarnation;
             fleet.apply(&Change::Join { member: *id, about })?;
@@ -132,6 +133,6 @@
                 incarnation,
             })?;
         }
-        batches.push(Batch { go, limit });
+        batches.push(Batch { members: go, limit });
     }
 }
--- a/crates/fleet/src/failure_detector.rs
+++ b/crates/fleet/src/failure_detector.rs
@@ -31,7 +31,7 @@
     }
 
     /// A heartbeat arrived.
-    pub fn heard(&mut self, now: u64) {
+    pub fn record_heartbeat(&mut self, now: u64) {
         if !std::mem::take(&mut self.deaf) {
             self.spans.push_back(now.saturating_sub(self.last) as f64);
         }
@@ -42,12 +42,12 @@
     }
 
     /// This coordinator was paused: silence counts from now on.
-    pub fn was_deaf(&mut self, now: u64) {
+    pub fn reset_after_pause(&mut self, now: u64) {
         (self.last, self.deaf) = (self.last.max(now), true);
     }
 
     /// How long ago the last heartbeat arrived.
-    pub fn since(&self, now: u64) -> u64 {
+    pub fn elapsed(&self, now: u64) -> u64 {
         now.saturating_sub(self.last)
     }
 
@@ -60,7 +60,7 @@
         let mean = (self.spans.iter().sum::<f64>() + prior * weight) / (n + weight);
         let squares = self.spans.iter().map(|s| (s - mean).powi(2)).sum::<f64>();
         let deviation = ((squares + (prior / 4.0).powi(2) * weight) / (n + weight)).sqrt();
-        let y = (self.since(now) as f64 - mean) / deviation.max(LEAST_DEVIATION);
+        let y = (self.elapsed(now) as f64 - mean) / deviation.max(LEAST_DEVIATION);
         // The logistic curve of the same spread.
         let x = y * std::f64::consts::PI / 3f64.sqrt();
         // log10(1 + e^x), without running over.
@@ -87,6 +87,6 @@
 }
 
 /// Whether a coordinator that finds so many members silent at once should take itself to be cut off.
-pub fn is_deaf(silent: usize, members: usize) -> bool {
+pub fn is_isolated(silent: usize, members: usize) -> bool {
     members >= 3 && silent * 2 > members
 }
--- a/crates/fleet/src/fence.rs
+++ b/crates/fleet/src/fence.rs
@@ -63,9 +63,9 @@
 pub enum SealStep {
     /// It is sealed so already.
     Done,
-    /// DrainRequest a quorum whether this epoch is the lease's, then call [`Fence::confirmed`].
+    /// DrainRequest a quorum whether this epoch is the lease's, then call [`Fence::after_confirmation`].
     Confirm,
-    /// Write the epoch to the disk, synced, then call [`Fence::written`].
+    /// Write the epoch to the disk, synced, then call [`Fence::record_write`].
     Write,
 }
 
@@ -82,7 +82,7 @@
 
 impl Fence {
     /// A resource that has just started: `incarnation` was never used before, `durable` is what its disk has.
-    pub fn started(lease: LeaseName, incarnation: u64, durable: Epoch) -> Self {
+    pub fn new(lease: LeaseName, incarnation: u64, durable: Epoch) -> Self {
         Self {
             lease,
             incarnation,
@@ -97,12 +97,12 @@
     }
 
     /// The epoch whose effects are accepted; none: no effect is.
-    pub fn sealed(&self) -> Option<Epoch> {
+    pub fn sealed_epoch(&self) -> Option<Epoch> {
         self.sealed
     }
 
     /// The epoch on the disk.
-    pub fn durable(&self) -> Epoch {
+    pub fn durable_epoch(&self) -> Epoch {
         self.durable
     }
 
@@ -120,7 +120,7 @@
     }
 
     /// A quorum has confirmed the epoch. Another seal may have come first.
-    pub fn confirmed(&self, epoch: Epoch) -> Result<SealStep, Rejection> {
+    pub fn after_confirmation(&self, epoch: Epoch) -> Result<SealStep, Rejection> {
         if self.sealed == Some(epoch) {
             return Ok(SealStep::Done);
         }
@@ -129,7 +129,7 @@
     }
 
     /// The epoch is on the disk. Writes of one fence come one after the other.
-    pub fn written(&mut self, epoch: Epoch) {
+    pub fn record_write(&mut self, epoch: Epoch) {
         assert!(
             epoch >= self.durable,
             "epoch {epoch} was written over {}",
@@ -139,7 +139,7 @@
     }
 
     /// A write of a seal failed: what the disk has is not known, so nothing is accepted before the next seal.
-    pub fn write_failed(&mut self) {
+    pub fn record_write_failure(&mut self) {
         self.sealed = None;
     }
 
@@ -183,18 +183,18 @@
     epoch: Epoch,
     /// For each resource of the task the incarnation that it was sealed in.
     seals: BTreeMap<ResourceName, Option<u64>>,
-    is_over: bool,
+    is_superseded: bool,
 }
 
 impl HolderFence {
     /// A grant of which nothing was done yet.
-    pub fn granted(lease: LeaseName, epoch: Epoch, resources: &BTreeSet<ResourceName>) -> Self {
+    pub fn new(lease: LeaseName, epoch: Epoch, resources: &BTreeSet<ResourceName>) -> Self {
         let seals = resources.iter().map(|name| (name.clone(), None)).collect();
         Self {
             lease,
             epoch,
             seals,
-            is_over: false,
+            is_superseded: false,
         }
     }
 
@@ -209,8 +209,8 @@
     }
 
     /// A resource has accepted a later epoch: nothing that this grant still does would be accepted.
-    pub fn is_over(&self) -> bool {
-        self.is_over
+    pub fn is_superseded(&self) -> bool {
+        self.is_superseded
     }
 
     /// All resources of the task.
@@ -219,7 +219,7 @@
     }
 
     /// Resources that are to be sealed before anything else is done.
-    pub fn unsealed(&self) -> impl Iterator<Item = &ResourceName> {
+    pub fn unsealed_resources(&self) -> impl Iterator<Item = &ResourceName> {
         self.seals
             .iter()
             .filter(|(_, life)| life.is_none())
@@ -227,16 +227,18 @@
     }
 
     /// A resource says that it is sealed to this epoch, in this incarnation.
-    pub fn sealed(&mut self, resource: &str, incarnation: u64) {
+    pub fn record_seal(&mut self, resource: &str, incarnation: u64) {
         if let Some(life) = self.seals.get_mut(resource) {
             *life = Some(incarnation);
         }
     }
 
     /// A resource has rejected a seal or an effect.
-    pub fn rejected(&mut self, resource: &str, why: &Rejection) {
+    pub fn record_rejection(&mut self, resource: &str, why: &Rejection) {
         match why {
-            Rejection::Epoch { expected, .. } if *expected > self.epoch => self.is_over = true,
+            Rejection::Epoch { expected, .. } if *expected > self.epoch => {
+                self.is_superseded = true
+            }
             _ => drop(self.seals.get_mut(resource).and_then(Option::take)),
         }
     }
@@ -245,7 +247,7 @@
     pub fn token(&self, resource: &str) -> Option<Token> {
         let all_are_sealed = self.seals.values().all(Option::is_some);
         let incarnation =
-            (*self.seals.get(resource)?).filter(|_| all_are_sealed && !self.is_over)?;
+            (*self.seals.get(resource)?).filter(|_| all_are_sealed && !self.is_superseded)?;
         Some(Token {
             lease: self.lease.clone(),
             epoch: self.epoch,
--- a/crates/fleet/src/leases.rs
+++ b/crates/fleet/src/leases.rs
@@ -8,15 +8,15 @@
 use std::hash::Hasher;
 
 /// Leases that a fleet may have.
-pub const LEASES_MOST: usize = 256;
+pub const MAX_LEASES: usize = 256;
 /// Resources that one lease may have.
-pub const RESOURCES_MOST: usize = 64;
+pub const MAX_RESOURCES_PER_LEASE: usize = 64;
 /// Tasks that a member may offer.
-pub const TASKS_MOST: usize = 64;
+pub const MAX_TASKS_PER_MEMBER: usize = 64;
 
 /// Why what is stated of a lease can't be.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unfit {
+pub enum InvalidLease {
     /// The task has an effect on nothing.
     #[error("lease {lease}: no resource is named, at least one is expected")]
     NoResource {
@@ -30,7 +30,7 @@
     fn may_be_given_to(&self, id: &MemberId, member: &Member) -> bool {
         id.kind == self.eligible
             && member.phase == Phase::Up
-            && member.about.tasks.contains(&self.task)
+            && member.info.tasks.contains(&self.task)
     }
 }
 
@@ -38,7 +38,7 @@
     /// Whether the holder may keep it: it is reachable, and no drain of it has started.
     pub(crate) fn stays_with(&self, holder: &Member, life: u64) -> bool {
         let serves = matches!(holder.phase, Phase::Up | Phase::Granted { .. });
-        serves && holder.about.incarnation == life && holder.about.tasks.contains(&self.terms.task)
+        serves && holder.info.incarnation == life && holder.info.tasks.contains(&self.terms.task)
     }
 
     /// Of the eligible members the one with the highest random weight: the same wherever it is computed (rendezvous hashing).
@@ -49,7 +49,7 @@
     ) -> Option<(MemberId, u64)> {
         let eligible = members.filter(|(id, member)| self.terms.may_be_given_to(id, member));
         let highest = eligible.max_by_key(|(id, _)| (weight(name, id), **id))?;
-        Some((*highest.0, highest.1.about.incarnation))
+        Some((*highest.0, highest.1.info.incarnation))
     }
 }
 
--- a/crates/fleet/src/monitor.rs
+++ b/crates/fleet/src/monitor.rs
@@ -4,7 +4,7 @@
 
 use crate::change::Change;
 use crate::drain_scheduler::{MemberLoad, next_to_drain};
-use crate::failure_detector::{ArrivalWindow, SuspicionReport, is_deaf, majority_level};
+use crate::failure_detector::{ArrivalWindow, SuspicionReport, is_isolated, majority_level};
 use crate::register::Voter;
 use crate::state::{Fleet, Member, MemberId, Phase};
 use std::collections::{BTreeMap, BTreeSet};
@@ -24,15 +24,15 @@
 #[derive(Clone, Debug)]
 pub struct Timeouts {
     /// Interval between heartbeats.
-    pub renew: u64,
+    pub heartbeat_interval: u64,
     /// Level at which a member is taken for lost.
     pub suspect_level: f64,
     /// After that a grant that was not used is revoked.
-    pub grant_for: u64,
+    pub grant_timeout: u64,
     /// After that a drain is reported as late.
-    pub drain_for: u64,
+    pub drain_timeout: u64,
     /// After that a member that returned from a drain and is not healthy halts drains. 0: never.
-    pub prove_within: u64,
+    pub health_timeout: u64,
 }
 
 /// Levels of suspicion that are worth reporting, by member.
@@ -72,7 +72,7 @@
     pub fn new(now: u64, me: Voter, timeouts: Timeouts) -> Self {
         Self {
             me,
-            listens_from: now + 4 * timeouts.renew,
+            listens_from: now + 4 * timeouts.heartbeat_interval,
             timeouts,
             heartbeats: BTreeMap::new(),
             peers: BTreeMap::new(),
@@ -84,21 +84,21 @@
 
     /// To be called often, whatever else the coordinator waits for. Returns how long the process was paused, if it was: then
     /// what arrived meanwhile was not read in time, and it starts to listen anew.
-    pub fn turn(&mut self, now: u64) -> Option<u64> {
+    pub fn detect_pause(&mut self, now: u64) -> Option<u64> {
         let gap = now - std::mem::replace(&mut self.last_turn, now).min(now);
         if gap <= PAUSE_LIMIT {
             return None;
         }
         self.heartbeats
             .values_mut()
-            .for_each(|heartbeats| heartbeats.window.was_deaf(now));
+            .for_each(|heartbeats| heartbeats.window.reset_after_pause(now));
         self.peers.clear();
-        self.listens_from = now + 2 * self.timeouts.renew;
+        self.listens_from = now + 2 * self.timeouts.heartbeat_interval;
         Some(gap)
     }
 
     /// A member sent a heartbeat, and promises the next within `every`.
-    pub fn renewed(
+    pub fn record_heartbeat(
         &mut self,
         now: u64,
         fleet: Option<&Fleet>,
@@ -109,7 +109,7 @@
     ) {
         let known = fleet.and_then(|f| f.members.get(&member));
         // A former incarnation that was paused must not speak for the one that replaced it.
-        let replaced = known.is_some_and(|m| m.past.contains(&incarnation));
+        let replaced = known.is_some_and(|m| m.past_incarnations.contains(&incarnation));
         if replaced || (known.is_none() && self.heartbeats.len() >= UNKNOWN_MEMBERS_MOST) {
             return;
         }
@@ -122,12 +122,12 @@
         if heard.incarnation != incarnation {
             *heard = new();
         }
-        heard.window.heard(now);
+        heard.window.record_heartbeat(now);
         heard.load = seen;
     }
 
     /// Another coordinator reported its levels; `returning`: it does not vote yet.
-    pub fn opinions(
+    pub fn record_report(
         &mut self,
         now: u64,
         from: Voter,
@@ -147,15 +147,15 @@
     }
 
     /// How long ago each member was heard here.
-    pub fn heard_ago(&self, now: u64) -> BTreeMap<MemberId, u64> {
+    pub fn heartbeat_ages(&self, now: u64) -> BTreeMap<MemberId, u64> {
         self.heartbeats
             .iter()
-            .map(|(id, heartbeats)| (*id, heartbeats.window.since(now)))
+            .map(|(id, heartbeats)| (*id, heartbeats.window.elapsed(now)))
             .collect()
     }
 
     /// This coordinator's level of suspicion of each member; none: it is cut off, or has not listened for long enough.
-    pub fn levels(&self, now: u64, fleet: &Fleet) -> Option<SuspicionLevels> {
+    pub fn suspicion_levels(&self, now: u64, fleet: &Fleet) -> Option<SuspicionLevels> {
         if now < self.listens_from {
             return None;
         }
@@ -169,7 +169,7 @@
             let heard = self
                 .heartbeats
                 .get(id)
-                .filter(|heartbeats| heartbeats.incarnation == m.about.incarnation);
+                .filter(|heartbeats| heartbeats.incarnation == m.info.incarnation);
             let level = heard.map_or(HIGHEST_LEVEL, |heartbeats| {
                 heartbeats.window.level(now).min(HIGHEST_LEVEL)
             });
@@ -182,7 +182,7 @@
                 levels.insert(*id, level);
             }
         }
-        (!is_deaf(silent, there)).then_some(levels)
+        (!is_isolated(silent, there)).then_some(levels)
     }
 
     fn is_fresh(now: u64, peer: &PeerReport) -> bool {
@@ -209,7 +209,7 @@
     }
 
     /// Whether it is this coordinator's turn to propose what nobody asked for.
-    pub fn leads(&self, now: u64, fleet: &Fleet) -> bool {
+    pub fn is_proposer(&self, now: u64, fleet: &Fleet) -> bool {
         let speaks = |v: &Voter| {
             *v == self.me
                 || self
@@ -221,7 +221,7 @@
     }
 
     /// Drains that take longer than the deployment states, each reported once: the member, and how long it drains by now.
-    pub fn late(&mut self, now: u64, fleet: &Fleet) -> Vec<(MemberId, u64)> {
+    pub fn late_drains(&mut self, now: u64, fleet: &Fleet) -> Vec<(MemberId, u64)> {
         self.observe_phases(now, fleet);
         let mut late = Vec::new();
         for (id, m) in fleet
@@ -230,7 +230,7 @@
             .filter(|(_, m)| matches!(m.phase, Phase::Draining { .. }))
         {
             let waited = now - self.since[id].1;
-            if waited > self.timeouts.drain_for && self.late.insert((*id, m.since)) {
+            if waited > self.timeouts.drain_timeout && self.late.insert((*id, m.since)) {
                 late.push((*id, waited));
             }
         }
@@ -251,9 +251,9 @@
     }
 
     /// The changes that are due, for the coordinator whose turn it is. `fleet` is known to be agreed.
-    pub fn owed(&mut self, now: u64, fleet: &Fleet) -> Vec<Change> {
+    pub fn due_changes(&mut self, now: u64, fleet: &Fleet) -> Vec<Change> {
         self.observe_phases(now, fleet);
-        let (voters, mine) = (fleet.config.voters(), self.levels(now, fleet));
+        let (voters, mine) = (fleet.config.voters(), self.suspicion_levels(now, fleet));
         let mut changes: Vec<Change> = fleet
             .members
             .iter()
@@ -284,7 +284,7 @@
         state: &Member,
         level: Option<f64>,
     ) -> Option<Change> {
-        let incarnation = state.about.incarnation;
+        let incarnation = state.info.incarnation;
         let waited = now - self.since[&member].1;
         let suspect_level = self.timeouts.suspect_level;
         let is_silent = level.is_some_and(|level| level >= suspect_level);
@@ -300,11 +300,11 @@
                 member,
                 incarnation,
             }),
-            Phase::Granted { grant } if waited > self.timeouts.grant_for => {
+            Phase::Granted { grant } if waited > self.timeouts.grant_timeout => {
                 Some(Change::TakeBack { grant: *grant })
             }
             Phase::Starting { planned: true }
-                if (1..waited).contains(&self.timeouts.prove_within) && fleet.halt.is_none() =>
+                if (1..waited).contains(&self.timeouts.health_timeout) && fleet.halt.is_none() =>
             {
                 Some(Change::Halt {
                     by: "the fleet".into(),
--- a/crates/fleet/src/recovery.rs
+++ b/crates/fleet/src/recovery.rs
@@ -14,13 +14,16 @@
 #[serde(rename = "Heard", expecting = "struct Heard")]
 pub struct RecoveryReply<V> {
     /// It does not vote itself yet.
-    pub returning: bool,
+    #[serde(rename = "returning")]
+    pub is_recovering: bool,
     /// What it holds.
     pub acceptor: Acceptor<V>,
     /// The latest incarnation of the asker that it knew of before.
-    pub life_before: u64,
+    #[serde(rename = "life_before")]
+    pub previous_incarnation: u64,
     /// The most writes that it has heard of from the one that starts.
-    pub writes_of_yours: u64,
+    #[serde(rename = "writes_of_yours")]
+    pub known_writes: u64,
 }
 
 /// Whether a coordinator that has started may vote.
@@ -28,50 +31,50 @@
 pub enum Verdict {
     /// Not enough was heard.
     Wait,
-    /// May vote, once what [`Returning::adopt`] made of its state is on disk.
+    /// May vote, once what [`RecoveringVoter::adopt`] made of its state is on disk.
     Vote,
     /// Others heard of more writes than are on the disk: it is an old copy. It waits until all quorums that it may have
     /// been part of are known from others.
-    OldDisk {
+    StaleDisk {
         /// Writes on this disk.
-        mine: u64,
+        own_writes: u64,
         /// Writes that others heard of.
-        heard: u64,
+        known_writes: u64,
     },
 }
 
 /// A coordinator that has started and does not vote yet.
 #[derive(Clone, Debug)]
-pub struct Returning<V> {
+pub struct RecoveringVoter<V> {
     me: Voter,
     mine: Acceptor<V>,
     founding: Config,
     /// The incarnation that it starts.
-    life: u64,
+    incarnation: u64,
     heard: BTreeMap<Voter, RecoveryReply<V>>,
 }
 
-impl<V: Value> Returning<V> {
+impl<V: Value> RecoveringVoter<V> {
     /// `founding`: who holds a fleet of which nothing else is known.
     pub fn new(me: Voter, mine: Acceptor<V>, founding: Config) -> Self {
-        let life = mine.life + 1;
+        let incarnation = mine.incarnation + 1;
         Self {
             me,
             mine,
             founding,
-            life,
+            incarnation,
             heard: BTreeMap::new(),
         }
     }
 
     /// Another coordinator answered.
-    pub fn heard(&mut self, from: Voter, what: RecoveryReply<V>) {
-        if from == self.me || what.acceptor.lives.of(self.me) < self.life {
+    pub fn record_reply(&mut self, from: Voter, what: RecoveryReply<V>) {
+        if from == self.me || what.acceptor.incarnations.latest(self.me) < self.incarnation {
             return;
         }
-        if what.life_before >= self.life && !self.heard.contains_key(&from) {
+        if what.previous_incarnation >= self.incarnation && !self.heard.contains_key(&from) {
             // Another start may have had this incarnation already: those who answered know of none of ours.
-            self.life = what.life_before + 1;
+            self.incarnation = what.previous_incarnation + 1;
             self.heard.clear();
             return;
         }
@@ -79,8 +82,8 @@
     }
 
     /// The incarnation that it starts, to be sent with each question.
-    pub fn life(&self) -> u64 {
-        self.life
+    pub fn incarnation(&self) -> u64 {
+        self.incarnation
     }
 
     /// The latest config that anybody has accepted a value with.
@@ -98,21 +101,21 @@
         let known = self
             .heard
             .values()
-            .map(|h| h.writes_of_yours)
+            .map(|h| h.known_writes)
             .max()
             .unwrap_or(0);
         let all: BTreeSet<Voter> = self.heard.keys().copied().collect();
         let sure: BTreeSet<Voter> = self
             .heard
             .iter()
-            .filter(|(_, h)| !h.returning)
+            .filter(|(_, h)| !h.is_recovering)
             .map(|(v, _)| *v)
             .collect();
         let everybody = config
             .voters()
             .iter()
             .all(|v| *v == self.me || all.contains(v));
-        if !config.holds(self.me) {
+        if !config.contains(self.me) {
             // As far as those know who answered, its vote counts nowhere; a majority of them would know better.
             return if config.is_quorum(&all) {
                 Verdict::Vote
@@ -122,13 +125,13 @@
         }
         // With all that could have counted its votes heard since it started, it needs no disk of its own. With everybody
         // here and nobody sure, what a majority held is among what they all have.
-        if config.all_quorums_meet(self.me, &sure) || everybody {
+        if config.all_quorums_intersect(self.me, &sure) || everybody {
             return Verdict::Vote;
         }
         if known > self.mine.writes {
-            return Verdict::OldDisk {
-                mine: self.mine.writes,
-                heard: known,
+            return Verdict::StaleDisk {
+                own_writes: self.mine.writes,
+                known_writes: known,
             };
         }
         if self.mine.writes == 0 {
@@ -151,13 +154,13 @@
         let known = self
             .heard
             .values()
-            .map(|h| h.writes_of_yours)
+            .map(|h| h.known_writes)
             .max()
             .unwrap_or(0);
-        mine.life = self.life;
+        mine.incarnation = self.incarnation;
         mine.writes += 1;
         for h in self.heard.into_values() {
-            mine.lives.learn_all(&h.acceptor.lives);
+            mine.incarnations.merge(&h.acceptor.incarnations);
             mine.promised = mine.promised.max(h.acceptor.promised);
             let latest = mine
                 .accepted
--- a/crates/fleet/src/register.rs
+++ b/crates/fleet/src/register.rs
@@ -26,7 +26,7 @@
 }
 
 /// Rounds in their order. Two rounds never have the same: a proposer uses each number once, whatever it forgets (the
-/// shell draws `life` anew at each start).
+/// shell draws `incarnation` anew at each start).
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -34,18 +34,20 @@
     /// Counts up.
     pub number: u64,
     /// The proposer's number.
-    pub steward: u32,
+    #[serde(rename = "steward")]
+    pub proposer: u32,
     /// Of the proposer's start.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
 }
 
 impl Ballot {
     /// The least of this proposer that is above another.
-    pub fn above(other: Ballot, steward: u32, life: u64) -> Self {
+    pub fn above(other: Ballot, proposer: u32, incarnation: u64) -> Self {
         Self {
             number: other.number + 1,
-            steward,
-            life,
+            proposer,
+            incarnation,
         }
     }
 }
@@ -64,16 +66,16 @@
 
 /// Why the coordinators can't be changed so.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unfit {
+pub enum InvalidConfig {
     /// A change is not settled yet.
     #[error("the stewards are being changed already")]
-    UnderWay,
+    ChangeInProgress,
     /// There is no change to settle.
     #[error("the stewards are not being changed")]
-    NotUnderWay,
+    NoChangeInProgress,
     /// Not an odd number from 1 to 9.
     #[error("{0} stewards: an odd number from 1 to 9 is expected")]
-    Count(usize),
+    VoterCount(usize),
     /// One coordinator with two disks.
     #[error("steward-{0} is named with two disks")]
     TwoDisks(u32),
@@ -81,7 +83,7 @@
 
 impl Config {
     /// Of a fleet that is being founded.
-    pub fn founding(voters: BTreeSet<Voter>) -> Result<Self, Unfit> {
+    pub fn initial(voters: BTreeSet<Voter>) -> Result<Self, InvalidConfig> {
         Self::fits(&voters)?;
         Ok(Self {
             now: voters,
@@ -89,21 +91,21 @@
         })
     }
 
-    fn fits(voters: &BTreeSet<Voter>) -> Result<(), Unfit> {
+    fn fits(voters: &BTreeSet<Voter>) -> Result<(), InvalidConfig> {
         if voters.len().is_multiple_of(2) || voters.len() > 9 {
-            return Err(Unfit::Count(voters.len()));
+            return Err(InvalidConfig::VoterCount(voters.len()));
         }
         let mut numbers = BTreeSet::new();
         match voters.iter().find(|v| !numbers.insert(v.steward)) {
-            Some(twice) => Err(Unfit::TwoDisks(twice.steward)),
+            Some(twice) => Err(InvalidConfig::TwoDisks(twice.steward)),
             None => Ok(()),
         }
     }
 
     /// This set and the next one, both of which decide until it is settled.
-    pub fn changing_to(&self, next: BTreeSet<Voter>) -> Result<Self, Unfit> {
+    pub fn changing_to(&self, next: BTreeSet<Voter>) -> Result<Self, InvalidConfig> {
         if self.next.is_some() {
-            return Err(Unfit::UnderWay);
+            return Err(InvalidConfig::ChangeInProgress);
         }
         Self::fits(&next)?;
         Ok(Self {
@@ -114,8 +116,8 @@
 
     /// The change is over. To be put only by whoever knows that a value with this very config is held by a quorum:
     /// before that, those who know the old set alone could go on without the new one.
-    pub fn settled(&self) -> Result<Self, Unfit> {
-        let next = self.next.clone().ok_or(Unfit::NotUnderWay)?;
+    pub fn settled(&self) -> Result<Self, InvalidConfig> {
+        let next = self.next.clone().ok_or(InvalidConfig::NoChangeInProgress)?;
         Ok(Self {
             now: next,
             next: None,
@@ -142,14 +144,14 @@
     }
 
     /// Whether this voter is in either set.
-    pub fn holds(&self, voter: Voter) -> bool {
+    pub fn contains(&self, voter: Voter) -> bool {
         self.now.contains(&voter) || self.next.as_ref().is_some_and(|n| n.contains(&voter))
     }
 
     /// Whether every quorum that `away` may have been part of has one of `others` in it too: a majority of any set that it
     /// is in. While two sets decide, both have to be met: that the newer decides beside the older may not have been agreed
     /// yet, and that it decides alone may have been already.
-    pub fn all_quorums_meet(&self, away: Voter, others: &BTreeSet<Voter>) -> bool {
+    pub fn all_quorums_intersect(&self, away: Voter, others: &BTreeSet<Voter>) -> bool {
         let sets = [Some(&self.now), self.next.as_ref()];
         let mut mine = sets.into_iter().flatten().filter(|set| set.contains(&away));
         // Those that did not answer are, with it, no majority.
@@ -176,30 +178,30 @@
 }
 
 impl From<Incarnations> for Vec<(Voter, u64)> {
-    fn from(lives: Incarnations) -> Self {
-        lives.0.into_iter().collect()
+    fn from(incarnations: Incarnations) -> Self {
+        incarnations.0.into_iter().collect()
     }
 }
 
 impl Incarnations {
     /// The latest known incarnation of a voter; 0: its first.
-    pub fn of(&self, voter: Voter) -> u64 {
+    pub fn latest(&self, voter: Voter) -> u64 {
         self.0.get(&voter).copied().unwrap_or(0)
     }
 
     /// True: that was news.
-    pub fn learn(&mut self, voter: Voter, life: u64) -> bool {
-        let news = life > self.of(voter);
+    pub fn learn(&mut self, voter: Voter, incarnation: u64) -> bool {
+        let news = incarnation > self.latest(voter);
         if news {
-            self.0.insert(voter, life);
+            self.0.insert(voter, incarnation);
         }
         news
     }
 
     /// Learns all that another knows.
-    pub fn learn_all(&mut self, other: &Incarnations) {
-        for (voter, life) in &other.0 {
-            self.learn(*voter, *life);
+    pub fn merge(&mut self, other: &Incarnations) {
+        for (voter, incarnation) in &other.0 {
+            self.learn(*voter, *incarnation);
         }
     }
 }
@@ -212,9 +214,11 @@
     /// The voter.
     pub from: Voter,
     /// The incarnation that votes.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// Incarnations of others that it knows of.
-    pub lives: Incarnations,
+    #[serde(rename = "lives")]
+    pub incarnations: Incarnations,
 }
 
 /// A value that a register may hold.
@@ -242,11 +246,11 @@
     /// How often it changed; others remember it, and so an old copy of the disk shows.
     pub writes: u64,
     /// Its incarnation.
-    #[serde(default)]
-    pub life: u64,
+    #[serde(default, rename = "life")]
+    pub incarnation: u64,
     /// Incarnations of others that it knows of.
-    #[serde(default)]
-    pub lives: Incarnations,
+    #[serde(default, rename = "lives")]
+    pub incarnations: Incarnations,
 }
 
 impl<V> Default for Acceptor<V> {
@@ -255,8 +259,8 @@
             promised: Ballot::default(),
             accepted: None,
             writes: 0,
-            life: 0,
-            lives: Incarnations::default(),
+            incarnation: 0,
+            incarnations: Incarnations::default(),
         }
     }
 }
@@ -266,15 +270,15 @@
     pub fn stamp(&self, me: Voter) -> VoterStamp {
         VoterStamp {
             from: me,
-            life: self.life,
-            lives: self.lives.clone(),
+            incarnation: self.incarnation,
+            incarnations: self.incarnations.clone(),
         }
     }
 
     /// Another voter starts an incarnation. Returns the latest that was known of it before.
-    pub fn life_begins(&mut self, of: Voter, life: u64) -> u64 {
-        let before = self.lives.of(of);
-        if self.lives.learn(of, life) {
+    pub fn record_incarnation(&mut self, of: Voter, incarnation: u64) -> u64 {
+        let before = self.incarnations.latest(of);
+        if self.incarnations.learn(of, incarnation) {
             self.writes += 1;
         }
         before
@@ -319,13 +323,13 @@
     latest: Option<Accepted<V>>,
     put: Option<V>,
     accepted: BTreeMap<Voter, u64>,
-    lives: Incarnations,
+    incarnations: Incarnations,
 }
 
 impl<V: Value> Round<V> {
     /// `config`: the latest that the proposer has seen in any value, or the founding one.
     pub fn new(ballot: Ballot, config: Config) -> Self {
-        let (promised, accepted, lives) = Default::default();
+        let (promised, accepted, incarnations) = Default::default();
         Self {
             ballot,
             config,
@@ -333,22 +337,22 @@
             latest: None,
             put: None,
             accepted,
-            lives,
+            incarnations,
         }
     }
 
     /// Whose promises are asked for; more when a promise shows other coordinators.
-    pub fn asks(&self) -> BTreeSet<Voter> {
+    pub fn prepare_targets(&self) -> BTreeSet<Voter> {
         self.config.voters()
     }
 
-    /// A promise came. True: the value was read, and [`Self::read`] and [`Self::put`] may be used.
-    pub fn promised(&mut self, by: &VoterStamp, accepted: Option<Accepted<V>>) -> bool {
+    /// A promise came. True: the value was read, and [`Self::read`] and [`Self::propose`] may be used.
+    pub fn record_promise(&mut self, by: &VoterStamp, accepted: Option<Accepted<V>>) -> bool {
         if self.put.is_some() {
             return false;
         }
         self.hear(by);
-        self.promised.insert(by.from, by.life);
+        self.promised.insert(by.from, by.incarnation);
         if let Some(a) = accepted
             && self.latest.as_ref().is_none_or(|l| a.ballot > l.ballot)
         {
@@ -359,15 +363,15 @@
     }
 
     fn hear(&mut self, by: &VoterStamp) {
-        self.lives.learn_all(&by.lives);
-        self.lives.learn(by.from, by.life);
+        self.incarnations.merge(&by.incarnations);
+        self.incarnations.learn(by.from, by.incarnation);
     }
 
     /// Those of whom no later incarnation is known to anybody who answered.
     fn current_incarnations(&self, spoke: &BTreeMap<Voter, u64>) -> BTreeSet<Voter> {
         spoke
             .iter()
-            .filter(|(v, life)| **life >= self.lives.of(**v))
+            .filter(|(v, incarnation)| **incarnation >= self.incarnations.latest(**v))
             .map(|(v, _)| *v)
             .collect()
     }
@@ -388,7 +392,7 @@
     }
 
     /// Sets the value that is to replace what was read; returns who has to be asked to accept it.
-    pub fn put(&mut self, value: V) -> BTreeSet<Voter> {
+    pub fn propose(&mut self, value: V) -> BTreeSet<Voter> {
         assert!(
             self.is_read() && self.put.is_none(),
             "one value, after a quorum has promised"
@@ -404,17 +408,17 @@
     }
 
     /// The value that was put.
-    pub fn value(&self) -> Option<&V> {
+    pub fn proposed(&self) -> Option<&V> {
         self.put.as_ref()
     }
 
     /// True: the value is chosen, by quorums of what was read and of what was put.
-    pub fn accepted(&mut self, by: &VoterStamp) -> bool {
+    pub fn record_acceptance(&mut self, by: &VoterStamp) -> bool {
         if self.put.is_none() {
             return false;
         }
         self.hear(by);
-        self.accepted.insert(by.from, by.life);
+        self.accepted.insert(by.from, by.incarnation);
         let accepted = self.current_incarnations(&self.accepted);
         let put = self
             .put
@@ -425,12 +429,12 @@
     }
 
     /// Who has accepted the value.
-    pub fn has_accepted(&self) -> BTreeSet<Voter> {
+    pub fn accepted_voters(&self) -> BTreeSet<Voter> {
         self.current_incarnations(&self.accepted)
     }
 
     /// Who has promised.
-    pub fn has_promised(&self) -> BTreeSet<Voter> {
+    pub fn promised_voters(&self) -> BTreeSet<Voter> {
         self.current_incarnations(&self.promised)
     }
 }
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -46,7 +46,7 @@
 
 impl DrainRequest {
     /// Whether nothing of it is left to do.
-    pub fn is_over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.waiting.is_empty() && self.under_way.is_empty()
     }
 }
@@ -58,7 +58,8 @@
     /// Revision that it brought.
     pub revision: u64,
     /// What happened.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub description: String,
 }
 
 /// The value that the fleet agrees on.
@@ -69,7 +70,8 @@
     /// The coordinators whose majorities decide.
     pub config: Config,
     /// Where each coordinator listens.
-    pub stewards: BTreeMap<u32, String>,
+    #[serde(rename = "stewards")]
+    pub coordinators: BTreeMap<u32, String>,
     /// Counts changes.
     pub revision: u64,
     /// Grants issued so far.
@@ -83,7 +85,8 @@
     /// Set while no further drain may start.
     pub halt: Option<Halt>,
     /// Drain requests by their names.
-    pub asks: BTreeMap<String, DrainRequest>,
+    #[serde(rename = "asks")]
+    pub drain_requests: BTreeMap<String, DrainRequest>,
     /// Leases of fleet-wide tasks.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub leases: BTreeMap<LeaseName, Lease>,
@@ -102,24 +105,24 @@
 
 impl Fleet {
     /// A new fleet, without members.
-    pub fn founded(
+    pub fn new(
         name: &str,
         config: Config,
-        stewards: BTreeMap<u32, String>,
+        coordinators: BTreeMap<u32, String>,
         bounds: Vec<Bound>,
         halt_at_lost: usize,
     ) -> Self {
         Self {
             name: name.to_owned(),
             config,
-            stewards,
+            coordinators,
             revision: 0,
             grants: 0,
             bounds,
             halt_at_lost,
             members: BTreeMap::new(),
             halt: None,
-            asks: BTreeMap::new(),
+            drain_requests: BTreeMap::new(),
             leases: BTreeMap::new(),
             lease_epochs: 0,
             history: VecDeque::new(),
@@ -127,12 +130,12 @@
     }
 
     /// Members that are out, for whatever reason.
-    pub fn out(&self) -> impl Iterator<Item = (&MemberId, &Member)> {
+    pub fn out_members(&self) -> impl Iterator<Item = (&MemberId, &Member)> {
         self.members.iter().filter(|(_, m)| m.phase.is_out())
     }
 
     /// How many members are out as planned.
-    pub fn planned_out(&self) -> usize {
+    pub fn planned_out_count(&self) -> usize {
         self.members
             .values()
             .filter(|m| m.phase.is_planned())
@@ -140,7 +143,7 @@
     }
 
     /// How many members are lost.
-    pub fn lost(&self) -> usize {
+    pub fn lost_count(&self) -> usize {
         self.members
             .values()
             .filter(|m| matches!(m.phase, Phase::Lost { .. }))
--- a/crates/fleet/src/state/member.rs
+++ b/crates/fleet/src/state/member.rs
@@ -152,7 +152,7 @@
     }
 
     /// The phase as messages and commands name it.
-    pub fn word(&self) -> &'static str {
+    pub fn name(&self) -> &'static str {
         match self {
             Self::Up => "up",
             Self::Starting { .. } => "starting",
@@ -198,12 +198,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Member {
     /// What it said of itself when it joined.
-    pub about: MemberInfo,
+    #[serde(rename = "about")]
+    pub info: MemberInfo,
     /// Where it stands.
     pub phase: Phase,
     /// Revision at which it came into its phase.
     pub since: u64,
     /// Its last few incarnations before this one.
-    #[serde(default)]
-    pub past: Vec<u64>,
+    #[serde(default, rename = "past")]
+    pub past_incarnations: Vec<u64>,
 }
--- a/crates/fleet/tests/all/changes.rs
+++ b/crates/fleet/tests/all/changes.rs
@@ -40,8 +40,8 @@
 }
 
 fn founded(bounds: Vec<Bound>) -> Fleet {
-    let config = Config::founding(crate::support::voters([1, 2, 3])).unwrap();
-    Fleet::founded("museums", config, BTreeMap::new(), bounds, 0)
+    let config = Config::initial(crate::support::voters([1, 2, 3])).unwrap();
+    Fleet::new("museums", config, BTreeMap::new(), bounds, 0)
 }
 
 /// All up, in their first life.
@@ -86,7 +86,7 @@
     let member = MemberId::invoker(rng.u32(1..=8));
     let known = fleet.members.get(&member);
     // Mostly the life that counts, sometimes one before or after it.
-    let incarnation = known.map_or(1, |m| m.about.incarnation) + u64::from(rng.u8(..6) == 0)
+    let incarnation = known.map_or(1, |m| m.info.incarnation) + u64::from(rng.u8(..6) == 0)
         - u64::from(rng.u8(..9) == 0);
     let grant = known
         .and_then(|m| m.phase.grant())
@@ -97,10 +97,15 @@
     if rng.bool()
         && let Some(m) = known
     {
-        let incarnation = m.about.incarnation;
+        let incarnation = m.info.incarnation;
         return match m.phase {
             Phase::Up if fleet.halt.is_some() => Change::Resume { by: by() },
-            Phase::Up if fleet.asks.values().any(|a| a.waiting.contains(&member)) => {
+            Phase::Up
+                if fleet
+                    .drain_requests
+                    .values()
+                    .any(|a| a.waiting.contains(&member)) =>
+            {
                 Change::Grant { member }
             }
             Phase::Up => ask(&format!("ask-{n}"), [member.number]),
@@ -303,7 +308,7 @@
     )
     .unwrap();
     assert_eq!(
-        steps.iter().map(|s| s.go.len()).collect::<Vec<_>>(),
+        steps.iter().map(|s| s.members.len()).collect::<Vec<_>>(),
         [3, 3, 2]
     );
 }
@@ -413,5 +418,9 @@
             .is_err(),
         "granted to the life before"
     );
-    assert_eq!(fleet.asks["a"].waiting, [member], "it is still to go");
+    assert_eq!(
+        fleet.drain_requests["a"].waiting,
+        [member],
+        "it is still to go"
+    );
 }
--- a/crates/fleet/tests/all/every_order.rs
+++ b/crates/fleet/tests/all/every_order.rs
@@ -44,7 +44,7 @@
 
 impl World {
     fn new(acceptors: impl IntoIterator<Item = u32>, founding: &[u32], rounds: &[u8]) -> Self {
-        let config = Config::founding(voters(founding.iter().copied())).unwrap();
+        let config = Config::initial(voters(founding.iter().copied())).unwrap();
         let proposers = rounds.iter().enumerate().map(|(n, rounds)| Proposer {
             steward: n as u32 + 1,
             rounds_left: *rounds,
@@ -88,7 +88,7 @@
         (p.rounds_left, p.tries) = (p.rounds_left - 1, p.tries + 1);
         let ballot = Ballot::above(below, p.steward, 0);
         let round = Round::new(ballot, p.config.clone());
-        let (asks, line) = (round.asks(), p.steward * 10 + p.tries);
+        let (asks, line) = (round.prepare_targets(), p.steward * 10 + p.tries);
         p.round = Some(round);
         let begun = self.steps;
         self.seen.push(ProposedLine {
@@ -144,8 +144,8 @@
         let line = p.steward * 10 + p.tries;
         let (proven, founding) = (p.proven.clone(), p.config.clone());
         let round = p.round.as_mut().unwrap();
-        let before = round.asks();
-        if round.promised(&mark(from), accepted) {
+        let before = round.prepare_targets();
+        if round.record_promise(&mark(from), accepted) {
             let mut value = round.read().map_or(
                 Lines {
                     config: founding,
@@ -161,11 +161,15 @@
             {
                 value.config = value.config.changing_to(next).unwrap();
             }
-            let to = round.put(value.clone());
+            let to = round.propose(value.clone());
             to.into_iter()
                 .for_each(|to| self.send(Some(to), Message::Accept(ballot, value.clone())));
         } else {
-            let more: Vec<Voter> = round.asks().difference(&before).copied().collect();
+            let more: Vec<Voter> = round
+                .prepare_targets()
+                .difference(&before)
+                .copied()
+                .collect();
             more.into_iter()
                 .for_each(|to| self.send(Some(to), Message::Prepare(ballot)));
         }
@@ -180,8 +184,8 @@
         else {
             return;
         };
-        if p.round.as_mut().unwrap().accepted(&mark(from)) {
-            let value = p.round.take().unwrap().value().unwrap().clone();
+        if p.round.as_mut().unwrap().record_acceptance(&mark(from)) {
+            let value = p.round.take().unwrap().proposed().unwrap().clone();
             let line = p.steward * 10 + p.tries;
             (p.config, p.proven) = (value.config.clone(), Some(value.config.clone()));
             let seen = self.seen.iter_mut().find(|s| s.line == line).unwrap();
@@ -206,9 +210,9 @@
                 a.promised > *b || a.accepted.as_ref().is_some_and(|a| a.ballot == *b)
             }
             Message::Promise(b, v, _) => {
-                round(b).is_none_or(|r| r.value().is_some() || r.has_promised().contains(v))
+                round(b).is_none_or(|r| r.proposed().is_some() || r.promised_voters().contains(v))
             }
-            Message::Accepted(b, v) => round(b).is_none_or(|r| r.has_accepted().contains(v)),
+            Message::Accepted(b, v) => round(b).is_none_or(|r| r.accepted_voters().contains(v)),
         }
     }
 
--- a/crates/fleet/tests/all/fence_orders.rs
+++ b/crates/fleet/tests/all/fence_orders.rs
@@ -92,7 +92,7 @@
 impl World {
     fn new(handovers: u8, restarts: u8, planted: Planted) -> Self {
         let resource = || Resource {
-            fence: Fence::started(lease(), 1, 0),
+            fence: Fence::new(lease(), 1, 0),
             older: BTreeSet::from([0]),
         };
         let mut world = Self {
@@ -139,13 +139,15 @@
                     .older
                     .iter()
                     .copied()
-                    .chain([resource.fence.durable()])
+                    .chain([resource.fence.durable_epoch()])
                 {
                     let mut world = self.clone();
                     world.restarts_left -= 1;
                     let life = resource.fence.incarnation() + 1;
-                    world.resources[n].older.insert(resource.fence.durable());
-                    world.resources[n].fence = Fence::started(lease(), life, disk);
+                    world.resources[n]
+                        .older
+                        .insert(resource.fence.durable_epoch());
+                    world.resources[n].fence = Fence::new(lease(), life, disk);
                     all.push(world);
                 }
             }
@@ -178,7 +180,9 @@
                 life,
             } => {
                 let fence = &self.resources[resource].fence;
-                if fence.incarnation() == life && fence.confirmed(epoch) == Ok(SealStep::Write) {
+                if fence.incarnation() == life
+                    && fence.after_confirmation(epoch) == Ok(SealStep::Write)
+                {
                     self.write(member, epoch, resource);
                 }
             }
@@ -193,7 +197,7 @@
                     .filter(|h| h.epoch() == epoch);
                 holding
                     .into_iter()
-                    .for_each(|h| h.sealed(RESOURCES[resource], life));
+                    .for_each(|h| h.record_seal(RESOURCES[resource], life));
             }
             Message::Effect {
                 member,
@@ -222,7 +226,7 @@
         {
             return;
         }
-        self.holdings[member] = Some(HolderFence::granted(lease(), epoch, &resource_names()));
+        self.holdings[member] = Some(HolderFence::new(lease(), epoch, &resource_names()));
         for resource in 0..RESOURCES.len() {
             self.sent.insert(Message::Seal {
                 member,
@@ -262,8 +266,8 @@
     fn write(&mut self, member: usize, epoch: Epoch, resource: usize) {
         let of = &mut self.resources[resource];
         let life = of.fence.incarnation();
-        of.older.insert(of.fence.durable());
-        of.fence.written(epoch);
+        of.older.insert(of.fence.durable_epoch());
+        of.fence.record_write(epoch);
         self.sent.insert(Message::Sealed {
             member,
             epoch,
@@ -278,9 +282,10 @@
         };
         for (resource, name) in RESOURCES.iter().enumerate() {
             let mut token = holding.token(name);
-            if self.planted == Planted::ActsBeforeAllSeals && !holding.unsealed().any(|u| u == name)
+            if self.planted == Planted::ActsBeforeAllSeals
+                && !holding.unsealed_resources().any(|u| u == name)
             {
-                let mut alone = HolderFence::granted(
+                let mut alone = HolderFence::new(
                     lease(),
                     holding.epoch(),
                     &BTreeSet::from([(*name).to_owned()]),
@@ -294,7 +299,9 @@
                     } if (*of, *epoch, *at) == (member, holding.epoch(), resource) => Some(*life),
                     _ => None,
                 });
-                sealed.into_iter().for_each(|life| alone.sealed(name, life));
+                sealed
+                    .into_iter()
+                    .for_each(|life| alone.record_seal(name, life));
                 token = alone.token(name);
             }
             if let Some(Token {
--- a/crates/fleet/tests/all/leases.rs
+++ b/crates/fleet/tests/all/leases.rs
@@ -2,7 +2,7 @@
 
 use crate::changes::{about, ask, bound, drawn, with};
 use saltdrum_fleet::change::{Change, Refusal};
-use saltdrum_fleet::leases::LEASES_MOST;
+use saltdrum_fleet::leases::MAX_LEASES;
 use saltdrum_fleet::state::{
     Epoch, Fleet, LeaseName, LeaseState, LeaseTerms, MemberId, MemberInfo, MemberKind, Phase,
 };
@@ -73,7 +73,7 @@
 /// What holds of a lease after any change.
 fn check(fleet: &Fleet, seed: u64) {
     let eligible = |(id, m): (&MemberId, &saltdrum_fleet::Member)| {
-        id.kind == MemberKind::Invoker && m.phase == Phase::Up && m.about.tasks.contains(TASK)
+        id.kind == MemberKind::Invoker && m.phase == Phase::Up && m.info.tasks.contains(TASK)
     };
     match holder(fleet) {
         Some((id, incarnation, _)) => {
@@ -82,7 +82,7 @@
                 matches!(member.phase, Phase::Up | Phase::Granted { .. }),
                 "seed {seed}: {member:?}"
             );
-            assert_eq!(member.about.incarnation, incarnation, "seed {seed}");
+            assert_eq!(member.info.incarnation, incarnation, "seed {seed}");
         }
         None if fleet.leases[&name()].state == LeaseState::Vacant => {
             assert!(
@@ -244,7 +244,7 @@
     let expected = holder(&fleet).unwrap().2;
     assert_eq!(
         refused,
-        Err(Refusal::Epoch {
+        Err(Refusal::WrongEpoch {
             lease: name(),
             expected,
             found: operators
@@ -280,10 +280,10 @@
 #[test]
 fn what_is_stated_of_leases_is_bounded() {
     let mut fleet = fleet_with_lease(1);
-    let many = (0..=LEASES_MOST).map(|n| LeaseName(format!("lease-{n}")));
+    let many = (0..=MAX_LEASES).map(|n| LeaseName(format!("lease-{n}")));
     assert!(matches!(
         fleet.apply(&state_leases(many)),
-        Err(Refusal::Many {
+        Err(Refusal::TooMany {
             place: "leases",
             ..
         })
@@ -298,7 +298,7 @@
             leases,
             by: "them".into()
         }),
-        Err(Refusal::Lease(_))
+        Err(Refusal::InvalidLease(_))
     ));
     let tasks = (0..100).map(|n| format!("task-{n}")).collect();
     let join = Change::Join {
@@ -310,7 +310,7 @@
     };
     assert!(matches!(
         fleet.apply(&join),
-        Err(Refusal::Many { place: "tasks", .. })
+        Err(Refusal::TooMany { place: "tasks", .. })
     ));
     let unknown = Change::PauseLease {
         lease: "other".into(),
--- a/crates/fleet/tests/all/many_orders.rs
+++ b/crates/fleet/tests/all/many_orders.rs
@@ -2,7 +2,7 @@
 //! failing seed is printed; each is played again by its number alone.
 
 use crate::support::{Lines, ProposedLine, linearizable, voter, voters};
-use saltdrum_fleet::recovery::{RecoveryReply, Returning, Verdict};
+use saltdrum_fleet::recovery::{RecoveringVoter, RecoveryReply, Verdict};
 use saltdrum_fleet::register::{Acceptor, Ballot, Config, Round, Value, Voter, VoterStamp};
 use std::collections::BTreeMap;
 
@@ -57,7 +57,7 @@
 
 impl Play {
     fn new(seed: u64, planted: Planted) -> Self {
-        let founding = Config::founding(voters([1, 2, 3])).unwrap();
+        let founding = Config::initial(voters([1, 2, 3])).unwrap();
         let steward = || Steward {
             acceptor: Acceptor::default(),
             copy: Acceptor::default(),
@@ -87,7 +87,7 @@
         let ballot = Ballot::above(proposer.highest, p as u32 + 1, 0);
         proposer.highest = ballot;
         let round = Round::new(ballot, proposer.config.clone());
-        let asks = round.asks();
+        let asks = round.prepare_targets();
         proposer.round = Some((round, line));
         self.seen.push(ProposedLine {
             line,
@@ -126,12 +126,16 @@
                 let Some((round, line)) = &mut self.proposers[p].round else {
                     return;
                 };
-                if round.ballot != ballot || round.value().is_some() {
+                if round.ballot != ballot || round.proposed().is_some() {
                     return;
                 }
-                let before = round.asks();
-                if !round.promised(&v, accepted) {
-                    let more: Vec<Voter> = round.asks().difference(&before).copied().collect();
+                let before = round.prepare_targets();
+                if !round.record_promise(&v, accepted) {
+                    let more: Vec<Voter> = round
+                        .prepare_targets()
+                        .difference(&before)
+                        .copied()
+                        .collect();
                     self.messages
                         .extend(more.into_iter().map(|v| Message::Prepare(v, p, ballot)));
                     return;
@@ -156,7 +160,7 @@
                     .as_mut()
                     .unwrap()
                     .0
-                    .put(value.clone());
+                    .propose(value.clone());
                 self.messages.extend(
                     to.into_iter()
                         .map(|v| Message::Accept(v, p, ballot, value.clone())),
@@ -166,8 +170,8 @@
                 let Some((round, line)) = &mut self.proposers[p].round else {
                     return;
                 };
-                if round.ballot == ballot && round.accepted(&v) {
-                    let (value, line) = (round.value().unwrap().clone(), *line);
+                if round.ballot == ballot && round.record_acceptance(&v) {
+                    let (value, line) = (round.proposed().unwrap().clone(), *line);
                     let proposer = &mut self.proposers[p];
                     proposer.round = None;
                     proposer.config = value.config().clone();
@@ -197,23 +201,24 @@
         let mine = self.stewards[&v].acceptor.clone();
         // Nothing is known of how often it wrote: the others' own state alone has to do.
         let mut returning =
-            Returning::new(v, Acceptor { writes: 0, ..mine }, self.founding.clone());
+            RecoveringVoter::new(v, Acceptor { writes: 0, ..mine }, self.founding.clone());
         // What is asked and answered may be lost; a second time finds the life known already, and takes the next.
         for _ in 0..3 {
             for (other, s) in self.stewards.iter_mut().filter(|(other, _)| **other != v) {
                 if self.rng.u8(..4) == 0 {
                     continue;
                 }
-                let life_before = s.acceptor.life_begins(v, returning.life());
+                let previous_incarnation =
+                    s.acceptor.record_incarnation(v, returning.incarnation());
                 let acceptor = s.acceptor.clone();
                 if self.rng.u8(..6) > 0 {
                     let heard = RecoveryReply {
-                        returning: s.returning,
+                        is_recovering: s.returning,
                         acceptor,
-                        life_before,
-                        writes_of_yours: 0,
+                        previous_incarnation,
+                        known_writes: 0,
                     };
-                    returning.heard(*other, heard);
+                    returning.record_reply(*other, heard);
                 }
             }
         }
--- a/crates/fleet/tests/all/monitor.rs
+++ b/crates/fleet/tests/all/monitor.rs
@@ -11,11 +11,11 @@
 
 fn timeouts() -> Timeouts {
     Timeouts {
-        renew: EVERY,
+        heartbeat_interval: EVERY,
         suspect_level: 8.0,
-        grant_for: 20_000,
-        drain_for: 50_000,
-        prove_within: 30_000,
+        grant_timeout: 20_000,
+        drain_timeout: 50_000,
+        health_timeout: 30_000,
     }
 }
 
@@ -45,11 +45,11 @@
     ) {
         for _ in 0..times {
             self.now += EVERY;
-            self.monitor.turn(self.now);
+            self.monitor.detect_pause(self.now);
             for (id, m) in self.fleet.members.clone() {
                 if !silent.contains(&id.number) {
-                    let incarnation = m.about.incarnation;
-                    self.monitor.renewed(
+                    let incarnation = m.info.incarnation;
+                    self.monitor.record_heartbeat(
                         self.now,
                         Some(&self.fleet),
                         id,
@@ -61,13 +61,13 @@
             }
             for other in [2, 3] {
                 self.monitor
-                    .opinions(self.now, voter(other), others(&self.fleet), false);
+                    .record_report(self.now, voter(other), others(&self.fleet), false);
             }
         }
     }
 
     fn owed(&mut self) -> Vec<Change> {
-        self.monitor.owed(self.now, &self.fleet)
+        self.monitor.due_changes(self.now, &self.fleet)
     }
 
     fn make(&mut self, change: &Change) {
@@ -117,35 +117,38 @@
 fn when_most_fall_silent_at_once_it_is_this_steward_that_is_deaf() {
     let mut play = Play::new(6);
     play.on(20, &[1, 2, 3, 4], nobody);
-    assert_eq!(play.monitor.levels(play.now, &play.fleet), None);
+    assert_eq!(play.monitor.suspicion_levels(play.now, &play.fleet), None);
     let mut play = Play::new(6);
     play.on(20, &[1, 2], nobody);
-    let levels = play.monitor.levels(play.now, &play.fleet).unwrap();
+    let levels = play
+        .monitor
+        .suspicion_levels(play.now, &play.fleet)
+        .unwrap();
     assert_eq!(levels.keys().map(|m| m.number).collect::<Vec<_>>(), [1, 2]);
 }
 
 #[test]
 fn a_steward_that_stood_still_accuses_nobody_when_it_wakes_and_learns_no_wrong_span() {
     let mut play = Play::new(4);
-    let before = play.monitor.levels(play.now + 900, &play.fleet);
+    let before = play.monitor.suspicion_levels(play.now + 900, &play.fleet);
     play.now += 60_000;
-    assert_eq!(play.monitor.turn(play.now), Some(60_000));
+    assert_eq!(play.monitor.detect_pause(play.now), Some(60_000));
     assert_eq!(
-        play.monitor.levels(play.now, &play.fleet),
+        play.monitor.suspicion_levels(play.now, &play.fleet),
         None,
         "it has not listened yet"
     );
     assert!(
-        play.monitor.leads(play.now, &play.fleet),
+        play.monitor.is_proposer(play.now, &play.fleet),
         "whom it heard before it slept is not known to be there"
     );
     play.on(3, &[], nobody);
     assert_eq!(
-        play.monitor.levels(play.now, &play.fleet),
+        play.monitor.suspicion_levels(play.now, &play.fleet),
         Some(SuspicionLevels::new())
     );
     assert_eq!(
-        play.monitor.levels(play.now + 900, &play.fleet),
+        play.monitor.suspicion_levels(play.now + 900, &play.fleet),
         before,
         "as unusual as it was before"
     );
@@ -168,10 +171,17 @@
         incarnation: 1,
         grant: 1,
     });
-    assert_eq!(play.monitor.late(play.now, &play.fleet), []);
+    assert_eq!(play.monitor.late_drains(play.now, &play.fleet), []);
     play.on(51, &[], nobody);
-    assert_eq!(play.monitor.late(play.now, &play.fleet), [(member, 51_000)]);
-    assert_eq!(play.monitor.late(play.now, &play.fleet), [], "told once");
+    assert_eq!(
+        play.monitor.late_drains(play.now, &play.fleet),
+        [(member, 51_000)]
+    );
+    assert_eq!(
+        play.monitor.late_drains(play.now, &play.fleet),
+        [],
+        "told once"
+    );
     play.make(&Change::Leave {
         member,
         incarnation: 1,
@@ -193,13 +203,13 @@
 fn the_first_that_is_heard_leads_and_a_returning_one_does_not() {
     let fleet = with(1, vec![]);
     let mut monitor = MemberMonitor::new(0, voter(2), timeouts());
-    assert!(monitor.leads(0, &fleet));
-    monitor.opinions(0, voter(1), None, true);
-    assert!(monitor.leads(0, &fleet), "it returns");
-    monitor.opinions(0, voter(1), None, false);
-    assert!(!monitor.leads(0, &fleet));
+    assert!(monitor.is_proposer(0, &fleet));
+    monitor.record_report(0, voter(1), None, true);
+    assert!(monitor.is_proposer(0, &fleet), "it returns");
+    monitor.record_report(0, voter(1), None, false);
+    assert!(!monitor.is_proposer(0, &fleet));
     assert!(
-        monitor.leads(20_000, &fleet),
+        monitor.is_proposer(20_000, &fleet),
         "it has said nothing for long"
     );
 }
--- a/crates/fleet/tests/all/support.rs
+++ b/crates/fleet/tests/all/support.rs
@@ -23,8 +23,8 @@
 pub(crate) fn mark(from: Voter) -> VoterStamp {
     VoterStamp {
         from,
-        life: 0,
-        lives: Default::default(),
+        incarnation: 0,
+        incarnations: Default::default(),
     }
 }
 
--- a/crates/fleet/tests/fixture_support/samples.rs
+++ b/crates/fleet/tests/fixture_support/samples.rs
@@ -29,8 +29,8 @@
 pub(crate) fn ballot(number: u64) -> Ballot {
     Ballot {
         number,
-        steward: 2,
-        life: number + 500,
+        proposer: 2,
+        incarnation: number + 500,
     }
 }
 
@@ -41,8 +41,8 @@
 pub(crate) fn mark() -> VoterStamp {
     VoterStamp {
         from: voter(3),
-        life: 6,
-        lives: lives(),
+        incarnation: 6,
+        incarnations: lives(),
     }
 }
 
@@ -137,10 +137,10 @@
     let member = |number: u32, phase| {
         let id = u64::from(number);
         Member {
-            about: about(100 + id),
+            info: about(100 + id),
             phase,
             since: 10 + id,
-            past: vec![80 + id, 90 + id],
+            past_incarnations: vec![80 + id, 90 + id],
         }
     };
     let invokers = phases.into_iter().zip(1..);
@@ -151,7 +151,7 @@
     all.insert(
         MemberId::controller(7),
         Member {
-            past: Vec::new(),
+            past_incarnations: Vec::new(),
             ..member(7, phase)
         },
     );
@@ -177,11 +177,11 @@
     let events = [(36, "one thing"), (37, "another")];
     Fleet {
         name: FLEET.into(),
-        config: Config::founding(voters(1..=3))
+        config: Config::initial(voters(1..=3))
             .unwrap()
             .changing_to(voters(2..=4))
             .unwrap(),
-        stewards: BTreeMap::from([
+        coordinators: BTreeMap::from([
             (1, "tcp:10.0.0.1:7100".into()),
             (2, "unix:/run/steward-2".into()),
         ]),
@@ -194,13 +194,13 @@
         halt_at_lost: 4,
         members: members(),
         halt: Some(halt),
-        asks: BTreeMap::from([("upgrade-3".into(), ask)]),
+        drain_requests: BTreeMap::from([("upgrade-3".into(), ask)]),
         leases: leases(),
         lease_epochs: 23,
         history: events
             .map(|(revision, what)| HistoryEntry {
                 revision,
-                what: what.into(),
+                description: what.into(),
             })
             .into(),
     }
@@ -209,8 +209,8 @@
 /// A fleet that nobody has joined.
 pub(crate) fn founded_fleet() -> Fleet {
     let stewards = BTreeMap::from([(1, "memory:steward-1".into())]);
-    let config = Config::founding(voters([1])).unwrap();
-    Fleet::founded(
+    let config = Config::initial(voters([1])).unwrap();
+    Fleet::new(
         FLEET,
         config,
         stewards,
@@ -227,17 +227,17 @@
             value: full_fleet(),
         }),
         writes: 25,
-        life: 4,
-        lives: lives(),
+        incarnation: 4,
+        incarnations: lives(),
     }
 }
 
 pub(crate) fn heard() -> RecoveryReply<Fleet> {
     RecoveryReply {
-        returning: true,
+        is_recovering: true,
         acceptor: full_acceptor(),
-        life_before: 2,
-        writes_of_yours: 19,
+        previous_incarnation: 2,
+        known_writes: 19,
     }
 }
 
--- a/crates/fleet/tests/fleet_fixtures.rs
+++ b/crates/fleet/tests/fleet_fixtures.rs
@@ -109,11 +109,17 @@
     fixtures.check_json(
         "batch",
         &Batch {
-            go: go.clone(),
+            members: go.clone(),
             limit: Some("no room".into()),
         },
     );
-    fixtures.check_json("last-batch", &Batch { go, limit: None });
+    fixtures.check_json(
+        "last-batch",
+        &Batch {
+            members: go,
+            limit: None,
+        },
+    );
     fixtures.finish();
 }
 
@@ -154,12 +160,12 @@
     written["accepted"]["ballot"]["life"] = kept[1].clone();
     let read: Acceptor<Fleet> = serde_json::from_value(written).unwrap();
     let mut expected = full_acceptor();
-    (expected.life, expected.lives) = Default::default();
+    (expected.incarnation, expected.incarnations) = Default::default();
     let fleet = &mut expected.accepted.as_mut().unwrap().value;
     (fleet.leases, fleet.lease_epochs) = Default::default();
     for member in fleet.members.values_mut() {
-        member.past.clear();
-        (member.about.machine, member.about.zone, member.about.tasks) = Default::default();
+        member.past_incarnations.clear();
+        (member.info.machine, member.info.zone, member.info.tasks) = Default::default();
     }
     assert_eq!(read, expected);
 }
--- a/crates/leases/src/fenced_resource.rs
+++ b/crates/leases/src/fenced_resource.rs
@@ -79,7 +79,7 @@
         epoch: Epoch,
     ) -> Result<u64, SealFault> {
         let durable = store.sealed_epoch(lease).map_err(SealFault::Unwritable)?;
-        let started = || Fence::started(lease.clone(), self.incarnation, durable);
+        let started = || Fence::new(lease.clone(), self.incarnation, durable);
         let step = self
             .fences
             .borrow_mut()
@@ -90,7 +90,7 @@
             SealStep::Confirm => {
                 self.confirm(lease, epoch).await?;
                 // Others may have sealed it meanwhile.
-                self.fences.borrow()[lease].confirmed(epoch)?
+                self.fences.borrow()[lease].after_confirmation(epoch)?
             }
             step => step,
         };
@@ -109,8 +109,8 @@
         let written = store.write_seal(lease, epoch);
         if let Some(fence) = self.fences.borrow_mut().get_mut(lease) {
             match &written {
-                Ok(()) => fence.written(epoch),
-                Err(_) => fence.write_failed(),
+                Ok(()) => fence.record_write(epoch),
+                Err(_) => fence.record_write_failure(),
             }
         }
         written.map_err(SealFault::Unwritable)?;
@@ -132,7 +132,7 @@
         let fences = self.fences.borrow();
         fences
             .iter()
-            .filter_map(|(lease, fence)| Some((lease.clone(), fence.sealed()?)))
+            .filter_map(|(lease, fence)| Some((lease.clone(), fence.sealed_epoch()?)))
             .collect()
     }
 
--- a/crates/leases/src/holder.rs
+++ b/crates/leases/src/holder.rs
@@ -95,14 +95,17 @@
     }
 
     async fn use_grant(&self, task: &impl Task, held: &HeldLease) {
-        let holding = HolderFence::granted(held.lease.clone(), held.epoch, &held.resources);
+        let holding = HolderFence::new(held.lease.clone(), held.epoch, &held.resources);
         let effects = Effects {
             holder: self,
             holding: RefCell::new(holding),
             task: task.name(),
         };
         while effects.is_held() {
-            if effects.holding.borrow().is_over() || self.is_quiet() || !effects.seal_all().await {
+            if effects.holding.borrow().is_superseded()
+                || self.is_quiet()
+                || !effects.seal_all().await
+            {
                 self.pause().await;
                 continue;
             }
@@ -176,7 +179,12 @@
 
     /// Asks the resources that are not sealed, one after the other. True: all are.
     async fn seal_all(&self) -> bool {
-        let unsealed: Vec<ResourceName> = self.holding.borrow().unsealed().cloned().collect();
+        let unsealed: Vec<ResourceName> = self
+            .holding
+            .borrow()
+            .unsealed_resources()
+            .cloned()
+            .collect();
         for resource in &unsealed {
             if let Err(why) = self.seal(resource).await {
                 warn!(resource, %why, epoch = self.epoch(), "seal failed");
@@ -198,7 +206,7 @@
             .map_err(|fault| self.failed(resource, fault))?;
         self.holding
             .borrow_mut()
-            .sealed(resource, sealed.incarnation);
+            .record_seal(resource, sealed.incarnation);
         Ok(())
     }
 
@@ -220,7 +228,7 @@
         };
         match rejection {
             Some(why) => {
-                self.holding.borrow_mut().rejected(&resource, &why);
+                self.holding.borrow_mut().record_rejection(&resource, &why);
                 EffectFault::Rejected { resource, why }
             }
             None => EffectFault::Unsettled {
--- a/crates/scale/src/members.rs
+++ b/crates/scale/src/members.rs
@@ -270,13 +270,13 @@
     let voters = (1..=STEWARDS)
         .map(|steward| Voter { steward, disk: 0 })
         .collect();
-    let config = Config::founding(voters).expect("voters that differ");
-    let mut fleet = Fleet::founded(FLEET, config, stewards, vec![], 0);
+    let config = Config::initial(voters).expect("voters that differ");
+    let mut fleet = Fleet::new(FLEET, config, stewards, vec![], 0);
     let up = |n| Member {
-        about: about(n, 1),
+        info: about(n, 1),
         phase: Phase::Up,
         since: 0,
-        past: vec![],
+        past_incarnations: vec![],
     };
     fleet.members = (1..=members).map(|n| (id(n), up(n))).collect();
     if leases > 0 {
