--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -36,7 +36,7 @@
 
 use clap::{Parser, Subcommand};
 #[cfg(feature = "whole")]
-use saltdrum_controller::{MakePolicy, dispatch_policy, random_relay};
+use saltdrum_controller::{PolicyFactory, dispatch_policy, random_relay};
 #[cfg(feature = "whole")]
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -274,7 +274,7 @@
             passage_s,
             baseline,
         } => {
-            let make: MakePolicy = if baseline {
+            let make: PolicyFactory = if baseline {
                 random_relay
             } else {
                 dispatch_policy
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -7,7 +7,7 @@
 use crate::scripts::{fleet_terms, terms, text};
 use saltdrum::interface::SECOND;
 use saltdrum_controller::shutdown::ShutdownHandle;
-use saltdrum_controller::{AliasConfig, ControllerConfig, MakePolicy};
+use saltdrum_controller::{AliasConfig, ControllerConfig, PolicyFactory};
 use saltdrum_deployment::Terms;
 use saltdrum_fakes::invoker::Site;
 use saltdrum_fakes::{Faults, Invoker, List, Record, Registry, Store, record};
@@ -71,8 +71,8 @@
             .map_or(0, |d| d.as_millis() as u64);
         let epoch_ms = now - now.min(Clock::start().now() / 10);
         Ok(Some(AliasConfig {
-            following,
-            passage: self.passage_s * SECOND,
+            registry: following,
+            pin_duration: self.passage_s * SECOND,
             epoch_ms,
         }))
     }
@@ -92,7 +92,7 @@
     seed: Option<u64>,
     names: &Names,
     collects: &Collects,
-    make: MakePolicy,
+    make: PolicyFactory,
 ) -> Done {
     let (terms, fleet) = fleet_terms(deployment)?;
     if terms.functions.is_empty() && names.registry.is_none() {
--- a/crates/controller/src/invocations.rs
+++ b/crates/controller/src/invocations.rs
@@ -8,7 +8,7 @@
 pub use counters::Counters;
 
 use crate::responder::{FinalResponse, Responder};
-use crate::state::{ControllerState, TimerCallback};
+use crate::state::{ControllerState, StateCallback};
 use crate::transport::{AttemptReport, InvokerTransport};
 use saltdrum::interface::{
     AttemptResult, Deployment, FunctionId, Invocation, InvocationId, InvokerId, LoadOutcome,
@@ -38,10 +38,10 @@
     may_cancel: bool,
     entries: BTreeMap<InvocationId, InvocationEntry<T>>,
     load_orders: BTreeMap<(InvokerId, u64), LoadOrder>,
-    timers: BTreeMap<TimerKey, TimerCallback<T>>,
+    timers: BTreeMap<TimerKey, StateCallback<T>>,
     last_timer: u64,
     /// What runs once the policy has returned.
-    deferred: VecDeque<TimerCallback<T>>,
+    deferred: VecDeque<StateCallback<T>>,
     last_id: InvocationId,
 }
 
@@ -106,7 +106,7 @@
     }
 
     /// Runs `callback` at `at`.
-    pub fn schedule(&mut self, at: Ticks, callback: TimerCallback<T>) -> TimerKey {
+    pub fn schedule(&mut self, at: Ticks, callback: StateCallback<T>) -> TimerKey {
         let key = self.next_timer_key(at);
         self.last_timer = key.number;
         self.timers.insert(key, callback);
@@ -114,12 +114,12 @@
     }
 
     /// Runs `callback` once the policy has returned.
-    pub fn defer(&mut self, callback: TimerCallback<T>) {
+    pub fn defer(&mut self, callback: StateCallback<T>) {
         self.deferred.push_back(callback);
     }
 
     /// A free number for the next invocation.
-    pub fn next_invocation(&mut self) -> InvocationId {
+    pub fn next_invocation_id(&mut self) -> InvocationId {
         loop {
             self.last_id = self.last_id.wrapping_add(1);
             if !self.entries.contains_key(&self.last_id) {
@@ -139,12 +139,12 @@
         self.timers.keys().next().copied()
     }
 
-    pub(crate) fn next_due_timer(&mut self) -> Option<TimerCallback<T>> {
+    pub(crate) fn next_due_timer(&mut self) -> Option<StateCallback<T>> {
         let first = self.timers.first_entry()?;
         (first.key().at <= self.now).then(|| first.remove())
     }
 
-    pub(crate) fn next_deferred(&mut self) -> Option<TimerCallback<T>> {
+    pub(crate) fn next_deferred(&mut self) -> Option<StateCallback<T>> {
         self.deferred.pop_front()
     }
 
@@ -259,18 +259,18 @@
     }
 
     /// Answers all invocations at once, because the process ends. Gives how many.
-    pub fn answer_all(&mut self) -> usize {
+    pub fn end_all_invocations(&mut self) -> usize {
         let entries = self.invocations.entries.iter();
         let awaiting = entries.filter(|(_, entry)| entry.responder.is_some());
         let ids: Vec<InvocationId> = awaiting.map(|(id, _)| *id).collect();
         for id in &ids {
-            self.abandon(*id);
+            self.end_invocation(*id);
         }
         ids.len()
     }
 
     /// Answers an invocation at once, because it cannot be answered later: rejected where no attempt was made.
-    pub fn abandon(&mut self, id: InvocationId) {
+    pub fn end_invocation(&mut self, id: InvocationId) {
         let Some(entry) = self.invocations.entries.get(&id) else {
             return;
         };
@@ -303,7 +303,7 @@
             .span
             .in_scope(|| debug!(?outcome, duration_ms = duration / MILLISECOND));
         table.timers.remove(&ended.timer);
-        table.counters.attempts_turned_away += u64::from(outcome == Outcome::Full);
+        table.counters.attempts_rejected += u64::from(outcome == Outcome::Full);
         let (invoker, dispatch) = (ended.invoker, ended.dispatch);
         table
             .transport
@@ -349,7 +349,7 @@
         };
         table.timers.remove(&ended.timer);
         let is_turned_away = outcome == LoadOutcome::NoCapacity;
-        table.counters.load_orders_turned_away += u64::from(is_turned_away);
+        table.counters.load_orders_rejected += u64::from(is_turned_away);
         table.transport.load_ended(invoker, order);
         let duration = table.now - ended.sent_at;
         debug!(
--- a/crates/controller/src/invocations/counters.rs
+++ b/crates/controller/src/invocations/counters.rs
@@ -20,11 +20,11 @@
     /// Attempts made.
     pub attempts: u64,
     /// Attempts that their invoker turned away: it was full, or draining.
-    pub attempts_turned_away: u64,
+    pub attempts_rejected: u64,
     /// Load orders given.
     pub load_orders: u64,
     /// Load orders that their invoker turned away: it had no room, or was draining.
-    pub load_orders_turned_away: u64,
+    pub load_orders_rejected: u64,
     /// Connections to invokers that broke.
     pub broken_connections: u64,
     /// Stops of the process that were noticed.
--- a/crates/controller/src/native/alias_watch.rs
+++ b/crates/controller/src/native/alias_watch.rs
@@ -31,12 +31,12 @@
     };
     let seed = handle.config.seed ^ RECONNECT_SEED;
     let following = follow(
-        config.following.clone(),
+        config.registry.clone(),
         handle.network.clone(),
         seed,
         on_update,
     );
-    tokio::join!(following, report_results(&handle, &config.following));
+    tokio::join!(following, report_results(&handle, &config.registry));
 }
 
 async fn report_results(handle: &Rc<ControllerHandle>, registry: &FollowConfig) {
--- a/crates/controller/src/native/aliases.rs
+++ b/crates/controller/src/native/aliases.rs
@@ -16,9 +16,9 @@
 #[derive(Clone, Debug)]
 pub struct AliasConfig {
     /// The registry, and what is kept of it on disk.
-    pub following: FollowConfig,
+    pub registry: FollowConfig,
     /// How long a version stays pinned.
-    pub passage: Ticks,
+    pub pin_duration: Ticks,
     /// Unix time in milliseconds when the controller's clock reads 0. Clocks of controllers have to agree within the pinning
     /// time; where they do not, pins end early, and never with another version.
     pub epoch_ms: u64,
@@ -59,7 +59,7 @@
     pub(crate) fn new(config: &AliasConfig) -> Self {
         Self {
             registry: RegistryState::default(),
-            pins: VersionPins::new(config.passage / MILLISECOND),
+            pins: VersionPins::new(config.pin_duration / MILLISECOND),
             epoch_ms: config.epoch_ms,
             last_heard: None,
             refused: None,
--- a/crates/controller/src/native/clients.rs
+++ b/crates/controller/src/native/clients.rs
@@ -6,7 +6,7 @@
 use crate::shutdown::ShutdownPhase;
 use saltdrum::interface::{InvocationId, Ticks};
 use saltdrum_protocol::rpc::{self, Id};
-use saltdrum_transport::{ArrivalClock, ArrivalReader, Half, Listener, Stream, split};
+use saltdrum_transport::{ArrivalClock, ArrivalReader, Listener, Stream, StreamHalf, split};
 use std::rc::Rc;
 use std::time::Duration;
 use tracing::{debug, info, warn};
@@ -24,7 +24,7 @@
     loop {
         match arrivals.accept(&mut *listener).await {
             Ok(stream) => {
-                let client = serve_client(handle.clone(), stream, arrivals.earliest());
+                let client = serve_client(handle.clone(), stream, arrivals.earliest_arrival());
                 drop(tokio::task::spawn_local(client));
             }
             Err(error) => {
@@ -75,7 +75,7 @@
 async fn read_calls(
     handle: &Rc<ControllerHandle>,
     client: &Rc<Client>,
-    mut reader: ArrivalReader<Half>,
+    mut reader: ArrivalReader<StreamHalf>,
 ) -> String {
     let mut searched = 0;
     loop {
--- a/crates/controller/src/native/invoke.rs
+++ b/crates/controller/src/native/invoke.rs
@@ -62,7 +62,7 @@
         state.invocations.counters.expired_on_arrival += 1;
         return reply.skip();
     }
-    let id = state.invocations.next_invocation();
+    let id = state.invocations.next_invocation_id();
     reply.accepted(id);
     let work_hint_ms = call.work_hint_ms.filter(|ms| *ms > 0.0);
     let invocation = Invocation {
--- a/crates/controller/src/native/invoker_connections.rs
+++ b/crates/controller/src/native/invoker_connections.rs
@@ -12,7 +12,7 @@
 use saltdrum_protocol::frame::cut;
 use saltdrum_protocol::invoker as wire;
 use saltdrum_protocol::list::Life;
-use saltdrum_transport::{Half, SendQueue, Ticket, split};
+use saltdrum_transport::{SendQueue, StreamHalf, Ticket, split};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
@@ -127,9 +127,9 @@
     }
     let mut delay = connection.backoff.next_delay(&mut transport.rng);
     if connection.backoff.is_failing() {
-        delay += transport.connect_budget.take_retry(now, connections);
+        delay += transport.connect_budget.reserve_retry(now, connections);
     } else {
-        delay += transport.connect_budget.take_first(now);
+        delay += transport.connect_budget.reserve_first(now);
         connection.begin_connecting();
     }
     Step::ConnectAfter(delay, connection.changed.clone())
@@ -223,7 +223,7 @@
 async fn read_messages(
     handle: &Rc<ControllerHandle>,
     invoker: InvokerId,
-    mut input: Half,
+    mut input: StreamHalf,
     mut received: BytesMut,
 ) -> ConnectionError {
     loop {
--- a/crates/controller/src/native/server.rs
+++ b/crates/controller/src/native/server.rs
@@ -5,7 +5,7 @@
 use crate::native::state::{ControllerConfig, ControllerHandle, InvokerConnections};
 use crate::native::status::shutdown_status;
 use crate::native::{alias_watch, clients, endpoint_list};
-use crate::policy::MakePolicy;
+use crate::policy::PolicyFactory;
 use crate::reconnect::ConnectBudget;
 use crate::shutdown::ControllerStatus;
 use saltdrum::interface::{Deployment, MILLISECOND, Ticks};
@@ -28,7 +28,7 @@
     config: ControllerConfig,
     network: Rc<dyn Network>,
     clock: Clock,
-    make: MakePolicy,
+    make: PolicyFactory,
 ) -> std::io::Result<()> {
     let local = tokio::task::LocalSet::new();
     local.run_until(run(config, network, clock, make)).await
@@ -38,7 +38,7 @@
     config: ControllerConfig,
     network: Rc<dyn Network>,
     clock: Clock,
-    make: MakePolicy,
+    make: PolicyFactory,
 ) -> std::io::Result<()> {
     let handle = create(config, network, clock, make);
     publish_status(&handle);
@@ -67,7 +67,7 @@
     config: ControllerConfig,
     network: Rc<dyn Network>,
     clock: Clock,
-    make: MakePolicy,
+    make: PolicyFactory,
 ) -> Rc<ControllerHandle> {
     let now = clock.now();
     let terms = config.terms.clone();
--- a/crates/controller/src/policy.rs
+++ b/crates/controller/src/policy.rs
@@ -38,7 +38,7 @@
 }
 
 /// Creates a policy, as [`DispatchPolicy::new`] does.
-pub type MakePolicy = fn(Ticks, Deployment, u64, &mut dyn Actions) -> Box<dyn Policy>;
+pub type PolicyFactory = fn(Ticks, Deployment, u64, &mut dyn Actions) -> Box<dyn Policy>;
 
 /// Creates the [`DispatchPolicy`] that every deployment runs.
 pub fn dispatch_policy(
--- a/crates/controller/src/reconnect.rs
+++ b/crates/controller/src/reconnect.rs
@@ -108,12 +108,12 @@
     }
 
     /// Takes a connection that has not failed before; gives how long to wait with it.
-    pub fn take_first(&mut self, now: Ticks) -> Ticks {
+    pub fn reserve_first(&mut self, now: Ticks) -> Ticks {
         self.first.take(now, FIRST_PER_SECOND)
     }
 
     /// Takes a retry, of a controller with so many connections; gives how long to wait with it.
-    pub fn take_retry(&mut self, now: Ticks, connections: usize) -> Ticks {
+    pub fn reserve_retry(&mut self, now: Ticks, connections: usize) -> Ticks {
         self.retries.take(
             now,
             MIN_RETRIES_PER_SECOND.max(RETRIES_PER_CONNECTION_AND_SECOND * connections as f64),
--- a/crates/controller/src/reconnect/tests.rs
+++ b/crates/controller/src/reconnect/tests.rs
@@ -18,7 +18,7 @@
             if at >= 10 * SECOND {
                 break;
             }
-            let delay = budget.take_retry(at, 84);
+            let delay = budget.reserve_retry(at, 84);
             due[0].1.disconnected(at + delay);
             let wait = due[0].1.next_delay(&mut rng);
             if let Some(n) = tries.get_mut(((at + delay) / (100 * MILLISECOND)) as usize) {
@@ -59,22 +59,22 @@
 #[test]
 fn connections_beyond_the_burst_are_delayed() {
     let mut budget = ConnectBudget::new(0);
-    let waits: Vec<Ticks> = (0..200).map(|_| budget.take_retry(0, 84)).collect();
+    let waits: Vec<Ticks> = (0..200).map(|_| budget.reserve_retry(0, 84)).collect();
     assert!(waits[..128].iter().all(|w| *w == 0));
     assert!(waits[128..].windows(2).all(|w| w[0] < w[1]));
-    assert_eq!(budget.take_retry(60 * SECOND, 84), 0);
+    assert_eq!(budget.reserve_retry(60 * SECOND, 84), 0);
 }
 
 /// A controller that starts among 1,008 invokers of which 900 don't answer.
 #[test]
 fn retries_do_not_delay_first_connections_to_a_large_fleet() {
     let mut budget = ConnectBudget::new(0);
-    let retries = (0..900).map(|_| budget.take_retry(0, 1_008)).max();
+    let retries = (0..900).map(|_| budget.reserve_retry(0, 1_008)).max();
     assert!(retries > Some(SECOND), "{retries:?}");
-    let last = (0..1_008).map(|_| budget.take_first(0)).max().unwrap();
+    let last = (0..1_008).map(|_| budget.reserve_first(0)).max().unwrap();
     assert!((SECOND / 2..SECOND).contains(&last), "{last}");
     let round = (0..1_008)
-        .map(|_| budget.take_retry(20 * SECOND, 1_008))
+        .map(|_| budget.reserve_retry(20 * SECOND, 1_008))
         .max()
         .unwrap();
     assert!(round <= BACKOFF_MAX, "{round}");
--- a/crates/controller/src/state.rs
+++ b/crates/controller/src/state.rs
@@ -16,7 +16,7 @@
 const SOCKETS_FIRST_DELAY: Duration = Duration::from_millis(2);
 
 /// What runs on the state when a timer fires, or once the policy has returned.
-pub type TimerCallback<T> = Box<dyn FnOnce(&mut ControllerState<T>)>;
+pub type StateCallback<T> = Box<dyn FnOnce(&mut ControllerState<T>)>;
 
 /// The policy and the invocations it acts on, side by side, so that the policy can be called with the invocations.
 pub struct ControllerState<T: InvokerTransport> {
--- a/crates/controller/tests/controller_fixtures.rs
+++ b/crates/controller/tests/controller_fixtures.rs
@@ -119,8 +119,8 @@
         endpoint_lists: vec![address("list")],
         terms: Rc::new(Terms::load("terms.star", DEPLOYMENT).unwrap().0),
         aliases: Some(AliasConfig {
-            following,
-            passage: 60 * SECOND,
+            registry: following,
+            pin_duration: 60 * SECOND,
             epoch_ms: 1_700_000_000_000,
         }),
         shutdown: going,
--- a/crates/controller/tests/sockets.rs
+++ b/crates/controller/tests/sockets.rs
@@ -6,7 +6,7 @@
 use bytes::{Bytes, BytesMut};
 use saltdrum::interface::*;
 use saltdrum_controller::shutdown::{ShutdownHandle, ShutdownPhase};
-use saltdrum_controller::{ControllerConfig, MakePolicy, Policy, serve};
+use saltdrum_controller::{ControllerConfig, Policy, PolicyFactory, serve};
 use saltdrum_deployment::Terms;
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::invoker::{self as wire, Ended};
@@ -196,12 +196,12 @@
     }
 }
 
-fn played<F: Future<Output = ()>>(make: MakePolicy, play: impl FnOnce(MemoryNetwork) -> F) {
+fn played<F: Future<Output = ()>>(make: PolicyFactory, play: impl FnOnce(MemoryNetwork) -> F) {
     played_in(make, |_| (), play);
 }
 
 fn played_in<F: Future<Output = ()>>(
-    make: MakePolicy,
+    make: PolicyFactory,
     change: impl FnOnce(&mut ControllerConfig),
     play: impl FnOnce(MemoryNetwork) -> F,
 ) {
--- a/crates/coordinator/src/server.rs
+++ b/crates/coordinator/src/server.rs
@@ -4,7 +4,7 @@
 use bytes::{Bytes, BytesMut};
 use saltdrum::interface::{MILLISECOND, Ticks};
 use saltdrum_protocol::rpc::{self, Call, Id, Line};
-use saltdrum_transport::{Address, Clock, Half, Network, SendQueue, Stream, split};
+use saltdrum_transport::{Address, Clock, Network, SendQueue, Stream, StreamHalf, split};
 use serde::de::DeserializeOwned;
 use serde_json::value::RawValue;
 use std::rc::Rc;
@@ -112,7 +112,11 @@
     }
 }
 
-async fn listen<A: CallHandler>(answers: &Rc<A>, outbox: &SendQueue, mut input: Half) -> String {
+async fn listen<A: CallHandler>(
+    answers: &Rc<A>,
+    outbox: &SendQueue,
+    mut input: StreamHalf,
+) -> String {
     let (mut read, mut searched) = (BytesMut::new(), 0);
     let mut answering: JoinSet<()> = JoinSet::new();
     loop {
--- a/crates/fakes/src/invoker.rs
+++ b/crates/fakes/src/invoker.rs
@@ -16,7 +16,7 @@
 use saltdrum_registry::state::{RegistryState, Standing};
 use saltdrum_registry::version_pin::{function_id, function_name};
 use saltdrum_transport::{
-    Address, ArrivalReader, Clock, EventLoopClock, Half, Network, SendQueue, Stream, split,
+    Address, ArrivalReader, Clock, EventLoopClock, Network, SendQueue, Stream, StreamHalf, split,
 };
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -925,7 +925,7 @@
         self.with(|machine, now, yard| machine.link_lost(now, link, yard));
     }
 
-    async fn hear(self: &Rc<Self>, link: u64, who: Who, read: &mut ArrivalReader<Half>) {
+    async fn hear(self: &Rc<Self>, link: u64, who: Who, read: &mut ArrivalReader<StreamHalf>) {
         loop {
             self.unstuck(Some(who.controller)).await;
             let Some((kind, body, earliest)) = next_frame(read).await else {
@@ -1058,7 +1058,7 @@
     }
 }
 
-async fn next_frame(read: &mut ArrivalReader<Half>) -> Option<(u8, bytes::Bytes, Ticks)> {
+async fn next_frame(read: &mut ArrivalReader<StreamHalf>) -> Option<(u8, bytes::Bytes, Ticks)> {
     let mut earliest = Cell::new(0);
     loop {
         if let Some((kind, body)) = cut(&mut read.bytes).ok()? {
--- a/crates/faulty-peers/src/lib.rs
+++ b/crates/faulty-peers/src/lib.rs
@@ -176,7 +176,7 @@
         }
     }
 
-    async fn listen(self: Rc<Self>, mut input: saltdrum_transport::Half, to: SendQueue) {
+    async fn listen(self: Rc<Self>, mut input: saltdrum_transport::StreamHalf, to: SendQueue) {
         let mut read = BytesMut::new();
         while let Ok(1..) = input.read_buf(&mut read).await {
             while let Some(end) = read.iter().position(|b| *b == b'\n') {
--- a/crates/load/src/drive.rs
+++ b/crates/load/src/drive.rs
@@ -263,7 +263,7 @@
     }
 }
 
-async fn listen(read: &mut ArrivalReader<saltdrum_transport::Half>, waiting: &Waiting) {
+async fn listen(read: &mut ArrivalReader<saltdrum_transport::StreamHalf>, waiting: &Waiting) {
     while let Ok(Some(_)) = read.read_more().await {
         while let Some(end) = read.bytes.iter().position(|b| *b == b'\n') {
             let line = read.bytes.split_to(end + 1);
--- a/crates/platform/src/acceptor.rs
+++ b/crates/platform/src/acceptor.rs
@@ -36,7 +36,7 @@
         };
         match accepted {
             Ok(stream) => {
-                let opened = arrivals.earliest();
+                let opened = arrivals.earliest_arrival();
                 let waited_most_ms = handle.clock.now().saturating_sub(opened) / MILLISECOND;
                 debug!(waited_most_ms, "client connected");
                 let entry = wait_for_capacity(&handle).await;
--- a/crates/platform/src/admission.rs
+++ b/crates/platform/src/admission.rs
@@ -89,7 +89,7 @@
         responder.respond(0, FinalResponse::Throttled(retry_after), 0, NO_DEADLINE);
         return Ok(());
     };
-    let id = state.invocations.next_invocation();
+    let id = state.invocations.next_invocation_id();
     client.open.borrow_mut().insert(stream, id);
     let invocation = describe(id, &resolved, &traits, arrival.earliest);
     let span = info_span!("invocation", id, txn = format_args!("{txn:016x}"));
--- a/crates/platform/src/attempt.rs
+++ b/crates/platform/src/attempt.rs
@@ -212,7 +212,7 @@
             tokio::time::sleep(POLL_INTERVAL).await;
         }
         let client = self.prepared.client.as_ref().map(|client| &client.backlog);
-        while self.handle.config.feed.is_behind() || client.is_some_and(ReadBacklog::is_behind) {
+        while self.handle.config.feed.is_behind() || client.is_some_and(ReadBacklog::has_unread) {
             tokio::task::yield_now().await;
         }
     }
--- a/crates/platform/src/client_connection.rs
+++ b/crates/platform/src/client_connection.rs
@@ -10,7 +10,7 @@
 use saltdrum::interface::{InvocationId, Ticks};
 use saltdrum_platform_wire::Malformed;
 use saltdrum_platform_wire::frames::{self, Code, FromClient};
-use saltdrum_transport::{ArrivalReader, Half, ReadBacklog, Stream, split};
+use saltdrum_transport::{ArrivalReader, ReadBacklog, Stream, StreamHalf, split};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
@@ -157,7 +157,7 @@
 async fn settle(
     handle: &Rc<ControllerHandle>,
     client: &Rc<Client>,
-    read: &mut ArrivalReader<Half>,
+    read: &mut ArrivalReader<StreamHalf>,
     end: &ConnectionEnd,
     linger: Duration,
 ) {
@@ -168,7 +168,7 @@
             .for_each(|id| handle.update(|state| state.client_left(id))),
         ConnectionEnd::Malformed(why) => {
             open.into_iter()
-                .for_each(|id| handle.update(|state| state.abandon(id)));
+                .for_each(|id| handle.update(|state| state.end_invocation(id)));
             client.put(
                 frames::answer(0, Code::Errored, None, why.as_bytes()),
                 NO_DEADLINE,
@@ -176,7 +176,7 @@
         }
         ConnectionEnd::Closed => {
             open.into_iter()
-                .for_each(|id| handle.update(|state| state.abandon(id)));
+                .for_each(|id| handle.update(|state| state.end_invocation(id)));
             if !linger.is_zero() {
                 client.send_go_away();
                 // Its end is heard of in time, or it is not waited for any more.
@@ -198,7 +198,7 @@
 async fn reject_until_closed(
     handle: &Rc<ControllerHandle>,
     client: &Rc<Client>,
-    read: &mut ArrivalReader<Half>,
+    read: &mut ArrivalReader<StreamHalf>,
 ) {
     loop {
         reject_frames(handle, client, read);
@@ -213,7 +213,7 @@
 async fn reject_buffered_frames(
     handle: &Rc<ControllerHandle>,
     client: &Rc<Client>,
-    read: &mut ArrivalReader<Half>,
+    read: &mut ArrivalReader<StreamHalf>,
 ) {
     // The machine is asked what has come before this goes on.
     tokio::task::yield_now().await;
@@ -225,7 +225,7 @@
 fn reject_frames(
     handle: &Rc<ControllerHandle>,
     client: &Rc<Client>,
-    read: &mut ArrivalReader<Half>,
+    read: &mut ArrivalReader<StreamHalf>,
 ) {
     while let Ok(Some(frame)) = frames::cut(&mut read.bytes) {
         client.active.set(Some(handle.clock.now()));
@@ -244,7 +244,7 @@
 }
 
 /// Says that nothing more comes, and waits until the client has ended the connection too: then it has read all.
-async fn farewell(last: &mut Half, read: &mut ArrivalReader<Half>) {
+async fn farewell(last: &mut StreamHalf, read: &mut ArrivalReader<StreamHalf>) {
     if last.shutdown().await.is_err() {
         return;
     }
@@ -262,7 +262,7 @@
 async fn listen(
     handle: &Rc<ControllerHandle>,
     client: &Rc<Client>,
-    read: &mut ArrivalReader<Half>,
+    read: &mut ArrivalReader<StreamHalf>,
 ) -> ConnectionEnd {
     let backlog = read.backlog();
     loop {
--- a/crates/platform/src/endpoint_watch.rs
+++ b/crates/platform/src/endpoint_watch.rs
@@ -74,7 +74,7 @@
             address: RefCell::new(address),
             moved: Notify::new(),
             last: Cell::new(last),
-            backlog: RefCell::new(ReadBacklog::none()),
+            backlog: RefCell::new(ReadBacklog::empty()),
             heard_at: Cell::new(now),
             lost_since: Cell::new(None),
             losses: Cell::new(0),
@@ -85,7 +85,7 @@
 
     /// Whether there may be events in the machine that were not read yet.
     pub fn is_behind(&self) -> bool {
-        self.backlog.borrow().is_behind()
+        self.backlog.borrow().has_unread()
     }
 
     /// Number of the last event applied.
--- a/crates/platform/src/lifecycle.rs
+++ b/crates/platform/src/lifecycle.rs
@@ -9,7 +9,7 @@
 use crate::state::{ControllerHandle, NodeConfig};
 use saltdrum::interface::*;
 use saltdrum_controller::InvocationTable;
-use saltdrum_controller::MakePolicy;
+use saltdrum_controller::PolicyFactory;
 use saltdrum_platform_wire::config::{self, Config};
 use saltdrum_platform_wire::feed::{Event, LIST_LIFETIME};
 use saltdrum_transport::{Address, Clock, Listener, Network, run_event_loop_clock};
@@ -114,7 +114,7 @@
     life: StartOptions,
     network: Rc<dyn Network>,
     clock: Clock,
-    make: MakePolicy,
+    make: PolicyFactory,
 ) -> Result<(), StartError> {
     let mut reloads = signal(SignalKind::hangup()).map_err(StartError::Signals)?;
     let mut ends = signal(SignalKind::terminate()).map_err(StartError::Signals)?;
@@ -148,7 +148,7 @@
     wall_clock: WallClock,
     network: Rc<dyn Network>,
     clock: Clock,
-    make: MakePolicy,
+    make: PolicyFactory,
 ) -> Result<Rc<ControllerHandle>, StartError> {
     let address = Address::Tcp(config.listen.to_string());
     let handle = build(config, wall_clock, network, clock, make);
@@ -168,7 +168,7 @@
     wall_clock: WallClock,
     network: Rc<dyn Network>,
     clock: Clock,
-    make: MakePolicy,
+    make: PolicyFactory,
 ) -> Rc<ControllerHandle> {
     let (now, mut deployment) = (clock.now(), config.deployment);
     deployment.list_lifetime = Some(LIST_LIFETIME);
--- a/crates/platform/src/lifecycle/shutdown.rs
+++ b/crates/platform/src/lifecycle/shutdown.rs
@@ -42,7 +42,7 @@
     {
         Ok(()) => info!("drained, stopping"),
         Err(_) => {
-            let owed = handle.update(|state| state.answer_all());
+            let owed = handle.update(|state| state.end_all_invocations());
             warn!(owed, "drain timed out, remaining invocations answered now");
         }
     }
@@ -87,7 +87,8 @@
         .unwrap_or(0);
     let kill_after = Duration::from_micros(longest * 100).min(CLIENT_TIMEOUT_CAP) + KILL_MARGIN;
     // A process that was stopped hears late that it is to end; when it is killed counts from when it was told.
-    let told_ago = Duration::from_micros(handle.event_loop.max_wait(handle.clock.now()) * 100);
+    let told_ago =
+        Duration::from_micros(handle.event_loop.max_readiness_delay(handle.clock.now()) * 100);
     let kill_after = if told_ago > SIGNAL_DELAY_TOLERANCE {
         kill_after.saturating_sub(told_ago)
     } else {
--- a/crates/platform/src/tests/socket_support.rs
+++ b/crates/platform/src/tests/socket_support.rs
@@ -208,13 +208,13 @@
         Self::of(|_, _, _, _| Box::new(First), &[]).await
     }
 
-    pub(crate) async fn of(make: saltdrum_controller::MakePolicy, tenants: &[&str]) -> Self {
+    pub(crate) async fn of(make: saltdrum_controller::PolicyFactory, tenants: &[&str]) -> Self {
         Self::with_sockets(make, tenants, 256).await
     }
 
     /// With a limit of its own on descriptors.
     pub async fn with_sockets(
-        make: saltdrum_controller::MakePolicy,
+        make: saltdrum_controller::PolicyFactory,
         tenants: &[&str],
         sockets: usize,
     ) -> Self {
--- a/crates/platform/src/tests/support.rs
+++ b/crates/platform/src/tests/support.rs
@@ -5,7 +5,7 @@
 use crate::start_times::WallClock;
 use crate::state::ControllerHandle;
 use saltdrum::interface::*;
-use saltdrum_controller::{MakePolicy, Policy};
+use saltdrum_controller::{Policy, PolicyFactory};
 use saltdrum_fakes::platform::{Answered, Call, Feed, FrameClient, Heard, HttpInvoker};
 use saltdrum_fakes::record::{Line, Place, Record, Stated, Trigger, Who};
 use saltdrum_platform_wire::config;
@@ -147,12 +147,12 @@
 }
 
 impl Stage {
-    pub async fn new(make: MakePolicy, invokers: &[u32], sockets: usize) -> Self {
+    pub async fn new(make: PolicyFactory, invokers: &[u32], sockets: usize) -> Self {
         Self::with(make, invokers, &configuration(invokers, sockets)).await
     }
 
     /// With a configuration of its own.
-    pub async fn with(make: MakePolicy, invokers: &[u32], text: &str) -> Self {
+    pub async fn with(make: PolicyFactory, invokers: &[u32], text: &str) -> Self {
         let (network, clock): (Rc<dyn Network>, _) =
             (Rc::new(MemoryNetwork::default()), Clock::start());
         let (record, hops) = (Record::default(), Rc::default());
--- a/crates/registry/src/service/connection.rs
+++ b/crates/registry/src/service/connection.rs
@@ -4,7 +4,7 @@
 use crate::names::Name;
 use bytes::{Bytes, BytesMut};
 use saltdrum_protocol::rpc::{self, Call, Id, Line};
-use saltdrum_transport::{Clock, Half, SendQueue, Stream, split};
+use saltdrum_transport::{Clock, SendQueue, Stream, StreamHalf, split};
 use std::cell::RefCell;
 use std::rc::Rc;
 use tokio::io::AsyncReadExt;
@@ -58,7 +58,11 @@
     }
 
     /// Answers calls one after another, while a watch goes on beside them. Gives why the connection ended.
-    async fn read_calls(self: &Rc<Self>, connection: &Rc<Connection>, mut input: Half) -> String {
+    async fn read_calls(
+        self: &Rc<Self>,
+        connection: &Rc<Connection>,
+        mut input: StreamHalf,
+    ) -> String {
         let mut buffer = BytesMut::new();
         let mut watch_task = JoinSet::new();
         loop {
--- a/crates/scenario/src/clients.rs
+++ b/crates/scenario/src/clients.rs
@@ -332,7 +332,7 @@
 
     async fn listen(
         &self,
-        read: &mut ArrivalReader<saltdrum_transport::Half>,
+        read: &mut ArrivalReader<saltdrum_transport::StreamHalf>,
         waiting: &Waiting,
         late: Option<Ticks>,
     ) {
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -582,11 +582,11 @@
         };
         let zone = self.zone_of(controller);
         let names = self.names.as_ref().map(|n| AliasConfig {
-            following: n.following(
+            registry: n.following(
                 format!("controller-{controller}"),
                 Some(self.copies.join(format!("names-{controller}"))),
             ),
-            passage: 120 * SECOND,
+            pin_duration: 120 * SECOND,
             epoch_ms: 0,
         });
         let seat =
--- a/crates/transport/src/arrival_clock.rs
+++ b/crates/transport/src/arrival_clock.rs
@@ -80,7 +80,7 @@
 
 impl ReadBacklog {
     /// The backlog of a source that is never behind.
-    pub fn none() -> Self {
+    pub fn empty() -> Self {
         Self {
             unread: Rc::default(),
             arrival: None,
@@ -88,7 +88,7 @@
     }
 
     /// True from the readiness event until the source was found empty.
-    pub fn is_behind(&self) -> bool {
+    pub fn has_unread(&self) -> bool {
         self.unread.get()
             || self
                 .arrival
@@ -176,7 +176,7 @@
     }
 
     /// The earliest time at which what the last poll gave can have arrived.
-    pub fn earliest(&self) -> Ticks {
+    pub fn earliest_arrival(&self) -> Ticks {
         self.earliest
     }
 
--- a/crates/transport/src/clock.rs
+++ b/crates/transport/src/clock.rs
@@ -19,11 +19,11 @@
 impl Clock {
     /// A clock that reads one hour now, so that what started within the hour before has a time on it too.
     pub fn start() -> Self {
-        Self::from(Instant::now())
+        Self::with_origin(Instant::now())
     }
 
     /// A clock that reads one hour at `origin`.
-    pub fn from(origin: Instant) -> Self {
+    pub fn with_origin(origin: Instant) -> Self {
         Self {
             origin,
             ahead: Duration::ZERO,
--- a/crates/transport/src/event_loop.rs
+++ b/crates/transport/src/event_loop.rs
@@ -69,7 +69,7 @@
     }
 
     /// How long what the kernel reports at `now` can have waited at most; 0 for a thread that has just started.
-    pub fn max_wait(&self, now: Ticks) -> Ticks {
+    pub fn max_readiness_delay(&self, now: Ticks) -> Ticks {
         let bound = self.poll_times.last_poll_bound();
         if bound == 0 {
             0
@@ -163,7 +163,7 @@
             polled.map_ok(|()| got)
         })
         .await?;
-        let earliest = self.arrivals.earliest();
+        let earliest = self.arrivals.earliest_arrival();
         let earliest = self
             .event_loop
             .written_at
--- a/crates/transport/src/event_loop/tests.rs
+++ b/crates/transport/src/event_loop/tests.rs
@@ -103,16 +103,16 @@
     }
     assert!(source.ask(&mut arrivals));
     assert!(
-        arrivals.earliest() <= stopped,
+        arrivals.earliest_arrival() <= stopped,
         "{} for {stopped}",
-        arrivals.earliest()
+        arrivals.earliest_arrival()
     );
     // What lies behind it in the queue is no younger.
     assert!(source.ask(&mut arrivals));
     assert!(
-        arrivals.earliest() <= stopped,
+        arrivals.earliest_arrival() <= stopped,
         "{} for {stopped}",
-        arrivals.earliest()
+        arrivals.earliest_arrival()
     );
 }
 
@@ -132,9 +132,9 @@
     source.has();
     assert!(source.ask(&mut arrivals));
     assert!(
-        clock.now() - arrivals.earliest() <= 2 * TICK_INTERVAL,
+        clock.now() - arrivals.earliest_arrival() <= 2 * TICK_INTERVAL,
         "{} at {}",
-        arrivals.earliest(),
+        arrivals.earliest_arrival(),
         clock.now()
     );
 }
@@ -160,13 +160,13 @@
         cx.waker().wake_by_ref();
         Poll::<()>::Pending
     });
-    assert!(put_off.is_pending() && backlog.is_behind());
+    assert!(put_off.is_pending() && backlog.has_unread());
     pass(clock, came + 2 * SECOND).await;
     assert!(source.ask(&mut arrivals));
     assert!(
-        arrivals.earliest() <= came,
+        arrivals.earliest_arrival() <= came,
         "{} for {came}",
-        arrivals.earliest()
+        arrivals.earliest_arrival()
     );
 }
 
@@ -181,18 +181,18 @@
         },
         arrivals.backlog(),
     );
-    assert!(!source.ask(&mut arrivals) && !backlog.is_behind());
+    assert!(!source.ask(&mut arrivals) && !backlog.has_unread());
     source.has();
-    assert!(backlog.is_behind(), "told of, not read");
+    assert!(backlog.has_unread(), "told of, not read");
     assert!(
-        source.ask(&mut arrivals) && backlog.is_behind(),
+        source.ask(&mut arrivals) && backlog.has_unread(),
         "read, not to its end"
     );
     source.has = false;
-    assert!(!source.ask(&mut arrivals) && !backlog.is_behind());
+    assert!(!source.ask(&mut arrivals) && !backlog.has_unread());
     source.has();
     drop(arrivals);
-    assert!(!backlog.is_behind(), "nobody reads any more");
+    assert!(!backlog.has_unread(), "nobody reads any more");
 }
 
 /// Polls a reader once. Gives whether it has something.
@@ -263,7 +263,7 @@
     assert!(polled.is_pending());
     waits.into_iter().for_each(Waker::wake);
     assert!(arrivals.poll(&mut cx, |_| Poll::Ready(())).is_ready());
-    let earliest = arrivals.earliest();
+    let earliest = arrivals.earliest_arrival();
     assert!(
         earliest <= stopped_at + 2 * MILLISECOND,
         "{} ticks after the stop began",
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -24,7 +24,7 @@
 pub use event_loop::{ArrivalReader, EventLoopClock, run_event_loop_clock};
 pub use memory_network::MemoryNetwork;
 pub use network::{
-    Address, Duplex, Half, IoFuture, Listener, Network, ParseAddressError, Stream, split,
+    Address, Duplex, IoFuture, Listener, Network, ParseAddressError, Stream, StreamHalf, split,
 };
 pub use send_queue::{SendQueue, Ticket};
 pub use socket_network::{SocketNetwork, is_local_failure};
--- a/crates/transport/src/network.rs
+++ b/crates/transport/src/network.rs
@@ -84,15 +84,15 @@
 
 /// One end of a stream, read and written by two tasks of one thread.
 #[derive(Clone)]
-pub struct Half(Rc<RefCell<Stream>>);
+pub struct StreamHalf(Rc<RefCell<Stream>>);
 
 /// Splits a stream into two handles. Both hold it open; it closes when the last is dropped.
-pub fn split(stream: Stream) -> (Half, Half) {
+pub fn split(stream: Stream) -> (StreamHalf, StreamHalf) {
     let shared = Rc::new(RefCell::new(stream));
-    (Half(shared.clone()), Half(shared))
+    (StreamHalf(shared.clone()), StreamHalf(shared))
 }
 
-impl AsyncRead for Half {
+impl AsyncRead for StreamHalf {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -102,7 +102,7 @@
     }
 }
 
-impl AsyncWrite for Half {
+impl AsyncWrite for StreamHalf {
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
