--- a/crates/cli/src/collection.rs
+++ b/crates/cli/src/collection.rs
@@ -10,7 +10,7 @@
 use saltdrum_coordinator::server;
 use saltdrum_fleet::fence::Token;
 use saltdrum_fleet::state::{Epoch, Fleet, LeaseName, LeaseState};
-use saltdrum_leases::holder::EffectFault;
+use saltdrum_leases::holder::EffectError;
 use saltdrum_leases::messages::{Effect, Seal, Sealed};
 use saltdrum_leases::{Effects, Holder, Task};
 use saltdrum_registry::collection::{CollectBlobs, Collected, CollectionResource, RESOURCE, TASK};
@@ -151,11 +151,11 @@
         TASK
     }
 
-    async fn step(&self, effects: &Effects<'_>) -> Result<(), EffectFault> {
+    async fn step(&self, effects: &Effects<'_>) -> Result<(), EffectError> {
         let what = CollectBlobs {
             grace_ms: self.grace_ms,
         };
-        let done: Collected = effects.make(RESOURCE, "collect", what).await?;
+        let done: Collected = effects.call(RESOURCE, "collect", what).await?;
         tracing::info!(
             gone = done.gone,
             bytes = done.bytes,
@@ -204,8 +204,8 @@
         };
         let effect = Effect {
             token,
-            by: "operator".to_owned(),
-            what,
+            actor: "operator".to_owned(),
+            params: what,
         };
         let done: Collected = registry
             .call("collect", &effect, PATIENCE)
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -9,7 +9,7 @@
 use comfy_table::{Table, presets};
 use saltdrum::interface::{SECOND, Ticks};
 use saltdrum_controller::shutdown::{ShutdownHandle, ShutdownPhase};
-use saltdrum_coordinator::disk::{Disk, Identity, SCHEMA};
+use saltdrum_coordinator::disk::{Disk, Identity, SCHEMA_VERSION};
 use saltdrum_coordinator::member::MembershipEnd;
 use saltdrum_coordinator::rpc_client::{CallError, RpcClient};
 use saltdrum_coordinator::server;
@@ -90,10 +90,10 @@
         Membership {
             fleet: self.terms.name.clone(),
             member,
-            about,
-            stewards: self.stewards.clone(),
-            renew: self.terms.renew,
-            leases: Default::default(),
+            info: about,
+            coordinators: self.stewards.clone(),
+            heartbeat_interval: self.terms.renew,
+            lease_watch: Default::default(),
         }
     }
 
@@ -200,19 +200,19 @@
 }
 
 impl MemberRole for ControllerRole {
-    fn is_proven(&self) -> bool {
+    fn is_healthy(&self) -> bool {
         let look = self.going.status();
         look.has_endpoint_list && look.connections_up * 2 >= look.connections
     }
 
-    fn seen(&self) -> MemberLoad {
+    fn load(&self) -> MemberLoad {
         MemberLoad {
             busy: self.going.status().in_flight as f64 / 1_000.0,
             last_copies: 0,
         }
     }
 
-    fn drain(&self) {
+    fn start_drain(&self) {
         self.going.set_phase(ShutdownPhase::Redirecting);
         self.closes.set(self.closes.get() + 1);
         let (mine, closes, closed) = (self.closes.get(), self.closes.clone(), self.closed.clone());
@@ -235,13 +235,13 @@
             && (look.unsent_bytes == 0 || given_up)
     }
 
-    fn turn_back(&self) -> bool {
+    fn cancel_drain(&self) -> bool {
         self.closes.set(self.closes.get() + 1);
         self.going.set_phase(ShutdownPhase::Serving);
         true
     }
 
-    fn told(&self, what: &'static str, grant: u64) {
+    fn record_event(&self, what: &'static str, grant: u64) {
         note(self.member, self.incarnation, what, grant);
     }
 }
@@ -255,12 +255,12 @@
 }
 
 impl MemberRole for InvokerRole {
-    fn is_proven(&self) -> bool {
+    fn is_healthy(&self) -> bool {
         let (site, entry) = (&self.invoker.site, self.invoker.entry(Life::Ready));
         entry.age_tenths >= site.terms.deployment.warm_up_time
     }
 
-    fn seen(&self) -> MemberLoad {
+    fn load(&self) -> MemberLoad {
         let size = f64::from(self.invoker.entry(Life::Ready).size).max(1.0);
         MemberLoad {
             busy: self.invoker.in_hand() as f64 / size,
@@ -268,7 +268,7 @@
         }
     }
 
-    fn drain(&self) {
+    fn start_drain(&self) {
         self.drains.set(Some(self.invoker.site.clock.now()));
     }
 
@@ -277,12 +277,12 @@
         self.invoker.in_hand() == 0 && self.drains.get().is_some_and(|at| now >= at + self.quiet)
     }
 
-    fn turn_back(&self) -> bool {
+    fn cancel_drain(&self) -> bool {
         self.drains.set(None);
         true
     }
 
-    fn told(&self, what: &'static str, grant: u64) {
+    fn record_event(&self, what: &'static str, grant: u64) {
         note(self.member, self.incarnation, what, grant);
     }
 }
@@ -379,18 +379,18 @@
         disk,
     };
     let new = Identity {
-        schema: SCHEMA,
+        schema: SCHEMA_VERSION,
         fleet: terms.name.clone(),
         voter,
     };
     let seat = CoordinatorConfig {
         number: runs.number,
-        life: fastrand::u64(1..1 << 48),
+        incarnation: fastrand::u64(1..1 << 48),
         seed: fastrand::u64(..),
-        terms,
-        founding,
+        fleet_config: terms,
+        initial_fleet: founding,
         listen: runs.listen.parse()?,
-        list: runs.list.as_ref().map(|l| l.parse()).transpose()?,
+        invoker_list: runs.list.as_ref().map(|l| l.parse()).transpose()?,
     };
     on_this_thread(async {
         writes_may_fail()?;
@@ -564,12 +564,12 @@
         for caller in self.callers()? {
             match caller.call(method, what, PATIENCE).await {
                 Ok(told) => return Ok(told),
-                Err(CallError::Told { code, message })
+                Err(CallError::ErrorReply { code, message })
                     if code == saltdrum_coordinator::wire::REFUSED =>
                 {
                     return Err(message);
                 }
-                Err(CallError::Told {
+                Err(CallError::ErrorReply {
                     code: OUTCOME_UNKNOWN,
                     message,
                 }) => last = message,
--- a/crates/cli/src/leases.rs
+++ b/crates/cli/src/leases.rs
@@ -14,7 +14,7 @@
 use saltdrum_faulty_peers::leases::{FaultyJournal, JOURNAL_FAULTS, acts_before_all_seals};
 use saltdrum_fleet::change::Change;
 use saltdrum_fleet::state::{Fleet, Lease, LeaseName, LeaseState};
-use saltdrum_leases::holder::EffectFault;
+use saltdrum_leases::holder::EffectError;
 use saltdrum_leases::journal::{Accepted, Append, Appended, Journal, JournalDisk};
 use saltdrum_leases::{Effects, Holder, Task};
 use saltdrum_transport::{Address, Clock, SocketNetwork};
@@ -105,7 +105,7 @@
 
 fn tell_effect(accepted: &Accepted) {
     let line = json!({"at_ns": monotonic_ns(), "what": "effect", "lease": accepted.token.lease,
-        "epoch": accepted.token.epoch, "by": accepted.by});
+        "epoch": accepted.token.epoch, "by": accepted.actor});
     let mut out = std::io::stdout().lock();
     let _ = writeln!(out, "{line}");
     let _ = out.flush();
@@ -131,14 +131,14 @@
 pub fn holder_of(with: &Membership, resources: BTreeMap<String, Address>) -> Holder {
     let caller = |at: Address| RpcClient::new(Rc::new(SocketNetwork), at, &with.fleet);
     Holder {
-        by: format!("{}/{:x}", with.member, with.about.incarnation),
+        actor: format!("{}/{:x}", with.member, with.info.incarnation),
         clock: Clock::start(),
-        watch: with.leases.clone(),
+        lease_watch: with.lease_watch.clone(),
         resources: resources
             .into_iter()
             .map(|(name, at)| (name, caller(at)))
             .collect(),
-        quiet_after: QUIET_AFTER,
+        contact_timeout: QUIET_AFTER,
     }
 }
 
@@ -146,13 +146,13 @@
 pub async fn counts(holder: Option<Holder>, acts_before_seals: bool) {
     match holder {
         Some(Holder {
-            by,
+            actor,
             clock,
-            watch,
+            lease_watch,
             resources,
             ..
         }) if acts_before_seals => {
-            acts_before_all_seals(by, COUNT, clock, watch, resources).await;
+            acts_before_all_seals(actor, COUNT, clock, lease_watch, resources).await;
         }
         Some(holder) => {
             holder
@@ -175,10 +175,10 @@
         COUNT
     }
 
-    async fn step(&self, effects: &Effects<'_>) -> Result<(), EffectFault> {
+    async fn step(&self, effects: &Effects<'_>) -> Result<(), EffectError> {
         for resource in effects.resources() {
             let line = format!("epoch {}", effects.epoch());
-            let _: Appended = effects.make(&resource, "append", Append { line }).await?;
+            let _: Appended = effects.call(&resource, "append", Append { line }).await?;
             self.clock.sleep_until(self.clock.now() + COUNT_EVERY).await;
         }
         Ok(())
--- a/crates/cli/src/process.rs
+++ b/crates/cli/src/process.rs
@@ -27,9 +27,9 @@
     }
 }
 
-impl OpenFailure for saltdrum_coordinator::disk::Fault {
+impl OpenFailure for saltdrum_coordinator::disk::DiskError {
     fn may_pass(&self) -> bool {
-        self.may_pass()
+        self.is_transient()
     }
 }
 
--- a/crates/cli/src/scripts.rs
+++ b/crates/cli/src/scripts.rs
@@ -19,7 +19,7 @@
 pub fn fleet_terms(path: &Path) -> Result<(Terms, Option<FleetConfig>), String> {
     let (terms, mut rest) =
         Terms::load(&path.to_string_lossy(), &text(path)?).map_err(|e| e.to_string())?;
-    let fleet = FleetConfig::take(&mut rest).map_err(|e| e.to_string())?;
+    let fleet = FleetConfig::extract(&mut rest).map_err(|e| e.to_string())?;
     match rest
         .iter()
         .find(|s| !matches!(s.what, "day" | "traffic" | "trouble" | "trial" | "step"))
--- a/crates/coordinator/examples/agreement.rs
+++ b/crates/coordinator/examples/agreement.rs
@@ -5,7 +5,7 @@
 #![expect(clippy::disallowed_methods, reason = "this measures time")]
 
 use saltdrum::interface::{MILLISECOND, SECOND};
-use saltdrum_coordinator::disk::{Disk, Identity, SCHEMA};
+use saltdrum_coordinator::disk::{Disk, Identity, SCHEMA_VERSION};
 use saltdrum_coordinator::rpc_client::RpcClient;
 use saltdrum_coordinator::wire::{ChangeReply, ChangeRequest, Heartbeat, HeartbeatReply};
 use saltdrum_coordinator::{CoordinatorConfig, FleetConfig, service};
@@ -60,7 +60,7 @@
         disk: 0,
     };
     let new = Identity {
-        schema: SCHEMA,
+        schema: SCHEMA_VERSION,
         fleet: "cost".into(),
         voter,
     };
@@ -72,12 +72,12 @@
     );
     let seat = CoordinatorConfig {
         number,
-        life,
+        incarnation: life,
         seed,
-        terms,
-        founding,
+        fleet_config: terms,
+        initial_fleet: founding,
         listen,
-        list: None,
+        invoker_list: None,
     };
     std::thread::spawn(move || {
         let (disk, acceptor) = Disk::open_file(&file, new).unwrap();
@@ -104,7 +104,7 @@
         disk: 0,
     };
     let new = Identity {
-        schema: SCHEMA,
+        schema: SCHEMA_VERSION,
         fleet: "cost".into(),
         voter,
     };
@@ -123,7 +123,7 @@
             .map(|n| {
                 acceptor.writes = n;
                 let begun = Instant::now();
-                disk.keep(&acceptor).unwrap();
+                disk.save(&acceptor).unwrap();
                 begun.elapsed().as_secs_f64() * 1e3
             })
             .collect(),
@@ -201,7 +201,7 @@
                 let said = Heartbeat {
                     member,
                     incarnation: 1,
-                    every_tenths: 5_000,
+                    interval_ticks: 5_000,
                     busy: 0.0,
                     last_copies: 0,
                 };
--- a/crates/coordinator/src/acceptor_store.rs
+++ b/crates/coordinator/src/acceptor_store.rs
@@ -1,7 +1,7 @@
 //! The voting side: what others ask of this coordinator's acceptor. Nothing is answered before it is on disk.
 
 use crate::disk::Disk;
-use crate::server::Refused;
+use crate::server::RpcError;
 use crate::wire::{Accept, NOT_VOTING, Prepare, Vote};
 use saltdrum_fleet::recovery::{RecoveryReply, Returning, Verdict};
 use saltdrum_fleet::register::{Acceptor, Ballot, Config, Voter};
@@ -72,7 +72,7 @@
             .map_or_else(|| founding.clone(), |a| a.value.config.clone())
     }
 
-    fn may_vote(&self, to: Voter) -> Result<(), Refused> {
+    fn may_vote(&self, to: Voter) -> Result<(), RpcError> {
         if to != self.me() {
             return Err((
                 NOT_VOTING,
@@ -90,11 +90,11 @@
 
     /// Makes a change of the acceptor and brings it to disk. On a disk that does not take it, it stays as it was, as far as
     /// the disk can be read; where not, it does not vote.
-    fn change<T>(&mut self, change: impl FnOnce(&mut Acceptor<Fleet>) -> T) -> Result<T, Refused> {
+    fn change<T>(&mut self, change: impl FnOnce(&mut Acceptor<Fleet>) -> T) -> Result<T, RpcError> {
         if !self.disk.is_writable() {
             let read = self
                 .disk
-                .come_back()
+                .reload()
                 .map_err(|e| (NOT_VOTING, e.to_string()))?;
             // What was told is on it, or it is no disk to vote from.
             if read.writes < self.acceptor.writes {
@@ -108,7 +108,7 @@
         let mut next = self.acceptor.clone();
         let told = change(&mut next);
         if next.writes != self.acceptor.writes {
-            if let Err(fault) = self.disk.keep(&next) {
+            if let Err(fault) = self.disk.save(&next) {
                 warn!(%fault, "disk write failed, voting suspended");
                 return Err((NOT_VOTING, fault.to_string()));
             }
@@ -117,7 +117,7 @@
         Ok(told)
     }
 
-    pub(crate) fn prepare(&mut self, asked: &Prepare) -> Result<Vote, Refused> {
+    pub(crate) fn prepare(&mut self, asked: &Prepare) -> Result<Vote, RpcError> {
         self.may_vote(asked.to)?;
         let told = self.change(|a| a.prepare(asked.ballot).map(|a| a.cloned()))?;
         let (mark, writes) = (self.acceptor.stamp(self.me()), self.acceptor.writes);
@@ -126,28 +126,31 @@
             Ok(None) => Vote::Promised {
                 accepted: None,
                 value: None,
-                mark,
+                stamp: mark,
                 writes,
             },
             Ok(Some(a)) => {
-                let value = (a.ballot != asked.have).then(|| Box::new(a.value));
+                let value = (a.ballot != asked.known_ballot).then(|| Box::new(a.value));
                 Vote::Promised {
                     accepted: Some(a.ballot),
                     value,
-                    mark,
+                    stamp: mark,
                     writes,
                 }
             }
         })
     }
 
-    pub(crate) fn accept(&mut self, asked: Accept) -> Result<Vote, Refused> {
+    pub(crate) fn accept(&mut self, asked: Accept) -> Result<Vote, RpcError> {
         self.may_vote(asked.to)?;
         let told = self.change(|a| a.accept(asked.ballot, *asked.value))?;
         let (mark, writes) = (self.acceptor.stamp(self.me()), self.acceptor.writes);
         Ok(match told {
             Err(promised) => Vote::Refused { promised },
-            Ok(()) => Vote::Accepted { mark, writes },
+            Ok(()) => Vote::Accepted {
+                stamp: mark,
+                writes,
+            },
         })
     }
 
@@ -156,7 +159,7 @@
         &mut self,
         from: Voter,
         life: u64,
-    ) -> Result<RecoveryReply<Fleet>, Refused> {
+    ) -> Result<RecoveryReply<Fleet>, RpcError> {
         let life_before = self.change(|a| a.life_begins(from, life))?;
         let writes_of_yours = self.writes.get(&from).copied().unwrap_or(0);
         let acceptor = self.acceptor.clone();
@@ -176,7 +179,7 @@
     }
 
     /// With nobody else to ask.
-    pub(crate) fn heard_nobody(&mut self) -> Result<Verdict, Refused> {
+    pub(crate) fn heard_nobody(&mut self) -> Result<Verdict, RpcError> {
         self.judge()
     }
 
@@ -185,7 +188,7 @@
         &mut self,
         from: Voter,
         what: RecoveryReply<Fleet>,
-    ) -> Result<Verdict, Refused> {
+    ) -> Result<Verdict, RpcError> {
         let Some(returning) = &mut self.returning else {
             return Ok(Verdict::Vote);
         };
@@ -193,7 +196,7 @@
         self.judge()
     }
 
-    fn judge(&mut self) -> Result<Verdict, Refused> {
+    fn judge(&mut self) -> Result<Verdict, RpcError> {
         let Some(returning) = &self.returning else {
             return Ok(Verdict::Vote);
         };
--- a/crates/coordinator/src/coordinator.rs
+++ b/crates/coordinator/src/coordinator.rs
@@ -32,17 +32,17 @@
     /// Its number, from 1 on.
     pub number: u32,
     /// The incarnation of this start; never used before.
-    pub life: u64,
+    pub incarnation: u64,
     /// Of its random delays.
     pub seed: u64,
     /// As the deployment states them.
-    pub terms: FleetConfig,
+    pub fleet_config: FleetConfig,
     /// The fleet as it is before anything was agreed.
-    pub founding: Fleet,
+    pub initial_fleet: Fleet,
     /// Where it answers calls.
     pub listen: Address,
     /// Where it serves the invoker list; none: it does not.
-    pub list: Option<Address>,
+    pub invoker_list: Option<Address>,
 }
 
 /// A coordinator: what it holds, and what its parts share. `service` answers callers, `propose` has changes agreed,
@@ -81,14 +81,15 @@
         network: Rc<dyn Network>,
         clock: Clock,
     ) -> Rc<Self> {
-        let acceptor_store = AcceptorStore::new(disk, acceptor, config.founding.config.clone());
+        let acceptor_store =
+            AcceptorStore::new(disk, acceptor, config.initial_fleet.config.clone());
         let (news, _) = watch::channel(0);
         let timeouts = Timeouts {
-            renew: config.terms.renew,
-            suspect_level: config.terms.suspect_level,
-            grant_for: config.terms.grant_for,
-            drain_for: config.terms.drain_for,
-            prove_within: config.terms.prove_within,
+            renew: config.fleet_config.renew,
+            suspect_level: config.fleet_config.suspect_level,
+            grant_for: config.fleet_config.grant_for,
+            drain_for: config.fleet_config.drain_for,
+            prove_within: config.fleet_config.prove_within,
         };
         let monitor = MemberMonitor::new(clock.now(), acceptor_store.me(), timeouts);
         let rng = fastrand::Rng::with_seed(config.seed);
@@ -120,15 +121,15 @@
             all.extend(fleet.stewards.clone());
         }
         // What it was started with goes first: how this process reaches them.
-        all.extend(self.config.founding.stewards.clone());
+        all.extend(self.config.initial_fleet.stewards.clone());
         all
     }
 
     pub(crate) fn peer(&self, steward: u32) -> Option<Rc<RpcClient>> {
         let at = self.stewards().get(&steward)?.parse::<Address>().ok()?;
         let mut peers = self.peers.borrow_mut();
-        if peers.get(&steward).is_none_or(|p| p.at != at) {
-            let caller = RpcClient::new(self.network.clone(), at, &self.config.founding.name);
+        if peers.get(&steward).is_none_or(|p| p.address != at) {
+            let caller = RpcClient::new(self.network.clone(), at, &self.config.initial_fleet.name);
             peers.insert(steward, Rc::new(caller));
         }
         peers.get(&steward).cloned()
--- a/crates/coordinator/src/disk.rs
+++ b/crates/coordinator/src/disk.rs
@@ -11,42 +11,42 @@
 const CACHE_BYTES: usize = 4 << 20;
 const KEPT: TableDefinition<&str, &[u8]> = TableDefinition::new("steward");
 /// Version of what is written here. A disk of a later version is not opened.
-pub const SCHEMA: u64 = 1;
+pub const SCHEMA_VERSION: u64 = 1;
 
 /// Why a disk can't be used.
 #[derive(Debug, thiserror::Error)]
-pub enum Fault {
+pub enum DiskError {
     /// It can't be read or written.
-    #[error("{place}: {why}")]
-    Disk {
+    #[error("{location}: {reason}")]
+    Io {
         /// Where the disk is.
-        place: String,
+        location: String,
         /// What failed.
-        why: DiskFailure,
+        reason: DiskFailure,
     },
     /// What was read is no record of a coordinator.
-    #[error("{place}: {key}: {why}")]
+    #[error("{location}: {key}: {reason}")]
     Damaged {
         /// Where the disk is.
-        place: String,
+        location: String,
         /// The record.
         key: &'static str,
         /// Why it can't be read.
-        why: String,
+        reason: String,
     },
     /// It was written by a later program.
-    #[error("{place}: schema {found}: this program knows {SCHEMA}")]
+    #[error("{location}: schema {found}: this program knows {SCHEMA_VERSION}")]
     Schema {
         /// Where the disk is.
-        place: String,
+        location: String,
         /// Its version.
         found: u64,
     },
     /// It belongs to another coordinator.
-    #[error("{place}: it is the disk of steward-{found} of fleet '{fleet}'")]
-    Other {
+    #[error("{location}: it is the disk of steward-{found} of fleet '{fleet}'")]
+    OtherOwner {
         /// Where the disk is.
-        place: String,
+        location: String,
         /// The fleet that it belongs to.
         fleet: String,
         /// The coordinator that it belongs to.
@@ -57,7 +57,7 @@
 /// Whose disk it is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// Version of what is written, see [`SCHEMA`].
+    /// Version of what is written, see [`SCHEMA_VERSION`].
     pub schema: u64,
     /// The fleet's name.
     pub fleet: String,
@@ -66,19 +66,19 @@
 }
 
 /// Opens the database, at each start and after each failure.
-pub type Opens = Box<dyn Fn() -> Result<Database, redb::DatabaseError>>;
+pub type OpenDatabase = Box<dyn Fn() -> Result<Database, redb::DatabaseError>>;
 
-impl Fault {
+impl DiskError {
     /// Whether the same may succeed a while later.
-    pub fn may_pass(&self) -> bool {
-        matches!(self, Self::Disk { why, .. } if why.is_transient)
+    pub fn is_transient(&self) -> bool {
+        matches!(self, Self::Io { reason, .. } if reason.is_transient)
     }
 }
 
 /// The disk of a coordinator.
 pub struct Disk {
-    place: String,
-    opens: Opens,
+    location: String,
+    opens: OpenDatabase,
     /// None: a write failed, and what the disk has is not known until it is read again.
     database: Option<Database>,
     /// Whose disk it is.
@@ -87,7 +87,7 @@
 
 impl Disk {
     /// Opens the disk in a file; `new` is written where nothing is there yet.
-    pub fn open_file(path: &Path, new: Identity) -> Result<(Self, Acceptor<Fleet>), Fault> {
+    pub fn open_file(path: &Path, new: Identity) -> Result<(Self, Acceptor<Fleet>), DiskError> {
         let at = path.to_owned();
         let opens = move || database::open(&at, CACHE_BYTES);
         Self::open(path.display().to_string(), Box::new(opens), new)
@@ -95,21 +95,21 @@
 
     /// Opens the disk; `new` is written where nothing is there yet.
     pub fn open(
-        place: String,
-        opens: Opens,
+        location: String,
+        opens: OpenDatabase,
         new: Identity,
-    ) -> Result<(Self, Acceptor<Fleet>), Fault> {
+    ) -> Result<(Self, Acceptor<Fleet>), DiskError> {
         let mut disk = Self {
-            place,
+            location,
             opens,
             database: None,
             identity: new.clone(),
         };
-        let acceptor = disk.come_back()?;
+        let acceptor = disk.reload()?;
         if (&disk.identity.fleet, disk.identity.voter.steward) != (&new.fleet, new.voter.steward) {
             let Identity { fleet, voter, .. } = disk.identity;
-            return Err(Fault::Other {
-                place: disk.place,
+            return Err(DiskError::OtherOwner {
+                location: disk.location,
                 fleet,
                 found: voter.steward,
             });
@@ -117,21 +117,21 @@
         Ok((disk, acceptor))
     }
 
-    fn fault(&self, why: impl Into<DiskFailure>) -> Fault {
-        Fault::Disk {
-            place: self.place.clone(),
-            why: why.into(),
+    fn fault(&self, why: impl Into<DiskFailure>) -> DiskError {
+        DiskError::Io {
+            location: self.location.clone(),
+            reason: why.into(),
         }
     }
 
     /// Reads what the disk has, after a start or a failed write.
-    pub fn come_back(&mut self) -> Result<Acceptor<Fleet>, Fault> {
+    pub fn reload(&mut self) -> Result<Acceptor<Fleet>, DiskError> {
         self.database = None;
         let database = (self.opens)().map_err(|e| self.fault(e))?;
         let txn = database.begin_write().map_err(|e| self.fault(e))?;
         txn.open_table(KEPT).map_err(|e| self.fault(e))?;
         txn.commit().map_err(|e| self.fault(e))?;
-        let read = |key: &'static str| -> Result<Option<Vec<u8>>, Fault> {
+        let read = |key: &'static str| -> Result<Option<Vec<u8>>, DiskError> {
             let txn = database.begin_read().map_err(|e| self.fault(e))?;
             let table = txn.open_table(KEPT).map_err(|e| self.fault(e))?;
             Ok(table
@@ -139,10 +139,10 @@
                 .map_err(|e| self.fault(e))?
                 .map(|v| v.value().to_vec()))
         };
-        let damaged = |key, e: serde_json::Error| Fault::Damaged {
-            place: self.place.clone(),
+        let damaged = |key, e: serde_json::Error| DiskError::Damaged {
+            location: self.location.clone(),
             key,
-            why: e.to_string(),
+            reason: e.to_string(),
         };
         let identity: Option<Identity> = match read("identity")? {
             Some(bytes) => {
@@ -155,9 +155,9 @@
             None => Acceptor::default(),
         };
         match identity {
-            Some(identity) if identity.schema != SCHEMA => {
-                return Err(Fault::Schema {
-                    place: self.place.clone(),
+            Some(identity) if identity.schema != SCHEMA_VERSION => {
+                return Err(DiskError::Schema {
+                    location: self.location.clone(),
                     found: identity.schema,
                 });
             }
@@ -168,8 +168,8 @@
         Ok(acceptor)
     }
 
-    /// On disk when it returns. After a failure nothing is written before [`Self::come_back`].
-    pub fn keep(&mut self, acceptor: &Acceptor<Fleet>) -> Result<(), Fault> {
+    /// On disk when it returns. After a failure nothing is written before [`Self::reload`].
+    pub fn save(&mut self, acceptor: &Acceptor<Fleet>) -> Result<(), DiskError> {
         let Some(database) = &self.database else {
             return Err(self.fault(DiskFailure::lasting("a write failed before")));
         };
--- a/crates/coordinator/src/fleet_config.rs
+++ b/crates/coordinator/src/fleet_config.rs
@@ -84,7 +84,7 @@
 
 impl FleetConfig {
     /// Takes the fleet's statements out of those that describe no deployment; none: the script states no fleet.
-    pub fn take(rest: &mut Vec<Statement>) -> Result<Option<Self>, Fault> {
+    pub fn extract(rest: &mut Vec<Statement>) -> Result<Option<Self>, Fault> {
         let (mine, others): (Vec<_>, Vec<_>) = std::mem::take(rest)
             .into_iter()
             .partition(|s| matches!(s.what, "fleet" | "bound" | "lease"));
--- a/crates/coordinator/src/lease_watch.rs
+++ b/crates/coordinator/src/lease_watch.rs
@@ -65,7 +65,7 @@
     }
 
     /// The lease of a task, if it is held.
-    pub fn held(&self, task: &str) -> Option<HeldLease> {
+    pub fn held_lease(&self, task: &str) -> Option<HeldLease> {
         self.held
             .borrow()
             .iter()
@@ -74,7 +74,7 @@
     }
 
     /// When a coordinator was last heard, by the member's own clock.
-    pub fn heard_at(&self) -> Ticks {
+    pub fn last_reply_at(&self) -> Ticks {
         self.heard_at.get()
     }
 
--- a/crates/coordinator/src/member.rs
+++ b/crates/coordinator/src/member.rs
@@ -25,17 +25,17 @@
 /// What the process itself does as a member.
 pub trait MemberRole {
     /// It serves as it should.
-    fn is_proven(&self) -> bool;
+    fn is_healthy(&self) -> bool;
     /// Its load, for the order of drains.
-    fn seen(&self) -> MemberLoad;
+    fn load(&self) -> MemberLoad;
     /// Starts to drain: takes no new work and ends what it has. Called once for a drain.
-    fn drain(&self);
+    fn start_drain(&self);
     /// It has no work left.
     fn is_drained(&self) -> bool;
     /// Goes back to serving, if it still can. Returns whether it does.
-    fn turn_back(&self) -> bool;
+    fn cancel_drain(&self) -> bool;
     /// For the record: what happened, and the grant that it belongs to.
-    fn told(&self, what: &'static str, grant: u64);
+    fn record_event(&self, what: &'static str, grant: u64);
 }
 
 /// Who joins which fleet, and how it reaches the coordinators.
@@ -45,13 +45,13 @@
     /// The member.
     pub member: MemberId,
     /// What it says of itself.
-    pub about: MemberInfo,
+    pub info: MemberInfo,
     /// Where the coordinators listen.
-    pub stewards: Vec<Address>,
+    pub coordinators: Vec<Address>,
     /// Interval between heartbeats.
-    pub renew: Ticks,
+    pub heartbeat_interval: Ticks,
     /// Is told of the leases that it holds.
-    pub leases: Rc<LeaseWatch>,
+    pub lease_watch: Rc<LeaseWatch>,
 }
 
 /// How a membership ended.
@@ -81,23 +81,25 @@
     /// Sends heartbeats to one coordinator for as long as it is polled.
     async fn send_heartbeats(&self, index: usize, role: &dyn MemberRole) {
         loop {
-            let seen = role.seen();
+            let seen = role.load();
             let said = Heartbeat {
                 member: self.membership.member,
-                incarnation: self.membership.about.incarnation,
-                every_tenths: self.membership.renew,
+                incarnation: self.membership.info.incarnation,
+                interval_ticks: self.membership.heartbeat_interval,
                 busy: seen.busy,
                 last_copies: seen.last_copies,
             };
-            let timeout = (2 * self.membership.renew).max(SECOND);
+            let timeout = (2 * self.membership.heartbeat_interval).max(SECOND);
             match self.coordinators[index]
                 .call::<HeartbeatReply>("renew", &said, timeout)
                 .await
             {
                 Ok(told) => {
-                    self.membership
-                        .leases
-                        .heard(self.clock.now(), told.revision, &told.leases);
+                    self.membership.lease_watch.heard(
+                        self.clock.now(),
+                        told.revision,
+                        &told.leases,
+                    );
                     let mut standing = self.latest_reply.borrow_mut();
                     if standing
                         .as_ref()
@@ -113,7 +115,7 @@
                 Err(why) => debug!(%why, "heartbeat failed"),
             }
             self.clock
-                .sleep_until(self.clock.now() + self.membership.renew)
+                .sleep_until(self.clock.now() + self.membership.heartbeat_interval)
                 .await;
         }
     }
@@ -136,13 +138,13 @@
                         .set(self.agreed_revision.get().max(done.revision));
                     return Some(Ok(done));
                 }
-                Err(CallError::Told { code, message }) if code == REFUSED => {
+                Err(CallError::ErrorReply { code, message }) if code == REFUSED => {
                     return Some(Err(message));
                 }
-                Err(CallError::Told { code, message }) if code == WRONG_FLEET_OR_VERSION => {
+                Err(CallError::ErrorReply { code, message }) if code == WRONG_FLEET_OR_VERSION => {
                     warn!(message, "peer is not a coordinator of this fleet");
                 }
-                Err(CallError::Told {
+                Err(CallError::ErrorReply {
                     code: NOT_VOTING, ..
                 }) => {}
                 Err(why) => debug!(%why, "outcome of a change is unknown"),
@@ -159,10 +161,10 @@
 
     /// Follows the phases of the member until its membership ends.
     async fn run(&self, role: &dyn MemberRole) -> MembershipEnd {
-        let (member, incarnation) = (self.membership.member, self.membership.about.incarnation);
+        let (member, incarnation) = (self.membership.member, self.membership.info.incarnation);
         let (mut draining, mut serving) = (None, false);
         loop {
-            let wait = self.clock.now() + self.membership.renew.min(100 * MILLISECOND);
+            let wait = self.clock.now() + self.membership.heartbeat_interval.min(100 * MILLISECOND);
             tokio::select! {
                 biased;
                 () = self.reply_changed.notified() => {}
@@ -177,7 +179,7 @@
                 if role.is_drained() {
                     return self.leave(role, grant).await;
                 }
-                if standing.is_some_and(|s| s.turn_back) && role.turn_back() {
+                if standing.is_some_and(|s| s.drain_withdrawn) && role.cancel_drain() {
                     // It serves again at once, and counts as out until this is agreed and it is proven.
                     let told = self
                         .change(Change::TurnedBack {
@@ -188,7 +190,7 @@
                         .await;
                     if matches!(told, Some(Ok(_))) {
                         serving = false;
-                        role.told("turned-back", grant);
+                        role.record_event("turned-back", grant);
                         draining = None;
                     }
                 }
@@ -197,10 +199,10 @@
             let Some(standing) = standing else { continue };
             match (standing.incarnation, standing.phase) {
                 (Some(known), Some(phase)) if known == incarnation => match phase {
-                    Phase::Starting { .. } if role.is_proven() => {
+                    Phase::Starting { .. } if role.is_healthy() => {
                         // It serves from here on, even before the fleet has agreed on that.
                         if !std::mem::replace(&mut serving, true) {
-                            role.told("up", 0);
+                            role.record_event("up", 0);
                         }
                         self.change(Change::Proven {
                             member,
@@ -219,8 +221,8 @@
                         {
                             Some(Ok(_)) => {
                                 draining = Some(grant);
-                                role.told("began", grant);
-                                role.drain();
+                                role.record_event("began", grant);
+                                role.start_drain();
                             }
                             Some(Err(why)) => info!(grant, why, "start of drain refused"),
                             None => {}
@@ -237,20 +239,20 @@
                             .await
                         {
                             draining = Some(grant);
-                            role.told("began", grant);
-                            role.drain();
+                            role.record_event("began", grant);
+                            role.start_drain();
                         }
                     }
                     Phase::Lost { .. } => serving = false,
                     _ => {}
                 },
                 _ => {
-                    let about = self.membership.about.clone();
+                    let about = self.membership.info.clone();
                     if let Some(Err(why)) = self.change(Change::Join { member, about }).await {
                         warn!(%member, why, "join refused");
                         // Part of the protocol: the refusal is recognised by its text.
                         if why.contains(REPLACED_TEXT) {
-                            role.told("replaced", 0);
+                            role.record_event("replaced", 0);
                             return MembershipEnd::Replaced;
                         }
                     }
@@ -261,8 +263,8 @@
 
     /// Tells the coordinators that it ends, for as long as that may take.
     async fn leave(&self, role: &dyn MemberRole, grant: u64) -> MembershipEnd {
-        let (member, incarnation) = (self.membership.member, self.membership.about.incarnation);
-        role.told("drained", grant);
+        let (member, incarnation) = (self.membership.member, self.membership.info.incarnation);
+        role.record_event("drained", grant);
         let until = self.clock.now() + LEAVE_TIMEOUT;
         while self.clock.now() < until {
             let leaving = self.change(Change::Leave {
@@ -290,7 +292,7 @@
     role: Rc<dyn MemberRole>,
 ) -> MembershipEnd {
     let client = |at: &Address| RpcClient::new(network.clone(), at.clone(), &with.fleet);
-    let coordinators: Vec<RpcClient> = with.stewards.iter().map(client).collect();
+    let coordinators: Vec<RpcClient> = with.coordinators.iter().map(client).collect();
     let task = Rc::new(MembershipTask {
         membership: with,
         clock,
--- a/crates/coordinator/src/monitoring.rs
+++ b/crates/coordinator/src/monitoring.rs
@@ -4,7 +4,7 @@
 
 use crate::coordinator::Coordinator;
 use crate::lease_watch::held_by;
-use crate::wire::{Heartbeat, HeartbeatReply, Opinions, Recover};
+use crate::wire::{Heartbeat, HeartbeatReply, Recover, SuspicionReport};
 use saltdrum::interface::{MILLISECOND, Ticks};
 use saltdrum_fleet::change::Change;
 use saltdrum_fleet::recovery::{RecoveryReply, Verdict};
@@ -25,13 +25,13 @@
         let fleet = self.fleet.borrow().clone();
         let fleet = fleet.as_deref();
         let now = self.clock.now();
-        let seen = said.seen();
+        let seen = said.load();
         self.monitor.borrow_mut().renewed(
             now,
             fleet,
             said.member,
             said.incarnation,
-            said.every_tenths,
+            said.interval_ticks,
             seen,
         );
         let member = fleet.and_then(|f| f.members.get(&said.member));
@@ -39,13 +39,13 @@
             revision: fleet.map_or(0, |f| f.revision),
             incarnation: member.map(|m| m.about.incarnation),
             phase: member.map(|m| m.phase.clone()),
-            turn_back: fleet.is_some_and(|f| f.may_turn_back(&said.member)),
+            drain_withdrawn: fleet.is_some_and(|f| f.may_turn_back(&said.member)),
             leases: fleet.map_or_else(Vec::new, |f| held_by(f, said.member, said.incarnation)),
         }
     }
 
     /// Another coordinator reported its levels of suspicion.
-    pub(crate) fn opinions(&self, said: Opinions) {
+    pub(crate) fn opinions(&self, said: SuspicionReport) {
         self.acceptor_store
             .borrow_mut()
             .hear_writes(said.from, said.writes);
@@ -102,7 +102,7 @@
     /// Reports this coordinator's levels to the others.
     fn report_to_peers(self: &Rc<Self>, fleet: Option<&Fleet>) {
         let acceptor_store = self.acceptor_store.borrow();
-        let said = Opinions {
+        let said = SuspicionReport {
             from: acceptor_store.me(),
             levels: fleet.and_then(|f| self.monitor.borrow().levels(self.clock.now(), f)),
             decided: self.decided_at.get(),
@@ -161,7 +161,7 @@
                     let peer = this.peer(steward)?;
                     let asked = Recover {
                         from: me,
-                        life: this.acceptor_store.borrow().life(),
+                        incarnation: this.acceptor_store.borrow().life(),
                     };
                     peer.call::<(Voter, RecoveryReply<Fleet>)>("recover", &asked, 500 * MILLISECOND)
                         .await
--- a/crates/coordinator/src/propose.rs
+++ b/crates/coordinator/src/propose.rs
@@ -4,7 +4,7 @@
 use crate::acceptor_store::AcceptorStore;
 use crate::coordinator::{Coordinator, PendingProposal, Told};
 use crate::rpc_client::CallError;
-use crate::server::Refused;
+use crate::server::RpcError;
 use crate::wire::{Accept, NOT_VOTING, OUTCOME_UNKNOWN, Prepare, REFUSED, Vote};
 use saltdrum::interface::{MILLISECOND, Ticks};
 use saltdrum_fleet::change::{Change, ChangeOutcome};
@@ -129,12 +129,12 @@
                 .map(|(b, fleet)| (b, fleet.clone()));
             (
                 acceptor_store.me(),
-                acceptor_store.config(&self.config.founding.config),
+                acceptor_store.config(&self.config.initial_fleet.config),
                 mine,
             )
         };
         let have = mine.as_ref().map_or(Ballot::default(), |m| m.0);
-        let ballot = Ballot::above(self.highest.get(), me.steward, self.config.life);
+        let ballot = Ballot::above(self.highest.get(), me.steward, self.config.incarnation);
         self.highest.set(ballot);
         let mut round: Round<Fleet> = Round::new(ballot, config);
         let (to, mut votes) = mpsc::unbounded_channel();
@@ -144,7 +144,7 @@
                 Prepare {
                     to: voter,
                     ballot,
-                    have,
+                    known_ballot: have,
                 },
                 to.clone(),
             );
@@ -159,7 +159,7 @@
                 Ok(Vote::Promised {
                     accepted,
                     value,
-                    mark,
+                    stamp: mark,
                     ..
                 }) => {
                     let known = || {
@@ -182,7 +182,7 @@
                             Prepare {
                                 to: voter,
                                 ballot,
-                                have,
+                                known_ballot: have,
                             },
                             to.clone(),
                         );
@@ -200,7 +200,7 @@
         }
         let mut fleet = round
             .read()
-            .map_or_else(|| self.config.founding.clone(), |a| a.value.clone());
+            .map_or_else(|| self.config.initial_fleet.clone(), |a| a.value.clone());
         let told: Vec<_> = changes.iter().map(|c| fleet.apply(c)).collect();
         let fleet = Rc::new(fleet);
         let to_accept = round.put((*fleet).clone());
@@ -221,7 +221,7 @@
         let mut overtaken = None;
         while let Some((_, vote)) = votes.recv().await {
             match vote {
-                Ok(Vote::Accepted { mark, .. }) if round.accepted(&mark) => {
+                Ok(Vote::Accepted { stamp: mark, .. }) if round.accepted(&mark) => {
                     self.decided(ballot, fleet.clone());
                     debug!(revision = fleet.revision, changes = changes.len(), "agreed");
                     return Ok((fleet, told));
@@ -267,18 +267,18 @@
         voter: Voter,
         method: &'static str,
         asked: T,
-        own: impl FnOnce(&mut AcceptorStore, T) -> Result<Vote, Refused> + 'static,
+        own: impl FnOnce(&mut AcceptorStore, T) -> Result<Vote, RpcError> + 'static,
         to: Votes,
     ) {
         let this = self.clone();
         tokio::task::spawn_local(async move {
             let vote = if voter == this.acceptor_store.borrow().me() {
                 let vote = own(&mut this.acceptor_store.borrow_mut(), asked);
-                vote.map_err(|(code, message)| CallError::Told { code, message })
+                vote.map_err(|(code, message)| CallError::ErrorReply { code, message })
             } else {
                 match this.peer(voter.steward) {
                     Some(peer) => peer.call(method, &asked, VOTE_TIMEOUT).await,
-                    None => Err(CallError::Told {
+                    None => Err(CallError::ErrorReply {
                         code: NOT_VOTING,
                         message: "no address".into(),
                     }),
--- a/crates/coordinator/src/rpc_client.rs
+++ b/crates/coordinator/src/rpc_client.rs
@@ -1,6 +1,6 @@
 //! A connection to a coordinator or a resource: calls with answers, over a stream that is opened again when it is lost.
 
-use crate::wire::{Envelope, LINE_MOST_BYTES, WRONG_FLEET_OR_VERSION, version_of};
+use crate::wire::{Envelope, MAX_LINE_BYTES, WRONG_FLEET_OR_VERSION, version_of};
 use bytes::{Bytes, BytesMut};
 use saltdrum::interface::Ticks;
 use saltdrum_protocol::rpc::ReplyError;
@@ -19,16 +19,16 @@
 #[derive(Debug, Clone, thiserror::Error)]
 pub enum CallError {
     /// The connection failed; whether the call was received is not known.
-    #[error("{at}: {why}")]
-    Line {
+    #[error("{address}: {reason}")]
+    Connection {
         /// Where the peer listens.
-        at: Address,
+        address: Address,
         /// What failed.
-        why: String,
+        reason: String,
     },
     /// The peer answered with an error.
     #[error("{message}")]
-    Told {
+    ErrorReply {
         /// Of JSON-RPC.
         code: i64,
         /// What the peer says.
@@ -62,7 +62,7 @@
 pub struct RpcClient {
     network: Rc<dyn Network>,
     /// Where the peer listens.
-    pub at: Address,
+    pub address: Address,
     fleet: String,
     connection: RefCell<Option<Rc<Connection>>>,
     connecting: tokio::sync::Mutex<()>,
@@ -70,14 +70,14 @@
 }
 
 /// Unsent bytes beyond which a call fails.
-const UNSENT_MOST_BYTES: usize = 4 * LINE_MOST_BYTES;
+const UNSENT_MOST_BYTES: usize = 4 * MAX_LINE_BYTES;
 
 impl RpcClient {
     /// A client that is not connected yet; `fleet` goes with every call.
     pub fn new(network: Rc<dyn Network>, at: Address, fleet: &str) -> Self {
         Self {
             network,
-            at,
+            address: at,
             fleet: fleet.to_owned(),
             connection: RefCell::default(),
             connecting: tokio::sync::Mutex::new(()),
@@ -86,9 +86,9 @@
     }
 
     fn lost(&self, why: impl ToString) -> CallError {
-        CallError::Line {
-            at: self.at.clone(),
-            why: why.to_string(),
+        CallError::Connection {
+            address: self.address.clone(),
+            reason: why.to_string(),
         }
     }
 
@@ -105,7 +105,7 @@
         }
         let stream = self
             .network
-            .dial(&self.at)
+            .dial(&self.address)
             .await
             .map_err(|e| self.lost(e))?;
         let outbox = SendQueue::new(UNSENT_MOST_BYTES);
@@ -114,7 +114,7 @@
             stream,
             outbox.clone(),
             open.clone(),
-            self.at.clone(),
+            self.address.clone(),
         ));
         let line = Rc::new(Connection { outbox, open, task });
         *self.connection.borrow_mut() = Some(line.clone());
@@ -145,8 +145,8 @@
         self.last.set(id);
         let said = Envelope {
             fleet: self.fleet.clone(),
-            speaks: version_of(method),
-            what,
+            version: version_of(method),
+            params: what,
         };
         let params = serde_json::to_string(&said).map_err(|e| self.lost(e))?;
         let text = format!(
@@ -181,11 +181,11 @@
                 };
                 let told = match (reply.result, reply.error) {
                     (Some(result), _) => Ok(result),
-                    (None, Some(e)) => Err(CallError::Told {
+                    (None, Some(e)) => Err(CallError::ErrorReply {
                         code: e.code,
                         message: e.message,
                     }),
-                    (None, None) => Err(CallError::Told {
+                    (None, None) => Err(CallError::ErrorReply {
                         code: WRONG_FLEET_OR_VERSION,
                         message: format!("{at}: neither result nor error"),
                     }),
@@ -193,7 +193,7 @@
                 let _ = to.send(told);
             }
             searched = read.len();
-            if searched > LINE_MOST_BYTES || !matches!(input.read_buf(&mut read).await, Ok(1..)) {
+            if searched > MAX_LINE_BYTES || !matches!(input.read_buf(&mut read).await, Ok(1..)) {
                 return;
             }
         }
--- a/crates/coordinator/src/server.rs
+++ b/crates/coordinator/src/server.rs
@@ -1,6 +1,6 @@
 //! Answers calls that come as lines of JSON-RPC over a stream: for coordinators, and for resources of fleet-wide tasks.
 
-use crate::wire::{Envelope, LINE_MOST_BYTES, WRONG_FLEET_OR_VERSION, version_of};
+use crate::wire::{Envelope, MAX_LINE_BYTES, WRONG_FLEET_OR_VERSION, version_of};
 use bytes::{Bytes, BytesMut};
 use saltdrum::interface::{MILLISECOND, Ticks};
 use saltdrum_protocol::rpc::{self, Call, Id, Line};
@@ -13,36 +13,36 @@
 use tracing::{debug, info, warn};
 
 /// Unread bytes of answers beyond which a connection is closed.
-const UNREAD_MOST_BYTES: usize = 2 * LINE_MOST_BYTES;
+const UNREAD_MOST_BYTES: usize = 2 * MAX_LINE_BYTES;
 /// Calls of one connection that are answered concurrently.
 const CONCURRENT_CALLS_MOST: usize = 1_000;
 
 /// An error of JSON-RPC: its code and its message.
-pub type Refused = (i64, String);
+pub type RpcError = (i64, String);
 
 /// Answers calls.
 pub trait CallHandler: 'static {
     /// The result as JSON, or an error.
-    fn answer(self: &Rc<Self>, call: &Call) -> impl Future<Output = Result<String, Refused>>;
+    fn handle_call(self: &Rc<Self>, call: &Call) -> impl Future<Output = Result<String, RpcError>>;
 }
 
 /// The error for parameters that can't be.
-pub fn invalid_params(why: impl ToString) -> Refused {
+pub fn invalid_params(why: impl ToString) -> RpcError {
     (rpc::INVALID_PARAMS, why.to_string())
 }
 
 /// Reads the parameters of a call, if it is meant for this fleet and of the same version.
-pub fn read_params<T: DeserializeOwned>(call: &Call, fleet: &str) -> Result<T, Refused> {
+pub fn read_params<T: DeserializeOwned>(call: &Call, fleet: &str) -> Result<T, RpcError> {
     let said: Envelope<&RawValue> =
         serde_json::from_str(call.params.as_ref().map_or("{}", |p| p.get()))
             .map_err(invalid_params)?;
     let expected = version_of(&call.method);
-    if said.speaks != expected {
+    if said.version != expected {
         return Err((
             WRONG_FLEET_OR_VERSION,
             format!(
                 "messages of version {}: {expected} is expected",
-                said.speaks
+                said.version
             ),
         ));
     }
@@ -53,7 +53,7 @@
         ));
     }
     // Borrowed, not copied: a whole fleet may be in it.
-    serde_json::from_str(said.what.get()).map_err(invalid_params)
+    serde_json::from_str(said.params.get()).map_err(invalid_params)
 }
 
 /// Delay after an accept has failed.
@@ -70,7 +70,7 @@
     info!(%at, "listening");
     loop {
         match door.accept().await {
-            Ok(stream) => drop(tokio::task::spawn_local(answer_connection(
+            Ok(stream) => drop(tokio::task::spawn_local(serve_connection(
                 answers.clone(),
                 stream,
             ))),
@@ -83,7 +83,7 @@
 }
 
 /// Answers the calls of one connection until it is closed.
-pub async fn answer_connection<A: CallHandler>(answers: Rc<A>, stream: Stream) {
+pub async fn serve_connection<A: CallHandler>(answers: Rc<A>, stream: Stream) {
     let (input, mut output) = split(stream);
     let outbox = SendQueue::new(UNREAD_MOST_BYTES);
     tokio::select! {
@@ -135,7 +135,7 @@
             while answering.try_join_next().is_some() {}
             let (answers, outbox) = (answers.clone(), outbox.clone());
             answering.spawn_local(async move {
-                let answered = answers.answer(&call).await;
+                let answered = answers.handle_call(&call).await;
                 let Some(id) = &call.id else { return };
                 put(
                     &outbox,
@@ -147,7 +147,7 @@
             });
         }
         searched = read.len();
-        if searched > LINE_MOST_BYTES {
+        if searched > MAX_LINE_BYTES {
             put(
                 outbox,
                 rpc::error(&Id::null(), rpc::PARSE_ERROR, "line too long", None),
--- a/crates/coordinator/src/service.rs
+++ b/crates/coordinator/src/service.rs
@@ -2,9 +2,10 @@
 
 use crate::coordinator::{Coordinator, CoordinatorConfig};
 use crate::disk::Disk;
-use crate::server::{CallHandler, Refused, answer_connection, invalid_params, read_params};
+use crate::server::{CallHandler, RpcError, invalid_params, read_params, serve_connection};
 use crate::wire::{
-    Accept, ChangeReply, ChangeRequest, DryRun, Heartbeat, Opinions, Prepare, REFUSED, Recover,
+    Accept, ChangeReply, ChangeRequest, DryRun, Heartbeat, Prepare, REFUSED, Recover,
+    SuspicionReport,
 };
 use saltdrum::interface::{MILLISECOND, SECOND};
 use saltdrum_fleet::change::Change;
@@ -23,14 +24,14 @@
 
 impl Coordinator {
     /// What was asked, if it was asked of this fleet in these messages.
-    fn read_params<T: DeserializeOwned>(&self, call: &Call) -> Result<T, Refused> {
-        read_params(call, &self.config.founding.name)
+    fn read_params<T: DeserializeOwned>(&self, call: &Call) -> Result<T, RpcError> {
+        read_params(call, &self.config.initial_fleet.name)
     }
 }
 
 impl CallHandler for Coordinator {
-    async fn answer(self: &Rc<Self>, call: &Call) -> Result<String, Refused> {
-        fn told(what: impl Serialize) -> Result<String, Refused> {
+    async fn handle_call(self: &Rc<Self>, call: &Call) -> Result<String, RpcError> {
+        fn told(what: impl Serialize) -> Result<String, RpcError> {
             serde_json::to_string(&what).map_err(invalid_params)
         }
         match call.method.as_str() {
@@ -47,7 +48,7 @@
                 let mut acceptor_store = self.acceptor_store.borrow_mut();
                 told((
                     acceptor_store.me(),
-                    acceptor_store.recover(asked.from, asked.life)?,
+                    acceptor_store.recover(asked.from, asked.incarnation)?,
                 ))
             }
             "decided" => {
@@ -55,7 +56,7 @@
                 told((self.decided_at.get(), self.fleet.borrow().as_deref()))
             }
             "opinions" => {
-                let said: Opinions = self.read_params(call)?;
+                let said: SuspicionReport = self.read_params(call)?;
                 self.opinions(said);
                 told(json!({}))
             }
@@ -104,7 +105,7 @@
             .into_iter();
         let heard_ms_ago: BTreeMap<_, _> = heard.map(|(id, ago)| (id, ago / MILLISECOND)).collect();
         json!({
-            "steward": self.config.number, "voter": acceptor_store.me().to_string(), "life": self.config.life,
+            "steward": self.config.number, "voter": acceptor_store.me().to_string(), "life": self.config.incarnation,
             "votes": !acceptor_store.is_returning() && acceptor_store.is_writable(), "writes": acceptor_store.writes(),
             "settled": self.is_settled(), "heard_ms_ago": heard_ms_ago, "waits_for": fleet.as_ref().and_then(|f| blocking_reason(f)),
             "fleet": fleet.as_deref(),
@@ -146,7 +147,7 @@
     network: Rc<dyn Network>,
     clock: Clock,
 ) -> Result<(), String> {
-    let (listen, list) = (config.listen.clone(), config.list.clone());
+    let (listen, list) = (config.listen.clone(), config.invoker_list.clone());
     let steward = Coordinator::new(config, disk, acceptor, network.clone(), clock);
     let fault = |at: &Address, e: std::io::Error| format!("{at}: {e}");
     let (mut door, at) = network
@@ -179,7 +180,7 @@
                 });
             }
             accepted = door.accept() => match accepted {
-                Ok(stream) => drop(tasks.spawn_local(answer_connection(steward.clone(), stream))),
+                Ok(stream) => drop(tasks.spawn_local(serve_connection(steward.clone(), stream))),
                 Err(e) => {
                     warn!(%e, "accept failed");
                     tokio::time::sleep(std::time::Duration::from_millis(50)).await;
--- a/crates/coordinator/src/wire.rs
+++ b/crates/coordinator/src/wire.rs
@@ -23,7 +23,7 @@
 }
 
 /// Longest line: ten times the largest fleet.
-pub const LINE_MOST_BYTES: usize = 32 << 20;
+pub const MAX_LINE_BYTES: usize = 32 << 20;
 
 /// Error code: nothing was changed; the message says why.
 pub const REFUSED: i64 = -32_020;
@@ -41,9 +41,11 @@
     /// The fleet that the call is meant for.
     pub fleet: String,
     /// Version of the message, see [`version_of`].
-    pub speaks: u16,
+    #[serde(rename = "speaks")]
+    pub version: u16,
     /// The parameters of the method.
-    pub what: T,
+    #[serde(rename = "what")]
+    pub params: T,
 }
 
 /// `prepare`: asks for a promise.
@@ -55,7 +57,8 @@
     /// The round.
     pub ballot: Ballot,
     /// The proposer has the value of this ballot: it need not be sent.
-    pub have: Ballot,
+    #[serde(rename = "have")]
+    pub known_ballot: Ballot,
 }
 
 /// The answer to `prepare` and `accept`.
@@ -70,14 +73,16 @@
         /// What was accepted last.
         value: Option<Box<Fleet>>,
         /// Who votes.
-        mark: VoterStamp,
+        #[serde(rename = "mark")]
+        stamp: VoterStamp,
         /// Writes of the acceptor.
         writes: u64,
     },
     /// The value was accepted.
     Accepted {
         /// Who votes.
-        mark: VoterStamp,
+        #[serde(rename = "mark")]
+        stamp: VoterStamp,
         /// Writes of the acceptor.
         writes: u64,
     },
@@ -107,13 +112,15 @@
     /// Who has started.
     pub from: Voter,
     /// The incarnation that it starts.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
 }
 
 /// `opinions`: levels of suspicion, between coordinators, several times a second.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Opinions {
+#[serde(rename = "Opinions", expecting = "struct Opinions")]
+pub struct SuspicionReport {
     /// Who reports.
     pub from: Voter,
     /// Levels of suspicion that are not low; none: it does not know.
@@ -136,7 +143,8 @@
     /// The sender's incarnation.
     pub incarnation: u64,
     /// Promised interval to the next, in ticks of 100 us.
-    pub every_tenths: u64,
+    #[serde(rename = "every_tenths")]
+    pub interval_ticks: u64,
     /// Work in flight, as a share of its size.
     #[serde(default)]
     pub busy: f64,
@@ -147,7 +155,7 @@
 
 impl Heartbeat {
     /// The load of the member.
-    pub fn seen(&self) -> MemberLoad {
+    pub fn load(&self) -> MemberLoad {
         MemberLoad {
             busy: self.busy,
             last_copies: self.last_copies,
@@ -166,7 +174,8 @@
     /// The phase of the member, if it is one.
     pub phase: Option<Phase>,
     /// Its drain was withdrawn: it may go back to serving.
-    pub turn_back: bool,
+    #[serde(rename = "turn_back")]
+    pub drain_withdrawn: bool,
     /// Leases that it holds.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub leases: Vec<HeldLease>,
--- a/crates/coordinator/src/wire/tests.rs
+++ b/crates/coordinator/src/wire/tests.rs
@@ -16,11 +16,11 @@
             .iter()
             .all(|v| *v == PROTOCOL_VERSION)
     );
-    let said = |speaks| {
+    let said = |version| {
         let params = serde_json::to_string(&Envelope {
             fleet: "museums".into(),
-            speaks,
-            what: 7,
+            version,
+            params: 7,
         })
         .unwrap();
         let line = format!(r#"{{"jsonrpc":"2.0","id":1,"method":"accept","params":{params}}}"#);
@@ -65,7 +65,7 @@
     let vote = Vote::Promised {
         accepted: Some(Ballot::default()),
         value,
-        mark,
+        stamp: mark,
         writes: 4,
     };
     let text = serde_json::to_string(&vote).unwrap();
--- a/crates/coordinator/tests/all/holder.rs
+++ b/crates/coordinator/tests/all/holder.rs
@@ -4,10 +4,10 @@
 use saltdrum::interface::{MILLISECOND, SECOND, Ticks};
 use saltdrum_coordinator::LeaseWatch;
 use saltdrum_coordinator::rpc_client::RpcClient;
-use saltdrum_coordinator::server::{CallHandler, Refused, read_params, serve};
+use saltdrum_coordinator::server::{CallHandler, RpcError, read_params, serve};
 use saltdrum_fleet::fence::Token;
 use saltdrum_fleet::state::LeaseName;
-use saltdrum_leases::holder::EffectFault;
+use saltdrum_leases::holder::EffectError;
 use saltdrum_leases::journal::{Accepted, Append, Appended, Journal, JournalDisk, OnAccepted};
 use saltdrum_leases::messages::{Effect, REJECTED};
 use saltdrum_leases::{Effects, Holder, Task};
@@ -44,10 +44,10 @@
         TASK
     }
 
-    async fn step(&self, effects: &Effects<'_>) -> Result<(), EffectFault> {
+    async fn step(&self, effects: &Effects<'_>) -> Result<(), EffectError> {
         for journal in JOURNALS {
             let line = format!("epoch {}", effects.epoch());
-            let _: Appended = effects.make(journal, "append", Append { line }).await?;
+            let _: Appended = effects.call(journal, "append", Append { line }).await?;
             self.clock.sleep_until(self.clock.now() + STEP).await;
         }
         Ok(())
@@ -74,11 +74,11 @@
     match world.lease_mode.get() {
         LeaseMode::AsBuilt | LeaseMode::ForgetsItsEpoch => {
             let holder = Holder {
-                by,
+                actor: by,
                 clock,
-                watch,
+                lease_watch: watch,
                 resources,
-                quiet_after: QUIET_AFTER,
+                contact_timeout: QUIET_AFTER,
             };
             holder.run(&Count { clock }).await;
         }
@@ -98,8 +98,8 @@
         for caller in resources.values() {
             clock.sleep_until(clock.now() + STEP).await;
             let held = watch
-                .held(TASK)
-                .filter(|_| clock.now() <= watch.heard_at() + QUIET_AFTER);
+                .held_lease(TASK)
+                .filter(|_| clock.now() <= watch.last_reply_at() + QUIET_AFTER);
             let Some(held) = held else { continue };
             let token = Token {
                 lease: held.lease,
@@ -111,8 +111,8 @@
             };
             let effect = Effect {
                 token,
-                by: by.to_owned(),
-                what,
+                actor: by.to_owned(),
+                params: what,
             };
             let _ = caller.call::<Appended>("append", &effect, 5 * SECOND).await;
         }
@@ -127,7 +127,7 @@
 }
 
 impl CallHandler for Unsealed {
-    async fn answer(self: &Rc<Self>, call: &Call) -> Result<String, Refused> {
+    async fn handle_call(self: &Rc<Self>, call: &Call) -> Result<String, RpcError> {
         if call.method == "seal" {
             return Ok(json!({"incarnation": 0}).to_string());
         }
@@ -140,7 +140,7 @@
         *seen = effect.token.epoch;
         (self.tells)(&Accepted {
             token: effect.token,
-            by: effect.by,
+            actor: effect.actor,
         });
         Ok(json!(Appended { number: 0 }).to_string())
     }
--- a/crates/coordinator/tests/all/world.rs
+++ b/crates/coordinator/tests/all/world.rs
@@ -3,7 +3,7 @@
 use crate::disk::Disk as Platter;
 use crate::holder::{self, LeaseMode};
 use saltdrum::interface::{MILLISECOND, SECOND, Ticks};
-use saltdrum_coordinator::disk::{Disk, Identity, SCHEMA};
+use saltdrum_coordinator::disk::{Disk, Identity, SCHEMA_VERSION};
 use saltdrum_coordinator::member::MembershipEnd;
 use saltdrum_coordinator::rpc_client::RpcClient;
 use saltdrum_coordinator::wire::{ChangeReply, ChangeRequest, Heartbeat, HeartbeatReply};
@@ -144,15 +144,15 @@
 }
 
 impl MemberRole for Stub {
-    fn is_proven(&self) -> bool {
+    fn is_healthy(&self) -> bool {
         self.clock.now() > self.since + self.size.prove
     }
 
-    fn seen(&self) -> MemberLoad {
+    fn load(&self) -> MemberLoad {
         MemberLoad::default()
     }
 
-    fn drain(&self) {
+    fn start_drain(&self) {
         self.drains.set(Some(self.clock.now()));
     }
 
@@ -162,12 +162,12 @@
             .is_some_and(|at| self.clock.now() > at + self.size.drain)
     }
 
-    fn turn_back(&self) -> bool {
+    fn cancel_drain(&self) -> bool {
         self.drains.set(None);
         true
     }
 
-    fn told(&self, what: &'static str, grant: u64) {
+    fn record_event(&self, what: &'static str, grant: u64) {
         self.lines.borrow_mut().push(Line::Told {
             at_ns: ns(self.clock.now()),
             member: self.member.clone(),
@@ -259,16 +259,16 @@
         }
         let seat = CoordinatorConfig {
             number,
-            life: self.next_life(),
+            incarnation: self.next_life(),
             seed: self.rng.borrow_mut().u64(..),
-            terms: terms(self.size.granted),
-            founding,
+            fleet_config: terms(self.size.granted),
+            initial_fleet: founding,
             listen: at(&name),
-            list: None,
+            invoker_list: None,
         };
         let platter = self.disks.borrow_mut().entry(number).or_default().clone();
         let new = Identity {
-            schema: SCHEMA,
+            schema: SCHEMA_VERSION,
             fleet: "museums".into(),
             voter: Voter {
                 steward: number,
@@ -300,12 +300,12 @@
         let with = Membership {
             fleet: "museums".into(),
             member: id,
-            about,
-            stewards: (1..=STEWARDS)
+            info: about,
+            coordinators: (1..=STEWARDS)
                 .map(|n| at(&format!("steward-{n}")))
                 .collect(),
-            renew: terms(self.size.granted).renew,
-            leases: watch.clone(),
+            heartbeat_interval: terms(self.size.granted).renew,
+            lease_watch: watch.clone(),
         };
         let part = Rc::new(Stub {
             lines: self.lines.clone(),
@@ -388,7 +388,7 @@
                 resource: resource.clone(),
                 lease: accepted.token.lease.to_string(),
                 epoch: accepted.token.epoch,
-                by: accepted.by.clone(),
+                by: accepted.actor.clone(),
             });
         });
         let incarnation = self.next_life();
@@ -483,11 +483,11 @@
                 {}
             }
             loop {
-                let (every_tenths, busy, last_copies) = (1_000, 0.0, 0);
+                let (interval_ticks, busy, last_copies) = (1_000, 0.0, 0);
                 let said = Heartbeat {
                     member: id,
                     incarnation,
-                    every_tenths,
+                    interval_ticks,
                     busy,
                     last_copies,
                 };
--- a/crates/coordinator/tests/coordinator_fixtures.rs
+++ b/crates/coordinator/tests/coordinator_fixtures.rs
@@ -10,12 +10,12 @@
 use fixtures::{FixtureLines, scratch_folder, stored_copy};
 use lines::{RawLine, call_line, memory, read_call, result_line, scripted_server, without_prose};
 use redb::{Database, ReadableDatabase, TableDefinition};
-use saltdrum_coordinator::disk::{Disk, Identity, SCHEMA};
+use saltdrum_coordinator::disk::{Disk, Identity, SCHEMA_VERSION};
 use saltdrum_coordinator::rpc_client::{CallError, RpcClient};
 use saltdrum_coordinator::wire::{
     Accept, ChangeReply, ChangeRequest, DryRun, Envelope, Heartbeat, HeartbeatReply, NOT_VOTING,
-    OUTCOME_UNKNOWN, Opinions, PROTOCOL_VERSION, Prepare, REFUSED, Recover, VOTE_PROTOCOL_VERSION,
-    Vote, WRONG_FLEET_OR_VERSION,
+    OUTCOME_UNKNOWN, PROTOCOL_VERSION, Prepare, REFUSED, Recover, SuspicionReport,
+    VOTE_PROTOCOL_VERSION, Vote, WRONG_FLEET_OR_VERSION,
 };
 use saltdrum_coordinator::{CoordinatorConfig, FleetConfig, HeldLease, server, service};
 use saltdrum_deployment::script;
@@ -106,14 +106,14 @@
     Heartbeat {
         member,
         incarnation: 109,
-        every_tenths: 5_000,
+        interval_ticks: 5_000,
         busy: 0.75,
         last_copies: 6,
     }
 }
 
-fn opinions(levels: Option<BTreeMap<MemberId, f64>>) -> Opinions {
-    Opinions {
+fn opinions(levels: Option<BTreeMap<MemberId, f64>>) -> SuspicionReport {
+    SuspicionReport {
         from: voter(3),
         levels,
         decided: ballot(11),
@@ -131,7 +131,7 @@
         let prepare = Prepare {
             to,
             ballot: ballot(12),
-            have: ballot(11),
+            known_ballot: ballot(11),
         };
         check_call(all, "prepare", "prepare", prepare).await;
         let value = Box::new(full_fleet());
@@ -146,7 +146,16 @@
             },
         )
         .await;
-        check_call(all, "recover", "recover", Recover { from, life: 6 }).await;
+        check_call(
+            all,
+            "recover",
+            "recover",
+            Recover {
+                from,
+                incarnation: 6,
+            },
+        )
+        .await;
         check_call(all, "decided", "decided", json!({})).await;
         let levels = BTreeMap::from([
             (MemberId::invoker(9), 0.5),
@@ -186,7 +195,7 @@
             Vote::Promised {
                 accepted,
                 value,
-                mark: mark(),
+                stamp: mark(),
                 writes,
             },
         ),
@@ -195,7 +204,7 @@
             Vote::Promised {
                 accepted,
                 value: None,
-                mark: mark(),
+                stamp: mark(),
                 writes,
             },
         ),
@@ -204,14 +213,14 @@
             Vote::Promised {
                 accepted: None,
                 value: None,
-                mark: mark(),
+                stamp: mark(),
                 writes,
             },
         ),
         (
             "accepted",
             Vote::Accepted {
-                mark: mark(),
+                stamp: mark(),
                 writes,
             },
         ),
@@ -231,7 +240,7 @@
         revision: 37,
         incarnation,
         phase,
-        turn_back: true,
+        drain_withdrawn: true,
         leases: vec![lease],
     }
 }
@@ -261,7 +270,7 @@
             revision: 0,
             incarnation,
             phase,
-            turn_back: false,
+            drain_withdrawn: false,
             leases,
         };
         check_answer(all, "standing-no-member", stranger).await;
@@ -294,7 +303,7 @@
         check_answer(all, "dry-run", batches).await;
         let refusal = r#"{"jsonrpc":"2.0","id":1,"error":{"code":-32020,"message":"halted"}}"#;
         match call::<ChangeReply>("change", &json!({}), refusal).await.1 {
-            Err(CallError::Told {
+            Err(CallError::ErrorReply {
                 code: REFUSED,
                 message,
             }) => assert_eq!(message, "halted"),
@@ -350,19 +359,19 @@
 /// Starts the one steward of a new fleet, and waits until it votes.
 async fn start_steward(network: &Rc<dyn Network>, database: &Path) {
     let new = Identity {
-        schema: SCHEMA,
+        schema: SCHEMA_VERSION,
         fleet: FLEET.into(),
         voter: voter(1),
     };
     let (disk, acceptor) = Disk::open_file(database, new).unwrap();
     let config = CoordinatorConfig {
         number: 1,
-        life: 9,
+        incarnation: 9,
         seed: 4,
-        terms: terms(),
-        founding: founded_fleet(),
+        fleet_config: terms(),
+        initial_fleet: founded_fleet(),
         listen: memory("steward-1"),
-        list: None,
+        invoker_list: None,
     };
     let serving = service::serve(config, disk, acceptor, network.clone(), Clock::start());
     tokio::task::spawn_local(async move {
@@ -525,7 +534,7 @@
         Prepare {
             to,
             ballot: ballot(1_000),
-            have: none,
+            known_ballot: none,
         },
     )
     .await;
@@ -535,7 +544,7 @@
         Prepare {
             to,
             ballot: ballot(1_001),
-            have,
+            known_ballot: have,
         },
     )
     .await;
@@ -545,7 +554,7 @@
         Prepare {
             to,
             ballot: ballot(1),
-            have,
+            known_ballot: have,
         },
     )
     .await;
@@ -577,14 +586,14 @@
         "recover",
         Recover {
             from: voter(2),
-            life: 6,
+            incarnation: 6,
         },
     )
     .await;
     let elsewhere = Prepare {
         to: voter(2),
         ballot: at,
-        have,
+        known_ballot: have,
     };
     talk.call("prepare-for-another-voter", "prepare", elsewhere)
         .await;
@@ -599,8 +608,8 @@
     for (name, fleet, speaks) in strangers {
         let said = Envelope {
             fleet: fleet.into(),
-            speaks,
-            what: json!({}),
+            version: speaks,
+            params: json!({}),
         };
         let sent = lines::plain_call_line(1_000, "status", &said);
         talk.send(name, &sent).await;
@@ -616,7 +625,7 @@
 #[test]
 fn a_script_of_an_earlier_build_states_the_same_fleet() {
     let mut statements = script::run("fleet.star", include_str!("fixtures/fleet.star")).unwrap();
-    let stated = FleetConfig::take(&mut statements).unwrap().unwrap();
+    let stated = FleetConfig::extract(&mut statements).unwrap().unwrap();
     assert!(statements.is_empty());
     let bound_of_kind = Bound {
         kind: Some(MemberKind::Controller),
@@ -656,7 +665,7 @@
 #[test]
 fn a_script_that_states_only_a_name_means_the_same_fleet() {
     let mut statements = script::run("fleet.star", r#"fleet("museums")"#).unwrap();
-    let stated = FleetConfig::take(&mut statements).unwrap().unwrap();
+    let stated = FleetConfig::extract(&mut statements).unwrap().unwrap();
     let expected = FleetConfig {
         renew: 5_000,
         grant_for: 100_000,
@@ -686,14 +695,14 @@
 fn a_disk_of_an_earlier_build_is_read_and_a_new_one_has_the_same_records() {
     let scratch = scratch_folder("disk");
     let identity = Identity {
-        schema: SCHEMA,
+        schema: SCHEMA_VERSION,
         fleet: FLEET.into(),
         voter: voter(3),
     };
     let written = scratch.join("steward.redb");
     let (mut disk, at_first) = Disk::open_file(&written, identity.clone()).unwrap();
     assert_eq!(at_first.writes, 0);
-    disk.keep(&full_acceptor()).unwrap();
+    disk.save(&full_acceptor()).unwrap();
     drop(disk);
     let stored = stored_copy("steward.redb", &written, &scratch);
     let mut fixtures = FixtureLines::open("disk-records.txt");
@@ -710,5 +719,5 @@
     };
     let (mut disk, acceptor) = Disk::open_file(&stored, started).unwrap();
     assert_eq!((&disk.identity, &acceptor), (&identity, &full_acceptor()));
-    disk.keep(&acceptor).unwrap();
+    disk.save(&acceptor).unwrap();
 }
--- a/crates/coordinator/tests/fixture_support/lines.rs
+++ b/crates/coordinator/tests/fixture_support/lines.rs
@@ -77,8 +77,8 @@
 pub fn call_line(id: u64, fleet: &str, method: &str, what: &impl Serialize) -> String {
     let said = Envelope {
         fleet: fleet.to_owned(),
-        speaks: version_of(method),
-        what,
+        version: version_of(method),
+        params: what,
     };
     plain_call_line(id, method, &said)
 }
--- a/crates/faulty-peers/src/leases.rs
+++ b/crates/faulty-peers/src/leases.rs
@@ -4,7 +4,7 @@
 use redb::{Database, ReadableDatabase, TableDefinition};
 use saltdrum::interface::{MILLISECOND, SECOND, Ticks};
 use saltdrum_coordinator::rpc_client::RpcClient;
-use saltdrum_coordinator::server::{CallHandler, Refused, read_params};
+use saltdrum_coordinator::server::{CallHandler, RpcError, read_params};
 use saltdrum_coordinator::wire::{Heartbeat, HeartbeatReply, NOT_VOTING};
 use saltdrum_coordinator::{HeldLease, LeaseWatch};
 use saltdrum_fleet::fence::Token;
@@ -96,7 +96,7 @@
 }
 
 impl CallHandler for FaultyJournal {
-    async fn answer(self: &Rc<Self>, call: &Call) -> Result<String, Refused> {
+    async fn handle_call(self: &Rc<Self>, call: &Call) -> Result<String, RpcError> {
         let refused = |why: &str| Err((REJECTED, why.to_owned()));
         match call.method.as_str() {
             "seal" => {
@@ -117,7 +117,7 @@
                 self.lines.set(self.lines.get() + 1);
                 (self.tells)(&Accepted {
                     token: effect.token,
-                    by: effect.by,
+                    actor: effect.actor,
                 });
                 Ok(json!(Appended {
                     number: self.lines.get()
@@ -144,7 +144,7 @@
     let sealed: RefCell<BTreeMap<(String, u64), u64>> = RefCell::default();
     loop {
         for (name, caller) in &resources {
-            let held = watch.held(task);
+            let held = watch.held_lease(task);
             clock.sleep_until(clock.now() + BETWEEN_EFFECTS).await;
             let Some(held) = held else {
                 continue;
@@ -175,8 +175,8 @@
             };
             let effect = Effect {
                 token,
-                by: by.clone(),
-                what,
+                actor: by.clone(),
+                params: what,
             };
             let _ = caller
                 .call::<Appended>("append", &effect, PATIENCE / 20)
@@ -212,14 +212,14 @@
             revision: fleet.revision,
             incarnation: member.map(|m| m.about.incarnation),
             phase: member.map(|m| m.phase.clone()),
-            turn_back: false,
+            drain_withdrawn: false,
             leases: fleet.leases.iter().map(given).collect(),
         })
     }
 }
 
 impl CallHandler for FaultySteward {
-    async fn answer(self: &Rc<Self>, call: &Call) -> Result<String, Refused> {
+    async fn handle_call(self: &Rc<Self>, call: &Call) -> Result<String, RpcError> {
         if call.method != "renew" {
             return Err((NOT_VOTING, "it does not vote".to_owned()));
         }
--- a/crates/leases/src/fenced_resource.rs
+++ b/crates/leases/src/fenced_resource.rs
@@ -4,7 +4,7 @@
 use crate::messages::{REJECTED, UNCONFIRMED, UNWRITABLE, rejection_text};
 use saltdrum::interface::{SECOND, Ticks};
 use saltdrum_coordinator::rpc_client::{CallError, RpcClient};
-use saltdrum_coordinator::server::Refused;
+use saltdrum_coordinator::server::RpcError;
 use saltdrum_coordinator::wire::{ChangeReply, ChangeRequest, REFUSED};
 use saltdrum_fleet::change::Change;
 use saltdrum_fleet::fence::{Fence, Rejection, SealStep, Token};
@@ -26,26 +26,26 @@
 
 /// Why a resource was not sealed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum SealFault {
+pub enum SealError {
     /// The epoch is not the one to accept.
     #[error(transparent)]
     Rejected(#[from] Rejection),
     /// No quorum confirmed the epoch, or another one is the lease's.
-    #[error("epoch {epoch} was not confirmed: {why}")]
+    #[error("epoch {epoch} was not confirmed: {reason}")]
     Unconfirmed {
         /// The epoch that was given.
         epoch: Epoch,
         /// The last answer.
-        why: String,
+        reason: String,
     },
     /// The disk failed.
     #[error("the seal can't be written: {0}")]
     Unwritable(String),
 }
 
-impl SealFault {
+impl SealError {
     /// The error as it goes over the wire.
-    pub fn refused(&self) -> Refused {
+    pub fn to_rpc_error(&self) -> RpcError {
         match self {
             Self::Rejected(why) => (REJECTED, rejection_text(why)),
             Self::Unconfirmed { .. } => (UNCONFIRMED, self.to_string()),
@@ -63,7 +63,7 @@
 
 impl FencedResource {
     /// A resource that has just started; `incarnation` was never used before.
-    pub fn started(incarnation: u64, stewards: Vec<RpcClient>) -> Self {
+    pub fn new(incarnation: u64, stewards: Vec<RpcClient>) -> Self {
         Self {
             incarnation,
             fences: RefCell::default(),
@@ -77,8 +77,8 @@
         store: &impl SealStore,
         lease: &LeaseName,
         epoch: Epoch,
-    ) -> Result<u64, SealFault> {
-        let durable = store.sealed_epoch(lease).map_err(SealFault::Unwritable)?;
+    ) -> Result<u64, SealError> {
+        let durable = store.sealed_epoch(lease).map_err(SealError::Unwritable)?;
         let started = || Fence::started(lease.clone(), self.incarnation, durable);
         let step = self
             .fences
@@ -105,7 +105,7 @@
         store: &impl SealStore,
         lease: &LeaseName,
         epoch: Epoch,
-    ) -> Result<(), SealFault> {
+    ) -> Result<(), SealError> {
         let written = store.write_seal(lease, epoch);
         if let Some(fence) = self.fences.borrow_mut().get_mut(lease) {
             match &written {
@@ -113,7 +113,7 @@
                 Err(_) => fence.write_failed(),
             }
         }
-        written.map_err(SealFault::Unwritable)?;
+        written.map_err(SealError::Unwritable)?;
         info!(%lease, epoch, "sealed");
         Ok(())
     }
@@ -128,7 +128,7 @@
     }
 
     /// Epochs that this incarnation is sealed to.
-    pub fn sealed(&self) -> BTreeMap<LeaseName, Epoch> {
+    pub fn sealed_epochs(&self) -> BTreeMap<LeaseName, Epoch> {
         let fences = self.fences.borrow();
         fences
             .iter()
@@ -137,7 +137,7 @@
     }
 
     /// Asks coordinators, one after the other, to have it agreed that this epoch is the lease's.
-    async fn confirm(&self, lease: &LeaseName, epoch: Epoch) -> Result<(), SealFault> {
+    async fn confirm(&self, lease: &LeaseName, epoch: Epoch) -> Result<(), SealError> {
         let mut last = "no steward is known".to_owned();
         for steward in &self.stewards {
             let change = Change::ConfirmEpoch {
@@ -149,19 +149,22 @@
                 .await
             {
                 Ok(_) => return Ok(()),
-                Err(CallError::Told {
+                Err(CallError::ErrorReply {
                     code: REFUSED,
                     message,
                 }) => {
-                    return Err(SealFault::Unconfirmed {
+                    return Err(SealError::Unconfirmed {
                         epoch,
-                        why: message,
+                        reason: message,
                     });
                 }
                 Err(why) => last = why.to_string(),
             }
         }
         warn!(%lease, epoch, last, "seal not confirmed by a quorum");
-        Err(SealFault::Unconfirmed { epoch, why: last })
+        Err(SealError::Unconfirmed {
+            epoch,
+            reason: last,
+        })
     }
 }
--- a/crates/leases/src/holder.rs
+++ b/crates/leases/src/holder.rs
@@ -24,53 +24,53 @@
     /// As leases and members name it.
     fn name(&self) -> &str;
     /// Does one step of it. Called again and again while the lease is held; it waits itself between steps.
-    fn step(&self, effects: &Effects) -> impl Future<Output = Result<(), EffectFault>>;
+    fn step(&self, effects: &Effects) -> impl Future<Output = Result<(), EffectError>>;
 }
 
 /// Why an effect was not made, as far as is known.
 #[derive(Debug, Clone, thiserror::Error)]
-pub enum EffectFault {
+pub enum EffectError {
     /// The lease is over, or not all resources are sealed.
     #[error("lease {lease}, epoch {epoch}: nothing may be done now")]
-    NotNow {
+    NotPermitted {
         /// The lease.
         lease: LeaseName,
         /// Of the grant that was used.
         epoch: Epoch,
     },
     /// The resource rejected it.
-    #[error("{resource}: {why}")]
+    #[error("{resource}: {reason}")]
     Rejected {
         /// The resource.
         resource: ResourceName,
         /// Its reason.
-        why: Rejection,
+        reason: Rejection,
     },
     /// Whether it was made is not known.
-    #[error("{resource}: {why}")]
-    Unsettled {
+    #[error("{resource}: {reason}")]
+    OutcomeUnknown {
         /// The resource.
         resource: ResourceName,
         /// What failed.
-        why: String,
+        reason: String,
     },
     /// No way to the resource is configured.
     #[error("{0}: no such resource")]
-    Unknown(ResourceName),
+    UnknownResource(ResourceName),
 }
 
 /// What a process needs to do a task when it holds the lease.
 pub struct Holder {
     /// Who it is, for records alone.
-    pub by: String,
+    pub actor: String,
     /// Of the process.
     pub clock: Clock,
     /// What the member knows of its leases.
-    pub watch: Rc<LeaseWatch>,
+    pub lease_watch: Rc<LeaseWatch>,
     /// How each resource is reached.
     pub resources: BTreeMap<ResourceName, RpcClient>,
     /// No new effect starts after no coordinator was heard for this long, in ticks. Safety does not depend on it.
-    pub quiet_after: Ticks,
+    pub contact_timeout: Ticks,
 }
 
 /// One grant being used: the way to the resources.
@@ -84,13 +84,13 @@
     /// Does the task whenever the lease is held, for as long as it is polled.
     pub async fn run(&self, task: &impl Task) {
         loop {
-            let Some(held) = self.watch.held(task.name()) else {
-                self.watch.changed().await;
+            let Some(held) = self.lease_watch.held_lease(task.name()) else {
+                self.lease_watch.changed().await;
                 continue;
             };
-            info!(lease = %held.lease, epoch = held.epoch, by = self.by, "lease acquired");
+            info!(lease = %held.lease, epoch = held.epoch, by = self.actor, "lease acquired");
             self.use_grant(task, &held).await;
-            info!(lease = %held.lease, epoch = held.epoch, by = self.by, "lease released");
+            info!(lease = %held.lease, epoch = held.epoch, by = self.actor, "lease released");
         }
     }
 
@@ -115,13 +115,13 @@
 
     /// Whether no coordinator was heard for too long.
     fn is_quiet(&self) -> bool {
-        self.clock.now() > self.watch.heard_at() + self.quiet_after
+        self.clock.now() > self.lease_watch.last_reply_at() + self.contact_timeout
     }
 
     async fn pause(&self) {
         tokio::select! {
             () = self.clock.sleep_until(self.clock.now() + RETRY_DELAY) => {}
-            () = self.watch.changed() => {}
+            () = self.lease_watch.changed() => {}
         }
     }
 }
@@ -131,8 +131,8 @@
     pub fn is_held(&self) -> bool {
         let epoch = self.holding.borrow().epoch();
         self.holder
-            .watch
-            .held(self.task)
+            .lease_watch
+            .held_lease(self.task)
             .is_some_and(|held| held.epoch == epoch)
     }
 
@@ -147,12 +147,12 @@
     }
 
     /// Makes one effect on one resource, or says why not.
-    pub async fn make<T: DeserializeOwned>(
+    pub async fn call<T: DeserializeOwned>(
         &self,
         resource: &str,
         method: &str,
         what: impl Serialize,
-    ) -> Result<T, EffectFault> {
+    ) -> Result<T, EffectError> {
         let caller = self.caller(resource)?;
         let token = self
             .holding
@@ -161,12 +161,12 @@
             .filter(|_| self.is_held() && !self.holder.is_quiet());
         let Some(token) = token else {
             let (lease, epoch) = (self.holding.borrow().lease().clone(), self.epoch());
-            return Err(EffectFault::NotNow { lease, epoch });
+            return Err(EffectError::NotPermitted { lease, epoch });
         };
         let effect = Effect {
             token,
-            by: self.holder.by.clone(),
-            what,
+            actor: self.holder.actor.clone(),
+            params: what,
         };
         caller
             .call(method, &effect, RESOURCE_TIMEOUT)
@@ -186,7 +186,7 @@
         true
     }
 
-    async fn seal(&self, resource: &str) -> Result<(), EffectFault> {
+    async fn seal(&self, resource: &str) -> Result<(), EffectError> {
         let caller = self.caller(resource)?;
         let asked = Seal {
             lease: self.holding.borrow().lease().clone(),
@@ -202,17 +202,17 @@
         Ok(())
     }
 
-    fn caller(&self, resource: &str) -> Result<&RpcClient, EffectFault> {
+    fn caller(&self, resource: &str) -> Result<&RpcClient, EffectError> {
         self.holder
             .resources
             .get(resource)
-            .ok_or_else(|| EffectFault::Unknown(resource.to_owned()))
+            .ok_or_else(|| EffectError::UnknownResource(resource.to_owned()))
     }
 
-    fn failed(&self, resource: &str, fault: CallError) -> EffectFault {
+    fn failed(&self, resource: &str, fault: CallError) -> EffectError {
         let resource = resource.to_owned();
         let rejection = match &fault {
-            CallError::Told {
+            CallError::ErrorReply {
                 code: REJECTED,
                 message,
             } => serde_json::from_str(message).ok(),
@@ -221,11 +221,14 @@
         match rejection {
             Some(why) => {
                 self.holding.borrow_mut().rejected(&resource, &why);
-                EffectFault::Rejected { resource, why }
+                EffectError::Rejected {
+                    resource,
+                    reason: why,
+                }
             }
-            None => EffectFault::Unsettled {
+            None => EffectError::OutcomeUnknown {
                 resource,
-                why: fault.to_string(),
+                reason: fault.to_string(),
             },
         }
     }
--- a/crates/leases/src/journal.rs
+++ b/crates/leases/src/journal.rs
@@ -5,7 +5,7 @@
 use crate::messages::{Effect, REJECTED, Seal, Sealed, UNWRITABLE, rejection_text};
 use redb::{Database, ReadableDatabase, ReadableTable, ReadableTableMetadata, TableDefinition};
 use saltdrum_coordinator::rpc_client::RpcClient;
-use saltdrum_coordinator::server::{CallHandler, Refused, read_params};
+use saltdrum_coordinator::server::{CallHandler, RpcError, read_params};
 use saltdrum_durable::{DiskFailure, database};
 use saltdrum_fleet::fence::Token;
 use saltdrum_fleet::state::{Epoch, LeaseName};
@@ -27,7 +27,7 @@
     /// That it carried.
     pub token: Token,
     /// Who made it.
-    pub by: String,
+    pub actor: String,
 }
 
 /// Called for each accepted effect once it is on disk.
@@ -114,7 +114,7 @@
     }
 
     /// How many lines there are.
-    pub fn lines(&self) -> Result<u64, DiskFailure> {
+    pub fn line_count(&self) -> Result<u64, DiskFailure> {
         self.with(|database| Ok(database.begin_read()?.open_table(LINES)?.len()?))
     }
 }
@@ -176,7 +176,7 @@
         disk: JournalDisk,
         on_accepted: OnAccepted,
     ) -> Rc<Self> {
-        let guard = FencedResource::started(incarnation, stewards);
+        let guard = FencedResource::new(incarnation, stewards);
         Rc::new(Self {
             fleet: fleet.to_owned(),
             guard,
@@ -185,13 +185,13 @@
         })
     }
 
-    fn append(&self, effect: &Effect<Append>) -> Result<Appended, Refused> {
+    fn append(&self, effect: &Effect<Append>) -> Result<Appended, RpcError> {
         self.guard
             .admit(&effect.token)
             .map_err(|why| (REJECTED, rejection_text(&why)))?;
         let number = self
             .disk
-            .append(&effect.token, &effect.what.line)
+            .append(&effect.token, &effect.params.line)
             .map_err(|failure| (UNWRITABLE, failure.reason))?;
         let number = number.ok_or((
             UNWRITABLE,
@@ -199,29 +199,29 @@
         ))?;
         (self.on_accepted)(&Accepted {
             token: effect.token.clone(),
-            by: effect.by.clone(),
+            actor: effect.actor.clone(),
         });
         Ok(Appended { number })
     }
 }
 
 impl CallHandler for Journal {
-    async fn answer(self: &Rc<Self>, call: &Call) -> Result<String, Refused> {
+    async fn handle_call(self: &Rc<Self>, call: &Call) -> Result<String, RpcError> {
         let told = |what: serde_json::Value| Ok(what.to_string());
         match call.method.as_str() {
             "seal" => {
                 let asked: Seal = read_params(call, &self.fleet)?;
                 let sealed = self.guard.seal(&self.disk, &asked.lease, asked.epoch).await;
-                let incarnation = sealed.map_err(|fault| fault.refused())?;
+                let incarnation = sealed.map_err(|fault| fault.to_rpc_error())?;
                 told(json!(Sealed { incarnation }))
             }
             "append" => {
                 let effect: Effect<Append> = read_params(call, &self.fleet)?;
                 told(json!(self.append(&effect)?))
             }
-            "status" => {
-                told(json!({"sealed": self.guard.sealed(), "lines": self.disk.lines().ok()}))
-            }
+            "status" => told(
+                json!({"sealed": self.guard.sealed_epochs(), "lines": self.disk.line_count().ok()}),
+            ),
             other => Err((
                 rpc::METHOD_NOT_FOUND,
                 format!("method '{other}' is not one of a journal"),
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -12,5 +12,5 @@
 pub mod journal;
 pub mod messages;
 
-pub use fenced_resource::{FencedResource, SealFault, SealStore};
+pub use fenced_resource::{FencedResource, SealError, SealStore};
 pub use holder::{Effects, Holder, Task};
--- a/crates/leases/src/messages.rs
+++ b/crates/leases/src/messages.rs
@@ -35,9 +35,11 @@
     /// Checked by the fence.
     pub token: Token,
     /// Who makes it.
-    pub by: String,
+    #[serde(rename = "by")]
+    pub actor: String,
     /// The effect.
-    pub what: T,
+    #[serde(rename = "what")]
+    pub params: T,
 }
 
 /// A rejection as it goes over the wire.
--- a/crates/leases/tests/leases_fixtures.rs
+++ b/crates/leases/tests/leases_fixtures.rs
@@ -42,8 +42,8 @@
 fn append(token: Token) -> Effect<Append> {
     Effect {
         token,
-        by: "invoker-9".into(),
-        what: Append {
+        actor: "invoker-9".into(),
+        params: Append {
             line: "one more".into(),
         },
     }
@@ -114,7 +114,7 @@
     async fn call(&mut self, name: &str, method: &str, what: impl Serialize) {
         self.calls += 1;
         let sent = call_line(self.calls, FLEET, method, &what);
-        let answer = match self.journal.answer(&read_call(&sent)).await {
+        let answer = match self.journal.handle_call(&read_call(&sent)).await {
             Ok(result) => result,
             // The message of a rejection is read by holders; others are for people.
             Err((REJECTED, message)) => format!("error {REJECTED} {message}"),
@@ -227,7 +227,7 @@
         (sealed("counting"), sealed("reporting"), sealed("unknown")),
         (22, 6, 0)
     );
-    assert_eq!(disk.lines().unwrap(), 2);
+    assert_eq!(disk.line_count().unwrap(), 2);
     disk.write_seal(&lease(), 23).unwrap();
     assert_eq!(sealed("counting"), 23);
 }
--- a/crates/registry/src/collection.rs
+++ b/crates/registry/src/collection.rs
@@ -2,7 +2,7 @@
 
 use crate::service::Registry;
 use saltdrum_coordinator::rpc_client::RpcClient;
-use saltdrum_coordinator::server::{CallHandler, Refused, read_params};
+use saltdrum_coordinator::server::{CallHandler, RpcError, read_params};
 use saltdrum_fleet::state::{Epoch, LeaseName};
 use saltdrum_leases::messages::{Effect, REJECTED, Seal, Sealed, UNWRITABLE, rejection_text};
 use saltdrum_leases::{FencedResource, SealStore};
@@ -50,7 +50,7 @@
         registry: Rc<Registry>,
     ) -> Rc<Self> {
         registry.set_collected_by_fleet();
-        let guard = FencedResource::started(incarnation, stewards);
+        let guard = FencedResource::new(incarnation, stewards);
         Rc::new(Self {
             fleet: fleet.to_owned(),
             registry,
@@ -59,12 +59,12 @@
     }
 
     /// Epoch and effect are one transaction: no seal comes between them.
-    fn collect(&self, effect: &Effect<CollectBlobs>) -> Result<String, Refused> {
+    fn collect(&self, effect: &Effect<CollectBlobs>) -> Result<String, RpcError> {
         let token = &effect.token;
         self.guard
             .admit(token)
             .map_err(|why| (REJECTED, rejection_text(&why)))?;
-        let gone = self.registry.collectable(effect.what.grace_ms)?;
+        let gone = self.registry.collectable(effect.params.grace_ms)?;
         let remove = || self.registry.remove_blobs(&gone);
         let done =
             self.registry
@@ -76,7 +76,7 @@
             UNWRITABLE,
             "the disk has another seal than this life".to_owned(),
         ))??;
-        info!(epoch = token.epoch, by = effect.by, %collected, "collected");
+        info!(epoch = token.epoch, by = effect.actor, %collected, "collected");
         Ok(collected.to_string())
     }
 }
@@ -100,16 +100,16 @@
 }
 
 impl CallHandler for CollectionResource {
-    async fn answer(self: &Rc<Self>, call: &Call) -> Result<String, Refused> {
+    async fn handle_call(self: &Rc<Self>, call: &Call) -> Result<String, RpcError> {
         match call.method.as_str() {
             "seal" => {
                 let asked: Seal = read_params(call, &self.fleet)?;
                 let sealed = self.guard.seal(&**self, &asked.lease, asked.epoch).await;
-                let incarnation = sealed.map_err(|fault| fault.refused())?;
+                let incarnation = sealed.map_err(|fault| fault.to_rpc_error())?;
                 Ok(json!(Sealed { incarnation }).to_string())
             }
             "collect" => self.collect(&read_params(call, &self.fleet)?),
-            "status" => Ok(json!({"sealed": self.guard.sealed()}).to_string()),
+            "status" => Ok(json!({"sealed": self.guard.sealed_epochs()}).to_string()),
             other => Err((
                 rpc::METHOD_NOT_FOUND,
                 format!("method '{other}' is not one of the registry's tasks"),
--- a/crates/registry/tests/registry_fixtures.rs
+++ b/crates/registry/tests/registry_fixtures.rs
@@ -580,8 +580,8 @@
             let what = CollectBlobs { grace_ms: 0 };
             let effect = Effect {
                 token,
-                by: "controller-2".into(),
-                what,
+                actor: "controller-2".into(),
+                params: what,
             };
             call_line(1, FLEET, "collect", &effect)
         };
@@ -605,7 +605,7 @@
             ("status", call_line(3, FLEET, "status", &json!({}))),
         ];
         for (name, sent) in calls {
-            let answer = match resource.answer(&read_call(&sent)).await {
+            let answer = match resource.handle_call(&read_call(&sent)).await {
                 Ok(result) => result,
                 // The message of a rejection is read by holders; others are for people.
                 Err((REJECTED, message)) => format!("error {REJECTED} {message}"),
--- a/crates/scale/src/members.rs
+++ b/crates/scale/src/members.rs
@@ -5,7 +5,7 @@
 use redb::StorageBackend;
 use redb::backends::InMemoryBackend;
 use saltdrum::interface::{MILLISECOND, SECOND, Ticks};
-use saltdrum_coordinator::disk::{Disk, Identity, SCHEMA};
+use saltdrum_coordinator::disk::{Disk, Identity, SCHEMA_VERSION};
 use saltdrum_coordinator::rpc_client::RpcClient;
 use saltdrum_coordinator::wire::{ChangeReply, ChangeRequest};
 use saltdrum_coordinator::{CoordinatorConfig, FleetConfig, MemberRole, Membership, join, service};
@@ -311,20 +311,20 @@
 struct Serves;
 
 impl MemberRole for Serves {
-    fn is_proven(&self) -> bool {
+    fn is_healthy(&self) -> bool {
         true
     }
-    fn seen(&self) -> MemberLoad {
+    fn load(&self) -> MemberLoad {
         MemberLoad::default()
     }
-    fn drain(&self) {}
+    fn start_drain(&self) {}
     fn is_drained(&self) -> bool {
         false
     }
-    fn turn_back(&self) -> bool {
+    fn cancel_drain(&self) -> bool {
         true
     }
-    fn told(&self, _: &'static str, _: u64) {}
+    fn record_event(&self, _: &'static str, _: u64) {}
 }
 
 /// What followers of the list heard: bytes of the first and the last message, and when a line last changed.
@@ -403,19 +403,19 @@
         let (life, seed, terms) = (u64::from(number), size.seed + u64::from(number), terms());
         let seat = CoordinatorConfig {
             number,
-            life,
+            incarnation: life,
             seed,
-            terms,
-            founding: founding.clone(),
+            fleet_config: terms,
+            initial_fleet: founding.clone(),
             listen,
-            list,
+            invoker_list: list,
         };
         let voter = Voter {
             steward: number,
             disk: 0,
         };
         let new = Identity {
-            schema: SCHEMA,
+            schema: SCHEMA_VERSION,
             fleet: FLEET.into(),
             voter,
         };
@@ -467,12 +467,12 @@
         let with = Membership {
             fleet: FLEET.into(),
             member: id(n),
-            about: about(n, 1),
-            stewards: (1..=STEWARDS)
+            info: about(n, 1),
+            coordinators: (1..=STEWARDS)
                 .map(|n| at(&format!("steward-{n}")))
                 .collect(),
-            renew: RENEW,
-            leases: Default::default(),
+            heartbeat_interval: RENEW,
+            lease_watch: Default::default(),
         };
         let (spent, late) = (members.clone(), rng.u64(0..RENEW));
         spawn_local(async move {
--- a/crates/trial/src/script.rs
+++ b/crates/trial/src/script.rs
@@ -184,7 +184,8 @@
             },
             why: why.into(),
         };
-        let fleet = FleetConfig::take(&mut rest)?.ok_or_else(|| at("no fleet(...) is stated"))?;
+        let fleet =
+            FleetConfig::extract(&mut rest)?.ok_or_else(|| at("no fleet(...) is stated"))?;
         let mut trials = rest.iter().filter(|s| s.what == "trial");
         let stated = trials.next().ok_or_else(|| at("no trial(...) is stated"))?;
         if let Some(second) = trials.next() {
