--- a/crates/controller/tests/sockets.rs
+++ b/crates/controller/tests/sockets.rs
@@ -6,7 +6,7 @@
 use bytes::{Bytes, BytesMut};
 use saltdrum::interface::*;
 use saltdrum_controller::shutdown::{ShutdownHandle, ShutdownPhase};
-use saltdrum_controller::{ControllerConfig, MakePolicy, Policy, serve};
+use saltdrum_controller::{ControllerConfig, Policy, PolicyFactory, serve};
 use saltdrum_deployment::Terms;
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::invoker::{self as wire, Ended};
@@ -53,12 +53,12 @@
             _ => {}
         }
     }
-    fn client_left(&mut self, _: Ticks, _: InvocationId) {}
+    fn invocation_abandoned(&mut self, _: Ticks, _: InvocationId) {}
     fn attempt_ended(&mut self, _: Ticks, a: AttemptResult, acts: &mut dyn Actions) {
-        TOLD.with_borrow_mut(|told| told.push((a.outcome, a.finished)));
-        if !a.finished && a.outcome.never_ran() {
+        TOLD.with_borrow_mut(|told| told.push((a.outcome, a.invocation_finished)));
+        if !a.invocation_finished && a.outcome.never_ran() {
             acts.throttle(a.invocation, 100);
-        } else if !a.finished {
+        } else if !a.invocation_finished {
             acts.error(a.invocation);
         }
     }
@@ -196,12 +196,12 @@
     }
 }
 
-fn played<F: Future<Output = ()>>(make: MakePolicy, play: impl FnOnce(MemoryNetwork) -> F) {
+fn played<F: Future<Output = ()>>(make: PolicyFactory, play: impl FnOnce(MemoryNetwork) -> F) {
     played_in(make, |_| (), play);
 }
 
 fn played_in<F: Future<Output = ()>>(
-    make: MakePolicy,
+    make: PolicyFactory,
     change: impl FnOnce(&mut ControllerConfig),
     play: impl FnOnce(MemoryNetwork) -> F,
 ) {
--- a/crates/platform/src/client_connection.rs
+++ b/crates/platform/src/client_connection.rs
@@ -10,7 +10,7 @@
 use saltdrum::interface::{InvocationId, Ticks};
 use saltdrum_platform_wire::Malformed;
 use saltdrum_platform_wire::frames::{self, ClientFrame, Code};
-use saltdrum_transport::{ArrivalReader, Half, ReadBacklog, Stream, split};
+use saltdrum_transport::{ArrivalReader, ReadBacklog, Stream, StreamHalf, split};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
@@ -159,7 +159,7 @@
 async fn finish_open_invocations(
     handle: &Rc<ControllerHandle>,
     client: &Rc<Client>,
-    read: &mut ArrivalReader<Half>,
+    read: &mut ArrivalReader<StreamHalf>,
     end: &ConnectionEnd,
     linger: Duration,
 ) {
@@ -170,7 +170,7 @@
             .for_each(|id| handle.update(|state| state.client_left(id))),
         ConnectionEnd::Malformed(why) => {
             open.into_iter()
-                .for_each(|id| handle.update(|state| state.abandon(id)));
+                .for_each(|id| handle.update(|state| state.end_invocation(id)));
             client.send(
                 frames::encode_response(0, Code::Errored, None, why.as_bytes()),
                 NO_DEADLINE,
@@ -178,7 +178,7 @@
         }
         ConnectionEnd::ClosedByController => {
             open.into_iter()
-                .for_each(|id| handle.update(|state| state.abandon(id)));
+                .for_each(|id| handle.update(|state| state.end_invocation(id)));
             if !linger.is_zero() {
                 client.send_go_away();
                 // Whether the client closes its side in time makes no difference.
@@ -200,7 +200,7 @@
 async fn reject_until_closed(
     handle: &Rc<ControllerHandle>,
     client: &Rc<Client>,
-    read: &mut ArrivalReader<Half>,
+    read: &mut ArrivalReader<StreamHalf>,
 ) {
     loop {
         reject_frames(handle, client, read);
@@ -215,7 +215,7 @@
 async fn reject_buffered_frames(
     handle: &Rc<ControllerHandle>,
     client: &Rc<Client>,
-    read: &mut ArrivalReader<Half>,
+    read: &mut ArrivalReader<StreamHalf>,
 ) {
     // The event loop polls the kernel before this task continues.
     tokio::task::yield_now().await;
@@ -227,7 +227,7 @@
 fn reject_frames(
     handle: &Rc<ControllerHandle>,
     client: &Rc<Client>,
-    read: &mut ArrivalReader<Half>,
+    read: &mut ArrivalReader<StreamHalf>,
 ) {
     while let Ok(Some(frame)) = frames::decode(&mut read.bytes) {
         client.last_active.set(Some(handle.clock.now()));
@@ -246,7 +246,7 @@
 }
 
 /// Closes the sending side, and waits until the client closes its side too: it has read everything then.
-async fn close_gracefully(output: &mut Half, read: &mut ArrivalReader<Half>) {
+async fn close_gracefully(output: &mut StreamHalf, read: &mut ArrivalReader<StreamHalf>) {
     if output.shutdown().await.is_err() {
         return;
     }
@@ -264,7 +264,7 @@
 async fn read_frames(
     handle: &Rc<ControllerHandle>,
     client: &Rc<Client>,
-    read: &mut ArrivalReader<Half>,
+    read: &mut ArrivalReader<StreamHalf>,
 ) -> ConnectionEnd {
     let backlog = read.backlog();
     loop {
--- a/crates/platform/src/endpoint_watch.rs
+++ b/crates/platform/src/endpoint_watch.rs
@@ -75,7 +75,7 @@
             address: RefCell::new(address),
             address_changed: Notify::new(),
             last_event: Cell::new(last_event),
-            backlog: RefCell::new(ReadBacklog::none()),
+            backlog: RefCell::new(ReadBacklog::empty()),
             current_at: Cell::new(now),
             lost_since: Cell::new(None),
             losses: Cell::new(0),
@@ -86,7 +86,7 @@
 
     /// Whether there may be unread events in the kernel.
     pub fn is_behind(&self) -> bool {
-        self.backlog.borrow().is_behind()
+        self.backlog.borrow().has_unread()
     }
 
     /// Number of the last event applied.
@@ -270,7 +270,7 @@
     feed.set_current(handle.clock.now(), arrived_at);
     handle.update(|state| {
         let now = state.invocations.now;
-        state.policy.endpoint_list_heard(now, arrived_at);
+        state.policy.endpoint_list_refreshed(now, arrived_at);
     });
 }
 
--- a/crates/platform/src/lifecycle/shutdown.rs
+++ b/crates/platform/src/lifecycle/shutdown.rs
@@ -44,7 +44,7 @@
     {
         Ok(()) => info!("drained, stopping"),
         Err(_) => {
-            let unanswered = handle.update(|state| state.answer_all());
+            let unanswered = handle.update(|state| state.end_all_invocations());
             warn!(
                 owed = unanswered,
                 "drain timed out, responded to remaining invocations"
@@ -97,7 +97,8 @@
         Duration::from_micros(longest_timeout * 100).min(CLIENT_TIMEOUT_CAP) + KILL_MARGIN;
     // A process that was stopped handles the signal late, but the time of the kill counts from when the signal was
     // sent.
-    let signal_age = Duration::from_micros(handle.event_loop.max_wait(handle.clock.now()) * 100);
+    let signal_age =
+        Duration::from_micros(handle.event_loop.max_readiness_delay(handle.clock.now()) * 100);
     let kill_after = if signal_age > SIGNAL_DELAY_TOLERANCE {
         kill_after.saturating_sub(signal_age)
     } else {
--- a/crates/platform/src/tests/rules.rs
+++ b/crates/platform/src/tests/rules.rs
@@ -114,11 +114,11 @@
             0,
         );
     }
-    fn client_left(&mut self, _: Ticks, _: InvocationId) {}
+    fn invocation_abandoned(&mut self, _: Ticks, _: InvocationId) {}
     fn attempt_ended(&mut self, _: Ticks, ended: AttemptResult, acts: &mut dyn Actions) {
-        if !ended.finished && *self == Self::RepeatsAttempts && ended.attempt == 0 {
+        if !ended.invocation_finished && *self == Self::RepeatsAttempts && ended.attempt == 0 {
             acts.dispatch(ended.invocation, 1, 0);
-        } else if !ended.finished {
+        } else if !ended.invocation_finished {
             acts.error(ended.invocation);
         }
     }
--- a/crates/platform/src/tests/socket_support.rs
+++ b/crates/platform/src/tests/socket_support.rs
@@ -215,7 +215,7 @@
     }
 
     pub(crate) async fn with_tenants(
-        make: saltdrum_controller::MakePolicy,
+        make: saltdrum_controller::PolicyFactory,
         tenants: &[&str],
     ) -> Self {
         Self::with_sockets(make, tenants, 256).await
@@ -223,7 +223,7 @@
 
     /// Starts a controller with a limit on descriptors.
     pub async fn with_sockets(
-        make: saltdrum_controller::MakePolicy,
+        make: saltdrum_controller::PolicyFactory,
         tenants: &[&str],
         sockets: usize,
     ) -> Self {
--- a/crates/platform/src/tests/support.rs
+++ b/crates/platform/src/tests/support.rs
@@ -5,7 +5,7 @@
 use crate::start_times::WallClock;
 use crate::state::ControllerHandle;
 use saltdrum::interface::*;
-use saltdrum_controller::{MakePolicy, Policy};
+use saltdrum_controller::{Policy, PolicyFactory};
 use saltdrum_fakes::platform::{Answered, Call, Feed, FrameClient, Heard, HttpInvoker};
 use saltdrum_fakes::record::{Line, Place, Record, Stated, Trigger, Who};
 use saltdrum_platform_wire::config;
@@ -152,12 +152,12 @@
 }
 
 impl TestController {
-    pub async fn new(make: MakePolicy, invokers: &[u32], sockets: usize) -> Self {
+    pub async fn new(make: PolicyFactory, invokers: &[u32], sockets: usize) -> Self {
         Self::with_configuration(make, invokers, &configuration(invokers, sockets)).await
     }
 
     /// Starts a controller with the given configuration.
-    pub async fn with_configuration(make: MakePolicy, invokers: &[u32], text: &str) -> Self {
+    pub async fn with_configuration(make: PolicyFactory, invokers: &[u32], text: &str) -> Self {
         let (network, clock): (Rc<dyn Network>, _) =
             (Rc::new(MemoryNetwork::default()), Clock::start());
         let (record, hops) = (Record::default(), Rc::default());
@@ -293,10 +293,10 @@
             acts.cancel(call.id, 0);
         }
     }
-    fn client_left(&mut self, _: Ticks, _: InvocationId) {}
+    fn invocation_abandoned(&mut self, _: Ticks, _: InvocationId) {}
     fn attempt_ended(&mut self, _: Ticks, ended: AttemptResult, acts: &mut dyn Actions) {
-        ATTEMPT_ENDS.with_borrow_mut(|ends| ends.push((ended.outcome, ended.finished)));
-        match ended.finished {
+        ATTEMPT_ENDS.with_borrow_mut(|ends| ends.push((ended.outcome, ended.invocation_finished)));
+        match ended.invocation_finished {
             true => {}
             false if ended.outcome.never_ran() => acts.throttle(ended.invocation, 100),
             false => acts.error(ended.invocation),
