--- a/crates/fleet/src/change.rs
+++ b/crates/fleet/src/change.rs
@@ -1,9 +1,9 @@
-//! Every way in which the agreed value may change. Each change may come twice: a proposer that was not told the outcome of its
-//! round proposes again, and so does a member or an operator whose answer was lost.
+//! The changes to the agreed value. A change may be applied twice: a proposer that does not learn the outcome of its round
+//! proposes again, and so does a member or an operator whose reply was lost.
 //!
-//! `apply` makes a change and records it in the history, `outcome` is what a change came to or why it was refused. The
-//! changes by topic: `membership` who is a member, `drains` who may drain and when, `settings` bounds and coordinators,
-//! `leases` who holds the leases of fleet-wide tasks.
+//! `apply` makes a change and records it in the history; `outcome` has its result or the reason for its refusal. The changes
+//! by topic: `membership` (members), `drains` (drain requests, grants, halts), `settings` (bounds and coordinators), `leases`
+//! (leases of fleet-wide tasks).
 
 mod apply;
 mod description;
@@ -20,159 +20,161 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A change to the agreed value. The names of the variants are words of the protocol.
+/// A change to the agreed value. Variant names are part of the protocol.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Change {
-    /// By the member, at its start.
+    /// Sent by a member when it starts.
     Join {
         /// The member concerned.
         member: MemberId,
-        /// What it says of itself.
+        /// The member's description of itself.
         about: MemberInfo,
     },
-    /// By the member: it serves as it should, and counts as up.
+    /// Sent by a member that is healthy; it then counts as up.
     Proven {
         /// The member concerned.
         member: MemberId,
-        /// Of the member; a former one is refused.
+        /// The member's incarnation; a former one is refused.
         incarnation: u64,
     },
-    /// By the member: it starts the drain that it was granted. Agreed before it does anything about it.
+    /// Sent by a member that starts the drain it was granted. The member does not act on the drain before this is agreed.
     Begin {
         /// The member concerned.
         member: MemberId,
-        /// Of the member; a former one is refused.
+        /// The member's incarnation; a former one is refused.
         incarnation: u64,
         /// The permission to drain.
         grant: Grant,
     },
-    /// By the member: it ends now, drained or not.
+    /// Sent by a member that stops, drained or not.
     Leave {
         /// The member concerned.
         member: MemberId,
-        /// Of the member; a former one is refused.
+        /// The member's incarnation; a former one is refused.
         incarnation: u64,
     },
-    /// By the member: its drain was cancelled and it serves again.
+    /// Sent by a member whose drain was cancelled; it serves again.
     TurnedBack {
         /// The member concerned.
         member: MemberId,
-        /// Of the member; a former one is refused.
+        /// The member's incarnation; a former one is refused.
         incarnation: u64,
         /// The permission to drain.
         grant: Grant,
     },
-    /// By coordinators: a majority of them finds the member unreachable.
+    /// Proposed by coordinators: a majority of them finds the member unreachable.
     Silent {
         /// The member concerned.
         member: MemberId,
-        /// Of the member; a former one is refused.
+        /// The member's incarnation; a former one is refused.
         incarnation: u64,
     },
-    /// By coordinators: the unreachable member is reachable again.
+    /// Proposed by coordinators: the unreachable member is reachable again.
     Heard {
         /// The member concerned.
         member: MemberId,
-        /// Of the member; a former one is refused.
+        /// The member's incarnation; a former one is refused.
         incarnation: u64,
     },
-    /// By coordinators: the member may drain.
+    /// Proposed by coordinators: permits the member to drain.
     Grant {
         /// The member concerned.
         member: MemberId,
     },
-    /// By coordinators: revokes a grant whose drain was not started in time.
+    /// Proposed by coordinators: revokes a grant whose drain was not started in time.
     TakeBack {
         /// The permission to drain.
         grant: Grant,
     },
-    /// By operators: these members are to drain and return.
+    /// Sent by operators: requests that these members drain and return.
     Ask {
-        /// Names the request; the same request twice is one.
+        /// Identifies the request; a repeated request with the same id is the same one.
         id: String,
-        /// Whom it concerns, in the order in which they are to drain.
+        /// The members, in the order in which they drain.
         members: Vec<MemberId>,
-        /// Who asked for it, for the history.
+        /// Who requested the change, for the history.
         by: String,
     },
-    /// By operators: cancels drains that have not started; members that drain already may return to serving.
+    /// Sent by operators: cancels drains that have not started; members that already drain may return to service.
     Withdraw {
-        /// Whom it concerns, in the order in which they are to drain.
+        /// The members whose drains are cancelled.
         members: Vec<MemberId>,
-        /// Who asked for it, for the history.
+        /// Who requested the change, for the history.
         by: String,
     },
-    /// By operators, or by coordinators when too much goes wrong: no further drain starts.
+    /// Sent by operators, or proposed by coordinators after too many failures: no further drain starts.
     Halt {
-        /// Who asked for it, for the history.
+        /// Who requested the change, for the history.
         by: String,
-        /// The reason, for those who read it.
+        /// The reason, shown to operators.
         why: String,
-        /// What would end the halt, for those who read it.
+        /// What ends the halt, shown to operators.
         ends: String,
     },
-    /// By operators: ends a halt.
+    /// Sent by operators: ends a halt.
     Resume {
-        /// Who asked for it, for the history.
+        /// Who requested the change, for the history.
         by: String,
     },
-    /// By operators: it does not come back, and is not counted any more.
+    /// Sent by operators: removes a member that does not return; it is no longer counted.
     Forget {
         /// The member concerned.
         member: MemberId,
-        /// Who asked for it, for the history.
+        /// Who requested the change, for the history.
         by: String,
     },
-    /// By operators. Bounds that are exceeded at the moment are accepted: then no drain starts until they hold.
+    /// Sent by operators. Bounds that are currently exceeded are accepted; no drain then starts until they hold.
     Bounds {
-        /// All bounds from now on.
+        /// The complete new set of bounds.
         bounds: Vec<Bound>,
-        /// Who asked for it, for the history.
+        /// Who requested the change, for the history.
         by: String,
     },
-    /// By operators: replaces the set of coordinators.
+    /// Sent by operators: replaces the set of coordinators.
     Stewards {
-        /// All coordinators from now on, with their disks.
+        /// The complete new set of coordinators, with their disks.
         voters: BTreeSet<Voter>,
-        /// Where each coordinator listens.
+        /// The listen address of each coordinator.
         at: BTreeMap<u32, String>,
-        /// Who asked for it, for the history.
+        /// Who requested the change, for the history.
         by: String,
     },
-    /// By coordinators: ends a replacement of coordinators, once a quorum is known to hold a value that names both sets.
+    /// Proposed by coordinators: completes a replacement of coordinators, once a quorum is known to hold a value that names
+    /// both sets.
     Settle {
         /// The configuration that a quorum is known to hold.
         seen: Config,
     },
-    /// By operators: states which leases there are.
+    /// Sent by operators: replaces the set of leases.
     Leases {
-        /// All leases from now on.
+        /// The complete new set of leases.
         leases: BTreeMap<LeaseName, LeaseTerms>,
-        /// Who asked for it, for the history.
+        /// Who requested the change, for the history.
         by: String,
     },
-    /// By operators: the lease is taken from whoever holds it, and given to nobody.
+    /// Sent by operators: revokes the lease from its holder and grants it to nobody.
     PauseLease {
         /// The lease concerned.
         lease: LeaseName,
-        /// Who asked for it, for the history.
+        /// Who requested the change, for the history.
         by: String,
-        /// The reason, for those who read it.
+        /// The reason, shown to operators.
         why: String,
     },
-    /// By operators: the lease may be granted again.
+    /// Sent by operators: the lease may be granted again.
     ResumeLease {
         /// The lease concerned.
         lease: LeaseName,
-        /// Who asked for it, for the history.
+        /// Who requested the change, for the history.
         by: String,
     },
-    /// By resources, at the first seal of their incarnation: changes nothing, and is refused where another epoch is the lease's.
+    /// Sent by a resource at the first seal of its incarnation. Changes nothing, and is refused unless the epoch is the
+    /// lease's current one.
     ConfirmEpoch {
         /// The lease concerned.
         lease: LeaseName,
-        /// The epoch that the resource was given.
+        /// The epoch that the resource was asked to seal.
         epoch: Epoch,
     },
 }
--- a/crates/fleet/src/change/apply.rs
+++ b/crates/fleet/src/change/apply.rs
@@ -5,42 +5,42 @@
 use super::outcome::{CHANGED, ChangeOutcome, Refusal};
 use crate::state::{Fleet, HistoryEntry, Member, MemberId, Phase};
 
-/// Entries that the history keeps.
-const HISTORY_MOST: usize = 256;
+/// Maximum number of history entries.
+const MAX_HISTORY_ENTRIES: usize = 256;
 
 impl Fleet {
-    /// Makes one change and what follows from it, or changes nothing and says why.
+    /// Applies a change and its consequences, or refuses it and changes nothing.
     pub fn apply(&mut self, change: &Change) -> Result<ChangeOutcome, Refusal> {
-        let done = self.change(change)?;
-        if done.changed {
+        let outcome = self.dispatch(change)?;
+        if outcome.changed {
             self.revision += 1;
             let revision = self.revision;
             self.history.push_back(HistoryEntry {
                 revision,
-                description: describe(change, done.grant),
+                description: describe(change, outcome.grant),
             });
-            self.halt_when_many_are_lost();
-            self.hand_over_leases();
-            let too_many = self.history.len().saturating_sub(HISTORY_MOST);
-            self.history.drain(..too_many);
+            self.halt_if_too_many_lost();
+            self.reassign_leases();
+            let excess = self.history.len().saturating_sub(MAX_HISTORY_ENTRIES);
+            self.history.drain(..excess);
         }
-        Ok(done)
+        Ok(outcome)
     }
 
-    /// The member of this name.
-    pub(super) fn member(&mut self, id: MemberId) -> Result<&mut Member, Refusal> {
+    /// The member with this id.
+    pub(super) fn member_mut(&mut self, id: MemberId) -> Result<&mut Member, Refusal> {
         self.members.get_mut(&id).ok_or(Refusal::UnknownMember(id))
     }
 
-    /// The member, if this is its current incarnation.
+    /// The member, or a refusal if `incarnation` is not its current one.
     pub(super) fn current_incarnation(
         &mut self,
         member: MemberId,
         incarnation: u64,
     ) -> Result<&mut Member, Refusal> {
-        let m = self.member(member)?;
-        match m.info.incarnation == incarnation {
-            true => Ok(m),
+        let known = self.member_mut(member)?;
+        match known.info.incarnation == incarnation {
+            true => Ok(known),
             false => Err(Refusal::Replaced {
                 member,
                 incarnation,
@@ -48,20 +48,20 @@
         }
     }
 
-    /// Moves a member into a phase as of the next revision.
+    /// Moves a member into a phase, as of the next revision.
     pub(super) fn enter_phase(
         &mut self,
         id: MemberId,
         phase: Phase,
     ) -> Result<ChangeOutcome, Refusal> {
         let revision = self.revision + 1;
-        let m = self.member(id)?;
-        (m.phase, m.since) = (phase, revision);
+        let member = self.member_mut(id)?;
+        (member.phase, member.since) = (phase, revision);
         CHANGED
     }
 
     /// Dispatches the change to the method that makes it.
-    fn change(&mut self, change: &Change) -> Result<ChangeOutcome, Refusal> {
+    fn dispatch(&mut self, change: &Change) -> Result<ChangeOutcome, Refusal> {
         match change {
             Change::Join { member, about } => self.join(*member, about),
             Change::Proven {
@@ -81,7 +81,7 @@
                 member,
                 incarnation,
                 grant,
-            } => self.drain_cancelled(*member, *incarnation, *grant),
+            } => self.return_to_service(*member, *incarnation, *grant),
             Change::Silent {
                 member,
                 incarnation,
@@ -97,10 +97,10 @@
             Change::Halt { by, why, ends } => self.halt_drains(by, why, ends),
             Change::Resume { by } => self.resume_drains(by),
             Change::Forget { member, by } => self.forget(*member, by),
-            Change::Bounds { bounds, by } => self.state_bounds(bounds, by),
-            Change::Stewards { voters, at, by } => self.change_stewards(voters, at, by),
-            Change::Settle { seen } => self.settle_stewards(seen),
-            Change::Leases { leases, by } => self.state_leases(leases, by),
+            Change::Bounds { bounds, by } => self.set_bounds(bounds, by),
+            Change::Stewards { voters, at, by } => self.change_coordinators(voters, at, by),
+            Change::Settle { seen } => self.settle_coordinators(seen),
+            Change::Leases { leases, by } => self.set_leases(leases, by),
             Change::PauseLease { lease, by, why } => self.pause_lease(lease, by, why),
             Change::ResumeLease { lease, by } => self.resume_lease(lease, by),
             Change::ConfirmEpoch { lease, epoch } => self.confirm_epoch(lease, *epoch),
--- a/crates/fleet/src/change/description.rs
+++ b/crates/fleet/src/change/description.rs
@@ -1,13 +1,13 @@
-//! Changes as the history describes them to operators.
+//! Descriptions of changes in the history, for operators.
 
 use super::Change;
 use crate::state::{Grant, MemberId};
 
-/// The line of the history for a change; `grant` is the one that it issued.
+/// The history entry for a change; `grant` is the grant that it issued.
 pub(super) fn describe(change: &Change, grant: Option<Grant>) -> String {
-    let some = |all: &[MemberId]| match all {
+    let listed = |members: &[MemberId]| match members {
         [one] => one.to_string(),
-        [first, ..] => format!("{} members from {first} on", all.len()),
+        [first, ..] => format!("{} members from {first} on", members.len()),
         [] => "nobody".into(),
     };
     match change {
@@ -26,9 +26,9 @@
         Change::Grant { member } => format!("{member} may go, grant {}", grant.unwrap_or(0)),
         Change::TakeBack { grant } => format!("grant {grant} taken back"),
         Change::Ask { id, members, by } => {
-            format!("{by} asks, as '{id}', to drain {}", some(members))
+            format!("{by} asks, as '{id}', to drain {}", listed(members))
         }
-        Change::Withdraw { members, by } => format!("{by} withdraws {}", some(members)),
+        Change::Withdraw { members, by } => format!("{by} withdraws {}", listed(members)),
         Change::Halt { by, why, .. } => format!("halt by {by}: {why}"),
         Change::Resume { by } => format!("resumed by {by}"),
         Change::Forget { member, by } => format!("{member} forgotten by {by}"),
--- a/crates/fleet/src/change/drains.rs
+++ b/crates/fleet/src/change/drains.rs
@@ -1,14 +1,14 @@
-//! Who may drain and when: drain requests, grants, starts, halts.
+//! Drain requests, grants, starts of drains and halts.
 
 use super::outcome::{
-    ALREADY, CHANGED, ChangeOutcome, ID_MOST_BYTES, Refusal, TEXT_MOST_BYTES, check_text,
+    CHANGED, ChangeOutcome, MAX_ID_BYTES, MAX_TEXT_BYTES, Refusal, UNCHANGED, check_text,
 };
 use crate::bounds;
 use crate::state::{DrainRequest, Fleet, Grant, Halt, HistoryEntry, MemberId, Phase};
 use std::collections::BTreeSet;
 
-/// Drain requests that are remembered.
-const ASKS_MOST: usize = 64;
+/// Maximum number of drain requests, including finished ones.
+const MAX_DRAIN_REQUESTS: usize = 64;
 
 fn without_duplicates(members: &[MemberId]) -> Vec<MemberId> {
     let mut distinct = Vec::new();
@@ -20,7 +20,7 @@
     distinct
 }
 
-fn names_the_same_members(known: &DrainRequest, requested: &[MemberId]) -> bool {
+fn has_same_members(known: &DrainRequest, requested: &[MemberId]) -> bool {
     let lists = [
         &known.waiting,
         &known.under_way,
@@ -32,17 +32,17 @@
 }
 
 impl Fleet {
-    /// Its grant is gone without a drain: it goes back to those that wait for one.
+    /// Moves a member whose grant ended without a drain back to the waiting list of its request.
     pub(super) fn return_to_waiting(&mut self, id: MemberId) {
-        for ask in self.drain_requests.values_mut() {
-            if let Some(at) = ask.under_way.iter().position(|m| *m == id) {
-                ask.under_way.remove(at);
-                ask.waiting.push(id);
+        for request in self.drain_requests.values_mut() {
+            if let Some(index) = request.under_way.iter().position(|m| *m == id) {
+                request.under_way.remove(index);
+                request.waiting.push(id);
             }
         }
     }
 
-    /// The member starts the drain that it was granted. It is checked again: others may have been lost since the grant.
+    /// Starts the drain that the member was granted. The bounds are checked again: other members may have been lost since.
     pub(super) fn start_drain(
         &mut self,
         id: MemberId,
@@ -50,14 +50,14 @@
         grant: Grant,
     ) -> Result<ChangeOutcome, Refusal> {
         match self.current_incarnation(id, incarnation)?.phase {
-            Phase::Draining { grant: held } if held == grant => return ALREADY,
-            Phase::Granted { grant: held } if held == grant => {}
+            Phase::Draining { grant: current } if current == grant => return UNCHANGED,
+            Phase::Granted { grant: current } if current == grant => {}
             _ => return Err(Refusal::GrantNotHeld { member: id, grant }),
         }
-        if let Some(h) = &self.halt {
+        if let Some(halt) = &self.halt {
             return Err(Refusal::Halted {
-                by: h.by.clone(),
-                why: h.why.clone(),
+                by: halt.by.clone(),
+                why: halt.why.clone(),
             });
         }
         if let Some(exceeded) = bounds::exceeded_if_out(self, &id) {
@@ -69,25 +69,25 @@
         self.enter_phase(id, Phase::Draining { grant })
     }
 
-    /// The member whose drain was withdrawn serves again, and has to prove itself.
-    pub(super) fn drain_cancelled(
+    /// Returns a member whose drain was cancelled to service; it must prove healthy again.
+    pub(super) fn return_to_service(
         &mut self,
         id: MemberId,
         incarnation: u64,
         grant: Grant,
     ) -> Result<ChangeOutcome, Refusal> {
         match self.current_incarnation(id, incarnation)?.phase {
-            Phase::Draining { grant: held } if held == grant => {
+            Phase::Draining { grant: current } if current == grant => {
                 self.enter_phase(id, Phase::Starting { planned: true })
             }
-            Phase::Starting { .. } | Phase::Up => ALREADY,
+            Phase::Starting { .. } | Phase::Up => UNCHANGED,
             _ => Err(Refusal::GrantNotHeld { member: id, grant }),
         }
     }
 
-    /// Issues a grant to a member that is up, requested and allowed by the bounds.
+    /// Issues a grant to a member that is up, named by a request and within the bounds.
     pub(super) fn issue_grant(&mut self, id: MemberId) -> Result<ChangeOutcome, Refusal> {
-        let phase = &self.member(id)?.phase;
+        let phase = &self.member_mut(id)?.phase;
         if let Some(grant) = phase.grant() {
             return Ok(ChangeOutcome {
                 changed: false,
@@ -101,10 +101,10 @@
                 expected: "up",
             });
         }
-        if let Some(h) = &self.halt {
+        if let Some(halt) = &self.halt {
             return Err(Refusal::Halted {
-                by: h.by.clone(),
-                why: h.why.clone(),
+                by: halt.by.clone(),
+                why: halt.why.clone(),
             });
         }
         if let Some(exceeded) = bounds::exceeded_if_out(self, &id) {
@@ -129,15 +129,15 @@
         })
     }
 
-    /// Takes a drain request, or recognises one that was taken before.
+    /// Records a drain request, or recognises one that is already recorded.
     pub(super) fn request_drain(
         &mut self,
         id: &str,
         members: &[MemberId],
         by: &str,
     ) -> Result<ChangeOutcome, Refusal> {
-        check_text("id", id, ID_MOST_BYTES)?;
-        check_text("by", by, TEXT_MOST_BYTES)?;
+        check_text("id", id, MAX_ID_BYTES)?;
+        check_text("by", by, MAX_TEXT_BYTES)?;
         let requested = without_duplicates(members);
         if requested.is_empty() {
             return Err(Refusal::InvalidValue {
@@ -147,15 +147,15 @@
             });
         }
         if let Some(known) = self.drain_requests.get(id) {
-            return match names_the_same_members(known, &requested) {
-                true => ALREADY,
+            return match has_same_members(known, &requested) {
+                true => UNCHANGED,
                 false => Err(Refusal::RequestIdInUse(id.to_owned())),
             };
         }
-        self.check_requested_once(&requested)?;
+        self.check_not_requested(&requested)?;
         bounds::check_feasible(self, &requested)?;
-        self.make_room_for_request()?;
-        let ask = DrainRequest {
+        self.evict_finished_request()?;
+        let request = DrainRequest {
             by: by.to_owned(),
             waiting: requested,
             under_way: Vec::new(),
@@ -163,14 +163,14 @@
             withdrawn: Vec::new(),
             revision: self.revision + 1,
         };
-        self.drain_requests.insert(id.to_owned(), ask);
+        self.drain_requests.insert(id.to_owned(), request);
         CHANGED
     }
 
-    /// Every member exists, and no unfinished request names it.
-    fn check_requested_once(&mut self, requested: &[MemberId]) -> Result<(), Refusal> {
+    /// Checks that every member exists and is not part of an unfinished request.
+    fn check_not_requested(&mut self, requested: &[MemberId]) -> Result<(), Refusal> {
         for member in requested {
-            self.member(*member)?;
+            self.member_mut(*member)?;
             let other = self.drain_requests.iter().find(|(_, request)| {
                 request.waiting.contains(member) || request.under_way.contains(member)
             });
@@ -184,9 +184,9 @@
         Ok(())
     }
 
-    /// Forgets the oldest finished request where there are too many.
-    fn make_room_for_request(&mut self) -> Result<(), Refusal> {
-        if self.drain_requests.len() < ASKS_MOST {
+    /// Removes the oldest finished request when the maximum is reached.
+    fn evict_finished_request(&mut self) -> Result<(), Refusal> {
+        if self.drain_requests.len() < MAX_DRAIN_REQUESTS {
             return Ok(());
         }
         let finished = self
@@ -197,35 +197,35 @@
         let Some(oldest) = oldest.map(|(id, _)| id.clone()) else {
             return Err(Refusal::TooMany {
                 place: "asks",
-                found: ASKS_MOST + 1,
-                most: ASKS_MOST,
+                found: MAX_DRAIN_REQUESTS + 1,
+                most: MAX_DRAIN_REQUESTS,
             });
         };
         self.drain_requests.remove(&oldest);
         Ok(())
     }
 
-    /// Withdraws members from their requests; grants that were not used are gone.
+    /// Withdraws members from their requests and revokes their unused grants.
     pub(super) fn withdraw_requests(
         &mut self,
         members: &[MemberId],
         by: &str,
     ) -> Result<ChangeOutcome, Refusal> {
-        check_text("by", by, TEXT_MOST_BYTES)?;
-        for m in members {
-            self.member(*m)?;
+        check_text("by", by, MAX_TEXT_BYTES)?;
+        for member in members {
+            self.member_mut(*member)?;
         }
         let mut changed = false;
         for id in members {
-            for ask in self.drain_requests.values_mut() {
-                let mut held = false;
-                for list in [&mut ask.waiting, &mut ask.under_way] {
+            for request in self.drain_requests.values_mut() {
+                let mut is_named = false;
+                for list in [&mut request.waiting, &mut request.under_way] {
                     let before = list.len();
                     list.retain(|m| m != id);
-                    held |= list.len() < before;
+                    is_named |= list.len() < before;
                 }
-                if held {
-                    ask.withdrawn.push(*id);
+                if is_named {
+                    request.withdrawn.push(*id);
                     changed = true;
                 }
             }
@@ -239,27 +239,27 @@
         })
     }
 
-    /// Whether a member that drains may go back to serving: its request was withdrawn.
+    /// Whether a draining member may return to service because it was withdrawn from its request.
     pub fn may_cancel_drain(&self, id: &MemberId) -> bool {
-        let draining = self
+        let is_draining = self
             .members
             .get(id)
             .is_some_and(|m| matches!(m.phase, Phase::Draining { .. }));
-        draining
+        is_draining
             && !self
                 .drain_requests
                 .values()
                 .any(|a| a.under_way.contains(id))
     }
 
-    /// Revokes a grant that was not used.
+    /// Revokes a grant whose drain has not started.
     pub(super) fn revoke_grant(&mut self, grant: Grant) -> Result<ChangeOutcome, Refusal> {
-        let held = self
+        let granted = self
             .members
             .iter()
             .find(|(_, m)| m.phase == Phase::Granted { grant });
-        let Some(id) = held.map(|(id, _)| *id) else {
-            return ALREADY;
+        let Some(id) = granted.map(|(id, _)| *id) else {
+            return UNCHANGED;
         };
         self.return_to_waiting(id);
         self.enter_phase(id, Phase::Up)
@@ -272,10 +272,10 @@
         why: &str,
         ends: &str,
     ) -> Result<ChangeOutcome, Refusal> {
-        check_text("by", by, TEXT_MOST_BYTES)?;
-        check_text("why", why, TEXT_MOST_BYTES)?;
+        check_text("by", by, MAX_TEXT_BYTES)?;
+        check_text("why", why, MAX_TEXT_BYTES)?;
         if self.halt.is_some() {
-            return ALREADY;
+            return UNCHANGED;
         }
         let revision = self.revision + 1;
         self.halt = Some(Halt {
@@ -289,16 +289,16 @@
 
     /// Ends a halt.
     pub(super) fn resume_drains(&mut self, by: &str) -> Result<ChangeOutcome, Refusal> {
-        check_text("by", by, TEXT_MOST_BYTES)?;
+        check_text("by", by, MAX_TEXT_BYTES)?;
         if self.halt.take().is_some() {
             CHANGED
         } else {
-            ALREADY
+            UNCHANGED
         }
     }
 
     /// Halts drains when more members are lost than the deployment allows.
-    pub(super) fn halt_when_many_are_lost(&mut self) {
+    pub(super) fn halt_if_too_many_lost(&mut self) {
         let lost = self.lost_count();
         if self.halt.is_none() && self.halt_at_lost > 0 && lost > self.halt_at_lost {
             let why = format!("{lost} members are lost, more than {}", self.halt_at_lost);
--- a/crates/fleet/src/change/leases.rs
+++ b/crates/fleet/src/change/leases.rs
@@ -1,17 +1,17 @@
-//! Which leases there are and who holds them.
+//! Changes to the set of leases, and their assignment to holders.
 
 use super::outcome::{
-    ALREADY, CHANGED, ChangeOutcome, ID_MOST_BYTES, Refusal, TEXT_MOST_BYTES, check_text,
+    CHANGED, ChangeOutcome, MAX_ID_BYTES, MAX_TEXT_BYTES, Refusal, UNCHANGED, check_text,
 };
 use crate::leases::{InvalidLease, MAX_LEASES, MAX_RESOURCES_PER_LEASE};
 use crate::state::{Epoch, Fleet, HistoryEntry, Lease, LeaseName, LeaseState, LeaseTerms};
 use std::collections::BTreeMap;
 
 impl LeaseTerms {
-    /// Whether this can be stated of a lease of that name.
+    /// Checks that the terms are valid for the lease.
     pub fn validate(&self, lease: &LeaseName) -> Result<(), Refusal> {
-        check_text("lease", &lease.0, ID_MOST_BYTES)?;
-        check_text("task", &self.task, ID_MOST_BYTES)?;
+        check_text("lease", &lease.0, MAX_ID_BYTES)?;
+        check_text("task", &self.task, MAX_ID_BYTES)?;
         if self.resources.is_empty() {
             return Err(InvalidLease::NoResource {
                 lease: lease.clone(),
@@ -28,18 +28,18 @@
         }
         self.resources
             .iter()
-            .try_for_each(|name| check_text("resource", name, TEXT_MOST_BYTES))
+            .try_for_each(|name| check_text("resource", name, MAX_TEXT_BYTES))
     }
 }
 
 impl Fleet {
-    /// States which leases there are. One that changes its terms is granted anew; epochs go on where they were.
-    pub(super) fn state_leases(
+    /// Replaces the set of leases. A lease whose terms change is granted again; epochs continue to increase.
+    pub(super) fn set_leases(
         &mut self,
         leases: &BTreeMap<LeaseName, LeaseTerms>,
         by: &str,
     ) -> Result<ChangeOutcome, Refusal> {
-        check_text("by", by, TEXT_MOST_BYTES)?;
+        check_text("by", by, MAX_TEXT_BYTES)?;
         if leases.len() > MAX_LEASES {
             return Err(Refusal::TooMany {
                 place: "leases",
@@ -50,13 +50,13 @@
         leases
             .iter()
             .try_for_each(|(name, terms)| terms.validate(name))?;
-        let stated: BTreeMap<_, _> = self
+        let current: BTreeMap<_, _> = self
             .leases
             .iter()
-            .map(|(name, l)| (name, &l.terms))
+            .map(|(name, lease)| (name, &lease.terms))
             .collect();
-        if stated.into_iter().eq(leases.iter()) {
-            return ALREADY;
+        if current.into_iter().eq(leases.iter()) {
+            return UNCHANGED;
         }
         let since = self.revision + 1;
         self.leases
@@ -69,17 +69,17 @@
         CHANGED
     }
 
-    /// Takes the lease from its holder and grants it to nobody until it is resumed.
+    /// Revokes the lease from its holder and grants it to nobody until it is resumed.
     pub(super) fn pause_lease(
         &mut self,
         name: &LeaseName,
         by: &str,
         why: &str,
     ) -> Result<ChangeOutcome, Refusal> {
-        check_text("by", by, TEXT_MOST_BYTES)?;
-        check_text("why", why, TEXT_MOST_BYTES)?;
+        check_text("by", by, MAX_TEXT_BYTES)?;
+        check_text("why", why, MAX_TEXT_BYTES)?;
         if matches!(self.lease(name)?.state, LeaseState::Paused { .. }) {
-            return ALREADY;
+            return UNCHANGED;
         }
         let epoch = self.next_epoch();
         let state = LeaseState::Paused {
@@ -87,27 +87,28 @@
             why: why.to_owned(),
             epoch,
         };
-        self.enter_lease(name, state, epoch, self.revision + 1);
+        self.enter_lease_state(name, state, epoch, self.revision + 1);
         CHANGED
     }
 
-    /// Lets a paused lease be granted again.
+    /// Makes a paused lease available again.
     pub(super) fn resume_lease(
         &mut self,
         name: &LeaseName,
         by: &str,
     ) -> Result<ChangeOutcome, Refusal> {
-        check_text("by", by, TEXT_MOST_BYTES)?;
+        check_text("by", by, MAX_TEXT_BYTES)?;
         let lease = self.lease(name)?;
         if !matches!(lease.state, LeaseState::Paused { .. }) {
-            return ALREADY;
+            return UNCHANGED;
         }
         let epoch = lease.epoch;
-        self.enter_lease(name, LeaseState::Vacant, epoch, self.revision + 1);
+        self.enter_lease_state(name, LeaseState::Vacant, epoch, self.revision + 1);
         CHANGED
     }
 
-    /// Whether the epoch is the lease's latest. As a change it goes through a round, so it is answered from what a quorum holds.
+    /// Checks that the epoch is the lease's latest. As a change it takes a full round, so the answer reflects the value of a
+    /// quorum.
     pub(super) fn confirm_epoch(
         &mut self,
         name: &LeaseName,
@@ -115,7 +116,7 @@
     ) -> Result<ChangeOutcome, Refusal> {
         let expected = self.lease(name)?.epoch;
         match expected == found {
-            true => ALREADY,
+            true => UNCHANGED,
             false => Err(Refusal::WrongEpoch {
                 lease: name.clone(),
                 expected,
@@ -124,11 +125,11 @@
         }
     }
 
-    /// Takes leases from holders that lost them by the change just made, and grants vacant ones to eligible members.
-    pub(super) fn hand_over_leases(&mut self) {
-        for name in self.lost_leases() {
+    /// Revokes leases from holders that lost them by the change just made, and grants vacant leases to eligible members.
+    pub(super) fn reassign_leases(&mut self) {
+        for name in self.revoked_leases() {
             let epoch = self.leases[&name].epoch;
-            self.enter_lease(&name, LeaseState::Vacant, epoch, self.revision);
+            self.enter_lease_state(&name, LeaseState::Vacant, epoch, self.revision);
         }
         let vacant = self
             .leases
@@ -142,14 +143,14 @@
                 continue;
             };
             let epoch = self.next_epoch();
-            // One line of the history, one revision.
+            // Each history entry has its own revision.
             self.revision += 1;
             let state = LeaseState::Held {
                 holder,
                 incarnation,
                 epoch,
             };
-            self.enter_lease(&name, state, epoch, self.revision);
+            self.enter_lease_state(&name, state, epoch, self.revision);
             let description = format!("lease {name} goes to {holder}, epoch {epoch}");
             self.history.push_back(HistoryEntry {
                 revision: self.revision,
@@ -158,9 +159,9 @@
         }
     }
 
-    /// Leases whose holders may not keep them.
-    fn lost_leases(&self) -> Vec<LeaseName> {
-        let is_lost = |lease: &Lease| match lease.state {
+    /// Leases whose holders may no longer keep them.
+    fn revoked_leases(&self) -> Vec<LeaseName> {
+        let is_revoked = |lease: &Lease| match lease.state {
             LeaseState::Held {
                 holder,
                 incarnation,
@@ -168,12 +169,12 @@
             } => self
                 .members
                 .get(&holder)
-                .is_none_or(|member| !lease.stays_with(member, incarnation)),
+                .is_none_or(|member| !lease.may_be_kept_by(member, incarnation)),
             LeaseState::Vacant | LeaseState::Paused { .. } => false,
         };
         self.leases
             .iter()
-            .filter(|(_, lease)| is_lost(lease))
+            .filter(|(_, lease)| is_revoked(lease))
             .map(|(name, _)| name.clone())
             .collect()
     }
@@ -184,14 +185,14 @@
             .ok_or_else(|| Refusal::UnknownLease(name.clone()))
     }
 
-    /// One counter for all leases: a lease that is stated again after it was gone can't use an epoch again.
+    /// Issues the next epoch. All leases share one counter, so a lease that is removed and added again never reuses an epoch.
     fn next_epoch(&mut self) -> Epoch {
         self.lease_epochs += 1;
         self.lease_epochs
     }
 
     /// Moves a lease into a state.
-    fn enter_lease(&mut self, name: &LeaseName, state: LeaseState, epoch: Epoch, since: u64) {
+    fn enter_lease_state(&mut self, name: &LeaseName, state: LeaseState, epoch: Epoch, since: u64) {
         let Some(lease) = self.leases.get_mut(name) else {
             return;
         };
--- a/crates/fleet/src/change/membership.rs
+++ b/crates/fleet/src/change/membership.rs
@@ -1,24 +1,24 @@
-//! Who is a member: members join, become healthy, become unreachable and reachable again, leave and are forgotten.
+//! Membership: members join, become healthy, become unreachable and reachable again, leave and are forgotten.
 
 use super::outcome::{
-    ALREADY, CHANGED, ChangeOutcome, ID_MOST_BYTES, Refusal, TEXT_MOST_BYTES, check_text,
+    CHANGED, ChangeOutcome, MAX_ID_BYTES, MAX_TEXT_BYTES, Refusal, UNCHANGED, check_text,
 };
 use crate::leases;
 use crate::state::{Fleet, Member, MemberId, MemberInfo, Phase};
 
-/// Former incarnations of a member that are remembered, so that a process that was paused while it was replaced is recognised.
-const PAST_MOST: usize = 8;
-/// Members that a fleet may have.
-const MEMBERS_MOST: usize = 20_000;
+/// Maximum number of former incarnations kept for a member. They identify a process that was paused while it was replaced.
+const MAX_PAST_INCARNATIONS: usize = 8;
+/// Maximum number of members of a fleet.
+const MAX_MEMBERS: usize = 20_000;
 
-/// What a member says of itself is complete and within limits.
-fn check_info(about: &MemberInfo) -> Result<(), Refusal> {
-    check_text("site", &about.site, ID_MOST_BYTES)?;
-    check_text("version", &about.version, ID_MOST_BYTES)?;
-    check_text("address", &about.address, TEXT_MOST_BYTES)?;
+/// Checks that a member's description is complete and within the limits.
+fn validate_info(about: &MemberInfo) -> Result<(), Refusal> {
+    check_text("site", &about.site, MAX_ID_BYTES)?;
+    check_text("version", &about.version, MAX_ID_BYTES)?;
+    check_text("address", &about.address, MAX_TEXT_BYTES)?;
     let sizes = [about.size, about.memory_mb];
-    if about.incarnation == 0 || sizes.iter().any(|x| !x.is_finite() || *x < 0.0) {
-        // Peers know the type by its former name.
+    if about.incarnation == 0 || sizes.iter().any(|size| !size.is_finite() || *size < 0.0) {
+        // The text is part of the protocol and names the type `About`.
         let described = format!("{about:?}").replacen("MemberInfo", "About", 1);
         let found = described.chars().take(80).collect();
         return Err(Refusal::InvalidValue {
@@ -38,21 +38,21 @@
     about
         .tasks
         .iter()
-        .try_for_each(|task| check_text("task", task, ID_MOST_BYTES))
+        .try_for_each(|task| check_text("task", task, MAX_ID_BYTES))
 }
 
 impl Fleet {
-    /// A member joins, for the first time or in a new incarnation.
+    /// Adds a member, or starts a new incarnation of a known one.
     pub(super) fn join(
         &mut self,
         id: MemberId,
         about: &MemberInfo,
     ) -> Result<ChangeOutcome, Refusal> {
-        check_info(about)?;
+        validate_info(about)?;
         let since = self.revision + 1;
-        let Some(m) = self.members.get_mut(&id) else {
-            if self.members.len() >= MEMBERS_MOST {
-                let (found, most) = (self.members.len() + 1, MEMBERS_MOST);
+        let Some(member) = self.members.get_mut(&id) else {
+            if self.members.len() >= MAX_MEMBERS {
+                let (found, most) = (self.members.len() + 1, MAX_MEMBERS);
                 return Err(Refusal::TooMany {
                     place: "members",
                     found,
@@ -71,39 +71,39 @@
             );
             return CHANGED;
         };
-        if m.past_incarnations.contains(&about.incarnation) {
+        if member.past_incarnations.contains(&about.incarnation) {
             return Err(Refusal::Replaced {
                 member: id,
                 incarnation: about.incarnation,
             });
         }
-        if m.info.incarnation == about.incarnation {
-            return ALREADY;
+        if member.info.incarnation == about.incarnation {
+            return UNCHANGED;
         }
-        m.past_incarnations.push(m.info.incarnation);
-        if m.past_incarnations.len() > PAST_MOST {
-            m.past_incarnations.remove(0);
+        member.past_incarnations.push(member.info.incarnation);
+        if member.past_incarnations.len() > MAX_PAST_INCARNATIONS {
+            member.past_incarnations.remove(0);
         }
-        m.info = about.clone();
-        let before = m.phase.clone();
+        member.info = about.clone();
+        let before = member.phase.clone();
         if matches!(before, Phase::Granted { .. }) {
-            // The incarnation that it was granted to is over and did not use it.
+            // The incarnation that the grant was issued to has ended without using it.
             self.return_to_waiting(id);
         }
         let planned = before.is_planned() && !matches!(before, Phase::Granted { .. });
         self.enter_phase(id, Phase::Starting { planned })
     }
 
-    /// The member serves; a planned return ends its drain.
+    /// Marks a started member as up; a planned return completes its drain.
     pub(super) fn mark_healthy(
         &mut self,
         id: MemberId,
         incarnation: u64,
     ) -> Result<ChangeOutcome, Refusal> {
-        let m = self.current_incarnation(id, incarnation)?;
-        let planned = match m.phase {
+        let member = self.current_incarnation(id, incarnation)?;
+        let planned = match member.phase {
             Phase::Starting { planned } => planned,
-            Phase::Up => return ALREADY,
+            Phase::Up => return UNCHANGED,
             ref other => {
                 let found = other.name();
                 return Err(Refusal::WrongPhase {
@@ -114,17 +114,17 @@
             }
         };
         if planned {
-            for ask in self.drain_requests.values_mut() {
-                if let Some(at) = ask.under_way.iter().position(|m| *m == id) {
-                    ask.under_way.remove(at);
-                    ask.finished.push(id);
+            for request in self.drain_requests.values_mut() {
+                if let Some(index) = request.under_way.iter().position(|m| *m == id) {
+                    request.under_way.remove(index);
+                    request.finished.push(id);
                 }
             }
         }
         self.enter_phase(id, Phase::Up)
     }
 
-    /// The member ends: drained as planned, or lost.
+    /// Records that a member stopped: drained as planned, or lost.
     pub(super) fn leave(
         &mut self,
         id: MemberId,
@@ -132,7 +132,7 @@
     ) -> Result<ChangeOutcome, Refusal> {
         match self.current_incarnation(id, incarnation)?.phase {
             Phase::Draining { grant } => self.enter_phase(id, Phase::Away { grant }),
-            Phase::Away { .. } | Phase::Lost { .. } => ALREADY,
+            Phase::Away { .. } | Phase::Lost { .. } => UNCHANGED,
             Phase::Granted { .. } => {
                 self.return_to_waiting(id);
                 self.enter_phase(id, Phase::Lost { planned: false })
@@ -142,7 +142,7 @@
         }
     }
 
-    /// A majority of coordinators finds the member silent: it is lost.
+    /// Marks a member as lost, after a majority of coordinators found it unreachable.
     pub(super) fn mark_unreachable(
         &mut self,
         id: MemberId,
@@ -152,23 +152,23 @@
             Phase::Up => self.enter_phase(id, Phase::Lost { planned: false }),
             Phase::Starting { planned } => self.enter_phase(id, Phase::Lost { planned }),
             Phase::Granted { .. } => {
-                // Whether it meant to start its drain is not known; from now on it can't.
+                // It is not known whether the member was about to start its drain; without the grant it no longer can.
                 self.return_to_waiting(id);
                 self.enter_phase(id, Phase::Lost { planned: false })
             }
-            // Counted as out already, and may well be draining behind a network partition.
-            Phase::Draining { .. } | Phase::Away { .. } | Phase::Lost { .. } => ALREADY,
+            // The member already counts as out of service, and may be draining behind a network partition.
+            Phase::Draining { .. } | Phase::Away { .. } | Phase::Lost { .. } => UNCHANGED,
         }
     }
 
-    /// Removes a member that does not come back.
+    /// Removes a member that does not return.
     pub(super) fn forget(&mut self, id: MemberId, by: &str) -> Result<ChangeOutcome, Refusal> {
-        check_text("by", by, TEXT_MOST_BYTES)?;
-        let Some(m) = self.members.get(&id) else {
-            return ALREADY;
+        check_text("by", by, MAX_TEXT_BYTES)?;
+        let Some(member) = self.members.get(&id) else {
+            return UNCHANGED;
         };
-        if !matches!(m.phase, Phase::Lost { .. } | Phase::Away { .. }) {
-            let found = m.phase.name();
+        if !matches!(member.phase, Phase::Lost { .. } | Phase::Away { .. }) {
+            let found = member.phase.name();
             return Err(Refusal::WrongPhase {
                 member: id,
                 found,
@@ -176,25 +176,25 @@
             });
         }
         self.members.remove(&id);
-        for ask in self.drain_requests.values_mut() {
-            let held = ask.waiting.contains(&id) || ask.under_way.contains(&id);
-            ask.waiting.retain(|m| *m != id);
-            ask.under_way.retain(|m| *m != id);
-            ask.withdrawn.extend(held.then_some(id));
+        for request in self.drain_requests.values_mut() {
+            let is_named = request.waiting.contains(&id) || request.under_way.contains(&id);
+            request.waiting.retain(|m| *m != id);
+            request.under_way.retain(|m| *m != id);
+            request.withdrawn.extend(is_named.then_some(id));
         }
         CHANGED
     }
 
-    /// A lost member is heard again.
+    /// Marks a lost member as reachable again.
     pub(super) fn mark_reachable(
         &mut self,
         id: MemberId,
         incarnation: u64,
     ) -> Result<ChangeOutcome, Refusal> {
         match self.current_incarnation(id, incarnation)?.phase {
-            // What it missed while it was silent is not known: it has to prove itself again.
+            // The member may have missed changes while it was unreachable, so it must prove healthy again.
             Phase::Lost { planned } => self.enter_phase(id, Phase::Starting { planned }),
-            _ => ALREADY,
+            _ => UNCHANGED,
         }
     }
 }
--- a/crates/fleet/src/change/outcome.rs
+++ b/crates/fleet/src/change/outcome.rs
@@ -1,42 +1,42 @@
-//! What a change came to: its outcome, or why it was refused.
+//! The outcome of a change, or the reason for its refusal.
 
 use crate::state::{Epoch, Grant, LeaseName, MemberId};
 use crate::{bounds, leases, register};
 use serde::{Deserialize, Serialize};
 
-/// Longest name of a site, a request, a lease or a task.
-pub(super) const ID_MOST_BYTES: usize = 64;
-/// Longest text of an operator, and longest address.
-pub(super) const TEXT_MOST_BYTES: usize = 256;
+/// Maximum length of the name of a site, request, lease or task, in bytes.
+pub(super) const MAX_ID_BYTES: usize = 64;
+/// Maximum length of an operator's text and of an address, in bytes.
+pub(super) const MAX_TEXT_BYTES: usize = 256;
 
-/// What a change that was accepted came to.
+/// The outcome of an accepted change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Done", expecting = "struct Done")]
 pub struct ChangeOutcome {
-    /// False: it had been made before.
+    /// False: the change had already been made.
     pub changed: bool,
-    /// The grant that was issued, if it was a [`Change::Grant`](super::Change::Grant).
+    /// The grant that a [`Change::Grant`](super::Change::Grant) issued, or had issued before.
     pub grant: Option<Grant>,
 }
 
-/// Part of the protocol: a member recognises by these words, in the text of [`Refusal::Replaced`], that it was replaced.
+/// Part of the text of [`Refusal::Replaced`] and of the protocol: members match it to detect that they were replaced.
 pub const REPLACED_TEXT: &str = "was replaced";
 
-/// Why nothing was changed. The texts go to members and operators.
+/// Why a change was refused. The texts are sent to members and operators.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Refusal {
-    /// No such member.
+    /// There is no such member.
     #[error("{0}: no such member")]
     UnknownMember(MemberId),
-    /// Another incarnation of the member has taken its place.
+    /// A later incarnation has replaced this one.
     #[error("{member}: this life of it ({incarnation:x}) {}", REPLACED_TEXT)]
     Replaced {
         /// The member concerned.
         member: MemberId,
-        /// The one that was replaced.
+        /// The replaced incarnation.
         incarnation: u64,
     },
-    /// The member is in another phase than the change needs.
+    /// The member is not in the phase that the change requires.
     #[error("{member} is {found}: {expected} is expected")]
     WrongPhase {
         /// The member concerned.
@@ -46,20 +46,20 @@
         /// What is expected.
         expected: &'static str,
     },
-    /// The grant is not the member's any more.
+    /// The member no longer holds the grant.
     #[error("{member}: grant {grant} is not its own any more")]
     GrantNotHeld {
         /// The member concerned.
         member: MemberId,
-        /// The grant that was given.
+        /// The grant named by the change.
         grant: Grant,
     },
     /// Drains are halted.
     #[error("halted by {by}: {why}")]
     Halted {
-        /// Who halted them.
+        /// Who halted the drains.
         by: String,
-        /// The reason of the halt.
+        /// The reason for the halt.
         why: String,
     },
     /// The drain would exceed a bound.
@@ -67,16 +67,16 @@
     ExceedsBound {
         /// The member concerned.
         member: MemberId,
-        /// The bound, and what was counted.
+        /// The exceeded bound.
         exceeded: bounds::BoundExceeded,
     },
-    /// No request names the member.
+    /// No drain request names the member.
     #[error("{member}: nobody asked for its drain")]
     NotRequested {
         /// The member concerned.
         member: MemberId,
     },
-    /// Another request names the member already.
+    /// Another drain request already names the member.
     #[error("{member} belongs to ask '{id}' already")]
     AlreadyRequested {
         /// The member concerned.
@@ -84,33 +84,33 @@
         /// The other request.
         id: String,
     },
-    /// The request is known with other members.
+    /// The id belongs to a drain request for other members.
     #[error("ask '{0}' is known with other members")]
     RequestIdInUse(String),
-    /// A value that can't be.
+    /// A value is invalid.
     #[error("{place} = '{found}': {expected} is expected")]
     InvalidValue {
-        /// Where it was found.
+        /// The name of the value.
         place: &'static str,
         /// What was found.
         found: String,
         /// What is expected.
         expected: &'static str,
     },
-    /// More of something than is allowed.
+    /// There are more items than allowed.
     #[error("{place}: {found} is more than {most}")]
     TooMany {
-        /// Where it was found.
+        /// The name of the collection.
         place: &'static str,
-        /// What was found.
+        /// The number found.
         found: usize,
-        /// The most that is allowed.
+        /// The maximum.
         most: usize,
     },
-    /// No such lease.
+    /// There is no such lease.
     #[error("{0}: no such lease")]
     UnknownLease(LeaseName),
-    /// Another epoch is the lease's.
+    /// The epoch is not the current one of the lease.
     #[error("lease {lease}: epoch {expected} is expected, {found} was given")]
     WrongEpoch {
         /// The lease concerned.
@@ -120,13 +120,13 @@
         /// What was found.
         found: Epoch,
     },
-    /// Terms of a lease that can't be.
+    /// The terms of a lease are invalid.
     #[error(transparent)]
     InvalidLease(#[from] leases::InvalidLease),
-    /// A bound that can't be.
+    /// A bound is invalid or makes a drain request impossible.
     #[error(transparent)]
     InvalidBound(#[from] bounds::InvalidBound),
-    /// A set of coordinators that can't be.
+    /// The set of coordinators is invalid.
     #[error(transparent)]
     InvalidConfig(#[from] register::InvalidConfig),
 }
@@ -136,16 +136,20 @@
     changed: true,
     grant: None,
 });
-/// The outcome of a change that had been made before.
-pub(super) const ALREADY: Result<ChangeOutcome, Refusal> = Ok(ChangeOutcome {
+/// The outcome of a change that had already been made.
+pub(super) const UNCHANGED: Result<ChangeOutcome, Refusal> = Ok(ChangeOutcome {
     changed: false,
     grant: None,
 });
 
-/// Checks a text that comes from outside: not empty, no longer than `most` bytes, no control characters.
-pub(super) fn check_text(place: &'static str, found: &str, most: usize) -> Result<(), Refusal> {
-    let plain = found.chars().all(|c| !c.is_control());
-    if found.is_empty() || found.len() > most || !plain {
+/// Checks a text received from outside: not empty, at most `max_bytes` long, without control characters.
+pub(super) fn check_text(
+    place: &'static str,
+    found: &str,
+    max_bytes: usize,
+) -> Result<(), Refusal> {
+    let is_plain = found.chars().all(|c| !c.is_control());
+    if found.is_empty() || found.len() > max_bytes || !is_plain {
         let found = found.chars().take(80).collect();
         return Err(Refusal::InvalidValue {
             place,
--- a/crates/fleet/src/drain_scheduler.rs
+++ b/crates/fleet/src/drain_scheduler.rs
@@ -1,118 +1,138 @@
-//! Who drains next: of the requested members that the bounds allow, the one whose absence costs least.
+//! Chooses the next member to drain: of the requested members within the bounds, the one whose absence costs least.
 
 use crate::bounds;
 use crate::change::Change;
 use crate::state::{Fleet, MemberId, Phase};
 use std::collections::BTreeMap;
 
-/// What a member last reported of its load. A hint for the order of drains; safety does not depend on it.
+/// The latest load report of a member. It only affects the order of drains; safety does not depend on it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct MemberLoad {
-    /// Work in flight, as a share of its size.
+    /// Work in flight, as a share of the size of the member.
     pub busy: f64,
-    /// Functions of which it has the last loaded copy.
+    /// Number of functions of which the member has the last loaded copy.
     pub last_copies: u32,
 }
 
-/// How much a drain of the member is to be avoided; the most important criterion first.
-fn weight(
+/// The cost of draining the member, compared by the most important criterion first.
+fn drain_cost(
     fleet: &Fleet,
     id: &MemberId,
-    seen: MemberLoad,
-    place: usize,
+    load: MemberLoad,
+    queue_position: usize,
 ) -> (bool, u32, u32, usize, u32, usize) {
-    let m = &fleet.members[id];
-    let beside = |same: &dyn Fn(&crate::state::Member) -> bool| {
+    let member = &fleet.members[id];
+    let count_out = |is_same_group: &dyn Fn(&crate::state::Member) -> bool| {
         fleet
             .out_members()
-            .filter(|(other, o)| other.kind == id.kind && same(o))
+            .filter(|(other_id, other)| other_id.kind == id.kind && is_same_group(other))
             .count() as u32
     };
-    let cell = beside(&|o| o.info.site == m.info.site && o.info.cell == m.info.cell);
-    let site = beside(&|o| o.info.site == m.info.site);
-    // Sites in turn: one that has given more waits for the others.
-    let given = fleet.drain_requests.values().flat_map(|a| &a.finished);
-    let given = given
-        .filter(|f| f.kind == id.kind && site_of(fleet, f) == Some(&m.info.site))
+    let out_in_cell = count_out(&|other| {
+        other.info.site == member.info.site && other.info.cell == member.info.cell
+    });
+    let out_in_site = count_out(&|other| other.info.site == member.info.site);
+    // Sites take turns: a site with more finished drains waits for the others.
+    let finished = fleet.drain_requests.values().flat_map(|a| &a.finished);
+    let finished_in_site = finished
+        .filter(|f| f.kind == id.kind && site_of(fleet, f) == Some(&member.info.site))
         .count();
-    // In tenths, so that what is nearly alike goes in the order in which it was asked for.
-    let busy = (seen.busy.clamp(0.0, 10.0) * 10.0) as u32;
-    (seen.last_copies > 0, cell, site, given, busy, place)
+    // Rounded to tenths, so that members with nearly the same load drain in the requested order.
+    let busy_tenths = (load.busy.clamp(0.0, 10.0) * 10.0) as u32;
+    (
+        load.last_copies > 0,
+        out_in_cell,
+        out_in_site,
+        finished_in_site,
+        busy_tenths,
+        queue_position,
+    )
 }
 
 fn site_of<'a>(fleet: &'a Fleet, id: &MemberId) -> Option<&'a String> {
-    fleet.members.get(id).map(|m| &m.info.site)
+    fleet.members.get(id).map(|member| &member.info.site)
 }
 
-/// The next member to be granted a drain, if the bounds allow any and drains are not halted.
-pub fn next_to_drain(fleet: &Fleet, seen: &BTreeMap<MemberId, MemberLoad>) -> Option<MemberId> {
+/// The next member to be granted a drain, if the bounds allow one and drains are not halted.
+pub fn next_to_drain(fleet: &Fleet, loads: &BTreeMap<MemberId, MemberLoad>) -> Option<MemberId> {
     if fleet.halt.is_some() {
         return None;
     }
-    let mut asks: Vec<_> = fleet.drain_requests.values().collect();
-    asks.sort_by_key(|a| a.revision);
-    let waiting = asks.iter().flat_map(|a| &a.waiting).enumerate();
-    let can = waiting.filter(|(_, id)| fleet.members.get(id).is_some_and(|m| m.phase == Phase::Up));
-    let can = can.filter(|(_, id)| bounds::exceeded_if_out(fleet, id).is_none());
-    let weigh = |(place, id): &(usize, &MemberId)| {
-        weight(fleet, id, seen.get(id).copied().unwrap_or_default(), *place)
+    let mut requests: Vec<_> = fleet.drain_requests.values().collect();
+    requests.sort_by_key(|request| request.revision);
+    let waiting = requests
+        .iter()
+        .flat_map(|request| &request.waiting)
+        .enumerate();
+    let up = waiting.filter(|(_, id)| fleet.members.get(id).is_some_and(|m| m.phase == Phase::Up));
+    let allowed = up.filter(|(_, id)| bounds::exceeded_if_out(fleet, id).is_none());
+    let cost = |(position, id): &(usize, &MemberId)| {
+        drain_cost(
+            fleet,
+            id,
+            loads.get(id).copied().unwrap_or_default(),
+            *position,
+        )
     };
-    can.min_by_key(weigh).map(|(_, id)| *id)
+    allowed.min_by_key(cost).map(|(_, id)| *id)
 }
 
-/// Why no requested drain is granted, for those who wait.
+/// Why no requested drain is granted at the moment, for operators.
 pub fn blocking_reason(fleet: &Fleet) -> Option<String> {
-    if let Some(h) = &fleet.halt {
-        return Some(format!("halted by {}: {}; ends by {}", h.by, h.why, h.ends));
+    if let Some(halt) = &fleet.halt {
+        return Some(format!(
+            "halted by {}: {}; ends by {}",
+            halt.by, halt.why, halt.ends
+        ));
     }
     let waiting = fleet.drain_requests.values().flat_map(|a| &a.waiting);
-    let mut why = None;
+    let mut reason = None;
     for id in waiting {
-        let Some(m) = fleet.members.get(id) else {
+        let Some(member) = fleet.members.get(id) else {
             continue;
         };
-        if m.phase != Phase::Up {
-            why = why.or_else(|| Some(format!("{id} is {}", m.phase.name())));
-        } else if let Some(over) = bounds::exceeded_if_out(fleet, id) {
-            why = Some(format!("no room for {id}: {over}"));
+        if member.phase != Phase::Up {
+            reason = reason.or_else(|| Some(format!("{id} is {}", member.phase.name())));
+        } else if let Some(exceeded) = bounds::exceeded_if_out(fleet, id) {
+            reason = Some(format!("no room for {id}: {exceeded}"));
             break;
         }
     }
-    why
+    reason
 }
 
-/// One step of a dry run: members that would be out together, in their order.
+/// One step of a dry run: members that would be out of service together, in drain order.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Batch {
-    /// Who would drain.
+    /// The members that would drain.
     #[serde(rename = "go")]
     pub members: Vec<MemberId>,
-    /// Why the next one has to wait.
+    /// Why the next member has to wait.
     pub limit: Option<String>,
 }
 
-/// How these members would drain if each took as long as the other and no other was lost, on a copy of the fleet.
+/// Simulates the drains of these members on a copy of the fleet, assuming equal durations and no lost members.
 pub fn dry_run(fleet: &Fleet, members: &[MemberId]) -> Result<Vec<Batch>, crate::change::Refusal> {
     let mut fleet = fleet.clone();
     fleet.halt = None;
-    let ask = Change::Ask {
+    let request = Change::Ask {
         id: "dry run".into(),
         members: members.to_vec(),
         by: "dry run".into(),
     };
-    fleet.apply(&ask)?;
-    let (mut batches, seen) = (Vec::new(), BTreeMap::new());
+    fleet.apply(&request)?;
+    let (mut batches, loads) = (Vec::new(), BTreeMap::new());
     loop {
-        let mut go = Vec::new();
-        while let Some(id) = next_to_drain(&fleet, &seen) {
+        let mut members = Vec::new();
+        while let Some(id) = next_to_drain(&fleet, &loads) {
             fleet.apply(&Change::Grant { member: id })?;
-            go.push(id);
+            members.push(id);
         }
-        if go.is_empty() {
+        if members.is_empty() {
             return Ok(batches);
         }
         let limit = blocking_reason(&fleet);
-        for id in &go {
+        for id in &members {
             let incarnation = fleet.members[id].info.incarnation;
             let grant = fleet.members[id].phase.grant().unwrap_or(0);
             fleet.apply(&Change::Begin {
@@ -133,6 +153,6 @@
                 incarnation,
             })?;
         }
-        batches.push(Batch { members: go, limit });
+        batches.push(Batch { members, limit });
     }
 }
--- a/crates/fleet/src/failure_detector.rs
+++ b/crates/fleet/src/failure_detector.rs
@@ -1,92 +1,99 @@
-//! An accrual failure detector: how unusual a member's silence is to one coordinator, and how a majority of coordinators
-//! weighs it. Members that are suspected count as out.
+//! An accrual failure detector. Each coordinator computes a level of suspicion from a member's missing heartbeats; the level
+//! that a majority of coordinators reaches counts. Suspected members count as out of service.
 
 use std::collections::VecDeque;
 
-/// Intervals between heartbeats that are remembered.
-const SPANS: usize = 64;
-/// Least standard deviation that is assumed, in ticks of 100 us: the scheduling delay of a thread.
-const LEAST_DEVIATION: f64 = 200.0;
+/// Maximum number of heartbeat intervals kept.
+const MAX_INTERVALS: usize = 64;
+/// Minimum standard deviation assumed, in ticks of 100 us, to allow for the scheduling delay of a thread.
+const MIN_DEVIATION_TICKS: f64 = 200.0;
 
-/// One member's heartbeats, as one coordinator receives them. Times are ticks of 100 us.
+/// The recent heartbeat arrivals of one member at one coordinator. Times are ticks of 100 us.
 #[derive(Clone, Debug)]
 pub struct ArrivalWindow {
-    last: u64,
-    spans: VecDeque<f64>,
-    /// The interval that the member promised.
-    promised: f64,
-    /// The coordinator was paused since the last heartbeat: the next one says nothing of how long intervals are.
-    deaf: bool,
+    last_arrival: u64,
+    intervals: VecDeque<f64>,
+    /// The interval that the member announced.
+    announced_interval: f64,
+    /// The coordinator was paused since the last heartbeat, so the interval to the next one is not recorded.
+    skip_next_interval: bool,
 }
 
 impl ArrivalWindow {
-    /// A window that opens now, for heartbeats promised each `promised` ticks.
-    pub fn new(now: u64, promised: u64) -> Self {
+    /// Creates a window that starts now, for heartbeats announced every `announced_interval` ticks.
+    pub fn new(now: u64, announced_interval: u64) -> Self {
         Self {
-            last: now,
-            spans: VecDeque::new(),
-            promised: promised as f64,
-            deaf: false,
+            last_arrival: now,
+            intervals: VecDeque::new(),
+            announced_interval: announced_interval as f64,
+            skip_next_interval: false,
         }
     }
 
-    /// A heartbeat arrived.
+    /// Records the arrival of a heartbeat.
     pub fn record_heartbeat(&mut self, now: u64) {
-        if !std::mem::take(&mut self.deaf) {
-            self.spans.push_back(now.saturating_sub(self.last) as f64);
+        if !std::mem::take(&mut self.skip_next_interval) {
+            self.intervals
+                .push_back(now.saturating_sub(self.last_arrival) as f64);
         }
-        if self.spans.len() > SPANS {
-            self.spans.pop_front();
+        if self.intervals.len() > MAX_INTERVALS {
+            self.intervals.pop_front();
         }
-        self.last = now;
+        self.last_arrival = now;
     }
 
-    /// This coordinator was paused: silence counts from now on.
+    /// Restarts the measurement after this coordinator was paused: missing heartbeats count from now on.
     pub fn reset_after_pause(&mut self, now: u64) {
-        (self.last, self.deaf) = (self.last.max(now), true);
+        (self.last_arrival, self.skip_next_interval) = (self.last_arrival.max(now), true);
     }
 
-    /// How long ago the last heartbeat arrived.
+    /// Time since the last heartbeat arrived.
     pub fn elapsed(&self, now: u64) -> u64 {
-        now.saturating_sub(self.last)
+        now.saturating_sub(self.last_arrival)
     }
 
-    /// Minus the logarithm, to ten, of how often a silence as long as this one, or longer, would be usual (Hayashibara and
-    /// others, 2004, with the logistic curve in place of the normal one, whose far tail it exceeds: it accuses later).
+    /// The level of suspicion: minus the decimal logarithm of the probability of a gap at least as long as the current one
+    /// (phi accrual; Hayashibara et al. 2004). It uses the logistic distribution instead of the normal one: its far tail is
+    /// heavier, so members are suspected later.
     pub fn level(&self, now: u64) -> f64 {
-        let n = self.spans.len() as f64;
-        // The promised span counts as so many heard ones, so that the first few do not decide alone.
-        let (prior, weight) = (self.promised, 8.0);
-        let mean = (self.spans.iter().sum::<f64>() + prior * weight) / (n + weight);
-        let squares = self.spans.iter().map(|s| (s - mean).powi(2)).sum::<f64>();
-        let deviation = ((squares + (prior / 4.0).powi(2) * weight) / (n + weight)).sqrt();
-        let y = (self.elapsed(now) as f64 - mean) / deviation.max(LEAST_DEVIATION);
-        // The logistic curve of the same spread.
-        let x = y * std::f64::consts::PI / 3f64.sqrt();
-        // log10(1 + e^x), without running over.
-        if x > 30.0 {
-            x / std::f64::consts::LN_10
+        let count = self.intervals.len() as f64;
+        // The announced interval is weighted like 8 measured ones, so that the first few measurements do not dominate.
+        let (prior, weight) = (self.announced_interval, 8.0);
+        let mean = (self.intervals.iter().sum::<f64>() + prior * weight) / (count + weight);
+        let squares = self
+            .intervals
+            .iter()
+            .map(|interval| (interval - mean).powi(2))
+            .sum::<f64>();
+        let deviation = ((squares + (prior / 4.0).powi(2) * weight) / (count + weight)).sqrt();
+        let standardized_gap =
+            (self.elapsed(now) as f64 - mean) / deviation.max(MIN_DEVIATION_TICKS);
+        // The argument of the logistic distribution with the same standard deviation.
+        let exponent = standardized_gap * std::f64::consts::PI / 3f64.sqrt();
+        // log10(1 + e^exponent), without overflow.
+        if exponent > 30.0 {
+            exponent / std::f64::consts::LN_10
         } else {
-            x.exp().ln_1p() / std::f64::consts::LN_10
+            exponent.exp().ln_1p() / std::f64::consts::LN_10
         }
     }
 }
 
-/// The level of suspicion that one coordinator reports for a member; `None`: it does not know, because it has not listened
-/// for long enough, or has lost so many members at once that the fault is more likely its own.
+/// The level of suspicion that one coordinator reports for a member. `None`: unknown, because the coordinator has not received
+/// heartbeats for long enough, or lost so many members at once that its own connectivity is the likely fault.
 pub type SuspicionReport = Option<f64>;
 
-/// The level that a majority of all coordinators reaches or exceeds; none where fewer than that report one.
+/// The level that a majority of all coordinators reaches or exceeds; `None` if fewer than a majority report one.
 pub fn majority_level(
-    stewards: usize,
-    opinions: impl Iterator<Item = SuspicionReport>,
+    coordinators: usize,
+    reports: impl Iterator<Item = SuspicionReport>,
 ) -> Option<f64> {
-    let mut known: Vec<f64> = opinions.flatten().collect();
-    known.sort_by(|a, b| b.total_cmp(a));
-    known.get(stewards / 2).copied()
+    let mut levels: Vec<f64> = reports.flatten().collect();
+    levels.sort_by(|a, b| b.total_cmp(a));
+    levels.get(coordinators / 2).copied()
 }
 
-/// Whether a coordinator that finds so many members silent at once should take itself to be cut off.
-pub fn is_isolated(silent: usize, members: usize) -> bool {
-    members >= 3 && silent * 2 > members
+/// Whether a coordinator to which this many members are unreachable at once must assume that it is itself isolated.
+pub fn is_isolated(unreachable: usize, members: usize) -> bool {
+    members >= 3 && unreachable * 2 > members
 }
--- a/crates/fleet/src/fence.rs
+++ b/crates/fleet/src/fence.rs
@@ -1,53 +1,54 @@
-//! How a lease's effects are kept exclusive where they happen: seals and fencing tokens, as state machines without I/O.
+//! Fencing: seals and fencing tokens that keep the effects of a lease exclusive at the resources, as state machines without
+//! I/O.
 //!
-//! Promised: no effect of a task is accepted from a holder once a later holder's first effect has been accepted anywhere.
-//! What holds it, in order:
+//! Guarantee: no effect of a task is accepted from a holder once a later holder's first effect has been accepted anywhere. It
+//! rests on these rules:
 //!
 //! 1. A holder seals every resource of the task with its epoch before its first effect anywhere ([`HolderFence::token`]).
-//! 2. A resource is sealed when the epoch is on its disk, and from then on accepts that epoch alone ([`Fence::admit`]).
-//! 3. A resource that has started accepts nothing until it is sealed anew, and has the first seal of its incarnation confirmed by a
-//!    quorum of the fleet ([`SealStep::Confirm`]): its disk may be an old copy.
+//! 2. A resource is sealed once the epoch is on its disk, and from then on accepts only that epoch ([`Fence::admit`]).
+//! 3. A restarted resource accepts no effect until it is sealed again, and has the first seal of its incarnation confirmed by
+//!    a quorum of the fleet ([`SealStep::Confirm`]), because its disk may be an old copy.
 //!
-//! So when a later holder acts, every resource is sealed to it, is not sealed at all, or was sealed to one later still. None of
-//! it rests on a clock.
+//! So when a later holder makes an effect, every resource is sealed to its epoch, is unsealed, or is sealed to a later epoch.
+//! None of this depends on a clock.
 
 use crate::state::{Epoch, LeaseName, ResourceName};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What every effect carries.
+/// The fencing token sent with each effect.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Token {
     /// The lease of the task.
     pub lease: LeaseName,
-    /// Of the holder's grant.
+    /// The epoch of the holder's grant.
     pub epoch: Epoch,
-    /// Of the resource, at the seal: an effect that was on its way to a former incarnation is not accepted.
+    /// The incarnation of the resource when it was sealed. Effects still in flight to a former incarnation are rejected.
     pub incarnation: u64,
 }
 
-/// Why a resource did not accept an effect, or did not let itself be sealed.
+/// Why a resource rejected an effect or a seal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
 #[serde(tag = "why", rename_all = "kebab-case")]
 pub enum Rejection {
-    /// No epoch is accepted before the first seal.
+    /// The resource has not been sealed since it started.
     #[error("not sealed since it started")]
     Unsealed,
-    /// Another epoch is sealed.
+    /// The resource is sealed to another epoch.
     #[error("sealed to epoch {expected}, {found} was given")]
     Epoch {
-        /// The sealed one.
+        /// The sealed epoch.
         expected: Epoch,
-        /// The one given.
+        /// The epoch of the request.
         found: Epoch,
     },
     /// The resource has restarted since the seal.
     #[error("incarnation {expected:x} is here, {found:x} was meant")]
     Incarnation {
-        /// The resource's.
+        /// The current incarnation of the resource.
         expected: u64,
-        /// The one given.
+        /// The incarnation in the token.
         found: u64,
     },
     /// The resource belongs to the task of another lease.
@@ -58,30 +59,30 @@
     },
 }
 
-/// What a resource has to do about a seal that it was asked for.
+/// The next step of a resource to complete a requested seal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SealStep {
-    /// It is sealed so already.
+    /// It is already sealed to this epoch.
     Done,
-    /// DrainRequest a quorum whether this epoch is the lease's, then call [`Fence::after_confirmation`].
+    /// Have a quorum confirm that this epoch is the lease's current one, then call [`Fence::after_confirmation`].
     Confirm,
-    /// Write the epoch to the disk, synced, then call [`Fence::record_write`].
+    /// Write the epoch to disk and sync, then call [`Fence::record_write`].
     Write,
 }
 
-/// A resource's side of one lease, in one incarnation of the resource.
+/// The fence of a resource for one lease, in one incarnation of the resource.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Fence {
     lease: LeaseName,
     incarnation: u64,
-    /// The epoch on the disk; 0: none.
+    /// The epoch on disk; 0: none.
     durable: Epoch,
-    /// Sealed in this incarnation.
+    /// The epoch sealed in this incarnation.
     sealed: Option<Epoch>,
 }
 
 impl Fence {
-    /// A resource that has just started: `incarnation` was never used before, `durable` is what its disk has.
+    /// The fence of a resource that has just started. `incarnation` was never used before; `durable` is the epoch on its disk.
     pub fn new(lease: LeaseName, incarnation: u64, durable: Epoch) -> Self {
         Self {
             lease,
@@ -96,22 +97,22 @@
         self.incarnation
     }
 
-    /// The epoch whose effects are accepted; none: no effect is.
+    /// The epoch whose effects are accepted; `None`: no effect is accepted.
     pub fn sealed_epoch(&self) -> Option<Epoch> {
         self.sealed
     }
 
-    /// The epoch on the disk.
+    /// The epoch on disk.
     pub fn durable_epoch(&self) -> Epoch {
         self.durable
     }
 
-    /// A seal was asked for.
+    /// Starts a seal to an epoch; returns the next step.
     pub fn seal(&self, epoch: Epoch) -> Result<SealStep, Rejection> {
         if self.sealed == Some(epoch) {
             return Ok(SealStep::Done);
         }
-        self.is_not_older(epoch)?;
+        self.check_not_older(epoch)?;
         Ok(if self.sealed.is_none() {
             SealStep::Confirm
         } else {
@@ -119,31 +120,32 @@
         })
     }
 
-    /// A quorum has confirmed the epoch. Another seal may have come first.
+    /// Continues a seal after a quorum has confirmed the epoch. Another seal may have completed meanwhile.
     pub fn after_confirmation(&self, epoch: Epoch) -> Result<SealStep, Rejection> {
         if self.sealed == Some(epoch) {
             return Ok(SealStep::Done);
         }
-        self.is_not_older(epoch)?;
+        self.check_not_older(epoch)?;
         Ok(SealStep::Write)
     }
 
-    /// The epoch is on the disk. Writes of one fence come one after the other.
+    /// Records that the epoch is on disk. Writes of one fence must not overlap.
     pub fn record_write(&mut self, epoch: Epoch) {
         assert!(
             epoch >= self.durable,
-            "epoch {epoch} was written over {}",
+            "epoch {epoch} is older than the durable epoch {}",
             self.durable
         );
         (self.durable, self.sealed) = (epoch, Some(epoch));
     }
 
-    /// A write of a seal failed: what the disk has is not known, so nothing is accepted before the next seal.
+    /// Records that the write of a seal failed. The epoch on disk is then unknown, so no effect is accepted before the next
+    /// seal.
     pub fn record_write_failure(&mut self) {
         self.sealed = None;
     }
 
-    /// Whether an effect may be made. To be checked in the same transaction as the effect.
+    /// Checks that an effect may be made. Must be checked in the same transaction as the effect.
     pub fn admit(&self, token: &Token) -> Result<(), Rejection> {
         if token.lease != self.lease {
             return Err(Rejection::Lease {
@@ -166,7 +168,7 @@
         Ok(())
     }
 
-    fn is_not_older(&self, found: Epoch) -> Result<(), Rejection> {
+    fn check_not_older(&self, found: Epoch) -> Result<(), Rejection> {
         let expected = self.sealed.unwrap_or(0).max(self.durable);
         if found < expected {
             Err(Rejection::Epoch { expected, found })
@@ -176,18 +178,18 @@
     }
 }
 
-/// A holder's side of one grant.
+/// The fencing state of a holder, for one grant.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct HolderFence {
     lease: LeaseName,
     epoch: Epoch,
-    /// For each resource of the task the incarnation that it was sealed in.
+    /// For each resource of the task, the incarnation in which it was sealed.
     seals: BTreeMap<ResourceName, Option<u64>>,
     is_superseded: bool,
 }
 
 impl HolderFence {
-    /// A grant of which nothing was done yet.
+    /// The state for a new grant, with no resource sealed yet.
     pub fn new(lease: LeaseName, epoch: Epoch, resources: &BTreeSet<ResourceName>) -> Self {
         let seals = resources.iter().map(|name| (name.clone(), None)).collect();
         Self {
@@ -208,7 +210,7 @@
         self.epoch
     }
 
-    /// A resource has accepted a later epoch: nothing that this grant still does would be accepted.
+    /// Whether a resource is sealed to a later epoch, so that no further effect of this grant would be accepted.
     pub fn is_superseded(&self) -> bool {
         self.is_superseded
     }
@@ -218,22 +220,22 @@
         self.seals.keys()
     }
 
-    /// Resources that are to be sealed before anything else is done.
+    /// Resources that must be sealed before the first effect.
     pub fn unsealed_resources(&self) -> impl Iterator<Item = &ResourceName> {
         self.seals
             .iter()
-            .filter(|(_, life)| life.is_none())
+            .filter(|(_, incarnation)| incarnation.is_none())
             .map(|(name, _)| name)
     }
 
-    /// A resource says that it is sealed to this epoch, in this incarnation.
+    /// Records that a resource is sealed to this epoch, in this incarnation of the resource.
     pub fn record_seal(&mut self, resource: &str, incarnation: u64) {
-        if let Some(life) = self.seals.get_mut(resource) {
-            *life = Some(incarnation);
+        if let Some(sealed_in) = self.seals.get_mut(resource) {
+            *sealed_in = Some(incarnation);
         }
     }
 
-    /// A resource has rejected a seal or an effect.
+    /// Records that a resource has rejected a seal or an effect.
     pub fn record_rejection(&mut self, resource: &str, why: &Rejection) {
         match why {
             Rejection::Epoch { expected, .. } if *expected > self.epoch => {
@@ -243,11 +245,11 @@
         }
     }
 
-    /// What an effect on a resource has to carry; none while any resource of the task is not sealed.
+    /// The token for an effect on a resource; `None` while any resource of the task is not sealed.
     pub fn token(&self, resource: &str) -> Option<Token> {
-        let all_are_sealed = self.seals.values().all(Option::is_some);
+        let is_sealed_everywhere = self.seals.values().all(Option::is_some);
         let incarnation =
-            (*self.seals.get(resource)?).filter(|_| all_are_sealed && !self.is_superseded)?;
+            (*self.seals.get(resource)?).filter(|_| is_sealed_everywhere && !self.is_superseded)?;
         Some(Token {
             lease: self.lease.clone(),
             epoch: self.epoch,
--- a/crates/fleet/src/leases.rs
+++ b/crates/fleet/src/leases.rs
@@ -1,23 +1,23 @@
-//! Rules on the leases of fleet-wide tasks: who may hold one, and who gets it next.
+//! Rules on the leases of fleet-wide tasks: which members may hold a lease, and which one is granted it next.
 //!
-//! A lease is part of the fleet's value, so whoever loses its membership loses its leases in the same agreed change, and the
-//! successor is chosen there. Each grant has an epoch of its own (Chubby's sequencers, Kleppmann's fencing tokens). That only
-//! one holder at a time has an *effect* is the part of [`crate::fence`]: resources accept the epoch they are sealed to.
+//! Leases are part of the agreed value: a member that loses its membership loses its leases in the same agreed change, which
+//! also chooses the successors. Each grant has its own epoch (compare Chubby's sequencers and Kleppmann's fencing tokens).
+//! [`crate::fence`] ensures that only one holder at a time has an *effect*: resources accept only the epoch they are sealed to.
 
 use crate::state::{Lease, LeaseName, LeaseTerms, Member, MemberId, Phase};
 use std::hash::Hasher;
 
-/// Leases that a fleet may have.
+/// Maximum number of leases of a fleet.
 pub const MAX_LEASES: usize = 256;
-/// Resources that one lease may have.
+/// Maximum number of resources of one lease.
 pub const MAX_RESOURCES_PER_LEASE: usize = 64;
-/// Tasks that a member may offer.
+/// Maximum number of tasks that a member may offer.
 pub const MAX_TASKS_PER_MEMBER: usize = 64;
 
-/// Why what is stated of a lease can't be.
+/// Why the terms of a lease are invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidLease {
-    /// The task has an effect on nothing.
+    /// No resource is listed, so the task could have no effect.
     #[error("lease {lease}: no resource is named, at least one is expected")]
     NoResource {
         /// The lease concerned.
@@ -26,8 +26,8 @@
 }
 
 impl LeaseTerms {
-    /// Whether a member may be given the lease now.
-    fn may_be_given_to(&self, id: &MemberId, member: &Member) -> bool {
+    /// Whether the lease may be granted to the member now.
+    fn may_be_granted_to(&self, id: &MemberId, member: &Member) -> bool {
         id.kind == self.eligible
             && member.phase == Phase::Up
             && member.info.tasks.contains(&self.task)
@@ -35,42 +35,45 @@
 }
 
 impl Lease {
-    /// Whether the holder may keep it: it is reachable, and no drain of it has started.
-    pub(crate) fn stays_with(&self, holder: &Member, life: u64) -> bool {
-        let serves = matches!(holder.phase, Phase::Up | Phase::Granted { .. });
-        serves && holder.info.incarnation == life && holder.info.tasks.contains(&self.terms.task)
+    /// Whether the holder may keep the lease: it is reachable, and its drain has not started.
+    pub(crate) fn may_be_kept_by(&self, holder: &Member, incarnation: u64) -> bool {
+        let is_serving = matches!(holder.phase, Phase::Up | Phase::Granted { .. });
+        is_serving
+            && holder.info.incarnation == incarnation
+            && holder.info.tasks.contains(&self.terms.task)
     }
 
-    /// Of the eligible members the one with the highest random weight: the same wherever it is computed (rendezvous hashing).
+    /// The eligible member with the highest weight by rendezvous hashing; every coordinator computes the same one.
     pub(crate) fn successor<'a>(
         &self,
         name: &LeaseName,
         members: impl Iterator<Item = (&'a MemberId, &'a Member)>,
     ) -> Option<(MemberId, u64)> {
-        let eligible = members.filter(|(id, member)| self.terms.may_be_given_to(id, member));
-        let highest = eligible.max_by_key(|(id, _)| (weight(name, id), **id))?;
-        Some((*highest.0, highest.1.info.incarnation))
+        let eligible = members.filter(|(id, member)| self.terms.may_be_granted_to(id, member));
+        let (id, member) = eligible.max_by_key(|(id, _)| (weight(name, id), **id))?;
+        Some((*id, member.info.incarnation))
     }
 }
 
-/// The weight of a member for a lease, from the display text of the member, which therefore never changes: 64-bit FNV-1a over both names, mixed so that near numbers are far apart.
+/// The rendezvous weight of a member for a lease: 64-bit FNV-1a over both names, mixed so that consecutive numbers get distant
+/// weights. It is computed from the display text of [`MemberId`], which therefore must not change.
 fn weight(lease: &LeaseName, member: &MemberId) -> u64 {
-    let mut hash = Fnv::default();
+    let mut hash = Fnv1a::default();
     hash.write(lease.0.as_bytes());
     hash.write(member.to_string().as_bytes());
     let mixed = hash.finish();
     (mixed ^ (mixed >> 32)).wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
 
-struct Fnv(u64);
+struct Fnv1a(u64);
 
-impl Default for Fnv {
+impl Default for Fnv1a {
     fn default() -> Self {
         Self(0xcbf2_9ce4_8422_2325)
     }
 }
 
-impl Hasher for Fnv {
+impl Hasher for Fnv1a {
     fn write(&mut self, bytes: &[u8]) {
         for byte in bytes {
             self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,17 +1,20 @@
-//! What a fleet agrees on, and who may be out of service at a time. No I/O, no clock, no randomness.
+//! The replicated state of a fleet and the rules on it: membership, drains, leases. No I/O, no clock, no randomness.
 //!
-//! `register` is one value held by a majority of coordinators and changed by compare-and-set through two rounds of messages
-//! (CASPaxos; Rystsov 2018, on Lamport's Synod): no leader, no log. `recovery` says when a coordinator that was away may vote
-//! again. `state` is the value: members, bounds, drain requests, grants, a halt; `change` is every way in which it may change.
-//! `bounds` counts who is out against what is allowed, `drain_scheduler` chooses who drains next, `failure_detector` turns
-//! silence into a level of suspicion, `monitor` turns what a coordinator hears into changes to propose. `leases` says who may
-//! do a fleet-wide task, `fence` how that is enforced where the task has its effects.
+//! - `register`: one value, replicated to a majority of coordinators and changed by compare-and-set in two message rounds
+//!   (CASPaxos; Rystsov 2018, based on Lamport's Synod). There is no leader and no log.
+//! - `recovery`: when a restarted coordinator may vote again.
+//! - `state`: the value itself (members, bounds, drain requests, grants, a halt); `change`: every change to it.
+//! - `bounds`: the number of members out of service, checked against the limits.
+//! - `drain_scheduler`: which member drains next.
+//! - `failure_detector`: a suspicion level computed from missing heartbeats; `monitor`: the changes that follow from
+//!   heartbeats and from the reports of other coordinators.
+//! - `leases`: which member may do a fleet-wide task; `fence`: enforcement at the resources that the task has effects on.
 //!
-//! Promised: what a majority has accepted is never lost or applied twice; no grant and no start of a drain beyond the bounds
-//! as agreed; none after an agreed halt; a drain can't be started on a grant that was revoked. None of it rests on a clock.
-//! The failure detector makes members count as out, never as in.
+//! Guarantees: a value accepted by a majority is never lost or applied twice. No grant is issued and no drain starts beyond
+//! the agreed bounds, or after an agreed halt. No drain starts on a revoked grant. None of this depends on a clock. The
+//! failure detector can only count members as out of service, never as in service.
 //!
-//! Not here: connections, disks, timers (`crates/coordinator`). Start reading at `register`, then `state` and `change`.
+//! Connections, disks and timers are in `crates/coordinator`. Start reading at `register`, then `state` and `change`.
 
 pub mod bounds;
 pub mod change;
--- a/crates/fleet/src/recovery.rs
+++ b/crates/fleet/src/recovery.rs
@@ -1,178 +1,182 @@
-//! When a coordinator that starts may vote again. Its disk may be an old copy, or another disk than it voted from; then it has
-//! forgotten promises, and with its vote a second majority could form beside the first.
+//! Decides when a restarted coordinator may vote again. Its disk may be an old copy, or not the disk that it voted from. Then
+//! it has lost promises, and with its vote a second majority could form next to the first.
 //!
-//! What counts is heard after the start, and so after all that it may have forgotten. Votes of the former incarnation that are
-//! still on their way would count for what it has forgotten: so it starts another incarnation, and those who answer know of
-//! it before they do (crash-consistent quorums; Michael and others, 2017).
+//! Only replies received after the start count, since they are later than anything it may have lost. Votes of the former
+//! incarnation that are still in flight must not count, so it starts a new incarnation, which the other coordinators record
+//! before they reply (crash-consistent quorums; Michael et al. 2017).
 
 use crate::register::{Acceptor, Ballot, Config, Value, Voter};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What another coordinator answers to one that starts.
+/// The reply of a coordinator to one that has restarted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Heard", expecting = "struct Heard")]
 pub struct RecoveryReply<V> {
-    /// It does not vote itself yet.
+    /// Whether the replying coordinator is itself recovering and does not vote yet.
     #[serde(rename = "returning")]
     pub is_recovering: bool,
-    /// What it holds.
+    /// Its acceptor state.
     pub acceptor: Acceptor<V>,
-    /// The latest incarnation of the asker that it knew of before.
+    /// The latest incarnation of the restarted coordinator that it knew before this request.
     #[serde(rename = "life_before")]
     pub previous_incarnation: u64,
-    /// The most writes that it has heard of from the one that starts.
+    /// The highest number of writes that it knows of the restarted coordinator.
     #[serde(rename = "writes_of_yours")]
     pub known_writes: u64,
 }
 
-/// Whether a coordinator that has started may vote.
+/// Whether a restarted coordinator may vote.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Not enough was heard.
+    /// Too few replies so far.
     Wait,
-    /// May vote, once what [`RecoveringVoter::adopt`] made of its state is on disk.
+    /// May vote, once the state returned by [`RecoveringVoter::adopt`] is on disk.
     Vote,
-    /// Others heard of more writes than are on the disk: it is an old copy. It waits until all quorums that it may have
-    /// been part of are known from others.
+    /// The disk is an old copy: others know of more writes than are on it. The coordinator waits until the replies cover all
+    /// quorums that it may have been part of.
     StaleDisk {
-        /// Writes on this disk.
+        /// Number of writes on this disk.
         own_writes: u64,
-        /// Writes that others heard of.
+        /// Number of writes that other coordinators know of.
         known_writes: u64,
     },
 }
 
-/// A coordinator that has started and does not vote yet.
+/// A restarted coordinator that does not vote yet.
 #[derive(Clone, Debug)]
 pub struct RecoveringVoter<V> {
     me: Voter,
-    mine: Acceptor<V>,
-    founding: Config,
-    /// The incarnation that it starts.
+    own: Acceptor<V>,
+    initial_config: Config,
+    /// The incarnation that the coordinator starts.
     incarnation: u64,
-    heard: BTreeMap<Voter, RecoveryReply<V>>,
+    replies: BTreeMap<Voter, RecoveryReply<V>>,
 }
 
 impl<V: Value> RecoveringVoter<V> {
-    /// `founding`: who holds a fleet of which nothing else is known.
-    pub fn new(me: Voter, mine: Acceptor<V>, founding: Config) -> Self {
-        let incarnation = mine.incarnation + 1;
+    /// Starts the recovery. `initial_config` applies while no accepted value is known.
+    pub fn new(me: Voter, own: Acceptor<V>, initial_config: Config) -> Self {
+        let incarnation = own.incarnation + 1;
         Self {
             me,
-            mine,
-            founding,
+            own,
+            initial_config,
             incarnation,
-            heard: BTreeMap::new(),
+            replies: BTreeMap::new(),
         }
     }
 
-    /// Another coordinator answered.
-    pub fn record_reply(&mut self, from: Voter, what: RecoveryReply<V>) {
-        if from == self.me || what.acceptor.incarnations.latest(self.me) < self.incarnation {
+    /// Records the reply of another coordinator. Replies to an earlier incarnation are ignored.
+    pub fn record_reply(&mut self, from: Voter, reply: RecoveryReply<V>) {
+        if from == self.me || reply.acceptor.incarnations.latest(self.me) < self.incarnation {
             return;
         }
-        if what.previous_incarnation >= self.incarnation && !self.heard.contains_key(&from) {
-            // Another start may have had this incarnation already: those who answered know of none of ours.
-            self.incarnation = what.previous_incarnation + 1;
-            self.heard.clear();
+        if reply.previous_incarnation >= self.incarnation && !self.replies.contains_key(&from) {
+            // An earlier start may have used this incarnation already, so the replies so far may not belong to this start.
+            self.incarnation = reply.previous_incarnation + 1;
+            self.replies.clear();
             return;
         }
-        self.heard.insert(from, what);
+        self.replies.insert(from, reply);
     }
 
-    /// The incarnation that it starts, to be sent with each question.
+    /// The incarnation that the coordinator starts, to be sent with each request.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// The latest config that anybody has accepted a value with.
+    /// The configuration of the latest accepted value, among the replies and this disk.
     pub fn config(&self) -> Config {
-        let all = self.heard.values().map(|h| &h.acceptor).chain([&self.mine]);
-        let latest = all
+        let acceptors = self
+            .replies
+            .values()
+            .map(|reply| &reply.acceptor)
+            .chain([&self.own]);
+        let latest = acceptors
             .filter_map(|a| a.accepted.as_ref())
             .max_by_key(|a| a.ballot);
-        latest.map_or_else(|| self.founding.clone(), |a| a.value.config().clone())
+        latest.map_or_else(|| self.initial_config.clone(), |a| a.value.config().clone())
     }
 
-    /// Whether it may vote, by what was heard so far.
+    /// Whether the coordinator may vote, given the replies so far.
     pub fn verdict(&self) -> Verdict {
         let config = self.config();
-        let known = self
-            .heard
+        let known_writes = self
+            .replies
             .values()
-            .map(|h| h.known_writes)
+            .map(|reply| reply.known_writes)
             .max()
             .unwrap_or(0);
-        let all: BTreeSet<Voter> = self.heard.keys().copied().collect();
-        let sure: BTreeSet<Voter> = self
-            .heard
+        let replied: BTreeSet<Voter> = self.replies.keys().copied().collect();
+        let voting: BTreeSet<Voter> = self
+            .replies
             .iter()
-            .filter(|(_, h)| !h.is_recovering)
-            .map(|(v, _)| *v)
+            .filter(|(_, reply)| !reply.is_recovering)
+            .map(|(voter, _)| *voter)
             .collect();
-        let everybody = config
+        let all_replied = config
             .voters()
             .iter()
-            .all(|v| *v == self.me || all.contains(v));
+            .all(|voter| *voter == self.me || replied.contains(voter));
         if !config.contains(self.me) {
-            // As far as those know who answered, its vote counts nowhere; a majority of them would know better.
-            return if config.is_quorum(&all) {
+            // In the latest known configuration its vote does not count; a quorum of replies confirms that.
+            return if config.is_quorum(&replied) {
                 Verdict::Vote
             } else {
                 Verdict::Wait
             };
         }
-        // With all that could have counted its votes heard since it started, it needs no disk of its own. With everybody
-        // here and nobody sure, what a majority held is among what they all have.
-        if config.all_quorums_intersect(self.me, &sure) || everybody {
+        // If the replies cover every quorum that may have counted its votes, its own disk does not matter. If all have
+        // replied, even recovering ones, the value of any majority is among the replies.
+        if config.all_quorums_intersect(self.me, &voting) || all_replied {
             return Verdict::Vote;
         }
-        if known > self.mine.writes {
+        if known_writes > self.own.writes {
             return Verdict::StaleDisk {
-                own_writes: self.mine.writes,
-                known_writes: known,
+                own_writes: self.own.writes,
+                known_writes,
             };
         }
-        if self.mine.writes == 0 {
-            // Nothing tells a first start from one on an empty disk.
+        if self.own.writes == 0 {
+            // A first start cannot be distinguished from a start on an emptied disk.
             return Verdict::Wait;
         }
-        // Its disk is as others knew it. With it they have to be able to decide, or its vote would be of no use.
-        let mut with_me = all;
-        with_me.insert(self.me);
-        if config.is_quorum(&with_me) {
+        // The disk is up to date as far as the others know. The coordinator votes once it would complete a quorum.
+        let mut replied_and_me = replied;
+        replied_and_me.insert(self.me);
+        if config.is_quorum(&replied_and_me) {
             Verdict::Vote
         } else {
             Verdict::Wait
         }
     }
 
-    /// What it holds from now on: no promise below anybody's, and the latest value that anybody has.
+    /// The acceptor state to vote from: the highest promise and the latest value, of its own and of all replies.
     pub fn adopt(self) -> Acceptor<V> {
-        let mut mine = self.mine;
-        let known = self
-            .heard
+        let mut own = self.own;
+        let known_writes = self
+            .replies
             .values()
-            .map(|h| h.known_writes)
+            .map(|reply| reply.known_writes)
             .max()
             .unwrap_or(0);
-        mine.incarnation = self.incarnation;
-        mine.writes += 1;
-        for h in self.heard.into_values() {
-            mine.incarnations.merge(&h.acceptor.incarnations);
-            mine.promised = mine.promised.max(h.acceptor.promised);
-            let latest = mine
+        own.incarnation = self.incarnation;
+        own.writes += 1;
+        for reply in self.replies.into_values() {
+            own.incarnations.merge(&reply.acceptor.incarnations);
+            own.promised = own.promised.max(reply.acceptor.promised);
+            let latest = own
                 .accepted
                 .as_ref()
                 .map_or(Ballot::default(), |a| a.ballot);
-            if let Some(a) = h.acceptor.accepted.filter(|a| a.ballot > latest) {
-                mine.accepted = Some(a);
+            if let Some(accepted) = reply.acceptor.accepted.filter(|a| a.ballot > latest) {
+                own.accepted = Some(accepted);
             }
         }
-        if known >= mine.writes {
-            mine.writes = known + 1;
+        if known_writes >= own.writes {
+            own.writes = known_writes + 1;
         }
-        mine
+        own
     }
 }
--- a/crates/fleet/src/register.rs
+++ b/crates/fleet/src/register.rs
@@ -1,21 +1,23 @@
-//! One register. An acceptor promises and accepts; a round reads a value from a quorum and puts another in its place.
+//! A replicated register (CASPaxos). Acceptors promise and accept; a round reads the value from a quorum and proposes its
+//! successor.
 //!
-//! The value names the coordinators that hold it, as one set or, while that changes, two: then a quorum is a majority of
-//! each. What a round puts has to be accepted by a quorum both of the value it read and of the value it puts, and a round
-//! that finds other coordinators in what it read asks those as well before it goes on. A change to one set alone is made only
-//! after a value that names both is known to be held by a quorum ([`Config::settled`]).
+//! The value contains the configuration: the set of coordinators that store it or, during a reconfiguration, two sets. Then a
+//! quorum needs a majority of each set. A proposed value must be accepted by a quorum of the configuration it was read from
+//! and by a quorum of its own. A round that reads a newer configuration sends its prepare to those coordinators too before it
+//! proposes. The old set is dropped only after a value that names both sets is known to be stored by a quorum
+//! ([`Config::settled`]).
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// A coordinator by its number and the disk it votes from. Another disk is another voter: what the old one promised is not
-/// on it.
+/// A coordinator number and the disk that it votes from. A new disk is a new voter, since it lacks the promises on the old
+/// one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Voter {
     /// The coordinator's number.
     pub steward: u32,
-    /// Drawn at random when the disk is first used.
+    /// Random id, chosen when the disk is first used.
     pub disk: u64,
 }
 
@@ -25,24 +27,24 @@
     }
 }
 
-/// Rounds in their order. Two rounds never have the same: a proposer uses each number once, whatever it forgets (the
-/// shell draws `incarnation` anew at each start).
+/// The ballot number of a round. Ballots are ordered and never reused, even by a proposer that lost its state: the caller
+/// chooses a new random `incarnation` at each start.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Ballot {
-    /// Counts up.
+    /// Increases with each round.
     pub number: u64,
     /// The proposer's number.
     #[serde(rename = "steward")]
     pub proposer: u32,
-    /// Of the proposer's start.
+    /// Identifies the start of the proposer.
     #[serde(rename = "life")]
     pub incarnation: u64,
 }
 
 impl Ballot {
-    /// The least of this proposer that is above another.
+    /// The lowest ballot of this proposer that is higher than `other`.
     pub fn above(other: Ballot, proposer: u32, incarnation: u64) -> Self {
         Self {
             number: other.number + 1,
@@ -52,70 +54,70 @@
     }
 }
 
-/// Whose majorities decide.
+/// The coordinators that vote: one set, or two during a reconfiguration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Config {
     now: BTreeSet<Voter>,
-    /// Being changed to; both decide until it is settled.
+    /// The set being changed to. Both sets must agree until the change is settled.
     next: Option<BTreeSet<Voter>>,
 }
 
-fn majority(of: &BTreeSet<Voter>, have: &BTreeSet<Voter>) -> bool {
-    of.intersection(have).count() * 2 > of.len()
+fn is_majority(set: &BTreeSet<Voter>, voters: &BTreeSet<Voter>) -> bool {
+    set.intersection(voters).count() * 2 > set.len()
 }
 
-/// Why the coordinators can't be changed so.
+/// Why a configuration or a change to it is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidConfig {
-    /// A change is not settled yet.
+    /// An earlier change is not settled yet.
     #[error("the stewards are being changed already")]
     ChangeInProgress,
     /// There is no change to settle.
     #[error("the stewards are not being changed")]
     NoChangeInProgress,
-    /// Not an odd number from 1 to 9.
+    /// The number of voters is not an odd number from 1 to 9.
     #[error("{0} stewards: an odd number from 1 to 9 is expected")]
     VoterCount(usize),
-    /// One coordinator with two disks.
+    /// A coordinator is listed with two disks.
     #[error("steward-{0} is named with two disks")]
     TwoDisks(u32),
 }
 
 impl Config {
-    /// Of a fleet that is being founded.
+    /// The first configuration of a new fleet.
     pub fn initial(voters: BTreeSet<Voter>) -> Result<Self, InvalidConfig> {
-        Self::fits(&voters)?;
+        Self::validate(&voters)?;
         Ok(Self {
             now: voters,
             next: None,
         })
     }
 
-    fn fits(voters: &BTreeSet<Voter>) -> Result<(), InvalidConfig> {
+    fn validate(voters: &BTreeSet<Voter>) -> Result<(), InvalidConfig> {
         if voters.len().is_multiple_of(2) || voters.len() > 9 {
             return Err(InvalidConfig::VoterCount(voters.len()));
         }
         let mut numbers = BTreeSet::new();
         match voters.iter().find(|v| !numbers.insert(v.steward)) {
-            Some(twice) => Err(InvalidConfig::TwoDisks(twice.steward)),
+            Some(duplicate) => Err(InvalidConfig::TwoDisks(duplicate.steward)),
             None => Ok(()),
         }
     }
 
-    /// This set and the next one, both of which decide until it is settled.
+    /// A joint configuration of the current set and `next`. Both must agree until the change is settled.
     pub fn changing_to(&self, next: BTreeSet<Voter>) -> Result<Self, InvalidConfig> {
         if self.next.is_some() {
             return Err(InvalidConfig::ChangeInProgress);
         }
-        Self::fits(&next)?;
+        Self::validate(&next)?;
         Ok(Self {
             now: self.now.clone(),
             next: Some(next),
         })
     }
 
-    /// The change is over. To be put only by whoever knows that a value with this very config is held by a quorum:
-    /// before that, those who know the old set alone could go on without the new one.
+    /// The configuration after the change. May be proposed only if a quorum is known to store a value with exactly this
+    /// configuration: before that, coordinators that know only the old set could decide without the new one.
     pub fn settled(&self) -> Result<Self, InvalidConfig> {
         let next = self.next.clone().ok_or(InvalidConfig::NoChangeInProgress)?;
         Ok(Self {
@@ -124,14 +126,18 @@
         })
     }
 
-    /// Whether two sets decide.
+    /// Whether a change to another set is in progress.
     pub fn is_changing(&self) -> bool {
         self.next.is_some()
     }
 
-    /// Whether these voters are a majority of each set.
-    pub fn is_quorum(&self, have: &BTreeSet<Voter>) -> bool {
-        majority(&self.now, have) && self.next.as_ref().is_none_or(|next| majority(next, have))
+    /// Whether these voters include a majority of each set.
+    pub fn is_quorum(&self, voters: &BTreeSet<Voter>) -> bool {
+        is_majority(&self.now, voters)
+            && self
+                .next
+                .as_ref()
+                .is_none_or(|next| is_majority(next, voters))
     }
 
     /// The voters of both sets.
@@ -148,16 +154,19 @@
         self.now.contains(&voter) || self.next.as_ref().is_some_and(|n| n.contains(&voter))
     }
 
-    /// Whether every quorum that `away` may have been part of has one of `others` in it too: a majority of any set that it
-    /// is in. While two sets decide, both have to be met: that the newer decides beside the older may not have been agreed
-    /// yet, and that it decides alone may have been already.
-    pub fn all_quorums_intersect(&self, away: Voter, others: &BTreeSet<Voter>) -> bool {
+    /// Whether every quorum that `absent` may have been part of contains one of `others`; such a quorum is a majority of a set
+    /// that contains it. In a joint configuration this must hold for both sets: it is not known whether the joint
+    /// configuration has been agreed yet, or whether the newer set already decides alone.
+    pub fn all_quorums_intersect(&self, absent: Voter, others: &BTreeSet<Voter>) -> bool {
         let sets = [Some(&self.now), self.next.as_ref()];
-        let mut mine = sets.into_iter().flatten().filter(|set| set.contains(&away));
-        // Those that did not answer are, with it, no majority.
-        mine.all(|set| {
+        let mut sets_with_absent = sets
+            .into_iter()
+            .flatten()
+            .filter(|set| set.contains(&absent));
+        // `absent` and the voters that did not reply must not form a majority.
+        sets_with_absent.all(|set| {
             set.iter()
-                .filter(|v| **v == away || !others.contains(v))
+                .filter(|v| **v == absent || !others.contains(v))
                 .count()
                 * 2
                 <= set.len()
@@ -165,8 +174,7 @@
     }
 }
 
-/// The latest incarnation of each voter that somebody knows of. A voter starts another when it can't be sure that it
-/// remembers all that it promised.
+/// The latest known incarnation of each voter. A voter starts a new incarnation when it may have lost promises.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(from = "Vec<(Voter, u64)>", into = "Vec<(Voter, u64)>")]
 pub struct Incarnations(BTreeMap<Voter, u64>);
@@ -184,21 +192,21 @@
 }
 
 impl Incarnations {
-    /// The latest known incarnation of a voter; 0: its first.
+    /// The latest known incarnation of a voter; 0: the first one.
     pub fn latest(&self, voter: Voter) -> u64 {
         self.0.get(&voter).copied().unwrap_or(0)
     }
 
-    /// True: that was news.
+    /// Records an incarnation; returns whether it is later than the known one.
     pub fn learn(&mut self, voter: Voter, incarnation: u64) -> bool {
-        let news = incarnation > self.latest(voter);
-        if news {
+        let is_later = incarnation > self.latest(voter);
+        if is_later {
             self.0.insert(voter, incarnation);
         }
-        news
+        is_later
     }
 
-    /// Learns all that another knows.
+    /// Records all incarnations that `other` knows of.
     pub fn merge(&mut self, other: &Incarnations) {
         for (voter, incarnation) in &other.0 {
             self.learn(*voter, *incarnation);
@@ -206,49 +214,49 @@
     }
 }
 
-/// Goes with each vote: who votes, in which incarnation, and which incarnations of others it knows of. What an earlier
-/// incarnation said does not count once a later one is known: the later one may not remember it.
+/// Sent with each vote: the voter, its incarnation, and the incarnations of other voters that it knows of. Votes of an earlier
+/// incarnation do not count once a later one is known, because the later one may have lost them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename = "Mark", expecting = "struct Mark")]
 pub struct VoterStamp {
     /// The voter.
     pub from: Voter,
-    /// The incarnation that votes.
+    /// The incarnation of the voter.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Incarnations of others that it knows of.
+    /// Incarnations of other voters that it knows of.
     #[serde(rename = "lives")]
     pub incarnations: Incarnations,
 }
 
-/// A value that a register may hold.
+/// A value that a register can store.
 pub trait Value: Clone {
-    /// The coordinators that hold it.
+    /// The coordinators that store the value.
     fn config(&self) -> &Config;
 }
 
 /// A value that an acceptor has accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Accepted<V> {
-    /// The round that it was accepted in.
+    /// The ballot of the round in which it was accepted.
     pub ballot: Ballot,
     /// The value.
     pub value: V,
 }
 
-/// What a coordinator holds as an acceptor. All of it is on its disk before it answers.
+/// The state of an acceptor. It is written to disk before the acceptor replies.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Acceptor<V> {
-    /// Nothing below this is accepted.
+    /// Lower ballots are refused.
     pub promised: Ballot,
-    /// What was accepted last.
+    /// The last accepted value.
     pub accepted: Option<Accepted<V>>,
-    /// How often it changed; others remember it, and so an old copy of the disk shows.
+    /// Number of changes to this state. Other coordinators remember it, so that an old copy of the disk is detected.
     pub writes: u64,
-    /// Its incarnation.
+    /// The incarnation of this voter.
     #[serde(default, rename = "life")]
     pub incarnation: u64,
-    /// Incarnations of others that it knows of.
+    /// Incarnations of other voters that it knows of.
     #[serde(default, rename = "lives")]
     pub incarnations: Incarnations,
 }
@@ -266,7 +274,7 @@
 }
 
 impl<V: Value> Acceptor<V> {
-    /// Goes with each vote.
+    /// The stamp to send with a vote.
     pub fn stamp(&self, me: Voter) -> VoterStamp {
         VoterStamp {
             from: me,
@@ -275,16 +283,17 @@
         }
     }
 
-    /// Another voter starts an incarnation. Returns the latest that was known of it before.
-    pub fn record_incarnation(&mut self, of: Voter, incarnation: u64) -> u64 {
-        let before = self.incarnations.latest(of);
-        if self.incarnations.learn(of, incarnation) {
+    /// Records that another voter starts an incarnation. Returns the latest one known before.
+    pub fn record_incarnation(&mut self, voter: Voter, incarnation: u64) -> u64 {
+        let previous = self.incarnations.latest(voter);
+        if self.incarnations.learn(voter, incarnation) {
             self.writes += 1;
         }
-        before
+        previous
     }
 
-    /// Promises to accept nothing below `ballot`; returns what was accepted last. Refused with what was promised to another.
+    /// Promises to refuse ballots below `ballot`; returns the last accepted value. Fails with the promised ballot if that is
+    /// higher.
     pub fn prepare(&mut self, ballot: Ballot) -> Result<Option<&Accepted<V>>, Ballot> {
         if ballot < self.promised {
             return Err(self.promised);
@@ -296,13 +305,13 @@
         Ok(self.accepted.as_ref())
     }
 
-    /// Accepts a value. Refused with what was promised to another.
+    /// Accepts a value. Fails with the promised ballot if that is higher.
     pub fn accept(&mut self, ballot: Ballot, value: V) -> Result<(), Ballot> {
         if ballot < self.promised {
             return Err(self.promised);
         }
         if self.accepted.as_ref().is_some_and(|a| a.ballot == ballot) {
-            // The same message once more.
+            // A duplicate of the same message.
             return Ok(());
         }
         self.promised = ballot;
@@ -312,22 +321,22 @@
     }
 }
 
-/// One try to change the register, by one proposer.
+/// One attempt of a proposer to change the register.
 #[derive(Clone, Debug, Hash)]
 pub struct Round<V> {
-    /// Orders the round among all others.
+    /// The ballot of the round.
     pub ballot: Ballot,
-    /// Whose promises are needed.
+    /// The coordinators whose promises are needed.
     config: Config,
     promised: BTreeMap<Voter, u64>,
     latest: Option<Accepted<V>>,
-    put: Option<V>,
+    proposed: Option<V>,
     accepted: BTreeMap<Voter, u64>,
     incarnations: Incarnations,
 }
 
 impl<V: Value> Round<V> {
-    /// `config`: the latest that the proposer has seen in any value, or the founding one.
+    /// Creates a round. `config` is the latest configuration that the proposer has seen in any value, or the initial one.
     pub fn new(ballot: Ballot, config: Config) -> Self {
         let (promised, accepted, incarnations) = Default::default();
         Self {
@@ -335,106 +344,110 @@
             config,
             promised,
             latest: None,
-            put: None,
+            proposed: None,
             accepted,
             incarnations,
         }
     }
 
-    /// Whose promises are asked for; more when a promise shows other coordinators.
+    /// The coordinators to send a prepare to. The set grows when a promise reveals a newer configuration.
     pub fn prepare_targets(&self) -> BTreeSet<Voter> {
         self.config.voters()
     }
 
-    /// A promise came. True: the value was read, and [`Self::read`] and [`Self::propose`] may be used.
-    pub fn record_promise(&mut self, by: &VoterStamp, accepted: Option<Accepted<V>>) -> bool {
-        if self.put.is_some() {
+    /// Records a promise. Returns true once the value is read; then [`Self::read`] and [`Self::propose`] may be called.
+    pub fn record_promise(&mut self, stamp: &VoterStamp, accepted: Option<Accepted<V>>) -> bool {
+        if self.proposed.is_some() {
             return false;
         }
-        self.hear(by);
-        self.promised.insert(by.from, by.incarnation);
-        if let Some(a) = accepted
-            && self.latest.as_ref().is_none_or(|l| a.ballot > l.ballot)
+        self.learn_incarnations(stamp);
+        self.promised.insert(stamp.from, stamp.incarnation);
+        if let Some(accepted) = accepted
+            && self
+                .latest
+                .as_ref()
+                .is_none_or(|latest| accepted.ballot > latest.ballot)
         {
-            self.config = a.value.config().clone();
-            self.latest = Some(a);
+            self.config = accepted.value.config().clone();
+            self.latest = Some(accepted);
         }
         self.is_read()
     }
 
-    fn hear(&mut self, by: &VoterStamp) {
-        self.incarnations.merge(&by.incarnations);
-        self.incarnations.learn(by.from, by.incarnation);
+    fn learn_incarnations(&mut self, stamp: &VoterStamp) {
+        self.incarnations.merge(&stamp.incarnations);
+        self.incarnations.learn(stamp.from, stamp.incarnation);
     }
 
-    /// Those of whom no later incarnation is known to anybody who answered.
-    fn current_incarnations(&self, spoke: &BTreeMap<Voter, u64>) -> BTreeSet<Voter> {
-        spoke
+    /// The voters of which no later incarnation is known from any stamp.
+    fn without_superseded(&self, votes: &BTreeMap<Voter, u64>) -> BTreeSet<Voter> {
+        votes
             .iter()
-            .filter(|(v, incarnation)| **incarnation >= self.incarnations.latest(**v))
-            .map(|(v, _)| *v)
+            .filter(|(voter, incarnation)| **incarnation >= self.incarnations.latest(**voter))
+            .map(|(voter, _)| *voter)
             .collect()
     }
 
     /// Whether a quorum has promised.
     pub fn is_read(&self) -> bool {
         self.config
-            .is_quorum(&self.current_incarnations(&self.promised))
+            .is_quorum(&self.without_superseded(&self.promised))
     }
 
-    /// What a quorum holds, or may hold; none: nothing was ever put.
+    /// The value that a quorum stores or may store; `None`: no value was ever proposed.
     pub fn read(&self) -> Option<&Accepted<V>> {
         debug_assert!(
             self.is_read(),
-            "nothing is read before a quorum has promised"
+            "the value is read before a quorum has promised"
         );
         self.latest.as_ref()
     }
 
-    /// Sets the value that is to replace what was read; returns who has to be asked to accept it.
+    /// Sets the value that replaces the one read; returns the coordinators to send it to.
     pub fn propose(&mut self, value: V) -> BTreeSet<Voter> {
         assert!(
-            self.is_read() && self.put.is_none(),
-            "one value, after a quorum has promised"
+            self.is_read() && self.proposed.is_none(),
+            "a round proposes one value, after a quorum has promised"
         );
-        let to = self
+        let targets = self
             .config
             .voters()
             .union(&value.config().voters())
             .copied()
             .collect();
-        self.put = Some(value);
-        to
+        self.proposed = Some(value);
+        targets
     }
 
-    /// The value that was put.
+    /// The proposed value.
     pub fn proposed(&self) -> Option<&V> {
-        self.put.as_ref()
+        self.proposed.as_ref()
     }
 
-    /// True: the value is chosen, by quorums of what was read and of what was put.
-    pub fn record_acceptance(&mut self, by: &VoterStamp) -> bool {
-        if self.put.is_none() {
+    /// Records an acceptance. Returns true once the value is chosen: quorums of the configuration read and of the proposed one
+    /// have accepted it.
+    pub fn record_acceptance(&mut self, stamp: &VoterStamp) -> bool {
+        if self.proposed.is_none() {
             return false;
         }
-        self.hear(by);
-        self.accepted.insert(by.from, by.incarnation);
-        let accepted = self.current_incarnations(&self.accepted);
-        let put = self
-            .put
+        self.learn_incarnations(stamp);
+        self.accepted.insert(stamp.from, stamp.incarnation);
+        let accepted = self.without_superseded(&self.accepted);
+        let has_own_quorum = self
+            .proposed
             .as_ref()
-            .is_some_and(|put| put.config().is_quorum(&accepted));
-        // Whether what was read is still held by those who promised is part of it.
-        put && self.config.is_quorum(&accepted) && self.is_read()
+            .is_some_and(|value| value.config().is_quorum(&accepted));
+        // The promises must still count too: one from a superseded incarnation may be lost.
+        has_own_quorum && self.config.is_quorum(&accepted) && self.is_read()
     }
 
-    /// Who has accepted the value.
+    /// Voters that have accepted the value.
     pub fn accepted_voters(&self) -> BTreeSet<Voter> {
-        self.current_incarnations(&self.accepted)
+        self.without_superseded(&self.accepted)
     }
 
-    /// Who has promised.
+    /// Voters that have promised.
     pub fn promised_voters(&self) -> BTreeSet<Voter> {
-        self.current_incarnations(&self.promised)
+        self.without_superseded(&self.promised)
     }
 }
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -1,5 +1,5 @@
-//! The value that the fleet agrees on: members, bounds, drain requests and leases. Types alone; the rules on them are in the
-//! modules that import this one.
+//! The value that the fleet agrees on: members, bounds, drain requests and leases. This module has the types alone; the
+//! rules on them are in the modules that import it.
 
 mod bound;
 mod lease;
@@ -13,49 +13,49 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Why no further drain starts.
+/// A halt: no further drain starts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Halt {
-    /// Who halted them.
+    /// Who halted the drains.
     pub by: String,
     /// The reason.
     pub why: String,
-    /// What would end it, for those who read it.
+    /// What ends the halt, shown to operators.
     pub ends: String,
-    /// Revision at which it was halted.
+    /// Revision at which the halt was agreed.
     pub revision: u64,
 }
 
-/// Members that an operator wants drained and returned, in the order in which they drain.
+/// An operator's request that members drain and return, in the listed order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Ask", expecting = "struct Ask")]
 pub struct DrainRequest {
-    /// Who asked for it.
+    /// Who made the request.
     pub by: String,
-    /// Without a grant yet.
+    /// Members without a grant yet.
     pub waiting: Vec<MemberId>,
-    /// Granted, draining, away or coming back.
+    /// Members that are granted, draining, away or restarting.
     pub under_way: Vec<MemberId>,
-    /// Drained and returned.
+    /// Members that have drained and returned.
     pub finished: Vec<MemberId>,
-    /// Withdrawn by an operator, or forgotten.
+    /// Members withdrawn from the request by an operator, or forgotten.
     pub withdrawn: Vec<MemberId>,
-    /// Revision at which it was made.
+    /// Revision at which the request was made.
     pub revision: u64,
 }
 
 impl DrainRequest {
-    /// Whether nothing of it is left to do.
+    /// Whether no member is waiting or under way.
     pub fn is_finished(&self) -> bool {
         self.waiting.is_empty() && self.under_way.is_empty()
     }
 }
 
-/// One line of the history, for operators.
+/// An entry of the history, for operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Event", expecting = "struct Event")]
 pub struct HistoryEntry {
-    /// Revision that it brought.
+    /// Revision that the change produced.
     pub revision: u64,
     /// What happened.
     #[serde(rename = "what")]
@@ -69,31 +69,31 @@
     pub name: String,
     /// The coordinators whose majorities decide.
     pub config: Config,
-    /// Where each coordinator listens.
+    /// The listen address of each coordinator.
     #[serde(rename = "stewards")]
     pub coordinators: BTreeMap<u32, String>,
-    /// Counts changes.
+    /// Number of changes so far.
     pub revision: u64,
-    /// Grants issued so far.
+    /// Number of grants issued so far; the last grant has this number.
     pub grants: Grant,
-    /// How many members may be out.
+    /// Limits on how many members may be out of service.
     pub bounds: Vec<Bound>,
-    /// Drains are halted when more members than this are lost; 0: never.
+    /// Drains are halted automatically when more members than this are lost; 0: never.
     pub halt_at_lost: usize,
     /// All members, whatever their phase.
     pub members: BTreeMap<MemberId, Member>,
-    /// Set while no further drain may start.
+    /// Set while drains are halted.
     pub halt: Option<Halt>,
-    /// Drain requests by their names.
+    /// Drain requests by id.
     #[serde(rename = "asks")]
     pub drain_requests: BTreeMap<String, DrainRequest>,
     /// Leases of fleet-wide tasks.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub leases: BTreeMap<LeaseName, Lease>,
-    /// Epochs given so far, over all leases.
+    /// The last epoch issued, over all leases.
     #[serde(default)]
     pub lease_epochs: Epoch,
-    /// The last few changes.
+    /// The latest changes, oldest first.
     pub history: VecDeque<HistoryEntry>,
 }
 
@@ -104,7 +104,7 @@
 }
 
 impl Fleet {
-    /// A new fleet, without members.
+    /// Creates a fleet without members.
     pub fn new(
         name: &str,
         config: Config,
@@ -129,24 +129,26 @@
         }
     }
 
-    /// Members that are out, for whatever reason.
+    /// Members that are out of service, planned or not.
     pub fn out_members(&self) -> impl Iterator<Item = (&MemberId, &Member)> {
-        self.members.iter().filter(|(_, m)| m.phase.is_out())
+        self.members
+            .iter()
+            .filter(|(_, member)| member.phase.is_out())
     }
 
-    /// How many members are out as planned.
+    /// Number of members whose absence is planned.
     pub fn planned_out_count(&self) -> usize {
         self.members
             .values()
-            .filter(|m| m.phase.is_planned())
+            .filter(|member| member.phase.is_planned())
             .count()
     }
 
-    /// How many members are lost.
+    /// Number of lost members.
     pub fn lost_count(&self) -> usize {
         self.members
             .values()
-            .filter(|m| matches!(m.phase, Phase::Lost { .. }))
+            .filter(|member| matches!(member.phase, Phase::Lost { .. }))
             .count()
     }
 }
--- a/crates/fleet/src/state/bound.rs
+++ b/crates/fleet/src/state/bound.rs
@@ -1,9 +1,9 @@
-//! Bounds on how many members may be out at a time, as operators state them.
+//! Limits on how many members may be out of service at a time, as operators configure them.
 
 use super::MemberKind;
 use serde::{Deserialize, Serialize};
 
-/// The groups of members that a bound is counted for, each apart.
+/// The groups of members to which a bound applies separately.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 #[serde(rename = "Per", expecting = "enum Per")]
@@ -17,29 +17,29 @@
     Cell,
 }
 
-/// A bound; it holds for each group of members that it is counted for.
+/// A limit that applies to each group of members in its scope.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bound {
-    /// None: members of all kinds together.
+    /// The kind of members counted; `None`: all kinds together.
     #[serde(default)]
     pub kind: Option<MemberKind>,
-    /// This site alone.
+    /// The only site counted; `None`: all sites.
     #[serde(default)]
     pub site: Option<String>,
-    /// What it is counted for.
+    /// The groups that are counted separately.
     #[serde(default)]
     pub per: BoundScope,
-    /// Most members that may be out.
+    /// Maximum number of members out of service.
     #[serde(default)]
     pub out: Option<u32>,
-    /// Largest share of members that may be out; their number is rounded down.
+    /// Maximum share of members out of service, 0 to 1; the resulting number is rounded down.
     #[serde(default)]
     pub share: Option<f64>,
-    /// Least total size of the members that are up.
+    /// Minimum total size of the members in service.
     #[serde(default)]
     pub least_size: Option<f64>,
-    /// Least total memory of the members that are up, in MB.
+    /// Minimum total memory of the members in service, in MB.
     #[serde(default)]
     pub least_memory_mb: Option<f64>,
 }
--- a/crates/fleet/src/state/lease.rs
+++ b/crates/fleet/src/state/lease.rs
@@ -1,14 +1,14 @@
-//! Leases of fleet-wide tasks: tasks that one process at a time is to do.
+//! Leases of fleet-wide tasks: tasks that one process at a time does.
 
 use super::{MemberId, MemberKind};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// The number of a grant: later grants of any lease of the fleet have higher ones, and none is ever used again.
+/// The number of a grant of a lease. It increases over all leases of the fleet, and no number is reused.
 pub type Epoch = u64;
 
-/// A lease by its name, as in the deployment's script.
+/// The name of a lease, as in the deployment's script.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct LeaseName(pub String);
@@ -25,43 +25,43 @@
     }
 }
 
-/// The name of something that a task has effects on.
+/// The name of a resource that a task has effects on.
 pub type ResourceName = String;
 
-/// What operators state of a lease.
+/// The terms of a lease, as operators configure them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LeaseTerms {
-    /// The task that its holder does. Only members that offer it are eligible.
+    /// The task that the holder does. Only members that offer it are eligible.
     pub task: String,
     /// The kind of members that are eligible.
     pub eligible: MemberKind,
-    /// All that the task has an effect on; sealed before the first.
+    /// All resources that the task has effects on; each is sealed before the first effect.
     pub resources: BTreeSet<ResourceName>,
 }
 
-/// Who has a lease.
+/// The state of a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "is", rename_all = "kebab-case")]
 pub enum LeaseState {
     /// No member is eligible.
     Vacant,
-    /// A member holds it.
+    /// A member holds the lease.
     Held {
-        /// Who holds it.
+        /// The holder.
         holder: MemberId,
-        /// Of the holder.
+        /// The holder's incarnation.
         incarnation: u64,
-        /// Of the grant.
+        /// The epoch of the grant.
         epoch: Epoch,
     },
-    /// Granted to nobody until an operator resumes it. The pause has an epoch of its own.
+    /// Not granted until an operator resumes the lease. The pause has its own epoch.
     Paused {
-        /// Who paused it.
+        /// Who paused the lease.
         by: String,
         /// The reason.
         why: String,
-        /// Of the pause.
+        /// The epoch of the pause.
         epoch: Epoch,
     },
 }
@@ -69,20 +69,20 @@
 /// A lease as the fleet has agreed on it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// What operators stated of it.
+    /// The terms set by operators.
     pub terms: LeaseTerms,
-    /// Who has it.
+    /// The current state.
     pub state: LeaseState,
-    /// Of the last grant or pause; 0: there was none.
+    /// The epoch of the last grant or pause; 0: none yet.
     pub epoch: Epoch,
-    /// Revision at which it came into its state.
+    /// Revision at which the lease entered its state.
     pub since: u64,
-    /// Grants so far.
+    /// Number of grants so far.
     pub grants: u64,
 }
 
 impl Lease {
-    /// A lease that nobody was given yet.
+    /// Creates a lease that was never granted.
     pub fn vacant(terms: LeaseTerms, since: u64) -> Self {
         Self {
             terms,
@@ -93,14 +93,14 @@
         }
     }
 
-    /// The epoch of the grant, if this incarnation of the member holds the lease.
-    pub fn epoch_held_by(&self, member: MemberId, life: u64) -> Option<Epoch> {
+    /// The epoch of the current grant, if this incarnation of the member holds the lease.
+    pub fn epoch_held_by(&self, member: MemberId, member_incarnation: u64) -> Option<Epoch> {
         match self.state {
             LeaseState::Held {
                 holder,
                 incarnation,
                 epoch,
-            } if (holder, incarnation) == (member, life) => Some(epoch),
+            } if (holder, incarnation) == (member, member_incarnation) => Some(epoch),
             _ => None,
         }
     }
--- a/crates/fleet/src/state/member.rs
+++ b/crates/fleet/src/state/member.rs
@@ -1,11 +1,11 @@
-//! Members of the fleet: who they are, and where each stands between serving and being out.
+//! Members of the fleet: their identity, their description and their phase.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::fmt;
 use std::str::FromStr;
 
-/// What a member is.
+/// The kind of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 #[serde(rename = "Kind", expecting = "enum Kind")]
@@ -16,12 +16,12 @@
     Invoker,
 }
 
-/// A member as it is named in scripts, on the wire and to operators: `invoker-7`.
+/// The identity of a member. Scripts, messages and operators name it as `invoker-7`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MemberId {
     /// Controller or invoker.
     pub kind: MemberKind,
-    /// Within its kind, from 1 on.
+    /// The number within its kind, from 1.
     pub number: u32,
 }
 
@@ -53,7 +53,7 @@
     }
 }
 
-/// A text that names no member.
+/// A text that is not a member id.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("'{0}': controller-N or invoker-N is expected")]
 pub struct InvalidMemberId(pub String);
@@ -62,77 +62,82 @@
     type Err = InvalidMemberId;
 
     fn from_str(text: &str) -> Result<Self, InvalidMemberId> {
-        let fault = || InvalidMemberId(text.to_owned());
-        let (kind, number) = text.rsplit_once('-').ok_or_else(fault)?;
+        let invalid = || InvalidMemberId(text.to_owned());
+        let (kind, number) = text.rsplit_once('-').ok_or_else(invalid)?;
         let kind = match kind {
             "controller" => MemberKind::Controller,
             "invoker" => MemberKind::Invoker,
-            _ => return Err(fault()),
+            _ => return Err(invalid()),
         };
-        let digits = number.bytes().all(|b| b.is_ascii_digit()) && !number.starts_with('0');
+        let is_number =
+            number.bytes().all(|byte| byte.is_ascii_digit()) && !number.starts_with('0');
         Ok(Self {
             kind,
-            number: number.parse().ok().filter(|_| digits).ok_or_else(fault)?,
+            number: number
+                .parse()
+                .ok()
+                .filter(|_| is_number)
+                .ok_or_else(invalid)?,
         })
     }
 }
 
 impl Serialize for MemberId {
-    fn serialize<S: serde::Serializer>(&self, s: S) -> Result<S::Ok, S::Error> {
-        s.collect_str(self)
+    fn serialize<S: serde::Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.collect_str(self)
     }
 }
 
 impl<'de> Deserialize<'de> for MemberId {
-    fn deserialize<D: serde::Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        let text = std::borrow::Cow::<str>::deserialize(d)?;
+    fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        let text = std::borrow::Cow::<str>::deserialize(deserializer)?;
         text.parse().map_err(serde::de::Error::custom)
     }
 }
 
-/// The number of a permission to drain; none is ever issued twice.
+/// The number of a permission to drain; no number is issued twice.
 pub type Grant = u64;
 
-/// The phase of a member. All but `Up` count as out.
+/// The phase of a member. All phases but `Up` count as out of service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "is", rename_all = "kebab-case")]
 pub enum Phase {
-    /// It serves.
+    /// In service.
     Up,
-    /// Started and not yet known to be healthy.
+    /// Started, and not yet known to be healthy.
     Starting {
-        /// Whether it returns from a drain.
+        /// Whether the member returns from a drain.
         planned: bool,
     },
-    /// May start to drain, and has not.
+    /// Permitted to drain; the drain has not started.
     Granted {
         /// The permission to drain.
         grant: Grant,
     },
-    /// Takes no new work and ends what it has.
+    /// Accepts no new work and finishes the work in flight.
     Draining {
         /// The permission to drain.
         grant: Grant,
     },
-    /// Drained and ended; it is to return.
+    /// Drained and stopped; expected to return.
     Away {
         /// The permission to drain.
         grant: Grant,
     },
-    /// Ended without a grant, or silent for too long.
+    /// Stopped without a grant, or unreachable for too long.
     Lost {
-        /// Whether it returns from a drain.
+        /// Whether the member's absence is part of a drain.
         planned: bool,
     },
 }
 
 impl Phase {
-    /// Whether it counts as out of service.
+    /// Whether the member counts as out of service.
     pub fn is_out(&self) -> bool {
         *self != Self::Up
     }
 
-    /// Whether it is out as planned, rather than by a fault.
+    /// Whether the absence is planned rather than caused by a fault.
     pub fn is_planned(&self) -> bool {
         match self {
             Self::Granted { .. } | Self::Draining { .. } | Self::Away { .. } => true,
@@ -141,7 +146,7 @@
         }
     }
 
-    /// The grant that it drains by.
+    /// The grant under which the member drains.
     pub fn grant(&self) -> Option<Grant> {
         match self {
             Self::Granted { grant } | Self::Draining { grant } | Self::Away { grant } => {
@@ -151,7 +156,7 @@
         }
     }
 
-    /// The phase as messages and commands name it.
+    /// The name of the phase in messages and commands.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Up => "up",
@@ -164,47 +169,47 @@
     }
 }
 
-/// What a member says of itself when it joins.
+/// A member's description of itself, sent when it joins.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 #[serde(rename = "About", expecting = "struct About")]
 pub struct MemberInfo {
-    /// The member's start: differs at each start, and is never 0.
+    /// Identifies one start of the member: differs at each start, never 0.
     pub incarnation: u64,
-    /// The site that it runs in.
+    /// The site in which the member runs.
     pub site: String,
     /// The cell within the site.
     pub cell: u16,
-    /// Capacity without a unit, comparable within a kind.
+    /// Capacity, without a unit; comparable between members of a kind.
     pub size: f64,
     /// Memory in MB.
     pub memory_mb: f64,
-    /// Of the program.
+    /// Version of the program.
     pub version: String,
-    /// Where it listens: invokers for controllers, controllers for clients.
+    /// Listen address: of an invoker for controllers, of a controller for clients.
     pub address: String,
-    /// Its machine kind's place in the deployment; 0 for controllers.
+    /// Index of the machine kind in the deployment; 0 for controllers.
     #[serde(default)]
     pub machine: u16,
-    /// Its zone's place in the deployment.
+    /// Index of the zone in the deployment.
     #[serde(default)]
     pub zone: u8,
-    /// Fleet-wide tasks that it can do when it holds their leases.
+    /// Fleet-wide tasks that the member can do while it holds their leases.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub tasks: BTreeSet<String>,
 }
 
-/// A member as the fleet has agreed on it.
+/// The agreed state of a member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Member {
-    /// What it said of itself when it joined.
+    /// The description sent at the last join.
     #[serde(rename = "about")]
     pub info: MemberInfo,
-    /// Where it stands.
+    /// The current phase.
     pub phase: Phase,
-    /// Revision at which it came into its phase.
+    /// Revision at which the member entered its phase.
     pub since: u64,
-    /// Its last few incarnations before this one.
+    /// The latest former incarnations.
     #[serde(default, rename = "past")]
     pub past_incarnations: Vec<u64>,
 }
