--- a/crates/fleet/src/change.rs
+++ b/crates/fleet/src/change.rs
@@ -1,4 +1,4 @@
-//! The changes to the agreed value. A change may be applied twice: a proposer that does not learn the outcome of its round
+//! The changes to the agreed value. The same change may arrive twice: a proposer that does not learn the outcome of its round
 //! proposes again, and so does a member or an operator whose reply was lost.
 //!
 //! `apply` makes a change and records it in the history; `outcome` has its result or the reason for its refusal. The changes
--- a/crates/fleet/src/drain_scheduler.rs
+++ b/crates/fleet/src/drain_scheduler.rs
@@ -37,7 +37,7 @@
     let finished_in_site = finished
         .filter(|f| f.kind == id.kind && site_of(fleet, f) == Some(&member.info.site))
         .count();
-    // Rounded to tenths, so that members with nearly the same load drain in the requested order.
+    // Truncated to tenths, so that members with nearly the same load drain in the requested order.
     let busy_tenths = (load.busy.clamp(0.0, 10.0) * 10.0) as u32;
     (
         load.last_copies > 0,
--- a/crates/fleet/src/state/member.rs
+++ b/crates/fleet/src/state/member.rs
@@ -126,7 +126,7 @@
     },
     /// Stopped without a grant, or unreachable for too long.
     Lost {
-        /// Whether the member's absence is part of a drain.
+        /// Whether the member was lost while it returned from a drain.
         planned: bool,
     },
 }
--- a/crates/fleet/tests/all/changes.rs
+++ b/crates/fleet/tests/all/changes.rs
@@ -96,10 +96,10 @@
     let by = || "them".to_owned();
     // In half of the cases the next step of the member, so that drains make progress.
     if rng.bool()
-        && let Some(m) = known
+        && let Some(current) = known
     {
-        let incarnation = m.info.incarnation;
-        return match m.phase {
+        let incarnation = current.info.incarnation;
+        return match current.phase {
             Phase::Up if fleet.halt.is_some() => Change::Resume { by: by() },
             Phase::Up
                 if fleet
--- a/crates/fleet/tests/all/every_order.rs
+++ b/crates/fleet/tests/all/every_order.rs
@@ -229,10 +229,11 @@
                         .as_ref()
                         .is_some_and(|a| a.ballot == *ballot)
             }
-            Message::Promise(b, v, _) => {
-                round(b).is_none_or(|r| r.proposed().is_some() || r.promised_voters().contains(v))
+            Message::Promise(ballot, voter, _) => round(ballot)
+                .is_none_or(|r| r.proposed().is_some() || r.promised_voters().contains(voter)),
+            Message::Accepted(ballot, voter) => {
+                round(ballot).is_none_or(|r| r.accepted_voters().contains(voter))
             }
-            Message::Accepted(b, v) => round(b).is_none_or(|r| r.accepted_voters().contains(v)),
         }
     }
 
--- a/crates/fleet/tests/all/fence_orders.rs
+++ b/crates/fleet/tests/all/fence_orders.rs
@@ -9,7 +9,7 @@
 
 const RESOURCES: [&str; 2] = ["store", "ledger"];
 
-/// A fault fault.
+/// A planted fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum PlantedFault {
     None,
--- a/crates/fleet/tests/all/many_orders.rs
+++ b/crates/fleet/tests/all/many_orders.rs
@@ -6,7 +6,7 @@
 use saltdrum_fleet::register::{Acceptor, Ballot, Config, Round, Value, Voter, VoterStamp};
 use std::collections::BTreeMap;
 
-/// A fault fault.
+/// A planted fault.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum PlantedFault {
     None,
@@ -207,7 +207,7 @@
 
     /// Restarts a coordinator from its disk, or from an old copy of it. It then has to recover.
     fn restart(&mut self, voter: Voter) {
-        let from_old_copy = self.rng.bool() && !self.coordinators.values().any(|s| s.is_recovering);
+        let from_old_copy = self.rng.bool() && !self.coordinators.values().any(|c| c.is_recovering);
         let coordinator = self.coordinators.get_mut(&voter).unwrap();
         if from_old_copy {
             coordinator.acceptor = coordinator.copy.clone();
@@ -230,7 +230,7 @@
         );
         // Requests and replies may be lost. A repeated request finds its incarnation already recorded, and takes the next one.
         for _ in 0..3 {
-            for (other, s) in self
+            for (other, peer) in self
                 .coordinators
                 .iter_mut()
                 .filter(|(other, _)| **other != voter)
@@ -238,13 +238,13 @@
                 if self.rng.u8(..4) == 0 {
                     continue;
                 }
-                let previous_incarnation = s
+                let previous_incarnation = peer
                     .acceptor
                     .record_incarnation(voter, recovering.incarnation());
-                let acceptor = s.acceptor.clone();
+                let acceptor = peer.acceptor.clone();
                 if self.rng.u8(..6) > 0 {
                     let reply = RecoveryReply {
-                        is_recovering: s.is_recovering,
+                        is_recovering: peer.is_recovering,
                         acceptor,
                         previous_incarnation,
                         known_writes: 0,
@@ -275,7 +275,7 @@
                     coordinator.copy = coordinator.acceptor.clone();
                 }
                 // At most one disk is old at a time: with two of three old, the loss could not be detected.
-                9 if !self.coordinators.values().any(|s| s.is_recovering) => self.restart(chosen),
+                9 if !self.coordinators.values().any(|c| c.is_recovering) => self.restart(chosen),
                 10..14 => {
                     if let Some(voter) = voters.iter().find(|v| self.coordinators[v].is_recovering)
                     {
