--- a/crates/controller/src/baselines.rs
+++ b/crates/controller/src/baselines.rs
@@ -1,82 +1,84 @@
-//! Baselines that the dispatch policy is compared with: relays that make one attempt and keep no rule.
+//! Baseline policies for comparison with the dispatch policy: relays that make one attempt and enforce none of the rules.
 
 use crate::policy::Policy;
 use saltdrum::interface::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How a relay chooses one of the ready invokers.
+/// How a relay selects one of the ready invokers.
 #[derive(Clone, Copy)]
-enum Choice {
+enum Selection {
     Random,
-    /// The one with the fewest of this controller's attempts in flight.
+    /// The invoker with the fewest of this controller's attempts in flight.
     LeastInFlight,
-    /// The one that a hash of invoker and function ranks first.
+    /// The invoker that a hash of invoker and function ranks first.
     Rendezvous,
 }
 
-/// Makes one attempt at a ready invoker and passes its end on. For comparison only: it keeps no rule.
+/// Makes one attempt at a ready invoker and forwards its outcome. For comparison only: it enforces no rule.
 struct Relay {
-    choice: Choice,
+    selection: Selection,
     rng: fastrand::Rng,
     ready: BTreeSet<InvokerId>,
-    /// The same as `ready`, by index.
-    choices: Vec<InvokerId>,
+    /// The members of `ready`, by index.
+    candidates: Vec<InvokerId>,
     in_flight: BTreeMap<InvokerId, u32>,
-    /// Where each invocation was sent.
+    /// The invoker that each invocation was sent to.
     targets: BTreeMap<InvocationId, InvokerId>,
 }
 
-fn relay(choice: Choice, seed: u64) -> Box<dyn Policy> {
+fn relay(selection: Selection, seed: u64) -> Box<dyn Policy> {
     Box::new(Relay {
-        choice,
+        selection,
         rng: fastrand::Rng::with_seed(seed),
         ready: BTreeSet::new(),
-        choices: Vec::new(),
+        candidates: Vec::new(),
         in_flight: BTreeMap::new(),
         targets: BTreeMap::new(),
     })
 }
 
-/// Creates a relay that chooses at random.
+/// Creates a relay that selects an invoker at random.
 pub fn random_relay(_: Ticks, _: Deployment, seed: u64, _: &mut dyn Actions) -> Box<dyn Policy> {
-    relay(Choice::Random, seed)
+    relay(Selection::Random, seed)
 }
 
-/// Creates a relay that chooses the invoker with the fewest of its attempts in flight.
+/// Creates a relay that selects the invoker with the fewest of this controller's attempts in flight.
 pub fn least_in_flight_relay(
     _: Ticks,
     _: Deployment,
     seed: u64,
     _: &mut dyn Actions,
 ) -> Box<dyn Policy> {
-    relay(Choice::LeastInFlight, seed)
+    relay(Selection::LeastInFlight, seed)
 }
 
-/// Creates a relay that chooses each function's first invoker, whatever its load.
+/// Creates a relay that selects the first invoker in the function's rendezvous ranking, regardless of load.
 pub fn rendezvous_relay(
     _: Ticks,
     _: Deployment,
     seed: u64,
     _: &mut dyn Actions,
 ) -> Box<dyn Policy> {
-    relay(Choice::Rendezvous, seed)
+    relay(Selection::Rendezvous, seed)
 }
 
 impl Relay {
-    fn choose(&mut self, function: FunctionId) -> InvokerId {
-        let first = self.rng.usize(..self.choices.len());
-        let rotated = self.choices[first..]
+    fn select(&mut self, function: FunctionId) -> InvokerId {
+        let first = self.rng.usize(..self.candidates.len());
+        let rotated = self.candidates[first..]
             .iter()
-            .chain(&self.choices[..first])
+            .chain(&self.candidates[..first])
             .copied();
         let in_flight = |invoker: &InvokerId| self.in_flight.get(invoker).copied().unwrap_or(0);
         let rank = |invoker: &InvokerId| {
             fastrand::Rng::with_seed(function ^ (u64::from(*invoker) << 32)).u64(..)
         };
-        match self.choice {
-            Choice::Random => self.choices[first],
-            Choice::LeastInFlight => rotated.min_by_key(in_flight).unwrap_or(self.choices[first]),
-            Choice::Rendezvous => rotated.max_by_key(rank).unwrap_or(self.choices[first]),
+        match self.selection {
+            Selection::Random => self.candidates[first],
+            Selection::LeastInFlight => rotated
+                .min_by_key(in_flight)
+                .unwrap_or(self.candidates[first]),
+            Selection::Rendezvous => rotated.max_by_key(rank).unwrap_or(self.candidates[first]),
         }
     }
 }
@@ -93,14 +95,14 @@
                 self.ready.remove(&record.invoker);
             }
         }
-        self.choices = self.ready.iter().copied().collect();
+        self.candidates = self.ready.iter().copied().collect();
     }
 
     fn invocation_arrived(&mut self, _: Ticks, request: Invocation, actions: &mut dyn Actions) {
-        if self.choices.is_empty() {
+        if self.candidates.is_empty() {
             return actions.throttle(request.id, 0);
         }
-        let target = self.choose(request.function);
+        let target = self.select(request.function);
         self.targets.insert(request.id, target);
         *self.in_flight.entry(target).or_insert(0) += 1;
         actions.dispatch(request.id, target, 0);
--- a/crates/controller/src/invocations.rs
+++ b/crates/controller/src/invocations.rs
@@ -1,6 +1,6 @@
-//! Invocations in flight: from their acceptance to the one final response and the end of their last attempt.
+//! Invocations in flight, from acceptance to the one final response and the end of the last attempt.
 //!
-//! This is independent of any wire: it meets clients through [`Responder`] and invokers through [`InvokerTransport`].
+//! Independent of any wire protocol: clients are reached through [`Responder`], invokers through [`InvokerTransport`].
 
 mod actions;
 mod counters;
@@ -17,30 +17,30 @@
 use std::collections::{BTreeMap, VecDeque};
 use tracing::{Span, debug, warn};
 
-/// When a timer fires; timers of the same time fire in the order in which they were set.
+/// Identifies a timer and orders timers by due time. Timers with the same due time fire in the order in which they were set.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerKey {
-    /// When it fires.
+    /// When the timer fires.
     pub at: Ticks,
     number: u64,
 }
 
 /// The invocations, load orders and timers of one controller.
 pub struct InvocationTable<T: InvokerTransport> {
-    /// The time of the present event.
+    /// The time of the current event.
     pub now: Ticks,
-    /// How invokers are reached.
+    /// Sends attempts and load orders to invokers.
     pub transport: T,
-    /// What was done so far.
+    /// Event counters.
     pub counters: Counters,
-    /// A load order without an answer within this time has ended.
+    /// A load order times out after this time without an answer.
     order_timeout: Ticks,
     may_cancel: bool,
     entries: BTreeMap<InvocationId, InvocationEntry<T>>,
     load_orders: BTreeMap<(InvokerId, u64), LoadOrder>,
     timers: BTreeMap<TimerKey, StateCallback<T>>,
     last_timer: u64,
-    /// What runs once the policy has returned.
+    /// Callbacks to run after the policy has returned.
     deferred: VecDeque<StateCallback<T>>,
     last_id: InvocationId,
 }
@@ -50,9 +50,9 @@
     payload: T::Payload,
     function: FunctionId,
     expires_at: Ticks,
-    /// When the client gives up: nothing is sent from then on.
+    /// When the client stops waiting; no response is sent from then on.
     client_deadline: Ticks,
-    /// None: the final response was given, or the client left.
+    /// `None` once the final response was sent or the client has stopped waiting.
     responder: Option<T::Responder>,
     attempts: u8,
     in_flight: BTreeMap<u8, AttemptEntry>,
@@ -74,7 +74,7 @@
 }
 
 impl<T: InvokerTransport> InvocationTable<T> {
-    /// An empty table. A load order without an answer within `order_timeout` has ended.
+    /// Creates an empty table. A load order times out after `order_timeout` without an answer.
     pub fn new(now: Ticks, transport: T, deployment: &Deployment, order_timeout: Ticks) -> Self {
         Self {
             now,
@@ -91,12 +91,12 @@
         }
     }
 
-    /// Invocations that are not forgotten: without a final response, or with an attempt in flight.
+    /// Number of invocations without a final response or with an attempt in flight.
     pub fn in_flight(&self) -> usize {
         self.entries.len()
     }
 
-    /// Invocations without a final response.
+    /// Number of invocations without a final response.
     pub fn awaiting_response(&self) -> usize {
         let awaiting = self
             .entries
@@ -105,7 +105,7 @@
         awaiting.count()
     }
 
-    /// Runs `callback` at `at`.
+    /// Schedules `callback` to run at `at`.
     pub fn schedule(&mut self, at: Ticks, callback: StateCallback<T>) -> TimerKey {
         let key = self.next_timer_key(at);
         self.last_timer = key.number;
@@ -113,12 +113,12 @@
         key
     }
 
-    /// Runs `callback` once the policy has returned.
+    /// Defers `callback` until the policy has returned.
     pub fn defer(&mut self, callback: StateCallback<T>) {
         self.deferred.push_back(callback);
     }
 
-    /// A free number for the next invocation.
+    /// Allocates an unused ID for a new invocation.
     pub fn next_invocation_id(&mut self) -> InvocationId {
         loop {
             self.last_id = self.last_id.wrapping_add(1);
@@ -148,7 +148,7 @@
         self.deferred.pop_front()
     }
 
-    /// Sends the final response, if the client still waits for it.
+    /// Sends the final response, unless one was sent or the client has stopped waiting.
     fn respond(&mut self, id: InvocationId, response: FinalResponse) {
         let Some(entry) = self.entries.get_mut(&id) else {
             return;
@@ -159,7 +159,7 @@
         let span = entry.span.clone().entered();
         if self.now >= entry.client_deadline {
             self.counters.answered_too_late += 1;
-            warn!("final response came too late, not sent");
+            warn!("final response decided after the client timeout, not sent");
             responder.abandon(id);
         } else {
             let remaining = entry.client_deadline - self.now;
@@ -167,13 +167,13 @@
                 .count_response(&response, entry.attempts, remaining);
             responder.respond(id, response, entry.attempts, entry.client_deadline);
         }
-        // The policy may respond when a timer fires, with no call that would forget the invocation afterwards.
+        // The policy may respond from a timer, where no later call removes the invocation.
         drop(span);
-        self.forget_if_finished(id);
+        self.remove_if_finished(id);
     }
 
-    /// Forgets an invocation that has its final response and no attempt in flight.
-    fn forget_if_finished(&mut self, id: InvocationId) {
+    /// Removes an invocation that has its final response and no attempt in flight.
+    fn remove_if_finished(&mut self, id: InvocationId) {
         let entry = self.entries.get(&id);
         if entry.is_some_and(|entry| entry.responder.is_none() && entry.in_flight.is_empty()) {
             self.entries.remove(&id);
@@ -206,7 +206,7 @@
 }
 
 impl<T: InvokerTransport> ControllerState<T> {
-    /// Accepts an invocation: from here on it is owed a final response, until `client_deadline`.
+    /// Accepts an invocation, which from then on has to get a final response before `client_deadline` (rule 1).
     pub fn accept(
         &mut self,
         invocation: Invocation,
@@ -231,10 +231,10 @@
         let now = self.invocations.now;
         self.policy
             .invocation_arrived(now, invocation, &mut self.invocations);
-        self.invocations.forget_if_finished(id);
+        self.invocations.remove_if_finished(id);
     }
 
-    /// The client waits no more: it gets no final response, and attempts in flight are withdrawn or cancelled.
+    /// Handles a client that has stopped waiting: it gets no final response, and attempts in flight are withdrawn or cancelled.
     pub fn client_left(&mut self, id: InvocationId) {
         let table = &mut self.invocations;
         let Some(entry) = table.entries.get_mut(&id) else {
@@ -250,15 +250,15 @@
             if table.transport.withdraw(invoker, dispatch) {
                 table.defer_attempt_end(id, attempt, Outcome::NotSent);
             } else if table.may_cancel && table.transport.cancel(invoker, dispatch) {
-                // Left to its timeout, it would look as if the invoker were late.
+                // If the attempt ended by its timeout, the policy would count the invoker as slow.
                 table.defer_attempt_end(id, attempt, Outcome::Cancelled);
             }
         }
         self.policy.client_left(self.invocations.now, id);
-        self.invocations.forget_if_finished(id);
+        self.invocations.remove_if_finished(id);
     }
 
-    /// Answers all invocations at once, because the process ends. Gives how many.
+    /// Sends the final response of every invocation at once, because the process is terminating. Returns their number.
     pub fn end_all_invocations(&mut self) -> usize {
         let entries = self.invocations.entries.iter();
         let awaiting = entries.filter(|(_, entry)| entry.responder.is_some());
@@ -269,7 +269,8 @@
         ids.len()
     }
 
-    /// Answers an invocation at once, because it cannot be answered later: rejected where no attempt was made.
+    /// Sends the final response of an invocation at once, because it cannot be sent later: rejected if no attempt was made,
+    /// failed otherwise.
     pub fn end_invocation(&mut self, id: InvocationId) {
         let Some(entry) = self.invocations.entries.get(&id) else {
             return;
@@ -283,7 +284,7 @@
         self.client_left(id);
     }
 
-    /// An attempt has ended: the client gets a success, the policy hears of everything.
+    /// Handles the end of an attempt: sends a successful result to the client, and reports every outcome to the policy.
     pub fn attempt_ended(
         &mut self,
         id: InvocationId,
@@ -325,16 +326,16 @@
         };
         self.policy
             .attempt_ended(self.invocations.now, result, &mut self.invocations);
-        self.invocations.forget_if_finished(id);
+        self.invocations.remove_if_finished(id);
     }
 
-    /// A probe has ended.
+    /// Reports the result of a probe to the policy.
     pub fn probe_ended(&mut self, result: ProbeResult) {
         self.policy
             .probe_ended(self.invocations.now, result, &mut self.invocations);
     }
 
-    /// A load order has ended.
+    /// Reports the result of a load order to the policy.
     pub fn load_ended(
         &mut self,
         invoker: InvokerId,
@@ -348,8 +349,8 @@
             return;
         };
         table.timers.remove(&ended.timer);
-        let is_turned_away = outcome == LoadOutcome::NoCapacity;
-        table.counters.load_orders_rejected += u64::from(is_turned_away);
+        let is_rejected = outcome == LoadOutcome::NoCapacity;
+        table.counters.load_orders_rejected += u64::from(is_rejected);
         table.transport.load_ended(invoker, order);
         let duration = table.now - ended.sent_at;
         debug!(
--- a/crates/controller/src/invocations/actions.rs
+++ b/crates/controller/src/invocations/actions.rs
@@ -1,4 +1,4 @@
-//! What the policy asks for, carried out on the invocations.
+//! Carries out the policy's actions on the invocations.
 
 use super::{AttemptEntry, InvocationTable, LoadOrder};
 use crate::responder::FinalResponse;
@@ -10,18 +10,18 @@
 };
 use tracing::{debug, info, info_span};
 
-/// An attempt times out this long before its invocation expires, so that the policy can still give the final response.
+/// An attempt times out this long before its invocation expires, so that the policy can still send the final response.
 const RESPONSE_MARGIN: Ticks = 5 * MILLISECOND;
 
 impl<T: InvokerTransport> InvocationTable<T> {
-    /// Reports the end of an attempt once the policy has returned.
+    /// Reports the end of an attempt to the policy after the policy has returned.
     pub(super) fn defer_attempt_end(&mut self, id: InvocationId, attempt: u8, outcome: Outcome) {
         self.defer(Box::new(move |state| {
             state.attempt_ended(id, attempt, outcome, &AttemptReport::default());
         }));
     }
 
-    /// Ends an attempt at its deadline. What has not been sent by then never is.
+    /// Schedules the timeout of an attempt. A frame of which nothing was sent by then is withdrawn.
     fn schedule_timeout(
         &mut self,
         deadline: Ticks,
@@ -42,7 +42,7 @@
         self.schedule(deadline, Box::new(time_out));
     }
 
-    /// Reports a load order that was not sent, once the policy has returned.
+    /// Reports a load order that was not sent to the policy after the policy has returned.
     fn defer_unsent_load(
         &mut self,
         invoker: InvokerId,
@@ -55,7 +55,7 @@
                 invoker,
                 function = function_id,
                 ?outcome,
-                "load order was not sent"
+                "load order not sent"
             );
             let result = LoadResult {
                 invoker,
--- a/crates/controller/src/invocations/counters.rs
+++ b/crates/controller/src/invocations/counters.rs
@@ -1,6 +1,6 @@
-//! Counts of what a controller has done, for its log and its tests.
+//! Event counters of a controller, for its status, its log and its tests.
 
-/// What a controller has done, by count.
+/// Event counters of a controller since its start.
 #[derive(Clone, Default)]
 pub struct Counters {
     /// Invocations accepted.
@@ -11,22 +11,22 @@
     pub throttled: u64,
     /// Final responses: failed.
     pub errored: u64,
-    /// Clients that left before their final response.
+    /// Invocations whose client stopped waiting before their final response.
     pub client_left: u64,
-    /// Invocations that were read after their client had given up, and not accepted.
+    /// Invocations that were read after their client timeout, and therefore not accepted.
     pub expired_on_arrival: u64,
-    /// Final responses that came after their client had given up, and were not sent.
+    /// Final responses that were decided after the client timeout, and therefore not sent.
     pub answered_too_late: u64,
     /// Attempts made.
     pub attempts: u64,
-    /// Attempts that their invoker turned away: it was full, or draining.
+    /// Attempts that their invoker rejected because it was full or draining.
     pub attempts_rejected: u64,
-    /// Load orders given.
+    /// Load orders issued.
     pub load_orders: u64,
-    /// Load orders that their invoker turned away: it had no room, or was draining.
+    /// Load orders that their invoker rejected because it had no capacity or was draining.
     pub load_orders_rejected: u64,
-    /// Connections to invokers that broke.
+    /// Invoker connections that were lost, or could not be established.
     pub broken_connections: u64,
-    /// Stops of the process that were noticed.
+    /// Detected stops of the process.
     pub process_stops: u64,
 }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,17 +1,18 @@
 //! The controller as a service: sockets around the dispatch policy.
 //!
-//! Each event on a socket is one call of [`Policy`]; each action that the policy asks for writes to a socket or sets a timer.
-//! Nothing here chooses an invoker, retries, delays or rejects an invocation by itself.
+//! Each socket event is one call of [`Policy`]; each action of the policy writes to a socket or sets a timer. The crate itself
+//! never chooses an invoker and never retries, delays or rejects an accepted invocation.
 //!
-//! # Where to read
+//! # Code overview
 //!
-//! The way of an invocation: [`ControllerState::accept`] → [`Policy::invocation_arrived`] → the
+//! The path of an invocation: [`ControllerState::accept`] → [`Policy::invocation_arrived`] → the
 //! [`Actions`](saltdrum::interface::Actions) of [`InvocationTable`] →
-//! [`ControllerState::attempt_ended`] → the one final response. `invocations` is independent of any wire: it meets one through
-//! two traits, [`InvokerTransport`] towards invokers and [`Responder`] towards clients. `native` implements them for JSON-RPC clients and multiplexed
-//! invoker connections; the crate `saltdrum-platform` implements them for the platform's sockets.
+//! [`ControllerState::attempt_ended`] → the one final response. `invocations` is independent of any wire protocol, which it
+//! reaches through two traits: [`InvokerTransport`] for invokers and [`Responder`] for clients. `native` implements them for
+//! JSON-RPC clients and multiplexed invoker connections; the crate `saltdrum-platform` implements them for the platform's
+//! sockets.
 //!
-//! One thread, one `LocalSet`, no locks. Streams, clock and seed are handed in.
+//! A controller runs on one thread with one `LocalSet` and uses no locks. Its streams, clock and seed are passed in.
 
 mod baselines;
 mod invocations;
--- a/crates/controller/src/native.rs
+++ b/crates/controller/src/native.rs
@@ -1,7 +1,7 @@
 //! The native path: JSON-RPC clients, multiplexed connections to invokers, the endpoint list and the registry's aliases.
 //!
-//! `state` is what the other files share; `server` starts them and knows them all. A call's way is `clients` (bytes) →
-//! `calls` (JSON-RPC) → `invoke` → `state` (the frame to the invoker) → `invoker_connections` (its answer) → `reply`.
+//! `state` holds what the other modules share; `server` starts them and depends on all of them. A call passes through `clients`
+//! (bytes) → `calls` (JSON-RPC) → `invoke` → `state` (the frame to the invoker) → `invoker_connections` (its answer) → `reply`.
 
 pub(crate) mod alias_watch;
 pub(crate) mod aliases;
--- a/crates/controller/src/native/alias_watch.rs
+++ b/crates/controller/src/native/alias_watch.rs
@@ -11,21 +11,21 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// How often results are reported.
+/// Interval between reports.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 /// Time limit of one report.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Mixed into the seed of the draws of reconnect delays.
+/// Mixed into the seed of the random reconnect delays.
 const RECONNECT_SEED: u64 = 0x4e61;
 
-/// Follows the registry and reports results, for as long as the controller lives.
+/// Follows the registry and reports rollout results, for the lifetime of the controller.
 pub(crate) async fn follow_registry(handle: Rc<ControllerHandle>, config: AliasConfig) {
-    let updated = handle.clone();
-    let on_update = move |heard| {
-        updated.update(|state| {
+    let updated_handle = handle.clone();
+    let on_update = move |update| {
+        updated_handle.update(|state| {
             let now = state.invocations.now;
             if let Some(aliases) = &mut state.invocations.transport.aliases {
-                aliases.apply(now, heard);
+                aliases.apply(now, update);
             }
         });
     };
@@ -66,20 +66,20 @@
     registry: &FollowConfig,
     results: &[(StagedRollout, Tally)],
 ) -> Result<(), ClientError> {
-    let mut caller =
+    let mut client =
         RegistryClient::connect(&handle.network, &registry.registry, &registry.key).await?;
-    for (stage, tally) in results {
+    for (rollout, tally) in results {
         let params = json!({
-            "space": stage.space,
-            "alias": stage.alias,
-            "changed": stage.changed,
+            "space": rollout.space,
+            "alias": rollout.alias,
+            "changed": rollout.changed,
             "controller": handle.config.controller,
             "incarnation": handle.config.incarnation,
             "tally": tally,
         });
-        let answer = caller.call("tally", params).await?;
+        let answer = client.call("tally", params).await?;
         if answer["over"] == json!(true) {
-            info!(alias = %stage.alias, "staged rollout is over");
+            info!(alias = %rollout.alias, "staged rollout is over");
         }
     }
     Ok(())
--- a/crates/controller/src/native/aliases.rs
+++ b/crates/controller/src/native/aliases.rs
@@ -1,4 +1,4 @@
-//! Resolves names of the registry: an alias becomes a version here, before the policy sees an invocation.
+//! Resolves registry aliases to versions, before the policy sees an invocation.
 
 use saltdrum::interface::{FunctionId, MILLISECOND, Ticks};
 use saltdrum_registry::follow::{FollowConfig, RegistryUpdate};
@@ -12,79 +12,79 @@
 use std::collections::BTreeMap;
 use tracing::debug;
 
-/// Where the registry is, and for how long a client's calls are pinned to a version.
+/// Configuration of the registry connection and of version pinning.
 #[derive(Clone, Debug)]
 pub struct AliasConfig {
-    /// The registry, and what is kept of it on disk.
+    /// The registry connection and the local copy on disk.
     pub registry: FollowConfig,
-    /// How long a version stays pinned.
+    /// How long a client's calls stay pinned to a version.
     pub pin_duration: Ticks,
-    /// Unix time in milliseconds when the controller's clock reads 0. Clocks of controllers have to agree within the pinning
-    /// time; where they do not, pins end early, and never with another version.
+    /// Unix time in milliseconds at which the controller's clock reads 0. The clocks of controllers have to agree to within the
+    /// pin duration; where they do not, pins expire early, but never switch to another version.
     pub epoch_ms: u64,
 }
 
-/// Staged rollouts whose results are counted at a time.
-const MAX_STAGES: usize = 256;
+/// Upper bound of the staged rollouts whose results are counted at the same time.
+const MAX_STAGED_ROLLOUTS: usize = 256;
 
-/// Results of a staged rollout, as counted here and as reported to the registry.
+/// Results of a staged rollout: as counted by this controller, and as last reported to the registry.
 #[derive(Default)]
-struct StageResults {
+struct RolloutResults {
     counted: Tally,
     reported: Tally,
 }
 
-/// What is known of the registry, and the versions that clients are pinned to.
+/// The known state of the registry, and the versions to which clients are pinned.
 pub(crate) struct AliasResolver {
     registry: RegistryState,
     pins: VersionPins,
     epoch_ms: u64,
-    last_heard: Option<Ticks>,
-    /// Why the registry's last answer was not applied.
-    refused: Option<String>,
-    stages: BTreeMap<StagedRollout, StageResults>,
+    last_update_at: Option<Ticks>,
+    /// The reason why the last update of the registry was not applied, if it was not.
+    rejection_reason: Option<String>,
+    rollouts: BTreeMap<StagedRollout, RolloutResults>,
 }
 
-/// The version that an invocation runs, for the wire and the policy.
+/// The version that an invocation runs, with the properties that the policy and the wire protocol need.
 pub(crate) struct ResolvedVersion {
     pub function: FunctionId,
     pub name: String,
     pub memory_mb: f64,
     pub concurrency_limit: f64,
-    pub fixed: PinnedVersion,
+    pub pin: PinnedVersion,
 }
 
 impl AliasResolver {
-    /// Knows nothing of the registry yet.
+    /// Creates a resolver without any registry state.
     pub(crate) fn new(config: &AliasConfig) -> Self {
         Self {
             registry: RegistryState::default(),
             pins: VersionPins::new(config.pin_duration / MILLISECOND),
             epoch_ms: config.epoch_ms,
-            last_heard: None,
-            refused: None,
-            stages: BTreeMap::new(),
+            last_update_at: None,
+            rejection_reason: None,
+            rollouts: BTreeMap::new(),
         }
     }
 
-    /// The version that a name stands for now, or that the client is pinned to.
+    /// Resolves a name to the version that the client is pinned to, or else to the current version.
     pub(crate) fn resolve(
         &mut self,
         now: Ticks,
         tenant: &str,
         trigger: &str,
         name: &str,
-        said: &PinRequest,
+        pin_request: &PinRequest,
     ) -> Result<ResolvedVersion, ResolveError> {
-        let fixed = self.pins.fix(
+        let pin = self.pins.fix(
             &self.registry,
             self.epoch_ms + now / MILLISECOND,
             tenant,
             name,
-            said,
+            pin_request,
         )?;
-        let full_name = function_name(&fixed.model, &fixed.version);
-        let Some(version) = offered(&self.registry, &fixed) else {
+        let full_name = function_name(&pin.model, &pin.version);
+        let Some(version) = offered(&self.registry, &pin) else {
             return Err(ResolveError::Unknown(full_name));
         };
         if !version
@@ -97,24 +97,24 @@
             )));
         }
         Ok(ResolvedVersion {
-            function: function_id(&fixed.model, &fixed.version),
+            function: function_id(&pin.model, &pin.version),
             name: full_name,
             memory_mb: version.memory_mb as f64,
             concurrency_limit: f64::from(version.lanes),
-            fixed,
+            pin,
         })
     }
 
-    /// Counts the end of an attempt on one side of a staged rollout.
-    pub(crate) fn count(&mut self, staged: &StagedRollout, is_success: bool) {
+    /// Counts the result of an attempt that ran the old or new version of a staged rollout.
+    pub(crate) fn count_result(&mut self, staged: &StagedRollout, is_success: bool) {
         let key = StagedRollout {
             new: true,
             ..staged.clone()
         };
-        if self.stages.len() >= MAX_STAGES && !self.stages.contains_key(&key) {
+        if self.rollouts.len() >= MAX_STAGED_ROLLOUTS && !self.rollouts.contains_key(&key) {
             return;
         }
-        let tally = &mut self.stages.entry(key).or_default().counted;
+        let tally = &mut self.rollouts.entry(key).or_default().counted;
         let count = match (staged.new, is_success) {
             (true, true) => &mut tally.new_well,
             (true, false) => &mut tally.new_erred,
@@ -124,51 +124,53 @@
         *count += 1;
     }
 
-    /// Applies what was heard of the registry.
-    pub(crate) fn apply(&mut self, now: Ticks, heard: RegistryUpdate) {
-        match heard {
+    /// Applies an update of the registry.
+    pub(crate) fn apply(&mut self, now: Ticks, update: RegistryUpdate) {
+        match update {
             RegistryUpdate::Changed(head) => {
                 debug!(revision = head.revision(), "registry updated");
                 self.registry = head.state;
-                self.refused = None;
-                self.last_heard = Some(now);
+                self.rejection_reason = None;
+                self.last_update_at = Some(now);
                 let registry = &self.registry;
-                self.stages.retain(|stage, _| {
-                    let alias = registry.alias(&stage.space, &stage.alias);
-                    alias.is_some_and(|a| a.changed == stage.changed && a.stage.is_some())
+                self.rollouts.retain(|rollout, _| {
+                    let alias = registry.alias(&rollout.space, &rollout.alias);
+                    alias.is_some_and(|alias| {
+                        alias.changed == rollout.changed && alias.stage.is_some()
+                    })
                 });
             }
             RegistryUpdate::Unchanged => {
-                self.refused = None;
-                self.last_heard = Some(now);
+                self.rejection_reason = None;
+                self.last_update_at = Some(now);
             }
-            RegistryUpdate::Rejected(reason) => self.refused = Some(reason),
+            RegistryUpdate::Rejected(reason) => self.rejection_reason = Some(reason),
         }
     }
 
-    /// Results that the registry does not know yet.
+    /// Returns the results that have changed since the last report to the registry.
     pub(crate) fn unreported(&self) -> Vec<(StagedRollout, Tally)> {
         let changed = self
-            .stages
+            .rollouts
             .iter()
             .filter(|(_, results)| results.counted != results.reported);
         changed
-            .map(|(stage, results)| (stage.clone(), results.counted))
+            .map(|(rollout, results)| (rollout.clone(), results.counted))
             .collect()
     }
 
-    /// The registry has taken these results.
+    /// Marks results as received by the registry.
     pub(crate) fn mark_reported(&mut self, reported: &[(StagedRollout, Tally)]) {
-        for (stage, tally) in reported {
-            if let Some(results) = self.stages.get_mut(stage) {
+        for (rollout, tally) in reported {
+            if let Some(results) = self.rollouts.get_mut(rollout) {
                 results.reported = *tally;
             }
         }
     }
 
-    /// For the controller's status, as JSON.
+    /// Returns the resolver's part of the controller's status as JSON.
     pub(crate) fn status(&self, now: Ticks) -> serde_json::Value {
-        json!({"revision": self.registry.revision, "heard_ms_ago": self.last_heard.map(|at| now.saturating_sub(at) / MILLISECOND),
-            "refused": self.refused, "passages": self.pins.remembered()})
+        json!({"revision": self.registry.revision, "heard_ms_ago": self.last_update_at.map(|at| now.saturating_sub(at) / MILLISECOND),
+            "refused": self.rejection_reason, "passages": self.pins.remembered()})
     }
 }
--- a/crates/controller/src/native/calls.rs
+++ b/crates/controller/src/native/calls.rs
@@ -1,4 +1,4 @@
-//! JSON-RPC calls of clients: one line holds a call or a batch of calls.
+//! Handles JSON-RPC calls of clients. Each line contains one call or a batch of calls.
 
 use crate::native::invoke::{Arrival, invoke};
 use crate::native::reply::{Batch, Client, NO_DEADLINE, Reply};
@@ -10,10 +10,10 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Error data of an invocation that is rejected because this controller shuts down: it never ran.
+/// Error data of an invocation that is rejected because this controller is shutting down; the invocation never ran.
 const SHUTDOWN_DATA: &str = r#"{"come_back_ms":0,"dispatches":0,"going":true}"#;
 
-/// Handles one line, which arrived at `earliest` or later.
+/// Handles one line, which arrived no earlier than `earliest`.
 pub(crate) fn handle_line(
     handle: &Rc<ControllerHandle>,
     client: &Rc<Client>,
@@ -45,7 +45,7 @@
     }
 }
 
-/// The shortest wait that a call of a batch states: it counts for all of them.
+/// The shortest wait stated by any call of a batch, which applies to the whole batch because its responses are sent together.
 fn shortest_wait(calls: &[Result<Call, Refusal>]) -> Option<Ticks> {
     let waits_ms = calls.iter().flatten().filter_map(stated_wait_ms);
     let shortest_ms = waits_ms.min_by(f64::total_cmp)?;
--- a/crates/controller/src/native/clients.rs
+++ b/crates/controller/src/native/clients.rs
@@ -1,4 +1,4 @@
-//! Connections of clients. A client that hangs up, breaks the protocol or reads too slowly harms nobody else.
+//! Client connections. A client that hangs up, violates the protocol or reads too slowly does not affect other clients.
 
 use crate::native::calls;
 use crate::native::reply::{Client, MAX_UNREAD_BYTES, NO_DEADLINE};
@@ -11,14 +11,14 @@
 use std::time::Duration;
 use tracing::{debug, info, warn};
 
-/// A client with this many invocations in flight is not read from.
-const MAX_OPEN: usize = 20_000;
-/// After a failed accept, most likely for want of descriptors, the next is tried after this long.
+/// Reading from a client is suspended while it has this many open invocations.
+const MAX_OPEN_INVOCATIONS: usize = 20_000;
+/// Delay after a failed accept, which is most likely caused by a lack of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// The notification by which a client is asked to use another controller.
+/// The notification that asks a client to use another controller.
 const REDIRECT_NOTIFICATION: &str = r#"{"jsonrpc":"2.0","method":"going","params":{}}"#;
 
-/// Accepts clients for as long as the controller lives.
+/// Accepts clients for the lifetime of the controller.
 pub(crate) async fn accept_clients(handle: Rc<ControllerHandle>, mut listener: Box<dyn Listener>) {
     let mut arrivals = ArrivalClock::new(handle.clock.now(), handle.clock, &handle.event_loop);
     loop {
@@ -35,31 +35,37 @@
     }
 }
 
-/// Serves one client, whose connection can have been open since `opened`.
-async fn serve_client(handle: Rc<ControllerHandle>, stream: Stream, opened: Ticks) {
+/// Serves one client, whose connection was opened no earlier than `opened_at`.
+async fn serve_client(handle: Rc<ControllerHandle>, stream: Stream, opened_at: Ticks) {
     let (input, mut output) = split(stream);
     let client = Client::new();
-    let _unsent = handle.config.shutdown.track_unsent(&client.send_queue);
+    let _unsent_guard = handle.config.shutdown.track_unsent(&client.send_queue);
     let clock = handle.clock;
-    let reader = ArrivalReader::opened_at(input, opened, clock, handle.event_loop.clone());
+    let reader = ArrivalReader::opened_at(input, opened_at, clock, handle.event_loop.clone());
     let reason = tokio::select! {
         biased;
         reason = read_calls(&handle, &client, reader) => reason,
-        done = client.send_queue.write_to(&mut output, || clock.now(), |_| ()) => match done {
+        result = client.send_queue.write_to(&mut output, || clock.now(), |_| ()) => match result {
             Ok(()) => "closed by this controller".to_owned(),
             Err(error) => error.to_string(),
         },
         () = redirect_on_shutdown(&handle, &client) => unreachable!("the handle outlives its clients"),
         () = client.overflowed.notified() => format!("more than {MAX_UNREAD_BYTES} bytes unread"),
     };
-    let open: Vec<InvocationId> = client.open.borrow().iter().copied().collect();
-    debug!(reason, open = open.len(), "client connection closed");
-    for id in open {
+    let open_invocations: Vec<InvocationId> =
+        client.open_invocations.borrow().iter().copied().collect();
+    debug!(
+        reason,
+        open = open_invocations.len(),
+        "client connection closed"
+    );
+    for id in open_invocations {
         handle.update(|state| state.client_left(id));
     }
 }
 
-/// Asks the client to use another controller when this one shuts down. One that does not may stay; it is rejected later.
+/// Asks the client to use another controller when this one shuts down. A client that stays connected has its invocations
+/// rejected in the next phase.
 async fn redirect_on_shutdown(handle: &Rc<ControllerHandle>, client: &Rc<Client>) {
     let mut phases = handle.config.shutdown.subscribe();
     while phases.changed().await.is_ok() {
@@ -71,38 +77,38 @@
     std::future::pending().await
 }
 
-/// Reads lines until the client leaves; gives the reason.
+/// Reads and handles lines until the connection ends. Returns the reason.
 async fn read_calls(
     handle: &Rc<ControllerHandle>,
     client: &Rc<Client>,
     mut reader: ArrivalReader<StreamHalf>,
 ) -> String {
-    let mut searched = 0;
+    let mut scanned_bytes = 0;
     loop {
         let earliest = match reader.read_more().await {
             Ok(Some(earliest)) => earliest,
             Ok(None) => return "closed by the client".into(),
             Err(error) => return error.to_string(),
         };
-        while let Some(end) = reader.bytes[searched..]
+        while let Some(end) = reader.bytes[scanned_bytes..]
             .iter()
             .position(|byte| *byte == b'\n')
         {
-            let line = reader.bytes.split_to(searched + end + 1);
-            searched = 0;
+            let line = reader.bytes.split_to(scanned_bytes + end + 1);
+            scanned_bytes = 0;
             let line = line.trim_ascii();
             if !line.is_empty() {
                 calls::handle_line(handle, client, line, earliest);
             }
-            while client.open.borrow().len() >= MAX_OPEN {
-                client.response_given.notified().await;
+            while client.open_invocations.borrow().len() >= MAX_OPEN_INVOCATIONS {
+                client.invocation_finished.notified().await;
             }
         }
-        // Calls of clients must not delay answers of invokers: in a backlog the answers would look slow, and the policy would
-        // take the controller's own lag for congestion of the fleet.
+        // Client calls must not delay the handling of invoker answers: with a backlog the answers would look slow, and the
+        // policy would mistake the controller's own lag for congestion of the fleet.
         tokio::task::yield_now().await;
-        searched = reader.bytes.len();
-        if searched > rpc::LINE_MOST_BYTES {
+        scanned_bytes = reader.bytes.len();
+        if scanned_bytes > rpc::LINE_MOST_BYTES {
             reject_long_line(client);
             std::future::pending::<()>().await;
         }
--- a/crates/controller/src/native/connection_error.rs
+++ b/crates/controller/src/native/connection_error.rs
@@ -1,4 +1,4 @@
-//! Why a connection to an invoker ended, or was not made.
+//! Errors that end an invoker connection or prevent it from being established.
 
 use saltdrum::interface::InvokerId;
 use saltdrum_protocol::frame::Message;
@@ -7,7 +7,7 @@
 use std::io;
 use std::time::Duration;
 
-/// Why a connection ended, or was not made.
+/// The reason why an invoker connection ended or was not established.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ConnectionError {
     #[error(transparent)]
@@ -21,27 +21,30 @@
     #[error("closed by the invoker")]
     ClosedByInvoker,
     #[error("closed by this controller")]
-    Closed,
-    #[error("cut off while the invoker is draining")]
-    CutOff,
+    ClosedByController,
+    #[error("closed because a frame was partially sent to a draining invoker")]
+    ClosedWhileDraining,
     #[error("the invoker refused the connection: {0}")]
     Refused(String),
-    #[error("invoker {found} is at this address, {expected} was expected")]
+    #[error("invoker {found} answered at this address, expected invoker {expected}")]
     WrongInvoker {
         found: InvokerId,
         expected: InvokerId,
     },
-    #[error("version {found} was chosen, {} was offered", wire::VERSION)]
+    #[error(
+        "invoker selected protocol version {found}, offered version {}",
+        wire::VERSION
+    )]
     WrongVersion { found: u16 },
     #[error(
-        "message of kind {found} in the handshake, {} was expected",
+        "message of kind {found} in the handshake, expected {}",
         wire::Welcome::NAME
     )]
     UnexpectedMessage { found: u8 },
-    #[error("a second handshake")]
+    #[error("second handshake on one connection")]
     SecondHandshake,
-    #[error("an answer for dispatch {0}, which is not in flight")]
+    #[error("answer for dispatch {0}, which is not in flight")]
     UnknownDispatch(u64),
-    #[error("an answer for dispatch {0}, which has not been sent")]
+    #[error("answer for dispatch {0}, which has not been sent")]
     UnsentDispatch(u64),
 }
--- a/crates/controller/src/native/endpoint_list.rs
+++ b/crates/controller/src/native/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Follows the endpoint list. While its server is away, the last list stands.
+//! Follows the endpoint list. While its server is unreachable, the last list stays in effect.
 
 use crate::native::invoker_connection::InvokerConnection;
 use crate::native::invoker_connections;
@@ -15,16 +15,16 @@
 use tokio::io::AsyncWriteExt;
 use tracing::{info, warn};
 
-/// Version of the protocol that is followed.
+/// Version of the endpoint watch protocol.
 const PROTOCOL_VERSION: u16 = 1;
-/// Time limit of a connection where there are several servers: behind a partition it hangs, and another may be reachable.
+/// Connect timeout with several servers: behind a partition the connection hangs while another server may be reachable.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// The same where there is one server.
+/// Connect timeout with a single server.
 const CONNECT_TIMEOUT_SINGLE: Duration = Duration::from_secs(3_600);
-/// Mixed into the seed of the draws of reconnect delays.
+/// Mixed into the seed of the random reconnect delays.
 const RECONNECT_SEED: u64 = 0x1157;
 
-/// Why the list is not followed any more.
+/// The reason why the watch of an endpoint list server ended.
 #[derive(Debug, thiserror::Error)]
 enum WatchError {
     #[error(transparent)]
@@ -33,34 +33,34 @@
     Malformed(#[from] Malformed),
     #[error("closed by the server")]
     Closed,
-    #[error("revision {found} where {known} is known: the server lags behind")]
+    #[error("list has revision {found}, older than the known revision {known}")]
     Lagging { found: u64, known: u64 },
-    #[error("a complete list a second time")]
+    #[error("second complete list on one connection")]
     SecondList,
-    #[error("revision {found} after {last:?}: the next was expected")]
+    #[error("revision {found} does not follow revision {last:?}")]
     Gap { found: u64, last: Option<u64> },
 }
 
-/// A list, or a watch event of it.
-struct Update {
+/// An endpoint list or a watch event.
+struct ListUpdate {
     revision: u64,
     is_list: bool,
-    /// Whether a list is complete.
+    /// Whether the list is complete.
     is_settled: bool,
     entries: Vec<wire::Entry>,
 }
 
-/// Follows the endpoint lists, one at a time, for as long as the controller lives.
+/// Follows the endpoint list servers, one at a time, for the lifetime of the controller.
 pub(crate) async fn follow(handle: Rc<ControllerHandle>) {
     let mut backoff = ReconnectBackoff::default();
     let mut rng = fastrand::Rng::with_seed(handle.config.seed ^ RECONNECT_SEED);
     let addresses = &handle.config.endpoint_lists;
-    // Controllers begin with different ones where there are several.
+    // Controllers start with different servers.
     let mut current = handle.config.controller as usize % addresses.len().max(1);
     while let Some(address) = addresses.get(current) {
         let Err(reason) = watch(&handle, address, &mut backoff).await;
         backoff.disconnected(handle.clock.now());
-        warn!(%address, %reason, "endpoint list lost, the last list stands");
+        warn!(%address, %reason, "endpoint list connection lost, using the last list");
         current = (current + 1) % addresses.len();
         let delay = backoff.next_delay(&mut rng);
         tokio::time::sleep(Duration::from_micros(delay * 100)).await;
@@ -81,7 +81,7 @@
     }
 }
 
-/// Follows one server until it is lost.
+/// Follows one server until the connection fails.
 async fn watch(
     handle: &Rc<ControllerHandle>,
     address: &Address,
@@ -118,15 +118,15 @@
     }
 }
 
-/// Checks that a message is the list, or the next watch event after `last`.
+/// Checks that a message is the initial list, or the next watch event after revision `last`.
 fn check_order(
     handle: &ControllerHandle,
     message: wire::FromList,
     last: Option<u64>,
-) -> Result<Update, WatchError> {
+) -> Result<ListUpdate, WatchError> {
     match (message, last) {
         (wire::FromList::Whole(list), None) => {
-            // Servers of one fleet share its revisions: one that lags behind must not turn the list back.
+            // All servers of a fleet use the same revisions: a lagging server must not revert the list.
             let known = handle.inspect(|state| state.invocations.transport.list_revision);
             let known = known.unwrap_or(0);
             if handle.config.endpoint_lists.len() > 1 && list.revision < known {
@@ -135,19 +135,21 @@
                     known,
                 });
             }
-            Ok(Update {
+            Ok(ListUpdate {
                 revision: list.revision,
                 is_list: true,
                 is_settled: list.settled,
                 entries: list.entries,
             })
         }
-        (wire::FromList::Change(event), Some(last)) if event.revision == last + 1 => Ok(Update {
-            revision: event.revision,
-            is_list: false,
-            is_settled: true,
-            entries: event.entries,
-        }),
+        (wire::FromList::Change(event), Some(last)) if event.revision == last + 1 => {
+            Ok(ListUpdate {
+                revision: event.revision,
+                is_list: false,
+                is_settled: true,
+                entries: event.entries,
+            })
+        }
         (wire::FromList::Whole(_), Some(_)) => Err(WatchError::SecondList),
         (wire::FromList::Change(event), last) => Err(WatchError::Gap {
             found: event.revision,
@@ -156,9 +158,9 @@
     }
 }
 
-/// Applies an update that arrived at `arrived_at` or later. It reaches the connections first, so that nothing the policy then
-/// does meets an old one. Gives invokers that were not known.
-fn apply(state: &mut ControllerState, arrived_at: Ticks, update: Update) -> Vec<InvokerId> {
+/// Applies an update that arrived no earlier than `arrived_at`. Updates the connections first, so that the policy's actions use
+/// current entries. Returns the invokers that were not known before.
+fn apply(state: &mut ControllerState, arrived_at: Ticks, update: ListUpdate) -> Vec<InvokerId> {
     let now = state.invocations.now;
     let transport = &mut state.invocations.transport;
     transport.list_revision = Some(update.revision);
@@ -174,13 +176,13 @@
             }
         }
     }
-    let mut new = Vec::new();
+    let mut new_invokers = Vec::new();
     let mut records = Vec::new();
     for entry in update.entries {
         let invoker = entry.invoker;
         let started_at = now.checked_sub(entry.age_tenths);
         let connection = transport.by_invoker.entry(invoker).or_insert_with(|| {
-            new.push(invoker);
+            new_invokers.push(invoker);
             InvokerConnection::new(entry.clone(), started_at)
         });
         if entry.life != wire::Life::Ready {
@@ -193,11 +195,11 @@
     for invoker in not_ready {
         set_cutoff(state, invoker, arrived_at);
     }
-    new
+    new_invokers
 }
 
-/// An invoker is draining or gone since `notified_at`: new work is sent to it within half the grace at most. The other half is
-/// for its way, and for what is partially sent.
+/// Sets the time from which no new work is sent to an invoker that was reported draining or gone at `notified_at` (rule 3). The
+/// cutoff is half the grace; the other half is reserved for transmission and for partially sent frames.
 fn set_cutoff(state: &mut ControllerState, invoker: InvokerId, notified_at: Ticks) {
     let transport = &mut state.invocations.transport;
     let cutoff = notified_at + transport.terms.deployment.drain_grace / 2;
--- a/crates/controller/src/native/handshake.rs
+++ b/crates/controller/src/native/handshake.rs
@@ -1,4 +1,4 @@
-//! The handshake with an invoker.
+//! The handshake on a new connection to an invoker.
 
 use crate::native::connection_error::ConnectionError;
 use crate::native::state::ControllerHandle;
@@ -10,8 +10,9 @@
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// Gives the stream, what was received after the handshake, and the invoker's answer.
-pub(crate) async fn shake_hands(
+/// Connects to an invoker and performs the handshake. Returns the stream, the bytes received after the handshake, and the
+/// invoker's answer.
+pub(crate) async fn perform_handshake(
     handle: &Rc<ControllerHandle>,
     invoker: InvokerId,
     address: &str,
--- a/crates/controller/src/native/invoke.rs
+++ b/crates/controller/src/native/invoke.rs
@@ -1,4 +1,4 @@
-//! From a client's `invoke` call to an accepted invocation.
+//! Checks a client's `invoke` call and turns it into an accepted invocation.
 
 use crate::native::reply::Reply;
 use crate::native::state::{ControllerState, Payload, PendingCall, RegistryVersion};
@@ -8,17 +8,18 @@
 use saltdrum_registry::version_pin::{PinRequest, ResolveError};
 use tracing::info_span;
 
-/// At most this fraction of what a client waits is kept for the way of the answer.
+/// The answer margin is at most this fraction (one over the divisor) of the client's wait, so that short waits keep most of
+/// their time for execution.
 const MAX_ANSWER_MARGIN_DIVISOR: Ticks = 4;
 
-/// When a call arrived, and the shortest wait of the batch that it belongs to.
+/// The earliest arrival time of a call, and the shortest wait of the batch that it belongs to.
 #[derive(Clone, Copy)]
 pub(crate) struct Arrival {
     pub earliest: Ticks,
     pub shortest_wait: Option<Ticks>,
 }
 
-/// Why a call is rejected: code and text of its JSON-RPC error.
+/// Code and message of the JSON-RPC error with which a call is rejected.
 struct Rejection {
     code: i64,
     reason: String,
@@ -32,12 +33,12 @@
         }
     }
 
-    fn unknown(what: &str, name: &str) -> Self {
-        Self::invalid_params(format!("{what} '{name}': not one of this deployment"))
+    fn unknown(kind: &str, name: &str) -> Self {
+        Self::invalid_params(format!("{kind} '{name}': not one of this deployment"))
     }
 }
 
-/// What an invocation runs.
+/// The function or version that an invocation runs.
 struct Target {
     function: FunctionId,
     memory_mb: f64,
@@ -46,7 +47,7 @@
     version: Option<RegistryVersion>,
 }
 
-/// Accepts an invocation, or rejects the call.
+/// Accepts the call as an invocation, or rejects it.
 pub(crate) fn invoke(
     state: &mut ControllerState,
     call: rpc::Invoke,
@@ -63,7 +64,7 @@
         return reply.skip();
     }
     let id = state.invocations.next_invocation_id();
-    reply.accepted(id);
+    reply.mark_accepted(id);
     let work_hint_ms = call.work_hint_ms.filter(|ms| *ms > 0.0);
     let invocation = Invocation {
         id,
@@ -95,14 +96,14 @@
     );
 }
 
-/// A call that names what exists.
+/// A call whose trigger type, tenant and function exist.
 struct CheckedCall {
     trigger: usize,
     tenant: usize,
     target: Target,
-    /// When the client gives up.
+    /// When the client stops waiting.
     client_deadline: Ticks,
-    /// When the final response has to be given to reach the client in time.
+    /// When the final response has to be sent so that it reaches the client in time.
     expires_at: Ticks,
 }
 
@@ -120,7 +121,6 @@
         .shortest_wait
         .map_or(wait, |shortest| wait.min(shortest));
     let client_deadline = arrival.earliest + wait;
-    // Short waits keep their larger part for the work.
     let answer_margin = terms.answer_margin.min(wait / MAX_ANSWER_MARGIN_DIVISOR);
     let expires_at = client_deadline - answer_margin;
     Ok(CheckedCall {
@@ -132,11 +132,11 @@
     })
 }
 
-/// JSON fields of a response that say which version ran, and until when it is pinned.
+/// JSON fields of a response that contain the version and the time until which it is pinned.
 fn version_fields(version: &RegistryVersion) -> String {
     format!(
         r#","version":"{}","passage_until_ms":{}"#,
-        version.name, version.fixed.until_ms
+        version.name, version.pin.until_ms
     )
 }
 
@@ -154,7 +154,7 @@
     Ok((trigger, tenant))
 }
 
-/// The function of the deployment, or the version of the registry, that a call names.
+/// Finds the function of the deployment, or the registry version, that a call names.
 fn find_target(
     state: &mut ControllerState,
     terms: &Terms,
@@ -174,12 +174,18 @@
     let Some(aliases) = &mut transport.aliases else {
         return Err(Rejection::unknown("function", &call.function));
     };
-    let said = PinRequest {
+    let pin_request = PinRequest {
         passage: call.passage.as_deref(),
         version: call.version.as_deref(),
         until_ms: call.passage_until_ms,
     };
-    let resolved = aliases.resolve(now, &call.tenant, &call.trigger, &call.function, &said);
+    let resolved = aliases.resolve(
+        now,
+        &call.tenant,
+        &call.trigger,
+        &call.function,
+        &pin_request,
+    );
     let resolved = resolved.map_err(|reason| Rejection {
         code: match reason {
             ResolveError::Withdrawn(_) | ResolveError::Expired(_) => rpc::PASSAGE_OVER,
@@ -196,12 +202,12 @@
         load_time_hint: None,
         version: Some(RegistryVersion {
             name: resolved.name,
-            fixed: resolved.fixed,
+            pin: resolved.pin,
         }),
     })
 }
 
-/// How long the client waits: as it states, and no longer than the client timeout of its class.
+/// How long the client waits: the time that it states, capped by the client timeout of its trigger type.
 fn client_wait(call: &rpc::Invoke, client_timeout: Ticks) -> Result<Ticks, Rejection> {
     match call.time_left_ms {
         None => Ok(client_timeout),
--- a/crates/controller/src/native/invoker_connection.rs
+++ b/crates/controller/src/native/invoker_connection.rs
@@ -1,4 +1,4 @@
-//! The connection to one invoker, without I/O: what is queued, in flight and given up on it.
+//! The state of the connection to one invoker, without I/O: its queued frames, and its in-flight and abandoned attempts.
 
 use crate::reconnect::ReconnectBackoff;
 use bytes::Bytes;
@@ -11,23 +11,24 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Bytes that wait for one invoker at most; beyond it an attempt is not sent.
+/// Upper bound of the bytes queued for one invoker; attempts beyond it are not sent.
 const MAX_QUEUED_BYTES: usize = 8 << 20;
-/// Late answers are expected for this many of the latest attempts that were given up.
-const MAX_ABANDONED: usize = 100_000;
+/// Late answers are accepted for this many of the most recently abandoned attempts.
+const MAX_ABANDONED_ATTEMPTS: usize = 100_000;
 
+/// Phase of a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// Frames wait for the connection that is being made.
+    /// The connection is being established; frames are queued.
     Connecting,
     Up,
-    /// The last try failed; nothing is sent.
+    /// The connection was lost or could not be established; frames are not queued.
     Down,
 }
 
 /// An attempt whose frame was queued.
 #[derive(Clone, Copy)]
-pub(crate) struct SentAttempt {
+pub(crate) struct QueuedAttempt {
     pub invocation: InvocationId,
     pub attempt: u8,
     pub ticket: Ticket,
@@ -37,26 +38,26 @@
 pub(crate) struct InvokerConnection {
     /// The invoker's entry in the endpoint list.
     pub entry: Entry,
-    /// When the invoker started, by this controller's clock.
+    /// Start time of the invoker on this controller's clock.
     pub started_at: Option<Ticks>,
     pub phase: Phase,
     pub send_queue: SendQueue,
-    pub in_flight: BTreeMap<u64, SentAttempt>,
+    pub in_flight: BTreeMap<u64, QueuedAttempt>,
     pub load_orders: BTreeMap<u64, Ticket>,
-    /// Attempts that were given up, and whose answers may still come.
+    /// Attempts that ended for this controller before their answer was received.
     pub abandoned: BTreeSet<u64>,
     last_id: u64,
-    /// Rule 3: no new work is sent from then on, not even what waited.
+    /// Time from which no new work is sent, including work that was already queued (rule 3).
     pub cutoff: Ticks,
     pub backoff: ReconnectBackoff,
-    /// Notified when the endpoint list says that the invoker moved, restarted or returned.
-    pub changed: Rc<Notify>,
-    /// Notified when the connection is to be closed at once.
-    pub broken: Rc<Notify>,
+    /// Notified when the endpoint list reports that the invoker changed its address, restarted or returned.
+    pub entry_changed: Rc<Notify>,
+    /// Notified when the connection has to be closed at once.
+    pub close_requested: Rc<Notify>,
 }
 
 impl InvokerConnection {
-    /// A connection that is not made yet.
+    /// Creates a connection that is not established yet.
     pub(crate) fn new(entry: Entry, started_at: Option<Ticks>) -> Self {
         Self {
             entry,
@@ -69,15 +70,15 @@
             last_id: 0,
             cutoff: Ticks::MAX,
             backoff: ReconnectBackoff::default(),
-            changed: Rc::default(),
-            broken: Rc::default(),
+            entry_changed: Rc::default(),
+            close_requested: Rc::default(),
         }
     }
 
-    /// Applies an entry of the endpoint list, by which the invoker started at `started_at`.
+    /// Applies an entry of the endpoint list, according to which the invoker started at `started_at`.
     pub(crate) fn apply_entry(&mut self, mut entry: Entry, started_at: Option<Ticks>) {
         if self.entry.incarnation != entry.incarnation && self.started_at > started_at {
-            // The invoker itself has reported a later start than the list knows of.
+            // The handshake reported a later start than the endpoint list does, which has not caught up yet.
             entry.incarnation = self.entry.incarnation;
         }
         let has_moved = self.entry.address != entry.address;
@@ -85,9 +86,9 @@
         if self.entry.incarnation != entry.incarnation || has_moved {
             self.started_at = started_at;
             self.backoff.reset();
-            self.changed.notify_one();
+            self.entry_changed.notify_one();
         } else if has_returned {
-            self.changed.notify_one();
+            self.entry_changed.notify_one();
         }
         if entry.life == Life::Ready {
             self.cutoff = Ticks::MAX;
@@ -95,7 +96,7 @@
         self.entry = entry;
     }
 
-    /// The invoker, as the policy is told of it.
+    /// Returns the invoker's record for the policy.
     pub(crate) fn record(&self) -> InvokerRecord {
         InvokerRecord {
             invoker: self.entry.invoker,
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Whether the connection stands.
+    /// Whether the connection is established.
     pub(crate) fn is_up(&self) -> bool {
         self.phase == Phase::Up
     }
@@ -124,7 +125,7 @@
         self.send_queue.push(frame, deadline)
     }
 
-    /// Queues an attempt, which begins to be sent before `send_by` or not at all. Gives its number on this connection.
+    /// Queues an attempt, whose transmission begins before `send_by` or not at all. Returns its number on this connection.
     pub(crate) fn dispatch(
         &mut self,
         frame: wire::DispatchOut,
@@ -142,7 +143,7 @@
         self.last_id = dispatch;
         self.in_flight.insert(
             dispatch,
-            SentAttempt {
+            QueuedAttempt {
                 invocation,
                 attempt,
                 ticket,
@@ -151,7 +152,7 @@
         Ok(dispatch)
     }
 
-    /// Queues a load order. Gives its number on this connection.
+    /// Queues a load order. Returns its number on this connection.
     pub(crate) fn load(&mut self, function: FunctionId, name: String, count: u8) -> Option<u64> {
         let order = self.last_id + 1;
         let is_new_work = count > 0;
@@ -187,42 +188,43 @@
         self.push(frame, Ticks::MAX);
     }
 
-    /// Withdraws an attempt of which nothing was sent. False: it may have run.
+    /// Withdraws an attempt of which nothing was sent. Returns false if the attempt may have run.
     pub(crate) fn withdraw(&mut self, dispatch: u64) -> bool {
-        let Some(ticket) = self.in_flight.get(&dispatch).map(|sent| sent.ticket) else {
+        let Some(ticket) = self.in_flight.get(&dispatch).map(|queued| queued.ticket) else {
             return false;
         };
         let withdrawn = self.send_queue.withdraw(0, |other| other == ticket);
         withdrawn.contains(&ticket)
     }
 
-    /// The attempt has ended for this controller; an answer may still come.
+    /// Marks an attempt as ended for this controller; its answer may still be received.
     pub(crate) fn abandon(&mut self, dispatch: u64) {
         if self.in_flight.remove(&dispatch).is_none() {
             return;
         }
         self.abandoned.insert(dispatch);
-        if self.abandoned.len() > MAX_ABANDONED {
+        if self.abandoned.len() > MAX_ABANDONED_ATTEMPTS {
             self.abandoned.pop_first();
         }
     }
 
-    /// Whether a frame is new work, which must not reach an invoker that is draining.
+    /// Whether a frame is new work, which must not be sent to a draining invoker (rule 3).
     pub(crate) fn is_new_work(&self, ticket: Ticket) -> bool {
-        let mut attempts = self.in_flight.values().map(|sent| sent.ticket);
-        attempts.any(|sent| sent == ticket) || self.load_orders.values().any(|sent| *sent == ticket)
+        let mut attempts = self.in_flight.values().map(|queued| queued.ticket);
+        attempts.any(|queued| queued == ticket)
+            || self.load_orders.values().any(|queued| *queued == ticket)
     }
 
-    /// A connection is about to be made.
+    /// Prepares for a connection attempt. After a lost connection, starts with an empty send queue.
     pub(crate) fn begin_connecting(&mut self) {
         if self.phase == Phase::Down {
             self.phase = Phase::Connecting;
             self.send_queue = SendQueue::new(MAX_QUEUED_BYTES);
-            self.broken = Rc::default();
+            self.close_requested = Rc::default();
         }
     }
 
-    /// The connection is lost, or could not be made.
+    /// Records that the connection was lost, or could not be established.
     pub(crate) fn disconnected(&mut self, now: Ticks) {
         self.backoff.disconnected(now);
         self.phase = Phase::Down;
--- a/crates/controller/src/native/invoker_connections.rs
+++ b/crates/controller/src/native/invoker_connections.rs
@@ -1,7 +1,7 @@
-//! Keeps one multiplexed connection to each invoker, and reconnects with backoff when it is lost.
+//! Maintains one multiplexed connection to each invoker, and reconnects with backoff when it is lost.
 
 use crate::native::connection_error::ConnectionError;
-use crate::native::handshake::shake_hands;
+use crate::native::handshake::perform_handshake;
 use crate::native::invoker_connection::{InvokerConnection, Phase};
 use crate::native::state::{ControllerHandle, ControllerState};
 use crate::transport::AttemptReport;
@@ -19,12 +19,13 @@
 use tokio::sync::Notify;
 use tracing::{debug, info, warn};
 
-/// What an invoker that the endpoint list names for the first time needs: a task that keeps its connection.
+/// Spawns the task that maintains the connection to an invoker that is new in the endpoint list.
 pub(crate) fn spawn(handle: &Rc<ControllerHandle>, invoker: InvokerId) {
-    tokio::task::spawn_local(keep_connected(handle.clone(), invoker));
+    tokio::task::spawn_local(maintain_connection(handle.clone(), invoker));
 }
 
-/// Ends new work that waits for a draining invoker. Called at the cutoff that was set for the connection.
+/// Withdraws queued new work from a draining invoker, called at the cutoff that was set for the connection (rule 3). If a frame
+/// of new work is partially sent, closes the connection.
 pub(crate) fn enforce_cutoff(state: &mut ControllerState, invoker: InvokerId) {
     let now = state.invocations.now;
     let connection = state.invocations.transport.by_invoker.get_mut(&invoker);
@@ -37,22 +38,22 @@
     if partially_sent.is_some_and(|ticket| connection.is_new_work(ticket)) {
         warn!(
             invoker,
-            "frame partially sent to a draining invoker, connection closed"
+            "frame partially sent to a draining invoker, closing connection"
         );
-        connection.broken.notify_one();
+        connection.close_requested.notify_one();
     }
     end_withdrawn(state, invoker, &withdrawn);
 }
 
-/// Ends attempts and load orders whose frames were withdrawn: they never ran.
+/// Ends the attempts and load orders whose frames were withdrawn; they never ran.
 fn end_withdrawn(state: &mut ControllerState, invoker: InvokerId, withdrawn: &[Ticket]) {
     let Some(connection) = state.invocations.transport.by_invoker.get(&invoker) else {
         return;
     };
     let attempts = connection.in_flight.values();
     let attempts: Vec<(InvocationId, u8)> = attempts
-        .filter(|sent| withdrawn.contains(&sent.ticket))
-        .map(|sent| (sent.invocation, sent.attempt))
+        .filter(|queued| withdrawn.contains(&queued.ticket))
+        .map(|queued| (queued.invocation, queued.attempt))
         .collect();
     let orders = connection.load_orders.iter();
     let orders: Vec<u64> = orders
@@ -72,8 +73,9 @@
     }
 }
 
-/// Ends all attempts and load orders of a connection that was lost or could not be made, by what was sent of each.
-fn end_all(state: &mut ControllerState, invoker: InvokerId) {
+/// Ends all attempts and load orders of a connection that was lost or could not be established. An attempt whose frame was sent
+/// completely may have run.
+fn end_attempts_and_orders(state: &mut ControllerState, invoker: InvokerId) {
     let now = state.invocations.now;
     let Some(connection) = state.invocations.transport.by_invoker.get_mut(&invoker) else {
         return;
@@ -82,16 +84,16 @@
     let attempts: Vec<_> = connection.in_flight.values().copied().collect();
     let queue = connection.send_queue.clone();
     let orders: Vec<u64> = connection.load_orders.keys().copied().collect();
-    for sent in attempts {
-        let may_have_run = queue.is_sent(sent.ticket);
+    for queued in attempts {
+        let may_have_run = queue.is_sent(queued.ticket);
         let outcome = if may_have_run {
             Outcome::Reset
         } else {
             Outcome::NoConnection
         };
         state.attempt_ended(
-            sent.invocation,
-            sent.attempt,
+            queued.invocation,
+            queued.attempt,
             outcome,
             &AttemptReport::default(),
         );
@@ -105,13 +107,13 @@
     }
 }
 
-/// What the task of a connection does next.
+/// Next step of the task that maintains a connection.
 enum Step {
-    /// Connect after a delay, or sooner when the endpoint list changes.
+    /// Connect after a delay. A change of the invoker's endpoint list entry restarts the decision.
     ConnectAfter(Ticks, Rc<Notify>),
-    /// The invoker is gone: wait until the endpoint list names it again.
+    /// The invoker is gone: wait until the endpoint list contains it again.
     WaitForChange(Rc<Notify>),
-    /// The connection is not known any more.
+    /// The connection is no longer known.
     Stop,
 }
 
@@ -123,7 +125,7 @@
         return Step::Stop;
     };
     if connection.entry.life == Life::Gone {
-        return Step::WaitForChange(connection.changed.clone());
+        return Step::WaitForChange(connection.entry_changed.clone());
     }
     let mut delay = connection.backoff.next_delay(&mut transport.rng);
     if connection.backoff.is_failing() {
@@ -132,11 +134,11 @@
         delay += transport.connect_budget.reserve_first(now);
         connection.begin_connecting();
     }
-    Step::ConnectAfter(delay, connection.changed.clone())
+    Step::ConnectAfter(delay, connection.entry_changed.clone())
 }
 
-/// Keeps the connection to one invoker for as long as the endpoint list knows it.
-async fn keep_connected(handle: Rc<ControllerHandle>, invoker: InvokerId) {
+/// Maintains the connection to one invoker for the lifetime of the controller; while the invoker is gone, it does not connect.
+async fn maintain_connection(handle: Rc<ControllerHandle>, invoker: InvokerId) {
     loop {
         match handle.update(|state| next_step(state, invoker)) {
             Step::Stop => return,
@@ -150,7 +152,7 @@
                 () = changed.notified() => continue,
             },
         }
-        let (address, queue, broken) = handle.update(|state| {
+        let (address, queue, close_requested) = handle.update(|state| {
             let connection = state.invocations.transport.by_invoker.get_mut(&invoker);
             let connection = connection.expect("connections are never removed");
             connection.begin_connecting();
@@ -158,23 +160,23 @@
             (
                 address,
                 connection.send_queue.clone(),
-                connection.broken.clone(),
+                connection.close_requested.clone(),
             )
         });
         let reason = tokio::select! {
             biased;
             reason = connect_and_serve(&handle, invoker, &address, &queue) => reason,
-            () = broken.notified() => ConnectionError::CutOff,
+            () = close_requested.notified() => ConnectionError::ClosedWhileDraining,
         };
         info!(invoker, address, %reason, "invoker connection lost");
         handle.update(|state| {
             state.invocations.counters.broken_connections += 1;
-            end_all(state, invoker);
+            end_attempts_and_orders(state, invoker);
         });
     }
 }
 
-/// Connects, shakes hands and serves the connection; gives the reason for its end.
+/// Connects, performs the handshake and serves the connection. Returns the reason for its end.
 async fn connect_and_serve(
     handle: &Rc<ControllerHandle>,
     invoker: InvokerId,
@@ -182,27 +184,31 @@
     queue: &SendQueue,
 ) -> ConnectionError {
     let time_limit = Duration::from_micros(handle.config.terms.connect_timeout * 100);
-    let connecting = shake_hands(handle, invoker, address);
+    let connecting = perform_handshake(handle, invoker, address);
     let (stream, received, welcome) = match tokio::time::timeout(time_limit, connecting).await {
         Ok(Ok(connected)) => connected,
         Ok(Err(error)) => return error,
         Err(_) => return ConnectionError::Timeout(time_limit),
     };
-    handle.update(|state| connection_made(state, invoker, &welcome));
+    handle.update(|state| connection_established(state, invoker, &welcome));
     let (input, mut output) = split(stream);
     let clock = handle.clock;
     let on_withdrawn = |ticket| handle.update(|state| end_withdrawn(state, invoker, &[ticket]));
     tokio::select! {
         biased;
         reason = read_messages(handle, invoker, input, received) => reason,
-        done = queue.write_to(&mut output, || clock.now(), on_withdrawn) => match done {
-            Ok(()) => ConnectionError::Closed,
+        result = queue.write_to(&mut output, || clock.now(), on_withdrawn) => match result {
+            Ok(()) => ConnectionError::ClosedByController,
             Err(error) => error.into(),
         },
     }
 }
 
-fn connection_made(state: &mut ControllerState, invoker: InvokerId, welcome: &wire::Welcome) {
+fn connection_established(
+    state: &mut ControllerState,
+    invoker: InvokerId,
+    welcome: &wire::Welcome,
+) {
     let now = state.invocations.now;
     let Some(connection) = state.invocations.transport.by_invoker.get_mut(&invoker) else {
         return;
@@ -211,7 +217,8 @@
     connection.backoff.connected(now);
     debug!(invoker, "invoker connected");
     if welcome.incarnation != connection.entry.incarnation {
-        // The invoker knows of its restart before the endpoint list does. One that is warming up must not be taken for warm.
+        // The invoker restarted and the endpoint list does not show it yet. The policy must not treat it as warm while it is
+        // warming up.
         connection.entry.incarnation = welcome.incarnation;
         connection.started_at = now.checked_sub(welcome.age_tenths);
         let record = connection.record();
@@ -219,7 +226,7 @@
     }
 }
 
-/// Reads messages until the connection ends; gives the reason.
+/// Reads and handles messages until the connection ends. Returns the reason.
 async fn read_messages(
     handle: &Rc<ControllerHandle>,
     invoker: InvokerId,
@@ -237,7 +244,7 @@
             let handled = message
                 .and_then(|message| handle.update(|state| handle_message(state, invoker, message)));
             if let Err(reason) = handled {
-                warn!(invoker, %reason, "invoker broke the protocol");
+                warn!(invoker, %reason, "invoker violated the protocol");
                 return reason;
             }
         }
@@ -260,10 +267,10 @@
     match message {
         wire::FromInvoker::Answer(answer) => {
             if let Some((invocation, attempt)) = find_attempt(connection, &answer)? {
-                let outcome = outcome(&answer, invoker, invocation);
-                state.attempt_ended(invocation, attempt, outcome, &report(&answer));
+                let outcome = attempt_outcome(&answer, invoker, invocation);
+                state.attempt_ended(invocation, attempt, outcome, &attempt_report(&answer));
                 if let Some(connection) = state.invocations.transport.by_invoker.get_mut(&invoker) {
-                    // The one answer is here: a second is a fault.
+                    // A second answer for the same dispatch is a protocol violation.
                     connection.abandoned.remove(&answer.dispatch);
                 }
             }
@@ -284,24 +291,24 @@
     Ok(())
 }
 
-/// The attempt that an answer belongs to; none: it was given up meanwhile.
+/// Finds the attempt that an answer belongs to. `None`: the attempt was abandoned before the answer was received.
 fn find_attempt(
     connection: &mut InvokerConnection,
     answer: &wire::Answer,
 ) -> Result<Option<(InvocationId, u8)>, ConnectionError> {
-    let Some(sent) = connection.in_flight.get(&answer.dispatch) else {
+    let Some(queued) = connection.in_flight.get(&answer.dispatch) else {
         if connection.abandoned.remove(&answer.dispatch) {
             return Ok(None);
         }
         return Err(ConnectionError::UnknownDispatch(answer.dispatch));
     };
-    if !connection.send_queue.is_sent(sent.ticket) {
+    if !connection.send_queue.is_sent(queued.ticket) {
         return Err(ConnectionError::UnsentDispatch(answer.dispatch));
     }
-    Ok(Some((sent.invocation, sent.attempt)))
+    Ok(Some((queued.invocation, queued.attempt)))
 }
 
-fn outcome(answer: &wire::Answer, invoker: InvokerId, invocation: InvocationId) -> Outcome {
+fn attempt_outcome(answer: &wire::Answer, invoker: InvokerId, invocation: InvocationId) -> Outcome {
     match answer.ended {
         wire::Ended::Succeeded if !is_json(&answer.output) => {
             warn!(invoker, invocation, "result is not JSON");
@@ -319,7 +326,7 @@
     serde_json::from_slice::<&serde_json::value::RawValue>(bytes).is_ok()
 }
 
-fn report(answer: &wire::Answer) -> AttemptReport {
+fn attempt_report(answer: &wire::Answer) -> AttemptReport {
     let is_finite = |value: &f32| value.is_finite();
     AttemptReport {
         start_kind: answer.found.map(|found| match found {
--- a/crates/controller/src/native/reply.rs
+++ b/crates/controller/src/native/reply.rs
@@ -1,4 +1,4 @@
-//! One client, and the responses to its calls.
+//! A connected client, and the responses to its calls.
 
 use bytes::Bytes;
 use saltdrum::interface::{InvocationId, Ticks};
@@ -9,34 +9,34 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Responses that a client does not read are bounded; beyond this its connection is closed.
+/// Upper bound of the responses queued for a client that does not read them; beyond it the connection is closed.
 pub(crate) const MAX_UNREAD_BYTES: usize = 8 << 20;
-/// A response that belongs to no invocation need not be sent by a certain time.
+/// Deadline of a response that belongs to no invocation.
 pub(crate) const NO_DEADLINE: Ticks = Ticks::MAX;
 
 /// One connected client.
 pub(crate) struct Client {
     pub send_queue: SendQueue,
     /// Its invocations without a final response.
-    pub open: RefCell<BTreeSet<InvocationId>>,
-    /// Notified when one of them gets its final response.
-    pub response_given: Notify,
-    /// Notified when it has too many unread bytes.
+    pub open_invocations: RefCell<BTreeSet<InvocationId>>,
+    /// Notified when one of its open invocations gets its final response.
+    pub invocation_finished: Notify,
+    /// Notified when a response exceeds the bound of its send queue.
     pub overflowed: Notify,
 }
 
 impl Client {
-    /// A client without open invocations.
+    /// Creates a client without open invocations.
     pub(crate) fn new() -> Rc<Self> {
         Rc::new(Self {
             send_queue: SendQueue::new(MAX_UNREAD_BYTES),
-            open: RefCell::default(),
-            response_given: Notify::new(),
+            open_invocations: RefCell::default(),
+            invocation_finished: Notify::new(),
             overflowed: Notify::new(),
         })
     }
 
-    /// Queues a line. Nothing of it is sent from `deadline` on.
+    /// Queues a line, whose transmission begins before `deadline` or not at all.
     pub(crate) fn send(&self, mut line: String, deadline: Ticks) {
         line.push('\n');
         if self.send_queue.push(Bytes::from(line), deadline).is_none() {
@@ -45,36 +45,37 @@
     }
 }
 
-/// The responses to a batch are sent together, by the earliest of their deadlines (`docs/design-controller.md`).
+/// Collects the responses to a batch, which are sent together by the earliest of their deadlines
+/// (`docs/design-controller.md`).
 pub(crate) struct Batch {
-    missing: usize,
-    parts: Vec<String>,
+    pending_calls: usize,
+    responses: Vec<String>,
     deadline: Ticks,
 }
 
 impl Batch {
-    /// A batch of so many calls.
+    /// Creates a batch of `calls` calls.
     pub(crate) fn new(calls: usize) -> Rc<RefCell<Self>> {
         Rc::new(RefCell::new(Self {
-            missing: calls,
-            parts: Vec::new(),
+            pending_calls: calls,
+            responses: Vec::new(),
             deadline: NO_DEADLINE,
         }))
     }
 }
 
-/// Where the one response to a call is sent.
+/// The destination of the one response to a call.
 pub(crate) struct Reply {
     pub client: Rc<Client>,
-    /// None for a notification, which gets no response.
+    /// `None` for a notification, which gets no response.
     pub id: Option<Id>,
     pub batch: Option<Rc<RefCell<Batch>>>,
 }
 
 impl Reply {
-    /// The call is an invocation that was accepted.
-    pub(crate) fn accepted(&mut self, id: InvocationId) {
-        self.client.open.borrow_mut().insert(id);
+    /// Marks the call as an accepted invocation.
+    pub(crate) fn mark_accepted(&mut self, id: InvocationId) {
+        self.client.open_invocations.borrow_mut().insert(id);
     }
 
     /// Sends a response, or adds it to its batch.
@@ -87,28 +88,28 @@
             return;
         };
         let mut batch = batch.borrow_mut();
-        batch.missing -= 1;
-        batch.parts.extend(text);
+        batch.pending_calls -= 1;
+        batch.responses.extend(text);
         batch.deadline = batch.deadline.min(deadline);
-        if batch.missing == 0 && !batch.parts.is_empty() {
+        if batch.pending_calls == 0 && !batch.responses.is_empty() {
             self.client
-                .send(format!("[{}]", batch.parts.join(",")), batch.deadline);
+                .send(format!("[{}]", batch.responses.join(",")), batch.deadline);
         }
     }
 
-    fn finished(&self, id: InvocationId) {
-        self.client.open.borrow_mut().remove(&id);
-        self.client.response_given.notify_one();
+    fn mark_finished(&self, id: InvocationId) {
+        self.client.open_invocations.borrow_mut().remove(&id);
+        self.client.invocation_finished.notify_one();
     }
 
     /// Sends the result of an accepted invocation.
-    pub(crate) fn result(self, id: InvocationId, result: &str, deadline: Ticks) {
-        self.finished(id);
+    pub(crate) fn send_result(self, id: InvocationId, result: &str, deadline: Ticks) {
+        self.mark_finished(id);
         self.send(|id| rpc::result(id, result), deadline);
     }
 
     /// Sends the failure of an accepted invocation.
-    pub(crate) fn error(
+    pub(crate) fn send_error(
         self,
         id: InvocationId,
         code: i64,
@@ -116,17 +117,17 @@
         data: Option<&str>,
         deadline: Ticks,
     ) {
-        self.finished(id);
+        self.mark_finished(id);
         self.send(|id| rpc::error(id, code, reason, data), deadline);
     }
 
-    /// Sends nothing for an accepted invocation: the client waits no more.
+    /// Sends nothing for an accepted invocation, because the client has stopped waiting.
     pub(crate) fn abandon(self, id: InvocationId) {
-        self.finished(id);
+        self.mark_finished(id);
         self.skip();
     }
 
-    /// Sends nothing for a call that was not accepted. The rest of its batch still gets its responses.
+    /// Sends nothing for a call that was not accepted. The other calls of its batch still get their responses.
     pub(crate) fn skip(mut self) {
         self.id = None;
         self.send(|_| String::new(), NO_DEADLINE);
--- a/crates/controller/src/native/server.rs
+++ b/crates/controller/src/native/server.rs
@@ -1,4 +1,4 @@
-//! The lifecycle of one controller on the native path. Knows all other files of it.
+//! The lifecycle of one controller on the native path.
 
 use crate::invocations::InvocationTable;
 use crate::native::aliases::AliasResolver;
@@ -15,32 +15,34 @@
 use std::time::Duration;
 use tracing::{error, info, warn};
 
-/// How often it is checked whether invokers can be reached.
+/// Interval of the checks whether enough invokers are connected.
 const READINESS_CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// How many such checks are made at most once the endpoint list is known.
+/// Upper bound of the readiness checks once the endpoint list is known.
 const MAX_READINESS_CHECKS: u32 = 200;
-/// Mixed into the seed of the draws of reconnect delays.
+/// Mixed into the seed of the random reconnect delays.
 const RECONNECT_SEED: u64 = 0x5eed;
 
-/// Runs one controller until the future is dropped, which is as sudden as a kill. Fails when it cannot listen. `make` is
-/// [`dispatch_policy`](crate::dispatch_policy), except for comparisons.
+/// Runs one controller until the future is dropped, which ends it as abruptly as a kill. Fails if the controller cannot listen.
+/// `make_policy` is [`dispatch_policy`](crate::dispatch_policy), except in comparisons with baselines.
 pub async fn serve(
     config: ControllerConfig,
     network: Rc<dyn Network>,
     clock: Clock,
-    make: PolicyFactory,
+    make_policy: PolicyFactory,
 ) -> std::io::Result<()> {
     let local = tokio::task::LocalSet::new();
-    local.run_until(run(config, network, clock, make)).await
+    local
+        .run_until(run(config, network, clock, make_policy))
+        .await
 }
 
 async fn run(
     config: ControllerConfig,
     network: Rc<dyn Network>,
     clock: Clock,
-    make: PolicyFactory,
+    make_policy: PolicyFactory,
 ) -> std::io::Result<()> {
-    let handle = create(config, network, clock, make);
+    let handle = create(config, network, clock, make_policy);
     publish_status(&handle);
     watch_process_stops(&handle);
     tokio::task::spawn_local(endpoint_list::follow(handle.clone()));
@@ -67,7 +69,7 @@
     config: ControllerConfig,
     network: Rc<dyn Network>,
     clock: Clock,
-    make: PolicyFactory,
+    make_policy: PolicyFactory,
 ) -> Rc<ControllerHandle> {
     let now = clock.now();
     let terms = config.terms.clone();
@@ -90,7 +92,7 @@
         aliases: config.aliases.as_ref().map(AliasResolver::new),
     };
     let mut invocations = InvocationTable::new(now, transport, &deployment, order_timeout);
-    let policy = make(now, deployment, config.seed, &mut invocations);
+    let policy = make_policy(now, deployment, config.seed, &mut invocations);
     Rc::new(ControllerHandle::new(
         policy,
         invocations,
@@ -100,7 +102,7 @@
     ))
 }
 
-/// Lets the shutdown handle see this controller's status.
+/// Gives the shutdown handle access to this controller's status.
 fn publish_status(handle: &Rc<ControllerHandle>) {
     let weak = Rc::downgrade(handle);
     handle.config.shutdown.set_status_source(move || {
@@ -110,10 +112,10 @@
 }
 
 fn watch_process_stops(handle: &Rc<ControllerHandle>) {
-    let stopped = handle.clone();
+    let stopped_handle = handle.clone();
     let on_stop = move |_, gap: Ticks| {
         warn!(for_ms = gap / MILLISECOND, "process was stopped");
-        stopped.update(|state| state.invocations.counters.process_stops += 1);
+        stopped_handle.update(|state| state.invocations.counters.process_stops += 1);
     };
     let event_loop = handle.event_loop.clone();
     tokio::task::spawn_local(run_event_loop_clock(event_loop, handle.clock, on_stop));
@@ -129,7 +131,7 @@
     Ok(listeners)
 }
 
-/// Waits until the endpoint list is known and half of its invokers are connected, or that took too long.
+/// Waits until the endpoint list is known and half of its invokers are connected, or until the maximum number of checks.
 async fn wait_until_ready(handle: &ControllerHandle) {
     let mut checks_with_list = 0;
     while checks_with_list < MAX_READINESS_CHECKS {
--- a/crates/controller/src/native/state.rs
+++ b/crates/controller/src/native/state.rs
@@ -1,4 +1,4 @@
-//! The state of the native path: its configuration, and how it sends attempts and load orders to invokers.
+//! Configuration and state of the native path, including how attempts and load orders are sent to invokers.
 
 use crate::native::aliases::{AliasConfig, AliasResolver};
 use crate::native::invoker_connection::InvokerConnection;
@@ -21,53 +21,54 @@
 /// The configuration of one controller.
 #[derive(Clone)]
 pub struct ControllerConfig {
-    /// Its number in the deployment.
+    /// The controller's number in the deployment.
     pub controller: u32,
-    /// Rises with each start of its process.
+    /// Increases with each start of its process.
     pub incarnation: u64,
-    /// For random choices.
+    /// Seed of its random number generators.
     pub seed: u64,
-    /// The zone that it runs in.
+    /// The zone in which it runs.
     pub zone: u8,
-    /// Where it listens for clients.
+    /// Addresses at which it listens for clients.
     pub client_addresses: Vec<Address>,
-    /// Where the endpoint list is served. One at a time is followed, the next when it is lost; several serve one fleet.
+    /// Addresses of the servers of the endpoint list, all of the same fleet. One server is followed at a time; when its
+    /// connection is lost, the next one.
     pub endpoint_lists: Vec<Address>,
     /// The deployment.
     pub terms: Rc<Terms>,
-    /// Where functions that are not in the deployment are looked up; none: there are no others.
+    /// How functions that are not part of the deployment are looked up. Without it, calls of them are rejected.
     pub aliases: Option<AliasConfig>,
-    /// Shuts the controller down.
+    /// Controls the shutdown of the controller.
     pub shutdown: ShutdownHandle,
-    /// Whether it listens for clients only once invokers can be reached. Before that it would reject everything.
+    /// Whether it starts to listen for clients only once invokers are connected; before that it would reject every invocation.
     pub listens_when_ready: bool,
 }
 
 pub(crate) type ControllerHandle = crate::ControllerHandle<InvokerConnections>;
 pub(crate) type ControllerState = crate::ControllerState<InvokerConnections>;
 
-/// How invokers are reached: one multiplexed connection each.
+/// The invoker transport of the native path: one multiplexed connection to each invoker.
 pub(crate) struct InvokerConnections {
     /// The deployment.
     pub terms: Rc<Terms>,
-    /// Names of functions, as invokers know them.
+    /// Function names as sent to invokers.
     pub functions: BTreeMap<FunctionId, String>,
-    /// The connections. None is ever removed.
+    /// The connections, which are never removed.
     pub by_invoker: BTreeMap<InvokerId, InvokerConnection>,
     /// Limits the rate of connection attempts.
     pub connect_budget: ConnectBudget,
     /// Draws reconnect delays.
     pub rng: fastrand::Rng,
-    /// Revision of the endpoint list that was applied last.
+    /// Revision of the most recently applied endpoint list or watch event.
     pub list_revision: Option<u64>,
-    /// Whether the endpoint list is complete.
+    /// Whether a complete endpoint list has been received.
     pub has_endpoint_list: bool,
     /// Resolves aliases of the registry.
     pub aliases: Option<AliasResolver>,
 }
 
 impl InvokerConnections {
-    /// Connections that stand.
+    /// Number of established connections.
     pub(crate) fn connections_up(&self) -> usize {
         self.by_invoker
             .values()
@@ -76,23 +77,23 @@
     }
 }
 
-/// What is sent along with an invocation's attempts.
+/// The data sent with each attempt of an invocation.
 pub(crate) struct Payload {
     pub call: rpc::Invoke,
-    /// The registry's version that it runs; none: a function of the deployment.
+    /// The registry version to run; `None` for a function of the deployment.
     pub version: Option<RegistryVersion>,
 }
 
-/// A version of the registry, as invokers know it, and what pins it.
+/// A registry version, by the name that invokers know, and its pin.
 pub(crate) struct RegistryVersion {
     pub name: String,
-    pub fixed: PinnedVersion,
+    pub pin: PinnedVersion,
 }
 
-/// A client's call, and what its response says of the pinned version.
+/// An accepted call of a client, with the version fields of its response.
 pub(crate) struct PendingCall {
     pub reply: Reply,
-    /// JSON fields that follow the others of the response.
+    /// JSON fields that are appended to the response.
     pub version_fields: String,
 }
 
@@ -107,18 +108,18 @@
                 let output = std::str::from_utf8(output).unwrap_or("null");
                 let result =
                     format!(r#"{{"output":{output},"dispatches":{attempts}{version_fields}}}"#);
-                reply.result(id, &result, deadline);
+                reply.send_result(id, &result, deadline);
             }
             FinalResponse::Throttled(retry_after) => {
                 let data = format!(
                     r#"{{"come_back_ms":{},"dispatches":{attempts}{version_fields}}}"#,
                     retry_after / MILLISECOND
                 );
-                reply.error(id, rpc::THROTTLED, "throttled", Some(&data), deadline);
+                reply.send_error(id, rpc::THROTTLED, "throttled", Some(&data), deadline);
             }
             FinalResponse::Errored(reason) => {
                 let data = format!(r#"{{"dispatches":{attempts}{version_fields}}}"#);
-                reply.error(id, rpc::ERRORED, reason, Some(&data), deadline);
+                reply.send_error(id, rpc::ERRORED, reason, Some(&data), deadline);
             }
         }
     }
@@ -150,7 +151,7 @@
             input: call
                 .input
                 .as_ref()
-                .map_or(&b"null"[..], |i| i.get().as_bytes())
+                .map_or(&b"null"[..], |input| input.get().as_bytes())
                 .into(),
         };
         let connection = self
@@ -175,7 +176,7 @@
         if let Some(connection) = self.by_invoker.get_mut(&invoker) {
             connection.cancel(dispatch);
         }
-        // The invoker still answers what became of it.
+        // The invoker still reports the outcome of the cancelled attempt.
         false
     }
 
@@ -187,7 +188,7 @@
         outcome: Outcome,
         report: &AttemptReport,
     ) {
-        // By attempts, not by final responses: a failed attempt may have been followed by a successful retry.
+        // Rollout results count attempts, not final responses: a failed attempt may be followed by a successful retry.
         let is_success = match outcome {
             Outcome::Succeeded => Some(true),
             Outcome::Errored | Outcome::TimedOut => Some(false),
@@ -196,11 +197,11 @@
         let staged = payload
             .version
             .as_ref()
-            .and_then(|version| version.fixed.staged.as_ref());
+            .and_then(|version| version.pin.staged.as_ref());
         if let (Some(aliases), Some(staged), Some(is_success)) =
             (&mut self.aliases, staged, is_success)
         {
-            aliases.count(staged, is_success);
+            aliases.count_result(staged, is_success);
         }
         if let Some(connection) = self.by_invoker.get_mut(&invoker) {
             connection.abandon(dispatch);
--- a/crates/controller/src/native/status.rs
+++ b/crates/controller/src/native/status.rs
@@ -1,4 +1,4 @@
-//! A controller's status, for clients that ask for it and for shutdown.
+//! A controller's status, for `status` calls of clients and for graceful shutdown.
 
 use crate::native::state::ControllerHandle;
 use crate::shutdown::ControllerStatus;
@@ -34,7 +34,7 @@
     })
 }
 
-/// The status that shutdown goes by.
+/// The status that graceful shutdown depends on.
 pub(crate) fn shutdown_status(handle: &ControllerHandle) -> ControllerStatus {
     handle.inspect(|state| {
         let transport = &state.invocations.transport;
--- a/crates/controller/src/policy.rs
+++ b/crates/controller/src/policy.rs
@@ -1,15 +1,15 @@
-//! The interface through which the service asks whoever decides.
+//! The interface between the service and the policy that makes its dispatch decisions.
 
 use saltdrum::DispatchPolicy;
 use saltdrum::interface::*;
 
-/// The events of [`DispatchPolicy`], as a trait, so that a baseline can take its place under the very same I/O.
+/// The events of [`DispatchPolicy`] as a trait, so that a baseline policy can replace it with the same I/O.
 pub trait Policy {
-    /// The endpoint list, or a watch event of it. With `is_complete` the records are all there are.
+    /// The endpoint list, or a watch event. With `is_complete`, the records contain every invoker of the list.
     fn invokers_changed(&mut self, now: Ticks, is_complete: bool, records: &[InvokerRecord]);
-    /// An invocation was read.
+    /// An invocation was accepted.
     fn invocation_arrived(&mut self, now: Ticks, request: Invocation, actions: &mut dyn Actions);
-    /// The client waits no more.
+    /// The client has stopped waiting.
     fn client_left(&mut self, now: Ticks, id: InvocationId);
     /// An attempt has ended.
     fn attempt_ended(&mut self, now: Ticks, result: AttemptResult, actions: &mut dyn Actions);
@@ -17,27 +17,27 @@
     fn load_ended(&mut self, now: Ticks, result: LoadResult, actions: &mut dyn Actions);
     /// A probe has ended.
     fn probe_ended(&mut self, _now: Ticks, _result: ProbeResult, _actions: &mut dyn Actions) {}
-    /// The endpoint list was heard: everything that it told up to `heard_at` is known.
+    /// The endpoint list is known to be current: all changes that it reported up to `heard_at` were received.
     fn endpoint_list_heard(&mut self, _now: Ticks, _heard_at: Ticks) {}
-    /// A connection to an invoker was refused, or ended by its other side.
+    /// A connection to an invoker was refused, or closed by the invoker.
     fn connection_lost(&mut self, _now: Ticks, _invoker: InvokerId, _noticed_at: Ticks) {}
-    /// A timer has come due.
+    /// A timer has fired.
     fn timer_fired(&mut self, now: Ticks, token: u64, actions: &mut dyn Actions);
-    /// The view of each ready invoker, where one is kept.
+    /// Returns the policy's view of each ready invoker, if it has one.
     fn invoker_views(&self, _now: Ticks) -> Vec<InvokerView> {
         Vec::new()
     }
-    /// What was done where the endpoint list did not vouch for an invoker.
+    /// Returns counts of decisions about invokers whose readiness the endpoint list did not confirm.
     fn readiness_counts(&self) -> ReadinessCounts {
         ReadinessCounts::default()
     }
-    /// Sizes of the tables, where they are counted.
+    /// Returns the sizes of the policy's tables, if it counts them.
     fn table_sizes(&self) -> TableSizes {
         TableSizes::default()
     }
 }
 
-/// Creates a policy, as [`DispatchPolicy::new`] does.
+/// Creates a policy, with the parameters of [`DispatchPolicy::new`].
 pub type PolicyFactory = fn(Ticks, Deployment, u64, &mut dyn Actions) -> Box<dyn Policy>;
 
 /// Creates the [`DispatchPolicy`] that every deployment runs.
--- a/crates/controller/src/reconnect.rs
+++ b/crates/controller/src/reconnect.rs
@@ -1,31 +1,32 @@
-//! Backoff and rate limit of reconnecting. No I/O and no clock: times come in, delays go out.
+//! Reconnect backoff and connection rate limit. Does no I/O and reads no clock: callers pass the time in and wait out the
+//! returned delay.
 //!
-//! A fleet that restarts is connected to by every controller at once, and none knows of the others. So every delay is drawn
-//! between nothing and a bound that doubles (exponential backoff with full jitter), a connection that broke soon after it was
-//! made counts as failed, and one controller makes only so many connections a second. First connections, of which there is one
-//! for each invoker and incarnation, and retries have a budget each: a controller that starts must know its fleet in a second
-//! or so, and invokers that do not answer must not keep it from the rest.
+//! When a fleet restarts, every controller reconnects to it at once, without coordination. Each delay is therefore drawn
+//! uniformly between 0 and a bound that doubles (exponential backoff with full jitter), a connection that breaks soon after it
+//! was established counts as a failure, and the number of connections per second is limited for each controller. First
+//! connections (one for each invoker and incarnation) and retries have separate budgets: a starting controller has to reach
+//! its fleet within about a second, and unresponsive invokers must not delay connections to the others.
 
 use saltdrum::interface::{MILLISECOND, SECOND, Ticks};
 
-/// Longest delay of the first connection to a new invoker: spread a little, as all controllers hear of it at once.
+/// Longest delay of the first connection to a new invoker. Spreads the connections of controllers that learn of it at once.
 const FIRST_DELAY_MAX: Ticks = 20 * MILLISECOND;
-/// Bound of the delay after the first failure.
+/// Upper bound of the delay after the first failure.
 const BACKOFF_BASE: Ticks = 100 * MILLISECOND;
-/// Bound of the delay after many failures.
+/// Upper bound of the delay after many failures.
 const BACKOFF_MAX: Ticks = 5 * SECOND;
-/// A connection that stood for this long did not fail.
+/// A connection that was up for this long does not count as a consecutive failure when it breaks.
 const STABLE_AFTER: Ticks = 3 * SECOND;
-/// Connections that may be made at once.
-const BURST: f64 = 128.0;
-/// First connections a second. Each costs a controller under 0.1 ms: a tenth of its time at most.
+/// Connections that may be started at once.
+const MAX_CONNECT_BURST: f64 = 128.0;
+/// First connections per second. Each costs a controller less than 0.1 ms, a tenth of its time at most.
 const FIRST_PER_SECOND: f64 = 1_000.0;
-/// Retries a second at least.
+/// Lower bound of the retries per second.
 const MIN_RETRIES_PER_SECOND: f64 = 64.0;
-/// Retries a second for each connection: enough to retry all of them within about the longest delay.
+/// Retries per second for each connection: enough to retry all of them within about `BACKOFF_MAX`.
 const RETRIES_PER_CONNECTION_AND_SECOND: f64 = 0.25;
 
-/// The failures of one connection.
+/// Tracks the consecutive failures of one connection and computes its reconnect delay.
 #[derive(Clone, Debug, Default)]
 pub struct ReconnectBackoff {
     failures: u32,
@@ -33,7 +34,7 @@
 }
 
 impl ReconnectBackoff {
-    /// Draws the delay before the next try.
+    /// Draws the delay before the next connection attempt.
     pub fn next_delay(&self, rng: &mut fastrand::Rng) -> Ticks {
         let bound = match self.failures {
             0 => FIRST_DELAY_MAX,
@@ -42,17 +43,17 @@
         rng.u64(0..=bound)
     }
 
-    /// Whether the last try, or the connection it made, failed.
+    /// Whether the last connection attempt, or the connection it established, failed.
     pub fn is_failing(&self) -> bool {
         self.failures > 0
     }
 
-    /// The connection was made.
+    /// Records that the connection was established.
     pub fn connected(&mut self, now: Ticks) {
         self.up_since = Some(now);
     }
 
-    /// The try failed, or the connection it made is lost.
+    /// Records that the connection attempt failed, or that the established connection was lost.
     pub fn disconnected(&mut self, now: Ticks) {
         let was_stable = self
             .up_since
@@ -65,29 +66,29 @@
         };
     }
 
-    /// The invoker has restarted: earlier failures say nothing of it.
+    /// Forgets earlier failures, which do not apply once the invoker has restarted.
     pub fn reset(&mut self) {
         *self = Self::default();
     }
 }
 
-/// A token bucket: a burst, and so many a second. Takes more than it has, at the price of a delay.
+/// A token bucket whose balance may become negative: the caller then has to wait until it is refilled.
 #[derive(Clone, Debug)]
 struct TokenBucket {
     tokens: f64,
-    at: Ticks,
+    refilled_at: Ticks,
 }
 
 impl TokenBucket {
-    fn take(&mut self, now: Ticks, per_second: f64) -> Ticks {
-        let refill = now.saturating_sub(self.at) as f64 * per_second / SECOND as f64;
-        self.tokens = (self.tokens + refill).min(BURST) - 1.0;
-        self.at = self.at.max(now);
+    fn reserve(&mut self, now: Ticks, per_second: f64) -> Ticks {
+        let refill = now.saturating_sub(self.refilled_at) as f64 * per_second / SECOND as f64;
+        self.tokens = (self.tokens + refill).min(MAX_CONNECT_BURST) - 1.0;
+        self.refilled_at = self.refilled_at.max(now);
         (-self.tokens / per_second * SECOND as f64).max(0.0) as Ticks
     }
 }
 
-/// Limits how many connections a controller makes a second, over all invokers.
+/// Limits how many connections a controller starts per second, over all invokers.
 #[derive(Clone, Debug)]
 pub struct ConnectBudget {
     first: TokenBucket,
@@ -95,11 +96,11 @@
 }
 
 impl ConnectBudget {
-    /// Full budgets.
+    /// Creates a budget with both buckets full.
     pub fn new(now: Ticks) -> Self {
         let full = TokenBucket {
-            tokens: BURST,
-            at: now,
+            tokens: MAX_CONNECT_BURST,
+            refilled_at: now,
         };
         Self {
             first: full.clone(),
@@ -107,14 +108,14 @@
         }
     }
 
-    /// Takes a connection that has not failed before; gives how long to wait with it.
+    /// Reserves a connection that has not failed before. Returns the delay before it may start.
     pub fn reserve_first(&mut self, now: Ticks) -> Ticks {
-        self.first.take(now, FIRST_PER_SECOND)
+        self.first.reserve(now, FIRST_PER_SECOND)
     }
 
-    /// Takes a retry, of a controller with so many connections; gives how long to wait with it.
+    /// Reserves a retry for a controller with `connections` invoker connections. Returns the delay before it may start.
     pub fn reserve_retry(&mut self, now: Ticks, connections: usize) -> Ticks {
-        self.retries.take(
+        self.retries.reserve(
             now,
             MIN_RETRIES_PER_SECOND.max(RETRIES_PER_CONNECTION_AND_SECOND * connections as f64),
         )
--- a/crates/controller/src/shutdown.rs
+++ b/crates/controller/src/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown of a controller: clients are asked to use another one, then new invocations are rejected, then what was
-//! accepted is answered.
+//! Graceful shutdown of a controller: clients are asked to use another controller, then new invocations are rejected, while
+//! accepted invocations still get their final response.
 
 use saltdrum_transport::SendQueue;
 use std::cell::{Cell, RefCell};
@@ -7,30 +7,30 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// How far the shutdown of a controller is.
+/// Phase of a controller's shutdown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShutdownPhase {
     /// Not shutting down.
     #[default]
     Serving,
-    /// Clients are asked to use another controller; what they still send is accepted.
+    /// Clients are asked to use another controller; invocations that they still send are accepted.
     Redirecting,
-    /// New invocations are rejected, to be retried at another controller at once.
+    /// New invocations are rejected, so that clients retry at another controller at once.
     Rejecting,
 }
 
-/// A controller's status, as shutdown goes by it.
+/// The part of a controller's status that graceful shutdown depends on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ControllerStatus {
     /// Invocations without a final response, or with an attempt in flight.
     pub in_flight: usize,
-    /// Bytes of responses that clients have not read yet.
+    /// Bytes of responses that are queued for clients and not sent yet.
     pub unsent_bytes: usize,
-    /// Invokers that are known.
+    /// Invokers with a connection, established or not.
     pub connections: usize,
-    /// Invokers that are connected.
+    /// Invokers whose connection is established.
     pub connections_up: usize,
-    /// Whether a complete endpoint list was received.
+    /// Whether a complete endpoint list has been received.
     pub has_endpoint_list: bool,
 }
 
@@ -38,16 +38,16 @@
 
 type StatusCallback = Rc<RefCell<Option<Box<dyn Fn() -> ControllerStatus>>>>;
 
-/// Shuts one controller down, and may cancel that in any phase. Clones share their state.
+/// Controls the shutdown of one controller, which can be cancelled in any phase. Clones share their state.
 #[derive(Clone)]
 pub struct ShutdownHandle {
     phase: Rc<watch::Sender<ShutdownPhase>>,
     status: StatusCallback,
     send_queues: SendQueues,
-    clients: Rc<Cell<u64>>,
+    last_client: Rc<Cell<u64>>,
 }
 
-/// A client's responses count as unsent for as long as this is held.
+/// Includes a client's queued responses in the unsent bytes until it is dropped.
 pub(crate) struct UnsentGuard {
     send_queues: SendQueues,
     client: u64,
@@ -61,28 +61,28 @@
 
 impl Default for ShutdownHandle {
     fn default() -> Self {
-        let (status, send_queues, clients) = Default::default();
+        let (status, send_queues, last_client) = Default::default();
         Self {
             phase: Rc::new(watch::channel(ShutdownPhase::Serving).0),
             status,
             send_queues,
-            clients,
+            last_client,
         }
     }
 }
 
 impl ShutdownHandle {
-    /// Moves the shutdown to a phase.
+    /// Sets the phase, back to [`ShutdownPhase::Serving`] to cancel the shutdown.
     pub fn set_phase(&self, phase: ShutdownPhase) {
         self.phase.send_replace(phase);
     }
 
-    /// The present phase.
+    /// Returns the current phase.
     pub fn phase(&self) -> ShutdownPhase {
         *self.phase.borrow()
     }
 
-    /// The controller's status; all zero before it runs.
+    /// Returns the controller's status; all zero before the controller runs.
     pub fn status(&self) -> ControllerStatus {
         self.status
             .borrow()
@@ -91,8 +91,8 @@
     }
 
     pub(crate) fn track_unsent(&self, queue: &SendQueue) -> UnsentGuard {
-        self.clients.set(self.clients.get() + 1);
-        let client = self.clients.get();
+        self.last_client.set(self.last_client.get() + 1);
+        let client = self.last_client.get();
         self.send_queues.borrow_mut().insert(client, queue.clone());
         UnsentGuard {
             send_queues: self.send_queues.clone(),
--- a/crates/controller/src/state.rs
+++ b/crates/controller/src/state.rs
@@ -1,4 +1,4 @@
-//! One controller's state, and the handle through which tasks use it.
+//! The state of one controller, and the handle through which tasks access it.
 
 use crate::invocations::InvocationTable;
 use crate::policy::Policy;
@@ -10,39 +10,39 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// A timer that fires later than this fires after a stop of the process.
+/// A timer that fires later than this fires after the process was stopped.
 const LATE_TIMER_THRESHOLD: Ticks = 40 * MILLISECOND;
-/// After a stop, timers wait this long: what lies in the sockets arrived first.
+/// Delay of timers after the process was stopped: data in the sockets' buffers arrived earlier and is handled first.
 const SOCKETS_FIRST_DELAY: Duration = Duration::from_millis(2);
 
-/// What runs on the state when a timer fires, or once the policy has returned.
+/// A callback on the state, run when a timer fires or after the policy has returned.
 pub type StateCallback<T> = Box<dyn FnOnce(&mut ControllerState<T>)>;
 
-/// The policy and the invocations it acts on, side by side, so that the policy can be called with the invocations.
+/// The policy and the invocations that it acts on, as separate fields so that the policy can borrow the invocations mutably.
 pub struct ControllerState<T: InvokerTransport> {
-    /// Who decides.
+    /// The policy, which makes all dispatch decisions.
     pub policy: Box<dyn Policy>,
-    /// What it acts on.
+    /// The invocations that the policy acts on.
     pub invocations: InvocationTable<T>,
 }
 
-/// A controller's state, with the clock and the network that it was given. Shared by all tasks of the controller.
+/// A controller's state with its clock, network and configuration. Shared by all tasks of the controller.
 pub struct ControllerHandle<T: InvokerTransport> {
     state: RefCell<ControllerState<T>>,
     /// The controller's clock.
     pub clock: Clock,
-    /// How it connects and listens.
+    /// The network on which it connects and listens.
     pub network: Rc<dyn Network>,
-    /// When its event loop last polled the kernel.
+    /// Tracks when its event loop last polled the kernel.
     pub event_loop: EventLoopClock,
     /// Its configuration.
     pub config: T::Config,
-    /// Wakes [`ControllerHandle::run_timers`] when a timer was added before all others.
-    timer_added: Notify,
+    /// Wakes [`ControllerHandle::run_timers`] when a timer was added that fires before all others.
+    earlier_timer_added: Notify,
 }
 
 impl<T: InvokerTransport> ControllerState<T> {
-    /// Runs what was deferred until the policy has returned.
+    /// Runs the callbacks that were deferred until the policy returned.
     fn run_deferred(&mut self) {
         while let Some(callback) = self.invocations.next_deferred() {
             callback(self);
@@ -58,7 +58,7 @@
 }
 
 impl<T: InvokerTransport> ControllerHandle<T> {
-    /// A handle on a new controller's state.
+    /// Creates the state of a new controller.
     pub fn new(
         policy: Box<dyn Policy>,
         invocations: InvocationTable<T>,
@@ -76,11 +76,11 @@
             network,
             event_loop: EventLoopClock::default(),
             config,
-            timer_added: Notify::new(),
+            earlier_timer_added: Notify::new(),
         }
     }
 
-    /// Changes the state at the present time, then runs what the change deferred.
+    /// Changes the state at the current time, then runs the callbacks that the change deferred.
     pub fn update<R>(&self, change: impl FnOnce(&mut ControllerState<T>) -> R) -> R {
         let state = &mut *self.state.borrow_mut();
         state.invocations.now = self.clock.now().max(state.invocations.now);
@@ -88,7 +88,7 @@
         let result = change(state);
         state.run_deferred();
         if state.invocations.first_timer() < first_before || first_before.is_none() {
-            self.timer_added.notify_one();
+            self.earlier_timer_added.notify_one();
         }
         result
     }
@@ -98,18 +98,18 @@
         read(&self.state.borrow())
     }
 
-    /// Fires timers for as long as the controller lives.
+    /// Runs timers as they become due, for the lifetime of the controller.
     pub async fn run_timers(&self) {
         loop {
             let first = self.state.borrow().invocations.first_timer();
             let Some(timer) = first else {
-                self.timer_added.notified().await;
+                self.earlier_timer_added.notified().await;
                 continue;
             };
             tokio::select! {
                 biased;
                 () = self.clock.sleep_until(timer.at) => {}
-                () = self.timer_added.notified() => continue,
+                () = self.earlier_timer_added.notified() => continue,
             }
             if self.clock.now() > timer.at + LATE_TIMER_THRESHOLD {
                 tokio::time::sleep(SOCKETS_FIRST_DELAY).await;
--- a/crates/controller/src/transport.rs
+++ b/crates/controller/src/transport.rs
@@ -1,4 +1,4 @@
-//! The interface towards invokers: how attempts and load orders are sent.
+//! The interface to invokers, through which attempts and load orders are sent.
 
 use crate::responder::Responder;
 use bytes::Bytes;
@@ -7,57 +7,57 @@
     Ticks,
 };
 
-/// An attempt on its way to an invoker.
+/// An attempt to send to an invoker.
 pub struct OutgoingDispatch<'a, P> {
     /// The invocation.
     pub invocation: InvocationId,
     /// Number of the attempt, from 0.
     pub attempt: u8,
-    /// Where it is sent.
+    /// The invoker that it is sent to.
     pub invoker: InvokerId,
-    /// What it runs.
+    /// The function to run.
     pub function: FunctionId,
-    /// What is sent along.
+    /// The data sent with the attempt.
     pub payload: &'a P,
-    /// The present time.
+    /// The current time.
     pub now: Ticks,
-    /// The attempt has ended by then.
+    /// When the attempt times out.
     pub deadline: Ticks,
-    /// Nothing of it begins to be sent from then on.
+    /// Its transmission does not begin from then on.
     pub send_by: Ticks,
     /// When the client stops waiting.
     pub client_deadline: Ticks,
 }
 
-/// What an invoker's answer tells beside its outcome.
+/// What an invoker's answer reports in addition to the outcome.
 #[derive(Default)]
 pub struct AttemptReport {
-    /// Whether the attempt found an instance.
+    /// Whether the attempt ran on a warm instance, or on which kind of load it waited.
     pub start_kind: Option<StartKind>,
-    /// Invocations of the same function at the invoker.
+    /// Concurrent invocations of the same function at the invoker.
     pub concurrency: Option<u8>,
     /// The invoker's load.
     pub load_report: LoadReport,
-    /// What the function answered.
+    /// The function's output.
     pub output: Bytes,
 }
 
-/// Sends attempts and load orders to invokers. Their numbers are chosen here.
+/// Sends attempts and load orders to invokers, and assigns their numbers.
 pub trait InvokerTransport: Sized + 'static {
-    /// What of an invocation is sent along with its attempts.
+    /// The data of an invocation that is sent with its attempts.
     type Payload;
-    /// Who takes the final response.
+    /// Delivers the final response.
     type Responder: Responder;
     /// The configuration of a controller with this transport.
     type Config;
 
-    /// Sends an attempt. `Err`: it was not sent, and this is its end.
+    /// Sends an attempt and returns its number. `Err`: it was not sent and has ended with this outcome.
     fn dispatch(&mut self, outgoing: &OutgoingDispatch<Self::Payload>) -> Result<u64, Outcome>;
-    /// Withdraws an attempt that provably never ran because it has not been sent. False: it may have run.
+    /// Withdraws an attempt that has not been sent, and therefore provably never ran. Returns false if it may have run.
     fn withdraw(&mut self, invoker: InvokerId, dispatch: u64) -> bool;
-    /// Cancels an attempt. True: nothing more will be heard of it.
+    /// Cancels an attempt. Returns true if no answer to it will be received.
     fn cancel(&mut self, invoker: InvokerId, dispatch: u64) -> bool;
-    /// An attempt has ended, one way or another.
+    /// Handles the end of an attempt, whatever its outcome.
     fn attempt_ended(
         &mut self,
         invoker: InvokerId,
@@ -66,7 +66,8 @@
         outcome: Outcome,
         report: &AttemptReport,
     );
-    /// Sends a load order, nothing of which begins to be sent from `send_by` on. `Err`: it was not sent, and this is its end.
+    /// Sends a load order, whose transmission does not begin from `send_by` on, and returns its number. `Err`: it was not sent
+    /// and has ended with this outcome.
     fn load(
         &mut self,
         now: Ticks,
@@ -75,16 +76,16 @@
         count: u8,
         send_by: Ticks,
     ) -> Result<u64, LoadOutcome>;
-    /// When a load order had been sent completely, where that is known.
+    /// When a load order was completely sent, if known.
     fn load_sent_at(&self, _order: u64) -> Option<Ticks> {
         None
     }
-    /// A load order has ended, one way or another.
+    /// Handles the end of a load order, whatever its outcome.
     fn load_ended(&mut self, invoker: InvokerId, order: u64);
     /// Orders an invoker to unload idle instances.
     fn unload(&mut self, now: Ticks, invoker: InvokerId, function: FunctionId);
-    /// Asks an invoker whether it takes new work. Where the policy has to know, the end is given to
+    /// Probes whether an invoker accepts new work. A result that the policy needs is reported to
     /// [`ControllerState::probe_ended`](crate::ControllerState::probe_ended).
-    /// `Err`: it was not sent, and this is its end.
+    /// `Err`: the probe was not sent and has ended with this outcome.
     fn probe(&mut self, now: Ticks, invoker: InvokerId) -> Result<(), ProbeOutcome>;
 }
