--- a/crates/transport/src/arrival_clock.rs
+++ b/crates/transport/src/arrival_clock.rs
@@ -1,8 +1,8 @@
-//! The earliest time at which what is read now can have arrived.
+//! Determines the earliest time at which data that is read now can have arrived.
 //!
-//! Bytes, and connections in a listener's queue, may have lain in the kernel for long before they are read: the process was
-//! stopped, or other tasks ran first. An [`ArrivalClock`] notes when the kernel reported that there was something. What it
-//! reported arrived after the poll before that (`PollTimes::last_poll_bound`), however late it is read.
+//! Bytes, and connections in a listener's queue, may have waited in the kernel for a long time before they are read, because
+//! the process was stopped or other tasks ran first. An [`ArrivalClock`] records when the kernel reported the source as ready.
+//! The data arrived after the kernel poll before that (`PollTimes::last_poll_bound`), however late it is read.
 
 use crate::event_loop::PollTimes;
 use crate::retrying_stream::polls_without_call;
@@ -16,39 +16,39 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::task::{Context, Poll, Wake, Waker};
 
-/// No wake-up was noted.
+/// Marks that no wake-up was recorded.
 const NOT_WOKEN: u64 = u64::MAX;
 
-/// The waker that a source is polled with: it passes wake-ups on, and keeps since when there can be something to read.
+/// The waker that a source is polled with. Forwards wake-ups to the task, and records the earliest arrival of the data.
 struct ArrivalWaker {
     clock: Clock,
     poll_times: Arc<PollTimes>,
-    /// The earliest arrival of what the source was woken for.
-    since: AtomicU64,
+    /// The earliest arrival of the data for which the waker was woken.
+    woken_since: AtomicU64,
     task: Mutex<Option<Waker>>,
 }
 
 impl ArrivalWaker {
-    fn take_since(&self) -> Option<Ticks> {
-        let since = self.since.swap(NOT_WOKEN, Ordering::Relaxed);
-        (since != NOT_WOKEN).then_some(since)
+    fn take_woken_since(&self) -> Option<Ticks> {
+        let woken_since = self.woken_since.swap(NOT_WOKEN, Ordering::Relaxed);
+        (woken_since != NOT_WOKEN).then_some(woken_since)
     }
 
     fn is_woken(&self) -> bool {
-        self.since.load(Ordering::Relaxed) != NOT_WOKEN
+        self.woken_since.load(Ordering::Relaxed) != NOT_WOKEN
     }
 
-    /// Keeps an earlier note, where the wake-up since says nothing of the source.
-    fn keep_earlier(&self, before: Option<Ticks>) {
-        if let Some(before) = before {
-            self.since.fetch_min(before, Ordering::Relaxed);
+    /// Restores an earlier record after a wake-up that does not indicate new data of the source.
+    fn restore_earlier(&self, earlier: Option<Ticks>) {
+        if let Some(earlier) = earlier {
+            self.woken_since.fetch_min(earlier, Ordering::Relaxed);
         }
     }
 
     fn set_task(&self, task: &Waker) {
-        let mut waiting = self.task.lock().unwrap_or_else(PoisonError::into_inner);
-        if waiting.as_ref().is_none_or(|w| !w.will_wake(task)) {
-            *waiting = Some(task.clone());
+        let mut current = self.task.lock().unwrap_or_else(PoisonError::into_inner);
+        if current.as_ref().is_none_or(|waker| !waker.will_wake(task)) {
+            *current = Some(task.clone());
         }
     }
 }
@@ -56,10 +56,13 @@
 impl Wake for ArrivalWaker {
     fn wake(self: Arc<Self>) {
         let bound = self.poll_times.last_poll_bound();
-        // Of several wake-ups before the task runs, the first counts.
-        let _ = self
-            .since
-            .compare_exchange(NOT_WOKEN, bound, Ordering::Relaxed, Ordering::Relaxed);
+        // Of several wake-ups before the task runs, only the first is recorded.
+        let _ = self.woken_since.compare_exchange(
+            NOT_WOKEN,
+            bound,
+            Ordering::Relaxed,
+            Ordering::Relaxed,
+        );
         let task = self
             .task
             .lock()
@@ -71,62 +74,58 @@
     }
 }
 
-/// Tells whether a source may have something that was not read yet.
+/// Reports whether a source may have data that was not read yet.
 #[derive(Clone)]
 pub struct ReadBacklog {
-    unread: Rc<Cell<bool>>,
-    arrival: Option<Arc<ArrivalWaker>>,
+    is_unread: Rc<Cell<bool>>,
+    waker: Option<Arc<ArrivalWaker>>,
 }
 
 impl ReadBacklog {
-    /// The backlog of a source that is never behind.
+    /// Creates a backlog that never has unread data.
     pub fn empty() -> Self {
         Self {
-            unread: Rc::default(),
-            arrival: None,
+            is_unread: Rc::default(),
+            waker: None,
         }
     }
 
-    /// True from the readiness event until the source was found empty.
+    /// Whether there may be unread data: true from the readiness event until a poll finds the source empty.
     pub fn has_unread(&self) -> bool {
-        self.unread.get()
-            || self
-                .arrival
-                .as_ref()
-                .is_some_and(|arrival| arrival.is_woken())
+        self.is_unread.get() || self.waker.as_ref().is_some_and(|waker| waker.is_woken())
     }
 }
 
-/// Follows one source: a stream, or a listener.
+/// Tracks the arrival times of one source, which is a stream or a listener.
 pub struct ArrivalClock {
-    arrival: Arc<ArrivalWaker>,
+    arrival_waker: Arc<ArrivalWaker>,
     waker: Waker,
-    unread: Rc<Cell<bool>>,
+    is_unread: Rc<Cell<bool>>,
     /// When the source was last known to be empty.
     empty_at: Ticks,
-    /// Whether it was found empty the last time, so that its poller waits.
+    /// Whether the last poll found the source empty, so that its reader waits.
     is_waiting: bool,
-    earliest: Ticks,
+    earliest_arrival: Ticks,
 }
 
 impl ArrivalClock {
-    /// Follows a source that may have had something since `opened`.
-    pub fn new(opened: Ticks, clock: Clock, event_loop: &EventLoopClock) -> Self {
-        let (since, task) = (AtomicU64::new(NOT_WOKEN), Mutex::default());
-        let arrival = Arc::new(ArrivalWaker {
+    /// Tracks a source that may have had data since `opened_at`.
+    pub fn new(opened_at: Ticks, clock: Clock, event_loop: &EventLoopClock) -> Self {
+        let (woken_since, task) = (AtomicU64::new(NOT_WOKEN), Mutex::default());
+        let arrival_waker = Arc::new(ArrivalWaker {
             clock,
             poll_times: event_loop.poll_times(),
-            since,
+            woken_since,
             task,
         });
-        let waker = Waker::from(arrival.clone());
+        let waker = Waker::from(arrival_waker.clone());
         Self {
-            arrival,
+            arrival_waker,
             waker,
-            unread: Rc::default(),
-            empty_at: opened,
+            is_unread: Rc::default(),
+            empty_at: opened_at,
             is_waiting: false,
-            earliest: opened,
+            earliest_arrival: opened_at,
         }
     }
 
@@ -136,36 +135,37 @@
         cx: &mut Context<'_>,
         poll: impl FnOnce(&mut Context<'_>) -> Poll<T>,
     ) -> Poll<T> {
-        let woken = self.arrival.take_since();
-        self.arrival.set_task(cx.waker());
-        let without_call_before = polls_without_call();
-        // Read before the poll: a stop takes effect as a system call returns, and what arrives over it came after the source
-        // was found empty.
-        let now = self.arrival.clock.now();
+        let woken_since = self.arrival_waker.take_woken_since();
+        self.arrival_waker.set_task(cx.waker());
+        let polls_without_call_before = polls_without_call();
+        // The clock is read before the poll: a stop takes effect as a system call returns, so data that arrives during the stop
+        // arrived after the source was found empty.
+        let now = self.arrival_waker.clock.now();
         let polled = poll(&mut Context::from_waker(&self.waker));
-        let made_call = polls_without_call() == without_call_before;
+        let made_call = polls_without_call() == polls_without_call_before;
         if polled.is_pending() {
-            // A source that wakes its poller while it is polled defers the poll: it has not been looked at.
-            if self.arrival.is_woken() {
-                self.arrival.keep_earlier(woken);
+            // A source that wakes its reader during the poll has deferred the poll without checking for data.
+            if self.arrival_waker.is_woken() {
+                self.arrival_waker.restore_earlier(woken_since);
             } else {
-                // Without a system call the source is known to be empty as of the last poll of the kernel.
+                // Without a system call, the source is only known to have been empty at the last poll of the kernel.
                 let empty_at = if made_call {
                     now
                 } else {
-                    self.arrival.poll_times.last_poll_bound()
+                    self.arrival_waker.poll_times.last_poll_bound()
                 };
                 (self.empty_at, self.is_waiting) = (self.empty_at.max(empty_at), true);
-                self.unread.set(false);
+                self.is_unread.set(false);
             }
             return Poll::Pending;
         }
         if self.is_waiting {
-            let since = woken.unwrap_or_else(|| self.arrival.poll_times.last_poll_bound());
-            self.earliest = since.max(self.empty_at);
+            let woken_since =
+                woken_since.unwrap_or_else(|| self.arrival_waker.poll_times.last_poll_bound());
+            self.earliest_arrival = woken_since.max(self.empty_at);
         }
         self.is_waiting = false;
-        self.unread.set(true);
+        self.is_unread.set(true);
         polled
     }
 
@@ -175,24 +175,24 @@
         poll_fn(|cx| self.poll(cx, |cx| next.as_mut().poll(cx))).await
     }
 
-    /// The earliest time at which what the last poll gave can have arrived.
+    /// Returns the earliest time at which the data of the last successful poll can have arrived.
     pub fn earliest_arrival(&self) -> Ticks {
-        self.earliest
+        self.earliest_arrival
     }
 
-    /// A handle that tells whether something was not read yet.
+    /// Returns a handle that reports whether the source may have unread data.
     pub fn backlog(&self) -> ReadBacklog {
         ReadBacklog {
-            unread: self.unread.clone(),
-            arrival: Some(self.arrival.clone()),
+            is_unread: self.is_unread.clone(),
+            waker: Some(self.arrival_waker.clone()),
         }
     }
 }
 
 impl Drop for ArrivalClock {
-    /// Nothing more is read, so nothing is behind.
+    /// Clears the backlog, because nothing more is read.
     fn drop(&mut self) {
-        self.unread.set(false);
-        self.arrival.take_since();
+        self.is_unread.set(false);
+        self.arrival_waker.take_woken_since();
     }
 }
--- a/crates/transport/src/clock.rs
+++ b/crates/transport/src/clock.rs
@@ -1,28 +1,28 @@
-//! A clock in ticks, on top of tokio's.
+//! A clock in ticks, based on tokio's clock.
 
 use saltdrum::interface::Ticks;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// tokio's clock as [`Ticks`] since an origin, which need not be the start of this process.
+/// Reads tokio's clock in [`Ticks`], relative to an origin that may differ from the start of this process.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
     ahead: Duration,
-    /// Drift against true time, in millionths.
+    /// Drift relative to true time, in parts per million.
     drift_ppm: i64,
 }
 
-/// What the clock reads at its origin: an invoker that started within this time before it still has a start time.
+/// Reading of the clock at its origin, so that an invoker that started up to one hour earlier still has a start time.
 const READING_AT_ORIGIN: Duration = Duration::from_secs(3_600);
 
 impl Clock {
-    /// A clock that reads one hour now, so that what started within the hour before has a time on it too.
+    /// Creates a clock whose origin is now. It reads one hour, so that start times within the hour before can be expressed.
     pub fn start() -> Self {
         Self::with_origin(Instant::now())
     }
 
-    /// A clock that reads one hour at `origin`.
+    /// Creates a clock that reads one hour at `origin`.
     pub fn with_origin(origin: Instant) -> Self {
         Self {
             origin,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// A clock that is ahead of this one by `ahead` now and gains `drift_ppm` millionths (negative: loses them).
+    /// Returns a clock that is ahead of this one by `ahead` and runs fast by `drift_ppm` parts per million (negative: slow).
     pub fn skewed(self, ahead: Duration, drift_ppm: i64) -> Self {
         Self {
             ahead,
@@ -40,25 +40,25 @@
         }
     }
 
-    /// What this clock makes of a span of true time, or the other way round.
-    fn stretched(span: Duration, from: i64, to: i64) -> Duration {
-        let nanos =
-            span.as_nanos() as i128 * i128::from(1_000_000 + to) / i128::from(1_000_000 + from);
+    /// Converts a span measured by a clock with drift `from_ppm` to a clock with drift `to_ppm`.
+    fn convert_span(span: Duration, from_ppm: i64, to_ppm: i64) -> Duration {
+        let nanos = span.as_nanos() as i128 * i128::from(1_000_000 + to_ppm)
+            / i128::from(1_000_000 + from_ppm);
         Duration::from_nanos(nanos.max(0) as u64)
     }
 
-    /// The present reading.
+    /// Returns the current reading.
     pub fn now(&self) -> Ticks {
         let elapsed = self.origin.elapsed();
         let elapsed = if self.drift_ppm == 0 {
             elapsed
         } else {
-            Self::stretched(elapsed, 0, self.drift_ppm)
+            Self::convert_span(elapsed, 0, self.drift_ppm)
         };
-        ticks(READING_AT_ORIGIN + self.ahead + elapsed)
+        ticks_of(READING_AT_ORIGIN + self.ahead + elapsed)
     }
 
-    /// The instant at which the clock reads `at`, rounded up to what timers can do.
+    /// Returns the instant at which the clock reads `at`.
     pub fn instant(&self, at: Ticks) -> Instant {
         let span = Duration::from_micros(at.saturating_mul(100))
             .saturating_sub(READING_AT_ORIGIN + self.ahead);
@@ -66,7 +66,7 @@
             + if self.drift_ppm == 0 {
                 span
             } else {
-                Self::stretched(span, self.drift_ppm, 0)
+                Self::convert_span(span, self.drift_ppm, 0)
             }
     }
 
@@ -76,6 +76,6 @@
     }
 }
 
-pub(crate) fn ticks(span: Duration) -> Ticks {
+pub(crate) fn ticks_of(span: Duration) -> Ticks {
     (span.as_micros() / 100) as Ticks
 }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,14 +1,14 @@
-//! Streams, a clock and bounded send queues, handed to everything that runs.
+//! Streams, a clock and bounded send queues, passed to every component.
 //!
 //! The same controller and fakes run on TCP and Unix sockets and, in one process, on in-memory streams under tokio's paused
-//! clock: they reach the world through [`Network`] and [`Clock`] alone.
+//! clock, because they do all I/O and timekeeping through [`Network`] and [`Clock`].
 //!
-//! - [`SendQueue`] is the one way out of a process: bounded, and exact about which frames have been sent.
-//! - [`ArrivalClock`] and [`ArrivalReader`] know the earliest time at which bytes and connections can have arrived, however
-//!   late they are read; they rest on [`EventLoopClock`], which knows when the kernel was last polled.
-//! - [`SocketNetwork`] retries system calls that fail for reasons that say nothing of the peer.
+//! - [`SendQueue`] queues the frames of a stream: bounded, and exact about which frames have been sent.
+//! - [`ArrivalClock`] and [`ArrivalReader`] determine the earliest time at which bytes and connections can have arrived, however
+//!   late they are read. They are based on [`EventLoopClock`], which tracks when the kernel was last polled.
+//! - [`SocketNetwork`] retries system calls that fail for reasons unrelated to the peer.
 //!
-//! Nothing here knows a message format or decides anything.
+//! This crate is independent of message formats and makes no policy decisions.
 
 mod arrival_clock;
 mod clock;
--- a/crates/transport/src/memory_network.rs
+++ b/crates/transport/src/memory_network.rs
@@ -1,4 +1,4 @@
-//! In-memory streams within one thread, for many controllers in one process and for virtual time.
+//! In-memory streams within one thread, for several controllers in one process and for virtual time.
 
 use crate::network::{Address, IoFuture, Listener, Network, Stream};
 use std::cell::RefCell;
@@ -7,8 +7,8 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// Bytes that a stream holds in each direction, as a socket's buffers do.
-const PIPE_BYTES: usize = 64 << 10;
+/// Buffer size of a stream in each direction, which corresponds to a socket's buffers.
+const STREAM_BUFFER_BYTES: usize = 64 << 10;
 
 /// A network of in-memory streams within one thread. Clones share their listeners.
 #[derive(Clone, Default)]
@@ -18,15 +18,15 @@
 
 impl Network for MemoryNetwork {
     fn dial<'a>(&'a self, address: &'a Address) -> IoFuture<'a, Stream> {
-        let (here, there) = tokio::io::duplex(PIPE_BYTES);
+        let (client_end, server_end) = tokio::io::duplex(STREAM_BUFFER_BYTES);
         let is_accepted = self
             .listeners
             .borrow()
             .get(address)
-            .is_some_and(|listener| listener.send(Box::new(there)).is_ok());
+            .is_some_and(|listener| listener.send(Box::new(server_end)).is_ok());
         Box::pin(async move {
             if is_accepted {
-                Ok(Box::new(here) as Stream)
+                Ok(Box::new(client_end) as Stream)
             } else {
                 Err(io::ErrorKind::ConnectionRefused.into())
             }
@@ -34,20 +34,20 @@
     }
 
     fn listen<'a>(&'a self, address: &'a Address) -> IoFuture<'a, (Box<dyn Listener>, Address)> {
-        let (to, from) = mpsc::unbounded_channel();
+        let (sender, receiver) = mpsc::unbounded_channel();
         let is_in_use = self
             .listeners
             .borrow()
             .get(address)
             .is_some_and(|listener| !listener.is_closed());
         if !is_in_use {
-            self.listeners.borrow_mut().insert(address.clone(), to);
+            self.listeners.borrow_mut().insert(address.clone(), sender);
         }
         Box::pin(async move {
             if is_in_use {
                 return Err(io::ErrorKind::AddrInUse.into());
             }
-            Ok((Box::new(from) as Box<dyn Listener>, address.clone()))
+            Ok((Box::new(receiver) as Box<dyn Listener>, address.clone()))
         })
     }
 }
--- a/crates/transport/src/network.rs
+++ b/crates/transport/src/network.rs
@@ -1,4 +1,4 @@
-//! What everything that runs knows of a network: addresses, streams, dialling and listening.
+//! The network interface of all components: addresses, streams, dialling and listening.
 
 use std::cell::RefCell;
 use std::fmt;
@@ -13,13 +13,13 @@
 pub trait Duplex: AsyncRead + AsyncWrite + Unpin {}
 impl<T: AsyncRead + AsyncWrite + Unpin> Duplex for T {}
 
-/// A connection, on sockets or in memory.
+/// A connection over a socket or in memory.
 pub type Stream = Box<dyn Duplex>;
 
 /// The future of an operation on a [`Network`] or [`Listener`].
 pub type IoFuture<'a, T> = Pin<Box<dyn Future<Output = io::Result<T>> + 'a>>;
 
-/// Where a process listens, written `tcp:HOST:PORT`, `unix:PATH` or `memory:NAME`.
+/// An address at which a process listens, written `tcp:HOST:PORT`, `unix:PATH` or `memory:NAME`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Address {
     /// Host and port of a TCP socket.
@@ -30,7 +30,7 @@
     Memory(String),
 }
 
-/// A text is no [`Address`].
+/// The error for text that is not an [`Address`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("address '{text}': tcp:HOST:PORT or unix:PATH is expected")]
 pub struct ParseAddressError {
@@ -61,18 +61,18 @@
 impl fmt::Display for Address {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Tcp(at) => write!(f, "tcp:{at}"),
-            Self::Unix(at) => write!(f, "unix:{at}"),
-            Self::Memory(at) => write!(f, "memory:{at}"),
+            Self::Tcp(host_and_port) => write!(f, "tcp:{host_and_port}"),
+            Self::Unix(path) => write!(f, "unix:{path}"),
+            Self::Memory(name) => write!(f, "memory:{name}"),
         }
     }
 }
 
-/// Makes and accepts connections.
+/// Opens connections and listens for them.
 pub trait Network {
-    /// Connects to an address. Without a time limit of its own.
+    /// Connects to an address. Applies no timeout; callers set their own.
     fn dial<'a>(&'a self, address: &'a Address) -> IoFuture<'a, Stream>;
-    /// Listens at an address. Gives the listener and where it really listens: port 0 has become a real port.
+    /// Listens at an address. Returns the listener and its actual address, in which port 0 is replaced by the assigned port.
     fn listen<'a>(&'a self, address: &'a Address) -> IoFuture<'a, (Box<dyn Listener>, Address)>;
 }
 
@@ -82,11 +82,11 @@
     fn accept(&mut self) -> IoFuture<'_, Stream>;
 }
 
-/// One end of a stream, read and written by two tasks of one thread.
+/// A handle to a stream that two tasks of one thread share for reading and writing.
 #[derive(Clone)]
 pub struct StreamHalf(Rc<RefCell<Stream>>);
 
-/// Splits a stream into two handles. Both hold it open; it closes when the last is dropped.
+/// Splits a stream into two handles. The stream closes when the last handle is dropped.
 pub fn split(stream: Stream) -> (StreamHalf, StreamHalf) {
     let shared = Rc::new(RefCell::new(stream));
     (StreamHalf(shared.clone()), StreamHalf(shared))
--- a/crates/transport/src/retrying_stream.rs
+++ b/crates/transport/src/retrying_stream.rs
@@ -1,8 +1,8 @@
-//! A socket stream that does not depend on what single system calls do: interrupted calls are retried, and a short read or
-//! write does not mean that the socket is empty or full.
+//! A socket stream that tolerates interrupted and short system calls: interrupted calls are retried, and a short read or write
+//! is not taken to mean that the socket is empty or full.
 //!
-//! Tokio's own streams take a call that moved fewer bytes than asked for as such a sign, and then wait for the next readiness
-//! event. Where the call was short for another reason, that event never comes.
+//! Tokio's own streams treat a call that transferred fewer bytes than requested as an empty or full socket, and then wait for
+//! the next readiness event. If the call was short for another reason, that event never occurs.
 
 use std::cell::Cell;
 use std::io;
@@ -15,7 +15,7 @@
 pub(crate) trait SocketCalls {
     fn poll_readable(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>>;
     fn poll_writable(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>>;
-    /// `WouldBlock` clears the readiness.
+    /// Reads once. `WouldBlock` clears the readiness.
     fn read(&self, bytes: &mut [u8]) -> io::Result<usize>;
     fn write(&self, bytes: &[u8]) -> io::Result<usize>;
 }
@@ -42,20 +42,21 @@
 socket_calls!(TcpStream);
 socket_calls!(UnixStream);
 
-/// A stream over single system calls.
+/// A stream that retries interrupted system calls and polls until one would block.
 pub(crate) struct RetryingStream<S>(pub S);
 
 thread_local! {
     static POLLS_WITHOUT_CALL: Cell<u64> = const { Cell::new(0) };
 }
 
-/// How many polls of this thread ended `Pending` without a system call, by the readiness that was known from the last poll of
-/// the kernel. Such a poll says nothing of the socket now: after a stop of the process that may be long ago.
+/// Returns how many polls of this thread returned `Pending` without a system call, based on the readiness known from the last
+/// poll of the kernel. Such a poll does not show the current state of the socket: after a stop of the process, the last poll of
+/// the kernel may have been long ago.
 pub(crate) fn polls_without_call() -> u64 {
     POLLS_WITHOUT_CALL.get()
 }
 
-/// Counts such a poll.
+/// Counts a poll that returned `Pending` without a system call.
 pub(crate) fn note_poll_without_call() {
     POLLS_WITHOUT_CALL.set(POLLS_WITHOUT_CALL.get() + 1);
 }
@@ -78,9 +79,9 @@
             }
         }
         match call() {
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => made_call = true,
-            Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-            done => return Poll::Ready(done),
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => made_call = true,
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+            result => return Poll::Ready(result),
         }
     }
 }
@@ -92,12 +93,12 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let socket = &self.0;
-        let got = ready!(poll_call(
+        let read_bytes = ready!(poll_call(
             cx,
             |cx| socket.poll_readable(cx),
             || socket.read(buf.initialize_unfilled())
         ))?;
-        buf.advance(got);
+        buf.advance(read_bytes);
         Poll::Ready(Ok(()))
     }
 }
--- a/crates/transport/src/send_queue.rs
+++ b/crates/transport/src/send_queue.rs
@@ -11,81 +11,82 @@
 use std::task::{Context, Poll, Waker, ready};
 use tokio::io::{AsyncWrite, AsyncWriteExt};
 
-/// How much is handed to the stream at once.
-const WRITE_BYTES: usize = 64 << 10;
+/// Frames are batched into one write until it has at least this size.
+const WRITE_BATCH_BYTES: usize = 64 << 10;
 
 /// Number of a frame on its [`SendQueue`], from 1.
 pub type Ticket = u64;
 
-struct Item {
+/// A queued frame.
+struct QueuedFrame {
     ticket: Ticket,
     bytes: Bytes,
-    /// Its first byte is not sent from then on.
-    until: Ticks,
+    /// The transmission of the frame does not begin from then on.
+    expires_at: Ticks,
 }
 
 #[derive(Default)]
 struct Inner {
-    items: VecDeque<Item>,
+    frames: VecDeque<QueuedFrame>,
     queued_bytes: usize,
     max_bytes: usize,
-    last: Ticket,
-    sent: Ticket,
-    /// A frame of which a part was handed to the stream.
+    last_ticket: Ticket,
+    last_sent: Ticket,
+    /// The frame of which a part was written to the stream.
     partially_sent: Option<Ticket>,
-    closed: bool,
+    is_closed: bool,
     waker: Option<Waker>,
     batch: Vec<u8>,
 }
 
-/// A frame that was written in part.
+/// A partially written frame.
 struct PartialFrame {
     ticket: Ticket,
-    rest: Bytes,
+    remaining: Bytes,
 }
 
-/// What became of a write.
-enum Written {
-    /// Frames were written; the last possibly in part.
+/// Outcome of a write.
+enum WriteOutcome {
+    /// Frames were written, the last possibly in part, or frames expired.
     Batch(Option<PartialFrame>),
     /// The queue is closed and empty.
     Closed,
 }
 
-/// Frames that wait to be sent on one stream, bounded in bytes. A frame can be withdrawn until its first byte was handed to the
-/// stream, also while the stream takes nothing; none is withdrawn after that. Clones share the queue.
+/// The frames to be sent on one stream, bounded in bytes. A frame can be withdrawn until its first byte is written to the
+/// stream, even while the stream is stalled, and never after that. Clones share the queue.
 #[derive(Clone, Default)]
 pub struct SendQueue {
     inner: Rc<RefCell<Inner>>,
 }
 
 impl Inner {
-    fn withdraw(&mut self, now: Ticks, expired: &mut Vec<Ticket>) {
-        if self.items.iter().all(|i| now < i.until) {
+    fn withdraw_expired(&mut self, now: Ticks, expired: &mut Vec<Ticket>) {
+        if self.frames.iter().all(|frame| now < frame.expires_at) {
             return;
         }
         let queued_bytes = &mut self.queued_bytes;
-        self.items.retain(|i| {
-            if now >= i.until {
-                *queued_bytes -= i.bytes.len();
-                expired.push(i.ticket);
+        self.frames.retain(|frame| {
+            if now >= frame.expires_at {
+                *queued_bytes -= frame.bytes.len();
+                expired.push(frame.ticket);
             }
-            now < i.until
+            now < frame.expires_at
         });
     }
 
-    /// Polls the stream with the frames that wait now: what waits behind a stalled stream has not begun to be sent.
+    /// Writes the frames that are queued now. Frames behind a stalled stream are not written, and can still be withdrawn.
     fn poll_write(
         &mut self,
         cx: &mut Context<'_>,
         stream: &mut (impl AsyncWrite + Unpin),
         has_expired: bool,
-    ) -> Poll<io::Result<Written>> {
+    ) -> Poll<io::Result<WriteOutcome>> {
         let mut batch = std::mem::take(&mut self.batch);
         batch.clear();
-        for item in &self.items {
-            batch.extend_from_slice(&item.bytes);
-            if batch.len() >= WRITE_BYTES {
+        for frame in &self.frames {
+            batch.extend_from_slice(&frame.bytes);
+            if batch.len() >= WRITE_BATCH_BYTES {
                 break;
             }
         }
@@ -97,37 +98,41 @@
         self.batch = batch;
         Poll::Ready(match ready!(polled) {
             Ok(0) => Err(io::ErrorKind::WriteZero.into()),
-            Ok(written_bytes) => Ok(Written::Batch(self.remove_written(written_bytes))),
+            Ok(written_bytes) => Ok(WriteOutcome::Batch(self.remove_written(written_bytes))),
             Err(error) => Err(error),
         })
     }
 
-    /// Nothing waits: ends when frames expired, which have to be reported, or when the queue is closed.
-    fn poll_empty(&mut self, cx: &mut Context<'_>, has_expired: bool) -> Poll<io::Result<Written>> {
+    /// Polls an empty queue: ready if frames expired, which have to be reported, or if the queue is closed.
+    fn poll_empty(
+        &mut self,
+        cx: &mut Context<'_>,
+        has_expired: bool,
+    ) -> Poll<io::Result<WriteOutcome>> {
         if has_expired {
-            return Poll::Ready(Ok(Written::Batch(None)));
+            return Poll::Ready(Ok(WriteOutcome::Batch(None)));
         }
         self.waker = Some(cx.waker().clone());
-        if self.closed {
-            return Poll::Ready(Ok(Written::Closed));
+        if self.is_closed {
+            return Poll::Ready(Ok(WriteOutcome::Closed));
         }
         Poll::Pending
     }
 
-    /// Removes the frames of which bytes were written; gives the rest of the last, if it was written in part.
+    /// Removes the written frames. Returns the remainder of the last one if it was partially written.
     fn remove_written(&mut self, mut written_bytes: usize) -> Option<PartialFrame> {
         while written_bytes > 0 {
-            let mut item = self.items.pop_front()?;
-            self.queued_bytes -= item.bytes.len();
-            if written_bytes < item.bytes.len() {
-                let rest = item.bytes.split_off(written_bytes);
+            let mut frame = self.frames.pop_front()?;
+            self.queued_bytes -= frame.bytes.len();
+            if written_bytes < frame.bytes.len() {
+                let remaining = frame.bytes.split_off(written_bytes);
                 return Some(PartialFrame {
-                    ticket: item.ticket,
-                    rest,
+                    ticket: frame.ticket,
+                    remaining,
                 });
             }
-            written_bytes -= item.bytes.len();
-            self.sent = item.ticket;
+            written_bytes -= frame.bytes.len();
+            self.last_sent = frame.ticket;
         }
         None
     }
@@ -140,7 +145,7 @@
 }
 
 impl SendQueue {
-    /// An empty queue of at most `max_bytes`.
+    /// Creates an empty queue of at most `max_bytes`.
     pub fn new(max_bytes: usize) -> Self {
         Self {
             inner: Rc::new(RefCell::new(Inner {
@@ -150,65 +155,66 @@
         }
     }
 
-    /// Queues a frame; `None` when there is no capacity for it, or the queue is closed.
-    pub fn push(&self, bytes: Bytes, until: Ticks) -> Option<Ticket> {
+    /// Queues a frame, whose transmission does not begin from `expires_at` on. Returns `None` if there is no capacity for it or
+    /// the queue is closed.
+    pub fn push(&self, bytes: Bytes, expires_at: Ticks) -> Option<Ticket> {
         let mut inner = self.inner.borrow_mut();
-        if inner.closed || inner.queued_bytes + bytes.len() > inner.max_bytes {
+        if inner.is_closed || inner.queued_bytes + bytes.len() > inner.max_bytes {
             return None;
         }
         inner.queued_bytes += bytes.len();
-        inner.last += 1;
-        let ticket = inner.last;
-        inner.items.push_back(Item {
+        inner.last_ticket += 1;
+        let ticket = inner.last_ticket;
+        inner.frames.push_back(QueuedFrame {
             ticket,
             bytes,
-            until,
+            expires_at,
         });
         inner.wake();
         Some(ticket)
     }
 
-    /// Whether the whole frame was handed to the stream. Where the stream failed in mid-frame it was not, and the
-    /// receiver cannot have read it.
+    /// Whether the whole frame was written to the stream. If the stream failed in mid-frame, it was not, and the receiver
+    /// cannot have read it.
     pub fn is_sent(&self, ticket: Ticket) -> bool {
-        ticket <= self.inner.borrow().sent
+        ticket <= self.inner.borrow().last_sent
     }
 
-    /// Withdraws frames whose time is over at `now`, and those that `unwanted` names; gives their tickets.
-    pub fn withdraw(&self, now: Ticks, unwanted: impl Fn(Ticket) -> bool) -> Vec<Ticket> {
+    /// Withdraws the frames that have expired at `now` and those that `is_unwanted` selects. Returns their tickets.
+    pub fn withdraw(&self, now: Ticks, is_unwanted: impl Fn(Ticket) -> bool) -> Vec<Ticket> {
         let (mut inner, mut expired) = (self.inner.borrow_mut(), Vec::new());
         inner
-            .items
+            .frames
             .iter_mut()
-            .filter(|i| unwanted(i.ticket))
-            .for_each(|i| i.until = 0);
-        inner.withdraw(now, &mut expired);
+            .filter(|frame| is_unwanted(frame.ticket))
+            .for_each(|frame| frame.expires_at = 0);
+        inner.withdraw_expired(now, &mut expired);
         expired
     }
 
-    /// The frame of which a part was handed to the stream: it cannot be withdrawn, only cut off with the stream.
+    /// Returns the partially written frame, if any. It cannot be withdrawn; only closing the stream stops it.
     pub fn partially_sent(&self) -> Option<Ticket> {
         self.inner.borrow().partially_sent
     }
 
-    /// Bytes that wait.
+    /// Returns the number of queued bytes.
     pub fn queued_bytes(&self) -> usize {
         self.inner.borrow().queued_bytes
     }
 
-    /// Whether the queue takes no more frames.
+    /// Whether the queue accepts no more frames.
     pub fn is_closed(&self) -> bool {
-        self.inner.borrow().closed
+        self.inner.borrow().is_closed
     }
 
-    /// Takes no more frames; the writer ends when all that wait have been sent.
+    /// Closes the queue for new frames. The writer ends when all queued frames have been sent.
     pub fn close(&self) {
         let mut inner = self.inner.borrow_mut();
-        inner.closed = true;
+        inner.is_closed = true;
         inner.wake();
     }
 
-    /// Writes until the stream fails or the queue is closed and empty. Calls `on_withdrawn` for frames whose time was over.
+    /// Writes frames until the stream fails, or the queue is closed and empty. Calls `on_withdrawn` for each expired frame.
     pub async fn write_to(
         &self,
         stream: &mut (impl AsyncWrite + Unpin),
@@ -219,38 +225,40 @@
             let mut expired = Vec::new();
             let written = poll_fn(|cx| {
                 let inner = &mut *self.inner.borrow_mut();
-                inner.withdraw(now(), &mut expired);
+                inner.withdraw_expired(now(), &mut expired);
                 inner.poll_write(cx, stream, !expired.is_empty())
             })
             .await;
             expired.into_iter().for_each(&mut on_withdrawn);
-            let done = match written {
-                Ok(Written::Closed) => return Ok(()),
-                Ok(Written::Batch(None)) => Ok(()),
-                Ok(Written::Batch(Some(partial))) => self.write_rest(stream, partial).await,
+            let result = match written {
+                Ok(WriteOutcome::Closed) => return Ok(()),
+                Ok(WriteOutcome::Batch(None)) => Ok(()),
+                Ok(WriteOutcome::Batch(Some(partial))) => {
+                    self.write_remaining(stream, partial).await
+                }
                 Err(error) => Err(error),
             };
-            if done.is_err() {
-                self.inner.borrow_mut().closed = true;
-                return done;
+            if result.is_err() {
+                self.inner.borrow_mut().is_closed = true;
+                return result;
             }
         }
     }
 
-    /// Writes the rest of a frame that was written in part.
-    async fn write_rest(
+    /// Writes the remainder of a partially written frame.
+    async fn write_remaining(
         &self,
         stream: &mut (impl AsyncWrite + Unpin),
         partial: PartialFrame,
     ) -> io::Result<()> {
         self.inner.borrow_mut().partially_sent = Some(partial.ticket);
-        let done = stream.write_all(&partial.rest).await;
+        let result = stream.write_all(&partial.remaining).await;
         let inner = &mut *self.inner.borrow_mut();
         inner.partially_sent = None;
-        if done.is_ok() {
-            inner.sent = partial.ticket;
+        if result.is_ok() {
+            inner.last_sent = partial.ticket;
         }
-        done
+        result
     }
 }
 
--- a/crates/transport/src/send_queue/tests.rs
+++ b/crates/transport/src/send_queue/tests.rs
@@ -2,44 +2,45 @@
 use std::cell::Cell;
 use tokio::io::AsyncReadExt;
 
-/// A peer that reads nothing: what has begun goes on, what waits behind it can still be withdrawn.
+/// With a peer that does not read, a partially written frame is still completed, while the frames behind it can be withdrawn.
 #[tokio::test(flavor = "current_thread")]
 async fn frames_behind_a_stalled_stream_are_withdrawn_when_they_expire() {
-    let (mut here, mut there) = tokio::io::duplex(10);
-    let (queue, now, gone) = (
+    let (mut near_end, mut far_end) = tokio::io::duplex(10);
+    let (queue, now, reported_as_withdrawn) = (
         SendQueue::new(1_000),
         Cell::new(0),
         RefCell::new(Vec::new()),
     );
-    for until in [100, 50, 100] {
+    for expires_at in [100, 50, 100] {
         queue
-            .push(Bytes::from(vec![until as u8; 6]), until)
+            .push(Bytes::from(vec![expires_at as u8; 6]), expires_at)
             .unwrap();
     }
     {
-        let write = queue.write_to(&mut here, || now.get(), |t| gone.borrow_mut().push(t));
-        let meanwhile = async {
+        let on_withdrawn = |ticket| reported_as_withdrawn.borrow_mut().push(ticket);
+        let write = queue.write_to(&mut near_end, || now.get(), on_withdrawn);
+        let checks = async {
             tokio::task::yield_now().await;
             assert!(queue.is_sent(1) && !queue.is_sent(2));
             queue.push(Bytes::from(vec![1; 6]), 60).unwrap();
             now.set(70);
             assert_eq!(
-                queue.withdraw(70, |t| t == 3),
+                queue.withdraw(70, |ticket| ticket == 3),
                 [3, 4],
-                "the second has begun, the first is gone"
+                "the first is sent, the second partially sent"
             );
-            let mut read = vec![0; 12];
-            there.read_exact(&mut read).await.unwrap();
-            assert_eq!(read, [[100; 6], [50; 6]].concat());
+            let mut received = vec![0; 12];
+            far_end.read_exact(&mut received).await.unwrap();
+            assert_eq!(received, [[100; 6], [50; 6]].concat());
             tokio::task::yield_now().await;
             assert!(queue.is_sent(2));
             queue.push(Bytes::from(vec![9; 6]), 60).unwrap();
             tokio::task::yield_now().await;
             queue.close();
         };
-        assert!(tokio::join!(write, meanwhile).0.is_ok());
+        assert!(tokio::join!(write, checks).0.is_ok());
     }
-    assert_eq!(*gone.borrow(), [5]);
+    assert_eq!(*reported_as_withdrawn.borrow(), [5]);
 }
 
 #[test]
--- a/crates/transport/src/socket_network.rs
+++ b/crates/transport/src/socket_network.rs
@@ -1,7 +1,7 @@
-//! The operating system's sockets.
+//! TCP and Unix domain sockets of the operating system.
 //!
-//! System calls fail in ways that say nothing of the peer: a signal interrupts them, descriptors or buffers are short for a
-//! moment, a connection in the queue was given up before it was accepted. Such calls are retried here.
+//! System calls can fail for reasons unrelated to the peer: a signal interrupts them, file descriptors or buffers are
+//! temporarily exhausted, or a queued connection was aborted before it was accepted. Such calls are retried here.
 
 use crate::retrying_stream::{RetryingStream, note_poll_without_call};
 use crate::{Address, IoFuture, Listener, Network, Stream};
@@ -12,24 +12,24 @@
 use tokio::net::{TcpListener, TcpStream, UnixListener, UnixStream};
 use tokio::time::Instant;
 
-/// Backoff between retries of a call that failed for want of a local resource: it doubles from the base to the maximum, so that
-/// a dozen retries fit into the time of a dial.
+/// Backoff between retries of a call that failed for lack of a local resource. It doubles from the base to the maximum, so that
+/// a dozen retries fit into `DIAL_RETRY_LIMIT`.
 const BACKOFF_BASE: Duration = Duration::from_millis(2);
 const BACKOFF_MAX: Duration = Duration::from_millis(10);
-/// A dial is retried for this long: within the time limit of the caller, which would take the failure for a peer that does not
-/// answer.
+/// Time limit of the retries of a dial. It is shorter than the caller's timeout, after which the caller would take the local
+/// failure for an unresponsive peer.
 const DIAL_RETRY_LIMIT: Duration = Duration::from_millis(150);
-/// Listening is retried for this long: the process that had the address may just be ending.
+/// Time limit of the retries of a bind, because the process that used the address may still be terminating.
 const LISTEN_RETRY_LIMIT: Duration = Duration::from_secs(5);
-/// Connections in the queue that failed before they were accepted are skipped, this many in a row.
-const MAX_SKIPPED: usize = 64;
+/// Upper bound of consecutive queued connections that failed before they were accepted and are skipped.
+const MAX_SKIPPED_CONNECTIONS: usize = 64;
 
 /// TCP and Unix domain sockets of this host.
 #[derive(Clone, Copy, Default)]
 pub struct SocketNetwork;
 
-/// Whether a dial failed for want of a local resource, so that it says nothing of the peer.
-pub fn is_local_failure(e: &io::Error) -> bool {
+/// Whether a dial failed for lack of a local resource, which does not indicate a fault of the peer.
+pub fn is_local_failure(error: &io::Error) -> bool {
     const LOCAL: [Errno; 9] = [
         Errno::MFILE,
         Errno::NFILE,
@@ -41,12 +41,13 @@
         Errno::INTR,
         Errno::AGAIN,
     ];
-    e.raw_os_error()
+    error
+        .raw_os_error()
         .is_some_and(|code| LOCAL.iter().any(|local| local.raw_os_error() == code))
 }
 
-/// Whether accept(2) failed because of the connection that it would have given: the next one is not affected.
-fn concerns_one_connection(e: &io::Error) -> bool {
+/// Whether accept(2) failed because of the connection to be accepted, which does not affect the next one.
+fn concerns_one_connection(error: &io::Error) -> bool {
     const ONE_CONNECTION: [Errno; 10] = [
         Errno::CONNABORTED,
         Errno::INTR,
@@ -59,8 +60,11 @@
         Errno::OPNOTSUPP,
         Errno::TIMEDOUT,
     ];
-    e.raw_os_error()
-        .is_some_and(|code| ONE_CONNECTION.iter().any(|one| one.raw_os_error() == code))
+    error.raw_os_error().is_some_and(|code| {
+        ONE_CONNECTION
+            .iter()
+            .any(|errno| errno.raw_os_error() == code)
+    })
 }
 
 /// Retries `call` with backoff, for at most `limit`, while `is_transient` holds for its error.
@@ -72,26 +76,27 @@
 where
     F: Future<Output = io::Result<T>>,
 {
-    let ends_at = Instant::now() + limit;
-    let mut wait = BACKOFF_BASE;
+    let retry_deadline = Instant::now() + limit;
+    let mut backoff = BACKOFF_BASE;
     loop {
         match call().await {
-            Err(e) if is_transient(&e) && Instant::now() + wait < ends_at => {
-                tokio::time::sleep(wait).await;
-                wait = (2 * wait).min(BACKOFF_MAX);
+            Err(error) if is_transient(&error) && Instant::now() + backoff < retry_deadline => {
+                tokio::time::sleep(backoff).await;
+                backoff = (2 * backoff).min(BACKOFF_MAX);
             }
-            done => return done,
+            result => return result,
         }
     }
 }
 
-fn may_become_free(e: &io::Error) -> bool {
-    is_local_failure(e) || e.kind() == io::ErrorKind::AddrInUse
+/// Whether a bind may succeed when retried, because the address or a local resource may become available.
+fn may_become_available(error: &io::Error) -> bool {
+    is_local_failure(error) || error.kind() == io::ErrorKind::AddrInUse
 }
 
-/// A stream over TCP. Without TCP_NODELAY small writes only wait for each other: where it cannot be set, the stream is used all
-/// the same.
-fn over_tcp(stream: TcpStream) -> Stream {
+/// Wraps a TCP stream and sets TCP_NODELAY, so that small writes are not delayed. If the option cannot be set, the stream is
+/// used without it.
+fn wrap_tcp_stream(stream: TcpStream) -> Stream {
     let _ = stream.set_nodelay(true);
     Box::new(RetryingStream(stream))
 }
@@ -100,9 +105,9 @@
     fn dial<'a>(&'a self, address: &'a Address) -> IoFuture<'a, Stream> {
         Box::pin(async move {
             match address {
-                Address::Tcp(at) => {
-                    let dial = || TcpStream::connect(at.as_str());
-                    Ok(over_tcp(
+                Address::Tcp(host_and_port) => {
+                    let dial = || TcpStream::connect(host_and_port.as_str());
+                    Ok(wrap_tcp_stream(
                         retry(DIAL_RETRY_LIMIT, is_local_failure, dial).await?,
                     ))
                 }
@@ -120,14 +125,15 @@
     fn listen<'a>(&'a self, address: &'a Address) -> IoFuture<'a, (Box<dyn Listener>, Address)> {
         Box::pin(async move {
             match address {
-                Address::Tcp(at) => {
-                    let bind = || TcpListener::bind(at.as_str());
-                    let listener = retry(LISTEN_RETRY_LIMIT, may_become_free, bind).await?;
-                    let real = Address::Tcp(listener.local_addr()?.to_string());
-                    Ok((Box::new(listener) as Box<dyn Listener>, real))
+                Address::Tcp(host_and_port) => {
+                    let bind = || TcpListener::bind(host_and_port.as_str());
+                    let listener = retry(LISTEN_RETRY_LIMIT, may_become_available, bind).await?;
+                    let actual_address = Address::Tcp(listener.local_addr()?.to_string());
+                    Ok((Box::new(listener) as Box<dyn Listener>, actual_address))
                 }
                 Address::Unix(path) => {
-                    // A socket file outlives the process that made it: one that nobody answers on is in the way.
+                    // A socket file outlives its process. One that does not accept connections is stale and would prevent the
+                    // bind.
                     if UnixStream::connect(path).await.is_err() {
                         let _ = std::fs::remove_file(path);
                     }
@@ -141,7 +147,8 @@
     }
 }
 
-/// Waits for a connection. It cannot be told from outside whether a listener without one made a system call.
+/// Waits for a connection. Whether a listener without a connection made a system call is not observable, so each pending poll
+/// counts as one without a system call.
 async fn next_connection<T>(accept: impl Future<Output = io::Result<T>>) -> io::Result<T> {
     let mut accept = std::pin::pin!(accept);
     std::future::poll_fn(|cx| {
@@ -161,8 +168,10 @@
     let mut skipped = 0;
     loop {
         match next_connection(accept()).await {
-            Err(e) if concerns_one_connection(&e) && skipped < MAX_SKIPPED => skipped += 1,
-            done => return done,
+            Err(error) if concerns_one_connection(&error) && skipped < MAX_SKIPPED_CONNECTIONS => {
+                skipped += 1
+            }
+            result => return result,
         }
     }
 }
@@ -172,7 +181,7 @@
         Box::pin(async move {
             let (stream, _) =
                 next_intact_connection(async || TcpListener::accept(self).await).await?;
-            Ok(over_tcp(stream))
+            Ok(wrap_tcp_stream(stream))
         })
     }
 }
