--- a/crates/controller/tests/sockets.rs
+++ b/crates/controller/tests/sockets.rs
@@ -56,12 +56,13 @@
             _ => {}
         }
     }
-    fn client_left(&mut self, _: Ticks, _: InvocationId) {}
+    fn invocation_abandoned(&mut self, _: Ticks, _: InvocationId) {}
     fn attempt_ended(&mut self, _: Ticks, result: AttemptResult, actions: &mut dyn Actions) {
-        ATTEMPT_ENDS.with_borrow_mut(|ends| ends.push((result.outcome, result.finished)));
-        if !result.finished && result.outcome.never_ran() {
+        ATTEMPT_ENDS
+            .with_borrow_mut(|ends| ends.push((result.outcome, result.invocation_finished)));
+        if !result.invocation_finished && result.outcome.never_ran() {
             actions.throttle(result.invocation, 100);
-        } else if !result.finished {
+        } else if !result.invocation_finished {
             actions.error(result.invocation);
         }
     }
