--- a/crates/controller/src/invocations.rs
+++ b/crates/controller/src/invocations.rs
@@ -235,13 +235,13 @@
     }
 
     /// Handles a client that has stopped waiting: it gets no final response, and attempts in flight are withdrawn or cancelled.
-    pub fn client_left(&mut self, id: InvocationId) {
+    pub fn abandon_invocation(&mut self, id: InvocationId) {
         let table = &mut self.invocations;
         let Some(entry) = table.entries.get_mut(&id) else {
             return;
         };
         let was_waiting = entry.responder.take().is_some();
-        table.counters.client_left += u64::from(was_waiting);
+        table.counters.abandoned += u64::from(was_waiting);
         let attempts = entry.in_flight.iter();
         let attempts: Vec<(u8, InvokerId, u64)> = attempts
             .map(|(attempt, entry)| (*attempt, entry.invoker, entry.dispatch))
@@ -281,7 +281,7 @@
             FinalResponse::Errored("given up")
         };
         self.invocations.respond(id, response);
-        self.client_left(id);
+        self.abandon_invocation(id);
     }
 
     /// Handles the end of an attempt: sends a successful result to the client, and reports every outcome to the policy.
--- a/crates/controller/src/invocations/counters.rs
+++ b/crates/controller/src/invocations/counters.rs
@@ -12,7 +12,7 @@
     /// Final responses: failed.
     pub errored: u64,
     /// Invocations whose client stopped waiting before their final response.
-    pub client_left: u64,
+    pub abandoned: u64,
     /// Invocations that were read after their client timeout, and therefore not accepted.
     pub expired_on_arrival: u64,
     /// Final responses that were decided after the client timeout, and therefore not sent.
--- a/crates/controller/src/native/clients.rs
+++ b/crates/controller/src/native/clients.rs
@@ -60,7 +60,7 @@
         "client connection closed"
     );
     for id in open_invocations {
-        handle.update(|state| state.client_left(id));
+        handle.update(|state| state.abandon_invocation(id));
     }
 }
 
--- a/crates/controller/src/native/status.rs
+++ b/crates/controller/src/native/status.rs
@@ -21,7 +21,7 @@
             "succeeded": counters.succeeded,
             "throttled": counters.throttled,
             "errored": counters.errored,
-            "left": counters.client_left,
+            "left": counters.abandoned,
             "stale": counters.expired_on_arrival,
             "too_late": counters.answered_too_late,
             "dispatches": counters.attempts,
--- a/crates/platform/src/client_connection.rs
+++ b/crates/platform/src/client_connection.rs
@@ -165,7 +165,7 @@
     match end {
         ConnectionEnd::Left => open
             .into_iter()
-            .for_each(|id| handle.update(|state| state.client_left(id))),
+            .for_each(|id| handle.update(|state| state.abandon_invocation(id))),
         ConnectionEnd::Malformed(why) => {
             open.into_iter()
                 .for_each(|id| handle.update(|state| state.end_invocation(id)));
@@ -294,7 +294,7 @@
                 ClientFrame::Cancel { stream } => {
                     let id = client.open.borrow().get(&stream).copied();
                     id.into_iter()
-                        .for_each(|id| handle.update(|state| state.client_left(id)));
+                        .for_each(|id| handle.update(|state| state.abandon_invocation(id)));
                     Ok(())
                 }
             };
--- a/crates/platform/src/invoker_pools/views.rs
+++ b/crates/platform/src/invoker_pools/views.rs
@@ -26,7 +26,7 @@
         succeeded = counters.succeeded,
         throttled = counters.throttled,
         errored = counters.errored,
-        left = counters.client_left,
+        left = counters.abandoned,
         too_late = counters.answered_too_late,
         dispatches = counters.attempts,
         turned_away = counters.attempts_rejected,
--- a/crates/platform/src/tests/races.rs
+++ b/crates/platform/src/tests/races.rs
@@ -379,7 +379,7 @@
         assert_eq!(
             stage.handle.inspect(|s| (
                 s.invocations.counters.accepted,
-                s.invocations.counters.client_left
+                s.invocations.counters.abandoned
             )),
             (1, 1)
         );
@@ -393,7 +393,7 @@
         client.write(&[left(4), frames::encode_empty(32, 5).to_vec()].concat());
         assert_eq!(client.hear().await.0, 33);
         assert_eq!(
-            stage.handle.inspect(|s| s.invocations.counters.client_left),
+            stage.handle.inspect(|s| s.invocations.counters.abandoned),
             1
         );
         assert!(stage.nothing_came());
