--- a/crates/controller/src/transport.rs
+++ b/crates/controller/src/transport.rs
@@ -32,7 +32,7 @@
 /// What an invoker's answer reports in addition to the outcome.
 #[derive(Default)]
 pub struct AttemptReport {
-    /// Whether the attempt ran on a warm instance, or on which kind of load it waited.
+    /// How the attempt got its instance: warm, or by a load that it began or joined; or that the load failed.
     pub start_kind: Option<StartKind>,
     /// Concurrent invocations of the same function at the invoker.
     pub concurrency: Option<u8>,
