--- a/crates/platform/src/tests/races.rs
+++ b/crates/platform/src/tests/races.rs
@@ -417,7 +417,7 @@
         assert_eq!(
             controller.handle.inspect(|s| (
                 s.invocations.counters.accepted,
-                s.invocations.counters.client_left
+                s.invocations.counters.abandoned
             )),
             (1, 1)
         );
@@ -433,7 +433,7 @@
         assert_eq!(
             controller
                 .handle
-                .inspect(|s| s.invocations.counters.client_left),
+                .inspect(|s| s.invocations.counters.abandoned),
             1
         );
         assert!(controller.received_nothing());
