--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,14 +1,14 @@
-//! The events that a policy takes and the actions that it asks for, independent of any wire format.
+//! The events that a policy handles and the actions that it requests, independent of any wire format.
 //!
-//! Times are [`Ticks`] of the host's clock. Identifiers are chosen by the host and carry no meaning.
+//! Times are [`Ticks`] of the host's clock. Identifiers are assigned by the host and are opaque to the policy.
 
 mod probes;
 
 pub use probes::{ProbeOutcome, ProbeResult, ReadinessCounts};
 
-/// A time or a span in tenths of a millisecond (100 us).
+/// A point in time or a duration, in tenths of a millisecond (100 us).
 pub type Ticks = u64;
-/// Identifies an invocation within one controller. Unique among the invocations that are not forgotten.
+/// Identifies an invocation within one controller. Unique among the invocations that the policy still tracks.
 pub type InvocationId = u32;
 /// Identifies an invoker. The same at every controller, and the same after the invoker's process restarts.
 pub type InvokerId = u32;
@@ -20,18 +20,19 @@
 /// One second.
 pub const SECOND: Ticks = 1_000 * MILLISECOND;
 
-/// Whether running an invocation twice has a second effect.
+/// Whether running an invocation more than once has a further effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Running it again has no further effect.
+    /// Running the invocation again has no further effect.
     Idempotent,
-    /// It carries an idempotency key: invokers that share a [`KeyScope`] drop a repetition within the idempotency window.
+    /// The invocation carries an idempotency key: invokers that share a [`KeyScope`] drop a repetition within the
+    /// idempotency window.
     IdempotencyKey,
-    /// Running it again has a second effect.
+    /// Running the invocation again repeats its effect.
     NonIdempotent,
 }
 
-/// Which invokers recognise each other's idempotency keys.
+/// The set of invokers that recognise each other's idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
     /// All invokers.
@@ -42,36 +43,36 @@
     Cell,
 }
 
-/// What is configured for a class of invocations.
+/// The configuration of a class of invocations.
 #[derive(Clone, Debug)]
 pub struct TriggerType {
-    /// Within this time an answer earns its full value.
+    /// A response within this time earns its full value.
     pub latency_objective: Ticks,
-    /// After this time the client gives up on an invocation.
+    /// The client abandons an invocation after this time.
     pub client_timeout: Ticks,
-    /// Whether a repetition has a second effect.
+    /// Whether a repeated run has a further effect.
     pub effect: Effect,
-    /// Which invokers recognise an idempotency key.
+    /// The invokers among which an idempotency key is recognised.
     pub key_scope: KeyScope,
-    /// How long an invoker recognises an idempotency key, counted from the first attempt.
+    /// How long an invoker recognises an idempotency key, measured from the first attempt.
     pub idempotency_window: Ticks,
-    /// Value of an answer within the latency objective.
+    /// Value of a response within the latency objective.
     pub billed_value: f64,
-    /// Share of that value which a later answer earns.
+    /// Share of that value that a later response earns.
     pub late_value_share: f64,
 }
 
-/// What is configured for a tenant.
+/// The configuration of a tenant.
 #[derive(Clone, Copy, Debug)]
 pub struct Tenant {
-    /// Invocations a second, over all controllers, within the tenant's quota.
+    /// The tenant's quota, in invocations per second over all controllers.
     pub quota_per_second: f64,
 }
 
 /// The configuration of the deployment that a controller runs in.
 #[derive(Clone, Debug, Default)]
 pub struct Deployment {
-    /// Controllers in the deployment.
+    /// Number of controllers in the deployment.
     pub controllers: u32,
     /// Zone of this controller.
     pub zone: u8,
@@ -79,11 +80,11 @@
     pub trigger_types: Vec<TriggerType>,
     /// Tenants; [`Invocation::tenant`] is an index into them.
     pub tenants: Vec<Tenant>,
-    /// Share of its value that an invocation beyond its tenant's quota earns.
+    /// Share of its value that an invocation in excess of its tenant's quota earns.
     pub over_quota_value_share: f64,
-    /// Memory of an invoker by machine kind, in MB.
+    /// Memory of an invoker in MB, by machine kind.
     pub machine_memory_mb: Vec<f64>,
-    /// Attempts that one invocation may make.
+    /// Maximum number of attempts per invocation.
     pub attempt_limit: u8,
     /// Whether two attempts of one invocation may be in flight at once.
     pub may_attempt_in_parallel: bool,
@@ -93,42 +94,43 @@
     pub may_probe: bool,
     /// Whether invokers may be ordered to load and unload functions.
     pub may_load: bool,
-    /// Whether an invoker without the function answers [`Outcome::Miss`]; otherwise it loads the function.
+    /// Whether an invoker without the function responds with [`Outcome::Miss`]; otherwise it loads the function.
     pub reports_misses: bool,
-    /// How long an invoker keeps an idle instance at least.
+    /// Minimum time for which an invoker keeps an idle instance.
     pub keep_alive: Ticks,
-    /// Longest `retry_after` of a rejection; none: rejections carry no advice.
+    /// Maximum `retry_after` of a rejection; none: rejections carry no `retry_after`.
     pub max_retry_after: Option<Ticks>,
-    /// Longest time between two rounds in which the host delivers events.
+    /// Maximum time between two rounds of event delivery by the host.
     pub max_event_interval: Ticks,
-    /// Window over which load orders are limited; 0: no limit.
+    /// Window over which load orders are limited (rule 5); 0: no limit.
     pub load_window: Ticks,
-    /// Load orders that are always allowed within a window.
+    /// Number of load orders that are always allowed within a window.
     pub free_loads: f64,
-    /// Further load orders that each invocation of that window allows.
+    /// Number of further load orders that each invocation within that window allows.
     pub loads_per_invocation: f64,
-    /// What the endpoint list would have told counts as notified this long after it was last heard, whether it is within
-    /// reach or not; none: the list is always current.
+    /// How long the endpoint list counts as current after its last refresh. A status change that the list would have
+    /// reported counts as notified after this time, even if the list was unreachable. None: the list is always current.
     pub list_lifetime: Option<Ticks>,
-    /// After an invoker is reported as draining, new work may reach it for this long.
+    /// How long new work may still reach an invoker after it was reported as draining (rule 3).
     pub drain_grace: Ticks,
-    /// Share of its capacity that an invoker has when it starts.
+    /// Share of its full capacity that an invoker has when it starts.
     pub initial_capacity_share: f64,
-    /// Time after its start within which an invoker reaches its full capacity.
+    /// Time that an invoker takes from its start to reach its full capacity.
     pub warm_up_time: Ticks,
-    /// An invoker that is warming up collapses when it gets this multiple of its present capacity.
+    /// An invoker that is warming up becomes overloaded when it receives this multiple of its current capacity (rule
+    /// 4).
     pub overload_factor: f64,
-    /// Window over which that work is counted.
+    /// Window over which the received work is summed.
     pub overload_window: Ticks,
 }
 
-/// What the endpoint list says of an invoker's process.
+/// The status of an invoker's process in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum InvokerStatus {
-    /// Takes new work.
+    /// Accepts new work.
     #[default]
     Ready,
-    /// Finishes its work and takes none.
+    /// Completes its current work and accepts no new work.
     Draining,
     /// Not running.
     Gone,
@@ -137,73 +139,73 @@
 /// One entry of the endpoint list.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct InvokerRecord {
-    /// Whom the entry describes.
+    /// The invoker that the entry describes.
     pub invoker: InvokerId,
-    /// Its zone.
+    /// Zone of the invoker.
     pub zone: u8,
-    /// Its kind of machine, an index into [`Deployment::machine_memory_mb`].
+    /// Machine kind of the invoker, an index into [`Deployment::machine_memory_mb`].
     pub machine_kind: u16,
-    /// Its cell.
+    /// Cell of the invoker.
     pub cell: u16,
-    /// Whether it takes work.
+    /// Whether the invoker accepts new work.
     pub status: InvokerStatus,
-    /// Nominal capacity, relative to other invokers.
+    /// Nominal capacity relative to other invokers.
     pub capacity: f64,
-    /// When its process started; none: long ago, or not reported.
+    /// When the process started; none: long ago, or not reported.
     pub started_at: Option<Ticks>,
 }
 
-/// One request of a client to run a function.
+/// A client's request to run a function.
 #[derive(Clone, Debug)]
 pub struct Invocation {
-    /// Its identifier.
+    /// Identifier of the invocation.
     pub id: InvocationId,
-    /// Its class, an index into [`Deployment::trigger_types`].
+    /// Trigger type, an index into [`Deployment::trigger_types`].
     pub trigger: usize,
-    /// Its tenant, an index into [`Deployment::tenants`].
+    /// Tenant, an index into [`Deployment::tenants`].
     pub tenant: usize,
-    /// The function that it runs.
+    /// The function to run.
     pub function: FunctionId,
-    /// The earliest time at which it can have arrived; it may be read later. Whatever counts invocations by time uses
-    /// this.
+    /// The earliest time at which the request can have arrived; the host may read it later. Counts of invocations by
+    /// time use this time.
     pub earliest_arrival: Ticks,
-    /// When the client gives up on it.
+    /// When the client times out.
     pub expires_at: Ticks,
-    /// Predicted run time, where the client gives one.
+    /// Run time predicted by the client, if any.
     pub work_hint: Option<Ticks>,
     /// Memory of one instance, in MB.
     pub memory_mb: f64,
-    /// Invocations that one instance runs at a time.
+    /// Number of invocations that one instance runs concurrently.
     pub concurrency_limit: f64,
-    /// Usual time to load the function, where it is known.
+    /// Usual time to load the function, if known.
     pub load_time_hint: Option<Ticks>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The function ran and answered.
+    /// The function ran and returned a response.
     Succeeded,
-    /// The invoker answered with an error.
+    /// The invoker responded with an error.
     Errored,
-    /// The invoker's queue was full; it did not run.
+    /// The invoker's queue was full; the attempt did not run.
     Full,
-    /// No answer within the time limit.
+    /// No response within the timeout.
     TimedOut,
-    /// No connection could be made; it did not run.
+    /// The connection could not be established; the attempt did not run.
     NoConnection,
-    /// The connection broke after the request had been sent.
+    /// The connection was reset after the request had been sent.
     Reset,
     /// The attempt was cancelled.
     Cancelled,
-    /// The request was not sent, and that says nothing of the invoker.
+    /// The request was not sent, for a reason unrelated to the invoker.
     NotSent,
-    /// The invoker did not hold the function; it did not run.
+    /// The function was not loaded at the invoker; the attempt did not run.
     Miss,
 }
 
 impl Outcome {
-    /// Whether the attempt provably never ran.
+    /// Whether the attempt provably never ran (rule 2).
     pub fn never_ran(self) -> bool {
         matches!(
             self,
@@ -212,46 +214,46 @@
     }
 }
 
-/// Whether an attempt found an instance, where invokers report it.
+/// Whether an attempt found a loaded instance, as reported by the invoker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartKind {
-    /// An instance was loaded.
+    /// An instance was already loaded.
     Warm,
-    /// The attempt began a load.
+    /// The attempt started a load.
     BeganLoad,
-    /// The attempt waited for a load that had begun before.
+    /// The attempt waited for a load that was already in progress.
     JoinedLoad,
     /// The load that the attempt waited for failed.
     LoadFailed,
 }
 
-/// An invoker's own report of its load, sent with an answer.
+/// An invoker's report of its own load, sent with a response.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
-    /// Share of the invoker's cores that is busy.
+    /// Share of the invoker's cores that are busy.
     pub utilization: Option<f64>,
-    /// Invocations waiting at the invoker.
+    /// Number of invocations queued at the invoker.
     pub queue_length: Option<f64>,
 }
 
-/// How one attempt ended.
+/// The result of one attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptResult {
     /// The invocation.
     pub invocation: InvocationId,
-    /// Where the attempt was sent.
+    /// The invoker to which the attempt was sent.
     pub invoker: InvokerId,
-    /// Number of the attempt, from 0.
+    /// Zero-based number of the attempt.
     pub attempt: u8,
-    /// Whether the invocation is finished: no final answer is expected any more.
+    /// Whether the invocation is finished: its final response was sent, or is no longer expected.
     pub invocation_finished: bool,
     /// How the attempt ended.
     pub outcome: Outcome,
-    /// Whether it found an instance, where that is reported.
+    /// Whether the attempt found a loaded instance, if reported.
     pub start_kind: Option<StartKind>,
-    /// Invocations of the same function that the invoker held on arrival, where that is reported.
+    /// Number of invocations of the same function at the invoker on arrival, if reported.
     pub concurrency: Option<u8>,
-    /// Time from dispatch to the end.
+    /// Time from the dispatch to the end of the attempt.
     pub duration: Ticks,
     /// The invoker's load report.
     pub report: LoadReport,
@@ -262,75 +264,76 @@
 pub enum LoadOutcome {
     /// The instances are loaded.
     Loaded,
-    /// The invoker has no capacity for them.
+    /// The invoker has no capacity for the instances.
     NoCapacity,
     /// The load failed.
     LoadFailed,
     /// The invoker could not be reached.
     Unreachable,
-    /// No answer within the time limit.
+    /// No response within the timeout.
     TimedOut,
-    /// The order was not sent, and that says nothing of the invoker.
+    /// The order was not sent, for a reason unrelated to the invoker.
     NotSent,
 }
 
-/// How one load order ended.
+/// The result of one load order.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadResult {
-    /// The invoker that was to load.
+    /// The invoker to which the order was sent.
     pub invoker: InvokerId,
-    /// What it was to load.
+    /// The function to load.
     pub function: FunctionId,
     /// How the order ended.
     pub outcome: LoadOutcome,
-    /// Instances that are loaded there now.
+    /// Number of instances loaded at the invoker now.
     pub loaded_instances: u8,
-    /// Time from the order to its end.
+    /// Time from the issue of the order to its end.
     pub duration: Ticks,
-    /// When the order had been sent completely, where that is known; otherwise it counts from when it was given.
+    /// When the order had been sent completely, if known. Otherwise the time of its issue counts.
     pub sent_at: Option<Ticks>,
 }
 
-/// A policy's view of one invoker, for logs and for comparison with what the sockets saw.
+/// A policy's view of one invoker, for logs and for comparison with the state of the sockets.
 #[derive(Clone, Copy, Debug)]
 pub struct InvokerView {
     /// The invoker.
     pub invoker: InvokerId,
-    /// Attempts in flight there.
+    /// Number of attempts in flight at the invoker.
     pub in_flight: u32,
-    /// Duration of attempts over the duration expected.
+    /// Ratio of the actual to the expected duration of attempts.
     pub slowdown: f64,
-    /// Share of recent attempts that ended in an error.
+    /// Share of recent attempts that failed with an error.
     pub error_rate: f64,
-    /// Whether it is ejected: no attempts go there for now.
+    /// Whether the invoker is ejected, so that no attempts are sent to it for now.
     pub is_ejected: bool,
 }
 
-/// Sizes of a policy's tables and the work it has done, by count, so that both can be bounded without a clock.
+/// Sizes of a policy's tables and operation counts, with which tests bound memory and work without a clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TableSizes {
-    /// Invokers known.
+    /// Number of known invokers.
     pub invokers: usize,
-    /// Functions known.
+    /// Number of known functions.
     pub functions: usize,
-    /// Instances known or remembered, over all functions.
+    /// Number of tracked instances, over all functions.
     pub instances: usize,
-    /// Invokers held in rank order, over all functions.
+    /// Number of ranking entries, over all functions.
     pub ranked: usize,
-    /// Invokers looked at to rank them, since the start.
+    /// Number of invokers examined by rankings since the start.
     pub rank_steps: u64,
-    /// Load orders that count against the window's budget.
+    /// Number of load orders that count against the budget of the window.
     pub loads_counted: usize,
-    /// Invocations that widen that budget.
+    /// Number of invocations that increase that budget.
     pub invocations_counted: usize,
 }
 
-/// What a policy can ask its host to do. Each is carried out before the call that asked for it returns, or queued by the host.
+/// The actions that a policy can request from its host. The host carries out each action before the method returns, or
+/// queues it.
 pub trait Actions {
-    /// Sends an invocation to an invoker. `timeout` 0: until the client gives up.
+    /// Sends an invocation to an invoker. `timeout` 0: the client timeout applies.
     fn dispatch(&mut self, invocation: InvocationId, invoker: InvokerId, timeout: Ticks);
-    /// Like [`Actions::dispatch`], but nothing of it may begin to be sent from `send_by` on. A host that sends at once, or
-    /// not at all, need not override it.
+    /// Like [`Actions::dispatch`], but sending must begin before `send_by`, or not at all. A host that sends
+    /// immediately, or never, does not need to override it.
     fn dispatch_by(
         &mut self,
         invocation: InvocationId,
@@ -340,25 +343,26 @@
     ) {
         self.dispatch(invocation, invoker, timeout);
     }
-    /// Final answer: it never ran, or may safely run again; the client may retry after `retry_after` (0: no advice).
+    /// Sends the final response for an invocation that never ran or may safely run again. The client may retry after
+    /// `retry_after` (0: not specified).
     fn throttle(&mut self, invocation: InvocationId, retry_after: Ticks);
-    /// Final answer that promises nothing.
+    /// Sends the final response for an invocation that failed and may have run.
     fn error(&mut self, invocation: InvocationId);
-    /// Cancels an attempt; its end is reported like any other.
+    /// Cancels an attempt. Its end is reported like that of any other attempt.
     fn cancel(&mut self, invocation: InvocationId, attempt: u8);
-    /// Orders an invoker to hold at least `count` instances of a function.
+    /// Orders an invoker to keep at least `count` instances of a function loaded.
     fn load(&mut self, invoker: InvokerId, function: FunctionId, count: u8);
-    /// Like [`Actions::load`], but nothing of it may begin to be sent from `send_by` on. A host that sends at once, or not at
-    /// all, need not override it.
+    /// Like [`Actions::load`], but sending must begin before `send_by`, or not at all. A host that sends immediately,
+    /// or never, does not need to override it.
     fn load_by(&mut self, invoker: InvokerId, function: FunctionId, count: u8, _send_by: Ticks) {
         self.load(invoker, function, count);
     }
     /// Orders an invoker to unload idle instances of a function.
     fn unload(&mut self, invoker: InvokerId, function: FunctionId);
-    /// Asks an invoker whether it takes new work. The answer is reported by
+    /// Probes whether an invoker accepts new work. The result is reported through
     /// [`probe_ended`](crate::DispatchPolicy::probe_ended).
     fn probe(&mut self, invoker: InvokerId);
-    /// Asks for one [`timer_fired`](crate::DispatchPolicy::timer_fired) with `token` at `at`.
+    /// Schedules one call of [`timer_fired`](crate::DispatchPolicy::timer_fired) with `token` at `at`.
     fn set_timer(&mut self, at: Ticks, token: u64);
     /// Writes a line to the host's log.
     fn log(&mut self, text: &str);
--- a/src/interface/probes.rs
+++ b/src/interface/probes.rs
@@ -1,44 +1,44 @@
-//! Probes: what an invoker itself says of whether it takes new work.
+//! Probes, with which an invoker itself reports whether it accepts new work.
 
 use super::{InvokerId, Ticks};
 
-/// How a probe ended: whether an invoker takes new work, by its own word.
+/// How a probe ended: whether the invoker itself reported that it accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeOutcome {
-    /// It takes new work.
+    /// The invoker accepts new work.
     Ready,
-    /// It takes none.
+    /// The invoker accepts no new work.
     NotReady,
-    /// No connection could be made, or it broke.
+    /// The connection could not be established, or was lost.
     Unreachable,
-    /// No answer within the time limit.
+    /// No response within the timeout.
     TimedOut,
-    /// The probe was not sent, and that says nothing of the invoker.
+    /// The probe was not sent, for a reason unrelated to the invoker.
     NotSent,
 }
 
-/// How one probe ended.
+/// The result of one probe.
 #[derive(Clone, Copy, Debug)]
 pub struct ProbeResult {
     /// The invoker that was probed.
     pub invoker: InvokerId,
     /// How the probe ended.
     pub outcome: ProbeOutcome,
-    /// The answer tells of the invoker as it was then, or later.
+    /// When the probe was sent. The result describes the invoker at this time or later.
     pub sent_at: Ticks,
-    /// Time from the probe to its end.
+    /// Time from the request of the probe to its end.
     pub duration: Ticks,
 }
 
-/// What was done since the start where the endpoint list did not vouch for an invoker, by count.
+/// Counts since the start of the actions taken because the endpoint list was too old to confirm an invoker as ready.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReadinessCounts {
-    /// Probes sent.
+    /// Number of probes sent.
     pub probes: u64,
-    /// Probes answered with "not ready".
+    /// Number of probes with the response "not ready".
     pub not_ready: u64,
-    /// Probes without an answer, or without a connection.
+    /// Number of probes without a response or a connection.
     pub unanswered: u64,
-    /// Times that an invocation waited for an invoker to vouch for itself.
+    /// Number of times that an invocation waited for an invoker to confirm that it is ready.
     pub waits: u64,
 }
