--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,20 +1,21 @@
-//! The dispatch policy: all decisions of one controller.
+//! The dispatch policy, which makes all decisions of one controller.
 //!
 //! # How to call it
 //!
-//! Create a [`DispatchPolicy`] at start, then call one method for each event: [`invokers_changed`], [`invocation_arrived`],
-//! [`invocation_abandoned`], [`attempt_ended`], [`load_ended`], [`timer_fired`]; where the endpoint list can go out of date, also
-//! [`endpoint_list_refreshed`] and [`probe_ended`]. Each takes the time, and most an [`Actions`] through which the policy acts before
-//! it returns. The same calls give the same actions.
+//! Create a [`DispatchPolicy`] at startup, then call one method for each event: [`invokers_changed`],
+//! [`invocation_arrived`], [`invocation_abandoned`], [`attempt_ended`], [`load_ended`] and [`timer_fired`]. If the
+//! endpoint list can become outdated, also call [`endpoint_list_refreshed`], [`connection_lost`] and [`probe_ended`].
+//! Each method takes the current time, and most take an [`Actions`] through which the policy requests actions before
+//! the method returns. The same calls produce the same actions.
 //!
-//! # Where to read
+//! # Module overview
 //!
-//! The ordinary path is `pool_sizing` (how many invokers a function's pool has, each second), `ranking` (which ones),
-//! `placement` (the one with the earliest expected finish) and `loads` (orders that keep the pool loaded). `retries` and
-//! `admission` decide what becomes of an invocation that has no answer yet, `health` and `slow_start` which invokers may get
-//! work, `readiness` which may get any while the endpoint list is out of reach. `load_budget` and `load_breaker` limit load orders; `outcomes` learns from the ends of attempts, with the estimates of
-//! `estimates`.
-//! `docs/design.md` gives the reasons.
+//! On the usual path, `pool_sizing` decides each second how many invokers the pool of a function has, `ranking` which
+//! invokers these are, `placement` selects the invoker with the earliest expected finish, and `loads` orders the loads
+//! that keep the pool loaded. `retries` and `admission` decide whether an invocation without a response is retried or
+//! rejected. `health` and `slow_start` decide which invokers may receive work, and `readiness` which may while the
+//! endpoint list is unreachable. `load_budget` and `load_breaker` limit load orders. `outcomes` updates the estimates
+//! of `estimates` from the results of attempts. `docs/design.md` gives the reasons.
 //!
 //! [`invokers_changed`]: DispatchPolicy::invokers_changed
 //! [`invocation_arrived`]: DispatchPolicy::invocation_arrived
@@ -23,6 +24,7 @@
 //! [`load_ended`]: DispatchPolicy::load_ended
 //! [`timer_fired`]: DispatchPolicy::timer_fired
 //! [`endpoint_list_refreshed`]: DispatchPolicy::endpoint_list_refreshed
+//! [`connection_lost`]: DispatchPolicy::connection_lost
 //! [`probe_ended`]: DispatchPolicy::probe_ended
 
 mod admission;
@@ -56,24 +58,24 @@
 use loads::Loads;
 use pool_sizing::PoolSizing;
 use ranking::ReadyInvokers;
-use readiness::EndpointListAge;
+use readiness::EndpointListFreshness;
 use slow_start::CompletedWork;
 use std::collections::BTreeMap;
 use timers::Timers;
 
-/// Time constants, in seconds, over which call rates are smoothed. The middle one also smooths the rate of completed work.
+/// Time constants, in seconds, for the smoothing of call rates. The middle one also smooths the rate of completed work.
 const RATE_TIME_CONSTANTS_S: [f64; 3] = [2.0, 8.0, 30.0];
-/// Run time that is assumed before the first answer, in ticks.
+/// Run time assumed before the first response, in ticks.
 const INITIAL_RUN_TIME: f64 = 150.0 * MILLISECOND as f64;
 
-/// What is continued when an attempt, a load or a timer ends.
+/// A step that runs when an attempt, a load order or a probe ends, or when a timer fires.
 type Continuation = Box<dyn FnOnce(&mut DispatchPolicy, &mut dyn Actions)>;
 
-/// What is configured for a class of invocations, and what was learned of it.
+/// The configuration of a trigger type, and the run times learned for it.
 struct TriggerStats {
     settings: TriggerType,
     run_time: QuantileMean,
-    /// Run time over the client's prediction.
+    /// Ratio of the actual run time to the client's prediction.
     run_time_per_hint: QuantileMean,
 }
 
@@ -90,7 +92,7 @@
 /// The state and the decisions of one controller.
 pub struct DispatchPolicy {
     now: Ticks,
-    /// When the controller last continued after its process had been stopped.
+    /// When the controller last resumed after a stall of its process.
     resumed_at: Ticks,
     started_at: Ticks,
     deployment: Deployment,
@@ -98,7 +100,7 @@
     seed: u64,
     triggers: Vec<TriggerStats>,
     invokers: BTreeMap<InvokerId, InvokerState>,
-    list_age: EndpointListAge,
+    list_freshness: EndpointListFreshness,
     ready: ReadyInvokers,
     functions: BTreeMap<FunctionId, FunctionState>,
     invocations: BTreeMap<InvocationId, InvocationState>,
@@ -110,7 +112,7 @@
 }
 
 impl DispatchPolicy {
-    /// Starts a controller that knows its configuration and nothing else. `seed` is for random choices.
+    /// Creates the policy of a controller that knows only its configuration. `seed` determines its random choices.
     pub fn new(now: Ticks, deployment: Deployment, seed: u64, actions: &mut dyn Actions) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let pools = PoolSizing::new(rng.f64());
@@ -127,7 +129,7 @@
                 .collect(),
             deployment,
             invokers: BTreeMap::new(),
-            list_age: EndpointListAge::default(),
+            list_freshness: EndpointListFreshness::default(),
             ready: ReadyInvokers::new(),
             functions: BTreeMap::new(),
             invocations: BTreeMap::new(),
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,19 +1,20 @@
-//! Admission: how long a wait is worth it, and the rejection of what cannot be answered in time.
+//! Admission: how long a wait is acceptable, and the rejection of invocations that cannot finish in time.
 
 use super::DispatchPolicy;
 use super::invocations::InvocationState;
 use crate::interface::{Actions, InvocationId, Ticks};
 
-/// The final answer is given this long before the client gives up.
+/// Time before the client timeout by which the final response is sent.
 pub(super) const DEADLINE_MARGIN: Ticks = 10 * crate::interface::MILLISECOND;
-/// A rejected client may retry after this fraction of the latency objective.
+/// A rejected client may retry after the latency objective divided by this.
 const RETRY_AFTER_DIVISOR: Ticks = 8;
-/// Invocations of the least billed value wait this share of the time that those of the highest wait.
-const MIN_PATIENCE: f64 = 0.5;
+/// Acceptable wait of an invocation of zero billed value, as a share of that of the highest billed value.
+const MIN_WAIT_SHARE: f64 = 0.5;
 
 impl DispatchPolicy {
-    /// How long, in ticks, a wait is still worth it: in an overload the least billed value is rejected first.
-    pub(super) fn patience(&self, state: &InvocationState) -> f64 {
+    /// Longest acceptable wait, in ticks. It increases with the billed value, so that in an overload the invocations of
+    /// the lowest value are rejected first.
+    pub(super) fn acceptable_wait(&self, state: &InvocationState) -> f64 {
         let settings = &self.triggers[state.request.trigger].settings;
         let values = self
             .triggers
@@ -23,10 +24,12 @@
         let remaining = settings
             .latency_objective
             .saturating_sub(self.now - state.arrived_at) as f64;
-        remaining * (MIN_PATIENCE + (1.0 - MIN_PATIENCE) * settings.billed_value / highest_value)
+        remaining
+            * (MIN_WAIT_SHARE + (1.0 - MIN_WAIT_SHARE) * settings.billed_value / highest_value)
     }
 
-    /// Gives the final answer at once: the client may retry where that is safe, after `load_time` where a load is under way.
+    /// Sends the final response of an invocation immediately: a throttle with a `retry_after` of at least `load_time`
+    /// if a retry by the client is safe (rule 2), and an error otherwise.
     pub(super) fn reject(&mut self, id: InvocationId, load_time: Ticks, actions: &mut dyn Actions) {
         let state = self
             .invocations
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -1,17 +1,17 @@
-//! The way of an invocation: from placement to an attempt, and from the end of an attempt to the next decision.
+//! The processing of an invocation: from placement to an attempt, and from the end of an attempt to the next decision.
 
 use super::DispatchPolicy;
 use super::admission::DEADLINE_MARGIN;
 use super::health::HEALTH_CHECK_INTERVAL;
 use super::invocations::{Attempt, EarlierAttempt};
 use super::invokers::InvokerState;
-use super::loads::WHOLE_BUDGET;
+use super::loads::FULL_BUDGET_SHARE;
 use super::placement::{CORES_PER_INVOKER, Placement};
 use super::slow_start::SentWork;
 use crate::interface::{Actions, AttemptResult, Effect, InvocationId, InvokerId, Outcome, Ticks};
 
 impl DispatchPolicy {
-    /// Decides what becomes of an invocation without an attempt in flight.
+    /// Decides the next step of an invocation without an attempt in flight, and takes it.
     pub(super) fn route(&mut self, id: InvocationId, actions: &mut dyn Actions) {
         let Some(state) = self
             .invocations
@@ -20,7 +20,7 @@
         else {
             return;
         };
-        state.decisions += 1;
+        state.decision_count += 1;
         if self.now + DEADLINE_MARGIN >= state.request.expires_at {
             return self.reject(id, 0, actions);
         }
@@ -39,45 +39,45 @@
             Placement::AwaitLoad {
                 invoker,
                 load_time,
-                answer_time,
+                response_time,
             } => {
-                self.order_and_await_load(id, invoker, load_time, answer_time, actions);
+                self.order_and_await_load(id, invoker, load_time, response_time, actions);
             }
             Placement::Reject => self.reject(id, self.loads.breaker.remaining(self.now), actions),
         }
     }
 
-    /// Orders a load for an invocation, and lets it wait if there is time. What cannot end in time is answered at once: the
-    /// instance is loaded when the client retries.
+    /// Orders a load for an invocation, and makes the invocation wait for it if there is time. An invocation that
+    /// cannot finish in time is rejected immediately; the instance is loaded when the client retries.
     fn order_and_await_load(
         &mut self,
         id: InvocationId,
         invoker: InvokerId,
         load_time: Ticks,
-        answer_time: Ticks,
+        response_time: Ticks,
         actions: &mut dyn Actions,
     ) {
         let request = &self.invocations[&id].request;
-        let latest = request
+        let wait_deadline = request
             .expires_at
-            .saturating_sub(answer_time.max(DEADLINE_MARGIN));
-        let is_ordered = self.order_load(invoker, request.function, WHOLE_BUDGET, actions);
-        if self.now + load_time >= latest {
+            .saturating_sub(response_time.max(DEADLINE_MARGIN));
+        let is_ordered = self.order_load(invoker, request.function, FULL_BUDGET_SHARE, actions);
+        if self.now + load_time >= wait_deadline {
             self.reject(id, if is_ordered { load_time } else { 0 }, actions);
         } else if is_ordered {
-            self.await_load(id, invoker, latest, actions);
+            self.await_load(id, invoker, wait_deadline, actions);
         } else {
-            // The budget is used up. It frees up with time; attempts do not.
-            let at = (self.now + HEALTH_CHECK_INTERVAL).min(latest);
+            // The load budget is exhausted. It is replenished with time, unlike the number of attempts.
+            let retry_at = (self.now + HEALTH_CHECK_INTERVAL).min(wait_deadline);
             self.schedule(
-                at,
+                retry_at,
                 actions,
                 Box::new(move |policy, actions| policy.route(id, actions)),
             );
         }
     }
 
-    /// Sends an invocation to an invoker.
+    /// Dispatches an invocation to an invoker.
     fn dispatch(
         &mut self,
         id: InvocationId,
@@ -136,19 +136,20 @@
         }
     }
 
-    /// Until when an attempt that is decided now may begin to be sent.
+    /// The time before which sending of an attempt that is decided now must begin.
     fn attempt_deadline(&self, id: InvocationId, invoker_id: InvokerId) -> Ticks {
         let state = &self.invocations[&id];
         let settings = &self.triggers[state.request.trigger].settings;
-        let window_ends_at = match (settings.effect, state.may_have_run) {
-            // The key is recognised within its window alone: a retry is sent by then, or decided anew.
+        let window_ends_at = match (settings.effect, state.first_possible_run) {
+            // The key is recognised only within its window (rule 2): a retry is sent before its end, or decided again.
             (Effect::IdempotencyKey, Some(first)) => first.sent_at + settings.idempotency_window,
             _ => Ticks::MAX,
         };
         self.new_work_deadline(invoker_id).min(window_ends_at)
     }
 
-    /// An attempt has ended: the invocation is finished, or decided anew.
+    /// Continues an invocation after the end of an attempt: removes it if it is finished, and decides its next step
+    /// otherwise.
     fn continue_invocation(&mut self, id: InvocationId, actions: &mut dyn Actions) {
         match self.invocations.get(&id) {
             Some(state) if state.is_finished => self.finish(id),
@@ -157,7 +158,7 @@
         }
     }
 
-    /// An attempt has ended.
+    /// Handles the end of an attempt.
     pub fn attempt_ended(&mut self, now: Ticks, result: AttemptResult, actions: &mut dyn Actions) {
         self.advance_clock(now);
         let Some(state) = self.invocations.get_mut(&result.invocation) else {
@@ -171,16 +172,16 @@
                 sent_at: attempt.sent_at,
                 invoker: attempt.invoker,
             };
-            state.may_have_run = state.may_have_run.or(Some(ended));
+            state.first_possible_run = state.first_possible_run.or(Some(ended));
         }
         if result.outcome != Outcome::Miss {
-            state.tried.push(attempt.invoker);
+            state.tried_invokers.push(attempt.invoker);
         }
         state.is_finished |= result.invocation_finished;
         let request = state.request.clone();
         if result.outcome == Outcome::Succeeded {
             self.record_first_success(&request);
-            self.invoker_was_ready(attempt.invoker, attempt.sent_at);
+            self.record_ready(attempt.invoker, attempt.sent_at);
         }
         self.record_attempt(&request, &attempt, &result);
         (attempt.continuation)(self, actions);
@@ -188,10 +189,10 @@
 }
 
 impl InvokerState {
-    /// Work is sent there now.
+    /// Records work that is sent to the invoker now.
     fn record_sent(&mut self, now: Ticks, work: f64, overload_window: Ticks) {
         if self.in_flight == 0 {
-            self.last_heard = now;
+            self.last_response_at = now;
         }
         self.in_flight += 1;
         self.sent_work.push_back(SentWork { at: now, work });
--- a/src/policy/functions.rs
+++ b/src/policy/functions.rs
@@ -1,4 +1,4 @@
-//! What is known of a function: how often it is called, how long it runs and loads, and where its instances are.
+//! The state of a function: its call rate, run time and load time, and its instances at invokers.
 
 use super::estimates::{QuantileMean, TimedValue, decay};
 use super::ranking::Ranking;
@@ -6,49 +6,52 @@
 use crate::interface::{Invocation, InvokerId, SECOND, Ticks};
 use std::collections::BTreeMap;
 
-/// Load time that is assumed where none was reported or seen, in ticks.
+/// Load time assumed before one is reported or measured, in ticks.
 const INITIAL_LOAD_TIME: f64 = SECOND as f64;
-/// A controller that has just started counts calls as if it had watched for so many seconds more.
+/// Seconds added to the observation time of a controller that has just started, so that its first calls do not count as
+/// a high rate.
 const RATE_PRIOR_S: f64 = 10.0;
-/// Remaining load time is taken to be at least this share of the load time.
+/// Lower bound of the remaining load time, as a share of the load time.
 const MIN_REMAINING_LOAD_SHARE: f64 = 0.1;
-/// The time constant, in seconds, with which news of other controllers' use of an instance decays.
+/// Time constant, in seconds, with which the reported concurrency of an instance decays.
 const CONCURRENCY_TIME_CONSTANT_S: f64 = 5.0;
 
-/// A function's instances at one invoker, as far as this controller knows.
+/// The instances of a function at one invoker, as known to this controller.
 #[derive(Default)]
 pub(super) struct Instance {
-    /// Whether one was loaded when last heard of.
+    /// Whether an instance was loaded, by the last response or load result.
     pub is_loaded: bool,
-    /// When it was last used by this controller.
+    /// When this controller last used an instance.
     pub last_used: Ticks,
-    /// Since when it is loading.
+    /// When the load in progress began.
     pub loading_since: Option<Ticks>,
     /// Whether a load order is in flight.
     pub has_load_order: bool,
-    /// What waits for that load order.
-    pub waiting: Vec<Continuation>,
+    /// Steps to run when that load order ends.
+    pub load_continuations: Vec<Continuation>,
     /// Whether this controller ordered the load.
-    pub is_ours: bool,
-    /// Since when the invoker is outside the function's pool and the function was not called.
+    pub is_own_load: bool,
+    /// The latest of the times at which the invoker left the function's pool and the function was last called; none
+    /// while the invoker is in the pool.
     pub unused_since: Option<Ticks>,
-    /// No load is ordered here before.
+    /// No load is ordered at this invoker before this time.
     pub load_cooldown_until: Ticks,
-    /// Until then a miss is remembered.
-    pub missed_until: Ticks,
-    /// Attempts in flight.
+    /// Until this time the instance counts as missing, after an attempt ended in a miss.
+    pub miss_expires_at: Ticks,
+    /// Number of attempts in flight.
     pub in_flight: u32,
-    /// Invocations of the function that an answer found here.
+    /// Concurrency of the function at the invoker, as last reported in a response.
     pub reported_concurrency: TimedValue,
 }
 
 impl Instance {
-    /// Whether an instance is believed to be loaded now.
+    /// Whether an instance is expected to be loaded now.
     pub(super) fn is_warm(&self, now: Ticks, keep_alive: Ticks) -> bool {
         self.is_loaded && (self.in_flight > 0 || now < self.last_used + keep_alive)
     }
 
-    /// Invocations believed to be running or waiting here: this controller's, or those of all as last reported.
+    /// Expected number of invocations that run or wait here: this controller's own, or those of all controllers as last
+    /// reported, whichever is higher.
     pub(super) fn concurrency(&self, now: Ticks) -> f64 {
         f64::from(self.in_flight).max(
             self.reported_concurrency
@@ -61,21 +64,21 @@
 #[derive(Default)]
 pub(super) struct FunctionState {
     pub trigger: usize,
-    /// Calls seen, decaying with each of [`RATE_TIME_CONSTANTS_S`]; right at `last_called`.
-    calls: [f64; 3],
+    /// Number of calls, decayed with each of [`RATE_TIME_CONSTANTS_S`], as of `last_called`.
+    decayed_calls: [f64; 3],
     pub last_called: Ticks,
     pub run_time: QuantileMean,
     pub concurrency_limit: f64,
     pub memory_mb: f64,
-    /// Load time that the last invocation brought, in ticks.
+    /// Load time hint of the last invocation, in ticks.
     load_time_hint: Option<f64>,
-    /// Longest load time seen, in ticks; 0: none.
+    /// Longest measured load time, in ticks; 0: none.
     pub longest_load_time: f64,
-    /// Whether an invoker has run it: what strangers ask for may be no function at all.
+    /// Whether an invoker has run the function. Clients may request functions that do not exist.
     pub has_succeeded: bool,
-    /// Invokers wanted in the pool.
+    /// Target number of invokers in the pool.
     pub pool_size: usize,
-    /// Since when a smaller pool would do.
+    /// Since when a smaller pool would be sufficient.
     pub surplus_since: Option<Ticks>,
     pub ranking: Ranking,
     pub instances: BTreeMap<InvokerId, Instance>,
@@ -84,15 +87,15 @@
 impl FunctionState {
     /// Expected load time, in ticks.
     pub(super) fn load_time(&self) -> f64 {
-        let seen = if self.longest_load_time > 0.0 {
+        let measured = if self.longest_load_time > 0.0 {
             self.longest_load_time
         } else {
             INITIAL_LOAD_TIME
         };
-        self.load_time_hint.unwrap_or(seen)
+        self.load_time_hint.unwrap_or(measured)
     }
 
-    /// Expected time until an instance is loaded at an invoker, in ticks, if a load begins now or has begun.
+    /// Expected time, in ticks, until an instance is loaded at an invoker, if a load begins now or is in progress.
     pub(super) fn remaining_load_time(&self, instance: Option<&Instance>, now: Ticks) -> f64 {
         let load_time = self.load_time();
         match instance.and_then(|instance| instance.loading_since) {
@@ -103,7 +106,7 @@
         }
     }
 
-    /// Expected run time of this invocation alone on an invoker, in ticks.
+    /// Expected run time of this invocation on an otherwise idle invoker, in ticks.
     pub(super) fn expected_run_time(&self, request: &Invocation, trigger: &TriggerStats) -> f64 {
         match request.work_hint {
             Some(hint) => hint as f64 * trigger.run_time_per_hint.mean(),
@@ -111,27 +114,30 @@
         }
     }
 
-    /// Whether an instance is believed to be loaded at this invoker.
+    /// Whether an instance is expected to be loaded at this invoker.
     pub(super) fn is_warm_at(&self, invoker: InvokerId, now: Ticks, keep_alive: Ticks) -> bool {
         self.instances
             .get(&invoker)
             .is_some_and(|instance| instance.is_warm(now, keep_alive))
     }
 
-    /// Calls a second: over the longest time constant, or over a shorter one as far as chance cannot explain it.
+    /// Calls per second, over the longest time constant. A shorter time constant raises the rate if its count exceeds
+    /// what random variation explains: it counts less one standard deviation.
     pub(super) fn call_rate(&self, now: Ticks, started_at: Ticks) -> f64 {
-        let calls =
-            |i: usize| self.calls[i] * decay(now - self.last_called, RATE_TIME_CONSTANTS_S[i]);
-        let lower_bound = |i: usize| (calls(i) - calls(i).sqrt()) / RATE_TIME_CONSTANTS_S[i];
+        let calls = |index: usize| {
+            self.decayed_calls[index] * decay(now - self.last_called, RATE_TIME_CONSTANTS_S[index])
+        };
+        let lower_bound =
+            |index: usize| (calls(index) - calls(index).sqrt()) / RATE_TIME_CONSTANTS_S[index];
         let longest = RATE_TIME_CONSTANTS_S[2];
-        let watched_s = longest * (1.0 - decay(now - started_at, longest));
+        let observed_s = longest * (1.0 - decay(now - started_at, longest));
         lower_bound(0)
             .max(lower_bound(1))
-            .max(calls(2) / (watched_s + RATE_PRIOR_S))
+            .max(calls(2) / (observed_s + RATE_PRIOR_S))
     }
 
     fn count_call(&mut self, request: &Invocation, now: Ticks) {
-        for (calls, time_constant_s) in self.calls.iter_mut().zip(RATE_TIME_CONSTANTS_S) {
+        for (calls, time_constant_s) in self.decayed_calls.iter_mut().zip(RATE_TIME_CONSTANTS_S) {
             *calls = *calls * decay(now - self.last_called, time_constant_s) + 1.0;
         }
         self.last_called = now;
@@ -145,7 +151,6 @@
 }
 
 impl DispatchPolicy {
-    /// Counts a call of a function.
     pub(super) fn record_call(&mut self, request: &Invocation) {
         let now = self.now;
         let run_time = &self.triggers[request.trigger].run_time;
@@ -160,7 +165,8 @@
                 ..FunctionState::default()
             });
         function.count_call(request, now);
-        // Rule 5 counts what clients may ask for: calls of what is no function must not widen the budget.
+        // Calls of functions that may not exist must not increase the load budget (rule 5): clients may request any
+        // name.
         if function.has_succeeded {
             self.loads
                 .budget
--- a/src/policy/invocations.rs
+++ b/src/policy/invocations.rs
@@ -1,4 +1,4 @@
-//! What is known of an invocation from its arrival until its last attempt has ended.
+//! The state of an invocation from its arrival until its last attempt has ended.
 
 use super::admission::DEADLINE_MARGIN;
 use super::{Continuation, DispatchPolicy};
@@ -8,13 +8,13 @@
 pub(super) struct Attempt {
     pub invoker: InvokerId,
     pub sent_at: Ticks,
-    /// When an answer is expected, if all goes as its placement foresaw.
+    /// When the response is due, by the estimates of the placement.
     pub due_at: Ticks,
-    /// Whether an instance was believed to be loaded there.
+    /// Whether an instance was expected to be loaded at the invoker.
     pub expects_instance: bool,
     /// Whether a cancel has been sent.
     pub is_cancelled: bool,
-    /// Whether the invoker was believed to have a core for it.
+    /// Whether the invoker was expected to have a free core.
     pub expects_free_core: bool,
     /// Expected run time, in ticks.
     pub expected_run_time: f64,
@@ -28,21 +28,22 @@
     pub invoker: InvokerId,
 }
 
-/// An invocation, and what became of it so far.
+/// An invocation and its progress.
 pub(super) struct InvocationState {
     pub request: Invocation,
     pub arrived_at: Ticks,
-    /// One at a time, also where two are allowed: hedged requests cost more than they won.
+    /// The attempt in flight. There is at most one, even where parallel attempts are allowed, as the cost of hedged
+    /// requests exceeded their benefit.
     pub in_flight: Option<Attempt>,
-    /// Attempts made.
+    /// Number of attempts made.
     pub attempts: u8,
-    /// How often it was decided what becomes of it: a wait from an earlier decision is void.
-    pub decisions: u32,
-    /// The first attempt that has ended and may have run.
-    pub may_have_run: Option<EarlierAttempt>,
-    /// Invokers that are not tried again.
-    pub tried: Vec<InvokerId>,
-    /// Whether the final answer was given, or nobody waits for it.
+    /// Number of decisions made on the invocation. A wait that began with an earlier decision is void.
+    pub decision_count: u32,
+    /// The first ended attempt that may have run.
+    pub first_possible_run: Option<EarlierAttempt>,
+    /// Invokers to which no further attempt is sent.
+    pub tried_invokers: Vec<InvokerId>,
+    /// Whether the final response was sent, or the client no longer waits for it.
     pub is_finished: bool,
 }
 
@@ -53,22 +54,22 @@
             arrived_at: now,
             in_flight: None,
             attempts: 0,
-            decisions: 0,
-            may_have_run: None,
-            tried: Vec::new(),
+            decision_count: 0,
+            first_possible_run: None,
+            tried_invokers: Vec::new(),
             is_finished: false,
         }
     }
 
-    /// Whatever becomes of it is decided by then.
-    pub(super) fn latest_answer(&self) -> Ticks {
+    /// The time by which the final response is sent.
+    pub(super) fn response_deadline(&self) -> Ticks {
         self.request.expires_at.saturating_sub(DEADLINE_MARGIN)
     }
 
-    /// The first attempt that may have run, in flight or ended.
-    pub(super) fn attempt_that_may_have_run(&self) -> Option<EarlierAttempt> {
+    /// The first attempt that may have run or may still run, ended or in flight.
+    pub(super) fn earliest_possible_run(&self) -> Option<EarlierAttempt> {
         let in_flight = self.in_flight.as_ref();
-        self.may_have_run
+        self.first_possible_run
             .or(in_flight.map(|attempt| EarlierAttempt {
                 sent_at: attempt.sent_at,
                 invoker: attempt.invoker,
@@ -77,7 +78,7 @@
 }
 
 impl DispatchPolicy {
-    /// An invocation was read. It gets a final answer unless the client leaves before.
+    /// Handles the arrival of an invocation. It receives a final response unless it is abandoned first.
     pub fn invocation_arrived(
         &mut self,
         now: Ticks,
@@ -92,13 +93,13 @@
         self.route(id, actions);
     }
 
-    /// The client waits no more: no final answer is given.
+    /// Records that the client no longer waits for an invocation: it receives no final response.
     pub fn invocation_abandoned(&mut self, now: Ticks, id: InvocationId) {
         self.advance_clock(now);
         self.finish(id);
     }
 
-    /// No final answer is owed any more. The invocation is forgotten once no attempt is in flight.
+    /// Marks an invocation as finished, and removes it if no attempt is in flight.
     pub(super) fn finish(&mut self, id: InvocationId) {
         let Some(state) = self.invocations.get_mut(&id) else {
             return;
--- a/src/policy/invokers.rs
+++ b/src/policy/invokers.rs
@@ -1,4 +1,4 @@
-//! What is known of an invoker, and how the endpoint list changes it.
+//! The state of an invoker, and its updates from the endpoint list.
 
 use super::estimates::TimedValue;
 use super::readiness::Confirmation;
@@ -7,48 +7,48 @@
 use crate::interface::{FunctionId, InvokerId, InvokerRecord, InvokerStatus, Ticks};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Least capacity of an invoker that computations go by.
+/// Lower bound of an invoker's capacity in computations.
 const MIN_CAPACITY: f64 = 0.01;
 
-/// Rejections for want of capacity of one tenant and class, since one of theirs was last served.
+/// Rejections for lack of capacity of one tenant and trigger type, since an invocation of theirs last succeeded.
 #[derive(Default)]
 pub(super) struct Rejections {
     pub count: u32,
-    /// Nothing of theirs goes there before.
-    pub until: Ticks,
+    /// Their invocations are not sent to the invoker before this time.
+    pub backoff_until: Ticks,
 }
 
-/// An invoker, as the endpoint list and its answers describe it.
+/// An invoker, as described by the endpoint list and by its responses.
 #[derive(Default)]
 pub(super) struct InvokerState {
     pub record: InvokerRecord,
-    /// Attempts in flight.
+    /// Number of attempts in flight.
     pub in_flight: u32,
-    pub last_heard: Ticks,
-    /// Duration of attempts over the duration expected.
+    pub last_response_at: Ticks,
+    /// Ratio of the actual to the expected duration of attempts.
     pub slowdown: TimedValue,
-    /// Share of recent attempts that ended in an error.
+    /// Share of recent attempts that failed with an error.
     pub error_rate: f64,
     pub ejected_until: Ticks,
-    /// Length of its last ejection; 0: none since it last succeeded.
+    /// Duration of the last ejection; 0: none since the last success.
     pub ejection_time: Ticks,
-    /// It had not started before, by what was seen: its start was not reported, or not yet.
-    pub first_seen: Option<Ticks>,
-    /// By tenant and class. A single one is no sign of ill health.
+    /// Earliest possible start of the process, inferred where the endpoint list does not report its start, or not yet.
+    pub inferred_start: Option<Ticks>,
+    /// Rejections by tenant and trigger type. Rejections of a single one do not indicate an unhealthy invoker.
     pub rejections: BTreeMap<(usize, usize), Rejections>,
     pub confirmation: Confirmation,
-    /// What was sent to it within the overload window.
+    /// Work sent to the invoker within the overload window.
     pub sent_work: VecDeque<SentWork>,
 }
 
 impl InvokerState {
     fn new(record: &InvokerRecord, now: Ticks, is_first_list: bool) -> Self {
-        // An invoker that is listed later than the first list has just started, also where its start is not reported.
+        // An invoker that first appears after the first list has just started, even if its start is not reported.
         let is_new = !is_first_list && record.started_at.is_none();
         Self {
             record: *record,
-            first_seen: is_new.then_some(now),
-            last_heard: now,
+            inferred_start: is_new.then_some(now),
+            last_response_at: now,
             slowdown: TimedValue {
                 value: 1.0,
                 at: now,
@@ -57,14 +57,14 @@
         }
     }
 
-    /// Capacity, where it takes new work.
+    /// Capacity of the invoker, if it accepts new work.
     fn ready_capacity(&self) -> Option<f64> {
         (self.record.status == InvokerStatus::Ready).then(|| self.record.capacity.max(MIN_CAPACITY))
     }
 }
 
 impl DispatchPolicy {
-    /// The endpoint list, or a watch event of it. With `is_complete` the records are all there are.
+    /// Applies the endpoint list, or a watch event of it. If `is_complete`, all other invokers are gone.
     pub fn invokers_changed(&mut self, now: Ticks, is_complete: bool, records: &[InvokerRecord]) {
         self.advance_clock(now);
         self.ready.begin_version();
@@ -89,7 +89,8 @@
             self.ready.set_capacity(invoker_id, capacity);
         }
         self.ready.end_version();
-        self.completed_work.fleet_grew(self.ready.total_capacity());
+        self.completed_work
+            .raise_fleet_capacity(self.ready.total_capacity());
     }
 
     fn apply_record(&mut self, record: &InvokerRecord, is_first_list: bool) {
@@ -113,7 +114,7 @@
         }
     }
 
-    /// The invoker's process has ended, and its instances with it.
+    /// Marks all instances at an invoker as not loaded, after its process has ended.
     pub(super) fn forget_instances(&mut self, invoker_id: InvokerId) {
         for function_id in self.loads.functions_at(invoker_id) {
             let function = self.functions.get_mut(&function_id);
@@ -121,12 +122,12 @@
             if let Some(instance) = instance {
                 instance.is_loaded = false;
                 instance.loading_since = None;
-                instance.is_ours = false;
+                instance.is_own_load = false;
             }
         }
     }
 
-    /// A function and an invoker that both exist.
+    /// The states of a function and an invoker, if both are known.
     pub(super) fn function_and_invoker(
         &mut self,
         function_id: FunctionId,
--- a/src/policy/load_budget.rs
+++ b/src/policy/load_budget.rs
@@ -1,18 +1,18 @@
-//! The budget of load orders (rule 5): within any window, a fixed number of orders and a share of the invocations that
-//! arrived within the same window. Invocations count from when they arrived, however late they are read; orders count from
-//! when they were sent, however long before they were given.
+//! The budget of load orders (rule 5): within any window, a fixed number of orders plus a share of the number of
+//! invocations that arrived within the same window. Invocations count from their arrival, even if they are read later.
+//! Orders count from the time at which they were sent, even if they were issued earlier.
 
 use crate::interface::{Deployment, MILLISECOND, Ticks};
 use std::collections::VecDeque;
 
-/// What counts for and against the budget.
+/// The invocations that increase the budget, and the orders that use it.
 #[derive(Default)]
 pub(super) struct LoadBudget {
-    /// Earliest arrival of the invocations that widen the budget, ascending.
+    /// Earliest arrival times of the invocations that increase the budget, ascending.
     arrivals: VecDeque<Ticks>,
-    /// When orders were sent, ascending. Until an order has ended, when it was given.
+    /// Send times of orders, ascending; for an order that has not ended, its issue time.
     orders: VecDeque<Ticks>,
-    /// Orders in flight.
+    /// Number of orders in flight.
     in_flight: usize,
 }
 
@@ -22,35 +22,35 @@
 }
 
 impl LoadBudget {
-    /// Counts an invocation that widens the budget.
+    /// Counts an invocation that increases the budget.
     pub(super) fn invocation_arrived(&mut self, at: Ticks) {
         insert_sorted(&mut self.arrivals, at);
     }
 
-    /// Counts an order that is given now.
-    pub(super) fn order_given(&mut self, now: Ticks) {
+    /// Counts an order that is issued now.
+    pub(super) fn order_issued(&mut self, now: Ticks) {
         self.in_flight += 1;
         insert_sorted(&mut self.orders, now);
     }
 
-    /// An order that was given at `given_at` has ended; it was sent at `sent_at`, if that is known.
-    pub(super) fn order_ended(&mut self, given_at: Ticks, sent_at: Option<Ticks>) {
+    /// Records the end of an order that was issued at `issued_at` and sent at `sent_at`, if known.
+    pub(super) fn order_ended(&mut self, issued_at: Ticks, sent_at: Option<Ticks>) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        let Some(sent_at) = sent_at.filter(|sent_at| *sent_at > given_at) else {
+        let Some(sent_at) = sent_at.filter(|sent_at| *sent_at > issued_at) else {
             return;
         };
-        if let Ok(index) = self.orders.binary_search(&given_at) {
+        if let Ok(index) = self.orders.binary_search(&issued_at) {
             self.orders.remove(index);
         }
         insert_sorted(&mut self.orders, sent_at);
     }
 
-    /// Orders in flight.
+    /// Number of orders in flight.
     pub(super) fn orders_in_flight(&self) -> usize {
         self.in_flight
     }
 
-    /// Whether one more order stays within `share` of what the window allows now.
+    /// Whether one more order now stays within `share` of the budget of the window.
     pub(super) fn allows_one_more(
         &mut self,
         now: Ticks,
@@ -65,7 +65,7 @@
         window == 0 || (self.orders.len() + 1) as f64 <= limit
     }
 
-    /// Forgets what no window that ends at `now` or later reaches back to.
+    /// Removes the entries that no window that ends at `now` or later includes.
     pub(super) fn forget_expired(&mut self, now: Ticks, window: Ticks) {
         while self
             .arrivals
@@ -79,12 +79,12 @@
         {}
     }
 
-    /// Orders that count against the budget, as of the last check.
+    /// Number of orders that count against the budget, as of the last check.
     pub(super) fn orders_counted(&self) -> usize {
         self.orders.len()
     }
 
-    /// Invocations that widen the budget, as of the last check.
+    /// Number of invocations that increase the budget, as of the last check.
     pub(super) fn invocations_counted(&self) -> usize {
         self.arrivals.len()
     }
--- a/src/policy/load_budget/tests.rs
+++ b/src/policy/load_budget/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::interface::SECOND;
 
-/// Three orders in 5 s, and one more for ten invocations.
+/// Three load orders within 5 s, and one more per ten invocations.
 fn deployment() -> Deployment {
     Deployment {
         load_window: 5 * SECOND,
@@ -11,41 +11,45 @@
     }
 }
 
-/// How many orders the budget allows at `now`, none of which ends.
+/// How many further orders the budget allows at `now`, if none of them ends.
 fn allowed_orders(budget: &mut LoadBudget, now: Ticks) -> usize {
-    let given = (0..100).take_while(|_| {
-        let allowed = budget.allows_one_more(now, &deployment(), 1.0);
-        allowed.then(|| budget.order_given(now));
-        allowed
+    let issued = (0..100).take_while(|_| {
+        let is_allowed = budget.allows_one_more(now, &deployment(), 1.0);
+        is_allowed.then(|| budget.order_issued(now));
+        is_allowed
     });
-    given.count()
+    issued.count()
 }
 
 #[test]
-fn invocations_count_from_their_arrival_however_late_they_are_read() {
-    // All are read at 100 s: ten that arrived 6 s ago, twenty that arrived 2 s ago, in any order.
+fn counts_invocations_by_arrival_time_regardless_of_read_time() {
+    // All are read at 100 s, in mixed order: ten arrived 6 s before, twenty arrived 2 s before.
     let mut budget = LoadBudget::default();
-    for n in 0..30 {
-        budget.invocation_arrived(if n % 3 == 0 { 94 * SECOND } else { 98 * SECOND });
+    for index in 0..30 {
+        budget.invocation_arrived(if index % 3 == 0 {
+            94 * SECOND
+        } else {
+            98 * SECOND
+        });
     }
     assert_eq!(allowed_orders(&mut budget, 100 * SECOND), 5);
-    // When the twenty have left the window, what they allowed is over too, and their orders still count.
+    // The twenty have expired from the window, and so has the budget they added; the orders they allowed still count.
     assert_eq!(allowed_orders(&mut budget, 104 * SECOND), 0);
     assert_eq!(allowed_orders(&mut budget, 106 * SECOND), 3);
 }
 
 #[test]
-fn an_order_counts_from_when_it_left() {
+fn counts_an_order_from_its_send_time() {
     let mut budget = LoadBudget::default();
     assert_eq!(allowed_orders(&mut budget, 100 * SECOND), 3);
-    // One left as it was given, one was not seen to leave, one left two seconds late.
+    // One was sent when it was issued, one at an unknown time, and one two seconds after its issue.
     budget.order_ended(100 * SECOND, Some(100 * SECOND));
     budget.order_ended(100 * SECOND, None);
     budget.order_ended(100 * SECOND, Some(102 * SECOND));
     assert_eq!(budget.orders_in_flight(), 0);
     assert_eq!(allowed_orders(&mut budget, 104 * SECOND), 0);
     assert_eq!(allowed_orders(&mut budget, 106 * SECOND), 2);
-    // Told of after the window of when it was given, it counts all the same.
+    // An order counts even if its end is reported after the window of its issue has expired.
     let mut budget = LoadBudget::default();
     assert_eq!(allowed_orders(&mut budget, 100 * SECOND), 3);
     assert_eq!(allowed_orders(&mut budget, 106 * SECOND), 3);
--- a/src/policy/loads.rs
+++ b/src/policy/loads.rs
@@ -1,5 +1,5 @@
-//! Load orders: given where a pool lacks an instance or an invocation needs one, within the budget and the circuit breaker;
-//! and what their ends tell.
+//! Load orders: issued where a pool lacks an instance or an invocation needs one, within the limits of the budget and
+//! of the circuit breaker, and the updates from their results.
 
 use super::DispatchPolicy;
 use super::functions::FunctionState;
@@ -11,22 +11,22 @@
 };
 use std::collections::BTreeSet;
 
-/// After a failed load none is ordered at the same invoker for this long.
+/// How long no load of a function is ordered at an invoker after a failed load there.
 pub(super) const LOAD_COOLDOWN: Ticks = 3 * SECOND;
-/// An idle instance outside the pool may be unloaded after this long without a call.
+/// Minimum time without a call after which an idle instance outside the pool may be unloaded.
 pub(super) const MIN_DWELL: Ticks = 10 * SECOND;
-/// Weight of a new sample in the rate at which unknown instances were absent.
+/// Weight of a new sample in the absence rate.
 const ABSENCE_WEIGHT: f64 = 0.05;
-/// Orders for waiting invocations may use the whole budget.
-pub(super) const WHOLE_BUDGET: f64 = 1.0;
+/// Share of the load budget for waiting invocations.
+pub(super) const FULL_BUDGET_SHARE: f64 = 1.0;
 
-/// What concerns loads as a whole.
+/// State that concerns all loads.
 pub(super) struct Loads {
     pub breaker: LoadBreaker,
     pub budget: LoadBudget,
-    /// Where functions have an entry in [`FunctionState::instances`].
+    /// Index of the entries of [`FunctionState::instances`], by invoker.
     pub instances: BTreeSet<(InvokerId, FunctionId)>,
-    /// How often an unknown instance was absent.
+    /// Share of attempts at invokers without a known instance that found none.
     pub absence_rate: f64,
 }
 
@@ -42,7 +42,7 @@
 }
 
 impl Loads {
-    /// Functions with an entry at this invoker, ascending.
+    /// The functions with an entry at this invoker, ascending.
     pub(super) fn functions_at(&self, invoker: InvokerId) -> Vec<FunctionId> {
         let range = self
             .instances
@@ -50,14 +50,15 @@
         range.map(|(_, function)| *function).collect()
     }
 
-    /// An invoker with an unknown instance turned out to lack it, or not.
+    /// Records whether an invoker without a known instance turned out to have none.
     pub(super) fn record_unknown_instance(&mut self, was_absent: bool) {
         self.absence_rate += ABSENCE_WEIGHT * (f64::from(was_absent) - self.absence_rate);
     }
 }
 
 impl DispatchPolicy {
-    /// Whether the limit on orders in flight and `budget_share` of the budget allow one more order.
+    /// Whether one more order is allowed by `budget_share` of the budget and, for planned loads, by the limit on orders
+    /// in flight.
     pub(super) fn may_order_load(&mut self, budget_share: f64) -> bool {
         let max_in_flight = (2 * self.ready.len() / self.deployment.controllers as usize).max(1);
         let is_at_limit = self.loads.budget.orders_in_flight() >= max_in_flight;
@@ -65,10 +66,12 @@
             self.loads
                 .budget
                 .allows_one_more(self.now, &self.deployment, budget_share);
-        self.deployment.may_load && is_allowed && (!is_at_limit || budget_share >= WHOLE_BUDGET)
+        self.deployment.may_load
+            && is_allowed
+            && (!is_at_limit || budget_share >= FULL_BUDGET_SHARE)
     }
 
-    /// Orders a load, if it may be. Whether an order is in flight then.
+    /// Orders a load if it is allowed. Returns whether an order is in flight afterwards.
     pub(super) fn order_load(
         &mut self,
         invoker_id: InvokerId,
@@ -90,7 +93,7 @@
             return false;
         }
         if !self.may_send_new_work(invoker_id) {
-            self.when_probed(invoker_id, Box::new(|_, _| {}), actions);
+            self.run_after_probe(invoker_id, Box::new(|_, _| {}), actions);
             return false;
         }
         let Some(function) = self.functions.get_mut(&function_id) else {
@@ -100,13 +103,13 @@
         let instance = function.instances.entry(invoker_id).or_default();
         self.loads.instances.insert((invoker_id, function_id));
         instance.has_load_order = true;
-        instance.is_ours = true;
+        instance.is_own_load = true;
         if begins_load {
             instance.loading_since = instance.loading_since.or(Some(now));
             self.unload_stale_instances(invoker_id, function_id, actions);
             self.loads.breaker.load_began(now);
         }
-        self.loads.budget.order_given(now);
+        self.loads.budget.order_issued(now);
         match self.new_work_deadline(invoker_id) {
             Ticks::MAX => actions.load(invoker_id, function_id, 1),
             send_by => actions.load_by(invoker_id, function_id, 1, send_by),
@@ -114,8 +117,8 @@
         true
     }
 
-    /// Before a load at an invoker: unloads this controller's own idle instances there that have been outside their pool, and
-    /// not called, for a dwell time.
+    /// Unloads the idle instances at an invoker that this controller loaded and that were outside their pool, without a
+    /// call, for a dwell time. Called before a load at the invoker.
     pub(super) fn unload_stale_instances(
         &mut self,
         invoker_id: InvokerId,
@@ -139,15 +142,15 @@
             let is_stale = instance
                 .unused_since
                 .is_some_and(|since| self.now >= since + MIN_DWELL);
-            if instance.is_ours && is_idle && is_stale {
+            if instance.is_own_load && is_idle && is_stale {
                 instance.is_loaded = false;
-                instance.is_ours = false;
+                instance.is_own_load = false;
                 actions.unload(invoker_id, function_id);
             }
         }
     }
 
-    /// A load order has ended.
+    /// Handles the end of a load order.
     pub fn load_ended(&mut self, now: Ticks, result: LoadResult, actions: &mut dyn Actions) {
         self.advance_clock(now);
         self.loads
@@ -158,19 +161,19 @@
         };
         let was_loading = function.record_load(now, &result);
         let instance = function.instances.entry(result.invoker).or_default();
-        let waiting = std::mem::take(&mut instance.waiting);
+        let continuations = std::mem::take(&mut instance.load_continuations);
         self.record_load_health(&result);
         if result.outcome == LoadOutcome::LoadFailed {
             self.loads.breaker.load_failed(now, result.invoker);
         } else if was_loading && result.outcome == LoadOutcome::Loaded {
             self.loads.breaker.load_succeeded();
         }
-        for continuation in waiting {
+        for continuation in continuations {
             continuation(self, actions);
         }
     }
 
-    /// What the end of a load order tells of the invoker.
+    /// Updates the invoker's health from the result of a load order.
     fn record_load_health(&mut self, result: &LoadResult) {
         let Some(invoker) = self.invokers.get_mut(&result.invoker) else {
             return;
@@ -180,43 +183,43 @@
             LoadOutcome::TimedOut => invoker.eject(self.now),
             LoadOutcome::NotSent => {}
             LoadOutcome::Loaded | LoadOutcome::NoCapacity | LoadOutcome::LoadFailed => {
-                invoker.last_heard = self.now;
+                invoker.last_response_at = self.now;
             }
         }
         self.fleet.suspects.insert(result.invoker);
     }
 
-    /// Lets an invocation wait for the load order at an invoker, until `latest`.
+    /// Makes an invocation wait for the load order at an invoker, until `deadline`.
     pub(super) fn await_load(
         &mut self,
         id: InvocationId,
         invoker_id: InvokerId,
-        latest: Ticks,
+        deadline: Ticks,
         actions: &mut dyn Actions,
     ) {
         let Some(state) = self.invocations.get(&id) else {
             return;
         };
-        let when_loaded = Self::unless_decided(state, Self::route);
-        let when_over =
-            Self::unless_decided(state, |policy, id, actions| policy.reject(id, 0, actions));
+        let on_loaded = Self::unless_superseded(state, Self::route);
+        let on_timeout =
+            Self::unless_superseded(state, |policy, id, actions| policy.reject(id, 0, actions));
         let Some(function) = self.functions.get_mut(&state.request.function) else {
             return;
         };
         let instance = function.instances.entry(invoker_id).or_default();
-        instance.waiting.push(when_loaded);
-        self.schedule(latest, actions, when_over);
+        instance.load_continuations.push(on_loaded);
+        self.schedule(deadline, actions, on_timeout);
     }
 }
 
 impl FunctionState {
-    /// Notes the end of a load order. Whether a load was under way.
+    /// Records the end of a load order. Returns whether a load was in progress.
     fn record_load(&mut self, now: Ticks, result: &LoadResult) -> bool {
         let instance = self.instances.entry(result.invoker).or_default();
         let was_loading = instance.loading_since.is_some();
         instance.has_load_order = false;
         instance.loading_since = None;
-        instance.missed_until = 0;
+        instance.miss_expires_at = 0;
         instance.is_loaded = result.outcome == LoadOutcome::Loaded;
         if instance.is_loaded {
             instance.last_used = instance.last_used.max(now - result.duration);
@@ -229,7 +232,7 @@
                 HEALTH_CHECK_INTERVAL
             };
             instance.load_cooldown_until = now + cooldown;
-            instance.is_ours = false;
+            instance.is_own_load = false;
         }
         was_loading
     }
--- a/src/policy/observe.rs
+++ b/src/policy/observe.rs
@@ -1,10 +1,10 @@
-//! Read access to a policy's state, for logs and tests. Nothing here decides or changes anything.
+//! Read-only access to a policy's state, for logs and tests.
 
 use super::DispatchPolicy;
 use crate::interface::{InvokerView, ReadinessCounts, TableSizes, Ticks};
 
 impl DispatchPolicy {
-    /// The view of each invoker that is ready, in the order of their ids.
+    /// The views of all ready invokers, in the order of their ids.
     pub fn invoker_views(&self, now: Ticks) -> Vec<InvokerView> {
         let fleet_slowdown = self.fleet.slowdown.value;
         let view = |invoker_id| {
@@ -20,12 +20,12 @@
         self.ready.ids().map(view).collect()
     }
 
-    /// What was done where the endpoint list did not vouch for an invoker.
+    /// Counts of the actions taken because the endpoint list was too old to confirm an invoker as ready.
     pub fn readiness_counts(&self) -> ReadinessCounts {
-        self.list_age.counts
+        self.list_freshness.counts
     }
 
-    /// Sizes of the tables, and the work done, by count.
+    /// Sizes of the tables, and operation counts.
     pub fn table_sizes(&self) -> TableSizes {
         TableSizes {
             invokers: self.invokers.len(),
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt tells: of the invoker's health, of the function's instance there, and of run times.
+//! Updates from the result of an attempt: the invoker's health, the function's instance there, and run times.
 
 use super::DispatchPolicy;
 use super::estimates::TimedValue;
@@ -7,25 +7,26 @@
 use super::loads::LOAD_COOLDOWN;
 use crate::interface::{AttemptResult, Invocation, InvokerId, Outcome, SECOND, StartKind, Ticks};
 
-/// A miss is remembered for this long.
-const MISS_MEMORY: Ticks = 4 * SECOND;
-/// An invoker with this share of errors is an outlier.
+/// How long an instance counts as missing after a miss.
+const MISS_EXPIRY: Ticks = 4 * SECOND;
+/// Error rate above which an invoker is an outlier.
 const OUTLIER_ERROR_RATE: f64 = 0.4;
 /// Weight of a new sample in an invoker's error rate.
 const ERROR_WEIGHT: f64 = 0.2;
 /// Weight of a new sample in an invoker's slowdown.
 const SLOWDOWN_WEIGHT: f64 = 0.1;
-/// Highest slowdown that one attempt counts as.
+/// Upper bound of the slowdown of a single attempt.
 const MAX_SLOWDOWN_SAMPLE: f64 = 10.0;
-/// An invoker that rejects several tenants or classes for want of capacity has at least this slowdown.
-const FULL_SLOWDOWN: f64 = 3.0;
-/// So many run times of a class are learned however loaded the invoker is.
+/// Lower bound of the slowdown of an invoker that rejects several tenants or trigger types for lack of capacity.
+const MIN_REJECTING_SLOWDOWN: f64 = 3.0;
+/// Number of run times of a trigger type that are learned regardless of the load of the invoker.
 const MIN_RUN_TIME_SAMPLES: f64 = 20.0;
-/// An attempt with an unknown instance took no load if it ended within its run time and this share of the load time.
+/// An attempt at an invoker without a known instance was warm if it ended within its expected run time plus this share
+/// of the load time.
 const WARM_START_LOAD_SHARE: f64 = 0.5;
 
 impl DispatchPolicy {
-    /// A function's first success shows that it is one: from then on its invocations widen the load budget.
+    /// Records that a function exists, after its first success: from then on its invocations increase the load budget.
     pub(super) fn record_first_success(&mut self, request: &Invocation) {
         let Some(function) = self.functions.get_mut(&request.function) else {
             return;
@@ -37,7 +38,7 @@
         }
     }
 
-    /// What the end of an attempt tells of the invoker's health, of the function's instance there, and of run times.
+    /// Updates the invoker's health, the function's instance there, and run times from the result of an attempt.
     pub(super) fn record_attempt(
         &mut self,
         request: &Invocation,
@@ -73,8 +74,8 @@
         }
         match result.outcome {
             Outcome::Succeeded => self.record_success(request, attempt, result, invoker_slowdown),
-            Outcome::Full => self.record_full(request, invoker_id, invoker_slowdown),
-            // Left out, an overload would be judged by the answers that still come.
+            Outcome::Full => self.record_queue_full(request, invoker_id, invoker_slowdown),
+            // Without timeouts, an overload would be judged only by the attempts that still get a response.
             Outcome::TimedOut => self.fleet.record_timeout(now),
             _ => self.record_failure(request, attempt, result),
         }
@@ -85,10 +86,10 @@
         }
     }
 
-    /// How often invokers lack an instance where none was known.
+    /// Updates how often an invoker without a known instance turns out to have none.
     fn record_start_kind(&mut self, attempt: &Attempt, result: &AttemptResult, load_time: f64) {
-        let tells_instance = matches!(result.outcome, Outcome::Succeeded | Outcome::Miss);
-        if attempt.expects_instance || !tells_instance {
+        let shows_instance_state = matches!(result.outcome, Outcome::Succeeded | Outcome::Miss);
+        if attempt.expects_instance || !shows_instance_state {
             return;
         }
         let warm_duration = attempt.expected_run_time + WARM_START_LOAD_SHARE * load_time;
@@ -100,7 +101,7 @@
             .record_unknown_instance(!was_warm || result.outcome == Outcome::Miss);
     }
 
-    /// Something was heard from the invoker, unless the attempt ended without it.
+    /// Records the lateness of a response, unless the attempt ended without one.
     fn record_lateness(&mut self, attempt: &Attempt, result: &AttemptResult) {
         if matches!(
             result.outcome,
@@ -112,10 +113,10 @@
         let Some(invoker) = self.invokers.get_mut(&attempt.invoker) else {
             return;
         };
-        let lateness = now.saturating_sub(invoker.last_heard.max(attempt.due_at)) as f64;
-        invoker.last_heard = now;
-        let was_stopped_meanwhile = self.resumed_at > attempt.sent_at;
-        if lateness > 0.0 && !was_stopped_meanwhile {
+        let lateness = now.saturating_sub(invoker.last_response_at.max(attempt.due_at)) as f64;
+        invoker.last_response_at = now;
+        let was_stalled_meanwhile = self.resumed_at > attempt.sent_at;
+        if lateness > 0.0 && !was_stalled_meanwhile {
             self.fleet
                 .record_lateness(lateness, (now - attempt.due_at) as f64);
         }
@@ -157,14 +158,14 @@
             function.longest_load_time = function.longest_load_time.max(load_time);
         }
         self.completed_work
-            .completed(now, self.triggers[request.trigger].run_time.mean());
+            .record_completed(now, self.triggers[request.trigger].run_time.mean());
         if was_warm {
             self.learn_run_time(request, attempt, duration);
         }
     }
 
-    /// Learns a run time, unless the invoker was loaded: learned in congestion, run times would take it for normal, and pools
-    /// would grow.
+    /// Learns a run time, unless the invoker had no free core. Run times learned in congestion would hide the
+    /// congestion and make pools grow.
     fn learn_run_time(&mut self, request: &Invocation, attempt: &Attempt, duration: f64) {
         let trigger = &mut self.triggers[request.trigger];
         if !attempt.expects_free_core && trigger.run_time.samples >= MIN_RUN_TIME_SAMPLES {
@@ -179,10 +180,16 @@
             .update(duration / request.work_hint.unwrap_or(1).max(1) as f64);
     }
 
-    /// The invoker had no capacity for the attempt. Where it rejects only one of several tenants and classes, it is healthy.
-    fn record_full(&mut self, request: &Invocation, invoker_id: InvokerId, invoker_slowdown: f64) {
+    /// Records that the invoker had no capacity for an attempt. An invoker that rejects only one of several tenants and
+    /// trigger types is healthy.
+    fn record_queue_full(
+        &mut self,
+        request: &Invocation,
+        invoker_id: InvokerId,
+        invoker_slowdown: f64,
+    ) {
         let now = self.now;
-        let is_single_class = self.triggers.len().max(self.deployment.tenants.len()) < 2;
+        let is_single_source = self.triggers.len().max(self.deployment.tenants.len()) < 2;
         let Some(invoker) = self.invokers.get_mut(&invoker_id) else {
             return;
         };
@@ -190,19 +197,19 @@
             .rejections
             .entry((request.tenant, request.trigger))
             .or_default();
-        rejections.until =
+        rejections.backoff_until =
             now + (EJECTION_TIME_BASE << rejections.count.min(5)).min(EJECTION_TIME_MAX);
         rejections.count += 1;
-        if invoker.rejections.len() > 1 || is_single_class {
+        if invoker.rejections.len() > 1 || is_single_source {
             invoker.slowdown = TimedValue {
-                value: invoker_slowdown.max(FULL_SLOWDOWN),
+                value: invoker_slowdown.max(MIN_REJECTING_SLOWDOWN),
                 at: now,
             };
-            self.fleet.record_full(now);
+            self.fleet.record_queue_full(now);
         }
     }
 
-    /// The attempt failed in a way that concerns the invoker or the instance alone.
+    /// Records a failure that concerns only the invoker or the instance.
     fn record_failure(&mut self, request: &Invocation, attempt: &Attempt, result: &AttemptResult) {
         let now = self.now;
         let Some((function, invoker)) =
@@ -213,7 +220,8 @@
         let is_outlier = invoker.error_rate > OUTLIER_ERROR_RATE;
         let instance = function.instances.entry(attempt.invoker).or_default();
         match result.outcome {
-            // A connection may break alone; where a process died, all break, or the next is refused.
+            // A single reset may concern one connection only. If the process died, all connections are reset, or the
+            // next connection is refused.
             Outcome::Reset if is_outlier => {
                 invoker.eject(now);
                 self.forget_instances(attempt.invoker);
@@ -226,7 +234,7 @@
             Outcome::Miss => {
                 instance.is_loaded = false;
                 instance.loading_since = None;
-                instance.missed_until = now + MISS_MEMORY;
+                instance.miss_expires_at = now + MISS_EXPIRY;
             }
             Outcome::NoConnection => invoker.record_unreachable(now, result.duration),
             _ => {}
--- a/src/policy/pool_sizing.rs
+++ b/src/policy/pool_sizing.rs
@@ -1,4 +1,5 @@
-//! Pools: how many invokers hold each function, sized from its estimated demand, and the loads that keep them so.
+//! Pools: the number of invokers that keep each function loaded, sized by its estimated demand, and the loads that fill
+//! them.
 
 use super::DispatchPolicy;
 use super::functions::{FunctionState, Instance};
@@ -8,58 +9,59 @@
 use crate::interface::{Actions, FunctionId, InvokerStatus, SECOND, Ticks};
 use std::collections::VecDeque;
 
-/// How often pools are sized.
+/// Interval between two sizings of the pools.
 const POOL_SIZING_INTERVAL: Ticks = SECOND;
-/// A function that was not called for this long has no pool.
+/// Time without a call after which a function loses its pool.
 const IDLE_FUNCTION_TIMEOUT: Ticks = 25 * SECOND;
-/// Mean utilization of a pool's concurrency: calls come in bursts.
+/// Target utilization of a pool's concurrency. It leaves room for bursts of calls.
 const TARGET_UTILIZATION: f64 = 0.2;
-/// Share of the fleet's memory for pools; the rest is for work and for what others loaded.
+/// Share of the fleet's memory for pools. The rest is for running invocations and for instances loaded by other
+/// controllers.
 const POOL_MEMORY_SHARE: f64 = 0.6;
-/// A loaded instance is renewed after this share of its keep-alive time without a call.
+/// Share of its keep-alive time after which an instance without calls is renewed.
 const RENEWAL_SHARE: f64 = 0.6;
-/// Planned loads use this share of the load budget and leave the rest to waiting invocations.
+/// Share of the load budget for planned loads. The rest is reserved for waiting invocations.
 const PLANNED_LOADS_SHARE: f64 = 0.4;
-/// An instance that this controller loaded may stay loaded for this many keep-alive times.
+/// Number of keep-alive times for which an instance that this controller loaded may stay loaded.
 const OWN_INSTANCE_KEEP_ALIVES: Ticks = 3;
-/// Pools are filled over so many health checks: one event stays short, and an order comes soon.
+/// Number of health checks over which pools are filled, so that no single event takes long and loads are ordered soon.
 const FILL_ROUNDS: usize = 5;
-/// Pools are filled in one event until this many invokers were looked at.
-const MAX_RANK_STEPS: u64 = 50_000;
-/// A ranking longer than this many times what is needed is cut.
+/// Number of invokers examined by rankings in one event after which no further pools are filled.
+const MAX_RANK_STEPS_PER_EVENT: u64 = 50_000;
+/// A ranking with more than this many times the required number of entries is truncated.
 const MAX_RANKING_EXCESS: usize = 8;
 
-/// Sizing and filling of pools.
+/// The state of the sizing and filling of pools.
 pub(super) struct PoolSizing {
-    /// Functions whose pools are still to be filled.
-    to_fill: VecDeque<FunctionId>,
-    /// How many a health check fills.
+    /// Queue of functions whose pools are yet to be filled.
+    fill_queue: VecDeque<FunctionId>,
+    /// Number of pools that each health check fills.
     fills_per_check: usize,
-    /// Planned loads that this controller may still order: its share of one for each invoker and second.
-    planned_loads: f64,
+    /// Number of planned loads that this controller may still order: its share of one per invoker and second.
+    planned_load_allowance: f64,
 }
 
-/// A function's pool as its demand asks for it.
+/// The pool size that the demand for a function requires.
 struct Demand {
     function: FunctionId,
-    /// Value of its calls a second.
+    /// Billed value of its calls per second.
     value_rate: f64,
     pool_size: usize,
 }
 
 impl PoolSizing {
-    /// Starts with a drawn part of a planned load, so that controllers do not act in step.
-    pub(super) fn new(planned_loads: f64) -> Self {
+    /// Starts with an allowance of a random part of a planned load, so that controllers do not act in lockstep.
+    pub(super) fn new(planned_load_allowance: f64) -> Self {
         Self {
-            to_fill: VecDeque::new(),
+            fill_queue: VecDeque::new(),
             fills_per_check: 0,
-            planned_loads,
+            planned_load_allowance,
         }
     }
 }
 
 impl DispatchPolicy {
-    /// Runs at each [`POOL_SIZING_INTERVAL`]: sizes all pools, which the health checks then fill.
+    /// Runs every [`POOL_SIZING_INTERVAL`]: sizes all pools, which the health checks then fill.
     pub(super) fn size_pools(&mut self, actions: &mut dyn Actions) {
         self.schedule(
             self.now + POOL_SIZING_INTERVAL,
@@ -68,31 +70,32 @@
         );
         self.forget_unused();
         self.completed_work
-            .decay_fleet(self.ready.total_capacity(), POOL_SIZING_INTERVAL);
+            .decay_fleet_capacity(self.ready.total_capacity(), POOL_SIZING_INTERVAL);
         let mut free_memory_mb = self.pool_memory_mb();
         let demands = self.estimate_demand(&mut free_memory_mb);
-        let is_filled = self.pools.to_fill.len() <= self.functions.len();
-        let our_share = self.ready.len() as f64 / f64::from(self.deployment.controllers);
-        self.pools.planned_loads = (self.pools.planned_loads + our_share).min(our_share.max(1.0));
+        let may_enqueue = self.pools.fill_queue.len() <= self.functions.len();
+        let own_share = self.ready.len() as f64 / f64::from(self.deployment.controllers);
+        self.pools.planned_load_allowance =
+            (self.pools.planned_load_allowance + own_share).min(own_share.max(1.0));
         for demand in demands {
             let Some(function) = self.functions.get_mut(&demand.function) else {
                 continue;
             };
             function.resize_pool(self.now, demand.pool_size, &mut free_memory_mb);
-            if is_filled {
-                self.pools.to_fill.push_back(demand.function);
+            if may_enqueue {
+                self.pools.fill_queue.push_back(demand.function);
             }
         }
-        self.pools.fills_per_check = self.pools.to_fill.len().div_ceil(FILL_ROUNDS);
+        self.pools.fills_per_check = self.pools.fill_queue.len().div_ceil(FILL_ROUNDS);
     }
 
-    /// Forgets functions, instances and invokers that nothing depends on any more.
+    /// Removes functions, instances and invokers that are no longer needed.
     fn forget_unused(&mut self) {
         let (now, keep_alive) = (self.now, self.deployment.keep_alive);
         for (function_id, function) in &mut self.functions {
             function.instances.retain(|invoker_id, instance| {
-                // An entry that neither an order nor an attempt made is not in the index, and stays.
-                instance.is_remembered(now, keep_alive)
+                // An entry that was created by neither an order nor an attempt is not in the index, and is retained.
+                instance.is_retained(now, keep_alive)
                     || !self.loads.instances.remove(&(*invoker_id, *function_id))
             });
         }
@@ -102,14 +105,18 @@
             .map(|trigger| trigger.settings.client_timeout);
         let longest_timeout = timeouts.max().unwrap_or(0);
         self.functions.retain(|_, function| {
-            let forgotten_at = function.last_called + IDLE_FUNCTION_TIMEOUT + longest_timeout;
-            now < forgotten_at || !function.instances.is_empty()
+            let expires_at = function.last_called + IDLE_FUNCTION_TIMEOUT + longest_timeout;
+            now < expires_at || !function.instances.is_empty()
         });
-        // Ids are never used again: one that is gone is kept while an invocation sent there may be in question.
+        // The id of an invoker that is gone is not reused. Its record is retained while the outcome of an invocation
+        // sent to it may be undecided.
         self.invokers.retain(|_, invoker| {
             let last_sent = invoker.sent_work.back();
-            let may_matter = last_sent.is_some_and(|sent| now < sent.at + 2 * longest_timeout);
-            invoker.record.status != InvokerStatus::Gone || invoker.in_flight > 0 || may_matter
+            let may_be_undecided =
+                last_sent.is_some_and(|sent| now < sent.at + 2 * longest_timeout);
+            invoker.record.status != InvokerStatus::Gone
+                || invoker.in_flight > 0
+                || may_be_undecided
         });
         let invokers = &self.invokers;
         self.fleet.suspects.retain(|id| {
@@ -122,7 +129,7 @@
             .forget_expired(now, self.deployment.load_window);
     }
 
-    /// Memory that pools may use over the fleet, in MB; unlimited where no memory is configured.
+    /// Memory that pools may use over the whole fleet, in MB; unlimited if no memory is configured.
     fn pool_memory_mb(&self) -> f64 {
         let by_kind = &self.deployment.machine_memory_mb;
         let ready = self
@@ -141,8 +148,8 @@
         }
     }
 
-    /// Pools as demand asks for them, the most valuable first. Takes the memory of one instance of each function, which it
-    /// keeps in any case.
+    /// The pool sizes that demand requires, the most valuable first. Subtracts the memory of one instance of each
+    /// function, which every pool has in any case.
     fn estimate_demand(&mut self, free_memory_mb: &mut f64) -> Vec<Demand> {
         let now = self.now;
         let max_pool_size = self.ready.len().max(1) as f64;
@@ -163,29 +170,31 @@
             });
             *free_memory_mb -= function.memory_mb;
         }
-        demands.sort_by(|a, b| {
-            b.value_rate
-                .total_cmp(&a.value_rate)
-                .then(a.function.cmp(&b.function))
+        demands.sort_by(|left, right| {
+            right
+                .value_rate
+                .total_cmp(&left.value_rate)
+                .then(left.function.cmp(&right.function))
         });
         demands
     }
 
-    /// Fills some of the pools, as many as one health check may.
+    /// Fills as many pools as one health check may.
     pub(super) fn fill_pools(&mut self, actions: &mut dyn Actions) {
-        let max_steps = self.ready.rank_steps() + MAX_RANK_STEPS;
+        let max_steps = self.ready.rank_steps() + MAX_RANK_STEPS_PER_EVENT;
         for _ in 0..self.pools.fills_per_check {
             if self.ready.rank_steps() >= max_steps {
                 break;
             }
-            let Some(function_id) = self.pools.to_fill.pop_front() else {
+            let Some(function_id) = self.pools.fill_queue.pop_front() else {
                 break;
             };
             self.fill_pool(function_id, actions);
         }
     }
 
-    /// Orders loads at invokers of the pool without a loaded instance, and renews instances that are about to expire.
+    /// Orders loads at the invokers of a pool that lack a loaded instance, and renews instances that are about to
+    /// expire.
     fn fill_pool(&mut self, function_id: FunctionId, actions: &mut dyn Actions) {
         if !self.functions.contains_key(&function_id) {
             return;
@@ -193,15 +202,16 @@
         let pool = self.select_pool(function_id);
         self.mark_outside_pool(function_id, &pool);
         for ranked in pool {
-            if self.pools.planned_loads < 1.0 || !self.may_order_load(PLANNED_LOADS_SHARE) {
+            if self.pools.planned_load_allowance < 1.0 || !self.may_order_load(PLANNED_LOADS_SHARE)
+            {
                 break;
             }
             self.order_planned_load(function_id, ranked, actions);
         }
     }
 
-    /// Orders a load at an invoker of the pool that lacks a loaded instance, or whose instance is about to expire. Where the
-    /// list does not vouch for the invoker, this waits for the invoker's own word.
+    /// Orders a load at an invoker of the pool if it lacks a loaded instance or its instance is about to expire. If the
+    /// list is too old to confirm that the invoker is ready, probes the invoker first.
     fn order_planned_load(
         &mut self,
         function_id: FunctionId,
@@ -214,20 +224,20 @@
             return;
         }
         if !self.may_send_new_work(ranked.invoker) {
-            let when_probed = move |policy: &mut Self, actions: &mut dyn Actions| {
-                let has_budget = policy.pools.planned_loads >= 1.0;
+            let on_probed = move |policy: &mut Self, actions: &mut dyn Actions| {
+                let has_budget = policy.pools.planned_load_allowance >= 1.0;
                 if has_budget && policy.may_send_new_work(ranked.invoker) {
                     policy.order_planned_load(function_id, ranked, actions);
                 }
             };
-            return self.when_probed(ranked.invoker, Box::new(when_probed), actions);
+            return self.run_after_probe(ranked.invoker, Box::new(on_probed), actions);
         }
         if self.order_load(ranked.invoker, function_id, PLANNED_LOADS_SHARE, actions) {
-            self.pools.planned_loads -= 1.0;
+            self.pools.planned_load_allowance -= 1.0;
         }
     }
 
-    /// The first invokers of the ranking that are not ejected, as many as the pool wants.
+    /// The first available invokers of the ranking, up to the size of the pool.
     fn select_pool(&mut self, function_id: FunctionId) -> Vec<Ranked> {
         let now = self.now;
         let pool_size = self.functions[&function_id].pool_size;
@@ -252,7 +262,7 @@
         }
     }
 
-    /// Notes for each instance whether its invoker is in the pool.
+    /// Updates for each instance since when its invoker is outside the pool.
     fn mark_outside_pool(&mut self, function_id: FunctionId, pool: &[Ranked]) {
         let Some(function) = self.functions.get_mut(&function_id) else {
             return;
@@ -279,10 +289,11 @@
 }
 
 impl FunctionState {
-    /// Grows the pool at once, as far as memory allows, and shrinks it by one after each dwell time of surplus.
-    fn resize_pool(&mut self, now: Ticks, wanted: usize, free_memory_mb: &mut f64) {
+    /// Grows the pool immediately, as far as memory allows. Shrinks it by one invoker after each dwell time with a
+    /// surplus.
+    fn resize_pool(&mut self, now: Ticks, target_size: usize, free_memory_mb: &mut f64) {
         let affordable = (*free_memory_mb / self.memory_mb.max(1.0)).max(0.0) as usize;
-        let extra = (wanted - 1).min(affordable);
+        let extra = (target_size - 1).min(affordable);
         *free_memory_mb -= extra as f64 * self.memory_mb;
         if 1 + extra >= self.pool_size {
             self.pool_size = 1 + extra;
@@ -300,7 +311,7 @@
         }
     }
 
-    /// Whether an invoker of the pool lacks an instance, or has one that is about to expire.
+    /// Whether an invoker of the pool lacks an instance, or its instance is about to expire.
     fn needs_load(&self, ranked: Ranked, now: Ticks, keep_alive: Ticks) -> bool {
         let Some(instance) = self.instances.get(&ranked.invoker) else {
             return true;
@@ -317,10 +328,10 @@
 }
 
 impl Instance {
-    /// Whether it is kept in the tables. One that this controller loaded may stay loaded for longer than it may be relied on:
-    /// it is remembered, to be unloaded.
-    fn is_remembered(&self, now: Ticks, keep_alive: Ticks) -> bool {
-        let keep_alives = if self.is_ours {
+    /// Whether the instance is retained in the tables. An instance that this controller loaded may stay loaded after
+    /// its keep-alive time: it is retained so that it can be unloaded.
+    fn is_retained(&self, now: Ticks, keep_alive: Ticks) -> bool {
+        let keep_alives = if self.is_own_load {
             OWN_INSTANCE_KEEP_ALIVES
         } else {
             1
--- a/src/policy/ranking.rs
+++ b/src/policy/ranking.rs
@@ -1,15 +1,16 @@
-//! Rendezvous hashing: each function ranks the ready invokers by a weight that all controllers compute alike, so that they
-//! choose the same pool without talking to each other. Only the head of a ranking is kept, and a change of the endpoint
-//! list costs the entries that it names.
+//! Rendezvous hashing: each function ranks the ready invokers by a weight that is the same at all controllers, so that
+//! they select the same pool without communicating. Only the head of each ranking is stored, and the cost of a change
+//! of the endpoint list is proportional to the number of its entries.
 
 use crate::interface::{FunctionId, InvokerId};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Spreads function ids before an invoker's id is mixed in (2^64 divided by the golden ratio).
+/// Multiplier that spreads function ids before an invoker id is mixed in (2^64 divided by the golden ratio).
 pub(super) const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Weight of an invoker in a function's ranking, if it is at most `limit`. The least weight ranks first. The logarithm of a
-/// uniform draw over the capacity gives each invoker a share of the functions proportional to its capacity.
+/// Weight of an invoker in a function's ranking, if it is at most `limit`. The lowest weight ranks first. The negative
+/// logarithm of a uniform pseudo-random number, divided by the capacity, gives each invoker a share of the functions
+/// proportional to its capacity.
 pub(super) fn weight(
     function: FunctionId,
     invoker: InvokerId,
@@ -18,7 +19,7 @@
 ) -> Option<f64> {
     let unit =
         fastrand::Rng::with_seed(function.wrapping_mul(HASH_MULTIPLIER) ^ u64::from(invoker)).f64();
-    // The logarithm lies beyond its tangent: only draws near the head need it.
+    // -ln(x) is at least 1 - x, so the logarithm is computed only for weights near the limit.
     if 1.0 - unit > limit * capacity {
         return None;
     }
@@ -26,69 +27,69 @@
     (weight <= limit).then_some(weight)
 }
 
-/// An invoker's place in a ranking.
+/// An invoker's entry in a ranking.
 #[derive(Clone, Copy)]
 pub(super) struct Ranked {
     pub weight: f64,
     pub invoker: InvokerId,
 }
 
-/// The head of a function's ranking: all ready invokers whose weight is at most `weight_limit`, in order.
+/// The head of a function's ranking: all ready invokers with a weight of at most `weight_limit`, in rank order.
 #[derive(Default)]
 pub(super) struct Ranking {
     head: Vec<Ranked>,
     weight_limit: f64,
-    /// Version of the endpoint list that the head follows.
+    /// Version of the endpoint list to which the head corresponds.
     version: u64,
 }
 
 impl Ranking {
-    /// Invokers that are held in order.
+    /// Number of entries of the head.
     pub(super) fn len(&self) -> usize {
         self.head.len()
     }
 
-    /// The invokers that are held, in order.
+    /// The entries of the head, in rank order.
     pub(super) fn head(&self) -> impl Iterator<Item = Ranked> {
         self.head.iter().copied()
     }
 
-    /// Drops all but the first `len`.
+    /// Removes all but the first `len` entries.
     pub(super) fn truncate(&mut self, len: usize) {
         self.head = self.head[..len].to_vec();
         self.weight_limit = self.head[len - 1].weight;
     }
 }
 
-/// A ready invoker, and the version of the endpoint list since which its capacity is so.
+/// The capacity of a ready invoker, and the version of the endpoint list that set it.
 struct ReadyInvoker {
     capacity: f64,
     since_version: u64,
 }
 
-/// An invoker that became ready, or ready with another capacity.
+/// A record that an invoker became ready, or changed its capacity.
 struct Join {
     version: u64,
     invoker: InvokerId,
 }
 
-/// The ready invokers, with what rankings need to follow them.
+/// The ready invokers, and the history from which rankings are updated incrementally.
 #[derive(Default)]
 pub(super) struct ReadyInvokers {
     by_id: BTreeMap<InvokerId, ReadyInvoker>,
-    /// The same as `by_id`, for quick iteration.
-    list: Vec<(InvokerId, f64)>,
+    /// The same entries as `by_id`, for fast iteration.
+    capacities: Vec<(InvokerId, f64)>,
     total_capacity: f64,
-    /// The latest joins, as many as there are ready invokers: beyond that ranking anew is no more work.
+    /// The latest joins, at most as many as there are ready invokers: with more, a new ranking costs no more.
     joins: VecDeque<Join>,
-    /// Version of the endpoint list, counted here.
+    /// Version of the endpoint list, a local counter.
     version: u64,
-    /// Invokers looked at to rank them, since the start.
+    /// Number of invokers examined by rankings since the start.
     rank_steps: u64,
 }
 
 impl ReadyInvokers {
-    /// Before the first endpoint list.
+    /// Creates the state before the first endpoint list.
     pub(super) fn new() -> Self {
         Self {
             version: 1,
@@ -121,17 +122,17 @@
         self.total_capacity
     }
 
-    /// Invokers looked at to rank them, since the start.
+    /// Number of invokers examined by rankings since the start.
     pub(super) fn rank_steps(&self) -> u64 {
         self.rank_steps
     }
 
-    /// A version of the endpoint list begins.
+    /// Begins a new version of the endpoint list.
     pub(super) fn begin_version(&mut self) {
         self.version += 1;
     }
 
-    /// Notes an invoker's capacity, or that it is not ready (`None`). Only a change is new to rankings.
+    /// Sets an invoker's capacity, or that it is not ready (`None`). Only changes affect rankings.
     pub(super) fn set_capacity(&mut self, invoker: InvokerId, capacity: Option<f64>) {
         if capacity != self.capacity(invoker) {
             self.by_id.remove(&invoker);
@@ -153,36 +154,36 @@
         self.joins.drain(..surplus);
     }
 
-    /// The changes of this version are noted.
+    /// Ends a version of the endpoint list, after all its changes were set.
     pub(super) fn end_version(&mut self) {
-        self.list = self
+        self.capacities = self
             .by_id
             .iter()
             .map(|(invoker, ready)| (*invoker, ready.capacity))
             .collect();
-        self.total_capacity = self.list.iter().map(|(_, capacity)| capacity).sum();
+        self.total_capacity = self.capacities.iter().map(|(_, capacity)| capacity).sum();
     }
 
     /// Extends a function's ranking to its first `count` invokers, or to all ready ones.
     pub(super) fn rank(&mut self, function: FunctionId, ranking: &mut Ranking, count: usize) {
         self.update_ranking(function, ranking);
-        let count_ready = count.min(self.by_id.len());
-        self.rank_steps += count_ready as u64;
-        while ranking.head.len() < count_ready {
+        let target_len = count.min(self.by_id.len());
+        self.rank_steps += target_len as u64;
+        while ranking.head.len() < target_len {
             self.extend_ranking(function, ranking, count);
         }
     }
 
-    /// Brings a ranking up to the present version of the endpoint list.
+    /// Updates a ranking to the current version of the endpoint list.
     fn update_ranking(&mut self, function: FunctionId, ranking: &mut Ranking) {
         if ranking.version >= self.version {
             return;
         }
-        let follows = self
+        let has_join_history = self
             .joins
             .front()
             .is_some_and(|first| ranking.version >= first.version);
-        if !follows {
+        if !has_join_history {
             ranking.weight_limit = 0.0;
         }
         let (limit, version) = (ranking.weight_limit, ranking.version);
@@ -191,8 +192,8 @@
             ranked.weight <= limit && ready.is_some_and(|ready| ready.since_version <= version)
         });
         if limit > 0.0 {
-            let missed = self.joins.partition_point(|join| join.version <= version);
-            for join in self.joins.range(missed..) {
+            let first_new = self.joins.partition_point(|join| join.version <= version);
+            for join in self.joins.range(first_new..) {
                 self.rank_steps += 1;
                 let ready = self.by_id.get(&join.invoker);
                 let current = ready.filter(|ready| ready.since_version == join.version);
@@ -204,19 +205,20 @@
                 }));
             }
         }
-        ranking.head.sort_by(|a, b| {
-            a.weight
-                .total_cmp(&b.weight)
-                .then(a.invoker.cmp(&b.invoker))
+        ranking.head.sort_by(|left, right| {
+            left.weight
+                .total_cmp(&right.weight)
+                .then(left.invoker.cmp(&right.invoker))
         });
         ranking.version = self.version;
     }
 
-    /// Ranks anew up to a weight below which about twice `count` invokers are expected, or all of them.
+    /// Rebuilds a ranking up to a weight limit within which about twice `count` invokers are expected, or for all
+    /// invokers.
     fn extend_ranking(&mut self, function: FunctionId, ranking: &mut Ranking, count: usize) {
         let limit = (2.0 * count as f64 / self.total_capacity).max(2.0 * ranking.weight_limit);
-        let ranks_all = 4 * count > self.by_id.len() || limit <= ranking.weight_limit;
-        ranking.weight_limit = if ranks_all { f64::INFINITY } else { limit };
+        let includes_all = 4 * count > self.by_id.len() || limit <= ranking.weight_limit;
+        ranking.weight_limit = if includes_all { f64::INFINITY } else { limit };
         self.rank_steps += self.by_id.len() as u64;
         let rank = |(invoker, capacity): &(InvokerId, f64)| {
             let weight = weight(function, *invoker, *capacity, ranking.weight_limit)?;
@@ -225,7 +227,7 @@
                 invoker: *invoker,
             })
         };
-        ranking.head = self.list.iter().filter_map(rank).collect();
+        ranking.head = self.capacities.iter().filter_map(rank).collect();
         ranking.head.sort_by(|a, b| a.weight.total_cmp(&b.weight));
     }
 }
--- a/src/policy/readiness.rs
+++ b/src/policy/readiness.rs
@@ -1,8 +1,9 @@
-//! Readiness: who may get new work while the endpoint list is out of reach (rule 3).
+//! Readiness: decides which invokers may receive new work while the endpoint list is unreachable (rule 3).
 //!
-//! What the list would have told counts as notified by a clock, whether it is heard or not. So a list vouches for its invokers
-//! for its lifetime alone. Past it an invoker has to vouch for itself: it is asked, and what it answers is good for a part of
-//! the drain grace, as it may begin to drain right after. Work that it took tells the same.
+//! A status change counts as notified after a fixed time, whether the list was reachable or not. The list therefore
+//! confirms the readiness of its invokers only for its lifetime. After that, each invoker has to confirm its own
+//! readiness in response to a probe. The confirmation is valid for a part of the drain grace, as the invoker may begin
+//! to drain right afterwards. An attempt that the invoker served confirms its readiness as well.
 
 use super::health::HEALTH_CHECK_INTERVAL;
 use super::invocations::InvocationState;
@@ -12,55 +13,57 @@
     Actions, InvocationId, InvokerId, ProbeOutcome, ProbeResult, ReadinessCounts, Ticks,
 };
 
-/// An invocation waits this long for an invoker to vouch for itself, then goes elsewhere.
+/// How long an invocation waits for an invoker to confirm its readiness before it is placed at another one.
 const CONFIRMATION_TIMEOUT: Ticks = 4 * HEALTH_CHECK_INTERVAL;
 
-/// How far the endpoint list is current, and what was done where it was not.
+/// Up to when the endpoint list is current, and counts of the actions taken when it is too old.
 #[derive(Default)]
-pub(super) struct EndpointListAge {
-    /// Everything that it told up to then is known; none: it was not heard yet.
-    heard_at: Option<Ticks>,
+pub(super) struct EndpointListFreshness {
+    /// All changes of the list up to this time are known; none: no list was received yet.
+    current_as_of: Option<Ticks>,
     pub counts: ReadinessCounts,
 }
 
-/// What an invoker itself said of its readiness.
+/// An invoker's own confirmations of its readiness.
 #[derive(Default)]
 pub(super) struct Confirmation {
-    /// When it was ready by its own word, at the latest.
+    /// The latest time at which the invoker is known to have been ready.
     ready_at: Option<Ticks>,
     is_probe_in_flight: bool,
-    /// The last sign that its process may end or have ended: its own word that it is not ready, or a connection that it ended.
+    /// Time of the last indication that the process may have ended or may be about to end: a "not ready" response to a
+    /// probe, or a connection that the invoker refused or closed.
     may_have_ended_at: Option<Ticks>,
-    /// When it was first ready after such a sign, so that it may have just started. Good until the list is heard, which tells.
+    /// When the invoker was first ready after such an indication, so that it may have just started. Valid until the
+    /// next refresh of the list, which reports starts.
     possible_start: Option<Ticks>,
-    /// What continues when the probe ends.
-    waiting: Vec<Continuation>,
+    /// Steps to run when the probe ends.
+    probe_continuations: Vec<Continuation>,
 }
 
 impl DispatchPolicy {
-    /// Everything that the endpoint list told up to `heard_at` is known. Where the list has a lifetime, each sign of life of it
-    /// is reported here, also one that brings no change.
-    pub fn endpoint_list_refreshed(&mut self, now: Ticks, heard_at: Ticks) {
+    /// Records that all changes of the endpoint list up to `current_as_of` are known. If the list has a lifetime, the
+    /// host calls this for each message of the list, including those without a change.
+    pub fn endpoint_list_refreshed(&mut self, now: Ticks, current_as_of: Ticks) {
         self.advance_clock(now);
-        self.list_age.heard_at = self.list_age.heard_at.max(Some(heard_at));
+        self.list_freshness.current_as_of =
+            self.list_freshness.current_as_of.max(Some(current_as_of));
     }
 
-    /// New work to an invoker begins to be sent before this, or not at all. Only half of the grace is used: the other half is
-    /// for its way.
+    /// Sending of new work to an invoker must begin before this time, or not at all. Only half of the drain grace is
+    /// used; the other half allows for transmission.
     pub(super) fn new_work_deadline(&self, invoker_id: InvokerId) -> Ticks {
-        let Some(by_list) = self.list_deadline() else {
+        let Some(list_deadline) = self.list_deadline() else {
             return Ticks::MAX;
         };
         let ready_at = self
             .invokers
             .get(&invoker_id)
             .and_then(|invoker| invoker.confirmation.ready_at);
-        let by_itself = ready_at.map_or(0, |at| at + self.deployment.drain_grace / 2);
-        by_list.max(by_itself)
+        let confirmation_deadline = ready_at.map_or(0, |at| at + self.deployment.drain_grace / 2);
+        list_deadline.max(confirmation_deadline)
     }
 
-    /// A connection to an invoker was refused, or ended by its other side, as was noticed at `noticed_at`: its process may have
-    /// ended.
+    /// Records that an invoker refused or closed a connection, as noticed at `noticed_at`. Its process may have ended.
     pub fn connection_lost(&mut self, now: Ticks, invoker_id: InvokerId, noticed_at: Ticks) {
         self.advance_clock(now);
         if let Some(invoker) = self.invokers.get_mut(&invoker_id) {
@@ -69,11 +72,12 @@
         }
     }
 
-    /// An invoker said that it is ready, or took work, of `at` or later. Where its process may have ended since the list was
-    /// heard, it may be another process by now, and cold (rule 4): nobody tells of its start while the list is out of reach.
-    pub(super) fn invoker_was_ready(&mut self, invoker_id: InvokerId, at: Ticks) {
-        let (now, heard_at) = (self.now, self.list_age.heard_at);
-        let list_vouches = self.list_deadline().is_none_or(|deadline| now < deadline);
+    /// Records that an invoker confirmed its readiness, or accepted work, at `at` or later. If its process may have
+    /// ended since the list was refreshed, the invoker may be a new process that is cold (rule 4): its start is not
+    /// reported while the list is unreachable.
+    pub(super) fn record_ready(&mut self, invoker_id: InvokerId, at: Ticks) {
+        let (now, current_as_of) = (self.now, self.list_freshness.current_as_of);
+        let is_list_current = self.list_deadline().is_none_or(|deadline| now < deadline);
         let Some(invoker) = self.invokers.get_mut(&invoker_id) else {
             return;
         };
@@ -81,24 +85,24 @@
         confirmation.ready_at = confirmation.ready_at.max(Some(at));
         let may_be_new = confirmation
             .may_have_ended_at
-            .is_some_and(|ended_at| Some(ended_at) > heard_at && ended_at <= at);
-        if may_be_new && !list_vouches {
+            .is_some_and(|ended_at| Some(ended_at) > current_as_of && ended_at <= at);
+        if may_be_new && !is_list_current {
             confirmation.may_have_ended_at = None;
             confirmation.possible_start = Some(now);
         }
     }
 
-    /// When an invoker may have started, where the list has not been heard since and could not tell.
+    /// When an invoker may have started without a report, if the list has not been refreshed since.
     pub(super) fn possible_start(&self, invoker: &InvokerState) -> Option<Ticks> {
         let started_at = invoker.confirmation.possible_start;
-        started_at.filter(|at| Some(*at) > self.list_age.heard_at)
+        started_at.filter(|at| Some(*at) > self.list_freshness.current_as_of)
     }
 
-    /// The list vouches for its invokers until then; none: for as long as the controller lives.
+    /// Until when the list confirms the readiness of its invokers; none: it does not expire.
     fn list_deadline(&self) -> Option<Ticks> {
         let lifetime = self.deployment.list_lifetime?;
-        let heard_at = self.list_age.heard_at;
-        Some(heard_at.map_or(0, |at| at + lifetime + self.deployment.drain_grace / 2))
+        let current_as_of = self.list_freshness.current_as_of;
+        Some(current_as_of.map_or(0, |at| at + lifetime + self.deployment.drain_grace / 2))
     }
 
     /// Whether new work may be sent to an invoker now.
@@ -106,15 +110,15 @@
         self.now < self.new_work_deadline(invoker_id)
     }
 
-    /// Whether an invoker may be asked to vouch for itself, where it has to.
-    pub(super) fn may_become_usable(&self, invoker_id: InvokerId) -> bool {
-        let outlasts_answer = self.deployment.drain_grace / 2 > 0;
-        self.may_send_new_work(invoker_id) || (self.deployment.may_probe && outlasts_answer)
+    /// Whether new work may be sent to an invoker now, or once a probe has confirmed that it is ready.
+    pub(super) fn may_be_confirmed_ready(&self, invoker_id: InvokerId) -> bool {
+        let has_usable_grace = self.deployment.drain_grace / 2 > 0;
+        self.may_send_new_work(invoker_id) || (self.deployment.may_probe && has_usable_grace)
     }
 
-    /// Continues once an invoker that the list does not vouch for has answered whether it is ready, or did not answer. Never,
-    /// where invokers may not be probed.
-    pub(super) fn when_probed(
+    /// Probes an invoker that the list is too old to confirm as ready, and runs `continuation` when the probe has
+    /// ended, with or without a response. The continuation never runs if invokers may not be probed.
+    pub(super) fn run_after_probe(
         &mut self,
         invoker_id: InvokerId,
         continuation: Continuation,
@@ -125,14 +129,15 @@
             return;
         };
         let confirmation = &mut invoker.confirmation;
-        confirmation.waiting.push(continuation);
+        confirmation.probe_continuations.push(continuation);
         if !std::mem::replace(&mut confirmation.is_probe_in_flight, true) {
-            self.list_age.counts.probes += 1;
+            self.list_freshness.counts.probes += 1;
             actions.probe(invoker_id);
         }
     }
 
-    /// Lets an invocation wait until an invoker has vouched for itself; then, or if it does not answer, it is decided anew.
+    /// Makes an invocation wait until an invoker has confirmed its readiness, or has not responded in time. Then a new
+    /// decision is made.
     pub(super) fn await_confirmation(
         &mut self,
         id: InvocationId,
@@ -142,21 +147,21 @@
         let Some(state) = self.invocations.get(&id) else {
             return;
         };
-        self.list_age.counts.waits += 1;
-        let asked_at = self.now;
-        let latest = (asked_at + CONFIRMATION_TIMEOUT).min(state.latest_answer());
-        let when_silent = Self::unless_decided(state, move |policy, id, actions| {
-            policy.confirmation_timed_out(invoker_id, asked_at);
+        self.list_freshness.counts.waits += 1;
+        let waiting_since = self.now;
+        let deadline = (waiting_since + CONFIRMATION_TIMEOUT).min(state.response_deadline());
+        let on_timeout = Self::unless_superseded(state, move |policy, id, actions| {
+            policy.confirmation_timed_out(invoker_id, waiting_since);
             policy.route(id, actions);
         });
-        let when_probed = Self::unless_decided(state, Self::route);
-        self.schedule(latest, actions, when_silent);
-        self.when_probed(invoker_id, when_probed, actions);
+        let on_probed = Self::unless_superseded(state, Self::route);
+        self.schedule(deadline, actions, on_timeout);
+        self.run_after_probe(invoker_id, on_probed, actions);
     }
 
-    /// An invoker did not answer in time whether it is ready. Where this process was stopped meanwhile, that tells nothing.
-    fn confirmation_timed_out(&mut self, invoker_id: InvokerId, asked_at: Ticks) {
-        if self.resumed_at > asked_at || self.now < asked_at + CONFIRMATION_TIMEOUT {
+    /// Ejects an invoker that did not confirm its readiness in time, unless this process was stalled meanwhile.
+    fn confirmation_timed_out(&mut self, invoker_id: InvokerId, waiting_since: Ticks) {
+        if self.resumed_at > waiting_since || self.now < waiting_since + CONFIRMATION_TIMEOUT {
             return;
         }
         if let Some(invoker) = self.invokers.get_mut(&invoker_id) {
@@ -165,30 +170,30 @@
         }
     }
 
-    /// A probe has ended.
+    /// Handles the end of a probe.
     pub fn probe_ended(&mut self, now: Ticks, result: ProbeResult, actions: &mut dyn Actions) {
         self.advance_clock(now);
         let Some(invoker) = self.invokers.get_mut(&result.invoker) else {
             return;
         };
         invoker.confirmation.is_probe_in_flight = false;
-        let waiting = std::mem::take(&mut invoker.confirmation.waiting);
+        let continuations = std::mem::take(&mut invoker.confirmation.probe_continuations);
         if result.outcome != ProbeOutcome::Ready {
             self.fleet.suspects.insert(result.invoker);
         }
         match result.outcome {
-            ProbeOutcome::Ready => self.invoker_was_ready(result.invoker, result.sent_at),
+            ProbeOutcome::Ready => self.record_ready(result.invoker, result.sent_at),
             ProbeOutcome::NotReady => {
-                self.list_age.counts.not_ready += 1;
+                self.list_freshness.counts.not_ready += 1;
                 invoker.confirmation.may_have_ended_at = Some(now);
                 invoker.eject(now);
             }
             ProbeOutcome::Unreachable => {
-                self.list_age.counts.unanswered += 1;
+                self.list_freshness.counts.unanswered += 1;
                 invoker.record_unreachable(now, result.duration);
             }
             ProbeOutcome::TimedOut => {
-                self.list_age.counts.unanswered += 1;
+                self.list_freshness.counts.unanswered += 1;
                 invoker.eject(now);
             }
             ProbeOutcome::NotSent => {}
@@ -197,14 +202,15 @@
         let is_too_old =
             result.outcome == ProbeOutcome::Ready && !self.may_send_new_work(result.invoker);
         if is_not_sent || is_too_old {
-            // This machine's own doing: asked again at once, it would end the same.
-            let later = now + HEALTH_CHECK_INTERVAL;
-            return self.schedule(later, actions, Self::all(waiting));
+            // The cause is local to this process: an immediate second probe would have the same result.
+            let retry_at = now + HEALTH_CHECK_INTERVAL;
+            return self.schedule(retry_at, actions, Self::run_all(continuations));
         }
-        Self::all(waiting)(self, actions);
+        Self::run_all(continuations)(self, actions);
     }
 
-    fn all(continuations: Vec<Continuation>) -> Continuation {
+    /// A step that runs several continuations in order.
+    fn run_all(continuations: Vec<Continuation>) -> Continuation {
         Box::new(move |policy, actions| {
             for continuation in continuations {
                 continuation(policy, actions);
@@ -212,15 +218,15 @@
         })
     }
 
-    /// What runs for an invocation, unless something else was decided on it before.
-    pub(super) fn unless_decided(
+    /// A step for an invocation that does nothing if another decision on the invocation was made in the meantime.
+    pub(super) fn unless_superseded(
         state: &InvocationState,
         step: impl FnOnce(&mut Self, InvocationId, &mut dyn Actions) + 'static,
     ) -> Continuation {
-        let (id, decision) = (state.request.id, state.decisions);
+        let (id, decision) = (state.request.id, state.decision_count);
         Box::new(move |policy, actions| {
             let state = policy.invocations.get(&id);
-            if state.is_some_and(|state| state.decisions == decision) {
+            if state.is_some_and(|state| state.decision_count == decision) {
                 step(policy, id, actions);
             }
         })
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -1,21 +1,23 @@
-//! Retries: when another attempt can have no second effect (rule 2), and when an attempt in flight is given up for another.
+//! Retries: when a further attempt cannot repeat an effect (rule 2), and when an attempt in flight is cancelled for a
+//! retry.
 
 use super::DispatchPolicy;
 use super::invocations::InvocationState;
 use crate::interface::{Actions, Effect, InvocationId, InvokerId, KeyScope, SECOND, Ticks};
 
-/// An attempt is cancelled only where a retry would be safe for this long.
+/// An attempt is cancelled only if a retry remains safe for at least this time.
 const RETRY_LEAD_TIME: Ticks = SECOND;
 
 impl DispatchPolicy {
-    /// Whether another attempt at `target` at time `at` (none: by the client, after a rejection) can have no second effect.
+    /// Whether a further attempt at `target` at time `at` cannot repeat an effect. If `target` is none, the invoker is
+    /// not known: the client retries after a rejection.
     pub(super) fn retry_is_safe(
         &self,
         state: &InvocationState,
         target: Option<InvokerId>,
         at: Ticks,
     ) -> bool {
-        let Some(earlier) = state.attempt_that_may_have_run() else {
+        let Some(earlier) = state.earliest_possible_run() else {
             return true;
         };
         let settings = &self.triggers[state.request.trigger].settings;
@@ -53,7 +55,8 @@
         }
     }
 
-    /// Cancels the attempt in flight, whose end leads to the next, if an attempt is left and a retry is safe.
+    /// Cancels the attempt in flight if attempts remain and a retry is safe. The end of the cancelled attempt leads to
+    /// the retry.
     pub(super) fn retry_elsewhere(&mut self, id: InvocationId, actions: &mut dyn Actions) {
         let state = &self.invocations[&id];
         let may_retry =
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,5 +1,6 @@
-//! Slow start (rule 4): an invoker that is warming up collapses when all controllers together send it too much. Each
-//! controller keeps to the share of it that corresponds to its share of the fleet's work.
+//! Slow start (rule 4): an invoker that is warming up becomes overloaded if all controllers together send it too much
+//! work. Each controller limits itself to the share of the invoker's capacity that corresponds to its share of the
+//! fleet's work.
 
 use super::DispatchPolicy;
 use super::RATE_TIME_CONSTANTS_S;
@@ -8,43 +9,44 @@
 use super::ranking::HASH_MULTIPLIER;
 use crate::interface::{SECOND, Ticks};
 
-/// This controller's share of what a warming invoker may get is kept under the limit by this factor.
+/// Safety margin by which this controller's share stays below the limit of an invoker that is warming up.
 const SAFETY_FACTOR: f64 = 0.6;
-/// Time constant, in seconds, over which completed work is smoothed and the capacity that did it decays.
+/// Time constant, in seconds, for the smoothing of completed work and for the decay of the capacity that completed it.
 const WORK_TIME_CONSTANT_S: f64 = RATE_TIME_CONSTANTS_S[1];
-/// Least capacity that shares are computed of.
+/// Lower bound of the fleet capacity from which shares are computed.
 const MIN_CAPACITY: f64 = 0.01;
 
-/// Work that was sent to an invoker.
+/// Work sent to an invoker.
 pub(super) struct SentWork {
     pub at: Ticks,
-    /// Mean run time of its class, in ticks.
+    /// Mean run time of the trigger type, in ticks.
     pub work: f64,
 }
 
-/// The work that this controller gets done. Only completed work counts: work sent in vain must not widen its share.
+/// The rate of work completed for this controller. Only completed work counts: failed attempts must not increase its
+/// share.
 #[derive(Default)]
 pub(super) struct CompletedWork {
-    /// Completed work a tick, in ticks of run time.
+    /// Completed work per tick, in ticks of run time.
     rate: TimedValue,
-    /// Capacity of the fleet on which it was done. It decays like the rate when most of the fleet is lost.
+    /// Capacity of the fleet that completed the work. After a loss of invokers it decays like the rate.
     fleet_capacity: f64,
 }
 
 impl CompletedWork {
-    /// The ready invokers have this capacity.
-    pub(super) fn fleet_grew(&mut self, ready_capacity: f64) {
+    /// Raises the fleet capacity to that of the ready invokers.
+    pub(super) fn raise_fleet_capacity(&mut self, ready_capacity: f64) {
         self.fleet_capacity = self.fleet_capacity.max(ready_capacity);
     }
 
-    /// The same, after `elapsed` in which the remembered capacity decays.
-    pub(super) fn decay_fleet(&mut self, ready_capacity: f64, elapsed: Ticks) {
+    /// Decays the fleet capacity over `elapsed`, but not below that of the ready invokers.
+    pub(super) fn decay_fleet_capacity(&mut self, ready_capacity: f64, elapsed: Ticks) {
         self.fleet_capacity =
             ready_capacity.max(self.fleet_capacity * decay(elapsed, WORK_TIME_CONSTANT_S));
     }
 
-    /// Work of `run_time` ticks was completed.
-    pub(super) fn completed(&mut self, now: Ticks, run_time: f64) {
+    /// Records completed work of `run_time` ticks.
+    pub(super) fn record_completed(&mut self, now: Ticks, run_time: f64) {
         let decayed = self.rate.decayed(now, WORK_TIME_CONSTANT_S);
         let value = decayed + run_time / (WORK_TIME_CONSTANT_S * SECOND as f64);
         self.rate = TimedValue { value, at: now };
@@ -52,10 +54,10 @@
 }
 
 impl DispatchPolicy {
-    /// Share of its full capacity that an invoker has at least, by the slowest configured warm-up.
+    /// Lower bound of the share of its full capacity that an invoker has, for the slowest configured warm-up.
     pub(super) fn warm_up_share(&self, invoker: &InvokerState) -> f64 {
-        let seen = invoker.first_seen.max(self.possible_start(invoker));
-        let Some(started_at) = invoker.record.started_at.max(seen) else {
+        let inferred = invoker.inferred_start.max(self.possible_start(invoker));
+        let Some(started_at) = invoker.record.started_at.max(inferred) else {
             return 1.0;
         };
         let age =
@@ -64,8 +66,8 @@
         (initial + (1.0 - initial) * age).min(1.0)
     }
 
-    /// Work, in ticks of run time, that this controller may send to an invoker now. Where its share of a window is less than
-    /// one invocation of `run_time`, a draw for each window allows one as often as the share says.
+    /// Work, in ticks of run time, that this controller may send to an invoker now. If its share of a window is less
+    /// than one invocation of `run_time`, a random number per window allows one with a probability equal to the share.
     pub(super) fn slow_start_allowance(&self, invoker: &InvokerState, run_time: f64) -> f64 {
         let warm_up_share = self.warm_up_share(invoker);
         if warm_up_share >= 1.0 {
@@ -73,24 +75,24 @@
         }
         let window = self.deployment.overload_window;
         let completed = &self.completed_work;
-        let our_share = completed.rate.value * invoker.record.capacity
+        let own_share = completed.rate.value * invoker.record.capacity
             / completed.fleet_capacity.max(MIN_CAPACITY);
         let limit = SAFETY_FACTOR
             * self.deployment.overload_factor
             * warm_up_share
-            * our_share
+            * own_share
             * window as f64;
-        let drawn = self.draw_for_window(invoker, window);
+        let random_share = self.random_for_window(invoker, window);
         let recent = invoker
             .sent_work
             .iter()
             .filter(|sent| sent.at + window > self.now);
         let sent: f64 = recent.map(|sent| sent.work).sum();
-        limit + drawn * run_time - sent
+        limit + random_share * run_time - sent
     }
 
-    /// A draw between 0 and 1 that stays the same within one window.
-    fn draw_for_window(&self, invoker: &InvokerState, window: Ticks) -> f64 {
+    /// A pseudo-random number between 0 and 1 that is constant within one window.
+    fn random_for_window(&self, invoker: &InvokerState, window: Ticks) -> f64 {
         let invoker_bits = u64::from(invoker.record.invoker).wrapping_mul(HASH_MULTIPLIER);
         fastrand::Rng::with_seed(self.seed ^ invoker_bits ^ (self.now / window.max(1))).f64()
     }
--- a/src/policy/timers.rs
+++ b/src/policy/timers.rs
@@ -1,12 +1,12 @@
-//! Timers, and the clock that events bring along.
+//! Timers, and the clock, which advances with the time of each event.
 
 use super::health::HEALTH_CHECK_INTERVAL;
 use super::{Continuation, DispatchPolicy};
 use crate::interface::{Actions, Ticks};
 use std::collections::BTreeMap;
 
-/// A gap between two events as long as this means that the controller's process was stopped: its timers fire more often.
-const STOP_THRESHOLD: Ticks = 4 * HEALTH_CHECK_INTERVAL;
+/// A longer gap between two events means that the controller's process was stalled, as its timers fire more often.
+const STALL_THRESHOLD: Ticks = 4 * HEALTH_CHECK_INTERVAL;
 
 /// Timers that have not fired.
 #[derive(Default)]
@@ -16,7 +16,7 @@
 }
 
 impl DispatchPolicy {
-    /// A timer that was set through [`Actions::set_timer`] has come due.
+    /// Handles the expiry of a timer that was set through [`Actions::set_timer`].
     pub fn timer_fired(&mut self, now: Ticks, token: u64, actions: &mut dyn Actions) {
         self.advance_clock(now);
         if let Some(continuation) = self.timers.pending.remove(&token) {
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Runs `continuation` at `at`.
+    /// Schedules `continuation` to run at `at`.
     pub(super) fn schedule(
         &mut self,
         at: Ticks,
@@ -38,14 +38,14 @@
         actions.set_timer(at, self.timers.last_token);
     }
 
-    /// Each event begins with this. After a stop of the process, silence and lateness do not count for the time that it was
-    /// stopped.
+    /// Advances the clock at the start of each event. After a stall of the process, the duration of the stall does not
+    /// count as lateness of invokers.
     pub(super) fn advance_clock(&mut self, now: Ticks) {
         let elapsed = now.saturating_sub(self.now);
-        if elapsed > STOP_THRESHOLD {
+        if elapsed > STALL_THRESHOLD {
             self.resumed_at = now;
             for invoker in self.invokers.values_mut() {
-                invoker.last_heard = (invoker.last_heard + elapsed).min(now);
+                invoker.last_response_at = (invoker.last_response_at + elapsed).min(now);
             }
             for attempt in self
                 .invocations
