--- a/crates/coordinator/src/fleet_config.rs
+++ b/crates/coordinator/src/fleet_config.rs
@@ -84,7 +84,7 @@
 
 impl FleetConfig {
     /// Takes the fleet's statements out of those that describe no deployment; none: the script states no fleet.
-    pub fn take(rest: &mut Vec<Statement>) -> Result<Option<Self>, Fault> {
+    pub fn extract(rest: &mut Vec<Statement>) -> Result<Option<Self>, Fault> {
         let (mine, others): (Vec<_>, Vec<_>) = std::mem::take(rest)
             .into_iter()
             .partition(|s| matches!(s.what, "fleet" | "bound" | "lease"));
@@ -180,7 +180,7 @@
         least_size: said.least_size,
         least_memory_mb: said.least_memory.map(|m| m.0),
     };
-    bound.fits().map_err(|e| s.fault(e))?;
+    bound.validate().map_err(|e| s.fault(e))?;
     Ok(bound)
 }
 
@@ -197,6 +197,6 @@
         resources: said.resources.into_iter().collect(),
     };
     let name = LeaseName(said.name);
-    terms.fits(&name).map_err(|e| s.fault(e))?;
+    terms.validate(&name).map_err(|e| s.fault(e))?;
     Ok((name, terms))
 }
--- a/crates/coordinator/src/wire/tests.rs
+++ b/crates/coordinator/src/wire/tests.rs
@@ -16,11 +16,11 @@
             .iter()
             .all(|v| *v == PROTOCOL_VERSION)
     );
-    let said = |speaks| {
+    let said = |version| {
         let params = serde_json::to_string(&Envelope {
             fleet: "museums".into(),
-            speaks,
-            what: 7,
+            version,
+            params: 7,
         })
         .unwrap();
         let line = format!(r#"{{"jsonrpc":"2.0","id":1,"method":"accept","params":{params}}}"#);
@@ -44,8 +44,8 @@
     ]);
     let voters: std::collections::BTreeSet<Voter> =
         (1..=3).map(|steward| Voter { steward, disk: 7 }).collect();
-    let config = Config::founding(voters.clone()).unwrap();
-    let value = Some(Box::new(Fleet::founded(
+    let config = Config::initial(voters.clone()).unwrap();
+    let value = Some(Box::new(Fleet::new(
         "museums",
         config,
         at.clone(),
@@ -59,13 +59,13 @@
     let lives = vec![(one, 3)].into();
     let mark = VoterStamp {
         from: one,
-        life: 2,
-        lives,
+        incarnation: 2,
+        incarnations: lives,
     };
     let vote = Vote::Promised {
         accepted: Some(Ballot::default()),
         value,
-        mark,
+        stamp: mark,
         writes: 4,
     };
     let text = serde_json::to_string(&vote).unwrap();
