--- a/src/policy/functions.rs
+++ b/src/policy/functions.rs
@@ -121,8 +121,8 @@
             .is_some_and(|instance| instance.is_warm(now, keep_alive))
     }
 
-    /// Calls per second, over the longest time constant. A shorter time constant raises the rate if its count exceeds
-    /// what random variation explains: it counts less one standard deviation.
+    /// Calls per second, over the longest time constant. Shorter time constants raise the rate only beyond random
+    /// variation: their counts are reduced by one standard deviation.
     pub(super) fn call_rate(&self, now: Ticks, started_at: Ticks) -> f64 {
         let calls = |index: usize| {
             self.decayed_calls[index] * decay(now - self.last_called, RATE_TIME_CONSTANTS_S[index])
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -253,8 +253,8 @@
             ..
         } = candidates;
         let state = &self.invocations[&id];
-        // Where attempts do not load functions, a retry at an invoker without an instance would only miss: there, loads
-        // are ordered.
+        // Where attempts do not load functions, a retry at an invoker without an instance would only miss again: loads
+        // come from load orders.
         let is_retry = state.attempts > 0;
         if self.deployment.reports_misses
             && is_retry
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -163,11 +163,8 @@
         self.check_not_draining(invoker);
         self.check_retry_is_safe(id, Some(invoker));
         let in_flight = |invocation: &TrackedInvocation| {
-            invocation
-                .attempts
-                .iter()
-                .filter(|attempt| attempt.outcome.is_none())
-                .count()
+            let is_in_flight = |attempt: &&TrackedAttempt| attempt.outcome.is_none();
+            invocation.attempts.iter().filter(is_in_flight).count()
         };
         let invocation = &self.invocations[&id];
         assert!(
