--- a/crates/coordinator/src/acceptor_store.rs
+++ b/crates/coordinator/src/acceptor_store.rs
@@ -1,4 +1,5 @@
-//! The voting side: what others ask of this coordinator's acceptor. Nothing is answered before it is on disk.
+//! The voting side of a coordinator: handles the requests of proposers to its acceptor. No request is answered before its effect is on
+//! disk.
 
 use crate::disk::Disk;
 use crate::server::RpcError;
@@ -9,34 +10,39 @@
 use std::collections::BTreeMap;
 use tracing::{info, warn};
 
-/// An acceptor and its disk, and whether it may vote yet.
+/// An acceptor with its disk and the state of its recovery.
 pub(crate) struct AcceptorStore {
     disk: Disk,
     acceptor: Acceptor<Fleet>,
-    /// Until it may vote again.
-    returning: Option<RecoveringVoter<Fleet>>,
-    /// The most writes that each voter is known to have made.
+    /// The recovery after a start; `None` once the acceptor may vote.
+    recovery: Option<RecoveringVoter<Fleet>>,
+    /// Highest number of writes that each voter is known to have made.
     writes: BTreeMap<Voter, u64>,
 }
 
 impl AcceptorStore {
-    pub(crate) fn new(disk: Disk, acceptor: Acceptor<Fleet>, founding: Config) -> Self {
-        let me = disk.identity.voter;
-        let returning = Some(RecoveringVoter::new(me, acceptor.clone(), founding));
+    pub(crate) fn new(disk: Disk, acceptor: Acceptor<Fleet>, initial_config: Config) -> Self {
+        let voter = disk.identity.voter;
+        let recovery = Some(RecoveringVoter::new(
+            voter,
+            acceptor.clone(),
+            initial_config,
+        ));
         Self {
             disk,
             acceptor,
-            returning,
+            recovery,
             writes: BTreeMap::new(),
         }
     }
 
-    pub(crate) fn me(&self) -> Voter {
+    /// The coordinator and its disk, as a voter.
+    pub(crate) fn voter(&self) -> Voter {
         self.disk.identity.voter
     }
 
-    pub(crate) fn is_returning(&self) -> bool {
-        self.returning.is_some()
+    pub(crate) fn is_recovering(&self) -> bool {
+        self.recovery.is_some()
     }
 
     pub(crate) fn is_writable(&self) -> bool {
@@ -58,28 +64,28 @@
             .map(|a| (a.ballot, &a.value))
     }
 
-    /// Remembers how many writes a voter has made: an old copy of its disk is recognised by that.
-    pub(crate) fn hear_writes(&mut self, of: Voter, writes: u64) {
-        let known = self.writes.entry(of).or_default();
+    /// Records how many writes a voter has made: an old copy of its disk is recognised by a lower number.
+    pub(crate) fn record_writes(&mut self, voter: Voter, writes: u64) {
+        let known = self.writes.entry(voter).or_default();
         *known = (*known).max(writes);
     }
 
     /// The latest configuration that this coordinator knows.
-    pub(crate) fn config(&self, founding: &Config) -> Config {
+    pub(crate) fn config(&self, initial_config: &Config) -> Config {
         self.acceptor
             .accepted
             .as_ref()
-            .map_or_else(|| founding.clone(), |a| a.value.config.clone())
+            .map_or_else(|| initial_config.clone(), |a| a.value.config.clone())
     }
 
-    fn may_vote(&self, to: Voter) -> Result<(), RpcError> {
-        if to != self.me() {
+    fn check_may_vote(&self, to: Voter) -> Result<(), RpcError> {
+        if to != self.voter() {
             return Err((
                 NOT_VOTING,
-                format!("{to} is not here: this is {}", self.me()),
+                format!("{to} is not here: this is {}", self.voter()),
             ));
         }
-        if self.returning.is_some() {
+        if self.recovery.is_some() {
             return Err((
                 NOT_VOTING,
                 format!("{to} is returning and does not vote yet"),
@@ -88,25 +94,25 @@
         Ok(())
     }
 
-    /// Makes a change of the acceptor and brings it to disk. On a disk that does not take it, it stays as it was, as far as
-    /// the disk can be read; where not, it does not vote.
-    fn change<T>(&mut self, change: impl FnOnce(&mut Acceptor<Fleet>) -> T) -> Result<T, RpcError> {
+    /// Updates the acceptor and writes it to disk. If the write fails, the acceptor's state is the one that can be read from the
+    /// disk; while the disk can't be read, it does not vote.
+    fn update<T>(&mut self, update: impl FnOnce(&mut Acceptor<Fleet>) -> T) -> Result<T, RpcError> {
         if !self.disk.is_writable() {
-            let read = self
+            let stored = self
                 .disk
                 .reload()
                 .map_err(|e| (NOT_VOTING, e.to_string()))?;
-            // What was told is on it, or it is no disk to vote from.
-            if read.writes < self.acceptor.writes {
+            // Everything that was reported to others has to be on the disk, or it is not safe to vote from it.
+            if stored.writes < self.acceptor.writes {
                 return Err((
                     NOT_VOTING,
                     "the disk has less than was written to it".into(),
                 ));
             }
-            self.acceptor = read;
+            self.acceptor = stored;
         }
         let mut next = self.acceptor.clone();
-        let told = change(&mut next);
+        let result = update(&mut next);
         if next.writes != self.acceptor.writes {
             if let Err(fault) = self.disk.save(&next) {
                 warn!(%fault, "disk write failed, voting suspended");
@@ -114,102 +120,103 @@
             }
             self.acceptor = next;
         }
-        Ok(told)
+        Ok(result)
     }
 
-    pub(crate) fn prepare(&mut self, asked: &Prepare) -> Result<Vote, RpcError> {
-        self.may_vote(asked.to)?;
-        let told = self.change(|a| a.prepare(asked.ballot).map(|a| a.cloned()))?;
-        let (mark, writes) = (self.acceptor.stamp(self.me()), self.acceptor.writes);
-        Ok(match told {
+    /// Handles a `prepare` request.
+    pub(crate) fn prepare(&mut self, request: &Prepare) -> Result<Vote, RpcError> {
+        self.check_may_vote(request.to)?;
+        let promise = self.update(|a| a.prepare(request.ballot).map(|a| a.cloned()))?;
+        let (stamp, writes) = (self.acceptor.stamp(self.voter()), self.acceptor.writes);
+        Ok(match promise {
             Err(promised) => Vote::Refused { promised },
             Ok(None) => Vote::Promised {
                 accepted: None,
                 value: None,
-                stamp: mark,
+                stamp,
                 writes,
             },
-            Ok(Some(a)) => {
-                let value = (a.ballot != asked.known_ballot).then(|| Box::new(a.value));
+            Ok(Some(accepted)) => {
+                let value =
+                    (accepted.ballot != request.known_ballot).then(|| Box::new(accepted.value));
                 Vote::Promised {
-                    accepted: Some(a.ballot),
+                    accepted: Some(accepted.ballot),
                     value,
-                    stamp: mark,
+                    stamp,
                     writes,
                 }
             }
         })
     }
 
-    pub(crate) fn accept(&mut self, asked: Accept) -> Result<Vote, RpcError> {
-        self.may_vote(asked.to)?;
-        let told = self.change(|a| a.accept(asked.ballot, *asked.value))?;
-        let (mark, writes) = (self.acceptor.stamp(self.me()), self.acceptor.writes);
-        Ok(match told {
+    /// Handles an `accept` request.
+    pub(crate) fn accept(&mut self, request: Accept) -> Result<Vote, RpcError> {
+        self.check_may_vote(request.to)?;
+        let acceptance = self.update(|a| a.accept(request.ballot, *request.value))?;
+        let (stamp, writes) = (self.acceptor.stamp(self.voter()), self.acceptor.writes);
+        Ok(match acceptance {
             Err(promised) => Vote::Refused { promised },
-            Ok(()) => Vote::Accepted {
-                stamp: mark,
-                writes,
-            },
+            Ok(()) => Vote::Accepted { stamp, writes },
         })
     }
 
-    /// The answer to another that starts, once the incarnation that it starts is on this disk.
+    /// Handles a `recover` request: replies to a coordinator that starts, once its new incarnation is on this disk.
     pub(crate) fn recover(
         &mut self,
         from: Voter,
-        life: u64,
+        incarnation: u64,
     ) -> Result<RecoveryReply<Fleet>, RpcError> {
-        let previous_incarnation = self.change(|a| a.record_incarnation(from, life))?;
+        let previous_incarnation = self.update(|a| a.record_incarnation(from, incarnation))?;
         let known_writes = self.writes.get(&from).copied().unwrap_or(0);
         let acceptor = self.acceptor.clone();
         Ok(RecoveryReply {
-            is_recovering: self.returning.is_some(),
+            is_recovering: self.recovery.is_some(),
             acceptor,
             previous_incarnation,
             known_writes,
         })
     }
 
-    /// The incarnation that this coordinator starts, or votes in.
-    pub(crate) fn life(&self) -> u64 {
-        self.returning
+    /// The incarnation that this coordinator is starting or voting in.
+    pub(crate) fn incarnation(&self) -> u64 {
+        self.recovery
             .as_ref()
             .map_or(self.acceptor.incarnation, RecoveringVoter::incarnation)
     }
 
-    /// With nobody else to ask.
-    pub(crate) fn heard_nobody(&mut self) -> Result<Verdict, RpcError> {
-        self.judge()
+    /// Continues the recovery of the only coordinator of a fleet.
+    pub(crate) fn recover_without_peers(&mut self) -> Result<Verdict, RpcError> {
+        self.check_recovery()
     }
 
-    /// Another answered this one, which has started.
-    pub(crate) fn heard(
+    /// Continues the recovery with a peer's reply.
+    pub(crate) fn record_recovery_reply(
         &mut self,
         from: Voter,
-        what: RecoveryReply<Fleet>,
+        reply: RecoveryReply<Fleet>,
     ) -> Result<Verdict, RpcError> {
-        let Some(returning) = &mut self.returning else {
+        let Some(recovery) = &mut self.recovery else {
             return Ok(Verdict::Vote);
         };
-        returning.record_reply(from, what);
-        self.judge()
+        recovery.record_reply(from, reply);
+        self.check_recovery()
     }
 
-    fn judge(&mut self) -> Result<Verdict, RpcError> {
-        let Some(returning) = &self.returning else {
+    /// Starts to vote if the replies so far allow it.
+    fn check_recovery(&mut self) -> Result<Verdict, RpcError> {
+        let Some(recovery) = &self.recovery else {
             return Ok(Verdict::Vote);
         };
-        let verdict = returning.verdict();
+        let verdict = recovery.verdict();
         if verdict == Verdict::Vote {
-            let mut adopted = returning.clone().adopt();
-            // Others started incarnations while this one was returning.
+            let mut adopted = recovery.clone().adopt();
+            // Other coordinators may have started new incarnations during this recovery.
             adopted.incarnations.merge(&self.acceptor.incarnations);
             adopted.writes = adopted.writes.max(self.acceptor.writes + 1);
             let writes = adopted.writes;
-            self.change(|a| *a = adopted)?;
-            self.returning = None;
-            info!(voter = %self.me(), writes, "voting started");
+            self.update(|a| *a = adopted)?;
+            self.recovery = None;
+            info!(voter = %self.voter(), writes, "voting started");
         }
         Ok(verdict)
     }
--- a/crates/coordinator/src/coordinator.rs
+++ b/crates/coordinator/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! What the parts of a coordinator share: its configuration, its acceptor, what it knows to be chosen, and its peers.
+//! The state that the parts of a coordinator share: its configuration, its acceptor, the latest decided value and its peers.
 
 use crate::acceptor_store::AcceptorStore;
 use crate::disk::Disk;
@@ -17,63 +17,67 @@
 use tokio::sync::{Notify, oneshot, watch};
 use tracing::debug;
 
-/// What came of a change: done, at which revision; or a code and why not.
-pub(crate) type Told = Result<(ChangeOutcome, u64), (i64, String)>;
+/// The outcome of a change and the revision at which it was agreed, or an error code and a message.
+pub(crate) type ChangeResult = Result<(ChangeOutcome, u64), (i64, String)>;
 
-/// A change that somebody waits for.
+/// A queued change, whose caller waits for the outcome.
 pub(crate) struct PendingProposal {
     pub change: Change,
-    pub to: oneshot::Sender<Told>,
+    pub outcome_sender: oneshot::Sender<ChangeResult>,
 }
 
-/// What one coordinator is started with.
+/// The startup configuration of a coordinator.
 #[derive(Clone)]
 pub struct CoordinatorConfig {
-    /// Its number, from 1 on.
+    /// Number of the coordinator, from 1 on.
     pub number: u32,
-    /// The incarnation of this start; never used before.
+    /// Incarnation of this process; never used before.
     pub incarnation: u64,
-    /// Of its random delays.
+    /// Seed of its random delays.
     pub seed: u64,
-    /// As the deployment states them.
+    /// Fleet settings of the deployment.
     pub fleet_config: FleetConfig,
-    /// The fleet as it is before anything was agreed.
+    /// The fleet before any change was agreed.
     pub initial_fleet: Fleet,
-    /// Where it answers calls.
+    /// Address at which it answers calls.
     pub listen: Address,
-    /// Where it serves the invoker list; none: it does not.
+    /// Address at which it serves the invoker list; `None`: it does not.
     pub invoker_list: Option<Address>,
 }
 
-/// A coordinator: what it holds, and what its parts share. `service` answers callers, `propose` has changes agreed,
-/// `monitoring` listens to members and other coordinators, `invoker_list` serves the invoker list.
+/// The state of a coordinator, shared by its parts: `service` answers callers, `propose` has changes agreed, `monitoring`
+/// receives heartbeats and suspicion reports, `invoker_list` serves the invoker list.
 pub(crate) struct Coordinator {
     pub(crate) config: CoordinatorConfig,
     pub(crate) clock: Clock,
     network: Rc<dyn Network>,
     pub(crate) acceptor_store: RefCell<AcceptorStore>,
-    /// The latest that is known to be chosen.
+    /// The latest value that is known to be decided.
     pub(crate) fleet: RefCell<Option<Rc<Fleet>>>,
-    pub(crate) decided_at: Cell<Ballot>,
-    pub(crate) highest: Cell<Ballot>,
-    /// Changes that wait for the next round.
-    pub(crate) waiting: RefCell<Vec<PendingProposal>>,
-    pub(crate) asked: Notify,
-    pub(crate) news: watch::Sender<u64>,
+    /// Ballot of the latest decided value.
+    pub(crate) decided_ballot: Cell<Ballot>,
+    /// Highest ballot that is known to be in use.
+    pub(crate) highest_ballot: Cell<Ballot>,
+    /// Changes queued for the next round.
+    pub(crate) pending_changes: RefCell<Vec<PendingProposal>>,
+    pub(crate) change_queued: Notify,
+    /// Revision of the latest decided value.
+    pub(crate) decided_revision: watch::Sender<u64>,
     peers: RefCell<BTreeMap<u32, Rc<RpcClient>>>,
     pub(crate) monitor: RefCell<MemberMonitor>,
-    /// What is owed was proposed, and not all of it has come to an end.
-    pub(crate) proposing: Cell<bool>,
-    pub(crate) telling: RefCell<BTreeSet<u32>>,
-    /// Who has told of a later value than this steward knows, and which.
-    pub(crate) behind: Cell<Option<(u32, Ballot)>>,
-    /// When this steward first knew of an invoker's life: for its age on the list.
+    /// Whether due changes were proposed that don't all have an outcome yet.
+    pub(crate) is_proposing_due: Cell<bool>,
+    /// Peers to which a suspicion report is in flight.
+    pub(crate) reporting_to: RefCell<BTreeSet<u32>>,
+    /// A peer that reported a later decided ballot than this coordinator's, and that ballot.
+    pub(crate) catch_up_target: Cell<Option<(u32, Ballot)>>,
+    /// When this coordinator first knew of each member's incarnation, for an invoker's age on the list.
     pub(crate) first_seen: RefCell<BTreeMap<(u32, u64), Ticks>>,
     pub(crate) rng: RefCell<fastrand::Rng>,
 }
 
 impl Coordinator {
-    /// A coordinator that has just started, with what its disk has.
+    /// Creates a coordinator at process start, from the contents of its disk.
     pub(crate) fn new(
         config: CoordinatorConfig,
         disk: Disk,
@@ -83,7 +87,7 @@
     ) -> Rc<Self> {
         let acceptor_store =
             AcceptorStore::new(disk, acceptor, config.initial_fleet.config.clone());
-        let (news, _) = watch::channel(0);
+        let (decided_revision, _) = watch::channel(0);
         let timeouts = Timeouts {
             heartbeat_interval: config.fleet_config.renew,
             suspect_level: config.fleet_config.suspect_level,
@@ -91,7 +95,7 @@
             drain_timeout: config.fleet_config.drain_for,
             health_timeout: config.fleet_config.prove_within,
         };
-        let monitor = MemberMonitor::new(clock.now(), acceptor_store.me(), timeouts);
+        let monitor = MemberMonitor::new(clock.now(), acceptor_store.voter(), timeouts);
         let rng = fastrand::Rng::with_seed(config.seed);
         Rc::new(Self {
             config,
@@ -99,91 +103,103 @@
             network,
             acceptor_store: RefCell::new(acceptor_store),
             fleet: RefCell::default(),
-            decided_at: Cell::default(),
-            highest: Cell::default(),
-            waiting: RefCell::default(),
-            asked: Notify::new(),
-            news,
+            decided_ballot: Cell::default(),
+            highest_ballot: Cell::default(),
+            pending_changes: RefCell::default(),
+            change_queued: Notify::new(),
+            decided_revision,
             peers: RefCell::default(),
             monitor: RefCell::new(monitor),
-            proposing: Cell::default(),
-            telling: RefCell::default(),
-            behind: Cell::default(),
+            is_proposing_due: Cell::default(),
+            reporting_to: RefCell::default(),
+            catch_up_target: Cell::default(),
             first_seen: RefCell::default(),
             rng: RefCell::new(rng),
         })
     }
 
-    /// Coordinators and where they listen, as far as this one knows.
-    pub(crate) fn stewards(&self) -> BTreeMap<u32, String> {
-        let mut all = BTreeMap::new();
+    /// Addresses of the coordinators that this one knows, by number.
+    pub(crate) fn coordinator_addresses(&self) -> BTreeMap<u32, String> {
+        let mut addresses = BTreeMap::new();
         if let Some((_, fleet)) = self.acceptor_store.borrow().accepted() {
-            all.extend(fleet.coordinators.clone());
+            addresses.extend(fleet.coordinators.clone());
         }
-        // What it was started with goes first: how this process reaches them.
-        all.extend(self.config.initial_fleet.coordinators.clone());
-        all
+        // The startup configuration takes precedence: it says how this process reaches them.
+        addresses.extend(self.config.initial_fleet.coordinators.clone());
+        addresses
     }
 
+    /// The client of another coordinator, if its address is known.
     pub(crate) fn peer(&self, steward: u32) -> Option<Rc<RpcClient>> {
-        let at = self.stewards().get(&steward)?.parse::<Address>().ok()?;
+        let address = self
+            .coordinator_addresses()
+            .get(&steward)?
+            .parse::<Address>()
+            .ok()?;
         let mut peers = self.peers.borrow_mut();
-        if peers.get(&steward).is_none_or(|p| p.address != at) {
-            let caller = RpcClient::new(self.network.clone(), at, &self.config.initial_fleet.name);
-            peers.insert(steward, Rc::new(caller));
+        if peers
+            .get(&steward)
+            .is_none_or(|peer| peer.address != address)
+        {
+            let client = RpcClient::new(
+                self.network.clone(),
+                address,
+                &self.config.initial_fleet.name,
+            );
+            peers.insert(steward, Rc::new(client));
         }
         peers.get(&steward).cloned()
     }
 
-    /// A value is chosen.
-    pub(crate) fn decided(&self, ballot: Ballot, fleet: Rc<Fleet>) {
-        if ballot <= self.decided_at.get() && self.fleet.borrow().is_some() {
+    /// Records a decided value, unless a later one is known.
+    pub(crate) fn record_decided(&self, ballot: Ballot, fleet: Rc<Fleet>) {
+        if ballot <= self.decided_ballot.get() && self.fleet.borrow().is_some() {
             return;
         }
-        self.decided_at.set(ballot);
+        self.decided_ballot.set(ballot);
         let now = self.clock.now();
         {
-            let mut first = self.first_seen.borrow_mut();
-            let lives = fleet
+            let mut first_seen = self.first_seen.borrow_mut();
+            let incarnations = fleet
                 .members
                 .iter()
                 .map(|(id, m)| (id.number, m.info.incarnation));
-            let lives: BTreeSet<(u32, u64)> = lives.collect();
-            first.retain(|life, _| lives.contains(life));
-            for life in lives {
-                first.entry(life).or_insert(now);
+            let incarnations: BTreeSet<(u32, u64)> = incarnations.collect();
+            first_seen.retain(|incarnation, _| incarnations.contains(incarnation));
+            for incarnation in incarnations {
+                first_seen.entry(incarnation).or_insert(now);
             }
         }
         let revision = fleet.revision;
         *self.fleet.borrow_mut() = Some(fleet);
-        self.news.send_replace(revision);
+        self.decided_revision.send_replace(revision);
     }
 
-    /// It knows something that was chosen since it started.
+    /// Whether a decided value is known since this process started.
     pub(crate) fn is_settled(&self) -> bool {
         self.fleet.borrow().is_some()
     }
 
-    /// Asks another for what was chosen.
-    pub(crate) async fn catch_up(&self, from: u32, to: Ballot) {
-        let mine = self
+    /// Fetches the latest decided value from a peer that reported this ballot as decided.
+    pub(crate) async fn catch_up(&self, from: u32, ballot: Ballot) {
+        let own_accepted = self
             .acceptor_store
             .borrow()
             .accepted()
-            .filter(|a| a.0 == to)
-            .map(|a| a.1.clone());
-        if let Some(fleet) = mine {
-            // It was accepted here too, and is known to be chosen now.
-            return self.decided(to, Rc::new(fleet));
+            .filter(|accepted| accepted.0 == ballot)
+            .map(|accepted| accepted.1.clone());
+        if let Some(fleet) = own_accepted {
+            // The value was accepted here too, and is now known to be decided.
+            return self.record_decided(ballot, Rc::new(fleet));
         }
         let Some(peer) = self.peer(from) else { return };
-        let told = peer
+        let reply = peer
             .call::<(Ballot, Option<Fleet>)>("decided", json!({}), 500 * MILLISECOND)
             .await;
-        match told {
-            Ok((ballot, Some(fleet))) => self.decided(ballot, Rc::new(fleet)),
+        match reply {
+            Ok((ballot, Some(fleet))) => self.record_decided(ballot, Rc::new(fleet)),
             Ok((_, None)) => {}
-            Err(why) => debug!(%why, "can't catch up"),
+            Err(why) => debug!(%why, "fetching the decided value from a peer failed"),
         }
     }
 }
--- a/crates/coordinator/src/disk.rs
+++ b/crates/coordinator/src/disk.rs
@@ -1,4 +1,5 @@
-//! The disk of a coordinator: who it is, and what it promised and accepted. Written before anybody is told.
+//! The disk of a coordinator: its identity, and what its acceptor has promised and accepted. A write is on disk before the
+//! request that caused it is answered.
 
 use redb::{Database, ReadableDatabase, TableDefinition};
 use saltdrum_durable::{DiskFailure, database};
@@ -7,16 +8,16 @@
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
-/// Pages of the database that are held in memory.
+/// Size of the database's page cache.
 const CACHE_BYTES: usize = 4 << 20;
-const KEPT: TableDefinition<&str, &[u8]> = TableDefinition::new("steward");
-/// Version of what is written here. A disk of a later version is not opened.
+const RECORDS: TableDefinition<&str, &[u8]> = TableDefinition::new("steward");
+/// Version of the stored records. A disk of another version is not opened.
 pub const SCHEMA_VERSION: u64 = 1;
 
 /// Why a disk can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum DiskError {
-    /// It can't be read or written.
+    /// Reading or writing failed.
     #[error("{location}: {reason}")]
     Io {
         /// Where the disk is.
@@ -24,52 +25,52 @@
         /// What failed.
         reason: DiskFailure,
     },
-    /// What was read is no record of a coordinator.
+    /// A record can't be decoded.
     #[error("{location}: {key}: {reason}")]
     Damaged {
         /// Where the disk is.
         location: String,
-        /// The record.
+        /// Key of the record.
         key: &'static str,
-        /// Why it can't be read.
+        /// Why it can't be decoded.
         reason: String,
     },
-    /// It was written by a later program.
+    /// The records have another version than [`SCHEMA_VERSION`].
     #[error("{location}: schema {found}: this program knows {SCHEMA_VERSION}")]
     Schema {
         /// Where the disk is.
         location: String,
-        /// Its version.
+        /// Version of the records.
         found: u64,
     },
-    /// It belongs to another coordinator.
+    /// The disk belongs to another coordinator.
     #[error("{location}: it is the disk of steward-{found} of fleet '{fleet}'")]
     OtherOwner {
         /// Where the disk is.
         location: String,
-        /// The fleet that it belongs to.
+        /// Name of the fleet that it belongs to.
         fleet: String,
-        /// The coordinator that it belongs to.
+        /// Number of the coordinator that it belongs to.
         found: u32,
     },
 }
 
-/// Whose disk it is.
+/// The coordinator that a disk belongs to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// Version of what is written, see [`SCHEMA_VERSION`].
+    /// Version of the stored records, see [`SCHEMA_VERSION`].
     pub schema: u64,
-    /// The fleet's name.
+    /// Name of the fleet.
     pub fleet: String,
     /// The coordinator and its disk.
     pub voter: Voter,
 }
 
-/// Opens the database, at each start and after each failure.
+/// Opens the database; called at startup and after each failure.
 pub type OpenDatabase = Box<dyn Fn() -> Result<Database, redb::DatabaseError>>;
 
 impl DiskError {
-    /// Whether the same may succeed a while later.
+    /// Whether a later attempt may succeed.
     pub fn is_transient(&self) -> bool {
         matches!(self, Self::Io { reason, .. } if reason.is_transient)
     }
@@ -78,30 +79,30 @@
 /// The disk of a coordinator.
 pub struct Disk {
     location: String,
-    opens: OpenDatabase,
-    /// None: a write failed, and what the disk has is not known until it is read again.
+    open_database: OpenDatabase,
+    /// `None` after a failed write: what the disk has is unknown until it is read again.
     database: Option<Database>,
-    /// Whose disk it is.
+    /// The coordinator that the disk belongs to.
     pub identity: Identity,
 }
 
 impl Disk {
-    /// Opens the disk in a file; `new` is written where nothing is there yet.
+    /// Opens the disk in a file; `new` is written if it has no identity yet.
     pub fn open_file(path: &Path, new: Identity) -> Result<(Self, Acceptor<Fleet>), DiskError> {
-        let at = path.to_owned();
-        let opens = move || database::open(&at, CACHE_BYTES);
-        Self::open(path.display().to_string(), Box::new(opens), new)
+        let file = path.to_owned();
+        let open_database = move || database::open(&file, CACHE_BYTES);
+        Self::open(path.display().to_string(), Box::new(open_database), new)
     }
 
-    /// Opens the disk; `new` is written where nothing is there yet.
+    /// Opens the disk; `new` is written if it has no identity yet.
     pub fn open(
         location: String,
-        opens: OpenDatabase,
+        open_database: OpenDatabase,
         new: Identity,
     ) -> Result<(Self, Acceptor<Fleet>), DiskError> {
         let mut disk = Self {
             location,
-            opens,
+            open_database,
             database: None,
             identity: new.clone(),
         };
@@ -117,26 +118,26 @@
         Ok((disk, acceptor))
     }
 
-    fn fault(&self, why: impl Into<DiskFailure>) -> DiskError {
+    fn io_error(&self, reason: impl Into<DiskFailure>) -> DiskError {
         DiskError::Io {
             location: self.location.clone(),
-            reason: why.into(),
+            reason: reason.into(),
         }
     }
 
-    /// Reads what the disk has, after a start or a failed write.
+    /// Reads the contents of the disk, at startup or after a failed write.
     pub fn reload(&mut self) -> Result<Acceptor<Fleet>, DiskError> {
         self.database = None;
-        let database = (self.opens)().map_err(|e| self.fault(e))?;
-        let txn = database.begin_write().map_err(|e| self.fault(e))?;
-        txn.open_table(KEPT).map_err(|e| self.fault(e))?;
-        txn.commit().map_err(|e| self.fault(e))?;
+        let database = (self.open_database)().map_err(|e| self.io_error(e))?;
+        let txn = database.begin_write().map_err(|e| self.io_error(e))?;
+        txn.open_table(RECORDS).map_err(|e| self.io_error(e))?;
+        txn.commit().map_err(|e| self.io_error(e))?;
         let read = |key: &'static str| -> Result<Option<Vec<u8>>, DiskError> {
-            let txn = database.begin_read().map_err(|e| self.fault(e))?;
-            let table = txn.open_table(KEPT).map_err(|e| self.fault(e))?;
+            let txn = database.begin_read().map_err(|e| self.io_error(e))?;
+            let table = txn.open_table(RECORDS).map_err(|e| self.io_error(e))?;
             Ok(table
                 .get(key)
-                .map_err(|e| self.fault(e))?
+                .map_err(|e| self.io_error(e))?
                 .map(|v| v.value().to_vec()))
         };
         let damaged = |key, e: serde_json::Error| DiskError::Damaged {
@@ -162,36 +163,43 @@
                 });
             }
             Some(identity) => self.identity = identity,
-            None => put(&database, "identity", &self.identity).map_err(|e| self.fault(e))?,
+            None => {
+                write_record(&database, "identity", &self.identity).map_err(|e| self.io_error(e))?
+            }
         }
         self.database = Some(database);
         Ok(acceptor)
     }
 
-    /// On disk when it returns. After a failure nothing is written before [`Self::reload`].
+    /// Writes the state of the acceptor, which is on disk when this returns. After a failure nothing is written before
+    /// [`Self::reload`].
     pub fn save(&mut self, acceptor: &Acceptor<Fleet>) -> Result<(), DiskError> {
         let Some(database) = &self.database else {
-            return Err(self.fault(DiskFailure::lasting("a write failed before")));
+            return Err(self.io_error(DiskFailure::lasting("a write failed before")));
         };
-        if let Err(e) = put(database, "acceptor", acceptor) {
-            let fault = self.fault(e);
+        if let Err(e) = write_record(database, "acceptor", acceptor) {
+            let error = self.io_error(e);
             self.database = None;
-            return Err(fault);
+            return Err(error);
         }
         Ok(())
     }
 
-    /// Whether no write has failed since it was last read.
+    /// Whether no write has failed since the disk was last read.
     pub fn is_writable(&self) -> bool {
         self.database.is_some()
     }
 }
 
-fn put(database: &Database, key: &str, what: &impl Serialize) -> Result<(), redb::Error> {
-    let bytes = serde_json::to_vec(what).map_err(|e| redb::Error::Io(e.into()))?;
-    // The default durability: on disk before commit returns.
+fn write_record(
+    database: &Database,
+    key: &str,
+    record: &impl Serialize,
+) -> Result<(), redb::Error> {
+    let bytes = serde_json::to_vec(record).map_err(|e| redb::Error::Io(e.into()))?;
+    // With the default durability, the transaction is on disk before commit returns.
     let txn = database.begin_write()?;
-    txn.open_table(KEPT)?.insert(key, bytes.as_slice())?;
+    txn.open_table(RECORDS)?.insert(key, bytes.as_slice())?;
     txn.commit()?;
     Ok(())
 }
--- a/crates/coordinator/src/fleet_config.rs
+++ b/crates/coordinator/src/fleet_config.rs
@@ -1,4 +1,5 @@
-//! What a deployment's script says of its fleet: `fleet(...)` once, `bound(...)` as often as there are bounds.
+//! The fleet settings in a deployment script: `fleet(...)` once, then a `bound(...)` for each bound and a `lease(...)` for each
+//! lease.
 
 use saltdrum::interface::Ticks;
 use saltdrum_deployment::units::{Memory, Span};
@@ -7,24 +8,24 @@
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// What a deployment states of its fleet. Times are ticks of 100 us.
+/// Fleet settings of a deployment, under the names that its script gives them. Times are in ticks of 100 us.
 #[derive(Clone, Debug)]
 pub struct FleetConfig {
-    /// The fleet's name.
+    /// Name of the fleet.
     pub name: String,
     /// Interval between heartbeats of members.
     pub renew: Ticks,
-    /// Members whose level of suspicion reaches this, to a majority of coordinators, are lost.
+    /// A member is lost once its level of suspicion reaches this at a majority of coordinators.
     pub suspect_level: f64,
-    /// A grant that was not used is revoked after this.
+    /// Time after which an unused grant is revoked.
     pub grant_for: Ticks,
-    /// A drain is reported as late after this.
+    /// Time after which a drain is reported as late.
     pub drain_for: Ticks,
-    /// Drains are halted when a member that returned is not healthy within this; 0: never.
+    /// Drains are halted if a member that returned is not healthy within this time; 0: never.
     pub prove_within: Ticks,
-    /// Drains are halted when more members than this are lost; 0: never.
+    /// Drains are halted if more members than this are lost; 0: never.
     pub halt_at_lost: usize,
-    /// How many members may be out.
+    /// Limits on how many members may be out at once.
     pub bounds: Vec<Bound>,
     /// Leases of fleet-wide tasks.
     pub leases: BTreeMap<LeaseName, LeaseTerms>,
@@ -32,15 +33,15 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct SaidFleet {
+struct FleetStatement {
     name: String,
-    #[serde(default = "half")]
+    #[serde(default = "default_renew")]
     renew: Span,
-    #[serde(default = "eight")]
+    #[serde(default = "default_suspect_level")]
     suspect_level: f64,
-    #[serde(default = "ten")]
+    #[serde(default = "default_grant_for")]
     grant_for: Span,
-    #[serde(default = "minutes")]
+    #[serde(default = "default_drain_for")]
     drain_for: Span,
     #[serde(default)]
     prove_within: Span,
@@ -48,22 +49,22 @@
     halt_at_lost: usize,
 }
 
-fn half() -> Span {
+fn default_renew() -> Span {
     Span(5_000)
 }
-fn eight() -> f64 {
+fn default_suspect_level() -> f64 {
     8.0
 }
-fn ten() -> Span {
+fn default_grant_for() -> Span {
     Span(100_000)
 }
-fn minutes() -> Span {
+fn default_drain_for() -> Span {
     Span(3_000_000)
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct SaidBound {
+struct BoundStatement {
     kind: Option<String>,
     site: Option<String>,
     per: Option<String>,
@@ -75,7 +76,7 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct SaidLease {
+struct LeaseStatement {
     name: String,
     task: String,
     eligible: String,
@@ -83,30 +84,30 @@
 }
 
 impl FleetConfig {
-    /// Takes the fleet's statements out of those that describe no deployment; none: the script states no fleet.
-    pub fn extract(rest: &mut Vec<Statement>) -> Result<Option<Self>, Fault> {
-        let (mine, others): (Vec<_>, Vec<_>) = std::mem::take(rest)
+    /// Removes the fleet's statements from `statements` and reads them; `None` if the script states no fleet.
+    pub fn extract(statements: &mut Vec<Statement>) -> Result<Option<Self>, Fault> {
+        let (fleet_statements, others): (Vec<_>, Vec<_>) = std::mem::take(statements)
             .into_iter()
             .partition(|s| matches!(s.what, "fleet" | "bound" | "lease"));
-        *rest = others;
+        *statements = others;
         let mut stated: Option<Self> = None;
         let mut bounds = Vec::new();
         let mut leases = BTreeMap::new();
-        for s in &mine {
-            match (s.what, &stated) {
-                ("fleet", None) => stated = Some(fleet(s)?),
-                ("fleet", Some(_)) => return Err(s.fault("stated a second time")),
+        for statement in &fleet_statements {
+            match (statement.what, &stated) {
+                ("fleet", None) => stated = Some(read_fleet(statement)?),
+                ("fleet", Some(_)) => return Err(statement.fault("stated a second time")),
                 ("lease", _) => {
-                    let (name, terms) = lease(s)?;
+                    let (name, terms) = read_lease(statement)?;
                     if leases.insert(name, terms).is_some() {
-                        return Err(s.fault("a lease of this name is stated above"));
+                        return Err(statement.fault("a lease of this name is stated above"));
                     }
                 }
-                _ => bounds.push(bound(s)?),
+                _ => bounds.push(read_bound(statement)?),
             }
         }
-        match (&mut stated, mine.first()) {
-            (None, Some(s)) => return Err(s.fault("no fleet(...) is stated")),
+        match (&mut stated, fleet_statements.first()) {
+            (None, Some(statement)) => return Err(statement.fault("no fleet(...) is stated")),
             (Some(stated), _) => (stated.bounds, stated.leases) = (bounds, leases),
             (None, None) => {}
         }
@@ -114,89 +115,94 @@
     }
 }
 
-fn fleet(s: &Statement) -> Result<FleetConfig, Fault> {
-    let said: SaidFleet = s.read()?;
-    let plain = |c: char| c.is_ascii_alphanumeric() || c == '-';
-    if said.name.is_empty() || said.name.len() > 64 || !said.name.chars().all(plain) {
-        return Err(s.fault("name: letters, digits and '-' are expected, up to 64"));
+fn read_fleet(statement: &Statement) -> Result<FleetConfig, Fault> {
+    let fleet: FleetStatement = statement.read()?;
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || c == '-';
+    if fleet.name.is_empty() || fleet.name.len() > 64 || !fleet.name.chars().all(is_allowed) {
+        return Err(statement.fault("name: letters, digits and '-' are expected, up to 64"));
     }
-    if !(100..=600_000).contains(&said.renew.0) {
-        return Err(s.fault("renew: 10ms to 60s are expected"));
+    if !(100..=600_000).contains(&fleet.renew.0) {
+        return Err(statement.fault("renew: 10ms to 60s are expected"));
     }
-    if !(0.5..=100.0).contains(&said.suspect_level) {
-        return Err(s.fault("suspect_level: 0.5 to 100 are expected"));
+    if !(0.5..=100.0).contains(&fleet.suspect_level) {
+        return Err(statement.fault("suspect_level: 0.5 to 100 are expected"));
     }
     Ok(FleetConfig {
-        name: said.name,
-        renew: said.renew.0,
-        suspect_level: said.suspect_level,
-        grant_for: said.grant_for.0,
-        drain_for: said.drain_for.0,
-        prove_within: said.prove_within.0,
-        halt_at_lost: said.halt_at_lost,
+        name: fleet.name,
+        renew: fleet.renew.0,
+        suspect_level: fleet.suspect_level,
+        grant_for: fleet.grant_for.0,
+        drain_for: fleet.drain_for.0,
+        prove_within: fleet.prove_within.0,
+        halt_at_lost: fleet.halt_at_lost,
         bounds: Vec::new(),
         leases: BTreeMap::new(),
     })
 }
 
-fn word<T: Copy>(s: &Statement, name: &str, said: &str, words: &[(&str, T)]) -> Result<T, Fault> {
-    words
+/// The choice of this name, or a fault that lists the names.
+fn read_choice<T: Copy>(
+    statement: &Statement,
+    name: &str,
+    chosen: &str,
+    choices: &[(&str, T)],
+) -> Result<T, Fault> {
+    choices
         .iter()
-        .find(|(word, _)| *word == said)
-        .map(|(_, is)| *is)
+        .find(|(choice, _)| *choice == chosen)
+        .map(|(_, value)| *value)
         .ok_or_else(|| {
-            let known: Vec<&str> = words.iter().map(|w| w.0).collect();
-            s.fault(format!(
-                "{name} '{said}': one of {} is expected",
+            let known: Vec<&str> = choices.iter().map(|choice| choice.0).collect();
+            statement.fault(format!(
+                "{name} '{chosen}': one of {} is expected",
                 known.join(", ")
             ))
         })
 }
 
-fn bound(s: &Statement) -> Result<Bound, Fault> {
-    let said: SaidBound = s.read()?;
+fn read_bound(statement: &Statement) -> Result<Bound, Fault> {
+    let stated: BoundStatement = statement.read()?;
     let kinds = [
         ("controller", MemberKind::Controller),
         ("invoker", MemberKind::Invoker),
     ];
-    let pers = [
+    let scopes = [
         ("fleet", BoundScope::Fleet),
         ("site", BoundScope::Site),
         ("cell", BoundScope::Cell),
     ];
     let bound = Bound {
-        kind: said
+        kind: stated
             .kind
             .as_ref()
-            .map(|k| word(s, "kind", k, &kinds))
+            .map(|kind| read_choice(statement, "kind", kind, &kinds))
             .transpose()?,
-        site: said.site,
-        per: said
-            .per
-            .as_ref()
-            .map_or(Ok(BoundScope::Fleet), |p| word(s, "per", p, &pers))?,
-        out: said.out,
-        share: said.share,
-        least_size: said.least_size,
-        least_memory_mb: said.least_memory.map(|m| m.0),
+        site: stated.site,
+        per: stated.per.as_ref().map_or(Ok(BoundScope::Fleet), |scope| {
+            read_choice(statement, "per", scope, &scopes)
+        })?,
+        out: stated.out,
+        share: stated.share,
+        least_size: stated.least_size,
+        least_memory_mb: stated.least_memory.map(|m| m.0),
     };
-    bound.validate().map_err(|e| s.fault(e))?;
+    bound.validate().map_err(|e| statement.fault(e))?;
     Ok(bound)
 }
 
-fn lease(s: &Statement) -> Result<(LeaseName, LeaseTerms), Fault> {
-    let said: SaidLease = s.read()?;
+fn read_lease(statement: &Statement) -> Result<(LeaseName, LeaseTerms), Fault> {
+    let stated: LeaseStatement = statement.read()?;
     let kinds = [
         ("controller", MemberKind::Controller),
         ("invoker", MemberKind::Invoker),
     ];
-    let eligible = word(s, "eligible", &said.eligible, &kinds)?;
+    let eligible = read_choice(statement, "eligible", &stated.eligible, &kinds)?;
     let terms = LeaseTerms {
-        task: said.task,
+        task: stated.task,
         eligible,
-        resources: said.resources.into_iter().collect(),
+        resources: stated.resources.into_iter().collect(),
     };
-    let name = LeaseName(said.name);
-    terms.validate(&name).map_err(|e| s.fault(e))?;
+    let name = LeaseName(stated.name);
+    terms.validate(&name).map_err(|e| statement.fault(e))?;
     Ok((name, terms))
 }
--- a/crates/coordinator/src/lease_watch.rs
+++ b/crates/coordinator/src/lease_watch.rs
@@ -1,4 +1,5 @@
-//! What a member knows of the leases it holds. It comes with the answers to its heartbeats; nothing is sent for it.
+//! A member's view of the leases that it holds. It is updated by the replies to the member's heartbeats; no other message is
+//! sent for it.
 
 use saltdrum::interface::Ticks;
 use saltdrum_fleet::state::{Epoch, Fleet, LeaseName, MemberId, ResourceName};
@@ -7,22 +8,22 @@
 use std::collections::BTreeSet;
 use tokio::sync::Notify;
 
-/// A lease that a member holds, as a coordinator tells it.
+/// A lease that a member holds, as a coordinator reports it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HeldLease {
-    /// The lease.
+    /// Name of the lease.
     pub lease: LeaseName,
-    /// The task that its holder does.
+    /// The task that its holder runs.
     pub task: String,
-    /// Of the grant.
+    /// Epoch of the grant.
     pub epoch: Epoch,
-    /// All that the task has effects on.
+    /// All resources that the task has effects on.
     pub resources: BTreeSet<ResourceName>,
 }
 
-/// The leases of one incarnation of a member, by the value that a coordinator knows.
-pub(crate) fn held_by(fleet: &Fleet, member: MemberId, incarnation: u64) -> Vec<HeldLease> {
+/// The leases that one incarnation of a member holds in this state of the fleet.
+pub(crate) fn leases_held_by(fleet: &Fleet, member: MemberId, incarnation: u64) -> Vec<HeldLease> {
     let held = fleet.leases.iter().filter_map(|(name, lease)| {
         let epoch = lease.epoch_held_by(member, incarnation)?;
         let (lease, task, resources) = (
@@ -40,20 +41,20 @@
     held.collect()
 }
 
-/// The leases that a member holds, as the latest reply of any coordinator says.
+/// The leases that a member holds, by the latest reply of any coordinator.
 #[derive(Default)]
 pub struct LeaseWatch {
     held: RefCell<Vec<HeldLease>>,
     revision: Cell<u64>,
-    heard_at: Cell<Ticks>,
+    last_reply_at: Cell<Ticks>,
     changed: Notify,
 }
 
 impl LeaseWatch {
-    /// A coordinator replied, at this time of the member's own clock.
-    pub(crate) fn heard(&self, now: Ticks, revision: u64, held: &[HeldLease]) {
-        self.heard_at.set(now);
-        // A coordinator that lags behind says what was.
+    /// Records a coordinator's reply; `now` is by the member's own clock.
+    pub(crate) fn record_reply(&self, now: Ticks, revision: u64, held: &[HeldLease]) {
+        self.last_reply_at.set(now);
+        // A coordinator that lags behind reports an outdated state.
         if revision < self.revision.get() {
             return;
         }
@@ -64,7 +65,7 @@
         }
     }
 
-    /// The lease of a task, if it is held.
+    /// The lease of a task, if the member holds it.
     pub fn held_lease(&self, task: &str) -> Option<HeldLease> {
         self.held
             .borrow()
@@ -73,12 +74,12 @@
             .cloned()
     }
 
-    /// When a coordinator was last heard, by the member's own clock.
+    /// When the last reply of a coordinator was received, by the member's own clock.
     pub fn last_reply_at(&self) -> Ticks {
-        self.heard_at.get()
+        self.last_reply_at.get()
     }
 
-    /// Waits until something else is held.
+    /// Waits until the held leases change.
     pub async fn changed(&self) {
         self.changed.notified().await;
     }
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -1,14 +1,14 @@
-//! Coordinators, and the members' side of them.
+//! Coordinators of a fleet, and the members' client side.
 //!
 //! A coordinator is a process with a disk of its own; a majority of coordinators decides. On the wire, in commands and in
-//! settings it is called `steward`. `coordinator` is what its parts share. It votes (`acceptor_store`, `disk`), proposes changes
-//! for whoever asks (`propose`), receives members' heartbeats and proposes the changes that follow (`monitoring`), serves the
-//! invoker list (`invoker_list`) and answers on its socket (`service`, over `server`). `member` is how controllers and invokers
-//! join, `rpc_client` one connection to a coordinator, `fleet_config` what a deployment's script says of the fleet,
-//! `lease_watch` what a member knows of the leases it holds.
+//! settings it is called `steward`. `coordinator` has the state that its parts share. A coordinator votes (`acceptor_store`,
+//! `disk`), proposes changes for its callers (`propose`), receives the members' heartbeats and proposes the changes that follow
+//! (`monitoring`), serves the invoker list (`invoker_list`) and answers calls on its socket (`service`, over `server`). `member`
+//! is how controllers and invokers join, `rpc_client` a client of one coordinator, `fleet_config` the fleet settings in a
+//! deployment script, `lease_watch` a member's view of the leases it holds.
 //!
-//! The decisions themselves are made in `saltdrum-fleet`. No invocation waits for anything here: with all coordinators gone a
-//! fleet serves as before, and only planned change stops.
+//! The decisions themselves are made in `saltdrum-fleet`. No invocation depends on this package: without any coordinator a
+//! fleet serves as before, and only planned changes stop.
 
 mod acceptor_store;
 mod coordinator;
--- a/crates/coordinator/src/member.rs
+++ b/crates/coordinator/src/member.rs
@@ -1,5 +1,5 @@
-//! How a controller or an invoker is a member of the fleet. It sends heartbeats to every coordinator that it reaches, and acts
-//! on a grant only once the fleet has agreed that its drain starts.
+//! The membership of a controller or an invoker in the fleet. A member sends heartbeats to every coordinator and acts on a grant
+//! only once the fleet has agreed that its drain starts.
 
 use crate::lease_watch::LeaseWatch;
 use crate::rpc_client::{CallError, RpcClient};
@@ -17,53 +17,53 @@
 use tokio::sync::Notify;
 use tracing::{debug, info, warn};
 
-/// How long one coordinator may take to have a change agreed.
+/// Time that one coordinator has to get a change agreed.
 const CHANGE_TIMEOUT: Ticks = 4 * SECOND;
-/// A drained member that reaches no coordinator ends after this all the same; it stays counted as out.
+/// A drained member that reaches no coordinator ends after this time all the same; the fleet goes on counting it as out.
 const LEAVE_TIMEOUT: Ticks = 3 * SECOND;
 
-/// What the process itself does as a member.
+/// What a process provides as a member.
 pub trait MemberRole {
-    /// It serves as it should.
+    /// Whether it serves as it should.
     fn is_healthy(&self) -> bool;
-    /// Its load, for the order of drains.
+    /// Its load, which affects the order of drains.
     fn load(&self) -> MemberLoad;
-    /// Starts to drain: takes no new work and ends what it has. Called once for a drain.
+    /// Starts to drain: admits no new work and finishes the work in flight. Called once per drain.
     fn start_drain(&self);
-    /// It has no work left.
+    /// Whether no work is left.
     fn is_drained(&self) -> bool;
-    /// Goes back to serving, if it still can. Returns whether it does.
+    /// Returns to serving, if it still can. Returns whether it does.
     fn cancel_drain(&self) -> bool;
-    /// For the record: what happened, and the grant that it belongs to.
-    fn record_event(&self, what: &'static str, grant: u64);
+    /// Records an event and the grant that it belongs to.
+    fn record_event(&self, event: &'static str, grant: u64);
 }
 
-/// Who joins which fleet, and how it reaches the coordinators.
+/// Which member joins which fleet, and how it reaches the coordinators.
 pub struct Membership {
-    /// The fleet's name.
+    /// Name of the fleet.
     pub fleet: String,
     /// The member.
     pub member: MemberId,
-    /// What it says of itself.
+    /// What the fleet is to know of the member.
     pub info: MemberInfo,
-    /// Where the coordinators listen.
+    /// Addresses of the coordinators.
     pub coordinators: Vec<Address>,
     /// Interval between heartbeats.
     pub heartbeat_interval: Ticks,
-    /// Is told of the leases that it holds.
+    /// Receives the leases that the member holds.
     pub lease_watch: Rc<LeaseWatch>,
 }
 
 /// How a membership ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipEnd {
-    /// It drained.
+    /// The member has drained.
     Drained,
-    /// Another incarnation has taken its place.
+    /// Another incarnation has replaced it.
     Replaced,
 }
 
-/// One membership while it lasts.
+/// A running membership.
 struct MembershipTask {
     membership: Membership,
     clock: Clock,
@@ -71,43 +71,43 @@
     /// The reply with the highest revision.
     latest_reply: RefCell<Option<HeartbeatReply>>,
     reply_changed: Notify,
-    /// Index of the coordinator that had the last change agreed.
+    /// Index of the coordinator that got the last change agreed.
     preferred: Cell<usize>,
-    /// Revision of the last change that it had agreed: replies of an earlier one are out of date.
+    /// Revision of the last change that was agreed for this member: replies of an earlier revision are out of date.
     agreed_revision: Cell<u64>,
 }
 
 impl MembershipTask {
-    /// Sends heartbeats to one coordinator for as long as it is polled.
+    /// Sends heartbeats to one coordinator until the future is dropped.
     async fn send_heartbeats(&self, index: usize, role: &dyn MemberRole) {
         loop {
-            let seen = role.load();
-            let said = Heartbeat {
+            let load = role.load();
+            let heartbeat = Heartbeat {
                 member: self.membership.member,
                 incarnation: self.membership.info.incarnation,
                 interval_ticks: self.membership.heartbeat_interval,
-                busy: seen.busy,
-                last_copies: seen.last_copies,
+                busy: load.busy,
+                last_copies: load.last_copies,
             };
             let timeout = (2 * self.membership.heartbeat_interval).max(SECOND);
             match self.coordinators[index]
-                .call::<HeartbeatReply>("renew", &said, timeout)
+                .call::<HeartbeatReply>("renew", &heartbeat, timeout)
                 .await
             {
-                Ok(told) => {
-                    self.membership.lease_watch.heard(
+                Ok(reply) => {
+                    self.membership.lease_watch.record_reply(
                         self.clock.now(),
-                        told.revision,
-                        &told.leases,
+                        reply.revision,
+                        &reply.leases,
                     );
-                    let mut standing = self.latest_reply.borrow_mut();
-                    if standing
+                    let mut latest_reply = self.latest_reply.borrow_mut();
+                    if latest_reply
                         .as_ref()
-                        .is_none_or(|s| told.revision >= s.revision)
+                        .is_none_or(|latest| reply.revision >= latest.revision)
                     {
-                        let news = standing.as_ref() != Some(&told);
-                        *standing = Some(told);
-                        if news {
+                        let is_changed = latest_reply.as_ref() != Some(&reply);
+                        *latest_reply = Some(reply);
+                        if is_changed {
                             self.reply_changed.notify_one();
                         }
                     }
@@ -120,23 +120,23 @@
         }
     }
 
-    /// Has a change agreed by whichever coordinator answers. The error is the text of a refusal; none: the outcome is unknown.
+    /// Gets a change agreed by any coordinator that answers. The error is the text of a refusal; `None`: the outcome is unknown.
     async fn change(&self, change: Change) -> Option<Result<ChangeReply, String>> {
         let first = self.preferred.get();
         for offset in 0..self.coordinators.len() {
-            let at = (first + offset) % self.coordinators.len();
-            let asked = ChangeRequest {
+            let index = (first + offset) % self.coordinators.len();
+            let request = ChangeRequest {
                 change: change.clone(),
             };
-            match self.coordinators[at]
-                .call::<ChangeReply>("change", &asked, CHANGE_TIMEOUT)
+            match self.coordinators[index]
+                .call::<ChangeReply>("change", &request, CHANGE_TIMEOUT)
                 .await
             {
-                Ok(done) => {
-                    self.preferred.set(at);
+                Ok(reply) => {
+                    self.preferred.set(index);
                     self.agreed_revision
-                        .set(self.agreed_revision.get().max(done.revision));
-                    return Some(Ok(done));
+                        .set(self.agreed_revision.get().max(reply.revision));
+                    return Some(Ok(reply));
                 }
                 Err(CallError::ErrorReply { code, message }) if code == REFUSED => {
                     return Some(Err(message));
@@ -154,54 +154,55 @@
     }
 
     fn phase(&self) -> Option<(u64, Phase)> {
-        let standing = self.latest_reply.borrow();
-        let s = standing.as_ref()?;
-        Some((s.incarnation?, s.phase.clone()?))
+        let latest_reply = self.latest_reply.borrow();
+        let reply = latest_reply.as_ref()?;
+        Some((reply.incarnation?, reply.phase.clone()?))
     }
 
     /// Follows the phases of the member until its membership ends.
     async fn run(&self, role: &dyn MemberRole) -> MembershipEnd {
         let (member, incarnation) = (self.membership.member, self.membership.info.incarnation);
-        let (mut draining, mut serving) = (None, false);
+        let (mut drain_grant, mut is_serving) = (None, false);
         loop {
-            let wait = self.clock.now() + self.membership.heartbeat_interval.min(100 * MILLISECOND);
+            let next_check =
+                self.clock.now() + self.membership.heartbeat_interval.min(100 * MILLISECOND);
             tokio::select! {
                 biased;
                 () = self.reply_changed.notified() => {}
-                () = self.clock.sleep_until(wait) => {}
+                () = self.clock.sleep_until(next_check) => {}
             }
-            let standing = self
+            let reply = self
                 .latest_reply
                 .borrow()
                 .clone()
-                .filter(|s| s.revision >= self.agreed_revision.get());
-            if let Some(grant) = draining {
+                .filter(|reply| reply.revision >= self.agreed_revision.get());
+            if let Some(grant) = drain_grant {
                 if role.is_drained() {
                     return self.leave(role, grant).await;
                 }
-                if standing.is_some_and(|s| s.drain_withdrawn) && role.cancel_drain() {
-                    // It serves again at once, and counts as out until this is agreed and it is proven.
-                    let told = self
+                if reply.is_some_and(|reply| reply.drain_withdrawn) && role.cancel_drain() {
+                    // It serves again at once, but counts as out until this change is agreed and it has proven healthy.
+                    let outcome = self
                         .change(Change::TurnedBack {
                             member,
                             incarnation,
                             grant,
                         })
                         .await;
-                    if matches!(told, Some(Ok(_))) {
-                        serving = false;
+                    if matches!(outcome, Some(Ok(_))) {
+                        is_serving = false;
                         role.record_event("turned-back", grant);
-                        draining = None;
+                        drain_grant = None;
                     }
                 }
                 continue;
             }
-            let Some(standing) = standing else { continue };
-            match (standing.incarnation, standing.phase) {
+            let Some(reply) = reply else { continue };
+            match (reply.incarnation, reply.phase) {
                 (Some(known), Some(phase)) if known == incarnation => match phase {
                     Phase::Starting { .. } if role.is_healthy() => {
-                        // It serves from here on, even before the fleet has agreed on that.
-                        if !std::mem::replace(&mut serving, true) {
+                        // It serves from here on, even before the fleet has agreed to it.
+                        if !std::mem::replace(&mut is_serving, true) {
                             role.record_event("up", 0);
                         }
                         self.change(Change::Proven {
@@ -220,7 +221,7 @@
                             .await
                         {
                             Some(Ok(_)) => {
-                                draining = Some(grant);
+                                drain_grant = Some(grant);
                                 role.record_event("began", grant);
                                 role.start_drain();
                             }
@@ -228,7 +229,7 @@
                             None => {}
                         }
                     }
-                    // The start was agreed, and the answer was lost.
+                    // The start of the drain was agreed, but the reply was lost.
                     Phase::Draining { grant } => {
                         if let Some(Ok(_)) = self
                             .change(Change::Begin {
@@ -238,19 +239,19 @@
                             })
                             .await
                         {
-                            draining = Some(grant);
+                            drain_grant = Some(grant);
                             role.record_event("began", grant);
                             role.start_drain();
                         }
                     }
-                    Phase::Lost { .. } => serving = false,
+                    Phase::Lost { .. } => is_serving = false,
                     _ => {}
                 },
                 _ => {
                     let about = self.membership.info.clone();
                     if let Some(Err(why)) = self.change(Change::Join { member, about }).await {
                         warn!(%member, why, "join refused");
-                        // Part of the protocol: the refusal is recognised by its text.
+                        // The protocol identifies this refusal by its text.
                         if why.contains(REPLACED_TEXT) {
                             role.record_event("replaced", 0);
                             return MembershipEnd::Replaced;
@@ -261,20 +262,20 @@
         }
     }
 
-    /// Tells the coordinators that it ends, for as long as that may take.
+    /// Reports to the coordinators that the member leaves, until this is agreed or [`LEAVE_TIMEOUT`] has passed.
     async fn leave(&self, role: &dyn MemberRole, grant: u64) -> MembershipEnd {
         let (member, incarnation) = (self.membership.member, self.membership.info.incarnation);
         role.record_event("drained", grant);
-        let until = self.clock.now() + LEAVE_TIMEOUT;
-        while self.clock.now() < until {
+        let deadline = self.clock.now() + LEAVE_TIMEOUT;
+        while self.clock.now() < deadline {
             let leaving = self.change(Change::Leave {
                 member,
                 incarnation,
             });
             tokio::select! {
                 biased;
-                told = leaving => if told.is_some() { break },
-                () = self.clock.sleep_until(until) => {}
+                outcome = leaving => if outcome.is_some() { break },
+                () = self.clock.sleep_until(deadline) => {}
             }
             self.clock
                 .sleep_until(self.clock.now() + 100 * MILLISECOND)
@@ -286,15 +287,15 @@
 
 /// Joins the fleet, and returns when the member has drained or was replaced.
 pub async fn join(
-    with: Membership,
+    membership: Membership,
     network: Rc<dyn Network>,
     clock: Clock,
     role: Rc<dyn MemberRole>,
 ) -> MembershipEnd {
-    let client = |at: &Address| RpcClient::new(network.clone(), at.clone(), &with.fleet);
-    let coordinators: Vec<RpcClient> = with.coordinators.iter().map(client).collect();
+    let client = |at: &Address| RpcClient::new(network.clone(), at.clone(), &membership.fleet);
+    let coordinators: Vec<RpcClient> = membership.coordinators.iter().map(client).collect();
     let task = Rc::new(MembershipTask {
-        membership: with,
+        membership,
         clock,
         coordinators,
         latest_reply: RefCell::default(),
--- a/crates/coordinator/src/monitoring.rs
+++ b/crates/coordinator/src/monitoring.rs
@@ -1,9 +1,9 @@
-//! Passes heartbeats and reports to [`MemberMonitor`](saltdrum_fleet::monitor::MemberMonitor), reports its levels to other
-//! coordinators and proposes the changes that it finds due. The loop itself waits for nobody, so that it notices when the
-//! process was paused.
+//! Feeds heartbeats and suspicion reports to [`MemberMonitor`](saltdrum_fleet::monitor::MemberMonitor), reports its levels of
+//! suspicion to the other coordinators and proposes the changes that it finds due. The loop itself never waits for a peer, so
+//! that it detects when the process was paused.
 
 use crate::coordinator::Coordinator;
-use crate::lease_watch::held_by;
+use crate::lease_watch::leases_held_by;
 use crate::wire::{Heartbeat, HeartbeatReply, Recover, SuspicionReport};
 use saltdrum::interface::{MILLISECOND, Ticks};
 use saltdrum_fleet::change::Change;
@@ -16,53 +16,56 @@
 
 /// Interval between observations.
 const OBSERVE_INTERVAL: Ticks = 50 * MILLISECOND;
-/// Interval between reports to other coordinators.
+/// Interval between suspicion reports to the other coordinators.
 const REPORT_INTERVAL: Ticks = 150 * MILLISECOND;
 
 impl Coordinator {
-    /// A member sent a heartbeat; the reply says how this coordinator knows it.
-    pub(crate) fn renewed(&self, said: &Heartbeat) -> HeartbeatReply {
+    /// Handles a member's heartbeat; the reply describes the member as this coordinator knows it.
+    pub(crate) fn handle_heartbeat(&self, heartbeat: &Heartbeat) -> HeartbeatReply {
         let fleet = self.fleet.borrow().clone();
         let fleet = fleet.as_deref();
         let now = self.clock.now();
-        let seen = said.load();
+        let load = heartbeat.load();
         self.monitor.borrow_mut().record_heartbeat(
             now,
             fleet,
-            said.member,
-            said.incarnation,
-            said.interval_ticks,
-            seen,
+            heartbeat.member,
+            heartbeat.incarnation,
+            heartbeat.interval_ticks,
+            load,
         );
-        let member = fleet.and_then(|f| f.members.get(&said.member));
+        let member = fleet.and_then(|f| f.members.get(&heartbeat.member));
         HeartbeatReply {
             revision: fleet.map_or(0, |f| f.revision),
             incarnation: member.map(|m| m.info.incarnation),
             phase: member.map(|m| m.phase.clone()),
-            drain_withdrawn: fleet.is_some_and(|f| f.may_cancel_drain(&said.member)),
-            leases: fleet.map_or_else(Vec::new, |f| held_by(f, said.member, said.incarnation)),
+            drain_withdrawn: fleet.is_some_and(|f| f.may_cancel_drain(&heartbeat.member)),
+            leases: fleet.map_or_else(Vec::new, |f| {
+                leases_held_by(f, heartbeat.member, heartbeat.incarnation)
+            }),
         }
     }
 
-    /// Another coordinator reported its levels of suspicion.
-    pub(crate) fn opinions(&self, said: SuspicionReport) {
+    /// Handles another coordinator's report of its levels of suspicion.
+    pub(crate) fn handle_suspicion_report(&self, report: SuspicionReport) {
         self.acceptor_store
             .borrow_mut()
-            .hear_writes(said.from, said.writes);
-        if said.decided > self.decided_at.get() {
-            self.behind.set(Some((said.from.steward, said.decided)));
+            .record_writes(report.from, report.writes);
+        if report.decided > self.decided_ballot.get() {
+            self.catch_up_target
+                .set(Some((report.from.steward, report.decided)));
         }
         self.monitor.borrow_mut().record_report(
             self.clock.now(),
-            said.from,
-            said.levels,
-            said.returning,
+            report.from,
+            report.levels,
+            report.returning,
         );
     }
 
-    /// Observes members and peers, and proposes the changes that are due, for as long as it is polled.
-    pub(crate) async fn observe(self: Rc<Self>) {
-        let mut told = 0;
+    /// Observes members and peers and proposes the changes that are due, until the future is dropped.
+    pub(crate) async fn run_monitor(self: Rc<Self>) {
+        let mut last_report = 0;
         loop {
             self.clock
                 .sleep_until(self.clock.now() + OBSERVE_INTERVAL)
@@ -71,116 +74,127 @@
             if let Some(gap) = self.monitor.borrow_mut().detect_pause(now) {
                 warn!(
                     paused_ms = gap / MILLISECOND,
-                    "process was paused, listening anew"
+                    "process was paused, observation of members restarted"
                 );
             }
             let fleet = self.fleet.borrow().clone();
-            if now >= told + REPORT_INTERVAL {
-                told = now;
+            if now >= last_report + REPORT_INTERVAL {
+                last_report = now;
                 self.report_to_peers(fleet.as_deref());
             }
-            if let Some((from, to)) = self.behind.take() {
+            if let Some((from, ballot)) = self.catch_up_target.take() {
                 let this = self.clone();
-                tokio::task::spawn_local(async move { this.catch_up(from, to).await });
+                tokio::task::spawn_local(async move { this.catch_up(from, ballot).await });
             }
             let Some(fleet) = fleet else { continue };
             for (member, waited) in self.monitor.borrow_mut().late_drains(now, &fleet) {
                 warn!(%member, waited_ms = waited / MILLISECOND, "drain is late");
             }
-            let leads = self.monitor.borrow().is_proposer(now, &fleet);
-            // One thing after another: what was proposed has to be known before what follows from it is.
-            if leads && !self.acceptor_store.borrow().is_returning() && !self.proposing.get() {
-                let owed = self.monitor.borrow_mut().due_changes(now, &fleet);
-                if !owed.is_empty() {
-                    self.proposing.set(true);
-                    tokio::task::spawn_local(self.clone().propose_due(owed));
+            let is_proposer = self.monitor.borrow().is_proposer(now, &fleet);
+            // One batch at a time: the outcome of what was proposed has to be known before what follows from it is proposed.
+            if is_proposer
+                && !self.acceptor_store.borrow().is_recovering()
+                && !self.is_proposing_due.get()
+            {
+                let due_changes = self.monitor.borrow_mut().due_changes(now, &fleet);
+                if !due_changes.is_empty() {
+                    self.is_proposing_due.set(true);
+                    tokio::task::spawn_local(self.clone().propose_due(due_changes));
                 }
             }
         }
     }
 
-    /// Reports this coordinator's levels to the others.
+    /// Reports this coordinator's levels of suspicion to the others.
     fn report_to_peers(self: &Rc<Self>, fleet: Option<&Fleet>) {
         let acceptor_store = self.acceptor_store.borrow();
-        let said = SuspicionReport {
-            from: acceptor_store.me(),
+        let report = SuspicionReport {
+            from: acceptor_store.voter(),
             levels: fleet.and_then(|f| self.monitor.borrow().suspicion_levels(self.clock.now(), f)),
-            decided: self.decided_at.get(),
+            decided: self.decided_ballot.get(),
             writes: acceptor_store.writes(),
-            returning: acceptor_store.is_returning(),
+            returning: acceptor_store.is_recovering(),
         };
-        let me = acceptor_store.me().steward;
+        let own_number = acceptor_store.voter().steward;
         drop(acceptor_store);
-        for steward in self.stewards().into_keys().filter(|s| *s != me) {
-            let (this, said) = (self.clone(), said.clone());
-            // One at a time on each connection: they must not pile up behind a network partition.
-            if !self.telling.borrow_mut().insert(steward) {
+        let peers = self
+            .coordinator_addresses()
+            .into_keys()
+            .filter(|number| *number != own_number);
+        for steward in peers {
+            let (this, report) = (self.clone(), report.clone());
+            // One report in flight to each peer, so that they don't pile up behind a network partition.
+            if !self.reporting_to.borrow_mut().insert(steward) {
                 continue;
             }
             tokio::task::spawn_local(async move {
                 if let Some(peer) = this.peer(steward) {
                     let _ = peer
-                        .call::<serde_json::Value>("opinions", &said, 500 * MILLISECOND)
+                        .call::<serde_json::Value>("opinions", &report, 500 * MILLISECOND)
                         .await;
                 }
-                this.telling.borrow_mut().remove(&steward);
+                this.reporting_to.borrow_mut().remove(&steward);
             });
         }
     }
 
-    /// Has the changes agreed that are due.
-    async fn propose_due(self: Rc<Self>, owed: Vec<Change>) {
-        let mut told = tokio::task::JoinSet::new();
-        for change in owed {
+    /// Proposes the changes that are due, and waits for their outcomes.
+    async fn propose_due(self: Rc<Self>, due_changes: Vec<Change>) {
+        let mut proposals = tokio::task::JoinSet::new();
+        for change in due_changes {
             let this = self.clone();
-            told.spawn_local(async move {
+            proposals.spawn_local(async move {
                 if let Err((_, why)) = this.change(change.clone()).await {
                     info!(?change, why, "change not agreed");
                 }
             });
         }
-        while told.join_next().await.is_some() {}
-        self.proposing.set(false);
+        while proposals.join_next().await.is_some() {}
+        self.is_proposing_due.set(false);
     }
 
-    /// Asks the others until it may vote, then ends.
-    pub(crate) async fn come_back(self: Rc<Self>) -> Result<(), String> {
-        let mut told = false;
+    /// Queries the other coordinators until this one may vote.
+    pub(crate) async fn recover(self: Rc<Self>) -> Result<(), String> {
+        let mut has_warned = false;
         loop {
-            let me = self.acceptor_store.borrow().me();
+            let own_voter = self.acceptor_store.borrow().voter();
             let mut verdict = Verdict::Wait;
-            let others: Vec<u32> = self
-                .stewards()
+            let peers: Vec<u32> = self
+                .coordinator_addresses()
                 .into_keys()
-                .filter(|s| *s != me.steward)
+                .filter(|number| *number != own_voter.steward)
                 .collect();
-            let mut answers = tokio::task::JoinSet::new();
-            for steward in others.iter().copied() {
+            let mut replies = tokio::task::JoinSet::new();
+            for steward in peers.iter().copied() {
                 let this = self.clone();
-                answers.spawn_local(async move {
+                replies.spawn_local(async move {
                     let peer = this.peer(steward)?;
-                    let asked = Recover {
-                        from: me,
-                        incarnation: this.acceptor_store.borrow().life(),
+                    let request = Recover {
+                        from: own_voter,
+                        incarnation: this.acceptor_store.borrow().incarnation(),
                     };
-                    peer.call::<(Voter, RecoveryReply<Fleet>)>("recover", &asked, 500 * MILLISECOND)
-                        .await
-                        .ok()
+                    peer.call::<(Voter, RecoveryReply<Fleet>)>(
+                        "recover",
+                        &request,
+                        500 * MILLISECOND,
+                    )
+                    .await
+                    .ok()
                 });
             }
-            if others.is_empty() {
+            if peers.is_empty() {
                 verdict = self
                     .acceptor_store
                     .borrow_mut()
-                    .heard_nobody()
+                    .recover_without_peers()
                     .map_err(|e| e.1)?;
             }
-            while let Some(answer) = answers.join_next().await {
-                if let Ok(Some((from, heard))) = answer {
+            while let Some(reply) = replies.join_next().await {
+                if let Ok(Some((from, reply))) = reply {
                     verdict = self
                         .acceptor_store
                         .borrow_mut()
-                        .heard(from, heard)
+                        .record_recovery_reply(from, reply)
                         .map_err(|e| e.1)?;
                 }
                 if verdict == Verdict::Vote {
@@ -190,14 +204,14 @@
             match verdict {
                 Verdict::Vote => return Ok(()),
                 Verdict::StaleDisk {
-                    own_writes: mine,
-                    known_writes: heard,
-                } if !told => {
-                    told = true;
+                    own_writes,
+                    known_writes,
+                } if !has_warned => {
+                    has_warned = true;
                     warn!(
-                        mine,
-                        heard,
-                        "disk is an old copy, voting suspended until enough peers were heard"
+                        mine = own_writes,
+                        heard = known_writes,
+                        "disk is an old copy, voting suspended until enough peers have replied"
                     );
                 }
                 _ => {}
--- a/crates/coordinator/src/rpc_client.rs
+++ b/crates/coordinator/src/rpc_client.rs
@@ -1,4 +1,4 @@
-//! A connection to a coordinator or a resource: calls with answers, over a stream that is opened again when it is lost.
+//! JSON-RPC client of a coordinator or a resource, over a connection that is opened again when it is lost.
 
 use crate::wire::{Envelope, MAX_LINE_BYTES, WRONG_FLEET_OR_VERSION, version_of};
 use bytes::{Bytes, BytesMut};
@@ -26,12 +26,12 @@
         /// What failed.
         reason: String,
     },
-    /// The peer answered with an error.
+    /// The peer replied with an error.
     #[error("{message}")]
     ErrorReply {
-        /// Of JSON-RPC.
+        /// JSON-RPC error code.
         code: i64,
-        /// What the peer says.
+        /// Error message of the peer.
         message: String,
     },
 }
@@ -43,12 +43,12 @@
     error: Option<ReplyError>,
 }
 
-type Answer = Result<Box<RawValue>, CallError>;
-type PendingCalls = BTreeMap<u64, oneshot::Sender<Answer>>;
+type RawResult = Result<Box<RawValue>, CallError>;
+type PendingCalls = BTreeMap<u64, oneshot::Sender<RawResult>>;
 
 struct Connection {
     outbox: SendQueue,
-    open: Rc<RefCell<PendingCalls>>,
+    pending_calls: Rc<RefCell<PendingCalls>>,
     task: tokio::task::JoinHandle<()>,
 }
 
@@ -58,7 +58,7 @@
     }
 }
 
-/// A client of one address; it connects at the first call.
+/// A client of one address, which connects on the first call.
 pub struct RpcClient {
     network: Rc<dyn Network>,
     /// Where the peer listens.
@@ -66,120 +66,135 @@
     fleet: String,
     connection: RefCell<Option<Rc<Connection>>>,
     connecting: tokio::sync::Mutex<()>,
-    last: Cell<u64>,
+    last_id: Cell<u64>,
 }
 
 /// Unsent bytes beyond which a call fails.
-const UNSENT_MOST_BYTES: usize = 4 * MAX_LINE_BYTES;
+const MAX_UNSENT_BYTES: usize = 4 * MAX_LINE_BYTES;
 
 impl RpcClient {
-    /// A client that is not connected yet; `fleet` goes with every call.
-    pub fn new(network: Rc<dyn Network>, at: Address, fleet: &str) -> Self {
+    /// Creates a client that is not connected yet; every call carries the name of the fleet.
+    pub fn new(network: Rc<dyn Network>, address: Address, fleet: &str) -> Self {
         Self {
             network,
-            address: at,
+            address,
             fleet: fleet.to_owned(),
             connection: RefCell::default(),
             connecting: tokio::sync::Mutex::new(()),
-            last: Cell::new(0),
+            last_id: Cell::new(0),
         }
     }
 
-    fn lost(&self, why: impl ToString) -> CallError {
+    fn connection_error(&self, reason: impl ToString) -> CallError {
         CallError::Connection {
             address: self.address.clone(),
-            reason: why.to_string(),
+            reason: reason.to_string(),
         }
     }
 
     async fn connection(&self) -> Result<Rc<Connection>, CallError> {
-        // One call connects, others wait for it.
-        let _one = self.connecting.lock().await;
-        if let Some(line) = self
+        // One call connects, the others wait for it.
+        let _guard = self.connecting.lock().await;
+        if let Some(connection) = self
             .connection
             .borrow()
             .as_ref()
-            .filter(|l| !l.task.is_finished())
+            .filter(|connection| !connection.task.is_finished())
         {
-            return Ok(line.clone());
+            return Ok(connection.clone());
         }
         let stream = self
             .network
             .dial(&self.address)
             .await
-            .map_err(|e| self.lost(e))?;
-        let outbox = SendQueue::new(UNSENT_MOST_BYTES);
-        let open: Rc<RefCell<PendingCalls>> = Rc::default();
+            .map_err(|e| self.connection_error(e))?;
+        let outbox = SendQueue::new(MAX_UNSENT_BYTES);
+        let pending_calls: Rc<RefCell<PendingCalls>> = Rc::default();
         let task = tokio::task::spawn_local(run_connection(
             stream,
             outbox.clone(),
-            open.clone(),
+            pending_calls.clone(),
             self.address.clone(),
         ));
-        let line = Rc::new(Connection { outbox, open, task });
-        *self.connection.borrow_mut() = Some(line.clone());
-        Ok(line)
+        let connection = Rc::new(Connection {
+            outbox,
+            pending_calls,
+            task,
+        });
+        *self.connection.borrow_mut() = Some(connection.clone());
+        Ok(connection)
     }
 
-    /// Sends one call and waits for its answer for `timeout` at most. A connection on which nothing came back in time is
-    /// closed: the network may be partitioned, and then nothing arrives on it any more.
+    /// Sends one call and waits for its result for at most `timeout`. After a timeout the connection is closed: the network may
+    /// be partitioned, and then nothing arrives on this connection any more.
     pub async fn call<T: DeserializeOwned>(
         &self,
         method: &str,
-        what: impl Serialize,
+        params: impl Serialize,
         timeout: Ticks,
     ) -> Result<T, CallError> {
-        let told =
-            tokio::time::timeout(Duration::from_micros(timeout * 100), self.ask(method, what))
-                .await;
-        let Ok(told) = told else {
+        let result = tokio::time::timeout(
+            Duration::from_micros(timeout * 100),
+            self.send_call(method, params),
+        )
+        .await;
+        let Ok(result) = result else {
             *self.connection.borrow_mut() = None;
-            return Err(self.lost(format!("no answer within {} ms", timeout / 10)));
+            return Err(self.connection_error(format!("no answer within {} ms", timeout / 10)));
         };
-        serde_json::from_str(told?.get()).map_err(|e| self.lost(e))
+        serde_json::from_str(result?.get()).map_err(|e| self.connection_error(e))
     }
 
-    async fn ask(&self, method: &str, what: impl Serialize) -> Answer {
-        let line = self.connection().await?;
-        let id = self.last.get() + 1;
-        self.last.set(id);
-        let said = Envelope {
+    async fn send_call(&self, method: &str, params: impl Serialize) -> RawResult {
+        let connection = self.connection().await?;
+        let id = self.last_id.get() + 1;
+        self.last_id.set(id);
+        let envelope = Envelope {
             fleet: self.fleet.clone(),
             version: version_of(method),
-            params: what,
+            params,
         };
-        let params = serde_json::to_string(&said).map_err(|e| self.lost(e))?;
+        let params = serde_json::to_string(&envelope).map_err(|e| self.connection_error(e))?;
         let text = format!(
             "{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"{method}\",\"params\":{params}}}\n"
         );
-        let (to, from) = oneshot::channel();
-        line.open.borrow_mut().insert(id, to);
-        let put = line.outbox.push(Bytes::from(text), Ticks::MAX);
-        put.ok_or_else(|| self.lost("too much lies unsent"))?;
-        from.await.unwrap_or_else(|_| Err(self.lost("hung up")))
+        let (result_sender, result) = oneshot::channel();
+        connection
+            .pending_calls
+            .borrow_mut()
+            .insert(id, result_sender);
+        let queued = connection.outbox.push(Bytes::from(text), Ticks::MAX);
+        queued.ok_or_else(|| self.connection_error("too much lies unsent"))?;
+        result
+            .await
+            .unwrap_or_else(|_| Err(self.connection_error("hung up")))
     }
 }
 
 async fn run_connection(
     stream: Stream,
     outbox: SendQueue,
-    open: Rc<RefCell<PendingCalls>>,
-    at: Address,
+    pending_calls: Rc<RefCell<PendingCalls>>,
+    address: Address,
 ) {
     let (mut input, mut output) = split(stream);
     let reading = async {
-        let (mut read, mut searched) = (BytesMut::new(), 0);
+        // The first `scanned` bytes of the buffer have no line break.
+        let (mut buffer, mut scanned) = (BytesMut::new(), 0);
         loop {
-            while let Some(end) = read[searched..].iter().position(|b| *b == b'\n') {
-                let line = read.split_to(searched + end + 1);
-                searched = 0;
+            while let Some(end) = buffer[scanned..].iter().position(|b| *b == b'\n') {
+                let line = buffer.split_to(scanned + end + 1);
+                scanned = 0;
                 let Ok(reply) = serde_json::from_slice::<Reply>(&line) else {
                     return;
                 };
-                let Some(to) = reply.id.and_then(|id| open.borrow_mut().remove(&id)) else {
+                let Some(result_sender) = reply
+                    .id
+                    .and_then(|id| pending_calls.borrow_mut().remove(&id))
+                else {
                     continue;
                 };
-                let told = match (reply.result, reply.error) {
+                let result = match (reply.result, reply.error) {
                     (Some(result), _) => Ok(result),
                     (None, Some(e)) => Err(CallError::ErrorReply {
                         code: e.code,
@@ -187,13 +202,13 @@
                     }),
                     (None, None) => Err(CallError::ErrorReply {
                         code: WRONG_FLEET_OR_VERSION,
-                        message: format!("{at}: neither result nor error"),
+                        message: format!("{address}: neither result nor error"),
                     }),
                 };
-                let _ = to.send(told);
+                let _ = result_sender.send(result);
             }
-            searched = read.len();
-            if searched > MAX_LINE_BYTES || !matches!(input.read_buf(&mut read).await, Ok(1..)) {
+            scanned = buffer.len();
+            if scanned > MAX_LINE_BYTES || !matches!(input.read_buf(&mut buffer).await, Ok(1..)) {
                 return;
             }
         }
@@ -204,5 +219,5 @@
         _ = outbox.write_to(&mut output, || 0, |_| ()) => {}
     }
     outbox.close();
-    open.borrow_mut().clear();
+    pending_calls.borrow_mut().clear();
 }
--- a/crates/coordinator/src/server.rs
+++ b/crates/coordinator/src/server.rs
@@ -1,4 +1,4 @@
-//! Answers calls that come as lines of JSON-RPC over a stream: for coordinators, and for resources of fleet-wide tasks.
+//! JSON-RPC server, one message per line: for coordinators and for resources of fleet-wide tasks.
 
 use crate::wire::{Envelope, MAX_LINE_BYTES, WRONG_FLEET_OR_VERSION, version_of};
 use bytes::{Bytes, BytesMut};
@@ -12,66 +12,66 @@
 use tokio::task::JoinSet;
 use tracing::{debug, info, warn};
 
-/// Unread bytes of answers beyond which a connection is closed.
-const UNREAD_MOST_BYTES: usize = 2 * MAX_LINE_BYTES;
-/// Calls of one connection that are answered concurrently.
-const CONCURRENT_CALLS_MOST: usize = 1_000;
+/// Unread bytes of responses beyond which a connection is closed.
+const MAX_UNREAD_BYTES: usize = 2 * MAX_LINE_BYTES;
+/// Calls of one connection that are handled concurrently.
+const MAX_CONCURRENT_CALLS: usize = 1_000;
 
-/// An error of JSON-RPC: its code and its message.
+/// A JSON-RPC error: its code and its message.
 pub type RpcError = (i64, String);
 
-/// Answers calls.
+/// Handles the calls that a server receives.
 pub trait CallHandler: 'static {
-    /// The result as JSON, or an error.
+    /// Returns the result as JSON, or an error.
     fn handle_call(self: &Rc<Self>, call: &Call) -> impl Future<Output = Result<String, RpcError>>;
 }
 
-/// The error for parameters that can't be.
-pub fn invalid_params(why: impl ToString) -> RpcError {
-    (rpc::INVALID_PARAMS, why.to_string())
+/// The error for parameters that can't be read.
+pub fn invalid_params(reason: impl ToString) -> RpcError {
+    (rpc::INVALID_PARAMS, reason.to_string())
 }
 
-/// Reads the parameters of a call, if it is meant for this fleet and of the same version.
+/// Reads the parameters of a call, if the call is meant for this fleet and has the expected version.
 pub fn read_params<T: DeserializeOwned>(call: &Call, fleet: &str) -> Result<T, RpcError> {
-    let said: Envelope<&RawValue> =
+    let envelope: Envelope<&RawValue> =
         serde_json::from_str(call.params.as_ref().map_or("{}", |p| p.get()))
             .map_err(invalid_params)?;
     let expected = version_of(&call.method);
-    if said.version != expected {
+    if envelope.version != expected {
         return Err((
             WRONG_FLEET_OR_VERSION,
             format!(
                 "messages of version {}: {expected} is expected",
-                said.version
+                envelope.version
             ),
         ));
     }
-    if said.fleet != fleet {
+    if envelope.fleet != fleet {
         return Err((
             WRONG_FLEET_OR_VERSION,
-            format!("fleet '{}': this belongs to '{fleet}'", said.fleet),
+            format!("fleet '{}': this belongs to '{fleet}'", envelope.fleet),
         ));
     }
-    // Borrowed, not copied: a whole fleet may be in it.
-    serde_json::from_str(said.params.get()).map_err(invalid_params)
+    // Borrowed rather than copied: the parameters may contain a whole fleet.
+    serde_json::from_str(envelope.params.get()).map_err(invalid_params)
 }
 
-/// Delay after an accept has failed.
+/// Delay before the next accept after a failed one.
 const ACCEPT_RETRY_DELAY: Ticks = 50 * MILLISECOND;
 
 /// Answers calls at an address until the future is dropped.
 pub async fn serve<A: CallHandler>(
-    answers: Rc<A>,
+    handler: Rc<A>,
     network: Rc<dyn Network>,
     listen: &Address,
     clock: Clock,
 ) -> std::io::Result<()> {
-    let (mut door, at) = network.listen(listen).await?;
+    let (mut listener, at) = network.listen(listen).await?;
     info!(%at, "listening");
     loop {
-        match door.accept().await {
+        match listener.accept().await {
             Ok(stream) => drop(tokio::task::spawn_local(serve_connection(
-                answers.clone(),
+                handler.clone(),
                 stream,
             ))),
             Err(why) => {
@@ -83,22 +83,22 @@
 }
 
 /// Answers the calls of one connection until it is closed.
-pub async fn serve_connection<A: CallHandler>(answers: Rc<A>, stream: Stream) {
+pub async fn serve_connection<A: CallHandler>(handler: Rc<A>, stream: Stream) {
     let (input, mut output) = split(stream);
-    let outbox = SendQueue::new(UNREAD_MOST_BYTES);
+    let outbox = SendQueue::new(MAX_UNREAD_BYTES);
     tokio::select! {
         biased;
-        why = listen(&answers, &outbox, input) => debug!(why, "connection closed"),
+        why = read_calls(&handler, &outbox, input) => debug!(why, "connection closed"),
         _ = outbox.write_to(&mut output, || 0, |_| ()) => {}
     }
 }
 
-fn put(outbox: &SendQueue, mut text: String) {
+fn push_line(outbox: &SendQueue, mut text: String) {
     text.push('\n');
     outbox.push(Bytes::from(text), Ticks::MAX);
 }
 
-/// The call of a line; the error is the answer to a line that is no call.
+/// Reads the call in a line; the error is the response to a line that is not a valid call.
 fn read_call(line: &[u8]) -> Result<Call, String> {
     match rpc::read(line) {
         Ok(Line::Single(Ok(call))) => Ok(call),
@@ -112,54 +112,56 @@
     }
 }
 
-async fn listen<A: CallHandler>(
-    answers: &Rc<A>,
+/// Reads and handles calls until the connection is closed. Returns the reason.
+async fn read_calls<A: CallHandler>(
+    handler: &Rc<A>,
     outbox: &SendQueue,
     mut input: StreamHalf,
 ) -> String {
-    let (mut read, mut searched) = (BytesMut::new(), 0);
-    let mut answering: JoinSet<()> = JoinSet::new();
+    // The first `scanned` bytes of the buffer have no line break.
+    let (mut buffer, mut scanned) = (BytesMut::new(), 0);
+    let mut calls: JoinSet<()> = JoinSet::new();
     loop {
-        while let Some(end) = read[searched..].iter().position(|b| *b == b'\n') {
-            let line = read.split_to(searched + end + 1);
-            searched = 0;
+        while let Some(end) = buffer[scanned..].iter().position(|b| *b == b'\n') {
+            let line = buffer.split_to(scanned + end + 1);
+            scanned = 0;
             if line.trim_ascii().is_empty() {
                 continue;
             }
             let call = match read_call(line.trim_ascii()) {
                 Ok(call) => call,
-                Err(answer) => {
-                    put(outbox, answer);
+                Err(response) => {
+                    push_line(outbox, response);
                     continue;
                 }
             };
-            while answering.len() >= CONCURRENT_CALLS_MOST {
-                answering.join_next().await;
+            while calls.len() >= MAX_CONCURRENT_CALLS {
+                calls.join_next().await;
             }
-            while answering.try_join_next().is_some() {}
-            let (answers, outbox) = (answers.clone(), outbox.clone());
-            answering.spawn_local(async move {
-                let answered = answers.handle_call(&call).await;
+            while calls.try_join_next().is_some() {}
+            let (handler, outbox) = (handler.clone(), outbox.clone());
+            calls.spawn_local(async move {
+                let result = handler.handle_call(&call).await;
                 let Some(id) = &call.id else { return };
-                put(
+                push_line(
                     &outbox,
-                    match answered {
+                    match result {
                         Ok(result) => rpc::result(id, &result),
-                        Err((code, why)) => rpc::error(id, code, &why, None),
+                        Err((code, message)) => rpc::error(id, code, &message, None),
                     },
                 );
             });
         }
-        searched = read.len();
-        if searched > MAX_LINE_BYTES {
-            put(
+        scanned = buffer.len();
+        if scanned > MAX_LINE_BYTES {
+            push_line(
                 outbox,
                 rpc::error(&Id::null(), rpc::PARSE_ERROR, "line too long", None),
             );
             return "line too long".into();
         }
-        match input.read_buf(&mut read).await {
-            Ok(0) => return "hung up".into(),
+        match input.read_buf(&mut buffer).await {
+            Ok(0) => return "closed by the peer".into(),
             Ok(_) => {}
             Err(e) => return e.to_string(),
         }
--- a/crates/coordinator/src/service.rs
+++ b/crates/coordinator/src/service.rs
@@ -1,4 +1,4 @@
-//! A coordinator on its socket: methods of the protocol, and the process as a whole.
+//! The RPC service of a coordinator: the methods of the protocol, and the tasks that a coordinator process runs.
 
 use crate::coordinator::{Coordinator, CoordinatorConfig};
 use crate::disk::Disk;
@@ -23,7 +23,7 @@
 use tracing::{info, warn};
 
 impl Coordinator {
-    /// What was asked, if it was asked of this fleet in these messages.
+    /// Reads the parameters of a call, if the call is meant for this fleet and has the expected version.
     fn read_params<T: DeserializeOwned>(&self, call: &Call) -> Result<T, RpcError> {
         read_params(call, &self.config.initial_fleet.name)
     }
@@ -31,60 +31,60 @@
 
 impl CallHandler for Coordinator {
     async fn handle_call(self: &Rc<Self>, call: &Call) -> Result<String, RpcError> {
-        fn told(what: impl Serialize) -> Result<String, RpcError> {
-            serde_json::to_string(&what).map_err(invalid_params)
+        fn to_json(result: impl Serialize) -> Result<String, RpcError> {
+            serde_json::to_string(&result).map_err(invalid_params)
         }
         match call.method.as_str() {
             "prepare" => {
-                let asked: Prepare = self.read_params(call)?;
-                told(self.acceptor_store.borrow_mut().prepare(&asked)?)
+                let request: Prepare = self.read_params(call)?;
+                to_json(self.acceptor_store.borrow_mut().prepare(&request)?)
             }
             "accept" => {
-                let asked: Accept = self.read_params(call)?;
-                told(self.acceptor_store.borrow_mut().accept(asked)?)
+                let request: Accept = self.read_params(call)?;
+                to_json(self.acceptor_store.borrow_mut().accept(request)?)
             }
             "recover" => {
-                let asked: Recover = self.read_params(call)?;
+                let request: Recover = self.read_params(call)?;
                 let mut acceptor_store = self.acceptor_store.borrow_mut();
-                told((
-                    acceptor_store.me(),
-                    acceptor_store.recover(asked.from, asked.incarnation)?,
+                to_json((
+                    acceptor_store.voter(),
+                    acceptor_store.recover(request.from, request.incarnation)?,
                 ))
             }
             "decided" => {
                 self.read_params::<Json>(call)?;
-                told((self.decided_at.get(), self.fleet.borrow().as_deref()))
+                to_json((self.decided_ballot.get(), self.fleet.borrow().as_deref()))
             }
             "opinions" => {
-                let said: SuspicionReport = self.read_params(call)?;
-                self.opinions(said);
-                told(json!({}))
+                let report: SuspicionReport = self.read_params(call)?;
+                self.handle_suspicion_report(report);
+                to_json(json!({}))
             }
             "renew" => {
-                let said: Heartbeat = self.read_params(call)?;
-                told(self.renewed(&said))
+                let heartbeat: Heartbeat = self.read_params(call)?;
+                to_json(self.handle_heartbeat(&heartbeat))
             }
             "change" => {
-                let asked: ChangeRequest = self.read_params(call)?;
-                if !from_outside(&asked.change) {
+                let request: ChangeRequest = self.read_params(call)?;
+                if !is_allowed_from_callers(&request.change) {
                     return Err((REFUSED, "that is for stewards to propose".into()));
                 }
-                let (done, revision) = self.change(asked.change).await?;
-                told(ChangeReply {
+                let (outcome, revision) = self.change(request.change).await?;
+                to_json(ChangeReply {
                     revision,
-                    changed: done.changed,
+                    changed: outcome.changed,
                 })
             }
             "status" => {
                 self.read_params::<Json>(call)?;
-                told(self.status())
+                to_json(self.status())
             }
             "dry_run" => {
-                let asked: DryRun = self.read_params(call)?;
+                let request: DryRun = self.read_params(call)?;
                 let fleet = self.fleet.borrow().clone();
                 let fleet =
                     fleet.ok_or((REFUSED, "nothing is known of the fleet yet".to_owned()))?;
-                told(dry_run(&fleet, &asked.members).map_err(|r| (REFUSED, r.to_string()))?)
+                to_json(dry_run(&fleet, &request.members).map_err(|r| (REFUSED, r.to_string()))?)
             }
             other => Err((
                 rpc::METHOD_NOT_FOUND,
@@ -98,23 +98,25 @@
     fn status(&self) -> Json {
         let acceptor_store = self.acceptor_store.borrow();
         let fleet = self.fleet.borrow();
-        let heard = self
+        let ticks_ago = self
             .monitor
             .borrow()
             .heartbeat_ages(self.clock.now())
             .into_iter();
-        let heard_ms_ago: BTreeMap<_, _> = heard.map(|(id, ago)| (id, ago / MILLISECOND)).collect();
+        let heard_ms_ago: BTreeMap<_, _> = ticks_ago
+            .map(|(id, ticks)| (id, ticks / MILLISECOND))
+            .collect();
         json!({
-            "steward": self.config.number, "voter": acceptor_store.me().to_string(), "life": self.config.incarnation,
-            "votes": !acceptor_store.is_returning() && acceptor_store.is_writable(), "writes": acceptor_store.writes(),
+            "steward": self.config.number, "voter": acceptor_store.voter().to_string(), "life": self.config.incarnation,
+            "votes": !acceptor_store.is_recovering() && acceptor_store.is_writable(), "writes": acceptor_store.writes(),
             "settled": self.is_settled(), "heard_ms_ago": heard_ms_ago, "waits_for": fleet.as_ref().and_then(|f| blocking_reason(f)),
             "fleet": fleet.as_deref(),
         })
     }
 }
 
-/// Whether members and operators may make the change; the others are for coordinators to propose.
-fn from_outside(change: &Change) -> bool {
+/// Whether members and operators may request the change; the other changes are proposed by coordinators only.
+fn is_allowed_from_callers(change: &Change) -> bool {
     !matches!(
         change,
         Change::Grant { .. }
@@ -125,8 +127,8 @@
     )
 }
 
-/// Runs one coordinator until the future is dropped, which is as sudden as a kill. Fails when it can't listen, or has lost
-/// its disk.
+/// Runs one coordinator until the future is dropped, which ends it as abruptly as a kill. Fails if it can't listen or its disk
+/// can't be used.
 pub async fn serve(
     config: CoordinatorConfig,
     disk: Disk,
@@ -148,39 +150,42 @@
     clock: Clock,
 ) -> Result<(), String> {
     let (listen, list) = (config.listen.clone(), config.invoker_list.clone());
-    let steward = Coordinator::new(config, disk, acceptor, network.clone(), clock);
-    let fault = |at: &Address, e: std::io::Error| format!("{at}: {e}");
-    let (mut door, at) = network
+    let coordinator = Coordinator::new(config, disk, acceptor, network.clone(), clock);
+    let listen_error = |at: &Address, e: std::io::Error| format!("{at}: {e}");
+    let (mut listener, at) = network
         .listen(&listen)
         .await
-        .map_err(|e| fault(&listen, e))?;
-    info!(%at, steward = steward.config.number, "listening");
+        .map_err(|e| listen_error(&listen, e))?;
+    info!(%at, steward = coordinator.config.number, "listening");
     let mut tasks: JoinSet<()> = JoinSet::new();
     if let Some(list) = list {
-        let (door, _) = network.listen(&list).await.map_err(|e| fault(&list, e))?;
-        tasks.spawn_local(steward.clone().serve_list(door));
+        let (list_listener, _) = network
+            .listen(&list)
+            .await
+            .map_err(|e| listen_error(&list, e))?;
+        tasks.spawn_local(coordinator.clone().serve_list(list_listener));
     }
-    tasks.spawn_local(steward.clone().propose());
-    tasks.spawn_local(steward.clone().observe());
-    let mut coming_back = Box::pin(steward.clone().come_back());
-    let mut back = false;
+    tasks.spawn_local(coordinator.clone().run_proposer());
+    tasks.spawn_local(coordinator.clone().run_monitor());
+    let mut recovery = Box::pin(coordinator.clone().recover());
+    let mut is_recovered = false;
     loop {
         tokio::select! {
             biased;
-            done = &mut coming_back, if !back => {
-                done?;
-                back = true;
-                // Reads what was chosen while it was away, by a round that changes nothing.
-                let steward = steward.clone();
+            recovered = &mut recovery, if !is_recovered => {
+                recovered?;
+                is_recovered = true;
+                // A round that changes nothing reads the value that was decided in the meantime.
+                let coordinator = coordinator.clone();
                 tasks.spawn_local(async move {
-                    while !steward.is_settled() {
-                        let _ = steward.change(Change::TakeBack { grant: 0 }).await;
-                        steward.clock.sleep_until(steward.clock.now() + SECOND / 2).await;
+                    while !coordinator.is_settled() {
+                        let _ = coordinator.change(Change::TakeBack { grant: 0 }).await;
+                        coordinator.clock.sleep_until(coordinator.clock.now() + SECOND / 2).await;
                     }
                 });
             }
-            accepted = door.accept() => match accepted {
-                Ok(stream) => drop(tasks.spawn_local(serve_connection(steward.clone(), stream))),
+            accepted = listener.accept() => match accepted {
+                Ok(stream) => drop(tasks.spawn_local(serve_connection(coordinator.clone(), stream))),
                 Err(e) => {
                     warn!(%e, "accept failed");
                     tokio::time::sleep(std::time::Duration::from_millis(50)).await;
--- a/crates/coordinator/src/wire.rs
+++ b/crates/coordinator/src/wire.rs
@@ -1,4 +1,4 @@
-//! Messages on a coordinator's socket: JSON-RPC, one message a line. Serialised names say `steward` for a coordinator.
+//! JSON-RPC messages on a coordinator's socket, one per line. Serialised names say `steward` for a coordinator.
 
 use crate::lease_watch::HeldLease;
 use saltdrum_fleet::change::Change;
@@ -8,13 +8,13 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Version of these messages. A peer of another version is told so and nothing else.
+/// Version of these messages. A call in another version is refused with an error that says so.
 pub const PROTOCOL_VERSION: u16 = 1;
-/// Version of the messages by which coordinators vote and pass values on. It rises with the contents of the value: a
-/// coordinator that does not know of leases would put a value without them, and their epochs would start anew.
+/// Version of the messages by which coordinators vote and pass on values. It is raised with every change to the contents of the
+/// value: a coordinator that does not know of leases would propose a value without them, and their epochs would start anew.
 pub const VOTE_PROTOCOL_VERSION: u16 = 2;
 
-/// The version that the messages of a method have.
+/// Version of a method's messages.
 pub fn version_of(method: &str) -> u16 {
     match method {
         "prepare" | "accept" | "recover" | "decided" => VOTE_PROTOCOL_VERSION,
@@ -22,14 +22,14 @@
     }
 }
 
-/// Longest line: ten times the largest fleet.
+/// Longest line that is accepted: ten times the size of the largest fleet.
 pub const MAX_LINE_BYTES: usize = 32 << 20;
 
-/// Error code: nothing was changed; the message says why.
+/// Error code: the request was refused and nothing was changed; the message says why.
 pub const REFUSED: i64 = -32_020;
 /// Error code: the message was meant for another fleet, or has another version.
 pub const WRONG_FLEET_OR_VERSION: i64 = -32_021;
-/// Error code: whether it was done is not known, as no majority answered in time. Ask again.
+/// Error code: the outcome is unknown, as no majority answered in time. The caller should retry.
 pub const OUTCOME_UNKNOWN: i64 = -32_022;
 /// Error code: this coordinator does not vote: it has just started, has an old disk, or can't write to its disk.
 pub const NOT_VOTING: i64 = -32_023;
@@ -43,61 +43,61 @@
     /// Version of the message, see [`version_of`].
     #[serde(rename = "speaks")]
     pub version: u16,
-    /// The parameters of the method.
+    /// Parameters of the method.
     #[serde(rename = "what")]
     pub params: T,
 }
 
-/// `prepare`: asks for a promise.
+/// `prepare`: requests a promise.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Prepare {
-    /// Whose promise is asked for.
+    /// Voter that is asked.
     pub to: Voter,
     /// The round.
     pub ballot: Ballot,
-    /// The proposer has the value of this ballot: it need not be sent.
+    /// Ballot of the value that the proposer already has: this value need not be sent.
     #[serde(rename = "have")]
     pub known_ballot: Ballot,
 }
 
 /// The answer to `prepare` and `accept`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-// With a tag inside, numbers that are keys of a map in the value could not be read back.
+// Externally tagged: with an internal tag, numeric map keys in the value could not be deserialised.
 #[serde(rename_all = "kebab-case")]
 pub enum Vote {
-    /// A promise. `value` is left out where the proposer has it.
+    /// A promise. `value` is omitted if the proposer already has it.
     Promised {
-        /// The round of what was accepted last.
+        /// Ballot of the last accepted value.
         accepted: Option<Ballot>,
-        /// What was accepted last.
+        /// The last accepted value.
         value: Option<Box<Fleet>>,
-        /// Who votes.
+        /// The acceptor that votes.
         #[serde(rename = "mark")]
         stamp: VoterStamp,
-        /// Writes of the acceptor.
+        /// Number of writes that the acceptor has made.
         writes: u64,
     },
     /// The value was accepted.
     Accepted {
-        /// Who votes.
+        /// The acceptor that votes.
         #[serde(rename = "mark")]
         stamp: VoterStamp,
-        /// Writes of the acceptor.
+        /// Number of writes that the acceptor has made.
         writes: u64,
     },
-    /// A higher round was promised to another proposer.
+    /// A higher ballot was promised to another proposer.
     Refused {
-        /// The round that was promised.
+        /// The ballot that was promised.
         promised: Ballot,
     },
 }
 
-/// `accept`: asks to accept a value.
+/// `accept`: requests that a value is accepted.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Accept {
-    /// Who is asked.
+    /// Voter that is asked.
     pub to: Voter,
     /// The round.
     pub ballot: Ballot,
@@ -105,11 +105,11 @@
     pub value: Box<Fleet>,
 }
 
-/// `recover`: asked by a coordinator that starts.
+/// `recover`: sent by a coordinator that starts, to its peers.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Recover {
-    /// Who has started.
+    /// The coordinator that starts.
     pub from: Voter,
     /// The incarnation that it starts.
     #[serde(rename = "life")]
@@ -121,15 +121,15 @@
 #[serde(deny_unknown_fields)]
 #[serde(rename = "Opinions", expecting = "struct Opinions")]
 pub struct SuspicionReport {
-    /// Who reports.
+    /// The coordinator that reports.
     pub from: Voter,
-    /// Levels of suspicion that are not low; none: it does not know.
+    /// Levels of suspicion that are not low; `None`: the coordinator does not know them.
     pub levels: Option<BTreeMap<MemberId, f64>>,
-    /// The round of the latest value that it knows to be chosen.
+    /// Ballot of the latest value that it knows to be decided.
     pub decided: Ballot,
-    /// Writes of its acceptor.
+    /// Number of writes that its acceptor has made.
     pub writes: u64,
-    /// It does not vote yet.
+    /// Whether it is recovering and does not vote yet.
     pub returning: bool,
 }
 
@@ -138,23 +138,23 @@
 #[serde(deny_unknown_fields)]
 #[serde(rename = "Renew", expecting = "struct Renew")]
 pub struct Heartbeat {
-    /// Who sends it.
+    /// The member that sends it.
     pub member: MemberId,
     /// The sender's incarnation.
     pub incarnation: u64,
-    /// Promised interval to the next, in ticks of 100 us.
+    /// Promised interval to the next heartbeat, in ticks of 100 us.
     #[serde(rename = "every_tenths")]
     pub interval_ticks: u64,
-    /// Work in flight, as a share of its size.
+    /// Work in flight, as a share of the member's size.
     #[serde(default)]
     pub busy: f64,
-    /// Functions of which it has the last loaded copy.
+    /// Number of functions of which it has the last loaded copy.
     #[serde(default)]
     pub last_copies: u32,
 }
 
 impl Heartbeat {
-    /// The load of the member.
+    /// Load of the member.
     pub fn load(&self) -> MemberLoad {
         MemberLoad {
             busy: self.busy,
@@ -167,21 +167,21 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Standing", expecting = "struct Standing")]
 pub struct HeartbeatReply {
-    /// Of the value that the coordinator knows.
+    /// Revision of the value that the coordinator knows.
     pub revision: u64,
-    /// None: not a member, as far as this coordinator knows.
+    /// Incarnation of the member; `None` if it is not a member, as far as the coordinator knows.
     pub incarnation: Option<u64>,
-    /// The phase of the member, if it is one.
+    /// Phase of the member; `None` if it is not a member.
     pub phase: Option<Phase>,
-    /// Its drain was withdrawn: it may go back to serving.
+    /// Whether its drain was withdrawn, so that it may return to serving.
     #[serde(rename = "turn_back")]
     pub drain_withdrawn: bool,
-    /// Leases that it holds.
+    /// Leases that the member holds.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub leases: Vec<HeldLease>,
 }
 
-/// `change`: a change to have agreed.
+/// `change`: requests that a change is agreed on.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 #[serde(rename = "Changes", expecting = "struct Changes")]
@@ -194,17 +194,17 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename = "Changed", expecting = "struct Changed")]
 pub struct ChangeReply {
-    /// Revision at which it is agreed.
+    /// Revision at which the change is agreed.
     pub revision: u64,
-    /// False: it had been made before.
+    /// Whether the fleet changed; false if the change had been made before.
     pub changed: bool,
 }
 
-/// `dry_run`: how these members would drain.
+/// `dry_run`: requests the steps in which these members would drain.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DryRun {
-    /// In the order in which they are to drain.
+    /// The members, in the order in which they are to drain.
     pub members: Vec<MemberId>,
 }
 
--- a/crates/coordinator/src/wire/tests.rs
+++ b/crates/coordinator/src/wire/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use saltdrum_fleet::register::Config;
 
-/// A steward of before leases is refused wherever a value goes from one to another, and nowhere else.
+/// A coordinator without leases is refused by every method that passes on a value, and by no other method.
 #[test]
-fn values_go_between_stewards_of_one_version_alone() {
+fn methods_that_pass_on_values_require_the_vote_protocol_version() {
     assert!(
         ["prepare", "accept", "recover", "decided"]
             .map(version_of)
@@ -16,7 +16,7 @@
             .iter()
             .all(|v| *v == PROTOCOL_VERSION)
     );
-    let said = |version| {
+    let read_with_version = |version| {
         let params = serde_json::to_string(&Envelope {
             fleet: "museums".into(),
             version,
@@ -26,18 +26,19 @@
         let line = format!(r#"{{"jsonrpc":"2.0","id":1,"method":"accept","params":{params}}}"#);
         let call = match saltdrum_protocol::rpc::read(line.as_bytes()) {
             Ok(saltdrum_protocol::rpc::Line::Single(Ok(call))) => call,
-            _ => panic!("a call"),
+            _ => panic!("expected a call"),
         };
         crate::server::read_params::<i32>(&call, "museums")
     };
-    assert_eq!(said(VOTE_PROTOCOL_VERSION).unwrap(), 7);
-    assert_eq!(said(1).unwrap_err().0, WRONG_FLEET_OR_VERSION);
+    assert_eq!(read_with_version(VOTE_PROTOCOL_VERSION).unwrap(), 7);
+    assert_eq!(read_with_version(1).unwrap_err().0, WRONG_FLEET_OR_VERSION);
 }
 
-/// A vote with a whole value in it could not be read: a steward that lagged behind was never brought along.
+/// Guards against votes that can't be deserialised when they contain a whole value: a coordinator that lagged behind never
+/// caught up.
 #[test]
-fn what_holds_the_whole_fleet_is_read_back_as_it_was() {
-    let at = BTreeMap::from([
+fn messages_with_a_whole_fleet_survive_serialisation() {
+    let addresses = BTreeMap::from([
         (1, "unix:/a".to_owned()),
         (2, "unix:/b".into()),
         (3, "unix:/c".into()),
@@ -48,37 +49,37 @@
     let value = Some(Box::new(Fleet::new(
         "museums",
         config,
-        at.clone(),
+        addresses.clone(),
         Vec::new(),
         0,
     )));
-    let one = Voter {
+    let voter = Voter {
         steward: 1,
         disk: 7,
     };
-    let lives = vec![(one, 3)].into();
-    let mark = VoterStamp {
-        from: one,
+    let lives = vec![(voter, 3)].into();
+    let stamp = VoterStamp {
+        from: voter,
         incarnation: 2,
         incarnations: lives,
     };
     let vote = Vote::Promised {
         accepted: Some(Ballot::default()),
         value,
-        stamp: mark,
+        stamp,
         writes: 4,
     };
     let text = serde_json::to_string(&vote).unwrap();
     let read: Vote = serde_json::from_str(&text).unwrap();
     assert_eq!(serde_json::to_string(&read).unwrap(), text);
-    let asked = ChangeRequest {
+    let request = ChangeRequest {
         change: Change::Stewards {
             voters,
-            at,
+            at: addresses,
             by: "them".into(),
         },
     };
-    let text = serde_json::to_string(&asked).unwrap();
+    let text = serde_json::to_string(&request).unwrap();
     let read: ChangeRequest = serde_json::from_value(serde_json::from_str(&text).unwrap()).unwrap();
-    assert_eq!(read.change, asked.change);
+    assert_eq!(read.change, request.change);
 }
--- a/crates/leases/src/fenced_resource.rs
+++ b/crates/leases/src/fenced_resource.rs
@@ -1,5 +1,5 @@
-//! A resource's side of its leases. A seal raises the fence: it is on disk before it is answered, and the first of each
-//! incarnation is confirmed by a quorum of coordinators.
+//! The resource's side of leases. A seal raises the fence of a lease: it is on disk before the request is answered, and the first
+//! seal of each incarnation of the resource is confirmed by a quorum of coordinators.
 
 use crate::messages::{REJECTED, UNCONFIRMED, UNWRITABLE, rejection_text};
 use saltdrum::interface::{SECOND, Ticks};
@@ -13,29 +13,29 @@
 use std::collections::BTreeMap;
 use tracing::{info, warn};
 
-/// How long one coordinator may take to confirm an epoch.
+/// Time that one coordinator has to confirm an epoch.
 const CONFIRM_TIMEOUT: Ticks = 4 * SECOND;
 
-/// Where a resource keeps its seals. Both are synced when they return.
+/// Durable storage of a resource's seals.
 pub trait SealStore {
-    /// The epoch that is on the disk for a lease; 0: none.
+    /// The epoch that is on disk for a lease; 0: none.
     fn sealed_epoch(&self, lease: &LeaseName) -> Result<Epoch, String>;
-    /// Writes the epoch of a lease.
+    /// Writes the epoch of a lease, which is on disk when this returns.
     fn write_seal(&self, lease: &LeaseName, epoch: Epoch) -> Result<(), String>;
 }
 
-/// Why a resource was not sealed.
+/// Why a resource could not be sealed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SealError {
-    /// The epoch is not the one to accept.
+    /// The fence rejected the epoch.
     #[error(transparent)]
     Rejected(#[from] Rejection),
-    /// No quorum confirmed the epoch, or another one is the lease's.
+    /// No quorum confirmed the epoch, or the lease has another epoch.
     #[error("epoch {epoch} was not confirmed: {reason}")]
     Unconfirmed {
-        /// The epoch that was given.
+        /// The epoch to confirm.
         epoch: Epoch,
-        /// The last answer.
+        /// The last coordinator's error.
         reason: String,
     },
     /// The disk failed.
@@ -44,10 +44,10 @@
 }
 
 impl SealError {
-    /// The error as it goes over the wire.
+    /// The error as it is sent to the holder.
     pub fn to_rpc_error(&self) -> RpcError {
         match self {
-            Self::Rejected(why) => (REJECTED, rejection_text(why)),
+            Self::Rejected(rejection) => (REJECTED, rejection_text(rejection)),
             Self::Unconfirmed { .. } => (UNCONFIRMED, self.to_string()),
             Self::Unwritable(_) => (UNWRITABLE, self.to_string()),
         }
@@ -58,49 +58,49 @@
 pub struct FencedResource {
     incarnation: u64,
     fences: RefCell<BTreeMap<LeaseName, Fence>>,
-    stewards: Vec<RpcClient>,
+    coordinators: Vec<RpcClient>,
 }
 
 impl FencedResource {
-    /// A resource that has just started; `incarnation` was never used before.
-    pub fn new(incarnation: u64, stewards: Vec<RpcClient>) -> Self {
+    /// Creates a resource that has just started; `incarnation` was never used before.
+    pub fn new(incarnation: u64, coordinators: Vec<RpcClient>) -> Self {
         Self {
             incarnation,
             fences: RefCell::default(),
-            stewards,
+            coordinators,
         }
     }
 
-    /// Seals the resource: afterwards it accepts this epoch of the lease alone. Returns the resource's incarnation.
+    /// Seals the resource: from then on it accepts only this epoch of the lease. Returns the resource's incarnation.
     pub async fn seal(
         &self,
         store: &impl SealStore,
         lease: &LeaseName,
         epoch: Epoch,
     ) -> Result<u64, SealError> {
-        let durable = store.sealed_epoch(lease).map_err(SealError::Unwritable)?;
-        let started = || Fence::new(lease.clone(), self.incarnation, durable);
+        let epoch_on_disk = store.sealed_epoch(lease).map_err(SealError::Unwritable)?;
+        let new_fence = || Fence::new(lease.clone(), self.incarnation, epoch_on_disk);
         let step = self
             .fences
             .borrow_mut()
             .entry(lease.clone())
-            .or_insert_with(started)
+            .or_insert_with(new_fence)
             .seal(epoch)?;
         let step = match step {
             SealStep::Confirm => {
                 self.confirm(lease, epoch).await?;
-                // Others may have sealed it meanwhile.
+                // Another holder may have sealed the resource in the meantime.
                 self.fences.borrow()[lease].after_confirmation(epoch)?
             }
             step => step,
         };
         if step == SealStep::Write {
-            self.write(store, lease, epoch)?;
+            self.write_seal(store, lease, epoch)?;
         }
         Ok(self.incarnation)
     }
 
-    fn write(
+    fn write_seal(
         &self,
         store: &impl SealStore,
         lease: &LeaseName,
@@ -118,7 +118,7 @@
         Ok(())
     }
 
-    /// Whether an effect may be made now.
+    /// Checks the token of an effect: whether the effect may be made now.
     pub fn admit(&self, token: &Token) -> Result<(), Rejection> {
         let fences = self.fences.borrow();
         fences
@@ -127,7 +127,7 @@
             .admit(token)
     }
 
-    /// Epochs that this incarnation is sealed to.
+    /// The epochs that this incarnation is sealed to.
     pub fn sealed_epochs(&self) -> BTreeMap<LeaseName, Epoch> {
         let fences = self.fences.borrow();
         fences
@@ -136,15 +136,15 @@
             .collect()
     }
 
-    /// Asks coordinators, one after the other, to have it agreed that this epoch is the lease's.
+    /// Asks the coordinators, one after the other, to get it agreed that this is the lease's epoch.
     async fn confirm(&self, lease: &LeaseName, epoch: Epoch) -> Result<(), SealError> {
-        let mut last = "no steward is known".to_owned();
-        for steward in &self.stewards {
+        let mut last_error = "no steward is known".to_owned();
+        for coordinator in &self.coordinators {
             let change = Change::ConfirmEpoch {
                 lease: lease.clone(),
                 epoch,
             };
-            match steward
+            match coordinator
                 .call::<ChangeReply>("change", &ChangeRequest { change }, CONFIRM_TIMEOUT)
                 .await
             {
@@ -158,13 +158,13 @@
                         reason: message,
                     });
                 }
-                Err(why) => last = why.to_string(),
+                Err(error) => last_error = error.to_string(),
             }
         }
-        warn!(%lease, epoch, last, "seal not confirmed by a quorum");
+        warn!(%lease, epoch, last = last_error, "seal not confirmed by a quorum");
         Err(SealError::Unconfirmed {
             epoch,
-            reason: last,
+            reason: last_error,
         })
     }
 }
--- a/crates/leases/src/holder.rs
+++ b/crates/leases/src/holder.rs
@@ -1,4 +1,5 @@
-//! A holder's side: it seals every resource of the task, then does the task with tokens, for as long as the lease is its own.
+//! The holder's side of leases. A holder first seals every resource of the task, then runs the task with tokens for as long as it
+//! holds the lease.
 
 use crate::messages::{Effect, REJECTED, Seal, Sealed};
 use saltdrum::interface::{MILLISECOND, SECOND, Ticks};
@@ -14,39 +15,39 @@
 use std::rc::Rc;
 use tracing::{debug, info, warn};
 
-/// How long one resource may take to answer.
+/// Time that one resource has to answer.
 const RESOURCE_TIMEOUT: Ticks = 5 * SECOND;
-/// Delay before another try to seal, or another look whether the lease is still held.
+/// Delay before the next attempt to seal, or the next check whether the lease is still held.
 const RETRY_DELAY: Ticks = 100 * MILLISECOND;
 
 /// A fleet-wide task.
 pub trait Task {
-    /// As leases and members name it.
+    /// The name that leases and members use for it.
     fn name(&self) -> &str;
-    /// Does one step of it. Called again and again while the lease is held; it waits itself between steps.
+    /// Runs one step. Called repeatedly while the lease is held; the task itself waits between its steps.
     fn step(&self, effects: &Effects) -> impl Future<Output = Result<(), EffectError>>;
 }
 
-/// Why an effect was not made, as far as is known.
+/// Why an effect failed.
 #[derive(Debug, Clone, thiserror::Error)]
 pub enum EffectError {
-    /// The lease is over, or not all resources are sealed.
+    /// The lease is no longer held, no coordinator replied recently, or not all resources are sealed.
     #[error("lease {lease}, epoch {epoch}: nothing may be done now")]
     NotPermitted {
         /// The lease.
         lease: LeaseName,
-        /// Of the grant that was used.
+        /// Epoch of the grant that was used.
         epoch: Epoch,
     },
-    /// The resource rejected it.
+    /// The resource rejected the effect.
     #[error("{resource}: {reason}")]
     Rejected {
         /// The resource.
         resource: ResourceName,
-        /// Its reason.
+        /// Reason of the resource.
         reason: Rejection,
     },
-    /// Whether it was made is not known.
+    /// Whether the effect was made is unknown.
     #[error("{resource}: {reason}")]
     OutcomeUnknown {
         /// The resource.
@@ -54,34 +55,34 @@
         /// What failed.
         reason: String,
     },
-    /// No way to the resource is configured.
+    /// No address of the resource is configured.
     #[error("{0}: no such resource")]
     UnknownResource(ResourceName),
 }
 
-/// What a process needs to do a task when it holds the lease.
+/// Runs a fleet-wide task whenever this process holds its lease.
 pub struct Holder {
-    /// Who it is, for records alone.
+    /// Name of the process; for records only.
     pub actor: String,
-    /// Of the process.
+    /// Clock of the process.
     pub clock: Clock,
-    /// What the member knows of its leases.
+    /// The member's view of its leases.
     pub lease_watch: Rc<LeaseWatch>,
-    /// How each resource is reached.
+    /// Clients of the resources, by name.
     pub resources: BTreeMap<ResourceName, RpcClient>,
-    /// No new effect starts after no coordinator was heard for this long, in ticks. Safety does not depend on it.
+    /// No new effect is started if no coordinator has replied for this long, in ticks. Safety does not depend on it.
     pub contact_timeout: Ticks,
 }
 
-/// One grant being used: the way to the resources.
+/// Makes effects on the resources of a task under one grant of its lease.
 pub struct Effects<'a> {
     holder: &'a Holder,
-    holding: RefCell<HolderFence>,
+    fence: RefCell<HolderFence>,
     task: &'a str,
 }
 
 impl Holder {
-    /// Does the task whenever the lease is held, for as long as it is polled.
+    /// Runs the task whenever the lease is held, until the future is dropped.
     pub async fn run(&self, task: &impl Task) {
         loop {
             let Some(held) = self.lease_watch.held_lease(task.name()) else {
@@ -94,34 +95,36 @@
         }
     }
 
+    /// Seals the resources and runs the task until this grant ends.
     async fn use_grant(&self, task: &impl Task, held: &HeldLease) {
-        let holding = HolderFence::new(held.lease.clone(), held.epoch, &held.resources);
+        let fence = HolderFence::new(held.lease.clone(), held.epoch, &held.resources);
         let effects = Effects {
             holder: self,
-            holding: RefCell::new(holding),
+            fence: RefCell::new(fence),
             task: task.name(),
         };
         while effects.is_held() {
-            if effects.holding.borrow().is_superseded()
-                || self.is_quiet()
+            if effects.fence.borrow().is_superseded()
+                || self.is_out_of_contact()
                 || !effects.seal_all().await
             {
-                self.pause().await;
+                self.wait_before_retry().await;
                 continue;
             }
             if let Err(why) = task.step(&effects).await {
                 debug!(%why, "task step failed");
-                self.pause().await;
+                self.wait_before_retry().await;
             }
         }
     }
 
-    /// Whether no coordinator was heard for too long.
-    fn is_quiet(&self) -> bool {
+    /// Whether no coordinator has replied for longer than the contact timeout.
+    fn is_out_of_contact(&self) -> bool {
         self.clock.now() > self.lease_watch.last_reply_at() + self.contact_timeout
     }
 
-    async fn pause(&self) {
+    /// Waits for the retry delay or a change of the held leases.
+    async fn wait_before_retry(&self) {
         tokio::select! {
             () = self.clock.sleep_until(self.clock.now() + RETRY_DELAY) => {}
             () = self.lease_watch.changed() => {}
@@ -130,61 +133,57 @@
 }
 
 impl Effects<'_> {
-    /// Whether this very grant is still the member's, as far as it knows.
+    /// Whether the member still holds this grant, as far as it knows.
     pub fn is_held(&self) -> bool {
-        let epoch = self.holding.borrow().epoch();
+        let epoch = self.fence.borrow().epoch();
         self.holder
             .lease_watch
             .held_lease(self.task)
             .is_some_and(|held| held.epoch == epoch)
     }
 
-    /// The epoch of the grant that is being used.
+    /// The epoch of the grant.
     pub fn epoch(&self) -> Epoch {
-        self.holding.borrow().epoch()
+        self.fence.borrow().epoch()
     }
 
     /// The resources of the task.
     pub fn resources(&self) -> Vec<ResourceName> {
-        self.holding.borrow().resources().cloned().collect()
+        self.fence.borrow().resources().cloned().collect()
     }
 
-    /// Makes one effect on one resource, or says why not.
+    /// Makes one effect on a resource, by a call of this method with the token of the grant.
     pub async fn call<T: DeserializeOwned>(
         &self,
         resource: &str,
         method: &str,
-        what: impl Serialize,
+        params: impl Serialize,
     ) -> Result<T, EffectError> {
-        let caller = self.caller(resource)?;
+        let client = self.client(resource)?;
         let token = self
-            .holding
+            .fence
             .borrow()
             .token(resource)
-            .filter(|_| self.is_held() && !self.holder.is_quiet());
+            .filter(|_| self.is_held() && !self.holder.is_out_of_contact());
         let Some(token) = token else {
-            let (lease, epoch) = (self.holding.borrow().lease().clone(), self.epoch());
+            let (lease, epoch) = (self.fence.borrow().lease().clone(), self.epoch());
             return Err(EffectError::NotPermitted { lease, epoch });
         };
         let effect = Effect {
             token,
             actor: self.holder.actor.clone(),
-            params: what,
+            params,
         };
-        caller
+        client
             .call(method, &effect, RESOURCE_TIMEOUT)
             .await
-            .map_err(|fault| self.failed(resource, fault))
+            .map_err(|error| self.effect_error(resource, error))
     }
 
-    /// Asks the resources that are not sealed, one after the other. True: all are.
+    /// Seals the resources that are not sealed yet, one after the other. Returns whether all are sealed.
     async fn seal_all(&self) -> bool {
-        let unsealed: Vec<ResourceName> = self
-            .holding
-            .borrow()
-            .unsealed_resources()
-            .cloned()
-            .collect();
+        let unsealed: Vec<ResourceName> =
+            self.fence.borrow().unsealed_resources().cloned().collect();
         for resource in &unsealed {
             if let Err(why) = self.seal(resource).await {
                 warn!(resource, %why, epoch = self.epoch(), "seal failed");
@@ -195,31 +194,32 @@
     }
 
     async fn seal(&self, resource: &str) -> Result<(), EffectError> {
-        let caller = self.caller(resource)?;
-        let asked = Seal {
-            lease: self.holding.borrow().lease().clone(),
+        let client = self.client(resource)?;
+        let request = Seal {
+            lease: self.fence.borrow().lease().clone(),
             epoch: self.epoch(),
         };
-        let sealed: Sealed = caller
-            .call("seal", &asked, RESOURCE_TIMEOUT)
+        let sealed: Sealed = client
+            .call("seal", &request, RESOURCE_TIMEOUT)
             .await
-            .map_err(|fault| self.failed(resource, fault))?;
-        self.holding
+            .map_err(|error| self.effect_error(resource, error))?;
+        self.fence
             .borrow_mut()
             .record_seal(resource, sealed.incarnation);
         Ok(())
     }
 
-    fn caller(&self, resource: &str) -> Result<&RpcClient, EffectError> {
+    fn client(&self, resource: &str) -> Result<&RpcClient, EffectError> {
         self.holder
             .resources
             .get(resource)
             .ok_or_else(|| EffectError::UnknownResource(resource.to_owned()))
     }
 
-    fn failed(&self, resource: &str, fault: CallError) -> EffectError {
+    /// Converts the error of a call, and applies a rejection to the holder's fence.
+    fn effect_error(&self, resource: &str, error: CallError) -> EffectError {
         let resource = resource.to_owned();
-        let rejection = match &fault {
+        let rejection = match &error {
             CallError::ErrorReply {
                 code: REJECTED,
                 message,
@@ -227,16 +227,18 @@
             _ => None,
         };
         match rejection {
-            Some(why) => {
-                self.holding.borrow_mut().record_rejection(&resource, &why);
+            Some(rejection) => {
+                self.fence
+                    .borrow_mut()
+                    .record_rejection(&resource, &rejection);
                 EffectError::Rejected {
                     resource,
-                    reason: why,
+                    reason: rejection,
                 }
             }
             None => EffectError::OutcomeUnknown {
                 resource,
-                reason: fault.to_string(),
+                reason: error.to_string(),
             },
         }
     }
--- a/crates/leases/src/journal.rs
+++ b/crates/leases/src/journal.rs
@@ -1,5 +1,5 @@
-//! A small append-only resource: it keeps the lines that holders append, and the epoch that it is sealed to, in one
-//! database. A fake for the resources of real tasks.
+//! A small append-only resource, which stands in for the resources of real tasks. It stores the lines that holders append, and
+//! the epoch that it is sealed to, in one database.
 
 use crate::fenced_resource::{FencedResource, SealStore};
 use crate::messages::{Effect, REJECTED, Seal, Sealed, UNWRITABLE, rejection_text};
@@ -16,81 +16,82 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// Pages of the database that are held in memory.
+/// Size of the database's page cache.
 const CACHE_BYTES: usize = 4 << 20;
 const SEALS: TableDefinition<&str, u64> = TableDefinition::new("seals");
 const LINES: TableDefinition<u64, &str> = TableDefinition::new("lines");
 
-/// An effect that was accepted, for whoever keeps the record.
+/// An accepted effect, for records.
 #[derive(Clone, Debug)]
 pub struct Accepted {
-    /// That it carried.
+    /// Token of the effect.
     pub token: Token,
-    /// Who made it.
+    /// The process that made it.
     pub actor: String,
 }
 
 /// Called for each accepted effect once it is on disk.
 pub type OnAccepted = Box<dyn Fn(&Accepted)>;
 
-/// Opens the database, at each start and after each failure.
+/// Opens the database; called at startup and after each failure.
 pub type OpenDatabase = Box<dyn Fn() -> Result<Database, redb::DatabaseError>>;
 
 /// The journal's disk.
 pub struct JournalDisk {
-    opens: OpenDatabase,
-    /// None: a write failed, and what the disk has is read again before the next.
+    open_database: OpenDatabase,
+    /// `None` after a failure: the database is opened again before the next use.
     database: RefCell<Option<Database>>,
 }
 
 impl JournalDisk {
-    /// OpenDatabase the disk, or makes what is missing on it.
+    /// Opens the disk in a file, and creates the tables that are missing.
     pub fn open_file(path: &Path) -> Result<Self, DiskFailure> {
         let path = path.to_owned();
         Self::open(Box::new(move || database::open(&path, CACHE_BYTES)))
     }
 
-    /// The same, of a database that may be elsewhere than in a file.
-    pub fn open(opens: OpenDatabase) -> Result<Self, DiskFailure> {
+    /// Opens the disk by this function, and creates the tables that are missing.
+    pub fn open(open_database: OpenDatabase) -> Result<Self, DiskFailure> {
         let disk = Self {
-            opens,
+            open_database,
             database: RefCell::default(),
         };
-        disk.with(|_| Ok(()))?;
+        disk.with_database(|_| Ok(()))?;
         Ok(disk)
     }
 
-    /// Works on the database, which is opened anew after a failure.
-    fn with<T>(
+    /// Runs an operation on the database, which is opened again after a failure.
+    fn with_database<T>(
         &self,
-        work: impl FnOnce(&Database) -> Result<T, redb::Error>,
+        operation: impl FnOnce(&Database) -> Result<T, redb::Error>,
     ) -> Result<T, DiskFailure> {
-        let mut held = self.database.borrow_mut();
-        if held.is_none() {
-            let database = (self.opens)()?;
-            let create = || -> Result<(), redb::Error> {
+        let mut slot = self.database.borrow_mut();
+        if slot.is_none() {
+            let database = (self.open_database)()?;
+            let create_tables = || -> Result<(), redb::Error> {
                 let transaction = database.begin_write()?;
                 transaction.open_table(SEALS)?;
                 transaction.open_table(LINES)?;
                 transaction.commit()?;
                 Ok(())
             };
-            create()?;
-            *held = Some(database);
+            create_tables()?;
+            *slot = Some(database);
         }
-        let Some(database) = held.as_ref() else {
+        let Some(database) = slot.as_ref() else {
             return Err(DiskFailure::lasting("not open"));
         };
-        let done = work(database).map_err(DiskFailure::from);
-        if done.is_err() {
-            *held = None;
+        let result = operation(database).map_err(DiskFailure::from);
+        if result.is_err() {
+            *slot = None;
         }
-        done
+        result
     }
 
-    /// Appends a line if the disk has this epoch: both in one transaction.
+    /// Appends a line if the disk is sealed to the token's epoch; the check and the write are one transaction. Returns the
+    /// line's number.
     fn append(&self, token: &Token, line: &str) -> Result<Option<u64>, DiskFailure> {
-        self.with(|database| {
+        self.with_database(|database| {
             let transaction = database.begin_write()?;
             let is_sealed = {
                 let seals = transaction.open_table(SEALS)?;
@@ -113,15 +114,15 @@
         })
     }
 
-    /// How many lines there are.
+    /// Number of stored lines.
     pub fn line_count(&self) -> Result<u64, DiskFailure> {
-        self.with(|database| Ok(database.begin_read()?.open_table(LINES)?.len()?))
+        self.with_database(|database| Ok(database.begin_read()?.open_table(LINES)?.len()?))
     }
 }
 
 impl SealStore for JournalDisk {
     fn sealed_epoch(&self, lease: &LeaseName) -> Result<Epoch, String> {
-        self.with(|database| {
+        self.with_database(|database| {
             let seals = database.begin_read()?.open_table(SEALS)?;
             Ok(seals
                 .get(lease.0.as_str())?
@@ -131,7 +132,7 @@
     }
 
     fn write_seal(&self, lease: &LeaseName, epoch: Epoch) -> Result<(), String> {
-        self.with(|database| {
+        self.with_database(|database| {
             let transaction = database.begin_write()?;
             transaction
                 .open_table(SEALS)?
@@ -143,7 +144,7 @@
     }
 }
 
-/// `append`: one line more.
+/// `append`: appends a line.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Append {
@@ -154,41 +155,41 @@
 /// The answer to `append`: the line's number.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Appended {
-    /// From 1 on.
+    /// Number of the line, from 1 on.
     pub number: u64,
 }
 
-/// A journal as it is started.
+/// A running journal.
 pub struct Journal {
-    /// The fleet that it belongs to.
+    /// Name of the fleet that it belongs to.
     pub fleet: String,
-    guard: FencedResource,
+    resource: FencedResource,
     disk: JournalDisk,
     on_accepted: OnAccepted,
 }
 
 impl Journal {
-    /// A journal that has just started; `incarnation` was never used before.
+    /// Creates a journal that has just started; `incarnation` was never used before.
     pub fn new(
         fleet: &str,
         incarnation: u64,
-        stewards: Vec<RpcClient>,
+        coordinators: Vec<RpcClient>,
         disk: JournalDisk,
         on_accepted: OnAccepted,
     ) -> Rc<Self> {
-        let guard = FencedResource::new(incarnation, stewards);
+        let resource = FencedResource::new(incarnation, coordinators);
         Rc::new(Self {
             fleet: fleet.to_owned(),
-            guard,
+            resource,
             disk,
             on_accepted,
         })
     }
 
     fn append(&self, effect: &Effect<Append>) -> Result<Appended, RpcError> {
-        self.guard
+        self.resource
             .admit(&effect.token)
-            .map_err(|why| (REJECTED, rejection_text(&why)))?;
+            .map_err(|rejection| (REJECTED, rejection_text(&rejection)))?;
         let number = self
             .disk
             .append(&effect.token, &effect.params.line)
@@ -207,20 +208,23 @@
 
 impl CallHandler for Journal {
     async fn handle_call(self: &Rc<Self>, call: &Call) -> Result<String, RpcError> {
-        let told = |what: serde_json::Value| Ok(what.to_string());
+        let to_text = |result: serde_json::Value| Ok(result.to_string());
         match call.method.as_str() {
             "seal" => {
-                let asked: Seal = read_params(call, &self.fleet)?;
-                let sealed = self.guard.seal(&self.disk, &asked.lease, asked.epoch).await;
-                let incarnation = sealed.map_err(|fault| fault.to_rpc_error())?;
-                told(json!(Sealed { incarnation }))
+                let request: Seal = read_params(call, &self.fleet)?;
+                let sealed = self
+                    .resource
+                    .seal(&self.disk, &request.lease, request.epoch)
+                    .await;
+                let incarnation = sealed.map_err(|error| error.to_rpc_error())?;
+                to_text(json!(Sealed { incarnation }))
             }
             "append" => {
                 let effect: Effect<Append> = read_params(call, &self.fleet)?;
-                told(json!(self.append(&effect)?))
+                to_text(json!(self.append(&effect)?))
             }
-            "status" => told(
-                json!({"sealed": self.guard.sealed_epochs(), "lines": self.disk.line_count().ok()}),
+            "status" => to_text(
+                json!({"sealed": self.resource.sealed_epochs(), "lines": self.disk.line_count().ok()}),
             ),
             other => Err((
                 rpc::METHOD_NOT_FOUND,
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -1,11 +1,11 @@
-//! Fleet-wide tasks: done by one process at a time, whichever crashes, is paused or is partitioned from the others.
+//! Fleet-wide tasks: run by one process at a time, whichever process crashes, is paused or is partitioned from the others.
 //!
-//! The fleet agrees on who holds a task's lease and with which epoch (`saltdrum_fleet::leases`); what a holder and a resource
-//! do in which order is decided in `saltdrum_fleet::fence`, which says what is promised. Here are the shells round it:
-//! `fenced_resource` is a resource's side (seals on disk, the question to a quorum), `holder` a holder's side (seals, then effects with
-//! tokens), `journal` a small append-only resource on a disk of its own, `messages` what they say to each other.
+//! The fleet agrees on the holder and the epoch of a task's lease (`saltdrum_fleet::leases`). The steps of holders and resources
+//! are decided in `saltdrum_fleet::fence`, which states the guarantees. This package does the I/O around it: `fenced_resource` is
+//! the resource's side (seals on disk, confirmation by a quorum), `holder` the holder's side (seals, then effects with tokens),
+//! `journal` a small append-only resource on a disk of its own, `messages` the messages between them.
 //!
-//! Not promised: effects on anything that checks no epochs. No invocation waits for any of this.
+//! There is no guarantee for effects on resources that don't check epochs. No invocation depends on this package.
 
 pub mod fenced_resource;
 pub mod holder;
--- a/crates/leases/src/messages.rs
+++ b/crates/leases/src/messages.rs
@@ -1,48 +1,48 @@
-//! What holders and resources say to each other: JSON-RPC by lines, in the envelope of the coordinators' messages.
+//! Messages between holders and resources: JSON-RPC, one message per line, in the envelope of the coordinators' messages.
 
 use saltdrum_fleet::fence::{Rejection, Token};
 use saltdrum_fleet::state::{Epoch, LeaseName};
 use serde::{Deserialize, Serialize};
 
-/// The resource rejects the epoch or the token; the message is a [`Rejection`] as JSON.
+/// Error code: the resource rejects the epoch or the token; the message is a [`Rejection`] as JSON.
 pub const REJECTED: i64 = -32_030;
-/// No quorum of coordinators confirmed the epoch, or another is the lease's.
+/// Error code: no quorum of coordinators confirmed the epoch, or the lease has another epoch.
 pub const UNCONFIRMED: i64 = -32_031;
-/// The resource can't write: it is not sealed, and nothing was done.
+/// Error code: the resource can't write to its disk, so it was not sealed or made no effect.
 pub const UNWRITABLE: i64 = -32_032;
 
-/// `seal`: accept this epoch alone from now on.
+/// `seal`: requests that the resource accepts only this epoch of the lease from now on.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Seal {
-    /// The lease.
+    /// Name of the lease.
     pub lease: LeaseName,
-    /// To accept from now on.
+    /// Epoch to accept.
     pub epoch: Epoch,
 }
 
-/// The answer to `seal`: it is on disk.
+/// The answer to `seal`: the seal is on disk.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Sealed {
-    /// Of the resource, for the tokens.
+    /// Incarnation of the resource, for the tokens.
     pub incarnation: u64,
 }
 
-/// An effect with its token. `by` says who, for records alone.
+/// An effect with its token.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Effect<T> {
-    /// Checked by the fence.
+    /// Token that the fence checks.
     pub token: Token,
-    /// Who makes it.
+    /// The process that makes it; for records only.
     #[serde(rename = "by")]
     pub actor: String,
-    /// The effect.
+    /// Parameters of the effect.
     #[serde(rename = "what")]
     pub params: T,
 }
 
-/// A rejection as it goes over the wire.
-pub fn rejection_text(why: &Rejection) -> String {
-    serde_json::to_string(why).unwrap_or_else(|_| why.to_string())
+/// A rejection as it is sent to the holder.
+pub fn rejection_text(rejection: &Rejection) -> String {
+    serde_json::to_string(rejection).unwrap_or_else(|_| rejection.to_string())
 }
