--- a/crates/coordinator/src/monitoring.rs
+++ b/crates/coordinator/src/monitoring.rs
@@ -59,7 +59,7 @@
             self.clock.now(),
             report.from,
             report.levels,
-            report.returning,
+            report.is_recovering,
         );
     }
 
@@ -113,7 +113,7 @@
             levels: fleet.and_then(|f| self.monitor.borrow().suspicion_levels(self.clock.now(), f)),
             decided: self.decided_ballot.get(),
             writes: acceptor_store.writes(),
-            returning: acceptor_store.is_recovering(),
+            is_recovering: acceptor_store.is_recovering(),
         };
         let own_number = acceptor_store.voter().steward;
         drop(acceptor_store);
--- a/crates/coordinator/src/wire.rs
+++ b/crates/coordinator/src/wire.rs
@@ -130,7 +130,8 @@
     /// Number of writes that its acceptor has made.
     pub writes: u64,
     /// Whether it is recovering and does not vote yet.
-    pub returning: bool,
+    #[serde(rename = "returning")]
+    pub is_recovering: bool,
 }
 
 /// `renew`: a member's heartbeat.
--- a/crates/coordinator/tests/coordinator_fixtures.rs
+++ b/crates/coordinator/tests/coordinator_fixtures.rs
@@ -118,7 +118,7 @@
         levels,
         decided: ballot(11),
         writes: 25,
-        returning: true,
+        is_recovering: true,
     }
 }
 
