--- a/crates/coordinator/src/coordinator.rs
+++ b/crates/coordinator/src/coordinator.rs
@@ -130,15 +130,15 @@
     }
 
     /// The client of another coordinator, if its address is known.
-    pub(crate) fn peer(&self, steward: u32) -> Option<Rc<RpcClient>> {
+    pub(crate) fn peer(&self, number: u32) -> Option<Rc<RpcClient>> {
         let address = self
             .coordinator_addresses()
-            .get(&steward)?
+            .get(&number)?
             .parse::<Address>()
             .ok()?;
         let mut peers = self.peers.borrow_mut();
         if peers
-            .get(&steward)
+            .get(&number)
             .is_none_or(|peer| peer.address != address)
         {
             let client = RpcClient::new(
@@ -146,9 +146,9 @@
                 address,
                 &self.config.initial_fleet.name,
             );
-            peers.insert(steward, Rc::new(client));
+            peers.insert(number, Rc::new(client));
         }
-        peers.get(&steward).cloned()
+        peers.get(&number).cloned()
     }
 
     /// Records a decided value, unless a later one is known.
--- a/crates/coordinator/src/monitoring.rs
+++ b/crates/coordinator/src/monitoring.rs
@@ -121,19 +121,19 @@
             .coordinator_addresses()
             .into_keys()
             .filter(|number| *number != own_number);
-        for steward in peers {
+        for number in peers {
             let (this, report) = (self.clone(), report.clone());
             // One report in flight to each peer, so that they don't pile up behind a network partition.
-            if !self.reporting_to.borrow_mut().insert(steward) {
+            if !self.reporting_to.borrow_mut().insert(number) {
                 continue;
             }
             tokio::task::spawn_local(async move {
-                if let Some(peer) = this.peer(steward) {
+                if let Some(peer) = this.peer(number) {
                     let _ = peer
                         .call::<serde_json::Value>("opinions", &report, 500 * MILLISECOND)
                         .await;
                 }
-                this.reporting_to.borrow_mut().remove(&steward);
+                this.reporting_to.borrow_mut().remove(&number);
             });
         }
     }
@@ -165,10 +165,10 @@
                 .filter(|number| *number != own_voter.steward)
                 .collect();
             let mut replies = tokio::task::JoinSet::new();
-            for steward in peers.iter().copied() {
+            for number in peers.iter().copied() {
                 let this = self.clone();
                 replies.spawn_local(async move {
-                    let peer = this.peer(steward)?;
+                    let peer = this.peer(number)?;
                     let request = Recover {
                         from: own_voter,
                         incarnation: this.acceptor_store.borrow().incarnation(),
