--- a/crates/agent/src/follow.rs
+++ b/crates/agent/src/follow.rs
@@ -4,7 +4,7 @@
 use bytes::BytesMut;
 use saltdrum::interface::Ticks;
 use saltdrum_layers::plan::Member;
-use saltdrum_protocol::frame::{cut, encode};
+use saltdrum_protocol::frame::{encode, take_frame};
 use saltdrum_protocol::list::{Entry, Follow, FromList, Life};
 use saltdrum_transport::{Address, Network};
 use std::collections::BTreeMap;
@@ -55,7 +55,7 @@
     }
     let mut read = BytesMut::new();
     loop {
-        let message = match cut(&mut read) {
+        let message = match take_frame(&mut read) {
             Err(e) => return e.to_string(),
             Ok(Some((kind, body))) => FromList::read(kind, &body),
             Ok(None) => match tokio::time::timeout(LOOK_EVERY, stream.read_buf(&mut read)).await {
--- a/crates/cli/src/collection.rs
+++ b/crates/cli/src/collection.rs
@@ -157,7 +157,7 @@
         };
         let done: Collected = effects.call(RESOURCE, "collect", what).await?;
         tracing::info!(
-            gone = done.gone,
+            gone = done.removed,
             bytes = done.bytes,
             epoch = effects.epoch(),
             "collected"
@@ -211,7 +211,7 @@
             .call("collect", &effect, PATIENCE)
             .await
             .map_err(|e| e.to_string())?;
-        println!("{} blobs gone, {} bytes", done.gone, done.bytes);
+        println!("{} blobs gone, {} bytes", done.removed, done.bytes);
         Ok(0)
     })?
 }
--- a/crates/cli/src/key_file.rs
+++ b/crates/cli/src/key_file.rs
@@ -19,8 +19,8 @@
 
 /// Writes the key beside its place, and brings it to disk.
 pub fn write_unfinished(path: &Path, key: &str) -> io::Result<()> {
-    let unfinished = file::unfinished(path);
-    file::remove_if_there(&unfinished)?;
+    let unfinished = file::unfinished_path(path);
+    file::remove_if_exists(&unfinished)?;
     let mut file = OpenOptions::new()
         .write(true)
         .create_new(true)
@@ -32,7 +32,7 @@
 
 /// The key that was written beside its place.
 pub fn read_unfinished(path: &Path) -> io::Result<String> {
-    Ok(fs::read_to_string(file::unfinished(path))?
+    Ok(fs::read_to_string(file::unfinished_path(path))?
         .trim()
         .to_owned())
 }
@@ -40,7 +40,7 @@
 /// Puts what was written beside its place there.
 pub fn finish(path: &Path) -> io::Result<()> {
     is_free(path)?;
-    file::rename(&file::unfinished(path), path)
+    file::rename(&file::unfinished_path(path), path)
 }
 
 /// Writes a key.
--- a/crates/cli/src/process.rs
+++ b/crates/cli/src/process.rs
@@ -23,7 +23,7 @@
 
 impl OpenFailure for saltdrum_registry::store::StoreError {
     fn may_pass(&self) -> bool {
-        self.may_pass()
+        self.is_transient()
     }
 }
 
--- a/crates/cli/src/registry.rs
+++ b/crates/cli/src/registry.rs
@@ -223,7 +223,7 @@
                 why: e.into(),
             })
         };
-        Store::make_file(&path, found).map_err(|e| e.to_string())?;
+        Store::create_file(&path, found).map_err(|e| e.to_string())?;
     } else if !opens(&path, &key_file::read_unfinished(key).unwrap_or_default())? {
         return Err(format!("{}: there is a registry already", path.display()));
     }
@@ -242,7 +242,7 @@
         return Ok(false);
     }
     let store = Store::open_file(path).map_err(|e| e.to_string())?;
-    Ok(keys::who(&store.head().state, key_text).is_ok())
+    Ok(keys::authenticate(&store.head().state, key_text).is_ok())
 }
 
 pub fn read_key(path: &Path) -> Result<String, String> {
@@ -486,7 +486,7 @@
         Registry::Key { to, id, role, out } => {
             let id = name(id)?;
             let role: Role = serde_json::from_value(json!(role)).map_err(|e| e.to_string())?;
-            let (text, hash) = keys::make(&id, chance()?);
+            let (text, hash) = keys::generate(&id, chance()?);
             key_file::write(out, &text).map_err(|e| format!("{}: {e}", out.display()))?;
             change(
                 to,
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -52,8 +52,8 @@
         Ok(Some(FollowConfig {
             registry: registry.parse()?,
             key: crate::registry::read_key(key)?,
-            who,
-            copy,
+            follower_name: who,
+            copy_path: copy,
         }))
     }
 
@@ -555,7 +555,7 @@
     let mut stream = tokio::io::BufStream::new(stream);
     let mut line = String::new();
     while stream.read_line(&mut line).await.is_ok_and(|n| n > 0) {
-        let answer = match rpc::read(line.trim().as_bytes()) {
+        let answer = match rpc::parse_line(line.trim().as_bytes()) {
             Ok(rpc::Line::Single(Ok(call))) => {
                 let id = call.id.unwrap_or_else(rpc::Id::null);
                 let params = call.params.as_ref().map_or("{}", |p| p.get());
@@ -564,32 +564,36 @@
                         Ok(loaded) => {
                             let told = serde_json::json!({"digest": loaded.digest.to_string(),
                                 "chunks": loaded.manifest.chunks.len(), "bytes": loaded.manifest.bytes()});
-                            rpc::result(&id, &told.to_string())
+                            rpc::format_result(&id, &told.to_string())
                         }
-                        Err(e) => rpc::error(&id, rpc::ERRORED, &e.to_string(), None),
+                        Err(e) => rpc::format_error(&id, rpc::ERRORED, &e.to_string(), None),
                     },
-                    ("load", Err(e)) => rpc::error(&id, rpc::INVALID_PARAMS, &e.to_string(), None),
+                    ("load", Err(e)) => {
+                        rpc::format_error(&id, rpc::INVALID_PARAMS, &e.to_string(), None)
+                    }
                     ("status", _) => {
                         let c = &agent.counts;
                         let told = serde_json::json!({"from_cache": c.from_cache.get(),
                             "from_peers": c.from_peers.get(), "from_store": c.from_store.get(),
                             "bytes_from_store": c.bytes_from_store.get(), "damaged": c.damaged.get(),
                             "served": c.served.get(), "held_bytes": agent.cache.bytes()});
-                        rpc::result(&id, &told.to_string())
+                        rpc::format_result(&id, &told.to_string())
                     }
                     (other, _) => {
                         let why = format!("method '{other}': load or status is expected");
-                        rpc::error(&id, rpc::METHOD_NOT_FOUND, &why, None)
+                        rpc::format_error(&id, rpc::METHOD_NOT_FOUND, &why, None)
                     }
                 }
             }
-            Ok(rpc::Line::Batch(_)) => rpc::error(
+            Ok(rpc::Line::Batch(_)) => rpc::format_error(
                 &rpc::Id::null(),
                 rpc::INVALID_REQUEST,
                 "no batches here",
                 None,
             ),
-            Ok(rpc::Line::Single(Err(r))) | Err(r) => rpc::error(&r.id, r.code, &r.why, None),
+            Ok(rpc::Line::Single(Err(r))) | Err(r) => {
+                rpc::format_error(&r.id, r.code, &r.why, None)
+            }
         };
         line.clear();
         let written = async {
--- a/crates/controller/src/native/alias_watch.rs
+++ b/crates/controller/src/native/alias_watch.rs
@@ -70,9 +70,9 @@
         RegistryClient::connect(&handle.network, &registry.registry, &registry.key).await?;
     for (stage, tally) in results {
         let params = json!({
-            "space": stage.space,
+            "space": stage.namespace,
             "alias": stage.alias,
-            "changed": stage.changed,
+            "changed": stage.alias_revision,
             "controller": handle.config.controller,
             "incarnation": handle.config.incarnation,
             "tally": tally,
--- a/crates/controller/src/native/aliases.rs
+++ b/crates/controller/src/native/aliases.rs
@@ -6,7 +6,7 @@
 use saltdrum_registry::state::RegistryState;
 use saltdrum_registry::version_pin::{
     PinRequest, PinnedVersion, ResolveError, StagedRollout, VersionPins, function_id,
-    function_name, offered,
+    function_name, pinned_version,
 };
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -76,7 +76,7 @@
         name: &str,
         said: &PinRequest,
     ) -> Result<ResolvedVersion, ResolveError> {
-        let fixed = self.pins.fix(
+        let fixed = self.pins.resolve(
             &self.registry,
             self.epoch_ms + now / MILLISECOND,
             tenant,
@@ -84,7 +84,7 @@
             said,
         )?;
         let full_name = function_name(&fixed.model, &fixed.version);
-        let Some(version) = offered(&self.registry, &fixed) else {
+        let Some(version) = pinned_version(&self.registry, &fixed) else {
             return Err(ResolveError::Unknown(full_name));
         };
         if !version
@@ -108,18 +108,18 @@
     /// Counts the end of an attempt on one side of a staged rollout.
     pub(crate) fn count(&mut self, staged: &StagedRollout, is_success: bool) {
         let key = StagedRollout {
-            new: true,
+            is_new_version: true,
             ..staged.clone()
         };
         if self.stages.len() >= MAX_STAGES && !self.stages.contains_key(&key) {
             return;
         }
         let tally = &mut self.stages.entry(key).or_default().counted;
-        let count = match (staged.new, is_success) {
-            (true, true) => &mut tally.new_well,
-            (true, false) => &mut tally.new_erred,
-            (false, true) => &mut tally.old_well,
-            (false, false) => &mut tally.old_erred,
+        let count = match (staged.is_new_version, is_success) {
+            (true, true) => &mut tally.new_succeeded,
+            (true, false) => &mut tally.new_failed,
+            (false, true) => &mut tally.old_succeeded,
+            (false, false) => &mut tally.old_failed,
         };
         *count += 1;
     }
@@ -134,8 +134,8 @@
                 self.last_heard = Some(now);
                 let registry = &self.registry;
                 self.stages.retain(|stage, _| {
-                    let alias = registry.alias(&stage.space, &stage.alias);
-                    alias.is_some_and(|a| a.changed == stage.changed && a.stage.is_some())
+                    let alias = registry.alias(&stage.namespace, &stage.alias);
+                    alias.is_some_and(|a| a.changed == stage.alias_revision && a.stage.is_some())
                 });
             }
             RegistryUpdate::Unchanged => {
@@ -169,6 +169,6 @@
     /// For the controller's status, as JSON.
     pub(crate) fn status(&self, now: Ticks) -> serde_json::Value {
         json!({"revision": self.registry.revision, "heard_ms_ago": self.last_heard.map(|at| now.saturating_sub(at) / MILLISECOND),
-            "refused": self.refused, "passages": self.pins.remembered()})
+            "refused": self.refused, "passages": self.pins.pin_count()})
     }
 }
--- a/crates/controller/src/native/calls.rs
+++ b/crates/controller/src/native/calls.rs
@@ -6,7 +6,7 @@
 use crate::native::status::status_json;
 use crate::shutdown::ShutdownPhase;
 use saltdrum::interface::{MILLISECOND, Ticks};
-use saltdrum_protocol::rpc::{self, Call, Line, Refusal};
+use saltdrum_protocol::rpc::{self, Call, Line, RejectedCall};
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -20,9 +20,9 @@
     line: &[u8],
     earliest: Ticks,
 ) {
-    match rpc::read(line) {
+    match rpc::parse_line(line) {
         Err(refusal) => {
-            let text = rpc::error(&refusal.id, refusal.code, &refusal.why, None);
+            let text = rpc::format_error(&refusal.id, refusal.code, &refusal.why, None);
             client.send(text, NO_DEADLINE);
         }
         Ok(Line::Single(call)) => {
@@ -46,7 +46,7 @@
 }
 
 /// The shortest wait that a call of a batch states: it counts for all of them.
-fn shortest_wait(calls: &[Result<Call, Refusal>]) -> Option<Ticks> {
+fn shortest_wait(calls: &[Result<Call, RejectedCall>]) -> Option<Ticks> {
     let waits_ms = calls.iter().flatten().filter_map(stated_wait_ms);
     let shortest_ms = waits_ms.min_by(f64::total_cmp)?;
     Some((shortest_ms * MILLISECOND as f64).max(0.0) as Ticks)
@@ -62,7 +62,7 @@
 fn handle_call(
     handle: &Rc<ControllerHandle>,
     client: &Rc<Client>,
-    call: Result<Call, Refusal>,
+    call: Result<Call, RejectedCall>,
     batch: Option<Rc<RefCell<Batch>>>,
     arrival: Arrival,
 ) {
@@ -90,7 +90,7 @@
         }
         "status" => {
             let status = status_json(handle);
-            reply.send(|id| rpc::result(id, &status), NO_DEADLINE);
+            reply.send(|id| rpc::format_result(id, &status), NO_DEADLINE);
         }
         other => reply.reject(
             rpc::METHOD_NOT_FOUND,
@@ -103,7 +103,7 @@
     match serde_json::from_str::<rpc::Invoke>(params) {
         Ok(_) if handle.config.shutdown.phase() == ShutdownPhase::Rejecting => reply.send(
             |id| {
-                rpc::error(
+                rpc::format_error(
                     id,
                     rpc::THROTTLED,
                     "this controller is going",
--- a/crates/controller/src/native/clients.rs
+++ b/crates/controller/src/native/clients.rs
@@ -102,7 +102,7 @@
         // take the controller's own lag for congestion of the fleet.
         tokio::task::yield_now().await;
         searched = reader.bytes.len();
-        if searched > rpc::LINE_MOST_BYTES {
+        if searched > rpc::MAX_LINE_BYTES {
             reject_long_line(client);
             std::future::pending::<()>().await;
         }
@@ -110,9 +110,9 @@
 }
 
 fn reject_long_line(client: &Client) {
-    let reason = format!("line of over {} bytes", rpc::LINE_MOST_BYTES);
+    let reason = format!("line of over {} bytes", rpc::MAX_LINE_BYTES);
     client.send(
-        rpc::error(&Id::null(), rpc::PARSE_ERROR, &reason, None),
+        rpc::format_error(&Id::null(), rpc::PARSE_ERROR, &reason, None),
         NO_DEADLINE,
     );
     client.send_queue.close();
--- a/crates/controller/src/native/endpoint_list.rs
+++ b/crates/controller/src/native/endpoint_list.rs
@@ -6,7 +6,7 @@
 use crate::reconnect::ReconnectBackoff;
 use saltdrum::interface::{InvokerId, Ticks};
 use saltdrum_protocol::Malformed;
-use saltdrum_protocol::frame::{cut, encode};
+use saltdrum_protocol::frame::{encode, take_frame};
 use saltdrum_protocol::list as wire;
 use saltdrum_transport::{Address, ArrivalReader, Stream};
 use std::io;
@@ -99,7 +99,7 @@
     let mut arrived_at = handle.clock.now();
     let mut revision = None;
     loop {
-        let message = match cut(&mut reader.bytes)? {
+        let message = match take_frame(&mut reader.bytes)? {
             Some((kind, body)) => wire::FromList::read(kind, &body)?,
             None => {
                 arrived_at = reader.read_more().await?.ok_or(WatchError::Closed)?;
--- a/crates/controller/src/native/handshake.rs
+++ b/crates/controller/src/native/handshake.rs
@@ -4,7 +4,7 @@
 use crate::native::state::ControllerHandle;
 use bytes::BytesMut;
 use saltdrum::interface::InvokerId;
-use saltdrum_protocol::frame::{cut, encode};
+use saltdrum_protocol::frame::{encode, take_frame};
 use saltdrum_protocol::invoker as wire;
 use saltdrum_transport::{Address, Stream};
 use std::rc::Rc;
@@ -19,7 +19,7 @@
     let address: Address = address.parse()?;
     let mut stream = handle.network.dial(&address).await?;
     let hello = wire::Hello {
-        version_least: wire::VERSION_LEAST,
+        version_least: wire::MIN_VERSION,
         version_most: wire::VERSION,
         controller: handle.config.controller,
         incarnation: handle.config.incarnation,
@@ -28,7 +28,7 @@
     stream.write_all(&encode(&hello)).await?;
     let mut received = BytesMut::new();
     let (kind, body) = loop {
-        if let Some(frame) = cut(&mut received)? {
+        if let Some(frame) = take_frame(&mut received)? {
             break frame;
         }
         if stream.read_buf(&mut received).await? == 0 {
--- a/crates/controller/src/native/invoker_connections.rs
+++ b/crates/controller/src/native/invoker_connections.rs
@@ -9,7 +9,7 @@
 use saltdrum::interface::{
     InvocationId, InvokerId, LoadOutcome, LoadReport, Outcome, StartKind, Ticks,
 };
-use saltdrum_protocol::frame::cut;
+use saltdrum_protocol::frame::take_frame;
 use saltdrum_protocol::invoker as wire;
 use saltdrum_protocol::list::Life;
 use saltdrum_transport::{SendQueue, StreamHalf, Ticket, split};
@@ -228,7 +228,7 @@
 ) -> ConnectionError {
     loop {
         loop {
-            let (kind, body) = match cut(&mut received) {
+            let (kind, body) = match take_frame(&mut received) {
                 Ok(None) => break,
                 Ok(Some(frame)) => frame,
                 Err(error) => return error.into(),
--- a/crates/controller/src/native/reply.rs
+++ b/crates/controller/src/native/reply.rs
@@ -104,7 +104,7 @@
     /// Sends the result of an accepted invocation.
     pub(crate) fn result(self, id: InvocationId, result: &str, deadline: Ticks) {
         self.finished(id);
-        self.send(|id| rpc::result(id, result), deadline);
+        self.send(|id| rpc::format_result(id, result), deadline);
     }
 
     /// Sends the failure of an accepted invocation.
@@ -117,7 +117,7 @@
         deadline: Ticks,
     ) {
         self.finished(id);
-        self.send(|id| rpc::error(id, code, reason, data), deadline);
+        self.send(|id| rpc::format_error(id, code, reason, data), deadline);
     }
 
     /// Sends nothing for an accepted invocation: the client waits no more.
@@ -134,6 +134,6 @@
 
     /// Rejects a call that was not accepted.
     pub(crate) fn reject(self, code: i64, reason: &str) {
-        self.send(|id| rpc::error(id, code, reason, None), NO_DEADLINE);
+        self.send(|id| rpc::format_error(id, code, reason, None), NO_DEADLINE);
     }
 }
--- a/crates/controller/tests/controller_fixtures.rs
+++ b/crates/controller/tests/controller_fixtures.rs
@@ -8,7 +8,7 @@
 use saltdrum_controller::shutdown::{ShutdownHandle, ShutdownPhase};
 use saltdrum_controller::{AliasConfig, ControllerConfig, Policy, serve};
 use saltdrum_deployment::Terms;
-use saltdrum_protocol::frame::{Message, cut, encode};
+use saltdrum_protocol::frame::{Message, encode, take_frame};
 use saltdrum_protocol::invoker::{self as wire, Ended, FromController};
 use saltdrum_protocol::list;
 use saltdrum_registry::chain::{Entry, Head};
@@ -107,8 +107,8 @@
     let following = FollowConfig {
         registry: address("registry"),
         key: "alice.secret".into(),
-        who: "controller 7".into(),
-        copy: Some(copy),
+        follower_name: "controller 7".into(),
+        copy_path: Some(copy),
     };
     ControllerConfig {
         controller: 7,
@@ -153,7 +153,7 @@
     ];
     let decide = |head: &Head, change: &Value| {
         let change = serde_json::from_value(change.clone()).expect("a change");
-        head.decide("alice", 1_700_000_000_000 + head.revision(), change)
+        head.prepare_entry("alice", 1_700_000_000_000 + head.revision(), change)
             .expect("it is taken")
     };
     let whole = until_whole
@@ -227,7 +227,7 @@
 async fn next_frame(stream: &mut Stream, read: &mut BytesMut) -> (u8, Bytes, String) {
     loop {
         let before = read.clone();
-        if let Some((kind, body)) = cut(read).unwrap() {
+        if let Some((kind, body)) = take_frame(read).unwrap() {
             let length = before.len() - read.len();
             return (kind, body, hex(&before[..length]));
         }
--- a/crates/controller/tests/sockets.rs
+++ b/crates/controller/tests/sockets.rs
@@ -8,7 +8,7 @@
 use saltdrum_controller::shutdown::{ShutdownHandle, ShutdownPhase};
 use saltdrum_controller::{ControllerConfig, Policy, PolicyFactory, serve};
 use saltdrum_deployment::Terms;
-use saltdrum_protocol::frame::{cut, encode};
+use saltdrum_protocol::frame::{encode, take_frame};
 use saltdrum_protocol::invoker::{self as wire, Ended};
 use saltdrum_protocol::list;
 use saltdrum_transport::{Address, Clock, MemoryNetwork, Network, Stream};
@@ -93,7 +93,7 @@
 
 async fn frame(stream: &mut Stream, read: &mut BytesMut) -> Frame {
     loop {
-        if let Some(frame) = cut(read).unwrap() {
+        if let Some(frame) = take_frame(read).unwrap() {
             return Some(frame);
         }
         if stream.read_buf(read).await.unwrap_or(0) == 0 {
--- a/crates/coordinator/src/disk.rs
+++ b/crates/coordinator/src/disk.rs
@@ -171,7 +171,7 @@
     /// On disk when it returns. After a failure nothing is written before [`Self::reload`].
     pub fn save(&mut self, acceptor: &Acceptor<Fleet>) -> Result<(), DiskError> {
         let Some(database) = &self.database else {
-            return Err(self.fault(DiskFailure::lasting("a write failed before")));
+            return Err(self.fault(DiskFailure::permanent("a write failed before")));
         };
         if let Err(e) = put(database, "acceptor", acceptor) {
             let fault = self.fault(e);
--- a/crates/coordinator/src/invoker_list.rs
+++ b/crates/coordinator/src/invoker_list.rs
@@ -5,7 +5,7 @@
 use bytes::BytesMut;
 use saltdrum::interface::Ticks;
 use saltdrum_fleet::state::{Fleet, Member, MemberKind, Phase};
-use saltdrum_protocol::frame::{cut, encode};
+use saltdrum_protocol::frame::{encode, take_frame};
 use saltdrum_protocol::list::{Change, Entry, Life, ToList, Whole};
 use saltdrum_transport::{Listener, SendQueue, Stream, split};
 use std::collections::BTreeMap;
@@ -69,7 +69,7 @@
         let (mut input, mut output) = split(stream);
         let mut read = BytesMut::new();
         let asked = loop {
-            match cut(&mut read) {
+            match take_frame(&mut read) {
                 Ok(Some((kind, body))) => break ToList::read(kind, &body),
                 Ok(None) if matches!(input.read_buf(&mut read).await, Ok(1..)) => {}
                 _ => return,
--- a/crates/coordinator/src/server.rs
+++ b/crates/coordinator/src/server.rs
@@ -100,10 +100,10 @@
 
 /// The call of a line; the error is the answer to a line that is no call.
 fn read_call(line: &[u8]) -> Result<Call, String> {
-    match rpc::read(line) {
+    match rpc::parse_line(line) {
         Ok(Line::Single(Ok(call))) => Ok(call),
-        Ok(Line::Single(Err(r))) | Err(r) => Err(rpc::error(&r.id, r.code, &r.why, None)),
-        Ok(Line::Batch(_)) => Err(rpc::error(
+        Ok(Line::Single(Err(r))) | Err(r) => Err(rpc::format_error(&r.id, r.code, &r.why, None)),
+        Ok(Line::Batch(_)) => Err(rpc::format_error(
             &Id::null(),
             rpc::INVALID_REQUEST,
             "batches are not taken here",
@@ -144,8 +144,8 @@
                 put(
                     &outbox,
                     match answered {
-                        Ok(result) => rpc::result(id, &result),
-                        Err((code, why)) => rpc::error(id, code, &why, None),
+                        Ok(result) => rpc::format_result(id, &result),
+                        Err((code, why)) => rpc::format_error(id, code, &why, None),
                     },
                 );
             });
@@ -154,7 +154,7 @@
         if searched > MAX_LINE_BYTES {
             put(
                 outbox,
-                rpc::error(&Id::null(), rpc::PARSE_ERROR, "line too long", None),
+                rpc::format_error(&Id::null(), rpc::PARSE_ERROR, "line too long", None),
             );
             return "line too long".into();
         }
--- a/crates/coordinator/src/wire/tests.rs
+++ b/crates/coordinator/src/wire/tests.rs
@@ -24,7 +24,7 @@
         })
         .unwrap();
         let line = format!(r#"{{"jsonrpc":"2.0","id":1,"method":"accept","params":{params}}}"#);
-        let call = match saltdrum_protocol::rpc::read(line.as_bytes()) {
+        let call = match saltdrum_protocol::rpc::parse_line(line.as_bytes()) {
             Ok(saltdrum_protocol::rpc::Line::Single(Ok(call))) => call,
             _ => panic!("a call"),
         };
--- a/crates/coordinator/tests/coordinator_fixtures.rs
+++ b/crates/coordinator/tests/coordinator_fixtures.rs
@@ -91,7 +91,7 @@
     let id = read_call(r#"{"jsonrpc":"2.0","id":1,"method":"any"}"#)
         .id
         .unwrap();
-    let written = rpc::result(&id, &serde_json::to_string(&result).unwrap());
+    let written = rpc::format_result(&id, &serde_json::to_string(&result).unwrap());
     let stored = fixtures.check_text(name, &written);
     let (_, read) = call::<T>("any", &json!({}), &stored).await;
     assert_eq!(
--- a/crates/coordinator/tests/fixture_support/lines.rs
+++ b/crates/coordinator/tests/fixture_support/lines.rs
@@ -97,7 +97,7 @@
 
 /// A line as it is read by whoever is called.
 pub fn read_call(line: &str) -> Call {
-    match rpc::read(line.as_bytes()) {
+    match rpc::parse_line(line.as_bytes()) {
         Ok(Line::Single(Ok(call))) => call,
         other => panic!("{line}: {other:?}"),
     }
--- a/crates/durable/src/failure.rs
+++ b/crates/durable/src/failure.rs
@@ -17,7 +17,7 @@
 
 impl DiskFailure {
     /// A failure that a retry does not mend.
-    pub fn lasting(reason: impl Into<String>) -> Self {
+    pub fn permanent(reason: impl Into<String>) -> Self {
         Self {
             reason: reason.into(),
             is_transient: false,
--- a/crates/durable/src/file.rs
+++ b/crates/durable/src/file.rs
@@ -17,12 +17,12 @@
 }
 
 /// Where the file for `path` is written, by the one process that creates it.
-pub fn unfinished(path: &Path) -> PathBuf {
+pub fn unfinished_path(path: &Path) -> PathBuf {
     with_suffix(path, UNFINISHED_SUFFIX)
 }
 
 /// Removes a file, if it is there.
-pub fn remove_if_there(path: &Path) -> io::Result<()> {
+pub fn remove_if_exists(path: &Path) -> io::Result<()> {
     match fs::remove_file(path) {
         Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(()),
         removed => removed,
@@ -46,8 +46,8 @@
     path: &Path,
     make: impl FnOnce(&Path) -> Result<T, E>,
 ) -> Result<T, E> {
-    let unfinished = unfinished(path);
-    remove_if_there(&unfinished)?;
+    let unfinished = unfinished_path(path);
+    remove_if_exists(&unfinished)?;
     finish(&unfinished, path, make(&unfinished))
 }
 
--- a/crates/durable/src/file/tests.rs
+++ b/crates/durable/src/file/tests.rs
@@ -29,7 +29,7 @@
 fn replaces_unfinished_file_of_killed_process() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("file");
-    fs::write(unfinished(&path), b"more than is written now").unwrap();
+    fs::write(unfinished_path(&path), b"more than is written now").unwrap();
     create_atomically(&path, |unfinished| write_synced(unfinished, b"new")).unwrap();
     assert_eq!(
         (fs::read(&path).unwrap(), names(folder.path())),
--- a/crates/fakes/src/invoker.rs
+++ b/crates/fakes/src/invoker.rs
@@ -8,7 +8,7 @@
 use saltdrum_agent::{Agent, ControllerConfig, Peer};
 use saltdrum_deployment::{Terms, terms};
 use saltdrum_layers::cache::{Cache, Disk};
-use saltdrum_protocol::frame::{cut, encode};
+use saltdrum_protocol::frame::{encode, take_frame};
 use saltdrum_protocol::invoker as wire;
 use saltdrum_protocol::{list, store};
 use saltdrum_registry::client::RegistryClient;
@@ -776,7 +776,7 @@
             }
             let mut read = BytesMut::new();
             let answer = loop {
-                match cut(&mut read) {
+                match take_frame(&mut read) {
                     Ok(Some((kind, body))) => break store::FromStore::read(kind, &body),
                     Ok(None) => match stream.read_buf(&mut read).await {
                         Ok(n) if n > 0 => {}
@@ -877,7 +877,7 @@
         };
         self.unstuck(Some(hello.controller)).await;
         let invoker = self.site.stated.invoker;
-        let version = match wire::agree(&hello) {
+        let version = match wire::negotiate_version(&hello) {
             Ok(version) if hello.invoker == invoker => version,
             refused => {
                 let why = match refused {
@@ -1061,7 +1061,7 @@
 async fn next_frame(read: &mut ArrivalReader<StreamHalf>) -> Option<(u8, bytes::Bytes, Ticks)> {
     let mut earliest = Cell::new(0);
     loop {
-        if let Some((kind, body)) = cut(&mut read.bytes).ok()? {
+        if let Some((kind, body)) = take_frame(&mut read.bytes).ok()? {
             return Some((kind, body, *earliest.get_mut()));
         }
         earliest.set(read.read_more().await.ok()??);
--- a/crates/fakes/src/list.rs
+++ b/crates/fakes/src/list.rs
@@ -3,7 +3,7 @@
 use crate::record::{Line, Record, Who};
 use bytes::BytesMut;
 use saltdrum::interface::Ticks;
-use saltdrum_protocol::frame::{cut, encode};
+use saltdrum_protocol::frame::{encode, take_frame};
 use saltdrum_protocol::list::{Change, Entry, FromList, Life, ToList, Whole};
 use saltdrum_transport::{Address, Clock, Network, SendQueue, Stream, split};
 use std::cell::{Cell, RefCell};
@@ -81,7 +81,7 @@
         let (mut input, mut output) = split(stream);
         let mut read = BytesMut::new();
         let follow = loop {
-            match cut(&mut read) {
+            match take_frame(&mut read) {
                 Ok(Some((kind, body))) => break ToList::read(kind, &body),
                 Ok(None) => match input.read_buf(&mut read).await {
                     Ok(n) if n > 0 => {}
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -3,7 +3,7 @@
 use crate::record::{Line, Record};
 use bytes::BytesMut;
 use saltdrum::interface::{MILLISECOND, Ticks};
-use saltdrum_protocol::frame::{cut, encode};
+use saltdrum_protocol::frame::{encode, take_frame};
 use saltdrum_protocol::store as wire;
 use saltdrum_transport::{Address, Clock, Network, Stream};
 use std::cell::{Cell, RefCell};
@@ -56,7 +56,7 @@
     async fn attend(self: Rc<Self>, mut stream: Stream) {
         let mut read = BytesMut::new();
         loop {
-            let fetch = match cut(&mut read) {
+            let fetch = match take_frame(&mut read) {
                 Ok(Some((kind, body))) => wire::ToStore::read(kind, &body),
                 Ok(None) => match stream.read_buf(&mut read).await {
                     Ok(n) if n > 0 => continue,
--- a/crates/faulty-peers/src/lib.rs
+++ b/crates/faulty-peers/src/lib.rs
@@ -8,7 +8,7 @@
 
 use bytes::{Bytes, BytesMut};
 use saltdrum_controller::ControllerConfig;
-use saltdrum_protocol::frame::{cut, encode};
+use saltdrum_protocol::frame::{encode, take_frame};
 use saltdrum_protocol::invoker as wire;
 use saltdrum_protocol::{list, rpc};
 use saltdrum_transport::{Clock, Network, SendQueue, split};
@@ -119,7 +119,7 @@
             .unwrap();
         let mut read = BytesMut::new();
         loop {
-            while let Some((kind, body)) = cut(&mut read).unwrap() {
+            while let Some((kind, body)) = take_frame(&mut read).unwrap() {
                 let entries = match list::FromList::read(kind, &body).unwrap() {
                     list::FromList::Whole(w) => w.entries,
                     list::FromList::Change(c) => c.entries,
@@ -167,7 +167,7 @@
         });
         let mut read = BytesMut::new();
         while let Ok(1..) = input.read_buf(&mut read).await {
-            while let Some((kind, body)) = cut(&mut read).unwrap() {
+            while let Some((kind, body)) = take_frame(&mut read).unwrap() {
                 if let Ok(wire::FromInvoker::Answer(a)) = wire::FromInvoker::read(kind, &body) {
                     let then = self.then.borrow_mut().remove(&(invoker, a.dispatch));
                     then.into_iter().for_each(|then| then(a.clone()));
@@ -181,7 +181,7 @@
         while let Ok(1..) = input.read_buf(&mut read).await {
             while let Some(end) = read.iter().position(|b| *b == b'\n') {
                 let line = read.split_to(end + 1);
-                if let Ok(rpc::Line::Single(Ok(call))) = rpc::read(line.trim_ascii()) {
+                if let Ok(rpc::Line::Single(Ok(call))) = rpc::parse_line(line.trim_ascii()) {
                     let invoke = serde_json::from_str(call.params.unwrap().get()).unwrap();
                     self.take(invoke, call.id.unwrap(), to.clone());
                 }
@@ -251,7 +251,7 @@
         let inv = *self.last.borrow() as u32 + 1;
         let Some(first) = self.pick(None) else {
             to.push(
-                Bytes::from(rpc::error(&id, rpc::THROTTLED, "throttled", None) + "\n"),
+                Bytes::from(rpc::format_error(&id, rpc::THROTTLED, "throttled", None) + "\n"),
                 u64::MAX,
             );
             return;
@@ -268,13 +268,13 @@
         let then: Then = Box::new(move |a| {
             let text = match a.ended {
                 _ if this.fault == Fault::ThrottlesWhatRan => {
-                    rpc::error(&id, rpc::THROTTLED, "throttled", None)
+                    rpc::format_error(&id, rpc::THROTTLED, "throttled", None)
                 }
-                wire::Ended::Succeeded => rpc::result(&id, "null"),
+                wire::Ended::Succeeded => rpc::format_result(&id, "null"),
                 wire::Ended::Full | wire::Ended::Miss => {
-                    rpc::error(&id, rpc::THROTTLED, "throttled", None)
+                    rpc::format_error(&id, rpc::THROTTLED, "throttled", None)
                 }
-                _ => rpc::error(&id, rpc::ERRORED, "errored", None),
+                _ => rpc::format_error(&id, rpc::ERRORED, "errored", None),
             };
             match this.fault {
                 Fault::AnswersTwice => {
--- a/crates/layers/src/cache.rs
+++ b/crates/layers/src/cache.rs
@@ -51,7 +51,7 @@
     }
 
     fn remove(&self, path: &Path) -> io::Result<()> {
-        file::remove_if_there(path)
+        file::remove_if_exists(path)
     }
 
     fn read(&self, path: &Path, most: u64) -> io::Result<Vec<u8>> {
--- a/crates/leases/src/journal.rs
+++ b/crates/leases/src/journal.rs
@@ -79,7 +79,7 @@
             *held = Some(database);
         }
         let Some(database) = held.as_ref() else {
-            return Err(DiskFailure::lasting("not open"));
+            return Err(DiskFailure::permanent("not open"));
         };
         let done = work(database).map_err(DiskFailure::from);
         if done.is_err() {
--- a/crates/protocol/src/frame.rs
+++ b/crates/protocol/src/frame.rs
@@ -5,7 +5,7 @@
 use serde::{Serialize, de::DeserializeOwned};
 
 /// No frame is longer, its kind byte included.
-pub const FRAME_MOST_BYTES: usize = 4 << 20;
+pub const MAX_FRAME_BYTES: usize = 4 << 20;
 const HEAD: usize = 4;
 
 /// A message that has a frame kind of its own.
@@ -30,15 +30,15 @@
 }
 
 /// Takes the first whole frame off the front of `read`; `None` while it is not all there.
-pub fn cut(read: &mut BytesMut) -> Result<Option<(u8, Bytes)>, Malformed> {
+pub fn take_frame(read: &mut BytesMut) -> Result<Option<(u8, Bytes)>, Malformed> {
     let Some(head) = read.first_chunk::<HEAD>() else {
         return Ok(None);
     };
     let length = u32::from_le_bytes(*head) as usize;
-    if length > FRAME_MOST_BYTES {
+    if length > MAX_FRAME_BYTES {
         return Err(Malformed::Oversize {
             got: length,
-            most: FRAME_MOST_BYTES,
+            most: MAX_FRAME_BYTES,
         });
     }
     if length == 0 {
@@ -54,7 +54,7 @@
 }
 
 /// Reads a body; bytes left over are an error, as they would be another meaning.
-pub fn body<M: Message>(body: &[u8]) -> Result<M, Malformed> {
+pub fn decode_body<M: Message>(body: &[u8]) -> Result<M, Malformed> {
     let mut rest = body;
     let read = rmp_serde::decode::from_read(&mut rest).map_err(|e| Malformed::Body {
         what: M::NAME,
@@ -81,10 +81,10 @@
         #[derive(Debug, Clone, PartialEq)]
         pub enum $all { $($name($name)),+ }
         impl $all {
-            /// Reads a frame as [`cut`]($crate::frame::cut) gives it.
+            /// Reads a frame as [`take_frame`]($crate::frame::take_frame) gives it.
             pub fn read(kind: u8, body: &[u8]) -> Result<Self, $crate::Malformed> {
                 match kind {
-                    $($kind => $crate::frame::body::<$name>(body).map(Self::$name),)+
+                    $($kind => $crate::frame::decode_body::<$name>(body).map(Self::$name),)+
                     _ => Err($crate::Malformed::UnknownKind(kind)),
                 }
             }
--- a/crates/protocol/src/invoker.rs
+++ b/crates/protocol/src/invoker.rs
@@ -7,7 +7,7 @@
 
 /// The version this side speaks, and the oldest it still understands.
 pub const VERSION: u16 = 1;
-pub const VERSION_LEAST: u16 = 1;
+pub const MIN_VERSION: u16 = 1;
 
 /// First frame of a controller.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -180,9 +180,9 @@
 }
 
 /// The version both sides speak, as the invoker chooses it from a hello.
-pub fn agree(hello: &Hello) -> Result<u16, Malformed> {
+pub fn negotiate_version(hello: &Hello) -> Result<u16, Malformed> {
     let version = hello.version_most.min(VERSION);
-    if version >= hello.version_least && version >= VERSION_LEAST {
+    if version >= hello.version_least && version >= MIN_VERSION {
         return Ok(version);
     }
     Err(Malformed::Version {
--- a/crates/protocol/src/rpc.rs
+++ b/crates/protocol/src/rpc.rs
@@ -4,7 +4,7 @@
 use serde_json::value::RawValue;
 
 /// No line is longer.
-pub const LINE_MOST_BYTES: usize = 1 << 20;
+pub const MAX_LINE_BYTES: usize = 1 << 20;
 
 pub const PARSE_ERROR: i64 = -32_700;
 pub const INVALID_REQUEST: i64 = -32_600;
@@ -42,13 +42,13 @@
 /// What one line asks for; each part is a call or what is wrong with it.
 #[derive(Debug)]
 pub enum Line {
-    Single(Result<Call, Refusal>),
-    Batch(Vec<Result<Call, Refusal>>),
+    Single(Result<Call, RejectedCall>),
+    Batch(Vec<Result<Call, RejectedCall>>),
 }
 
 /// A call that is answered with an error at once.
 #[derive(Debug)]
-pub struct Refusal {
+pub struct RejectedCall {
     pub id: Id,
     pub code: i64,
     pub why: String,
@@ -71,8 +71,8 @@
     <&RawValue>::deserialize(d).map(Some)
 }
 
-fn call(raw: &RawValue) -> Result<Call, Refusal> {
-    let refuse = |id: Option<&Id>, why: String| Refusal {
+fn call(raw: &RawValue) -> Result<Call, RejectedCall> {
+    let refuse = |id: Option<&Id>, why: String| RejectedCall {
         id: id.cloned().unwrap_or_else(Id::null),
         code: INVALID_REQUEST,
         why,
@@ -113,8 +113,8 @@
 }
 
 /// Reads one line, its line break left out.
-pub fn read(line: &[u8]) -> Result<Line, Refusal> {
-    let fail = |code, why: String| Refusal {
+pub fn parse_line(line: &[u8]) -> Result<Line, RejectedCall> {
+    let fail = |code, why: String| RejectedCall {
         id: Id::null(),
         code,
         why,
@@ -166,7 +166,7 @@
 }
 
 /// One answer, without line break.
-pub fn result(id: &Id, result: &str) -> String {
+pub fn format_result(id: &Id, result: &str) -> String {
     format!(
         r#"{{"jsonrpc":"2.0","id":{},"result":{result}}}"#,
         id.as_str()
@@ -174,7 +174,7 @@
 }
 
 /// One answer that tells of an error, without line break.
-pub fn error(id: &Id, code: i64, why: &str, data: Option<&str>) -> String {
+pub fn format_error(id: &Id, code: i64, why: &str, data: Option<&str>) -> String {
     let why = serde_json::to_string(why).expect("a string is JSON");
     let data = data
         .map(|data| format!(",\"data\":{data}"))
--- a/crates/protocol/tests/codecs.rs
+++ b/crates/protocol/tests/codecs.rs
@@ -2,9 +2,9 @@
 
 use bytes::{BufMut, BytesMut};
 use proptest::prelude::*;
-use saltdrum_protocol::frame::{FRAME_MOST_BYTES, cut, encode};
+use saltdrum_protocol::frame::{MAX_FRAME_BYTES, encode, take_frame};
 use saltdrum_protocol::invoker::{
-    Answer, Dispatch, Ended, Found, FromController, FromInvoker, Hello, Load, agree,
+    Answer, Dispatch, Ended, Found, FromController, FromInvoker, Hello, Load, negotiate_version,
 };
 use saltdrum_protocol::{Malformed, list, rpc, store};
 use serde_bytes::ByteBuf;
@@ -24,13 +24,13 @@
     #[test]
     fn arbitrary_bytes_are_read_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let mut read = BytesMut::from(&bytes[..]);
-        while let Ok(Some((kind, body))) = cut(&mut read) {
+        while let Ok(Some((kind, body))) = take_frame(&mut read) {
             let _ = FromController::read(kind, &body);
             let _ = FromInvoker::read(kind, &body);
             let _ = list::FromList::read(kind, &body);
             let _ = store::ToStore::read(kind, &body);
         }
-        let _ = rpc::read(&bytes);
+        let _ = rpc::parse_line(&bytes);
     }
 
     #[test]
@@ -48,7 +48,7 @@
         let (mut read, mut got) = (BytesMut::new(), Vec::new());
         for part in sent.chunks(step) {
             read.put_slice(part);
-            while let Some((kind, body)) = cut(&mut read).unwrap() {
+            while let Some((kind, body)) = take_frame(&mut read).unwrap() {
                 match FromController::read(kind, &body).unwrap() {
                     FromController::Dispatch(d) => got.push(d.dispatch),
                     other => panic!("{other:?}"),
@@ -61,10 +61,10 @@
     #[test]
     fn json_like_lines_are_answered_with_their_id(id in "(-?[1-9][0-9]{0,6}(\\.[0-9])?|\"[a-z ]{0,5}\"|null)") {
         let line = format!(r#"{{"jsonrpc":"2.0","method":"status","id":{id}}}"#);
-        let Ok(rpc::Line::Single(Ok(call))) = rpc::read(line.as_bytes()) else { panic!("{line}") };
+        let Ok(rpc::Line::Single(Ok(call))) = rpc::parse_line(line.as_bytes()) else { panic!("{line}") };
         let id_read = call.id.expect("an id, null included");
         prop_assert_eq!(id_read.as_str(), &id);
-        let reply = rpc::error(&id_read, -1, "wh\"y", None);
+        let reply = rpc::format_error(&id_read, -1, "wh\"y", None);
         let reply: rpc::Reply = serde_json::from_str(&reply).unwrap();
         prop_assert_eq!(reply.id.get(), id);
     }
@@ -108,12 +108,16 @@
 
 #[test]
 fn what_is_wrong_with_a_frame_is_said() {
-    let cut_of = |bytes: &[u8]| cut(&mut BytesMut::from(bytes)).unwrap_err().to_string();
+    let cut_of = |bytes: &[u8]| {
+        take_frame(&mut BytesMut::from(bytes))
+            .unwrap_err()
+            .to_string()
+    };
     assert_eq!(
         cut_of(&[0, 0, 0, 0, 1]),
         "frame of 0 bytes: a kind byte is expected"
     );
-    assert!(cut_of(&[255, 255, 255, 255]).contains(&format!("at most {FRAME_MOST_BYTES}")));
+    assert!(cut_of(&[255, 255, 255, 255]).contains(&format!("at most {MAX_FRAME_BYTES}")));
     assert!(
         FromInvoker::read(2, &[])
             .unwrap_err()
@@ -131,9 +135,9 @@
         incarnation: 0,
         invoker: 0,
     };
-    assert_eq!(agree(&hello(1, 9)), Ok(1));
+    assert_eq!(negotiate_version(&hello(1, 9)), Ok(1));
     assert_eq!(
-        agree(&hello(2, 9)),
+        negotiate_version(&hello(2, 9)),
         Err(Malformed::Version {
             least: 2,
             most: 9,
@@ -144,7 +148,7 @@
 
 #[test]
 fn calls_follow_the_specification() {
-    let refusal = |line: &str| match rpc::read(line.as_bytes()) {
+    let refusal = |line: &str| match rpc::parse_line(line.as_bytes()) {
         Err(r) | Ok(rpc::Line::Single(Err(r))) => (r.code, r.id.as_str().to_owned()),
         other => panic!("{line}: {other:?}"),
     };
@@ -167,11 +171,13 @@
         refusal(r#"{"jsonrpc":"2.0","method":"a","params":3,"id":1}"#),
         (rpc::INVALID_REQUEST, "1".into())
     );
-    let Ok(rpc::Line::Single(Ok(call))) = rpc::read(br#"{"jsonrpc":"2.0","method":"a"}"#) else {
+    let Ok(rpc::Line::Single(Ok(call))) = rpc::parse_line(br#"{"jsonrpc":"2.0","method":"a"}"#)
+    else {
         panic!()
     };
     assert!(call.id.is_none());
-    let Ok(rpc::Line::Batch(parts)) = rpc::read(br#"[1,{"jsonrpc":"2.0","method":"a","id":null}]"#)
+    let Ok(rpc::Line::Batch(parts)) =
+        rpc::parse_line(br#"[1,{"jsonrpc":"2.0","method":"a","id":null}]"#)
     else {
         panic!()
     };
--- a/crates/protocol/tests/protocol_fixtures.rs
+++ b/crates/protocol/tests/protocol_fixtures.rs
@@ -5,7 +5,7 @@
 
 use bytes::{Bytes, BytesMut};
 use saltdrum_protocol::Malformed;
-use saltdrum_protocol::frame::{FRAME_MOST_BYTES, cut, encode};
+use saltdrum_protocol::frame::{MAX_FRAME_BYTES, encode, take_frame};
 use saltdrum_protocol::invoker::{
     self, Answer, Cancel, Dispatch, DispatchOut, Ended, Found, FromController, FromInvoker, Held,
     Hello, Hold, HoldEnded, Load, Probe, Probed, Unload, Unwelcome, Welcome,
@@ -61,7 +61,7 @@
     for (line, (name, _, expected)) in lines.lines().zip(cases) {
         let (_, stored) = line.split_once(' ').unwrap();
         let mut stream = BytesMut::from(&bytes_of_hex(stored)[..]);
-        let (kind, body) = cut(&mut stream).unwrap().expect("a whole frame");
+        let (kind, body) = take_frame(&mut stream).unwrap().expect("a whole frame");
         assert!(stream.is_empty(), "{name}: bytes after the frame");
         assert_eq!(read(kind, &body).as_ref(), Ok(expected), "{name}");
     }
@@ -344,19 +344,19 @@
     assert_eq!(encoded[..], [3, 0, 0, 0, 6, 0x91, 99]);
     for length in 0..encoded.len() {
         let mut part = BytesMut::from(&encoded[..length]);
-        assert_eq!(cut(&mut part), Ok(None), "{length} bytes");
+        assert_eq!(take_frame(&mut part), Ok(None), "{length} bytes");
         assert_eq!(part.len(), length);
     }
     let mut two = BytesMut::from(&[&encoded[..], &encoded[..1]].concat()[..]);
     assert_eq!(
-        cut(&mut two),
+        take_frame(&mut two),
         Ok(Some((6, Bytes::from_static(&[0x91, 99]))))
     );
     assert_eq!(two[..], encoded[..1]);
 
-    let cut_header = |length: u32| cut(&mut BytesMut::from(&length.to_le_bytes()[..]));
+    let cut_header = |length: u32| take_frame(&mut BytesMut::from(&length.to_le_bytes()[..]));
     let most = 4 << 20;
-    assert_eq!(FRAME_MOST_BYTES, most);
+    assert_eq!(MAX_FRAME_BYTES, most);
     assert_eq!(cut_header(0), Err(Malformed::Empty));
     assert_eq!(cut_header(4 << 20), Ok(None));
     assert_eq!(
@@ -370,7 +370,7 @@
 
 #[test]
 fn versions_and_outcome_numbers_are_unchanged() {
-    assert_eq!((invoker::VERSION_LEAST, invoker::VERSION), (1, 1));
+    assert_eq!((invoker::MIN_VERSION, invoker::VERSION), (1, 1));
     let numbered = [
         Ended::Succeeded,
         Ended::Errored,
@@ -442,7 +442,7 @@
 }
 
 /// What a request line reads as: `call id method params`, or `refusal id code message`; `-` stands for no value.
-fn read_part(part: &Result<rpc::Call, rpc::Refusal>) -> String {
+fn read_part(part: &Result<rpc::Call, rpc::RejectedCall>) -> String {
     match part {
         Ok(call) => {
             let id = call.id.as_ref().map_or("-", Id::as_str);
@@ -459,7 +459,7 @@
 }
 
 fn read_request(line: &str) -> String {
-    match rpc::read(line.as_bytes()) {
+    match rpc::parse_line(line.as_bytes()) {
         Ok(Line::Single(part)) => read_part(&part),
         Ok(Line::Batch(parts)) => {
             let parts: Vec<String> = parts.iter().map(read_part).collect();
@@ -493,7 +493,7 @@
         writeln!(lines, "{request} => {}", read_request(request)).unwrap();
     }
     check_fixture("rpc_requests.txt", &lines);
-    let Err(refusal) = rpc::read(&[b'"', 0xff, b'"']) else {
+    let Err(refusal) = rpc::parse_line(&[b'"', 0xff, b'"']) else {
         panic!("not UTF-8")
     };
     assert_eq!(refusal.code, -32_700);
@@ -502,34 +502,40 @@
 #[test]
 fn response_lines_and_error_codes_keep_their_text() {
     let request = br#"{"jsonrpc":"2.0","id":"one","method":"status"}"#;
-    let Ok(Line::Single(Ok(call))) = rpc::read(request) else {
+    let Ok(Line::Single(Ok(call))) = rpc::parse_line(request) else {
         panic!("a call")
     };
     let id = call.id.expect("an id");
     let data = Some(r#"{"come_back_ms":250,"dispatches":3}"#);
     let responses = [
-        ("result", rpc::result(&id, r#"{"output":1}"#)),
+        ("result", rpc::format_result(&id, r#"{"output":1}"#)),
         (
             "parse_error",
-            rpc::error(&Id::null(), rpc::PARSE_ERROR, "a \"quoted\"\nreason", None),
+            rpc::format_error(&Id::null(), rpc::PARSE_ERROR, "a \"quoted\"\nreason", None),
         ),
         (
             "invalid_request",
-            rpc::error(&id, rpc::INVALID_REQUEST, "reason", None),
+            rpc::format_error(&id, rpc::INVALID_REQUEST, "reason", None),
         ),
         (
             "method_not_found",
-            rpc::error(&id, rpc::METHOD_NOT_FOUND, "reason", None),
+            rpc::format_error(&id, rpc::METHOD_NOT_FOUND, "reason", None),
         ),
         (
             "invalid_params",
-            rpc::error(&id, rpc::INVALID_PARAMS, "reason", None),
+            rpc::format_error(&id, rpc::INVALID_PARAMS, "reason", None),
+        ),
+        (
+            "throttled",
+            rpc::format_error(&id, rpc::THROTTLED, "reason", data),
+        ),
+        (
+            "errored",
+            rpc::format_error(&id, rpc::ERRORED, "reason", data),
         ),
-        ("throttled", rpc::error(&id, rpc::THROTTLED, "reason", data)),
-        ("errored", rpc::error(&id, rpc::ERRORED, "reason", data)),
         (
             "passage_over",
-            rpc::error(&id, rpc::PASSAGE_OVER, "reason", None),
+            rpc::format_error(&id, rpc::PASSAGE_OVER, "reason", None),
         ),
     ];
     let mut lines = String::new();
@@ -537,7 +543,7 @@
         writeln!(lines, "{name} {text}").unwrap();
     }
     check_fixture("rpc_responses.txt", &lines);
-    assert_eq!(rpc::LINE_MOST_BYTES, 1 << 20);
+    assert_eq!(rpc::MAX_LINE_BYTES, 1 << 20);
 
     let text_of = |name: &str| {
         let prefix = format!("{name} ");
@@ -579,8 +585,8 @@
         incarnation: 2,
         invoker: 3,
     };
-    assert_eq!(invoker::agree(&hello(1, 9)), Ok(1));
-    let refusal = invoker::agree(&hello(2, 9)).unwrap_err();
+    assert_eq!(invoker::negotiate_version(&hello(1, 9)), Ok(1));
+    let refusal = invoker::negotiate_version(&hello(2, 9)).unwrap_err();
     assert_eq!(
         refusal.to_string(),
         "versions 2 to 9 offered: this side speaks 1"
--- a/crates/registry/examples/cost.rs
+++ b/crates/registry/examples/cost.rs
@@ -90,7 +90,7 @@
     let single = rate(COMMITS, || {
         for n in 0..COMMITS {
             store
-                .take(vec![asked(push(n))])
+                .commit(vec![asked(push(n))])
                 .expect("disk")
                 .remove(0)
                 .expect("taken");
@@ -101,7 +101,7 @@
         for _ in 0..COMMITS {
             let all = (0..16).map(|k| asked(push(n + k))).collect();
             n += 16;
-            store.take(all).expect("disk");
+            store.commit(all).expect("disk");
         }
     });
     println!(
@@ -115,9 +115,9 @@
     let key = create_first_owner(&mut store, &name("anna"), [7; 32], 0).expect("a key");
     for part in 0..100u64 {
         let all = (0..1_000).map(|k| asked(push(part * 1_000 + k))).collect();
-        store.take(all).expect("disk");
+        store.commit(all).expect("disk");
     }
-    store.take(vec![asked(moves(0, 0))]).expect("disk");
+    store.commit(vec![asked(moves(0, 0))]).expect("disk");
     let size = std::fs::metadata(&path).map_or(0, |m| m.len());
     drop(store);
     let began = Instant::now();
@@ -142,7 +142,7 @@
                 ..Default::default()
             };
             passages
-                .fix(&state, 0, "hill", "model-0-current", &said)
+                .resolve(&state, 0, "hill", "model-0-current", &said)
                 .expect("it is there");
         }
     });
@@ -154,7 +154,7 @@
                 until_ms: Some(1_000_000),
             };
             passages
-                .fix(&state, 0, "hill", "model-0-current", &said)
+                .resolve(&state, 0, "hill", "model-0-current", &said)
                 .expect("it is there");
         }
     });
@@ -194,8 +194,8 @@
             let of = FollowConfig {
                 registry: at.clone(),
                 key: key.clone(),
-                who: n.to_string(),
-                copy: None,
+                follower_name: n.to_string(),
+                copy_path: None,
             };
             spawn_local(follow(of, network.clone(), n as u64, hear));
         }
--- a/crates/registry/src/blob_collector.rs
+++ b/crates/registry/src/blob_collector.rs
@@ -27,15 +27,20 @@
 pub enum PushLeaseError {
     /// The lease is unknown or has expired.
     #[error("lease {0} is not known or has run out: begin the push again")]
-    Lease(LeaseId),
+    UnknownLease(LeaseId),
     /// The lease does not cover a blob.
     #[error("blob {0} is not among those the push began with")]
-    NotHeld(Digest),
+    NotCovered(Digest),
 }
 
 impl BlobCollector {
     /// Before a push looks at what is there.
-    pub fn begin(&mut self, now_ms: u64, digests: BTreeSet<Digest>, lasts_ms: u64) -> LeaseId {
+    pub fn begin_lease(
+        &mut self,
+        now_ms: u64,
+        digests: BTreeSet<Digest>,
+        lasts_ms: u64,
+    ) -> LeaseId {
         self.last += 1;
         self.idle.retain(|d, _| !digests.contains(d));
         self.leases.insert(
@@ -49,7 +54,7 @@
     }
 
     /// Whether a push that needs these still holds them. It is asked with the version's change, in the same turn.
-    pub fn holds(
+    pub fn check_lease(
         &self,
         now_ms: u64,
         lease: LeaseId,
@@ -59,15 +64,15 @@
             .leases
             .get(&lease)
             .filter(|l| now_ms < l.until_ms)
-            .ok_or(PushLeaseError::Lease(lease))?;
+            .ok_or(PushLeaseError::UnknownLease(lease))?;
         needs
             .iter()
             .find(|d| !held.digests.contains(d))
-            .map_or(Ok(()), |d| Err(PushLeaseError::NotHeld(*d)))
+            .map_or(Ok(()), |d| Err(PushLeaseError::NotCovered(*d)))
     }
 
     /// Ends a lease.
-    pub fn end(&mut self, lease: LeaseId) {
+    pub fn end_lease(&mut self, lease: LeaseId) {
         self.leases.remove(&lease);
     }
 
--- a/crates/registry/src/blobs.rs
+++ b/crates/registry/src/blobs.rs
@@ -9,13 +9,13 @@
 use std::path::{Path, PathBuf};
 
 /// Made of a parsed digest alone: no name leads elsewhere.
-pub fn path(folder: &Path, digest: &Digest) -> PathBuf {
+pub fn blob_path(folder: &Path, digest: &Digest) -> PathBuf {
     folder.join("blobs").join("sha256").join(digest.hex())
 }
 
 /// Reads and verifies a manifest.
-pub fn manifest(folder: &Path, digest: &Digest) -> Result<Manifest, String> {
-    let at = path(folder, digest);
+pub fn read_manifest(folder: &Path, digest: &Digest) -> Result<Manifest, String> {
+    let at = blob_path(folder, digest);
     let told = |why: String| format!("manifest {digest}: {why}");
     let file = fs::File::open(at).map_err(|e| told(e.to_string()))?;
     let mut bytes = Vec::new();
@@ -32,7 +32,7 @@
 }
 
 /// Digests of all blobs of the folder, in order.
-pub fn present(folder: &Path) -> io::Result<Vec<Digest>> {
+pub fn list_blobs(folder: &Path) -> io::Result<Vec<Digest>> {
     let mut all = Vec::new();
     for entry in fs::read_dir(folder.join("blobs").join("sha256"))? {
         let name = entry?.file_name();
@@ -44,21 +44,26 @@
 }
 
 /// All that versions need. A manifest that can't be read stops a collection: what it needs is not known.
-pub fn named(folder: &Path, state: &RegistryState) -> Result<BTreeSet<Digest>, String> {
+pub fn referenced_blobs(folder: &Path, state: &RegistryState) -> Result<BTreeSet<Digest>, String> {
     let mut all = BTreeSet::from([Digest::of(EMPTY)]);
     for digest in state.manifests() {
         all.insert(digest);
-        all.extend(manifest(folder, &digest)?.chunks.iter().map(|c| c.digest));
+        all.extend(
+            read_manifest(folder, &digest)?
+                .chunks
+                .iter()
+                .map(|c| c.digest),
+        );
     }
     Ok(all)
 }
 
 /// Reads every byte that a version leads to, and tells what is wrong, each with its place.
-pub fn look(folder: &Path, state: &RegistryState) -> Vec<String> {
+pub fn verify_blobs(folder: &Path, state: &RegistryState) -> Vec<String> {
     let mut wrong = Vec::new();
     let mut seen = BTreeSet::new();
     for ((model, name), held) in &state.versions {
-        let read = match manifest(folder, &held.version.manifest) {
+        let read = match read_manifest(folder, &held.version.manifest) {
             Ok(read) => read,
             Err(why) => {
                 wrong.push(format!("{model}@{name}: {why}"));
@@ -66,7 +71,7 @@
             }
         };
         for chunk in read.chunks.iter().filter(|c| seen.insert(c.digest)) {
-            let looked = fs::read(path(folder, &chunk.digest))
+            let looked = fs::read(blob_path(folder, &chunk.digest))
                 .map_err(|e| format!("chunk {}: {e}", chunk.digest));
             let looked =
                 looked.and_then(|bytes| cut::verify(chunk, &bytes).map_err(|e| e.to_string()));
--- a/crates/registry/src/chain.rs
+++ b/crates/registry/src/chain.rs
@@ -8,7 +8,7 @@
 pub type Hash = String;
 
 /// Before the first entry.
-pub fn nothing() -> Hash {
+pub fn initial_hash() -> Hash {
     "0".repeat(64)
 }
 
@@ -25,7 +25,8 @@
     /// What is changed.
     pub change: Change,
     /// Hash of the entry before.
-    pub before: Hash,
+    #[serde(rename = "before")]
+    pub previous_hash: Hash,
 }
 
 impl Entry {
@@ -59,7 +60,7 @@
     fn default() -> Self {
         Self {
             state: RegistryState::default(),
-            hash: nothing(),
+            hash: initial_hash(),
         }
     }
 }
@@ -78,16 +79,16 @@
         at: Revision,
     },
     /// The revision is not the next one.
-    #[error("entry says revision {said}, its change makes {made}")]
-    Revision {
+    #[error("entry says revision {stated}, its change makes {expected}")]
+    RevisionMismatch {
         /// Revision that the entry names.
-        said: Revision,
+        stated: Revision,
         /// Revision that its change leads to.
-        made: Revision,
+        expected: Revision,
     },
     /// The change is invalid.
     #[error("entry of revision {revision} could never have been taken: {why}")]
-    NeverTaken {
+    InvalidChange {
         /// Revision of the entry.
         revision: Revision,
         /// The reason.
@@ -102,38 +103,38 @@
     }
 
     /// What a change would become, without taking it.
-    pub fn decide(
+    pub fn prepare_entry(
         &self,
         who: &str,
         at_ms: u64,
         change: Change,
     ) -> Result<(Entry, Head), ChangeError> {
-        let state = self.state.with(&change)?;
+        let state = self.state.with_change(&change)?;
         let entry = Entry {
             revision: state.revision,
             at_ms,
             who: who.to_owned(),
             change,
-            before: self.hash.clone(),
+            previous_hash: self.hash.clone(),
         };
         let hash = entry.hash();
         Ok((entry, Head { state, hash }))
     }
 
     /// The head after an entry that someone else has decided.
-    pub fn follow(&self, entry: &Entry) -> Result<Head, ChainError> {
+    pub fn with_entry(&self, entry: &Entry) -> Result<Head, ChainError> {
         let (revision, at) = (entry.revision, self.revision());
-        if entry.before != self.hash {
+        if entry.previous_hash != self.hash {
             return Err(ChainError::OtherHistory { revision, at });
         }
         let state = self
             .state
-            .with(&entry.change)
-            .map_err(|why| ChainError::NeverTaken { revision, why })?;
+            .with_change(&entry.change)
+            .map_err(|why| ChainError::InvalidChange { revision, why })?;
         if state.revision != revision {
-            return Err(ChainError::Revision {
-                said: revision,
-                made: state.revision,
+            return Err(ChainError::RevisionMismatch {
+                stated: revision,
+                expected: state.revision,
             });
         }
         Ok(Head {
--- a/crates/registry/src/collection.rs
+++ b/crates/registry/src/collection.rs
@@ -29,7 +29,8 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Collected {
     /// Blobs removed.
-    pub gone: u64,
+    #[serde(rename = "gone")]
+    pub removed: u64,
     /// Sum of their sizes.
     pub bytes: u64,
 }
@@ -70,7 +71,7 @@
             self.registry
                 .store()
                 .borrow_mut()
-                .while_sealed(&token.lease.0, token.epoch, remove);
+                .run_if_sealed(&token.lease.0, token.epoch, remove);
         let done = done.map_err(|fault| (UNWRITABLE, fault.to_string()))?;
         let collected = done.ok_or((
             UNWRITABLE,
--- a/crates/registry/src/follow.rs
+++ b/crates/registry/src/follow.rs
@@ -29,9 +29,9 @@
     /// Text of the key to log in with.
     pub key: String,
     /// Reported to the registry, for its list of followers.
-    pub who: String,
+    pub follower_name: String,
     /// File in which the state is kept over restarts; none: it is not kept.
-    pub copy: Option<PathBuf>,
+    pub copy_path: Option<PathBuf>,
 }
 
 /// What a follower learned.
@@ -109,7 +109,7 @@
 
 /// The head that was kept, or an empty one; none: there is a copy, and it can't be used.
 fn read_copy(config: &FollowConfig, on_update: &mut impl FnMut(RegistryUpdate)) -> Option<Head> {
-    let Some(path) = &config.copy else {
+    let Some(path) = &config.copy_path else {
         return Some(Head::default());
     };
     let kept = LocalCopy::read(path).unwrap_or_else(|error| {
@@ -170,7 +170,11 @@
     }
 
     async fn start_watch(&self, stream: &mut Stream) -> io::Result<()> {
-        let (key, who, cursor) = (&self.config.key, &self.config.who, self.watcher.mark());
+        let (key, who, cursor) = (
+            &self.config.key,
+            &self.config.follower_name,
+            self.watcher.cursor(),
+        );
         let calls = [
             json!({"jsonrpc": "2.0", "id": 1, "method": "login", "params": {"key": key}}),
             json!({"jsonrpc": "2.0", "id": 2, "method": "watch", "params": {"who": who, "mark": cursor}}),
@@ -200,7 +204,7 @@
             _ => None,
         };
         let mut next = self.watcher.clone();
-        match next.hear(event) {
+        match next.apply(event) {
             Ok(false) => (self.on_update)(RegistryUpdate::Unchanged),
             Ok(true) => {
                 self.write_copy(entry.as_ref(), next.head())?;
@@ -221,11 +225,11 @@
         entry: Option<&crate::Entry>,
         head: &Head,
     ) -> Result<(), ConnectionEnd> {
-        let Some(path) = &self.config.copy else {
+        let Some(path) = &self.config.copy_path else {
             return Ok(());
         };
         let written = match (self.copy.as_mut(), entry) {
-            (Some(copy), Some(entry)) => copy.add(entry, head),
+            (Some(copy), Some(entry)) => copy.append(entry, head),
             _ => LocalCopy::write(path, head).map(|copy| self.copy = Some(copy)),
         };
         written.map_err(|error| {
--- a/crates/registry/src/keys.rs
+++ b/crates/registry/src/keys.rs
@@ -8,13 +8,13 @@
 pub enum AccessError {
     /// The key is unknown or wrong.
     #[error("this key opens nothing here")]
-    Key,
+    InvalidKey,
     /// There was no login.
     #[error("log in first")]
-    NoKey,
+    NotLoggedIn,
     /// The role is too low.
     #[error("role {has:?} may not do this: {needs:?} is needed")]
-    Role {
+    RoleTooLow {
         /// What there is.
         has: Role,
         /// What is needed.
@@ -32,34 +32,38 @@
 }
 
 /// A key's text, and what is kept of it. The secret is 256 bits of chance: there is nothing to guess a word of.
-pub fn make(id: &Name, chance: [u8; 32]) -> (String, String) {
+pub fn generate(id: &Name, chance: [u8; 32]) -> (String, String) {
     let secret: String = chance.iter().map(|b| format!("{b:02x}")).collect();
     let kept = hash(&id.to_string(), &secret).to_hex().to_string();
     (format!("{id}.{secret}"), kept)
 }
 
 /// Who comes with this text.
-pub fn who(state: &RegistryState, text: &str) -> Result<(Name, Role), AccessError> {
-    let (id, secret) = text.rsplit_once('.').ok_or(AccessError::Key)?;
-    let id: Name = id.parse().map_err(|_| AccessError::Key)?;
-    let key = state.keys.get(&id).ok_or(AccessError::Key)?;
-    let kept = blake3::Hash::from_hex(&key.hash).map_err(|_| AccessError::Key)?;
+pub fn authenticate(state: &RegistryState, text: &str) -> Result<(Name, Role), AccessError> {
+    let (id, secret) = text.rsplit_once('.').ok_or(AccessError::InvalidKey)?;
+    let id: Name = id.parse().map_err(|_| AccessError::InvalidKey)?;
+    let key = state.keys.get(&id).ok_or(AccessError::InvalidKey)?;
+    let kept = blake3::Hash::from_hex(&key.hash).map_err(|_| AccessError::InvalidKey)?;
     // Compared in constant time, as the library's hashes are.
     if kept == hash(&id.to_string(), secret) {
         Ok((id, key.role))
     } else {
-        Err(AccessError::Key)
+        Err(AccessError::InvalidKey)
     }
 }
 
 /// Whether a key that once opened the door still does, and may do this.
-pub fn may(state: &RegistryState, id: Option<&Name>, needs: Role) -> Result<Name, AccessError> {
-    let id = id.ok_or(AccessError::NoKey)?;
-    let key = state.keys.get(id).ok_or(AccessError::Key)?;
+pub fn authorize(
+    state: &RegistryState,
+    id: Option<&Name>,
+    needs: Role,
+) -> Result<Name, AccessError> {
+    let id = id.ok_or(AccessError::NotLoggedIn)?;
+    let key = state.keys.get(id).ok_or(AccessError::InvalidKey)?;
     if key.role >= needs {
         Ok(id.clone())
     } else {
-        Err(AccessError::Role {
+        Err(AccessError::RoleTooLow {
             has: key.role,
             needs,
         })
--- a/crates/registry/src/local_copy.rs
+++ b/crates/registry/src/local_copy.rs
@@ -39,7 +39,7 @@
             let entry: Result<Entry, _> = serde_json::from_str(line);
             let next = entry
                 .map_err(|error| error.to_string())
-                .and_then(|e| head.follow(&e).map_err(|error| error.to_string()));
+                .and_then(|e| head.with_entry(&e).map_err(|error| error.to_string()));
             head = next.map_err(|why| invalid(format!("line {}: {why}", index + 2)))?;
         }
         Ok(Some(head))
@@ -59,7 +59,7 @@
     }
 
     /// Adds an entry that leads to `head`; it is on disk when this returns.
-    pub fn add(&mut self, entry: &Entry, head: &Head) -> io::Result<()> {
+    pub fn append(&mut self, entry: &Entry, head: &Head) -> io::Result<()> {
         if self.entries >= MAX_ENTRIES {
             *self = Self::write(&self.path, head)?;
             return Ok(());
--- a/crates/registry/src/names.rs
+++ b/crates/registry/src/names.rs
@@ -97,7 +97,7 @@
 
 impl Namespace {
     /// For error texts.
-    pub fn told(&self) -> String {
+    pub fn describe(&self) -> String {
         match self {
             Self::All => "all tenants".into(),
             Self::Tenant(name) => format!("tenant '{name}'"),
--- a/crates/registry/src/rollout.rs
+++ b/crates/registry/src/rollout.rs
@@ -9,13 +9,17 @@
 #[serde(deny_unknown_fields)]
 pub struct Tally {
     /// Answers of the new version that succeeded.
-    pub new_well: u64,
+    #[serde(rename = "new_well")]
+    pub new_succeeded: u64,
     /// Answers of the new version that failed.
-    pub new_erred: u64,
+    #[serde(rename = "new_erred")]
+    pub new_failed: u64,
     /// Answers of the old version that succeeded.
-    pub old_well: u64,
+    #[serde(rename = "old_well")]
+    pub old_succeeded: u64,
     /// Answers of the old version that failed.
-    pub old_erred: u64,
+    #[serde(rename = "old_erred")]
+    pub old_failed: u64,
 }
 
 /// Of one stage. Each controller tells its whole count, so that what is told twice counts once.
@@ -47,43 +51,43 @@
 
 impl Tallies {
     /// Counts only grow: a message that was overtaken by a later one changes nothing.
-    pub fn tell(&mut self, controller: u32, incarnation: u64, tally: Tally) {
+    pub fn record(&mut self, controller: u32, incarnation: u64, tally: Tally) {
         let known = self.of.entry((controller, incarnation)).or_default();
         let most = |a: u64, b: u64| a.max(b);
         *known = Tally {
-            new_well: most(known.new_well, tally.new_well),
-            new_erred: most(known.new_erred, tally.new_erred),
-            old_well: most(known.old_well, tally.old_well),
-            old_erred: most(known.old_erred, tally.old_erred),
+            new_succeeded: most(known.new_succeeded, tally.new_succeeded),
+            new_failed: most(known.new_failed, tally.new_failed),
+            old_succeeded: most(known.old_succeeded, tally.old_succeeded),
+            old_failed: most(known.old_failed, tally.old_failed),
         };
     }
 
     /// Results of all controllers.
     pub fn sum(&self) -> Tally {
         self.of.values().fold(Tally::default(), |s, t| Tally {
-            new_well: s.new_well.saturating_add(t.new_well),
-            new_erred: s.new_erred.saturating_add(t.new_erred),
-            old_well: s.old_well.saturating_add(t.old_well),
-            old_erred: s.old_erred.saturating_add(t.old_erred),
+            new_succeeded: s.new_succeeded.saturating_add(t.new_succeeded),
+            new_failed: s.new_failed.saturating_add(t.new_failed),
+            old_succeeded: s.old_succeeded.saturating_add(t.old_succeeded),
+            old_failed: s.old_failed.saturating_add(t.old_failed),
         })
     }
 
     /// Whether the rollout ends, and how.
-    pub fn judge(&self, stage: &Stage) -> Verdict {
+    pub fn verdict(&self, stage: &Stage) -> Verdict {
         let sum = self.sum();
         let share =
             |erred: u64, well: u64| erred as f64 / (erred.saturating_add(well)).max(1) as f64;
-        let answers = sum.new_well.saturating_add(sum.new_erred);
+        let answers = sum.new_succeeded.saturating_add(sum.new_failed);
         let (new, old) = (
-            share(sum.new_erred, sum.new_well),
-            share(sum.old_erred, sum.old_well),
+            share(sum.new_failed, sum.new_succeeded),
+            share(sum.old_failed, sum.old_succeeded),
         );
         let bound = old + f64::from(stage.errors_per_mille) / 1_000.0;
         let spread = (bound.clamp(0.001, 0.999) * (1.0 - bound.clamp(0.001, 0.999))
             / answers.max(1) as f64)
             .sqrt();
         // Before the answers waited for are in, only what chance would not do stops it; then the count as it is.
-        let early = sum.new_erred >= ERRED_LEAST && new > bound + SURE * spread;
+        let early = sum.new_failed >= ERRED_LEAST && new > bound + SURE * spread;
         match answers >= stage.answers {
             _ if early => Verdict::Abort { new, old },
             true if new > bound => Verdict::Abort { new, old },
--- a/crates/registry/src/service.rs
+++ b/crates/registry/src/service.rs
@@ -100,11 +100,11 @@
 
     /// All entries, oldest first.
     pub fn history(&self) -> Result<Vec<Entry>, StoreError> {
-        self.store.borrow().after(0, usize::MAX)
+        self.store.borrow().entries_after(0, usize::MAX)
     }
 
     /// Versions reported corrupt, as `MODEL@VERSION`, and when first, in Unix milliseconds.
-    pub fn corrupt(&self) -> Vec<(String, u64)> {
+    pub fn corrupt_versions(&self) -> Vec<(String, u64)> {
         let reports = self.corruption_reports.borrow();
         reports
             .iter()
@@ -122,12 +122,12 @@
         let (listener, address) = network.listen(address).await?;
         let revision = self.store.borrow().head().revision();
         info!(%address, revision, "registry listening");
-        self.attend(listener, clock).await;
+        self.accept_connections(listener, clock).await;
         Ok(())
     }
 
     /// Accepts connections for as long as it is polled; all of them end with it.
-    pub async fn attend(self: Rc<Self>, mut listener: Box<dyn Listener>, clock: Clock) {
+    pub async fn accept_connections(self: Rc<Self>, mut listener: Box<dyn Listener>, clock: Clock) {
         let mut tasks = tokio::task::JoinSet::new();
         tasks.spawn_local(self.clone().commit_changes());
         loop {
@@ -163,7 +163,7 @@
     if known_keys.any(|key| key.role == Role::Owner) {
         return Err(ChangeError::KeyExists(id.clone()).into());
     }
-    let (text, hash) = keys::make(id, random);
+    let (text, hash) = keys::generate(id, random);
     let change = Change::AddKey {
         id: id.clone(),
         role: Role::Owner,
@@ -174,7 +174,7 @@
         at_ms,
         change,
     };
-    store.take(vec![request])?.remove(0)?;
+    store.commit(vec![request])?.remove(0)?;
     Ok(text)
 }
 
--- a/crates/registry/src/service/commit.rs
+++ b/crates/registry/src/service/commit.rs
@@ -92,12 +92,12 @@
                 Err(error) => drop(change.reply.send(Err(error))),
             }
         }
-        let committed = self.store.borrow_mut().take(requests);
+        let committed = self.store.borrow_mut().commit(requests);
         match committed {
             Ok(results) => {
                 for (result, (reply, push_lease)) in results.into_iter().zip(waiting) {
                     if let Some(push) = push_lease {
-                        self.blob_collector.borrow_mut().end(push.lease);
+                        self.blob_collector.borrow_mut().end_lease(push.lease);
                     }
                     // A caller that has hung up gets no answer; the change stands.
                     let _ = reply.send(result.map_err(RpcError::rejected));
@@ -120,8 +120,8 @@
         let state = &store.head().state;
         // The key may have been withdrawn while its change waited.
         let key: Option<Name> = pending.request.who.parse().ok();
-        let authorized =
-            keys::may(state, key.as_ref(), pending.required_role).map_err(RpcError::access_denied);
+        let authorized = keys::authorize(state, key.as_ref(), pending.required_role)
+            .map_err(RpcError::access_denied);
         let blobs_held = match &pending.push_lease {
             Some(push) => self.check_blobs(now_ms, push),
             None => Ok(()),
@@ -133,7 +133,7 @@
         let held = self
             .blob_collector
             .borrow()
-            .holds(now_ms, push.lease, &push.blobs);
+            .check_lease(now_ms, push.lease, &push.blobs);
         held.map_err(RpcError::rejected)?;
         let Some(folder) = &self.blob_folder else {
             return Ok(());
@@ -141,7 +141,7 @@
         let missing = push
             .blobs
             .iter()
-            .find(|digest| !blobs::path(folder, digest).exists());
+            .find(|digest| !blobs::blob_path(folder, digest).exists());
         match missing {
             Some(digest) => Err(RpcError::rejected(format!("blob {digest} is not here"))),
             None => Ok(()),
--- a/crates/registry/src/service/connection.rs
+++ b/crates/registry/src/service/connection.rs
@@ -33,7 +33,7 @@
     }
 
     fn send_error(&self, id: &Id, code: i64, message: &str) {
-        self.send(rpc::error(id, code, message, None));
+        self.send(rpc::format_error(id, code, message, None));
     }
 }
 
@@ -71,7 +71,7 @@
                 self.answer_line(connection, line.trim_ascii(), &mut watch_task)
                     .await;
             }
-            if buffer.len() > rpc::LINE_MOST_BYTES {
+            if buffer.len() > rpc::MAX_LINE_BYTES {
                 connection.send_error(&Id::null(), rpc::PARSE_ERROR, "line too long");
                 return "line too long".into();
             }
@@ -92,7 +92,7 @@
         if line.is_empty() {
             return;
         }
-        match rpc::read(line) {
+        match rpc::parse_line(line) {
             Ok(Line::Single(Ok(call))) => {
                 self.answer_call(connection, &call, watch_task).await;
             }
@@ -118,7 +118,7 @@
         };
         let Some(id) = &call.id else { return };
         match result {
-            Ok(value) => connection.send(rpc::result(id, &value.to_string())),
+            Ok(value) => connection.send(rpc::format_result(id, &value.to_string())),
             Err(error) => connection.send_error(id, error.code, &error.message),
         }
     }
--- a/crates/registry/src/service/methods.rs
+++ b/crates/registry/src/service/methods.rs
@@ -28,7 +28,8 @@
     ) -> Result<Name, RpcError> {
         let store = self.store.borrow();
         let key = connection.key.borrow();
-        keys::may(&store.head().state, key.as_ref(), required).map_err(RpcError::access_denied)
+        keys::authorize(&store.head().state, key.as_ref(), required)
+            .map_err(RpcError::access_denied)
     }
 
     /// Answers a call of any method but `watch`.
@@ -80,7 +81,7 @@
     }
 
     fn log_in(&self, connection: &Connection, login: &params::Login) -> RpcResult {
-        let known = keys::who(&self.store.borrow().head().state, &login.key);
+        let known = keys::authenticate(&self.store.borrow().head().state, &login.key);
         let (id, role) = known.map_err(RpcError::access_denied)?;
         *connection.key.borrow_mut() = Some(id.clone());
         Ok(json!({"id": id, "role": role}))
@@ -88,12 +89,12 @@
 
     fn entries(&self, request: &params::History) -> RpcResult {
         let limit = request.limit.min(MAX_HISTORY_ENTRIES);
-        let entries = self.store.borrow().after(request.after, limit);
+        let entries = self.store.borrow().entries_after(request.after, limit);
         Ok(json!({ "entries": entries.map_err(RpcError::disk_failure)? }))
     }
 
     async fn change(&self, connection: &Connection, request: params::Changes) -> RpcResult {
-        let required_role = request.change.needs();
+        let required_role = request.change.required_role();
         let who = self.authorize(connection, required_role)?;
         if matches!(request.change, Change::Push { .. }) && self.blob_folder.is_some() {
             return Err(RpcError::invalid_params(
@@ -120,7 +121,7 @@
         }
         let digests: Result<BTreeSet<Digest>, String> =
             request.digests.iter().map(|text| text.parse()).collect();
-        let lease = self.blob_collector.borrow_mut().begin(
+        let lease = self.blob_collector.borrow_mut().begin_lease(
             self.elapsed_ms(),
             digests.map_err(RpcError::invalid_params)?,
             PUSH_LEASE_MS,
@@ -141,7 +142,7 @@
         let entries = verified.map_err(RpcError::disk_failure)?;
         let mut problems = Vec::new();
         if let Some(folder) = &self.blob_folder {
-            problems = blobs::look(folder, &self.state());
+            problems = blobs::verify_blobs(folder, &self.state());
         }
         Ok(json!({"entries": entries, "wrong": problems}))
     }
--- a/crates/registry/src/service/push.rs
+++ b/crates/registry/src/service/push.rs
@@ -18,7 +18,8 @@
                 "blobs are not kept here: use change",
             ));
         };
-        let manifest = blobs::manifest(folder, &request.manifest).map_err(RpcError::rejected)?;
+        let manifest =
+            blobs::read_manifest(folder, &request.manifest).map_err(RpcError::rejected)?;
         let mut needed: Vec<Digest> = manifest.chunks.iter().map(|chunk| chunk.digest).collect();
         needed.push(request.manifest);
         let version = Version {
@@ -32,7 +33,7 @@
         let state = self.state();
         let existing = state.version(&request.model, &request.name);
         if let Some(record) = existing.filter(|record| record.version == version) {
-            self.blob_collector.borrow_mut().end(request.lease);
+            self.blob_collector.borrow_mut().end_lease(request.lease);
             return Ok(json!({"revision": record.pushed, "again": true}));
         }
         drop(state);
@@ -56,8 +57,9 @@
         let Some(folder) = &self.blob_folder else {
             return Err(RpcError::invalid_params("blobs are not kept here"));
         };
-        let referenced = blobs::named(folder, &self.state()).map_err(RpcError::rejected)?;
-        let present = blobs::present(folder).map_err(RpcError::disk_failure)?;
+        let referenced =
+            blobs::referenced_blobs(folder, &self.state()).map_err(RpcError::rejected)?;
+        let present = blobs::list_blobs(folder).map_err(RpcError::disk_failure)?;
         Ok(self.blob_collector.borrow_mut().collect(
             self.elapsed_ms(),
             present,
@@ -73,7 +75,7 @@
         };
         let mut bytes = 0;
         for digest in digests {
-            let path = blobs::path(folder, digest);
+            let path = blobs::blob_path(folder, digest);
             bytes += std::fs::metadata(&path).map_or(0, |metadata| metadata.len());
             std::fs::remove_file(&path)
                 .map_err(|error| RpcError::disk_failure(format!("{}: {error}", path.display())))?;
--- a/crates/registry/src/service/rollouts.rs
+++ b/crates/registry/src/service/rollouts.rs
@@ -57,7 +57,7 @@
             space: report.namespace,
             alias: report.alias,
             expect: report.alias_revision,
-            well: end.is_success,
+            is_success: end.is_success,
             why: end.reason,
         };
         // The registry decides this itself, in the name of whoever reported last.
@@ -86,7 +86,7 @@
             *revision = report.alias_revision;
             *tallies = Tallies::default();
         }
-        tallies.tell(report.controller, report.incarnation, report.tally);
-        tallies.judge(stage)
+        tallies.record(report.controller, report.incarnation, report.tally);
+        tallies.verdict(stage)
     }
 }
--- a/crates/registry/src/service/status.rs
+++ b/crates/registry/src/service/status.rs
@@ -40,7 +40,7 @@
                     "first_ms": report.first_ms, "last_ms": report.last_ms, "why": report.reason})
             })
             .collect();
-        json!({"revision": head.revision(), "hash": head.hash, "corrupt": corrupt, "writable": store.writable(),
+        json!({"revision": head.revision(), "hash": head.hash, "corrupt": corrupt, "writable": store.is_writable(),
             "versions": head.state.versions.len(), "aliases": head.state.aliases.len(), "followers": followers})
     }
 
--- a/crates/registry/src/service/watchers.rs
+++ b/crates/registry/src/service/watchers.rs
@@ -4,7 +4,7 @@
 use super::errors::RpcError;
 use super::{HEARTBEAT_INTERVAL, Registry, RpcResult, params};
 use crate::state::{Revision, Role};
-use crate::watch::{Cursor, WatchEvent, WatchReply, answer};
+use crate::watch::{Cursor, WatchEvent, WatchReply, reply_to};
 use saltdrum_protocol::rpc::Call;
 use serde_json::json;
 use std::rc::Rc;
@@ -48,7 +48,7 @@
         }
         let reply = {
             let store = self.store.borrow();
-            answer(
+            reply_to(
                 store.head(),
                 &request.cursor,
                 |revision| store.hash_at(revision),
@@ -116,7 +116,7 @@
 
     /// Sends the next entries, and gives the revision of the last one sent; none: there is no new entry.
     fn send_entries(&self, connection: &Connection, sent: Revision) -> Option<Revision> {
-        let entries = match self.store.borrow().after(sent, READ_BATCH_ENTRIES) {
+        let entries = match self.store.borrow().entries_after(sent, READ_BATCH_ENTRIES) {
             Ok(entries) => entries,
             Err(error) => {
                 debug!(%error, "disk read failed, watch waits");
--- a/crates/registry/src/state.rs
+++ b/crates/registry/src/state.rs
@@ -57,7 +57,8 @@
     /// The version it stands for.
     pub version: Name,
     /// The version it stood for before, for a roll back.
-    pub before: Option<Name>,
+    #[serde(rename = "before")]
+    pub previous: Option<Name>,
     /// The rollout under way.
     pub stage: Option<Stage>,
     /// Revision at which it last changed: what a move is compared with.
@@ -127,7 +128,8 @@
         /// Revision at which the caller saw the alias; it has to be still there.
         expect: Revision,
         /// Whether the new version succeeded.
-        well: bool,
+        #[serde(rename = "well")]
+        is_success: bool,
         /// The reason.
         why: String,
     },
@@ -300,7 +302,8 @@
     #[serde(with = "crate::names::pairs")]
     pub versions: OrdMap<(Name, Name), VersionRecord>,
     /// Names of versions that were deleted: a version's name never comes to mean another.
-    pub gone: OrdSet<(Name, Name)>,
+    #[serde(rename = "gone")]
+    pub deleted: OrdSet<(Name, Name)>,
     /// By namespace and alias.
     #[serde(with = "crate::names::pairs")]
     pub aliases: OrdMap<(Namespace, Name), Alias>,
@@ -410,7 +413,7 @@
     }
 
     /// The state with the change, or why it is rejected. The one place where anything changes: replays go through it as well.
-    pub fn with(&self, change: &Change) -> Result<RegistryState, ChangeError> {
+    pub fn with_change(&self, change: &Change) -> Result<RegistryState, ChangeError> {
         let revision = self.revision + 1;
         if revision > MAX_REVISION {
             return Err(ChangeError::RevisionTooHigh(revision));
@@ -445,7 +448,7 @@
                 space,
                 alias,
                 expect,
-                well,
+                is_success: well,
                 ..
             } => self.end_stage(space, alias, *expect, *well),
             Change::RollBack {
@@ -471,7 +474,7 @@
     fn push(&mut self, model: &Name, name: &Name, version: &Version) -> Result<(), ChangeError> {
         version.check()?;
         let key = (model.clone(), name.clone());
-        if self.gone.contains(&key) {
+        if self.deleted.contains(&key) {
             return Err(ChangeError::VersionWithdrawn {
                 model: model.clone(),
                 name: name.clone(),
@@ -505,16 +508,16 @@
         if !self.versions.contains_key(&key) {
             return Err(unknown_version(model, name));
         }
-        if let Some((namespace, alias)) = self.named_by(model, name) {
+        if let Some((namespace, alias)) = self.alias_using(model, name) {
             return Err(ChangeError::VersionInUse {
                 model: model.clone(),
                 name: name.clone(),
                 alias,
-                space: namespace.told(),
+                space: namespace.describe(),
             });
         }
         self.versions.remove(&key);
-        self.gone.insert(key);
+        self.deleted.insert(key);
         Ok(())
     }
 
@@ -544,7 +547,7 @@
         Alias {
             model: model.clone(),
             version: version.clone(),
-            before: None,
+            previous: None,
             stage: None,
             changed: self.revision,
         }
@@ -587,7 +590,7 @@
     fn with_version(&self, current: Alias, version: Name) -> Alias {
         Alias {
             version,
-            before: Some(current.version),
+            previous: Some(current.version),
             stage: None,
             changed: self.revision,
             model: current.model,
@@ -635,7 +638,7 @@
         let next = if current.stage.is_some() {
             self.without_stage(current)
         } else {
-            let Some(previous) = current.before.clone() else {
+            let Some(previous) = current.previous.clone() else {
                 return Err(ChangeError::NoPreviousVersion(alias.clone()));
             };
             self.offered(&current.model, &previous)?;
@@ -685,10 +688,11 @@
     }
 
     /// An alias that stands for the version, would go back to it, or tries it.
-    pub fn named_by(&self, model: &Name, name: &Name) -> Option<(Namespace, Name)> {
+    pub fn alias_using(&self, model: &Name, name: &Name) -> Option<(Namespace, Name)> {
         let names = |a: &Alias| {
             let tried = a.stage.as_ref().map(|s| &s.to);
-            a.model == *model && [Some(&a.version), a.before.as_ref(), tried].contains(&Some(name))
+            a.model == *model
+                && [Some(&a.version), a.previous.as_ref(), tried].contains(&Some(name))
         };
         self.aliases
             .iter()
@@ -718,7 +722,7 @@
 
 impl Change {
     /// The least role that may ask for it.
-    pub fn needs(&self) -> Role {
+    pub fn required_role(&self) -> Role {
         match self {
             Self::Push { .. } => Role::Publisher,
             Self::Withdraw { .. }
--- a/crates/registry/src/store.rs
+++ b/crates/registry/src/store.rs
@@ -34,7 +34,7 @@
     },
     /// It was written by a later build.
     #[error("{place}: schema {found}: this program knows up to {SCHEMA}")]
-    Later {
+    SchemaTooNew {
         /// Where it was found.
         place: String,
         /// What was found.
@@ -52,7 +52,7 @@
     },
     /// A line of a backup is invalid.
     #[error("{place}: line {line}: {why}")]
-    Line {
+    InvalidLine {
         /// Where it was found.
         place: String,
         /// Number of the line, from 1.
@@ -62,10 +62,10 @@
     },
     /// The change was rejected.
     #[error("{0}")]
-    Refused(#[from] ChangeError),
+    Rejected(#[from] ChangeError),
     /// Nothing is overwritten.
     #[error("{place}: there is a registry already")]
-    Occupied {
+    AlreadyExists {
         /// Where it was found.
         place: String,
     },
@@ -73,7 +73,7 @@
 
 impl StoreError {
     /// Whether the same may succeed a while later.
-    pub fn may_pass(&self) -> bool {
+    pub fn is_transient(&self) -> bool {
         matches!(self, Self::Disk { why, .. } if why.is_transient)
     }
 }
@@ -130,7 +130,7 @@
     }
 
     /// Makes a registry at `path`, where there is none: with all that `fill` puts into it, or not at all.
-    pub fn make_file<T>(
+    pub fn create_file<T>(
         path: &Path,
         fill: impl FnOnce(&mut Self) -> Result<T, StoreError>,
     ) -> Result<T, StoreError> {
@@ -178,7 +178,7 @@
         let mine = self.head.revision();
         if mine > 0 && read.hashes.get(&mine) != Some(&self.head.hash) {
             let why = format!("revision {mine} was acknowledged and is not there any more");
-            return Err(self.disk(DiskFailure::lasting(why)));
+            return Err(self.disk(DiskFailure::permanent(why)));
         }
         (self.head, self.hashes, self.last_restored) = (read.head, read.hashes, read.last_restored);
         self.database = Some(database);
@@ -197,7 +197,7 @@
             match found {
                 None => drop(about.insert("schema", SCHEMA).map_err(|e| self.disk(e))?),
                 Some(found) if found > SCHEMA => {
-                    return Err(StoreError::Later {
+                    return Err(StoreError::SchemaTooNew {
                         place: self.place.clone(),
                         found,
                     });
@@ -237,7 +237,7 @@
             }
             read.head = read
                 .head
-                .follow(&entry)
+                .with_entry(&entry)
                 .map_err(|e: ChainError| damaged(e.to_string()))?;
             read.hashes.insert(entry.revision, read.head.hash.clone());
             if matches!(entry.change, Change::Restored { .. }) {
@@ -263,13 +263,13 @@
     }
 
     /// Whether the last write went well.
-    pub fn writable(&self) -> bool {
+    pub fn is_writable(&self) -> bool {
         self.database.is_some()
     }
 
     /// Takes changes that came together, with one write for all. Each is told apart: refused, or on disk when this
     /// returns. After a failed write nothing of it is acknowledged, and the next call reads the disk anew.
-    pub fn take(
+    pub fn commit(
         &mut self,
         all: Vec<ChangeRequest>,
     ) -> Result<Vec<Result<Entry, ChangeError>>, StoreError> {
@@ -278,7 +278,7 @@
         }
         let (mut head, mut told, mut taken) = (self.head.clone(), Vec::new(), Vec::new());
         for asked in all {
-            match head.decide(&asked.who, asked.at_ms, asked.change) {
+            match head.prepare_entry(&asked.who, asked.at_ms, asked.change) {
                 Ok((entry, next)) => {
                     if entry.bytes().len() > ENTRY_MOST_BYTES {
                         let why = format!("over {ENTRY_MOST_BYTES} bytes");
@@ -331,7 +331,7 @@
     /// The epoch that is on the disk for a lease of the fleet; 0: none.
     pub fn sealed_epoch(&self, lease: &str) -> Result<u64, StoreError> {
         let Some(database) = &self.database else {
-            return Err(self.disk(DiskFailure::lasting(
+            return Err(self.disk(DiskFailure::permanent(
                 "a write failed; it is not read before the next",
             )));
         };
@@ -352,7 +352,7 @@
 
     /// Does `work` in a write transaction in which the disk has this epoch for the lease; none: it has another, and
     /// nothing was done. No seal comes between the look and the end of the work.
-    pub fn while_sealed<T>(
+    pub fn run_if_sealed<T>(
         &mut self,
         lease: &str,
         epoch: u64,
@@ -376,7 +376,7 @@
             self.come_back()?;
         }
         let Some(database) = &self.database else {
-            return Err(self.disk(DiskFailure::lasting("not open")));
+            return Err(self.disk(DiskFailure::permanent("not open")));
         };
         let write = || -> Result<T, redb::Error> {
             let txn = database.begin_write()?;
@@ -392,9 +392,9 @@
     }
 
     /// Entries after a revision, so many at the most, oldest first.
-    pub fn after(&self, revision: Revision, most: usize) -> Result<Vec<Entry>, StoreError> {
+    pub fn entries_after(&self, revision: Revision, most: usize) -> Result<Vec<Entry>, StoreError> {
         let Some(database) = &self.database else {
-            return Err(self.disk(DiskFailure::lasting(
+            return Err(self.disk(DiskFailure::permanent(
                 "a write failed; it is not read before the next",
             )));
         };
@@ -421,7 +421,7 @@
     /// Reads all that is on disk as a start would, and compares it with what is told to others. Tells how many entries.
     pub fn verify(&self) -> Result<u64, StoreError> {
         let Some(database) = &self.database else {
-            return Err(self.disk(DiskFailure::lasting(
+            return Err(self.disk(DiskFailure::permanent(
                 "a write failed; it is not read before the next",
             )));
         };
@@ -441,7 +441,7 @@
 
     /// Writes the whole history to a file of lines: whole or not at all.
     pub fn back_up(&self, to: &Path) -> Result<u64, StoreError> {
-        let entries = self.after(0, usize::MAX)?;
+        let entries = self.entries_after(0, usize::MAX)?;
         let fault = |e: std::io::Error| StoreError::Disk {
             place: to.display().to_string(),
             why: e.into(),
@@ -471,7 +471,7 @@
     let (mut entries, mut head) = (Vec::new(), Head::default());
     let mut ended = false;
     for (n, line) in BufReader::new(file).lines().enumerate() {
-        let fault = |why: String| StoreError::Line {
+        let fault = |why: String| StoreError::InvalidLine {
             place: place.clone(),
             line: n + 1,
             why,
@@ -489,11 +489,11 @@
             continue;
         }
         let entry: Entry = serde_json::from_str(&line).map_err(|e| fault(e.to_string()))?;
-        head = head.follow(&entry).map_err(|e| fault(e.to_string()))?;
+        head = head.with_entry(&entry).map_err(|e| fault(e.to_string()))?;
         entries.push(entry);
     }
     if !ended {
-        return Err(StoreError::Line {
+        return Err(StoreError::InvalidLine {
             place,
             line: entries.len() + 1,
             why: "the end is missing: it was cut short".into(),
@@ -513,13 +513,13 @@
 ) -> Result<Head, StoreError> {
     let (entries, head) = read_backup(from)?;
     if to.exists() {
-        return Err(StoreError::Occupied {
+        return Err(StoreError::AlreadyExists {
             place: to.display().to_string(),
         });
     }
     // What could not be taken is found before anything is made.
-    let (last, after) = head.decide(who, at_ms, Change::Restored { over })?;
-    Store::make_file(to, |store| {
+    let (last, after) = head.prepare_entry(who, at_ms, Change::Restored { over })?;
+    Store::create_file(to, |store| {
         store
             .write(entries.iter().chain([&last]))
             .map_err(|e| store.disk(e))
--- a/crates/registry/src/version_pin.rs
+++ b/crates/registry/src/version_pin.rs
@@ -36,13 +36,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StagedRollout {
     /// Namespace of the alias.
-    pub space: Namespace,
+    pub namespace: Namespace,
     /// The alias.
     pub alias: Name,
     /// Revision at which the stage began.
-    pub changed: Revision,
+    pub alias_revision: Revision,
     /// Of the new version.
-    pub new: bool,
+    pub is_new_version: bool,
 }
 
 /// Why an invocation gets no version.
@@ -101,7 +101,7 @@
     }
 
     /// Resolves the version of one invocation.
-    pub fn fix(
+    pub fn resolve(
         &mut self,
         state: &RegistryState,
         now_ms: u64,
@@ -175,10 +175,10 @@
             let new = alias.stage.as_ref().is_some_and(|s| s.to == version);
             let rollout_side = alias.stage.is_some() && (new || version == alias.version);
             rollout_side.then_some(StagedRollout {
-                space,
+                namespace: space,
                 alias: name,
-                changed: alias.changed,
-                new,
+                alias_revision: alias.changed,
+                is_new_version: new,
             })
         });
         Ok(PinnedVersion {
@@ -207,10 +207,10 @@
             let version = new.map_or(&alias.version, |stage| &stage.to);
             check_usable(state, &alias.model, version)?;
             let rollout_side = StagedRollout {
-                space,
+                namespace: space,
                 alias: name,
-                changed: alias.changed,
-                new: new.is_some(),
+                alias_revision: alias.changed,
+                is_new_version: new.is_some(),
             };
             let staged = alias.stage.is_some().then_some(rollout_side);
             return Ok(PinnedVersion {
@@ -255,7 +255,7 @@
     }
 
     /// Pins that are remembered.
-    pub fn remembered(&self) -> usize {
+    pub fn pin_count(&self) -> usize {
         self.pins.len()
     }
 }
@@ -288,7 +288,7 @@
     match state.version(model, version) {
         Some(held) if held.standing == Standing::Offered => Ok(()),
         Some(_) => Err(ResolveError::Withdrawn(full_name())),
-        None if state.gone.contains(&(model.clone(), version.clone())) => {
+        None if state.deleted.contains(&(model.clone(), version.clone())) => {
             Err(ResolveError::Withdrawn(full_name()))
         }
         None => Err(ResolveError::Unknown(full_name())),
@@ -324,7 +324,7 @@
 }
 
 /// A version for use: what the policy needs to know of it.
-pub fn offered<'a>(state: &'a RegistryState, pinned: &PinnedVersion) -> Option<&'a Version> {
+pub fn pinned_version<'a>(state: &'a RegistryState, pinned: &PinnedVersion) -> Option<&'a Version> {
     state
         .version(&pinned.model, &pinned.version)
         .map(|h| &h.version)
--- a/crates/registry/src/watch.rs
+++ b/crates/registry/src/watch.rs
@@ -56,14 +56,14 @@
 pub enum WatchError {
     /// The registry's history lacks what was applied here.
     #[error(
-        "the registry is at revision {its}, revision {mine} was obeyed here and is not in its history: it came back from \
-         an older backup, or it is another one. What was known stands, until an operator restores over revision {mine}"
+        "the registry is at revision {registry}, revision {local} was obeyed here and is not in its history: it came back from \
+         an older backup, or it is another one. What was known stands, until an operator restores over revision {local}"
     )]
     HistoryMismatch {
         /// Revision of the registry.
-        its: Revision,
+        registry: Revision,
         /// Revision applied here.
-        mine: Revision,
+        local: Revision,
     },
     /// An entry does not follow.
     #[error("{0}")]
@@ -88,7 +88,7 @@
     }
 
     /// Where to go on from.
-    pub fn mark(&self) -> Cursor {
+    pub fn cursor(&self) -> Cursor {
         Cursor {
             revision: self.head.revision(),
             hash: self.head.hash.clone(),
@@ -96,7 +96,7 @@
     }
 
     /// Takes one message in. True: something is new, and is to be kept before it is obeyed.
-    pub fn hear(&mut self, told: WatchEvent) -> Result<bool, WatchError> {
+    pub fn apply(&mut self, told: WatchEvent) -> Result<bool, WatchError> {
         let mine = self.head.revision();
         match told {
             WatchEvent::Next { entry } => {
@@ -106,12 +106,12 @@
                         Ok(false)
                     } else {
                         Err(WatchError::HistoryMismatch {
-                            its: entry.revision,
-                            mine,
+                            registry: entry.revision,
+                            local: mine,
                         })
                     };
                 }
-                self.head = self.head.follow(&entry)?;
+                self.head = self.head.with_entry(&entry)?;
                 Ok(true)
             }
             WatchEvent::Snapshot { head, restored } => {
@@ -127,18 +127,21 @@
                     _ => None,
                 });
                 if its <= mine || (mine > 0 && over.is_none_or(|over| over < mine)) {
-                    return Err(WatchError::HistoryMismatch { its, mine });
+                    return Err(WatchError::HistoryMismatch {
+                        registry: its,
+                        local: mine,
+                    });
                 }
                 self.head = head;
                 Ok(true)
             }
-            WatchEvent::Heartbeat { at } if at == self.mark() => Ok(false),
+            WatchEvent::Heartbeat { at } if at == self.cursor() => Ok(false),
             // Changes are under way, or something was missed: the former come, the latter shows when they do.
             WatchEvent::Heartbeat { at } if at.revision > mine => Ok(false),
             WatchEvent::Heartbeat { at } | WatchEvent::UnknownCursor { at } => {
                 Err(WatchError::HistoryMismatch {
-                    its: at.revision,
-                    mine,
+                    registry: at.revision,
+                    local: mine,
                 })
             }
         }
@@ -147,7 +150,7 @@
 
 /// What the registry answers a watcher at `mark` with, from its history: the entries it lacks, or the whole.
 /// `hash_at` knows the hash after a revision of the history, none where there is no such revision.
-pub fn answer(
+pub fn reply_to(
     head: &Head,
     mark: &Cursor,
     hash_at: impl FnOnce(Revision) -> Option<Hash>,
--- a/crates/registry/tests/all/interleave.rs
+++ b/crates/registry/tests/all/interleave.rs
@@ -6,7 +6,7 @@
 use saltdrum_registry::blob_collector::BlobCollector;
 use saltdrum_registry::chain::{Entry, Head};
 use saltdrum_registry::state::Change;
-use saltdrum_registry::watch::{WatchEvent, WatchReply, Watcher, answer};
+use saltdrum_registry::watch::{WatchEvent, WatchReply, Watcher, reply_to};
 use std::collections::BTreeSet;
 
 /// Two movers read the alias, then move it; a watcher dials, hears and is cut off, and the registry forgets its last
@@ -37,7 +37,11 @@
     fn begin() -> Self {
         let (mut heads, mut entries) = (vec![Head::default()], Vec::new());
         for change in [push(1), push(2), moves(1, 0, None)] {
-            let (entry, head) = heads.last().unwrap().decide("tests", 0, change).unwrap();
+            let (entry, head) = heads
+                .last()
+                .unwrap()
+                .prepare_entry("tests", 0, change)
+                .unwrap();
             heads.push(head);
             entries.push(entry);
         }
@@ -71,7 +75,7 @@
             2 | 3 if w.movers[n - 2].is_some() => {
                 let expect = w.movers[n - 2].take().unwrap();
                 w.moved[n - 2] += 1;
-                match head.decide("tests", n as u64, moves(n as u64 - 1, expect, None)) {
+                match head.prepare_entry("tests", n as u64, moves(n as u64 - 1, expect, None)) {
                     Ok((entry, next)) => {
                         assert_eq!(
                             expect, alias.changed,
@@ -92,7 +96,7 @@
                         .map(|h| h.hash.clone())
                 };
                 let mut line = Vec::new();
-                match answer(&head, &w.watcher.mark(), hash_at, None) {
+                match reply_to(&head, &w.watcher.cursor(), hash_at, None) {
                     WatchReply::Snapshot(restored) => {
                         line.push(WatchEvent::Snapshot {
                             head: head.clone(),
@@ -122,7 +126,7 @@
                 }
                 let told = line.remove(0);
                 let before = w.watcher.clone();
-                match w.watcher.hear(told) {
+                match w.watcher.apply(told) {
                     Ok(true) => {
                         assert!(
                             w.watcher.head().revision() > w.obeyed,
@@ -252,7 +256,7 @@
         let mut pushed = false;
         for (now, what) in yard.log {
             match what {
-                'b' => lease = keeper.begin(now, BTreeSet::from([shared, own]), 300),
+                'b' => lease = keeper.begin_lease(now, BTreeSet::from([shared, own]), 300),
                 'l' => {
                     lacks = [shared, own]
                         .into_iter()
@@ -268,14 +272,14 @@
                         there.remove(&gone);
                     }
                 }
-                _ => match keeper.holds(now, lease, &[shared, own]) {
+                _ => match keeper.check_lease(now, lease, &[shared, own]) {
                     Ok(()) => {
                         assert!(
                             there.contains(&shared) && there.contains(&own),
                             "pushed without its chunks"
                         );
                         (pushed, named) = (true, BTreeSet::from([shared, own]));
-                        keeper.end(lease);
+                        keeper.end_lease(lease);
                     }
                     Err(_) => denied += 1,
                 },
@@ -303,11 +307,14 @@
         .alias(&Namespace::All, &name("kinyarwanda-current"))
         .unwrap()
         .changed;
-    let once = head.decide("tests", 0, moves(2, at, None)).unwrap().1;
+    let once = head
+        .prepare_entry("tests", 0, moves(2, at, None))
+        .unwrap()
+        .1;
     let blind = Change::RollBack {
         space: Namespace::All,
         alias: name("kinyarwanda-current"),
         expect: at,
     };
-    assert!(once.decide("tests", 0, blind).is_err());
+    assert!(once.prepare_entry("tests", 0, blind).is_err());
 }
--- a/crates/registry/tests/all/kills.rs
+++ b/crates/registry/tests/all/kills.rs
@@ -27,7 +27,11 @@
     let mut store = open(&whole).unwrap();
     let begun = whole.operations();
     for n in 0..12 {
-        store.take(vec![asked(nth(n))]).unwrap().remove(0).unwrap();
+        store
+            .commit(vec![asked(nth(n))])
+            .unwrap()
+            .remove(0)
+            .unwrap();
     }
     let all = whole.operations();
     drop(store);
@@ -39,7 +43,7 @@
             disk.dies_at(Some(dies_at));
             let (mut told, mut entries) = (0, Vec::new());
             for n in 0..12 {
-                match store.take(vec![asked(nth(n))]) {
+                match store.commit(vec![asked(nth(n))]) {
                     Ok(mut all) => entries.push(all.remove(0).unwrap()),
                     Err(_) => break,
                 }
@@ -51,7 +55,7 @@
             let found = disk.after_power_cut(&mut rng);
             let store =
                 open(&found).unwrap_or_else(|e| panic!("killed at {dies_at}, {told} told: {e}"));
-            let kept = store.after(0, 100).unwrap();
+            let kept = store.entries_after(0, 100).unwrap();
             assert!(
                 kept.len() as u64 >= told,
                 "killed at {dies_at}: {told} told, {} kept",
@@ -80,7 +84,11 @@
     let mut store = open(&disk).unwrap();
     let early = disk.after_power_cut(&mut fastrand::Rng::with_seed(1));
     for n in 0..5 {
-        store.take(vec![asked(nth(n))]).unwrap().remove(0).unwrap();
+        store
+            .commit(vec![asked(nth(n))])
+            .unwrap()
+            .remove(0)
+            .unwrap();
     }
     drop(store);
     let lost = open(&early).map(|s| s.head().revision());
@@ -92,23 +100,27 @@
     let disk = Disk::default();
     let mut store = open(&disk).unwrap();
     for n in 0..5 {
-        store.take(vec![asked(nth(n))]).unwrap().remove(0).unwrap();
+        store
+            .commit(vec![asked(nth(n))])
+            .unwrap()
+            .remove(0)
+            .unwrap();
     }
     let head = store.head().clone();
     disk.room(Some(disk.length()));
     for _ in 0..3 {
         let told = store
-            .take(vec![asked(push(77))])
+            .commit(vec![asked(push(77))])
             .map(|_| ())
             .unwrap_err()
             .to_string();
         assert!(told.contains("disk"), "{told}");
         assert_eq!(store.head(), &head);
-        assert!(!store.writable());
+        assert!(!store.is_writable());
     }
     disk.room(None);
     store
-        .take(vec![asked(push(78))])
+        .commit(vec![asked(push(78))])
         .unwrap()
         .remove(0)
         .unwrap();
@@ -120,7 +132,7 @@
 fn a_change_that_is_refused_costs_the_others_of_its_write_nothing() {
     let mut store = open(&Disk::default()).unwrap();
     let told = store
-        .take(vec![
+        .commit(vec![
             asked(push(1)),
             asked(push(1)),
             asked(moves(9, 0, None)),
@@ -144,7 +156,11 @@
     );
     let mut store = Store::open_file(&path).unwrap();
     for n in 0..6 {
-        store.take(vec![asked(nth(n))]).unwrap().remove(0).unwrap();
+        store
+            .commit(vec![asked(nth(n))])
+            .unwrap()
+            .remove(0)
+            .unwrap();
     }
     assert_eq!(store.back_up(&backup).unwrap(), 6);
     let (entries, head) = read_backup(&backup).unwrap();
@@ -201,7 +217,11 @@
     let disk = Disk::default();
     let mut store = open(&disk).unwrap();
     for n in 0..6 {
-        store.take(vec![asked(nth(n))]).unwrap().remove(0).unwrap();
+        store
+            .commit(vec![asked(nth(n))])
+            .unwrap()
+            .remove(0)
+            .unwrap();
     }
     let (head, length) = (store.head().clone(), disk.length());
     drop(store);
--- a/crates/registry/tests/all/service.rs
+++ b/crates/registry/tests/all/service.rs
@@ -65,7 +65,7 @@
         let (door, _) = self.network.listen(&self.at).await.unwrap();
         let registry = self.registry.clone();
         self.task = Some(spawn_local(async move {
-            registry.attend(door, Clock::start()).await
+            registry.accept_connections(door, Clock::start()).await
         }));
     }
 
@@ -87,8 +87,8 @@
         FollowConfig {
             registry: self.at.clone(),
             key: self.key.clone(),
-            who: who.into(),
-            copy: None,
+            follower_name: who.into(),
+            copy_path: None,
         }
     }
 }
@@ -150,7 +150,7 @@
             at_ms: 0,
             change: push(n),
         };
-        store.take((1..=50).map(asked).collect()).unwrap();
+        store.commit((1..=50).map(asked).collect()).unwrap();
         ms(30_000).await;
         assert_eq!(
             seen.borrow().heads.last().unwrap().revision(),
@@ -259,7 +259,7 @@
             change(&mut caller, &push(n)).await.unwrap();
         }
         let of = FollowConfig {
-            copy: Some(copy.clone()),
+            copy_path: Some(copy.clone()),
             ..site.following("box")
         };
         let (seen, task) = watch(of.clone(), site.network.clone());
@@ -342,7 +342,7 @@
     on_paused_time(async {
         let site = Site::up().await;
         let mut owner = site.caller().await;
-        let (reader, hash) = keys::make(&name("box"), [9; 32]);
+        let (reader, hash) = keys::generate(&name("box"), [9; 32]);
         change(
             &mut owner,
             &Change::AddKey {
@@ -526,7 +526,7 @@
             json!({"over": true})
         );
         assert_eq!(
-            (alias().version, alias().before),
+            (alias().version, alias().previous),
             (name("v2"), Some(name("v1")))
         );
     });
--- a/crates/registry/tests/all/state.rs
+++ b/crates/registry/tests/all/state.rs
@@ -4,19 +4,21 @@
 use proptest::prelude::*;
 use saltdrum_layers::Digest;
 use saltdrum_registry::blob_collector::BlobCollector;
-use saltdrum_registry::chain::{Entry, Head, nothing};
+use saltdrum_registry::chain::{Entry, Head, initial_hash};
 use saltdrum_registry::keys;
 use saltdrum_registry::rollout::{Tallies, Tally, Verdict};
 use saltdrum_registry::state::{Change, ChangeError, RegistryState, Role, Stage};
 use saltdrum_registry::version_pin::{PinRequest, ResolveError, VersionPins};
-use saltdrum_registry::watch::{WatchError, WatchEvent, WatchReply, Watcher, answer};
+use saltdrum_registry::watch::{WatchError, WatchEvent, WatchReply, Watcher, reply_to};
 use saltdrum_registry::{Name, Namespace};
 use std::collections::BTreeSet;
 
 fn after(changes: impl IntoIterator<Item = Change>) -> RegistryState {
     changes
         .into_iter()
-        .fold(RegistryState::default(), |state, c| state.with(&c).unwrap())
+        .fold(RegistryState::default(), |state, c| {
+            state.with_change(&c).unwrap()
+        })
 }
 
 fn two() -> RegistryState {
@@ -33,8 +35,8 @@
 fn of_two_administrators_who_move_one_alias_one_is_told_that_the_other_did() {
     let state = two();
     let at = current(&state).changed;
-    let first = state.with(&moves(2, at, None)).unwrap();
-    let told = first.with(&moves(1, at, None)).unwrap_err();
+    let first = state.with_change(&moves(2, at, None)).unwrap();
+    let told = first.with_change(&moves(1, at, None)).unwrap_err();
     assert!(
         matches!(
             told,
@@ -46,13 +48,16 @@
         ),
         "{told}"
     );
-    assert_eq!(current(&first).before, Some(name("v1")));
+    assert_eq!(current(&first).previous, Some(name("v1")));
     let back = Change::RollBack {
         space: Namespace::All,
         alias: name("kinyarwanda-current"),
         expect: 4,
     };
-    assert_eq!(current(&first.with(&back).unwrap()).version, name("v1"));
+    assert_eq!(
+        current(&first.with_change(&back).unwrap()).version,
+        name("v1")
+    );
 }
 
 #[test]
@@ -64,7 +69,7 @@
         version: version(99),
     };
     assert!(matches!(
-        state.with(&other),
+        state.with_change(&other),
         Err(ChangeError::VersionExists { .. })
     ));
     let gone = Change::Delete {
@@ -72,26 +77,29 @@
         name: name("v1"),
     };
     assert!(
-        matches!(state.with(&gone), Err(ChangeError::VersionInUse { .. })),
+        matches!(
+            state.with_change(&gone),
+            Err(ChangeError::VersionInUse { .. })
+        ),
         "an alias names it"
     );
     let gone = state
-        .with(&Change::Delete {
+        .with_change(&Change::Delete {
             model: name("kinyarwanda"),
             name: name("v2"),
         })
         .unwrap();
     assert!(matches!(
-        gone.with(&other),
+        gone.with_change(&other),
         Err(ChangeError::VersionWithdrawn { .. })
     ));
     let unused = Change::Withdraw {
         model: name("kinyarwanda"),
         name: name("v1"),
     };
-    let withdrawn = state.with(&unused).unwrap();
+    let withdrawn = state.with_change(&unused).unwrap();
     assert!(matches!(
-        withdrawn.with(&moves(1, 3, None)),
+        withdrawn.with_change(&moves(1, 3, None)),
         Err(ChangeError::VersionWithdrawn { .. })
     ));
 }
@@ -128,7 +136,7 @@
             ..version(5)
         };
         let told = state
-            .with(&Change::Push {
+            .with_change(&Change::Push {
                 model: name("m"),
                 name: name("v"),
                 version,
@@ -155,7 +163,7 @@
             stage,
         };
         assert!(matches!(
-            state.with(&change),
+            state.with_change(&change),
             Err(ChangeError::InvalidValue { place: "stage", .. })
         ));
     }
@@ -172,14 +180,17 @@
 
 #[test]
 fn keys_open_what_their_role_may_and_nothing_once_withdrawn() {
-    let (text, hash) = keys::make(&name("anna"), [7; 32]);
+    let (text, hash) = keys::generate(&name("anna"), [7; 32]);
     assert!(!hash.contains(&text[5..]));
     let state = after([Change::AddKey {
         id: name("anna"),
         role: Role::Owner,
         hash,
     }]);
-    assert_eq!(keys::who(&state, &text), Ok((name("anna"), Role::Owner)));
+    assert_eq!(
+        keys::authenticate(&state, &text),
+        Ok((name("anna"), Role::Owner))
+    );
     for wrong in [
         "",
         "anna",
@@ -189,35 +200,38 @@
         &text.replace("anna", "bert"),
     ] {
         assert_eq!(
-            keys::who(&state, wrong),
-            Err(keys::AccessError::Key),
+            keys::authenticate(&state, wrong),
+            Err(keys::AccessError::InvalidKey),
             "{wrong}"
         );
     }
     let last = Change::WithdrawKey { id: name("anna") };
     assert!(
-        matches!(state.with(&last), Err(ChangeError::LastOwner(_))),
+        matches!(state.with_change(&last), Err(ChangeError::LastOwner(_))),
         "no one could hand out another"
     );
-    let (reader, hash) = keys::make(&name("box"), [8; 32]);
+    let (reader, hash) = keys::generate(&name("box"), [8; 32]);
     let state = state
-        .with(&Change::AddKey {
+        .with_change(&Change::AddKey {
             id: name("box"),
             role: Role::Reader,
             hash,
         })
         .unwrap();
     assert!(matches!(
-        keys::may(&state, Some(&name("box")), Role::Mover),
-        Err(keys::AccessError::Role { .. })
+        keys::authorize(&state, Some(&name("box")), Role::Mover),
+        Err(keys::AccessError::RoleTooLow { .. })
     ));
     let state = state
-        .with(&Change::WithdrawKey { id: name("box") })
+        .with_change(&Change::WithdrawKey { id: name("box") })
         .unwrap();
-    assert_eq!(keys::who(&state, &reader), Err(keys::AccessError::Key));
     assert_eq!(
-        keys::may(&state, Some(&name("box")), Role::Reader),
-        Err(keys::AccessError::Key)
+        keys::authenticate(&state, &reader),
+        Err(keys::AccessError::InvalidKey)
+    );
+    assert_eq!(
+        keys::authorize(&state, Some(&name("box")), Role::Reader),
+        Err(keys::AccessError::InvalidKey)
     );
 }
 
@@ -228,7 +242,7 @@
         let (entry, head) = heads
             .last()
             .unwrap()
-            .decide("tests", salt, push(n))
+            .prepare_entry("tests", salt, push(n))
             .unwrap();
         entries.push(entry);
         heads.push(head);
@@ -249,7 +263,7 @@
     let mut watcher = Watcher::default();
     assert!(
         watcher
-            .hear(WatchEvent::Snapshot {
+            .apply(WatchEvent::Snapshot {
                 head: heads[20].clone(),
                 restored: None
             })
@@ -258,7 +272,7 @@
     for entry in &entries[20..] {
         assert!(
             watcher
-                .hear(WatchEvent::Next {
+                .apply(WatchEvent::Next {
                     entry: entry.clone()
                 })
                 .unwrap()
@@ -268,17 +282,22 @@
     // The registry comes back with the first 40, and goes on to other changes.
     let mut later = vec![heads[40].clone()];
     for n in 100..120 {
-        let next = later.last().unwrap().decide("tests", 2, push(n)).unwrap().1;
+        let next = later
+            .last()
+            .unwrap()
+            .prepare_entry("tests", 2, push(n))
+            .unwrap()
+            .1;
         later.push(next);
     }
     for (back, at) in [(&heads[40], 40), (later.last().unwrap(), 60)] {
         let all = [&heads[..41], &later[..]].concat();
-        let told = answer(back, &watcher.mark(), |r| hash_at(&all, r), None);
+        let told = reply_to(back, &watcher.cursor(), |r| hash_at(&all, r), None);
         assert!(
             matches!(&told, WatchReply::UnknownCursor(m) if m.revision == at),
             "{told:?}"
         );
-        let refused = watcher.hear(WatchEvent::UnknownCursor {
+        let refused = watcher.apply(WatchEvent::UnknownCursor {
             at: saltdrum_registry::watch::Cursor {
                 revision: at,
                 hash: back.hash.clone(),
@@ -286,7 +305,7 @@
         });
         assert!(matches!(
             refused,
-            Err(WatchError::HistoryMismatch { mine: 52, .. })
+            Err(WatchError::HistoryMismatch { local: 52, .. })
         ));
         // Whatever a registry that does not know better says, it is not obeyed.
         let whole = WatchEvent::Snapshot {
@@ -294,7 +313,7 @@
             restored: None,
         };
         assert!(matches!(
-            watcher.hear(whole),
+            watcher.apply(whole),
             Err(WatchError::HistoryMismatch { .. })
         ));
         assert_eq!(watcher, known);
@@ -302,10 +321,10 @@
     // An operator restores over too little, then over enough.
     for (over, obeyed) in [(51, false), (52, true), (500, true)] {
         let (entry, head) = heads[40]
-            .decide("root", 3, Change::Restored { over })
+            .prepare_entry("root", 3, Change::Restored { over })
             .unwrap();
         let mut watcher = known.clone();
-        let told = watcher.hear(WatchEvent::Snapshot {
+        let told = watcher.apply(WatchEvent::Snapshot {
             head: head.clone(),
             restored: Some(entry.clone()),
         });
@@ -314,9 +333,9 @@
             watcher.head().revision(),
             if obeyed { over + 1 } else { 52 }
         );
-        let said = answer(
+        let said = reply_to(
             &head,
-            &known.mark(),
+            &known.cursor(),
             |r| hash_at(&heads[..41], r),
             Some(entry),
         );
@@ -333,35 +352,35 @@
     let (entries, heads) = history(1, 5);
     let mut watcher = Watcher::from(heads[3].clone());
     let bent: [fn(&mut Entry); 4] = [
-        |e| e.before = nothing(),
+        |e| e.previous_hash = initial_hash(),
         |e| e.revision += 1,
         |e| e.change = push(1),
-        |e| e.before.make_ascii_uppercase(),
+        |e| e.previous_hash.make_ascii_uppercase(),
     ];
     for bend in bent {
         let mut entry = entries[3].clone();
         bend(&mut entry);
-        assert!(watcher.hear(WatchEvent::Next { entry }).is_err());
+        assert!(watcher.apply(WatchEvent::Next { entry }).is_err());
         assert_eq!(watcher.head(), &heads[3]);
     }
     // Left one out, then the same twice.
     assert!(
         watcher
-            .hear(WatchEvent::Next {
+            .apply(WatchEvent::Next {
                 entry: entries[4].clone()
             })
             .is_err()
     );
     assert!(
         watcher
-            .hear(WatchEvent::Next {
+            .apply(WatchEvent::Next {
                 entry: entries[3].clone()
             })
             .unwrap()
     );
     assert!(
         !watcher
-            .hear(WatchEvent::Next {
+            .apply(WatchEvent::Next {
                 entry: entries[3].clone()
             })
             .unwrap()
@@ -384,15 +403,15 @@
     let state = two();
     let (mut here, mut there) = (VersionPins::new(HOUR), VersionPins::new(HOUR));
     let first = here
-        .fix(&state, 0, "hill", "kinyarwanda-current", &say("p", None))
+        .resolve(&state, 0, "hill", "kinyarwanda-current", &say("p", None))
         .unwrap();
     assert_eq!(first.version, name("v1"));
-    let moved = state.with(&moves(2, 3, None)).unwrap();
+    let moved = state.with_change(&moves(2, 3, None)).unwrap();
     // Another controller, told of the move: by what the client hands back.
     let handed = say("p", Some("kinyarwanda@v1"));
     assert_eq!(
         there
-            .fix(&moved, 5, "hill", "kinyarwanda-current", &handed)
+            .resolve(&moved, 5, "hill", "kinyarwanda-current", &handed)
             .unwrap()
             .version,
         name("v1")
@@ -400,33 +419,33 @@
     // And once it has been, by its own memory too.
     assert_eq!(
         there
-            .fix(&moved, 5, "hill", "kinyarwanda-current", &say("p", None))
+            .resolve(&moved, 5, "hill", "kinyarwanda-current", &say("p", None))
             .unwrap()
             .version,
         name("v1")
     );
     // The same one, not told by the client: by its own memory.
     assert_eq!(
-        here.fix(&moved, 5, "hill", "kinyarwanda-current", &say("p", None))
+        here.resolve(&moved, 5, "hill", "kinyarwanda-current", &say("p", None))
             .unwrap(),
         first
     );
     assert_eq!(
-        here.fix(&moved, 5, "hill", "kinyarwanda-current", &say("q", None))
+        here.resolve(&moved, 5, "hill", "kinyarwanda-current", &say("q", None))
             .unwrap()
             .version,
         name("v2")
     );
     // Withdrawn: a clean error in both, never the other version.
     let gone = moved
-        .with(&Change::Withdraw {
+        .with_change(&Change::Withdraw {
             model: name("kinyarwanda"),
             name: name("v1"),
         })
         .unwrap();
     for told in [
-        here.fix(&gone, 6, "hill", "kinyarwanda-current", &say("p", None)),
-        there.fix(&gone, 6, "hill", "kinyarwanda-current", &handed),
+        here.resolve(&gone, 6, "hill", "kinyarwanda-current", &say("p", None)),
+        there.resolve(&gone, 6, "hill", "kinyarwanda-current", &handed),
     ] {
         assert_eq!(told, Err(ResolveError::Withdrawn("kinyarwanda@v1".into())));
     }
@@ -435,7 +454,7 @@
         until_ms: Some(first.until_ms),
         ..handed.clone()
     };
-    let told = there.fix(&moved, HOUR, "hill", "kinyarwanda-current", &late);
+    let told = there.resolve(&moved, HOUR, "hill", "kinyarwanda-current", &late);
     assert_eq!(told, Err(ResolveError::Expired("kinyarwanda@v1".into())));
     let forged = PinRequest {
         until_ms: Some(u64::MAX),
@@ -443,23 +462,23 @@
     };
     assert_eq!(
         there
-            .fix(&moved, 0, "hill", "kinyarwanda-current", &forged)
+            .resolve(&moved, 0, "hill", "kinyarwanda-current", &forged)
             .unwrap()
             .until_ms,
         2 * HOUR
     );
     let other = say("p", Some("swahili@v1"));
-    let told = there.fix(&moved, 0, "hill", "kinyarwanda-current", &other);
+    let told = there.resolve(&moved, 0, "hill", "kinyarwanda-current", &other);
     assert!(
         matches!(told, Err(ResolveError::OtherModel { .. })),
         "{told:?}"
     );
     assert!(matches!(
-        there.fix(&moved, 0, "hill", "nothing", &say("p", None)),
+        there.resolve(&moved, 0, "hill", "nothing", &say("p", None)),
         Err(ResolveError::Unknown(_))
     ));
     assert!(
-        matches!(there.fix(&moved, 0, "hill", "kinyarwanda@v2", &say("p", None)), Ok(f) if f.staged.is_none())
+        matches!(there.resolve(&moved, 0, "hill", "kinyarwanda@v2", &say("p", None)), Ok(f) if f.staged.is_none())
     );
 }
 
@@ -475,11 +494,11 @@
         expect: 0,
         stage: None,
     };
-    let state = two().with(&own).unwrap();
+    let state = two().with_change(&own).unwrap();
     let mut passages = VersionPins::new(HOUR);
     let mut of = |tenant| {
         passages
-            .fix(&state, 0, tenant, "kinyarwanda-current", &say("p", None))
+            .resolve(&state, 0, tenant, "kinyarwanda-current", &say("p", None))
             .unwrap()
             .version
     };
@@ -491,13 +510,13 @@
 
 #[test]
 fn a_stage_takes_its_share_of_passages_the_same_at_each_controller() {
-    let state = two().with(&moves(2, 3, Some(200))).unwrap();
+    let state = two().with_change(&moves(2, 3, Some(200))).unwrap();
     let (mut here, mut there) = (VersionPins::new(HOUR), VersionPins::new(HOUR));
     let mut new = 0;
     for n in 0..2_000 {
         let passage = format!("visitor {n}");
         let fixed = here
-            .fix(
+            .resolve(
                 &state,
                 0,
                 "hill",
@@ -507,7 +526,7 @@
             .unwrap();
         assert_eq!(
             there
-                .fix(
+                .resolve(
                     &state,
                     0,
                     "hill",
@@ -518,7 +537,7 @@
             fixed
         );
         assert_eq!(
-            fixed.staged.map(|s| (s.new, s.changed)),
+            fixed.staged.map(|s| (s.is_new_version, s.alias_revision)),
             Some((fixed.version == name("v2"), 4))
         );
         new += u32::from(fixed.version == name("v2"));
@@ -529,7 +548,7 @@
     );
     let none = PinRequest::default();
     assert_eq!(
-        here.fix(&state, 0, "hill", "kinyarwanda-current", &none)
+        here.resolve(&state, 0, "hill", "kinyarwanda-current", &none)
             .unwrap()
             .version,
         name("v1")
@@ -541,7 +560,7 @@
     let (state, mut passages) = (two(), VersionPins::new(HOUR));
     for n in 0..50_200 {
         passages
-            .fix(
+            .resolve(
                 &state,
                 n,
                 "hill",
@@ -550,7 +569,7 @@
             )
             .unwrap();
     }
-    assert_eq!(passages.remembered(), 50_000);
+    assert_eq!(passages.pin_count(), 50_000);
 }
 
 #[test]
@@ -565,30 +584,30 @@
         let mut tallies = Tallies::default();
         // Told in halves by two controllers, one of them twice, once out of order.
         let half = Tally {
-            new_well: new_well / 2,
-            new_erred: new_erred / 2,
-            old_well: old_well / 2,
-            old_erred: old_erred / 2,
+            new_succeeded: new_well / 2,
+            new_failed: new_erred / 2,
+            old_succeeded: old_well / 2,
+            old_failed: old_erred / 2,
         };
         let rest = Tally {
-            new_well: new_well - half.new_well,
-            new_erred: new_erred - half.new_erred,
-            old_well: old_well - half.old_well,
-            old_erred: old_erred - half.old_erred,
+            new_succeeded: new_well - half.new_succeeded,
+            new_failed: new_erred - half.new_failed,
+            old_succeeded: old_well - half.old_succeeded,
+            old_failed: old_erred - half.old_failed,
         };
         for (controller, tally) in [(1, half), (2, rest), (1, half), (2, Tally::default())] {
-            tallies.tell(controller, 1, tally);
+            tallies.record(controller, 1, tally);
         }
         assert_eq!(
             tallies.sum(),
             Tally {
-                new_well,
-                new_erred,
-                old_well,
-                old_erred
+                new_succeeded: new_well,
+                new_failed: new_erred,
+                old_succeeded: old_well,
+                old_failed: old_erred
             }
         );
-        tallies.judge(&stage)
+        tallies.verdict(&stage)
     };
     assert_eq!(judge(40, 0, 400, 0), Verdict::Undecided);
     assert!(
@@ -625,14 +644,17 @@
     let named = BTreeSet::from([a]);
     let collect = |keeper: &mut BlobCollector, now| keeper.collect(now, [a, b, c], &named, 100);
     assert!(collect(&mut keeper, 0).is_empty());
-    let lease = keeper.begin(50, BTreeSet::from([b]), 500);
+    let lease = keeper.begin_lease(50, BTreeSet::from([b]), 500);
     assert_eq!(collect(&mut keeper, 150), [c], "b is leased");
-    assert!(keeper.holds(549, lease, &[b]).is_ok());
+    assert!(keeper.check_lease(549, lease, &[b]).is_ok());
     assert!(
-        keeper.holds(549, lease, &[c]).is_err(),
+        keeper.check_lease(549, lease, &[c]).is_err(),
         "not what it began with"
     );
-    assert!(keeper.holds(550, lease, &[b]).is_err(), "it has run out");
+    assert!(
+        keeper.check_lease(550, lease, &[b]).is_err(),
+        "it has run out"
+    );
     assert!(
         collect(&mut keeper, 560).is_empty(),
         "the grace begins when the lease ends"
@@ -663,15 +685,15 @@
                 0 | 1 => push(n),
                 2 => moves(n, expect, None),
                 3 => moves(n, expect, Some(100)),
-                4 => Change::EndStage { space, alias, expect, well: flag, why: String::new() },
+                4 => Change::EndStage { space, alias, expect, is_success: flag, why: String::new() },
                 5 => Change::RollBack { space, alias, expect },
                 _ => Change::Delete { model, name: version },
             };
             let before = head.clone();
-            match head.decide("tests", 0, change) {
+            match head.prepare_entry("tests", 0, change) {
                 Ok((entry, next)) => {
                     prop_assert_eq!(entry.revision, head.revision() + 1);
-                    replayed = replayed.follow(&entry).unwrap();
+                    replayed = replayed.with_entry(&entry).unwrap();
                     head = next;
                 }
                 Err(_) => prop_assert_eq!(&before, &head),
--- a/crates/registry/tests/fixture_support/history.rs
+++ b/crates/registry/tests/fixture_support/history.rs
@@ -98,13 +98,13 @@
         space: Namespace::All,
         alias: name("current"),
         expect,
-        well,
+        is_success: well,
         why: why.into(),
     }
 }
 
 pub fn adds_key(id: &str, role: Role) -> Change {
-    let (_, hash) = keys::make(&name(id), [role as u8 + 1; 32]);
+    let (_, hash) = keys::generate(&name(id), [role as u8 + 1; 32]);
     Change::AddKey {
         id: name(id),
         role,
@@ -168,7 +168,7 @@
 /// Makes the registry and its blobs in a folder. Gives the owner's key.
 pub fn make_registry(folder: &Path) -> String {
     let changes = changes(folder);
-    Store::make_file(&folder.join("registry.redb"), |store| {
+    Store::create_file(&folder.join("registry.redb"), |store| {
         let key = create_first_owner(store, &name("anna"), OWNER_CHANCE, 1_000)?;
         for (change, number) in changes.into_iter().zip(1..) {
             let who = if matches!(change, Change::Push { .. }) {
@@ -181,7 +181,7 @@
                 at_ms: 1_000 + number,
                 change,
             };
-            store.take(vec![asked])?.remove(0)?;
+            store.commit(vec![asked])?.remove(0)?;
         }
         store.write_seal(LEASE, EPOCH)?;
         Ok(key)
--- a/crates/registry/tests/registry_fixtures.rs
+++ b/crates/registry/tests/registry_fixtures.rs
@@ -62,7 +62,7 @@
 /// All entries of a history, and the head after each.
 fn heads_of(entries: &[Entry]) -> Vec<Head> {
     let follow = |head: &mut Head, entry: &Entry| {
-        *head = head.follow(entry).unwrap();
+        *head = head.with_entry(entry).unwrap();
         Some(head.clone())
     };
     entries.iter().scan(Head::default(), follow).collect()
@@ -73,7 +73,7 @@
     make_registry(folder);
     Store::open_file(&folder.join("registry.redb"))
         .unwrap()
-        .after(0, usize::MAX)
+        .entries_after(0, usize::MAX)
         .unwrap()
 }
 
@@ -86,7 +86,7 @@
 
 /// An entry by which a registry came back from its backup.
 fn restoring_entry(head: &Head) -> (Entry, Head) {
-    head.decide("anna", 9_000, Change::Restored { over: 100 })
+    head.prepare_entry("anna", 9_000, Change::Restored { over: 100 })
         .unwrap()
 }
 
@@ -133,17 +133,17 @@
         fixtures.check_json(&format!("told-{name}"), &told);
     }
     let tally = Tally {
-        new_well: 11,
-        new_erred: 12,
-        old_well: 13,
-        old_erred: 14,
+        new_succeeded: 11,
+        new_failed: 12,
+        old_succeeded: 13,
+        old_failed: 14,
     };
     fixtures.check_json("tally", &tally);
     fixtures.check_json_by_debug("collect", &CollectBlobs { grace_ms: 600_000 });
     fixtures.check_json_by_debug(
         "collected",
         &Collected {
-            gone: 15,
+            removed: 15,
             bytes: 16,
         },
     );
@@ -205,15 +205,18 @@
     assert_eq!(store.verify().unwrap(), LAST_REVISION);
     assert_eq!(store.sealed_epoch(LEASE).unwrap(), EPOCH);
     let state = &store.head().state;
-    assert_eq!(keys::who(state, &key).unwrap(), (name("anna"), Role::Owner));
-    assert_eq!(blobs::look(&stored, state), Vec::<String>::new());
+    assert_eq!(
+        keys::authenticate(state, &key).unwrap(),
+        (name("anna"), Role::Owner)
+    );
+    assert_eq!(blobs::verify_blobs(&stored, state), Vec::<String>::new());
     let change = adds_key("box-2", Role::Reader);
     let asked = ChangeRequest {
         who: "anna".into(),
         at_ms: NOW_MS,
         change,
     };
-    let taken = store.take(vec![asked]).unwrap().remove(0).unwrap();
+    let taken = store.commit(vec![asked]).unwrap().remove(0).unwrap();
     assert_eq!(taken.revision, LAST_REVISION + 1);
 }
 
@@ -295,7 +298,9 @@
         let store = Store::open_file(&scratch.join("registry.redb")).unwrap();
         let registry = Registry::new(store, Some(scratch), Rc::new(|| NOW_MS));
         let (listener, _) = network.listen(&memory("registry")).await.unwrap();
-        let attending = registry.clone().attend(listener, Clock::start());
+        let attending = registry
+            .clone()
+            .accept_connections(listener, Clock::start());
         tokio::task::spawn_local(attending);
         let folder = scratch.to_str().unwrap().to_owned();
         Self {
@@ -359,7 +364,7 @@
 /// A push of a version that is there already, and of a new one.
 async fn check_push(fixtures: &mut FixtureLines, talk: &mut Conversation, site: &Site) {
     let manifest = manifest_of(&site.registry.state(), "v2");
-    let mut digests: Vec<Digest> = blobs::manifest(Path::new(&site.folder), &manifest)
+    let mut digests: Vec<Digest> = blobs::read_manifest(Path::new(&site.folder), &manifest)
         .unwrap()
         .chunks
         .iter()
@@ -395,7 +400,7 @@
     let tally = |changed: u64, new_well: u64| {
         json!({
             "space": "all", "alias": "current", "changed": changed, "controller": 2, "incarnation": 102,
-            "tally": Tally { new_well, new_erred: 1, old_well: 300, old_erred: 2 },
+            "tally": Tally { new_succeeded: new_well, new_failed: 1, old_succeeded: 300, old_failed: 2 },
         })
     };
     talk.call(fixtures, "tally-of-another-stage", "tally", tally(3, 30))
@@ -474,7 +479,7 @@
         let heads = heads_of(&made_history(&scratch));
         let entries = Store::open_file(&scratch.join("registry.redb"))
             .unwrap()
-            .after(0, 100)
+            .entries_after(0, 100)
             .unwrap();
         let (network, at) = (network(), memory("registry"));
         let whole = WatchEvent::Snapshot {
@@ -497,8 +502,8 @@
         let following = FollowConfig {
             registry,
             key,
-            who: "box-1".into(),
-            copy,
+            follower_name: "box-1".into(),
+            copy_path: copy,
         };
         let heard: Rc<RefCell<Vec<Head>>> = Rc::default();
         let noted = heard.clone();
@@ -636,13 +641,13 @@
             ..PinRequest::default()
         };
         let fixed = passages
-            .fix(&state, NOW_MS, "prado", "current", &said)
+            .resolve(&state, NOW_MS, "prado", "current", &said)
             .unwrap();
-        assert_eq!(fixed.staged.unwrap().space, Namespace::All);
+        assert_eq!(fixed.staged.unwrap().namespace, Namespace::All);
         fixtures.check_text(&passage, &format!("{} {}", fixed.version, fixed.until_ms));
     }
     let own = passages
-        .fix(&state, NOW_MS, "louvre", "current", &PinRequest::default())
+        .resolve(&state, NOW_MS, "louvre", "current", &PinRequest::default())
         .unwrap();
     fixtures.check_text("tenants-own", &format!("{} {}", own.version, own.until_ms));
     fixtures.finish();
--- a/crates/scale/src/members.rs
+++ b/crates/scale/src/members.rs
@@ -15,7 +15,7 @@
 use saltdrum_fleet::state::{
     Fleet, LeaseName, LeaseState, LeaseTerms, Member, MemberId, MemberInfo, MemberKind, Phase,
 };
-use saltdrum_protocol::frame::{cut, encode};
+use saltdrum_protocol::frame::{encode, take_frame};
 use saltdrum_protocol::list::{Follow, FromList};
 use saltdrum_simulated_network::{Ether, Line as Wire, Lines};
 use saltdrum_transport::{Address, Clock, EventLoopClock, Listener, Network, Stream};
@@ -352,7 +352,7 @@
     }
     let mut read = bytes::BytesMut::new();
     loop {
-        while let Ok(Some((kind, body))) = cut(&mut read) {
+        while let Ok(Some((kind, body))) = take_frame(&mut read) {
             let mut heard = heard.borrow_mut();
             match FromList::read(kind, &body) {
                 Ok(FromList::Whole(_)) => heard.whole_bytes = body.len() as u64,
--- a/crates/scenario/examples/beside-relay.rs
+++ b/crates/scenario/examples/beside-relay.rs
@@ -13,7 +13,7 @@
 use bytes::BytesMut;
 use hdrhistogram::Histogram;
 use saltdrum_fakes::{List, Record};
-use saltdrum_protocol::frame::{cut, encode};
+use saltdrum_protocol::frame::{encode, take_frame};
 use saltdrum_protocol::invoker as wire;
 use saltdrum_protocol::list::{Entry, Life};
 use saltdrum_transport::{Address, Clock, Listener, Network, SocketNetwork};
@@ -114,7 +114,7 @@
         spawn_local(async move {
             let (mut read, mut out) = (BytesMut::new(), Vec::new());
             while stream.read_buf(&mut read).await.is_ok_and(|n| n > 0) {
-                while let Some((kind, body)) = cut(&mut read).unwrap() {
+                while let Some((kind, body)) = take_frame(&mut read).unwrap() {
                     match wire::FromController::read(kind, &body).unwrap() {
                         wire::FromController::Hello(_) => {
                             let welcome = wire::Welcome {
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -167,8 +167,8 @@
         FollowConfig {
             registry: self.address.clone(),
             key: self.key.clone(),
-            who,
-            copy,
+            follower_name: who,
+            copy_path: copy,
         }
     }
 
@@ -176,7 +176,7 @@
         let ledger = Ledger::open_file(&self.ledger).map_err(io::Error::other)?;
         let registry = service::Registry::new(ledger, None, Rc::new(move || clock.now() / 10));
         let (door, _) = network.listen(&self.address).await?;
-        let task = tokio::task::spawn_local(registry.clone().attend(door, clock));
+        let task = tokio::task::spawn_local(registry.clone().accept_connections(door, clock));
         *self.life.borrow_mut() = Some((registry, task));
         Ok(())
     }
@@ -193,7 +193,8 @@
         // Lost at the end of the day: it is read as a start would read it.
         let entries = match life.as_ref() {
             Some((registry, _)) => registry.history(),
-            None => Ledger::open_file(&self.ledger).and_then(|ledger| ledger.after(0, usize::MAX)),
+            None => Ledger::open_file(&self.ledger)
+                .and_then(|ledger| ledger.entries_after(0, usize::MAX)),
         };
         let entries = entries.map_err(io::Error::other)?;
         let count =
@@ -202,11 +203,27 @@
             at,
             revision: entries.last().map_or(0, |e| e.revision),
             moves: count(|c| matches!(c, Change::Move { expect: 1.., .. })),
-            stages_well: count(|c| matches!(c, Change::EndStage { well: true, .. })),
+            stages_well: count(|c| {
+                matches!(
+                    c,
+                    Change::EndStage {
+                        is_success: true,
+                        ..
+                    }
+                )
+            }),
             corrupt: life
                 .as_ref()
-                .map_or_else(Vec::new, |(registry, _)| registry.corrupt()),
-            stages_stopped: count(|c| matches!(c, Change::EndStage { well: false, .. })),
+                .map_or_else(Vec::new, |(registry, _)| registry.corrupt_versions()),
+            stages_stopped: count(|c| {
+                matches!(
+                    c,
+                    Change::EndStage {
+                        is_success: false,
+                        ..
+                    }
+                )
+            }),
         })
     }
 
@@ -285,7 +302,7 @@
             change,
         })
         .collect();
-    for told in ledger.take(asked).map_err(io::Error::other)? {
+    for told in ledger.commit(asked).map_err(io::Error::other)? {
         told.map_err(io::Error::other)?;
     }
     Ok(key)
@@ -1062,7 +1079,7 @@
                         continue;
                     };
                     let alias = book.alias(&Namespace::All, &name(&format!("{f}-current")));
-                    let Some(before) = alias.and_then(|a| a.before.clone()) else {
+                    let Some(before) = alias.and_then(|a| a.previous.clone()) else {
                         continue;
                     };
                     let change = Change::Withdraw {
