--- a/crates/controller/src/native/aliases.rs
+++ b/crates/controller/src/native/aliases.rs
@@ -6,7 +6,7 @@
 use saltdrum_registry::state::RegistryState;
 use saltdrum_registry::version_pin::{
     PinRequest, PinnedVersion, ResolveError, StagedRollout, VersionPins, function_id,
-    function_name, offered,
+    function_name, pinned_version,
 };
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -76,7 +76,7 @@
         name: &str,
         pin_request: &PinRequest,
     ) -> Result<ResolvedVersion, ResolveError> {
-        let pin = self.pins.fix(
+        let pin = self.pins.resolve(
             &self.registry,
             self.epoch_ms + now / MILLISECOND,
             tenant,
@@ -84,7 +84,7 @@
             pin_request,
         )?;
         let full_name = function_name(&pin.model, &pin.version);
-        let Some(version) = offered(&self.registry, &pin) else {
+        let Some(version) = pinned_version(&self.registry, &pin) else {
             return Err(ResolveError::Unknown(full_name));
         };
         if !version
@@ -108,18 +108,18 @@
     /// Counts the result of an attempt that ran the old or new version of a staged rollout.
     pub(crate) fn count_result(&mut self, staged: &StagedRollout, is_success: bool) {
         let key = StagedRollout {
-            new: true,
+            is_new_version: true,
             ..staged.clone()
         };
         if self.rollouts.len() >= MAX_STAGED_ROLLOUTS && !self.rollouts.contains_key(&key) {
             return;
         }
         let tally = &mut self.rollouts.entry(key).or_default().counted;
-        let count = match (staged.new, is_success) {
-            (true, true) => &mut tally.new_well,
-            (true, false) => &mut tally.new_erred,
-            (false, true) => &mut tally.old_well,
-            (false, false) => &mut tally.old_erred,
+        let count = match (staged.is_new_version, is_success) {
+            (true, true) => &mut tally.new_succeeded,
+            (true, false) => &mut tally.new_failed,
+            (false, true) => &mut tally.old_succeeded,
+            (false, false) => &mut tally.old_failed,
         };
         *count += 1;
     }
@@ -134,9 +134,9 @@
                 self.last_update_at = Some(now);
                 let registry = &self.registry;
                 self.rollouts.retain(|rollout, _| {
-                    let alias = registry.alias(&rollout.space, &rollout.alias);
+                    let alias = registry.alias(&rollout.namespace, &rollout.alias);
                     alias.is_some_and(|alias| {
-                        alias.changed == rollout.changed && alias.stage.is_some()
+                        alias.changed == rollout.alias_revision && alias.stage.is_some()
                     })
                 });
             }
@@ -171,6 +171,6 @@
     /// Returns the resolver's part of the controller's status as JSON.
     pub(crate) fn status(&self, now: Ticks) -> serde_json::Value {
         json!({"revision": self.registry.revision, "heard_ms_ago": self.last_update_at.map(|at| now.saturating_sub(at) / MILLISECOND),
-            "refused": self.rejection_reason, "passages": self.pins.remembered()})
+            "refused": self.rejection_reason, "passages": self.pins.pin_count()})
     }
 }
--- a/crates/coordinator/src/invoker_list.rs
+++ b/crates/coordinator/src/invoker_list.rs
@@ -6,7 +6,7 @@
 use bytes::BytesMut;
 use saltdrum::interface::Ticks;
 use saltdrum_fleet::state::{Fleet, Member, MemberKind, Phase};
-use saltdrum_protocol::frame::{cut, encode};
+use saltdrum_protocol::frame::{encode, take_frame};
 use saltdrum_protocol::list::{Change, Entry, Life, ToList, Whole};
 use saltdrum_transport::{Listener, SendQueue, Stream, split};
 use std::collections::BTreeMap;
@@ -75,7 +75,7 @@
         let (mut input, mut output) = split(stream);
         let mut buffer = BytesMut::new();
         let request = loop {
-            match cut(&mut buffer) {
+            match take_frame(&mut buffer) {
                 Ok(Some((kind, body))) => break ToList::read(kind, &body),
                 Ok(None) if matches!(input.read_buf(&mut buffer).await, Ok(1..)) => {}
                 _ => return,
