--- a/crates/agent/src/follow.rs
+++ b/crates/agent/src/follow.rs
@@ -42,7 +42,7 @@
         return "no connection".into();
     };
     // Followers are told apart by their numbers; an agent must not pass for a controller.
-    let (controller, incarnation) = (u32::MAX - agent.seat.me, agent.seat.seed);
+    let (controller, incarnation) = (u32::MAX - agent.config.invoker, agent.config.seed);
     if let Err(e) = stream
         .write_all(&encode(&Follow {
             version: 1,
@@ -97,12 +97,12 @@
     let now = agent.clock.now();
     let peer = |(e, heard): &(Entry, Ticks)| {
         let age = e.age_tenths + (now - heard);
-        let risen = (RISEN_FIRST + age as f64 / RISES_IN_TENTHS).min(1.0);
+        let capacity_share = (RISEN_FIRST + age as f64 / RISES_IN_TENTHS).min(1.0);
         let ready = e.life == Life::Ready;
         let member = Member {
             invoker: e.invoker,
             size: f64::from(e.size),
-            risen,
+            capacity_share,
             ready,
         };
         Some(Peer {
@@ -111,6 +111,6 @@
         })
     };
     let peers: Vec<Peer> = known.values().filter_map(peer).collect();
-    agent.listed(&peers);
+    agent.update_peers(&peers);
     agent.go_on();
 }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -13,7 +13,7 @@
 use http::{Got, Pool};
 use saltdrum::interface::{InvokerId, Ticks};
 use saltdrum_layers::cache::Cache;
-use saltdrum_layers::manifest::{MANIFEST_MOST_BYTES, MANIFEST_TYPE};
+use saltdrum_layers::manifest::{MANIFEST_TYPE, MAX_MANIFEST_BYTES};
 use saltdrum_layers::plan::{
     Ask, Ended, Fetcher, LoadId, Member, Need, STORE_OVER_PEER, Serving, Source,
 };
@@ -36,7 +36,7 @@
 const MANIFEST_WAIT: Duration = Duration::from_millis(100);
 
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
+pub enum LoadError {
     #[error("model {model}: the store has no such manifest")]
     Unknown { model: String },
     #[error("model {model}: {why}")]
@@ -59,8 +59,8 @@
 }
 
 /// Where an agent sits.
-pub struct ControllerConfig {
-    pub me: InvokerId,
+pub struct AgentConfig {
+    pub invoker: InvokerId,
     pub seed: u64,
     pub store: Address,
     /// What serving peers may cost, in bytes a second.
@@ -84,13 +84,13 @@
 }
 
 /// What a load brought. Its chunks stay until it is dropped.
-pub struct Loaded {
+pub struct LoadedModel {
     pub digest: Digest,
     pub manifest: Manifest,
     agent: Rc<Agent>,
 }
 
-impl Drop for Loaded {
+impl Drop for LoadedModel {
     fn drop(&mut self) {
         self.manifest
             .chunks
@@ -99,7 +99,7 @@
     }
 }
 
-impl Loaded {
+impl LoadedModel {
     /// One of its chunks, unpacked. `None` only where the disk has lost it since.
     pub fn read(&self, chunk: &Chunk) -> Option<Vec<u8>> {
         self.agent
@@ -127,11 +127,11 @@
     loads: LoadId,
     pub busy: f64,
     pub draining: bool,
-    pub risen: f64,
+    pub capacity_share: f64,
 }
 
 pub struct Agent {
-    pub(crate) seat: ControllerConfig,
+    pub(crate) config: AgentConfig,
     pub cache: Cache,
     pub(crate) clock: Clock,
     pool: Pool,
@@ -180,14 +180,14 @@
 impl Agent {
     /// On the `LocalSet` it is to run on.
     pub fn new(
-        seat: ControllerConfig,
+        config: AgentConfig,
         cache: Cache,
         network: Rc<dyn Network>,
         clock: Clock,
     ) -> Rc<Self> {
         let state = State {
-            fetcher: Fetcher::new(seat.me, seat.seed),
-            serving: Serving::new(clock.now(), seat.serve_bytes_per_second),
+            fetcher: Fetcher::new(config.invoker, config.seed),
+            serving: Serving::new(clock.now(), config.serve_bytes_per_second),
             peers: BTreeMap::new(),
             wanted: BTreeMap::new(),
             asks: BTreeMap::new(),
@@ -200,12 +200,12 @@
             loads: 0,
             busy: 0.0,
             draining: false,
-            risen: 1.0,
+            capacity_share: 1.0,
         };
         let (pool, state) = (Pool::new(network), RefCell::new(state));
         let (moved, counts, tasks) = (Notify::new(), Counts::default(), RefCell::default());
         Rc::new(Self {
-            seat,
+            config,
             cache,
             clock,
             pool,
@@ -217,31 +217,37 @@
     }
 
     /// The list of invokers as it is now, ourselves among them.
-    pub fn listed(self: &Rc<Self>, peers: &[Peer]) {
+    pub fn update_peers(self: &Rc<Self>, peers: &[Peer]) {
         let state = &mut *self.state.borrow_mut();
         state.peers = peers
             .iter()
             .map(|p| (p.member.invoker, p.address.clone()))
             .collect();
-        let mine = peers.iter().find(|p| p.member.invoker == self.seat.me);
+        let mine = peers
+            .iter()
+            .find(|p| p.member.invoker == self.config.invoker);
         state.draining = mine.is_some_and(|p| !p.member.ready);
-        state.risen = mine.map_or(1.0, |p| p.member.risen);
+        state.capacity_share = mine.map_or(1.0, |p| p.member.capacity_share);
         state
             .fetcher
             .listed(peers.iter().map(|p| p.member).collect());
     }
 
     /// Share of our cores that invocations use, 0 to 1: the busier, the less is served to peers.
-    pub fn busy(&self, share: f64) {
+    pub fn set_utilization(&self, share: f64) {
         self.state.borrow_mut().busy = share;
     }
 
     /// Has all chunks of a model here, verified. Dropping the future gives the load up.
-    pub async fn load(self: &Rc<Self>, repository: &str, reference: &str) -> Result<Loaded, Fault> {
+    pub async fn load(
+        self: &Rc<Self>,
+        repository: &str,
+        reference: &str,
+    ) -> Result<LoadedModel, LoadError> {
         let (digest, manifest) = self.manifest(repository, reference).await?;
         manifest.chunks.iter().for_each(|c| self.claim(&c.digest));
         // From here on the claims are given back however this ends.
-        let loaded = Loaded {
+        let loaded = LoadedModel {
             digest,
             manifest,
             agent: self.clone(),
@@ -266,7 +272,7 @@
             biased;
             () = self.wait_for(&needs) => {}
             chunk = self.corrupt(&needs, CORRUPT_AFTER) => {
-                return Err(Fault::Corrupt { model: format!("{repository}:{reference}"), chunk });
+                return Err(LoadError::Corrupt { model: format!("{repository}:{reference}"), chunk });
             }
         }
         let lacking = |c: &&Chunk| {
@@ -280,7 +286,7 @@
             .map(|c| c.stored_bytes)
             .sum();
         if bytes > 0 {
-            return Err(Fault::NoRoom {
+            return Err(LoadError::NoRoom {
                 model: format!("{repository}:{reference}"),
                 bytes,
             });
@@ -382,7 +388,7 @@
         &self,
         repository: &str,
         reference: &str,
-    ) -> Result<(Digest, Manifest), Fault> {
+    ) -> Result<(Digest, Manifest), LoadError> {
         let model = format!("{repository}:{reference}");
         let path = format!("/v2/{repository}/manifests/{reference}");
         let mut wait = MANIFEST_WAIT;
@@ -391,11 +397,11 @@
             match self
                 .pool
                 .get(
-                    &self.seat.store,
+                    &self.config.store,
                     &path,
                     MANIFEST_TYPE,
                     None,
-                    MANIFEST_MOST_BYTES as u64,
+                    MAX_MANIFEST_BYTES as u64,
                 )
                 .await
             {
@@ -405,14 +411,14 @@
                     if asked.is_ok_and(|asked| asked != digest) {
                         last = format!("its bytes have digest {digest}");
                     } else {
-                        let read = Manifest::read(&bytes);
-                        return read.map(|m| (digest, m)).map_err(|e| Fault::Manifest {
+                        let read = Manifest::from_json(&bytes);
+                        return read.map(|m| (digest, m)).map_err(|e| LoadError::Manifest {
                             model,
                             why: e.to_string(),
                         });
                     }
                 }
-                Got::Absent => return Err(Fault::Unknown { model }),
+                Got::Absent => return Err(LoadError::Unknown { model }),
                 Got::Refused(come_back) => {
                     last = "refused".into();
                     wait = wait.max(Duration::from_micros(come_back * 100));
@@ -422,7 +428,7 @@
             tokio::time::sleep(wait).await;
             wait *= 2;
         }
-        Err(Fault::Unreachable { model, why: last })
+        Err(LoadError::Unreachable { model, why: last })
     }
 
     pub(crate) fn spawn(&self, work: impl Future<Output = ()> + 'static) -> AbortHandle {
@@ -469,7 +475,7 @@
         let (known, address) = {
             let state = self.state.borrow();
             let address = match ask.source {
-                Source::Store => Some(self.seat.store.clone()),
+                Source::Store => Some(self.config.store.clone()),
                 Source::Peer(peer) => state.peers.get(&peer).cloned(),
             };
             (state.wanted.get(&ask.digest).cloned(), address)
@@ -492,7 +498,7 @@
         {
             Got::Bytes(bytes) => match cut::verify(&chunk, &bytes) {
                 Ok(()) => self.ended(ask, Ended::Well, Some((chunk, bytes))),
-                Err(cut::Damage::Length { .. }) => self.ended(ask, Ended::Broken, None),
+                Err(cut::ChunkError::Length { .. }) => self.ended(ask, Ended::Broken, None),
                 Err(damage) => {
                     warn!(source = ?ask.source, %damage, "a damaged chunk is thrown away");
                     add(&self.counts.damaged, 1);
--- a/crates/agent/src/peers.rs
+++ b/crates/agent/src/peers.rs
@@ -9,7 +9,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use saltdrum::interface::MILLISECOND;
-use saltdrum_layers::manifest::CHUNK_MOST_BYTES;
+use saltdrum_layers::manifest::MAX_CHUNK_BYTES;
 use saltdrum_layers::plan::Verdict;
 use saltdrum_layers::{Chunk, Digest, Packing};
 use saltdrum_transport::Listener;
@@ -112,7 +112,7 @@
             .headers()
             .get(STATED_BYTES)
             .and_then(|v| v.to_str().ok()?.parse::<u64>().ok());
-        let Some(stored_bytes) = stated.filter(|n| (1..=CHUNK_MOST_BYTES + 1_024).contains(n))
+        let Some(stored_bytes) = stated.filter(|n| (1..=MAX_CHUNK_BYTES + 1_024).contains(n))
         else {
             return plain(StatusCode::BAD_REQUEST);
         };
@@ -155,10 +155,10 @@
             let moved = self.moved.notified();
             let opens = {
                 let state = &mut *self.state.borrow_mut();
-                let (risen, busy) = (state.risen, state.busy);
+                let (capacity_share, busy) = (state.capacity_share, state.busy);
                 if state
                     .serving
-                    .may_send(self.clock.now(), stored_bytes, risen, busy)
+                    .may_send(self.clock.now(), stored_bytes, capacity_share, busy)
                 {
                     break;
                 }
--- a/crates/agent/tests/fleet.rs
+++ b/crates/agent/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! Fleets of agents and one store, over HTTP on in-memory streams under a paused clock; one fleet on sockets.
 
-use saltdrum_agent::{Agent, ControllerConfig, Fault, Peer};
+use saltdrum_agent::{Agent, AgentConfig, LoadError, Peer};
 use saltdrum_fakes::Registry;
 use saltdrum_layers::cache::{Cache, RealDisk};
 use saltdrum_layers::plan::Member;
@@ -53,7 +53,7 @@
             let member = Member {
                 invoker: me,
                 size: 1.0,
-                risen: 1.0,
+                capacity_share: 1.0,
                 ready: true,
             };
             fleet.peers.push(Peer { member, address });
@@ -62,15 +62,15 @@
         fleet
             .agents
             .iter()
-            .for_each(|(a, _)| a.listed(&fleet.peers));
+            .for_each(|(a, _)| a.update_peers(&fleet.peers));
         fleet
     }
 
     async fn agent(&self, me: u32, at: &Address) -> (Rc<Agent>, JoinHandle<()>, Address) {
         let folder = self.folder.path().join(me.to_string());
         let cache = Cache::open(&folder, self.cache_bytes, Rc::new(RealDisk)).unwrap();
-        let seat = ControllerConfig {
-            me,
+        let seat = AgentConfig {
+            invoker: me,
             seed: me.into(),
             store: self.store.clone(),
             serve_bytes_per_second: 200e6,
@@ -115,7 +115,7 @@
 }
 
 /// Puts it together and gives its digest, so that nothing but the right bytes passes.
-fn whole(loaded: &saltdrum_agent::Loaded) -> saltdrum_layers::Digest {
+fn whole(loaded: &saltdrum_agent::LoadedModel) -> saltdrum_layers::Digest {
     let bytes: Vec<u8> = loaded
         .manifest
         .chunks
@@ -235,7 +235,7 @@
             .err()
             .expect("it can't be had");
         assert!(
-            matches!(&told, saltdrum_agent::Fault::Corrupt { chunk, .. } if *chunk == bad),
+            matches!(&told, saltdrum_agent::LoadError::Corrupt { chunk, .. } if *chunk == bad),
             "{told}"
         );
         assert!(f.damaged() >= 1 && f.agents.iter().all(|(a, _)| !a.cache.holds(&bad)));
@@ -285,7 +285,7 @@
         let peers = f.peers.clone();
         for me in 1..=3 {
             let (agent, serving, _) = f.agent(me, &memory(me)).await;
-            agent.listed(&peers);
+            agent.update_peers(&peers);
             f.agents.push((agent, serving));
         }
         let before = f.registry.bytes_sent.get();
@@ -323,7 +323,7 @@
         let fault = a.load("voices/none", "current").await.err().unwrap();
         assert_eq!(
             fault,
-            Fault::Unknown {
+            LoadError::Unknown {
                 model: "voices/none:current".into()
             }
         );
--- a/crates/cli/src/layers.rs
+++ b/crates/cli/src/layers.rs
@@ -69,7 +69,7 @@
 /// 0 done, 1 something is damaged.
 pub fn run(what: &Layers) -> Result<u8, String> {
     let open = |folder| Layout::open(folder).map_err(|e| e.to_string());
-    let text = |e: saltdrum_layers::layout::Fault| e.to_string();
+    let text = |e: saltdrum_layers::layout::LayoutError| e.to_string();
     match what {
         Layers::Pack { model, into, tag } => {
             let m = open(into)?.pack(model, tag).map_err(text)?;
@@ -92,10 +92,10 @@
                 c.models,
                 c.chunks,
                 mb(c.bytes),
-                c.wrong.len()
+                c.problems.len()
             );
-            c.wrong.iter().for_each(|w| println!("{w}"));
-            return Ok(u8::from(!c.wrong.is_empty()));
+            c.problems.iter().for_each(|w| println!("{w}"));
+            return Ok(u8::from(!c.problems.is_empty()));
         }
         Layers::Show { folder, tag: None } => {
             for (tag, digest) in open(folder)?.tags().map_err(text)? {
--- a/crates/cli/src/registry.rs
+++ b/crates/cli/src/registry.rs
@@ -360,7 +360,7 @@
                 Ok(())
             });
             let manifest = manifest.map_err(|e| format!("{}: {e}", file.display()))?;
-            let digest = saltdrum_layers::Digest::of(&manifest.write());
+            let digest = saltdrum_layers::Digest::of(&manifest.to_json());
             digests.insert(digest.to_string());
             let layout = Layout::open(folder).map_err(|e| e.to_string())?;
             on_this_thread(async {
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -512,8 +512,8 @@
         let clock = Clock::start();
         let cache = Cache::open(at.folder, at.cache_mb * 1_000_000, Rc::new(RealDisk));
         let cache = cache.map_err(|e| format!("{}: {e}", at.folder.display()))?;
-        let seat = saltdrum_agent::ControllerConfig {
-            me: at.me,
+        let seat = saltdrum_agent::AgentConfig {
+            invoker: at.me,
             seed: fastrand::u64(..),
             store,
             serve_bytes_per_second: 200e6,
--- a/crates/fakes/src/disk.rs
+++ b/crates/fakes/src/disk.rs
@@ -61,8 +61,8 @@
 }
 
 impl Disk for TearingDisk {
-    fn make_folder(&self, path: &Path) -> io::Result<()> {
-        self.disk.make_folder(path)
+    fn create_dir_all(&self, path: &Path) -> io::Result<()> {
+        self.disk.create_dir_all(path)
     }
 
     fn write_new(&self, path: &Path, bytes: &[u8]) -> io::Result<()> {
--- a/crates/fakes/src/invoker.rs
+++ b/crates/fakes/src/invoker.rs
@@ -5,7 +5,7 @@
 use crate::record::{Line, Record, Try, Who};
 use bytes::BytesMut;
 use saltdrum::interface::{Effect, FunctionId, KeyScope, MILLISECOND, Ticks};
-use saltdrum_agent::{Agent, ControllerConfig, Peer};
+use saltdrum_agent::{Agent, AgentConfig, Peer};
 use saltdrum_deployment::{Terms, terms};
 use saltdrum_layers::cache::{Cache, Disk};
 use saltdrum_protocol::frame::{cut, encode};
@@ -572,8 +572,8 @@
         let (door, address) = self.site.network.listen(&at).await?;
         *layers.at.borrow_mut() = address;
         let cache = Cache::open(&layers.folder, layers.cache_bytes, layers.disk.clone())?;
-        let seat = ControllerConfig {
-            me: self.site.stated.invoker,
+        let seat = AgentConfig {
+            invoker: self.site.stated.invoker,
             seed: self.site.seed ^ 0xa6e7,
             store: layers.registry.clone(),
             serve_bytes_per_second: 200e6,
@@ -593,7 +593,7 @@
     /// Tells its agent of the list as it is now.
     pub fn peers(&self, peers: &[Peer]) {
         if let Some(agent) = &self.life.borrow().agent {
-            agent.listed(peers);
+            agent.update_peers(peers);
         }
     }
 
@@ -799,8 +799,9 @@
     }
 
     /// A version of which no source holds is told to the registry: someone has to push it again, or withdraw it.
-    async fn tell_corrupt(&self, why: &saltdrum_agent::Fault, reference: &str) {
-        let (saltdrum_agent::Fault::Corrupt { .. }, Some(of)) = (why, &self.site.versions) else {
+    async fn tell_corrupt(&self, why: &saltdrum_agent::LoadError, reference: &str) {
+        let (saltdrum_agent::LoadError::Corrupt { .. }, Some(of)) = (why, &self.site.versions)
+        else {
             return;
         };
         let said = self.book.borrow().versions.iter().find_map(|((model, version), held)| {
--- a/crates/fakes/src/registry.rs
+++ b/crates/fakes/src/registry.rs
@@ -156,7 +156,7 @@
                 .insert(chunk.digest, Bytes::copy_from_slice(stored));
             Ok(())
         })?;
-        self.push_manifest(repository, tag, manifest.write());
+        self.push_manifest(repository, tag, manifest.to_json());
         Ok(manifest)
     }
 
@@ -240,7 +240,11 @@
     /// What a tag has of its own comes damaged from now on; what it shares with others does not.
     pub fn damage_model(&self, repository: &str, tag: &str) {
         let manifests = self.manifests.borrow();
-        let chunks = |bytes: &Bytes| Manifest::read(bytes).map(|m| m.chunks).unwrap_or_default();
+        let chunks = |bytes: &Bytes| {
+            Manifest::from_json(bytes)
+                .map(|m| m.chunks)
+                .unwrap_or_default()
+        };
         let Some(it) = manifests.get(&(repository.to_owned(), tag.to_owned())) else {
             return;
         };
--- a/crates/faulty-peers/src/careless.rs
+++ b/crates/faulty-peers/src/careless.rs
@@ -12,9 +12,9 @@
 /// In place of an invoker's agent.
 pub fn careless(supply: Supply, model: String) -> Pin<Box<dyn Future<Output = Option<Vec<u8>>>>> {
     Box::pin(async move {
-        supply.disk.make_folder(&supply.folder).ok()?;
+        supply.disk.create_dir_all(&supply.folder).ok()?;
         let manifest = patiently(&supply, &format!("/v2/{model}/manifests/current")).await?;
-        let manifest = Manifest::read(&manifest).ok()?;
+        let manifest = Manifest::from_json(&manifest).ok()?;
         let mut copy = Vec::new();
         for chunk in &manifest.chunks {
             copy.extend(one(&supply, &model, chunk).await?);
--- a/crates/layers/examples/cost.rs
+++ b/crates/layers/examples/cost.rs
@@ -30,7 +30,7 @@
         .map(|invoker| Member {
             invoker,
             size: 1.0,
-            risen: 1.0,
+            capacity_share: 1.0,
             ready: true,
         })
         .collect();
--- a/crates/layers/src/cache.rs
+++ b/crates/layers/src/cache.rs
@@ -21,7 +21,7 @@
 
 /// The file operations that a cache needs, so that tests can let each of them fail.
 pub trait Disk {
-    fn make_folder(&self, path: &Path) -> io::Result<()>;
+    fn create_dir_all(&self, path: &Path) -> io::Result<()>;
     /// Creates, writes, brings to disk.
     fn write_new(&self, path: &Path, bytes: &[u8]) -> io::Result<()>;
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
@@ -38,7 +38,7 @@
 pub struct RealDisk;
 
 impl Disk for RealDisk {
-    fn make_folder(&self, path: &Path) -> io::Result<()> {
+    fn create_dir_all(&self, path: &Path) -> io::Result<()> {
         fs::create_dir_all(path)
     }
 
@@ -112,7 +112,7 @@
     /// Opens what is there. Fails only where not even the folder can be read or made.
     pub fn open(folder: &Path, most_bytes: u64, disk: Rc<dyn Disk>) -> io::Result<Self> {
         let chunks = folder.join("chunks");
-        disk.make_folder(&chunks)?;
+        disk.create_dir_all(&chunks)?;
         let counts = Counts::default();
         let path = folder.join("index.redb");
         let index = disk.open_index(&path).or_else(|_| {
@@ -236,7 +236,7 @@
         bytes: &[u8],
         cost: f64,
         sharers: u32,
-    ) -> Result<bool, cut::Damage> {
+    ) -> Result<bool, cut::ChunkError> {
         cut::verify(chunk, bytes)?;
         let kept = Kept {
             bytes: chunk.stored_bytes,
--- a/crates/layers/src/cut.rs
+++ b/crates/layers/src/cut.rs
@@ -1,7 +1,7 @@
 //! Cuts a model by its content, so that two versions share what they share, and puts it together again.
 
 use crate::Digest;
-use crate::manifest::{CHUNK_MOST_BYTES, Chunk, Manifest, Packing};
+use crate::manifest::{Chunk, MAX_CHUNK_BYTES, Manifest, Packing};
 use fastcdc::v2020::StreamCDC;
 use std::io::{self, Read};
 
@@ -13,7 +13,7 @@
 
 /// Why a stored chunk can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Damage {
+pub enum ChunkError {
     #[error("chunk {digest}: {got} bytes came, {expected} were stated")]
     Length {
         digest: Digest,
@@ -23,7 +23,7 @@
     #[error("chunk {expected}: its bytes have digest {got}")]
     Digest { got: Digest, expected: Digest },
     #[error("chunk {digest}: its digest held, but it does not unpack to {expected} bytes: {why}")]
-    Unpacks {
+    Unpack {
         digest: Digest,
         expected: u64,
         why: String,
@@ -37,7 +37,7 @@
 ) -> io::Result<Manifest> {
     let mut manifest = Manifest::default();
     let mut packer = zstd::bulk::Compressor::new(LEVEL)?;
-    for piece in StreamCDC::new(model, LEAST, MEAN, CHUNK_MOST_BYTES as usize) {
+    for piece in StreamCDC::new(model, LEAST, MEAN, MAX_CHUNK_BYTES as usize) {
         let piece = piece.map_err(io::Error::from)?.data;
         let packed = packer.compress(&piece)?;
         let worth = (packed.len() as f64) < piece.len() as f64 * WORTH;
@@ -59,9 +59,9 @@
 }
 
 /// Whether these are the chunk's bytes, as stored. The only door by which bytes become a chunk.
-pub fn verify(chunk: &Chunk, stored: &[u8]) -> Result<(), Damage> {
+pub fn verify(chunk: &Chunk, stored: &[u8]) -> Result<(), ChunkError> {
     if stored.len() as u64 != chunk.stored_bytes {
-        return Err(Damage::Length {
+        return Err(ChunkError::Length {
             digest: chunk.digest,
             got: stored.len(),
             expected: chunk.stored_bytes,
@@ -69,7 +69,7 @@
     }
     let got = Digest::of(stored);
     if got != chunk.digest {
-        return Err(Damage::Digest {
+        return Err(ChunkError::Digest {
             got,
             expected: chunk.digest,
         });
@@ -78,9 +78,9 @@
 }
 
 /// Verifies and unpacks. Never makes more than the stated bytes, whatever the chunk would unpack to.
-pub fn unpack(chunk: &Chunk, stored: &[u8]) -> Result<Vec<u8>, Damage> {
+pub fn unpack(chunk: &Chunk, stored: &[u8]) -> Result<Vec<u8>, ChunkError> {
     verify(chunk, stored)?;
-    let fault = |why: String| Damage::Unpacks {
+    let fault = |why: String| ChunkError::Unpack {
         digest: chunk.digest,
         expected: chunk.bytes,
         why,
--- a/crates/layers/src/layout.rs
+++ b/crates/layers/src/layout.rs
@@ -1,7 +1,7 @@
 //! A folder of packed models: an OCI image layout, which any tool that speaks it can push.
 
-use crate::cut::{self, Damage};
-use crate::manifest::{EMPTY, MANIFEST_TYPE, Manifest};
+use crate::cut::{self, ChunkError};
+use crate::manifest::{EMPTY_CONFIG, MANIFEST_TYPE, Manifest};
 use crate::{Chunk, Digest};
 use saltdrum_durable::file;
 use serde::de::IgnoredAny;
@@ -17,7 +17,7 @@
 const REF_NAME: &str = "org.opencontainers.image.ref.name";
 
 #[derive(Debug, thiserror::Error)]
-pub enum Fault {
+pub enum LayoutError {
     #[error("{path}: {why}")]
     File { path: PathBuf, why: io::Error },
     #[error("{path}: {why}")]
@@ -25,7 +25,7 @@
     #[error("no model is tagged '{tag}'; there are {known}")]
     Tag { tag: String, known: String },
     #[error("{0}")]
-    Manifest(#[from] crate::manifest::Fault),
+    Manifest(#[from] crate::manifest::ManifestError),
 }
 
 #[derive(Serialize, Deserialize, Default)]
@@ -47,12 +47,12 @@
 
 /// What a check of the whole folder found.
 #[derive(Debug, Default)]
-pub struct Checked {
+pub struct VerifyReport {
     pub models: usize,
     pub chunks: usize,
     pub bytes: u64,
     /// What is wrong, each with its place.
-    pub wrong: Vec<String>,
+    pub problems: Vec<String>,
 }
 
 /// How two models lie to each other, in stored bytes.
@@ -69,7 +69,7 @@
 
 impl Layout {
     /// Opens a folder, or makes one.
-    pub fn open(folder: &Path) -> Result<Self, Fault> {
+    pub fn open(folder: &Path) -> Result<Self, LayoutError> {
         let layout = Self {
             folder: folder.to_owned(),
         };
@@ -79,7 +79,7 @@
         if !fs::read(&marker).is_ok_and(is_whole) {
             let made = fs::create_dir_all(layout.blobs())
                 .and_then(|()| file::write_atomically(&marker, MARKER_CONTENT));
-            made.map_err(|why| Fault::File { path: marker, why })?;
+            made.map_err(|why| LayoutError::File { path: marker, why })?;
         }
         Ok(layout)
     }
@@ -103,10 +103,10 @@
         }
     }
 
-    fn index(&self) -> Result<Index, Fault> {
+    fn index(&self) -> Result<Index, LayoutError> {
         let path = self.folder.join("index.json");
         match fs::read(&path) {
-            Ok(bytes) => serde_json::from_slice(&bytes).map_err(|e| Fault::Shape {
+            Ok(bytes) => serde_json::from_slice(&bytes).map_err(|e| LayoutError::Shape {
                 path,
                 why: e.to_string(),
             }),
@@ -114,20 +114,20 @@
                 schema_version: 2,
                 ..Default::default()
             }),
-            Err(why) => Err(Fault::File { path, why }),
+            Err(why) => Err(LayoutError::File { path, why }),
         }
     }
 
     /// Packs a model's file under a tag, which moves if it was there.
-    pub fn pack(&self, model: &Path, tag: &str) -> Result<Manifest, Fault> {
-        let file = |why| Fault::File {
+    pub fn pack(&self, model: &Path, tag: &str) -> Result<Manifest, LayoutError> {
+        let file = |why| LayoutError::File {
             path: model.to_owned(),
             why,
         };
         let reader = BufReader::with_capacity(1 << 20, File::open(model).map_err(file)?);
         let manifest = cut::pack(reader, |chunk, stored| self.put_blob(&chunk.digest, stored))
             .map_err(file)?;
-        let bytes = manifest.write();
+        let bytes = manifest.to_json();
         let digest = Digest::of(&bytes);
         let mut index = self.index()?;
         index
@@ -142,14 +142,14 @@
         let path = self.folder.join("index.json");
         let written = serde_json::to_vec(&index).expect("an index is JSON");
         // The index last: what it names is there.
-        self.put_blob(&Digest::of(EMPTY), EMPTY)
+        self.put_blob(&Digest::of(EMPTY_CONFIG), EMPTY_CONFIG)
             .and_then(|()| self.put_blob(&digest, &bytes))
             .and_then(|()| file::write_atomically(&path, &written))
-            .map_err(|why| Fault::File { path, why })?;
+            .map_err(|why| LayoutError::File { path, why })?;
         Ok(manifest)
     }
 
-    pub fn tags(&self) -> Result<BTreeMap<String, Digest>, Fault> {
+    pub fn tags(&self) -> Result<BTreeMap<String, Digest>, LayoutError> {
         let index = self.index()?;
         Ok(index
             .manifests
@@ -159,7 +159,7 @@
     }
 
     /// The manifest under a tag, its digest checked.
-    pub fn manifest(&self, tag: &str) -> Result<(Digest, Manifest), Fault> {
+    pub fn manifest(&self, tag: &str) -> Result<(Digest, Manifest), LayoutError> {
         let tags = self.tags()?;
         let known = || {
             tags.keys()
@@ -167,22 +167,22 @@
                 .collect::<Vec<_>>()
                 .join(", ")
         };
-        let digest = *tags.get(tag).ok_or_else(|| Fault::Tag {
+        let digest = *tags.get(tag).ok_or_else(|| LayoutError::Tag {
             tag: tag.into(),
             known: known(),
         })?;
         let path = self.path(&digest);
-        let bytes = fs::read(&path).map_err(|why| Fault::File {
+        let bytes = fs::read(&path).map_err(|why| LayoutError::File {
             path: path.clone(),
             why,
         })?;
         if Digest::of(&bytes) != digest {
-            return Err(Fault::Shape {
+            return Err(LayoutError::Shape {
                 path,
                 why: "its bytes do not have this digest".into(),
             });
         }
-        Ok((digest, Manifest::read(&bytes)?))
+        Ok((digest, Manifest::from_json(&bytes)?))
     }
 
     fn stored(&self, chunk: &Chunk) -> Result<Vec<u8>, String> {
@@ -196,17 +196,18 @@
     }
 
     /// Puts a model together again.
-    pub fn unpack(&self, tag: &str, to: &mut impl Write) -> Result<(), Fault> {
+    pub fn unpack(&self, tag: &str, to: &mut impl Write) -> Result<(), LayoutError> {
         let (_, manifest) = self.manifest(tag)?;
         for chunk in &manifest.chunks {
             let path = self.path(&chunk.digest);
-            let shape = |why| Fault::Shape {
+            let shape = |why| LayoutError::Shape {
                 path: path.clone(),
                 why,
             };
             let stored = self.stored(chunk).map_err(shape)?;
-            let bytes = cut::unpack(chunk, &stored).map_err(|e: Damage| shape(e.to_string()))?;
-            to.write_all(&bytes).map_err(|why| Fault::File {
+            let bytes =
+                cut::unpack(chunk, &stored).map_err(|e: ChunkError| shape(e.to_string()))?;
+            to.write_all(&bytes).map_err(|why| LayoutError::File {
                 path: path.clone(),
                 why,
             })?;
@@ -215,14 +216,14 @@
     }
 
     /// PollTimes at every byte that a tag leads to.
-    pub fn verify(&self) -> Result<Checked, Fault> {
-        let (mut checked, mut seen) = (Checked::default(), BTreeSet::new());
+    pub fn verify(&self) -> Result<VerifyReport, LayoutError> {
+        let (mut checked, mut seen) = (VerifyReport::default(), BTreeSet::new());
         for tag in self.tags()?.keys() {
             checked.models += 1;
             let manifest = match self.manifest(tag) {
                 Ok((_, manifest)) => manifest,
                 Err(e) => {
-                    checked.wrong.push(format!("{tag}: {e}"));
+                    checked.problems.push(format!("{tag}: {e}"));
                     continue;
                 }
             };
@@ -233,15 +234,15 @@
                     .stored(chunk)
                     .and_then(|s| cut::unpack(chunk, &s).map_err(|e| e.to_string()));
                 checked
-                    .wrong
+                    .problems
                     .extend(fine.err().map(|e| format!("{tag}: {e}")));
             }
         }
         Ok(checked)
     }
 
-    pub fn diff(&self, first: &str, second: &str) -> Result<Diff, Fault> {
-        let of = |tag| -> Result<BTreeMap<Digest, u64>, Fault> {
+    pub fn diff(&self, first: &str, second: &str) -> Result<Diff, LayoutError> {
+        let of = |tag| -> Result<BTreeMap<Digest, u64>, LayoutError> {
             Ok(self
                 .manifest(tag)?
                 .1
--- a/crates/layers/src/manifest.rs
+++ b/crates/layers/src/manifest.rs
@@ -5,9 +5,9 @@
 use std::collections::BTreeMap;
 
 /// No manifest is longer; the distribution specification lets registries refuse longer ones.
-pub const MANIFEST_MOST_BYTES: usize = 4 << 20;
+pub const MAX_MANIFEST_BYTES: usize = 4 << 20;
 /// No chunk unpacks to more: it is what a peer may make us hold before its digest and size are checked.
-pub const CHUNK_MOST_BYTES: u64 = 4 << 20;
+pub const MAX_CHUNK_BYTES: u64 = 4 << 20;
 /// A stored chunk may be so much longer than what it unpacks to.
 const PACKING_MOST_BYTES: u64 = 1 << 10;
 const CHUNKS_MOST: usize = 20_000;
@@ -16,7 +16,7 @@
 const MODEL_TYPE: &str = "application/vnd.saltdrum.model.v1";
 const EMPTY_TYPE: &str = "application/vnd.oci.empty.v1+json";
 /// The blob that stands for a configuration that is not there.
-pub const EMPTY: &[u8] = b"{}";
+pub const EMPTY_CONFIG: &[u8] = b"{}";
 const PLAIN_TYPE: &str = "application/vnd.saltdrum.chunk.v1";
 const ZSTD_TYPE: &str = "application/vnd.saltdrum.chunk.v1+zstd";
 const BYTES: &str = "saltdrum.chunk.bytes";
@@ -44,8 +44,8 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
-    #[error("manifest of {0} bytes: {MANIFEST_MOST_BYTES} are allowed")]
+pub enum ManifestError {
+    #[error("manifest of {0} bytes: {MAX_MANIFEST_BYTES} are allowed")]
     Oversize(usize),
     #[error("manifest: {0}")]
     Shape(String),
@@ -84,7 +84,7 @@
     }
 
     /// As a registry keeps it. The same model gives the same bytes.
-    pub fn write(&self) -> Vec<u8> {
+    pub fn to_json(&self) -> Vec<u8> {
         let layer = |c: &Chunk| Blob {
             media_type: match c.packing {
                 Packing::Plain => PLAIN_TYPE,
@@ -97,8 +97,8 @@
         };
         let config = Blob {
             media_type: EMPTY_TYPE.into(),
-            digest: Digest::of(EMPTY).to_string(),
-            size: EMPTY.len() as u64,
+            digest: Digest::of(EMPTY_CONFIG).to_string(),
+            size: EMPTY_CONFIG.len() as u64,
             annotations: BTreeMap::new(),
         };
         let written = Written {
@@ -112,13 +112,13 @@
     }
 
     /// Reads what a stranger wrote: sizes are bounded before anything is fetched by them.
-    pub fn read(bytes: &[u8]) -> Result<Self, Fault> {
-        if bytes.len() > MANIFEST_MOST_BYTES {
-            return Err(Fault::Oversize(bytes.len()));
+    pub fn from_json(bytes: &[u8]) -> Result<Self, ManifestError> {
+        if bytes.len() > MAX_MANIFEST_BYTES {
+            return Err(ManifestError::Oversize(bytes.len()));
         }
         let written: Written =
-            serde_json::from_slice(bytes).map_err(|e| Fault::Shape(e.to_string()))?;
-        let value = |place: &str, why: String| Fault::Value {
+            serde_json::from_slice(bytes).map_err(|e| ManifestError::Shape(e.to_string()))?;
+        let value = |place: &str, why: String| ManifestError::Value {
             place: place.into(),
             why,
         };
@@ -158,8 +158,8 @@
                     format!("{BYTES} '{said:.40}': a number of bytes is expected"),
                 )
             })?;
-            if bytes == 0 || bytes > CHUNK_MOST_BYTES {
-                let why = format!("{BYTES} {bytes}: 1 to {CHUNK_MOST_BYTES} are allowed");
+            if bytes == 0 || bytes > MAX_CHUNK_BYTES {
+                let why = format!("{BYTES} {bytes}: 1 to {MAX_CHUNK_BYTES} are allowed");
                 return Err(value(&at("annotations"), why));
             }
             let fits = match packing {
--- a/crates/layers/src/plan/homes.rs
+++ b/crates/layers/src/plan/homes.rs
@@ -13,7 +13,7 @@
     pub size: f64,
     /// Part of its full capacity that it has surely risen to, 0 to 1: a just-started one is home to so many of its
     /// chunks, and to the others once it has risen.
-    pub risen: f64,
+    pub capacity_share: f64,
     /// A draining one is home to nothing.
     pub ready: bool,
 }
@@ -30,10 +30,9 @@
 pub fn homes(chunk: &Digest, members: &[Member]) -> Vec<InvokerId> {
     let lead = chunk.lead();
     let mut best: Vec<(f64, InvokerId)> = Vec::with_capacity(HOMES + 1);
-    for m in members
-        .iter()
-        .filter(|m| m.ready && (m.risen >= 1.0 || unit(lead, m.invoker, 77) < m.risen))
-    {
+    for m in members.iter().filter(|m| {
+        m.ready && (m.capacity_share >= 1.0 || unit(lead, m.invoker, 77) < m.capacity_share)
+    }) {
         let score = -unit(lead, m.invoker, 0).ln() / m.size.max(0.01);
         let at = best.partition_point(|b| (b.0, b.1) < (score, m.invoker));
         if at < HOMES {
@@ -53,7 +52,7 @@
             .map(|invoker| Member {
                 invoker,
                 size: 1.0,
-                risen: 1.0,
+                capacity_share: 1.0,
                 ready: true,
             })
             .collect()
@@ -88,18 +87,22 @@
     fn a_just_started_one_becomes_home_bit_by_bit_and_loses_none_again() {
         let mut before = 0;
         let mut had: Vec<Digest> = Vec::new();
-        for risen in [0.0, 0.2, 0.6, 1.0] {
+        for capacity_share in [0.0, 0.2, 0.6, 1.0] {
             let mut all = members(10);
-            all[3].risen = risen;
+            all[3].capacity_share = capacity_share;
             let now: Vec<Digest> = chunks(2_000)
                 .into_iter()
                 .filter(|c| homes(c, &all).contains(&4))
                 .collect();
             assert!(had.iter().all(|c| now.contains(c)));
-            assert!(now.len() > before || risen == 0.0, "{risen}: {}", now.len());
             assert!(
-                now.len() as f64 <= 400.0 * risen * 1.3 + 1.0,
-                "{risen}: {}",
+                now.len() > before || capacity_share == 0.0,
+                "{capacity_share}: {}",
+                now.len()
+            );
+            assert!(
+                now.len() as f64 <= 400.0 * capacity_share * 1.3 + 1.0,
+                "{capacity_share}: {}",
                 now.len()
             );
             (before, had) = (now.len(), now);
--- a/crates/layers/src/plan/serve.rs
+++ b/crates/layers/src/plan/serve.rs
@@ -59,15 +59,15 @@
         }
     }
 
-    /// Whether the next in line, whose chunk is here, may be sent; it is then under way. `risen`: our own part of full
+    /// Whether the next in line, whose chunk is here, may be sent; it is then under way. `capacity_share`: our own part of full
     /// capacity, 0 to 1. `busy`: share of our cores that invocations use.
-    pub fn may_send(&mut self, now: Ticks, bytes: u64, risen: f64, busy: f64) -> bool {
+    pub fn may_send(&mut self, now: Ticks, bytes: u64, capacity_share: f64, busy: f64) -> bool {
         let passed = now.saturating_sub(self.at) as f64 / SECOND as f64;
         self.left = (self.left + passed * self.bytes_per_second).min(self.bytes_per_second);
         self.at = self.at.max(now);
         // One slot always: a fleet that is busy all over must still get its models somewhere.
-        let slots =
-            (SLOTS * risen.clamp(0.0, 1.0) * (1.5 - busy).clamp(0.2, 1.0)).max(1.0) as usize;
+        let slots = (SLOTS * capacity_share.clamp(0.0, 1.0) * (1.5 - busy).clamp(0.2, 1.0)).max(1.0)
+            as usize;
         if self.out >= slots || self.left < 0.0 {
             return false;
         }
@@ -102,10 +102,12 @@
 
     #[test]
     fn a_cold_or_busy_one_serves_less_and_a_draining_one_fetches_nothing() {
-        let taken = |risen, busy| {
+        let taken = |capacity_share, busy| {
             let mut s = Serving::new(0, 1e12);
             (0..20).for_each(|_| assert_eq!(s.asked(true, false, false), Verdict::InLine));
-            (0..20).filter(|_| s.may_send(0, 1, risen, busy)).count()
+            (0..20)
+                .filter(|_| s.may_send(0, 1, capacity_share, busy))
+                .count()
         };
         assert_eq!(
             (
--- a/crates/layers/tests/cache.rs
+++ b/crates/layers/tests/cache.rs
@@ -38,8 +38,8 @@
 }
 
 impl Disk for Dying {
-    fn make_folder(&self, path: &Path) -> io::Result<()> {
-        RealDisk.make_folder(path)
+    fn create_dir_all(&self, path: &Path) -> io::Result<()> {
+        RealDisk.create_dir_all(path)
     }
     fn write_new(&self, path: &Path, bytes: &[u8]) -> io::Result<()> {
         match self.next() {
@@ -242,8 +242,8 @@
 struct Full;
 
 impl Disk for Full {
-    fn make_folder(&self, path: &Path) -> io::Result<()> {
-        RealDisk.make_folder(path)
+    fn create_dir_all(&self, path: &Path) -> io::Result<()> {
+        RealDisk.create_dir_all(path)
     }
     fn write_new(&self, path: &Path, bytes: &[u8]) -> io::Result<()> {
         fs::write(path, &bytes[..10]).and(Err(io::ErrorKind::StorageFull.into()))
@@ -301,8 +301,8 @@
 }
 
 impl Disk for Failing {
-    fn make_folder(&self, path: &Path) -> io::Result<()> {
-        RealDisk.make_folder(path)
+    fn create_dir_all(&self, path: &Path) -> io::Result<()> {
+        RealDisk.create_dir_all(path)
     }
     fn write_new(&self, path: &Path, bytes: &[u8]) -> io::Result<()> {
         // As the machine does it: what was written is there, and its sync fails.
--- a/crates/layers/tests/herd.rs
+++ b/crates/layers/tests/herd.rs
@@ -69,7 +69,7 @@
         .map(|invoker| Member {
             invoker,
             size: 1.0,
-            risen: 1.0,
+            capacity_share: 1.0,
             ready: true,
         })
         .collect()
--- a/crates/layers/tests/layers_fixtures.rs
+++ b/crates/layers/tests/layers_fixtures.rs
@@ -79,9 +79,9 @@
         ("no-chunk", Manifest { chunks: Vec::new() }),
     ];
     for (name, manifest) in manifests {
-        let written = String::from_utf8(manifest.write()).unwrap();
+        let written = String::from_utf8(manifest.to_json()).unwrap();
         let stored = fixtures.check_text(name, &written);
-        assert_eq!(Manifest::read(stored.as_bytes()).unwrap(), manifest);
+        assert_eq!(Manifest::from_json(stored.as_bytes()).unwrap(), manifest);
     }
     fixtures.finish();
 }
@@ -127,7 +127,7 @@
     assert_eq!(packings, [Packing::Plain, Packing::Zstd]);
     let checked = layout.verify().unwrap();
     assert_eq!(
-        (checked.models, checked.chunks, checked.wrong),
+        (checked.models, checked.chunks, checked.problems),
         (2, 2, Vec::new())
     );
 }
--- a/crates/layers/tests/packing.rs
+++ b/crates/layers/tests/packing.rs
@@ -1,9 +1,9 @@
 //! Models there and back, versions that share, and packed models as they should not be.
 
 use proptest::prelude::*;
-use saltdrum_layers::cut::{Damage, pack, unpack};
+use saltdrum_layers::cut::{ChunkError, pack, unpack};
 use saltdrum_layers::layout::{Diff, Layout};
-use saltdrum_layers::manifest::{CHUNK_MOST_BYTES, Fault};
+use saltdrum_layers::manifest::{MAX_CHUNK_BYTES, ManifestError};
 use saltdrum_layers::{Chunk, Digest, Manifest, Packing};
 use std::collections::BTreeMap;
 use std::fs;
@@ -60,7 +60,7 @@
         only_second_bytes * 5 < shared_bytes,
         "{only_second_bytes} new, {shared_bytes} shared"
     );
-    assert!(layout.verify().unwrap().wrong.is_empty());
+    assert!(layout.verify().unwrap().problems.is_empty());
     assert!(
         layout
             .manifest("voice:3")
@@ -74,7 +74,7 @@
     bytes[100] ^= 1;
     fs::write(&path, bytes).unwrap();
     fs::remove_file(layout.path(&manifest.chunks[1].digest)).unwrap();
-    let wrong = layout.verify().unwrap().wrong;
+    let wrong = layout.verify().unwrap().problems;
     assert!(
         wrong.len() == 2 && wrong[0].contains("its bytes have digest"),
         "{wrong:?}"
@@ -115,33 +115,33 @@
     };
     assert!(matches!(
         unpack(&chunk(1_000), &stored),
-        Err(Damage::Unpacks { .. })
+        Err(ChunkError::Unpack { .. })
     ));
     assert!(matches!(
         unpack(&chunk(9 << 20), &stored),
-        Err(Damage::Unpacks { .. })
+        Err(ChunkError::Unpack { .. })
     ));
     assert!(matches!(
         unpack(&chunk(8 << 20), &stored[1..]),
-        Err(Damage::Length { .. })
+        Err(ChunkError::Length { .. })
     ));
-    let read = Manifest::read(
+    let read = Manifest::from_json(
         &Manifest {
             chunks: vec![chunk(8 << 20)],
         }
-        .write(),
+        .to_json(),
     );
     assert!(
         read.unwrap_err()
             .to_string()
-            .contains(&format!("1 to {CHUNK_MOST_BYTES} are allowed"))
+            .contains(&format!("1 to {MAX_CHUNK_BYTES} are allowed"))
     );
 }
 
 #[test]
 fn manifests_that_lie_are_refused_in_words() {
     let (manifest, _) = packed(&model(3, 3 << 20));
-    let text = String::from_utf8(manifest.write()).unwrap();
+    let text = String::from_utf8(manifest.to_json()).unwrap();
     let digest = manifest.chunks[0].digest.to_string();
     let size = manifest.chunks[0].stored_bytes;
     for (from, to, say) in [
@@ -171,13 +171,16 @@
         ),
     ] {
         assert!(text.contains(from), "{from}");
-        let got = Manifest::read(text.replacen(from, to, 1).as_bytes())
+        let got = Manifest::from_json(text.replacen(from, to, 1).as_bytes())
             .unwrap_err()
             .to_string();
         assert!(got.contains(say), "{got}");
     }
     let long = vec![b' '; (4 << 20) + 1];
-    assert_eq!(Manifest::read(&long), Err(Fault::Oversize(long.len())));
+    assert_eq!(
+        Manifest::from_json(&long),
+        Err(ManifestError::Oversize(long.len()))
+    );
 }
 
 proptest! {
@@ -191,11 +194,11 @@
     #[test]
     fn bent_manifests_and_chunks_are_refused_or_the_same(at in 0usize..4_000, bit in 0u8..8, cut in 0usize..4_000) {
         let (manifest, kept) = packed(&model(4, 700_000));
-        let mut bytes = manifest.write();
+        let mut bytes = manifest.to_json();
         let end = bytes.len();
         bytes[at % end] ^= 1 << bit;
-        if let Ok(read) = Manifest::read(&bytes[..end - cut % 3]) {
-            prop_assert!(read.chunks.iter().all(|c| c.bytes <= CHUNK_MOST_BYTES));
+        if let Ok(read) = Manifest::from_json(&bytes[..end - cut % 3]) {
+            prop_assert!(read.chunks.iter().all(|c| c.bytes <= MAX_CHUNK_BYTES));
         }
         let (chunk, stored) = (&manifest.chunks[0], &kept[&manifest.chunks[0].digest]);
         let mut bent = stored.clone();
--- a/crates/registry/src/blobs.rs
+++ b/crates/registry/src/blobs.rs
@@ -1,7 +1,7 @@
 //! The folder in which the versions' manifests and chunks lie: an OCI image layout.
 
 use crate::state::RegistryState;
-use saltdrum_layers::manifest::{EMPTY, MANIFEST_MOST_BYTES};
+use saltdrum_layers::manifest::{EMPTY_CONFIG, MAX_MANIFEST_BYTES};
 use saltdrum_layers::{Digest, Manifest, cut};
 use std::collections::BTreeSet;
 use std::fs;
@@ -19,7 +19,7 @@
     let told = |why: String| format!("manifest {digest}: {why}");
     let file = fs::File::open(at).map_err(|e| told(e.to_string()))?;
     let mut bytes = Vec::new();
-    file.take(MANIFEST_MOST_BYTES as u64 + 1)
+    file.take(MAX_MANIFEST_BYTES as u64 + 1)
         .read_to_end(&mut bytes)
         .map_err(|e| told(e.to_string()))?;
     if Digest::of(&bytes) != *digest {
@@ -28,7 +28,7 @@
             Digest::of(&bytes)
         )));
     }
-    Manifest::read(&bytes).map_err(|e| told(e.to_string()))
+    Manifest::from_json(&bytes).map_err(|e| told(e.to_string()))
 }
 
 /// Digests of all blobs of the folder, in order.
@@ -45,7 +45,7 @@
 
 /// All that versions need. A manifest that can't be read stops a collection: what it needs is not known.
 pub fn named(folder: &Path, state: &RegistryState) -> Result<BTreeSet<Digest>, String> {
-    let mut all = BTreeSet::from([Digest::of(EMPTY)]);
+    let mut all = BTreeSet::from([Digest::of(EMPTY_CONFIG)]);
     for digest in state.manifests() {
         all.insert(digest);
         all.extend(manifest(folder, &digest)?.chunks.iter().map(|c| c.digest));
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -251,7 +251,7 @@
                 model[from..].iter_mut().for_each(|b| *b = own.u8(..));
                 let manifest = store.push(&f.name, &tag, &model)?;
                 models.insert(format!("{}@{tag}", f.name), model);
-                Digest::of(&manifest.write())
+                Digest::of(&manifest.to_json())
             };
             let version = Version {
                 manifest,
@@ -912,7 +912,8 @@
                 let member = Member {
                     invoker: *id,
                     size: f64::from(self.day.terms.size(i.site.stated.kind)),
-                    risen: (d.initial_capacity_share + (1.0 - d.initial_capacity_share) * age)
+                    capacity_share: (d.initial_capacity_share
+                        + (1.0 - d.initial_capacity_share) * age)
                         .min(1.0),
                     ready: *life == Life::Ready,
                 };
