--- a/crates/agent/tests/fleet.rs
+++ b/crates/agent/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Fleets of agents and one store, over HTTP on in-memory streams under a paused clock; one fleet on sockets.
 
 use saltdrum_agent::{Agent, ControllerConfig, Fault, Peer};
-use saltdrum_fakes::Registry;
+use saltdrum_fakes::OciRegistry;
 use saltdrum_layers::cache::{Cache, RealDisk};
 use saltdrum_layers::plan::Member;
 use saltdrum_transport::{Address, Clock, MemoryNetwork, Network, SocketNetwork};
@@ -20,7 +20,7 @@
     network: Rc<dyn Network>,
     clock: Clock,
     folder: tempfile::TempDir,
-    registry: Rc<Registry>,
+    registry: Rc<OciRegistry>,
     store: Address,
     agents: Vec<(Rc<Agent>, JoinHandle<()>)>,
     peers: Vec<Peer>,
@@ -34,7 +34,7 @@
         cache_bytes: u64,
         any: fn(u32) -> Address,
     ) -> Self {
-        let registry = Registry::new(64, 5);
+        let registry = OciRegistry::new(64, 5);
         let store = registry.open(&*network, &any(0)).await.unwrap();
         let folder = tempfile::tempdir().unwrap();
         let clock = Clock::start();
@@ -186,7 +186,12 @@
             .unwrap();
         {
             let faults = &mut *f.registry.faults.borrow_mut();
-            (faults.refuses, faults.cuts, faults.stalls, faults.lies) = (0.4, 0.1, 0.05, 0.1);
+            (
+                faults.refuse_share,
+                faults.cut_share,
+                faults.stall_share,
+                faults.wrong_length_share,
+            ) = (0.4, 0.1, 0.05, 0.1);
         }
         let took = f.herd("current").await;
         assert!(
@@ -204,7 +209,7 @@
         f.registry
             .push("voices/kinyarwanda", "current", &model(8, MODEL))
             .unwrap();
-        f.registry.faults.borrow_mut().trickles = 0.3;
+        f.registry.faults.borrow_mut().trickle_share = 0.3;
         let took = f.herd("current").await;
         assert!(
             took > Duration::from_secs(9) && took < Duration::from_secs(60),
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -17,7 +17,7 @@
 use saltdrum_coordinator::{CoordinatorConfig, FleetConfig, MemberRole, Membership, join, service};
 use saltdrum_deployment::Terms;
 use saltdrum_fakes::Invoker;
-use saltdrum_faulty_peers::leases::FaultySteward;
+use saltdrum_faulty_peers::leases::FaultyCoordinator;
 use saltdrum_fleet::change::Change;
 use saltdrum_fleet::drain_scheduler::{Batch, MemberLoad};
 use saltdrum_fleet::register::{Config, Voter};
@@ -153,7 +153,7 @@
         tasks: BTreeSet<String>,
     ) -> (Membership, Rc<dyn MemberRole>) {
         let entry = invoker.entry(Life::Ready);
-        let site = &invoker.site;
+        let site = &invoker.config;
         let member = MemberId::invoker(entry.invoker);
         let about = MemberInfo {
             incarnation: entry.incarnation,
@@ -256,25 +256,25 @@
 
 impl MemberRole for InvokerRole {
     fn is_healthy(&self) -> bool {
-        let (site, entry) = (&self.invoker.site, self.invoker.entry(Life::Ready));
+        let (site, entry) = (&self.invoker.config, self.invoker.entry(Life::Ready));
         entry.age_tenths >= site.terms.deployment.warm_up_time
     }
 
     fn load(&self) -> MemberLoad {
         let size = f64::from(self.invoker.entry(Life::Ready).size).max(1.0);
         MemberLoad {
-            busy: self.invoker.in_hand() as f64 / size,
+            busy: self.invoker.in_flight() as f64 / size,
             last_copies: 0,
         }
     }
 
     fn start_drain(&self) {
-        self.drains.set(Some(self.invoker.site.clock.now()));
+        self.drains.set(Some(self.invoker.config.clock.now()));
     }
 
     fn is_drained(&self) -> bool {
-        let now = self.invoker.site.clock.now();
-        self.invoker.in_hand() == 0 && self.drains.get().is_some_and(|at| now >= at + self.quiet)
+        let now = self.invoker.config.clock.now();
+        self.invoker.in_flight() == 0 && self.drains.get().is_some_and(|at| now >= at + self.quiet)
     }
 
     fn cancel_drain(&self) -> bool {
@@ -408,9 +408,9 @@
     let honest = stewards.iter().find(|(number, _)| **number != runs.number);
     let (_, honest) = honest.ok_or("an honest steward is expected beside it")?;
     let honest = RpcClient::new(Rc::new(SocketNetwork), honest.parse()?, fleet);
-    let faulty = Rc::new(FaultySteward {
+    let faulty = Rc::new(FaultyCoordinator {
         fleet: fleet.to_owned(),
-        honest,
+        coordinator: honest,
     });
     let listen: Address = runs.listen.parse()?;
     on_this_thread(async {
--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -1,7 +1,7 @@
 //! `saltdrum lab`: experiments, their reports, and the search for failing days.
 
 use clap::Subcommand;
-use saltdrum_faulty_peers::{FAULTS, Fault, careless, rogue};
+use saltdrum_faulty_peers::{FAULTS, Fault, fetch_model_unverified, run_faulty_controller};
 use saltdrum_lab::hunt::{Bounds, hunt};
 use saltdrum_lab::{Experiment, Script, report, run};
 use saltdrum_scenario::{Cover, POLICIES, Serve, serve};
@@ -168,7 +168,7 @@
     if name == "skips-digests" {
         return Ok(Cover {
             serve,
-            brings: Some(careless),
+            brings: Some(fetch_model_unverified),
         });
     }
     if let Some((_, serve)) = POLICIES.iter().find(|p| p.0 == name) {
@@ -184,16 +184,18 @@
     })?;
     // A seat takes a plain function, so each fault has one of its own.
     let serve: Serve = match fault.1 {
-        Fault::None => |s, n, c| rogue(Fault::None, s, n, c),
-        Fault::AnswersTwice => |s, n, c| rogue(Fault::AnswersTwice, s, n, c),
-        Fault::AnswersNotAll => |s, n, c| rogue(Fault::AnswersNotAll, s, n, c),
-        Fault::AnswersLate => |s, n, c| rogue(Fault::AnswersLate, s, n, c),
-        Fault::RunsTwice => |s, n, c| rogue(Fault::RunsTwice, s, n, c),
-        Fault::ThrottlesWhatRan => |s, n, c| rogue(Fault::ThrottlesWhatRan, s, n, c),
-        Fault::TwoOut => |s, n, c| rogue(Fault::TwoOut, s, n, c),
-        Fault::IgnoresDrains => |s, n, c| rogue(Fault::IgnoresDrains, s, n, c),
-        Fault::FloodsColdOnes => |s, n, c| rogue(Fault::FloodsColdOnes, s, n, c),
-        Fault::LoadsAtWill => |s, n, c| rogue(Fault::LoadsAtWill, s, n, c),
+        Fault::None => |s, n, c| run_faulty_controller(Fault::None, s, n, c),
+        Fault::AnswersTwice => |s, n, c| run_faulty_controller(Fault::AnswersTwice, s, n, c),
+        Fault::AnswersNotAll => |s, n, c| run_faulty_controller(Fault::AnswersNotAll, s, n, c),
+        Fault::AnswersLate => |s, n, c| run_faulty_controller(Fault::AnswersLate, s, n, c),
+        Fault::RunsTwice => |s, n, c| run_faulty_controller(Fault::RunsTwice, s, n, c),
+        Fault::ThrottlesWhatRan => {
+            |s, n, c| run_faulty_controller(Fault::ThrottlesWhatRan, s, n, c)
+        }
+        Fault::TwoOut => |s, n, c| run_faulty_controller(Fault::TwoOut, s, n, c),
+        Fault::IgnoresDrains => |s, n, c| run_faulty_controller(Fault::IgnoresDrains, s, n, c),
+        Fault::FloodsColdOnes => |s, n, c| run_faulty_controller(Fault::FloodsColdOnes, s, n, c),
+        Fault::LoadsAtWill => |s, n, c| run_faulty_controller(Fault::LoadsAtWill, s, n, c),
     };
     Ok(Cover::of(serve))
 }
--- a/crates/cli/src/leases.rs
+++ b/crates/cli/src/leases.rs
@@ -11,7 +11,7 @@
 use saltdrum_coordinator::Membership;
 use saltdrum_coordinator::rpc_client::RpcClient;
 use saltdrum_coordinator::server;
-use saltdrum_faulty_peers::leases::{FaultyJournal, JOURNAL_FAULTS, acts_before_all_seals};
+use saltdrum_faulty_peers::leases::{FaultyJournal, JOURNAL_FAULTS, run_holder_without_all_seals};
 use saltdrum_fleet::change::Change;
 use saltdrum_fleet::state::{Fleet, Lease, LeaseName, LeaseState};
 use saltdrum_leases::holder::EffectError;
@@ -152,7 +152,7 @@
             resources,
             ..
         }) if acts_before_seals => {
-            acts_before_all_seals(actor, COUNT, clock, lease_watch, resources).await;
+            run_holder_without_all_seals(actor, COUNT, clock, lease_watch, resources).await;
         }
         Some(holder) => {
             holder
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -316,8 +316,8 @@
         }) => {
             let faults = saltdrum_fakes::Faults {
                 hangs,
-                errors,
-                loses_answers,
+                error_share: errors,
+                lost_response_share: loses_answers,
                 ..Default::default()
             };
             let names = run::Names {
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -9,8 +9,8 @@
 use saltdrum_controller::shutdown::ShutdownHandle;
 use saltdrum_controller::{AliasConfig, ControllerConfig, PolicyFactory};
 use saltdrum_deployment::Terms;
-use saltdrum_fakes::invoker::Site;
-use saltdrum_fakes::{Faults, Invoker, List, Record, Registry, Store, record};
+use saltdrum_fakes::invoker::InvokerConfig;
+use saltdrum_fakes::{EndpointList, Faults, Invoker, ModelStore, OciRegistry, Record, record};
 use saltdrum_layers::cache::{Cache, RealDisk};
 use saltdrum_layers::layout::Layout;
 use saltdrum_protocol::list::{Entry, Life};
@@ -198,27 +198,27 @@
     on_this_thread(async {
         let (clock, turns, record) = (Clock::start(), EventLoopClock::default(), Record::default());
         tokio::task::spawn_local(run_event_loop_clock(turns.clone(), clock, |_, _| ()));
-        let site = Site {
+        let site = InvokerConfig {
             terms,
             stated,
             network: Rc::new(SocketNetwork),
             clock,
-            hour: clock,
-            turns,
+            record_clock: clock,
+            event_loop: turns,
             record: record.clone(),
-            at,
+            address: at,
             store,
             tokens: Default::default(),
             seed: fastrand::u64(..),
             fetch_share: 0.6,
-            versions,
+            registry_follow: versions,
             layers: None,
         };
         let invoker = Invoker::new(site);
-        invoker.fault(|f, _| *f = faults);
+        invoker.update_faults(|f, _| *f = faults);
         if joined.is_some() {
             // Below the sign bit: JSON readers elsewhere take no more.
-            invoker.next_life(fastrand::u64(2..1 << 48));
+            invoker.set_next_incarnation(fastrand::u64(2..1 << 48));
         }
         let address = invoker
             .start(joined.is_some() && joins.cold, &[])
@@ -266,7 +266,7 @@
     let at: Address = listen.parse()?;
     on_this_thread(async {
         let record = Record::default();
-        let opened = Store::open(
+        let opened = ModelStore::open(
             Rc::new(SocketNetwork),
             Clock::start(),
             record.clone(),
@@ -316,9 +316,10 @@
     }
     on_this_thread(async {
         let record = Record::default();
-        let opened = List::open(Rc::new(SocketNetwork), Clock::start(), record.clone(), &at).await;
+        let opened =
+            EndpointList::open(Rc::new(SocketNetwork), Clock::start(), record.clone(), &at).await;
         let (list, address) = opened.map_err(|e| format!("{listen}: {e}"))?;
-        entries.into_iter().for_each(|e| list.say(e));
+        entries.into_iter().for_each(|e| list.publish(e));
         println!("list at {address}");
         print_until_interrupted(&record).await;
         Ok(0)
@@ -464,7 +465,7 @@
         Layout::open(folder).map_err(|e| e.to_string())?,
         listen.parse()?,
     );
-    let registry = Registry::new(limit, fastrand::u64(..));
+    let registry = OciRegistry::new(limit, fastrand::u64(..));
     for (tag, digest) in layout.tags().map_err(|e| e.to_string())? {
         let (_, manifest) = layout.manifest(&tag).map_err(|e| e.to_string())?;
         let read =
--- a/crates/coordinator/tests/all/world.rs
+++ b/crates/coordinator/tests/all/world.rs
@@ -17,7 +17,7 @@
     Bound, BoundScope, Fleet, LeaseName, LeaseTerms, MemberId, MemberInfo, MemberKind, Phase,
 };
 use saltdrum_leases::journal::{Accepted, JournalDisk};
-use saltdrum_simulated_network::{Ether, Hold, Line as Wire, Lines, stoppable};
+use saltdrum_simulated_network::{Link as Wire, Links, ProcessPause, SimulatedNetwork, pausable};
 use saltdrum_transport::{Address, Clock, EventLoopClock};
 use saltdrum_trial::record::Line;
 use serde_json::{Value as Json, json};
@@ -51,13 +51,13 @@
 
 struct Life {
     task: JoinHandle<()>,
-    hold: Hold,
+    hold: ProcessPause,
 }
 
 pub struct World {
     pub clock: Clock,
     size: Size,
-    ether: Ether,
+    ether: SimulatedNetwork,
     pub rng: RefCell<fastrand::Rng>,
     disks: RefCell<BTreeMap<u32, Platter>>,
     lives: RefCell<BTreeMap<String, Life>>,
@@ -185,9 +185,9 @@
             delay: MILLISECOND,
             jitter: 2 * MILLISECOND,
         };
-        let ether = Ether::new(
+        let ether = SimulatedNetwork::new(
             clock,
-            Lines::new(usual, 0.0, seed),
+            Links::new(usual, 0.0, seed),
             EventLoopClock::default(),
         );
         let operator = ether.host("operator");
@@ -279,8 +279,8 @@
         let Ok((disk, acceptor)) = Disk::open(name.clone(), platter.opens(), new) else {
             return;
         };
-        let (network, clock, hold) = (self.ether.host(&name), self.clock, Hold::default());
-        let lasting = stoppable(hold.clone(), async move {
+        let (network, clock, hold) = (self.ether.host(&name), self.clock, ProcessPause::default());
+        let lasting = pausable(hold.clone(), async move {
             if let Err(why) = service::serve(seat, disk, acceptor, network, clock).await {
                 panic!("a steward ended: {why}");
             }
@@ -316,7 +316,11 @@
             size: self.size,
             drains: Cell::default(),
         });
-        let (network, hold, this) = (self.ether.host(&name), Hold::default(), self.clone());
+        let (network, hold, this) = (
+            self.ether.host(&name),
+            ProcessPause::default(),
+            self.clone(),
+        );
         let held = hold.clone();
         let ended_name = name.clone();
         let task = tokio::task::spawn_local(async move {
@@ -334,7 +338,7 @@
                     () = holds => unreachable!("a holder runs for ever"),
                 }
             });
-            let ended = stoppable(held, part).await;
+            let ended = pausable(held, part).await;
             let code = if ended == MembershipEnd::Drained {
                 0
             } else {
@@ -392,8 +396,8 @@
             });
         });
         let incarnation = self.next_life();
-        let (mode, hold, listen) = (self.lease_mode.get(), Hold::default(), at(name));
-        let serving = stoppable(hold.clone(), async move {
+        let (mode, hold, listen) = (self.lease_mode.get(), ProcessPause::default(), at(name));
+        let serving = pausable(hold.clone(), async move {
             let Ok(disk) = JournalDisk::open(disks.now.opens()) else {
                 return;
             };
@@ -458,7 +462,7 @@
         let (lines, clock, hold, told) = (
             self.lines.clone(),
             self.clock,
-            Hold::default(),
+            ProcessPause::default(),
             name.clone(),
         );
         let going = async move {
@@ -520,7 +524,7 @@
         let held = hold.clone();
         let task = tokio::task::spawn_local(async move {
             let local = tokio::task::LocalSet::new();
-            stoppable(held, local.run_until(going)).await;
+            pausable(held, local.run_until(going)).await;
         });
         self.lives.borrow_mut().insert(name, Life { task, hold });
     }
@@ -562,7 +566,7 @@
 
     pub fn stall(&self, name: &str, span: Duration) {
         if let Some(life) = self.lives.borrow().get(name) {
-            life.hold.stop(span);
+            life.hold.pause_for(span);
             let process = name.to_owned();
             self.lines.borrow_mut().push(Line::Stopped {
                 at_ns: ns(self.clock.now()),
@@ -586,9 +590,9 @@
             jitter: by,
         };
         if on {
-            self.ether.slow(from, to, line)
+            self.ether.add_slowdown(from, to, line)
         } else {
-            self.ether.quicken(from, to, line)
+            self.ether.remove_slowdown(from, to, line)
         }
     }
 
--- a/crates/fakes/src/invoker.rs
+++ b/crates/fakes/src/invoker.rs
@@ -1,8 +1,8 @@
 //! An invoker: sockets round a [`Machine`], and the faults it can be told to show.
 
 use crate::disk::TearingDisk;
-use crate::machine::{Ask, Build, Job, Machine, Order, Shape, Yard};
-use crate::record::{Line, Record, Try, Who};
+use crate::machine::{FunctionSpec, Job, JobSpec, Machine, MachineConfig, MachineHost, Order};
+use crate::record::{ClientAttempt, ControllerId, Line, Record};
 use bytes::BytesMut;
 use saltdrum::interface::{Effect, FunctionId, KeyScope, MILLISECOND, Ticks};
 use saltdrum_agent::{Agent, ControllerConfig, Peer};
@@ -34,67 +34,67 @@
     /// Takes work and answers nothing, until it is over; then nothing of it is answered either.
     pub hangs: bool,
     /// Share of dispatches that are answered with an error at once.
-    pub errors: f64,
+    pub error_share: f64,
     /// Share of answers that are lost on their way.
-    pub loses_answers: f64,
+    pub lost_response_share: f64,
     /// Reads nothing from its sockets.
-    pub stuck: bool,
+    pub stops_reading: bool,
     /// Nothing passes to or from these controllers.
-    pub cut_from: Vec<u32>,
+    pub partitioned_from: Vec<u32>,
     /// Of this tenant's dispatches, so many are refused for room.
-    pub refuses: Option<(String, f64)>,
+    pub rejects_tenant: Option<(String, f64)>,
     /// Of dispatches of functions whose names begin so, this share ends badly at once.
-    pub fails: Option<(String, f64)>,
+    pub fails_functions: Option<(String, f64)>,
     /// Load reports are so old.
-    pub reports_late: Ticks,
+    pub load_report_delay: Ticks,
     /// The next answers are sent by halves, and the link is closed after the half.
     pub half_frames: bool,
 }
 
 /// Tokens that invokers of one group know together.
-pub type Tokens = Rc<RefCell<BTreeMap<(u8, u16, String), Ticks>>>;
+pub type SeenTokens = Rc<RefCell<BTreeMap<(u8, u16, String), Ticks>>>;
 
 /// What an invoker needs to be put up.
-pub struct Site {
+pub struct InvokerConfig {
     pub terms: Rc<Terms>,
     pub stated: terms::Stated,
     pub network: Rc<dyn Network>,
     /// Its own, by which it works.
     pub clock: Clock,
     /// The record's, which is the same for all.
-    pub hour: Clock,
-    pub turns: EventLoopClock,
+    pub record_clock: Clock,
+    pub event_loop: EventLoopClock,
     pub record: Record,
     /// A port 0 becomes a real one at the first start, and is kept.
-    pub at: RefCell<Address>,
+    pub address: RefCell<Address>,
     pub store: Option<Address>,
-    pub tokens: Tokens,
+    pub tokens: SeenTokens,
     pub seed: u64,
     /// Share of a load that is the fetch.
     pub fetch_share: f64,
     /// Functions beyond the terms are versions of this registry.
-    pub versions: Option<FollowConfig>,
+    pub registry_follow: Option<FollowConfig>,
     /// Models come in chunks through an agent, in place of the plain store.
-    pub layers: Option<Layers>,
+    pub layers: Option<LayersConfig>,
 }
 
 /// Where an invoker's agent sits.
-pub struct Layers {
+pub struct LayersConfig {
     /// Outlives the process.
     pub folder: PathBuf,
     pub cache_bytes: u64,
     pub registry: Address,
     /// A port 0 becomes a real one at the first start, and is kept.
-    pub at: RefCell<Address>,
+    pub agent_address: RefCell<Address>,
     pub disk: Rc<TearingDisk>,
     /// By name, what each model is: copies are compared with it, whoever brought them.
     pub models: Rc<BTreeMap<String, Vec<u8>>>,
     /// Brings models in place of the agent.
-    pub brings: Option<Brings>,
+    pub fetch_model: Option<FetchModel>,
 }
 
 /// Where something that brings models finds the store, and where it may keep what it likes over its lives.
-pub struct Supply {
+pub struct ModelSource {
     pub network: Rc<dyn Network>,
     pub registry: Address,
     pub disk: Rc<dyn Disk>,
@@ -102,10 +102,10 @@
 }
 
 /// Brings the bytes of the model of this name; none where it could not be had.
-pub type Brings = fn(Supply, String) -> Pin<Box<dyn Future<Output = Option<Vec<u8>>>>>;
+pub type FetchModel = fn(ModelSource, String) -> Pin<Box<dyn Future<Output = Option<Vec<u8>>>>>;
 
 pub struct Invoker {
-    pub site: Site,
+    pub config: InvokerConfig,
     pub faults: RefCell<Faults>,
     life: RefCell<Life>,
     tasks: RefCell<JoinSet<()>>,
@@ -123,7 +123,7 @@
     cold: bool,
     up: bool,
     machine: Machine,
-    links: BTreeMap<u64, (Who, SendQueue)>,
+    links: BTreeMap<u64, (ControllerId, SendQueue)>,
     links_made: u64,
     jobs: BTreeMap<Job, Held>,
     /// What jobs of open links were: a cancel may come after the end.
@@ -136,10 +136,10 @@
 
 #[derive(Clone)]
 struct Held {
-    who: Who,
+    who: ControllerId,
     invocation: u32,
     hop: u8,
-    of: Try,
+    of: ClientAttempt,
     trigger: String,
     token: Option<String>,
     function: FunctionId,
@@ -161,26 +161,26 @@
 /// Hands what the machine says to the sockets and the record.
 struct Desk<'a> {
     this: &'a Rc<Invoker>,
-    links: &'a BTreeMap<u64, (Who, SendQueue)>,
+    links: &'a BTreeMap<u64, (ControllerId, SendQueue)>,
     jobs: &'a mut BTreeMap<Job, Held>,
     load: wire::Load,
     fetches: Vec<FunctionId>,
     rng: &'a mut fastrand::Rng,
 }
 
-impl Yard for Desk<'_> {
-    fn begins(&mut self, job: Job) -> bool {
+impl MachineHost for Desk<'_> {
+    fn begin_job(&mut self, job: Job) -> bool {
         let Some(h) = self.jobs.get(&job).cloned() else {
             return true;
         };
-        let site = &self.this.site;
-        let at = site.hour.now();
+        let site = &self.this.config;
+        let at = site.record_clock.now();
         let repeat = h
             .token
             .as_ref()
             .is_some_and(|t| site.knows(&h.trigger, t, at));
         let invoker = site.stated.invoker;
-        site.record.note(Line::Ran {
+        site.record.note(Line::Started {
             at,
             invoker,
             who: h.who,
@@ -191,7 +191,7 @@
             repeat,
         });
         if let Some(passage) = h.passage {
-            site.record.note(Line::Spoke {
+            site.record.note(Line::PassageStep {
                 at,
                 invoker,
                 of: h.of,
@@ -202,7 +202,7 @@
         !repeat
     }
 
-    fn ended(&mut self, job: Job, ended: wire::Ended, found: Option<wire::Found>, crowd: u8) {
+    fn job_ended(&mut self, job: Job, ended: wire::Ended, found: Option<wire::Found>, crowd: u8) {
         let output = match ended {
             wire::Ended::Succeeded => b"{\"heard\":true}".to_vec(),
             _ => Vec::new(),
@@ -210,9 +210,10 @@
         self.answer(job, ended, found, Some(crowd), output);
     }
 
-    fn held(&mut self, (link, order): Order, ended: wire::HoldEnded, standing: u8) {
+    fn order_ended(&mut self, (link, order): Order, ended: wire::HoldEnded, standing: u8) {
         let faults = self.this.faults.borrow();
-        let lost = |who: &Who| faults.hangs || faults.cut_from.contains(&who.controller);
+        let lost =
+            |who: &ControllerId| faults.hangs || faults.partitioned_from.contains(&who.controller);
         if let Some((_, outbox)) = self.links.get(&link).filter(|(who, _)| !lost(who)) {
             outbox.push(
                 encode(&wire::Held {
@@ -225,14 +226,14 @@
         }
     }
 
-    fn fetch(&mut self, function: FunctionId) {
+    fn begin_fetch(&mut self, function: FunctionId) {
         self.fetches.push(function);
     }
 
-    fn loaded(&mut self, function: FunctionId, took: Ticks, ok: bool) {
-        let invoker = self.this.site.stated.invoker;
-        let at = self.this.site.hour.now();
-        self.this.site.record.note(Line::Loaded {
+    fn load_ended(&mut self, function: FunctionId, took: Ticks, ok: bool) {
+        let invoker = self.this.config.stated.invoker;
+        let at = self.this.config.record_clock.now();
+        self.this.config.record.note(Line::Loaded {
             at,
             invoker,
             function,
@@ -255,8 +256,8 @@
             return;
         };
         let faults = self.this.faults.borrow();
-        let cut = faults.cut_from.contains(&h.who.controller);
-        let lost = faults.hangs || cut || self.rng.f64() < faults.loses_answers;
+        let cut = faults.partitioned_from.contains(&h.who.controller);
+        let lost = faults.hangs || cut || self.rng.f64() < faults.lost_response_share;
         let link = self.links.get(&job.0).filter(|_| !lost);
         if let Some((_, outbox)) = link {
             let frame = encode(&wire::Answer {
@@ -276,7 +277,7 @@
         }
         let told = link.is_some() && !faults.half_frames;
         let (invoker, ended) = (
-            self.this.site.stated.invoker,
+            self.this.config.stated.invoker,
             format!("{ended:?}").to_lowercase(),
         );
         let Held {
@@ -286,7 +287,7 @@
             of,
             ..
         } = h;
-        let at = self.this.site.hour.now();
+        let at = self.this.config.record_clock.now();
         let line = Line::Ended {
             at,
             invoker,
@@ -295,13 +296,13 @@
             hop,
             of,
             ended,
-            told,
+            response_sent: told,
         };
-        self.this.site.record.note(line);
+        self.this.config.record.note(line);
     }
 }
 
-impl Site {
+impl InvokerConfig {
     fn trigger(&self, name: &str) -> Option<&saltdrum::interface::TriggerType> {
         let at = self.terms.trigger_names.iter().position(|t| t == name)?;
         self.terms.deployment.trigger_types.get(at)
@@ -336,7 +337,7 @@
     fn machine(&self, now: Ticks, cold: bool) -> Machine {
         let (kind, d) = (&self.terms.kinds[self.stated.kind], &self.terms.deployment);
         let per_core = |n: u32| (n * kind.cores) as usize;
-        let build = Build {
+        let build = MachineConfig {
             cores: kind.cores.into(),
             speed: kind.speed,
             memory: kind.memory.0,
@@ -355,10 +356,10 @@
             let start = (load * (1.0 - self.fetch_share)) as Ticks;
             (
                 f.id,
-                Shape {
+                FunctionSpec {
                     memory: f.memory,
                     lanes: f.lanes as usize,
-                    start,
+                    start_time: start,
                 },
             )
         };
@@ -371,7 +372,7 @@
 }
 
 impl Invoker {
-    pub fn new(site: Site) -> Rc<Self> {
+    pub fn new(site: InvokerConfig) -> Rc<Self> {
         let now = site.clock.now();
         let life = Life {
             incarnation: 0,
@@ -389,7 +390,7 @@
             agent: None,
         };
         Rc::new(Self {
-            site,
+            config: site,
             faults: RefCell::default(),
             life: RefCell::new(life),
             tasks: RefCell::default(),
@@ -400,12 +401,12 @@
     }
 
     /// Its next life is this one. Lives of separate processes are told apart by a number drawn at each start.
-    pub fn next_life(&self, incarnation: u64) {
+    pub fn set_next_incarnation(&self, incarnation: u64) {
         self.life.borrow_mut().incarnation = incarnation - 1;
     }
 
     /// Work in hand: dispatches that are not answered yet.
-    pub fn in_hand(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.life.borrow().jobs.len()
     }
 
@@ -415,30 +416,31 @@
         cold: bool,
         holds: &[FunctionId],
     ) -> std::io::Result<Address> {
-        let at = self.site.at.borrow().clone();
-        let (mut door, address) = self.site.network.listen(&at).await?;
-        *self.site.at.borrow_mut() = address.clone();
-        let agent = match &self.site.layers {
+        let at = self.config.address.borrow().clone();
+        let (mut door, address) = self.config.network.listen(&at).await?;
+        *self.config.address.borrow_mut() = address.clone();
+        let agent = match &self.config.layers {
             None
-            | Some(Layers {
-                brings: Some(_), ..
+            | Some(LayersConfig {
+                fetch_model: Some(_),
+                ..
             }) => None,
             Some(layers) => Some(self.start_agent(layers).await?),
         };
-        let now = self.site.clock.now();
+        let now = self.config.clock.now();
         let incarnation = {
             let life = &mut *self.life.borrow_mut();
             life.incarnation += 1;
             (life.started, life.cold, life.up) = (now, cold, true);
-            life.machine = self.site.machine(now, cold);
-            life.machine.hold_from_the_start(holds.iter().copied());
+            life.machine = self.config.machine(now, cold);
+            life.machine.preload(holds.iter().copied());
             life.moved = Rc::default();
             life.agent = agent;
             life.incarnation
         };
-        let invoker = self.site.stated.invoker;
-        let at = self.site.hour.now();
-        self.site.record.note(Line::Invoker {
+        let invoker = self.config.stated.invoker;
+        let at = self.config.record_clock.now();
+        self.config.record.note(Line::Invoker {
             at,
             invoker,
             incarnation,
@@ -460,11 +462,11 @@
             }
         });
         tasks.spawn_local(async move { ticking.run().await });
-        if let Some(of) = &self.site.versions {
+        if let Some(of) = &self.config.registry_follow {
             let (of, network, seed) = (
                 of.clone(),
-                self.site.network.clone(),
-                self.site.seed ^ 0x4e61,
+                self.config.network.clone(),
+                self.config.seed ^ 0x4e61,
             );
             let this = Rc::downgrade(self);
             let hear = move |heard| {
@@ -526,14 +528,14 @@
         }
         let (v, start) = (
             &held.version,
-            1_000.0 * MILLISECOND as f64 * (1.0 - self.site.fetch_share),
+            1_000.0 * MILLISECOND as f64 * (1.0 - self.config.fetch_share),
         );
-        let shape = Shape {
+        let shape = FunctionSpec {
             memory: v.memory_mb as f64,
             lanes: v.lanes as usize,
-            start: start as Ticks,
+            start_time: start as Ticks,
         };
-        self.life.borrow_mut().machine.learn(function, shape);
+        self.life.borrow_mut().machine.add_function(function, shape);
         self.models
             .borrow_mut()
             .insert(function, (model.to_string(), version.to_string()));
@@ -558,7 +560,7 @@
             }
         }
         let stated = self
-            .site
+            .config
             .terms
             .functions
             .values()
@@ -567,18 +569,18 @@
         (name.to_owned(), "current".into(), name.to_owned())
     }
 
-    async fn start_agent(&self, layers: &Layers) -> std::io::Result<Rc<Agent>> {
-        let at = layers.at.borrow().clone();
-        let (door, address) = self.site.network.listen(&at).await?;
-        *layers.at.borrow_mut() = address;
+    async fn start_agent(&self, layers: &LayersConfig) -> std::io::Result<Rc<Agent>> {
+        let at = layers.agent_address.borrow().clone();
+        let (door, address) = self.config.network.listen(&at).await?;
+        *layers.agent_address.borrow_mut() = address;
         let cache = Cache::open(&layers.folder, layers.cache_bytes, layers.disk.clone())?;
         let seat = ControllerConfig {
-            me: self.site.stated.invoker,
-            seed: self.site.seed ^ 0xa6e7,
+            me: self.config.stated.invoker,
+            seed: self.config.seed ^ 0xa6e7,
             store: layers.registry.clone(),
             serve_bytes_per_second: 200e6,
         };
-        let agent = Agent::new(seat, cache, self.site.network.clone(), self.site.clock);
+        let agent = Agent::new(seat, cache, self.config.network.clone(), self.config.clock);
         self.tasks
             .borrow_mut()
             .spawn_local(agent.clone().serve(door));
@@ -591,7 +593,7 @@
     }
 
     /// Tells its agent of the list as it is now.
-    pub fn peers(&self, peers: &[Peer]) {
+    pub fn set_peers(&self, peers: &[Peer]) {
         if let Some(agent) = &self.life.borrow().agent {
             agent.listed(peers);
         }
@@ -600,7 +602,7 @@
     /// The process dies: links, work and copies are gone.
     pub fn crash(&self) {
         self.tasks.borrow_mut().abort_all();
-        let at = self.site.hour.now();
+        let at = self.config.record_clock.now();
         let life = &mut *self.life.borrow_mut();
         life.links.clear();
         life.jobs.clear();
@@ -608,8 +610,8 @@
             agent.kill();
         }
         life.up = false;
-        let (invoker, incarnation) = (self.site.stated.invoker, life.incarnation);
-        self.site.record.note(Line::Invoker {
+        let (invoker, incarnation) = (self.config.stated.invoker, life.incarnation);
+        self.config.record.note(Line::Invoker {
             at,
             invoker,
             incarnation,
@@ -621,11 +623,11 @@
     /// As `crash`; of what its disk took in the last `late`, each write is torn with a chance of `part`, once nothing
     /// holds the files any more. Tells how many were.
     pub async fn lose_power(&self, late: Ticks, part: f64) -> std::io::Result<usize> {
-        let since = self.site.clock.now().saturating_sub(late);
+        let since = self.config.clock.now().saturating_sub(late);
         self.crash();
         // What was aborted is dropped when its turn comes, and with it the files that it holds.
         tokio::time::sleep(Duration::from_millis(1)).await;
-        let Some(layers) = &self.site.layers else {
+        let Some(layers) = &self.config.layers else {
             return Ok(0);
         };
         layers
@@ -639,28 +641,32 @@
 
     /// Its line on the list, as it is now.
     pub fn entry(&self, state: list::Life) -> list::Entry {
-        let (life, stated) = (self.life.borrow(), &self.site.stated);
-        let age = self.site.clock.now() - life.started;
+        let (life, stated) = (self.life.borrow(), &self.config.stated);
+        let age = self.config.clock.now() - life.started;
         list::Entry {
             invoker: stated.invoker,
-            address: self.site.at.borrow().to_string(),
+            address: self.config.address.borrow().to_string(),
             zone: stated.zone,
             kind: stated.kind as u16,
             cell: stated.cell,
             life: state,
-            size: self.site.terms.size(stated.kind),
+            size: self.config.terms.size(stated.kind),
             incarnation: life.incarnation,
             age_tenths: if life.cold {
                 age
             } else {
-                age + 3 * self.site.terms.deployment.warm_up_time
+                age + 3 * self.config.terms.deployment.warm_up_time
             },
-            agent: self.site.layers.as_ref().map(|l| l.at.borrow().to_string()),
+            agent: self
+                .config
+                .layers
+                .as_ref()
+                .map(|l| l.agent_address.borrow().to_string()),
         }
     }
 
     /// Lets faults begin or end.
-    pub fn fault(&self, change: impl FnOnce(&mut Faults, &mut Machine)) {
+    pub fn update_faults(&self, change: impl FnOnce(&mut Faults, &mut Machine)) {
         change(
             &mut self.faults.borrow_mut(),
             &mut self.life.borrow_mut().machine,
@@ -675,7 +681,7 @@
 
     /// Lets the machine work on something, and sees to what it asks for.
     fn with(self: &Rc<Self>, then: impl FnOnce(&mut Machine, Ticks, &mut Desk)) {
-        let (now, faults) = (self.site.clock.now(), self.faults.borrow().clone());
+        let (now, faults) = (self.config.clock.now(), self.faults.borrow().clone());
         let life = &mut *self.life.borrow_mut();
         let (busy, waiting) = life.machine.load();
         let fresh = wire::Load {
@@ -686,7 +692,7 @@
         let old = life
             .reports
             .iter()
-            .rposition(|(at, _)| at + faults.reports_late <= now)
+            .rposition(|(at, _)| at + faults.load_report_delay <= now)
             .unwrap_or(0);
         life.reports.drain(..old);
         let load = life.reports[0].1;
@@ -711,7 +717,7 @@
         while tasks.try_join_next().is_some() {}
         tasks.spawn_local(async move {
             let ok = this.fetch(function).await;
-            this.with(|machine, now, yard| machine.fetched(now, function, ok, yard));
+            this.with(|machine, now, yard| machine.fetch_ended(now, function, ok, yard));
         });
     }
 
@@ -719,12 +725,12 @@
         loop {
             let (next, moved) = {
                 let life = self.life.borrow();
-                (life.machine.next(), life.moved.clone())
+                (life.machine.next_event_at(), life.moved.clone())
             };
-            let at = next.unwrap_or(self.site.clock.now() + 1_000 * MILLISECOND);
+            let at = next.unwrap_or(self.config.clock.now() + 1_000 * MILLISECOND);
             tokio::select! {
                 biased;
-                () = self.site.clock.sleep_until(at) => {
+                () = self.config.clock.sleep_until(at) => {
                     self.with(|machine, now, yard| machine.advance(now, yard));
                     moved.notified().await;
                 }
@@ -735,40 +741,40 @@
 
     async fn fetch(&self, function: FunctionId) -> bool {
         let stated = self
-            .site
+            .config
             .terms
             .functions
             .values()
             .find(|f| f.id == function);
         let load = stated.and_then(|f| f.load).unwrap_or(1_000 * MILLISECOND) as f64;
-        let usual_tenths = (load * self.site.fetch_share) as Ticks;
-        if let Some(layers) = &self.site.layers {
+        let usual_tenths = (load * self.config.fetch_share) as Ticks;
+        if let Some(layers) = &self.config.layers {
             let (name, reference, known_as) = self.model(function);
             // The copy is in memory from here on; its chunks need not be pinned any more.
             let Some(copy) = self.bring(layers, &name, &reference).await else {
                 return false;
             };
-            let (at, invoker) = (self.site.hour.now(), self.site.stated.invoker);
+            let (at, invoker) = (self.config.record_clock.now(), self.config.stated.invoker);
             let sound = layers.models.get(&known_as).is_some_and(|m| *m == copy);
-            self.site.record.note(Line::Copied {
+            self.config.record.note(Line::CopyAssembled {
                 at,
                 invoker,
                 function,
-                sound,
+                matches_model: sound,
             });
             return true;
         }
-        let Some(store) = &self.site.store else {
+        let Some(store) = &self.config.store else {
             tokio::time::sleep(Duration::from_micros(usual_tenths * 100)).await;
             return true;
         };
         let fetch = encode(&store::Fetch {
-            invoker: self.site.stated.invoker,
+            invoker: self.config.stated.invoker,
             function,
             usual_tenths,
         });
         for tried in 0..3u32 {
-            let Ok(mut stream) = self.site.network.dial(store).await else {
+            let Ok(mut stream) = self.config.network.dial(store).await else {
                 return false;
             };
             if stream.write_all(&fetch).await.is_err() {
@@ -800,7 +806,8 @@
 
     /// A version of which no source holds is told to the registry: someone has to push it again, or withdraw it.
     async fn tell_corrupt(&self, why: &saltdrum_agent::Fault, reference: &str) {
-        let (saltdrum_agent::Fault::Corrupt { .. }, Some(of)) = (why, &self.site.versions) else {
+        let (saltdrum_agent::Fault::Corrupt { .. }, Some(of)) = (why, &self.config.registry_follow)
+        else {
             return;
         };
         let said = self.book.borrow().versions.iter().find_map(|((model, version), held)| {
@@ -808,7 +815,7 @@
             it.then(|| serde_json::json!({"model": model, "version": version, "why": why.to_string()}))
         });
         let Some(said) = said else { return };
-        let (of, network) = (of.clone(), self.site.network.clone());
+        let (of, network) = (of.clone(), self.config.network.clone());
         tokio::task::spawn_local(async move {
             let telling = async {
                 let mut caller = RegistryClient::connect(&network, &of.registry, &of.key).await?;
@@ -819,12 +826,12 @@
         });
     }
 
-    async fn bring(&self, layers: &Layers, name: &str, reference: &str) -> Option<Vec<u8>> {
-        if let Some(brings) = layers.brings {
-            let (network, registry) = (self.site.network.clone(), layers.registry.clone());
+    async fn bring(&self, layers: &LayersConfig, name: &str, reference: &str) -> Option<Vec<u8>> {
+        if let Some(brings) = layers.fetch_model {
+            let (network, registry) = (self.config.network.clone(), layers.registry.clone());
             let (disk, folder) = (layers.disk.clone(), layers.folder.clone());
             return brings(
-                Supply {
+                ModelSource {
                     network,
                     registry,
                     disk,
@@ -857,7 +864,8 @@
     }
 
     async fn unstuck(&self, from: Option<u32>) {
-        let stuck = |f: &Faults| f.stuck || from.is_some_and(|c| f.cut_from.contains(&c));
+        let stuck =
+            |f: &Faults| f.stops_reading || from.is_some_and(|c| f.partitioned_from.contains(&c));
         while stuck(&self.faults.borrow()) {
             self.calm.notified().await;
         }
@@ -866,8 +874,12 @@
     async fn attend(self: Rc<Self>, stream: Stream) {
         self.unstuck(None).await;
         let (input, mut output) = split(stream);
-        let clock = self.site.clock;
-        let mut read = ArrivalReader::new(input, self.site.hour, self.site.turns.clone());
+        let clock = self.config.clock;
+        let mut read = ArrivalReader::new(
+            input,
+            self.config.record_clock,
+            self.config.event_loop.clone(),
+        );
         let Some((kind, body, _)) = next_frame(&mut read).await else {
             return;
         };
@@ -876,7 +888,7 @@
             _ => return,
         };
         self.unstuck(Some(hello.controller)).await;
-        let invoker = self.site.stated.invoker;
+        let invoker = self.config.stated.invoker;
         let version = match wire::agree(&hello) {
             Ok(version) if hello.invoker == invoker => version,
             refused => {
@@ -888,7 +900,7 @@
                 return;
             }
         };
-        let who = Who {
+        let who = ControllerId {
             controller: hello.controller,
             incarnation: hello.incarnation,
         };
@@ -901,7 +913,7 @@
             let age_tenths = if life.cold {
                 age
             } else {
-                age + 3 * self.site.terms.deployment.warm_up_time
+                age + 3 * self.config.terms.deployment.warm_up_time
             };
             let welcome = wire::Welcome {
                 version,
@@ -925,7 +937,12 @@
         self.with(|machine, now, yard| machine.link_lost(now, link, yard));
     }
 
-    async fn hear(self: &Rc<Self>, link: u64, who: Who, read: &mut ArrivalReader<StreamHalf>) {
+    async fn hear(
+        self: &Rc<Self>,
+        link: u64,
+        who: ControllerId,
+        read: &mut ArrivalReader<StreamHalf>,
+    ) {
         loop {
             self.unstuck(Some(who.controller)).await;
             let Some((kind, body, earliest)) = next_frame(read).await else {
@@ -934,14 +951,14 @@
             let Ok(message) = wire::FromController::read(kind, &body) else {
                 return;
             };
-            let (at, invoker) = (self.site.hour.now(), self.site.stated.invoker);
+            let (at, invoker) = (self.config.record_clock.now(), self.config.stated.invoker);
             match message {
                 wire::FromController::Dispatch(d) => self.take(link, who, d, earliest),
                 wire::FromController::Cancel(c) => {
                     if let Some((invocation, hop)) =
                         self.life.borrow().past.get(&(link, c.dispatch)).copied()
                     {
-                        self.site.record.note(Line::Cancelled {
+                        self.config.record.note(Line::Cancelled {
                             at,
                             invoker,
                             who,
@@ -954,7 +971,7 @@
                 wire::FromController::Hold(h) => {
                     let (function, count) = (h.function, h.count);
                     self.learn(function, &h.name);
-                    self.site.record.note(Line::Ordered {
+                    self.config.record.note(Line::LoadOrdered {
                         at,
                         earliest,
                         invoker,
@@ -963,7 +980,7 @@
                         count,
                     });
                     self.with(|machine, now, yard| {
-                        machine.hold(now, (link, h.order), function, count, yard)
+                        machine.order_copies(now, (link, h.order), function, count, yard)
                     });
                 }
                 wire::FromController::Unload(u) => {
@@ -990,20 +1007,20 @@
         }
     }
 
-    fn take(self: &Rc<Self>, link: u64, who: Who, d: wire::Dispatch, earliest: Ticks) {
-        let (at, job) = (self.site.hour.now(), (link, d.dispatch));
+    fn take(self: &Rc<Self>, link: u64, who: ControllerId, d: wire::Dispatch, earliest: Ticks) {
+        let (at, job) = (self.config.record_clock.now(), (link, d.dispatch));
         let input: Input = serde_json::from_slice(&d.input).unwrap_or_default();
-        let of = Try {
-            n: input.n,
+        let of = ClientAttempt {
+            number: input.n,
             attempt: input.attempt,
         };
         let (invoker, invocation, hop, trigger) = (
-            self.site.stated.invoker,
+            self.config.stated.invoker,
             d.invocation,
             d.hop,
             d.trigger.clone(),
         );
-        self.site.record.note(Line::Dispatched {
+        self.config.record.note(Line::Dispatched {
             at,
             earliest,
             invoker,
@@ -1027,23 +1044,26 @@
         };
         self.life.borrow_mut().past.insert(job, (invocation, hop));
         let faults = self.faults.borrow().clone();
-        let fails = faults.fails.as_ref().is_some_and(|(begin, share)| {
-            d.name.starts_with(begin) && self.life.borrow_mut().rng.f64() < *share
-        });
-        let ask = Ask {
+        let fails = faults
+            .fails_functions
+            .as_ref()
+            .is_some_and(|(begin, share)| {
+                d.name.starts_with(begin) && self.life.borrow_mut().rng.f64() < *share
+            });
+        let ask = JobSpec {
             function: d.function,
             work: input.work_ms * MILLISECOND as f64,
-            expires: self.site.clock.now() + d.left_tenths,
+            expires: self.config.clock.now() + d.left_tenths,
         };
         self.with(|machine, now, yard| {
             yard.jobs.insert(job, held);
             let refused = faults
-                .refuses
+                .rejects_tenant
                 .as_ref()
                 .is_some_and(|(t, share)| *t == d.tenant && yard.rng.f64() < *share);
             if refused {
                 yard.answer(job, wire::Ended::Full, None, None, Vec::new());
-            } else if yard.rng.f64() < faults.errors || fails {
+            } else if yard.rng.f64() < faults.error_share || fails {
                 yard.answer(
                     job,
                     wire::Ended::Errored,
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -14,7 +14,7 @@
 pub mod store;
 
 pub use invoker::{Faults, Invoker};
-pub use list::List;
+pub use list::EndpointList;
 pub use record::{Line, Record};
-pub use registry::Registry;
-pub use store::Store;
+pub use registry::OciRegistry;
+pub use store::ModelStore;
--- a/crates/fakes/src/list.rs
+++ b/crates/fakes/src/list.rs
@@ -1,6 +1,6 @@
 //! The invoker list: whole first, changes after; late by its notice, and lost when told so.
 
-use crate::record::{Line, Record, Who};
+use crate::record::{ControllerId, Line, Record};
 use bytes::BytesMut;
 use saltdrum::interface::Ticks;
 use saltdrum_protocol::frame::{cut, encode};
@@ -12,14 +12,14 @@
 use tokio::io::AsyncReadExt;
 use tokio::task::JoinSet;
 
-pub struct List {
+pub struct EndpointList {
     clock: Clock,
     record: Record,
     network: Rc<dyn Network>,
     at: RefCell<Address>,
     entries: RefCell<BTreeMap<u32, (Entry, Ticks)>>,
     revision: Cell<u64>,
-    followers: RefCell<Vec<(Who, SendQueue)>>,
+    followers: RefCell<Vec<(ControllerId, SendQueue)>>,
     tasks: RefCell<JoinSet<()>>,
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-impl List {
+impl EndpointList {
     /// Listens and serves on the `LocalSet` it is called on; gives where.
     pub async fn open(
         network: Rc<dyn Network>,
@@ -49,12 +49,12 @@
             followers: RefCell::default(),
             tasks: RefCell::default(),
         });
-        let address = list.come_back().await?;
+        let address = list.resume().await?;
         Ok((list, address))
     }
 
     /// Serves again after [`Self::lose`].
-    pub async fn come_back(self: &Rc<Self>) -> std::io::Result<Address> {
+    pub async fn resume(self: &Rc<Self>) -> std::io::Result<Address> {
         let at = self.at.borrow().clone();
         let (mut door, address) = self.network.listen(&at).await?;
         *self.at.borrow_mut() = address.clone();
@@ -72,7 +72,7 @@
     }
 
     /// Every follower is cut off, and nobody answers.
-    pub fn lose(&self) {
+    pub fn stop(&self) {
         self.tasks.borrow_mut().abort_all();
         self.followers.borrow_mut().clear();
     }
@@ -93,7 +93,7 @@
         let Ok(ToList::Follow(f)) = follow else {
             return;
         };
-        let who = Who {
+        let who = ControllerId {
             controller: f.controller,
             incarnation: f.incarnation,
         };
@@ -133,11 +133,11 @@
         }
     }
 
-    fn note_told(&self, who: Who, entries: &[Entry]) {
+    fn note_told(&self, who: ControllerId, entries: &[Entry]) {
         let at = self.clock.now();
         for e in entries {
             let life = word(e.life).to_owned();
-            let line = Line::Told {
+            let line = Line::EndpointSent {
                 at,
                 who,
                 invoker: e.invoker,
@@ -149,7 +149,7 @@
     }
 
     /// A line is new or other than before; all who follow hear of it.
-    pub fn say(&self, entry: Entry) {
+    pub fn publish(&self, entry: Entry) {
         let now = self.clock.now();
         self.revision.set(self.revision.get() + 1);
         let change = FromList::Change(Change {
--- a/crates/fakes/src/machine.rs
+++ b/crates/fakes/src/machine.rs
@@ -13,19 +13,19 @@
 pub type Order = (u64, u64);
 
 /// What the machine asks for and answers.
-pub trait Yard {
+pub trait MachineHost {
     /// Begins to run. False: it is known by its token, and is answered without running.
-    fn begins(&mut self, job: Job) -> bool;
-    fn ended(&mut self, job: Job, ended: Ended, found: Option<Found>, crowd: u8);
-    fn held(&mut self, order: Order, ended: HoldEnded, standing: u8);
+    fn begin_job(&mut self, job: Job) -> bool;
+    fn job_ended(&mut self, job: Job, ended: Ended, found: Option<Found>, crowd: u8);
+    fn order_ended(&mut self, order: Order, ended: HoldEnded, standing: u8);
     /// [`Machine::fetched`] is to follow.
-    fn fetch(&mut self, function: FunctionId);
-    fn loaded(&mut self, function: FunctionId, took: Ticks, ok: bool);
+    fn begin_fetch(&mut self, function: FunctionId);
+    fn load_ended(&mut self, function: FunctionId, took: Ticks, ok: bool);
 }
 
 /// What a machine can do, and what it is like.
 #[derive(Clone, Debug)]
-pub struct Build {
+pub struct MachineConfig {
     pub cores: f64,
     pub speed: f64,
     pub memory: f64,
@@ -45,7 +45,7 @@
 
 /// A dispatch as the machine needs it.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct JobSpec {
     pub function: FunctionId,
     /// Core time at speed 1.
     pub work: f64,
@@ -53,7 +53,7 @@
 }
 
 struct Task {
-    ask: Ask,
+    ask: JobSpec,
     left: f64,
     running: bool,
     found: Option<Found>,
@@ -68,11 +68,11 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct FunctionSpec {
     pub memory: f64,
     pub lanes: usize,
     /// Of the load, without the fetch.
-    pub start: Ticks,
+    pub start_time: Ticks,
 }
 
 #[derive(Default)]
@@ -84,8 +84,8 @@
 }
 
 pub struct Machine {
-    pub build: Build,
-    shapes: BTreeMap<FunctionId, Shape>,
+    pub config: MachineConfig,
+    shapes: BTreeMap<FunctionId, FunctionSpec>,
     now: Ticks,
     tasks: BTreeMap<Job, Task>,
     waiting: VecDeque<Job>,
@@ -104,9 +104,13 @@
 const STEP: Ticks = 20 * MILLISECOND;
 
 impl Machine {
-    pub fn new(now: Ticks, build: Build, shapes: BTreeMap<FunctionId, Shape>) -> Self {
+    pub fn new(
+        now: Ticks,
+        build: MachineConfig,
+        shapes: BTreeMap<FunctionId, FunctionSpec>,
+    ) -> Self {
         Self {
-            build,
+            config: build,
             shapes,
             now,
             tasks: BTreeMap::new(),
@@ -122,17 +126,17 @@
     }
 
     /// A function that came later than the machine. What is known of one never changes.
-    pub fn learn(&mut self, function: FunctionId, shape: Shape) {
+    pub fn add_function(&mut self, function: FunctionId, shape: FunctionSpec) {
         self.shapes.entry(function).or_insert(shape);
     }
 
     /// Part of the full capacity it has now.
     fn risen(&self) -> f64 {
-        let Some(started) = self.build.started else {
+        let Some(started) = self.config.started else {
             return 1.0;
         };
-        let age = self.now.saturating_sub(started) as f64 / self.build.cold_time.max(1) as f64;
-        (self.build.cold_share + (1.0 - self.build.cold_share) * age).min(1.0)
+        let age = self.now.saturating_sub(started) as f64 / self.config.cold_time.max(1) as f64;
+        (self.config.cold_share + (1.0 - self.config.cold_share) * age).min(1.0)
     }
 
     fn running(&self) -> usize {
@@ -143,12 +147,12 @@
     fn pace(&self) -> f64 {
         let users = self.running() + self.loads.iter().filter(|l| l.start_left.is_some()).count();
         let aged = self.ageing * self.now.saturating_sub(self.aged_from) as f64 / 10_000.0;
-        let share = (self.build.cores * self.risen() / users.max(1) as f64).min(1.0);
-        self.build.speed * share / (self.slowness + aged)
+        let share = (self.config.cores * self.risen() / users.max(1) as f64).min(1.0);
+        self.config.speed * share / (self.slowness + aged)
     }
 
     /// When something will change by itself.
-    pub fn next(&self) -> Option<Ticks> {
+    pub fn next_event_at(&self) -> Option<Ticks> {
         let pace = self.pace().max(1e-6);
         let due = |left: f64| self.now + ((left / pace).ceil() as Ticks).max(1);
         let tasks = self
@@ -167,7 +171,7 @@
             .copies
             .values()
             .filter(|c| c.standing > 0 && c.running == 0);
-        let idle = idle.map(|c| c.idle_since + self.build.keep_alive).min();
+        let idle = idle.map(|c| c.idle_since + self.config.keep_alive).min();
         let expiry = self
             .waiting
             .iter()
@@ -188,11 +192,11 @@
     }
 
     /// Lets time pass.
-    pub fn advance(&mut self, now: Ticks, yard: &mut dyn Yard) {
+    pub fn advance(&mut self, now: Ticks, yard: &mut dyn MachineHost) {
         while self.now < now {
-            let upto = self.next().unwrap_or(now).min(now);
+            let upto = self.next_event_at().unwrap_or(now).min(now);
             let done = self.pace() * (upto - self.now) as f64;
-            self.busy = (self.running() as f64 / self.build.cores).min(1.0);
+            self.busy = (self.running() as f64 / self.config.cores).min(1.0);
             self.now = upto;
             self.tasks
                 .values_mut()
@@ -217,7 +221,7 @@
                     at += 1;
                 }
             }
-            let (now, keep) = (self.now, self.build.keep_alive);
+            let (now, keep) = (self.now, self.config.keep_alive);
             for c in self
                 .copies
                 .values_mut()
@@ -237,7 +241,7 @@
         }
     }
 
-    fn finish(&mut self, job: Job, ended: Ended, yard: &mut dyn Yard) {
+    fn finish(&mut self, job: Job, ended: Ended, yard: &mut dyn MachineHost) {
         let Some(task) = self.tasks.remove(&job) else {
             return;
         };
@@ -250,12 +254,12 @@
             c.running -= 1;
             c.idle_since = self.now;
         }
-        yard.ended(job, ended, task.found, task.crowd);
+        yard.job_ended(job, ended, task.found, task.crowd);
     }
 
-    fn start_what_can(&mut self, yard: &mut dyn Yard) {
+    fn start_what_can(&mut self, yard: &mut dyn MachineHost) {
         let mut at = 0;
-        while at < self.waiting.len() && self.running() < self.build.slots {
+        while at < self.waiting.len() && self.running() < self.config.slots {
             let job = self.waiting[at];
             let function = self.tasks[&job].ask.function;
             let lanes = self.shapes.get(&function).map_or(1, |s| s.lanes);
@@ -267,13 +271,13 @@
             self.waiting.remove(at);
             c.running += 1;
             self.tasks.get_mut(&job).expect("it waits").running = true;
-            if !yard.begins(job) {
+            if !yard.begin_job(job) {
                 self.finish(job, Ended::Succeeded, yard);
             }
         }
     }
 
-    pub fn dispatch(&mut self, now: Ticks, job: Job, ask: Ask, yard: &mut dyn Yard) {
+    pub fn dispatch(&mut self, now: Ticks, job: Job, ask: JobSpec, yard: &mut dyn MachineHost) {
         self.advance(now, yard);
         let function = ask.function;
         let held = self
@@ -282,21 +286,21 @@
             .filter(|t| t.ask.function == function)
             .count();
         let crowd = held.min(30) as u8;
-        if self.waiting.len() >= self.build.queue || !self.shapes.contains_key(&function) {
-            return yard.ended(job, Ended::Full, None, crowd);
+        if self.waiting.len() >= self.config.queue || !self.shapes.contains_key(&function) {
+            return yard.job_ended(job, Ended::Full, None, crowd);
         }
         let standing = self.copies.get(&function).is_some_and(|c| c.standing > 0);
         let loading = self.is_loading(function);
         let found = match (standing, loading) {
             (true, _) => Found::Warm,
             (false, true) => Found::JoinedLoad,
-            (false, false) if self.build.misses => {
-                return yard.ended(job, Ended::Miss, None, crowd);
+            (false, false) if self.config.misses => {
+                return yard.job_ended(job, Ended::Miss, None, crowd);
             }
             (false, false) => Found::BeganLoad,
         };
         if found == Found::BeganLoad && !self.begin_load(function, yard) {
-            return yard.ended(job, Ended::Full, None, crowd);
+            return yard.job_ended(job, Ended::Full, None, crowd);
         }
         let left = ask.work.max(1.0);
         self.tasks.insert(
@@ -314,12 +318,12 @@
     }
 
     /// Stops it if it waits, or runs and the build allows.
-    pub fn cancel(&mut self, now: Ticks, job: Job, yard: &mut dyn Yard) {
+    pub fn cancel(&mut self, now: Ticks, job: Job, yard: &mut dyn MachineHost) {
         self.advance(now, yard);
         if self
             .tasks
             .get(&job)
-            .is_some_and(|t| !t.running || self.build.stops_running)
+            .is_some_and(|t| !t.running || self.config.stops_running)
         {
             self.finish(job, Ended::Cancelled, yard);
             self.start_what_can(yard);
@@ -356,12 +360,12 @@
     }
 
     /// False: no memory to be had, or too many loads wait.
-    fn begin_load(&mut self, function: FunctionId, yard: &mut dyn Yard) -> bool {
+    fn begin_load(&mut self, function: FunctionId, yard: &mut dyn MachineHost) -> bool {
         let need = self.shapes[&function].memory;
-        if self.loads.len() + self.loads_waiting.len() >= 3 * self.build.loads_at_once {
+        if self.loads.len() + self.loads_waiting.len() >= 3 * self.config.loads_at_once {
             return false;
         }
-        while self.memory_taken() + need > self.build.memory {
+        while self.memory_taken() + need > self.config.memory {
             let idle = self
                 .copies
                 .iter()
@@ -376,8 +380,8 @@
         true
     }
 
-    fn next_load(&mut self, yard: &mut dyn Yard) {
-        while self.loads.len() < self.build.loads_at_once {
+    fn next_load(&mut self, yard: &mut dyn MachineHost) {
+        while self.loads.len() < self.config.loads_at_once {
             let Some(function) = self.loads_waiting.pop_front() else {
                 return;
             };
@@ -386,12 +390,18 @@
                 began: self.now,
                 start_left: None,
             });
-            yard.fetch(function);
+            yard.begin_fetch(function);
         }
     }
 
     /// A fetch that [`Yard::fetch`] asked for has ended.
-    pub fn fetched(&mut self, now: Ticks, function: FunctionId, ok: bool, yard: &mut dyn Yard) {
+    pub fn fetch_ended(
+        &mut self,
+        now: Ticks,
+        function: FunctionId,
+        ok: bool,
+        yard: &mut dyn MachineHost,
+    ) {
         self.advance(now, yard);
         let at = self
             .loads
@@ -399,11 +409,11 @@
             .position(|l| l.function == function && l.start_left.is_none());
         let Some(at) = at else { return };
         if ok {
-            self.loads[at].start_left = Some(self.shapes[&function].start as f64);
+            self.loads[at].start_left = Some(self.shapes[&function].start_time as f64);
             return;
         }
         let load = self.loads.remove(at);
-        yard.loaded(function, self.now - load.began, false);
+        yard.load_ended(function, self.now - load.began, false);
         if !self.is_loading(function) && self.copies.get(&function).is_none_or(|c| c.standing == 0)
         {
             let waiting: Vec<Job> = self
@@ -421,11 +431,11 @@
         let standing = c.standing as u8;
         std::mem::take(&mut c.holds)
             .into_iter()
-            .for_each(|(o, _)| yard.held(o, HoldEnded::LoadFailed, standing));
+            .for_each(|(o, _)| yard.order_ended(o, HoldEnded::LoadFailed, standing));
         self.next_load(yard);
     }
 
-    fn stands(&mut self, load: Load, yard: &mut dyn Yard) {
+    fn stands(&mut self, load: Load, yard: &mut dyn MachineHost) {
         let now = self.now;
         let c = self.copies.entry(load.function).or_default();
         c.standing += 1;
@@ -435,21 +445,21 @@
             .into_iter()
             .partition(|(_, count)| *count <= standing);
         c.holds = unmet;
-        yard.loaded(load.function, now - load.began, true);
+        yard.load_ended(load.function, now - load.began, true);
         let met: Vec<(Order, usize)> = met;
         met.into_iter()
-            .for_each(|(o, _)| yard.held(o, HoldEnded::Standing, standing as u8));
+            .for_each(|(o, _)| yard.order_ended(o, HoldEnded::Standing, standing as u8));
         self.next_load(yard);
     }
 
     /// An order to hold so many copies; 0 only asks.
-    pub fn hold(
+    pub fn order_copies(
         &mut self,
         now: Ticks,
         order: Order,
         function: FunctionId,
         count: u8,
-        yard: &mut dyn Yard,
+        yard: &mut dyn MachineHost,
     ) {
         self.advance(now, yard);
         let standing = self.copies.get(&function).map_or(0, |c| c.standing);
@@ -457,14 +467,14 @@
             if let Some(c) = self.copies.get_mut(&function).filter(|_| count > 0) {
                 c.idle_since = now;
             }
-            return yard.held(order, HoldEnded::Standing, standing as u8);
+            return yard.order_ended(order, HoldEnded::Standing, standing as u8);
         }
         if !self.shapes.contains_key(&function) {
-            return yard.held(order, HoldEnded::LoadFailed, 0);
+            return yard.order_ended(order, HoldEnded::LoadFailed, 0);
         }
         while standing + self.loading(function) < usize::from(count) {
             if !self.begin_load(function, yard) {
-                return yard.held(order, HoldEnded::NoRoom, standing as u8);
+                return yard.order_ended(order, HoldEnded::NoRoom, standing as u8);
             }
         }
         self.copies
@@ -474,7 +484,7 @@
             .push((order, count.into()));
     }
 
-    pub fn unload(&mut self, now: Ticks, function: FunctionId, yard: &mut dyn Yard) {
+    pub fn unload(&mut self, now: Ticks, function: FunctionId, yard: &mut dyn MachineHost) {
         self.advance(now, yard);
         if let Some(c) = self.copies.get_mut(&function).filter(|c| c.running == 0) {
             c.standing = 0;
@@ -482,7 +492,7 @@
     }
 
     /// A link is gone: what waits on it is not run. What runs goes on, its answer lost.
-    pub fn link_lost(&mut self, now: Ticks, link: u64, yard: &mut dyn Yard) {
+    pub fn link_lost(&mut self, now: Ticks, link: u64, yard: &mut dyn MachineHost) {
         self.advance(now, yard);
         let gone: Vec<Job> = self
             .tasks
@@ -504,12 +514,12 @@
     }
 
     /// As if it had stood since long before: copies of these are there.
-    pub fn hold_from_the_start(&mut self, functions: impl IntoIterator<Item = FunctionId>) {
+    pub fn preload(&mut self, functions: impl IntoIterator<Item = FunctionId>) {
         for f in functions {
             if self
                 .shapes
                 .get(&f)
-                .is_some_and(|s| self.memory_taken() + s.memory <= self.build.memory)
+                .is_some_and(|s| self.memory_taken() + s.memory <= self.config.memory)
             {
                 let c = self.copies.entry(f).or_default();
                 (c.standing, c.idle_since) = (1, self.now);
@@ -517,7 +527,7 @@
         }
     }
 
-    pub fn grow_old(&mut self, by_second: f64) {
+    pub fn start_ageing(&mut self, by_second: f64) {
         (self.ageing, self.aged_from) = (by_second, self.now);
     }
 }
@@ -533,24 +543,24 @@
         fetches: Vec<FunctionId>,
     }
 
-    impl Yard for Seen {
-        fn begins(&mut self, _: Job) -> bool {
+    impl MachineHost for Seen {
+        fn begin_job(&mut self, _: Job) -> bool {
             true
         }
-        fn ended(&mut self, job: Job, ended: Ended, found: Option<Found>, _: u8) {
+        fn job_ended(&mut self, job: Job, ended: Ended, found: Option<Found>, _: u8) {
             self.ended.push((job, ended, found));
         }
-        fn held(&mut self, order: Order, ended: HoldEnded, standing: u8) {
+        fn order_ended(&mut self, order: Order, ended: HoldEnded, standing: u8) {
             self.held.push((order, ended, standing));
         }
-        fn fetch(&mut self, function: FunctionId) {
+        fn begin_fetch(&mut self, function: FunctionId) {
             self.fetches.push(function);
         }
-        fn loaded(&mut self, _: FunctionId, _: Ticks, _: bool) {}
+        fn load_ended(&mut self, _: FunctionId, _: Ticks, _: bool) {}
     }
 
     fn machine(started: Option<Ticks>) -> Machine {
-        let build = Build {
+        let build = MachineConfig {
             cores: 2.0,
             speed: 1.0,
             memory: 2_000.0,
@@ -564,16 +574,16 @@
             cold_time: 100_000,
             started,
         };
-        let shape = Shape {
+        let shape = FunctionSpec {
             memory: 900.0,
             lanes: 2,
-            start: 1_000,
+            start_time: 1_000,
         };
         Machine::new(0, build, (1..4).map(|f| (f, shape.clone())).collect())
     }
 
-    fn ask(function: FunctionId) -> Ask {
-        Ask {
+    fn ask(function: FunctionId) -> JobSpec {
+        JobSpec {
             function,
             work: 1_000.0,
             expires: 90_000,
@@ -592,7 +602,7 @@
             [((0, 3), Ended::Full, None)],
             "three wait, no more"
         );
-        m.fetched(500, 1, true, &mut y);
+        m.fetch_ended(500, 1, true, &mut y);
         m.advance(2_499, &mut y);
         assert_eq!(y.ended.len(), 1);
         m.advance(2_500, &mut y);
@@ -610,7 +620,7 @@
     #[test]
     fn a_cold_machine_does_part_of_its_work() {
         let (mut m, mut y) = (machine(Some(0)), Seen::default());
-        m.hold_from_the_start([1]);
+        m.preload([1]);
         m.dispatch(0, (0, 0), ask(1), &mut y);
         m.dispatch(0, (0, 1), ask(1), &mut y);
         m.advance(3_000, &mut y);
@@ -622,26 +632,26 @@
     #[test]
     fn room_is_made_of_idle_copies_only_and_failed_loads_are_told() {
         let (mut m, mut y) = (machine(None), Seen::default());
-        m.hold_from_the_start([1, 2]);
+        m.preload([1, 2]);
         m.dispatch(0, (0, 0), ask(1), &mut y);
-        m.hold(0, (0, 9), 3, 1, &mut y);
+        m.order_copies(0, (0, 9), 3, 1, &mut y);
         assert_eq!(y.fetches, [3], "2 gave way");
-        m.hold(0, (0, 10), 2, 1, &mut y);
+        m.order_copies(0, (0, 10), 2, 1, &mut y);
         assert_eq!(
             y.held,
             [((0, 10), HoldEnded::NoRoom, 0)],
             "1 is at work and 3 loads"
         );
-        m.fetched(10, 3, false, &mut y);
+        m.fetch_ended(10, 3, false, &mut y);
         assert_eq!(y.held[1], ((0, 9), HoldEnded::LoadFailed, 0));
-        m.hold(20, (0, 11), 1, 1, &mut y);
+        m.order_copies(20, (0, 11), 1, 1, &mut y);
         assert_eq!(y.held[2], ((0, 11), HoldEnded::Standing, 1));
     }
 
     #[test]
     fn a_cancel_stops_what_waits_and_lets_run_what_runs() {
         let (mut m, mut y) = (machine(None), Seen::default());
-        m.hold_from_the_start([1]);
+        m.preload([1]);
         for n in 0..3 {
             m.dispatch(0, (0, n), ask(1), &mut y);
         }
--- a/crates/fakes/src/platform.rs
+++ b/crates/fakes/src/platform.rs
@@ -1,7 +1,7 @@
 //! Stand-ins for the platform's peers on its own protocol: HTTP invokers, the control feed, a client. Faults can be
 //! forced; what crosses the sockets goes into the same record as everywhere, so that the same checker judges it.
 
-use crate::record::{How, Line, Record, Try, Who};
+use crate::record::{ClientAttempt, ControllerId, Line, Outcome, Record};
 use bytes::{Buf, Bytes, BytesMut};
 use saltdrum::interface::{InvokerStatus, MILLISECOND, Ticks};
 use saltdrum_platform_wire::feed::{self, EndpointRecord as Listing, Event};
@@ -21,31 +21,31 @@
 
 /// What an invoker's answer suffers on its way. The request has run, unless the name says otherwise.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Spoilt {
+pub enum ResponseFault {
     #[default]
-    No,
-    NoiseForHead,
-    HeadWithoutEnd,
-    LengthsContradict,
-    ThreeGigabytes,
-    ShortBody,
-    ResetAfterReading,
-    Silent,
-    Early1xx,
-    NoiseAfter,
-    TwiceOver,
+    None,
+    GarbageHead,
+    UnterminatedHead,
+    ConflictingLengths,
+    ThreeGigabyteLength,
+    TruncatedBody,
+    ClosedAfterReading,
+    NeverSent,
+    InformationalFirst,
+    GarbageAfterResponse,
+    SentTwice,
     /// Closed when it is accepted: nothing was read.
     ClosedUnread,
     /// Answered 404, 503, 500 and 504, as the protocol means them.
     Miss,
     Full,
     Errored,
-    Over,
+    Expired,
 }
 
 /// One request as it arrived.
 #[derive(Clone, Debug)]
-pub struct Arrived {
+pub struct ReceivedRequest {
     pub at: Ticks,
     pub method: String,
     pub path: String,
@@ -56,23 +56,23 @@
 /// An invoker at one address.
 pub struct HttpInvoker {
     pub invoker: u32,
-    pub controller: Who,
-    pub takes: Duration,
-    pub spoilt: Cell<Spoilt>,
-    pub arrived: RefCell<Vec<Arrived>>,
+    pub controller: ControllerId,
+    pub run_time: Duration,
+    pub fault: Cell<ResponseFault>,
+    pub requests: RefCell<Vec<ReceivedRequest>>,
     pub connections: Cell<usize>,
     pub accepted: Cell<usize>,
     /// Requests that said more time was left than their clients had.
-    pub limit_faults: RefCell<Vec<String>>,
+    pub time_limit_violations: RefCell<Vec<String>>,
     hops: Rc<RefCell<BTreeMap<u64, u8>>>,
     record: Record,
     clock: Clock,
 }
 
 /// The number and the try that an id was made of.
-pub fn try_of(txn: u64) -> Try {
-    Try {
-        n: txn >> 8,
+pub fn decode_txn(txn: u64) -> ClientAttempt {
+    ClientAttempt {
+        number: txn >> 8,
         attempt: (txn & 0xff) as u32,
     }
 }
@@ -81,7 +81,7 @@
     /// `hops` is shared by all invokers of a test, and counts how often each id was sent.
     pub fn new(
         invoker: u32,
-        controller: Who,
+        controller: ControllerId,
         takes: Duration,
         hops: Rc<RefCell<BTreeMap<u64, u8>>>,
         record: Record,
@@ -91,12 +91,12 @@
         Rc::new(Self {
             invoker,
             controller,
-            takes,
-            spoilt,
-            arrived,
+            run_time: takes,
+            fault: spoilt,
+            requests: arrived,
             connections,
             accepted,
-            limit_faults,
+            time_limit_violations: limit_faults,
             hops,
             record,
             clock,
@@ -109,7 +109,7 @@
         let (mut door, _) = listening.expect("an address of its own");
         while let Ok(stream) = door.accept().await {
             self.accepted.set(self.accepted.get() + 1);
-            if self.spoilt.get() == Spoilt::ClosedUnread {
+            if self.fault.get() == ResponseFault::ClosedUnread {
                 continue;
             }
             let this = self.clone();
@@ -124,7 +124,7 @@
     async fn attend(&self, mut stream: Stream) {
         let mut read = BytesMut::new();
         while let Some(arrived) = request(&mut stream, &mut read, self.clock).await {
-            self.arrived.borrow_mut().push(arrived.clone());
+            self.requests.borrow_mut().push(arrived.clone());
             let goes_on = match arrived.fields.get("x-txn") {
                 Some(txn) => self.run(&mut stream, &arrived, txn).await,
                 None => self.order(&mut stream, &arrived).await,
@@ -135,7 +135,7 @@
         }
     }
 
-    async fn order(&self, stream: &mut Stream, a: &Arrived) -> bool {
+    async fn order(&self, stream: &mut Stream, a: &ReceivedRequest) -> bool {
         let parts: Vec<&str> = a.path.split('/').collect();
         let function = parts
             .get(2)
@@ -144,7 +144,7 @@
         let count: u8 = parts.get(3).and_then(|n| n.parse().ok()).unwrap_or(0);
         if a.method == "PUT" {
             let (at, earliest, invoker, who) = (a.at, a.at, self.invoker, self.controller);
-            self.record.note(Line::Ordered {
+            self.record.note(Line::LoadOrdered {
                 at,
                 earliest,
                 invoker,
@@ -161,7 +161,7 @@
     }
 
     /// The time that a request says is left is at most what its client has left, by the client's own send time.
-    fn judge_limit(&self, a: &Arrived, of: Try) {
+    fn judge_limit(&self, a: &ReceivedRequest, of: ClientAttempt) {
         let Some(given_up_at) = self.record.given_up_at(of) else {
             return;
         };
@@ -169,11 +169,11 @@
         let left_ms = given_up_at.saturating_sub(a.at) / MILLISECOND;
         if stated.is_none_or(|ms| ms > left_ms + LIMIT_SLACK_MS) {
             let fault = format!("{of:?}: {stated:?} ms are said to be left, {left_ms} are");
-            self.limit_faults.borrow_mut().push(fault);
+            self.time_limit_violations.borrow_mut().push(fault);
         }
     }
 
-    async fn run(&self, stream: &mut Stream, a: &Arrived, txn: &str) -> bool {
+    async fn run(&self, stream: &mut Stream, a: &ReceivedRequest, txn: &str) -> bool {
         let id = u64::from_str_radix(txn, 16).unwrap_or(0);
         let hop = {
             let mut hops = self.hops.borrow_mut();
@@ -181,8 +181,12 @@
             *hop += 1;
             *hop - 1
         };
-        let (who, invoker, of, invocation) =
-            (self.controller, self.invoker, try_of(id), (id >> 8) as u32);
+        let (who, invoker, of, invocation) = (
+            self.controller,
+            self.invoker,
+            decode_txn(id),
+            (id >> 8) as u32,
+        );
         let trigger = a.path.trim_start_matches("/obj/").to_owned();
         let (at, earliest) = (a.at, a.at);
         self.judge_limit(a, of);
@@ -196,11 +200,14 @@
             of,
             trigger,
         });
-        let spoilt = self.spoilt.get();
-        let never = matches!(spoilt, Spoilt::Miss | Spoilt::Full | Spoilt::Over);
+        let spoilt = self.fault.get();
+        let never = matches!(
+            spoilt,
+            ResponseFault::Miss | ResponseFault::Full | ResponseFault::Expired
+        );
         if !never {
             let (at, token) = (self.clock.now(), a.fields.get("x-dedupe").cloned());
-            self.record.note(Line::Ran {
+            self.record.note(Line::Started {
                 at,
                 invoker,
                 who,
@@ -213,7 +220,7 @@
         }
         let mut byte = [0];
         tokio::select! {
-            () = tokio::time::sleep(self.takes), if !never => {}
+            () = tokio::time::sleep(self.run_time), if !never => {}
             () = async {}, if never => {}
             got = stream.read(&mut byte) => {
                 // Given up, or something out of turn.
@@ -233,12 +240,12 @@
                 hop,
                 of,
                 ended,
-                told,
+                response_sent: told,
             });
         };
         let body = format!("ran {txn} {}", a.body.len());
         let at = self.clock.now();
-        self.record.note(Line::Made {
+        self.record.note(Line::OutputProduced {
             at,
             invoker,
             of,
@@ -249,53 +256,55 @@
             body.len()
         );
         let (text, goes_on) = match spoilt {
-            Spoilt::No => (well, true),
-            Spoilt::Early1xx => (format!("HTTP/1.1 102 Processing\r\n\r\n{well}"), true),
-            Spoilt::NoiseAfter => (format!("{well}\u{1}\u{2}noise"), false),
-            Spoilt::TwiceOver => (format!("{well}{well}"), false),
-            Spoilt::NoiseForHead => ("\u{1}\u{2}\u{3} what is this\r\n\r\n".to_owned(), true),
-            Spoilt::HeadWithoutEnd => (
+            ResponseFault::None => (well, true),
+            ResponseFault::InformationalFirst => {
+                (format!("HTTP/1.1 102 Processing\r\n\r\n{well}"), true)
+            }
+            ResponseFault::GarbageAfterResponse => (format!("{well}\u{1}\u{2}noise"), false),
+            ResponseFault::SentTwice => (format!("{well}{well}"), false),
+            ResponseFault::GarbageHead => ("\u{1}\u{2}\u{3} what is this\r\n\r\n".to_owned(), true),
+            ResponseFault::UnterminatedHead => (
                 format!("HTTP/1.1 200 OK\r\nX-A: {}", "a".repeat(100_000)),
                 true,
             ),
-            Spoilt::LengthsContradict => {
+            ResponseFault::ConflictingLengths => {
                 (well.replace("X-How", "Content-Length: 3\r\nX-How"), true)
             }
-            Spoilt::ThreeGigabytes => (
+            ResponseFault::ThreeGigabyteLength => (
                 format!(
                     "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n{}",
                     "x".repeat(500_000)
                 ),
                 true,
             ),
-            Spoilt::ShortBody => (well[..well.len() - 3].to_owned(), false),
-            Spoilt::ResetAfterReading => (String::new(), false),
-            Spoilt::Silent => {
+            ResponseFault::TruncatedBody => (well[..well.len() - 3].to_owned(), false),
+            ResponseFault::ClosedAfterReading => (String::new(), false),
+            ResponseFault::NeverSent => {
                 ended("lost", false);
                 std::future::pending::<()>().await;
                 return false;
             }
-            Spoilt::Miss => (
+            ResponseFault::Miss => (
                 "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n".to_owned(),
                 true,
             ),
-            Spoilt::Full => (
+            ResponseFault::Full => (
                 "HTTP/1.1 503 Full\r\nX-Unrun: 1\r\nContent-Length: 0\r\n\r\n".to_owned(),
                 true,
             ),
-            Spoilt::Over => (
+            ResponseFault::Expired => (
                 "HTTP/1.1 504 Over\r\nX-Unrun: 1\r\nContent-Length: 0\r\n\r\n".to_owned(),
                 true,
             ),
-            Spoilt::Errored => (
+            ResponseFault::Errored => (
                 "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n".to_owned(),
                 true,
             ),
-            Spoilt::ClosedUnread => return false,
+            ResponseFault::ClosedUnread => return false,
         };
         match spoilt {
-            Spoilt::Miss => ended("miss", true),
-            Spoilt::Full | Spoilt::Over => ended("full", true),
+            ResponseFault::Miss => ended("miss", true),
+            ResponseFault::Full | ResponseFault::Expired => ended("full", true),
             _ => ended("run", true),
         }
         stream.write_all(text.as_bytes()).await.is_ok() && goes_on
@@ -303,7 +312,11 @@
 }
 
 /// Reads one request, whole.
-async fn request(stream: &mut Stream, read: &mut BytesMut, clock: Clock) -> Option<Arrived> {
+async fn request(
+    stream: &mut Stream,
+    read: &mut BytesMut,
+    clock: Clock,
+) -> Option<ReceivedRequest> {
     loop {
         let mut headers = [httparse::EMPTY_HEADER; 32];
         let mut head = httparse::Request::new(&mut headers);
@@ -323,7 +336,7 @@
                 let (method, path) = (head.method?.to_owned(), head.path?.to_owned());
                 read.advance(end);
                 let body = read.split_to(length).freeze();
-                return Some(Arrived {
+                return Some(ReceivedRequest {
                     at: clock.now(),
                     method,
                     path,
@@ -340,37 +353,37 @@
 
 /// How the feed misbehaves at its next event.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Torn {
+pub enum FeedFault {
     #[default]
-    No,
+    None,
     /// Half the event, then a close; whole when it is asked for again.
-    Half,
+    Truncated,
     /// Written twice.
-    Twice,
+    SentTwice,
     /// Nothing more, and the connection stays.
-    Stalls,
+    Stalled,
     /// A length that can't be.
-    Length,
+    InvalidLength,
 }
 
 /// The control feed.
 pub struct Feed {
     pub events: RefCell<Vec<(u64, Event)>>,
-    pub torn: Cell<Torn>,
-    pub asked: RefCell<Vec<u64>>,
-    controller: Who,
+    pub fault: Cell<FeedFault>,
+    pub resume_points: RefCell<Vec<u64>>,
+    controller: ControllerId,
     more: Notify,
     record: Record,
     clock: Clock,
 }
 
 impl Feed {
-    pub fn new(controller: Who, record: Record, clock: Clock) -> Rc<Self> {
+    pub fn new(controller: ControllerId, record: Record, clock: Clock) -> Rc<Self> {
         let (events, torn, asked, more) = Default::default();
         Rc::new(Self {
             events,
-            torn,
-            asked,
+            fault: torn,
+            resume_points: asked,
             controller,
             more,
             record,
@@ -379,7 +392,7 @@
     }
 
     /// The next event, told from now on.
-    pub fn say(&self, number: u64, event: Event) {
+    pub fn publish(&self, number: u64, event: Event) {
         if let Event::Snapshot(lines) | Event::Changes(lines) = &event {
             for l in lines {
                 let life = match l.status {
@@ -389,7 +402,7 @@
                 };
                 let (at, who, invoker) = (self.clock.now(), self.controller, l.invoker);
                 let incarnation = l.started_ms.unwrap_or(0);
-                self.record.note(Line::Told {
+                self.record.note(Line::EndpointSent {
                     at,
                     who,
                     invoker,
@@ -414,7 +427,7 @@
         let Ok(mut last) = stream.read_u64().await else {
             return;
         };
-        self.asked.borrow_mut().push(last);
+        self.resume_points.borrow_mut().push(last);
         loop {
             let next = self
                 .events
@@ -426,7 +439,7 @@
                 tokio::select! {
                     () = self.more.notified() => {}
                     () = tokio::time::sleep(Duration::from_secs(1)) => {
-                        if self.torn.get() == Torn::Stalls || stream.write_all(&feed::encode(last, &Event::Heartbeat)).await.is_err() {
+                        if self.fault.get() == FeedFault::Stalled || stream.write_all(&feed::encode(last, &Event::Heartbeat)).await.is_err() {
                             return std::future::pending().await;
                         }
                     }
@@ -434,16 +447,16 @@
                 continue;
             };
             let bytes = feed::encode(n, &event);
-            let torn = self.torn.replace(Torn::No);
+            let torn = self.fault.replace(FeedFault::None);
             let wrote = match torn {
-                Torn::No => stream.write_all(&bytes).await,
-                Torn::Twice => stream.write_all(&[bytes.clone(), bytes].concat()).await,
-                Torn::Half => {
+                FeedFault::None => stream.write_all(&bytes).await,
+                FeedFault::SentTwice => stream.write_all(&[bytes.clone(), bytes].concat()).await,
+                FeedFault::Truncated => {
                     let _ = stream.write_all(&bytes[..bytes.len() / 2]).await;
                     return;
                 }
-                Torn::Stalls => return std::future::pending().await,
-                Torn::Length => {
+                FeedFault::Stalled => return std::future::pending().await,
+                FeedFault::InvalidLength => {
                     let _ = stream.write_all(&[0xff; 13]).await;
                     return std::future::pending().await;
                 }
@@ -457,7 +470,7 @@
 }
 
 /// One line of the feed, as tests write it.
-pub fn listing(
+pub fn endpoint_record(
     invoker: u32,
     address: SocketAddrV4,
     life: InvokerStatus,
@@ -478,25 +491,25 @@
 /// What a client asks for.
 #[derive(Clone, Debug)]
 pub struct Call {
-    pub n: u64,
+    pub number: u64,
     pub attempt: u32,
     pub trigger: String,
     pub function: u64,
-    pub limit_ms: u64,
+    pub timeout_ms: u64,
     pub token: Option<String>,
     pub body: Vec<u8>,
 }
 
 impl Call {
     pub fn txn(&self) -> String {
-        format!("{:016x}", self.n << 8 | u64::from(self.attempt))
+        format!("{:016x}", self.number << 8 | u64::from(self.attempt))
     }
 
     /// The frame of it on a stream.
     pub fn frame(&self, stream: u32) -> Bytes {
         let (txn, limit, item) = (
             self.txn(),
-            self.limit_ms.to_string(),
+            self.timeout_ms.to_string(),
             format!("{:016x}", self.function),
         );
         let mut fields = vec![
@@ -515,17 +528,17 @@
 
 /// An answer as a client reads it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answered {
+pub struct Response {
     pub stream: u32,
     pub code: u8,
-    pub later_ms: Option<u64>,
+    pub retry_after_ms: Option<u64>,
     pub body: Bytes,
 }
 
 /// A frame from a controller, or its connection's end.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Heard {
-    Answer(Answered),
+pub enum ServerFrame {
+    Response(Response),
     Ready { stream: u32, code: u8 },
     GoAway,
 }
@@ -535,8 +548,8 @@
     pub stream: Stream,
     read: BytesMut,
     next: u32,
-    open: BTreeMap<u32, Try>,
-    controller: Who,
+    open: BTreeMap<u32, ClientAttempt>,
+    controller: ControllerId,
     record: Record,
     clock: Clock,
 }
@@ -545,7 +558,7 @@
     pub async fn dial(
         network: &dyn Network,
         at: SocketAddrV4,
-        controller: Who,
+        controller: ControllerId,
         record: Record,
         clock: Clock,
     ) -> std::io::Result<Self> {
@@ -561,11 +574,11 @@
         })
     }
 
-    pub async fn ask(&mut self, call: &Call) -> u32 {
+    pub async fn invoke(&mut self, call: &Call) -> u32 {
         let stream = self.next;
         self.next += 1;
-        let of = Try {
-            n: call.n,
+        let of = ClientAttempt {
+            number: call.number,
             attempt: call.attempt,
         };
         self.open.insert(stream, of);
@@ -578,7 +591,7 @@
                 tenant: String::new(),
                 trigger: call.trigger.clone(),
                 function: format!("{:x}", call.function),
-                timeout: call.limit_ms * 10,
+                timeout: call.timeout_ms * 10,
                 work: 0,
             });
         }
@@ -586,7 +599,7 @@
     }
 
     /// Nobody waits for this stream any more.
-    pub async fn leave(&mut self, stream: u32) {
+    pub async fn cancel(&mut self, stream: u32) {
         if let Some(of) = self.open.remove(&stream) {
             self.record.note(Line::HungUp {
                 at: self.clock.now(),
@@ -610,7 +623,7 @@
     }
 
     /// The next frame; `None`: the connection has ended.
-    pub async fn hear(&mut self) -> Option<Heard> {
+    pub async fn next_frame(&mut self) -> Option<ServerFrame> {
         loop {
             if let Some(heard) = self.cut() {
                 return Some(heard);
@@ -621,7 +634,7 @@
         }
     }
 
-    fn cut(&mut self) -> Option<Heard> {
+    fn cut(&mut self) -> Option<ServerFrame> {
         let length = u32::from_be_bytes(self.read.get(..4)?.try_into().ok()?) as usize;
         if self.read.len() < 4 + length {
             return None;
@@ -630,8 +643,8 @@
         frame.advance(4);
         let (kind, stream) = (frame.get_u8(), frame.get_u32());
         Some(match kind {
-            48 => Heard::GoAway,
-            33 => Heard::Ready {
+            48 => ServerFrame::GoAway,
+            33 => ServerFrame::Ready {
                 stream,
                 code: frame.get_u8(),
             },
@@ -650,16 +663,16 @@
                         self.clock.now(),
                         String::from_utf8_lossy(&frame).into_owned(),
                     );
-                    self.record.note(Line::Output {
+                    self.record.note(Line::OutputReceived {
                         at,
                         of: *of,
                         output,
                     });
                 }
-                Heard::Answer(Answered {
+                ServerFrame::Response(Response {
                     stream,
                     code,
-                    later_ms,
+                    retry_after_ms: later_ms,
                     body: frame,
                 })
             }
@@ -669,9 +682,9 @@
 
     fn note(&mut self, stream: u32, code: u8) {
         let how = match code {
-            c if c == Code::Succeeded as u8 => How::Succeeded,
-            c if c == Code::Throttled as u8 => How::Throttled,
-            _ => How::Errored,
+            c if c == Code::Succeeded as u8 => Outcome::Succeeded,
+            c if c == Code::Throttled as u8 => Outcome::Throttled,
+            _ => Outcome::Errored,
         };
         let at = self.clock.now();
         if let Some(of) = self.open.get(&stream) {
--- a/crates/fakes/src/record.rs
+++ b/crates/fakes/src/record.rs
@@ -8,20 +8,21 @@
 
 /// A controller and which of its lives it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Who {
+pub struct ControllerId {
     pub controller: u32,
     pub incarnation: u64,
 }
 
 /// One try of a client: its number for the invocation, and which try it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Try {
-    pub n: u64,
+pub struct ClientAttempt {
+    #[serde(rename = "n")]
+    pub number: u64,
     pub attempt: u32,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum How {
+pub enum Outcome {
     Succeeded,
     Throttled,
     Errored,
@@ -41,7 +42,7 @@
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Place {
+pub struct InvokerInfo {
     pub invoker: u32,
     pub zone: u8,
     pub cell: u16,
@@ -51,9 +52,9 @@
 
 /// What the rules are judged by.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Stated {
+pub struct RuleParameters {
     pub triggers: Vec<Trigger>,
-    pub places: Vec<Place>,
+    pub places: Vec<InvokerInfo>,
     pub parallel_dispatches: bool,
     pub drain_grace: Ticks,
     pub cold_share: f64,
@@ -68,12 +69,13 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Line {
-    Stated(Stated),
+    #[serde(rename = "stated")]
+    RuleParameters(RuleParameters),
     /// By the client: the whole call has been written.
     Sent {
         at: Ticks,
-        who: Who,
-        of: Try,
+        who: ControllerId,
+        of: ClientAttempt,
         tenant: String,
         trigger: String,
         function: String,
@@ -84,64 +86,60 @@
     Final {
         at: Ticks,
         earliest: Ticks,
-        of: Try,
-        how: How,
+        of: ClientAttempt,
+        how: Outcome,
     },
     /// By the client: it closed the connection on purpose before the answer.
-    HungUp {
-        at: Ticks,
-        of: Try,
-    },
+    HungUp { at: Ticks, of: ClientAttempt },
     /// By an invoker: the output that it made for this try.
-    Made {
+    #[serde(rename = "made")]
+    OutputProduced {
         at: Ticks,
         invoker: u32,
-        of: Try,
+        of: ClientAttempt,
         output: String,
     },
     /// By the client: the output of a final answer that succeeded.
-    Output {
+    #[serde(rename = "output")]
+    OutputReceived {
         at: Ticks,
-        of: Try,
+        of: ClientAttempt,
         output: String,
     },
     /// By the client: the controller's side closed the connection before the answer.
-    CutOff {
-        at: Ticks,
-        of: Try,
-    },
+    #[serde(rename = "cut-off")]
+    ConnectionLost { at: Ticks, of: ClientAttempt },
     /// By the client: it reads this connection late on purpose; what it reads proves nothing of when it came.
-    ReadsSlowly {
-        at: Ticks,
-        of: Try,
-    },
+    ReadsSlowly { at: Ticks, of: ClientAttempt },
     /// By the invoker: a dispatch was read, which came at `earliest` or later.
     Dispatched {
         at: Ticks,
         earliest: Ticks,
         invoker: u32,
-        who: Who,
+        who: ControllerId,
         invocation: u32,
         hop: u8,
-        of: Try,
+        of: ClientAttempt,
         trigger: String,
     },
     /// By the invoker: work began. `repeat`: it was known by its token and not done again.
-    Ran {
+    #[serde(rename = "ran")]
+    Started {
         at: Ticks,
         invoker: u32,
-        who: Who,
+        who: ControllerId,
         invocation: u32,
         hop: u8,
-        of: Try,
+        of: ClientAttempt,
         token: Option<String>,
         repeat: bool,
     },
     /// By the invoker, of an invocation that belongs to a passage: which function spoke in it.
-    Spoke {
+    #[serde(rename = "spoke")]
+    PassageStep {
         at: Ticks,
         invoker: u32,
-        of: Try,
+        of: ClientAttempt,
         function: u64,
         passage: String,
     },
@@ -149,27 +147,29 @@
     Ended {
         at: Ticks,
         invoker: u32,
-        who: Who,
+        who: ControllerId,
         invocation: u32,
         hop: u8,
-        of: Try,
+        of: ClientAttempt,
         ended: String,
-        told: bool,
+        #[serde(rename = "told")]
+        response_sent: bool,
     },
     /// By the invoker: a cancel was read.
     Cancelled {
         at: Ticks,
         invoker: u32,
-        who: Who,
+        who: ControllerId,
         invocation: u32,
         hop: u8,
     },
     /// By the invoker: an order to hold was read.
-    Ordered {
+    #[serde(rename = "ordered")]
+    LoadOrdered {
         at: Ticks,
         earliest: Ticks,
         invoker: u32,
-        who: Who,
+        who: ControllerId,
         function: u64,
         count: u8,
     },
@@ -182,29 +182,34 @@
         ok: bool,
     },
     /// By the invoker, with layers: a copy was put together; `sound`: it is the model, byte for byte.
-    Copied {
+    #[serde(rename = "copied")]
+    CopyAssembled {
         at: Ticks,
         invoker: u32,
         function: u64,
-        sound: bool,
+        #[serde(rename = "sound")]
+        matches_model: bool,
     },
     /// By the list: a line went out to a controller.
-    Told {
+    #[serde(rename = "told")]
+    EndpointSent {
         at: Ticks,
-        who: Who,
+        who: ControllerId,
         invoker: u32,
         incarnation: u64,
         life: String,
     },
     /// By the store: a fetch was asked for.
-    Fetched {
+    #[serde(rename = "fetched")]
+    FetchRequested {
         at: Ticks,
         invoker: u32,
         function: u64,
         refused: bool,
     },
     /// By the stage, at the end of a day with layers: what was asked of whom, over all lives of all invokers.
-    Layers {
+    #[serde(rename = "layers")]
+    LayerTotals {
         at: Ticks,
         chunks: u64,
         store_requests: u64,
@@ -215,7 +220,8 @@
         damaged: u64,
     },
     /// By the stage, at the end of a day with versions: the registry as it is then.
-    Registry {
+    #[serde(rename = "registry")]
+    RegistryTotals {
         at: Ticks,
         revision: u64,
         moves: u64,
@@ -235,25 +241,26 @@
     /// By the stage: a controller started, or was killed.
     Controller {
         at: Ticks,
-        who: Who,
+        who: ControllerId,
         up: bool,
     },
     /// By whoever runs on the thread: it stood still.
-    Disturbed {
+    #[serde(rename = "disturbed")]
+    ThreadStalled {
         at: Ticks,
         until: Ticks,
         thread: String,
     },
     /// By the stage, from the script.
-    Trouble {
+    #[serde(rename = "trouble")]
+    FaultInjected {
         at: Ticks,
         until: Ticks,
         text: String,
     },
     /// By the stage: nothing new was sent from then on.
-    Over {
-        at: Ticks,
-    },
+    #[serde(rename = "over")]
+    TrafficEnded { at: Ticks },
 }
 
 /// Where the actors of one thread write.
@@ -266,7 +273,7 @@
     }
 
     /// When the client of a try stops waiting, by its own send; none: it has not sent it, or noted nothing.
-    pub fn given_up_at(&self, of: Try) -> Option<Ticks> {
+    pub fn given_up_at(&self, of: ClientAttempt) -> Option<Ticks> {
         let lines = self.0.borrow();
         lines.iter().rev().find_map(|line| match line {
             Line::Sent {
--- a/crates/fakes/src/registry.rs
+++ b/crates/fakes/src/registry.rs
@@ -25,27 +25,27 @@
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
     /// Refused with 429 before a byte.
-    pub refuses: f64,
+    pub refuse_share: f64,
     /// Cut off in mid-body.
-    pub cuts: f64,
+    pub cut_share: f64,
     /// Nothing more after half the body.
-    pub stalls: f64,
+    pub stall_share: f64,
     /// A byte a second, for ever.
-    pub trickles: f64,
+    pub trickle_share: f64,
     /// A length that is not the body's.
-    pub lies: f64,
+    pub wrong_length_share: f64,
     /// These come with a byte changed.
     pub damaged: BTreeSet<Digest>,
 }
 
-pub struct Registry {
+pub struct OciRegistry {
     manifests: RefCell<BTreeMap<(String, String), Bytes>>,
     blobs: RefCell<BTreeMap<Digest, Bytes>>,
     pub faults: RefCell<Faults>,
     /// Blobs under way, beyond which it refuses.
-    pub limit: Cell<usize>,
+    pub max_in_flight: Cell<usize>,
     /// Blobs at full pace; beyond, all slow down.
-    pub full_pace: Cell<f64>,
+    pub full_speed_requests: Cell<f64>,
     pub bytes_per_second: Cell<f64>,
     /// How many times slower than usual.
     pub slowness: Cell<f64>,
@@ -72,7 +72,7 @@
     _held: Option<InHand>,
 }
 
-struct InHand(Rc<Registry>);
+struct InHand(Rc<OciRegistry>);
 
 impl Drop for InHand {
     fn drop(&mut self) {
@@ -130,14 +130,14 @@
     }
 }
 
-impl Registry {
+impl OciRegistry {
     pub fn new(limit: usize, seed: u64) -> Rc<Self> {
         Rc::new(Self {
             manifests: RefCell::default(),
             blobs: RefCell::default(),
             faults: RefCell::default(),
-            limit: Cell::new(limit),
-            full_pace: Cell::new(8.0),
+            max_in_flight: Cell::new(limit),
+            full_speed_requests: Cell::new(8.0),
             bytes_per_second: Cell::new(40e6),
             slowness: Cell::new(1.0),
             in_hand: Cell::new(0),
@@ -263,22 +263,22 @@
         };
         let faults = self.faults.borrow().clone();
         let chance = |share: f64| share > 0.0 && self.rng.borrow_mut().f64() < share;
-        if chance(faults.refuses) || self.in_hand.get() >= self.limit.get() {
+        if chance(faults.refuse_share) || self.in_hand.get() >= self.max_in_flight.get() {
             self.refused.set(self.refused.get() + 1);
             let mut response = plain(StatusCode::TOO_MANY_REQUESTS);
             response.headers_mut().insert(header::RETRY_AFTER, 1.into());
             return response;
         }
         let (cut, stalls, lies) = (
-            chance(faults.cuts),
-            chance(faults.stalls),
-            chance(faults.lies),
+            chance(faults.cut_share),
+            chance(faults.stall_share),
+            chance(faults.wrong_length_share),
         );
-        let trickles = chance(faults.trickles);
+        let trickles = chance(faults.trickle_share);
         self.in_hand.set(self.in_hand.get() + 1);
         let held = Some(InHand(self.clone()));
-        let crowd =
-            (self.in_hand.get() as f64 / self.full_pace.get()).max(1.0) * self.slowness.get();
+        let crowd = (self.in_hand.get() as f64 / self.full_speed_requests.get()).max(1.0)
+            * self.slowness.get();
         let seconds = 0.01 + bytes.len() as f64 / self.bytes_per_second.get() * crowd;
         tokio::time::sleep(Duration::from_secs_f64(seconds)).await;
         if faults.damaged.contains(&digest) {
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -15,8 +15,8 @@
 const FULL_PACE: f64 = 6.0;
 const COME_BACK: Ticks = 200 * MILLISECOND;
 
-pub struct Store {
-    pub limit: Cell<usize>,
+pub struct ModelStore {
+    pub max_in_flight: Cell<usize>,
     /// How many times slower than usual.
     pub slowness: Cell<f64>,
     in_hand: Cell<usize>,
@@ -25,7 +25,7 @@
     tasks: RefCell<Vec<tokio::task::JoinHandle<()>>>,
 }
 
-impl Store {
+impl ModelStore {
     /// Listens and serves on the `LocalSet` it is called on; gives where.
     pub async fn open(
         network: Rc<dyn Network>,
@@ -36,7 +36,7 @@
     ) -> std::io::Result<(Rc<Self>, Address)> {
         let (mut door, address) = network.listen(at).await?;
         let store = Rc::new(Self {
-            limit: Cell::new(limit),
+            max_in_flight: Cell::new(limit),
             slowness: Cell::new(1.0),
             in_hand: Cell::new(0),
             clock,
@@ -67,9 +67,9 @@
             let Ok(wire::ToStore::Fetch(fetch)) = fetch else {
                 return;
             };
-            let refused = self.in_hand.get() >= self.limit.get();
+            let refused = self.in_hand.get() >= self.max_in_flight.get();
             let (at, invoker, function) = (self.clock.now(), fetch.invoker, fetch.function);
-            self.record.note(Line::Fetched {
+            self.record.note(Line::FetchRequested {
                 at,
                 invoker,
                 function,
--- a/crates/fakes/tests/record_fixtures.rs
+++ b/crates/fakes/tests/record_fixtures.rs
@@ -4,15 +4,17 @@
 #[path = "../../../tests/support/fixture_file.rs"]
 mod fixture_file;
 
-use saltdrum_fakes::record::{How, Line, Place, Stated, Trigger, Try, Who, read, write};
+use saltdrum_fakes::record::{
+    ClientAttempt, ControllerId, InvokerInfo, Line, Outcome, RuleParameters, Trigger, read, write,
+};
 
 const FIXTURE: &str = "day-record.jsonl";
-const WHO: Who = Who {
+const WHO: ControllerId = ControllerId {
     controller: 3,
     incarnation: 0x1234_5678_9abc,
 };
-const OF: Try = Try {
-    n: 4_000_000_007,
+const OF: ClientAttempt = ClientAttempt {
+    number: 4_000_000_007,
     attempt: 2,
 };
 
@@ -27,21 +29,21 @@
     }
 }
 
-fn stated() -> Stated {
-    Stated {
+fn stated() -> RuleParameters {
+    RuleParameters {
         triggers: vec![
             trigger("narrate", "idempotent", "all"),
             trigger("charge", "tokened", "cell"),
             trigger("book", "non-idempotent", "zone"),
         ],
         places: vec![
-            Place {
+            InvokerInfo {
                 invoker: 1,
                 zone: 2,
                 cell: 3,
                 pace: 3.5,
             },
-            Place {
+            InvokerInfo {
                 invoker: 4,
                 zone: 5,
                 cell: 6,
@@ -60,7 +62,7 @@
     }
 }
 
-fn final_answer(how: How) -> Line {
+fn final_answer(how: Outcome) -> Line {
     Line::Final {
         at: 103,
         earliest: 102,
@@ -72,7 +74,7 @@
 fn ran(token: Option<&str>, repeat: bool) -> Line {
     let (at, invoker, invocation, hop) = (111, 7, 19, 1);
     let token = token.map(str::to_owned);
-    Line::Ran {
+    Line::Started {
         at,
         invoker,
         who: WHO,
@@ -87,7 +89,7 @@
 /// A line of each kind, and each value of what has few values.
 fn one_of_each() -> Vec<Line> {
     vec![
-        Line::Stated(stated()),
+        Line::RuleParameters(stated()),
         Line::Sent {
             at: 101,
             who: WHO,
@@ -98,22 +100,22 @@
             timeout: 50_001,
             work: 1_101,
         },
-        final_answer(How::Succeeded),
-        final_answer(How::Throttled),
-        final_answer(How::Errored),
+        final_answer(Outcome::Succeeded),
+        final_answer(Outcome::Throttled),
+        final_answer(Outcome::Errored),
         Line::HungUp { at: 104, of: OF },
-        Line::Made {
+        Line::OutputProduced {
             at: 105,
             invoker: 7,
             of: OF,
             output: "made \"so\" – ü".into(),
         },
-        Line::Output {
+        Line::OutputReceived {
             at: 106,
             of: OF,
             output: "told\nso".into(),
         },
-        Line::CutOff { at: 107, of: OF },
+        Line::ConnectionLost { at: 107, of: OF },
         Line::ReadsSlowly { at: 108, of: OF },
         Line::Dispatched {
             at: 110,
@@ -127,7 +129,7 @@
         },
         ran(Some("token-5"), true),
         ran(None, false),
-        Line::Spoke {
+        Line::PassageStep {
             at: 112,
             invoker: 7,
             of: OF,
@@ -142,7 +144,7 @@
             hop: 1,
             of: OF,
             ended: "succeeded".into(),
-            told: true,
+            response_sent: true,
         },
         Line::Cancelled {
             at: 114,
@@ -151,7 +153,7 @@
             invocation: 19,
             hop: 1,
         },
-        Line::Ordered {
+        Line::LoadOrdered {
             at: 116,
             earliest: 115,
             invoker: 7,
@@ -166,26 +168,26 @@
             took: 9_001,
             ok: true,
         },
-        Line::Copied {
+        Line::CopyAssembled {
             at: 118,
             invoker: 7,
             function: 0xfeed,
-            sound: true,
+            matches_model: true,
         },
-        Line::Told {
+        Line::EndpointSent {
             at: 119,
             who: WHO,
             invoker: 7,
             incarnation: 0xabc,
             life: "draining".into(),
         },
-        Line::Fetched {
+        Line::FetchRequested {
             at: 120,
             invoker: 7,
             function: 0xfeed,
             refused: true,
         },
-        Line::Layers {
+        Line::LayerTotals {
             at: 121,
             chunks: 31,
             store_requests: 32,
@@ -195,7 +197,7 @@
             from_store: 36,
             damaged: 37,
         },
-        Line::Registry {
+        Line::RegistryTotals {
             at: 122,
             revision: 41,
             moves: 42,
@@ -215,48 +217,48 @@
             who: WHO,
             up: true,
         },
-        Line::Disturbed {
+        Line::ThreadStalled {
             at: 125,
             until: 126,
             thread: "controller-3".into(),
         },
-        Line::Trouble {
+        Line::FaultInjected {
             at: 127,
             until: 128,
             text: "crash: invokers 2, 11".into(),
         },
-        Line::Over { at: 129 },
+        Line::TrafficEnded { at: 129 },
     ]
 }
 
 /// A new kind of line has to be added above, and to the fixture.
 fn kind_number(line: &Line) -> usize {
     match line {
-        Line::Stated(_) => 0,
+        Line::RuleParameters(_) => 0,
         Line::Sent { .. } => 1,
         Line::Final { .. } => 2,
         Line::HungUp { .. } => 3,
-        Line::Made { .. } => 4,
-        Line::Output { .. } => 5,
-        Line::CutOff { .. } => 6,
+        Line::OutputProduced { .. } => 4,
+        Line::OutputReceived { .. } => 5,
+        Line::ConnectionLost { .. } => 6,
         Line::ReadsSlowly { .. } => 7,
         Line::Dispatched { .. } => 8,
-        Line::Ran { .. } => 9,
-        Line::Spoke { .. } => 10,
+        Line::Started { .. } => 9,
+        Line::PassageStep { .. } => 10,
         Line::Ended { .. } => 11,
         Line::Cancelled { .. } => 12,
-        Line::Ordered { .. } => 13,
+        Line::LoadOrdered { .. } => 13,
         Line::Loaded { .. } => 14,
-        Line::Copied { .. } => 15,
-        Line::Told { .. } => 16,
-        Line::Fetched { .. } => 17,
-        Line::Layers { .. } => 18,
-        Line::Registry { .. } => 19,
+        Line::CopyAssembled { .. } => 15,
+        Line::EndpointSent { .. } => 16,
+        Line::FetchRequested { .. } => 17,
+        Line::LayerTotals { .. } => 18,
+        Line::RegistryTotals { .. } => 19,
         Line::Invoker { .. } => 20,
         Line::Controller { .. } => 21,
-        Line::Disturbed { .. } => 22,
-        Line::Trouble { .. } => 23,
-        Line::Over { .. } => 24,
+        Line::ThreadStalled { .. } => 22,
+        Line::FaultInjected { .. } => 23,
+        Line::TrafficEnded { .. } => 24,
     }
 }
 
@@ -289,7 +291,7 @@
     );
     let kinds = |lines: &[Line]| lines.iter().map(kind_number).collect::<Vec<_>>();
     assert_eq!(kinds(&lines), kinds(&one_of_each()));
-    let Line::Stated(stated) = &lines[0] else {
+    let Line::RuleParameters(stated) = &lines[0] else {
         panic!("the first line states the deployment")
     };
     assert_eq!((stated.triggers.len(), stated.places[1].pace), (3, 0.75));
@@ -297,7 +299,7 @@
         (stated.cold_time, stated.tip_window, stated.order_window),
         (80_001, 15_001, 20_001)
     );
-    let answers: Vec<How> = lines
+    let answers: Vec<Outcome> = lines
         .iter()
         .filter_map(|line| {
             if let Line::Final { how, .. } = line {
@@ -307,11 +309,14 @@
             }
         })
         .collect();
-    assert_eq!(answers, [How::Succeeded, How::Throttled, How::Errored]);
+    assert_eq!(
+        answers,
+        [Outcome::Succeeded, Outcome::Throttled, Outcome::Errored]
+    );
     let tokens: Vec<(Option<String>, bool)> = lines
         .iter()
         .filter_map(|line| match line {
-            Line::Ran { token, repeat, .. } => Some((token.clone(), *repeat)),
+            Line::Started { token, repeat, .. } => Some((token.clone(), *repeat)),
             _ => None,
         })
         .collect();
--- a/crates/faulty-peers/src/careless.rs
+++ b/crates/faulty-peers/src/careless.rs
@@ -1,6 +1,6 @@
 //! Brings models without looking at a digest: what the store sends and what the disk gives back is taken as it is.
 
-use saltdrum_fakes::invoker::Supply;
+use saltdrum_fakes::invoker::ModelSource;
 use saltdrum_layers::{Chunk, Manifest};
 use saltdrum_transport::{Address, Network};
 use std::future::Future;
@@ -10,7 +10,10 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 /// In place of an invoker's agent.
-pub fn careless(supply: Supply, model: String) -> Pin<Box<dyn Future<Output = Option<Vec<u8>>>>> {
+pub fn fetch_model_unverified(
+    supply: ModelSource,
+    model: String,
+) -> Pin<Box<dyn Future<Output = Option<Vec<u8>>>>> {
     Box::pin(async move {
         supply.disk.make_folder(&supply.folder).ok()?;
         let manifest = patiently(&supply, &format!("/v2/{model}/manifests/current")).await?;
@@ -23,7 +26,7 @@
     })
 }
 
-async fn one(supply: &Supply, model: &str, chunk: &Chunk) -> Option<Vec<u8>> {
+async fn one(supply: &ModelSource, model: &str, chunk: &Chunk) -> Option<Vec<u8>> {
     let path = supply.folder.join(chunk.digest.hex());
     if let Ok(bytes) = supply.disk.read(&path, u64::MAX) {
         return Some(bytes);
@@ -35,7 +38,7 @@
     Some(bytes)
 }
 
-async fn patiently(supply: &Supply, path: &str) -> Option<Vec<u8>> {
+async fn patiently(supply: &ModelSource, path: &str) -> Option<Vec<u8>> {
     for _ in 0..20 {
         if let Some(body) = get(&supply.network, &supply.registry, path).await {
             return Some(body);
--- a/crates/faulty-peers/src/leases.rs
+++ b/crates/faulty-peers/src/leases.rs
@@ -134,7 +134,7 @@
 
 /// A holder that seals each resource when it first acts on it, and does not wait for the others. It pauses between reading its
 /// lease and acting on it, so that after a stop it always acts once on the lease that it had before.
-pub async fn acts_before_all_seals(
+pub async fn run_holder_without_all_seals(
     by: String,
     task: &str,
     clock: Clock,
@@ -186,10 +186,10 @@
 }
 
 /// A steward that gives each lease to every member that it hears, on its own opinion. It never votes.
-pub struct FaultySteward {
+pub struct FaultyCoordinator {
     pub fleet: String,
     /// An honest one, of which it takes all that is not its own opinion.
-    pub honest: RpcClient,
+    pub coordinator: RpcClient,
 }
 
 #[derive(Deserialize)]
@@ -197,9 +197,13 @@
     fleet: Option<Fleet>,
 }
 
-impl FaultySteward {
+impl FaultyCoordinator {
     async fn standing(&self, said: &Heartbeat) -> Option<HeartbeatReply> {
-        let status: Status = self.honest.call("status", json!({}), PATIENCE).await.ok()?;
+        let status: Status = self
+            .coordinator
+            .call("status", json!({}), PATIENCE)
+            .await
+            .ok()?;
         let fleet = status.fleet?;
         let member = fleet.members.get(&said.member);
         let given = |(lease, of): (&LeaseName, &Lease)| HeldLease {
@@ -218,7 +222,7 @@
     }
 }
 
-impl CallHandler for FaultySteward {
+impl CallHandler for FaultyCoordinator {
     async fn handle_call(self: &Rc<Self>, call: &Call) -> Result<String, RpcError> {
         if call.method != "renew" {
             return Err((NOT_VOTING, "it does not vote".to_owned()));
--- a/crates/faulty-peers/src/lib.rs
+++ b/crates/faulty-peers/src/lib.rs
@@ -4,7 +4,7 @@
 mod careless;
 pub mod leases;
 
-pub use careless::careless;
+pub use careless::fetch_model_unverified;
 
 use bytes::{Bytes, BytesMut};
 use saltdrum_controller::ControllerConfig;
@@ -64,7 +64,7 @@
 }
 
 /// Runs in a seat as the real one does.
-pub fn rogue(
+pub fn run_faulty_controller(
     fault: Fault,
     seat: ControllerConfig,
     network: Rc<dyn Network>,
--- a/crates/lab/src/facts.rs
+++ b/crates/lab/src/facts.rs
@@ -1,7 +1,7 @@
 //! What is kept of a run, from its record alone.
 
 use saltdrum::interface::{MILLISECOND, Ticks};
-use saltdrum_fakes::record::{How, Line, Try, write};
+use saltdrum_fakes::record::{ClientAttempt, Line, Outcome, write};
 use saltdrum_scenario::{State, check::check, summary};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -122,13 +122,13 @@
     let mut hung_up = std::collections::BTreeSet::new();
     for line in lines {
         match line {
-            Line::Stated(s) => {
+            Line::RuleParameters(s) => {
                 objective = s
                     .triggers
                     .iter()
                     .map(|t| (t.name.clone(), t.objective))
                     .collect();
-                let none = |p: &saltdrum_fakes::record::Place| Invoker {
+                let none = |p: &saltdrum_fakes::record::InvokerInfo| Invoker {
                     invoker: p.invoker,
                     dispatches: 0,
                     fetches: 0,
@@ -143,7 +143,7 @@
                 function,
                 ..
             } => {
-                let row = all.entry(of.n).or_insert_with(|| {
+                let row = all.entry(of.number).or_insert_with(|| {
                     let (tenant, trigger, function) =
                         (tenant.clone(), trigger.clone(), function.clone());
                     Row {
@@ -158,26 +158,29 @@
                 row.how = "lost".into();
             }
             Line::Final { at, of, how, .. } => {
-                if let Some(row) = all.get_mut(&of.n).filter(|row| row.tries == of.attempt + 1) {
+                if let Some(row) = all
+                    .get_mut(&of.number)
+                    .filter(|row| row.tries == of.attempt + 1)
+                {
                     row.took = Some(at - row.at.min(*at));
                     row.how = format!("{how:?}").to_lowercase();
                     let most = objective.get(&row.trigger).copied().unwrap_or(Ticks::MAX);
-                    row.in_time = *how == How::Succeeded && row.took.is_some_and(|t| t <= most);
+                    row.in_time = *how == Outcome::Succeeded && row.took.is_some_and(|t| t <= most);
                 }
             }
             Line::HungUp { of, .. } => {
-                hung_up.insert(of.n);
+                hung_up.insert(of.number);
             }
             Line::Dispatched { invoker, of, .. } => {
                 invokers.entry(*invoker).and_modify(|i| i.dispatches += 1);
-                if let Some(row) = all.get_mut(&of.n) {
+                if let Some(row) = all.get_mut(&of.number) {
                     row.invoker = *invoker;
                 }
             }
-            Line::Fetched { invoker, .. } => {
+            Line::FetchRequested { invoker, .. } => {
                 invokers.entry(*invoker).and_modify(|i| i.fetches += 1);
             }
-            Line::Trouble { at, until, text } => troubles.push(Struck {
+            Line::FaultInjected { at, until, text } => troubles.push(Struck {
                 from_s: seconds(*at),
                 to_s: seconds(*until),
                 what: text.clone(),
@@ -314,7 +317,7 @@
         })
         .collect();
     for line in lines {
-        let (of, at, text): (Try, Ticks, String) = match line {
+        let (of, at, text): (ClientAttempt, Ticks, String) = match line {
             Line::Sent { at, of, who, .. } => {
                 (*of, *at, format!("sent to controller {}", who.controller))
             }
@@ -329,7 +332,7 @@
                 *at,
                 format!("dispatch {hop} reaches invoker {invoker}"),
             ),
-            Line::Ran {
+            Line::Started {
                 at, of, invoker, ..
             } => (*of, *at, format!("runs on invoker {invoker}")),
             Line::Ended {
@@ -337,7 +340,7 @@
                 of,
                 invoker,
                 ended,
-                told,
+                response_sent: told,
                 ..
             } => {
                 let lost = if *told { "" } else { ", answer lost" };
@@ -348,8 +351,8 @@
             }
             _ => continue,
         };
-        if let Some(slow) = told.get_mut(&of.n) {
-            let since = ms(at - all[&of.n].at.min(at));
+        if let Some(slow) = told.get_mut(&of.number) {
+            let since = ms(at - all[&of.number].at.min(at));
             slow.steps.push(format!("+{since:.0} ms: {text}"));
         }
     }
--- a/crates/lab/tests/lab.rs
+++ b/crates/lab/tests/lab.rs
@@ -1,7 +1,7 @@
 //! Experiments and searches on real days, small ones.
 
 use saltdrum_fakes::record::Line;
-use saltdrum_faulty_peers::{Fault, careless, rogue};
+use saltdrum_faulty_peers::{Fault, fetch_model_unverified, run_faulty_controller};
 use saltdrum_lab::hunt::{Bounds, hunt};
 use saltdrum_lab::{Experiment, Script, results, run};
 use saltdrum_scenario::{Cover, DAYS, Serve};
@@ -203,17 +203,23 @@
 
 #[test]
 fn a_controller_that_answers_twice_is_found() {
-    planted(1, |s, n, c| rogue(Fault::AnswersTwice, s, n, c));
+    planted(1, |s, n, c| {
+        run_faulty_controller(Fault::AnswersTwice, s, n, c)
+    });
 }
 
 #[test]
 fn a_controller_that_runs_effects_twice_is_found() {
-    planted(2, |s, n, c| rogue(Fault::RunsTwice, s, n, c));
+    planted(2, |s, n, c| {
+        run_faulty_controller(Fault::RunsTwice, s, n, c)
+    });
 }
 
 #[test]
 fn a_controller_that_dispatches_after_a_drain_is_found() {
-    planted(3, |s, n, c| rogue(Fault::IgnoresDrains, s, n, c));
+    planted(3, |s, n, c| {
+        run_faulty_controller(Fault::IgnoresDrains, s, n, c)
+    });
 }
 
 const WITH_LAYERS: &str = r#"
@@ -232,7 +238,11 @@
 fn copies(day: &saltdrum_scenario::Day, cover: Cover) -> (usize, usize) {
     let lines = saltdrum_scenario::play_covered(day, cover).unwrap();
     let of = |l: &Line| {
-        if let Line::Copied { sound, .. } = l {
+        if let Line::CopyAssembled {
+            matches_model: sound,
+            ..
+        } = l
+        {
             Some(*sound)
         } else {
             None
@@ -247,7 +257,7 @@
     let base = Script::read("layers", WITH_LAYERS).unwrap();
     let planted = Cover {
         serve: saltdrum_scenario::serve,
-        brings: Some(careless),
+        brings: Some(fetch_model_unverified),
     };
     let found = hunt(&base, planted, Bounds::default(), 1, BUDGET, 60, 4)
         .unwrap()
@@ -322,55 +332,55 @@
             "answers-twice",
             include_str!("found/answers-twice.star"),
             1,
-            |s, n, c| rogue(Fault::AnswersTwice, s, n, c),
+            |s, n, c| run_faulty_controller(Fault::AnswersTwice, s, n, c),
         ),
         (
             "answers-not-all",
             include_str!("found/answers-not-all.star"),
             1,
-            |s, n, c| rogue(Fault::AnswersNotAll, s, n, c),
+            |s, n, c| run_faulty_controller(Fault::AnswersNotAll, s, n, c),
         ),
         (
             "answers-late",
             include_str!("found/answers-late.star"),
             1,
-            |s, n, c| rogue(Fault::AnswersLate, s, n, c),
+            |s, n, c| run_faulty_controller(Fault::AnswersLate, s, n, c),
         ),
         (
             "runs-twice",
             include_str!("found/runs-twice.star"),
             2,
-            |s, n, c| rogue(Fault::RunsTwice, s, n, c),
+            |s, n, c| run_faulty_controller(Fault::RunsTwice, s, n, c),
         ),
         (
             "throttles-what-ran",
             include_str!("found/throttles-what-ran.star"),
             2,
-            |s, n, c| rogue(Fault::ThrottlesWhatRan, s, n, c),
+            |s, n, c| run_faulty_controller(Fault::ThrottlesWhatRan, s, n, c),
         ),
         (
             "two-out",
             include_str!("found/two-out.star"),
             2,
-            |s, n, c| rogue(Fault::TwoOut, s, n, c),
+            |s, n, c| run_faulty_controller(Fault::TwoOut, s, n, c),
         ),
         (
             "ignores-drains",
             include_str!("found/ignores-drains.star"),
             3,
-            |s, n, c| rogue(Fault::IgnoresDrains, s, n, c),
+            |s, n, c| run_faulty_controller(Fault::IgnoresDrains, s, n, c),
         ),
         (
             "loads-at-will",
             include_str!("found/loads-at-will.star"),
             5,
-            |s, n, c| rogue(Fault::LoadsAtWill, s, n, c),
+            |s, n, c| run_faulty_controller(Fault::LoadsAtWill, s, n, c),
         ),
         (
             "floods-cold-ones",
             include_str!("found/floods-cold-ones.star"),
             4,
-            |s, n, c| rogue(Fault::FloodsColdOnes, s, n, c),
+            |s, n, c| run_faulty_controller(Fault::FloodsColdOnes, s, n, c),
         ),
     ];
     for (name, text, rule, serve) in found {
--- a/crates/load/tests/freeze.rs
+++ b/crates/load/tests/freeze.rs
@@ -4,7 +4,7 @@
 use saltdrum_deployment::Terms;
 use saltdrum_load::retry::{End, Patience};
 use saltdrum_load::{Entry, Latencies, Played, Shape, Verdict, drive, shape::arrivals};
-use saltdrum_simulated_network::{Ether, Hold, Line, Lines, stoppable};
+use saltdrum_simulated_network::{Link, Links, ProcessPause, SimulatedNetwork, pausable};
 use saltdrum_transport::{Address, Clock, EventLoopClock, Network, split};
 use std::rc::Rc;
 use std::time::Duration;
@@ -56,10 +56,10 @@
         .unwrap();
     LocalSet::new().block_on(&runtime, async {
         let clock = Clock::start();
-        let ether = Ether::new(
+        let ether = SimulatedNetwork::new(
             clock,
-            Lines::new(
-                Line {
+            Links::new(
+                Link {
                     delay: 10,
                     jitter: 0,
                 },
@@ -69,9 +69,9 @@
             EventLoopClock::default(),
         );
         let at = Address::Memory("box".into());
-        let (box_hold, generator_hold) = (Hold::default(), Hold::default());
+        let (box_hold, generator_hold) = (ProcessPause::default(), ProcessPause::default());
         let serving = box_of_echoes(ether.host("box"), at.clone());
-        tokio::task::spawn_local(stoppable(box_hold.clone(), serving));
+        tokio::task::spawn_local(pausable(box_hold.clone(), serving));
         tokio::time::sleep(Duration::from_millis(10)).await;
         let mut rng = fastrand::Rng::with_seed(4);
         let entry = |at| Entry {
@@ -104,13 +104,13 @@
         let stopping = async {
             tokio::time::sleep(Duration::from_secs(4)).await;
             if box_stops {
-                box_hold.stop(Duration::from_secs(2));
+                box_hold.pause_for(Duration::from_secs(2));
             }
             if generator_stops {
-                generator_hold.stop(Duration::from_secs(2));
+                generator_hold.pause_for(Duration::from_secs(2));
             }
         };
-        let running = stoppable(generator_hold.clone(), async {
+        let running = pausable(generator_hold.clone(), async {
             driving.run_until(driven).await
         });
         let (played, ()) = tokio::join!(running, stopping);
--- a/crates/platform/src/tests/attempts.rs
+++ b/crates/platform/src/tests/attempts.rs
@@ -3,21 +3,31 @@
 use super::support::*;
 use bytes::Bytes;
 use saltdrum::interface::*;
-use saltdrum_fakes::platform::{Call, Heard, Spoilt, listing};
+use saltdrum_fakes::platform::{Call, ResponseFault, ServerFrame, endpoint_record};
 use saltdrum_platform_wire::feed::Event;
 use saltdrum_platform_wire::frames::Code;
 use std::time::Duration;
 
 #[test]
 fn reports_proven_outcome_of_each_fault_and_discards_faulty_connections() {
-    use Spoilt as S;
+    use ResponseFault as S;
     let may_have_run = [Outcome::Reset, Outcome::Errored, Outcome::TimedOut];
     let (succeeded, throttled) = ([Outcome::Succeeded], |outcome| [outcome]);
-    let cases: Vec<(Spoilt, Vec<Outcome>, Code, bool)> = vec![
-        (S::No, succeeded.to_vec(), Code::Succeeded, true),
-        (S::Early1xx, succeeded.to_vec(), Code::Succeeded, true),
-        (S::NoiseAfter, succeeded.to_vec(), Code::Succeeded, false),
-        (S::TwiceOver, succeeded.to_vec(), Code::Succeeded, false),
+    let cases: Vec<(ResponseFault, Vec<Outcome>, Code, bool)> = vec![
+        (S::None, succeeded.to_vec(), Code::Succeeded, true),
+        (
+            S::InformationalFirst,
+            succeeded.to_vec(),
+            Code::Succeeded,
+            true,
+        ),
+        (
+            S::GarbageAfterResponse,
+            succeeded.to_vec(),
+            Code::Succeeded,
+            false,
+        ),
+        (S::SentTwice, succeeded.to_vec(), Code::Succeeded, false),
         (
             S::Miss,
             throttled(Outcome::Miss).to_vec(),
@@ -31,39 +41,44 @@
             true,
         ),
         (
-            S::Over,
+            S::Expired,
             throttled(Outcome::NotSent).to_vec(),
             Code::Throttled,
             true,
         ),
         (S::Errored, vec![Outcome::Errored], Code::Errored, true),
-        (S::NoiseForHead, may_have_run.to_vec(), Code::Errored, false),
+        (S::GarbageHead, may_have_run.to_vec(), Code::Errored, false),
+        (
+            S::UnterminatedHead,
+            may_have_run.to_vec(),
+            Code::Errored,
+            false,
+        ),
         (
-            S::HeadWithoutEnd,
+            S::ConflictingLengths,
             may_have_run.to_vec(),
             Code::Errored,
             false,
         ),
         (
-            S::LengthsContradict,
+            S::ThreeGigabyteLength,
             may_have_run.to_vec(),
             Code::Errored,
             false,
         ),
         (
-            S::ThreeGigabytes,
+            S::TruncatedBody,
             may_have_run.to_vec(),
             Code::Errored,
             false,
         ),
-        (S::ShortBody, may_have_run.to_vec(), Code::Errored, false),
         (
-            S::ResetAfterReading,
+            S::ClosedAfterReading,
             may_have_run.to_vec(),
             Code::Errored,
             false,
         ),
-        (S::Silent, vec![Outcome::TimedOut], Code::Errored, false),
+        (S::NeverSent, vec![Outcome::TimedOut], Code::Errored, false),
     ];
     for (spoilt, outcomes, code, is_reused) in cases {
         run_test(|| async move {
@@ -72,9 +87,9 @@
                 controller.invokers[&1].clone(),
                 controller.connect_client().await,
             );
-            invoker.spoilt.set(spoilt);
+            invoker.fault.set(spoilt);
             let call = controller.new_call("book");
-            client.ask(&call).await;
+            client.invoke(&call).await;
             let response = expect_response(&mut client).await;
             assert_eq!(response.code, code as u8, "{spoilt:?}");
             let ends = ATTEMPT_ENDS.take();
@@ -90,13 +105,13 @@
                 );
             }
             assert_eq!(
-                response.later_ms,
+                response.retry_after_ms,
                 (code == Code::Throttled).then_some(10),
                 "{spoilt:?}"
             );
             sleep_ms(CONNECTION_REUSABLE_MS).await;
-            invoker.spoilt.set(Spoilt::No);
-            client.ask(&controller.new_call("book")).await;
+            invoker.fault.set(ResponseFault::None);
+            client.invoke(&controller.new_call("book")).await;
             assert_eq!(
                 expect_response(&mut client).await.code,
                 Code::Succeeded as u8,
@@ -118,9 +133,9 @@
         let controller = TestController::new(first_invoker_policy, &[], 256).await;
         let mut client = controller.connect_client().await;
         // The invoker is listed, but nothing listens at its address.
-        controller.feed.say(
+        controller.feed.publish(
             2,
-            Event::Changes(vec![listing(
+            Event::Changes(vec![endpoint_record(
                 1,
                 invoker_address(9),
                 InvokerStatus::Ready,
@@ -128,7 +143,7 @@
             )]),
         );
         sleep_ms(10).await;
-        client.ask(&controller.new_call("book")).await;
+        client.invoke(&controller.new_call("book")).await;
         assert_eq!(
             expect_response(&mut client).await.code,
             Code::Throttled as u8
@@ -144,14 +159,14 @@
     run_test(|| async {
         let controller = TestController::new(first_invoker_policy, &[1], 256).await;
         let mut client = controller.connect_client().await;
-        client.ask(&controller.new_call("book")).await;
+        client.invoke(&controller.new_call("book")).await;
         assert_eq!(
             expect_response(&mut client).await.code,
             Code::Succeeded as u8
         );
         sleep_ms(CONNECTION_REUSABLE_MS).await;
         client
-            .ask(&Call {
+            .invoke(&Call {
                 function: CANCELLED_FUNCTION,
                 ..controller.new_call("book")
             })
@@ -161,7 +176,7 @@
             Code::Throttled as u8
         );
         assert_eq!(ATTEMPT_ENDS.take()[1..], [(Outcome::NotSent, false)]);
-        assert_eq!(controller.invokers[&1].arrived.borrow().len(), 1);
+        assert_eq!(controller.invokers[&1].requests.borrow().len(), 1);
     });
 }
 
@@ -173,18 +188,18 @@
         run_test(|| async move {
             let controller = TestController::new(first_invoker_policy, &[1], 256).await;
             let mut client = controller.connect_client().await;
-            controller.invokers[&1].spoilt.set(Spoilt::Silent);
+            controller.invokers[&1].fault.set(ResponseFault::NeverSent);
             client
-                .ask(&Call {
-                    limit_ms: 200,
+                .invoke(&Call {
+                    timeout_ms: 200,
                     ..controller.new_call("book")
                 })
                 .await;
             sleep_ms(100).await;
             tokio::time::advance(Duration::from_millis(stopped_ms - 100)).await;
-            let heard = tokio::time::timeout(Duration::from_millis(20), client.hear()).await;
+            let heard = tokio::time::timeout(Duration::from_millis(20), client.next_frame()).await;
             assert_eq!(
-                matches!(heard, Ok(Some(Heard::Answer(_)))),
+                matches!(heard, Ok(Some(ServerFrame::Response(_)))),
                 is_answered,
                 "{stopped_ms}: {heard:?}"
             );
@@ -202,19 +217,19 @@
             body: body.clone(),
             ..controller.new_call("charge")
         };
-        client.ask(&call).await;
+        client.invoke(&call).await;
         assert_eq!(
             expect_response(&mut client).await.code,
             Code::Succeeded as u8
         );
         client
-            .ask(&Call {
+            .invoke(&Call {
                 body: vec![],
                 ..controller.new_call("look")
             })
             .await;
         expect_response(&mut client).await;
-        let arrived = controller.invokers[&1].arrived.borrow();
+        let arrived = controller.invokers[&1].requests.borrow();
         let (post, get) = (&arrived[0], &arrived[1]);
         assert_eq!(
             (post.method.as_str(), post.path.as_str()),
@@ -251,7 +266,7 @@
             controller.connect_client().await,
         );
         for n in 0..30 {
-            client.ask(&controller.new_call("look")).await;
+            client.invoke(&controller.new_call("look")).await;
             assert_eq!(
                 expect_response(&mut client).await.code,
                 Code::Succeeded as u8
@@ -261,7 +276,7 @@
         assert_eq!(invoker.accepted.get(), 1);
         sleep_ms(12_000).await;
         let mut client = controller.connect_client().await;
-        client.ask(&controller.new_call("look")).await;
+        client.invoke(&controller.new_call("look")).await;
         expect_response(&mut client).await;
         assert_eq!(
             invoker.accepted.get(),
--- a/crates/platform/src/tests/bounds.rs
+++ b/crates/platform/src/tests/bounds.rs
@@ -4,7 +4,7 @@
 use crate::lifecycle::shut_down;
 use saltdrum::interface::*;
 use saltdrum_controller::dispatch_policy;
-use saltdrum_fakes::platform::{Call, Heard, Spoilt, listing};
+use saltdrum_fakes::platform::{Call, ResponseFault, ServerFrame, endpoint_record};
 use saltdrum_platform_wire::feed::Event;
 use saltdrum_platform_wire::frames::Code;
 use saltdrum_transport::Address;
@@ -19,25 +19,25 @@
         for round in 0..300u32 {
             let (old, new) = (round * 10 + 1, (round + 1) * 10 + 1);
             let changes = (0..10).map(|i| {
-                listing(
+                endpoint_record(
                     new + i,
                     invoker_address(1),
                     InvokerStatus::Ready,
                     LONG_PAST_MS,
                 )
             });
-            let gone =
-                (0..10).map(|i| listing(old + i, invoker_address(1), InvokerStatus::Gone, None));
+            let gone = (0..10)
+                .map(|i| endpoint_record(old + i, invoker_address(1), InvokerStatus::Gone, None));
             event_number += 1;
             controller
                 .feed
-                .say(event_number, Event::Changes(changes.chain(gone).collect()));
+                .publish(event_number, Event::Changes(changes.chain(gone).collect()));
             let mut client = controller.connect_client().await;
             for _ in 0..10 {
                 let call = controller.new_call("look");
                 client
-                    .ask(&Call {
-                        function: 1_000 + call.n,
+                    .invoke(&Call {
+                        function: 1_000 + call.number,
                         ..call
                     })
                     .await;
@@ -66,19 +66,19 @@
         let controller = TestController::new(dispatch_policy, &[1, 2], 256).await;
         let mut client = controller.connect_client().await;
         let arrived_count = |invoker: u32| {
-            let arrived = controller.invokers[&invoker].arrived.borrow();
+            let arrived = controller.invokers[&invoker].requests.borrow();
             arrived
                 .iter()
                 .filter(|a| a.fields.contains_key("x-txn"))
                 .count()
         };
         for _ in 0..3 {
-            client.ask(&controller.new_call("look")).await;
+            client.invoke(&controller.new_call("look")).await;
             expect_response(&mut client).await;
         }
         let before = [arrived_count(1), arrived_count(2)];
         for _ in 0..9 {
-            client.ask(&controller.new_call("look")).await;
+            client.invoke(&controller.new_call("look")).await;
         }
         sleep_ms(10).await;
         let views = controller
@@ -111,13 +111,13 @@
         controller
             .invokers
             .values()
-            .for_each(|i| i.spoilt.set(Spoilt::Miss));
+            .for_each(|i| i.fault.set(ResponseFault::Miss));
         let mut client = controller.connect_client().await;
         for n in 0..30 {
             client
-                .ask(&Call {
+                .invoke(&Call {
                     function: 5_000 + n,
-                    limit_ms: 800,
+                    timeout_ms: 800,
                     body: vec![1; 100],
                     ..controller.new_call("look")
                 })
@@ -144,7 +144,7 @@
         controller
             .invokers
             .values()
-            .for_each(|i| i.spoilt.set(Spoilt::Silent));
+            .for_each(|i| i.fault.set(ResponseFault::NeverSent));
         let mut silent_clients = Vec::new();
         for _ in 0..300 {
             silent_clients.push(controller.connect_client().await);
@@ -152,8 +152,8 @@
         let mut normal = controller.connect_client().await;
         for _ in 0..32 {
             normal
-                .ask(&Call {
-                    limit_ms: 1_500,
+                .invoke(&Call {
+                    timeout_ms: 1_500,
                     ..controller.new_call("look")
                 })
                 .await;
@@ -181,29 +181,29 @@
     run_test(|| async {
         let controller = TestController::new(dispatch_policy, &[1, 2], 256).await;
         let mut old = controller.connect_client().await;
-        old.ask(&controller.new_call("look")).await;
+        old.invoke(&controller.new_call("look")).await;
         sleep_ms(5).await;
         let handle = controller.handle.clone();
         let shutdown = spawn_local(async move { shut_down(&handle).await });
         sleep_ms(300).await;
         let mut new = controller.connect_client().await;
-        new.ask(&controller.new_call("look")).await;
+        new.invoke(&controller.new_call("look")).await;
         sleep_ms(200).await;
-        old.ask(&controller.new_call("book")).await;
+        old.invoke(&controller.new_call("book")).await;
         shutdown.await.unwrap();
         let mut heard = Vec::new();
         for _ in 0..3 {
-            heard.push(old.hear().await);
+            heard.push(old.next_frame().await);
         }
-        assert!(heard.contains(&Some(Heard::GoAway)), "{heard:?}");
+        assert!(heard.contains(&Some(ServerFrame::GoAway)), "{heard:?}");
         let answers = heard
             .iter()
-            .filter(|h| matches!(h, Some(Heard::Answer(_))))
+            .filter(|h| matches!(h, Some(ServerFrame::Response(_))))
             .count();
         assert_eq!(answers, 2, "{heard:?}");
         assert_eq!(
-            new.hear().await,
-            Some(Heard::GoAway),
+            new.next_frame().await,
+            Some(ServerFrame::GoAway),
             "a client that connects during the grace is notified too"
         );
         expect_response(&mut new).await;
--- a/crates/platform/src/tests/deadlines.rs
+++ b/crates/platform/src/tests/deadlines.rs
@@ -11,7 +11,7 @@
 use proptest::test_runner::{Config, RngSeed, TestRunner};
 use saltdrum::interface::*;
 use saltdrum_controller::dispatch_policy;
-use saltdrum_fakes::platform::{Call, Heard, Spoilt, listing};
+use saltdrum_fakes::platform::{Call, ResponseFault, ServerFrame, endpoint_record};
 use saltdrum_platform_wire::config;
 use saltdrum_platform_wire::feed::{Event, encode};
 use saltdrum_platform_wire::frames::{self, Code};
@@ -41,7 +41,7 @@
 fn event() -> (u64, Event) {
     (
         2,
-        Event::Changes(vec![listing(
+        Event::Changes(vec![endpoint_record(
             1,
             invoker_address(1),
             InvokerStatus::Draining,
@@ -153,20 +153,20 @@
             InvokerStatus::Draining,
         ];
         for (n, status) in statuses.into_iter().enumerate() {
-            controller.feed.say(
+            controller.feed.publish(
                 2 + n as u64,
-                Event::Changes(vec![listing(1, invoker_address(1), status, None)]),
+                Event::Changes(vec![endpoint_record(1, invoker_address(1), status, None)]),
             );
             sleep_ms(50).await;
         }
         // 150 ms after the first, 50 ms after the last; half the grace is 125 ms.
-        client.ask(&controller.new_call("book")).await;
+        client.invoke(&controller.new_call("book")).await;
         assert_eq!(
             expect_response(&mut client).await.code,
             Code::Succeeded as u8
         );
         sleep_ms(60).await;
-        client.ask(&controller.new_call("book")).await;
+        client.invoke(&controller.new_call("book")).await;
         assert_eq!(
             expect_response(&mut client).await.code,
             Code::Throttled as u8
@@ -175,7 +175,7 @@
             ATTEMPT_ENDS.take(),
             [(Outcome::Succeeded, true), (Outcome::NotSent, false)]
         );
-        assert_eq!(controller.invokers[&1].arrived.borrow().len(), 1);
+        assert_eq!(controller.invokers[&1].requests.borrow().len(), 1);
         assert_eq!(controller.broken_rules(), [0u8; 0]);
     });
 }
@@ -188,21 +188,21 @@
         let mut controller = TestController::new(first_invoker_policy, &[1], 256).await;
         let old = controller.invokers[&1].clone();
         let mut client = controller.connect_client().await;
-        client.ask(&controller.new_call("look")).await;
+        client.invoke(&controller.new_call("look")).await;
         sleep_ms(10).await;
-        assert_eq!(old.arrived.borrow().len(), 1, "in flight");
-        controller.feed.say(
+        assert_eq!(old.requests.borrow().len(), 1, "in flight");
+        controller.feed.publish(
             2,
-            Event::Changes(vec![listing(
+            Event::Changes(vec![endpoint_record(
                 1,
                 invoker_address(1),
                 InvokerStatus::Gone,
                 None,
             )]),
         );
-        controller.feed.say(
+        controller.feed.publish(
             3,
-            Event::Changes(vec![listing(
+            Event::Changes(vec![endpoint_record(
                 1,
                 invoker_address(8),
                 InvokerStatus::Ready,
@@ -215,15 +215,15 @@
             Code::Succeeded as u8
         );
         sleep_ms(CONNECTION_REUSABLE_MS).await;
-        client.ask(&controller.new_call("look")).await;
+        client.invoke(&controller.new_call("look")).await;
         assert_eq!(
             expect_response(&mut client).await.code,
             Code::Succeeded as u8
         );
         assert_eq!(
             (
-                old.arrived.borrow().len(),
-                controller.invokers[&1].arrived.borrow().len()
+                old.requests.borrow().len(),
+                controller.invokers[&1].requests.borrow().len()
             ),
             (1, 1)
         );
@@ -251,11 +251,11 @@
         });
         let controller =
             TestController::with_configuration(first_invoker_policy, &[1, 2], &text).await;
-        controller.invokers[&1].spoilt.set(Spoilt::Silent);
+        controller.invokers[&1].fault.set(ResponseFault::NeverSent);
         let mut client = controller.connect_client().await;
         client
-            .ask(&Call {
-                limit_ms: 12_000,
+            .invoke(&Call {
+                timeout_ms: 12_000,
                 ..controller.new_call("book")
             })
             .await;
@@ -264,8 +264,8 @@
         let shutdown = spawn_local(async move { shut_down(&handle).await });
         sleep_ms(500).await;
         client
-            .ask(&Call {
-                limit_ms: 12_000,
+            .invoke(&Call {
+                timeout_ms: 12_000,
                 ..controller.new_call("look")
             })
             .await;
@@ -275,7 +275,7 @@
             .await
             .unwrap();
         let mut heard = Vec::new();
-        while let Some(what) = client.hear().await {
+        while let Some(what) = client.next_frame().await {
             heard.push(what);
         }
         let took_ms = (controller.clock.now() - signalled_at) / MILLISECOND;
@@ -284,15 +284,15 @@
         assert_eq!(
             heard[..2],
             [
-                Heard::GoAway,
-                Heard::Ready {
+                ServerFrame::GoAway,
+                ServerFrame::Ready {
                     stream: 77,
                     code: Code::Throttled as u8
                 }
             ]
         );
         let codes = heard[2..].iter().map(|h| match h {
-            Heard::Answer(a) => a.code,
+            ServerFrame::Response(a) => a.code,
             other => panic!("{other:?}"),
         });
         assert_eq!(
@@ -313,13 +313,13 @@
         let mut client = controller.connect_client().await;
         let call = |n: u64| Call {
             function: 700 + n % 12,
-            limit_ms: 2_500,
+            timeout_ms: 2_500,
             ..controller.new_call("look")
         };
         let order_count = || {
             let orders_to = |invoker: u32| {
                 controller.invokers[&invoker]
-                    .arrived
+                    .requests
                     .borrow()
                     .iter()
                     .filter(|a| a.method == "PUT")
@@ -328,23 +328,23 @@
             orders_to(1) + orders_to(2)
         };
         for n in 0..120 {
-            client.ask(&call(n)).await;
+            client.invoke(&call(n)).await;
             expect_response(&mut client).await;
         }
         let before = order_count();
         controller
             .invokers
             .values()
-            .for_each(|i| i.spoilt.set(Spoilt::Miss));
+            .for_each(|i| i.fault.set(ResponseFault::Miss));
         for n in 0..12 {
-            client.ask(&call(n)).await;
+            client.invoke(&call(n)).await;
         }
         sleep_ms(200).await;
         let orders = order_count() - before;
         controller
             .invokers
             .values()
-            .for_each(|i| i.spoilt.set(Spoilt::No));
+            .for_each(|i| i.fault.set(ResponseFault::None));
         for _ in 0..12 {
             expect_response(&mut client).await;
         }
@@ -354,7 +354,7 @@
             "{orders} orders for 12 functions"
         );
         for n in 0..60 {
-            client.ask(&call(n)).await;
+            client.invoke(&call(n)).await;
             assert_eq!(
                 expect_response(&mut client).await.code,
                 Code::Succeeded as u8
@@ -485,9 +485,9 @@
                 let token = Some(format!("{:032x}", 100 + sent));
                 let limit_ms = (*timeout).min(800);
                 client
-                    .ask(&Call {
+                    .invoke(&Call {
                         token,
-                        limit_ms,
+                        timeout_ms: limit_ms,
                         trigger: name.clone(),
                         ..controller.new_call("look")
                     })
@@ -495,9 +495,9 @@
                 sent += 1;
             }
             if round == 1 {
-                controller.feed.say(
+                controller.feed.publish(
                     2,
-                    Event::Changes(vec![listing(
+                    Event::Changes(vec![endpoint_record(
                         1,
                         invoker_address(1),
                         InvokerStatus::Draining,
@@ -509,9 +509,10 @@
         }
         let mut streams = std::collections::BTreeSet::new();
         for _ in 0..sent {
-            let heard = tokio::time::timeout(Duration::from_millis(1_500), client.hear()).await;
+            let heard =
+                tokio::time::timeout(Duration::from_millis(1_500), client.next_frame()).await;
             match heard {
-                Ok(Some(Heard::Answer(a))) => {
+                Ok(Some(ServerFrame::Response(a))) => {
                     assert!(streams.insert(a.stream), "answered twice: {a:?}")
                 }
                 other => panic!(
@@ -520,7 +521,7 @@
                 ),
             }
         }
-        let more = tokio::time::timeout(Duration::from_millis(600), client.hear()).await;
+        let more = tokio::time::timeout(Duration::from_millis(600), client.next_frame()).await;
         assert!(more.is_err(), "{more:?} after all responses");
     });
 }
@@ -529,13 +530,13 @@
 /// retry. The checker finds no attempt that was sent more than 0.1 s later, and no invocation stays in the tables.
 #[test]
 fn never_dispatches_after_client_left_at_any_time() {
-    const SPOILT: [Spoilt; 6] = [
-        Spoilt::No,
-        Spoilt::Miss,
-        Spoilt::Full,
-        Spoilt::Silent,
-        Spoilt::ClosedUnread,
-        Spoilt::ShortBody,
+    const SPOILT: [ResponseFault; 6] = [
+        ResponseFault::None,
+        ResponseFault::Miss,
+        ResponseFault::Full,
+        ResponseFault::NeverSent,
+        ResponseFault::ClosedUnread,
+        ResponseFault::TruncatedBody,
     ];
     let requests = Rc::new(Cell::new(0));
     for seed in 0..24 {
@@ -547,21 +548,21 @@
                 controller
                     .invokers
                     .values()
-                    .for_each(|i| i.spoilt.set(SPOILT[rng.usize(..SPOILT.len())]));
+                    .for_each(|i| i.fault.set(SPOILT[rng.usize(..SPOILT.len())]));
                 let mut client = controller.connect_client().await;
                 // Not "charge": the test invokers do not share idempotency tokens.
                 let trigger = if rng.bool() { "look" } else { "book" };
                 // One function is loaded after a while; the others are not loaded anywhere and wait for a load.
                 let function = if rng.bool() { 0xf1 } else { 0x1_000 + n };
                 let stream = client
-                    .ask(&Call {
+                    .invoke(&Call {
                         function,
                         ..controller.new_call(trigger)
                     })
                     .await;
                 sleep_ms(rng.u64(0..300)).await;
                 if rng.bool() {
-                    client.leave(stream).await;
+                    client.cancel(stream).await;
                     sleep_ms(rng.u64(0..30)).await;
                 }
                 client.close();
@@ -575,7 +576,7 @@
             let arrived = controller
                 .invokers
                 .values()
-                .map(|i| i.arrived.borrow().len())
+                .map(|i| i.requests.borrow().len())
                 .sum::<usize>();
             requests.set(requests.get() + arrived);
             assert_eq!(controller.broken_rules(), [0u8; 0], "seed {seed}");
@@ -616,7 +617,7 @@
             "{requested:?}"
         );
         let mut client = controller.connect_client().await;
-        client.ask(&controller.new_call("look")).await;
+        client.invoke(&controller.new_call("look")).await;
         assert_eq!(
             expect_response(&mut client).await.code,
             Code::Succeeded as u8
--- a/crates/platform/src/tests/degraded_peers.rs
+++ b/crates/platform/src/tests/degraded_peers.rs
@@ -3,7 +3,7 @@
 
 use crate::tests::support::{TestController, expect_response, run_test, sleep_ms};
 use saltdrum_controller::dispatch_policy;
-use saltdrum_fakes::platform::{Call, FrameClient, Heard, Spoilt};
+use saltdrum_fakes::platform::{Call, FrameClient, ResponseFault, ServerFrame};
 use saltdrum_platform_wire::frames::{self, Code};
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
@@ -17,7 +17,7 @@
     let call_count = calls.len();
     for pair in calls.chunks(2) {
         for call in pair {
-            client.ask(call).await;
+            client.invoke(call).await;
         }
         sleep_ms(20).await;
     }
@@ -37,7 +37,7 @@
     let mut clients = Vec::new();
     for _ in 0..4 {
         let call = |n: usize| Call {
-            limit_ms: TIME_LIMIT_MS,
+            timeout_ms: TIME_LIMIT_MS,
             ..controller.new_call(if n.is_multiple_of(2) { "look" } else { "book" })
         };
         let calls = (0..2 * CALL_PAIRS_PER_CLIENT).map(call).collect();
@@ -54,22 +54,22 @@
 
 #[test]
 fn answers_all_in_time_with_faulty_invokers() {
-    use Spoilt as S;
+    use ResponseFault as S;
     for spoilt in [
-        S::Silent,
+        S::NeverSent,
         S::Full,
         S::Errored,
         S::Miss,
-        S::Over,
+        S::Expired,
         S::ClosedUnread,
-        S::ResetAfterReading,
+        S::ClosedAfterReading,
     ] {
         run_test(|| async move {
             let controller = TestController::new(dispatch_policy, &[1, 2], 256).await;
             controller
                 .invokers
                 .values()
-                .for_each(|i| i.spoilt.set(spoilt));
+                .for_each(|i| i.fault.set(spoilt));
             check_all_answered_in_time(&controller, &format!("{spoilt:?}")).await;
         });
     }
@@ -83,7 +83,7 @@
         controller
             .invokers
             .values()
-            .for_each(|i| i.spoilt.set(Spoilt::Silent));
+            .for_each(|i| i.fault.set(ResponseFault::NeverSent));
         check_all_answered_in_time(&controller, "no descriptor").await;
     });
 }
@@ -107,9 +107,10 @@
                 if flooding.stream.write_all(&frame).await.is_err() {
                     return;
                 }
-                while let Ok(Some(Heard::Ready { .. })) =
-                    tokio::time::timeout(Duration::ZERO, flooding.hear()).await
-                {}
+                while let Ok(Some(ServerFrame::Ready { .. })) =
+                    tokio::time::timeout(Duration::ZERO, flooding.next_frame()).await
+                {
+                }
             }
         });
         let unread = spawn_local(async move {
@@ -127,7 +128,7 @@
         });
         let mut normal = controller.connect_client().await;
         for _ in 0..30 {
-            normal.ask(&controller.new_call("book")).await;
+            normal.invoke(&controller.new_call("book")).await;
             let received = tokio::time::timeout(
                 Duration::from_millis(TIME_LIMIT_MS),
                 expect_response(&mut normal),
@@ -164,8 +165,8 @@
         let started_at = controller.clock.now();
         let mut client = controller.connect_client().await;
         client
-            .ask(&Call {
-                limit_ms: TIME_LIMIT_MS,
+            .invoke(&Call {
+                timeout_ms: TIME_LIMIT_MS,
                 ..controller.new_call("look")
             })
             .await;
--- a/crates/platform/src/tests/hostile_clients.rs
+++ b/crates/platform/src/tests/hostile_clients.rs
@@ -2,7 +2,7 @@
 
 use super::support::*;
 use saltdrum_controller::dispatch_policy;
-use saltdrum_fakes::platform::{Call, Heard};
+use saltdrum_fakes::platform::{Call, ServerFrame};
 use saltdrum_platform_wire::frames::{self, Code};
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
@@ -10,11 +10,11 @@
 /// Byte sequences that no client may send.
 fn malformed_inputs() -> Vec<Vec<u8>> {
     let valid = Call {
-        n: 900,
+        number: 900,
         attempt: 0,
         trigger: "look".into(),
         function: 0xf1,
-        limit_ms: 1_000,
+        timeout_ms: 1_000,
         token: None,
         body: vec![],
     };
@@ -131,37 +131,39 @@
         for (index, input) in malformed_inputs().into_iter().enumerate() {
             let mut client = controller.connect_client().await;
             let wrote = client.stream.write_all(&input).await;
-            let heard = tokio::time::timeout(Duration::from_millis(2_900), client.hear()).await;
+            let heard =
+                tokio::time::timeout(Duration::from_millis(2_900), client.next_frame()).await;
             match heard {
                 Ok(None) => {}
-                Ok(Some(Heard::Answer(a))) => {
+                Ok(Some(ServerFrame::Response(a))) => {
                     assert_ne!(a.code, Code::Succeeded as u8, "input {index}")
                 }
                 other => panic!("input {index}: {other:?} after {wrote:?}"),
             }
-            normal.ask(&controller.new_call("look")).await;
+            normal.invoke(&controller.new_call("look")).await;
             expect_response(&mut normal).await;
         }
         // A connection without any frame is closed, and so is one that is idle after its invocations.
         let mut silent = controller.connect_client().await;
         assert_eq!(
-            tokio::time::timeout(Duration::from_millis(2_900), silent.hear()).await,
+            tokio::time::timeout(Duration::from_millis(2_900), silent.next_frame()).await,
             Ok(None)
         );
-        let notification = tokio::time::timeout(Duration::from_millis(8_000), normal.hear()).await;
+        let notification =
+            tokio::time::timeout(Duration::from_millis(8_000), normal.next_frame()).await;
         assert_eq!(
             notification,
-            Ok(Some(Heard::GoAway)),
+            Ok(Some(ServerFrame::GoAway)),
             "the client is notified before its connection is closed"
         );
         assert_eq!(
-            tokio::time::timeout(Duration::from_millis(300), normal.hear()).await,
+            tokio::time::timeout(Duration::from_millis(300), normal.next_frame()).await,
             Ok(None)
         );
         let arrived: Vec<u64> = controller
             .invokers
             .values()
-            .flat_map(|i| i.arrived.borrow().clone())
+            .flat_map(|i| i.requests.borrow().clone())
             .filter_map(|request| u64::from_str_radix(request.fields.get("x-txn")?, 16).ok())
             .collect();
         assert!(
@@ -181,19 +183,19 @@
             controller.connect_client().await,
         );
         let call = controller.new_call("look");
-        one.ask(&call).await;
+        one.invoke(&call).await;
         sleep_ms(1).await;
         other
-            .ask(&Call {
+            .invoke(&Call {
                 body: vec![1],
                 ..call.clone()
             })
             .await;
         assert_eq!(expect_response(&mut other).await.code, Code::Errored as u8);
         assert_eq!(expect_response(&mut one).await.code, Code::Succeeded as u8);
-        assert_eq!(controller.invokers[&1].arrived.borrow().len(), 1);
+        assert_eq!(controller.invokers[&1].requests.borrow().len(), 1);
         for _ in 0..40 {
-            one.ask(&controller.new_call("look")).await;
+            one.invoke(&controller.new_call("look")).await;
         }
         let mut codes = Vec::new();
         for _ in 0..40 {
@@ -223,12 +225,12 @@
         // Once the list is current no invoker is probed: the only connection is that of the attempt.
         sleep_ms(LIST_CURRENT_MS).await;
         let mut client = controller.connect_client().await;
-        client.ask(&controller.new_call("look")).await;
+        client.invoke(&controller.new_call("look")).await;
         expect_response(&mut client).await;
         sleep_ms(CONNECTION_REUSABLE_MS).await;
-        let stream = client.ask(&controller.new_call("look")).await;
+        let stream = client.invoke(&controller.new_call("look")).await;
         sleep_ms(10).await;
-        client.leave(stream).await;
+        client.cancel(stream).await;
         sleep_ms(10).await;
         assert_eq!(controller.sizes().2, 0, "the invocation was removed");
         assert_eq!(
--- a/crates/platform/src/tests/races.rs
+++ b/crates/platform/src/tests/races.rs
@@ -8,7 +8,7 @@
 use saltdrum::interface::*;
 use saltdrum_controller::AttemptReport;
 use saltdrum_controller::Policy;
-use saltdrum_fakes::platform::listing;
+use saltdrum_fakes::platform::endpoint_record;
 use saltdrum_platform_wire::feed::Event;
 use saltdrum_platform_wire::frames::{self, Code};
 use std::cell::RefCell;
@@ -621,7 +621,12 @@
             .to_string()
             .parse()
             .unwrap();
-        let draining = Event::Changes(vec![listing(1, address, InvokerStatus::Draining, None)]);
+        let draining = Event::Changes(vec![endpoint_record(
+            1,
+            address,
+            InvokerStatus::Draining,
+            None,
+        )]);
         crate::endpoint_watch::handle_event(
             &controller.handle,
             controller.handle.clock.now(),
--- a/crates/platform/src/tests/rules.rs
+++ b/crates/platform/src/tests/rules.rs
@@ -3,7 +3,7 @@
 use super::support::*;
 use saltdrum::interface::*;
 use saltdrum_controller::{Policy, dispatch_policy};
-use saltdrum_fakes::platform::{Call, Spoilt, listing};
+use saltdrum_fakes::platform::{Call, ResponseFault, endpoint_record};
 use saltdrum_fakes::record::Line;
 use saltdrum_platform_wire::feed::Event;
 use saltdrum_scenario::check::sent_on_after_leaving;
@@ -18,27 +18,27 @@
     for round in 0..rounds {
         for trigger in ["look", "book", "charge"] {
             client
-                .ask(&Call {
-                    limit_ms: 1_000,
+                .invoke(&Call {
+                    timeout_ms: 1_000,
                     ..controller.new_call(trigger)
                 })
                 .await;
         }
         let spoilt = [
-            Spoilt::No,
-            Spoilt::ShortBody,
-            Spoilt::No,
-            Spoilt::Miss,
-            Spoilt::No,
-            Spoilt::ResetAfterReading,
+            ResponseFault::None,
+            ResponseFault::TruncatedBody,
+            ResponseFault::None,
+            ResponseFault::Miss,
+            ResponseFault::None,
+            ResponseFault::ClosedAfterReading,
         ];
         controller.invokers[&((round % 2) as u32 + 1)]
-            .spoilt
+            .fault
             .set(spoilt[round as usize % spoilt.len()]);
         if round == rounds / 2 {
-            controller.feed.say(
+            controller.feed.publish(
                 2,
-                Event::Changes(vec![listing(
+                Event::Changes(vec![endpoint_record(
                     1,
                     invoker_address(1),
                     InvokerStatus::Draining,
@@ -46,9 +46,9 @@
                 )]),
             );
             let started = Some(UNIX_MS + controller.clock.now() / 10 - 3_600_000);
-            controller.feed.say(
+            controller.feed.publish(
                 3,
-                Event::Changes(vec![listing(
+                Event::Changes(vec![endpoint_record(
                     3,
                     invoker_address(3),
                     InvokerStatus::Ready,
@@ -57,12 +57,12 @@
             );
         }
         let _ = tokio::time::timeout(Duration::from_millis(60), async {
-            while client.hear().await.is_some() {}
+            while client.next_frame().await.is_some() {}
         })
         .await;
     }
     let _ = tokio::time::timeout(Duration::from_millis(2_500), async {
-        while client.hear().await.is_some() {}
+        while client.next_frame().await.is_some() {}
     })
     .await;
 }
@@ -76,7 +76,7 @@
         let arrived: usize = controller
             .invokers
             .values()
-            .map(|i| i.arrived.borrow().len())
+            .map(|i| i.requests.borrow().len())
             .sum();
         assert!(arrived > 200, "{arrived}");
         assert_eq!(controller.broken_rules(), [0u8; 0]);
@@ -138,17 +138,19 @@
             let controller =
                 TestController::new(|_, _, _, _| Box::new(FAULTY_POLICY.get()), &[1, 2], 256).await;
             let mut client = controller.connect_client().await;
-            controller.invokers[&2].spoilt.set(Spoilt::ShortBody);
+            controller.invokers[&2]
+                .fault
+                .set(ResponseFault::TruncatedBody);
             for _ in 0..10 {
                 client
-                    .ask(&Call {
-                        limit_ms: 500,
+                    .invoke(&Call {
+                        timeout_ms: 500,
                         ..controller.new_call("book")
                     })
                     .await;
             }
             let _ = tokio::time::timeout(Duration::from_millis(1_500), async {
-                while client.hear().await.is_some() {}
+                while client.next_frame().await.is_some() {}
             })
             .await;
             assert!(controller.broken_rules().contains(&rule), "rule {rule}");
@@ -162,7 +164,7 @@
         // The drain is recorded as reported, but never sent to the controller.
         let controller = TestController::new(first_invoker_policy, &[1], 256).await;
         let (at, who) = (controller.clock.now(), CONTROLLER);
-        controller.record.note(Line::Told {
+        controller.record.note(Line::EndpointSent {
             at,
             who,
             invoker: 1,
@@ -171,7 +173,7 @@
         });
         sleep_ms(400).await;
         let mut client = controller.connect_client().await;
-        client.ask(&controller.new_call("look")).await;
+        client.invoke(&controller.new_call("look")).await;
         expect_response(&mut client).await;
         assert_eq!(controller.broken_rules(), [3]);
     });
@@ -182,7 +184,10 @@
 fn checker_catches_dispatch_after_client_left() {
     for (delay_ms, is_caught) in [(100, false), (101, true)] {
         let (of, at) = (
-            saltdrum_fakes::record::Try { n: 1, attempt: 0 },
+            saltdrum_fakes::record::ClientAttempt {
+                number: 1,
+                attempt: 0,
+            },
             1_000 * MILLISECOND,
         );
         let sent_on = at + delay_ms * MILLISECOND;
@@ -216,9 +221,12 @@
         let controller = TestController::new(dispatch_policy, &[1], 256).await;
         let mut client = controller.connect_client().await;
         let call = controller.new_call("look");
-        client.ask(&call).await;
+        client.invoke(&call).await;
         expect_response(&mut client).await;
-        assert_eq!(controller.invokers[&1].limit_faults.borrow().len(), 0);
+        assert_eq!(
+            controller.invokers[&1].time_limit_violations.borrow().len(),
+            0
+        );
         sleep_ms(500).await;
         let mut connection = controller
             .network
@@ -246,7 +254,7 @@
                 controller.connect_client().await,
             );
             for one in [&mut client, &mut other] {
-                one.ask(&controller.new_call("look")).await;
+                one.invoke(&controller.new_call("look")).await;
             }
             if is_exchanged {
                 std::mem::swap(&mut client.stream, &mut other.stream);
@@ -278,9 +286,9 @@
             cold: true,
         });
         let started = Some(UNIX_MS);
-        controller.feed.say(
+        controller.feed.publish(
             2,
-            Event::Changes(vec![listing(
+            Event::Changes(vec![endpoint_record(
                 3,
                 invoker_address(3),
                 InvokerStatus::Ready,
@@ -295,8 +303,8 @@
                 controller.record.note(Line::Sent {
                     at: controller.clock.now(),
                     who: CONTROLLER,
-                    of: saltdrum_fakes::record::Try {
-                        n: call.n,
+                    of: saltdrum_fakes::record::ClientAttempt {
+                        number: call.number,
                         attempt: 0,
                     },
                     tenant: String::new(),
@@ -305,7 +313,7 @@
                     timeout: 20_000,
                     work: 40 * MILLISECOND,
                 });
-                client.ask(&call).await;
+                client.invoke(&call).await;
             }
             sleep_ms(4).await;
             for _ in 0..10 {
--- a/crates/platform/src/tests/support.rs
+++ b/crates/platform/src/tests/support.rs
@@ -6,8 +6,8 @@
 use crate::state::ControllerHandle;
 use saltdrum::interface::*;
 use saltdrum_controller::{Policy, PolicyFactory};
-use saltdrum_fakes::platform::{Answered, Call, Feed, FrameClient, Heard, HttpInvoker};
-use saltdrum_fakes::record::{Line, Place, Record, Stated, Trigger, Who};
+use saltdrum_fakes::platform::{Call, Feed, FrameClient, HttpInvoker, Response, ServerFrame};
+use saltdrum_fakes::record::{ControllerId, InvokerInfo, Line, Record, RuleParameters, Trigger};
 use saltdrum_platform_wire::config;
 use saltdrum_scenario::State as Kept;
 use saltdrum_scenario::check::{check, outputs_of_others, sent_on_after_leaving};
@@ -20,7 +20,7 @@
 use std::time::Duration;
 use tokio::task::{LocalSet, spawn_local};
 
-pub(crate) const CONTROLLER: Who = Who {
+pub(crate) const CONTROLLER: ControllerId = ControllerId {
     controller: 1,
     incarnation: 1,
 };
@@ -113,14 +113,14 @@
         objective: SECOND,
         billed_value: 1.0,
     };
-    Line::Stated(Stated {
+    Line::RuleParameters(RuleParameters {
         triggers: vec![
             trigger("look", "idempotent"),
             trigger("book", "non-idempotent"),
             trigger("charge", "tokened"),
         ],
         places: (1..=4)
-            .map(|invoker| Place {
+            .map(|invoker| InvokerInfo {
                 invoker,
                 zone: 0,
                 cell: 0,
@@ -212,11 +212,11 @@
         let token = (trigger == "charge").then(|| format!("{n:032x}"));
         let (trigger, body) = (trigger.to_owned(), vec![7; (n % 3) as usize * 50]);
         Call {
-            n,
+            number: n,
             attempt: 0,
             trigger,
             function: 0xf0 + n % 3,
-            limit_ms: 2_000,
+            timeout_ms: 2_000,
             token,
             body,
         }
@@ -240,7 +240,10 @@
         late.iter().chain(&others).for_each(|f| println!("{f:?}"));
         let broken: Vec<_> = verdicts.iter().filter(|v| v.state != Kept::Kept).collect();
         broken.iter().for_each(|v| println!("{v:?}"));
-        let limit_faults = self.invokers.values().flat_map(|i| i.limit_faults.take());
+        let limit_faults = self
+            .invokers
+            .values()
+            .flat_map(|i| i.time_limit_violations.take());
         let limit_faults: Vec<String> = limit_faults.inspect(|fault| println!("{fault}")).collect();
         broken
             .iter()
@@ -310,9 +313,9 @@
 }
 
 /// Receives the next frame, which must be a response.
-pub(crate) async fn expect_response(client: &mut FrameClient) -> Answered {
-    match client.hear().await {
-        Some(Heard::Answer(answered)) => answered,
+pub(crate) async fn expect_response(client: &mut FrameClient) -> Response {
+    match client.next_frame().await {
+        Some(ServerFrame::Response(answered)) => answered,
         other => panic!("{other:?} where a response was expected"),
     }
 }
--- a/crates/scale/src/members.rs
+++ b/crates/scale/src/members.rs
@@ -17,7 +17,7 @@
 };
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::list::{Follow, FromList};
-use saltdrum_simulated_network::{Ether, Line as Wire, Lines};
+use saltdrum_simulated_network::{Link as Wire, Links, SimulatedNetwork};
 use saltdrum_transport::{Address, Clock, EventLoopClock, Listener, Network, Stream};
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
@@ -388,9 +388,9 @@
         delay: MILLISECOND,
         jitter: 2 * MILLISECOND,
     };
-    let ether = Ether::new(
+    let ether = SimulatedNetwork::new(
         clock,
-        Lines::new(usual, 0.0, size.seed),
+        Links::new(usual, 0.0, size.seed),
         EventLoopClock::default(),
     );
     let founding = founded(size.members, size.leases);
--- a/crates/scale/src/real.rs
+++ b/crates/scale/src/real.rs
@@ -3,7 +3,7 @@
 use crate::world::{ZONES, deployment};
 use saltdrum::interface::{InvokerStatus, MILLISECOND, Ticks};
 use saltdrum_fakes::platform::Feed;
-use saltdrum_fakes::record::{Record, Who};
+use saltdrum_fakes::record::{ControllerId, Record};
 use saltdrum_platform_wire::feed::{EndpointRecord, Event};
 use saltdrum_transport::{Clock, SocketNetwork};
 use serde::Serialize;
@@ -141,13 +141,13 @@
 
 async fn play(binary: &Path, folder: &Path, lines: u32, seconds: u64) -> std::io::Result<Row> {
     let (listen, feed_at) = (free()?, free()?);
-    let who = Who {
+    let who = ControllerId {
         controller: 1,
         incarnation: 1,
     };
     let feed = Feed::new(who, Record::default(), Clock::start());
     spawn_local(feed.clone().serve(Rc::new(SocketNetwork), feed_at));
-    feed.say(
+    feed.publish(
         2,
         Event::Snapshot((1..=lines).map(|w| line(w, InvokerStatus::Ready)).collect()),
     );
@@ -160,7 +160,7 @@
         .env_remove("RELAY_NAME");
     let process = Process(node.stdout(Stdio::null()).stderr(Stdio::null()).spawn()?);
     for _ in 0..1_000 {
-        if !feed.asked.borrow().is_empty() {
+        if !feed.resume_points.borrow().is_empty() {
             break;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
@@ -174,7 +174,7 @@
             } else {
                 InvokerStatus::Ready
             };
-            feed.say(3 + n, Event::Changes(vec![line(2, life)]));
+            feed.publish(3 + n, Event::Changes(vec![line(2, life)]));
         }
         tokio::time::sleep(Duration::from_secs(1)).await;
     }
--- a/crates/scenario/examples/beside-relay.rs
+++ b/crates/scenario/examples/beside-relay.rs
@@ -12,7 +12,7 @@
 
 use bytes::BytesMut;
 use hdrhistogram::Histogram;
-use saltdrum_fakes::{List, Record};
+use saltdrum_fakes::{EndpointList, Record};
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::invoker as wire;
 use saltdrum_protocol::list::{Entry, Life};
@@ -81,7 +81,7 @@
     }
     LocalSet::new().block_on(&runtime, async move {
         let any = Address::Tcp("127.0.0.1:0".into());
-        let opened = List::open(
+        let opened = EndpointList::open(
             Rc::new(SocketNetwork),
             Clock::start(),
             Record::default(),
@@ -90,7 +90,7 @@
         .await;
         let (list, address) = opened.unwrap();
         for (invoker, address) in from.iter().take(count) {
-            list.say(Entry {
+            list.publish(Entry {
                 invoker,
                 address,
                 zone: 0,
--- a/crates/scenario/src/check.rs
+++ b/crates/scenario/src/check.rs
@@ -4,7 +4,7 @@
 //! time. Where a thread stood still across the moment in question, the finding is "cannot tell", never "kept".
 
 use saltdrum::interface::{MILLISECOND, Ticks};
-use saltdrum_fakes::record::{How, Line, Stated, Try, Who};
+use saltdrum_fakes::record::{ClientAttempt, ControllerId, Line, Outcome, RuleParameters};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -45,10 +45,10 @@
 #[derive(Clone, Debug, Default)]
 struct OneTry {
     sent: Ticks,
-    who: Option<Who>,
+    who: Option<ControllerId>,
     trigger: String,
     timeout: Ticks,
-    finals: Vec<(Ticks, Ticks, How)>,
+    finals: Vec<(Ticks, Ticks, Outcome)>,
     hung_up: bool,
     cut_off: Option<Ticks>,
     reads_slowly: bool,
@@ -60,7 +60,7 @@
     earliest: Ticks,
     invoker: u32,
     hop: u8,
-    of: Try,
+    of: ClientAttempt,
     trigger: String,
     ran: Option<Ticks>,
     /// When, how, and whether the controller was told.
@@ -70,20 +70,20 @@
 
 /// When, whether ready, and in the list's word.
 type News = (Ticks, bool, String);
-type Rule = fn(&Seen, &Stated) -> Findings;
+type Rule = fn(&Seen, &RuleParameters) -> Findings;
 
 #[derive(Default)]
 struct Seen {
-    stated: Option<Stated>,
-    tries: BTreeMap<Try, OneTry>,
+    stated: Option<RuleParameters>,
+    tries: BTreeMap<ClientAttempt, OneTry>,
     /// By invocation, in the order of hops.
-    dispatches: BTreeMap<(Who, u32), Vec<Dispatch>>,
+    dispatches: BTreeMap<(ControllerId, u32), Vec<Dispatch>>,
     /// Real runs (not dropped as repeats) of an invocation's effect.
-    runs: BTreeMap<u64, Vec<(Ticks, u32, Try)>>,
-    orders: Vec<(Ticks, Ticks, u32, Who, u64)>,
-    told: BTreeMap<(Who, u32), Vec<News>>,
+    runs: BTreeMap<u64, Vec<(Ticks, u32, ClientAttempt)>>,
+    orders: Vec<(Ticks, Ticks, u32, ControllerId, u64)>,
+    told: BTreeMap<(ControllerId, u32), Vec<News>>,
     lives: BTreeMap<u32, Vec<(Ticks, bool, bool)>>,
-    killed: BTreeMap<Who, Ticks>,
+    killed: BTreeMap<ControllerId, Ticks>,
     disturbed: Vec<(Ticks, Ticks, String)>,
     work: BTreeMap<String, (f64, f64)>,
 }
@@ -93,7 +93,7 @@
         let mut s = Self::default();
         for line in lines {
             match line.clone() {
-                Line::Stated(stated) => s.stated = Some(stated),
+                Line::RuleParameters(stated) => s.stated = Some(stated),
                 Line::Sent {
                     at,
                     who,
@@ -121,7 +121,9 @@
                         .push((at, earliest, how));
                 }
                 Line::HungUp { of, .. } => s.tries.entry(of).or_default().hung_up = true,
-                Line::CutOff { at, of } => s.tries.entry(of).or_default().cut_off = Some(at),
+                Line::ConnectionLost { at, of } => {
+                    s.tries.entry(of).or_default().cut_off = Some(at)
+                }
                 Line::ReadsSlowly { of, .. } => s.tries.entry(of).or_default().reads_slowly = true,
                 Line::Dispatched {
                     at,
@@ -148,7 +150,7 @@
                             cancelled: false,
                         });
                 }
-                Line::Ran {
+                Line::Started {
                     at,
                     invoker,
                     who,
@@ -162,7 +164,7 @@
                         d.ran = Some(at);
                     }
                     if !repeat {
-                        s.runs.entry(of.n).or_default().push((at, invoker, of));
+                        s.runs.entry(of.number).or_default().push((at, invoker, of));
                     }
                 }
                 Line::Ended {
@@ -172,7 +174,7 @@
                     invocation,
                     hop,
                     ended,
-                    told,
+                    response_sent: told,
                     ..
                 } => {
                     if let Some(d) = s.find(who, invocation, invoker, hop) {
@@ -190,7 +192,7 @@
                         d.cancelled = true;
                     }
                 }
-                Line::Ordered {
+                Line::LoadOrdered {
                     at,
                     earliest,
                     invoker,
@@ -200,7 +202,7 @@
                 } if count > 0 => {
                     s.orders.push((at, earliest, invoker, who, function));
                 }
-                Line::Told {
+                Line::EndpointSent {
                     at,
                     who,
                     invoker,
@@ -224,7 +226,7 @@
                 Line::Controller { at, who, up: false } => {
                     s.killed.insert(who, at);
                 }
-                Line::Disturbed { at, until, thread } if until > at + DISTURBED => {
+                Line::ThreadStalled { at, until, thread } if until > at + DISTURBED => {
                     s.disturbed.push((at, until, thread));
                 }
                 _ => {}
@@ -237,7 +239,13 @@
         s
     }
 
-    fn find(&mut self, who: Who, invocation: u32, invoker: u32, hop: u8) -> Option<&mut Dispatch> {
+    fn find(
+        &mut self,
+        who: ControllerId,
+        invocation: u32,
+        invoker: u32,
+        hop: u8,
+    ) -> Option<&mut Dispatch> {
         let all = self.dispatches.get_mut(&(who, invocation))?;
         all.iter_mut()
             .rev()
@@ -245,7 +253,7 @@
     }
 
     /// Whether the stage, or this controller, stood still somewhere in the span.
-    fn was_disturbed(&self, who: Option<Who>, from: Ticks, to: Ticks) -> bool {
+    fn was_disturbed(&self, who: Option<ControllerId>, from: Ticks, to: Ticks) -> bool {
         let theirs = who.map(|w| format!("controller-{}", w.controller));
         self.disturbed.iter().any(|(a, b, thread)| {
             *a <= to && *b >= from && (thread == "stage" || Some(thread) == theirs.as_ref())
@@ -325,7 +333,7 @@
                     at: d.at,
                     text: format!(
                         "invocation {}.{} was sent on to {} {} ms after its client had left",
-                        of.n,
+                        of.number,
                         of.attempt,
                         d.invoker,
                         ms(d.earliest - left)
@@ -342,13 +350,13 @@
     let mut found = Vec::new();
     for line in lines {
         match line {
-            Line::Made { of, output, .. } => {
+            Line::OutputProduced { of, output, .. } => {
                 made.insert((*of, output.as_str()));
             }
-            Line::Output { at, of, output } if !made.contains(&(*of, output.as_str())) => {
+            Line::OutputReceived { at, of, output } if !made.contains(&(*of, output.as_str())) => {
                 let text = format!(
                     "invocation {}.{} was answered '{output}', made for another",
-                    of.n, of.attempt
+                    of.number, of.attempt
                 );
                 found.push(Finding { at: *at, text });
             }
@@ -362,14 +370,14 @@
     t as f64 / MILLISECOND as f64
 }
 
-fn one_answer(seen: &Seen, _: &Stated) -> Findings {
+fn one_answer(seen: &Seen, _: &RuleParameters) -> Findings {
     let mut f = Findings::default();
     for (of, t) in &seen.tries {
         let Some(who) = t.who else { continue };
         f.looked_at += 1;
         let name = format!(
             "invocation {}.{} at controller {}",
-            of.n, of.attempt, who.controller
+            of.number, of.attempt, who.controller
         );
         let due = t.sent + t.timeout;
         if t.finals.len() > 1 {
@@ -429,7 +437,7 @@
     f
 }
 
-fn no_double_effect(seen: &Seen, stated: &Stated) -> Findings {
+fn no_double_effect(seen: &Seen, stated: &RuleParameters) -> Findings {
     let mut f = Findings::default();
     let trigger = |name: &str| stated.triggers.iter().find(|t| t.name == name);
     let place = |invoker: u32| stated.places.iter().find(|p| p.invoker == invoker);
@@ -438,7 +446,11 @@
             continue;
         };
         f.looked_at += 1;
-        let runs = seen.runs.get(&of.n).map(Vec::as_slice).unwrap_or_default();
+        let runs = seen
+            .runs
+            .get(&of.number)
+            .map(Vec::as_slice)
+            .unwrap_or_default();
         if of.attempt == 0 && runs.len() > 1 {
             let all: Vec<String> = runs
                 .iter()
@@ -452,20 +464,20 @@
                 format!(
                     "{} invocation {} took effect at {}",
                     terms.effect,
-                    of.n,
+                    of.number,
                     all.join(" and ")
                 ),
             );
         }
         let ran = runs.iter().find(|(.., by)| by == of);
-        let throttled = t.finals.iter().find(|(.., how)| *how == How::Throttled);
+        let throttled = t.finals.iter().find(|(.., how)| *how == Outcome::Throttled);
         if let (Some((ran, invoker, _)), Some((at, ..))) = (ran, throttled)
             && (terms.effect == "non-idempotent" || terms.scope != "all")
         {
             let text = format!(
                 "{} invocation {}.{} ran on invoker {invoker} at {} ms and was throttled",
                 terms.effect,
-                of.n,
+                of.number,
                 of.attempt,
                 ms(*ran)
             );
@@ -481,7 +493,7 @@
             for earlier in &all[..i] {
                 let name = format!(
                     "invocation {}.{} (number {invocation} of controller {}): dispatch {} came to invoker {} at {} ms",
-                    later.of.n,
+                    later.of.number,
                     later.of.attempt,
                     who.controller,
                     later.hop,
@@ -548,7 +560,7 @@
     f
 }
 
-fn drains(seen: &Seen, stated: &Stated) -> Findings {
+fn drains(seen: &Seen, stated: &RuleParameters) -> Findings {
     let mut f = Findings::default();
     let dispatches = seen.dispatches.iter().flat_map(|((who, inv), all)| {
         all.iter().map(move |d| {
@@ -601,7 +613,7 @@
     f
 }
 
-fn cold(seen: &Seen, stated: &Stated) -> Findings {
+fn cold(seen: &Seen, stated: &RuleParameters) -> Findings {
     let mut f = Findings::default();
     let mean = |trigger: &str| {
         seen.work
@@ -658,12 +670,12 @@
     f
 }
 
-fn ration(seen: &Seen, stated: &Stated) -> Findings {
+fn ration(seen: &Seen, stated: &RuleParameters) -> Findings {
     let mut f = Findings::default();
     if stated.order_window == 0 {
         return f;
     }
-    let all: BTreeSet<Who> = seen.orders.iter().map(|o| o.3).collect();
+    let all: BTreeSet<ControllerId> = seen.orders.iter().map(|o| o.3).collect();
     for who in all {
         let mut orders: Vec<(Ticks, Ticks)> = seen
             .orders
--- a/crates/scenario/src/clients.rs
+++ b/crates/scenario/src/clients.rs
@@ -4,7 +4,7 @@
 use crate::traffic::Arrival;
 use bytes::{Bytes, BytesMut};
 use saltdrum::interface::{Effect, MILLISECOND, Ticks};
-use saltdrum_fakes::record::{How, Line, Record, Try, Who};
+use saltdrum_fakes::record::{ClientAttempt, ControllerId, Line, Outcome, Record};
 use saltdrum_load::retry::{End, Patience, Then};
 use saltdrum_protocol::rpc;
 use saltdrum_transport::{
@@ -23,7 +23,7 @@
 
 #[derive(Clone)]
 struct Told {
-    how: How,
+    how: Outcome,
     come_back: Ticks,
     /// What the passage goes on with.
     holds: Option<Holds>,
@@ -49,7 +49,7 @@
 /// A connection to one controller's life.
 #[derive(Clone)]
 struct Connection {
-    who: Who,
+    who: ControllerId,
     outbox: SendQueue,
     waiting: Waiting,
     open: Rc<Cell<bool>>,
@@ -62,7 +62,7 @@
     pub turns: EventLoopClock,
     pub record: Record,
     /// Where controllers take clients in: its life, its address, and whether the front door still sends there.
-    pub fronts: RefCell<Vec<(Who, Address, bool)>>,
+    pub fronts: RefCell<Vec<(ControllerId, Address, bool)>>,
     lines: RefCell<BTreeMap<(u32, u32), Connection>>,
     next: Cell<usize>,
     /// Passages that go on.
@@ -72,8 +72,8 @@
 /// Between the invocations of a passage.
 const PAUSE: Duration = Duration::from_millis(150);
 
-fn id_of(of: Try) -> u64 {
-    of.n * 16 + u64::from(of.attempt)
+fn id_of(of: ClientAttempt) -> u64 {
+    of.number * 16 + u64::from(of.attempt)
 }
 
 impl Clients {
@@ -98,7 +98,7 @@
         })
     }
 
-    fn next_front(&self) -> Option<(Who, Address)> {
+    fn next_front(&self) -> Option<(ControllerId, Address)> {
         let fronts = self.fronts.borrow();
         for _ in 0..fronts.len() {
             self.next.set(self.next.get() + 1);
@@ -143,7 +143,7 @@
             backoff: self.day.backoff,
         };
         for attempt in 0.. {
-            let of = Try { n, attempt };
+            let of = ClientAttempt { number: n, attempt };
             let mut rng = fastrand::Rng::with_seed(self.day.seed ^ id_of(of));
             let end = match self
                 .one_try(of, a, stated.client_timeout, passage.as_deref())
@@ -168,9 +168,9 @@
                         }
                     }
                     match told.how {
-                        How::Succeeded => End::Succeeded,
-                        How::Throttled => End::Throttled(told.come_back),
-                        How::Errored => End::Errored,
+                        Outcome::Succeeded => End::Succeeded,
+                        Outcome::Throttled => End::Throttled(told.come_back),
+                        Outcome::Errored => End::Errored,
                     }
                 }
             };
@@ -186,7 +186,7 @@
     /// Err: nothing was sent. None: sent, and not answered.
     async fn one_try(
         self: &Rc<Self>,
-        of: Try,
+        of: ClientAttempt,
         a: &Arrival,
         timeout: Ticks,
         passage: Option<&Passage>,
@@ -219,8 +219,9 @@
         let trigger = &self.day.terms.trigger_names[function.trigger];
         let stated = &self.day.terms.deployment.trigger_types[function.trigger];
         let tenant = &self.day.terms.tenant_names[a.tenant];
-        let token = (stated.effect == Effect::IdempotencyKey).then(|| format!("token-{}", of.n));
-        let input = json!({"n": of.n, "attempt": of.attempt, "work_ms": a.work as f64 / MILLISECOND as f64});
+        let token =
+            (stated.effect == Effect::IdempotencyKey).then(|| format!("token-{}", of.number));
+        let input = json!({"n": of.number, "attempt": of.attempt, "work_ms": a.work as f64 / MILLISECOND as f64});
         let mut call = json!({
             "jsonrpc": "2.0", "id": id_of(of), "method": "invoke",
             "params": {"function": a.function, "tenant": tenant, "trigger": trigger, "input": input,
@@ -288,7 +289,7 @@
 
     async fn connect(
         self: &Rc<Self>,
-        who: Who,
+        who: ControllerId,
         address: &Address,
         late: Option<Ticks>,
     ) -> Result<Connection, ()> {
@@ -316,11 +317,11 @@
             let left = std::mem::take(&mut *waiting.borrow_mut());
             if !said_goodbye {
                 for id in left.keys() {
-                    let of = Try {
-                        n: id / 16,
+                    let of = ClientAttempt {
+                        number: id / 16,
                         attempt: (id % 16) as u32,
                     };
-                    this.record.note(Line::CutOff {
+                    this.record.note(Line::ConnectionLost {
                         at: clock.now(),
                         of,
                     });
@@ -355,9 +356,9 @@
             return;
         };
         let how = match &reply.error {
-            None => How::Succeeded,
-            Some(e) if e.code == rpc::THROTTLED => How::Throttled,
-            Some(_) => How::Errored,
+            None => Outcome::Succeeded,
+            Some(e) if e.code == rpc::THROTTLED => Outcome::Throttled,
+            Some(_) => Outcome::Errored,
         };
         let come_back = reply
             .error
@@ -380,8 +381,8 @@
             .as_ref()
             .is_some_and(|e| e.code == rpc::PASSAGE_OVER);
         let come_back = come_back.unwrap_or(0) * MILLISECOND;
-        let of = Try {
-            n: id / 16,
+        let of = ClientAttempt {
+            number: id / 16,
             attempt: (id % 16) as u32,
         };
         self.record.note(Line::Final {
--- a/crates/scenario/src/passages.rs
+++ b/crates/scenario/src/passages.rs
@@ -19,7 +19,7 @@
 pub fn look(lines: &[Line]) -> Option<Passages> {
     let mut all = BTreeMap::<&str, Vec<(u64, u64, u32)>>::new();
     for line in lines {
-        if let Line::Spoke {
+        if let Line::PassageStep {
             at,
             invoker,
             function,
