--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -9,9 +9,9 @@
 use saltdrum_controller::{AliasConfig, ControllerConfig, dispatch_policy};
 use saltdrum_deployment::Terms;
 use saltdrum_fakes::disk::TearingDisk;
-use saltdrum_fakes::invoker::{self, Brings, Site, Tokens};
-use saltdrum_fakes::record::{self, Line, Record, Who};
-use saltdrum_fakes::{Invoker, List, Registry, Store};
+use saltdrum_fakes::invoker::{self, FetchModel, InvokerConfig, SeenTokens};
+use saltdrum_fakes::record::{self, ControllerId, Line, Record};
+use saltdrum_fakes::{EndpointList, Invoker, ModelStore, OciRegistry};
 use saltdrum_layers::Digest;
 use saltdrum_layers::plan::Member;
 use saltdrum_protocol::list::Life;
@@ -20,7 +20,7 @@
 use saltdrum_registry::state::{Change, Stage as Trial, Version};
 use saltdrum_registry::store::ChangeRequest;
 use saltdrum_registry::{Name, Namespace, Store as Ledger, service};
-use saltdrum_simulated_network::{Ether, Hold, Line as Wire, Lines, stoppable};
+use saltdrum_simulated_network::{Link as Wire, Links, ProcessPause, SimulatedNetwork, pausable};
 use saltdrum_transport::{
     Address, Clock, EventLoopClock, Network, SocketNetwork, run_event_loop_clock,
 };
@@ -41,7 +41,7 @@
     /// Each on a thread of its own, on the machine's sockets; files for sockets go into the folder.
     Threads(std::path::PathBuf),
     /// All on this thread, on streams of an emulated network.
-    Virtual(Ether),
+    Virtual(SimulatedNetwork),
 }
 
 impl Cast {
@@ -60,7 +60,7 @@
         thread: std::thread::JoinHandle<Vec<Line>>,
     },
     Task {
-        hold: Hold,
+        hold: ProcessPause,
         task: JoinHandle<()>,
     },
 }
@@ -88,7 +88,7 @@
 pub struct Cover {
     pub serve: Serve,
     /// Brings models to invokers in place of their agents, on days with layers.
-    pub brings: Option<Brings>,
+    pub brings: Option<FetchModel>,
 }
 
 impl Cover {
@@ -138,9 +138,9 @@
     record: Record,
     start: Ticks,
     invokers: BTreeMap<u32, Rc<Invoker>>,
-    store: Rc<Store>,
-    list: Rc<List>,
-    registry: Rc<Registry>,
+    store: Rc<ModelStore>,
+    list: Rc<EndpointList>,
+    registry: Rc<OciRegistry>,
     names: Option<Names>,
     /// Where controllers keep what the registry told them.
     copies: PathBuf,
@@ -198,7 +198,7 @@
         let entries = entries.map_err(io::Error::other)?;
         let count =
             |of: fn(&Change) -> bool| entries.iter().filter(|e| of(&e.change)).count() as u64;
-        Ok(Line::Registry {
+        Ok(Line::RegistryTotals {
             at,
             revision: entries.last().map_or(0, |e| e.revision),
             moves: count(|c| matches!(c, Change::Move { expect: 1.., .. })),
@@ -230,7 +230,7 @@
 fn versions(
     day: &Day,
     ledger: &Path,
-    store: &Registry,
+    store: &OciRegistry,
     models: &mut BTreeMap<String, Vec<u8>>,
 ) -> io::Result<String> {
     let mut ledger = Ledger::open_file(ledger).map_err(io::Error::other)?;
@@ -313,7 +313,7 @@
     LocalSet::new().block_on(&runtime, play(day.clone(), None, cover))
 }
 
-fn stated(terms: &Terms) -> record::Stated {
+fn stated(terms: &Terms) -> record::RuleParameters {
     let d = &terms.deployment;
     let trigger = |(t, name): (&saltdrum::interface::TriggerType, &String)| record::Trigger {
         name: name.clone(),
@@ -333,13 +333,13 @@
         objective: t.latency_objective,
         billed_value: t.billed_value,
     };
-    let place = |i: &saltdrum_deployment::terms::Stated| record::Place {
+    let place = |i: &saltdrum_deployment::terms::Stated| record::InvokerInfo {
         invoker: i.invoker,
         zone: i.zone,
         cell: i.cell,
         pace: f64::from(terms.size(i.kind)),
     };
-    record::Stated {
+    record::RuleParameters {
         triggers: d
             .trigger_types
             .iter()
@@ -370,17 +370,17 @@
                 delay: n.delay,
                 jitter: n.jitter,
             };
-            let lines = Lines::new(line, n.bytes_per_second, day.seed ^ 0xe7e4);
-            Cast::Virtual(Ether::new(clock, lines, turns.clone()))
+            let lines = Links::new(line, n.bytes_per_second, day.seed ^ 0xe7e4);
+            Cast::Virtual(SimulatedNetwork::new(clock, lines, turns.clone()))
         }
     };
-    record.note(Line::Stated(stated(&day.terms)));
+    record.note(Line::RuleParameters(stated(&day.terms)));
     let noted = record.clone();
     tokio::task::spawn_local(run_event_loop_clock(
         turns.clone(),
         clock,
         move |now, gap| {
-            noted.note(Line::Disturbed {
+            noted.note(Line::ThreadStalled {
                 at: now - gap,
                 until: now,
                 thread: "stage".into(),
@@ -391,7 +391,7 @@
         Cast::Threads(_) => Address::Tcp("127.0.0.1:0".into()),
         Cast::Virtual(_) => Address::Memory(name.into()),
     };
-    let (store, store_address) = Store::open(
+    let (store, store_address) = ModelStore::open(
         cast.host("store"),
         clock,
         record.clone(),
@@ -400,8 +400,8 @@
     )
     .await?;
     let (list, list_address) =
-        List::open(cast.host("list"), clock, record.clone(), &any("list")).await?;
-    let registry = Registry::new(day.store_limit, day.seed);
+        EndpointList::open(cast.host("list"), clock, record.clone(), &any("list")).await?;
+    let registry = OciRegistry::new(day.store_limit, day.seed);
     let registry_address = registry
         .open(&*cast.host("store"), &any("registry"))
         .await?;
@@ -433,7 +433,7 @@
         registry
             .bytes_per_second
             .set(day.model_bytes as f64 / (FETCH_SHARE * mean));
-        registry.full_pace.set(FULL_PACE);
+        registry.full_speed_requests.set(FULL_PACE);
     }
     let names = if day.versions == 0 {
         None
@@ -451,36 +451,36 @@
     };
     let (terms, tokens, models) = (
         Rc::new(day.terms.clone()),
-        Tokens::default(),
+        SeenTokens::default(),
         Rc::new(models),
     );
     let mut invokers = BTreeMap::new();
     for stated in &day.terms.invokers {
         let own = clock_of(&day, &cast, clock, 0x1c10c, stated.invoker);
-        let site = Site {
+        let site = InvokerConfig {
             terms: terms.clone(),
             stated: stated.clone(),
             network: cast.host(&format!("invoker-{}", stated.invoker)),
             clock: own,
-            hour: clock,
-            turns: turns.clone(),
+            record_clock: clock,
+            event_loop: turns.clone(),
             record: record.clone(),
-            at: RefCell::new(any(&format!("invoker-{}", stated.invoker))),
+            address: RefCell::new(any(&format!("invoker-{}", stated.invoker))),
             store: Some(store_address.clone()),
             tokens: tokens.clone(),
             seed: day.seed ^ (u64::from(stated.invoker) << 32),
             fetch_share: FETCH_SHARE,
-            versions: names
+            registry_follow: names
                 .as_ref()
                 .map(|n| n.following(format!("invoker-{}", stated.invoker), None)),
-            layers: (day.layers != Layers::Off).then(|| invoker::Layers {
+            layers: (day.layers != Layers::Off).then(|| invoker::LayersConfig {
                 folder: cellar.path().join(stated.invoker.to_string()),
                 cache_bytes: 1 << 30,
                 registry: registry_address.clone(),
-                at: RefCell::new(any(&format!("agent-{}", stated.invoker))),
+                agent_address: RefCell::new(any(&format!("agent-{}", stated.invoker))),
                 disk: Rc::new(TearingDisk::new(own)),
                 models: models.clone(),
-                brings: cover.brings,
+                fetch_model: cover.brings,
             }),
         };
         let invoker = Invoker::new(site);
@@ -495,7 +495,7 @@
             .copied()
             .collect();
         invoker.start(false, &held).await?;
-        list.say(invoker.entry(Life::Ready));
+        list.publish(invoker.entry(Life::Ready));
         invokers.insert(stated.invoker, invoker);
     }
     let day = Rc::new(day);
@@ -623,7 +623,7 @@
                         let thread = format!("controller-{controller}");
                         run_event_loop_clock(EventLoopClock::default(), clock, move |now, gap| {
                             let thread = thread.clone();
-                            noted.note(Line::Disturbed { at: now - gap, until: now, thread });
+                            noted.note(Line::ThreadStalled { at: now - gap, until: now, thread });
                         })
                         .await;
                     };
@@ -651,13 +651,13 @@
             Cast::Virtual(ether) => {
                 let network = ether.host(&format!("controller-{controller}"));
                 let seat = seat(terms, address.clone(), list, seed);
-                let (hold, noted) = (Hold::default(), self.record.clone());
+                let (hold, noted) = (ProcessPause::default(), self.record.clone());
                 let skewed = clock_of(&self.day, &self.cast, clock, 0xc10c, controller);
                 let living = async move {
                     let watch =
                         run_event_loop_clock(EventLoopClock::default(), clock, move |now, gap| {
                             let thread = format!("controller-{controller}");
-                            noted.note(Line::Disturbed {
+                            noted.note(Line::ThreadStalled {
                                 at: now - gap,
                                 until: now,
                                 thread,
@@ -673,12 +673,12 @@
                         () = watch => {}
                     }
                 };
-                let task = tokio::task::spawn_local(stoppable(hold.clone(), living));
+                let task = tokio::task::spawn_local(pausable(hold.clone(), living));
                 Chair::Task { hold, task }
             }
         };
         self.chairs.borrow_mut().insert(controller, chair);
-        let who = Who {
+        let who = ControllerId {
             controller,
             incarnation,
         };
@@ -699,7 +699,7 @@
         let Some(chair) = self.chairs.borrow_mut().remove(&controller) else {
             return;
         };
-        let who = Who {
+        let who = ControllerId {
             controller,
             incarnation: self.lives.borrow()[&controller],
         };
@@ -730,13 +730,13 @@
         let span = Duration::from_micros(span * 100);
         match self.chairs.borrow().get(&controller) {
             Some(Chair::Thread { stop, .. }) => drop(stop.send(span)),
-            Some(Chair::Task { hold, .. }) => hold.stop(span),
+            Some(Chair::Task { hold, .. }) => hold.pause_for(span),
             None => {}
         }
     }
 
     /// Does something to the lines between the struck controllers and invokers, one way or both.
-    fn lines(&self, t: &Trouble, change: impl Fn(&Ether, &str, &str)) {
+    fn lines(&self, t: &Trouble, change: impl Fn(&SimulatedNetwork, &str, &str)) {
         let Cast::Virtual(ether) = &self.cast else {
             return warn!(
                 t.name,
@@ -780,7 +780,7 @@
                 };
                 let text = format!("{}{struck}", t.name);
                 info!(text, "trouble");
-                this.record.note(Line::Trouble { at, until, text });
+                this.record.note(Line::FaultInjected { at, until, text });
                 this.bring(t).await;
             });
         }
@@ -794,7 +794,7 @@
             tokio::task::spawn_local(self.clients.clone().invoke(n as u64 + 1, arrival));
         }
         self.clock.sleep_until(self.at(self.day.length)).await;
-        self.record.note(Line::Over {
+        self.record.note(Line::TrafficEnded {
             at: self.clock.now(),
         });
         let longest = self
@@ -911,21 +911,21 @@
                 let age = i.entry(*life).age_tenths as f64 / d.warm_up_time.max(1) as f64;
                 let member = Member {
                     invoker: *id,
-                    size: f64::from(self.day.terms.size(i.site.stated.kind)),
+                    size: f64::from(self.day.terms.size(i.config.stated.kind)),
                     risen: (d.initial_capacity_share + (1.0 - d.initial_capacity_share) * age)
                         .min(1.0),
                     ready: *life == Life::Ready,
                 };
                 Some(Peer {
                     member,
-                    address: i.site.layers.as_ref()?.at.borrow().clone(),
+                    address: i.config.layers.as_ref()?.agent_address.borrow().clone(),
                 })
             };
             let all: Vec<Peer> = self.known.borrow().iter().filter_map(peer).collect();
             for (id, i) in &self.invokers {
                 match self.day.layers {
-                    Layers::Shared => i.peers(&all),
-                    _ => i.peers(
+                    Layers::Shared => i.set_peers(&all),
+                    _ => i.set_peers(
                         &all.iter()
                             .filter(|p| p.member.invoker == *id)
                             .cloned()
@@ -938,7 +938,7 @@
     }
 
     fn say(&self, invoker: u32, life: Life) {
-        self.list.say(self.invokers[&invoker].entry(life));
+        self.list.publish(self.invokers[&invoker].entry(life));
         match life {
             Life::Gone => drop(self.known.borrow_mut().remove(&invoker)),
             life => drop(self.known.borrow_mut().insert(invoker, life)),
@@ -986,7 +986,7 @@
     fn fault(&self, invokers: &[u32], change: impl Fn(&mut saltdrum_fakes::Faults)) {
         invokers
             .iter()
-            .for_each(|i| self.invokers[i].fault(|f, _| change(f)));
+            .for_each(|i| self.invokers[i].update_faults(|f, _| change(f)));
     }
 
     /// Plays a trouble from its begin to its end.
@@ -1033,24 +1033,24 @@
                         "the machine's own sockets can't be told to: left out"
                     );
                 };
-                let both = |change: &dyn Fn(&Ether, &str, &str)| {
+                let both = |change: &dyn Fn(&SimulatedNetwork, &str, &str)| {
                     for c in t.controllers.iter().map(|c| format!("controller-{c}")) {
                         change(ether, &c, "registry");
                         change(ether, "registry", &c);
                     }
                 };
-                both(&Ether::cut);
+                both(&SimulatedNetwork::cut);
                 self.sleep(t.lasts).await;
-                both(&Ether::heal);
+                both(&SimulatedNetwork::heal);
             }
             // The second version of a model, wherever it runs.
             Kind::VersionErrs => {
                 let begin = t.functions.first().map(|f| format!("{f}@v2"));
                 self.fault(&t.invokers, |f| {
-                    f.fails = begin.clone().map(|b| (b, t.part))
+                    f.fails_functions = begin.clone().map(|b| (b, t.part))
                 });
                 self.sleep(t.lasts).await;
-                self.fault(&t.invokers, |f| f.fails = None);
+                self.fault(&t.invokers, |f| f.fails_functions = None);
             }
             Kind::Withdrawn => {
                 for f in &t.functions {
@@ -1095,24 +1095,24 @@
                 let cut: Vec<u32> = self
                     .invokers
                     .values()
-                    .filter(|i| Some(i.site.stated.zone) == t.zone)
-                    .map(|i| i.site.stated.invoker)
+                    .filter(|i| Some(i.config.stated.zone) == t.zone)
+                    .map(|i| i.config.stated.invoker)
                     .collect();
                 let all = 1..=self.day.terms.deployment.controllers;
                 let beyond: Vec<u32> = all.filter(|c| Some(self.zone_of(*c)) != t.zone).collect();
-                self.fault(&cut, |f| f.cut_from.clone_from(&beyond));
+                self.fault(&cut, |f| f.partitioned_from.clone_from(&beyond));
                 self.sleep(t.lasts).await;
-                self.fault(&cut, |f| f.cut_from.clear());
+                self.fault(&cut, |f| f.partitioned_from.clear());
             }
             Kind::Slow => {
-                struck().for_each(|i| i.fault(|_, m| m.slowness = t.times));
+                struck().for_each(|i| i.update_faults(|_, m| m.slowness = t.times));
                 self.sleep(t.lasts).await;
-                struck().for_each(|i| i.fault(|_, m| m.slowness = 1.0));
+                struck().for_each(|i| i.update_faults(|_, m| m.slowness = 1.0));
             }
             Kind::Ageing => {
-                struck().for_each(|i| i.fault(|_, m| m.grow_old(t.times)));
+                struck().for_each(|i| i.update_faults(|_, m| m.start_ageing(t.times)));
                 self.sleep(t.lasts).await;
-                struck().for_each(|i| i.fault(|_, m| m.grow_old(0.0)));
+                struck().for_each(|i| i.update_faults(|_, m| m.start_ageing(0.0)));
             }
             Kind::Hang => {
                 self.fault(&t.invokers, |f| f.hangs = true);
@@ -1120,30 +1120,32 @@
                 self.fault(&t.invokers, |f| f.hangs = false);
             }
             Kind::FastErrors => {
-                self.fault(&t.invokers, |f| f.errors = t.part);
+                self.fault(&t.invokers, |f| f.error_share = t.part);
                 self.sleep(t.lasts).await;
-                self.fault(&t.invokers, |f| f.errors = 0.0);
+                self.fault(&t.invokers, |f| f.error_share = 0.0);
             }
             Kind::LateReports => {
-                self.fault(&t.invokers, |f| f.reports_late = t.delay);
+                self.fault(&t.invokers, |f| f.load_report_delay = t.delay);
                 self.sleep(t.lasts).await;
-                self.fault(&t.invokers, |f| f.reports_late = 0);
+                self.fault(&t.invokers, |f| f.load_report_delay = 0);
             }
             Kind::AnswersLost => {
-                self.fault(&t.invokers, |f| f.loses_answers = t.part);
+                self.fault(&t.invokers, |f| f.lost_response_share = t.part);
                 self.sleep(t.lasts).await;
-                self.fault(&t.invokers, |f| f.loses_answers = 0.0);
+                self.fault(&t.invokers, |f| f.lost_response_share = 0.0);
             }
             Kind::RefusedForRoom => {
                 let tenant = t.tenant.clone().unwrap_or_default();
-                self.fault(&t.invokers, |f| f.refuses = Some((tenant.clone(), t.part)));
+                self.fault(&t.invokers, |f| {
+                    f.rejects_tenant = Some((tenant.clone(), t.part))
+                });
                 self.sleep(t.lasts).await;
-                self.fault(&t.invokers, |f| f.refuses = None);
+                self.fault(&t.invokers, |f| f.rejects_tenant = None);
             }
             Kind::StuckSockets => {
-                self.fault(&t.invokers, |f| f.stuck = true);
+                self.fault(&t.invokers, |f| f.stops_reading = true);
                 self.sleep(t.lasts).await;
-                self.fault(&t.invokers, |f| f.stuck = false);
+                self.fault(&t.invokers, |f| f.stops_reading = false);
             }
             Kind::HalfFrames => {
                 self.fault(&t.invokers, |f| f.half_frames = true);
@@ -1160,30 +1162,30 @@
             }
             Kind::StoreRefuses => {
                 // Of single chunks a share is refused; of whole models all.
-                let limit = self.store.limit.replace(0);
-                self.registry.faults.borrow_mut().refuses = t.part;
+                let limit = self.store.max_in_flight.replace(0);
+                self.registry.faults.borrow_mut().refuse_share = t.part;
                 self.sleep(t.lasts).await;
-                self.store.limit.set(limit);
-                self.registry.faults.borrow_mut().refuses = 0.0;
+                self.store.max_in_flight.set(limit);
+                self.registry.faults.borrow_mut().refuse_share = 0.0;
             }
             Kind::LineCut => {
-                self.lines(&t, Ether::cut);
+                self.lines(&t, SimulatedNetwork::cut);
                 self.sleep(t.lasts).await;
-                self.lines(&t, Ether::heal);
+                self.lines(&t, SimulatedNetwork::heal);
             }
             Kind::LineSlow => {
                 let line = Wire {
                     delay: t.delay,
                     jitter: t.delay / 2,
                 };
-                self.lines(&t, |ether, from, to| ether.slow(from, to, line));
+                self.lines(&t, |ether, from, to| ether.add_slowdown(from, to, line));
                 self.sleep(t.lasts).await;
-                self.lines(&t, |ether, from, to| ether.quicken(from, to, line));
+                self.lines(&t, |ether, from, to| ether.remove_slowdown(from, to, line));
             }
             Kind::ListLost => {
-                self.list.lose();
+                self.list.stop();
                 self.sleep(t.lasts).await;
-                if let Err(e) = self.list.come_back().await {
+                if let Err(e) = self.list.resume().await {
                     warn!(%e, "the list could not come back");
                 }
             }
@@ -1268,7 +1270,7 @@
                 bytes_from_store,
                 damaged,
             ] = self.layers.get();
-            lines.push(Line::Layers {
+            lines.push(Line::LayerTotals {
                 at: self.clock.now(),
                 chunks: requests.len() as u64,
                 store_requests: requests.values().map(|n| u64::from(*n)).sum(),
--- a/crates/scenario/src/summary.rs
+++ b/crates/scenario/src/summary.rs
@@ -4,7 +4,7 @@
 use comfy_table::{CellAlignment, Table, presets};
 use hdrhistogram::Histogram;
 use saltdrum::interface::{MILLISECOND, Ticks};
-use saltdrum_fakes::record::{How, Line, Try};
+use saltdrum_fakes::record::{ClientAttempt, Line, Outcome};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
@@ -104,7 +104,7 @@
     first: Ticks,
     last: u32,
     took: Option<Ticks>,
-    how: Option<How>,
+    how: Option<Outcome>,
     hung_up: bool,
 }
 
@@ -125,12 +125,12 @@
     let mut value: BTreeMap<String, f64> = BTreeMap::new();
     let mut load_times = Histogram::<u64>::new(3).expect("three digits are allowed");
     let (mut tries, mut objective, mut start) = (Tries::default(), BTreeMap::new(), Ticks::MAX);
-    let mut fates: BTreeMap<Try, u8> = BTreeMap::new();
+    let mut fates: BTreeMap<ClientAttempt, u8> = BTreeMap::new();
     let mut killed = BTreeMap::new();
     let mut whose = BTreeMap::new();
     for line in lines {
         match line {
-            Line::Stated(s) => {
+            Line::RuleParameters(s) => {
                 objective.extend(s.triggers.iter().map(|t| (t.name.clone(), t.objective)));
                 value.extend(s.triggers.iter().map(|t| (t.name.clone(), t.billed_value)));
             }
@@ -146,7 +146,7 @@
                 tries.sent += 1;
                 fates.entry(*of).or_insert(0);
                 whose.insert(*of, *who);
-                let one = all.entry(of.n).or_default();
+                let one = all.entry(of.number).or_default();
                 if one.last == 0 && one.first == 0 {
                     (one.tenant, one.trigger, one.first) = (tenant.clone(), trigger.clone(), *at);
                 }
@@ -154,7 +154,7 @@
             }
             Line::Final { at, of, how, .. } => {
                 fates.insert(*of, 1);
-                let one = all.entry(of.n).or_default();
+                let one = all.entry(of.number).or_default();
                 if of.attempt == one.last {
                     one.how = Some(*how);
                     one.took = Some(at - one.first.min(*at));
@@ -162,7 +162,7 @@
             }
             Line::HungUp { of, .. } => {
                 fates.insert(*of, 2);
-                all.entry(of.n).or_default().hung_up = true;
+                all.entry(of.number).or_default().hung_up = true;
             }
             Line::Controller { at, who, up: false } => drop(killed.insert(*who, *at)),
             Line::Loaded { took, ok: true, .. } => {
@@ -170,7 +170,7 @@
                 load_times += (*took).max(1);
             }
             Line::Loaded { ok: false, .. } => loads.failed += 1,
-            Line::Layers {
+            Line::LayerTotals {
                 chunks,
                 store_requests,
                 bytes_from_store,
@@ -192,7 +192,7 @@
                     unsound,
                 });
             }
-            Line::Registry {
+            Line::RegistryTotals {
                 moves: m,
                 stages_well,
                 stages_stopped,
@@ -200,13 +200,16 @@
             } => {
                 moves = Some((*m, *stages_well, *stages_stopped));
             }
-            Line::Copied { sound, .. } => {
+            Line::CopyAssembled {
+                matches_model: sound,
+                ..
+            } => {
                 copies += 1;
                 unsound += u64::from(!sound);
             }
             Line::Dispatched { .. } => tries.dispatches += 1,
-            Line::Ordered { count: 1.., .. } => tries.orders_to_load += 1,
-            Line::Fetched { refused, .. } => {
+            Line::LoadOrdered { count: 1.., .. } => tries.orders_to_load += 1,
+            Line::FetchRequested { refused, .. } => {
                 tries.fetches += 1;
                 tries.fetches_refused += usize::from(*refused);
             }
@@ -223,7 +226,7 @@
     }
     let in_time = |one: &One| {
         let most = objective.get(&one.trigger).copied().unwrap_or(Ticks::MAX);
-        one.how == Some(How::Succeeded) && one.took.is_some_and(|t| t <= most)
+        one.how == Some(Outcome::Succeeded) && one.took.is_some_and(|t| t <= most)
     };
     let mut rows: BTreeMap<(String, String), (Row, Histogram<u64>)> = BTreeMap::new();
     for one in all.values() {
@@ -239,7 +242,7 @@
             });
         row.taken += 1;
         match (one.how, one.hung_up) {
-            (Some(How::Succeeded), _) => {
+            (Some(Outcome::Succeeded), _) => {
                 if in_time(one) {
                     row.succeeded += 1
                 } else {
@@ -247,8 +250,8 @@
                 }
                 *times += one.took.unwrap_or(0).max(1);
             }
-            (Some(How::Throttled), _) => row.throttled += 1,
-            (Some(How::Errored), _) => row.errored += 1,
+            (Some(Outcome::Throttled), _) => row.throttled += 1,
+            (Some(Outcome::Errored), _) => row.errored += 1,
             (None, true) => row.hung_up += 1,
             (None, false) => row.lost += 1,
         }
@@ -265,7 +268,7 @@
     let mut troubles = Vec::new();
     let mut spans = Vec::new();
     for line in lines {
-        let Line::Trouble { at, until, text } = line else {
+        let Line::FaultInjected { at, until, text } = line else {
             continue;
         };
         spans.push((*at, *until));
--- a/crates/scenario/tests/days.rs
+++ b/crates/scenario/tests/days.rs
@@ -1,7 +1,7 @@
 //! Whole days through the real controller: on loopback sockets, and in virtual time.
 
 use proptest::prelude::*;
-use saltdrum_fakes::record::{Line, Try, write};
+use saltdrum_fakes::record::{ClientAttempt, Line, write};
 use saltdrum_scenario::{
     DAYS, Day, State, check::check, play_on_sockets, play_virtually, serve, summary,
 };
@@ -70,7 +70,7 @@
     let mut seen = 0;
     for line in &lines {
         match line {
-            Line::Ordered {
+            Line::LoadOrdered {
                 invoker,
                 function,
                 count: 1..,
@@ -83,7 +83,7 @@
             } => {
                 waiting.remove(&(*invoker, *function));
             }
-            Line::Told { invoker, life, .. } if life == "draining" => {
+            Line::EndpointSent { invoker, life, .. } if life == "draining" => {
                 seen += waiting.iter().filter(|(w, _)| w == invoker).count();
             }
             _ => {}
@@ -181,20 +181,23 @@
 #[test]
 fn lost_answers_double_no_effect() {
     let lines = play_virtually(&builtin("answers-lost"), serve).unwrap();
-    let mut triggers: BTreeMap<Try, &str> = BTreeMap::new();
+    let mut triggers: BTreeMap<ClientAttempt, &str> = BTreeMap::new();
     let mut effects: BTreeMap<u64, u32> = BTreeMap::new();
     let (mut lost, mut again) = (0, 0);
     for line in &lines {
         match line {
             Line::Sent { of, trigger, .. } => drop(triggers.insert(*of, trigger)),
-            Line::Ended { told: false, .. } => lost += 1,
+            Line::Ended {
+                response_sent: false,
+                ..
+            } => lost += 1,
             Line::Dispatched {
                 hop: 1.., trigger, ..
             } if trigger == "note" => again += 1,
-            Line::Ran {
+            Line::Started {
                 of, repeat: false, ..
             } if triggers[of] != "score" => {
-                *effects.entry(of.n).or_default() += 1;
+                *effects.entry(of.number).or_default() += 1;
             }
             _ => {}
         }
--- a/crates/scenario/tests/models.rs
+++ b/crates/scenario/tests/models.rs
@@ -1,6 +1,6 @@
 //! Models in versions: passages never mix them, whatever moves, dies or is cut off.
 
-use saltdrum_fakes::record::{How, Line, write};
+use saltdrum_fakes::record::{Line, Outcome, write};
 use saltdrum_scenario::{
     DAYS, Day, State, check::check, play_on_sockets, play_virtually, serve, summary,
 };
@@ -131,7 +131,7 @@
                 matches!(
                     l,
                     Line::Final {
-                        how: How::Errored | How::Throttled,
+                        how: Outcome::Errored | Outcome::Throttled,
                         ..
                     }
                 )
@@ -167,7 +167,7 @@
     let s = judged(&lines);
     assert_eq!(s.layers.as_ref().unwrap().unsound, 0);
     let told = lines.iter().find_map(|l| {
-        if let Line::Registry { corrupt, .. } = l {
+        if let Line::RegistryTotals { corrupt, .. } = l {
             Some(corrupt.clone())
         } else {
             None
--- a/crates/scenario/tests/planted.rs
+++ b/crates/scenario/tests/planted.rs
@@ -1,6 +1,6 @@
 //! For each rule a controller that breaks it, and the checker's word on it. A checker that finds nothing proves nothing.
 
-use saltdrum_faulty_peers::{Fault, rogue};
+use saltdrum_faulty_peers::{Fault, run_faulty_controller};
 use saltdrum_scenario::{Day, State, Verdict, check::check, play_virtually};
 
 const DAY: &str = r#"
@@ -51,7 +51,7 @@
 
 #[test]
 fn a_rogue_without_a_fault_answers_all() {
-    let v = &judged(|s, n, c| rogue(Fault::None, s, n, c))[0];
+    let v = &judged(|s, n, c| run_faulty_controller(Fault::None, s, n, c))[0];
     assert!(v.state == State::Kept && v.looked_at > 500, "{v:?}");
 }
 
@@ -60,21 +60,21 @@
     caught(
         1,
         &["invocation", "controller", "Succeeded at"],
-        |s, n, c| rogue(Fault::AnswersTwice, s, n, c),
+        |s, n, c| run_faulty_controller(Fault::AnswersTwice, s, n, c),
     );
 }
 
 #[test]
 fn no_answer() {
     caught(1, &["invocation", "got no answer"], |s, n, c| {
-        rogue(Fault::AnswersNotAll, s, n, c)
+        run_faulty_controller(Fault::AnswersNotAll, s, n, c)
     });
 }
 
 #[test]
 fn an_answer_past_the_client_timeout() {
     caught(1, &["ms after its client timeout"], |s, n, c| {
-        rogue(Fault::AnswersLate, s, n, c)
+        run_faulty_controller(Fault::AnswersLate, s, n, c)
     });
 }
 
@@ -87,21 +87,21 @@
             "tokened invocation",
             "outside the cell",
         ],
-        |s, n, c| rogue(Fault::RunsTwice, s, n, c),
+        |s, n, c| run_faulty_controller(Fault::RunsTwice, s, n, c),
     );
 }
 
 #[test]
 fn a_throttle_for_what_ran() {
     caught(2, &["ran on invoker", "was throttled"], |s, n, c| {
-        rogue(Fault::ThrottlesWhatRan, s, n, c)
+        run_faulty_controller(Fault::ThrottlesWhatRan, s, n, c)
     });
 }
 
 #[test]
 fn two_dispatches_out() {
     caught(2, &["was still out"], |s, n, c| {
-        rogue(Fault::TwoOut, s, n, c)
+        run_faulty_controller(Fault::TwoOut, s, n, c)
     });
 }
 
@@ -110,20 +110,20 @@
     caught(
         3,
         &["dispatch", "came to invoker", "was told it was draining"],
-        |s, n, c| rogue(Fault::IgnoresDrains, s, n, c),
+        |s, n, c| run_faulty_controller(Fault::IgnoresDrains, s, n, c),
     );
 }
 
 #[test]
 fn a_cold_invoker_pushed_over() {
     caught(4, &["invoker", "of work within"], |s, n, c| {
-        rogue(Fault::FloodsColdOnes, s, n, c)
+        run_faulty_controller(Fault::FloodsColdOnes, s, n, c)
     });
 }
 
 #[test]
 fn orders_beyond_the_ration() {
     caught(5, &["controller", "orders to load within"], |s, n, c| {
-        rogue(Fault::LoadsAtWill, s, n, c)
+        run_faulty_controller(Fault::LoadsAtWill, s, n, c)
     });
 }
--- a/crates/scenario/tests/summary_fixtures.rs
+++ b/crates/scenario/tests/summary_fixtures.rs
@@ -118,7 +118,7 @@
         for line in play_virtually(&Day::load("a day", script).unwrap(), serve).unwrap() {
             match line {
                 Line::Ended { ended, .. } => drop(endings.insert(ended)),
-                Line::Told { life, .. } => drop(states.insert(life)),
+                Line::EndpointSent { life, .. } => drop(states.insert(life)),
                 _ => {}
             }
         }
--- a/crates/simulated-network/src/lib.rs
+++ b/crates/simulated-network/src/lib.rs
@@ -8,6 +8,6 @@
 mod stop;
 mod streams;
 
-pub use lines::{Line, Lines};
-pub use stop::{Hold, stoppable};
-pub use streams::Ether;
+pub use lines::{Link, Links};
+pub use stop::{ProcessPause, pausable};
+pub use streams::SimulatedNetwork;
--- a/crates/simulated-network/src/stop.rs
+++ b/crates/simulated-network/src/stop.rs
@@ -8,10 +8,10 @@
 
 /// Holds what is [`stoppable`] still, as a stopped process is: its timers and streams go on around it.
 #[derive(Clone, Default)]
-pub struct Hold(Rc<Cell<Option<Instant>>>);
+pub struct ProcessPause(Rc<Cell<Option<Instant>>>);
 
-impl Hold {
-    pub fn stop(&self, span: Duration) {
+impl ProcessPause {
+    pub fn pause_for(&self, span: Duration) {
         let until = Instant::now() + span;
         self.0
             .set(Some(self.0.get().map_or(until, |at| at.max(until))));
@@ -20,7 +20,7 @@
 
 struct Stoppable<F> {
     inner: Pin<Box<F>>,
-    hold: Hold,
+    hold: ProcessPause,
     over: Pin<Box<Sleep>>,
 }
 
@@ -42,7 +42,7 @@
 }
 
 /// Runs as `inner` does, but not while held. `inner` must spawn nothing outside itself.
-pub fn stoppable<F: Future>(hold: Hold, inner: F) -> impl Future<Output = F::Output> {
+pub fn pausable<F: Future>(hold: ProcessPause, inner: F) -> impl Future<Output = F::Output> {
     Stoppable {
         inner: Box::pin(inner),
         hold,
--- a/crates/simulated-network/src/streams.rs
+++ b/crates/simulated-network/src/streams.rs
@@ -1,4 +1,4 @@
-use crate::lines::{Host, Line, Lines, Passage};
+use crate::lines::{Delivery, HostId, Link, Links};
 use bytes::{Buf, Bytes};
 use saltdrum::interface::Ticks;
 use saltdrum_transport::{Address, Clock, EventLoopClock, Listener, Network, Stream};
@@ -23,15 +23,15 @@
 type Door = mpsc::UnboundedSender<Stream>;
 type Later<'a, T> = Pin<Box<dyn Future<Output = io::Result<T>> + 'a>>;
 type SharedWay = Rc<RefCell<Way>>;
-type Ways = BTreeMap<(Host, Host), Vec<Weak<RefCell<Way>>>>;
+type Ways = BTreeMap<(HostId, HostId), Vec<Weak<RefCell<Way>>>>;
 
 /// Every host and every stream between them.
 #[derive(Clone)]
-pub struct Ether {
+pub struct SimulatedNetwork {
     clock: Clock,
-    lines: Rc<RefCell<Lines>>,
-    hosts: Rc<RefCell<BTreeMap<String, Host>>>,
-    doors: Rc<RefCell<BTreeMap<Address, (Host, Door)>>>,
+    lines: Rc<RefCell<Links>>,
+    hosts: Rc<RefCell<BTreeMap<String, HostId>>>,
+    doors: Rc<RefCell<BTreeMap<Address, (HostId, Door)>>>,
     /// Streams that a cut may have held something of.
     ways: Rc<RefCell<Ways>>,
     /// Told when what is being read was written; the stand-ins' own.
@@ -47,8 +47,8 @@
 
 /// One direction of a stream.
 struct Way {
-    from: Host,
-    to: Host,
+    from: HostId,
+    to: HostId,
     parts: VecDeque<Part>,
     bytes: usize,
     /// Nothing overtakes on a stream.
@@ -75,9 +75,9 @@
     }
 }
 
-impl Ether {
+impl SimulatedNetwork {
     /// `turns` are those of whoever reads as a stand-in: what it reads came when it was written.
-    pub fn new(clock: Clock, lines: Lines, turns: EventLoopClock) -> Self {
+    pub fn new(clock: Clock, lines: Links, turns: EventLoopClock) -> Self {
         let (hosts, doors, ways) = Default::default();
         Self {
             clock,
@@ -89,9 +89,9 @@
         }
     }
 
-    fn number(&self, name: &str) -> Host {
+    fn number(&self, name: &str) -> HostId {
         let mut hosts = self.hosts.borrow_mut();
-        let next = hosts.len() as Host;
+        let next = hosts.len() as HostId;
         *hosts.entry(name.to_owned()).or_insert(next)
     }
 
@@ -123,7 +123,7 @@
             let at = self
                 .lines
                 .borrow_mut()
-                .after_heal(now, pair.0, pair.1)
+                .arrival_after_heal(now, pair.0, pair.1)
                 .max(way.last);
             way.parts
                 .iter_mut()
@@ -138,19 +138,19 @@
     }
 
     /// Another line in place of the usual one, one way, until it is quickened by the same.
-    pub fn slow(&self, from: &str, to: &str, line: Line) {
+    pub fn add_slowdown(&self, from: &str, to: &str, line: Link) {
         self.lines
             .borrow_mut()
-            .slow(self.number(from), self.number(to), line);
+            .add_slowdown(self.number(from), self.number(to), line);
     }
 
-    pub fn quicken(&self, from: &str, to: &str, line: Line) {
+    pub fn remove_slowdown(&self, from: &str, to: &str, line: Link) {
         self.lines
             .borrow_mut()
-            .quicken(self.number(from), self.number(to), line);
+            .remove_slowdown(self.number(from), self.number(to), line);
     }
 
-    fn way(&self, from: Host, to: Host) -> SharedWay {
+    fn way(&self, from: HostId, to: HostId) -> SharedWay {
         let way = Rc::new(RefCell::new(Way {
             from,
             to,
@@ -185,8 +185,8 @@
 
 /// The ether from one host.
 struct Seen {
-    ether: Ether,
-    here: Host,
+    ether: SimulatedNetwork,
+    here: HostId,
 }
 
 impl Network for Seen {
@@ -205,8 +205,8 @@
                     let cut = lines.is_cut(self.here, there) || lines.is_cut(there, self.here);
                     let now = ether.clock.now();
                     let mut way = |a, b| match lines.send(now, a, b, 64) {
-                        Passage::Arrives(at) => at - now,
-                        Passage::Held => 0,
+                        Delivery::Arrives(at) => at - now,
+                        Delivery::Held => 0,
                     };
                     (!cut).then(|| way(self.here, there) + way(there, self.here))
                 };
@@ -255,7 +255,7 @@
 
 /// One end of a stream.
 struct End {
-    ether: Ether,
+    ether: SimulatedNetwork,
     reads: SharedWay,
     writes: SharedWay,
     read_due: Pin<Box<Sleep>>,
@@ -337,11 +337,11 @@
             return Poll::Pending;
         }
         let arrives = match this.ether.lines.borrow_mut().send(now, way.from, way.to, n) {
-            Passage::Arrives(at) => {
+            Delivery::Arrives(at) => {
                 way.last = way.last.max(at);
                 Some(way.last)
             }
-            Passage::Held => None,
+            Delivery::Held => None,
         };
         way.parts.push_back(Part {
             written: now,
@@ -373,8 +373,8 @@
                     .borrow_mut()
                     .send(self.ether.clock.now(), way.from, way.to, 0);
             way.ends = Some(match passage {
-                Passage::Arrives(at) => Some(at.max(way.last)),
-                Passage::Held => None,
+                Delivery::Arrives(at) => Some(at.max(way.last)),
+                Delivery::Held => None,
             });
             way.wake_reader();
         }
@@ -387,7 +387,8 @@
         let way = &mut *self.reads.borrow_mut();
         let now = self.ether.clock.now();
         // Behind a cut the writer fills the window and hears nothing: its own patience must end it.
-        if let Passage::Arrives(at) = self.ether.lines.borrow_mut().send(now, way.to, way.from, 0) {
+        if let Delivery::Arrives(at) = self.ether.lines.borrow_mut().send(now, way.to, way.from, 0)
+        {
             way.refused = Some(at);
             way.wake_writer();
         }
@@ -399,15 +400,15 @@
     use super::*;
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-    fn ether(line: Line) -> Ether {
-        Ether::new(
+    fn ether(line: Link) -> SimulatedNetwork {
+        SimulatedNetwork::new(
             Clock::start(),
-            Lines::new(line, 0.0, 1),
+            Links::new(line, 0.0, 1),
             EventLoopClock::default(),
         )
     }
 
-    async fn pair(e: &Ether) -> (Stream, Stream) {
+    async fn pair(e: &SimulatedNetwork) -> (Stream, Stream) {
         let at = Address::Memory("there".into());
         let (here, there) = (e.host("here"), e.host("there"));
         let (mut door, _) = there.listen(&at).await.unwrap();
@@ -417,7 +418,7 @@
 
     #[tokio::test(start_paused = true)]
     async fn bytes_take_their_time_and_keep_their_order() {
-        let e = ether(Line {
+        let e = ether(Link {
             delay: 50,
             jitter: 70,
         });
@@ -440,7 +441,7 @@
 
     #[tokio::test(start_paused = true)]
     async fn a_cut_one_way_holds_what_is_written_until_it_heals() {
-        let e = ether(Line {
+        let e = ether(Link {
             delay: 10,
             jitter: 0,
         });
@@ -463,7 +464,7 @@
 
     #[tokio::test(start_paused = true)]
     async fn an_end_that_is_dropped_behind_a_cut_is_heard_of_after_it() {
-        let e = ether(Line::default());
+        let e = ether(Link::default());
         let (a, mut b) = pair(&e).await;
         e.cut("here", "there");
         drop(a);
@@ -483,7 +484,7 @@
 
     #[tokio::test(start_paused = true)]
     async fn a_stuck_reader_fills_the_window_and_its_end_frees_the_writer() {
-        let e = ether(Line {
+        let e = ether(Link {
             delay: 20,
             jitter: 0,
         });
@@ -501,7 +502,7 @@
 
     #[tokio::test(start_paused = true)]
     async fn dials_wait_for_a_cut_to_heal_and_give_up_when_it_does_not() {
-        let e = ether(Line::default());
+        let e = ether(Link::default());
         let at = Address::Memory("there".into());
         let (here, there) = (e.host("here"), e.host("there"));
         let _door = there.listen(&at).await.unwrap();
@@ -521,7 +522,7 @@
 
     #[tokio::test(start_paused = true)]
     async fn what_is_held_still_goes_on_where_it_was() {
-        let hold = crate::Hold::default();
+        let hold = crate::ProcessPause::default();
         let ticks = std::cell::RefCell::new(Vec::new());
         let began = Instant::now();
         let ticking = async {
@@ -532,9 +533,9 @@
         };
         let stopping = async {
             tokio::time::sleep(Duration::from_millis(150)).await;
-            hold.stop(Duration::from_secs(2));
+            hold.pause_for(Duration::from_secs(2));
         };
-        tokio::join!(crate::stoppable(hold.clone(), ticking), stopping);
+        tokio::join!(crate::pausable(hold.clone(), ticking), stopping);
         assert_eq!(ticks.into_inner(), [100, 2_150, 2_250, 2_350]);
     }
 }
