--- a/crates/coordinator/tests/all/world.rs
+++ b/crates/coordinator/tests/all/world.rs
@@ -17,7 +17,7 @@
     Bound, BoundScope, Fleet, LeaseName, LeaseTerms, MemberId, MemberInfo, MemberKind, Phase,
 };
 use saltdrum_leases::journal::{Accepted, JournalDisk};
-use saltdrum_simulated_network::{Ether, Hold, Line as Wire, Lines, stoppable};
+use saltdrum_simulated_network::{Link as Wire, Links, ProcessPause, SimulatedNetwork, pausable};
 use saltdrum_transport::{Address, Clock, EventLoopClock};
 use saltdrum_trial::record::Line;
 use serde_json::{Value as Json, json};
@@ -57,14 +57,14 @@
 /// A running process.
 struct Process {
     task: JoinHandle<()>,
-    hold: Hold,
+    hold: ProcessPause,
 }
 
 /// A fleet with its disks, its network and the record of its run.
 pub struct World {
     pub clock: Clock,
     size: Size,
-    network: Ether,
+    network: SimulatedNetwork,
     pub rng: RefCell<fastrand::Rng>,
     disks: RefCell<BTreeMap<u32, SimulatedDisk>>,
     processes: RefCell<BTreeMap<String, Process>>,
@@ -194,9 +194,9 @@
             delay: MILLISECOND,
             jitter: 2 * MILLISECOND,
         };
-        let network = Ether::new(
+        let network = SimulatedNetwork::new(
             clock,
-            Lines::new(link, 0.0, seed),
+            Links::new(link, 0.0, seed),
             EventLoopClock::default(),
         );
         let operator = network.host("operator");
@@ -294,8 +294,12 @@
         else {
             return;
         };
-        let (network, clock, hold) = (self.network.host(&name), self.clock, Hold::default());
-        let serving = stoppable(hold.clone(), async move {
+        let (network, clock, hold) = (
+            self.network.host(&name),
+            self.clock,
+            ProcessPause::default(),
+        );
+        let serving = pausable(hold.clone(), async move {
             if let Err(why) = service::serve(config, disk, acceptor, network, clock).await {
                 panic!("coordinator failed: {why}");
             }
@@ -332,7 +336,11 @@
             size: self.size,
             drain_started_at: Cell::default(),
         });
-        let (network, hold, this) = (self.network.host(&name), Hold::default(), self.clone());
+        let (network, hold, this) = (
+            self.network.host(&name),
+            ProcessPause::default(),
+            self.clone(),
+        );
         let process_hold = hold.clone();
         let process_name = name.clone();
         let task = tokio::task::spawn_local(async move {
@@ -350,7 +358,7 @@
                     () = holder => unreachable!("a holder never ends"),
                 }
             });
-            let ended = stoppable(process_hold, running).await;
+            let ended = pausable(process_hold, running).await;
             let code = if ended == MembershipEnd::Drained {
                 0
             } else {
@@ -410,8 +418,12 @@
             });
         });
         let incarnation = self.next_incarnation();
-        let (mode, hold, listen) = (self.lease_mode.get(), Hold::default(), address(name));
-        let serving = stoppable(hold.clone(), async move {
+        let (mode, hold, listen) = (
+            self.lease_mode.get(),
+            ProcessPause::default(),
+            address(name),
+        );
+        let serving = pausable(hold.clone(), async move {
             let Ok(disk) = JournalDisk::open(disks.current.opens()) else {
                 return;
             };
@@ -476,7 +488,7 @@
         let (record, clock, hold, member_name) = (
             self.record.clone(),
             self.clock,
-            Hold::default(),
+            ProcessPause::default(),
             name.clone(),
         );
         let running = async move {
@@ -544,7 +556,7 @@
         let process_hold = hold.clone();
         let task = tokio::task::spawn_local(async move {
             let local = tokio::task::LocalSet::new();
-            stoppable(process_hold, local.run_until(running)).await;
+            pausable(process_hold, local.run_until(running)).await;
         });
         self.processes
             .borrow_mut()
@@ -589,7 +601,7 @@
     /// Pauses a process for this long.
     pub fn stall(&self, name: &str, duration: Duration) {
         if let Some(process) = self.processes.borrow().get(name) {
-            process.hold.stop(duration);
+            process.hold.pause_for(duration);
             let process = name.to_owned();
             self.record.borrow_mut().push(Line::Stopped {
                 at_ns: nanoseconds(self.clock.now()),
@@ -614,9 +626,9 @@
             jitter: delay,
         };
         if is_on {
-            self.network.slow(from, to, link)
+            self.network.add_slowdown(from, to, link)
         } else {
-            self.network.quicken(from, to, link)
+            self.network.remove_slowdown(from, to, link)
         }
     }
 
