--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -15,7 +15,7 @@
 use saltdrum_coordinator::server;
 use saltdrum_coordinator::wire::{ChangeReply, ChangeRequest, DryRun, OUTCOME_UNKNOWN};
 use saltdrum_coordinator::{CoordinatorConfig, FleetConfig, MemberRole, Membership, join, service};
-use saltdrum_deployment::Terms;
+use saltdrum_deployment::DeploymentSpec;
 use saltdrum_fakes::Invoker;
 use saltdrum_faulty_peers::leases::FaultySteward;
 use saltdrum_fleet::change::Change;
@@ -106,7 +106,7 @@
         number: u32,
         incarnation: u64,
         zone: u8,
-        terms: &Terms,
+        terms: &DeploymentSpec,
         clients: &Address,
         going: &ShutdownHandle,
         tasks: BTreeSet<String>,
--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -4,7 +4,7 @@
 use saltdrum_faulty_peers::{FAULTS, Fault, careless, rogue};
 use saltdrum_lab::hunt::{Bounds, hunt};
 use saltdrum_lab::{Experiment, Script, report, run};
-use saltdrum_scenario::{Cover, POLICIES, Serve, serve};
+use saltdrum_scenario::{Overrides, POLICIES, Serve, serve};
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::time::Instant;
@@ -161,18 +161,18 @@
     fs::write(out, text).map_err(|e| format!("{}: {e}", out.display()))
 }
 
-fn planted(name: Option<&str>) -> Result<Cover, String> {
+fn planted(name: Option<&str>) -> Result<Overrides, String> {
     let Some(name) = name else {
-        return Ok(Cover::of(serve));
+        return Ok(Overrides::of(serve));
     };
     if name == "skips-digests" {
-        return Ok(Cover {
+        return Ok(Overrides {
             serve,
             brings: Some(careless),
         });
     }
     if let Some((_, serve)) = POLICIES.iter().find(|p| p.0 == name) {
-        return Ok(Cover::of(*serve));
+        return Ok(Overrides::of(*serve));
     }
     let fault = FAULTS.iter().find(|f| f.0 == name).ok_or_else(|| {
         let known: Vec<&str> = FAULTS
@@ -195,5 +195,5 @@
         Fault::FloodsColdOnes => |s, n, c| rogue(Fault::FloodsColdOnes, s, n, c),
         Fault::LoadsAtWill => |s, n, c| rogue(Fault::LoadsAtWill, s, n, c),
     };
-    Ok(Cover::of(serve))
+    Ok(Overrides::of(serve))
 }
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -8,7 +8,7 @@
 use saltdrum::interface::SECOND;
 use saltdrum_controller::shutdown::ShutdownHandle;
 use saltdrum_controller::{AliasConfig, ControllerConfig, PolicyFactory};
-use saltdrum_deployment::Terms;
+use saltdrum_deployment::DeploymentSpec;
 use saltdrum_fakes::invoker::Site;
 use saltdrum_fakes::{Faults, Invoker, List, Record, Registry, Store, record};
 use saltdrum_layers::cache::{Cache, RealDisk};
@@ -282,7 +282,7 @@
 }
 
 pub fn list(deployment: &Path, listen: &str, invokers: &[String]) -> Done {
-    let (terms, at): (Terms, Address) = (terms(deployment)?, listen.parse()?);
+    let (terms, at): (DeploymentSpec, Address) = (terms(deployment)?, listen.parse()?);
     let mut entries = Vec::new();
     for said in invokers {
         let (number, at) = said
@@ -379,7 +379,7 @@
 }
 
 fn tell(name: &str, lines: &[record::Line], json: bool) -> Done {
-    let summary = summary::sum_up(name, lines, rules::check(lines)?);
+    let summary = summary::summarize(name, lines, rules::check(lines)?);
     if json {
         println!(
             "{}",
--- a/crates/cli/src/scripts.rs
+++ b/crates/cli/src/scripts.rs
@@ -1,7 +1,7 @@
 //! Reads deployment scripts.
 
 use saltdrum_coordinator::FleetConfig;
-use saltdrum_deployment::Terms;
+use saltdrum_deployment::DeploymentSpec;
 use std::fs;
 use std::path::Path;
 
@@ -11,14 +11,14 @@
 }
 
 /// The deployment that a script describes.
-pub fn terms(path: &Path) -> Result<Terms, String> {
+pub fn terms(path: &Path) -> Result<DeploymentSpec, String> {
     Ok(fleet_terms(path)?.0)
 }
 
 /// The deployment, and what its script says of its fleet.
-pub fn fleet_terms(path: &Path) -> Result<(Terms, Option<FleetConfig>), String> {
+pub fn fleet_terms(path: &Path) -> Result<(DeploymentSpec, Option<FleetConfig>), String> {
     let (terms, mut rest) =
-        Terms::load(&path.to_string_lossy(), &text(path)?).map_err(|e| e.to_string())?;
+        DeploymentSpec::load(&path.to_string_lossy(), &text(path)?).map_err(|e| e.to_string())?;
     let fleet = FleetConfig::extract(&mut rest).map_err(|e| e.to_string())?;
     match rest
         .iter()
--- a/crates/controller/src/native/invoke.rs
+++ b/crates/controller/src/native/invoke.rs
@@ -3,7 +3,7 @@
 use crate::native::reply::Reply;
 use crate::native::state::{ControllerState, Payload, PendingCall, RegistryVersion};
 use saltdrum::interface::{FunctionId, Invocation, MILLISECOND, Ticks};
-use saltdrum_deployment::Terms;
+use saltdrum_deployment::DeploymentSpec;
 use saltdrum_protocol::rpc;
 use saltdrum_registry::version_pin::{PinRequest, ResolveError};
 use tracing::info_span;
@@ -108,7 +108,7 @@
 
 fn check_call(
     state: &mut ControllerState,
-    terms: &Terms,
+    terms: &DeploymentSpec,
     call: &rpc::Invoke,
     arrival: Arrival,
 ) -> Result<CheckedCall, Rejection> {
@@ -140,9 +140,12 @@
     )
 }
 
-fn find_trigger_and_tenant(terms: &Terms, call: &rpc::Invoke) -> Result<(usize, usize), Rejection> {
+fn find_trigger_and_tenant(
+    terms: &DeploymentSpec,
+    call: &rpc::Invoke,
+) -> Result<(usize, usize), Rejection> {
     let trigger = terms
-        .trigger_names
+        .trigger_type_names
         .iter()
         .position(|name| *name == call.trigger);
     let trigger = trigger.ok_or_else(|| Rejection::unknown("trigger", &call.trigger))?;
@@ -157,7 +160,7 @@
 /// The function of the deployment, or the version of the registry, that a call names.
 fn find_target(
     state: &mut ControllerState,
-    terms: &Terms,
+    terms: &DeploymentSpec,
     call: &rpc::Invoke,
 ) -> Result<Target, Rejection> {
     if let Some(function) = terms.functions.get(&call.function) {
--- a/crates/controller/src/native/state.rs
+++ b/crates/controller/src/native/state.rs
@@ -11,7 +11,7 @@
     FunctionId, InvocationId, InvokerId, LoadOutcome, MILLISECOND, Outcome, ProbeOutcome,
     StartKind, Ticks,
 };
-use saltdrum_deployment::Terms;
+use saltdrum_deployment::DeploymentSpec;
 use saltdrum_protocol::{invoker as wire, rpc};
 use saltdrum_registry::version_pin::PinnedVersion;
 use saltdrum_transport::Address;
@@ -34,7 +34,7 @@
     /// Where the endpoint list is served. One at a time is followed, the next when it is lost; several serve one fleet.
     pub endpoint_lists: Vec<Address>,
     /// The deployment.
-    pub terms: Rc<Terms>,
+    pub terms: Rc<DeploymentSpec>,
     /// Where functions that are not in the deployment are looked up; none: there are no others.
     pub aliases: Option<AliasConfig>,
     /// Shuts the controller down.
@@ -49,7 +49,7 @@
 /// How invokers are reached: one multiplexed connection each.
 pub(crate) struct InvokerConnections {
     /// The deployment.
-    pub terms: Rc<Terms>,
+    pub terms: Rc<DeploymentSpec>,
     /// Names of functions, as invokers know them.
     pub functions: BTreeMap<FunctionId, String>,
     /// The connections. None is ever removed.
--- a/crates/controller/tests/controller_fixtures.rs
+++ b/crates/controller/tests/controller_fixtures.rs
@@ -7,7 +7,7 @@
 use saltdrum::interface::*;
 use saltdrum_controller::shutdown::{ShutdownHandle, ShutdownPhase};
 use saltdrum_controller::{AliasConfig, ControllerConfig, Policy, serve};
-use saltdrum_deployment::Terms;
+use saltdrum_deployment::DeploymentSpec;
 use saltdrum_protocol::frame::{Message, cut, encode};
 use saltdrum_protocol::invoker::{self as wire, Ended, FromController};
 use saltdrum_protocol::list;
@@ -117,7 +117,7 @@
         zone: 0,
         client_addresses: vec![address("clients")],
         endpoint_lists: vec![address("list")],
-        terms: Rc::new(Terms::load("terms.star", DEPLOYMENT).unwrap().0),
+        terms: Rc::new(DeploymentSpec::load("terms.star", DEPLOYMENT).unwrap().0),
         aliases: Some(AliasConfig {
             registry: following,
             pin_duration: 60 * SECOND,
--- a/crates/controller/tests/sockets.rs
+++ b/crates/controller/tests/sockets.rs
@@ -7,7 +7,7 @@
 use saltdrum::interface::*;
 use saltdrum_controller::shutdown::{ShutdownHandle, ShutdownPhase};
 use saltdrum_controller::{ControllerConfig, Policy, PolicyFactory, serve};
-use saltdrum_deployment::Terms;
+use saltdrum_deployment::DeploymentSpec;
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::invoker::{self as wire, Ended};
 use saltdrum_protocol::list;
@@ -219,7 +219,7 @@
             zone: 0,
             client_addresses: vec![at("clients")],
             endpoint_lists: vec![at("list")],
-            terms: Rc::new(Terms::load("terms.star", TERMS).unwrap().0),
+            terms: Rc::new(DeploymentSpec::load("terms.star", TERMS).unwrap().0),
             aliases: None,
             shutdown: Default::default(),
             listens_when_ready: false,
--- a/crates/coordinator/src/fleet_config.rs
+++ b/crates/coordinator/src/fleet_config.rs
@@ -2,7 +2,7 @@
 
 use saltdrum::interface::Ticks;
 use saltdrum_deployment::units::{Memory, Span};
-use saltdrum_deployment::{Fault, Statement};
+use saltdrum_deployment::{ScriptError, Statement};
 use saltdrum_fleet::state::{Bound, BoundScope, LeaseName, LeaseTerms, MemberKind};
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -84,7 +84,7 @@
 
 impl FleetConfig {
     /// Takes the fleet's statements out of those that describe no deployment; none: the script states no fleet.
-    pub fn extract(rest: &mut Vec<Statement>) -> Result<Option<Self>, Fault> {
+    pub fn extract(rest: &mut Vec<Statement>) -> Result<Option<Self>, ScriptError> {
         let (mine, others): (Vec<_>, Vec<_>) = std::mem::take(rest)
             .into_iter()
             .partition(|s| matches!(s.what, "fleet" | "bound" | "lease"));
@@ -114,7 +114,7 @@
     }
 }
 
-fn fleet(s: &Statement) -> Result<FleetConfig, Fault> {
+fn fleet(s: &Statement) -> Result<FleetConfig, ScriptError> {
     let said: SaidFleet = s.read()?;
     let plain = |c: char| c.is_ascii_alphanumeric() || c == '-';
     if said.name.is_empty() || said.name.len() > 64 || !said.name.chars().all(plain) {
@@ -139,7 +139,12 @@
     })
 }
 
-fn word<T: Copy>(s: &Statement, name: &str, said: &str, words: &[(&str, T)]) -> Result<T, Fault> {
+fn word<T: Copy>(
+    s: &Statement,
+    name: &str,
+    said: &str,
+    words: &[(&str, T)],
+) -> Result<T, ScriptError> {
     words
         .iter()
         .find(|(word, _)| *word == said)
@@ -153,7 +158,7 @@
         })
 }
 
-fn bound(s: &Statement) -> Result<Bound, Fault> {
+fn bound(s: &Statement) -> Result<Bound, ScriptError> {
     let said: SaidBound = s.read()?;
     let kinds = [
         ("controller", MemberKind::Controller),
@@ -184,7 +189,7 @@
     Ok(bound)
 }
 
-fn lease(s: &Statement) -> Result<(LeaseName, LeaseTerms), Fault> {
+fn lease(s: &Statement) -> Result<(LeaseName, LeaseTerms), ScriptError> {
     let said: SaidLease = s.read()?;
     let kinds = [
         ("controller", MemberKind::Controller),
--- a/crates/deployment/src/script.rs
+++ b/crates/deployment/src/script.rs
@@ -12,18 +12,18 @@
 /// What is wrong with a script: where, and what was expected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{place}: {why}")]
-pub struct Fault {
-    pub place: Place,
+pub struct ScriptError {
+    pub place: SourceLocation,
     pub why: String,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Place {
+pub struct SourceLocation {
     pub file: String,
     pub line: usize,
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for SourceLocation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}", self.file, self.line)
     }
@@ -34,19 +34,19 @@
 pub struct Statement {
     pub what: &'static str,
     pub said: Map<String, Json>,
-    pub place: Place,
+    pub place: SourceLocation,
 }
 
 impl Statement {
-    pub fn fault(&self, why: impl fmt::Display) -> Fault {
-        Fault {
+    pub fn fault(&self, why: impl fmt::Display) -> ScriptError {
+        ScriptError {
             place: self.place.clone(),
             why: format!("{}: {why}", self.what),
         }
     }
 
     /// The arguments as a typed value; unknown and missing ones are faults.
-    pub fn read<T: serde::de::DeserializeOwned>(&self) -> Result<T, Fault> {
+    pub fn read<T: serde::de::DeserializeOwned>(&self) -> Result<T, ScriptError> {
         // One at a time first, so that a fault names its argument.
         serde_json::from_value(Json::Object(self.said.clone())).map_err(|e| {
             let told = self.said.iter().find(|(_, v)| {
@@ -74,7 +74,7 @@
     named: Value<'v>,
     eval: &mut Evaluator<'v, '_, '_>,
 ) -> starlark::Result<NoneType> {
-    let place = eval.call_stack_top_location().map(|span| Place {
+    let place = eval.call_stack_top_location().map(|span| SourceLocation {
         file: span.file.filename().to_owned(),
         line: span.resolve_span().begin.line + 1,
     });
@@ -143,7 +143,7 @@
 );
 
 /// Runs a script's text; `file` is its name in faults.
-pub fn run(file: &str, text: &str) -> Result<Vec<Statement>, Fault> {
+pub fn run(file: &str, text: &str) -> Result<Vec<Statement>, ScriptError> {
     let fault = |e: starlark::Error| {
         let (at, line) = match e.span() {
             Some(span) => (
@@ -152,8 +152,8 @@
             ),
             None => (file.to_owned(), 1),
         };
-        Fault {
-            place: Place { file: at, line },
+        ScriptError {
+            place: SourceLocation { file: at, line },
             why: e.without_diagnostic().to_string(),
         }
     };
--- a/crates/deployment/src/terms.rs
+++ b/crates/deployment/src/terms.rs
@@ -1,6 +1,6 @@
 //! The deployment's terms: what controllers, invokers and stand-ins are told of it at start.
 
-use crate::script::{Fault, Statement};
+use crate::script::{ScriptError, Statement};
 use crate::units::{Memory, Span};
 use saltdrum::interface::{Deployment, Effect, FunctionId, KeyScope, Tenant, Ticks, TriggerType};
 use serde::Deserialize;
@@ -22,7 +22,7 @@
 /// A kind of machine that invokers run on. What only a stand-in needs is here too.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Kind {
+pub struct MachineKind {
     pub name: String,
     pub memory: Memory,
     pub cores: u32,
@@ -46,7 +46,7 @@
 
 /// So many invokers alike, numbered from 1 on in the script's order.
 #[derive(Clone, Debug)]
-pub struct Stated {
+pub struct InvokerSpec {
     pub invoker: u32,
     pub kind: usize,
     pub zone: u8,
@@ -55,13 +55,13 @@
 
 /// All that is stated of a deployment.
 #[derive(Clone, Debug, Default)]
-pub struct Terms {
+pub struct DeploymentSpec {
     pub deployment: Deployment,
-    pub trigger_names: Vec<String>,
+    pub trigger_type_names: Vec<String>,
     pub tenant_names: Vec<String>,
     pub functions: BTreeMap<String, Function>,
-    pub kinds: Vec<Kind>,
-    pub invokers: Vec<Stated>,
+    pub kinds: Vec<MachineKind>,
+    pub invokers: Vec<InvokerSpec>,
     pub zones: Vec<String>,
     /// Taken off what a client says it will wait, for the answer's way back.
     pub answer_margin: Ticks,
@@ -187,7 +187,12 @@
     cell_size: u32,
 }
 
-fn word<T: Copy>(s: &Statement, name: &str, said: &str, words: &[(&str, T)]) -> Result<T, Fault> {
+fn word<T: Copy>(
+    s: &Statement,
+    name: &str,
+    said: &str,
+    words: &[(&str, T)],
+) -> Result<T, ScriptError> {
     words
         .iter()
         .find(|(word, _)| *word == said)
@@ -218,21 +223,24 @@
     name: &str,
     all: &[T],
     of: impl Fn(&T) -> &str,
-) -> Result<usize, Fault> {
+) -> Result<usize, ScriptError> {
     all.iter()
         .position(|t| of(t) == name)
         .ok_or_else(|| s.fault(format!("no {what} is named '{name}' above this line")))
 }
 
-fn share(s: &Statement, name: &str, x: f64, least: f64, most: f64) -> Result<f64, Fault> {
+fn share(s: &Statement, name: &str, x: f64, least: f64, most: f64) -> Result<f64, ScriptError> {
     let fits = x.is_finite() && (least..=most).contains(&x);
     fits.then_some(x)
         .ok_or_else(|| s.fault(format!("{name} = {x}: {least} to {most} is expected")))
 }
 
-impl Terms {
+impl DeploymentSpec {
     /// Takes the statements that describe the deployment and hands back the others.
-    pub fn from(file: &str, statements: Vec<Statement>) -> Result<(Self, Vec<Statement>), Fault> {
+    pub fn from(
+        file: &str,
+        statements: Vec<Statement>,
+    ) -> Result<(Self, Vec<Statement>), ScriptError> {
         let (mut t, mut rest, mut seen) = (Self::default(), Vec::new(), false);
         for s in statements {
             match s.what {
@@ -243,7 +251,7 @@
                     t.deployment(&s)?;
                 }
                 "machine" => {
-                    let kind: Kind = s.read()?;
+                    let kind: MachineKind = s.read()?;
                     share(&s, "speed", kind.speed, 0.01, 100.0)?;
                     share(&s, "cores", kind.cores.into(), 1.0, 4_096.0)?;
                     t.deployment.machine_memory_mb.push(kind.memory.0);
@@ -260,8 +268,13 @@
                 }
                 "function" => {
                     let said: SaidFunction = s.read()?;
-                    let trigger =
-                        named(&s, "trigger_type", &said.trigger, &t.trigger_names, |n| n)?;
+                    let trigger = named(
+                        &s,
+                        "trigger_type",
+                        &said.trigger,
+                        &t.trigger_type_names,
+                        |n| n,
+                    )?;
                     let (id, name) = (function_id(&said.name), said.name);
                     let lanes = share(&s, "lanes", said.lanes, 1.0, 1_024.0)?;
                     let load = said.load_time.map(|l| l.0);
@@ -284,15 +297,15 @@
         let missing = [
             ("deployment", !seen),
             ("machine", t.kinds.is_empty()),
-            ("trigger_type", t.trigger_names.is_empty()),
+            ("trigger_type", t.trigger_type_names.is_empty()),
             ("tenant", t.tenant_names.is_empty()),
         ];
         if let Some((what, _)) = missing.iter().find(|m| m.1) {
-            let place = crate::script::Place {
+            let place = crate::script::SourceLocation {
                 file: file.into(),
                 line: 1,
             };
-            return Err(Fault {
+            return Err(ScriptError {
                 place,
                 why: format!("no {what}(...) is stated"),
             });
@@ -300,7 +313,7 @@
         Ok((t, rest))
     }
 
-    fn deployment(&mut self, s: &Statement) -> Result<(), Fault> {
+    fn deployment(&mut self, s: &Statement) -> Result<(), ScriptError> {
         let said: SaidDeployment = s.read()?;
         let misses = word(
             s,
@@ -342,7 +355,7 @@
         Ok(())
     }
 
-    fn trigger_type(&mut self, s: &Statement) -> Result<(), Fault> {
+    fn trigger_type(&mut self, s: &Statement) -> Result<(), ScriptError> {
         let said: SaidTrigger = s.read()?;
         let effects = [
             ("idempotent", Effect::Idempotent),
@@ -363,11 +376,11 @@
             billed_value: share(s, "billed_value", said.billed_value, 0.0, 1e9)?,
             late_value_share: share(s, "late_share", said.late_share, 0.0, 1.0)?,
         });
-        self.trigger_names.push(said.name);
+        self.trigger_type_names.push(said.name);
         Ok(())
     }
 
-    fn invokers(&mut self, s: &Statement) -> Result<(), Fault> {
+    fn invokers(&mut self, s: &Statement) -> Result<(), ScriptError> {
         let said: SaidInvokers = s.read()?;
         let kind = named(s, "machine", &said.kind, &self.kinds, |k| &k.name)?;
         let zone = match &said.zone {
@@ -379,7 +392,7 @@
         for n in 0..said.count {
             let invoker = self.invokers.len() as u32 + 1;
             let cell = first_cell + (n / said.cell_size.max(1)) as u16;
-            self.invokers.push(Stated {
+            self.invokers.push(InvokerSpec {
                 invoker,
                 kind,
                 zone: zone as u8,
@@ -395,7 +408,7 @@
         (f64::from(kind.cores) * kind.speed) as f32
     }
 
-    pub fn load(file: &str, text: &str) -> Result<(Self, Vec<Statement>), Fault> {
+    pub fn load(file: &str, text: &str) -> Result<(Self, Vec<Statement>), ScriptError> {
         Self::from(file, crate::script::run(file, text)?)
     }
 }
--- a/crates/deployment/tests/deployment_script_fixtures.rs
+++ b/crates/deployment/tests/deployment_script_fixtures.rs
@@ -6,7 +6,7 @@
 
 use saltdrum::interface::{Deployment, Effect, KeyScope, TriggerType};
 use saltdrum_deployment::script::{self, STATEMENTS};
-use saltdrum_deployment::{Statement, Terms};
+use saltdrum_deployment::{DeploymentSpec, Statement};
 use serde_json::{Value as Json, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
@@ -71,7 +71,7 @@
 }
 
 /// Names of functions, by what is stated of them besides the name.
-fn functions_summary(terms: &Terms) -> Json {
+fn functions_summary(terms: &DeploymentSpec) -> Json {
     let mut alike: BTreeMap<String, Vec<String>> = BTreeMap::new();
     for (key, function) in &terms.functions {
         assert_eq!(*key, function.name);
@@ -85,20 +85,20 @@
     json!(alike)
 }
 
-fn summary(terms: &Terms, rest: &[Statement]) -> Json {
+fn summary(terms: &DeploymentSpec, rest: &[Statement]) -> Json {
     let triggers = terms
-        .trigger_names
+        .trigger_type_names
         .iter()
         .zip(&terms.deployment.trigger_types)
         .map(|(name, stated)| trigger_summary(name, stated));
-    let machine = |kind: &saltdrum_deployment::Kind| {
+    let machine = |kind: &saltdrum_deployment::MachineKind| {
         json!({
             "name": kind.name, "memory": kind.memory.0, "cores": kind.cores, "speed": kind.speed,
             "slots_per_core": kind.slots_per_core, "queue_per_core": kind.queue_per_core,
             "loads_at_once": kind.loads_at_once,
         })
     };
-    let invoker = |stated: &saltdrum_deployment::terms::Stated| {
+    let invoker = |stated: &saltdrum_deployment::terms::InvokerSpec| {
         let (kind, zone, cell) = (stated.kind, stated.zone, stated.cell);
         format!("{} kind {kind} zone {zone} cell {cell}", stated.invoker)
     };
@@ -149,7 +149,7 @@
 #[test]
 fn fixture_scripts_load_to_the_same_deployment() {
     for script in FIXTURE_SCRIPTS {
-        let (terms, rest) = Terms::load(script, &text_of(script)).unwrap();
+        let (terms, rest) = DeploymentSpec::load(script, &text_of(script)).unwrap();
         let rest: Vec<Json> = rest.iter().map(statement_summary).collect();
         let loaded = json!({"terms": summary(&terms, &[]), "other_statements": rest});
         let fixture = script.replace(".star", ".json");
@@ -187,7 +187,7 @@
     let statements = script::run(WHOLE_VOCABULARY, &text).unwrap();
     for what in READ_HERE {
         let unknown = text.replacen(&format!("\n{what}("), &format!("\n{what}(zzz = 1, "), 1);
-        let fault = Terms::load(WHOLE_VOCABULARY, &unknown)
+        let fault = DeploymentSpec::load(WHOLE_VOCABULARY, &unknown)
             .unwrap_err()
             .to_string();
         let calls = statements.iter().filter(|statement| statement.what == what);
@@ -208,7 +208,7 @@
             .iter()
             .any(|statement| statement.what == "deployment")
         {
-            let (terms, rest) = Terms::load(&name, &text).unwrap();
+            let (terms, rest) = DeploymentSpec::load(&name, &text).unwrap();
             deployments.insert(name, summary(&terms, &rest));
         }
     }
--- a/crates/deployment/tests/scripts.rs
+++ b/crates/deployment/tests/scripts.rs
@@ -1,7 +1,7 @@
 //! Scripts as they should not be, and what is said of them.
 
 use proptest::prelude::*;
-use saltdrum_deployment::{Terms, units};
+use saltdrum_deployment::{DeploymentSpec, units};
 
 const GOOD: &str = r#"
 deployment(controllers = 3, keep_alive = "9s", cold_share = 0.2, cold_time = "16s",
@@ -16,7 +16,7 @@
 
 #[test]
 fn a_deployment_is_read_with_its_units_and_the_rest_is_handed_back() {
-    let (terms, rest) = Terms::load("day.star", GOOD).unwrap();
+    let (terms, rest) = DeploymentSpec::load("day.star", GOOD).unwrap();
     assert_eq!(terms.deployment.overload_window, 15_000);
     assert_eq!(terms.kinds[0].memory.0, 42_000.0);
     assert_eq!(
@@ -34,7 +34,7 @@
 fn faults_name_file_line_and_what_was_expected() {
     let fault = |from: &str, to: &str| {
         assert!(GOOD.contains(from), "{from}");
-        Terms::load("day.star", &GOOD.replace(from, to))
+        DeploymentSpec::load("day.star", &GOOD.replace(from, to))
             .unwrap_err()
             .to_string()
     };
@@ -85,7 +85,7 @@
         assert!(got.starts_with(say), "{got}\n  instead of\n{say}");
     }
     assert_eq!(
-        Terms::load("d", "").unwrap_err().to_string(),
+        DeploymentSpec::load("d", "").unwrap_err().to_string(),
         "d:1: no deployment(...) is stated"
     );
 }
@@ -102,7 +102,7 @@
     fn a_script_with_a_hole_is_read_or_refused(at in 0usize..500, len in 1usize..30) {
         let at = at % GOOD.len();
         let text = format!("{}{}", &GOOD[..at], &GOOD[(at + len).min(GOOD.len())..]);
-        if let Err(fault) = Terms::load("day.star", &text) {
+        if let Err(fault) = DeploymentSpec::load("day.star", &text) {
             prop_assert!(fault.place.line >= 1 && !fault.why.is_empty());
         }
     }
--- a/crates/fakes/src/invoker.rs
+++ b/crates/fakes/src/invoker.rs
@@ -6,7 +6,7 @@
 use bytes::BytesMut;
 use saltdrum::interface::{Effect, FunctionId, KeyScope, MILLISECOND, Ticks};
 use saltdrum_agent::{Agent, ControllerConfig, Peer};
-use saltdrum_deployment::{Terms, terms};
+use saltdrum_deployment::{DeploymentSpec, terms};
 use saltdrum_layers::cache::{Cache, Disk};
 use saltdrum_protocol::frame::{cut, encode};
 use saltdrum_protocol::invoker as wire;
@@ -56,8 +56,8 @@
 
 /// What an invoker needs to be put up.
 pub struct Site {
-    pub terms: Rc<Terms>,
-    pub stated: terms::Stated,
+    pub terms: Rc<DeploymentSpec>,
+    pub stated: terms::InvokerSpec,
     pub network: Rc<dyn Network>,
     /// Its own, by which it works.
     pub clock: Clock,
@@ -303,7 +303,11 @@
 
 impl Site {
     fn trigger(&self, name: &str) -> Option<&saltdrum::interface::TriggerType> {
-        let at = self.terms.trigger_names.iter().position(|t| t == name)?;
+        let at = self
+            .terms
+            .trigger_type_names
+            .iter()
+            .position(|t| t == name)?;
         self.terms.deployment.trigger_types.get(at)
     }
 
--- a/crates/lab/src/draw.rs
+++ b/crates/lab/src/draw.rs
@@ -2,7 +2,7 @@
 
 use crate::Script;
 use saltdrum::interface::SECOND;
-use saltdrum_deployment::{Statement, script::Place};
+use saltdrum_deployment::{Statement, script::SourceLocation};
 use saltdrum_scenario::Day;
 use serde_json::{Map, Value as Json, json};
 
@@ -80,7 +80,7 @@
         script.statements.push(Statement {
             what: "trouble",
             said,
-            place: Place::default(),
+            place: SourceLocation::default(),
         });
     }
     script
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -2,7 +2,7 @@
 
 use crate::Script;
 use crate::plan::{Cell, cells};
-use saltdrum_deployment::{Fault, script};
+use saltdrum_deployment::{ScriptError, script};
 use saltdrum_scenario::{DAYS, POLICIES};
 use serde::Deserialize;
 use serde_json::{Map, Value as Json};
@@ -80,10 +80,10 @@
 
 impl Experiment {
     /// Reads a script. Days are names of days that come with the program, or files beside `file`.
-    pub fn load(file: &Path, text: &str) -> Result<Self, Fault> {
+    pub fn load(file: &Path, text: &str) -> Result<Self, ScriptError> {
         let name = file.display().to_string();
-        let nowhere = |why: &str| Fault {
-            place: script::Place {
+        let nowhere = |why: &str| ScriptError {
+            place: script::SourceLocation {
                 file: name.clone(),
                 line: 1,
             },
--- a/crates/lab/src/facts.rs
+++ b/crates/lab/src/facts.rs
@@ -190,7 +190,7 @@
             row.how = "hung up".into();
         }
     }
-    let summary = summary::sum_up("", lines, verdicts);
+    let summary = summary::summarize("", lines, verdicts);
     let slow = slowest(lines, &all, first);
     let rows: Vec<Row> = all
         .into_values()
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -3,7 +3,7 @@
 use crate::draw::troubled;
 use crate::shrink::{Shrunk, shrink};
 use crate::{Script, facts};
-use saltdrum_scenario::{Cover, play_covered};
+use saltdrum_scenario::{Overrides, play_with_overrides};
 
 /// What a day must keep besides the rules.
 #[derive(Clone, Copy, Debug, Default)]
@@ -25,9 +25,9 @@
 }
 
 /// Which way a day fails, in words that stay the same while it is cut down: `rule 3`, `copy`, `mixed`, `value`. None: it does not.
-fn fails(script: &Script, cover: Cover, bounds: Bounds) -> Option<(String, String)> {
+fn fails(script: &Script, cover: Overrides, bounds: Bounds) -> Option<(String, String)> {
     let day = script.day().ok()?;
-    let played = std::panic::catch_unwind(|| play_covered(&day, cover));
+    let played = std::panic::catch_unwind(|| play_with_overrides(&day, cover));
     let lines = match played {
         Ok(Ok(lines)) => lines,
         Ok(Err(e)) => return Some(("play".into(), e.to_string())),
@@ -71,7 +71,7 @@
 /// cut down with `cuts` days at the most. Whatever the number of threads, the same is found.
 pub fn hunt(
     base: &Script,
-    cover: Cover,
+    cover: Overrides,
     bounds: Bounds,
     seed: u64,
     days: usize,
--- a/crates/lab/src/script.rs
+++ b/crates/lab/src/script.rs
@@ -1,6 +1,6 @@
 //! A day's script as its statements: they can be changed, and written out as a script again.
 
-use saltdrum_deployment::{Fault, Statement, script};
+use saltdrum_deployment::{ScriptError, Statement, script};
 use saltdrum_scenario::Day;
 use serde_json::{Map, Value as Json, json};
 
@@ -53,7 +53,7 @@
 
 impl Script {
     /// Runs a script's text; `file` is its name in faults.
-    pub fn read(file: &str, text: &str) -> Result<Self, Fault> {
+    pub fn read(file: &str, text: &str) -> Result<Self, ScriptError> {
         Ok(Self {
             statements: script::run(file, text)?,
             file: file.to_owned(),
@@ -78,14 +78,14 @@
         self.statements.iter().map(one).collect()
     }
 
-    pub fn day(&self) -> Result<Day, Fault> {
+    pub fn day(&self) -> Result<Day, ScriptError> {
         Day::load(&self.file, &self.text())
     }
 
     /// Other arguments for every statement of a kind; one that is not there is added.
     pub fn with(mut self, what: &'static str, said: &Map<String, Json>) -> Self {
         if !self.statements.iter().any(|s| s.what == what) {
-            let place = script::Place {
+            let place = script::SourceLocation {
                 file: self.file.clone(),
                 line: 0,
             };
--- a/crates/lab/tests/lab.rs
+++ b/crates/lab/tests/lab.rs
@@ -4,7 +4,7 @@
 use saltdrum_faulty_peers::{Fault, careless, rogue};
 use saltdrum_lab::hunt::{Bounds, hunt};
 use saltdrum_lab::{Experiment, Script, results, run};
-use saltdrum_scenario::{Cover, DAYS, Serve};
+use saltdrum_scenario::{DAYS, Overrides, Serve};
 use std::fs;
 use std::path::Path;
 
@@ -142,7 +142,7 @@
         least_value: Some(least),
         only_rule: None,
     };
-    let real = Cover::of(saltdrum_scenario::serve);
+    let real = Overrides::of(saltdrum_scenario::serve);
     let found = hunt(&base, real, of(0.9), 1, 40, 40, 4).unwrap().unwrap();
     assert!(
         found.why.starts_with("value: billed value"),
@@ -159,7 +159,7 @@
     let base = Script::read("small", SMALL).unwrap();
     let found = hunt(
         &base,
-        Cover::of(serve),
+        Overrides::of(serve),
         Bounds {
             only_rule: Some(rule),
             least_value: None,
@@ -229,8 +229,8 @@
 traffic(tenant = "hill", functions = ["voice", "tour"], per_second = 20, work = "30ms")
 "#;
 
-fn copies(day: &saltdrum_scenario::Day, cover: Cover) -> (usize, usize) {
-    let lines = saltdrum_scenario::play_covered(day, cover).unwrap();
+fn copies(day: &saltdrum_scenario::Day, cover: Overrides) -> (usize, usize) {
+    let lines = saltdrum_scenario::play_with_overrides(day, cover).unwrap();
     let of = |l: &Line| {
         if let Line::Copied { sound, .. } = l {
             Some(*sound)
@@ -245,7 +245,7 @@
 #[test]
 fn a_cache_that_skips_a_digest_is_found() {
     let base = Script::read("layers", WITH_LAYERS).unwrap();
-    let planted = Cover {
+    let planted = Overrides {
         serve: saltdrum_scenario::serve,
         brings: Some(careless),
     };
@@ -256,12 +256,13 @@
     let day = found.shrunk.script.day().unwrap();
     assert!(copies(&day, planted).1 > 0);
     // The real one, on the very day, loads as much and throws away what is damaged.
-    let (all, unsound) = copies(&day, Cover::of(saltdrum_scenario::serve));
+    let (all, unsound) = copies(&day, Overrides::of(saltdrum_scenario::serve));
     assert!(all > 0 && unsound == 0, "{all} {unsound}");
     let kept =
         saltdrum_scenario::Day::load("found", include_str!("found/skips-digests.star")).unwrap();
     assert!(
-        copies(&kept, planted).1 > 0 && copies(&kept, Cover::of(saltdrum_scenario::serve)).1 == 0
+        copies(&kept, planted).1 > 0
+            && copies(&kept, Overrides::of(saltdrum_scenario::serve)).1 == 0
     );
 }
 
@@ -289,7 +290,7 @@
                 .all(|v| v.state != saltdrum_scenario::State::Broken),
             "seed {seed}"
         );
-        let sum = saltdrum_scenario::summary::sum_up("torn", &lines, verdicts)
+        let sum = saltdrum_scenario::summary::summarize("torn", &lines, verdicts)
             .layers
             .unwrap();
         assert_eq!(sum.unsound, 0, "seed {seed}");
--- a/crates/load/src/drive.rs
+++ b/crates/load/src/drive.rs
@@ -5,7 +5,7 @@
 use crate::trace::Entry;
 use bytes::Bytes;
 use saltdrum::interface::{Effect, MILLISECOND, Ticks};
-use saltdrum_deployment::Terms;
+use saltdrum_deployment::DeploymentSpec;
 use saltdrum_protocol::rpc;
 use saltdrum_transport::{
     Address, ArrivalReader, Clock, EventLoopClock, Network, SendQueue, run_event_loop_clock, split,
@@ -62,7 +62,7 @@
     network: Rc<dyn Network>,
     clock: Clock,
     turns: EventLoopClock,
-    terms: Rc<Terms>,
+    terms: Rc<DeploymentSpec>,
     patience: Patience,
     doors: Vec<Address>,
     lines: RefCell<Vec<Option<Rc<Connection>>>>,
@@ -76,7 +76,7 @@
 pub async fn drive(
     network: Rc<dyn Network>,
     clock: Clock,
-    terms: Rc<Terms>,
+    terms: Rc<DeploymentSpec>,
     doors: &[Address],
     connections: usize,
     patience: Patience,
@@ -128,7 +128,7 @@
 }
 
 /// The first entry that the terms know nothing of, in words.
-pub fn unknown(terms: &Terms, entries: &[Entry]) -> Option<String> {
+pub fn unknown(terms: &DeploymentSpec, entries: &[Entry]) -> Option<String> {
     entries.iter().enumerate().find_map(|(n, e)| {
         let lacks = |what: &str, name: &str| Some(format!("row {n}: no {what} is named '{name}'"));
         if !terms.functions.contains_key(&e.function) {
@@ -205,7 +205,7 @@
         let mut call = json!({
             "jsonrpc": "2.0", "id": id, "method": "invoke",
             "params": {"function": e.function, "tenant": e.tenant,
-                "trigger": self.terms.trigger_names[function.trigger],
+                "trigger": self.terms.trigger_type_names[function.trigger],
                 "input": {"n": n, "attempt": attempt, "work_ms": e.work as f64 / MILLISECOND as f64},
                 "time_left_ms": timeout as f64 / MILLISECOND as f64},
         });
--- a/crates/load/tests/freeze.rs
+++ b/crates/load/tests/freeze.rs
@@ -1,7 +1,7 @@
 //! A system that stands still can't hide it, and a generator that does is found out.
 
 use saltdrum::interface::{SECOND, Ticks};
-use saltdrum_deployment::Terms;
+use saltdrum_deployment::DeploymentSpec;
 use saltdrum_load::retry::{End, Patience};
 use saltdrum_load::{Entry, Latencies, Played, Shape, Verdict, drive, shape::arrivals};
 use saltdrum_simulated_network::{Ether, Hold, Line, Lines, stoppable};
@@ -85,7 +85,7 @@
             .into_iter()
             .map(entry)
             .collect();
-        let (terms, _) = Terms::load("terms.star", TERMS).unwrap();
+        let (terms, _) = DeploymentSpec::load("terms.star", TERMS).unwrap();
         let patience = Patience {
             retries: 0,
             backoff: 1_000,
--- a/crates/platform/src/tests/rules.rs
+++ b/crates/platform/src/tests/rules.rs
@@ -6,7 +6,7 @@
 use saltdrum_fakes::platform::{Call, Spoilt, listing};
 use saltdrum_fakes::record::Line;
 use saltdrum_platform_wire::feed::Event;
-use saltdrum_scenario::check::sent_on_after_leaving;
+use saltdrum_scenario::check::dispatches_after_hang_up;
 use saltdrum_transport::Address;
 use std::cell::Cell;
 use std::time::Duration;
@@ -202,7 +202,7 @@
             },
         ];
         assert_eq!(
-            !sent_on_after_leaving(&lines).is_empty(),
+            !dispatches_after_hang_up(&lines).is_empty(),
             is_caught,
             "{delay_ms} ms"
         );
--- a/crates/platform/src/tests/support.rs
+++ b/crates/platform/src/tests/support.rs
@@ -10,7 +10,7 @@
 use saltdrum_fakes::record::{Line, Place, Record, Stated, Trigger, Who};
 use saltdrum_platform_wire::config;
 use saltdrum_scenario::State as Kept;
-use saltdrum_scenario::check::{check, outputs_of_others, sent_on_after_leaving};
+use saltdrum_scenario::check::{check, dispatches_after_hang_up, mismatched_outputs};
 use saltdrum_transport::{Clock, MemoryNetwork, Network};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -235,8 +235,8 @@
     /// exceeded that of the client.
     pub fn broken_rules(&self) -> Vec<u8> {
         let lines = self.record.take();
-        let (verdicts, late) = (check(&lines).unwrap(), sent_on_after_leaving(&lines));
-        let others = outputs_of_others(&lines);
+        let (verdicts, late) = (check(&lines).unwrap(), dispatches_after_hang_up(&lines));
+        let others = mismatched_outputs(&lines);
         late.iter().chain(&others).for_each(|f| println!("{f:?}"));
         let broken: Vec<_> = verdicts.iter().filter(|v| v.state != Kept::Kept).collect();
         broken.iter().for_each(|v| println!("{v:?}"));
--- a/crates/scenario/src/check.rs
+++ b/crates/scenario/src/check.rs
@@ -306,11 +306,11 @@
 }
 
 /// So long after its client has left nothing of an invocation is sent on any more, by the operators' terms.
-pub const LEFT_TERM: Ticks = 100 * MILLISECOND;
+pub const HANG_UP_GRACE: Ticks = 100 * MILLISECOND;
 
 /// What was sent on later than that, by the earliest time at which it can have come. A term of the platform's days, beside
 /// the five rules.
-pub fn sent_on_after_leaving(lines: &[Line]) -> Vec<Finding> {
+pub fn dispatches_after_hang_up(lines: &[Line]) -> Vec<Finding> {
     let seen = Seen::of(lines);
     let mut found = Vec::new();
     for line in lines {
@@ -320,7 +320,7 @@
         let sent_on = seen.dispatches.values().flatten().filter(|d| d.of == *of);
         found.extend(
             sent_on
-                .filter(|d| d.earliest > left + LEFT_TERM)
+                .filter(|d| d.earliest > left + HANG_UP_GRACE)
                 .map(|d| Finding {
                     at: d.at,
                     text: format!(
@@ -337,7 +337,7 @@
 }
 
 /// Outputs that no invoker made for the try they were answered to.
-pub fn outputs_of_others(lines: &[Line]) -> Vec<Finding> {
+pub fn mismatched_outputs(lines: &[Line]) -> Vec<Finding> {
     let mut made = BTreeSet::new();
     let mut found = Vec::new();
     for line in lines {
--- a/crates/scenario/src/clients.rs
+++ b/crates/scenario/src/clients.rs
@@ -216,7 +216,7 @@
             }
         };
         let function = &self.day.terms.functions[&a.function];
-        let trigger = &self.day.terms.trigger_names[function.trigger];
+        let trigger = &self.day.terms.trigger_type_names[function.trigger];
         let stated = &self.day.terms.deployment.trigger_types[function.trigger];
         let tenant = &self.day.terms.tenant_names[a.tenant];
         let token = (stated.effect == Effect::IdempotencyKey).then(|| format!("token-{}", of.n));
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -14,7 +14,9 @@
 
 pub use check::{Finding, State, Verdict};
 pub use script::{Day, Layers};
-pub use stage::{Cover, POLICIES, Serve, play_covered, play_on_sockets, play_virtually, serve};
+pub use stage::{
+    Overrides, POLICIES, Serve, play_on_sockets, play_virtually, play_with_overrides, serve,
+};
 
 /// Days that come with the program, by name.
 pub const DAYS: &[(&str, &str)] = &[
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -2,7 +2,7 @@
 
 use saltdrum::interface::{SECOND, Ticks};
 use saltdrum_deployment::units::{Memory, Span};
-use saltdrum_deployment::{Fault, Statement, Terms, script};
+use saltdrum_deployment::{DeploymentSpec, ScriptError, Statement, script};
 use saltdrum_load::Shape;
 use saltdrum_registry::Name;
 use serde::Deserialize;
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 pub struct Day {
     pub name: String,
-    pub terms: Terms,
+    pub terms: DeploymentSpec,
     pub length: Ticks,
     pub seed: u64,
     /// Connections that clients keep to each controller.
@@ -345,7 +345,7 @@
     1
 }
 
-fn known(s: &Statement, terms: &Terms, functions: &[String]) -> Result<(), Fault> {
+fn known(s: &Statement, terms: &DeploymentSpec, functions: &[String]) -> Result<(), ScriptError> {
     match functions.iter().find(|f| !terms.functions.contains_key(*f)) {
         Some(f) => Err(s.fault(format!("no function is named '{f}'"))),
         None => Ok(()),
@@ -354,10 +354,10 @@
 
 impl Day {
     /// Reads a script's text; `file` is its name in faults.
-    pub fn load(file: &str, text: &str) -> Result<Self, Fault> {
-        let (terms, rest) = Terms::load(file, text)?;
-        let at = |why: &str| Fault {
-            place: script::Place {
+    pub fn load(file: &str, text: &str) -> Result<Self, ScriptError> {
+        let (terms, rest) = DeploymentSpec::load(file, text)?;
+        let at = |why: &str| ScriptError {
+            place: script::SourceLocation {
                 file: file.into(),
                 line: 1,
             },
@@ -454,7 +454,7 @@
         }
     }
 
-    fn one_traffic(&self, s: &Statement) -> Result<Traffic, Fault> {
+    fn one_traffic(&self, s: &Statement) -> Result<Traffic, ScriptError> {
         let said: SaidTraffic = s.read()?;
         let tenant = self
             .terms
@@ -482,7 +482,7 @@
         })
     }
 
-    fn one_trouble(&self, s: &Statement) -> Result<Trouble, Fault> {
+    fn one_trouble(&self, s: &Statement) -> Result<Trouble, ScriptError> {
         let said: SaidTrouble = s.read()?;
         let known_kind = KINDS.iter().find(|(name, _)| *name == said.name);
         let (name, kind) = *known_kind.ok_or_else(|| {
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -7,7 +7,7 @@
 use saltdrum::interface::{Effect, KeyScope, SECOND, Ticks};
 use saltdrum_agent::{Counts, Peer};
 use saltdrum_controller::{AliasConfig, ControllerConfig, dispatch_policy};
-use saltdrum_deployment::Terms;
+use saltdrum_deployment::DeploymentSpec;
 use saltdrum_fakes::disk::TearingDisk;
 use saltdrum_fakes::invoker::{self, Brings, Site, Tokens};
 use saltdrum_fakes::record::{self, Line, Record, Who};
@@ -85,13 +85,13 @@
 
 /// Who is put in the real ones' places.
 #[derive(Clone, Copy)]
-pub struct Cover {
+pub struct Overrides {
     pub serve: Serve,
     /// Brings models to invokers in place of their agents, on days with layers.
     pub brings: Option<Brings>,
 }
 
-impl Cover {
+impl Overrides {
     /// A controller alone; models come through the agents.
     pub fn of(serve: Serve) -> Self {
         Self {
@@ -258,7 +258,7 @@
                 bytes: day.model_bytes as u64,
                 memory_mb: f.memory as u64,
                 lanes: f.lanes as u32,
-                trigger_types: vec![day.terms.trigger_names[f.trigger].clone()],
+                trigger_types: vec![day.terms.trigger_type_names[f.trigger].clone()],
             };
             all.push(Change::Push {
                 model: name(&f.name),
@@ -296,16 +296,19 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    LocalSet::new().block_on(&runtime, play(day.clone(), Some(folder), Cover::of(serve)))
+    LocalSet::new().block_on(
+        &runtime,
+        play(day.clone(), Some(folder), Overrides::of(serve)),
+    )
 }
 
 /// Plays a day in virtual time, on in-memory streams.
 pub fn play_virtually(day: &Day, serve: Serve) -> io::Result<Vec<Line>> {
-    play_covered(day, Cover::of(serve))
+    play_with_overrides(day, Overrides::of(serve))
 }
 
 /// As [`play_virtually`], with others in the places of the real ones.
-pub fn play_covered(day: &Day, cover: Cover) -> io::Result<Vec<Line>> {
+pub fn play_with_overrides(day: &Day, cover: Overrides) -> io::Result<Vec<Line>> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
@@ -313,7 +316,7 @@
     LocalSet::new().block_on(&runtime, play(day.clone(), None, cover))
 }
 
-fn stated(terms: &Terms) -> record::Stated {
+fn stated(terms: &DeploymentSpec) -> record::Stated {
     let d = &terms.deployment;
     let trigger = |(t, name): (&saltdrum::interface::TriggerType, &String)| record::Trigger {
         name: name.clone(),
@@ -333,7 +336,7 @@
         objective: t.latency_objective,
         billed_value: t.billed_value,
     };
-    let place = |i: &saltdrum_deployment::terms::Stated| record::Place {
+    let place = |i: &saltdrum_deployment::terms::InvokerSpec| record::Place {
         invoker: i.invoker,
         zone: i.zone,
         cell: i.cell,
@@ -343,7 +346,7 @@
         triggers: d
             .trigger_types
             .iter()
-            .zip(&terms.trigger_names)
+            .zip(&terms.trigger_type_names)
             .map(trigger)
             .collect(),
         places: terms.invokers.iter().map(place).collect(),
@@ -360,7 +363,7 @@
 }
 
 /// Plays a day on the `LocalSet` this is called on, and gives the record, in order of time.
-async fn play(day: Day, folder: Option<&Path>, cover: Cover) -> io::Result<Vec<Line>> {
+async fn play(day: Day, folder: Option<&Path>, cover: Overrides) -> io::Result<Vec<Line>> {
     let (clock, record, turns) = (Clock::start(), Record::default(), EventLoopClock::default());
     let cast = match folder {
         Some(folder) => Cast::Threads(folder.to_owned()),
@@ -589,8 +592,8 @@
             pin_duration: 120 * SECOND,
             epoch_ms: 0,
         });
-        let seat =
-            move |terms: Terms, clients: Address, list: Address, seed: u64| ControllerConfig {
+        let seat = move |terms: DeploymentSpec, clients: Address, list: Address, seed: u64| {
+            ControllerConfig {
                 controller,
                 incarnation,
                 seed,
@@ -601,7 +604,8 @@
                 aliases: names,
                 shutdown: Default::default(),
                 listens_when_ready: false,
-            };
+            }
+        };
         let seed = self.day.seed ^ (u64::from(controller) << 40) ^ (incarnation << 56);
         let (terms, list, clock) = (
             self.day.terms.clone(),
--- a/crates/scenario/src/summary.rs
+++ b/crates/scenario/src/summary.rs
@@ -27,7 +27,7 @@
 }
 
 #[derive(Clone, Debug, Serialize)]
-pub struct Struck {
+pub struct TroubleOutcome {
     pub at_ms: f64,
     pub lasts_ms: f64,
     pub what: String,
@@ -38,7 +38,7 @@
 
 /// All tries, not invocations: what controllers took and what they answered.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Tries {
+pub struct TryCounts {
     pub sent: usize,
     pub answered: usize,
     pub hung_up: usize,
@@ -92,8 +92,8 @@
     pub in_time: f64,
     /// As `in_time`, each invocation weighed by its trigger type's billed value.
     pub value_in_time: f64,
-    pub troubles: Vec<Struck>,
-    pub tries: Tries,
+    pub troubles: Vec<TroubleOutcome>,
+    pub tries: TryCounts,
     pub rules: Vec<Verdict>,
 }
 
@@ -117,14 +117,14 @@
 }
 
 /// Sums up a record.
-pub fn sum_up(day: &str, lines: &[Line], rules: Vec<Verdict>) -> Summary {
+pub fn summarize(day: &str, lines: &[Line], rules: Vec<Verdict>) -> Summary {
     let mut all: BTreeMap<u64, One> = BTreeMap::new();
     let mut moves = None;
     let (mut copies, mut unsound) = (0, 0);
     let (mut loads, mut layers) = (Loads::default(), None);
     let mut value: BTreeMap<String, f64> = BTreeMap::new();
     let mut load_times = Histogram::<u64>::new(3).expect("three digits are allowed");
-    let (mut tries, mut objective, mut start) = (Tries::default(), BTreeMap::new(), Ticks::MAX);
+    let (mut tries, mut objective, mut start) = (TryCounts::default(), BTreeMap::new(), Ticks::MAX);
     let mut fates: BTreeMap<Try, u8> = BTreeMap::new();
     let mut killed = BTreeMap::new();
     let mut whose = BTreeMap::new();
@@ -273,7 +273,7 @@
             .iter()
             .filter(|o| o.first >= *at && o.first < (*until).max(at + 10_000))
             .collect();
-        troubles.push(Struck {
+        troubles.push(TroubleOutcome {
             at_ms: at.saturating_sub(start) as f64 / MILLISECOND as f64,
             lasts_ms: until.saturating_sub(*at) as f64 / MILLISECOND as f64,
             what: text.clone(),
--- a/crates/scenario/tests/days.rs
+++ b/crates/scenario/tests/days.rs
@@ -20,7 +20,7 @@
 
 /// No rule is broken, and what was taken was answered but for what the script took away.
 fn holds(name: &str, lines: &[Line]) -> summary::Summary {
-    let s = summary::sum_up(name, lines, check(lines).unwrap());
+    let s = summary::summarize(name, lines, check(lines).unwrap());
     assert_ne!(s.state(), State::Broken, "{}", s.text());
     let t = &s.tries;
     // What a disturbed machine leaves unanswered is told by rule 1, never passed over.
@@ -302,7 +302,7 @@
         let script = format!("{SHORT}{}", troubles.concat());
         let day = Day { seed, ..Day::load("random.star", &script).unwrap() };
         let lines = play_virtually(&day, serve).unwrap();
-        let s = summary::sum_up("random", &lines, check(&lines).unwrap());
+        let s = summary::summarize("random", &lines, check(&lines).unwrap());
         prop_assert_eq!(s.state(), State::Kept, "{}\n{}", script, s.text());
         prop_assert_eq!(s.tries.unanswered, 0, "{}\n{}", script, s.text());
     }
--- a/crates/scenario/tests/models.rs
+++ b/crates/scenario/tests/models.rs
@@ -10,7 +10,7 @@
 }
 
 fn judged(lines: &[Line]) -> summary::Summary {
-    let s = summary::sum_up("models", lines, check(lines).unwrap());
+    let s = summary::summarize("models", lines, check(lines).unwrap());
     assert_ne!(s.state(), State::Broken, "{}", s.text());
     s
 }
--- a/crates/scenario/tests/scenario_script_fixtures.rs
+++ b/crates/scenario/tests/scenario_script_fixtures.rs
@@ -86,7 +86,7 @@
         "troubles": day.troubles.iter().map(trouble_summary).collect::<Vec<_>>(),
         "controllers": terms.deployment.controllers, "invokers": terms.invokers.len(),
         "functions": terms.functions.keys().collect::<Vec<_>>(), "tenants": terms.tenant_names,
-        "trigger_types": terms.trigger_names, "zones": terms.zones,
+        "trigger_types": terms.trigger_type_names, "zones": terms.zones,
     })
 }
 
--- a/crates/scenario/tests/summary_fixtures.rs
+++ b/crates/scenario/tests/summary_fixtures.rs
@@ -6,7 +6,7 @@
 mod fixture_file;
 
 use saltdrum_fakes::record::{self, Line};
-use saltdrum_scenario::check::{check, outputs_of_others, sent_on_after_leaving};
+use saltdrum_scenario::check::{check, dispatches_after_hang_up, mismatched_outputs};
 use saltdrum_scenario::{Day, State, play_virtually, serve, summary};
 use serde_json::json;
 use std::collections::BTreeSet;
@@ -36,7 +36,7 @@
 
 /// As `--json` prints it.
 fn summary_text(name: &str, lines: &[Line]) -> String {
-    let told = summary::sum_up(name, lines, check(lines).unwrap());
+    let told = summary::summarize(name, lines, check(lines).unwrap());
     serde_json::to_string_pretty(&told).unwrap() + "\n"
 }
 
@@ -57,7 +57,7 @@
 
 #[test]
 fn the_fixture_days_fill_all_optional_fields_of_the_summary() {
-    let told = |name| summary::sum_up(name, &play(name), Vec::new());
+    let told = |name| summary::summarize(name, &play(name), Vec::new());
     let (short, models) = (told(DAYS[0]), told(DAYS[1]));
     assert!(short.moves.is_none() && short.layers.is_none() && short.passages.is_none());
     assert!(models.moves.is_some() && models.layers.is_some() && models.passages.is_some());
@@ -98,12 +98,12 @@
             .any(|verdict| !verdict.cannot_tell.is_empty()),
         "{verdicts:#?}"
     );
-    let told = summary::sum_up(BROKEN_RULES, &lines, verdicts);
+    let told = summary::summarize(BROKEN_RULES, &lines, verdicts);
     assert_eq!(told.state(), State::Broken);
     let told = json!({
         "summary": told,
-        "sent_on_after_leaving": sent_on_after_leaving(&lines),
-        "outputs_of_others": outputs_of_others(&lines),
+        "dispatches_after_hang_up": dispatches_after_hang_up(&lines),
+        "mismatched_outputs": mismatched_outputs(&lines),
     });
     let told = serde_json::to_string_pretty(&told).unwrap() + "\n";
     fixture_file::assert_equals("broken-rules.summary.json", told.as_bytes());
--- a/crates/trial/src/script.rs
+++ b/crates/trial/src/script.rs
@@ -2,7 +2,7 @@
 
 use saltdrum_coordinator::FleetConfig;
 use saltdrum_deployment::units::Span;
-use saltdrum_deployment::{Fault, Statement, Terms, script};
+use saltdrum_deployment::{DeploymentSpec, ScriptError, Statement, script};
 use saltdrum_fleet::state::{BoundScope, MemberKind};
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -12,7 +12,7 @@
     pub name: String,
     /// The script's own text, which the processes are given.
     pub text: String,
-    pub terms: Terms,
+    pub terms: DeploymentSpec,
     pub fleet: FleetConfig,
     pub stewards: u32,
     pub controllers: u32,
@@ -107,7 +107,7 @@
 pub struct Step {
     pub what: Do,
     pub of: Vec<String>,
-    pub place: script::Place,
+    pub place: script::SourceLocation,
 }
 
 #[derive(Deserialize)]
@@ -175,10 +175,10 @@
 }
 
 impl Trial {
-    pub fn load(file: &str, text: &str) -> Result<Self, Fault> {
-        let (terms, mut rest) = Terms::load(file, text)?;
-        let at = |why: &str| Fault {
-            place: script::Place {
+    pub fn load(file: &str, text: &str) -> Result<Self, ScriptError> {
+        let (terms, mut rest) = DeploymentSpec::load(file, text)?;
+        let at = |why: &str| ScriptError {
+            place: script::SourceLocation {
                 file: file.into(),
                 line: 1,
             },
@@ -305,7 +305,7 @@
         told
     }
 
-    fn step(&self, s: &Statement) -> Result<Step, Fault> {
+    fn step(&self, s: &Statement) -> Result<Step, ScriptError> {
         let said: SaidStep = s.read()?;
         let mut known = self.processes();
         known.extend(
--- a/crates/trial/src/stage.rs
+++ b/crates/trial/src/stage.rs
@@ -155,7 +155,9 @@
 
     fn load(&self) -> Load {
         let function = self.trial.terms.functions.values().next();
-        let trigger = function.map_or("", |f| self.trial.terms.trigger_names[f.trigger].as_str());
+        let trigger = function.map_or("", |f| {
+            self.trial.terms.trigger_type_names[f.trigger].as_str()
+        });
         let timeout_ms = function.map_or(8_000, |f| {
             self.trial.terms.deployment.trigger_types[f.trigger].client_timeout / 10
         });
