--- a/crates/controller/tests/sockets.rs
+++ b/crates/controller/tests/sockets.rs
@@ -7,7 +7,7 @@
 use saltdrum::interface::*;
 use saltdrum_controller::shutdown::{ShutdownHandle, ShutdownPhase};
 use saltdrum_controller::{ControllerConfig, Policy, PolicyFactory, serve};
-use saltdrum_deployment::Terms;
+use saltdrum_deployment::DeploymentSpec;
 use saltdrum_protocol::frame::{encode, take_frame};
 use saltdrum_protocol::invoker::{self as wire, Ended};
 use saltdrum_protocol::list;
@@ -231,7 +231,7 @@
             zone: 0,
             client_addresses: vec![memory_address("clients")],
             endpoint_lists: vec![memory_address("list")],
-            terms: Rc::new(Terms::load("terms.star", DEPLOYMENT).unwrap().0),
+            terms: Rc::new(DeploymentSpec::load("terms.star", DEPLOYMENT).unwrap().0),
             aliases: None,
             shutdown: Default::default(),
             listens_when_ready: false,
