--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -82,7 +82,7 @@
                 eprintln!("{over}/{all} {name}")
             })?;
             let seconds = began.elapsed().as_secs_f64();
-            let (played, found, digest) = (sitting.played, sitting.found, &sitting.digest);
+            let (played, found, digest) = (sitting.played, sitting.reused, &sitting.digest);
             println!(
                 "{played} runs played in {seconds:.1} s, {found} were there; results {digest}"
             );
@@ -94,7 +94,7 @@
             html,
             json,
         } => {
-            let report = report::of(results)?;
+            let report = report::load(results)?;
             if let Some(path) = html {
                 fs::write(path, report.html()?).map_err(|e| format!("{}: {e}", path.display()))?;
             }
@@ -123,7 +123,7 @@
             let base = Script::read(day, &script).map_err(|e| e.to_string())?;
             let cover = planted(plant.as_deref())?;
             let bounds = Bounds {
-                least_value: *least_value,
+                min_value: *least_value,
                 only_rule: *rule,
             };
             let began = Instant::now();
@@ -138,11 +138,11 @@
                     tell_found(out, &f)?;
                     println!(
                         "day {} (seed {}) failed; {seconds:.1} s in all: {}",
-                        f.days, f.seed, f.why
+                        f.days_played, f.seed, f.reason
                     );
                     println!(
                         "cut down with {} further days to {}",
-                        f.shrunk.played,
+                        f.shrunk.days_played,
                         out.display()
                     );
                     Ok(1)
@@ -152,8 +152,8 @@
     }
 }
 
-fn tell_found(out: &Path, found: &saltdrum_lab::hunt::Found) -> Result<(), String> {
-    let why = found.why.replace('\n', " ");
+fn tell_found(out: &Path, found: &saltdrum_lab::hunt::FailingDay) -> Result<(), String> {
+    let why = found.reason.replace('\n', " ");
     let text = format!(
         "# Found by a search, cut down. It fails with {why}\n{}",
         found.shrunk.script.text()
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -4,8 +4,8 @@
 use comfy_table::{CellAlignment, Table, presets};
 use saltdrum::interface::{MILLISECOND, SECOND, Ticks};
 use saltdrum_deployment::units::span;
-use saltdrum_load::retry::{End, Patience};
-use saltdrum_load::{Entry, Latencies, Played, Verdict, drive, trace};
+use saltdrum_load::retry::{AttemptOutcome, RetryPolicy};
+use saltdrum_load::{Latencies, LoadRun, TraceEntry, Verdict, drive, send_load, trace};
 use saltdrum_scenario::{Day, traffic};
 use saltdrum_transport::{Address, Clock, SocketNetwork};
 use serde_json::json;
@@ -43,8 +43,8 @@
     json: bool,
 }
 
-fn drawn(day: &Day) -> Vec<Entry> {
-    let entry = |a: traffic::Arrival| Entry {
+fn drawn(day: &Day) -> Vec<TraceEntry> {
+    let entry = |a: traffic::Arrival| TraceEntry {
         at: a.at,
         tenant: day.terms.tenant_names[a.tenant].clone(),
         function: a.function,
@@ -69,14 +69,14 @@
             };
             let ahead: BTreeMap<_, _> = said.ahead.iter().map(one).collect::<Result<_, _>>()?;
             let (entries, mended) = trace::read(path, &ahead).map_err(|e| e.to_string())?;
-            for (source, row, by) in &mended.set_back {
+            for (source, row, by) in &mended.backward_steps {
                 eprintln!(
                     "saltdrum: {}: row {row}: the clock of '{source}' was set back by {:.1} s; what follows is moved on",
                     path.display(),
                     *by as f64 / SECOND as f64
                 );
             }
-            if let Some(why) = drive::unknown(&day.terms, &entries) {
+            if let Some(why) = drive::find_unknown_name(&day.terms, &entries) {
                 return Err(format!("{}: {why} in {}", path.display(), said.day));
             }
             entries
@@ -106,13 +106,13 @@
         .iter()
         .map(|t| t.parse())
         .collect::<Result<_, _>>()?;
-    let patience = Patience {
+    let patience = RetryPolicy {
         retries: said.retries.unwrap_or(day.retries),
         backoff: day.backoff,
     };
     let terms = Rc::new(day.terms.clone());
     let played = crate::process::on_this_thread(async {
-        drive(
+        send_load(
             Rc::new(SocketNetwork),
             Clock::start(),
             terms,
@@ -134,25 +134,25 @@
     tries: u64,
 }
 
-fn tell(day: &Day, played: &Played, as_json: bool) -> Result<u8, String> {
+fn tell(day: &Day, played: &LoadRun, as_json: bool) -> Result<u8, String> {
     let mut rows: BTreeMap<&str, Row> = BTreeMap::new();
     for o in &played.outcomes {
         let function = &day.terms.functions[&o.function];
         let objective = day.terms.deployment.trigger_types[function.trigger].latency_objective;
         for name in [o.tenant.as_str(), "all"] {
             let row = rows.entry(name).or_default();
-            row.tries += u64::from(o.tries);
-            let at = match o.end {
-                End::Succeeded => 0,
-                End::Throttled(_) => 1,
-                End::Errored => 2,
-                End::Unknown => 3,
-                End::Unsent => 4,
+            row.tries += u64::from(o.attempts);
+            let at = match o.result {
+                AttemptOutcome::Succeeded => 0,
+                AttemptOutcome::Throttled(_) => 1,
+                AttemptOutcome::Errored => 2,
+                AttemptOutcome::Unknown => 3,
+                AttemptOutcome::Unsent => 4,
             };
             row.counts[at] += 1;
             if at == 0 {
-                row.latencies.add(o.took());
-                row.in_time += u64::from(o.took() <= objective);
+                row.latencies.record(o.latency());
+                row.in_time += u64::from(o.latency() <= objective);
             }
         }
     }
@@ -162,11 +162,11 @@
         let row = |(name, r): (&&str, &Row)| {
             json!({"tenant": name, "succeeded": r.counts[0], "throttled": r.counts[1], "errored": r.counts[2],
                 "unanswered": r.counts[3], "unsent": r.counts[4], "in_time": r.in_time, "tries": r.tries,
-                "p50_ms": r.latencies.at(0.5), "p99_ms": r.latencies.at(0.99), "most_ms": r.latencies.at(1.0)})
+                "p50_ms": r.latencies.quantile_ms(0.5), "p99_ms": r.latencies.quantile_ms(0.99), "most_ms": r.latencies.quantile_ms(1.0)})
         };
         let all: Vec<_> = rows.iter().map(row).collect();
         let facts = json!({"rows": all, "lag": {"worst_ms": ms(played.lag.worst),
-            "stood_ms": ms(played.lag.stood), "late": played.lag.late}, "verdict": verdict});
+            "stood_ms": ms(played.lag.longest_stall), "late": played.lag.late}, "verdict": verdict});
         println!(
             "{}",
             serde_json::to_string_pretty(&facts).map_err(|e| e.to_string())?
@@ -196,7 +196,7 @@
             ];
             cells.extend(r.counts[1..].iter().map(ToString::to_string));
             cells.push(r.tries.to_string());
-            cells.extend([0.5, 0.99, 1.0].map(|q| format!("{:.1}", r.latencies.at(q))));
+            cells.extend([0.5, 0.99, 1.0].map(|q| format!("{:.1}", r.latencies.quantile_ms(q))));
             t.add_row(cells);
         }
         t.column_iter_mut()
@@ -212,7 +212,7 @@
         );
     }
     match verdict {
-        Verdict::Counts => Ok(0),
+        Verdict::Valid => Ok(0),
         Verdict::GeneratorFellBehind(why) => {
             eprintln!("saltdrum: the generator fell behind: {why}; this run does not count");
             Ok(1)
--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/scale.rs
@@ -1,11 +1,11 @@
 //! `saltdrum scale`: hollow controllers and members, one size a process, a line each, and a fit at the end.
 
 use clap::{Args, Subcommand};
-use saltdrum_scale::controller::{self, Course};
+use saltdrum_scale::controller::{self, LoadPlan};
 use saltdrum_scale::fit::fit;
 use saltdrum_scale::members;
 use saltdrum_scale::real;
-use saltdrum_scale::world::Load;
+use saltdrum_scale::world::Workload;
 use serde::Serialize;
 use serde_json::Value;
 use std::process::{Command, Stdio};
@@ -206,7 +206,7 @@
                 "{title} ({at}): {:.4e} for each of {}, {} at none, exponent {exponent}, off by {:.0}% at most",
                 f.slope,
                 columns[0].0,
-                short(f.at_nothing),
+                short(f.intercept),
                 f.residual * 100.0
             );
         }
@@ -227,7 +227,7 @@
             for invokers in &c.invokers {
                 for functions in &c.functions {
                     let (rate, skew, seed) = (c.rate, c.skew, c.seed);
-                    let load = Load {
+                    let load = Workload {
                         invokers: *invokers,
                         functions: *functions,
                         rate,
@@ -237,11 +237,11 @@
                     if c.shown.here {
                         let (load_s, quiet_s, event_every_s) =
                             (c.load_s, c.quiet_s, c.event_every_s);
-                        let course = Course {
+                        let course = LoadPlan {
                             load_s,
                             quiet_s,
                             event_every_s,
-                            zone: c.zone,
+                            zone_outage: c.zone,
                         };
                         return told(&controller::run(&load, &course));
                     }
@@ -267,7 +267,7 @@
             if m.shown.here {
                 let (members, followers, leases) = (m.members[0], m.followers[0], m.leases[0]);
                 let (rest_s, seed) = (m.rest_s, m.seed);
-                return told(&members::run(&members::Size {
+                return told(&members::run(&members::FleetSize {
                     members,
                     followers,
                     leases,
--- a/crates/lab/src/facts.rs
+++ b/crates/lab/src/facts.rs
@@ -14,10 +14,10 @@
     pub trigger: String,
     pub function: String,
     /// None: no answer came.
-    pub took: Option<Ticks>,
-    pub how: String,
+    pub latency: Option<Ticks>,
+    pub outcome: String,
     pub in_time: bool,
-    pub tries: u32,
+    pub attempts: u32,
     /// Where its last dispatch went; 0: nowhere.
     pub invoker: u32,
 }
@@ -27,11 +27,15 @@
     pub key: &'static str,
     pub title: &'static str,
     /// Whether more of it is better.
-    pub more: bool,
+    pub higher_is_better: bool,
 }
 
-const fn measure(key: &'static str, title: &'static str, more: bool) -> Measure {
-    Measure { key, title, more }
+const fn measure(key: &'static str, title: &'static str, higher_is_better: bool) -> Measure {
+    Measure {
+        key,
+        title,
+        higher_is_better,
+    }
 }
 
 /// Figures that variants are compared by.
@@ -61,7 +65,7 @@
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Struck {
+pub struct TroubleSpan {
     /// From the first invocation on.
     pub from_s: f64,
     pub to_s: f64,
@@ -70,7 +74,7 @@
 
 /// One of the slowest, with what became of each of its dispatches.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Slow {
+pub struct SlowInvocation {
     pub what: String,
     pub took_ms: f64,
     pub steps: Vec<String>,
@@ -81,8 +85,8 @@
     /// By [`MEASURES`]; none where there was nothing to measure.
     pub measures: BTreeMap<String, Option<f64>>,
     pub invokers: Vec<Invoker>,
-    pub troubles: Vec<Struck>,
-    pub slow: Vec<Slow>,
+    pub troubles: Vec<TroubleSpan>,
+    pub slow: Vec<SlowInvocation>,
     /// Of rules: number, state, and what was found first.
     pub rules: Vec<(u8, String, String)>,
     /// Of the record, byte for byte.
@@ -94,13 +98,13 @@
 /// What a run cost, in seconds of one core.
 #[derive(Clone, Copy, Debug)]
 pub struct Cost {
-    pub all_s: f64,
+    pub total_s: f64,
     /// Of these, in controllers.
     pub controllers_s: f64,
 }
 
 /// Sums a record up. `cost` is what the run cost, where that was measured.
-pub fn of(lines: &[Line], cost: Option<Cost>) -> Result<(Vec<Row>, Facts), String> {
+pub fn summarize(lines: &[Line], cost: Option<Cost>) -> Result<(Vec<Row>, Facts), String> {
     let verdicts = check(lines)?;
     let mut bytes = Vec::new();
     write(lines, &mut bytes).map_err(|e| e.to_string())?;
@@ -154,15 +158,18 @@
                         ..Default::default()
                     }
                 });
-                (row.took, row.tries) = (None, of.attempt + 1);
-                row.how = "lost".into();
+                (row.latency, row.attempts) = (None, of.attempt + 1);
+                row.outcome = "lost".into();
             }
             Line::Final { at, of, how, .. } => {
-                if let Some(row) = all.get_mut(&of.n).filter(|row| row.tries == of.attempt + 1) {
-                    row.took = Some(at - row.at.min(*at));
-                    row.how = format!("{how:?}").to_lowercase();
+                if let Some(row) = all
+                    .get_mut(&of.n)
+                    .filter(|row| row.attempts == of.attempt + 1)
+                {
+                    row.latency = Some(at - row.at.min(*at));
+                    row.outcome = format!("{how:?}").to_lowercase();
                     let most = objective.get(&row.trigger).copied().unwrap_or(Ticks::MAX);
-                    row.in_time = *how == How::Succeeded && row.took.is_some_and(|t| t <= most);
+                    row.in_time = *how == How::Succeeded && row.latency.is_some_and(|t| t <= most);
                 }
             }
             Line::HungUp { of, .. } => {
@@ -177,7 +184,7 @@
             Line::Fetched { invoker, .. } => {
                 invokers.entry(*invoker).and_modify(|i| i.fetches += 1);
             }
-            Line::Trouble { at, until, text } => troubles.push(Struck {
+            Line::Trouble { at, until, text } => troubles.push(TroubleSpan {
                 from_s: seconds(*at),
                 to_s: seconds(*until),
                 what: text.clone(),
@@ -186,8 +193,8 @@
         }
     }
     for n in &hung_up {
-        if let Some(row) = all.get_mut(n).filter(|row| row.took.is_none()) {
-            row.how = "hung up".into();
+        if let Some(row) = all.get_mut(n).filter(|row| row.latency.is_none()) {
+            row.outcome = "hung up".into();
         }
     }
     let summary = summary::sum_up("", lines, verdicts);
@@ -199,13 +206,17 @@
             row
         })
         .collect();
-    let counted = rows.iter().filter(|r| r.how != "hung up").count().max(1) as f64;
-    let share = |how: &str| rows.iter().filter(|r| r.how == how).count() as f64 / counted;
+    let counted = rows
+        .iter()
+        .filter(|r| r.outcome != "hung up")
+        .count()
+        .max(1) as f64;
+    let share = |how: &str| rows.iter().filter(|r| r.outcome == how).count() as f64 / counted;
     let mut latencies = saltdrum_load::Latencies::default();
     rows.iter()
-        .filter(|r| r.how == "succeeded")
-        .filter_map(|r| r.took)
-        .for_each(|t| latencies.add(t));
+        .filter(|r| r.outcome == "succeeded")
+        .filter_map(|r| r.latency)
+        .for_each(|t| latencies.record(t));
     let invokers: Vec<Invoker> = invokers.into_values().collect();
     let mean =
         invokers.iter().map(|i| i.dispatches).sum::<u64>() as f64 / invokers.len().max(1) as f64;
@@ -225,8 +236,8 @@
     let figures = [
         ("value", summary.value_in_time),
         ("in_time", summary.in_time),
-        ("p50_ms", latencies.at(0.5)),
-        ("p99_ms", latencies.at(0.99)),
+        ("p50_ms", latencies.quantile_ms(0.5)),
+        ("p99_ms", latencies.quantile_ms(0.99)),
         ("throttled", share("throttled")),
         ("errored", share("errored")),
         ("dispatches", summary.tries.dispatches as f64 / counted),
@@ -262,7 +273,10 @@
                 .as_ref()
                 .map_or(f64::NAN, |p| p.2.len() as f64),
         ),
-        ("cpu_us", cost.map_or(f64::NAN, |c| c.all_s * 1e6 / counted)),
+        (
+            "cpu_us",
+            cost.map_or(f64::NAN, |c| c.total_s * 1e6 / counted),
+        ),
         (
             "controllers_us",
             cost.map_or(f64::NAN, |c| c.controllers_s * 1e6 / counted),
@@ -286,14 +300,14 @@
 }
 
 /// The invocations that took longest, with what became of each of their dispatches.
-fn slowest(lines: &[Line], all: &BTreeMap<u64, Row>, first: Ticks) -> Vec<Slow> {
+fn slowest(lines: &[Line], all: &BTreeMap<u64, Row>, first: Ticks) -> Vec<SlowInvocation> {
     let mut order: Vec<(Ticks, u64)> = all
         .iter()
-        .filter_map(|(n, row)| Some((row.took?, *n)))
+        .filter_map(|(n, row)| Some((row.latency?, *n)))
         .collect();
     order.sort_unstable_by(|a, b| b.cmp(a));
     let ms = |t: Ticks| t as f64 / MILLISECOND as f64;
-    let mut told: BTreeMap<u64, Slow> = order
+    let mut told: BTreeMap<u64, SlowInvocation> = order
         .into_iter()
         .take(SLOWEST)
         .map(|(took, n)| {
@@ -301,11 +315,11 @@
             let begun = ms(row.at - first.min(row.at)) / 1e3;
             let what = format!(
                 "{} of {} for {}, at {begun:.1} s: {}",
-                row.function, row.trigger, row.tenant, row.how
+                row.function, row.trigger, row.tenant, row.outcome
             );
             (
                 n,
-                Slow {
+                SlowInvocation {
                     what,
                     took_ms: ms(took),
                     steps: Vec::new(),
@@ -353,7 +367,7 @@
             slow.steps.push(format!("+{since:.0} ms: {text}"));
         }
     }
-    let mut told: Vec<Slow> = told.into_values().collect();
+    let mut told: Vec<SlowInvocation> = told.into_values().collect();
     told.sort_by(|a, b| b.took_ms.total_cmp(&a.took_ms));
     told
 }
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -9,19 +9,19 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Bounds {
     /// Share of billed value in time; none: any.
-    pub least_value: Option<f64>,
+    pub min_value: Option<f64>,
     /// PollTimes for this rule's breaches only.
     pub only_rule: Option<u8>,
 }
 
 /// A day that failed.
 #[derive(Debug)]
-pub struct Found {
+pub struct FailingDay {
     pub seed: u64,
-    pub why: String,
+    pub reason: String,
     pub shrunk: Shrunk,
     /// Days played until it was found, cutting down not counted.
-    pub days: usize,
+    pub days_played: usize,
 }
 
 /// Which way a day fails, in words that stay the same while it is cut down: `rule 3`, `copy`, `mixed`, `value`. None: it does not.
@@ -33,7 +33,7 @@
         Ok(Err(e)) => return Some(("play".into(), e.to_string())),
         Err(_) => return Some(("panic".into(), "it panicked".into())),
     };
-    let (_, facts) = match facts::of(&lines, None) {
+    let (_, facts) = match facts::summarize(&lines, None) {
         Ok(all) => all,
         Err(why) => return Some(("record".into(), why)),
     };
@@ -60,7 +60,7 @@
         ));
     }
     let value = facts.measures["value"]?;
-    let short = bounds.least_value.filter(|least| value < *least)?;
+    let short = bounds.min_value.filter(|least| value < *least)?;
     Some((
         "value".into(),
         format!("billed value in time {value:.3}, at least {short:.3} is expected"),
@@ -77,7 +77,7 @@
     days: usize,
     cuts: usize,
     threads: usize,
-) -> Result<Option<Found>, String> {
+) -> Result<Option<FailingDay>, String> {
     let day = base.day().map_err(|e| e.to_string())?;
     let threads = threads.max(1);
     for first in (0..days).step_by(threads) {
@@ -101,11 +101,11 @@
             let shrunk = shrink(failing, cuts, same);
             let why = fails(&shrunk.script, cover, bounds)
                 .map_or(kind, |(kind, why)| format!("{kind}: {why}"));
-            return Ok(Some(Found {
+            return Ok(Some(FailingDay {
                 seed,
-                why,
+                reason: why,
                 shrunk,
-                days: n + 1,
+                days_played: n + 1,
             }));
         }
     }
--- a/crates/lab/src/plots.rs
+++ b/crates/lab/src/plots.rs
@@ -1,6 +1,6 @@
 //! Plots as SVG. Lines are told apart by letter and dash, never by colour alone.
 
-use crate::facts::Struck;
+use crate::facts::TroubleSpan;
 use crate::report::Column;
 use plotters::coord::Shift;
 use plotters::prelude::*;
@@ -77,7 +77,7 @@
 }
 
 /// Lines over time, with troubles as numbered bands.
-pub fn over_time(lines: &[Line], troubles: &[Struck]) -> Result<String, String> {
+pub fn over_time(lines: &[Line], troubles: &[TroubleSpan]) -> Result<String, String> {
     let most = lines
         .iter()
         .flat_map(|l| &l.1)
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -4,7 +4,7 @@
 use crate::facts::{MEASURES, Measure};
 use crate::plots;
 use crate::results::{self, Run};
-use crate::run::{LIST, Listed};
+use crate::run::{LIST, RunList};
 use comfy_table::{CellAlignment, Table, presets};
 use saltdrum_load::Latencies;
 use serde::Serialize;
@@ -54,7 +54,7 @@
     pub tenants: Vec<Tenant>,
     /// Letter, rule, how many runs kept it, could not tell, broke it, and the first finding.
     pub rules: Vec<(char, u8, usize, usize, usize, String)>,
-    pub slow: Vec<(char, u64, crate::facts::Slow)>,
+    pub slow: Vec<(char, u64, crate::facts::SlowInvocation)>,
     pub troubles: Vec<(usize, String)>,
     /// Plots as SVG, with what they show.
     #[serde(skip)]
@@ -81,14 +81,14 @@
 
 fn pair(run: &Run) -> Pair {
     (
-        run.made.day.clone(),
-        run.made.size.to_string(),
-        run.made.seed,
+        run.origin.day.clone(),
+        run.origin.size.to_string(),
+        run.origin.seed,
     )
 }
 
 fn verdict(m: &Measure, word: Word) -> &'static str {
-    match (word, m.more) {
+    match (word, m.higher_is_better) {
         (Word::Higher, true) | (Word::Lower, false) => "better",
         (Word::Higher, false) | (Word::Lower, true) => "worse",
         (Word::Same, _) => "same",
@@ -100,7 +100,7 @@
 fn columns(variants: &[String], runs: &[&Run]) -> Vec<Column> {
     let of = |v: &String| -> BTreeMap<Pair, &Run> {
         runs.iter()
-            .filter(|r| r.made.variant == *v)
+            .filter(|r| r.origin.variant == *v)
             .map(|r| (pair(r), *r))
             .collect()
     };
@@ -136,18 +136,18 @@
     variants.iter().enumerate().map(column).collect()
 }
 
-fn section(listed: &Listed, day: &str, size: f64, runs: &[&Run]) -> Result<Section, String> {
+fn section(listed: &RunList, day: &str, size: f64, runs: &[&Run]) -> Result<Section, String> {
     let (mut tenants, mut rules, mut slow) = (Vec::new(), Vec::new(), Vec::new());
     let (mut over_time, mut spread, mut by_invoker) = (Vec::new(), Vec::new(), Vec::new());
     for (n, v) in listed.variants.iter().enumerate() {
-        let mine: Vec<&&Run> = runs.iter().filter(|r| r.made.variant == *v).collect();
+        let mine: Vec<&&Run> = runs.iter().filter(|r| r.origin.variant == *v).collect();
         let mut counts: BTreeMap<&str, [usize; 6]> = BTreeMap::new();
         let mut all = Latencies::default();
         let mut seconds: BTreeMap<u64, Latencies> = BTreeMap::new();
         for row in mine.iter().flat_map(|r| &r.rows) {
             let count = counts.entry(&row.tenant).or_default();
             count[0] += 1;
-            let at = match row.how.as_str() {
+            let at = match row.outcome.as_str() {
                 "succeeded" if row.in_time => 1,
                 "succeeded" => 2,
                 "throttled" => 3,
@@ -155,12 +155,12 @@
                 _ => 5,
             };
             count[at] += 1;
-            if let (Some(took), "succeeded") = (row.took, row.how.as_str()) {
-                all.add(took);
+            if let (Some(took), "succeeded") = (row.latency, row.outcome.as_str()) {
+                all.record(took);
                 seconds
                     .entry(row.at / saltdrum::interface::SECOND)
                     .or_default()
-                    .add(took);
+                    .record(took);
             }
         }
         tenants.extend(counts.iter().map(|(tenant, c)| {
@@ -180,13 +180,13 @@
             letter(n),
             seconds
                 .iter()
-                .map(|(s, l)| (*s as f64, l.at(0.99)))
+                .map(|(s, l)| (*s as f64, l.quantile_ms(0.99)))
                 .collect::<Vec<_>>(),
         ));
         let total = all.count().max(1) as f64;
         spread.push((
             letter(n),
-            all.steps()
+            all.cumulative_counts()
                 .into_iter()
                 .map(|(ms, n)| (ms, n as f64 / total))
                 .collect::<Vec<_>>(),
@@ -223,7 +223,7 @@
                 r.facts
                     .slow
                     .iter()
-                    .map(|s| (letter(n), r.made.seed, s.clone()))
+                    .map(|s| (letter(n), r.origin.seed, s.clone()))
             })
             .collect();
         slowest.sort_by(|a, b| b.2.took_ms.total_cmp(&a.2.took_ms));
@@ -271,12 +271,12 @@
 }
 
 /// Reads a folder of results.
-pub fn of(folder: &Path) -> Result<Report, String> {
+pub fn load(folder: &Path) -> Result<Report, String> {
     let path = folder.join(LIST);
     let text = fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
-    let listed: Listed =
+    let listed: RunList =
         serde_json::from_str(&text).map_err(|e| format!("{}: {e}", path.display()))?;
-    let (whole, bad) = results::find(folder).map_err(|e| e.to_string())?;
+    let (whole, bad) = results::scan(folder).map_err(|e| e.to_string())?;
     let mut problems: Vec<String> = bad.iter().map(ToString::to_string).collect();
     let mut runs = Vec::new();
     for key in &listed.keys {
@@ -298,7 +298,7 @@
         for day in &listed.days {
             let here: Vec<&Run> = all
                 .iter()
-                .filter(|r| r.made.day == *day && r.made.size == *size)
+                .filter(|r| r.origin.day == *day && r.origin.size == *size)
                 .copied()
                 .collect();
             if !here.is_empty() {
@@ -306,7 +306,7 @@
             }
         }
     }
-    let versions: BTreeSet<&str> = runs.iter().map(|r| r.made.version.as_str()).collect();
+    let versions: BTreeSet<&str> = runs.iter().map(|r| r.origin.version.as_str()).collect();
     Ok(Report {
         experiment: listed.experiment.clone(),
         version: versions.into_iter().collect::<Vec<_>>().join(", "),
--- a/crates/lab/src/results.rs
+++ b/crates/lab/src/results.rs
@@ -20,13 +20,13 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// Version of the columns and of [`Made`].
+/// Version of the columns and of [`RunOrigin`].
 pub const VERSION: u32 = 1;
 const VERSION_KEY: &str = "saltdrum.run";
 
 /// What made a run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Made {
+pub struct RunOrigin {
     pub key: String,
     pub variant: String,
     pub day: String,
@@ -41,20 +41,20 @@
 /// A run that was read back.
 #[derive(Debug)]
 pub struct Run {
-    pub made: Made,
+    pub origin: RunOrigin,
     pub facts: Facts,
     pub rows: Vec<Row>,
 }
 
 /// What is wrong with a results file.
 #[derive(Debug, thiserror::Error)]
-#[error("{}: {why}", file.display())]
-pub struct Fault {
+#[error("{}: {reason}", file.display())]
+pub struct ResultsError {
     pub file: PathBuf,
-    pub why: String,
+    pub reason: String,
 }
 
-fn bytes_of(made: &Made, facts: &Facts, rows: &[Row]) -> Result<Vec<u8>, String> {
+fn bytes_of(made: &RunOrigin, facts: &Facts, rows: &[Row]) -> Result<Vec<u8>, String> {
     let text = |of: fn(&Row) -> &str| -> ArrayRef {
         let mut b = StringDictionaryBuilder::<Int32Type>::new();
         rows.iter().for_each(|r| b.append_value(of(r)));
@@ -72,7 +72,7 @@
     );
     for r in rows {
         at.append_value(r.at * 100);
-        took.append_option(r.took.map(|t| t * 100));
+        took.append_option(r.latency.map(|t| t * 100));
         in_time.append_value(r.in_time);
     }
     let batch = RecordBatch::try_from_iter_with_nullable([
@@ -81,9 +81,9 @@
         ("trigger", text(|r| &r.trigger), false),
         ("function", text(|r| &r.function), false),
         ("took_us", Arc::new(took.finish()), true),
-        ("how", text(|r| &r.how), false),
+        ("how", text(|r| &r.outcome), false),
         ("in_time", Arc::new(in_time.finish()), false),
-        ("tries", number(|r| r.tries), false),
+        ("tries", number(|r| r.attempts), false),
         ("invoker", number(|r| r.invoker), false),
     ])
     .map_err(|e| e.to_string())?;
@@ -118,11 +118,16 @@
 }
 
 /// Keeps a run. Whatever goes wrong, runs that are there stay as they are.
-pub fn keep(folder: &Path, made: &Made, facts: &Facts, rows: &[Row]) -> Result<(), Fault> {
+pub fn store(
+    folder: &Path,
+    made: &RunOrigin,
+    facts: &Facts,
+    rows: &[Row],
+) -> Result<(), ResultsError> {
     let half = folder.join(format!("{}.half", made.key));
-    let fault = |why: String| Fault {
+    let fault = |why: String| ResultsError {
         file: half.clone(),
-        why,
+        reason: why,
     };
     let bytes = bytes_of(made, facts, rows).map_err(fault)?;
     let path = folder.join(format!("{}-{}.parquet", made.key, digest(&bytes)));
@@ -139,10 +144,10 @@
 }
 
 /// Runs in a folder that are whole, by key; and what is wrong with others.
-pub fn find(folder: &Path) -> Result<(BTreeMap<String, PathBuf>, Vec<Fault>), Fault> {
-    let fault = |e: std::io::Error| Fault {
+pub fn scan(folder: &Path) -> Result<(BTreeMap<String, PathBuf>, Vec<ResultsError>), ResultsError> {
+    let fault = |e: std::io::Error| ResultsError {
         file: folder.to_owned(),
-        why: e.to_string(),
+        reason: e.to_string(),
     };
     let (mut whole, mut bad) = (BTreeMap::new(), Vec::new());
     for entry in fs::read_dir(folder).map_err(fault)? {
@@ -160,13 +165,13 @@
         };
         match fs::read(&path) {
             Ok(bytes) if digest(&bytes) == said => drop(whole.insert(key.to_owned(), path)),
-            Ok(_) => bad.push(Fault {
+            Ok(_) => bad.push(ResultsError {
                 file: path,
-                why: "damaged: its bytes are not those its name says".into(),
+                reason: "damaged: its bytes are not those its name says".into(),
             }),
-            Err(e) => bad.push(Fault {
+            Err(e) => bad.push(ResultsError {
                 file: path,
-                why: e.to_string(),
+                reason: e.to_string(),
             }),
         }
     }
@@ -175,10 +180,10 @@
 }
 
 /// Reads a run back.
-pub fn read(path: &Path) -> Result<Run, Fault> {
-    let fault = |why: &dyn std::fmt::Display| Fault {
+pub fn read(path: &Path) -> Result<Run, ResultsError> {
+    let fault = |why: &dyn std::fmt::Display| ResultsError {
         file: path.to_owned(),
-        why: why.to_string(),
+        reason: why.to_string(),
     };
     let file = fs::File::open(path).map_err(|e| fault(&e))?;
     let reader = ParquetRecordBatchReaderBuilder::try_new(file).map_err(|e| fault(&e))?;
@@ -216,7 +221,7 @@
                 "column '{name}' is of another type than is expected"
             ))
         };
-        let text = |name: &str| -> Result<Vec<String>, Fault> {
+        let text = |name: &str| -> Result<Vec<String>, ResultsError> {
             let c = column(name)?
                 .as_dictionary_opt::<Int32Type>()
                 .ok_or_else(|| wrong(name))?;
@@ -250,13 +255,17 @@
                 tenant: tenant[n].clone(),
                 trigger: trigger[n].clone(),
                 function: function[n].clone(),
-                took: (!took.is_null(n)).then(|| took.value(n) / 100),
-                how: how[n].clone(),
+                latency: (!took.is_null(n)).then(|| took.value(n) / 100),
+                outcome: how[n].clone(),
                 in_time: in_time.value(n),
-                tries: tries.value(n),
+                attempts: tries.value(n),
                 invoker: invoker.value(n),
             });
         }
     }
-    Ok(Run { made, facts, rows })
+    Ok(Run {
+        origin: made,
+        facts,
+        rows,
+    })
 }
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -5,7 +5,7 @@
 use crate::facts::{self, Cost};
 use crate::meter::{cpu_s, metered};
 use crate::plan::{Cell, Progress};
-use crate::results::{self, Made};
+use crate::results::{self, RunOrigin};
 use saltdrum_fakes::record::{self, Line};
 use saltdrum_scenario::{POLICIES, play_virtually};
 use serde::{Deserialize, Serialize};
@@ -19,7 +19,7 @@
 
 /// What stands in a results folder beside the runs: which of them belong to the experiment as it was last run.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Listed {
+pub struct RunList {
     pub experiment: String,
     pub variants: Vec<String>,
     pub days: Vec<String>,
@@ -32,9 +32,9 @@
 
 /// What came of a sitting.
 #[derive(Debug, Default)]
-pub struct Sitting {
+pub struct Execution {
     pub played: usize,
-    pub found: usize,
+    pub reused: usize,
     pub failed: Vec<String>,
     /// Of all results, in the order of their keys.
     pub digest: String,
@@ -75,7 +75,7 @@
         return Ok((
             lines.map_err(|e| e.to_string())?,
             Some(Cost {
-                all_s: cpu_s() - before,
+                total_s: cpu_s() - before,
                 controllers_s,
             }),
         ));
@@ -109,9 +109,9 @@
 
 fn one(x: &Experiment, cell: Cell, key: &str, folder: &Path) -> Result<(), String> {
     let (lines, cpu) = play(x, cell)?;
-    let (rows, facts) = facts::of(&lines, cpu)?;
+    let (rows, facts) = facts::summarize(&lines, cpu)?;
     let v = &x.variants[cell.variant];
-    let made = Made {
+    let made = RunOrigin {
         key: key.to_owned(),
         variant: v.name.clone(),
         day: x.days[cell.day].0.clone(),
@@ -121,7 +121,7 @@
         policy: v.policy.clone(),
         version: env!("CARGO_PKG_VERSION").into(),
     };
-    results::keep(folder, &made, &facts, &rows).map_err(|e| e.to_string())
+    results::store(folder, &made, &facts, &rows).map_err(|e| e.to_string())
 }
 
 /// Plays what is not there yet, on so many threads. `tell` hears of each run: over, of all, and its name.
@@ -130,7 +130,7 @@
     folder: &Path,
     threads: usize,
     tell: impl Fn(usize, usize, &str) + Sync,
-) -> Result<Sitting, String> {
+) -> Result<Execution, String> {
     fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
     let this = std::env::current_exe().map_err(|e| e.to_string())?;
     let mut programs = BTreeMap::from([(String::new(), program_digest(&this)?)]);
@@ -147,7 +147,7 @@
             )
         })
         .collect();
-    let listed = Listed {
+    let listed = RunList {
         experiment: x.name.clone(),
         variants: x.variants.iter().map(|v| v.name.clone()).collect(),
         days: x.days.iter().map(|d| d.0.clone()).collect(),
@@ -160,7 +160,7 @@
     fs::write(&half, text)
         .and_then(|()| fs::rename(&half, &list))
         .map_err(|e| format!("{}: {e}", list.display()))?;
-    let (whole, bad) = results::find(folder).map_err(|e| e.to_string())?;
+    let (whole, bad) = results::scan(folder).map_err(|e| e.to_string())?;
     bad.iter()
         .for_each(|e| tracing::warn!("{e}; it is played again"));
     let finished: BTreeSet<String> = whole.into_keys().collect();
@@ -204,9 +204,9 @@
             x.days[c.day].0, x.seeds[c.seed], x.variants[c.variant].name
         )
     });
-    Ok(Sitting {
+    Ok(Execution {
         played: progress.done.len() - found,
-        found,
+        reused: found,
         failed: failed.collect(),
         digest: results_digest(folder, &listed.keys)?,
     })
@@ -214,11 +214,11 @@
 
 /// Equal for equal records, whoever played them and however many at a time.
 fn results_digest(folder: &Path, keys: &[String]) -> Result<String, String> {
-    let (whole, _) = results::find(folder).map_err(|e| e.to_string())?;
+    let (whole, _) = results::scan(folder).map_err(|e| e.to_string())?;
     let mut all = blake3::Hasher::new();
     for path in keys.iter().filter_map(|key| whole.get(key)) {
         let run = results::read(path).map_err(|e| e.to_string())?;
-        all.update(run.made.key.as_bytes())
+        all.update(run.origin.key.as_bytes())
             .update(run.facts.digest.as_bytes());
     }
     Ok(all.finalize().to_hex()[..16].to_owned())
--- a/crates/lab/src/shrink.rs
+++ b/crates/lab/src/shrink.rs
@@ -9,7 +9,7 @@
 #[derive(Debug)]
 pub struct Shrunk {
     pub script: Script,
-    pub played: usize,
+    pub days_played: usize,
 }
 
 fn without(script: &Script, drop: &[usize]) -> Script {
@@ -111,7 +111,7 @@
         if best.text() == before {
             return Shrunk {
                 script: best,
-                played,
+                days_played: played,
             };
         }
     }
@@ -150,9 +150,9 @@
             shrunk.script.text()
         );
         assert!(
-            day.troubles.iter().all(|t| t.lasts < 8_000) && shrunk.played < 400,
+            day.troubles.iter().all(|t| t.lasts < 8_000) && shrunk.days_played < 400,
             "{}",
-            shrunk.played
+            shrunk.days_played
         );
     }
 
@@ -164,6 +164,6 @@
             asked += 1;
             true
         });
-        assert_eq!((shrunk.played, asked), (7, 7));
+        assert_eq!((shrunk.days_played, asked), (7, 7));
     }
 }
--- a/crates/lab/tests/lab.rs
+++ b/crates/lab/tests/lab.rs
@@ -44,7 +44,7 @@
     assert_eq!((one.played, four.played, one.failed.len()), (6, 6, 0));
     assert_eq!(one.digest, four.digest);
     // A kill leaves whole runs, one that is half written, and perhaps a damaged one.
-    let (whole, _) = results::find(&at("four")).unwrap();
+    let (whole, _) = results::scan(&at("four")).unwrap();
     let mut paths = whole.values();
     fs::remove_file(paths.next().unwrap()).unwrap();
     fs::write(at("four").join("aaaa.half"), b"PAR1").unwrap();
@@ -54,11 +54,11 @@
     fs::write(damaged, bytes).unwrap();
     let again = run::run(&x, &at("four"), 4, |_, _, _| ()).unwrap();
     assert_eq!(
-        (again.played, again.found, &again.digest),
+        (again.played, again.reused, &again.digest),
         (2, 4, &one.digest)
     );
     let third = run::run(&x, &at("four"), 2, |_, _, _| ()).unwrap();
-    assert_eq!((third.played, third.found), (0, 6));
+    assert_eq!((third.played, third.reused), (0, 6));
 }
 
 #[test]
@@ -69,16 +69,16 @@
         "experiment('one', days = ['small.star'], seeds = 1)\nvariant('design')\n",
     );
     run::run(&x, folder.path(), 1, |_, _, _| ()).unwrap();
-    let (whole, _) = results::find(folder.path()).unwrap();
+    let (whole, _) = results::scan(folder.path()).unwrap();
     let path = whole.values().next().unwrap();
     let kept = results::read(path).unwrap();
     // The script that made it makes it again.
-    let day = Script::read("again", &kept.made.script)
+    let day = Script::read("again", &kept.origin.script)
         .unwrap()
         .day()
         .unwrap();
     let lines = saltdrum_scenario::play_virtually(&day, saltdrum_scenario::serve).unwrap();
-    let (rows, facts) = saltdrum_lab::facts::of(&lines, None).unwrap();
+    let (rows, facts) = saltdrum_lab::facts::summarize(&lines, None).unwrap();
     assert!(kept.rows == rows && rows.len() > 200 && facts.digest == kept.facts.digest);
     assert_eq!(kept.facts.slow.len(), 6);
     assert!(
@@ -122,32 +122,32 @@
     let folder = tempfile::tempdir().unwrap();
     let x = experiment(folder.path(), TWO);
     run::run(&x, folder.path(), 2, |_, _, _| ()).unwrap();
-    let (before, _) = results::find(folder.path()).unwrap();
+    let (before, _) = results::scan(folder.path()).unwrap();
     let one = results::read(before.values().next().unwrap()).unwrap();
     let nowhere = folder.path().join("small.star");
-    let told = results::keep(&nowhere, &one.made, &one.facts, &one.rows)
+    let told = results::store(&nowhere, &one.origin, &one.facts, &one.rows)
         .unwrap_err()
         .to_string();
     assert!(
         told.contains("small.star") && told.contains(".half"),
         "{told}"
     );
-    assert_eq!(results::find(folder.path()).unwrap().0, before);
+    assert_eq!(results::scan(folder.path()).unwrap().0, before);
 }
 
 #[test]
 fn a_day_that_goes_below_its_bound_is_found_and_one_that_keeps_all_is_not() {
     let base = Script::read("small", SMALL).unwrap();
     let of = |least| Bounds {
-        least_value: Some(least),
+        min_value: Some(least),
         only_rule: None,
     };
     let real = Cover::of(saltdrum_scenario::serve);
     let found = hunt(&base, real, of(0.9), 1, 40, 40, 4).unwrap().unwrap();
     assert!(
-        found.why.starts_with("value: billed value"),
+        found.reason.starts_with("value: billed value"),
         "{}",
-        found.why
+        found.reason
     );
     assert!(hunt(&base, real, of(0.0), 1, 12, 40, 4).unwrap().is_none());
 }
@@ -162,7 +162,7 @@
         Cover::of(serve),
         Bounds {
             only_rule: Some(rule),
-            least_value: None,
+            min_value: None,
         },
         1,
         BUDGET,
@@ -172,9 +172,9 @@
     .unwrap()
     .unwrap();
     assert!(
-        found.why.starts_with(&format!("rule {rule}: ")),
+        found.reason.starts_with(&format!("rule {rule}: ")),
         "{}",
-        found.why
+        found.reason
     );
     let again = Script::read("shrunk.star", &found.shrunk.script.text()).unwrap();
     let day = again.day().unwrap();
@@ -252,7 +252,7 @@
     let found = hunt(&base, planted, Bounds::default(), 1, BUDGET, 60, 4)
         .unwrap()
         .unwrap();
-    assert!(found.why.starts_with("copy: "), "{}", found.why);
+    assert!(found.reason.starts_with("copy: "), "{}", found.reason);
     let day = found.shrunk.script.day().unwrap();
     assert!(copies(&day, planted).1 > 0);
     // The real one, on the very day, loads as much and throws away what is damaged.
--- a/crates/lab/tests/lab_results_fixtures.rs
+++ b/crates/lab/tests/lab_results_fixtures.rs
@@ -6,8 +6,8 @@
 
 use parquet::arrow::arrow_reader::ParquetRecordBatchReaderBuilder;
 use saltdrum_fakes::record;
-use saltdrum_lab::facts::{self, Cost, Facts, Invoker, MEASURES, Row, Slow, Struck};
-use saltdrum_lab::results::{self, Made};
+use saltdrum_lab::facts::{self, Cost, Facts, Invoker, MEASURES, Row, SlowInvocation, TroubleSpan};
+use saltdrum_lab::results::{self, RunOrigin};
 use saltdrum_lab::{report, run};
 use serde_json::{Value as Json, json};
 use std::collections::BTreeMap;
@@ -32,8 +32,8 @@
     format!("{variant:012x}{seed:012x}")
 }
 
-fn made(variant: usize, seed: u64) -> Made {
-    Made {
+fn made(variant: usize, seed: u64) -> RunOrigin {
+    RunOrigin {
         key: key(variant, seed),
         variant: VARIANTS[variant].into(),
         day: "small-day".into(),
@@ -51,10 +51,10 @@
         tenant: format!("tenant-{}", number % 2),
         trigger: "narrate".into(),
         function: format!("voice-{}", number % 3),
-        took: took.map(|took| took + variant as u64),
-        how: (*how).into(),
+        latency: took.map(|took| took + variant as u64),
+        outcome: (*how).into(),
         in_time: *how == "succeeded",
-        tries: number as u32 + 1,
+        attempts: number as u32 + 1,
         invoker: number as u32,
     };
     OUTCOMES.iter().enumerate().map(row).collect()
@@ -88,12 +88,12 @@
                 fetches: 3,
             },
         ],
-        troubles: vec![Struck {
+        troubles: vec![TroubleSpan {
             from_s: 1.5,
             to_s: 2.25,
             what: "crash of invokers [2]".into(),
         }],
-        slow: vec![Slow {
+        slow: vec![SlowInvocation {
             what: "voice-1 of narrate for tenant-1".into(),
             took_ms: 130.5,
             steps: vec![
@@ -114,8 +114,8 @@
     (0..VARIANTS.len()).flat_map(|variant| SEEDS.map(|seed| (variant, seed)))
 }
 
-fn listed() -> run::Listed {
-    run::Listed {
+fn listed() -> run::RunList {
+    run::RunList {
         experiment: "an experiment".into(),
         variants: VARIANTS.map(str::to_owned).to_vec(),
         days: vec!["small-day".into()],
@@ -129,7 +129,7 @@
 
 /// The stored runs, by key.
 fn stored_runs() -> BTreeMap<String, PathBuf> {
-    let (whole, bad) = results::find(&fixture_file::path(FOLDER)).unwrap();
+    let (whole, bad) = results::scan(&fixture_file::path(FOLDER)).unwrap();
     assert!(bad.is_empty(), "{bad:?}");
     whole
 }
@@ -144,9 +144,9 @@
     let folder = tempfile::tempdir().unwrap();
     for (variant, seed) in all_runs() {
         let (made, facts) = (made(variant, seed), kept_facts(variant, seed));
-        results::keep(folder.path(), &made, &facts, &rows(variant, seed)).unwrap();
+        results::store(folder.path(), &made, &facts, &rows(variant, seed)).unwrap();
     }
-    let written = results::find(folder.path()).unwrap().0;
+    let written = results::scan(folder.path()).unwrap().0;
     assert_eq!(written.len(), VARIANTS.len() * SEEDS.len());
     for path in written.values() {
         let name = path.file_name().unwrap().to_string_lossy();
@@ -158,7 +158,7 @@
 fn the_list_of_an_experiments_runs_is_the_same() {
     let name = format!("{FOLDER}/{}", run::LIST);
     fixture_file::assert_equals(&name, &serde_json::to_vec_pretty(&listed()).unwrap());
-    let read: run::Listed = serde_json::from_slice(&fixture_file::read(&name)).unwrap();
+    let read: run::RunList = serde_json::from_slice(&fixture_file::read(&name)).unwrap();
     assert_eq!(json!(read), json!(listed()));
     assert_eq!(run::LIST, "experiment.json");
 }
@@ -168,7 +168,7 @@
     let stored = stored_runs();
     for (variant, seed) in all_runs() {
         let read = results::read(&stored[&key(variant, seed)]).unwrap();
-        assert_eq!(json!(read.made), json!(made(variant, seed)));
+        assert_eq!(json!(read.origin), json!(made(variant, seed)));
         assert_eq!(json!(read.facts), json!(kept_facts(variant, seed)));
         assert_eq!(read.rows, rows(variant, seed));
     }
@@ -205,21 +205,26 @@
 fn measures_have_the_same_keys_and_titles() {
     let measures: Vec<String> = MEASURES
         .iter()
-        .map(|measure| format!("{} | {} | {}\n", measure.key, measure.title, measure.more))
+        .map(|measure| {
+            format!(
+                "{} | {} | {}\n",
+                measure.key, measure.title, measure.higher_is_better
+            )
+        })
         .collect();
     fixture_file::assert_equals("measures.txt", measures.concat().as_bytes());
 }
 
 #[test]
 fn the_report_on_stored_runs_as_json_is_the_same() {
-    let report = report::of(&fixture_file::path(FOLDER)).unwrap();
+    let report = report::load(&fixture_file::path(FOLDER)).unwrap();
     fixture_file::assert_equals("report.json", pretty(&report).as_bytes());
 }
 
 fn row_summary(row: &Row) -> Json {
     json!({
         "at": row.at, "tenant": row.tenant, "trigger": row.trigger, "function": row.function,
-        "took": row.took, "how": row.how, "in_time": row.in_time, "tries": row.tries,
+        "took": row.latency, "how": row.outcome, "in_time": row.in_time, "tries": row.attempts,
         "invoker": row.invoker,
     })
 }
@@ -229,11 +234,11 @@
 fn a_record_is_summed_up_the_same() {
     let lines = record::read(fixture_file::read(FACTS_RECORD).as_slice()).unwrap();
     let cost = Cost {
-        all_s: 0.5,
+        total_s: 0.5,
         controllers_s: 0.25,
     };
-    let (rows, facts) = facts::of(&lines, Some(cost)).unwrap();
-    let outcomes: Vec<&str> = rows.iter().map(|row| row.how.as_str()).collect();
+    let (rows, facts) = facts::summarize(&lines, Some(cost)).unwrap();
+    let outcomes: Vec<&str> = rows.iter().map(|row| row.outcome.as_str()).collect();
     assert_eq!(
         outcomes,
         [
--- a/crates/load/src/drive.rs
+++ b/crates/load/src/drive.rs
@@ -1,8 +1,8 @@
 //! Sends load to controllers, open loop, and tells what came of it.
 
 use crate::lag::Lag;
-use crate::retry::{End, Patience, Then};
-use crate::trace::Entry;
+use crate::retry::{AttemptOutcome, RetryDecision, RetryPolicy};
+use crate::trace::TraceEntry;
 use bytes::Bytes;
 use saltdrum::interface::{Effect, MILLISECOND, Ticks};
 use saltdrum_deployment::Terms;
@@ -28,29 +28,29 @@
     pub intended: Ticks,
     /// When the first try was handed to a connection, and when the last answer was read.
     pub sent: Ticks,
-    pub over: Ticks,
-    pub tries: u32,
-    pub end: End,
+    pub finished: Ticks,
+    pub attempts: u32,
+    pub result: AttemptOutcome,
     pub tenant: String,
     pub function: String,
 }
 
 impl Outcome {
     /// From when it was to be sent, whatever the generator made of that.
-    pub fn took(&self) -> Ticks {
-        self.over.saturating_sub(self.intended)
+    pub fn latency(&self) -> Ticks {
+        self.finished.saturating_sub(self.intended)
     }
 }
 
 /// A run of the generator.
 #[derive(Debug, Default)]
-pub struct Played {
+pub struct LoadRun {
     /// In the order in which they were to be sent.
     pub outcomes: Vec<Outcome>,
     pub lag: Lag,
 }
 
-type Waiting = Rc<RefCell<BTreeMap<u64, oneshot::Sender<End>>>>;
+type Waiting = Rc<RefCell<BTreeMap<u64, oneshot::Sender<AttemptOutcome>>>>;
 
 struct Connection {
     outbox: SendQueue,
@@ -63,7 +63,7 @@
     clock: Clock,
     turns: EventLoopClock,
     terms: Rc<Terms>,
-    patience: Patience,
+    patience: RetryPolicy,
     doors: Vec<Address>,
     lines: RefCell<Vec<Option<Rc<Connection>>>>,
     tasks: RefCell<JoinSet<()>>,
@@ -72,17 +72,17 @@
 }
 
 /// Sends `entries` over `connections` to each of `doors`, and waits until all are over. Unknown functions and tenants
-/// must have been sorted out before: see [`unknown`].
-pub async fn drive(
+/// must have been sorted out before: see [`find_unknown_name`].
+pub async fn send_load(
     network: Rc<dyn Network>,
     clock: Clock,
     terms: Rc<Terms>,
     doors: &[Address],
     connections: usize,
-    patience: Patience,
-    entries: Vec<Entry>,
-) -> Played {
-    let played: Rc<RefCell<Played>> = Rc::default();
+    patience: RetryPolicy,
+    entries: Vec<TraceEntry>,
+) -> LoadRun {
+    let played: Rc<RefCell<LoadRun>> = Rc::default();
     let all = doors
         .iter()
         .flat_map(|d| std::iter::repeat_n(d.clone(), connections.max(1)))
@@ -104,7 +104,7 @@
         driver.turns.clone(),
         clock,
         move |_, gap| {
-            noted.borrow_mut().lag.stood(gap);
+            noted.borrow_mut().lag.record_stall(gap);
         },
     ));
     let begin = clock.now();
@@ -128,7 +128,7 @@
 }
 
 /// The first entry that the terms know nothing of, in words.
-pub fn unknown(terms: &Terms, entries: &[Entry]) -> Option<String> {
+pub fn find_unknown_name(terms: &Terms, entries: &[TraceEntry]) -> Option<String> {
     entries.iter().enumerate().find_map(|(n, e)| {
         let lacks = |what: &str, name: &str| Some(format!("row {n}: no {what} is named '{name}'"));
         if !terms.functions.contains_key(&e.function) {
@@ -142,7 +142,13 @@
 }
 
 impl Driver {
-    async fn invoke(&self, n: u64, intended: Ticks, e: Entry, played: &RefCell<Played>) -> Outcome {
+    async fn invoke(
+        &self,
+        n: u64,
+        intended: Ticks,
+        e: TraceEntry,
+        played: &RefCell<LoadRun>,
+    ) -> Outcome {
         let function = &self.terms.functions[&e.function];
         let trigger = &self.terms.deployment.trigger_types[function.trigger];
         let mut rng = fastrand::Rng::with_seed(n ^ 0x10ad);
@@ -150,7 +156,7 @@
         let end = loop {
             let lag = |at: Ticks| {
                 if sent.is_none() {
-                    played.borrow_mut().lag.sent(intended, at);
+                    played.borrow_mut().lag.record_send(intended, at);
                     sent = Some(at);
                 }
             };
@@ -158,9 +164,9 @@
                 .one_try(n, tries, &e, trigger.client_timeout, lag)
                 .await;
             let ago = self.clock.now() - intended;
-            match self.patience.then(trigger, tries, ago, end, rng.f64()) {
-                Then::Over => break end,
-                Then::AgainAfter(wait) => {
+            match self.patience.decide(trigger, tries, ago, end, rng.f64()) {
+                RetryDecision::Stop => break end,
+                RetryDecision::RetryAfter(wait) => {
                     tokio::time::sleep(Duration::from_micros(wait * 100)).await
                 }
             }
@@ -171,9 +177,9 @@
         Outcome {
             intended,
             sent: sent.unwrap_or(over),
-            over,
-            tries: tries + 1,
-            end,
+            finished: over,
+            attempts: tries + 1,
+            result: end,
             tenant,
             function,
         }
@@ -183,10 +189,10 @@
         &self,
         n: u64,
         attempt: u32,
-        e: &Entry,
+        e: &TraceEntry,
         timeout: Ticks,
         sent: impl FnOnce(Ticks),
-    ) -> End {
+    ) -> AttemptOutcome {
         let place = self.next_door.get() % self.doors.len();
         self.next_door.set(place + 1);
         let known = self.lines.borrow()[place].clone().filter(|l| l.open.get());
@@ -194,7 +200,7 @@
             Some(line) => line,
             None => match self.connect(place).await {
                 Some(line) => line,
-                None => return End::Unsent,
+                None => return AttemptOutcome::Unsent,
             },
         };
         let function = &self.terms.functions[&e.function];
@@ -221,13 +227,15 @@
             .is_none()
         {
             line.waiting.borrow_mut().remove(&id);
-            return End::Unsent;
+            return AttemptOutcome::Unsent;
         }
         sent(at);
         let patience = Duration::from_micros(timeout * 100);
         let end = tokio::time::timeout(patience, answer).await;
         line.waiting.borrow_mut().remove(&id);
-        end.map_or(End::Unknown, |end| end.unwrap_or(End::Unknown))
+        end.map_or(AttemptOutcome::Unknown, |end| {
+            end.unwrap_or(AttemptOutcome::Unknown)
+        })
     }
 
     async fn connect(&self, place: usize) -> Option<Rc<Connection>> {
@@ -275,11 +283,11 @@
             };
             let come_back = |e: &rpc::ReplyError| e.data.get("come_back_ms")?.as_u64();
             let how = match &reply.error {
-                None => End::Succeeded,
+                None => AttemptOutcome::Succeeded,
                 Some(e) if e.code == rpc::THROTTLED => {
-                    End::Throttled(come_back(e).unwrap_or(0) * MILLISECOND)
+                    AttemptOutcome::Throttled(come_back(e).unwrap_or(0) * MILLISECOND)
                 }
-                Some(_) => End::Errored,
+                Some(_) => AttemptOutcome::Errored,
             };
             if let Some(to) = waiting.borrow_mut().remove(&id) {
                 let _ = to.send(how);
--- a/crates/load/src/lag.rs
+++ b/crates/load/src/lag.rs
@@ -18,36 +18,38 @@
     /// In tenths of a millisecond.
     pub worst: Ticks,
     /// Longest time for which the generator's thread stood still, in tenths of a millisecond.
-    pub stood: Ticks,
+    #[serde(rename = "stood")]
+    pub longest_stall: Ticks,
 }
 
 /// Whether a run counts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub enum Verdict {
-    Counts,
+    #[serde(rename = "Counts")]
+    Valid,
     /// With the reason in words.
     GeneratorFellBehind(String),
 }
 
 impl Lag {
     /// An invocation was handed to its connection.
-    pub fn sent(&mut self, intended: Ticks, at: Ticks) {
+    pub fn record_send(&mut self, intended: Ticks, at: Ticks) {
         let lag = at.saturating_sub(intended);
         self.sent += 1;
         self.late += u64::from(lag > LATE);
         self.worst = self.worst.max(lag);
     }
 
-    pub fn stood(&mut self, span: Ticks) {
-        self.stood = self.stood.max(span);
+    pub fn record_stall(&mut self, span: Ticks) {
+        self.longest_stall = self.longest_stall.max(span);
     }
 
     pub fn verdict(&self) -> Verdict {
         let ms = |t: Ticks| t as f64 / MILLISECOND as f64;
-        if self.stood > MOST {
+        if self.longest_stall > MOST {
             return Verdict::GeneratorFellBehind(format!(
                 "it stood still for {:.0} ms",
-                ms(self.stood)
+                ms(self.longest_stall)
             ));
         }
         if self.worst > MOST {
@@ -65,7 +67,7 @@
             );
             return Verdict::GeneratorFellBehind(why);
         }
-        Verdict::Counts
+        Verdict::Valid
     }
 }
 
@@ -76,10 +78,10 @@
     #[test]
     fn a_few_late_ones_are_let_pass_and_many_are_not() {
         let mut lag = Lag::default();
-        (0..10_000).for_each(|at| lag.sent(at, at + 10));
-        (0..10).for_each(|at| lag.sent(at, at + LATE + 1));
-        assert_eq!(lag.verdict(), Verdict::Counts);
-        lag.sent(0, LATE + 1);
+        (0..10_000).for_each(|at| lag.record_send(at, at + 10));
+        (0..10).for_each(|at| lag.record_send(at, at + LATE + 1));
+        assert_eq!(lag.verdict(), Verdict::Valid);
+        lag.record_send(0, LATE + 1);
         assert!(
             matches!(lag.verdict(), Verdict::GeneratorFellBehind(why) if why.contains("11 of 10011"))
         );
@@ -88,13 +90,13 @@
     #[test]
     fn one_long_stop_is_enough() {
         let mut lag = Lag::default();
-        (0..10_000).for_each(|at| lag.sent(at, at));
-        lag.stood(MOST + 1);
+        (0..10_000).for_each(|at| lag.record_send(at, at));
+        lag.record_stall(MOST + 1);
         assert!(
             matches!(lag.verdict(), Verdict::GeneratorFellBehind(why) if why.contains("stood still"))
         );
         let mut lag = Lag::default();
-        lag.sent(5, 6 + MOST);
+        lag.record_send(5, 6 + MOST);
         assert!(
             matches!(lag.verdict(), Verdict::GeneratorFellBehind(why) if why.contains("sent one 200 ms"))
         );
--- a/crates/load/src/latency.rs
+++ b/crates/load/src/latency.rs
@@ -14,7 +14,7 @@
 }
 
 impl Latencies {
-    pub fn add(&mut self, took: Ticks) {
+    pub fn record(&mut self, took: Ticks) {
         // A zero would be out of what a histogram holds.
         self.0 += took.max(1);
     }
@@ -29,7 +29,7 @@
     }
 
     /// In milliseconds; of nothing it is not a number.
-    pub fn at(&self, quantile: f64) -> f64 {
+    pub fn quantile_ms(&self, quantile: f64) -> f64 {
         if self.0.is_empty() {
             return f64::NAN;
         }
@@ -37,7 +37,7 @@
     }
 
     /// Bounds in milliseconds and counts up to each, for plots.
-    pub fn steps(&self) -> Vec<(f64, u64)> {
+    pub fn cumulative_counts(&self) -> Vec<(f64, u64)> {
         let mut sum = 0;
         let step = |v: hdrhistogram::iterators::IterationValue<u64>| {
             sum += v.count_at_value();
@@ -61,16 +61,20 @@
         let mut rng = fastrand::Rng::with_seed(2);
         for n in 0..20_000 {
             let took = (10.0_f64.powf(rng.f64() * 7.0)) as Ticks;
-            whole.add(took);
-            if n % 3 == 0 { a.add(took) } else { b.add(took) }
+            whole.record(took);
+            if n % 3 == 0 {
+                a.record(took)
+            } else {
+                b.record(took)
+            }
         }
         // Of unlike lengths, and one that holds nothing.
-        b.add(900_000_000);
-        whole.add(900_000_000);
+        b.record(900_000_000);
+        whole.record(900_000_000);
         a.merge(&b);
         a.merge(&Latencies::default());
-        assert_eq!(a.steps(), whole.steps());
-        assert!((a.at(1.0) / 90_000_000.0 - 1.0).abs() < 1e-3 && a.count() == 20_001);
-        assert!(Latencies::default().at(0.5).is_nan());
+        assert_eq!(a.cumulative_counts(), whole.cumulative_counts());
+        assert!((a.quantile_ms(1.0) / 90_000_000.0 - 1.0).abs() < 1e-3 && a.count() == 20_001);
+        assert!(Latencies::default().quantile_ms(0.5).is_nan());
     }
 }
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -13,9 +13,9 @@
 pub mod shape;
 pub mod trace;
 
-pub use drive::{Outcome, Played, drive};
+pub use drive::{LoadRun, Outcome, send_load};
 pub use lag::{Lag, Verdict};
 pub use latency::Latencies;
 pub use popularity::Popularity;
 pub use shape::Shape;
-pub use trace::Entry;
+pub use trace::TraceEntry;
--- a/crates/load/src/mend.rs
+++ b/crates/load/src/mend.rs
@@ -11,17 +11,20 @@
 
 /// What was done to a trace.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Mended {
+pub struct ClockCorrections {
     /// Rows that came out of order within [`DISORDER`], and were sorted.
-    pub disordered: usize,
+    pub reordered_rows: usize,
     /// Clocks set back: source, row from 0, by how much.
-    pub set_back: Vec<(String, usize, Ticks)>,
+    pub backward_steps: Vec<(String, usize, Ticks)>,
 }
 
 /// Puts times of rows, each with its source, on one clock that begins at 0. `ahead` says which sources' clocks are
 /// known to be ahead, and by how much. The rows keep their places.
-pub fn mend(rows: &mut [(String, Ticks)], ahead: &BTreeMap<String, Ticks>) -> Mended {
-    let mut done = Mended::default();
+pub fn correct_clocks(
+    rows: &mut [(String, Ticks)],
+    ahead: &BTreeMap<String, Ticks>,
+) -> ClockCorrections {
+    let mut done = ClockCorrections::default();
     let mut sources: BTreeMap<String, (Ticks, Ticks)> = BTreeMap::new();
     for (n, (source, at)) in rows.iter_mut().enumerate() {
         let (moved, latest) = sources.entry(source.clone()).or_insert((0, 0));
@@ -30,9 +33,9 @@
             let by = *latest - here;
             *moved += by;
             here += by;
-            done.set_back.push((source.clone(), n, by));
+            done.backward_steps.push((source.clone(), n, by));
         } else if here < *latest {
-            done.disordered += 1;
+            done.reordered_rows += 1;
         }
         *latest = here.max(*latest);
         *at = here;
@@ -63,22 +66,22 @@
             ("a", 90_000),
             ("a", 90_300),
         ]);
-        let done = mend(&mut all, &BTreeMap::new());
+        let done = correct_clocks(&mut all, &BTreeMap::new());
         assert_eq!(
             all.iter().map(|r| r.1).collect::<Vec<_>>(),
             [0, 0, 100, 100, 400]
         );
-        assert_eq!(done.set_back, [("a".to_owned(), 3, 410_100)]);
+        assert_eq!(done.backward_steps, [("a".to_owned(), 3, 410_100)]);
     }
 
     #[test]
     fn small_disorder_is_no_step_and_known_offsets_are_taken_off() {
         let mut all = rows(&[("a", 20_000), ("a", 15_000), ("b", 1_020_000)]);
-        let done = mend(&mut all, &BTreeMap::from([("b".to_owned(), 1_000_000)]));
+        let done = correct_clocks(&mut all, &BTreeMap::from([("b".to_owned(), 1_000_000)]));
         assert_eq!(
             all.iter().map(|r| r.1).collect::<Vec<_>>(),
             [5_000, 0, 5_000]
         );
-        assert_eq!((done.disordered, done.set_back.len()), (1, 0));
+        assert_eq!((done.reordered_rows, done.backward_steps.len()), (1, 0));
     }
 }
--- a/crates/load/src/retry.rs
+++ b/crates/load/src/retry.rs
@@ -4,7 +4,7 @@
 
 /// How a try ended, as the client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptOutcome {
     /// Nothing was sent: there was nobody to send it to.
     Unsent,
     /// Sent, and no answer came.
@@ -17,48 +17,50 @@
 
 /// What a client does after a try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Then {
-    Over,
-    AgainAfter(Ticks),
+pub enum RetryDecision {
+    Stop,
+    RetryAfter(Ticks),
 }
 
 /// A client's patience.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct RetryPolicy {
     /// Further tries.
     pub retries: u32,
     /// About so long before the first of them, and twice as long before each next.
     pub backoff: Ticks,
 }
 
-impl Patience {
+impl RetryPolicy {
     /// After try `attempt`, from 0, of an invocation that began `ago`. Nothing that may have had its effect is done
     /// twice.
-    pub fn then(
+    pub fn decide(
         &self,
         trigger: &TriggerType,
         attempt: u32,
         ago: Ticks,
-        end: End,
+        end: AttemptOutcome,
         chance: f64,
-    ) -> Then {
-        if attempt >= self.retries || end == End::Succeeded {
-            return Then::Over;
+    ) -> RetryDecision {
+        if attempt >= self.retries || end == AttemptOutcome::Succeeded {
+            return RetryDecision::Stop;
         }
         let backoff = self.backoff << attempt.min(6);
         let mut wait = backoff / 2 + (chance.clamp(0.0, 1.0) * backoff as f64) as Ticks;
         match (end, trigger.effect) {
-            (End::Throttled(come_back), _) => wait = wait.max(come_back),
-            (End::Unsent, _) | (_, Effect::Idempotent) => {}
+            (AttemptOutcome::Throttled(come_back), _) => wait = wait.max(come_back),
+            (AttemptOutcome::Unsent, _) | (_, Effect::Idempotent) => {}
             // Repeats are dropped by all only where all know the token, and for as long as they do.
-            (End::Unknown, Effect::IdempotencyKey) if trigger.key_scope == KeyScope::All => {
+            (AttemptOutcome::Unknown, Effect::IdempotencyKey)
+                if trigger.key_scope == KeyScope::All =>
+            {
                 if ago + wait > trigger.idempotency_window / 2 {
-                    return Then::Over;
+                    return RetryDecision::Stop;
                 }
             }
-            _ => return Then::Over,
+            _ => return RetryDecision::Stop,
         }
-        Then::AgainAfter(wait)
+        RetryDecision::RetryAfter(wait)
     }
 }
 
@@ -66,7 +68,13 @@
 mod tests {
     use super::*;
 
-    fn then(effect: Effect, scope: KeyScope, attempt: u32, ago: Ticks, end: End) -> Then {
+    fn then(
+        effect: Effect,
+        scope: KeyScope,
+        attempt: u32,
+        ago: Ticks,
+        end: AttemptOutcome,
+    ) -> RetryDecision {
         let trigger = TriggerType {
             effect,
             key_scope: scope,
@@ -76,53 +84,53 @@
             billed_value: 1.0,
             late_value_share: 0.0,
         };
-        Patience {
+        RetryPolicy {
             retries: 2,
             backoff: 1_000,
         }
-        .then(&trigger, attempt, ago, end, 0.5)
+        .decide(&trigger, attempt, ago, end, 0.5)
     }
 
     #[test]
     fn nothing_is_done_twice_that_may_have_been_done() {
-        use End::*;
-        use Then::*;
+        use AttemptOutcome::*;
+        use RetryDecision::*;
         let cases = [
             (
                 Effect::Idempotent,
                 KeyScope::All,
                 Unknown,
-                AgainAfter(1_000),
+                RetryAfter(1_000),
             ),
             (
                 Effect::Idempotent,
                 KeyScope::All,
                 Errored,
-                AgainAfter(1_000),
+                RetryAfter(1_000),
             ),
-            (Effect::NonIdempotent, KeyScope::All, Unknown, Over),
-            (Effect::NonIdempotent, KeyScope::All, Errored, Over),
+            (Effect::NonIdempotent, KeyScope::All, Unknown, Stop),
+            (Effect::NonIdempotent, KeyScope::All, Errored, Stop),
             (
                 Effect::NonIdempotent,
                 KeyScope::All,
                 Throttled(3_000),
-                AgainAfter(3_000),
+                RetryAfter(3_000),
             ),
             (
                 Effect::NonIdempotent,
                 KeyScope::All,
                 Unsent,
-                AgainAfter(1_000),
+                RetryAfter(1_000),
             ),
-            (Effect::IdempotencyKey, KeyScope::Cell, Unknown, Over),
+            (Effect::IdempotencyKey, KeyScope::Cell, Unknown, Stop),
             (
                 Effect::IdempotencyKey,
                 KeyScope::All,
                 Unknown,
-                AgainAfter(1_000),
+                RetryAfter(1_000),
             ),
-            (Effect::IdempotencyKey, KeyScope::All, Errored, Over),
-            (Effect::Idempotent, KeyScope::All, Succeeded, Over),
+            (Effect::IdempotencyKey, KeyScope::All, Errored, Stop),
+            (Effect::Idempotent, KeyScope::All, Succeeded, Stop),
         ];
         for (effect, scope, end, want) in cases {
             assert_eq!(
@@ -136,12 +144,24 @@
     #[test]
     fn patience_ends_and_tokens_grow_old() {
         assert_eq!(
-            then(Effect::Idempotent, KeyScope::All, 1, 0, End::Errored),
-            Then::AgainAfter(2_000)
+            then(
+                Effect::Idempotent,
+                KeyScope::All,
+                1,
+                0,
+                AttemptOutcome::Errored
+            ),
+            RetryDecision::RetryAfter(2_000)
         );
         assert_eq!(
-            then(Effect::Idempotent, KeyScope::All, 2, 0, End::Errored),
-            Then::Over
+            then(
+                Effect::Idempotent,
+                KeyScope::All,
+                2,
+                0,
+                AttemptOutcome::Errored
+            ),
+            RetryDecision::Stop
         );
         assert_eq!(
             then(
@@ -149,9 +169,9 @@
                 KeyScope::All,
                 0,
                 19_500,
-                End::Unknown
+                AttemptOutcome::Unknown
             ),
-            Then::Over
+            RetryDecision::Stop
         );
     }
 }
--- a/crates/load/src/shape.rs
+++ b/crates/load/src/shape.rs
@@ -9,19 +9,22 @@
     #[default]
     Steady,
     /// Bursts of `times` the mean rate, of about `lasts` each, with quiet between them.
-    Bursty { times: f64, lasts: Ticks },
+    Bursty {
+        rate_factor: f64,
+        mean_duration: Ticks,
+    },
     /// A group is told to press play: all within `spread` of the begin. The rate counts for nothing.
     Group { count: u32, spread: Ticks },
     /// A slow holiday afternoon: from full at both ends down to `least` of it in the middle.
-    Afternoon { least: f64 },
+    Afternoon { min_share: f64 },
     /// From nothing to twice the mean.
     Ramp,
-    /// A swing of so much of the mean round it, once every `period`.
-    Season { swing: f64, period: Ticks },
+    /// An amplitude of this share of the mean around it, once every `period`.
+    Season { amplitude: f64, period: Ticks },
 }
 
 /// Draws arrivals in order of time. The same generator gives the same ones.
-pub fn arrivals(
+pub fn draw_arrivals(
     shape: Shape,
     per_second: f64,
     from: Ticks,
@@ -37,32 +40,35 @@
     }
     let length = to.saturating_sub(from).max(1) as f64;
     let bursts = match shape {
-        Shape::Bursty { times, lasts } => bursts(times, lasts, from, to, rng),
+        Shape::Bursty {
+            rate_factor,
+            mean_duration,
+        } => bursts(rate_factor, mean_duration, from, to, rng),
         _ => Vec::new(),
     };
     let most = match shape {
-        Shape::Bursty { times, .. } => times.max(1.0),
+        Shape::Bursty { rate_factor, .. } => rate_factor.max(1.0),
         Shape::Ramp => 2.0,
-        Shape::Season { swing, .. } => 1.0 + swing.clamp(0.0, 1.0),
+        Shape::Season { amplitude, .. } => 1.0 + amplitude.clamp(0.0, 1.0),
         _ => 1.0,
     };
     // Of a Poisson stream at the highest rate so many are kept as the rate of the moment asks for.
     let rate = |at: f64| match shape {
         Shape::Steady | Shape::Group { .. } => 1.0,
-        Shape::Bursty { times, .. } => {
+        Shape::Bursty { rate_factor, .. } => {
             let within = bursts
                 .iter()
                 .any(|(a, b)| (*a..*b).contains(&(at as Ticks)));
-            if within { times.max(1.0) } else { 0.0 }
+            if within { rate_factor.max(1.0) } else { 0.0 }
         }
-        Shape::Afternoon { least } => {
+        Shape::Afternoon { min_share } => {
             let part = (at - from as f64) / length;
-            least + (1.0 - least) * (2.0 * part - 1.0).powi(2)
+            min_share + (1.0 - min_share) * (2.0 * part - 1.0).powi(2)
         }
         Shape::Ramp => 2.0 * (at - from as f64) / length,
-        Shape::Season { swing, period } => {
+        Shape::Season { amplitude, period } => {
             let turn = (at - from as f64) / period.max(1) as f64;
-            1.0 + swing.clamp(0.0, 1.0) * (std::f64::consts::TAU * turn).sin()
+            1.0 + amplitude.clamp(0.0, 1.0) * (std::f64::consts::TAU * turn).sin()
         }
     };
     let (mut all, mut at) = (Vec::new(), from as f64);
@@ -107,7 +113,7 @@
     use super::*;
 
     fn drawn(shape: Shape) -> Vec<Ticks> {
-        arrivals(
+        draw_arrivals(
             shape,
             50.0,
             0,
@@ -132,7 +138,7 @@
             Shape::Steady,
             Shape::Ramp,
             Shape::Season {
-                swing: 0.8,
+                amplitude: 0.8,
                 period: 400 * SECOND,
             },
         ] {
@@ -143,8 +149,8 @@
             );
         }
         let bursty = Shape::Bursty {
-            times: 8.0,
-            lasts: SECOND,
+            rate_factor: 8.0,
+            mean_duration: SECOND,
         };
         assert!(
             (14_000..26_000).contains(&drawn(bursty).len()),
@@ -168,13 +174,13 @@
             ramp.windows(2).all(|w| w[0] < w[1]) && near(ramp[9], 3_800.0),
             "{ramp:?}"
         );
-        let afternoon = tenths_of(Shape::Afternoon { least: 0.1 });
+        let afternoon = tenths_of(Shape::Afternoon { min_share: 0.1 });
         assert!(
             afternoon[5] * 4 < afternoon[0] && afternoon[4] * 4 < afternoon[9],
             "{afternoon:?}"
         );
         let season = tenths_of(Shape::Season {
-            swing: 0.8,
+            amplitude: 0.8,
             period: 400 * SECOND,
         });
         assert!(season[2] > 3 * season[7], "{season:?}");
@@ -182,7 +188,7 @@
 
     #[test]
     fn a_group_comes_together_whatever_the_rate() {
-        let group = arrivals(
+        let group = draw_arrivals(
             Shape::Group {
                 count: 60,
                 spread: 5_000,
--- a/crates/load/src/trace.rs
+++ b/crates/load/src/trace.rs
@@ -1,6 +1,6 @@
 //! Recorded load as a Parquet file: one row an invocation, in order of time.
 
-use crate::mend::{Mended, mend};
+use crate::mend::{ClockCorrections, correct_clocks};
 use arrow_array::cast::AsArray;
 use arrow_array::types::UInt64Type;
 use arrow_array::{Array, ArrayRef, RecordBatch, StringArray, UInt64Array};
@@ -23,7 +23,7 @@
 
 /// One invocation that came, or is to come.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Entry {
+pub struct TraceEntry {
     pub at: Ticks,
     pub tenant: String,
     pub function: String,
@@ -34,20 +34,20 @@
 
 /// What is wrong with a trace file, and where.
 #[derive(Debug, thiserror::Error)]
-#[error("{file}: {why}")]
-pub struct Fault {
+#[error("{file}: {reason}")]
+pub struct TraceError {
     pub file: String,
-    pub why: String,
+    pub reason: String,
 }
 
-fn fault(path: &Path, why: impl ToString) -> Fault {
-    Fault {
+fn fault(path: &Path, why: impl ToString) -> TraceError {
+    TraceError {
         file: path.display().to_string(),
-        why: why.to_string(),
+        reason: why.to_string(),
     }
 }
 
-fn digest(entries: &[Entry]) -> String {
+fn digest(entries: &[TraceEntry]) -> String {
     let mut all = blake3::Hasher::new();
     for e in entries {
         for text in [&e.tenant, &e.function, &e.source] {
@@ -61,13 +61,17 @@
 }
 
 /// Writes a trace whole or not at all: it takes its name when all of it is on the disk.
-pub fn write(path: &Path, entries: &[Entry], made_by: &[(&str, String)]) -> Result<(), Fault> {
+pub fn write(
+    path: &Path,
+    entries: &[TraceEntry],
+    made_by: &[(&str, String)],
+) -> Result<(), TraceError> {
     let bad = |e: &dyn std::fmt::Display| fault(path, e);
-    let text = |of: fn(&Entry) -> &str| -> ArrayRef {
+    let text = |of: fn(&TraceEntry) -> &str| -> ArrayRef {
         Arc::new(entries.iter().map(|e| Some(of(e))).collect::<StringArray>())
     };
     // Whole microseconds, as other tools have them.
-    let micros = |of: fn(&Entry) -> Ticks| -> ArrayRef {
+    let micros = |of: fn(&TraceEntry) -> Ticks| -> ArrayRef {
         Arc::new(entries.iter().map(|e| of(e) * 100).collect::<UInt64Array>())
     };
     let columns = [
@@ -106,7 +110,10 @@
 }
 
 /// Reads a trace, in order of time on one clock. `ahead` names sources whose clocks are known to be ahead.
-pub fn read(path: &Path, ahead: &BTreeMap<String, Ticks>) -> Result<(Vec<Entry>, Mended), Fault> {
+pub fn read(
+    path: &Path,
+    ahead: &BTreeMap<String, Ticks>,
+) -> Result<(Vec<TraceEntry>, ClockCorrections), TraceError> {
     let bad = |e: &dyn std::fmt::Display| fault(path, e);
     let file = File::open(path).map_err(|e| bad(&e))?;
     let reader = ParquetRecordBatchReaderBuilder::try_new(file).map_err(|e| bad(&e))?;
@@ -140,7 +147,7 @@
                 .column_by_name(name)
                 .ok_or_else(|| fault(path, format!("column '{name}' is missing")))
         };
-        let number = |name: &str| -> Result<UInt64Array, Fault> {
+        let number = |name: &str| -> Result<UInt64Array, TraceError> {
             let c = column(name)?;
             let kind = c.data_type().clone();
             let c = c.as_primitive_opt::<UInt64Type>().cloned();
@@ -151,7 +158,7 @@
                 )
             })
         };
-        let text = |name: &str| -> Result<StringArray, Fault> {
+        let text = |name: &str| -> Result<StringArray, TraceError> {
             let c = column(name)?;
             let kind = c.data_type().clone();
             let c = c.as_string_opt::<i32>().cloned();
@@ -171,7 +178,7 @@
                 .as_ref()
                 .filter(|s| !s.is_null(n))
                 .map(|s| s.value(n).to_owned());
-            entries.push(Entry {
+            entries.push(TraceEntry {
                 at: at.value(n) / 100,
                 tenant: tenant.value(n).to_owned(),
                 function: function.value(n).to_owned(),
@@ -185,7 +192,7 @@
         return Err(fault(path, "damaged: what is read is not what was written"));
     }
     let mut rows: Vec<(String, Ticks)> = entries.iter().map(|e| (e.source.clone(), e.at)).collect();
-    let mended = mend(&mut rows, ahead);
+    let mended = correct_clocks(&mut rows, ahead);
     entries
         .iter_mut()
         .zip(rows)
@@ -198,8 +205,8 @@
 mod tests {
     use super::*;
 
-    fn some() -> Vec<Entry> {
-        let one = |n: u64| Entry {
+    fn some() -> Vec<TraceEntry> {
+        let one = |n: u64| TraceEntry {
             at: n * 37,
             tenant: format!("tenant-{}", n % 3),
             function: "voice".into(),
@@ -216,7 +223,7 @@
         write(&path, &some(), &[("seed", "7".into())]).unwrap();
         assert_eq!(
             read(&path, &BTreeMap::new()).unwrap(),
-            (some(), Mended::default())
+            (some(), ClockCorrections::default())
         );
     }
 
--- a/crates/load/tests/freeze.rs
+++ b/crates/load/tests/freeze.rs
@@ -2,8 +2,10 @@
 
 use saltdrum::interface::{SECOND, Ticks};
 use saltdrum_deployment::Terms;
-use saltdrum_load::retry::{End, Patience};
-use saltdrum_load::{Entry, Latencies, Played, Shape, Verdict, drive, shape::arrivals};
+use saltdrum_load::retry::{AttemptOutcome, RetryPolicy};
+use saltdrum_load::{
+    Latencies, LoadRun, Shape, TraceEntry, Verdict, send_load, shape::draw_arrivals,
+};
 use saltdrum_simulated_network::{Ether, Hold, Line, Lines, stoppable};
 use saltdrum_transport::{Address, Clock, EventLoopClock, Network, split};
 use std::rc::Rc;
@@ -48,7 +50,7 @@
 }
 
 /// 10 s at 200 a second, with the box or the generator held still for 2 s from the fourth second on.
-fn played(box_stops: bool, generator_stops: bool) -> (Played, Ticks) {
+fn played(box_stops: bool, generator_stops: bool) -> (LoadRun, Ticks) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
@@ -74,25 +76,25 @@
         tokio::task::spawn_local(stoppable(box_hold.clone(), serving));
         tokio::time::sleep(Duration::from_millis(10)).await;
         let mut rng = fastrand::Rng::with_seed(4);
-        let entry = |at| Entry {
+        let entry = |at| TraceEntry {
             at,
             tenant: "hill".into(),
             function: "voice".into(),
             work: 10,
             source: String::new(),
         };
-        let entries = arrivals(Shape::Steady, 200.0, 0, 10 * SECOND, &mut rng)
+        let entries = draw_arrivals(Shape::Steady, 200.0, 0, 10 * SECOND, &mut rng)
             .into_iter()
             .map(entry)
             .collect();
         let (terms, _) = Terms::load("terms.star", TERMS).unwrap();
-        let patience = Patience {
+        let patience = RetryPolicy {
             retries: 0,
             backoff: 1_000,
         };
         let (begin, doors) = (clock.now(), [at]);
         let driving = LocalSet::new();
-        let driven = drive(
+        let driven = send_load(
             ether.host("load"),
             clock,
             Rc::new(terms),
@@ -122,39 +124,43 @@
 fn a_box_that_freezes_shows_it_in_every_invocation_that_arrived_meanwhile() {
     let (played, frozen) = played(true, false);
     assert!(
-        played.outcomes.len() > 1_800 && played.outcomes.iter().all(|o| o.end == End::Succeeded)
+        played.outcomes.len() > 1_800
+            && played
+                .outcomes
+                .iter()
+                .all(|o| o.result == AttemptOutcome::Succeeded)
     );
     let thawed = frozen + 2 * SECOND;
     let mut during = 0;
     for o in &played.outcomes {
         if (frozen..thawed).contains(&o.intended) {
             during += 1;
-            assert!(o.took() >= thawed - o.intended, "{o:?}");
+            assert!(o.latency() >= thawed - o.intended, "{o:?}");
         } else if o.intended >= thawed {
-            assert!(o.took() <= 200, "{o:?}");
+            assert!(o.latency() <= 200, "{o:?}");
         }
     }
     assert!(during > 300, "{during}");
     assert_eq!(
         played.lag.verdict(),
-        Verdict::Counts,
+        Verdict::Valid,
         "the generator went on: {:?}",
         played.lag
     );
     let mut all = Latencies::default();
-    played.outcomes.iter().for_each(|o| all.add(o.took()));
+    played.outcomes.iter().for_each(|o| all.record(o.latency()));
     assert!(
-        all.at(0.5) < 15.0 && all.at(0.9) > 900.0,
+        all.quantile_ms(0.5) < 15.0 && all.quantile_ms(0.9) > 900.0,
         "{} {}",
-        all.at(0.5),
-        all.at(0.9)
+        all.quantile_ms(0.5),
+        all.quantile_ms(0.9)
     );
 }
 
 #[test]
 fn a_generator_that_stops_says_that_its_run_does_not_count() {
     let (still, _) = played(false, false);
-    assert_eq!(still.lag.verdict(), Verdict::Counts, "{:?}", still.lag);
+    assert_eq!(still.lag.verdict(), Verdict::Valid, "{:?}", still.lag);
     let (bent, frozen) = played(false, true);
     assert!(
         matches!(bent.lag.verdict(), Verdict::GeneratorFellBehind(_)),
@@ -166,5 +172,5 @@
         .outcomes
         .iter()
         .filter(|o| (frozen..frozen + 2 * SECOND).contains(&o.intended));
-    assert!(late.clone().count() > 300 && late.clone().all(|o| o.over >= frozen + 2 * SECOND));
+    assert!(late.clone().count() > 300 && late.clone().all(|o| o.finished >= frozen + 2 * SECOND));
 }
--- a/crates/load/tests/load_trace_fixtures.rs
+++ b/crates/load/tests/load_trace_fixtures.rs
@@ -5,17 +5,17 @@
 mod fixture_file;
 
 use parquet::arrow::arrow_reader::ParquetRecordBatchReaderBuilder;
-use saltdrum_load::mend::Mended;
-use saltdrum_load::{Entry, trace};
+use saltdrum_load::mend::ClockCorrections;
+use saltdrum_load::{TraceEntry, trace};
 use std::collections::BTreeMap;
 use std::fs::{self, File};
 
 const FIXTURE: &str = "trace.parquet";
 const COLUMNS: [&str; 5] = ["at_us", "tenant", "function", "work_us", "source"];
 
-fn entry(at: u64, tenant: &str, function: &str, work: u64, source: &str) -> Entry {
+fn entry(at: u64, tenant: &str, function: &str, work: u64, source: &str) -> TraceEntry {
     let (tenant, function, source) = (tenant.into(), function.into(), source.into());
-    Entry {
+    TraceEntry {
         at,
         tenant,
         function,
@@ -24,7 +24,7 @@
     }
 }
 
-fn entries() -> Vec<Entry> {
+fn entries() -> Vec<TraceEntry> {
     vec![
         entry(0, "hill-museum", "voice-1", 1_101, "gate-1"),
         entry(37, "lake-gallery", "voice-2", 1_202, "gate-2"),
@@ -52,7 +52,7 @@
 #[test]
 fn a_stored_trace_is_read_as_what_was_written() {
     let read = trace::read(&fixture_file::path(FIXTURE), &BTreeMap::new()).unwrap();
-    assert_eq!(read, (entries(), Mended::default()));
+    assert_eq!(read, (entries(), ClockCorrections::default()));
     assert_eq!(trace::VERSION, 1);
 }
 
--- a/crates/scale/src/controller.rs
+++ b/crates/scale/src/controller.rs
@@ -1,7 +1,7 @@
 //! A hollow controller: the real module under the real invocations; what crosses no socket ends after a drawn time.
 
 use crate::meter::{EventLoopClock, TurnsTold, resident_bytes, thread_cpu_ns};
-use crate::world::{Load, Popularity, World, ZONES, deployment, line};
+use crate::world::{Popularity, Workload, World, ZONES, deployment, line};
 use saltdrum::DispatchPolicy;
 use saltdrum::interface::*;
 use saltdrum_controller::Policy;
@@ -18,14 +18,14 @@
 
 /// How long a hollow controller runs, in seconds of virtual time, and what happens to its list.
 #[derive(Clone, Debug)]
-pub struct Course {
+pub struct LoadPlan {
     pub load_s: u64,
     /// After the load, without any invocation.
     pub quiet_s: u64,
     /// An invoker is replaced each so many seconds.
     pub event_every_s: u64,
     /// A zone (a fifth) goes in one event at half of the load, and is back cold in one event a quarter later.
-    pub zone: bool,
+    pub zone_outage: bool,
 }
 
 /// What one size came to. CPU is this thread's; that of the module alone is told beside it.
@@ -266,7 +266,7 @@
 }
 
 /// Runs one hollow controller.
-pub fn run(load: &Load, course: &Course) -> Row {
+pub fn run(load: &Workload, course: &LoadPlan) -> Row {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
@@ -274,7 +274,7 @@
     LocalSet::new().block_on(&runtime.expect("a runtime"), play(load, course))
 }
 
-async fn play(load: &Load, course: &Course) -> Row {
+async fn play(load: &Workload, course: &LoadPlan) -> Row {
     let (popularity, before) = (Popularity::new(load.functions, load.skew), resident_bytes());
     let (clock, tally) = (Clock::start(), Rc::new(RefCell::new(Tally::default())));
     let (mut rng, d) = (
@@ -333,7 +333,7 @@
         begun + course.load_s * SECOND / 2,
         end - course.load_s * SECOND / 4,
     );
-    if !course.zone {
+    if !course.zone_outage {
         (zone_goes, zone_back) = (Ticks::MAX, Ticks::MAX);
     }
     let mut half = Some(begun + course.load_s * SECOND / 2);
--- a/crates/scale/src/fit.rs
+++ b/crates/scale/src/fit.rs
@@ -2,11 +2,12 @@
 
 use serde::Serialize;
 
-/// `y = at_nothing + slope * x`, and beside it `y ~ x^exponent`.
+/// `y = intercept + slope * x`, and beside it `y ~ x^exponent`.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Fit {
     pub slope: f64,
-    pub at_nothing: f64,
+    #[serde(rename = "at_nothing")]
+    pub intercept: f64,
     /// Of the straight line through the logarithms; none where a figure is not above 0.
     pub exponent: Option<f64>,
     /// How far the line is off a point at most, as a share of the largest figure.
@@ -26,14 +27,14 @@
 
 /// Least squares through figures by size; none for fewer than two sizes.
 pub fn fit(points: &[(f64, f64)]) -> Option<Fit> {
-    let (slope, at_nothing) = line(points)?;
+    let (slope, intercept) = line(points)?;
     let largest = points
         .iter()
         .map(|p| p.1.abs())
         .fold(f64::MIN_POSITIVE, f64::max);
     let off = points
         .iter()
-        .map(|p| (p.1 - at_nothing - slope * p.0).abs())
+        .map(|p| (p.1 - intercept - slope * p.0).abs())
         .fold(0.0, f64::max);
     let logs: Vec<(f64, f64)> = points
         .iter()
@@ -47,7 +48,7 @@
     };
     Some(Fit {
         slope,
-        at_nothing,
+        intercept,
         exponent,
         residual: off / largest,
     })
--- a/crates/scale/src/members.rs
+++ b/crates/scale/src/members.rs
@@ -40,7 +40,7 @@
 
 /// How large a hollow fleet is.
 #[derive(Clone, Debug)]
-pub struct Size {
+pub struct FleetSize {
     /// Controllers and invokers that renew with every steward.
     pub members: u32,
     /// Of the invoker list, over all stewards.
@@ -370,7 +370,7 @@
 }
 
 /// Runs one hollow fleet.
-pub fn run(size: &Size) -> Row {
+pub fn run(size: &FleetSize) -> Row {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
@@ -382,7 +382,7 @@
     tokio::time::sleep(Duration::from_micros(span * 100)).await;
 }
 
-async fn play(size: &Size) -> Row {
+async fn play(size: &FleetSize) -> Row {
     let clock = Clock::start();
     let usual = Wire {
         delay: MILLISECOND,
--- a/crates/scale/src/world.rs
+++ b/crates/scale/src/world.rs
@@ -5,7 +5,7 @@
 
 /// How the load is spread and the fleet is made.
 #[derive(Clone, Debug)]
-pub struct Load {
+pub struct Workload {
     pub invokers: u32,
     pub functions: u64,
     /// Invocations a second at this controller.
--- a/crates/scale/tests/sizes.rs
+++ b/crates/scale/tests/sizes.rs
@@ -1,12 +1,12 @@
 //! Hollow runs at small sizes, judged by count.
 
-use saltdrum_scale::controller::{self, Course};
+use saltdrum_scale::controller::{self, LoadPlan};
 use saltdrum_scale::fit::fit;
-use saltdrum_scale::members::{self, Size};
-use saltdrum_scale::world::{Load, Popularity};
+use saltdrum_scale::members::{self, FleetSize};
+use saltdrum_scale::world::{Popularity, Workload};
 
 fn hollow(invokers: u32, functions: u64, zone: bool) -> controller::Row {
-    let load = Load {
+    let load = Workload {
         invokers,
         functions,
         rate: 159.0,
@@ -15,11 +15,11 @@
     };
     controller::run(
         &load,
-        &Course {
+        &LoadPlan {
             load_s: 20,
             quiet_s: 2,
             event_every_s: 5,
-            zone,
+            zone_outage: zone,
         },
     )
 }
@@ -62,7 +62,7 @@
 #[test]
 fn every_follower_of_a_hollow_fleet_hears_of_a_change() {
     let row = |members| {
-        members::run(&Size {
+        members::run(&FleetSize {
             members,
             followers: 9,
             leases: 0,
@@ -101,7 +101,7 @@
     let line = fit(&[(1.0, 5.0), (2.0, 8.0), (4.0, 14.0)]).unwrap();
     assert!(
         (line.slope - 3.0).abs() < 1e-9
-            && (line.at_nothing - 2.0).abs() < 1e-9
+            && (line.intercept - 2.0).abs() < 1e-9
             && line.residual < 1e-9
     );
     let power = fit(&[(1.0, 2.0), (10.0, 200.0), (100.0, 20_000.0)]).unwrap();
--- a/crates/scenario/src/clients.rs
+++ b/crates/scenario/src/clients.rs
@@ -5,7 +5,7 @@
 use bytes::{Bytes, BytesMut};
 use saltdrum::interface::{Effect, MILLISECOND, Ticks};
 use saltdrum_fakes::record::{How, Line, Record, Try, Who};
-use saltdrum_load::retry::{End, Patience, Then};
+use saltdrum_load::retry::{AttemptOutcome, RetryDecision, RetryPolicy};
 use saltdrum_protocol::rpc;
 use saltdrum_transport::{
     Address, ArrivalReader, Clock, EventLoopClock, Network, SendQueue, split,
@@ -138,7 +138,7 @@
         let function = &terms.functions[&a.function];
         let stated = &terms.deployment.trigger_types[function.trigger];
         let first = self.clock.now();
-        let patience = Patience {
+        let patience = RetryPolicy {
             retries: self.day.retries,
             backoff: self.day.backoff,
         };
@@ -149,13 +149,13 @@
                 .one_try(of, a, stated.client_timeout, passage.as_deref())
                 .await
             {
-                Err(()) => End::Unsent,
+                Err(()) => AttemptOutcome::Unsent,
                 Ok(None) => {
                     // Nothing was heard, and what may have spoken is not known: that passage is over before it began.
                     if let Some(p) = passage.as_deref_mut().filter(|p| p.holds.is_none()) {
                         p.name += "'";
                     }
-                    End::Unknown
+                    AttemptOutcome::Unknown
                 }
                 Ok(Some(told)) => {
                     if let Some(p) = passage.as_deref_mut() {
@@ -168,15 +168,15 @@
                         }
                     }
                     match told.how {
-                        How::Succeeded => End::Succeeded,
-                        How::Throttled => End::Throttled(told.come_back),
-                        How::Errored => End::Errored,
+                        How::Succeeded => AttemptOutcome::Succeeded,
+                        How::Throttled => AttemptOutcome::Throttled(told.come_back),
+                        How::Errored => AttemptOutcome::Errored,
                     }
                 }
             };
-            match patience.then(stated, attempt, self.clock.now() - first, end, rng.f64()) {
-                Then::Over => return,
-                Then::AgainAfter(wait) => {
+            match patience.decide(stated, attempt, self.clock.now() - first, end, rng.f64()) {
+                RetryDecision::Stop => return,
+                RetryDecision::RetryAfter(wait) => {
                     tokio::time::sleep(Duration::from_micros(wait * 100)).await
                 }
             }
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -287,15 +287,15 @@
         match self.shape.as_deref() {
             None | Some("steady") => Ok(Shape::Steady),
             Some("bursty") => Ok(Shape::Bursty {
-                times: times(1.0, 100.0, 5.0)?,
-                lasts: lasts(SECOND),
+                rate_factor: times(1.0, 100.0, 5.0)?,
+                mean_duration: lasts(SECOND),
             }),
             Some("afternoon") => Ok(Shape::Afternoon {
-                least: times(0.0, 1.0, 0.2)?,
+                min_share: times(0.0, 1.0, 0.2)?,
             }),
             Some("ramp") => Ok(Shape::Ramp),
             Some("season") => Ok(Shape::Season {
-                swing: times(0.0, 1.0, 0.5)?,
+                amplitude: times(0.0, 1.0, 0.5)?,
                 period: lasts(20 * SECOND),
             }),
             Some(other) => Err(format!(
--- a/crates/scenario/src/traffic.rs
+++ b/crates/scenario/src/traffic.rs
@@ -2,7 +2,7 @@
 
 use crate::script::{Day, Kind, Traffic, Trouble};
 use saltdrum::interface::Ticks;
-use saltdrum_load::{Popularity, shape::arrivals};
+use saltdrum_load::{Popularity, shape::draw_arrivals};
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
@@ -45,7 +45,7 @@
 
 fn draw_one(t: &Traffic, rng: &mut fastrand::Rng, all: &mut Vec<Arrival>) {
     let popularity = Popularity::new(t.functions.len(), t.zipf, t.turnover);
-    for at in arrivals(t.shape, t.per_second, t.from, t.to, rng) {
+    for at in draw_arrivals(t.shape, t.per_second, t.from, t.to, rng) {
         let function = t.functions[popularity.draw(at, rng)].clone();
         let sigma = (1.0 + t.spread * t.spread).ln().sqrt();
         let work = t.work as f64 * (sigma * normal(rng) - 0.5 * sigma * sigma).exp();
--- a/crates/scenario/tests/scenario_script_fixtures.rs
+++ b/crates/scenario/tests/scenario_script_fixtures.rs
@@ -40,16 +40,19 @@
 fn shape_summary(shape: Shape) -> Json {
     match shape {
         Shape::Steady => json!({"shape": "steady"}),
-        Shape::Bursty { times, lasts } => {
-            json!({"shape": "bursty", "times": times, "lasts": lasts})
+        Shape::Bursty {
+            rate_factor,
+            mean_duration,
+        } => {
+            json!({"shape": "bursty", "times": rate_factor, "lasts": mean_duration})
         }
         Shape::Group { count, spread } => {
             json!({"shape": "group", "count": count, "spread": spread})
         }
-        Shape::Afternoon { least } => json!({"shape": "afternoon", "least": least}),
+        Shape::Afternoon { min_share } => json!({"shape": "afternoon", "least": min_share}),
         Shape::Ramp => json!({"shape": "ramp"}),
-        Shape::Season { swing, period } => {
-            json!({"shape": "season", "swing": swing, "period": period})
+        Shape::Season { amplitude, period } => {
+            json!({"shape": "season", "swing": amplitude, "period": period})
         }
     }
 }
