--- a/crates/scenario/tests/summary_fixtures.rs
+++ b/crates/scenario/tests/summary_fixtures.rs
@@ -102,8 +102,8 @@
     assert_eq!(told.state(), State::Broken);
     let told = json!({
         "summary": told,
-        "dispatches_after_hang_up": dispatches_after_hang_up(&lines),
-        "mismatched_outputs": mismatched_outputs(&lines),
+        "sent_on_after_leaving": dispatches_after_hang_up(&lines),
+        "outputs_of_others": mismatched_outputs(&lines),
     });
     let told = serde_json::to_string_pretty(&told).unwrap() + "\n";
     fixture_file::assert_equals("broken-rules.summary.json", told.as_bytes());
