--- a/crates/cli/src/collection.rs
+++ b/crates/cli/src/collection.rs
@@ -1,7 +1,7 @@
-//! The registry's collection on the command line: the registry's door for it, the controllers that do it when they hold
-//! the lease, and operators by hand while it is paused.
+//! Garbage collection of the registry: the registry's endpoint for it, the controllers that run it while they hold the
+//! lease, and the command that an operator runs while the lease is paused.
 
-use crate::leases::{QUIET_AFTER, holder_of};
+use crate::leases::{COORDINATOR_SILENCE_MAX, lease_holder};
 use crate::process::on_this_thread;
 use clap::Args;
 use saltdrum::interface::{SECOND, Ticks};
@@ -22,61 +22,64 @@
 use std::future::Future;
 use std::rc::Rc;
 
-/// PendingProposal for stewards and for the registry.
-const PATIENCE: Ticks = 5 * SECOND;
+/// Timeout of a call to a coordinator or to the registry.
+const CALL_TIMEOUT: Ticks = 5 * SECOND;
 
-/// The fleet whose lease a registry is collected by.
+/// The fleet whose lease protects the collection of a registry.
 #[derive(Args, Clone)]
-pub struct FleetTasks {
-    /// Where the registry listens for fleet-wide tasks.
+pub struct FleetTaskOptions {
+    /// Address on which the registry listens for fleet-wide tasks.
     #[arg(long, requires = "fleet")]
     tasks: Option<String>,
     /// The fleet's name.
     #[arg(long, requires = "tasks")]
     fleet: Option<String>,
-    /// Where a steward is; once for each.
-    #[arg(long = "steward", requires = "tasks")]
-    stewards: Vec<String>,
+    /// Address of a coordinator; repeat for each one.
+    #[arg(long = "steward", value_name = "STEWARDS", requires = "tasks")]
+    coordinators: Vec<String>,
 }
 
-impl FleetTasks {
-    /// Whether a fleet's lease was named.
-    pub fn is_said(&self) -> bool {
+impl FleetTaskOptions {
+    /// Whether the collection runs under a fleet's lease.
+    pub fn is_given(&self) -> bool {
         self.tasks.is_some()
     }
 
-    fn stewards(&self, fleet: &str) -> Result<Vec<RpcClient>, String> {
-        let caller = |at: &String| {
+    fn coordinator_clients(&self, fleet: &str) -> Result<Vec<RpcClient>, String> {
+        let client = |address: &String| {
             Ok(RpcClient::new(
                 Rc::new(SocketNetwork),
-                at.parse::<Address>()?,
+                address.parse::<Address>()?,
                 fleet,
             ))
         };
-        let callers = self
-            .stewards
+        let clients = self
+            .coordinators
             .iter()
-            .map(caller)
+            .map(client)
             .collect::<Result<Vec<_>, String>>()?;
-        if callers.is_empty() {
+        if clients.is_empty() {
             Err("--steward: at least one is expected".into())
         } else {
-            Ok(callers)
+            Ok(clients)
         }
     }
 }
 
-/// The registry's door for its collection; never ends where none was asked for.
+/// Serves the registry's endpoint for collection; never returns if none was requested.
 pub fn serve(
-    said: &FleetTasks,
+    options: &FleetTaskOptions,
     registry: &Rc<Registry>,
 ) -> Result<impl Future<Output = Result<(), String>> + use<>, String> {
-    let resource = match (&said.tasks, &said.fleet) {
+    let resource = match (&options.tasks, &options.fleet) {
         (Some(tasks), Some(fleet)) => {
-            let (incarnation, stewards) = (fastrand::u64(1..1 << 48), said.stewards(fleet)?);
+            let (incarnation, coordinators) = (
+                fastrand::u64(1..1 << 48),
+                options.coordinator_clients(fleet)?,
+            );
             let listen: Address = tasks.parse()?;
             Some((
-                CollectionResource::new(fleet, incarnation, stewards, registry.clone()),
+                CollectionResource::new(fleet, incarnation, coordinators, registry.clone()),
                 listen,
             ))
         }
@@ -91,21 +94,21 @@
     })
 }
 
-/// A controller that collects when it holds the lease.
+/// Options of a controller that collects a registry while it holds the lease.
 #[derive(Args, Clone)]
-pub struct Collects {
-    /// Where the registry listens for fleet-wide tasks: this controller offers to collect it.
-    #[arg(long, requires = "stewards")]
+pub struct CollectionOptions {
+    /// Address on which a registry listens for fleet-wide tasks; this controller offers to collect it.
+    #[arg(long, requires = "coordinators")]
     collect_registry: Option<String>,
-    /// Between two collections.
+    /// Interval between two collections, in seconds.
     #[arg(long, default_value_t = 3_600)]
     collect_every_s: u64,
-    /// Longer than the longest load.
+    /// Time for which a blob must be unreferenced before it is deleted, in seconds; must exceed the longest load.
     #[arg(long, default_value_t = 600)]
     collect_grace_s: u64,
 }
 
-impl Collects {
+impl CollectionOptions {
     /// The fleet-wide tasks that this controller offers.
     pub fn tasks(&self) -> BTreeSet<String> {
         self.collect_registry
@@ -114,17 +117,18 @@
             .collect()
     }
 
-    pub fn holder(&self, with: Option<&Membership>) -> Result<Option<Holder>, String> {
-        match (&self.collect_registry, with) {
-            (Some(at), Some(with)) => Ok(Some(holder_of(
-                with,
-                BTreeMap::from([(RESOURCE.to_owned(), at.parse()?)]),
+    /// The lease holder of this controller, if it offers the collection and is a member of a fleet.
+    pub fn holder(&self, membership: Option<&Membership>) -> Result<Option<Holder>, String> {
+        match (&self.collect_registry, membership) {
+            (Some(address), Some(membership)) => Ok(Some(lease_holder(
+                membership,
+                BTreeMap::from([(RESOURCE.to_owned(), address.parse()?)]),
             ))),
             _ => Ok(None),
         }
     }
 
-    /// Collects whenever the lease is held; never ends.
+    /// Collects blobs while the lease is held; never returns.
     pub async fn run(&self, holder: Option<Holder>) {
         let Some(holder) = holder else {
             return std::future::pending().await;
@@ -140,6 +144,7 @@
     }
 }
 
+/// The fleet-wide task that collects a registry at intervals.
 struct Collection {
     clock: Clock,
     every: Ticks,
@@ -152,21 +157,21 @@
     }
 
     async fn step(&self, effects: &Effects<'_>) -> Result<(), EffectFault> {
-        let what = CollectBlobs {
+        let request = CollectBlobs {
             grace_ms: self.grace_ms,
         };
-        let done: Collected = effects.make(RESOURCE, "collect", what).await?;
+        let collected: Collected = effects.make(RESOURCE, "collect", request).await?;
         tracing::info!(
-            gone = done.gone,
-            bytes = done.bytes,
+            gone = collected.gone,
+            bytes = collected.bytes,
             epoch = effects.epoch(),
-            "collected"
+            "unreferenced blobs collected"
         );
-        // A lease that is lost meanwhile is noticed before the next collection.
+        // Wakes often enough to notice a lost lease before the next collection is due.
         let next = self.clock.now() + self.every;
         while self.clock.now() < next && effects.is_held() {
             self.clock
-                .sleep_until(next.min(self.clock.now() + QUIET_AFTER))
+                .sleep_until(next.min(self.clock.now() + COORDINATOR_SILENCE_MAX))
                 .await;
         }
         Ok(())
@@ -178,20 +183,20 @@
     fleet: Option<Fleet>,
 }
 
-/// A collection by an operator, who has paused the lease.
-pub fn by_hand(said: &FleetTasks, grace_s: u64) -> Result<u8, String> {
-    let (Some(tasks), Some(fleet)) = (&said.tasks, &said.fleet) else {
-        return Err("--tasks is missing".into());
+/// Runs a collection on behalf of an operator, who has paused the lease.
+pub fn collect_by_operator(options: &FleetTaskOptions, grace_s: u64) -> Result<u8, String> {
+    let (Some(tasks), Some(fleet)) = (&options.tasks, &options.fleet) else {
+        return Err("--tasks and --fleet are required".into());
     };
     let registry = RpcClient::new(Rc::new(SocketNetwork), tasks.parse()?, fleet);
     on_this_thread(async {
-        let (lease, epoch) = paused_epoch(&said.stewards(fleet)?).await?;
-        let asked = Seal {
+        let (lease, epoch) = paused_epoch(&options.coordinator_clients(fleet)?).await?;
+        let seal = Seal {
             lease: lease.clone(),
             epoch,
         };
         let sealed: Sealed = registry
-            .call("seal", &asked, PATIENCE)
+            .call("seal", &seal, CALL_TIMEOUT)
             .await
             .map_err(|e| e.to_string())?;
         let token = Token {
@@ -199,35 +204,40 @@
             epoch,
             incarnation: sealed.incarnation,
         };
-        let what = CollectBlobs {
+        let request = CollectBlobs {
             grace_ms: grace_s * 1_000,
         };
         let effect = Effect {
             token,
             by: "operator".to_owned(),
-            what,
+            what: request,
         };
-        let done: Collected = registry
-            .call("collect", &effect, PATIENCE)
+        let collected: Collected = registry
+            .call("collect", &effect, CALL_TIMEOUT)
             .await
             .map_err(|e| e.to_string())?;
-        println!("{} blobs gone, {} bytes", done.gone, done.bytes);
+        println!("{} blobs gone, {} bytes", collected.gone, collected.bytes);
         Ok(0)
     })?
 }
 
-/// The epoch that operators have while the lease of the collection is paused.
-async fn paused_epoch(stewards: &[RpcClient]) -> Result<(LeaseName, Epoch), String> {
-    let mut last = String::new();
-    for steward in stewards {
-        let status = match steward.call::<Status>("status", json!({}), PATIENCE).await {
+/// The lease of the collection and the epoch reserved for operators while it is paused.
+async fn paused_epoch(coordinators: &[RpcClient]) -> Result<(LeaseName, Epoch), String> {
+    let mut last_error = String::new();
+    for coordinator in coordinators {
+        let status = match coordinator
+            .call::<Status>("status", json!({}), CALL_TIMEOUT)
+            .await
+        {
             Ok(status) => status,
             Err(why) => {
-                last = why.to_string();
+                last_error = why.to_string();
                 continue;
             }
         };
-        let fleet = status.fleet.ok_or("nothing is known of the fleet yet")?;
+        let fleet = status
+            .fleet
+            .ok_or("the coordinator does not know the fleet yet")?;
         let lease = fleet
             .leases
             .iter()
@@ -243,5 +253,5 @@
             )),
         };
     }
-    Err(last)
+    Err(last_error)
 }
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,10 +1,10 @@
-//! `saltdrum steward`, `saltdrum fleet`, and how controllers and invokers take part in a fleet.
+//! `saltdrum coordinator` and `saltdrum fleet`, and the fleet membership of controllers and invokers.
 
 use crate::leases::{self, LeaseCommand};
 use crate::process::{
-    monotonic_ns, on_this_thread, open_on_disk, until_interrupted, writes_may_fail,
+    handle_file_size_signal, monotonic_ns, on_this_thread, open_on_disk, until_interrupted,
 };
-use crate::scripts::stated_fleet;
+use crate::scripts::load_fleet;
 use clap::{Args, Subcommand};
 use comfy_table::{Table, presets};
 use saltdrum::interface::{SECOND, Ticks};
@@ -33,73 +33,77 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-type Done = Result<u8, String>;
+type CommandResult = Result<u8, String>;
 
-/// How a process joins the fleet that its deployment's script states.
+/// Options with which a process joins the fleet that its deployment script describes.
 #[derive(Args, Clone)]
-pub struct Joins {
-    /// Where a steward is; once for each. Without it the process takes part in no fleet.
-    #[arg(long = "steward")]
-    stewards: Vec<String>,
-    /// Where the others reach it, if not where it listens.
-    #[arg(long, requires = "stewards")]
+pub struct MembershipOptions {
+    /// Address of a coordinator; repeat for each one. Without it the process joins no fleet.
+    #[arg(long = "steward", value_name = "STEWARDS")]
+    coordinators: Vec<String>,
+    /// Address at which other members reach it, if it differs from the listen address.
+    #[arg(long, requires = "coordinators")]
     reached_at: Option<String>,
-    /// The invoker starts cold and empty.
-    #[arg(long, requires = "stewards")]
+    /// The invoker starts cold, with no function loaded.
+    #[arg(long, requires = "coordinators")]
     pub cold: bool,
 }
 
+/// The validated options of a member, and the settings of its fleet.
 #[derive(Clone)]
-pub struct Joined {
-    stewards: Vec<Address>,
+pub struct MemberConfig {
+    coordinators: Vec<Address>,
     reached_at: Option<Address>,
-    terms: FleetConfig,
+    fleet: FleetConfig,
 }
 
-impl Joins {
-    pub fn checked(&self, terms: Option<&FleetConfig>) -> Result<Option<Joined>, String> {
-        if self.stewards.is_empty() {
+impl MembershipOptions {
+    /// Parses the addresses; none: the process joins no fleet.
+    pub fn resolve(&self, fleet: Option<&FleetConfig>) -> Result<Option<MemberConfig>, String> {
+        if self.coordinators.is_empty() {
             return Ok(None);
         }
-        let terms = terms
-            .ok_or("--steward: the script states no fleet(...)")?
+        let fleet = fleet
+            .ok_or("--steward: the script has no fleet(...)")?
             .clone();
-        let stewards = self
-            .stewards
+        let coordinators = self
+            .coordinators
             .iter()
             .map(|s| s.parse().map_err(String::from))
             .collect::<Result<_, String>>()?;
         let reached_at = self.reached_at.as_ref().map(|a| a.parse()).transpose()?;
-        Ok(Some(Joined {
-            stewards,
+        Ok(Some(MemberConfig {
+            coordinators,
             reached_at,
-            terms,
+            fleet,
         }))
     }
 }
 
-fn note(member: MemberId, incarnation: u64, what: &str, grant: u64) {
-    let line = json!({"at_ns": monotonic_ns(), "member": member, "incarnation": incarnation, "what": what, "grant": grant});
+/// Prints an event of a member as a line of JSON.
+fn print_event(member: MemberId, incarnation: u64, event: &str, grant: u64) {
+    let line = json!({"at_ns": monotonic_ns(), "member": member, "incarnation": incarnation, "what": event, "grant": grant});
     let mut out = std::io::stdout().lock();
     let _ = writeln!(out, "{line}");
     let _ = out.flush();
 }
 
-impl Joined {
-    fn stays_member(&self, member: MemberId, about: MemberInfo) -> Membership {
+impl MemberConfig {
+    fn membership(&self, member: MemberId, about: MemberInfo) -> Membership {
         Membership {
-            fleet: self.terms.name.clone(),
+            fleet: self.fleet.name.clone(),
             member,
             about,
-            stewards: self.stewards.clone(),
-            renew: self.terms.renew,
+            stewards: self.coordinators.clone(),
+            renew: self.fleet.renew,
             leases: Default::default(),
         }
     }
 
+    /// The membership of a controller.
     #[expect(
         clippy::too_many_arguments,
-        reason = "they are what the fleet is told of a controller"
+        reason = "a controller reports each of them to the fleet"
     )]
     pub fn controller(
         &self,
@@ -108,7 +112,7 @@
         zone: u8,
         terms: &Terms,
         clients: &Address,
-        going: &ShutdownHandle,
+        shutdown: &ShutdownHandle,
         tasks: BTreeSet<String>,
     ) -> (Membership, Rc<dyn MemberRole>) {
         let member = MemberId::controller(number);
@@ -128,25 +132,26 @@
             zone,
             tasks,
         };
-        let part = ControllerRole {
+        let role = ControllerRole {
             member,
             incarnation,
-            going: going.clone(),
-            // Clients on their way hear of it before anything is throttled.
-            lead: 2 * terms.deployment.drain_grace,
-            longest: terms
+            shutdown: shutdown.clone(),
+            // Clients about to connect learn of the drain before any request is throttled.
+            redirect_period: 2 * terms.deployment.drain_grace,
+            longest_client_timeout: terms
                 .deployment
                 .trigger_types
                 .iter()
                 .map(|t| t.client_timeout)
                 .max()
                 .unwrap_or(0),
-            closes: Rc::default(),
-            closed: Rc::default(),
+            drain_generation: Rc::default(),
+            rejecting_since: Rc::default(),
         };
-        (self.stays_member(member, about), Rc::new(part))
+        (self.membership(member, about), Rc::new(role))
     }
 
+    /// The membership of a stand-in invoker.
     pub fn invoker(
         &self,
         invoker: &Rc<Invoker>,
@@ -175,83 +180,95 @@
             zone: entry.zone,
             tasks,
         };
-        let part = InvokerRole {
+        let role = InvokerRole {
             member,
             incarnation: entry.incarnation,
             invoker: invoker.clone(),
-            // The list's way to controllers, and what was on its way to us then.
-            quiet: 2 * site.terms.deployment.drain_grace,
-            drains: Cell::default(),
+            // Covers the propagation of the endpoint list and the requests in flight to this invoker at that time.
+            quiet_period: 2 * site.terms.deployment.drain_grace,
+            draining_since: Cell::default(),
         };
-        (self.stays_member(member, about), Rc::new(part))
+        (self.membership(member, about), Rc::new(role))
     }
 }
 
+/// How a controller drains and returns.
 struct ControllerRole {
     member: MemberId,
     incarnation: u64,
-    going: ShutdownHandle,
-    lead: Ticks,
-    /// Which drain it is; one that was turned back closes no door later.
-    closes: Rc<Cell<u64>>,
-    /// What lies unread by a client for longer than anybody waits is owed no more.
-    longest: Ticks,
-    closed: Rc<Cell<Option<tokio::time::Instant>>>,
+    shutdown: ShutdownHandle,
+    /// Time between redirecting clients and rejecting requests.
+    redirect_period: Ticks,
+    /// Changes with each drain and each cancelled one, so that a cancelled drain does not reject requests later.
+    drain_generation: Rc<Cell<u64>>,
+    /// Longest client timeout of all trigger types; bytes that stay unread for longer do not delay the drain.
+    longest_client_timeout: Ticks,
+    /// When the present drain began to reject requests.
+    rejecting_since: Rc<Cell<Option<tokio::time::Instant>>>,
 }
 
 impl MemberRole for ControllerRole {
     fn is_proven(&self) -> bool {
-        let look = self.going.status();
-        look.has_endpoint_list && look.connections_up * 2 >= look.connections
+        let status = self.shutdown.status();
+        status.has_endpoint_list && status.connections_up * 2 >= status.connections
     }
 
     fn seen(&self) -> MemberLoad {
         MemberLoad {
-            busy: self.going.status().in_flight as f64 / 1_000.0,
+            busy: self.shutdown.status().in_flight as f64 / 1_000.0,
             last_copies: 0,
         }
     }
 
     fn drain(&self) {
-        self.going.set_phase(ShutdownPhase::Redirecting);
-        self.closes.set(self.closes.get() + 1);
-        let (mine, closes, closed) = (self.closes.get(), self.closes.clone(), self.closed.clone());
-        let (going, lead) = (self.going.clone(), self.lead);
+        self.shutdown.set_phase(ShutdownPhase::Redirecting);
+        self.drain_generation.set(self.drain_generation.get() + 1);
+        let (generation, drain_generation, rejecting_since) = (
+            self.drain_generation.get(),
+            self.drain_generation.clone(),
+            self.rejecting_since.clone(),
+        );
+        let (shutdown, redirect_period) = (self.shutdown.clone(), self.redirect_period);
         tokio::task::spawn_local(async move {
-            tokio::time::sleep(Duration::from_micros(lead * 100)).await;
-            if closes.get() == mine {
-                going.set_phase(ShutdownPhase::Rejecting);
-                closed.set(Some(tokio::time::Instant::now()));
+            tokio::time::sleep(Duration::from_micros(redirect_period * 100)).await;
+            if drain_generation.get() == generation {
+                shutdown.set_phase(ShutdownPhase::Rejecting);
+                rejecting_since.set(Some(tokio::time::Instant::now()));
             }
         });
     }
 
     fn is_drained(&self) -> bool {
-        let look = self.going.status();
-        let longest = Duration::from_micros(self.longest * 100);
-        let given_up = self.closed.get().is_some_and(|at| at.elapsed() > longest);
-        self.going.phase() == ShutdownPhase::Rejecting
-            && look.in_flight == 0
-            && (look.unsent_bytes == 0 || given_up)
+        let status = self.shutdown.status();
+        let longest = Duration::from_micros(self.longest_client_timeout * 100);
+        let unread_expired = self
+            .rejecting_since
+            .get()
+            .is_some_and(|at| at.elapsed() > longest);
+        self.shutdown.phase() == ShutdownPhase::Rejecting
+            && status.in_flight == 0
+            && (status.unsent_bytes == 0 || unread_expired)
     }
 
     fn turn_back(&self) -> bool {
-        self.closes.set(self.closes.get() + 1);
-        self.going.set_phase(ShutdownPhase::Serving);
+        self.drain_generation.set(self.drain_generation.get() + 1);
+        self.shutdown.set_phase(ShutdownPhase::Serving);
         true
     }
 
     fn told(&self, what: &'static str, grant: u64) {
-        note(self.member, self.incarnation, what, grant);
+        print_event(self.member, self.incarnation, what, grant);
     }
 }
 
+/// How a stand-in invoker drains and returns.
 struct InvokerRole {
     member: MemberId,
     incarnation: u64,
     invoker: Rc<Invoker>,
-    quiet: Ticks,
-    drains: Cell<Option<Ticks>>,
+    /// Time without work in hand before the drain is complete.
+    quiet_period: Ticks,
+    draining_since: Cell<Option<Ticks>>,
 }
 
 impl MemberRole for InvokerRole {
@@ -269,150 +286,169 @@
     }
 
     fn drain(&self) {
-        self.drains.set(Some(self.invoker.site.clock.now()));
+        self.draining_since.set(Some(self.invoker.site.clock.now()));
     }
 
     fn is_drained(&self) -> bool {
         let now = self.invoker.site.clock.now();
-        self.invoker.in_hand() == 0 && self.drains.get().is_some_and(|at| now >= at + self.quiet)
+        self.invoker.in_hand() == 0
+            && self
+                .draining_since
+                .get()
+                .is_some_and(|at| now >= at + self.quiet_period)
     }
 
     fn turn_back(&self) -> bool {
-        self.drains.set(None);
+        self.draining_since.set(None);
         true
     }
 
     fn told(&self, what: &'static str, grant: u64) {
-        note(self.member, self.incarnation, what, grant);
+        print_event(self.member, self.incarnation, what, grant);
     }
 }
 
-/// Takes part until it is over; for ever where there is no fleet.
-pub async fn stays_member(part: Option<(Membership, Rc<dyn MemberRole>)>) -> Result<(), String> {
-    let Some((with, part)) = part else {
+/// Runs a membership until it ends; without a fleet, never returns.
+pub async fn run_membership(
+    membership: Option<(Membership, Rc<dyn MemberRole>)>,
+) -> Result<(), String> {
+    let Some((membership, role)) = membership else {
         return std::future::pending().await;
     };
-    let member = with.member;
-    match join(with, Rc::new(SocketNetwork), Clock::start(), part).await {
+    let member = membership.member;
+    match join(membership, Rc::new(SocketNetwork), Clock::start(), role).await {
         MembershipEnd::Drained => Ok(()),
-        MembershipEnd::Replaced => Err(format!("{member}: another life has taken its place")),
+        MembershipEnd::Replaced => Err(format!("{member}: replaced by a newer incarnation")),
     }
 }
 
-/// One steward.
+/// Options of one coordinator.
 #[derive(Args)]
-pub struct Runs {
+pub struct CoordinatorOptions {
     deployment: PathBuf,
     #[arg(long)]
     number: u32,
     #[arg(long)]
     listen: String,
-    /// Where it serves the invoker list.
+    /// Address on which it serves the invoker list.
     #[arg(long)]
     list: Option<String>,
-    /// File that it keeps what it promised in.
+    /// File in which it stores its promises and accepted values.
     #[arg(long)]
     disk: PathBuf,
-    /// NUMBER=ADDRESS; once for each steward of the fleet as it was founded, this one too.
-    #[arg(long = "steward", required = true)]
-    stewards: Vec<String>,
-    /// It is one of those that found the fleet, and starts for the first time or from the disk it began with.
+    /// NUMBER=ADDRESS of a founding coordinator of the fleet; repeat for each one, including this one.
+    #[arg(long = "steward", value_name = "STEWARDS", required = true)]
+    coordinators: Vec<String>,
+    /// It is a founding coordinator, and starts for the first time or from its original disk.
     #[arg(long)]
     found: bool,
-    /// A planted fault, to try the judge of trials on: it gives leases to all members on its own opinion.
+    /// Injected fault for testing the judge of trials: it grants leases to all members without any agreement.
     #[arg(long, hide = true)]
     gives_leases_away: bool,
 }
 
-fn numbered(all: &[String]) -> Result<BTreeMap<u32, String>, String> {
-    let mut found = BTreeMap::new();
-    for said in all {
-        let (number, at) = said
+/// Parses arguments of the form NUMBER=ADDRESS.
+fn parse_numbered_addresses(arguments: &[String]) -> Result<BTreeMap<u32, String>, String> {
+    let mut addresses = BTreeMap::new();
+    for argument in arguments {
+        let (number, address) = argument
             .split_once('=')
-            .ok_or(format!("'{said}': NUMBER=ADDRESS is expected"))?;
+            .ok_or(format!("'{argument}': NUMBER=ADDRESS is expected"))?;
         let number = number
             .parse()
-            .map_err(|_| format!("'{said}': a number is expected before '='"))?;
-        at.parse::<Address>()?;
-        if found.insert(number, at.to_owned()).is_some() {
+            .map_err(|_| format!("'{argument}': a number is expected before '='"))?;
+        address.parse::<Address>()?;
+        if addresses.insert(number, address.to_owned()).is_some() {
             return Err(format!("steward {number} is given twice"));
         }
     }
-    Ok(found)
+    Ok(addresses)
 }
 
-pub fn steward(runs: &Runs) -> Done {
-    let terms = stated_fleet(&runs.deployment)?;
-    let stewards = numbered(&runs.stewards)?;
-    if runs.gives_leases_away {
-        return faulty_steward(runs, &terms.name, &stewards);
+/// Runs one coordinator until interrupted.
+pub fn run_coordinator(options: &CoordinatorOptions) -> CommandResult {
+    let fleet = load_fleet(&options.deployment)?;
+    let coordinators = parse_numbered_addresses(&options.coordinators)?;
+    if options.gives_leases_away {
+        return run_faulty_coordinator(options, &fleet.name, &coordinators);
     }
-    let founders: BTreeSet<Voter> = stewards
+    let founders: BTreeSet<Voter> = coordinators
         .keys()
-        .map(|n| Voter {
-            steward: *n,
+        .map(|number| Voter {
+            steward: *number,
             disk: 0,
         })
         .collect();
     let config = Config::founding(founders).map_err(|e| format!("--steward: {e}"))?;
     let mut founding = agreed::Fleet::founded(
-        &terms.name,
+        &fleet.name,
         config,
-        stewards,
-        terms.bounds.clone(),
-        terms.halt_at_lost,
+        coordinators,
+        fleet.bounds.clone(),
+        fleet.halt_at_lost,
     );
-    if !terms.leases.is_empty() {
+    if !fleet.leases.is_empty() {
         let state = Change::Leases {
-            leases: terms.leases.clone(),
+            leases: fleet.leases.clone(),
             by: "the script".into(),
         };
         founding.apply(&state).map_err(|e| e.to_string())?;
     }
-    let disk = if runs.found {
+    let disk = if options.found {
         0
     } else {
         fastrand::u64(1..1 << 48)
     };
     let voter = Voter {
-        steward: runs.number,
+        steward: options.number,
         disk,
     };
-    let new = Identity {
+    let identity = Identity {
         schema: SCHEMA,
-        fleet: terms.name.clone(),
+        fleet: fleet.name.clone(),
         voter,
     };
-    let seat = CoordinatorConfig {
-        number: runs.number,
+    let coordinator_config = CoordinatorConfig {
+        number: options.number,
         life: fastrand::u64(1..1 << 48),
         seed: fastrand::u64(..),
-        terms,
+        terms: fleet,
         founding,
-        listen: runs.listen.parse()?,
-        list: runs.list.as_ref().map(|l| l.parse()).transpose()?,
+        listen: options.listen.parse()?,
+        list: options.list.as_ref().map(|l| l.parse()).transpose()?,
     };
     on_this_thread(async {
-        writes_may_fail()?;
-        let (disk, acceptor) = open_on_disk(|| Disk::open_file(&runs.disk, new.clone())).await?;
-        println!("steward {} votes as {}", runs.number, disk.identity.voter);
+        handle_file_size_signal()?;
+        let (disk, acceptor) =
+            open_on_disk(|| Disk::open_file(&options.disk, identity.clone())).await?;
+        println!(
+            "steward {} votes as {}",
+            options.number, disk.identity.voter
+        );
         tokio::select! {
             biased;
-            done = service::serve(seat, disk, acceptor, Rc::new(SocketNetwork), Clock::start()) => done.map(|()| 0),
+            done = service::serve(coordinator_config, disk, acceptor, Rc::new(SocketNetwork), Clock::start()) => done.map(|()| 0),
             () = until_interrupted() => Ok(0),
         }
     })?
 }
 
-fn faulty_steward(runs: &Runs, fleet: &str, stewards: &BTreeMap<u32, String>) -> Done {
-    let honest = stewards.iter().find(|(number, _)| **number != runs.number);
-    let (_, honest) = honest.ok_or("an honest steward is expected beside it")?;
+fn run_faulty_coordinator(
+    options: &CoordinatorOptions,
+    fleet: &str,
+    coordinators: &BTreeMap<u32, String>,
+) -> CommandResult {
+    let honest = coordinators
+        .iter()
+        .find(|(number, _)| **number != options.number);
+    let (_, honest) =
+        honest.ok_or("--steward: another coordinator is required beside the faulty one")?;
     let honest = RpcClient::new(Rc::new(SocketNetwork), honest.parse()?, fleet);
     let faulty = Rc::new(FaultySteward {
         fleet: fleet.to_owned(),
         honest,
     });
-    let listen: Address = runs.listen.parse()?;
+    let listen: Address = options.listen.parse()?;
     on_this_thread(async {
         tokio::select! {
             biased;
@@ -424,10 +460,10 @@
     })?
 }
 
-/// Where stewards are, and of which fleet.
+/// A fleet's name and the addresses of its coordinators.
 #[derive(Args)]
-pub struct To {
-    /// Where a steward is; further ones are asked when it does not answer.
+pub struct FleetTarget {
+    /// Address of a coordinator; repeat to add others, which are queried when it does not answer.
     #[arg(long = "to", required = true)]
     to: Vec<String>,
     /// The fleet's name.
@@ -435,106 +471,107 @@
     pub fleet: String,
 }
 
+/// Options of a command that changes the fleet.
 #[derive(Args)]
-pub struct By {
+pub struct ChangeOptions {
     #[command(flatten)]
-    to: To,
-    /// Who asks, for the history.
+    to: FleetTarget,
+    /// Name of the requester, recorded in the history.
     #[arg(long, default_value = "operator")]
     by: String,
 }
 
 #[derive(Subcommand)]
-pub enum Fleet {
-    /// Shows who is in, who is out and why nothing moves.
+pub enum FleetCommand {
+    /// Shows the state of the members and what pending drains wait for.
     Status {
         #[command(flatten)]
-        to: To,
+        to: FleetTarget,
         #[arg(long)]
         json: bool,
     },
-    /// Asks that members drain and come back, as many at a time as the bounds leave room for.
+    /// Requests that members drain and return, as many at a time as the bounds allow.
     Drain {
         #[command(flatten)]
-        by: By,
-        /// Who asks with an id again, after a lost answer, starts nothing twice.
+        by: ChangeOptions,
+        /// Id of the request; repeating it after a lost answer starts nothing twice.
         #[arg(long)]
         id: String,
         /// controller-N or invoker-N
         #[arg(required = true)]
         members: Vec<MemberId>,
-        /// Shows the order and what limits it, and changes nothing.
+        /// Shows the planned order and what limits it, without changing anything.
         #[arg(long)]
         dry_run: bool,
-        /// Shows progress until the ask is over.
+        /// Shows progress until the request is complete.
         #[arg(long)]
         wait: bool,
     },
-    /// Withdraws: what has not begun stays, what drains may turn back.
+    /// Withdraws drain requests: members that have not begun stay up, draining ones may cancel their drain.
     Back {
         #[command(flatten)]
-        by: By,
+        by: ChangeOptions,
         #[arg(required = true)]
         members: Vec<MemberId>,
     },
-    /// No drain begins any more, once this is told as done.
+    /// Halts the fleet: once this command reports success, no further drain begins.
     Halt {
         #[command(flatten)]
-        by: By,
+        by: ChangeOptions,
         #[arg(long)]
         why: String,
     },
-    /// Goes on with what is left.
+    /// Ends a halt and continues with the remaining drains.
     Resume {
         #[command(flatten)]
-        by: By,
+        by: ChangeOptions,
     },
-    /// A member that is lost or away does not come back, and is not counted any more.
+    /// Removes a lost or away member that will not return, so that it no longer counts.
     Forget {
         #[command(flatten)]
-        by: By,
+        by: ChangeOptions,
         member: MemberId,
     },
-    /// Takes the bounds of a script in place of those that hold.
+    /// Replaces the bounds in effect with those of a script.
     Bounds {
         #[command(flatten)]
-        by: By,
+        by: ChangeOptions,
         deployment: PathBuf,
     },
-    /// Puts other stewards in place: VOTER as each prints it at its start, steward-N/DISK=ADDRESS.
+    /// Replaces the coordinators; VOTER is steward-N/DISK=ADDRESS, as each prints it at its start.
     Stewards {
         #[command(flatten)]
-        by: By,
+        by: ChangeOptions,
         #[arg(required = true)]
         voters: Vec<String>,
     },
-    /// Who holds the leases of fleet-wide tasks.
+    /// Shows the leases of fleet-wide tasks and their holders.
     Leases {
         #[command(flatten)]
-        to: To,
+        to: FleetTarget,
         #[arg(long)]
         json: bool,
-        /// NAME=ADDRESS of a resource, to be asked what it is sealed to.
+        /// NAME=ADDRESS of a resource whose sealed epoch is shown as well.
         #[arg(long = "resource")]
         resources: Vec<String>,
     },
-    /// Pauses, resumes or states leases.
+    /// Pauses, resumes or replaces leases.
     Lease {
         #[command(flatten)]
-        by: By,
+        by: ChangeOptions,
         #[command(subcommand)]
-        what: LeaseCommand,
+        command: LeaseCommand,
     },
-    /// What happened, oldest first.
+    /// Shows the history of the fleet, oldest event first.
     History {
         #[command(flatten)]
-        to: To,
+        to: FleetTarget,
         #[arg(long)]
         json: bool,
     },
 }
 
-/// What a steward tells of itself and of the fleet.
+/// Status of a coordinator and of the fleet.
 #[derive(Deserialize)]
 pub struct Status {
     steward: u32,
@@ -543,27 +580,28 @@
     pub fleet: Option<agreed::Fleet>,
 }
 
-const PATIENCE: Ticks = 5 * SECOND;
+/// Timeout of a call to a coordinator.
+const CALL_TIMEOUT: Ticks = 5 * SECOND;
 
-impl To {
-    fn callers(&self) -> Result<Vec<RpcClient>, String> {
-        let caller = |at: &String| {
-            let at = at.parse::<Address>()?;
-            Ok(RpcClient::new(Rc::new(SocketNetwork), at, &self.fleet))
+impl FleetTarget {
+    fn clients(&self) -> Result<Vec<RpcClient>, String> {
+        let client = |address: &String| {
+            let address = address.parse::<Address>()?;
+            Ok(RpcClient::new(Rc::new(SocketNetwork), address, &self.fleet))
         };
-        self.to.iter().map(caller).collect()
+        self.to.iter().map(client).collect()
     }
 
-    /// The first answer that any steward gives; one that is not settled asks the next.
-    async fn ask<T: serde::de::DeserializeOwned>(
+    /// Queries the coordinators in order, and returns the first answer that is settled.
+    async fn call<T: serde::de::DeserializeOwned>(
         &self,
         method: &str,
-        what: &impl serde::Serialize,
+        params: &impl serde::Serialize,
     ) -> Result<T, String> {
-        let mut last = String::new();
-        for caller in self.callers()? {
-            match caller.call(method, what, PATIENCE).await {
-                Ok(told) => return Ok(told),
+        let mut last_error = String::new();
+        for client in self.clients()? {
+            match client.call(method, params, CALL_TIMEOUT).await {
+                Ok(reply) => return Ok(reply),
                 Err(CallError::Told { code, message })
                     if code == saltdrum_coordinator::wire::REFUSED =>
                 {
@@ -572,131 +610,137 @@
                 Err(CallError::Told {
                     code: OUTCOME_UNKNOWN,
                     message,
-                }) => last = message,
-                Err(why) => last = why.to_string(),
+                }) => last_error = message,
+                Err(why) => last_error = why.to_string(),
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
-    async fn change(&self, change: Change) -> Done {
-        let told: ChangeReply = self.ask("change", &ChangeRequest { change }).await?;
-        let what = if told.changed { "done" } else { "done before" };
-        println!("{what}, at revision {}", told.revision);
+    async fn change(&self, change: Change) -> CommandResult {
+        let reply: ChangeReply = self.call("change", &ChangeRequest { change }).await?;
+        let outcome = if reply.changed { "done" } else { "done before" };
+        println!("{outcome}, at revision {}", reply.revision);
         Ok(0)
     }
 
-    /// What the first steward that answers tells of itself and of the fleet.
+    /// The status reported by the first coordinator that answers.
     pub async fn status(&self) -> Result<Status, String> {
-        self.ask("status", &json!({})).await
+        self.call("status", &json!({})).await
     }
 }
 
-/// A table without borders, with these titles.
-pub fn table(head: &[&str]) -> Table {
+/// A table without borders with the given column titles.
+pub fn table(titles: &[&str]) -> Table {
     let mut table = Table::new();
     table
         .load_preset(presets::NOTHING)
-        .set_header(head.iter().copied());
+        .set_header(titles.iter().copied());
     table
 }
 
-fn print_status(s: &Status) {
-    let votes = if s.votes { "votes" } else { "does not vote" };
-    let Some(fleet) = &s.fleet else {
+fn print_status(status: &Status) {
+    let votes = if status.votes {
+        "votes"
+    } else {
+        "does not vote"
+    };
+    let Some(fleet) = &status.fleet else {
         println!(
             "steward {} {votes}, and knows nothing of the fleet yet",
-            s.steward
+            status.steward
         );
         return;
     };
     println!(
         "fleet {}, revision {}, told by steward {}, which {votes}",
-        fleet.name, fleet.revision, s.steward
+        fleet.name, fleet.revision, status.steward
     );
     let mut counts: BTreeMap<(String, &str), usize> = BTreeMap::new();
-    for (id, m) in &fleet.members {
+    for (id, member) in &fleet.members {
         let kind = id
             .to_string()
             .split('-')
             .next()
             .unwrap_or_default()
             .to_owned();
-        *counts.entry((kind, m.phase.word())).or_default() += 1;
+        *counts.entry((kind, member.phase.word())).or_default() += 1;
     }
-    for ((kind, phase), n) in counts {
-        println!("  {n} {kind}s {phase}");
+    for ((kind, phase), count) in counts {
+        println!("  {count} {kind}s {phase}");
     }
-    if let Some(h) = &fleet.halt {
+    if let Some(halt) = &fleet.halt {
         println!(
             "HALTED at revision {} by {}: {}; ends by {}",
-            h.revision, h.by, h.why, h.ends
+            halt.revision, halt.by, halt.why, halt.ends
         );
     }
-    let out: Vec<_> = fleet.out().collect();
-    if !out.is_empty() {
-        let mut t = table(&["out", "is", "since revision", "site", "cell", "version"]);
-        for (id, m) in out {
-            let (phase, site) = (m.phase.word().to_owned(), m.about.site.clone());
-            t.add_row([
+    let out_of_service: Vec<_> = fleet.out().collect();
+    if !out_of_service.is_empty() {
+        let mut rows = table(&["out", "is", "since revision", "site", "cell", "version"]);
+        for (id, member) in out_of_service {
+            let (phase, site) = (member.phase.word().to_owned(), member.about.site.clone());
+            rows.add_row([
                 id.to_string(),
                 phase,
-                m.since.to_string(),
+                member.since.to_string(),
                 site,
-                m.about.cell.to_string(),
-                m.about.version.clone(),
+                member.about.cell.to_string(),
+                member.about.version.clone(),
             ]);
         }
-        println!("{t}");
+        println!("{rows}");
     }
-    for (id, a) in &fleet.asks {
-        let n = [
-            a.waiting.len(),
-            a.under_way.len(),
-            a.finished.len(),
-            a.withdrawn.len(),
+    for (id, request) in &fleet.asks {
+        let sizes = [
+            request.waiting.len(),
+            request.under_way.len(),
+            request.finished.len(),
+            request.withdrawn.len(),
         ];
         println!(
             "ask '{id}' by {}: {} waiting, {} under way, {} finished, {} withdrawn",
-            a.by, n[0], n[1], n[2], n[3]
+            request.by, sizes[0], sizes[1], sizes[2], sizes[3]
         );
     }
-    if let Some(why) = &s.waits_for {
+    if let Some(why) = &status.waits_for {
         println!("waits: {why}");
     }
 }
 
-async fn wait_for(to: &To, id: &str) -> Done {
-    let mut last = String::new();
+/// Prints the progress of a drain request until it is complete.
+async fn wait_for_drains(to: &FleetTarget, id: &str) -> CommandResult {
+    let mut last_progress = String::new();
     loop {
-        // A steward that does not answer now may do so again: the ask goes on without us.
-        if let Ok(s) = to.status().await
-            && let Some(fleet) = &s.fleet
-            && let Some(ask) = fleet.asks.get(id)
+        // A coordinator that does not answer now may answer later; the request proceeds without this process.
+        if let Ok(status) = to.status().await
+            && let Some(fleet) = &status.fleet
+            && let Some(request) = fleet.asks.get(id)
         {
-            let n = ask.waiting.len() + ask.under_way.len();
-            let away = ask.under_way.iter().filter(|m| {
+            let remaining = request.waiting.len() + request.under_way.len();
+            let away = request.under_way.iter().filter(|m| {
                 fleet
                     .members
                     .get(m)
                     .is_some_and(|m| matches!(m.phase, Phase::Away { .. }))
             });
-            let now = format!(
+            let progress = format!(
                 "{} finished, {} under way ({} away), {} waiting{}",
-                ask.finished.len(),
-                ask.under_way.len(),
+                request.finished.len(),
+                request.under_way.len(),
                 away.count(),
-                ask.waiting.len(),
-                s.waits_for
+                request.waiting.len(),
+                status
+                    .waits_for
                     .as_ref()
-                    .filter(|_| n > 0)
+                    .filter(|_| remaining > 0)
                     .map_or(String::new(), |w| format!("; {w}")),
             );
-            if now != last {
-                println!("{now}");
-                last = now;
+            if progress != last_progress {
+                println!("{progress}");
+                last_progress = progress;
             }
-            if ask.is_over() {
+            if request.is_over() {
                 return Ok(0);
             }
         }
@@ -704,24 +748,25 @@
     }
 }
 
-pub fn run(what: &Fleet) -> Done {
+/// Runs one subcommand of `saltdrum fleet`.
+pub fn run(command: &FleetCommand) -> CommandResult {
     on_this_thread(async {
-        match what {
-            Fleet::Status { to, json: false } => {
+        match command {
+            FleetCommand::Status { to, json: false } => {
                 print_status(&to.status().await?);
                 Ok(0)
             }
-            Fleet::Status { to, json: true } => {
-                let told: serde_json::Value = to.ask("status", &json!({})).await?;
-                println!("{told}");
+            FleetCommand::Status { to, json: true } => {
+                let status: serde_json::Value = to.call("status", &json!({})).await?;
+                println!("{status}");
                 Ok(0)
             }
-            Fleet::History { to, json } => {
+            FleetCommand::History { to, json } => {
                 let fleet = to
                     .status()
                     .await?
                     .fleet
-                    .ok_or("nothing is known of the fleet yet")?;
+                    .ok_or("the coordinator does not know the fleet yet")?;
                 for event in &fleet.history {
                     match json {
                         true => println!("{}", json!(event)),
@@ -730,13 +775,13 @@
                 }
                 Ok(0)
             }
-            Fleet::Leases {
+            FleetCommand::Leases {
                 to,
                 json,
                 resources,
             } => leases::show(to, *json, resources).await,
-            Fleet::Lease { by, what } => by.to.change(what.change(&by.by)?).await,
-            Fleet::Drain {
+            FleetCommand::Lease { by, command } => by.to.change(command.change(&by.by)?).await,
+            FleetCommand::Drain {
                 by,
                 members,
                 dry_run: true,
@@ -744,48 +789,48 @@
             } => {
                 let batches: Vec<Batch> = by
                     .to
-                    .ask(
+                    .call(
                         "dry_run",
                         &DryRun {
                             members: members.clone(),
                         },
                     )
                     .await?;
-                let mut t = table(&["step", "out together", "what limits it"]);
-                for (n, b) in batches.iter().enumerate() {
-                    let go: Vec<String> = b.go.iter().map(ToString::to_string).collect();
-                    t.add_row([
-                        (n + 1).to_string(),
-                        go.join(" "),
-                        b.limit.clone().unwrap_or_default(),
+                let mut rows = table(&["step", "out together", "what limits it"]);
+                for (index, batch) in batches.iter().enumerate() {
+                    let members: Vec<String> = batch.go.iter().map(ToString::to_string).collect();
+                    rows.add_row([
+                        (index + 1).to_string(),
+                        members.join(" "),
+                        batch.limit.clone().unwrap_or_default(),
                     ]);
                 }
                 println!(
-                    "{t}\n{} steps: at best that many times one member's drain and return",
+                    "{rows}\n{} steps: at best that many times one member's drain and return",
                     batches.len()
                 );
                 Ok(0)
             }
-            Fleet::Drain {
+            FleetCommand::Drain {
                 by,
                 id,
                 members,
                 wait,
                 ..
             } => {
-                let ask = Change::Ask {
+                let request = Change::Ask {
                     id: id.clone(),
                     members: members.clone(),
                     by: by.by.clone(),
                 };
-                by.to.change(ask).await?;
+                by.to.change(request).await?;
                 if *wait {
-                    wait_for(&by.to, id).await
+                    wait_for_drains(&by.to, id).await
                 } else {
                     Ok(0)
                 }
             }
-            Fleet::Back { by, members } => {
+            FleetCommand::Back { by, members } => {
                 by.to
                     .change(Change::Withdraw {
                         members: members.clone(),
@@ -793,7 +838,7 @@
                     })
                     .await
             }
-            Fleet::Halt { by, why } => {
+            FleetCommand::Halt { by, why } => {
                 let ends = "an operator's resume".to_owned();
                 by.to
                     .change(Change::Halt {
@@ -803,8 +848,8 @@
                     })
                     .await
             }
-            Fleet::Resume { by } => by.to.change(Change::Resume { by: by.by.clone() }).await,
-            Fleet::Forget { by, member } => {
+            FleetCommand::Resume { by } => by.to.change(Change::Resume { by: by.by.clone() }).await,
+            FleetCommand::Forget { by, member } => {
                 by.to
                     .change(Change::Forget {
                         member: *member,
@@ -812,8 +857,8 @@
                     })
                     .await
             }
-            Fleet::Bounds { by, deployment } => {
-                let bounds: Vec<Bound> = stated_fleet(deployment)?.bounds;
+            FleetCommand::Bounds { by, deployment } => {
+                let bounds: Vec<Bound> = load_fleet(deployment)?.bounds;
                 by.to
                     .change(Change::Bounds {
                         bounds,
@@ -821,10 +866,10 @@
                     })
                     .await
             }
-            Fleet::Stewards { by, voters } => {
+            FleetCommand::Stewards { by, voters } => {
                 let (mut all, mut at) = (BTreeSet::new(), BTreeMap::new());
-                for said in voters {
-                    let (voter, address) = voter(said)?;
+                for argument in voters {
+                    let (voter, address) = parse_voter(argument)?;
                     all.insert(voter);
                     at.insert(voter.steward, address);
                 }
@@ -840,15 +885,16 @@
     })?
 }
 
-fn voter(said: &str) -> Result<(Voter, String), String> {
-    let fault = || format!("'{said}': steward-N/DISK=ADDRESS is expected");
-    let (voter, at) = said.split_once('=').ok_or_else(fault)?;
+/// Parses an argument of the form steward-N/DISK=ADDRESS.
+fn parse_voter(argument: &str) -> Result<(Voter, String), String> {
+    let invalid = || format!("'{argument}': steward-N/DISK=ADDRESS is expected");
+    let (voter, address) = argument.split_once('=').ok_or_else(invalid)?;
     let (number, disk) = voter
         .strip_prefix("steward-")
         .and_then(|v| v.split_once('/'))
-        .ok_or_else(fault)?;
-    let steward = number.parse().map_err(|_| fault())?;
-    let disk = u64::from_str_radix(disk, 16).map_err(|_| fault())?;
-    at.parse::<Address>()?;
-    Ok((Voter { steward, disk }, at.to_owned()))
+        .ok_or_else(invalid)?;
+    let steward = number.parse().map_err(|_| invalid())?;
+    let disk = u64::from_str_radix(disk, 16).map_err(|_| invalid())?;
+    address.parse::<Address>()?;
+    Ok((Voter { steward, disk }, address.to_owned()))
 }
--- a/crates/cli/src/key_file.rs
+++ b/crates/cli/src/key_file.rs
@@ -1,4 +1,4 @@
-//! Files that hold a key: for their owner's eyes alone, whole or not at all, and never written over one that is there.
+//! Key files: readable by their owner alone, written atomically, and never overwriting an existing file.
 
 use saltdrum_durable::file;
 use std::fs::{self, OpenOptions};
@@ -6,10 +6,10 @@
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::Path;
 
-const OWNER_ALONE: u32 = 0o600;
+const OWNER_READ_WRITE_MODE: u32 = 0o600;
 
-/// An error where there is something at this path already.
-pub fn is_free(path: &Path) -> io::Result<()> {
+/// Fails if the path exists already.
+pub fn check_absent(path: &Path) -> io::Result<()> {
     if path.exists() {
         Err(io::ErrorKind::AlreadyExists.into())
     } else {
@@ -17,35 +17,35 @@
     }
 }
 
-/// Writes the key beside its place, and brings it to disk.
-pub fn write_unfinished(path: &Path, key: &str) -> io::Result<()> {
-    let unfinished = file::unfinished(path);
-    file::remove_if_there(&unfinished)?;
+/// Writes the key to the temporary file beside its path, and syncs it.
+pub fn write_temporary(path: &Path, key: &str) -> io::Result<()> {
+    let temporary = file::unfinished(path);
+    file::remove_if_there(&temporary)?;
     let mut file = OpenOptions::new()
         .write(true)
         .create_new(true)
-        .mode(OWNER_ALONE)
-        .open(unfinished)?;
+        .mode(OWNER_READ_WRITE_MODE)
+        .open(temporary)?;
     file.write_all(format!("{key}\n").as_bytes())?;
     file.sync_all()
 }
 
-/// The key that was written beside its place.
-pub fn read_unfinished(path: &Path) -> io::Result<String> {
+/// Reads the key from the temporary file.
+pub fn read_temporary(path: &Path) -> io::Result<String> {
     Ok(fs::read_to_string(file::unfinished(path))?
         .trim()
         .to_owned())
 }
 
-/// Puts what was written beside its place there.
+/// Renames the temporary file to the path of the key.
 pub fn finish(path: &Path) -> io::Result<()> {
-    is_free(path)?;
+    check_absent(path)?;
     file::rename(&file::unfinished(path), path)
 }
 
-/// Writes a key.
+/// Writes a key to a new file.
 pub fn write(path: &Path, key: &str) -> io::Result<()> {
-    is_free(path)?;
-    write_unfinished(path, key)?;
+    check_absent(path)?;
+    write_temporary(path, key)?;
     finish(path)
 }
--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -10,86 +10,89 @@
 use std::time::Instant;
 
 #[derive(Subcommand)]
-pub enum Lab {
-    /// Plays an experiment's days in virtual time, each variant on the same ones. Goes on where it was stopped.
+pub enum LabCommand {
+    /// Plays an experiment's days in virtual time, the same ones for each variant. Resumes an interrupted run.
     Run {
         experiment: PathBuf,
         /// Folder of the results.
         #[arg(long)]
         out: PathBuf,
-        /// Runs at a time; as many as there are cores where it is left out.
+        /// Number of concurrent runs; by default the number of cores.
         #[arg(long)]
         jobs: Option<usize>,
     },
-    /// Shows what came of an experiment.
+    /// Shows the results of an experiment.
     Report {
         /// Folder of the results.
         results: PathBuf,
-        /// Writes a page of its own here.
+        /// Writes a self-contained HTML page to this file.
         #[arg(long)]
         html: Option<PathBuf>,
-        /// Facts as JSON in place of tables.
+        /// Prints the results as JSON instead of tables.
         #[arg(long)]
         json: bool,
     },
-    /// Plays days with random troubles until one breaks a rule or a bound, and cuts it down.
+    /// Plays days with random faults until one breaks a rule or a bound, and minimizes it.
     Hunt {
-        /// Day to put troubles into: a script, or the name of a day that comes with the program.
+        /// Day to add faults to: a script, or the name of a built-in day.
         day: String,
-        /// Days at the most.
+        /// Maximum number of days.
         #[arg(long, default_value_t = 100)]
         days: usize,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Days at the most to cut one down.
+        /// Maximum number of days played to minimize the failing one.
         #[arg(long, default_value_t = 200)]
         cuts: usize,
-        /// Least share of billed value in time, 0 to 1.
+        /// Minimum share of the billed value that is served in time, 0 to 1.
         #[arg(long)]
         least_value: Option<f64>,
-        /// PollTimes for breaches of this rule only, 1 to 5.
+        /// Searches for breaches of this rule only, 1 to 5.
         #[arg(long)]
         rule: Option<u8>,
+        /// Number of concurrent runs; by default the number of cores.
         #[arg(long)]
         jobs: Option<usize>,
-        /// Where the day that was found goes.
+        /// File to which the failing day is written.
         #[arg(long, default_value = "found.star")]
         out: PathBuf,
-        /// Plays a controller that breaks rules on purpose, to try the search itself.
+        /// Plays a controller that breaks rules on purpose, to test the search itself.
         #[arg(long, hide = true)]
         plant: Option<String>,
     },
 }
 
-fn jobs(said: Option<usize>) -> usize {
-    said.or_else(|| std::thread::available_parallelism().ok().map(usize::from))
+/// The number of concurrent runs.
+fn job_count(requested: Option<usize>) -> usize {
+    requested
+        .or_else(|| std::thread::available_parallelism().ok().map(usize::from))
         .unwrap_or(1)
 }
 
-/// 0: done. 1: a run failed, or a day was found that does. 2: bad input.
-pub fn run(what: &Lab) -> Result<u8, String> {
-    match what {
-        Lab::Run {
+/// Runs one subcommand of `saltdrum lab`. Exit codes: 0 done, 1 a run failed or a failing day was found, 2 invalid input.
+pub fn run(command: &LabCommand) -> Result<u8, String> {
+    match command {
+        LabCommand::Run {
             experiment,
             out,
-            jobs: n,
+            jobs,
         } => {
             let text = fs::read_to_string(experiment)
                 .map_err(|e| format!("{}: {e}", experiment.display()))?;
-            let x = Experiment::load(experiment, &text).map_err(|e| e.to_string())?;
+            let plan = Experiment::load(experiment, &text).map_err(|e| e.to_string())?;
             let began = Instant::now();
-            let sitting = run::run(&x, out, jobs(*n), |over, all, name| {
-                eprintln!("{over}/{all} {name}")
+            let summary = run::run(&plan, out, job_count(*jobs), |finished, total, name| {
+                eprintln!("{finished}/{total} {name}")
             })?;
             let seconds = began.elapsed().as_secs_f64();
-            let (played, found, digest) = (sitting.played, sitting.found, &sitting.digest);
+            let (played, found, digest) = (summary.played, summary.found, &summary.digest);
             println!(
                 "{played} runs played in {seconds:.1} s, {found} were there; results {digest}"
             );
-            sitting.failed.iter().for_each(|f| println!("FAILED {f}"));
-            Ok(u8::from(!sitting.failed.is_empty()))
+            summary.failed.iter().for_each(|f| println!("FAILED {f}"));
+            Ok(u8::from(!summary.failed.is_empty()))
         }
-        Lab::Report {
+        LabCommand::Report {
             results,
             html,
             json,
@@ -108,41 +111,41 @@
             }
             Ok(0)
         }
-        Lab::Hunt {
+        LabCommand::Hunt {
             day,
             days,
             seed,
             cuts,
             least_value,
             rule,
-            jobs: n,
+            jobs,
             out,
             plant,
         } => {
             let (script, _) = crate::run::day(day)?;
             let base = Script::read(day, &script).map_err(|e| e.to_string())?;
-            let cover = planted(plant.as_deref())?;
+            let cover = cover_with_fault(plant.as_deref())?;
             let bounds = Bounds {
                 least_value: *least_value,
                 only_rule: *rule,
             };
             let began = Instant::now();
-            let found = hunt(&base, cover, bounds, *seed, *days, *cuts, jobs(*n))?;
+            let found = hunt(&base, cover, bounds, *seed, *days, *cuts, job_count(*jobs))?;
             let seconds = began.elapsed().as_secs_f64();
             match found {
                 None => {
                     println!("{days} days from seed {seed} on, {seconds:.1} s: none failed");
                     Ok(0)
                 }
-                Some(f) => {
-                    tell_found(out, &f)?;
+                Some(failure) => {
+                    write_failing_day(out, &failure)?;
                     println!(
                         "day {} (seed {}) failed; {seconds:.1} s in all: {}",
-                        f.days, f.seed, f.why
+                        failure.days, failure.seed, failure.why
                     );
                     println!(
                         "cut down with {} further days to {}",
-                        f.shrunk.played,
+                        failure.shrunk.played,
                         out.display()
                     );
                     Ok(1)
@@ -152,7 +155,8 @@
     }
 }
 
-fn tell_found(out: &Path, found: &saltdrum_lab::hunt::Found) -> Result<(), String> {
+/// Writes a failing day's script.
+fn write_failing_day(out: &Path, found: &saltdrum_lab::hunt::Found) -> Result<(), String> {
     let why = found.why.replace('\n', " ");
     let text = format!(
         "# Found by a search, cut down. It fails with {why}\n{}",
@@ -161,7 +165,8 @@
     fs::write(out, text).map_err(|e| format!("{}: {e}", out.display()))
 }
 
-fn planted(name: Option<&str>) -> Result<Cover, String> {
+/// The policies to play, with the fault of this name.
+fn cover_with_fault(name: Option<&str>) -> Result<Cover, String> {
     let Some(name) = name else {
         return Ok(Cover::of(serve));
     };
@@ -182,7 +187,7 @@
             .collect();
         format!("--plant {name}: one of {} is expected", known.join(", "))
     })?;
-    // A seat takes a plain function, so each fault has one of its own.
+    // `Serve` is a plain function pointer, which captures nothing, so each fault needs its own closure.
     let serve: Serve = match fault.1 {
         Fault::None => |s, n, c| rogue(Fault::None, s, n, c),
         Fault::AnswersTwice => |s, n, c| rogue(Fault::AnswersTwice, s, n, c),
--- a/crates/cli/src/layers.rs
+++ b/crates/cli/src/layers.rs
@@ -1,4 +1,4 @@
-//! `saltdrum layers`: folders of packed models.
+//! `saltdrum layers`: folders of packed models, and the agent that fetches and serves them.
 
 use clap::Subcommand;
 use saltdrum_layers::Packing;
@@ -8,53 +8,53 @@
 use std::path::PathBuf;
 
 #[derive(Subcommand)]
-pub enum Layers {
-    /// Cuts a model's file into chunks and puts it under a tag.
+pub enum LayersCommand {
+    /// Splits a model's file into chunks and stores it under a tag.
     Pack {
         model: PathBuf,
-        /// The folder, made if it is not there.
+        /// Folder of packed models, created if it does not exist.
         #[arg(long)]
         into: PathBuf,
         #[arg(long)]
         tag: String,
     },
-    /// Puts a model together again.
+    /// Reassembles a model's file from its chunks.
     Unpack {
         folder: PathBuf,
         tag: String,
         #[arg(long)]
         to: PathBuf,
     },
-    /// PollTimes at every byte that a tag leads to.
+    /// Verifies every byte reachable from a tag.
     Verify { folder: PathBuf },
     /// Lists the tags, or the chunks of one.
     Show {
         folder: PathBuf,
         tag: Option<String>,
     },
-    /// Fetches models for one invoker and serves what it holds to peers, until interrupted.
+    /// Fetches models for one invoker and serves cached chunks to peers, until interrupted.
     Agent {
-        /// The invoker's number on the list.
+        /// Number of the invoker in the list.
         #[arg(long)]
         me: u32,
-        /// Where peers come in; it must be the agent's address on the list.
+        /// Address on which it serves peers; must be the agent's address in the list.
         #[arg(long)]
         listen: String,
-        /// A registry that speaks HTTP.
+        /// Address of a registry that speaks HTTP.
         #[arg(long)]
         store: String,
         #[arg(long)]
         list: String,
-        /// Keeps chunks here.
+        /// Cache folder for chunks.
         #[arg(long)]
         folder: PathBuf,
         #[arg(long, default_value_t = 10_000)]
         cache_mb: u64,
-        /// Takes `load` and `status` here, as JSON-RPC by lines.
+        /// Address on which it serves `load` and `status`, as line-delimited JSON-RPC.
         #[arg(long)]
         door: String,
     },
-    /// What two models share.
+    /// Shows how much data two models share.
     Diff {
         folder: PathBuf,
         first: String,
@@ -62,69 +62,70 @@
     },
 }
 
+/// Bytes in MB.
 fn mb(bytes: u64) -> f64 {
     bytes as f64 / 1e6
 }
 
-/// 0 done, 1 something is damaged.
-pub fn run(what: &Layers) -> Result<u8, String> {
+/// Runs one subcommand of `saltdrum layers`. Exit codes: 0 done, 1 damaged data found.
+pub fn run(command: &LayersCommand) -> Result<u8, String> {
     let open = |folder| Layout::open(folder).map_err(|e| e.to_string());
-    let text = |e: saltdrum_layers::layout::Fault| e.to_string();
-    match what {
-        Layers::Pack { model, into, tag } => {
-            let m = open(into)?.pack(model, tag).map_err(text)?;
-            let (bytes, stored) = (mb(m.bytes()), mb(m.stored_bytes()));
+    let to_text = |e: saltdrum_layers::layout::Fault| e.to_string();
+    match command {
+        LayersCommand::Pack { model, into, tag } => {
+            let manifest = open(into)?.pack(model, tag).map_err(to_text)?;
+            let (bytes, stored) = (mb(manifest.bytes()), mb(manifest.stored_bytes()));
             println!(
                 "{tag}: {} chunks, {bytes:.1} MB, {stored:.1} MB stored",
-                m.chunks.len()
+                manifest.chunks.len()
             );
         }
-        Layers::Unpack { folder, tag, to } => {
+        LayersCommand::Unpack { folder, tag, to } => {
             let file = File::create(to).map_err(|e| format!("{}: {e}", to.display()))?;
             let mut file = BufWriter::new(file);
-            open(folder)?.unpack(tag, &mut file).map_err(text)?;
+            open(folder)?.unpack(tag, &mut file).map_err(to_text)?;
             file.flush().map_err(|e| format!("{}: {e}", to.display()))?;
         }
-        Layers::Verify { folder } => {
-            let c = open(folder)?.verify().map_err(text)?;
+        LayersCommand::Verify { folder } => {
+            let check = open(folder)?.verify().map_err(to_text)?;
             println!(
                 "{} models, {} chunks, {:.1} MB, {} wrong",
-                c.models,
-                c.chunks,
-                mb(c.bytes),
-                c.wrong.len()
+                check.models,
+                check.chunks,
+                mb(check.bytes),
+                check.wrong.len()
             );
-            c.wrong.iter().for_each(|w| println!("{w}"));
-            return Ok(u8::from(!c.wrong.is_empty()));
+            check.wrong.iter().for_each(|w| println!("{w}"));
+            return Ok(u8::from(!check.wrong.is_empty()));
         }
-        Layers::Show { folder, tag: None } => {
-            for (tag, digest) in open(folder)?.tags().map_err(text)? {
+        LayersCommand::Show { folder, tag: None } => {
+            for (tag, digest) in open(folder)?.tags().map_err(to_text)? {
                 println!("{tag} {digest}");
             }
         }
-        Layers::Show {
+        LayersCommand::Show {
             folder,
             tag: Some(tag),
         } => {
-            let (digest, m) = open(folder)?.manifest(tag).map_err(text)?;
+            let (digest, manifest) = open(folder)?.manifest(tag).map_err(to_text)?;
             println!(
                 "{tag} {digest}: {} chunks, {:.1} MB",
-                m.chunks.len(),
-                mb(m.bytes())
+                manifest.chunks.len(),
+                mb(manifest.bytes())
             );
-            for c in &m.chunks {
-                let packing = if c.packing == Packing::Zstd {
+            for chunk in &manifest.chunks {
+                let packing = if chunk.packing == Packing::Zstd {
                     "zstd"
                 } else {
                     "plain"
                 };
                 println!(
                     "{} {:>9} {:>9} {packing}",
-                    c.digest, c.bytes, c.stored_bytes
+                    chunk.digest, chunk.bytes, chunk.stored_bytes
                 );
             }
         }
-        Layers::Agent {
+        LayersCommand::Agent {
             me,
             listen,
             store,
@@ -133,7 +134,7 @@
             cache_mb,
             door,
         } => {
-            return crate::run::agent(&crate::run::AgentSeat {
+            return crate::run::run_agent(&crate::run::AgentOptions {
                 me: *me,
                 listen,
                 store,
@@ -143,15 +144,15 @@
                 door,
             });
         }
-        Layers::Diff {
+        LayersCommand::Diff {
             folder,
             first,
             second,
         } => {
-            let d = open(folder)?.diff(first, second).map_err(text)?;
-            println!("both {:.1} MB", mb(d.shared_bytes));
-            println!("only {first} {:.1} MB", mb(d.only_first_bytes));
-            println!("only {second} {:.1} MB", mb(d.only_second_bytes));
+            let diff = open(folder)?.diff(first, second).map_err(to_text)?;
+            println!("both {:.1} MB", mb(diff.shared_bytes));
+            println!("only {first} {:.1} MB", mb(diff.only_first_bytes));
+            println!("only {second} {:.1} MB", mb(diff.only_second_bytes));
         }
     }
     Ok(0)
--- a/crates/cli/src/leases.rs
+++ b/crates/cli/src/leases.rs
@@ -1,10 +1,10 @@
-//! Leases of fleet-wide tasks on the command line: a journal as a process, the task `count`, and what operators ask.
+//! Leases of fleet-wide tasks on the command line: the journal process, the task `count`, and operators' commands.
 
-use crate::fleet::{To, table};
+use crate::fleet::{FleetTarget, table};
 use crate::process::{
-    monotonic_ns, on_this_thread, open_on_disk, until_interrupted, writes_may_fail,
+    handle_file_size_signal, monotonic_ns, on_this_thread, open_on_disk, until_interrupted,
 };
-use crate::scripts::stated_fleet;
+use crate::scripts::load_fleet;
 use clap::{Args, Subcommand};
 use redb::Database;
 use saltdrum::interface::{MILLISECOND, SECOND, Ticks};
@@ -24,57 +24,63 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-type Done = Result<u8, String>;
+type CommandResult = Result<u8, String>;
 
-/// The stand-ins' task.
-pub const COUNT: &str = "count";
-/// Between two of its effects.
-const COUNT_EVERY: Ticks = 20 * MILLISECOND;
-/// No new effect begins when no steward was heard for so long.
-pub const QUIET_AFTER: Ticks = 2 * SECOND;
-/// PendingProposal for a resource's status.
-const PATIENCE: Ticks = 5 * SECOND;
+/// The fleet-wide task that stand-in invokers offer.
+pub const COUNT_TASK: &str = "count";
+/// Interval between two effects of the task `count`.
+const COUNT_INTERVAL: Ticks = 20 * MILLISECOND;
+/// A holder begins no new effect after this time without an answer from a coordinator.
+pub const COORDINATOR_SILENCE_MAX: Ticks = 2 * SECOND;
+/// Timeout of a call for a resource's status.
+const CALL_TIMEOUT: Ticks = 5 * SECOND;
 
-/// A journal as a process.
+/// Options of a journal process.
 #[derive(Args)]
-pub struct RunsJournal {
+pub struct JournalOptions {
     /// Starlark script of the deployment, for the fleet's name.
     deployment: PathBuf,
-    /// As the lease names it.
+    /// Name of the resource in the lease.
     #[arg(long)]
     name: String,
     #[arg(long)]
     listen: String,
-    /// File that it keeps its lines and its seals in.
+    /// File in which it stores its lines and sealed epochs.
     #[arg(long)]
     disk: PathBuf,
-    /// Where a steward is; once for each.
-    #[arg(long = "steward", required = true)]
-    stewards: Vec<String>,
-    /// A planted fault, to try the judge of trials on.
+    /// Address of a coordinator; repeat for each one.
+    #[arg(long = "steward", value_name = "STEWARDS", required = true)]
+    coordinators: Vec<String>,
+    /// Injected fault for testing the judge of trials.
     #[arg(long, hide = true)]
     fault: Option<String>,
 }
 
-/// Runs a journal until interrupted. Each accepted effect goes to standard output, a line of JSON.
-pub fn journal(runs: &RunsJournal) -> Done {
-    let fleet = stated_fleet(&runs.deployment)?.name;
-    let listen: Address = runs.listen.parse()?;
-    let stewards: Vec<Address> = runs
-        .stewards
+/// Runs a journal until interrupted. Prints each accepted effect as a line of JSON.
+pub fn run_journal(options: &JournalOptions) -> CommandResult {
+    let fleet = load_fleet(&options.deployment)?.name;
+    let listen: Address = options.listen.parse()?;
+    let coordinators: Vec<Address> = options
+        .coordinators
         .iter()
         .map(|s| s.parse().map_err(String::from))
         .collect::<Result<_, String>>()?;
-    if let Some(fault) = &runs.fault {
-        return faulty_journal(runs, fault, &fleet, &listen);
+    if let Some(fault) = &options.fault {
+        return run_faulty_journal(options, fault, &fleet, &listen);
     }
     let incarnation = fastrand::u64(1..1 << 48);
     on_this_thread(async {
-        writes_may_fail()?;
-        let disk = open_on_disk(|| JournalDisk::open_file(&runs.disk)).await?;
-        let caller = |at: Address| RpcClient::new(Rc::new(SocketNetwork), at, &fleet);
-        let stewards = stewards.into_iter().map(caller).collect();
-        let journal = Journal::new(&fleet, incarnation, stewards, disk, Box::new(tell_effect));
+        handle_file_size_signal()?;
+        let disk = open_on_disk(|| JournalDisk::open_file(&options.disk)).await?;
+        let client = |at: Address| RpcClient::new(Rc::new(SocketNetwork), at, &fleet);
+        let coordinators = coordinators.into_iter().map(client).collect();
+        let journal = Journal::new(
+            &fleet,
+            incarnation,
+            coordinators,
+            disk,
+            Box::new(print_effect),
+        );
         tokio::select! {
             biased;
             served = server::serve(journal, Rc::new(SocketNetwork), &listen, Clock::start()) => {
@@ -85,14 +91,19 @@
     })?
 }
 
-fn faulty_journal(runs: &RunsJournal, fault: &str, fleet: &str, listen: &Address) -> Done {
+fn run_faulty_journal(
+    options: &JournalOptions,
+    fault: &str,
+    fleet: &str,
+    listen: &Address,
+) -> CommandResult {
     let known = JOURNAL_FAULTS
         .iter()
         .find(|(name, _)| *name == fault)
         .map(|(_, fault)| *fault);
     let fault = known.ok_or_else(|| format!("--fault '{fault}': no such fault"))?;
-    let database = Database::create(&runs.disk).map_err(|e| e.to_string())?;
-    let journal = FaultyJournal::open(fault, fleet, database, Box::new(tell_effect))
+    let database = Database::create(&options.disk).map_err(|e| e.to_string())?;
+    let journal = FaultyJournal::open(fault, fleet, database, Box::new(print_effect))
         .map_err(|e| e.to_string())?;
     on_this_thread(async {
         tokio::select! {
@@ -103,7 +114,8 @@
     })?
 }
 
-fn tell_effect(accepted: &Accepted) {
+/// Prints an accepted effect as a line of JSON.
+fn print_effect(accepted: &Accepted) {
     let line = json!({"at_ns": monotonic_ns(), "what": "effect", "lease": accepted.token.lease,
         "epoch": accepted.token.epoch, "by": accepted.by});
     let mut out = std::io::stdout().lock();
@@ -111,39 +123,42 @@
     let _ = out.flush();
 }
 
-/// NAME=ADDRESS, as often as there are resources.
-fn named(all: &[String]) -> Result<BTreeMap<String, Address>, String> {
-    let one = |said: &String| {
-        let (name, at) = said
+/// Parses arguments of the form NAME=ADDRESS, one for each resource.
+fn parse_resources(arguments: &[String]) -> Result<BTreeMap<String, Address>, String> {
+    let parse = |argument: &String| {
+        let (name, address) = argument
             .split_once('=')
-            .ok_or(format!("'{said}': NAME=ADDRESS is expected"))?;
-        Ok((name.to_owned(), at.parse::<Address>()?))
+            .ok_or(format!("'{argument}': NAME=ADDRESS is expected"))?;
+        Ok((name.to_owned(), address.parse::<Address>()?))
     };
-    all.iter().map(one).collect()
+    arguments.iter().map(parse).collect()
 }
 
-/// A member's side of the leases that it may hold.
-pub fn holder(with: &Membership, resources: &[String]) -> Result<Holder, String> {
-    Ok(holder_of(with, named(resources)?))
+/// The lease holder of a member, for resources given as NAME=ADDRESS.
+pub fn lease_holder_from_arguments(
+    membership: &Membership,
+    resources: &[String],
+) -> Result<Holder, String> {
+    Ok(lease_holder(membership, parse_resources(resources)?))
 }
 
-/// The same, of resources that are known by their addresses.
-pub fn holder_of(with: &Membership, resources: BTreeMap<String, Address>) -> Holder {
-    let caller = |at: Address| RpcClient::new(Rc::new(SocketNetwork), at, &with.fleet);
+/// The lease holder of a member, for resources given by their addresses.
+pub fn lease_holder(membership: &Membership, resources: BTreeMap<String, Address>) -> Holder {
+    let client = |at: Address| RpcClient::new(Rc::new(SocketNetwork), at, &membership.fleet);
     Holder {
-        by: format!("{}/{:x}", with.member, with.about.incarnation),
+        by: format!("{}/{:x}", membership.member, membership.about.incarnation),
         clock: Clock::start(),
-        watch: with.leases.clone(),
+        watch: membership.leases.clone(),
         resources: resources
             .into_iter()
-            .map(|(name, at)| (name, caller(at)))
+            .map(|(name, at)| (name, client(at)))
             .collect(),
-        quiet_after: QUIET_AFTER,
+        quiet_after: COORDINATOR_SILENCE_MAX,
     }
 }
 
-/// Does the task `count` whenever its lease is held; never ends. `acts_before_seals`: planted.
-pub async fn counts(holder: Option<Holder>, acts_before_seals: bool) {
+/// Runs the task `count` while its lease is held; never returns. `acts_before_seals` injects a fault.
+pub async fn run_count_task(holder: Option<Holder>, acts_before_seals: bool) {
     match holder {
         Some(Holder {
             by,
@@ -152,7 +167,7 @@
             resources,
             ..
         }) if acts_before_seals => {
-            acts_before_all_seals(by, COUNT, clock, watch, resources).await;
+            acts_before_all_seals(by, COUNT_TASK, clock, watch, resources).await;
         }
         Some(holder) => {
             holder
@@ -165,43 +180,45 @@
     }
 }
 
-/// Appends a line to each resource in turn.
+/// The task `count`: appends a line to each resource in turn.
 struct Count {
     clock: Clock,
 }
 
 impl Task for Count {
     fn name(&self) -> &str {
-        COUNT
+        COUNT_TASK
     }
 
     async fn step(&self, effects: &Effects<'_>) -> Result<(), EffectFault> {
         for resource in effects.resources() {
             let line = format!("epoch {}", effects.epoch());
             let _: Appended = effects.make(&resource, "append", Append { line }).await?;
-            self.clock.sleep_until(self.clock.now() + COUNT_EVERY).await;
+            self.clock
+                .sleep_until(self.clock.now() + COUNT_INTERVAL)
+                .await;
         }
         Ok(())
     }
 }
 
-/// What operators may do about a lease.
+/// Operators' commands on leases.
 #[derive(Subcommand)]
 pub enum LeaseCommand {
-    /// Takes it from its holder and gives it to nobody. The effects of the holder are refused once a resource is sealed anew.
+    /// Revokes a lease and grants it to nobody. Resources reject the holder's effects once they are sealed to a newer epoch.
     Pause {
         lease: String,
         #[arg(long)]
         why: String,
     },
-    /// Lets it be given again.
+    /// Allows a paused lease to be granted again.
     Resume { lease: String },
-    /// Takes the leases of a script in place of those that there are.
+    /// Replaces all leases with those of a script.
     State { deployment: PathBuf },
 }
 
 impl LeaseCommand {
-    /// The change that an operator asks for.
+    /// The change of the fleet that this command requests.
     pub fn change(&self, by: &str) -> Result<Change, String> {
         let by = by.to_owned();
         Ok(match self {
@@ -215,20 +232,20 @@
                 by,
             },
             Self::State { deployment } => Change::Leases {
-                leases: stated_fleet(deployment)?.leases,
+                leases: load_fleet(deployment)?.leases,
                 by,
             },
         })
     }
 }
 
-/// Shows who holds what, since when and why not.
-pub async fn show(to: &To, as_json: bool, resources: &[String]) -> Done {
+/// Prints the state, the epoch and the resources of each lease.
+pub async fn show(to: &FleetTarget, as_json: bool, resources: &[String]) -> CommandResult {
     let fleet = to
         .status()
         .await?
         .fleet
-        .ok_or("nothing is known of the fleet yet")?;
+        .ok_or("the coordinator does not know the fleet yet")?;
     let sealed = sealed_epochs(to, resources).await?;
     if as_json {
         println!(
@@ -251,7 +268,7 @@
             .resources
             .iter()
             .map(|resource| match sealed.get(resource) {
-                Some(told) => format!("{resource} (sealed: {told})"),
+                Some(epoch) => format!("{resource} (sealed: {epoch})"),
                 None => resource.clone(),
             });
         let resources = resources.collect::<Vec<_>>().join(", ");
@@ -262,7 +279,7 @@
         );
         shown.add_row([
             name.to_string(),
-            described(lease, &fleet),
+            describe_state(lease, &fleet),
             epoch,
             since,
             grants,
@@ -273,7 +290,8 @@
     Ok(0)
 }
 
-fn described(lease: &Lease, fleet: &Fleet) -> String {
+/// Why a lease is held, paused or vacant, in words.
+fn describe_state(lease: &Lease, fleet: &Fleet) -> String {
     match &lease.state {
         LeaseState::Held { holder, .. } => format!("held by {holder}"),
         LeaseState::Paused { by, why, .. } => format!("paused by {by}: {why}"),
@@ -292,15 +310,21 @@
     }
 }
 
-/// What each resource says that it is sealed to.
-async fn sealed_epochs(to: &To, resources: &[String]) -> Result<BTreeMap<String, String>, String> {
-    let mut all = BTreeMap::new();
-    for (name, at) in named(resources)? {
-        let told = RpcClient::new(Rc::new(SocketNetwork), at, &to.fleet)
-            .call::<Json>("status", json!({}), PATIENCE)
+/// Queries the epoch to which each resource is sealed.
+async fn sealed_epochs(
+    to: &FleetTarget,
+    resources: &[String],
+) -> Result<BTreeMap<String, String>, String> {
+    let mut sealed = BTreeMap::new();
+    for (name, address) in parse_resources(resources)? {
+        let status = RpcClient::new(Rc::new(SocketNetwork), address, &to.fleet)
+            .call::<Json>("status", json!({}), CALL_TIMEOUT)
             .await;
-        let told = told.map_or_else(|fault| fault.to_string(), |told| told["sealed"].to_string());
-        all.insert(name, told);
+        let epoch = status.map_or_else(
+            |fault| fault.to_string(),
+            |status| status["sealed"].to_string(),
+        );
+        sealed.insert(name, epoch);
     }
-    Ok(all)
+    Ok(sealed)
 }
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -1,4 +1,4 @@
-//! `saltdrum load`: sends a day's traffic, or a recorded trace, to controllers and tells what came of it.
+//! `saltdrum load`: sends a day's traffic, or a recorded trace, to controllers and reports the outcome.
 
 use clap::Args;
 use comfy_table::{CellAlignment, Table, presets};
@@ -14,77 +14,79 @@
 use std::rc::Rc;
 
 #[derive(Args)]
-pub struct Load {
-    /// A day's script, or the name of a day that comes with the program: its deployment and its traffic.
+pub struct LoadOptions {
+    /// Script of a day, or the name of a built-in day: its deployment and its traffic.
     day: String,
-    /// Where a controller takes clients in; once for each controller.
+    /// Client address of a controller; repeat for each controller.
     #[arg(long = "to")]
     to: Vec<String>,
-    /// Sends this recorded load (Parquet) in place of the day's traffic.
+    /// Sends this recorded load (Parquet) instead of the day's traffic.
     #[arg(long)]
     trace: Option<PathBuf>,
-    /// SOURCE=SPAN: that source's clock is known to be ahead by so much in the trace.
+    /// SOURCE=SPAN: in the trace, the clock of SOURCE is ahead by SPAN.
     #[arg(long = "ahead")]
     ahead: Vec<String>,
-    /// Writes the load as a trace; without --to nothing is sent.
+    /// Writes the load to this file as a trace; without --to nothing is sent.
     #[arg(long)]
     out: Option<PathBuf>,
-    /// In place of the script's.
+    /// Seed that replaces the script's.
     #[arg(long)]
     seed: Option<u64>,
-    /// In place of the script's.
+    /// Retry limit that replaces the script's.
     #[arg(long)]
     retries: Option<u32>,
-    /// Connections to each controller.
+    /// Number of connections to each controller.
     #[arg(long, default_value_t = 4)]
     connections: usize,
-    /// Facts as JSON in place of tables.
+    /// Prints the results as JSON instead of tables.
     #[arg(long)]
     json: bool,
 }
 
-fn drawn(day: &Day) -> Vec<Entry> {
-    let entry = |a: traffic::Arrival| Entry {
-        at: a.at,
-        tenant: day.terms.tenant_names[a.tenant].clone(),
-        function: a.function,
-        work: a.work,
+/// Draws the invocations of a day's traffic.
+fn draw_traffic(day: &Day) -> Vec<Entry> {
+    let entry = |arrival: traffic::Arrival| Entry {
+        at: arrival.at,
+        tenant: day.terms.tenant_names[arrival.tenant].clone(),
+        function: arrival.function,
+        work: arrival.work,
         source: day.name.clone(),
     };
     traffic::draw(day).into_iter().map(entry).collect()
 }
 
-/// 0: done. 1: the generator fell behind, the run does not count.
-pub fn run(said: &Load) -> Result<u8, String> {
-    let (_, mut day) = crate::run::day(&said.day)?;
-    day.seed = said.seed.unwrap_or(day.seed);
-    let entries = match &said.trace {
-        None => drawn(&day),
+/// Returns the exit code: 0 done; 1 the generator fell behind, so that the run does not count.
+pub fn run(options: &LoadOptions) -> Result<u8, String> {
+    let (_, mut day) = crate::run::day(&options.day)?;
+    day.seed = options.seed.unwrap_or(day.seed);
+    let entries = match &options.trace {
+        None => draw_traffic(&day),
         Some(path) => {
-            let one = |text: &String| -> Result<(String, Ticks), String> {
-                let (source, by) = text
+            let parse = |text: &String| -> Result<(String, Ticks), String> {
+                let (source, span_text) = text
                     .split_once('=')
                     .ok_or_else(|| format!("--ahead {text}: SOURCE=SPAN is expected"))?;
-                Ok((source.to_owned(), span(by)?.0))
+                Ok((source.to_owned(), span(span_text)?.0))
             };
-            let ahead: BTreeMap<_, _> = said.ahead.iter().map(one).collect::<Result<_, _>>()?;
-            let (entries, mended) = trace::read(path, &ahead).map_err(|e| e.to_string())?;
-            for (source, row, by) in &mended.set_back {
+            let ahead: BTreeMap<_, _> =
+                options.ahead.iter().map(parse).collect::<Result<_, _>>()?;
+            let (entries, corrections) = trace::read(path, &ahead).map_err(|e| e.to_string())?;
+            for (source, row, by) in &corrections.set_back {
                 eprintln!(
-                    "saltdrum: {}: row {row}: the clock of '{source}' was set back by {:.1} s; what follows is moved on",
+                    "saltdrum: {}: row {row}: the clock of '{source}' was set back by {:.1} s; the rows that follow are shifted forward",
                     path.display(),
                     *by as f64 / SECOND as f64
                 );
             }
             if let Some(why) = drive::unknown(&day.terms, &entries) {
-                return Err(format!("{}: {why} in {}", path.display(), said.day));
+                return Err(format!("{}: {why} in {}", path.display(), options.day));
             }
             entries
         }
     };
-    if let Some(path) = &said.out {
+    if let Some(path) = &options.out {
         let made_by = [
-            ("script", said.day.clone()),
+            ("script", options.day.clone()),
             ("seed", day.seed.to_string()),
             ("version", env!("CARGO_PKG_VERSION").to_owned()),
         ];
@@ -95,19 +97,19 @@
             path.display()
         );
     }
-    if said.to.is_empty() {
-        return match said.out {
+    if options.to.is_empty() {
+        return match options.out {
             Some(_) => Ok(0),
             None => Err("--to or --out is expected".into()),
         };
     }
-    let doors: Vec<Address> = said
+    let addresses: Vec<Address> = options
         .to
         .iter()
         .map(|t| t.parse())
         .collect::<Result<_, _>>()?;
     let patience = Patience {
-        retries: said.retries.unwrap_or(day.retries),
+        retries: options.retries.unwrap_or(day.retries),
         backoff: day.backoff,
     };
     let terms = Rc::new(day.terms.clone());
@@ -116,64 +118,67 @@
             Rc::new(SocketNetwork),
             Clock::start(),
             terms,
-            &doors,
-            said.connections,
+            &addresses,
+            options.connections,
             patience,
             entries,
         )
         .await
     })?;
-    tell(&day, &played, said.json)
+    report(&day, &played, options.json)
 }
 
+/// Outcomes of one tenant, or of all.
 #[derive(Default)]
 struct Row {
     latencies: Latencies,
+    /// Succeeded, throttled, errored, unanswered and unsent.
     counts: [u64; 5],
     in_time: u64,
-    tries: u64,
+    attempts: u64,
 }
 
-fn tell(day: &Day, played: &Played, as_json: bool) -> Result<u8, String> {
+/// Prints the outcomes, and returns the exit code.
+fn report(day: &Day, played: &Played, as_json: bool) -> Result<u8, String> {
     let mut rows: BTreeMap<&str, Row> = BTreeMap::new();
-    for o in &played.outcomes {
-        let function = &day.terms.functions[&o.function];
+    for outcome in &played.outcomes {
+        let function = &day.terms.functions[&outcome.function];
         let objective = day.terms.deployment.trigger_types[function.trigger].latency_objective;
-        for name in [o.tenant.as_str(), "all"] {
+        for name in [outcome.tenant.as_str(), "all"] {
             let row = rows.entry(name).or_default();
-            row.tries += u64::from(o.tries);
-            let at = match o.end {
+            row.attempts += u64::from(outcome.tries);
+            let index = match outcome.end {
                 End::Succeeded => 0,
                 End::Throttled(_) => 1,
                 End::Errored => 2,
                 End::Unknown => 3,
                 End::Unsent => 4,
             };
-            row.counts[at] += 1;
-            if at == 0 {
-                row.latencies.add(o.took());
-                row.in_time += u64::from(o.took() <= objective);
+            row.counts[index] += 1;
+            if index == 0 {
+                row.latencies.add(outcome.took());
+                row.in_time += u64::from(outcome.took() <= objective);
             }
         }
     }
     let verdict = played.lag.verdict();
     let ms = |t: Ticks| t as f64 / MILLISECOND as f64;
     if as_json {
-        let row = |(name, r): (&&str, &Row)| {
-            json!({"tenant": name, "succeeded": r.counts[0], "throttled": r.counts[1], "errored": r.counts[2],
-                "unanswered": r.counts[3], "unsent": r.counts[4], "in_time": r.in_time, "tries": r.tries,
-                "p50_ms": r.latencies.at(0.5), "p99_ms": r.latencies.at(0.99), "most_ms": r.latencies.at(1.0)})
+        let json_row = |(name, row): (&&str, &Row)| {
+            json!({"tenant": name, "succeeded": row.counts[0], "throttled": row.counts[1], "errored": row.counts[2],
+                "unanswered": row.counts[3], "unsent": row.counts[4], "in_time": row.in_time, "tries": row.attempts,
+                "p50_ms": row.latencies.at(0.5), "p99_ms": row.latencies.at(0.99), "most_ms": row.latencies.at(1.0)})
         };
-        let all: Vec<_> = rows.iter().map(row).collect();
-        let facts = json!({"rows": all, "lag": {"worst_ms": ms(played.lag.worst),
+        let json_rows: Vec<_> = rows.iter().map(json_row).collect();
+        let results = json!({"rows": json_rows, "lag": {"worst_ms": ms(played.lag.worst),
             "stood_ms": ms(played.lag.stood), "late": played.lag.late}, "verdict": verdict});
         println!(
             "{}",
-            serde_json::to_string_pretty(&facts).map_err(|e| e.to_string())?
+            serde_json::to_string_pretty(&results).map_err(|e| e.to_string())?
         );
     } else {
-        let mut t = Table::new();
-        let head = [
+        let mut table = Table::new();
+        let titles = [
             "tenant",
             "succeeded",
             "in time",
@@ -186,24 +191,26 @@
             "p99 ms",
             "most ms",
         ];
-        t.load_preset(presets::UTF8_HORIZONTAL_ONLY)
-            .set_header(head);
-        for (name, r) in &rows {
+        table
+            .load_preset(presets::UTF8_HORIZONTAL_ONLY)
+            .set_header(titles);
+        for (name, row) in &rows {
             let mut cells = vec![
                 (*name).to_owned(),
-                r.counts[0].to_string(),
-                r.in_time.to_string(),
+                row.counts[0].to_string(),
+                row.in_time.to_string(),
             ];
-            cells.extend(r.counts[1..].iter().map(ToString::to_string));
-            cells.push(r.tries.to_string());
-            cells.extend([0.5, 0.99, 1.0].map(|q| format!("{:.1}", r.latencies.at(q))));
-            t.add_row(cells);
+            cells.extend(row.counts[1..].iter().map(ToString::to_string));
+            cells.push(row.attempts.to_string());
+            cells.extend([0.5, 0.99, 1.0].map(|q| format!("{:.1}", row.latencies.at(q))));
+            table.add_row(cells);
         }
-        t.column_iter_mut()
+        table
+            .column_iter_mut()
             .skip(1)
             .for_each(|c| c.set_cell_alignment(CellAlignment::Right));
         let lag = &played.lag;
-        println!("{t}\nlatency counts from when an invocation was to be sent");
+        println!("{table}\nlatency counts from when an invocation was to be sent");
         println!(
             "generator: {} of {} late, worst {:.1} ms",
             lag.late,
--- a/crates/cli/src/logging.rs
+++ b/crates/cli/src/logging.rs
@@ -3,12 +3,12 @@
 use std::io::IsTerminal;
 use tracing_subscriber::EnvFilter;
 
-/// Selects levels by target.
+/// The variable that selects levels by target.
 const FILTER_VARIABLE: &str = "SALTDRUM_LOG";
-/// The filter without that variable, or where it cannot be read.
+/// The filter if that variable is absent or cannot be parsed.
 const DEFAULT_FILTER: &str = "warn";
 
-/// Targets that had another name until their package was renamed. Filters may still use it.
+/// Earlier and present names of targets whose packages were renamed. Filters may still use the earlier ones.
 const RENAMED_TARGETS: [(&str, &str); 7] = [
     ("saltdrum_day", "saltdrum_scenario"),
     ("saltdrum_ether", "saltdrum_simulated_network"),
@@ -19,7 +19,7 @@
     ("saltdrum_steward", "saltdrum_coordinator"),
 ];
 
-/// Starts logging, as lines of JSON or as text.
+/// Starts logging, as text or as lines of JSON.
 pub(crate) fn start(as_json: bool) {
     let filter = std::env::var(FILTER_VARIABLE).ok();
     let filter = filter.and_then(|text| EnvFilter::try_new(with_present_targets(&text)).ok());
@@ -35,12 +35,13 @@
     }
 }
 
-/// A filter in which renamed targets have their present names.
+/// Replaces the earlier names of targets in a filter with the present ones.
 fn with_present_targets(filter: &str) -> String {
     let directives = filter.split(',').map(with_present_target);
     directives.collect::<Vec<_>>().join(",")
 }
 
+/// Replaces the earlier name of a target in one directive of a filter.
 fn with_present_target(directive: &str) -> String {
     let trimmed = directive.trim_start();
     let end = trimmed.find(['=', ':', '[']).unwrap_or(trimmed.len());
--- a/crates/cli/src/logging/tests.rs
+++ b/crates/cli/src/logging/tests.rs
@@ -1,14 +1,14 @@
 use super::with_present_targets;
 
 #[test]
-fn filters_may_use_the_earlier_names_of_targets() {
+fn replaces_earlier_names_of_targets() {
     let earlier = "info,saltdrum_steward=debug,saltdrum_link::send_queue=trace,saltdrum_day[span]";
     let present = "info,saltdrum_coordinator=debug,saltdrum_transport::send_queue=trace,saltdrum_scenario[span]";
     assert_eq!(with_present_targets(earlier), present);
 }
 
 #[test]
-fn other_filters_stay_as_they_are() {
+fn leaves_other_filters_unchanged() {
     for filter in [
         "",
         "warn",
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,8 +1,8 @@
-//! The command line: arguments, logs and exit codes, nothing else.
+//! The command line: arguments, logging and exit codes.
 
 #![expect(
     clippy::disallowed_methods,
-    reason = "seeds and times of what runs for real come from here"
+    reason = "real seeds and clocks are read in this binary only"
 )]
 
 #[cfg(feature = "whole")]
@@ -49,95 +49,95 @@
     #[arg(long, global = true)]
     log_json: bool,
     #[command(subcommand)]
-    what: What,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum What {
+enum Command {
     #[cfg(feature = "whole")]
     /// Runs controllers, each on a thread of its own, until interrupted.
     Serve {
         /// Starlark script of the deployment.
         deployment: PathBuf,
-        /// Where the invoker list is: tcp:HOST:PORT or unix:PATH. Several are those of one fleet's stewards.
+        /// Address of the invoker list, tcp:HOST:PORT or unix:PATH; repeat for each coordinator of a fleet.
         #[arg(long = "list", required = true)]
         lists: Vec<String>,
         #[command(flatten)]
-        joins: fleet::Joins,
-        /// Where clients come in; once for each controller, in their order.
+        membership: fleet::MembershipOptions,
+        /// Address on which a controller accepts clients; repeat for each controller, in order.
         #[arg(long = "clients", required = true)]
         clients: Vec<String>,
-        /// Number of the first controller here.
+        /// Number of the first controller of this process.
         #[arg(long, default_value_t = 1)]
         first: u32,
-        /// Zone these controllers are in, by its name in the deployment.
+        /// Zone of these controllers, as named in the deployment.
         #[arg(long)]
         zone: Option<String>,
-        /// Drawn from the system where it is left out.
+        /// Random seed; drawn from the system if omitted.
         #[arg(long)]
         seed: Option<u64>,
-        /// Where the registry of models is.
+        /// Address of the model registry.
         #[arg(long, requires = "registry_key")]
         registry: Option<String>,
-        /// File with a reader's key to it.
+        /// File with a reader's key of the registry.
         #[arg(long)]
         registry_key: Option<PathBuf>,
-        /// Folder in which controllers keep what the registry told them.
+        /// Folder in which controllers store copies of the registry's state.
         #[arg(long)]
         registry_copies: Option<PathBuf>,
         #[command(flatten)]
-        collects: collection::Collects,
-        /// How long a passage may last.
+        collection: collection::CollectionOptions,
+        /// Maximum duration of a passage, in seconds.
         #[arg(long, default_value_t = 1_800)]
         passage_s: u64,
-        /// A relay that picks at random in place of the design. For measurements: it keeps no rule.
+        /// Dispatches to random invokers instead of by the policy. For measurements only: it keeps none of the rules.
         #[arg(long, hide = true)]
         baseline: bool,
     },
-    /// Runs one real controller of the platform: RELAY_CONFIG names its configuration. Ends after SIGTERM.
+    /// Runs one controller of the platform; RELAY_CONFIG names its configuration file. Ends after SIGTERM.
     Node,
     #[cfg(feature = "whole")]
-    /// Runs one stand-in until interrupted.
+    /// Runs one stand-in for a peer until interrupted.
     #[command(subcommand)]
-    Standin(Standin),
+    Standin(StandinCommand),
     #[cfg(feature = "whole")]
-    /// Plays a scripted day on loopback sockets and judges the five rules.
+    /// Plays a scripted day on loopback sockets and checks the five rules.
     Play {
-        /// A script, or the name of a day that comes with the program.
+        /// Script, or the name of a built-in day.
         #[arg(default_value = "bad-day")]
         day: String,
-        /// In virtual time, on in-memory streams.
+        /// Runs in virtual time on in-memory streams.
         #[arg(long = "virtual")]
         virtually: bool,
-        /// Facts as JSON in place of tables.
+        /// Prints the results as JSON instead of tables.
         #[arg(long)]
         json: bool,
-        /// Keeps the record here, for `check`.
+        /// Writes the record to this file, for `check`.
         #[arg(long)]
         record: Option<PathBuf>,
     },
     #[cfg(feature = "whole")]
-    /// Sends load to controllers, open loop, and tells what came of it.
-    Load(load::Load),
+    /// Sends load to controllers, open loop, and reports the outcome.
+    Load(load::LoadOptions),
     #[cfg(feature = "scale")]
-    /// Measures what a part of the fleet costs at sizes that no machine holds.
+    /// Measures the cost of a part of the fleet at sizes that exceed one machine.
     #[command(subcommand)]
-    Scale(scale::Scale),
+    Scale(scale::ScaleCommand),
     #[cfg(feature = "whole")]
-    /// Compares changes, and searches for days that fail.
+    /// Runs experiments that compare variants, and searches for failing days.
     #[command(subcommand)]
-    Lab(lab::Lab),
+    Lab(lab::LabCommand),
     #[cfg(feature = "whole")]
-    /// Judges the five rules by a record.
+    /// Checks the five rules against a record.
     Check {
         record: PathBuf,
         #[arg(long)]
         json: bool,
     },
     #[cfg(feature = "whole")]
-    /// Calls a function and prints the answer.
+    /// Invokes a function and prints the response.
     Call {
-        /// Where a controller takes clients in.
+        /// Client address of a controller.
         #[arg(long)]
         to: String,
         #[arg(long)]
@@ -146,39 +146,39 @@
         tenant: String,
         #[arg(long)]
         trigger: String,
-        /// JSON.
+        /// Input of the function, as JSON.
         #[arg(long, default_value = "null")]
         input: String,
         #[arg(long)]
         time_left_ms: Option<f64>,
         #[arg(long)]
         token: Option<String>,
-        /// Name of the passage that it belongs to.
+        /// Name of the passage that the invocation belongs to.
         #[arg(long)]
         passage: Option<String>,
-        /// As the answer before in the passage told it.
+        /// Version reported by the previous response of the passage.
         #[arg(long)]
         version: Option<String>,
     },
     #[cfg(feature = "whole")]
-    /// Models as chunks.
+    /// Packs models into chunks, and inspects and serves them.
     #[command(subcommand)]
-    Layers(layers::Layers),
+    Layers(layers::LayersCommand),
     #[cfg(feature = "whole")]
-    /// Versions of models, and the names that stand for them.
+    /// Manages the versions of models and their aliases.
     #[command(subcommand)]
-    Registry(registry::Registry),
+    Registry(registry::RegistryCommand),
     #[cfg(feature = "whole")]
     /// Runs one coordinator of a fleet until interrupted.
     #[command(name = "coordinator", alias = "steward")]
-    Coordinator(fleet::Runs),
+    Coordinator(fleet::CoordinatorOptions),
     #[cfg(feature = "whole")]
-    /// Members, drains and halts of a fleet.
+    /// Shows and changes the members, drains, halts and leases of a fleet.
     #[command(subcommand)]
-    Fleet(fleet::Fleet),
+    Fleet(fleet::FleetCommand),
     #[cfg(feature = "whole")]
-    /// Plays a trial of a fleet on processes of this program, with faults between them, and judges it.
-    Trial(trial::Plays),
+    /// Runs a trial of a fleet with processes of this program, injects faults, and judges the record.
+    Trial(trial::TrialOptions),
     #[cfg(feature = "whole")]
     /// Prints a controller's status.
     Status {
@@ -187,13 +187,14 @@
     },
 }
 
+/// The stand-ins that run as processes of their own.
 #[cfg(feature = "whole")]
 #[derive(Subcommand)]
-enum Standin {
-    /// One invoker of the deployment.
+enum StandinCommand {
+    /// Runs one invoker of the deployment.
     Invoker {
         deployment: PathBuf,
-        /// Its number in the deployment.
+        /// Number of the invoker in the deployment.
         #[arg(long)]
         number: u32,
         #[arg(long)]
@@ -201,13 +202,13 @@
         #[arg(long)]
         store: Option<String>,
         #[command(flatten)]
-        joins: fleet::Joins,
-        /// Where the registry of models is: functions beyond the deployment's are its versions.
+        membership: fleet::MembershipOptions,
+        /// Address of the model registry, whose versions are served besides the deployment's functions.
         #[arg(long, requires = "registry_key")]
         registry: Option<String>,
         #[arg(long)]
         registry_key: Option<PathBuf>,
-        /// Takes work and answers nothing.
+        /// Accepts requests and never answers them.
         #[arg(long)]
         hangs: bool,
         /// Share of dispatches answered with an error at once.
@@ -216,33 +217,33 @@
         /// Share of answers that are lost.
         #[arg(long, default_value_t = 0.0)]
         loses_answers: f64,
-        /// NAME=ADDRESS of a journal: it offers the task `count`, which appends to each in turn.
+        /// NAME=ADDRESS of a journal; the invoker offers the task `count`, which appends to each in turn.
         #[arg(long = "count-on")]
         count_on: Vec<String>,
-        /// Planted: it counts on journals before all are sealed.
+        /// Injected fault: the task `count` runs before all journals are sealed.
         #[arg(long, hide = true)]
         acts_before_seals: bool,
     },
-    /// An append-only resource of fleet-wide tasks.
-    Journal(leases::RunsJournal),
-    /// The model store.
+    /// Runs an append-only resource of fleet-wide tasks.
+    Journal(leases::JournalOptions),
+    /// Runs the model store.
     Store {
         #[arg(long)]
         listen: String,
-        /// Fetches under way, beyond which it refuses.
+        /// Maximum number of fetches under way; further ones are refused.
         #[arg(long, default_value_t = 24)]
         limit: usize,
     },
-    /// A registry over a folder of packed models.
+    /// Runs a registry that serves a folder of packed models.
     Registry {
         folder: PathBuf,
         #[arg(long)]
         listen: String,
-        /// Blobs under way, beyond which it refuses.
+        /// Maximum number of blob transfers under way; further ones are refused.
         #[arg(long, default_value_t = 64)]
         limit: usize,
     },
-    /// The invoker list. Every invoker that is given is on it.
+    /// Runs the invoker list, with the invokers that are given.
     List {
         deployment: PathBuf,
         #[arg(long)]
@@ -253,16 +254,16 @@
     },
 }
 
-/// 0 all kept, 1 a rule broken, 2 bad input, 3 the record does not tell.
+/// Exit codes: 0 all rules kept, 1 a rule broken, 2 invalid input, 3 inconclusive record.
 fn main() -> ExitCode {
     let args = Args::parse();
     logging::start(args.log_json);
-    let done = match args.what {
+    let result = match args.command {
         #[cfg(feature = "whole")]
-        What::Serve {
+        Command::Serve {
             deployment,
             lists,
-            joins,
+            membership,
             clients,
             first,
             zone,
@@ -270,16 +271,16 @@
             registry,
             registry_key,
             registry_copies,
-            collects,
+            collection,
             passage_s,
             baseline,
         } => {
-            let make: MakePolicy = if baseline {
+            let make_policy: MakePolicy = if baseline {
                 random_relay
             } else {
                 dispatch_policy
             };
-            let names = run::Names {
+            let registry_options = run::RegistryOptions {
                 registry,
                 key: registry_key,
                 copies: registry_copies,
@@ -288,24 +289,24 @@
             run::serve(
                 &deployment,
                 &lists,
-                &joins,
+                &membership,
                 &clients,
                 first,
                 zone.as_deref(),
                 seed,
-                &names,
-                &collects,
-                make,
+                &registry_options,
+                &collection,
+                make_policy,
             )
         }
-        What::Node => node::run(),
+        Command::Node => node::run(),
         #[cfg(feature = "whole")]
-        What::Standin(Standin::Invoker {
+        Command::Standin(StandinCommand::Invoker {
             deployment,
             number,
             listen,
             store,
-            joins,
+            membership,
             registry,
             registry_key,
             hangs,
@@ -320,51 +321,51 @@
                 loses_answers,
                 ..Default::default()
             };
-            let names = run::Names {
+            let registry_options = run::RegistryOptions {
                 registry,
                 key: registry_key,
                 copies: None,
                 passage_s: 0,
             };
-            run::invoker(
+            run::run_invoker(
                 &deployment,
                 number,
                 &listen,
                 store.as_deref(),
-                &joins,
-                &names,
+                &membership,
+                &registry_options,
                 faults,
                 &count_on,
                 acts_before_seals,
             )
         }
         #[cfg(feature = "whole")]
-        What::Standin(Standin::Journal(runs)) => leases::journal(&runs),
+        Command::Standin(StandinCommand::Journal(options)) => leases::run_journal(&options),
         #[cfg(feature = "whole")]
-        What::Standin(Standin::Store { listen, limit }) => run::store(&listen, limit),
+        Command::Standin(StandinCommand::Store { listen, limit }) => run::run_store(&listen, limit),
         #[cfg(feature = "whole")]
-        What::Standin(Standin::Registry {
+        Command::Standin(StandinCommand::Registry {
             folder,
             listen,
             limit,
-        }) => run::registry(&folder, &listen, limit),
+        }) => run::run_registry(&folder, &listen, limit),
         #[cfg(feature = "whole")]
-        What::Standin(Standin::List {
+        Command::Standin(StandinCommand::List {
             deployment,
             listen,
             invokers,
-        }) => run::list(&deployment, &listen, &invokers),
+        }) => run::run_list(&deployment, &listen, &invokers),
         #[cfg(feature = "whole")]
-        What::Play {
+        Command::Play {
             day,
             virtually,
             json,
             record,
         } => run::play(&day, virtually, json, record.as_deref()),
         #[cfg(feature = "whole")]
-        What::Check { record, json } => run::check(&record, json),
+        Command::Check { record, json } => run::check(&record, json),
         #[cfg(feature = "whole")]
-        What::Call {
+        Command::Call {
             to,
             function,
             tenant,
@@ -388,25 +389,25 @@
             )
         }
         #[cfg(feature = "scale")]
-        What::Scale(what) => scale::run(&what),
+        Command::Scale(command) => scale::run(&command),
         #[cfg(feature = "whole")]
-        What::Lab(what) => lab::run(&what),
+        Command::Lab(command) => lab::run(&command),
         #[cfg(feature = "whole")]
-        What::Load(said) => load::run(&said),
+        Command::Load(options) => load::run(&options),
         #[cfg(feature = "whole")]
-        What::Layers(what) => layers::run(&what),
+        Command::Layers(command) => layers::run(&command),
         #[cfg(feature = "whole")]
-        What::Registry(what) => registry::run(&what),
+        Command::Registry(command) => registry::run(&command),
         #[cfg(feature = "whole")]
-        What::Coordinator(runs) => fleet::steward(&runs),
+        Command::Coordinator(options) => fleet::run_coordinator(&options),
         #[cfg(feature = "whole")]
-        What::Fleet(what) => fleet::run(&what),
+        Command::Fleet(command) => fleet::run(&command),
         #[cfg(feature = "whole")]
-        What::Trial(plays) => trial::run(&plays),
+        Command::Trial(options) => trial::run(&options),
         #[cfg(feature = "whole")]
-        What::Status { to } => run::status(&to),
+        Command::Status { to } => run::status(&to),
     };
-    match done {
+    match result {
         Ok(code) => ExitCode::from(code),
         Err(why) => {
             eprintln!("saltdrum: {why}");
--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -1,4 +1,4 @@
-//! `saltdrum node`: one real controller on the platform's sockets. The system's clock and environment are read here.
+//! `saltdrum node`: one controller on the platform's sockets. Reads the system's clock and environment.
 
 use saltdrum::interface::{MILLISECOND, Ticks};
 use saltdrum_controller::dispatch_policy;
@@ -9,16 +9,17 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tracing::warn;
 
-/// How often the wall clock is compared with the monotonic one.
-const COMPARE_CLOCKS_EVERY: Duration = Duration::from_millis(500);
-/// A difference that grows by more at once is a step of the wall clock.
-const STEP_LEAST_MS: i64 = 100;
+/// Interval at which the wall clock is compared with the monotonic one.
+const CLOCK_COMPARISON_INTERVAL: Duration = Duration::from_millis(500);
+/// Smallest change of their difference that counts as a step of the wall clock.
+const STEP_MIN_MS: i64 = 100;
 
+/// Runs the controller until it has shut down.
 pub fn run() -> Result<u8, String> {
     let config =
         var("RELAY_CONFIG").map_err(|e| format!("RELAY_CONFIG: {e}: a file is expected"))?;
     let (listen, name) = (var("RELAY_LISTEN").ok(), var("RELAY_NAME").ok());
-    let life = StartOptions {
+    let options = StartOptions {
         config: config.into(),
         listen,
         name,
@@ -31,7 +32,7 @@
     let clock = Clock::start();
     let served = async {
         tokio::task::spawn_local(watch_wall_clock(clock));
-        serve(life, Rc::new(SocketNetwork), clock, dispatch_policy).await
+        serve(options, Rc::new(SocketNetwork), clock, dispatch_policy).await
     };
     tokio::task::LocalSet::new()
         .block_on(&runtime, served)
@@ -46,21 +47,21 @@
         .map_or(0, |since| since.as_millis() as u64)
 }
 
-/// Logs steps of the wall clock. Nothing is decided by it: every wait and deadline is measured on the monotonic clock.
+/// Logs steps of the wall clock. No decision depends on it: every wait and deadline uses the monotonic clock.
 async fn watch_wall_clock(clock: Clock) {
-    let mut ahead_ms = ahead_of(clock.now());
+    let mut lead_ms = wall_clock_lead_ms(clock.now());
     loop {
-        tokio::time::sleep(COMPARE_CLOCKS_EVERY).await;
-        let now_ms = ahead_of(clock.now());
-        let stepped_ms = now_ms - ahead_ms;
-        if stepped_ms.abs() >= STEP_LEAST_MS {
-            warn!(stepped_ms, "the wall clock was stepped");
+        tokio::time::sleep(CLOCK_COMPARISON_INTERVAL).await;
+        let new_lead_ms = wall_clock_lead_ms(clock.now());
+        let stepped_ms = new_lead_ms - lead_ms;
+        if stepped_ms.abs() >= STEP_MIN_MS {
+            warn!(stepped_ms, "wall clock stepped");
         }
-        ahead_ms = now_ms;
+        lead_ms = new_lead_ms;
     }
 }
 
 /// By how many milliseconds the wall clock is ahead of the monotonic one.
-fn ahead_of(now: Ticks) -> i64 {
+fn wall_clock_lead_ms(now: Ticks) -> i64 {
     unix_ms() as i64 - (now / MILLISECOND) as i64
 }
--- a/crates/cli/src/registry.rs
+++ b/crates/cli/src/registry.rs
@@ -1,6 +1,6 @@
-//! `saltdrum registry`: the service, and the administrator's side of it.
+//! `saltdrum registry`: the service and its administration.
 
-use crate::collection::{self, FleetTasks};
+use crate::collection::{self, FleetTaskOptions};
 use crate::key_file;
 use crate::process::{on_this_thread, open_on_disk, until_interrupted};
 use clap::{Args, Subcommand};
@@ -16,35 +16,37 @@
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
+/// The database file in the folder of a registry.
 const FILE: &str = "registry.redb";
 
-/// Where the registry is, and what opens it.
+/// Address of a registry, and the key that grants access to it.
 #[derive(Args)]
-pub struct To {
-    /// tcp:HOST:PORT or unix:PATH
+pub struct RegistryTarget {
+    /// Address of the registry, tcp:HOST:PORT or unix:PATH.
     #[arg(long)]
     to: String,
-    /// File with the key.
+    /// File with the key that grants access.
     #[arg(long)]
     key: PathBuf,
 }
 
+/// An alias, and the revision that a change of it expects.
 #[derive(Args)]
-pub struct Which {
+pub struct AliasTarget {
     #[command(flatten)]
-    to: To,
+    to: RegistryTarget,
     alias: String,
-    /// A tenant's own alias; that of all where it is left out.
+    /// Tenant of the alias; an alias of all tenants if omitted.
     #[arg(long)]
     tenant: Option<String>,
-    /// Revision at which it last changed, as `show` tells; asked for where it is left out.
+    /// Expected revision of its last change, as shown by `show`; looked up if omitted.
     #[arg(long)]
     expect: Option<u64>,
 }
 
 #[derive(Subcommand)]
-pub enum Registry {
-    /// Makes a registry, and writes its first owner's key to a file.
+pub enum RegistryCommand {
+    /// Creates a registry, and writes its first owner's key to a file.
     Init {
         folder: PathBuf,
         #[arg(long)]
@@ -52,22 +54,22 @@
         #[arg(long, default_value = "owner")]
         id: String,
     },
-    /// Runs it until interrupted.
+    /// Serves a registry until interrupted.
     Serve {
         folder: PathBuf,
         #[arg(long)]
         listen: String,
         #[command(flatten)]
-        tasks: FleetTasks,
+        tasks: FleetTaskOptions,
     },
-    /// Packs a model's file and makes it a version.
+    /// Packs a model's file and publishes it as a version.
     Push {
         #[command(flatten)]
-        to: To,
+        to: RegistryTarget,
         model: String,
         version: String,
         file: PathBuf,
-        /// The registry's folder.
+        /// Folder of the registry.
         #[arg(long)]
         folder: PathBuf,
         #[arg(long)]
@@ -80,114 +82,114 @@
     /// Shows versions, aliases and keys.
     Show {
         #[command(flatten)]
-        to: To,
+        to: RegistryTarget,
         #[arg(long)]
         json: bool,
     },
-    /// Shows the revision and who follows how far behind.
+    /// Shows the revision, and the followers and how far they lag.
     Status {
         #[command(flatten)]
-        to: To,
+        to: RegistryTarget,
     },
-    /// Makes an alias for a version.
+    /// Creates an alias for a version.
     Alias {
         #[command(flatten)]
-        which: Which,
+        target: AliasTarget,
         model: String,
         version: String,
     },
-    /// Moves an alias to another version, at once or in a stage.
+    /// Moves an alias to another version, at once or staged.
     Move {
         #[command(flatten)]
-        which: Which,
+        target: AliasTarget,
         version: String,
-        /// Of a thousand passages, so many begin with it first.
+        /// Moves in a stage: this many of a thousand passages begin with the new version.
         #[arg(long)]
         stage: Option<u16>,
-        /// It is stopped when of a thousand answers so many more err than of the old version's.
+        /// Stops the stage when its errors per thousand answers exceed the old version's by this many.
         #[arg(long, default_value_t = 10)]
         errors: u16,
-        /// Answers after which it is said to be well.
+        /// Number of answers after target the new version is considered healthy.
         #[arg(long, default_value_t = 1_000)]
         answers: u64,
     },
-    /// Back to what the alias stood for before; gives a stage up.
+    /// Moves an alias back to its previous version, or cancels a stage.
     Rollback {
         #[command(flatten)]
-        which: Which,
+        target: AliasTarget,
     },
-    /// Takes an alias away.
+    /// Deletes an alias.
     Unalias {
         #[command(flatten)]
-        which: Which,
+        target: AliasTarget,
     },
-    /// Nobody may use a version any more: passages with it end.
+    /// Forbids any use of a version; passages that use it end.
     Withdraw {
         #[command(flatten)]
-        to: To,
+        to: RegistryTarget,
         model: String,
         version: String,
     },
-    /// Takes a version away that no alias names. Its name is never used again.
+    /// Deletes a version that no alias names. Its name is never used again.
     Delete {
         #[command(flatten)]
-        to: To,
+        to: RegistryTarget,
         model: String,
         version: String,
     },
-    /// Who changed what, when, from what to what.
+    /// Shows the history of changes.
     History {
         #[command(flatten)]
-        to: To,
+        to: RegistryTarget,
         #[arg(long, default_value_t = 0)]
         after: u64,
         #[arg(long, default_value_t = 100)]
         most: usize,
     },
-    /// Makes a key for someone, and writes it to a file.
+    /// Creates a key, and writes it to a file.
     Key {
         #[command(flatten)]
-        to: To,
+        to: RegistryTarget,
         id: String,
-        /// reader, publisher, mover or owner
+        /// Role: reader, publisher, mover or owner.
         #[arg(long)]
         role: String,
         #[arg(long)]
         out: PathBuf,
     },
-    /// Takes a key away.
+    /// Revokes a key.
     Unkey {
         #[command(flatten)]
-        to: To,
+        to: RegistryTarget,
         id: String,
     },
-    /// Removes blobs that nothing has named for a while.
+    /// Deletes blobs that have been unreferenced for a while.
     Gc {
         #[command(flatten)]
-        to: To,
-        /// Longer than the longest load.
+        to: RegistryTarget,
+        /// Time for which a blob must be unreferenced before it is deleted, in seconds; must exceed the longest load.
         #[arg(long, default_value_t = 600)]
         grace_s: u64,
-        /// By the fleet's lease, which has to be paused: refused while somebody holds it.
+        /// Collects under the fleet's lease, target must be paused: refused while it has a holder.
         #[command(flatten)]
-        tasks: FleetTasks,
+        tasks: FleetTaskOptions,
     },
-    /// Checks the whole history, and every byte that versions lead to.
+    /// Verifies the whole history and every byte reachable from a version.
     Verify {
         #[command(flatten)]
-        to: To,
+        to: RegistryTarget,
     },
-    /// Writes the whole history to a file, while the registry serves.
+    /// Writes the whole history to a file while the registry keeps serving.
     Backup {
         #[command(flatten)]
-        to: To,
+        to: RegistryTarget,
         file: PathBuf,
     },
-    /// Makes a registry of a backup, in a folder where there is none.
+    /// Creates a registry from a backup, in a folder that has none.
     Restore {
         file: PathBuf,
         folder: PathBuf,
-        /// At least the highest revision that anyone has obeyed.
+        /// Lower bound of the new revision: at least the highest one that any follower has applied.
         #[arg(long)]
         over: u64,
     },
@@ -199,35 +201,36 @@
         .map_or(0, |d| d.as_millis() as u64)
 }
 
-fn chance() -> Result<[u8; 32], String> {
+/// Random bytes of the system.
+fn random_bytes() -> Result<[u8; 32], String> {
     let mut bytes = [0; 32];
     let mut source = File::open("/dev/urandom").map_err(|e| format!("/dev/urandom: {e}"))?;
     std::io::Read::read_exact(&mut source, &mut bytes).map_err(|e| format!("/dev/urandom: {e}"))?;
     Ok(bytes)
 }
 
-/// Makes a registry and the key of its owner. The key is on disk before the registry is there, and gets its name after: a
-/// registry whose key nobody knows is of no use, and a key that opens nothing would be in the way of the next try.
+/// Creates a registry and the key of its owner. The key is written to a temporary file before the registry exists, and
+/// renamed after: a registry without a known key is useless, and a key of no registry would block the next attempt.
 fn init(folder: &Path, key: &Path, id: &Name) -> Result<u8, String> {
-    let text = |e: std::io::Error| format!("{}: {e}", key.display());
+    let to_text = |e: std::io::Error| format!("{}: {e}", key.display());
     fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
     let path = folder.join(FILE);
     if !path.exists() {
         Layout::open(folder).map_err(|e| e.to_string())?;
-        key_file::is_free(key).map_err(text)?;
-        let chance = chance()?;
-        let found = |store: &mut Store| {
-            let key_text = service::create_first_owner(store, id, chance, now_ms())?;
-            key_file::write_unfinished(key, &key_text).map_err(|e| store::StoreError::Disk {
+        key_file::check_absent(key).map_err(to_text)?;
+        let random = random_bytes()?;
+        let write_first_entry = |store: &mut Store| {
+            let key_text = service::create_first_owner(store, id, random, now_ms())?;
+            key_file::write_temporary(key, &key_text).map_err(|e| store::StoreError::Disk {
                 place: key.display().to_string(),
                 why: e.into(),
             })
         };
-        Store::make_file(&path, found).map_err(|e| e.to_string())?;
-    } else if !opens(&path, &key_file::read_unfinished(key).unwrap_or_default())? {
+        Store::make_file(&path, write_first_entry).map_err(|e| e.to_string())?;
+    } else if !accepts_key(&path, &key_file::read_temporary(key).unwrap_or_default())? {
         return Err(format!("{}: there is a registry already", path.display()));
     }
-    key_file::finish(key).map_err(text)?;
+    key_file::finish(key).map_err(to_text)?;
     println!(
         "{}: a registry; the key of '{id}' is in {}",
         path.display(),
@@ -236,8 +239,8 @@
     Ok(0)
 }
 
-/// Whether this is the text of a key of the registry at `path`.
-fn opens(path: &Path, key_text: &str) -> Result<bool, String> {
+/// Whether the registry at `path` accepts this key.
+fn accepts_key(path: &Path, key_text: &str) -> Result<bool, String> {
     if key_text.is_empty() {
         return Ok(false);
     }
@@ -245,6 +248,7 @@
     Ok(keys::who(&store.head().state, key_text).is_ok())
 }
 
+/// Reads a key from its file.
 pub fn read_key(path: &Path) -> Result<String, String> {
     Ok(fs::read_to_string(path)
         .map_err(|e| format!("{}: {e}", path.display()))?
@@ -252,26 +256,26 @@
         .to_owned())
 }
 
-fn name(text: &str) -> Result<Name, String> {
+fn parse_name(text: &str) -> Result<Name, String> {
     text.parse()
         .map_err(|e: saltdrum_registry::names::InvalidName| e.to_string())
 }
 
-fn space(tenant: Option<&str>) -> Result<Namespace, String> {
-    tenant.map_or(Ok(Namespace::All), |t| name(t).map(Namespace::Tenant))
+fn parse_namespace(tenant: Option<&str>) -> Result<Namespace, String> {
+    tenant.map_or(Ok(Namespace::All), |t| parse_name(t).map(Namespace::Tenant))
 }
 
-async fn dial(to: &To) -> Result<RegistryClient, String> {
-    let at: Address = to.to.parse()?;
+async fn connect(to: &RegistryTarget) -> Result<RegistryClient, String> {
+    let address: Address = to.to.parse()?;
     let network: Rc<dyn Network> = Rc::new(SocketNetwork);
-    RegistryClient::connect(&network, &at, &read_key(&to.key)?)
+    RegistryClient::connect(&network, &address, &read_key(&to.key)?)
         .await
         .map_err(|e| e.to_string())
 }
 
-fn call(to: &To, method: &str, params: Json) -> Result<Json, String> {
+fn call(to: &RegistryTarget, method: &str, params: Json) -> Result<Json, String> {
     on_this_thread(async {
-        dial(to)
+        connect(to)
             .await?
             .call(method, params)
             .await
@@ -279,45 +283,47 @@
     })?
 }
 
-fn change(to: &To, change: Json) -> Result<u8, String> {
-    let told = call(to, "change", json!({ "change": change }))?;
-    println!("revision {}", told["revision"]);
+fn change(to: &RegistryTarget, change: Json) -> Result<u8, String> {
+    let reply = call(to, "change", json!({ "change": change }))?;
+    println!("revision {}", reply["revision"]);
     Ok(0)
 }
 
-/// The alias as it is, and the revision to compare with: what the operator says, or what it is now.
-fn create_first_owner(which: &Which) -> Result<(Json, u64), String> {
-    let shown = call(&which.to, "show", json!({}))?;
-    let at = json!(space(which.tenant.as_deref())?);
-    let all = shown["aliases"].as_array().cloned().unwrap_or_default();
-    let is = all
+/// The present state of an alias, and the revision to compare with: the operator's, or else that of its last change.
+fn alias_and_revision(target: &AliasTarget) -> Result<(Json, u64), String> {
+    let shown = call(&target.to, "show", json!({}))?;
+    let namespace = json!(parse_namespace(target.tenant.as_deref())?);
+    let aliases = shown["aliases"].as_array().cloned().unwrap_or_default();
+    let found = aliases
         .into_iter()
-        .find(|a| a["alias"] == which.alias.as_str() && a["space"] == at);
-    let is = is.ok_or_else(|| format!("alias '{}' is not known", which.alias))?["is"].clone();
-    let changed = is["changed"].as_u64().unwrap_or(0);
-    Ok((is, which.expect.unwrap_or(changed)))
+        .find(|a| a["alias"] == target.alias.as_str() && a["space"] == namespace);
+    let alias =
+        found.ok_or_else(|| format!("alias '{}' is not known", target.alias))?["is"].clone();
+    let changed = alias["changed"].as_u64().unwrap_or(0);
+    Ok((alias, target.expect.unwrap_or(changed)))
 }
 
-fn of(which: &Which, kind: &str) -> Result<u8, String> {
-    let (_, expect) = create_first_owner(which)?;
-    let space = space(which.tenant.as_deref())?;
+/// Requests a change of an alias that has no further parameters.
+fn change_alias(target: &AliasTarget, kind: &str) -> Result<u8, String> {
+    let (_, expect) = alias_and_revision(target)?;
+    let space = parse_namespace(target.tenant.as_deref())?;
     change(
-        &which.to,
-        json!({"change": kind, "space": space, "alias": which.alias, "expect": expect}),
+        &target.to,
+        json!({"change": kind, "space": space, "alias": target.alias, "expect": expect}),
     )
 }
 
-/// 0: done. 1: something is wrong with what is kept. 2: bad input, or refused.
-pub fn run(what: &Registry) -> Result<u8, String> {
-    let fault = |e: store::StoreError| e.to_string();
-    match what {
-        Registry::Init { folder, key, id } => init(folder, key, &name(id)?),
-        Registry::Serve {
+/// Runs one subcommand of `saltdrum registry`. Exit codes: 0 done, 1 damaged data found, 2 invalid input or refused.
+pub fn run(command: &RegistryCommand) -> Result<u8, String> {
+    let to_text = |e: store::StoreError| e.to_string();
+    match command {
+        RegistryCommand::Init { folder, key, id } => init(folder, key, &parse_name(id)?),
+        RegistryCommand::Serve {
             folder,
             listen,
             tasks,
         } => {
-            let at: Address = listen.parse()?;
+            let address: Address = listen.parse()?;
             let path = folder.join(FILE);
             if !path.exists() {
                 return Err(format!(
@@ -327,21 +333,24 @@
             }
             on_this_thread(async {
                 let store = open_on_disk(|| Store::open_file(&path)).await?;
-                println!("registry at {at}, revision {}", store.head().revision());
+                println!(
+                    "registry at {address}, revision {}",
+                    store.head().revision()
+                );
                 let registry = service::Registry::new(store, Some(folder), Rc::new(now_ms));
-                let collected = collection::serve(tasks, &registry)?;
+                let collection = collection::serve(tasks, &registry)?;
                 tokio::select! {
                     biased;
-                    done = collected => done,
-                    done = registry.serve(Rc::new(SocketNetwork), &at, Clock::start()) => {
-                        done.map_err(|e| format!("{at}: {e}"))
+                    done = collection => done,
+                    done = registry.serve(Rc::new(SocketNetwork), &address, Clock::start()) => {
+                        done.map_err(|e| format!("{address}: {e}"))
                     }
                     () = until_interrupted() => Ok(()),
                 }
             })??;
             Ok(0)
         }
-        Registry::Push {
+        RegistryCommand::Push {
             to,
             model,
             version,
@@ -351,10 +360,10 @@
             lanes,
             triggers,
         } => {
-            let (model, version) = (name(model)?, name(version)?);
+            let (model, version) = (parse_name(model)?, parse_name(version)?);
             let read = || File::open(file).map_err(|e| format!("{}: {e}", file.display()));
             let mut digests = BTreeSet::new();
-            // First what it will consist of, so that it is held before anyone looks for what is there.
+            // Computes the digests first, so that they are protected from collection before any blob is written.
             let manifest = cut::pack(read()?, |chunk, _| {
                 digests.insert(chunk.digest.to_string());
                 Ok(())
@@ -364,8 +373,8 @@
             digests.insert(digest.to_string());
             let layout = Layout::open(folder).map_err(|e| e.to_string())?;
             on_this_thread(async {
-                let mut caller = dial(to).await?;
-                let begun = caller
+                let mut client = connect(to).await?;
+                let begun = client
                     .call("begin", json!({ "digests": digests }))
                     .await
                     .map_err(|e| e.to_string())?;
@@ -374,12 +383,12 @@
                     .map_err(|e| e.to_string())?;
                 let push = json!({"lease": begun["lease"], "model": model, "name": version, "manifest": digest.to_string(),
                     "memory_mb": memory_mb, "lanes": lanes, "trigger_types": triggers});
-                let told = caller.call("push", push).await.map_err(|e| e.to_string())?;
-                println!("{model}@{version} {digest}: revision {}", told["revision"]);
+                let reply = client.call("push", push).await.map_err(|e| e.to_string())?;
+                println!("{model}@{version} {digest}: revision {}", reply["revision"]);
                 Ok(0)
             })?
         }
-        Registry::Show { to, json } => {
+        RegistryCommand::Show { to, json } => {
             let shown = call(to, "show", json!({}))?;
             if *json {
                 println!("{shown:#}");
@@ -388,132 +397,137 @@
             println!("revision {}", shown["revision"]);
             let text = |v: &Json| v.as_str().unwrap_or("-").to_owned();
             let list = |key: &str| shown[key].as_array().cloned().unwrap_or_default();
-            for v in list("versions") {
-                let (is, name) = (
-                    &v["version"],
-                    format!("{}@{}", text(&v["model"]), text(&v["name"])),
+            for entry in list("versions") {
+                let (version, name) = (
+                    &entry["version"],
+                    format!("{}@{}", text(&entry["model"]), text(&entry["name"])),
                 );
                 println!(
                     "{name}  {}  {} MB, {} lanes  {}",
-                    text(&v["standing"]),
-                    is["memory_mb"],
-                    is["lanes"],
-                    text(&is["manifest"])
+                    text(&entry["standing"]),
+                    version["memory_mb"],
+                    version["lanes"],
+                    text(&version["manifest"])
                 );
             }
-            for a in list("aliases") {
-                let is = &a["is"];
-                let stage = is["stage"].as_object().map(|s| {
+            for entry in list("aliases") {
+                let alias = &entry["is"];
+                let stage = alias["stage"].as_object().map(|stage| {
                     format!(
                         ", {} of a thousand passages begin with {}",
-                        s["per_mille"],
-                        text(&s["to"])
+                        stage["per_mille"],
+                        text(&stage["to"])
                     )
                 });
                 println!(
                     "{} -> {}@{}  changed at {}, before {}{}  ({})",
-                    text(&a["alias"]),
-                    text(&is["model"]),
-                    text(&is["version"]),
-                    is["changed"],
-                    text(&is["before"]),
+                    text(&entry["alias"]),
+                    text(&alias["model"]),
+                    text(&alias["version"]),
+                    alias["changed"],
+                    text(&alias["before"]),
                     stage.unwrap_or_default(),
-                    a["space"]["tenant"].as_str().unwrap_or("all")
+                    entry["space"]["tenant"].as_str().unwrap_or("all")
                 );
             }
-            for k in list("keys") {
-                println!("key {}: {}", text(&k["id"]), text(&k["role"]));
+            for key in list("keys") {
+                println!("key {}: {}", text(&key["id"]), text(&key["role"]));
             }
             Ok(0)
         }
-        Registry::Status { to } => {
+        RegistryCommand::Status { to } => {
             println!("{:#}", call(to, "status", json!({}))?);
             Ok(0)
         }
-        Registry::Alias {
-            which,
+        RegistryCommand::Alias {
+            target,
             model,
             version,
         } => {
-            let (space, alias) = (space(which.tenant.as_deref())?, &which.alias);
+            let (space, alias) = (parse_namespace(target.tenant.as_deref())?, &target.alias);
             change(
-                &which.to,
+                &target.to,
                 json!({"change": "move", "space": space, "alias": alias, "model": model,
                 "version": version, "expect": 0, "stage": null}),
             )
         }
-        Registry::Move {
-            which,
+        RegistryCommand::Move {
+            target,
             version,
             stage,
             errors,
             answers,
         } => {
-            let (is, expect) = create_first_owner(which)?;
+            let (current, expect) = alias_and_revision(target)?;
             let stage = stage.map(|share| {
                 json!({"to": version, "per_mille": share, "errors_per_mille": errors, "answers": answers})
             });
-            let (space, alias) = (space(which.tenant.as_deref())?, &which.alias);
+            let (space, alias) = (parse_namespace(target.tenant.as_deref())?, &target.alias);
             change(
-                &which.to,
-                json!({"change": "move", "space": space, "alias": alias, "model": is["model"],
+                &target.to,
+                json!({"change": "move", "space": space, "alias": alias, "model": current["model"],
                 "version": version, "expect": expect, "stage": stage}),
             )
         }
-        Registry::Rollback { which } => of(which, "roll-back"),
-        Registry::Unalias { which } => of(which, "drop-alias"),
-        Registry::Withdraw { to, model, version } => change(
+        RegistryCommand::Rollback { target } => change_alias(target, "roll-back"),
+        RegistryCommand::Unalias { target } => change_alias(target, "drop-alias"),
+        RegistryCommand::Withdraw { to, model, version } => change(
             to,
             json!({"change": "withdraw", "model": model, "name": version}),
         ),
-        Registry::Delete { to, model, version } => change(
+        RegistryCommand::Delete { to, model, version } => change(
             to,
             json!({"change": "delete", "model": model, "name": version}),
         ),
-        Registry::History { to, after, most } => {
-            let told = call(to, "history", json!({"after": after, "most": most}))?;
-            for e in told["entries"].as_array().cloned().unwrap_or_default() {
+        RegistryCommand::History { to, after, most } => {
+            let history = call(to, "history", json!({"after": after, "most": most}))?;
+            for entry in history["entries"].as_array().cloned().unwrap_or_default() {
                 println!(
                     "{} {} {} {}",
-                    e["revision"],
-                    e["at_ms"],
-                    e["who"].as_str().unwrap_or("-"),
-                    e["change"]
+                    entry["revision"],
+                    entry["at_ms"],
+                    entry["who"].as_str().unwrap_or("-"),
+                    entry["change"]
                 );
             }
             Ok(0)
         }
-        Registry::Key { to, id, role, out } => {
-            let id = name(id)?;
+        RegistryCommand::Key { to, id, role, out } => {
+            let id = parse_name(id)?;
             let role: Role = serde_json::from_value(json!(role)).map_err(|e| e.to_string())?;
-            let (text, hash) = keys::make(&id, chance()?);
+            let (text, hash) = keys::make(&id, random_bytes()?);
             key_file::write(out, &text).map_err(|e| format!("{}: {e}", out.display()))?;
             change(
                 to,
                 json!({"change": "add-key", "id": id, "role": role, "hash": hash}),
             )
         }
-        Registry::Unkey { to, id } => change(to, json!({"change": "withdraw-key", "id": id})),
-        Registry::Gc {
+        RegistryCommand::Unkey { to, id } => {
+            change(to, json!({"change": "withdraw-key", "id": id}))
+        }
+        RegistryCommand::Gc {
             to: _,
             grace_s,
             tasks,
-        } if tasks.is_said() => collection::by_hand(tasks, *grace_s),
-        Registry::Gc {
+        } if tasks.is_given() => collection::collect_by_operator(tasks, *grace_s),
+        RegistryCommand::Gc {
             to,
             grace_s,
             tasks: _,
         } => {
-            let told = call(to, "collect", json!({"grace_ms": grace_s * 1_000}))?;
-            println!("{} blobs gone, {} bytes", told["gone"], told["bytes"]);
+            let collected = call(to, "collect", json!({"grace_ms": grace_s * 1_000}))?;
+            println!(
+                "{} blobs gone, {} bytes",
+                collected["gone"], collected["bytes"]
+            );
             Ok(0)
         }
-        Registry::Verify { to } => {
-            let told = call(to, "verify", json!({}))?;
-            let wrong = told["wrong"].as_array().cloned().unwrap_or_default();
+        RegistryCommand::Verify { to } => {
+            let result = call(to, "verify", json!({}))?;
+            let wrong = result["wrong"].as_array().cloned().unwrap_or_default();
             println!(
                 "{} entries, their chain holds; {} wrong",
-                told["entries"],
+                result["entries"],
                 wrong.len()
             );
             wrong
@@ -521,17 +535,23 @@
                 .for_each(|w| println!("{}", w.as_str().unwrap_or("-")));
             Ok(u8::from(!wrong.is_empty()))
         }
-        Registry::Backup { to, file } => {
-            let at = std::path::absolute(file).map_err(|e| format!("{}: {e}", file.display()))?;
-            let told = call(to, "back_up", json!({ "to": at }))?;
-            println!("{} entries, revision {}", told["entries"], told["revision"]);
+        RegistryCommand::Backup { to, file } => {
+            let path = std::path::absolute(file).map_err(|e| format!("{}: {e}", file.display()))?;
+            let backup = call(to, "back_up", json!({ "to": path }))?;
+            println!(
+                "{} entries, revision {}",
+                backup["entries"], backup["revision"]
+            );
             Ok(0)
         }
-        Registry::Restore { file, folder, over } => {
+        RegistryCommand::Restore { file, folder, over } => {
             Layout::open(folder).map_err(|e| e.to_string())?;
             let head = store::restore(file, &folder.join(FILE), *over, "restore", now_ms())
-                .map_err(fault)?;
-            println!("restored; it goes on at revision {}", head.revision());
+                .map_err(to_text)?;
+            println!(
+                "restored; the registry continues at revision {}",
+                head.revision()
+            );
             Ok(0)
         }
     }
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -1,10 +1,10 @@
-//! What each sub-command starts.
+//! The long-running subcommands, the stand-ins, and `play`, `check`, `call` and `status`.
 
-use crate::collection::Collects;
-use crate::fleet::Joins;
-use crate::leases::{COUNT, counts, holder};
+use crate::collection::CollectionOptions;
+use crate::fleet::MembershipOptions;
+use crate::leases::{COUNT_TASK, lease_holder_from_arguments, run_count_task};
 use crate::process::{on_this_thread, until_interrupted};
-use crate::scripts::{fleet_terms, terms, text};
+use crate::scripts::{load_terms, load_terms_and_fleet, read_script};
 use saltdrum::interface::SECOND;
 use saltdrum_controller::shutdown::ShutdownHandle;
 use saltdrum_controller::{AliasConfig, ControllerConfig, MakePolicy};
@@ -30,18 +30,19 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt};
 
-type Done = Result<u8, String>;
+type CommandResult = Result<u8, String>;
 
-/// The registry that controllers follow, as it was said.
-pub struct Names {
+/// Options of a process that follows a model registry.
+pub struct RegistryOptions {
     pub registry: Option<String>,
     pub key: Option<PathBuf>,
     pub copies: Option<PathBuf>,
     pub passage_s: u64,
 }
 
-impl Names {
-    fn following(&self, who: String, copy: &str) -> Result<Option<FollowConfig>, String> {
+impl RegistryOptions {
+    /// The settings to follow the registry; none if it was not given.
+    fn follow_config(&self, who: String, copy: &str) -> Result<Option<FollowConfig>, String> {
         let (Some(registry), Some(key)) = (&self.registry, &self.key) else {
             return Ok(None);
         };
@@ -57,15 +58,16 @@
         }))
     }
 
-    fn at(&self, controller: u32) -> Result<Option<AliasConfig>, String> {
+    /// The aliases of a controller; none without a registry.
+    fn aliases_of(&self, controller: u32) -> Result<Option<AliasConfig>, String> {
         let (who, copy) = (
             format!("controller-{controller}"),
             format!("names-{controller}"),
         );
-        let Some(following) = self.following(who, &copy)? else {
+        let Some(following) = self.follow_config(who, &copy)? else {
             return Ok(None);
         };
-        // The clock of a controller reads an hour at its start.
+        // The clock of a controller starts at one hour, not at zero.
         let now = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .map_or(0, |d| d.as_millis() as u64);
@@ -78,24 +80,25 @@
     }
 }
 
+/// Runs controllers, each on a thread of its own, until interrupted.
 #[expect(
     clippy::too_many_arguments,
-    reason = "they are what the command line says"
+    reason = "one for each option of the command line"
 )]
 pub fn serve(
     deployment: &Path,
     lists: &[String],
-    joins: &Joins,
+    membership_options: &MembershipOptions,
     clients: &[String],
     first: u32,
     zone: Option<&str>,
     seed: Option<u64>,
-    names: &Names,
-    collects: &Collects,
-    make: MakePolicy,
-) -> Done {
-    let (terms, fleet) = fleet_terms(deployment)?;
-    if terms.functions.is_empty() && names.registry.is_none() {
+    registry_options: &RegistryOptions,
+    collection: &CollectionOptions,
+    make_policy: MakePolicy,
+) -> CommandResult {
+    let (terms, fleet) = load_terms_and_fleet(deployment)?;
+    if terms.functions.is_empty() && registry_options.registry.is_none() {
         let place = deployment.display();
         return Err(format!(
             "{place}: no function(...) is stated, and no --registry: nothing could be invoked"
@@ -105,7 +108,7 @@
         .iter()
         .map(|l| l.parse().map_err(String::from))
         .collect::<Result<_, String>>()?;
-    let joined = joins.checked(fleet.as_ref())?;
+    let member_config = membership_options.resolve(fleet.as_ref())?;
     let zone = match zone {
         None => 0,
         Some(name) => terms
@@ -115,27 +118,27 @@
             .ok_or(format!("no zone is named '{name}'"))?,
     };
     let mut threads = Vec::new();
-    for (n, clients) in clients.iter().enumerate() {
+    for (index, clients) in clients.iter().enumerate() {
         let (clients, lists, terms): (Address, _, _) =
             (clients.parse()?, lists.clone(), terms.clone());
-        let collects = collects.clone();
-        let joined = joined.clone();
-        let controller = first + n as u32;
-        let names = names.at(controller)?;
-        // Drawn anew at each start, so that invokers and list tell its lives apart.
+        let collection = collection.clone();
+        let member_config = member_config.clone();
+        let controller = first + index as u32;
+        let aliases = registry_options.aliases_of(controller)?;
+        // Drawn at each start, so that invokers and the list can distinguish the incarnations.
         let incarnation = fastrand::u64(1..1 << 48);
         let seed = seed.map_or_else(|| fastrand::u64(..), |s| s ^ u64::from(controller));
         threads.push(std::thread::spawn(move || {
             on_this_thread(async {
                 let (zone, terms) = (zone as u8, Rc::new(terms));
-                let going = ShutdownHandle::default();
-                let tasks = collects.tasks();
-                let part = joined
-                    .map(|j| j.controller(controller, incarnation, zone, &terms, &clients, &going, tasks));
-                let collector = collects.holder(part.as_ref().map(|(with, _)| with))?;
+                let shutdown = ShutdownHandle::default();
+                let tasks = collection.tasks();
+                let membership = member_config
+                    .map(|config| config.controller(controller, incarnation, zone, &terms, &clients, &shutdown, tasks));
+                let collector = collection.holder(membership.as_ref().map(|(membership, _)| membership))?;
                 let clients = vec![clients];
-                let opens_when_ready = part.is_some();
-                let seat = ControllerConfig {
+                let listens_when_ready = membership.is_some();
+                let config = ControllerConfig {
                     controller,
                     incarnation,
                     seed,
@@ -143,15 +146,15 @@
                     client_addresses: clients,
                     endpoint_lists: lists,
                     terms,
-                    aliases: names,
-                    shutdown: going,
-                    listens_when_ready: opens_when_ready,
+                    aliases,
+                    shutdown,
+                    listens_when_ready,
                 };
                 tokio::select! {
                     biased;
-                    ended = crate::fleet::stays_member(part) => ended,
-                    () = collects.run(collector) => Ok(()),
-                    done = saltdrum_controller::serve(seat, Rc::new(SocketNetwork), Clock::start(), make) => {
+                    ended = crate::fleet::run_membership(membership) => ended,
+                    () = collection.run(collector) => Ok(()),
+                    done = saltdrum_controller::serve(config, Rc::new(SocketNetwork), Clock::start(), make_policy) => {
                         done.map_err(|e| format!("controller {controller}: {e}"))
                     }
                     () = until_interrupted() => Ok(()),
@@ -167,31 +170,32 @@
     Ok(0)
 }
 
+/// Runs a stand-in invoker.
 #[expect(
     clippy::too_many_arguments,
-    reason = "they are what the command line says"
+    reason = "one for each option of the command line"
 )]
-pub fn invoker(
+pub fn run_invoker(
     deployment: &Path,
     number: u32,
     listen: &str,
     store: Option<&str>,
-    joins: &Joins,
-    names: &Names,
+    membership_options: &MembershipOptions,
+    registry_options: &RegistryOptions,
     faults: Faults,
     count_on: &[String],
     acts_before_seals: bool,
-) -> Done {
-    let versions = names.following(format!("invoker-{number}"), "")?;
-    let (terms, fleet) = fleet_terms(deployment)?;
-    let joined = joins.checked(fleet.as_ref())?;
+) -> CommandResult {
+    let versions = registry_options.follow_config(format!("invoker-{number}"), "")?;
+    let (terms, fleet) = load_terms_and_fleet(deployment)?;
+    let member_config = membership_options.resolve(fleet.as_ref())?;
     let terms = Rc::new(terms);
-    let stated = terms.invokers.iter().find(|i| i.invoker == number).cloned();
-    let stated = stated.ok_or(format!(
+    let settings = terms.invokers.iter().find(|i| i.invoker == number).cloned();
+    let settings = settings.ok_or(format!(
         "invoker {number}: the deployment states {}",
         terms.invokers.len()
     ))?;
-    let (at, store) = (
+    let (address, store) = (
         RefCell::new(listen.parse()?),
         store.map(str::parse).transpose()?,
     );
@@ -200,13 +204,13 @@
         tokio::task::spawn_local(run_event_loop_clock(turns.clone(), clock, |_, _| ()));
         let site = Site {
             terms,
-            stated,
+            stated: settings,
             network: Rc::new(SocketNetwork),
             clock,
             hour: clock,
             turns,
             record: record.clone(),
-            at,
+            at: address,
             store,
             tokens: Default::default(),
             seed: fastrand::u64(..),
@@ -216,28 +220,30 @@
         };
         let invoker = Invoker::new(site);
         invoker.fault(|f, _| *f = faults);
-        if joined.is_some() {
-            // Below the sign bit: JSON readers elsewhere take no more.
+        if member_config.is_some() {
+            // Fits a signed 64-bit integer, the most that other JSON readers accept.
             invoker.next_life(fastrand::u64(2..1 << 48));
         }
         let address = invoker
-            .start(joined.is_some() && joins.cold, &[])
+            .start(member_config.is_some() && membership_options.cold, &[])
             .await
             .map_err(|e| format!("{listen}: {e}"))?;
         println!("invoker {number} at {address}");
         let tasks: BTreeSet<String> = (!count_on.is_empty())
-            .then(|| COUNT.to_owned())
+            .then(|| COUNT_TASK.to_owned())
             .into_iter()
             .collect();
-        let part = joined.map(|j| j.invoker(&invoker, tasks));
-        let holder = match &part {
-            Some((with, _)) if !count_on.is_empty() => Some(holder(with, count_on)?),
+        let membership = member_config.map(|config| config.invoker(&invoker, tasks));
+        let holder = match &membership {
+            Some((membership, _)) if !count_on.is_empty() => {
+                Some(lease_holder_from_arguments(membership, count_on)?)
+            }
             _ => None,
         };
         tokio::select! {
             biased;
-            () = counts(holder, acts_before_seals) => Ok(0),
-            ended = crate::fleet::stays_member(part) => {
+            () = run_count_task(holder, acts_before_seals) => Ok(0),
+            ended = crate::fleet::run_membership(membership) => {
                 let _ = record::write(&record.take(), &mut std::io::stdout().lock());
                 ended.map(|()| 0)
             }
@@ -246,7 +252,7 @@
     })?
 }
 
-/// A stand-in's record goes to standard output, a line of JSON each.
+/// Prints a stand-in's record as lines of JSON until interrupted.
 async fn print_until_interrupted(record: &Record) {
     let printing = async {
         loop {
@@ -262,15 +268,16 @@
     let _ = record::write(&record.take(), &mut std::io::stdout().lock());
 }
 
-pub fn store(listen: &str, limit: usize) -> Done {
-    let at: Address = listen.parse()?;
+/// Runs a stand-in model store.
+pub fn run_store(listen: &str, limit: usize) -> CommandResult {
+    let requested: Address = listen.parse()?;
     on_this_thread(async {
         let record = Record::default();
         let opened = Store::open(
             Rc::new(SocketNetwork),
             Clock::start(),
             record.clone(),
-            &at,
+            &requested,
             limit,
         )
         .await;
@@ -281,34 +288,35 @@
     })?
 }
 
-pub fn list(deployment: &Path, listen: &str, invokers: &[String]) -> Done {
-    let (terms, at): (Terms, Address) = (terms(deployment)?, listen.parse()?);
+/// Runs a stand-in invoker list.
+pub fn run_list(deployment: &Path, listen: &str, invokers: &[String]) -> CommandResult {
+    let (terms, requested): (Terms, Address) = (load_terms(deployment)?, listen.parse()?);
     let mut entries = Vec::new();
-    for said in invokers {
-        let (number, at) = said
+    for argument in invokers {
+        let (number, addresses) = argument
             .split_once('=')
-            .ok_or(format!("'{said}': NUMBER=ADDRESS is expected"))?;
-        let (address, agent) = match at.split_once(',') {
-            None => (at, None),
+            .ok_or(format!("'{argument}': NUMBER=ADDRESS is expected"))?;
+        let (address, agent) = match addresses.split_once(',') {
+            None => (addresses, None),
             Some((address, agent)) => (address, Some(agent.parse::<Address>()?.to_string())),
         };
         let number: u32 = number
             .parse()
-            .map_err(|_| format!("'{said}': a number is expected before '='"))?;
+            .map_err(|_| format!("'{argument}': a number is expected before '='"))?;
         let address: Address = address.parse()?;
-        let stated = terms.invokers.iter().find(|i| i.invoker == number);
-        let stated = stated.ok_or(format!(
+        let settings = terms.invokers.iter().find(|i| i.invoker == number);
+        let settings = settings.ok_or(format!(
             "invoker {number}: the deployment states {}",
             terms.invokers.len()
         ))?;
         entries.push(Entry {
             invoker: number,
             address: address.to_string(),
-            zone: stated.zone,
-            kind: stated.kind as u16,
-            cell: stated.cell,
+            zone: settings.zone,
+            kind: settings.kind as u16,
+            cell: settings.cell,
             life: Life::Ready,
-            size: terms.size(stated.kind),
+            size: terms.size(settings.kind),
             incarnation: 1,
             age_tenths: 3 * terms.deployment.warm_up_time,
             agent,
@@ -316,7 +324,13 @@
     }
     on_this_thread(async {
         let record = Record::default();
-        let opened = List::open(Rc::new(SocketNetwork), Clock::start(), record.clone(), &at).await;
+        let opened = List::open(
+            Rc::new(SocketNetwork),
+            Clock::start(),
+            record.clone(),
+            &requested,
+        )
+        .await;
         let (list, address) = opened.map_err(|e| format!("{listen}: {e}"))?;
         entries.into_iter().for_each(|e| list.say(e));
         println!("list at {address}");
@@ -325,7 +339,8 @@
     })?
 }
 
-fn code(state: State) -> u8 {
+/// The exit code of a verdict.
+fn exit_code(state: State) -> u8 {
     match state {
         State::Kept => 0,
         State::Broken => 1,
@@ -333,11 +348,11 @@
     }
 }
 
-/// A day and its script's text, by the name of one that comes with the program or by its file.
+/// Loads a day and its script, by the name of a built-in day or by path.
 pub fn day(name: &str) -> Result<(String, Day), String> {
     let (file, script) = match DAYS.iter().find(|d| d.0 == name) {
         Some((name, script)) => (format!("{name}.star"), (*script).to_owned()),
-        None if name.ends_with(".star") => (name.to_owned(), text(Path::new(name))?),
+        None if name.ends_with(".star") => (name.to_owned(), read_script(Path::new(name))?),
         None => {
             let names: Vec<&str> = DAYS.iter().map(|d| d.0).collect();
             return Err(format!(
@@ -350,7 +365,8 @@
     Ok((script, day))
 }
 
-pub fn play(name: &str, virtually: bool, json: bool, keep: Option<&Path>) -> Done {
+/// Plays a day and prints the verdicts.
+pub fn play(name: &str, virtually: bool, json: bool, record_path: Option<&Path>) -> CommandResult {
     let (_, day) = day(name)?;
     let lines = if virtually {
         play_virtually(&day, saltdrum_scenario::serve)
@@ -362,23 +378,25 @@
         played
     };
     let lines = lines.map_err(|e| e.to_string())?;
-    if let Some(path) = keep {
+    if let Some(path) = record_path {
         let file = fs::File::create(path).map_err(|e| format!("{}: {e}", path.display()))?;
         let mut file = BufWriter::new(file);
-        let kept = record::write(&lines, &mut file).and_then(|()| file.flush());
-        kept.map_err(|e| format!("{}: {e}", path.display()))?;
+        let written = record::write(&lines, &mut file).and_then(|()| file.flush());
+        written.map_err(|e| format!("{}: {e}", path.display()))?;
     }
-    tell(&day.name, &lines, json)
+    report(&day.name, &lines, json)
 }
 
-pub fn check(path: &Path, json: bool) -> Done {
+/// Checks the rules against a record and prints the verdicts.
+pub fn check(path: &Path, json: bool) -> CommandResult {
     let file = fs::File::open(path).map_err(|e| format!("{}: {e}", path.display()))?;
     let lines =
         record::read(BufReader::new(file)).map_err(|e| format!("{}: {e}", path.display()))?;
-    tell(&path.to_string_lossy(), &lines, json)
+    report(&path.to_string_lossy(), &lines, json)
 }
 
-fn tell(name: &str, lines: &[record::Line], json: bool) -> Done {
+/// Prints the summary of a record, and returns the exit code.
+fn report(name: &str, lines: &[record::Line], json: bool) -> CommandResult {
     let summary = summary::sum_up(name, lines, rules::check(lines)?);
     if json {
         println!(
@@ -388,11 +406,11 @@
     } else {
         print!("{}", summary.text());
     }
-    Ok(code(summary.state()))
+    Ok(exit_code(summary.state()))
 }
 
-/// Sends one line and gives the answer's line.
-fn ask(to: &str, line: String) -> Result<String, String> {
+/// Sends one line and returns the line of the response.
+fn send_line(to: &str, line: String) -> Result<String, String> {
     let address: Address = to.parse()?;
     on_this_thread(async {
         let stream = SocketNetwork
@@ -401,23 +419,24 @@
             .map_err(|e| format!("{address}: {e}"))?;
         let mut stream = tokio::io::BufStream::new(stream);
         let mut answer = String::new();
-        let told = async {
+        let exchange = async {
             stream.write_all(line.as_bytes()).await?;
             stream.write_all(b"\n").await?;
             stream.flush().await?;
             stream.read_line(&mut answer).await
         };
-        match told.await {
-            Ok(0) => Err(format!("{address}: hung up without an answer")),
+        match exchange.await {
+            Ok(0) => Err(format!("{address}: connection closed without a response")),
             Ok(_) => Ok(answer),
             Err(e) => Err(format!("{address}: {e}")),
         }
     })?
 }
 
+/// Invokes a function and prints the response. Exit codes: 0 result, 1 error.
 #[expect(
     clippy::too_many_arguments,
-    reason = "they are what the command line says"
+    reason = "one for each option of the command line"
 )]
 pub fn call(
     to: &str,
@@ -428,39 +447,40 @@
     time_left_ms: Option<f64>,
     token: Option<String>,
     (passage, version): (Option<String>, Option<String>),
-) -> Done {
+) -> CommandResult {
     let input: serde_json::Value =
         serde_json::from_str(input).map_err(|e| format!("--input: {e}"))?;
     let mut params = serde_json::json!({"function": function, "tenant": tenant, "trigger": trigger, "input": input});
-    if let Some(left) = time_left_ms {
-        params["time_left_ms"] = left.into();
+    if let Some(time_left_ms) = time_left_ms {
+        params["time_left_ms"] = time_left_ms.into();
     }
     if let Some(token) = token {
         params["token"] = token.into();
     }
-    for (key, said) in [("passage", passage), ("version", version)] {
-        if let Some(said) = said {
-            params[key] = said.into();
+    for (key, value) in [("passage", passage), ("version", version)] {
+        if let Some(value) = value {
+            params[key] = value.into();
         }
     }
     let call = serde_json::json!({"jsonrpc": "2.0", "id": 1, "method": "invoke", "params": params});
-    let answer = ask(to, call.to_string())?;
+    let answer = send_line(to, call.to_string())?;
     print!("{answer}");
     let reply: serde_json::Value = serde_json::from_str(&answer).map_err(|e| e.to_string())?;
     Ok(u8::from(reply.get("error").is_some()))
 }
 
-pub fn status(to: &str) -> Done {
+/// Prints a controller's status.
+pub fn status(to: &str) -> CommandResult {
     print!(
         "{}",
-        ask(to, r#"{"jsonrpc":"2.0","id":1,"method":"status"}"#.into())?
+        send_line(to, r#"{"jsonrpc":"2.0","id":1,"method":"status"}"#.into())?
     );
     Ok(0)
 }
 
-/// A registry over a folder of packed models.
-pub fn registry(folder: &Path, listen: &str, limit: usize) -> Done {
-    let (layout, at): (_, Address) = (
+/// Runs a registry over a folder of packed models.
+pub fn run_registry(folder: &Path, listen: &str, limit: usize) -> CommandResult {
+    let (layout, requested): (_, Address) = (
         Layout::open(folder).map_err(|e| e.to_string())?,
         listen.parse()?,
     );
@@ -479,7 +499,7 @@
     }
     on_this_thread(async {
         let address = registry
-            .open(&SocketNetwork, &at)
+            .open(&SocketNetwork, &requested)
             .await
             .map_err(|e| format!("{listen}: {e}"))?;
         println!("registry at {address}");
@@ -492,8 +512,8 @@
     })?
 }
 
-/// What an agent is told on its command line.
-pub struct AgentSeat<'a> {
+/// Options of an agent.
+pub struct AgentOptions<'a> {
     pub me: u32,
     pub listen: &'a str,
     pub store: &'a str,
@@ -503,49 +523,56 @@
     pub door: &'a str,
 }
 
-/// An agent as a process of its own; what it is to load is said at its door.
-pub fn agent(at: &AgentSeat) -> Done {
-    let (listen, store, list): (Address, Address, Address) =
-        (at.listen.parse()?, at.store.parse()?, at.list.parse()?);
-    let door: Address = at.door.parse()?;
+/// Runs an agent; orders to load models arrive at its control endpoint.
+pub fn run_agent(options: &AgentOptions) -> CommandResult {
+    let (listen, store, list): (Address, Address, Address) = (
+        options.listen.parse()?,
+        options.store.parse()?,
+        options.list.parse()?,
+    );
+    let control_address: Address = options.door.parse()?;
     on_this_thread(async {
         let clock = Clock::start();
-        let cache = Cache::open(at.folder, at.cache_mb * 1_000_000, Rc::new(RealDisk));
-        let cache = cache.map_err(|e| format!("{}: {e}", at.folder.display()))?;
-        let seat = saltdrum_agent::ControllerConfig {
-            me: at.me,
+        let cache = Cache::open(
+            options.folder,
+            options.cache_mb * 1_000_000,
+            Rc::new(RealDisk),
+        );
+        let cache = cache.map_err(|e| format!("{}: {e}", options.folder.display()))?;
+        let config = saltdrum_agent::ControllerConfig {
+            me: options.me,
             seed: fastrand::u64(..),
             store,
             serve_bytes_per_second: 200e6,
         };
         let network: Rc<dyn Network> = Rc::new(SocketNetwork);
-        let agent = saltdrum_agent::Agent::new(seat, cache, network.clone(), clock);
-        let opened = network
+        let agent = saltdrum_agent::Agent::new(config, cache, network.clone(), clock);
+        let (peers, address) = network
             .listen(&listen)
             .await
             .map_err(|e| format!("{listen}: {e}"))?;
         let (mut orders, _) = network
-            .listen(&door)
+            .listen(&control_address)
             .await
-            .map_err(|e| format!("{door}: {e}"))?;
-        println!("agent {} at {}", at.me, opened.1);
-        tokio::task::spawn_local(agent.clone().serve(opened.0));
+            .map_err(|e| format!("{control_address}: {e}"))?;
+        println!("agent {} at {}", options.me, address);
+        tokio::task::spawn_local(agent.clone().serve(peers));
         tokio::task::spawn_local(saltdrum_agent::follow(agent.clone(), network, list));
-        let taking = async {
+        let accepting = async {
             while let Ok(stream) = orders.accept().await {
-                tokio::task::spawn_local(take_orders(agent.clone(), stream));
+                tokio::task::spawn_local(serve_orders(agent.clone(), stream));
             }
         };
         tokio::select! {
-            () = taking => {}
+            () = accepting => {}
             () = until_interrupted() => {}
         }
         Ok(0)
     })?
 }
 
-/// JSON-RPC by lines: `load {model, reference}` and `status`.
-async fn take_orders(agent: Rc<saltdrum_agent::Agent>, stream: saltdrum_transport::Stream) {
+/// Serves line-delimited JSON-RPC: `load {model, reference}` and `status`.
+async fn serve_orders(agent: Rc<saltdrum_agent::Agent>, stream: saltdrum_transport::Stream) {
     #[derive(serde::Deserialize)]
     #[serde(deny_unknown_fields)]
     struct Load {
@@ -562,20 +589,20 @@
                 match (call.method.as_str(), serde_json::from_str::<Load>(params)) {
                     ("load", Ok(load)) => match agent.load(&load.model, &load.reference).await {
                         Ok(loaded) => {
-                            let told = serde_json::json!({"digest": loaded.digest.to_string(),
+                            let loaded_model = serde_json::json!({"digest": loaded.digest.to_string(),
                                 "chunks": loaded.manifest.chunks.len(), "bytes": loaded.manifest.bytes()});
-                            rpc::result(&id, &told.to_string())
+                            rpc::result(&id, &loaded_model.to_string())
                         }
                         Err(e) => rpc::error(&id, rpc::ERRORED, &e.to_string(), None),
                     },
                     ("load", Err(e)) => rpc::error(&id, rpc::INVALID_PARAMS, &e.to_string(), None),
                     ("status", _) => {
-                        let c = &agent.counts;
-                        let told = serde_json::json!({"from_cache": c.from_cache.get(),
-                            "from_peers": c.from_peers.get(), "from_store": c.from_store.get(),
-                            "bytes_from_store": c.bytes_from_store.get(), "damaged": c.damaged.get(),
-                            "served": c.served.get(), "held_bytes": agent.cache.bytes()});
-                        rpc::result(&id, &told.to_string())
+                        let counts = &agent.counts;
+                        let status = serde_json::json!({"from_cache": counts.from_cache.get(),
+                            "from_peers": counts.from_peers.get(), "from_store": counts.from_store.get(),
+                            "bytes_from_store": counts.bytes_from_store.get(), "damaged": counts.damaged.get(),
+                            "served": counts.served.get(), "held_bytes": agent.cache.bytes()});
+                        rpc::result(&id, &status.to_string())
                     }
                     (other, _) => {
                         let why = format!("method '{other}': load or status is expected");
@@ -586,10 +613,12 @@
             Ok(rpc::Line::Batch(_)) => rpc::error(
                 &rpc::Id::null(),
                 rpc::INVALID_REQUEST,
-                "no batches here",
+                "batches are not supported",
                 None,
             ),
-            Ok(rpc::Line::Single(Err(r))) | Err(r) => rpc::error(&r.id, r.code, &r.why, None),
+            Ok(rpc::Line::Single(Err(invalid))) | Err(invalid) => {
+                rpc::error(&invalid.id, invalid.code, &invalid.why, None)
+            }
         };
         line.clear();
         let written = async {
--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/scale.rs
@@ -1,4 +1,4 @@
-//! `saltdrum scale`: hollow controllers and members, one size a process, a line each, and a fit at the end.
+//! `saltdrum scale`: measures controllers and members at several sizes, each in a process of its own, and fits the results.
 
 use clap::{Args, Subcommand};
 use saltdrum_scale::controller::{self, Course};
@@ -11,94 +11,94 @@
 use std::process::{Command, Stdio};
 
 #[derive(Subcommand)]
-pub enum Scale {
-    /// One hollow controller at each size: the real module and desk, with a model of invokers in the same process.
-    Controller(OfController),
-    /// Stewards, members and followers of the list at each size, over the emulated network.
-    Members(OfMembers),
-    /// A real controller (`saltdrum node`) with a list of each size, at rest.
-    Node(OfNode),
+pub enum ScaleCommand {
+    /// Measures one controller at each size: the real policy and client side, with a model of the invokers in the same process.
+    Controller(ControllerOptions),
+    /// Measures coordinators, members and list followers at each size, over the emulated network.
+    Members(MemberOptions),
+    /// Measures an idle controller (`saltdrum node`) with a list of each size.
+    Node(NodeOptions),
 }
 
 #[derive(Args)]
-pub struct OfNode {
-    /// Lines of the list; a size each.
+pub struct NodeOptions {
+    /// Lines of the list; comma-separated sizes.
     #[arg(long, value_delimiter = ',', default_values_t = [120, 1_000, 10_000])]
     lines: Vec<u32>,
-    /// Seconds it is watched for, of real time.
+    /// Seconds of observation, in real time.
     #[arg(long, default_value_t = 20)]
     seconds: u64,
     #[command(flatten)]
-    shown: Shown,
+    output: OutputOptions,
 }
 
-/// How rows are shown.
+/// How the results are printed.
 #[derive(Args)]
-pub struct Shown {
-    /// A line of JSON a size.
+pub struct OutputOptions {
+    /// Prints a line of JSON for each size.
     #[arg(long)]
     json: bool,
-    /// In this process: for one size.
+    /// Measures one size in this process.
     #[arg(long, hide = true)]
     here: bool,
 }
 
 #[derive(Args)]
-pub struct OfController {
-    /// Invokers; a size each.
+pub struct ControllerOptions {
+    /// Invokers; comma-separated sizes.
     #[arg(long, value_delimiter = ',', default_values_t = [120, 300, 1_000, 3_000, 10_000])]
     invokers: Vec<u32>,
-    /// Functions of the fleet; a size each, with every size of invokers.
+    /// Functions of the fleet; comma-separated sizes, each combined with every size of invokers.
     #[arg(long, value_delimiter = ',', default_values_t = [94_000])]
     functions: Vec<u64>,
-    /// Invocations a second.
+    /// Invocations per second.
     #[arg(long, default_value_t = 159.0)]
     rate: f64,
-    /// The n-th function is called as often as 1 / n^SKEW.
+    /// The n-th function is invoked in proportion to 1 / n^SKEW.
     #[arg(long, default_value_t = 1.0)]
     skew: f64,
-    /// Seconds under load, of virtual time.
+    /// Seconds under load, in virtual time.
     #[arg(long, default_value_t = 120)]
     load_s: u64,
-    /// Seconds without an invocation after it.
+    /// Seconds without invocations after the load, in virtual time.
     #[arg(long, default_value_t = 60)]
     quiet_s: u64,
-    /// An invoker is replaced each so many seconds.
+    /// Seconds between replacements of an invoker.
     #[arg(long, default_value_t = 50)]
     event_every_s: u64,
-    /// A fifth of the invokers goes in one event, and is back cold in one.
+    /// Removes a fifth of the invokers in one event, and returns them cold in another.
     #[arg(long)]
     zone: bool,
     #[arg(long, default_value_t = 1)]
     seed: u64,
     #[command(flatten)]
-    shown: Shown,
+    output: OutputOptions,
 }
 
 #[derive(Args)]
-pub struct OfMembers {
-    /// Controllers and invokers together; a size each.
+pub struct MemberOptions {
+    /// Controllers and invokers together; comma-separated sizes.
     #[arg(long, value_delimiter = ',', default_values_t = [100, 300, 1_000, 3_000])]
     members: Vec<u32>,
-    /// Followers of the invoker list.
+    /// Followers of the invoker list; comma-separated sizes.
     #[arg(long, value_delimiter = ',', default_values_t = [30])]
     followers: Vec<u32>,
-    /// Leases of fleet-wide tasks; a size each.
+    /// Leases of fleet-wide tasks; comma-separated sizes.
     #[arg(long, value_delimiter = ',', default_values_t = [0])]
     leases: Vec<u32>,
-    /// Seconds at rest, of virtual time.
+    /// Seconds at rest, in virtual time.
     #[arg(long, default_value_t = 5)]
     rest_s: u64,
     #[arg(long, default_value_t = 1)]
     seed: u64,
     #[command(flatten)]
-    shown: Shown,
+    output: OutputOptions,
 }
 
-/// Columns of a table: its title, and where its figure is in a row.
+/// A column of a table: its title, and the JSON pointer to its value in a row.
 type Column = (&'static str, &'static str);
 
-const CONTROLLER: [Column; 15] = [
+const CONTROLLER_COLUMNS: [Column; 15] = [
     ("invokers", "/invokers"),
     ("functions", "/functions"),
     ("us a call", "/us_an_invocation"),
@@ -116,7 +116,7 @@
     ("rank steps", "/rank_steps"),
 ];
 
-const MEMBERS: [Column; 18] = [
+const MEMBER_COLUMNS: [Column; 18] = [
     ("members", "/members"),
     ("followers", "/followers"),
     ("leases", "/leases"),
@@ -137,32 +137,42 @@
     ("fleet B", "/fleet_bytes"),
 ];
 
-const NODE: [Column; 4] = [
+const NODE_COLUMNS: [Column; 4] = [
     ("lines", "/lines"),
     ("% of a core", "/share"),
     ("MB", "/memory_mb"),
     ("start, CPU ms", "/start_ms"),
 ];
 
-fn number(row: &Value, at: &str) -> f64 {
-    let n = row.pointer(at).and_then(Value::as_f64).unwrap_or(f64::NAN);
-    if at.ends_with("share") { n * 100.0 } else { n }
+/// The value at a JSON pointer; shares become percentages.
+fn number(row: &Value, pointer: &str) -> f64 {
+    let value = row
+        .pointer(pointer)
+        .and_then(Value::as_f64)
+        .unwrap_or(f64::NAN);
+    if pointer.ends_with("share") {
+        value * 100.0
+    } else {
+        value
+    }
 }
 
-fn short(n: f64) -> String {
-    match n.abs() {
-        a if a >= 100.0 || n == 0.0 => format!("{n:.0}"),
-        a if a >= 1.0 => format!("{n:.2}"),
-        _ => format!("{n:.4}"),
+/// Formats a number with few digits.
+fn format_number(value: f64) -> String {
+    match value.abs() {
+        magnitude if magnitude >= 100.0 || value == 0.0 => format!("{value:.0}"),
+        magnitude if magnitude >= 1.0 => format!("{value:.2}"),
+        _ => format!("{value:.4}"),
     }
 }
 
-fn told(row: &impl Serialize) -> Result<u8, String> {
+/// Prints a row as a line of JSON.
+fn print_row(row: &impl Serialize) -> Result<u8, String> {
     println!("{}", serde_json::to_string(row).map_err(|e| e.to_string())?);
     Ok(0)
 }
 
-/// Runs each size in a process of its own, so that memory is its alone; prints rows as they come, then the fits.
+/// Runs each size in a process of its own, so that its memory is measured alone; prints each row, then the fits.
 fn sweep(sizes: Vec<Vec<String>>, columns: &[Column], json: bool) -> Result<u8, String> {
     let binary = std::env::current_exe().map_err(|e| e.to_string())?;
     let mut rows: Vec<Value> = Vec::new();
@@ -178,55 +188,61 @@
             .args(&size)
             .stdout(Stdio::piped())
             .spawn();
-        let done = child
+        let output = child
             .and_then(|c| c.wait_with_output())
             .map_err(|e| e.to_string())?;
-        let text = String::from_utf8_lossy(&done.stdout).into_owned();
-        if !done.status.success() {
-            return Err(format!("{}: {}", size.join(" "), done.status));
+        let text = String::from_utf8_lossy(&output.stdout).into_owned();
+        if !output.status.success() {
+            return Err(format!("{}: {}", size.join(" "), output.status));
         }
         let row: Value =
             serde_json::from_str(&text).map_err(|e| format!("{}: {e}", size.join(" ")))?;
         if json {
             print!("{text}");
         } else {
-            let cells: Vec<String> = columns.iter().map(|c| short(number(&row, c.1))).collect();
+            let cells: Vec<String> = columns
+                .iter()
+                .map(|c| format_number(number(&row, c.1)))
+                .collect();
             println!("| {} |", cells.join(" | "));
         }
         rows.push(row);
     }
-    for (title, at) in columns.iter().skip(1).filter(|_| !json && rows.len() > 1) {
+    for (title, pointer) in columns.iter().skip(1).filter(|_| !json && rows.len() > 1) {
         let points: Vec<(f64, f64)> = rows
             .iter()
-            .map(|r| (number(r, columns[0].1), number(r, at)))
+            .map(|r| (number(r, columns[0].1), number(r, pointer)))
             .collect();
-        if let Some(f) = fit(&points).filter(|f| f.slope.abs() > 0.0 && f.slope.is_finite()) {
-            let exponent = f.exponent.map_or("-".into(), |e| format!("{e:.2}"));
+        if let Some(line) = fit(&points).filter(|f| f.slope.abs() > 0.0 && f.slope.is_finite()) {
+            let exponent = line.exponent.map_or("-".into(), |e| format!("{e:.2}"));
             println!(
-                "{title} ({at}): {:.4e} for each of {}, {} at none, exponent {exponent}, off by {:.0}% at most",
-                f.slope,
+                "{title} ({pointer}): {:.4e} for each of {}, {} at none, exponent {exponent}, off by {:.0}% at most",
+                line.slope,
                 columns[0].0,
-                short(f.at_nothing),
-                f.residual * 100.0
+                format_number(line.at_nothing),
+                line.residual * 100.0
             );
         }
     }
     Ok(0)
 }
 
-fn words(said: &[(&str, String)]) -> Vec<String> {
-    said.iter()
+/// Options as command-line arguments.
+fn arguments(options: &[(&str, String)]) -> Vec<String> {
+    options
+        .iter()
         .flat_map(|(name, value)| [format!("--{name}"), value.clone()])
         .collect()
 }
 
-pub fn run(what: &Scale) -> Result<u8, String> {
-    match what {
-        Scale::Controller(c) => {
+/// Runs one subcommand of `saltdrum scale`.
+pub fn run(command: &ScaleCommand) -> Result<u8, String> {
+    match command {
+        ScaleCommand::Controller(options) => {
             let mut sizes = Vec::new();
-            for invokers in &c.invokers {
-                for functions in &c.functions {
-                    let (rate, skew, seed) = (c.rate, c.skew, c.seed);
+            for invokers in &options.invokers {
+                for functions in &options.functions {
+                    let (rate, skew, seed) = (options.rate, options.skew, options.seed);
                     let load = Load {
                         invokers: *invokers,
                         functions: *functions,
@@ -234,40 +250,41 @@
                         skew,
                         seed,
                     };
-                    if c.shown.here {
+                    if options.output.here {
                         let (load_s, quiet_s, event_every_s) =
-                            (c.load_s, c.quiet_s, c.event_every_s);
+                            (options.load_s, options.quiet_s, options.event_every_s);
                         let course = Course {
                             load_s,
                             quiet_s,
                             event_every_s,
-                            zone: c.zone,
+                            zone: options.zone,
                         };
-                        return told(&controller::run(&load, &course));
+                        return print_row(&controller::run(&load, &course));
                     }
                     let mut size: Vec<String> =
                         ["scale", "controller", "--here"].map(String::from).into();
-                    size.extend(words(&[
+                    size.extend(arguments(&[
                         ("invokers", invokers.to_string()),
                         ("functions", functions.to_string()),
                         ("rate", rate.to_string()),
                         ("skew", skew.to_string()),
                         ("seed", seed.to_string()),
-                        ("load-s", c.load_s.to_string()),
-                        ("quiet-s", c.quiet_s.to_string()),
-                        ("event-every-s", c.event_every_s.to_string()),
+                        ("load-s", options.load_s.to_string()),
+                        ("quiet-s", options.quiet_s.to_string()),
+                        ("event-every-s", options.event_every_s.to_string()),
                     ]));
-                    size.extend(c.zone.then(|| "--zone".to_owned()));
+                    size.extend(options.zone.then(|| "--zone".to_owned()));
                     sizes.push(size);
                 }
             }
-            sweep(sizes, &CONTROLLER, c.shown.json)
+            sweep(sizes, &CONTROLLER_COLUMNS, options.output.json)
         }
-        Scale::Members(m) => {
-            if m.shown.here {
-                let (members, followers, leases) = (m.members[0], m.followers[0], m.leases[0]);
-                let (rest_s, seed) = (m.rest_s, m.seed);
-                return told(&members::run(&members::Size {
+        ScaleCommand::Members(options) => {
+            if options.output.here {
+                let (members, followers, leases) =
+                    (options.members[0], options.followers[0], options.leases[0]);
+                let (rest_s, seed) = (options.rest_s, options.seed);
+                return print_row(&members::run(&members::Size {
                     members,
                     followers,
                     leases,
@@ -276,49 +293,50 @@
                 }));
             }
             let followers_and_leases = || {
-                m.followers
+                options
+                    .followers
                     .iter()
-                    .flat_map(|f| m.leases.iter().map(move |leases| (*f, *leases)))
+                    .flat_map(|f| options.leases.iter().map(move |leases| (*f, *leases)))
             };
             let size = |members: u32, followers: u32, leases: u32| {
                 let mut size: Vec<String> = ["scale", "members", "--here"].map(String::from).into();
-                size.extend(words(&[
+                size.extend(arguments(&[
                     ("members", members.to_string()),
                     ("followers", followers.to_string()),
                     ("leases", leases.to_string()),
-                    ("rest-s", m.rest_s.to_string()),
-                    ("seed", m.seed.to_string()),
+                    ("rest-s", options.rest_s.to_string()),
+                    ("seed", options.seed.to_string()),
                 ]));
                 size
             };
-            let of = |members: &u32| {
+            let combinations = |members: &u32| {
                 let members = *members;
                 followers_and_leases().map(move |(followers, leases)| (members, followers, leases))
             };
-            let sizes = m
+            let sizes = options
                 .members
                 .iter()
-                .flat_map(of)
-                .map(|(m, f, l)| size(m, f, l))
+                .flat_map(combinations)
+                .map(|(members, followers, leases)| size(members, followers, leases))
                 .collect();
-            sweep(sizes, &MEMBERS, m.shown.json)
+            sweep(sizes, &MEMBER_COLUMNS, options.output.json)
         }
-        Scale::Node(n) => {
+        ScaleCommand::Node(options) => {
             let mut sizes = Vec::new();
-            for lines in &n.lines {
-                if n.shown.here {
+            for lines in &options.lines {
+                if options.output.here {
                     let binary = std::env::current_exe().map_err(|e| e.to_string())?;
                     let folder = tempfile::tempdir().map_err(|e| e.to_string())?;
-                    return told(&real::run(&binary, folder.path(), *lines, n.seconds)?);
+                    return print_row(&real::run(&binary, folder.path(), *lines, options.seconds)?);
                 }
                 let mut size: Vec<String> = ["scale", "node", "--here"].map(String::from).into();
-                size.extend(words(&[
+                size.extend(arguments(&[
                     ("lines", lines.to_string()),
-                    ("seconds", n.seconds.to_string()),
+                    ("seconds", options.seconds.to_string()),
                 ]));
                 sizes.push(size);
             }
-            sweep(sizes, &NODE, n.shown.json)
+            sweep(sizes, &NODE_COLUMNS, options.output.json)
         }
     }
 }
--- a/crates/cli/src/scripts.rs
+++ b/crates/cli/src/scripts.rs
@@ -5,33 +5,35 @@
 use std::fs;
 use std::path::Path;
 
-/// Reads a file, or says which it was.
-pub fn text(path: &Path) -> Result<String, String> {
+/// Reads a script; an error names its path.
+pub fn read_script(path: &Path) -> Result<String, String> {
     fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-/// The deployment that a script describes.
-pub fn terms(path: &Path) -> Result<Terms, String> {
-    Ok(fleet_terms(path)?.0)
+/// Loads the deployment that a script describes.
+pub fn load_terms(path: &Path) -> Result<Terms, String> {
+    Ok(load_terms_and_fleet(path)?.0)
 }
 
-/// The deployment, and what its script says of its fleet.
-pub fn fleet_terms(path: &Path) -> Result<(Terms, Option<FleetConfig>), String> {
-    let (terms, mut rest) =
-        Terms::load(&path.to_string_lossy(), &text(path)?).map_err(|e| e.to_string())?;
-    let fleet = FleetConfig::take(&mut rest).map_err(|e| e.to_string())?;
-    match rest
+/// Loads a deployment, and the settings of its fleet if the script has any.
+pub fn load_terms_and_fleet(path: &Path) -> Result<(Terms, Option<FleetConfig>), String> {
+    let (terms, mut statements) =
+        Terms::load(&path.to_string_lossy(), &read_script(path)?).map_err(|e| e.to_string())?;
+    let fleet = FleetConfig::take(&mut statements).map_err(|e| e.to_string())?;
+    match statements
         .iter()
         .find(|s| !matches!(s.what, "day" | "traffic" | "trouble" | "trial" | "step"))
     {
-        Some(s) => Err(s.fault("does not describe a deployment").to_string()),
+        Some(statement) => Err(statement
+            .fault("does not describe a deployment")
+            .to_string()),
         None => Ok((terms, fleet)),
     }
 }
 
-/// What the script says of its fleet, which it has to.
-pub fn stated_fleet(path: &Path) -> Result<FleetConfig, String> {
-    fleet_terms(path)?
+/// Loads the settings of a fleet; an error if the script has none.
+pub fn load_fleet(path: &Path) -> Result<FleetConfig, String> {
+    load_terms_and_fleet(path)?
         .1
         .ok_or_else(|| format!("{}: no fleet(...) is stated", path.display()))
 }
