--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -1,4 +1,4 @@
-//! `saltdrum trial`: plays one, and tells what the judge makes of it.
+//! `saltdrum trial`: runs a trial and prints the verdicts of its judges.
 
 use crate::process::on_this_thread;
 use clap::Args;
@@ -11,27 +11,30 @@
 use std::io::{BufWriter, Write};
 use std::path::PathBuf;
 
-/// Plays of a trial in which the machine stood still, before that is the answer.
-const PLAYS: usize = 3;
+/// Runs of a trial that are inconclusive because the machine stalled, before that is the result.
+const RUNS_MAX: usize = 3;
 
+/// Options of `saltdrum trial`.
 #[derive(Args)]
-pub struct Plays {
-    /// A script, or the name of a trial that comes with the program.
+pub struct TrialOptions {
+    /// Script, or the name of a built-in trial.
     trial: String,
+    /// Seed that replaces the script's.
     #[arg(long)]
     seed: Option<u64>,
-    /// Facts as JSON in place of lines.
+    /// Prints the results as JSON instead of text.
     #[arg(long)]
     json: bool,
-    /// Keeps the record here.
+    /// Writes the record to this file.
     #[arg(long)]
     record: Option<PathBuf>,
-    /// Keeps the processes' logs and disks in this folder, which must be empty.
+    /// Keeps the logs and disks of the processes in this folder, which must be empty.
     #[arg(long)]
     keep: Option<PathBuf>,
 }
 
-fn load(name: &str) -> Result<Trial, String> {
+/// Loads a trial by the name of a built-in one or by the path of its script.
+fn load_trial(name: &str) -> Result<Trial, String> {
     let (file, text) = match TRIALS.iter().find(|t| t.0 == name) {
         Some((name, text)) => (format!("{name}.star"), (*text).to_owned()),
         None if name.ends_with(".star") => (
@@ -49,22 +52,26 @@
     Trial::load(&file, &text).map_err(|e| e.to_string())
 }
 
-pub fn run(plays: &Plays) -> Result<u8, String> {
-    let mut trial = load(&plays.trial)?;
-    trial.seed = plays.seed.unwrap_or(trial.seed);
+/// Runs a trial. Exit codes: 0 all rules kept, 1 a rule broken or a step failed, 3 inconclusive.
+pub fn run(options: &TrialOptions) -> Result<u8, String> {
+    let mut trial = load_trial(&options.trial)?;
+    trial.seed = options.seed.unwrap_or(trial.seed);
     let binary = std::env::current_exe().map_err(|e| e.to_string())?;
-    for n in 1..=PLAYS {
-        let lent = tempfile::tempdir().map_err(|e| e.to_string())?;
-        let folder = plays.keep.clone().unwrap_or_else(|| lent.path().to_owned());
+    for run_number in 1..=RUNS_MAX {
+        let temporary = tempfile::tempdir().map_err(|e| e.to_string())?;
+        let folder = options
+            .keep
+            .clone()
+            .unwrap_or_else(|| temporary.path().to_owned());
         std::fs::create_dir_all(&folder).map_err(|e| e.to_string())?;
         let lines = on_this_thread(play(&trial, &binary, &folder))??;
-        if let Some(path) = &plays.record {
-            let kept = std::fs::File::create(path).and_then(|file| {
+        if let Some(path) = &options.record {
+            let written = std::fs::File::create(path).and_then(|file| {
                 let mut file = BufWriter::new(file);
                 record::write(&lines, &mut file)?;
                 file.flush()
             });
-            kept.map_err(|e| format!("{}: {e}", path.display()))?;
+            written.map_err(|e| format!("{}: {e}", path.display()))?;
         }
         let mut verdicts = judge(&lines);
         if trial.journals > 0 {
@@ -80,43 +87,50 @@
                 }
             })
             .collect();
-        let broken = verdicts.iter().any(|v| !v.broken.is_empty());
-        let unclear = cannot_tell(&lines) && (broken || !failed.is_empty());
-        if unclear && n < PLAYS && plays.keep.is_none() {
+        let is_broken = verdicts.iter().any(|v| !v.broken.is_empty());
+        let is_inconclusive = cannot_tell(&lines) && (is_broken || !failed.is_empty());
+        if is_inconclusive && run_number < RUNS_MAX && options.keep.is_none() {
             continue;
         }
-        tell(&trial, &lines, &verdicts, &failed, plays.json);
-        return Ok(match (unclear, broken || !failed.is_empty()) {
+        print_results(&trial, &lines, &verdicts, &failed, options.json);
+        return Ok(match (is_inconclusive, is_broken || !failed.is_empty()) {
             (true, _) => 3,
             (false, true) => 1,
             (false, false) => 0,
         });
     }
-    unreachable!("the last play is told whatever came of it")
+    unreachable!("the last run returns its result")
 }
 
-fn tell(trial: &Trial, lines: &[Line], verdicts: &[Verdict], failed: &[&String], as_json: bool) {
-    let told = |word: &str| {
+/// Prints the verdicts and the counts of a record.
+fn print_results(
+    trial: &Trial,
+    lines: &[Line],
+    verdicts: &[Verdict],
+    failed: &[&String],
+    as_json: bool,
+) {
+    let count_events = |event: &str| {
         lines
             .iter()
-            .filter(|l| matches!(l, Line::Told { what, .. } if what == word))
+            .filter(|l| matches!(l, Line::Told { what, .. } if what == event))
             .count()
     };
-    let how = |which: How| {
+    let count_invocations = |outcome: How| {
         lines
             .iter()
-            .filter(|l| matches!(l, Line::Invoked { how, .. } if *how == which))
+            .filter(|l| matches!(l, Line::Invoked { how, .. } if *how == outcome))
             .count()
     };
     if as_json {
-        let facts = json!({
+        let results = json!({
             "trial": trial.name, "seed": trial.seed, "rules": verdicts, "failed": failed,
-            "drains_begun": told("began"), "drains_ended": told("drained"),
+            "drains_begun": count_events("began"), "drains_ended": count_events("drained"),
             "effects": effects_and_epochs(lines).0, "epochs": effects_and_epochs(lines).1,
-            "succeeded": how(How::Succeeded), "throttled": how(How::Throttled),
-            "errored": how(How::Errored), "lost": how(How::Lost),
+            "succeeded": count_invocations(How::Succeeded), "throttled": count_invocations(How::Throttled),
+            "errored": count_invocations(How::Errored), "lost": count_invocations(How::Lost),
         });
-        println!("{facts}");
+        println!("{results}");
         return;
     }
     println!("{}, seed {}", trial.name, trial.seed);
@@ -131,34 +145,34 @@
     }
     println!(
         "  drains: {} begun, {} ended",
-        told("began"),
-        told("drained")
+        count_events("began"),
+        count_events("drained")
     );
     println!(
         "  invocations: {} succeeded, {} throttled, {} errored, {} lost",
-        how(How::Succeeded),
-        how(How::Throttled),
-        how(How::Errored),
-        how(How::Lost)
+        count_invocations(How::Succeeded),
+        count_invocations(How::Throttled),
+        count_invocations(How::Errored),
+        count_invocations(How::Lost)
     );
-    for v in verdicts {
+    for verdict in verdicts {
         println!(
             "  {}: {}",
-            v.rule,
-            if v.broken.is_empty() {
+            verdict.rule,
+            if verdict.broken.is_empty() {
                 "kept"
             } else {
                 "BROKEN"
             }
         );
-        v.broken.iter().for_each(|b| println!("    {b}"));
+        verdict.broken.iter().for_each(|b| println!("    {b}"));
     }
     failed
         .iter()
         .for_each(|why| println!("  step failed: {why}"));
 }
 
-/// Effects of fleet-wide tasks that were accepted, and of how many grants.
+/// The number of accepted effects of fleet-wide tasks, and of their epochs.
 fn effects_and_epochs(lines: &[Line]) -> (usize, usize) {
     let epoch = |line: &Line| {
         if let Line::Effect { epoch, .. } = line {
@@ -171,7 +185,7 @@
     (epochs.len(), epochs.iter().collect::<BTreeSet<_>>().len())
 }
 
-/// From the last effect of an epoch to the first of the next that had one: the median and the ninety-ninth of a hundred.
+/// Median and 99th percentile of the time from the last effect of an epoch to the first of the next epoch with effects.
 fn handover_gaps_ms(lines: &[Line]) -> Option<(f64, f64)> {
     let effect = |line: &Line| match line {
         Line::Effect { at_ns, epoch, .. } => Some((*at_ns, *epoch)),
@@ -184,10 +198,10 @@
         .map(|pair| (pair[1].0 - pair[0].0) as f64 / 1e6)
         .collect();
     gaps_ms.sort_by(f64::total_cmp);
-    let of = |share: usize| {
+    let percentile = |percent: usize| {
         gaps_ms
-            .get(gaps_ms.len().saturating_sub(1) * share / 100)
+            .get(gaps_ms.len().saturating_sub(1) * percent / 100)
             .copied()
     };
-    Some((of(50)?, of(99)?))
+    Some((percentile(50)?, percentile(99)?))
 }
