--- a/crates/cli/tests/collection.rs
+++ b/crates/cli/tests/collection.rs
@@ -1,4 +1,5 @@
-//! The registry's collection as a fleet-wide task, on processes: a steward, a registry, two controllers that offer it.
+//! Garbage collection of the registry as a fleet-wide task, on processes: a coordinator, a registry and two controllers
+//! that offer the task.
 
 use std::fs;
 use std::path::PathBuf;
@@ -17,16 +18,17 @@
 lease("collection", task = "registry-collection", eligible = "controller", resources = ["registry"])
 "#;
 
-/// Ends with the test, however that ends.
-struct Running(Child);
+/// Kills its process when dropped, also when the test fails.
+struct ProcessGuard(Child);
 
-impl Drop for Running {
+impl Drop for ProcessGuard {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
+/// A folder with the script and the registry of one fleet.
 struct Site {
     folder: tempfile::TempDir,
 }
@@ -37,21 +39,21 @@
             folder: tempfile::tempdir().unwrap(),
         };
         fs::write(site.folder.path().join("site.star"), SCRIPT).unwrap();
-        site.does("registry init blobs --key owner.key");
+        site.run_ok("registry init blobs --key owner.key");
         site
     }
 
-    fn command(&self, words: &str) -> Command {
+    fn command(&self, arguments: &str) -> Command {
         let mut command = Command::new(env!("CARGO_BIN_EXE_saltdrum"));
         command
             .current_dir(self.folder.path())
-            .args(words.split_whitespace());
+            .args(arguments.split_whitespace());
         command
     }
 
-    fn starts(&self, words: &str) -> Running {
-        Running(
-            self.command(words)
+    fn start(&self, arguments: &str) -> ProcessGuard {
+        ProcessGuard(
+            self.command(arguments)
                 .stdout(Stdio::null())
                 .stderr(Stdio::null())
                 .spawn()
@@ -59,119 +61,122 @@
         )
     }
 
-    fn says(&self, words: &str) -> Output {
-        self.command(words).output().unwrap()
+    fn run(&self, arguments: &str) -> Output {
+        self.command(arguments).output().unwrap()
     }
 
-    fn does(&self, words: &str) -> String {
-        let out = self.says(words);
-        let (told, why) = (
-            String::from_utf8_lossy(&out.stdout),
-            String::from_utf8_lossy(&out.stderr),
+    fn run_ok(&self, arguments: &str) -> String {
+        let output = self.run(arguments);
+        let (stdout, stderr) = (
+            String::from_utf8_lossy(&output.stdout),
+            String::from_utf8_lossy(&output.stderr),
         );
-        assert!(out.status.success(), "{words}: {told}{why}");
-        told.into_owned()
+        assert!(output.status.success(), "{arguments}: {stdout}{stderr}");
+        stdout.into_owned()
     }
 
-    fn refuses(&self, words: &str) -> String {
-        let out = self.says(words);
+    fn run_refused(&self, arguments: &str) -> String {
+        let output = self.run(arguments);
         assert_eq!(
-            out.status.code(),
+            output.status.code(),
             Some(2),
-            "{words}: {}",
-            String::from_utf8_lossy(&out.stdout)
+            "{arguments}: {}",
+            String::from_utf8_lossy(&output.stdout)
         );
-        String::from_utf8_lossy(&out.stderr).into_owned()
+        String::from_utf8_lossy(&output.stderr).into_owned()
     }
 
-    fn controller(&self, number: u32) -> Running {
-        self.starts(&format!(
+    fn start_controller(&self, number: u32) -> ProcessGuard {
+        self.start(&format!(
             "serve site.star --list unix:list --first {number} --clients unix:controller-{number} \
              --steward unix:steward --collect-registry unix:tasks --collect-every-s 1 --collect-grace-s 0"
         ))
     }
 
-    /// A blob that no version names.
-    fn blob(&self, n: u8) -> PathBuf {
+    /// Writes a blob that no version references.
+    fn write_blob(&self, byte: u8) -> PathBuf {
         let path = self.folder.path().join(format!(
             "blobs/blobs/sha256/{}",
-            format!("{n:02x}").repeat(32)
+            format!("{byte:02x}").repeat(32)
         ));
         fs::write(&path, b"nobody's").unwrap();
         path
     }
 
-    /// The member that holds the lease.
+    /// The member that holds the lease, if any.
     fn holder(&self) -> Option<String> {
-        let out = self.says("fleet leases --json --fleet museums --to unix:steward");
-        let told: serde_json::Value = serde_json::from_slice(&out.stdout).ok()?;
-        told["leases"]["collection"]["state"]["holder"]
+        let output = self.run("fleet leases --json --fleet museums --to unix:steward");
+        let status: serde_json::Value = serde_json::from_slice(&output.stdout).ok()?;
+        status["leases"]["collection"]["state"]["holder"]
             .as_str()
             .map(str::to_owned)
     }
 }
 
-fn until(what: &str, mut seen: impl FnMut() -> bool) {
+/// Polls until a condition holds.
+fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     for _ in 0..1_200 {
-        if seen() {
+        if condition() {
             return;
         }
         std::thread::sleep(Duration::from_millis(25));
     }
-    panic!("never seen: {what}");
+    panic!("timed out waiting for {what}");
 }
 
 #[test]
-fn whoever_holds_the_lease_collects_and_nobody_else() {
+fn only_lease_holder_collects_blobs() {
     let site = Site::new();
-    let _steward = site.starts(
+    let _coordinator = site.start(
         "steward site.star --number 1 --listen unix:steward --list unix:list --disk steward.disk \
          --steward 1=unix:steward --found",
     );
     let fleet = "--fleet museums --steward unix:steward --tasks unix:tasks";
-    let _registry = site.starts(&format!(
+    let _registry = site.start(&format!(
         "registry serve blobs --listen unix:registry {fleet}"
     ));
-    let _invoker = site.starts(
-        "standin invoker site.star --number 1 --listen unix:invoker --steward unix:steward",
-    );
-    let mut controllers = [Some(site.controller(1)), Some(site.controller(2))];
-    until("a holder", || site.holder().is_some());
-    let first = site.blob(1);
-    until("the first collection", || !first.exists());
-
-    // The holder is killed: the other collects.
+    let _invoker = site
+        .start("standin invoker site.star --number 1 --listen unix:invoker --steward unix:steward");
+    let mut controllers = [
+        Some(site.start_controller(1)),
+        Some(site.start_controller(2)),
+    ];
+    wait_until("a holder", || site.holder().is_some());
+    let first = site.write_blob(1);
+    wait_until("the first collection", || !first.exists());
+
+    // After the holder is killed, the other controller collects.
     let held = site.holder().unwrap();
     let number: usize = held.strip_prefix("controller-").unwrap().parse().unwrap();
     controllers[number - 1] = None;
-    until("another holder", || {
+    wait_until("another holder", || {
         site.holder().is_some_and(|holder| holder != held)
     });
-    let second = site.blob(2);
-    until("the second collection", || !second.exists());
+    let second = site.write_blob(2);
+    wait_until("the second collection", || !second.exists());
 
-    // By hand: only while the lease is paused, and then nobody else.
+    // An operator may collect only while the lease is paused, and then no controller does.
     let to = "--to unix:registry --key owner.key";
     let by_hand = format!("registry gc {to} --grace-s 0 {fleet}");
-    assert!(site.refuses(&by_hand).contains("holds the lease"));
+    assert!(site.run_refused(&by_hand).contains("holds the lease"));
     assert!(
-        site.refuses(&format!("registry gc {to} --grace-s 0"))
+        site.run_refused(&format!("registry gc {to} --grace-s 0"))
             .contains("holder")
     );
     let at = "--fleet museums --to unix:steward";
-    site.does(&format!(
+    site.run_ok(&format!(
         "fleet lease {at} pause collection --why maintenance"
     ));
-    let third = site.blob(3);
-    assert!(site.does(&by_hand).starts_with("1 blobs gone"));
+    let third = site.write_blob(3);
+    assert!(site.run_ok(&by_hand).starts_with("1 blobs gone"));
     assert!(!third.exists());
-    let fourth = site.blob(4);
+    let fourth = site.write_blob(4);
     std::thread::sleep(Duration::from_millis(2_500));
-    assert!(fourth.exists(), "nobody collects while it is paused");
-    site.does(&format!("fleet lease {at} resume collection"));
-    until("the collection after the pause", || !fourth.exists());
+    assert!(fourth.exists(), "collected while the lease is paused");
+    site.run_ok(&format!("fleet lease {at} resume collection"));
+    wait_until("the collection after the pause", || !fourth.exists());
     assert!(
-        site.does(&format!("fleet leases {at}"))
+        site.run_ok(&format!("fleet leases {at}"))
             .contains("held by controller-")
     );
 }
--- a/crates/cli/tests/disks.rs
+++ b/crates/cli/tests/disks.rs
@@ -1,4 +1,4 @@
-//! Processes whose folder lasts: killed at any of their first writes, and on a disk that takes nothing for a while.
+//! Durability of the processes that store data: killed at each write of their start, and on a disk that fails for a while.
 
 mod preloaded;
 
@@ -9,24 +9,25 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::time::Duration;
 
-const KILLED: i32 = 9;
-/// PollTimes for something that takes a process some time, and how long it is waited between two.
-const LOOKS: u32 = 800;
-const LOOK_EVERY: Duration = Duration::from_millis(10);
-/// So long does a disk take nothing.
-const FAILING: Duration = Duration::from_millis(1_500);
-/// More calls than any start needs.
-const CALLS_MOST: u64 = 400;
+const SIGKILL: i32 = 9;
+/// Number of polls until a process has to be up, and the interval between two.
+const POLLS_MAX: u32 = 800;
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// How long the disk fails.
+const FAILURE_DURATION: Duration = Duration::from_millis(1_500);
+/// Upper bound of the system calls on files during a start.
+const CALLS_MAX: u64 = 400;
+/// Options that name the registry and its key.
 const TO: &str = "--to unix:socket --key owner.key";
 const SERVE: &str = "registry serve models --listen unix:socket";
-const STEWARD: &str =
+const COORDINATOR: &str =
     "steward SCRIPT --number 1 --found --steward 1=unix:socket --listen unix:socket --disk disk";
 const JOURNAL: &str = "standin journal SCRIPT --name journal-1 --steward unix:steward --listen unix:socket --disk disk";
 
-/// Ends with the test, however that ends.
-struct Running(Child);
+/// Kills its process when dropped, also when the test fails.
+struct ProcessGuard(Child);
 
-impl Drop for Running {
+impl Drop for ProcessGuard {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
@@ -47,97 +48,97 @@
         }
     }
 
-    fn at(&self, name: &str) -> PathBuf {
+    fn path(&self, name: &str) -> PathBuf {
         self.folder.path().join(name)
     }
 
-    fn command(&self, words: &str) -> Command {
+    fn command(&self, arguments: &str) -> Command {
         let mut command = Command::new(env!("CARGO_BIN_EXE_saltdrum"));
         let script = concat!(
             env!("CARGO_MANIFEST_DIR"),
             "/../trial/trials/lease-drained.star"
         );
         command.args(
-            words
+            arguments
                 .split_whitespace()
                 .map(|word| if word == "SCRIPT" { script } else { word }),
         );
         command
             .current_dir(self.folder.path())
             .env("LD_PRELOAD", &self.library);
-        command.env("FAULTS_DISK_FAILS", self.at("fails"));
+        command.env("FAULTS_DISK_FAILS", self.path("fails"));
         command.stdout(Stdio::null()).stderr(Stdio::null());
         command
     }
 
-    fn says(&self, words: &str) -> Output {
-        self.command(words).output().unwrap()
+    fn run(&self, arguments: &str) -> Output {
+        self.command(arguments).output().unwrap()
     }
 
-    fn starts(&self, words: &str) -> Running {
-        let _ = fs::remove_file(self.at("socket"));
-        Running(self.command(words).spawn().unwrap())
+    fn start(&self, arguments: &str) -> ProcessGuard {
+        let _ = fs::remove_file(self.path("socket"));
+        ProcessGuard(self.command(arguments).spawn().unwrap())
     }
 
-    /// Whether the process comes up; it does not where it ends before.
-    fn comes_up(&self, process: &mut Running) -> bool {
-        for _ in 0..LOOKS {
-            if UnixStream::connect(self.at("socket")).is_ok() {
+    /// Waits until the process listens; false if it exits before.
+    fn wait_until_up(&self, process: &mut ProcessGuard) -> bool {
+        for _ in 0..POLLS_MAX {
+            if UnixStream::connect(self.path("socket")).is_ok() {
                 return true;
             }
             if process.0.try_wait().unwrap().is_some() {
                 return false;
             }
-            std::thread::sleep(LOOK_EVERY);
+            std::thread::sleep(POLL_INTERVAL);
         }
         false
     }
 
     fn set_failing(&self, is_failing: bool) {
         match is_failing {
-            true => fs::write(self.at("fails"), "").unwrap(),
-            false => fs::remove_file(self.at("fails")).unwrap(),
+            true => fs::write(self.path("fails"), "").unwrap(),
+            false => fs::remove_file(self.path("fails")).unwrap(),
         }
     }
 }
 
-/// Starts a process that is killed at its first write, by half done, at its second, and so on until it comes up, each time
-/// in a new folder. Gives the calls after which it does not start again.
-fn killed_at_each_call_of_a_start(library: &Path, words: &str) -> Vec<u64> {
-    let mut never_again = Vec::new();
-    for call in 1..CALLS_MOST {
+/// Starts a process that is killed halfway through its first write, then its second, and so on until it comes up, each time
+/// in a new folder. Returns the calls after which a restart fails.
+fn calls_whose_kill_prevents_restart(library: &Path, arguments: &str) -> Vec<u64> {
+    let mut failed_calls = Vec::new();
+    for call in 1..CALLS_MAX {
         let site = Site::new(library);
-        let mut command = site.command(words);
-        let mut first = Running(
+        let mut command = site.command(arguments);
+        let mut first = ProcessGuard(
             command
                 .env("FAULTS_DISK_DIES_AT", call.to_string())
                 .spawn()
                 .unwrap(),
         );
-        if site.comes_up(&mut first) {
+        if site.wait_until_up(&mut first) {
             assert!(
                 call > 5,
-                "only {call} calls until it was up: the library sees none"
+                "only {call} calls until it was up: the library intercepts none"
             );
-            return never_again;
+            return failed_calls;
         }
         assert_eq!(
             first.0.wait().unwrap().signal(),
-            Some(KILLED),
+            Some(SIGKILL),
             "at call {call}"
         );
-        let mut again = site.starts(words);
-        if !site.comes_up(&mut again) {
-            never_again.push(call);
+        let mut restarted = site.start(arguments);
+        if !site.wait_until_up(&mut restarted) {
+            failed_calls.push(call);
         }
     }
-    panic!("it never comes up: {words}");
+    panic!("never came up: {arguments}");
 }
 
-/// The same of a registry while it is made: made again, it serves, and the key that goes with it is there.
-fn killed_at_each_call_while_a_registry_is_made(library: &Path) -> Vec<u64> {
-    let (init, mut never_again) = ("registry init models --key owner.key", Vec::new());
-    for call in 1..CALLS_MOST {
+/// The same for the creation of a registry: created again, it has to serve and accept its key.
+fn calls_whose_kill_prevents_creation(library: &Path) -> Vec<u64> {
+    let (init, mut failed_calls) = ("registry init models --key owner.key", Vec::new());
+    for call in 1..CALLS_MAX {
         let site = Site::new(library);
         let status = site
             .command(init)
@@ -147,98 +148,104 @@
         if status.success() {
             assert!(
                 call > 5,
-                "only {call} calls until it was made: the library sees none"
+                "only {call} calls until it was created: the library intercepts none"
             );
-            return never_again;
+            return failed_calls;
         }
-        assert_eq!(status.signal(), Some(KILLED), "at call {call}");
-        site.says(init);
-        let mut served = site.starts(SERVE);
-        if !site.comes_up(&mut served)
-            || !site.says(&format!("registry status {TO}")).status.success()
+        assert_eq!(status.signal(), Some(SIGKILL), "at call {call}");
+        site.run(init);
+        let mut served = site.start(SERVE);
+        if !site.wait_until_up(&mut served)
+            || !site.run(&format!("registry status {TO}")).status.success()
         {
-            never_again.push(call);
+            failed_calls.push(call);
         }
     }
-    panic!("it is never made");
+    panic!("the registry was never created");
 }
 
 #[test]
-fn whoever_is_killed_at_any_of_its_first_writes_starts_again() {
+fn process_killed_at_any_write_of_its_start_restarts() {
     let folder = tempfile::tempdir().unwrap();
-    let library = preloaded::library(folder.path());
-    let steward = killed_at_each_call_of_a_start(&library, STEWARD);
-    let journal = killed_at_each_call_of_a_start(&library, JOURNAL);
-    let registry = killed_at_each_call_while_a_registry_is_made(&library);
-    let never_again = [
-        ("steward", steward),
+    let library = preloaded::build_library(folder.path());
+    let coordinator = calls_whose_kill_prevents_restart(&library, COORDINATOR);
+    let journal = calls_whose_kill_prevents_restart(&library, JOURNAL);
+    let registry = calls_whose_kill_prevents_creation(&library);
+    let failed_calls = [
+        ("coordinator", coordinator),
         ("journal", journal),
         ("registry", registry),
     ];
     assert!(
-        never_again.iter().all(|(_, calls)| calls.is_empty()),
-        "killed at these calls: {never_again:?}"
+        failed_calls.iter().all(|(_, calls)| calls.is_empty()),
+        "killed at these calls: {failed_calls:?}"
     );
 }
 
-/// Starts on a disk that takes nothing for a while: it comes up once the disk takes something again.
-fn comes_up_once_the_disk_does(site: &Site, words: &str) -> Running {
+/// Starts a process on a failing disk, which has to wait and come up once the disk recovers.
+fn start_on_failing_disk(site: &Site, arguments: &str) -> ProcessGuard {
     site.set_failing(true);
-    let mut process = site.starts(words);
-    std::thread::sleep(FAILING);
+    let mut process = site.start(arguments);
+    std::thread::sleep(FAILURE_DURATION);
     assert!(
         process.0.try_wait().unwrap().is_none(),
-        "it has given up: {words}"
+        "exited on a failing disk: {arguments}"
     );
     site.set_failing(false);
-    assert!(site.comes_up(&mut process), "it does not come up: {words}");
+    assert!(
+        site.wait_until_up(&mut process),
+        "did not come up: {arguments}"
+    );
     process
 }
 
 #[test]
-fn who_starts_while_the_disk_takes_nothing_waits_for_it() {
+fn process_started_on_failing_disk_waits_for_its_recovery() {
     let folder = tempfile::tempdir().unwrap();
-    let library = preloaded::library(folder.path());
-    for words in [STEWARD, JOURNAL] {
+    let library = preloaded::build_library(folder.path());
+    for arguments in [COORDINATOR, JOURNAL] {
         let site = Site::new(&library);
-        drop(comes_up_once_the_disk_does(&site, words));
-        drop(comes_up_once_the_disk_does(&site, words));
+        drop(start_on_failing_disk(&site, arguments));
+        drop(start_on_failing_disk(&site, arguments));
     }
 }
 
 #[test]
-fn a_registry_keeps_what_it_has_told_over_a_disk_that_fails_a_while() {
+fn registry_keeps_acknowledged_versions_across_disk_failures() {
     let folder = tempfile::tempdir().unwrap();
-    let site = Site::new(&preloaded::library(folder.path()));
-    fs::write(site.at("model"), vec![7; 300_000]).unwrap();
+    let site = Site::new(&preloaded::build_library(folder.path()));
+    fs::write(site.path("model"), vec![7; 300_000]).unwrap();
     let push = |version: &str| {
         let rest = "--folder models --memory-mb 900 --lanes 4 --trigger narrate";
-        site.says(&format!("registry push {TO} voice {version} model {rest}"))
+        site.run(&format!("registry push {TO} voice {version} model {rest}"))
             .status
             .success()
     };
     assert!(
-        site.says("registry init models --key owner.key")
+        site.run("registry init models --key owner.key")
             .status
             .success()
     );
-    let mut running = comes_up_once_the_disk_does(&site, SERVE);
+    let mut running = start_on_failing_disk(&site, SERVE);
     assert!(push("v1"));
     site.set_failing(true);
-    assert!(!push("v2"), "nothing is told that is not on disk");
+    assert!(!push("v2"), "acknowledged a version that is not on disk");
     assert!(
-        site.says(&format!("registry show {TO}")).status.success(),
-        "it goes on telling what it has"
+        site.run(&format!("registry show {TO}")).status.success(),
+        "stopped serving reads"
     );
     site.set_failing(false);
-    assert!(push("v3"), "it goes on where it was");
+    assert!(
+        push("v3"),
+        "does not accept versions after the disk recovered"
+    );
     site.set_failing(true);
-    drop(std::mem::replace(&mut running, site.starts(SERVE)));
-    std::thread::sleep(FAILING);
+    drop(std::mem::replace(&mut running, site.start(SERVE)));
+    std::thread::sleep(FAILURE_DURATION);
     site.set_failing(false);
     assert!(
-        site.comes_up(&mut running),
-        "killed on a disk that fails, it comes back with the disk"
+        site.wait_until_up(&mut running),
+        "does not come up after the disk recovered"
     );
     let mut show = site.command(&format!("registry show {TO}"));
     let shown = show.stdout(Stdio::piped()).output().unwrap().stdout;
@@ -247,6 +254,6 @@
         shown.contains("voice@v1") && shown.contains("voice@v3"),
         "{shown}"
     );
-    let verified = site.says(&format!("registry verify {TO}"));
-    assert!(verified.status.success(), "what is kept is whole");
+    let verified = site.run(&format!("registry verify {TO}"));
+    assert!(verified.status.success(), "the stored data is damaged");
 }
--- a/crates/cli/tests/fault_mix.rs
+++ b/crates/cli/tests/fault_mix.rs
@@ -1,12 +1,10 @@
-//! `saltdrum node` as a process under many faults at once: system calls fail, the wall clock is stepped, the process is
-//! stopped and runs in turns, invokers lose copies, reset, hang and drain, clients leave. The rules hold all the same.
+//! `saltdrum node` as a process under many simultaneous faults: system calls fail, the wall clock is stepped, the process is
+//! stopped and runs in short slices, invokers lose instances, reset connections, hang and drain, and clients abandon requests.
+//! The rules have to hold.
 //!
-//! `FAULT_MIX_SEEDS=7..19` plays others.
+//! `FAULT_MIX_SEEDS=7..19` selects the seeds.
 
-#![expect(
-    clippy::disallowed_methods,
-    reason = "processes run in this machine's time"
-)]
+#![expect(clippy::disallowed_methods, reason = "processes run in real time")]
 
 mod node_day;
 mod node_peers;
@@ -14,11 +12,11 @@
 
 use node_day::Peers;
 use node_day::client::Clients;
-use node_day::feed::SHORT_LIVED_MS;
-use node_day::invoker::{Conduct, Status};
+use node_day::feed::CONNECTION_LIFETIME_MS;
+use node_day::invoker::{Behavior, Status};
 use node_day::record::{Code, Record};
 use node_day::send_trace;
-use node_peers::{Running, dial, free_address, saltdrum};
+use node_peers::{ProcessGuard, connect, free_address, node_command};
 use rustix::process::Signal;
 use std::path::Path;
 use std::process::Stdio;
@@ -27,20 +25,26 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-const LASTS: Duration = Duration::from_secs(12);
+const RUN_DURATION: Duration = Duration::from_secs(12);
 const INVOKERS: usize = 5;
 const CLIENTS: usize = 24;
 const CLIENT_TIMEOUT_MS: u64 = 4_000;
-/// Clients go on for so long after SIGTERM, and the process is killed after the longest client timeout and 0.7 s more.
-const COMES_AFTER_TERM: Duration = Duration::from_millis(200);
-const KILLED_AFTER: Duration = Duration::from_millis(4_700);
+/// Clients continue for this time after SIGTERM. The process is killed after the longest client timeout and 0.7 s more.
+const REQUESTS_AFTER_SIGTERM: Duration = Duration::from_millis(200);
+const KILL_AFTER_SIGTERM: Duration = Duration::from_millis(4_700);
 
 fn random_ms(rng: &mut fastrand::Rng, from: u64, to: u64) -> Duration {
     Duration::from_millis(rng.u64(from..to))
 }
 
-/// Stops the process now and then, and lets it run in short turns after some of the stops.
-fn stops(running: &Running, until: Instant, rng: &mut fastrand::Rng, seen: &Mutex<Record>) {
+/// Stops the process repeatedly, and runs it in short slices after some of the stops.
+fn stop_repeatedly(
+    running: &ProcessGuard,
+    until: Instant,
+    rng: &mut fastrand::Rng,
+    record: &Mutex<Record>,
+) {
+    /// Time after a stop until the process has caught up.
     const MARGIN: Duration = Duration::from_millis(300);
     while Instant::now() < until {
         sleep(random_ms(rng, 200, 2_500));
@@ -58,7 +62,8 @@
             sleep(random_ms(rng, 5, 80));
         }
         running.signal(Signal::CONT);
-        seen.lock()
+        record
+            .lock()
             .unwrap()
             .stops
             .push((began, Instant::now() + MARGIN));
@@ -68,29 +73,30 @@
     }
 }
 
-/// Lets one invoker after another drain, all but two. Each goes on serving all the same: only the list tells of it.
-fn drains(peers: &Peers, seed: u64, ends: &AtomicBool) {
+/// Reports in the feed that one invoker after another drains, all but two. The invokers keep serving.
+fn report_drains(peers: &Peers, seed: u64, is_ending: &AtomicBool) {
     let mut rng = fastrand::Rng::with_seed(seed);
     for invoker in 0..INVOKERS - 2 {
         sleep(random_ms(&mut rng, 500, 4_000));
-        if ends.load(Ordering::Relaxed) {
+        if is_ending.load(Ordering::Relaxed) {
             return;
         }
-        peers.tell(invoker, Status::Draining);
+        peers.report(invoker, Status::Draining);
     }
 }
 
-fn play(seed: u64, library: &Path) -> Record {
+/// Runs one seed and returns the record.
+fn run_seed(seed: u64, library: &Path) -> Record {
     let mut rng = fastrand::Rng::with_seed(seed);
     let folder = tempfile::tempdir().unwrap();
-    let ends = Arc::<AtomicBool>::default();
-    let short_lived = Some(SHORT_LIVED_MS);
-    let peers = Peers::start(INVOKERS, Conduct::Faulty, short_lived, &mut rng);
+    let is_ending = Arc::<AtomicBool>::default();
+    let feed_lifetime_ms = Some(CONNECTION_LIFETIME_MS);
+    let peers = Peers::start(INVOKERS, Behavior::Faulty, feed_lifetime_ms, &mut rng);
     let peers = Arc::new(peers);
     let listen = free_address();
     let config = peers.write_configuration(folder.path(), &listen, CLIENT_TIMEOUT_MS as f64);
-    let mut node = saltdrum(&config);
-    let every = *rng.choice(&[3, 7, 20, 100]).unwrap();
+    let mut node = node_command(&config);
+    let failure_interval = *rng.choice(&[3, 7, 20, 100]).unwrap();
     let hour = 3_600_000i64;
     let step = |rng: &mut fastrand::Rng| *rng.choice(&[0, hour, -hour, 4_000, -4_000]).unwrap();
     let steps: Vec<_> = (1..10)
@@ -99,19 +105,19 @@
     let trace = folder.path().join("stopped-before-sending");
     node.env("LD_PRELOAD", library)
         .env("FAULTS_TRACE", &trace)
-        .env("FAULTS_EVERY", every.to_string())
+        .env("FAULTS_EVERY", failure_interval.to_string())
         .env("FAULTS_STEPS", steps.join(","));
     if let Ok(level) = std::env::var("FAULT_MIX_LOG") {
         let log = std::fs::File::create(format!("{level}-{seed}.log")).unwrap();
         node.env("SALTDRUM_LOG", "debug").stderr(log);
     }
-    let mut running = Running(node.stdout(Stdio::null()).spawn().unwrap());
-    drop(dial(&listen));
+    let mut running = ProcessGuard(node.stdout(Stdio::null()).spawn().unwrap());
+    drop(connect(&listen));
     let clients = Clients {
         listen,
         next_id: Arc::default(),
-        seen: peers.seen.clone(),
-        ended: ends.clone(),
+        record: peers.record.clone(),
+        is_ending: is_ending.clone(),
         limit_ms: 300..CLIENT_TIMEOUT_MS,
         pause_ms: 0..60,
         may_leave: true,
@@ -120,28 +126,35 @@
     let mut threads = Vec::new();
     for _ in 0..CLIENTS {
         let (clients, seed) = (clients.clone(), rng.u64(..));
-        threads.push(spawn(move || clients.run_one(seed)));
+        threads.push(spawn(move || clients.run_client(seed)));
     }
-    let (drain_seed, their_ends, drained) = (rng.u64(..), ends.clone(), peers.clone());
-    threads.push(spawn(move || drains(&drained, drain_seed, &their_ends)));
-    stops(&running, Instant::now() + LASTS, &mut rng, &peers.seen);
+    let (drain_seed, drain_ending, drain_peers) = (rng.u64(..), is_ending.clone(), peers.clone());
+    threads.push(spawn(move || {
+        report_drains(&drain_peers, drain_seed, &drain_ending)
+    }));
+    stop_repeatedly(
+        &running,
+        Instant::now() + RUN_DURATION,
+        &mut rng,
+        &peers.record,
+    );
     running.signal(Signal::TERM);
-    let termed = Instant::now();
-    sleep(COMES_AFTER_TERM);
-    ends.store(true, Ordering::Relaxed);
+    let signalled_at = Instant::now();
+    sleep(REQUESTS_AFTER_SIGTERM);
+    is_ending.store(true, Ordering::Relaxed);
     threads
         .into_iter()
         .for_each(|thread| thread.join().unwrap());
-    while running.0.try_wait().unwrap().is_none() && termed.elapsed() < KILLED_AFTER {
+    while running.0.try_wait().unwrap().is_none() && signalled_at.elapsed() < KILL_AFTER_SIGTERM {
         sleep(Duration::from_millis(10));
     }
-    let ended = running
+    let exit_code = running
         .0
         .try_wait()
         .unwrap()
         .and_then(|status| status.code());
-    assert_eq!(ended, Some(0), "seed {seed}: it has not ended by itself");
-    let mut record = std::mem::take(&mut *peers.seen.lock().unwrap());
+    assert_eq!(exit_code, Some(0), "seed {seed}: did not exit by itself");
+    let mut record = std::mem::take(&mut *peers.record.lock().unwrap());
     record.stopped_sends = send_trace::read(&trace);
     record
 }
@@ -153,23 +166,23 @@
 }
 
 #[test]
-fn the_rules_hold_under_many_faults_at_once() {
+fn rules_hold_under_many_simultaneous_faults() {
     let folder = tempfile::tempdir().unwrap();
-    let library = preloaded::library(folder.path());
-    let plays: Vec<_> = seeds()
+    let library = preloaded::build_library(folder.path());
+    let runs: Vec<_> = seeds()
         .map(|seed| {
             let library = library.clone();
-            (seed, spawn(move || play(seed, &library)))
+            (seed, spawn(move || run_seed(seed, &library)))
         })
         .collect();
-    // All of them end before any is judged: a process that is stopped would outlive the test.
-    let records: Vec<_> = plays
+    // All runs end before any is checked: a stopped process would outlive the test.
+    let records: Vec<_> = runs
         .into_iter()
-        .map(|(seed, play)| (seed, play.join()))
+        .map(|(seed, run)| (seed, run.join()))
         .collect();
-    let mut all = Vec::new();
+    let mut violations = Vec::new();
     for (seed, record) in records {
-        let record = record.unwrap_or_else(|_| panic!("seed {seed}: the play broke off"));
+        let record = record.unwrap_or_else(|_| panic!("seed {seed}: the run panicked"));
         let served = record
             .requests
             .values()
@@ -183,13 +196,18 @@
             record.orders.len(),
             record.stopped_sends,
         );
-        assert!(served > 100, "seed {seed}: the play serves next to nothing");
-        all.extend(
+        assert!(served > 100, "seed {seed}: only {served} requests served");
+        violations.extend(
             record
-                .breaks()
+                .violations()
                 .into_iter()
-                .map(|broken| format!("seed {seed}: {broken}")),
+                .map(|violation| format!("seed {seed}: {violation}")),
         );
     }
-    assert!(all.is_empty(), "{} breaks:\n{}", all.len(), all.join("\n"));
+    assert!(
+        violations.is_empty(),
+        "{} violations:\n{}",
+        violations.len(),
+        violations.join("\n")
+    );
 }
--- a/crates/cli/tests/faults/disk.rs
+++ b/crates/cli/tests/faults/disk.rs
@@ -1,9 +1,9 @@
-//! System calls that write to regular files, failing or ending the process, so that a test sees what a restart finds.
+//! Injects failures and kills into the system calls that write to regular files, so that tests cover the state a restart finds.
 //!
 //! `FAULTS_DISK_FAILS=path`: while that file exists, writes and syncs fail with ENOSPC and EIO in turn.
 //! `FAULTS_DISK_DIES_AT=n`: the n-th call writes half of what it should, and the process is killed.
 
-use crate::fail;
+use crate::set_errno;
 use std::ffi::{CStr, CString, c_char, c_int, c_void};
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -16,8 +16,8 @@
 const S_IFREG: u32 = 0o100_000;
 /// Larger than the C library's `struct stat` on any 64-bit Linux.
 const STAT_BYTES: usize = 256;
-/// Where `st_mode` stands in it, by architecture.
-const MODE_AT: usize = if cfg!(target_arch = "x86_64") { 24 } else { 16 };
+/// Offset of `st_mode` in it, by architecture.
+const MODE_OFFSET: usize = if cfg!(target_arch = "x86_64") { 24 } else { 16 };
 
 unsafe extern "C" {
     fn fstat(fd: c_int, status: *mut c_void) -> c_int;
@@ -30,18 +30,20 @@
     if unsafe { fstat(fd, status.as_mut_ptr().cast()) } != 0 {
         return false;
     }
-    let mode = unsafe { status.as_ptr().cast::<u8>().add(MODE_AT).cast::<u32>().read_unaligned() };
+    let mode = unsafe { status.as_ptr().cast::<u8>().add(MODE_OFFSET).cast::<u32>().read_unaligned() };
     mode & S_IFMT == S_IFREG
 }
 
+/// What happens to a call.
 enum Fault {
-    Fails(c_int),
-    Dies,
+    Fail(c_int),
+    Kill,
 }
 
-fn dies_at() -> u64 {
-    static AT: OnceLock<u64> = OnceLock::new();
-    *AT.get_or_init(|| std::env::var("FAULTS_DISK_DIES_AT").ok().and_then(|n| n.parse().ok()).unwrap_or(0))
+/// The number of the call at which the process is killed; zero: none.
+fn kill_at() -> u64 {
+    static CALL: OnceLock<u64> = OnceLock::new();
+    *CALL.get_or_init(|| std::env::var("FAULTS_DISK_DIES_AT").ok().and_then(|n| n.parse().ok()).unwrap_or(0))
 }
 
 fn is_failing() -> bool {
@@ -50,25 +52,25 @@
     path.as_deref().is_some_and(|path: &CStr| unsafe { access(path.as_ptr(), F_OK) } == 0)
 }
 
-/// What becomes of a call that changes a file.
+/// The fault of this call that changes a file, if any.
 fn fault() -> Option<Fault> {
     static CALLS: AtomicU64 = AtomicU64::new(0);
     let call = CALLS.fetch_add(1, Ordering::Relaxed) + 1;
-    if call == dies_at() {
-        return Some(Fault::Dies);
+    if call == kill_at() {
+        return Some(Fault::Kill);
     }
-    is_failing().then(|| Fault::Fails(if call.is_multiple_of(2) { ENOSPC } else { EIO }))
+    is_failing().then(|| Fault::Fail(if call.is_multiple_of(2) { ENOSPC } else { EIO }))
 }
 
-/// Does `call`, whole or, before the process is killed, by half.
-fn write_with(fd: c_int, length: usize, call: impl Fn(usize) -> isize) -> isize {
+/// Executes `call` for the whole length, or for half of it before the process is killed.
+fn write_or_fail(fd: c_int, length: usize, call: impl Fn(usize) -> isize) -> isize {
     match is_regular_file(fd).then(fault).flatten() {
         None => call(length),
-        Some(Fault::Fails(code)) => {
-            fail(code);
+        Some(Fault::Fail(code)) => {
+            set_errno(code);
             -1
         }
-        Some(Fault::Dies) => {
+        Some(Fault::Kill) => {
             call(length / 2);
             unsafe { raise(SIGKILL) };
             -1
@@ -76,15 +78,15 @@
     }
 }
 
-/// Does `call`, or nothing.
-fn change_with(call: impl Fn() -> c_int) -> c_int {
+/// Executes `call`, or fails without effect.
+fn call_or_fail(call: impl Fn() -> c_int) -> c_int {
     match fault() {
         None => call(),
-        Some(Fault::Fails(code)) => {
-            fail(code);
+        Some(Fault::Fail(code)) => {
+            set_errno(code);
             -1
         }
-        Some(Fault::Dies) => {
+        Some(Fault::Kill) => {
             unsafe { raise(SIGKILL) };
             -1
         }
@@ -94,35 +96,35 @@
 #[unsafe(no_mangle)]
 pub extern "C" fn write(fd: c_int, bytes: *const c_void, length: usize) -> isize {
     let real = real!("write", extern "C" fn(c_int, *const c_void, usize) -> isize);
-    write_with(fd, length, |length| real(fd, bytes, length))
+    write_or_fail(fd, length, |length| real(fd, bytes, length))
 }
 
 #[unsafe(no_mangle)]
 pub extern "C" fn pwrite64(fd: c_int, bytes: *const c_void, length: usize, at: i64) -> isize {
     let real = real!("pwrite64", extern "C" fn(c_int, *const c_void, usize, i64) -> isize);
-    write_with(fd, length, |length| real(fd, bytes, length, at))
+    write_or_fail(fd, length, |length| real(fd, bytes, length, at))
 }
 
 #[unsafe(no_mangle)]
 pub extern "C" fn ftruncate64(fd: c_int, length: i64) -> c_int {
     let real = real!("ftruncate64", extern "C" fn(c_int, i64) -> c_int);
-    change_with(|| real(fd, length))
+    call_or_fail(|| real(fd, length))
 }
 
 #[unsafe(no_mangle)]
 pub extern "C" fn fsync(fd: c_int) -> c_int {
     let real = real!("fsync", extern "C" fn(c_int) -> c_int);
-    change_with(|| real(fd))
+    call_or_fail(|| real(fd))
 }
 
 #[unsafe(no_mangle)]
 pub extern "C" fn fdatasync(fd: c_int) -> c_int {
     let real = real!("fdatasync", extern "C" fn(c_int) -> c_int);
-    change_with(|| real(fd))
+    call_or_fail(|| real(fd))
 }
 
 #[unsafe(no_mangle)]
 pub extern "C" fn rename(from: *const c_char, to: *const c_char) -> c_int {
     let real = real!("rename", extern "C" fn(*const c_char, *const c_char) -> c_int);
-    change_with(|| real(from, to))
+    call_or_fail(|| real(from, to))
 }
--- a/crates/cli/tests/faults/preload.rs
+++ b/crates/cli/tests/faults/preload.rs
@@ -1,7 +1,7 @@
-//! A library to load before a process's own (LD_PRELOAD): system calls on its TCP sockets fail now and then, in the ways that
-//! Linux documents, and its wall clock is stepped. Built by the test that uses it; `FAULTS_EVERY=n` lets every n-th call of a
-//! kind fail, `FAULTS_STEPS=ms:ms,...` sets the wall clock ahead by so much from so long after the start. Faults of files are
-//! in `disk`. `FAULTS_TRACE=file` keeps which requests the process was stopped under, in `trace`.
+//! A fault injection library for LD_PRELOAD: system calls on TCP sockets fail at intervals, in the ways that Linux documents,
+//! and the wall clock is stepped. Built by the test that uses it. `FAULTS_EVERY=n` fails every n-th call of a kind.
+//! `FAULTS_STEPS=at:by,...` sets the wall clock ahead by `by` from `at` after the start, both in milliseconds. Faults of files
+//! are in `disk`. `FAULTS_TRACE=file` records the requests under which the process was stopped, in `trace`.
 
 use std::ffi::{c_char, c_int, c_void};
 use std::sync::OnceLock;
@@ -33,7 +33,7 @@
     fn getsockopt(fd: c_int, level: c_int, name: c_int, value: *mut c_int, length: *mut u32) -> c_int;
 }
 
-/// The C library's own function of this name.
+/// The C library's function of this name.
 macro_rules! real {
     ($name:literal, $type:ty) => {{
         static REAL: std::sync::OnceLock<usize> = std::sync::OnceLock::new();
@@ -47,19 +47,21 @@
 mod disk;
 mod trace;
 
-fn fail(code: c_int) {
+/// Sets `errno`.
+fn set_errno(code: c_int) {
     unsafe { *__errno_location() = code };
 }
 
-fn every() -> u64 {
-    static EVERY: OnceLock<u64> = OnceLock::new();
-    *EVERY.get_or_init(|| std::env::var("FAULTS_EVERY").ok().and_then(|n| n.parse().ok()).unwrap_or(0))
+/// Interval between two faulty calls of a kind; zero: none fails.
+fn fault_interval() -> u64 {
+    static INTERVAL: OnceLock<u64> = OnceLock::new();
+    *INTERVAL.get_or_init(|| std::env::var("FAULTS_EVERY").ok().and_then(|n| n.parse().ok()).unwrap_or(0))
 }
 
-/// The number of this fault of its kind, where this call is to fail.
+/// The sequence number of the fault if this call has to fail.
 fn fault(calls: &AtomicU64) -> Option<u64> {
-    let (n, every) = (calls.fetch_add(1, Ordering::Relaxed) + 1, every());
-    (every > 0 && n.is_multiple_of(every)).then(|| n / every)
+    let (call, interval) = (calls.fetch_add(1, Ordering::Relaxed) + 1, fault_interval());
+    (interval > 0 && call.is_multiple_of(interval)).then(|| call / interval)
 }
 
 fn is_tcp(fd: c_int) -> bool {
@@ -67,8 +69,8 @@
     unsafe { getsockopt(fd, SOL_SOCKET, SO_DOMAIN, &mut domain, &mut length) == 0 && domain == AF_INET }
 }
 
-/// How many bytes a faulty call may move at the most; none: it is interrupted.
-fn most(fault: u64) -> Option<usize> {
+/// Maximum number of bytes that a faulty call transfers; none: it is interrupted.
+fn transfer_limit(fault: u64) -> Option<usize> {
     [None, Some(1), Some(3), None, Some(7)][fault as usize % 5]
 }
 
@@ -76,16 +78,16 @@
 static SENT: AtomicU64 = AtomicU64::new(0);
 static ACCEPTED: AtomicU64 = AtomicU64::new(0);
 static CONNECTED: AtomicU64 = AtomicU64::new(0);
-static MADE: AtomicU64 = AtomicU64::new(0);
+static CREATED: AtomicU64 = AtomicU64::new(0);
 
 #[unsafe(no_mangle)]
 pub extern "C" fn recv(fd: c_int, bytes: *mut c_void, length: usize, flags: c_int) -> isize {
     let real = real!("recv", extern "C" fn(c_int, *mut c_void, usize, c_int) -> isize);
-    match is_tcp(fd).then(|| fault(&RECEIVED)).flatten().map(most) {
+    match is_tcp(fd).then(|| fault(&RECEIVED)).flatten().map(transfer_limit) {
         None => real(fd, bytes, length, flags),
-        Some(Some(most)) => real(fd, bytes, length.min(most), flags),
+        Some(Some(limit)) => real(fd, bytes, length.min(limit), flags),
         Some(None) => {
-            fail(EINTR);
+            set_errno(EINTR);
             -1
         }
     }
@@ -95,12 +97,12 @@
 pub extern "C" fn send(fd: c_int, bytes: *const c_void, length: usize, flags: c_int) -> isize {
     let real = real!("send", extern "C" fn(c_int, *const c_void, usize, c_int) -> isize);
     let fault = is_tcp(fd).then(|| fault(&SENT)).flatten();
-    trace::sends(unsafe { std::slice::from_raw_parts(bytes.cast(), length) });
-    match fault.map(most) {
+    trace::record_send(unsafe { std::slice::from_raw_parts(bytes.cast(), length) });
+    match fault.map(transfer_limit) {
         None => real(fd, bytes, length, flags),
-        Some(Some(most)) => real(fd, bytes, length.min(most), flags),
+        Some(Some(limit)) => real(fd, bytes, length.min(limit), flags),
         Some(None) => {
-            fail(EINTR);
+            set_errno(EINTR);
             -1
         }
     }
@@ -111,8 +113,8 @@
     let real = real!("accept4", extern "C" fn(c_int, *mut c_void, *mut u32, c_int) -> c_int);
     match fault(&ACCEPTED) {
         None => real(fd, address, length, flags),
-        Some(n) => {
-            fail([ECONNABORTED, ENFILE, EINTR, ENOBUFS, EMFILE][n as usize % 5]);
+        Some(number) => {
+            set_errno([ECONNABORTED, ENFILE, EINTR, ENOBUFS, EMFILE][number as usize % 5]);
             -1
         }
     }
@@ -123,8 +125,8 @@
     let real = real!("connect", extern "C" fn(c_int, *const c_void, u32) -> c_int);
     match is_tcp(fd).then(|| fault(&CONNECTED)).flatten() {
         None => real(fd, address, length),
-        Some(n) => {
-            fail([EADDRNOTAVAIL, ENETUNREACH, EINTR, ENOBUFS][n as usize % 4]);
+        Some(number) => {
+            set_errno([EADDRNOTAVAIL, ENETUNREACH, EINTR, ENOBUFS][number as usize % 4]);
             -1
         }
     }
@@ -133,16 +135,16 @@
 #[unsafe(no_mangle)]
 pub extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     let real = real!("socket", extern "C" fn(c_int, c_int, c_int) -> c_int);
-    match (domain == AF_INET).then(|| fault(&MADE)).flatten() {
+    match (domain == AF_INET).then(|| fault(&CREATED)).flatten() {
         None => real(domain, kind, protocol),
-        Some(n) => {
-            fail([ENFILE, ENOBUFS, EMFILE, ENOMEM][n as usize % 4]);
+        Some(number) => {
+            set_errno([ENFILE, ENOBUFS, EMFILE, ENOMEM][number as usize % 4]);
             -1
         }
     }
 }
 
-/// By how many milliseconds the wall clock is ahead so long after the start.
+/// Milliseconds by which the wall clock is ahead at this time after the start.
 fn ahead_ms(elapsed_ms: i64) -> i64 {
     static STEPS: OnceLock<Vec<(i64, i64)>> = OnceLock::new();
     let steps = STEPS.get_or_init(|| {
@@ -159,14 +161,14 @@
     let real = real!("clock_gettime", extern "C" fn(c_int, *mut c_void) -> c_int);
     let done = real(clock, time);
     if clock == CLOCK_MONOTONIC && done == 0 {
-        trace::read_clock(unsafe { &*time.cast::<Timespec>() });
+        trace::note_clock_reading(unsafe { &*time.cast::<Timespec>() });
     }
     if clock == CLOCK_REALTIME && done == 0 {
-        static BEGAN_MS: OnceLock<i64> = OnceLock::new();
+        static START_MS: OnceLock<i64> = OnceLock::new();
         let mut monotonic = Timespec { seconds: 0, nanoseconds: 0 };
         real(CLOCK_MONOTONIC, (&raw mut monotonic).cast());
         let now_ms = monotonic.seconds * 1_000 + monotonic.nanoseconds / 1_000_000;
-        let ahead_ms = ahead_ms(now_ms - BEGAN_MS.get_or_init(|| now_ms));
+        let ahead_ms = ahead_ms(now_ms - START_MS.get_or_init(|| now_ms));
         let time = unsafe { &mut *time.cast::<Timespec>() };
         time.seconds += ahead_ms.div_euclid(1_000);
         time.nanoseconds += ahead_ms.rem_euclid(1_000) * 1_000_000;
--- a/crates/cli/tests/faults/trace.rs
+++ b/crates/cli/tests/faults/trace.rs
@@ -1,5 +1,5 @@
-//! Which requests the process was stopped under between its last look at the clock and the call that sent them. No program can
-//! know of such a stop: what it says of the time that is left is older than it can tell.
+//! Records the requests for which the process was stopped between its last reading of the clock and the system call that sent
+//! them. No program can detect such a stop: the time limit that it sends is outdated.
 
 use crate::{CLOCK_MONOTONIC, Timespec};
 use std::cell::Cell;
@@ -8,9 +8,9 @@
 use std::io::Write;
 use std::sync::OnceLock;
 
-/// Shorter gaps are the program's own.
+/// Shorter gaps are ordinary execution time of the program.
 const GAP_MIN_MS: i64 = 20;
-/// Before the id of a request, and before what it says of the time that is left.
+/// Header fields with the id of a request, and with its time limit.
 const ID_FIELD: &str = "x-txn: ";
 const LIMIT_FIELD: &str = "x-limit-ms: ";
 
@@ -18,36 +18,39 @@
     static LAST_READ_MS: Cell<i64> = const { Cell::new(0) };
 }
 
-fn in_ms(time: &Timespec) -> i64 {
+fn to_ms(time: &Timespec) -> i64 {
     time.seconds * 1_000 + time.nanoseconds / 1_000_000
 }
 
-/// The program has read its monotonic clock.
-pub fn read_clock(time: &Timespec) {
-    LAST_READ_MS.set(in_ms(time));
+/// Notes that the program has read its monotonic clock.
+pub fn note_clock_reading(time: &Timespec) {
+    LAST_READ_MS.set(to_ms(time));
 }
 
-fn field<'a>(head: &'a str, name: &str) -> Option<&'a str> {
+/// The value of a header field.
+fn header_field<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     head.split_once(name)?.1.split("\r\n").next()
 }
 
-/// The program's bytes are about to be sent. Writes a line of the request's id, its limit, and the gap, both in milliseconds.
-pub fn sends(bytes: &[u8]) {
-    let Some(mut file) = file() else { return };
+/// Called before the program's bytes are sent. After a long gap, writes a line with the request's id, its limit and the gap,
+/// both in milliseconds.
+pub fn record_send(bytes: &[u8]) {
+    let Some(mut file) = trace_file() else { return };
     let real = real!("clock_gettime", extern "C" fn(c_int, *mut c_void) -> c_int);
     let mut now = Timespec { seconds: 0, nanoseconds: 0 };
     real(CLOCK_MONOTONIC, (&raw mut now).cast());
-    let gap_ms = in_ms(&now) - LAST_READ_MS.get();
+    let gap_ms = to_ms(&now) - LAST_READ_MS.get();
     if gap_ms < GAP_MIN_MS {
         return;
     }
     let Ok(head) = std::str::from_utf8(bytes) else { return };
-    if let (Some(id), Some(limit_ms)) = (field(head, ID_FIELD), field(head, LIMIT_FIELD)) {
+    if let (Some(id), Some(limit_ms)) = (header_field(head, ID_FIELD), header_field(head, LIMIT_FIELD)) {
         let _ = writeln!(file, "{id} {limit_ms} {gap_ms}");
     }
 }
 
-fn file() -> Option<&'static File> {
+/// The trace file, if one is set.
+fn trace_file() -> Option<&'static File> {
     static FILE: OnceLock<Option<File>> = OnceLock::new();
     let open = || {
         let path = std::env::var_os("FAULTS_TRACE")?;
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -1,9 +1,10 @@
-//! `saltdrum node` as the platform runs it: a process, its file, its signals, its exit codes.
+//! `saltdrum node` as the platform runs it: configuration file, signals and exit codes.
 
 mod node_peers;
 
 use node_peers::{
-    LONG, Running, ask, configuration, dial, feed, free_address, hear, invoker, saltdrum, write,
+    ProcessGuard, READ_TIMEOUT, configuration, connect, free_address, node_command, read_frame,
+    request_frame, start_feed, start_invoker, write,
 };
 use rustix::process::Signal;
 use serde_json::{Value, json};
@@ -13,68 +14,68 @@
 use std::time::Duration;
 
 #[test]
-fn a_bad_file_ends_it_with_a_line_that_names_the_field() {
+fn invalid_configuration_is_reported_with_its_field() {
     let folder = tempfile::tempdir().unwrap();
-    let good = configuration(&free_address(), "127.0.0.1:1", "127.0.0.1:2");
-    let bad = |change: fn(&mut Value)| {
-        let mut config = good.clone();
+    let valid = configuration(&free_address(), "127.0.0.1:1", "127.0.0.1:2");
+    let invalid = |change: fn(&mut Value)| {
+        let mut config = valid.clone();
         change(&mut config);
         config.to_string()
     };
     let cases = [
         ("{".to_owned(), "JSON is expected"),
         (
-            bad(|c| c["feed"] = json!("nowhere")),
+            invalid(|c| c["feed"] = json!("nowhere")),
             "feed: nowhere: ADDRESS:PORT is expected",
         ),
         (
-            bad(|c| c["limits"]["sockets"] = json!(-1)),
+            invalid(|c| c["limits"]["sockets"] = json!(-1)),
             "limits.sockets: -1",
         ),
         (
-            bad(|c| c["settings"]["classes"][0]["effect"] = json!("odd")),
+            invalid(|c| c["settings"]["classes"][0]["effect"] = json!("odd")),
             "classes.0.effect",
         ),
         (
-            bad(|c| c["known"]["events"][0]["members"]["members"][0]["phase"] = json!("odd")),
+            invalid(|c| c["known"]["events"][0]["members"]["members"][0]["phase"] = json!("odd")),
             "up, draining or removed",
         ),
     ];
     for (text, expected) in cases {
-        let done = saltdrum(&write(folder.path(), &text)).output().unwrap();
-        let said = String::from_utf8_lossy(&done.stderr).into_owned();
-        assert_eq!(done.status.code(), Some(2), "{said}");
-        assert!(said.contains(expected), "'{said}' for '{expected}'");
+        let output = node_command(&write(folder.path(), &text)).output().unwrap();
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(output.status.code(), Some(2), "{stderr}");
+        assert!(stderr.contains(expected), "'{stderr}' for '{expected}'");
     }
-    let done = saltdrum(&write(folder.path(), &good.to_string()))
+    let output = node_command(&write(folder.path(), &valid.to_string()))
         .env("RELAY_LISTEN", "127.0.0.1:1")
         .output();
-    assert!(String::from_utf8_lossy(&done.unwrap().stderr).contains("RELAY_LISTEN 127.0.0.1:1"));
+    assert!(String::from_utf8_lossy(&output.unwrap().stderr).contains("RELAY_LISTEN 127.0.0.1:1"));
 }
 
 #[test]
-fn it_serves_reads_its_file_again_and_ends_when_all_is_answered() {
+fn reloads_configuration_and_exits_once_all_requests_are_answered() {
     let folder = tempfile::tempdir().unwrap();
-    let (listen, invoker) = (free_address(), invoker(Duration::from_millis(400)));
-    let ((feed_one, asked_one), (feed_two, asked_two)) = (feed(), feed());
+    let (listen, invoker) = (free_address(), start_invoker(Duration::from_millis(400)));
+    let ((feed_one, requests_one), (feed_two, requests_two)) = (start_feed(), start_feed());
     let config = write(
         folder.path(),
         &configuration(&listen, &feed_one, &invoker).to_string(),
     );
-    let mut running = Running(saltdrum(&config).stdout(Stdio::null()).spawn().unwrap());
-    let mut client = dial(&listen);
+    let mut running = ProcessGuard(node_command(&config).stdout(Stdio::null()).spawn().unwrap());
+    let mut client = connect(&listen);
     client.write_all(&[0, 0, 0, 5, 32, 0, 0, 0, 9]).unwrap();
-    assert_eq!(hear(&mut client), (33, 9, vec![79, 0]));
-    assert_eq!(asked_one.recv_timeout(LONG).unwrap(), 1);
+    assert_eq!(read_frame(&mut client), (33, 9, vec![79, 0]));
+    assert_eq!(requests_one.recv_timeout(READ_TIMEOUT).unwrap(), 1);
 
-    client.write_all(&ask(10, 1)).unwrap();
+    client.write_all(&request_frame(10, 1)).unwrap();
     assert_eq!(
-        hear(&mut client),
+        read_frame(&mut client),
         (17, 10, [&[79, 0][..], b"done"].concat())
     );
 
-    // Half a file changes nothing; a whole one moves the feed. An invocation under way is not harmed by either.
-    client.write_all(&ask(11, 2)).unwrap();
+    // A truncated file changes nothing; a complete one moves the feed. Neither affects the invocation in flight.
+    client.write_all(&request_frame(11, 2)).unwrap();
     write(folder.path(), "{\"feed\":");
     running.signal(Signal::HUP);
     std::thread::sleep(Duration::from_millis(50));
@@ -83,57 +84,63 @@
         &configuration(&listen, &feed_two, &invoker).to_string(),
     );
     running.signal(Signal::HUP);
-    assert_eq!(asked_two.recv_timeout(LONG).unwrap(), 1);
+    assert_eq!(requests_two.recv_timeout(READ_TIMEOUT).unwrap(), 1);
     assert_eq!(
-        hear(&mut client),
+        read_frame(&mut client),
         (17, 11, [&[79, 0][..], b"done"].concat())
     );
 
-    // What is under way at SIGTERM is answered, and what still comes after it.
-    client.write_all(&ask(12, 3)).unwrap();
+    // Requests in flight at SIGTERM are answered, and so are those that arrive after it.
+    client.write_all(&request_frame(12, 3)).unwrap();
     std::thread::sleep(Duration::from_millis(50));
     running.signal(Signal::TERM);
     running.signal(Signal::TERM);
-    let mut late = dial(&listen);
-    late.write_all(&ask(1, 4)).unwrap();
-    let mut heard = [hear(&mut client), hear(&mut client)];
-    heard.sort();
+    let mut late = connect(&listen);
+    late.write_all(&request_frame(1, 4)).unwrap();
+    let mut frames = [read_frame(&mut client), read_frame(&mut client)];
+    frames.sort();
     assert_eq!(
-        heard,
+        frames,
         [(17, 12, [&[79, 0][..], b"done"].concat()), (48, 0, vec![])]
     );
     assert_eq!(
-        hear(&mut late),
+        read_frame(&mut late),
         (48, 0, vec![]),
-        "who came later hears it too"
+        "a later client was not notified"
+    );
+    assert_eq!(
+        read_frame(&mut late),
+        (17, 1, [&[79, 0][..], b"done"].concat())
     );
-    assert_eq!(hear(&mut late), (17, 1, [&[79, 0][..], b"done"].concat()));
     assert_eq!(running.0.wait().unwrap().code(), Some(0));
 }
 
-/// A reader that stands by: what it holds back is read when the test says so, never before.
-fn asked_and_never_read(listen: &str) -> TcpStream {
-    let mut never = dial(listen);
-    never.write_all(&[0, 0, 0, 5, 32, 0, 0, 0, 9]).unwrap();
-    never.write_all(&ask(10, 900)).unwrap();
-    never
+/// A client that sends requests and never reads the responses.
+fn connect_without_reading(listen: &str) -> TcpStream {
+    let mut client = connect(listen);
+    client.write_all(&[0, 0, 0, 5, 32, 0, 0, 0, 9]).unwrap();
+    client.write_all(&request_frame(10, 900)).unwrap();
+    client
 }
 
 #[test]
-fn it_ends_with_a_client_that_never_reads_and_signals_of_all_kinds_meanwhile() {
+fn exits_despite_a_client_that_never_reads_and_repeated_signals() {
     let folder = tempfile::tempdir().unwrap();
-    let (listen, invoker, (feed, _asked)) =
-        (free_address(), invoker(Duration::from_millis(300)), feed());
+    let (listen, invoker, (feed, _requests)) = (
+        free_address(),
+        start_invoker(Duration::from_millis(300)),
+        start_feed(),
+    );
     let config = write(
         folder.path(),
         &configuration(&listen, &feed, &invoker).to_string(),
     );
-    let mut running = Running(saltdrum(&config).stdout(Stdio::null()).spawn().unwrap());
-    let never = asked_and_never_read(&listen);
-    let mut client = dial(&listen);
-    client.write_all(&ask(10, 1)).unwrap();
-    assert_eq!(hear(&mut client).0, 17);
-    // A file that is replaced and asked for again and again, with the order to end among it.
+    let mut running = ProcessGuard(node_command(&config).stdout(Stdio::null()).spawn().unwrap());
+    let silent_client = connect_without_reading(&listen);
+    let mut client = connect(&listen);
+    client.write_all(&request_frame(10, 1)).unwrap();
+    assert_eq!(read_frame(&mut client).0, 17);
+    // Replaces and reloads the file repeatedly, with SIGTERM in between.
     for round in 0..20 {
         let text = if round % 2 == 0 {
             "{".to_owned()
@@ -147,115 +154,122 @@
         }
     }
     running.signal(Signal::TERM);
-    assert_eq!(hear(&mut client).0, 48);
-    // Readiness asked while ending is answered no; what comes is still served.
+    assert_eq!(read_frame(&mut client).0, 48);
+    // While it shuts down, readiness is denied, but requests are still served.
     client.write_all(&[0, 0, 0, 5, 32, 0, 0, 0, 77]).unwrap();
-    assert_eq!(hear(&mut client), (33, 77, vec![66, 0]));
-    client.write_all(&ask(11, 2)).unwrap();
+    assert_eq!(read_frame(&mut client), (33, 77, vec![66, 0]));
+    client.write_all(&request_frame(11, 2)).unwrap();
     assert_eq!(
-        hear(&mut client),
+        read_frame(&mut client),
         (17, 11, [&[79, 0][..], b"done"].concat())
     );
     running.signal(Signal::HUP);
     assert_eq!(
         client.read(&mut [0]).unwrap(),
         0,
-        "the connection ends before the process does"
+        "the connection was not closed before the process exited"
     );
     assert_eq!(running.0.wait().unwrap().code(), Some(0));
-    drop(never);
+    drop(silent_client);
 }
 
 #[test]
-fn a_killed_one_starts_again_at_once_at_its_address_and_knows_nothing_of_before() {
+fn restarts_after_a_kill_at_the_same_address_without_earlier_state() {
     let folder = tempfile::tempdir().unwrap();
-    let (listen, invoker, (feed, asked)) =
-        (free_address(), invoker(Duration::from_millis(400)), feed());
+    let (listen, invoker, (feed, requests)) = (
+        free_address(),
+        start_invoker(Duration::from_millis(400)),
+        start_feed(),
+    );
     let config = write(
         folder.path(),
         &configuration(&listen, &feed, &invoker).to_string(),
     );
-    let mut killed = Running(saltdrum(&config).stdout(Stdio::null()).spawn().unwrap());
-    let mut client = dial(&listen);
-    assert_eq!(asked.recv_timeout(LONG).unwrap(), 1);
-    for n in 1..=5 {
-        client.write_all(&ask(n, u64::from(n))).unwrap();
+    let mut killed = ProcessGuard(node_command(&config).stdout(Stdio::null()).spawn().unwrap());
+    let mut client = connect(&listen);
+    assert_eq!(requests.recv_timeout(READ_TIMEOUT).unwrap(), 1);
+    for id in 1..=5 {
+        client.write_all(&request_frame(id, u64::from(id))).unwrap();
     }
     client.write_all(&[0, 0, 0, 5, 32, 0, 0, 0, 99]).unwrap();
-    assert_eq!(hear(&mut client).0, 33, "all are taken");
+    assert_eq!(
+        read_frame(&mut client).0,
+        33,
+        "the requests were not accepted"
+    );
     killed.signal(Signal::KILL);
     killed.0.wait().unwrap();
-    let _again = Running(saltdrum(&config).stdout(Stdio::null()).spawn().unwrap());
-    let mut client = dial(&listen);
+    let _restarted = ProcessGuard(node_command(&config).stdout(Stdio::null()).spawn().unwrap());
+    let mut client = connect(&listen);
     assert_eq!(
-        asked.recv_timeout(LONG).unwrap(),
+        requests.recv_timeout(READ_TIMEOUT).unwrap(),
         1,
-        "numbers of the feed go on from its file"
+        "the feed is not resumed from the configured number"
     );
-    // The same ids again, while the invokers still answer those of the life before.
-    for n in 1..=5 {
-        client.write_all(&ask(n, u64::from(n))).unwrap();
+    // The same ids again, while the invokers still answer those of the previous process.
+    for id in 1..=5 {
+        client.write_all(&request_frame(id, u64::from(id))).unwrap();
     }
-    let mut heard: Vec<_> = (0..5).map(|_| hear(&mut client)).collect();
-    heard.sort();
+    let mut frames: Vec<_> = (0..5).map(|_| read_frame(&mut client)).collect();
+    frames.sort();
     let expected: Vec<_> = (1..=5)
         .map(|n| (17, n, [&[79, 0][..], b"done"].concat()))
         .collect();
-    assert_eq!(heard, expected);
+    assert_eq!(frames, expected);
 }
 
-/// Found by reading: half a file was read, and the rest of it, for which no second signal comes, never.
+/// Guards against a reload that reads a partly written file and never the rest, for which no second signal comes.
 #[test]
-fn a_file_that_is_still_being_written_at_the_signal_is_read_when_it_is_whole() {
+fn configuration_still_being_written_at_sighup_is_read_once_complete() {
     let folder = tempfile::tempdir().unwrap();
-    let (listen, invoker) = (free_address(), invoker(Duration::ZERO));
-    let ((feed_one, asked_one), (feed_two, asked_two)) = (feed(), feed());
+    let (listen, invoker) = (free_address(), start_invoker(Duration::ZERO));
+    let ((feed_one, requests_one), (feed_two, requests_two)) = (start_feed(), start_feed());
     let text = configuration(&listen, &feed_two, &invoker).to_string();
     let config = write(
         folder.path(),
         &configuration(&listen, &feed_one, &invoker).to_string(),
     );
-    let mut running = Running(
-        saltdrum(&config)
+    let mut running = ProcessGuard(
+        node_command(&config)
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
             .spawn()
             .unwrap(),
     );
-    assert_eq!(asked_one.recv_timeout(LONG).unwrap(), 1);
+    assert_eq!(requests_one.recv_timeout(READ_TIMEOUT).unwrap(), 1);
     write(folder.path(), &text[..text.len() / 2]);
     running.signal(Signal::HUP);
-    // It has said that the half is bad before the rest is written.
-    let mut said = std::io::BufReader::new(running.0.stderr.take().unwrap());
+    // Waits for the report on the truncated file before it writes the rest.
+    let mut log = std::io::BufReader::new(running.0.stderr.take().unwrap());
     let mut line = String::new();
     while !line.contains("configuration reload failed") {
         line.clear();
         assert!(
-            std::io::BufRead::read_line(&mut said, &mut line).unwrap() > 0,
-            "it ended"
+            std::io::BufRead::read_line(&mut log, &mut line).unwrap() > 0,
+            "the process exited"
         );
     }
     write(folder.path(), &text);
-    assert_eq!(asked_two.recv_timeout(LONG).unwrap(), 1);
+    assert_eq!(requests_two.recv_timeout(READ_TIMEOUT).unwrap(), 1);
 }
 
-/// Found by reading: each that was asked to make room for another held its descriptor for its last words, so that a crowd of
-/// idle clients grew past its part, took the last descriptor, and the feed that came back could not be dialled.
+/// Guards against idle clients that exhaust the descriptors: a connection closed to make room kept its descriptor while its
+/// last frame was pending, so that clients exceeded their share and the recovered feed could not be connected.
 #[test]
-fn a_crowd_of_idle_clients_leaves_descriptors_for_the_feed_and_for_invokers() {
+fn idle_clients_leave_descriptors_for_the_feed_and_invokers() {
     const LIMIT: usize = 64;
-    /// For the feed, an invoker, a file and one that is only accepted.
+    /// Reserved for the feed, an invoker, a file and a connection that is only accepted.
     const SPARE: usize = 4;
     let folder = tempfile::tempdir().unwrap();
     let (listen, invoker, feed_at) = (
         free_address(),
-        invoker(Duration::from_millis(5)),
+        start_invoker(Duration::from_millis(5)),
         free_address(),
     );
     let mut settings = configuration(&listen, &feed_at, &invoker);
     settings["limits"]["sockets"] = json!(LIMIT);
     let config = write(folder.path(), &settings.to_string());
-    let node = saltdrum(&config);
+    let node = node_command(&config);
     let mut limited = Command::new("sh");
     limited.args([
         "-c",
@@ -265,50 +279,50 @@
     limited
         .envs(node.get_envs().filter_map(|(k, v)| Some((k, v?))))
         .env_remove("RELAY_LISTEN");
-    let running = Running(
+    let running = ProcessGuard(
         limited
             .env_remove("RELAY_NAME")
             .stdout(Stdio::null())
             .spawn()
             .unwrap(),
     );
-    let open = || {
+    let open_descriptors = || {
         std::fs::read_dir(format!("/proc/{}/fd", running.0.id()))
             .unwrap()
             .count()
     };
-    // Discovery is down from the start: it is ready all the same.
-    let mut first = dial(&listen);
+    // It is ready although the feed is unreachable from the start.
+    let mut first = connect(&listen);
     first.write_all(&[0, 0, 0, 5, 32, 0, 0, 0, 9]).unwrap();
-    assert_eq!(hear(&mut first), (33, 9, vec![79, 0]));
+    assert_eq!(read_frame(&mut first), (33, 9, vec![79, 0]));
 
     let (mut crowd, mut most) = (Vec::new(), 0);
-    let mut come = |crowd: &mut Vec<TcpStream>| {
-        let mut idle = dial(&listen);
+    let mut connect_idle = |crowd: &mut Vec<TcpStream>| {
+        let mut idle = connect(&listen);
         idle.write_all(&[0, 0, 0, 5, 32, 0, 0, 0, 9]).unwrap();
-        // It is in, or was turned away; and it stays, and reads nothing more.
+        // Whether accepted or refused, the client stays connected and reads nothing more.
         let _ = idle.read(&mut [0; 11]);
         crowd.push(idle);
-        most = most.max(open());
+        most = most.max(open_descriptors());
     };
-    (0..200).for_each(|_| come(&mut crowd));
-    // It is back, and the crowd still comes.
-    let door = TcpListener::bind(&feed_at).unwrap();
-    door.set_nonblocking(true).unwrap();
-    let asked = (0..2_000).any(|_| {
-        come(&mut crowd);
+    (0..200).for_each(|_| connect_idle(&mut crowd));
+    // The feed recovers while idle clients keep connecting.
+    let feed_listener = TcpListener::bind(&feed_at).unwrap();
+    feed_listener.set_nonblocking(true).unwrap();
+    let is_connected = (0..2_000).any(|_| {
+        connect_idle(&mut crowd);
         crowd.drain(..1);
         std::thread::sleep(Duration::from_millis(2));
-        door.accept().is_ok()
+        feed_listener.accept().is_ok()
     });
     assert!(
-        asked,
-        "the feed was never dialled; {most} descriptors at the most"
+        is_connected,
+        "the feed was never connected; {most} descriptors at most"
     );
-    let mut client = dial(&listen);
-    client.write_all(&ask(10, 1)).unwrap();
+    let mut client = connect(&listen);
+    client.write_all(&request_frame(10, 1)).unwrap();
     assert_eq!(
-        hear(&mut client),
+        read_frame(&mut client),
         (17, 10, [&[79, 0][..], b"done"].concat())
     );
     assert!(most <= LIMIT - SPARE, "{most} of {LIMIT} descriptors");
--- a/crates/cli/tests/node_day/client.rs
+++ b/crates/cli/tests/node_day/client.rs
@@ -1,7 +1,7 @@
-//! A client that keeps its connection, asks one request after another on it, and leaves now and then.
+//! A client that sends one request after another on its connection, and sometimes abandons one.
 
 use super::record::{Code, Effect, Record, Request};
-use crate::node_peers::{ask_with, frame};
+use crate::node_peers::{frame, request_frame_with_fields};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, TcpStream};
 use std::ops::Range;
@@ -10,42 +10,42 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// How long a client listens beyond its limit, for an answer too late and for a second one.
-const LISTENS_LONGER: Duration = Duration::from_millis(700);
+/// How long a client listens beyond its timeout, for late and duplicate answers.
+const LISTEN_AFTER_TIMEOUT: Duration = Duration::from_millis(700);
 const FUNCTIONS: u64 = 40;
-/// The classes that the settings name, each with its effect there and in the record.
+/// The configured request classes, each with its effect in the configuration and in the record.
 pub const CLASSES: [(&str, &str, Effect); 3] = [
     ("look", "safe", Effect::Idempotent),
     ("charge", "keyed", Effect::Tokened),
     ("book", "unsafe", Effect::NonIdempotent),
 ];
-const ANSWER: u8 = 17;
-const CANCEL: u8 = 18;
-const NO_NEW_REQUEST: u8 = 48;
+const ANSWER_FRAME: u8 = 17;
+const CANCEL_FRAME: u8 = 18;
+const NO_NEW_REQUEST_FRAME: u8 = 48;
 
-/// What all clients of a play share.
+/// Settings and state that all clients of a run share.
 #[derive(Clone)]
 pub struct Clients {
     pub listen: String,
     pub next_id: Arc<AtomicU64>,
-    pub seen: Arc<Mutex<Record>>,
-    /// They ask no more.
-    pub ended: Arc<AtomicBool>,
-    /// How long they wait for an answer, in milliseconds.
+    pub record: Arc<Mutex<Record>>,
+    /// Set when the clients have to end.
+    pub is_ending: Arc<AtomicBool>,
+    /// Client timeouts, in milliseconds.
     pub limit_ms: Range<u64>,
-    /// How long they pause between two requests, in milliseconds.
+    /// Pauses between two requests, in milliseconds.
     pub pause_ms: Range<u64>,
-    /// Whether some leave before their answer.
+    /// Whether some requests are abandoned before their answer.
     pub may_leave: bool,
-    /// Whether they go on using a connection on which the controller wants no new request.
+    /// Whether a connection is still used after the controller has announced that it closes.
     pub keeps_connections: bool,
 }
 
 impl Clients {
-    /// One client, until all are to end.
-    pub fn run_one(&self, seed: u64) {
+    /// Runs one client until all have to end.
+    pub fn run_client(&self, seed: u64) {
         let mut rng = fastrand::Rng::with_seed(seed);
-        while !self.ended.load(Ordering::Relaxed) {
+        while !self.is_ending.load(Ordering::Relaxed) {
             let Some(stream) = self.connect() else {
                 return;
             };
@@ -57,15 +57,15 @@
                 is_closing: false,
                 clients: self,
             };
-            while !self.ended.load(Ordering::Relaxed) && client.asks(&mut rng) {
+            while !self.is_ending.load(Ordering::Relaxed) && client.send_request(&mut rng) {
                 sleep(random_ms(&mut rng, self.pause_ms.clone()));
             }
         }
     }
 
-    /// A connection; none: the play has ended.
+    /// Opens a connection; none: the clients have to end.
     fn connect(&self) -> Option<TcpStream> {
-        while !self.ended.load(Ordering::Relaxed) {
+        while !self.is_ending.load(Ordering::Relaxed) {
             if let Ok(stream) = TcpStream::connect(&self.listen) {
                 stream.set_nodelay(true).unwrap();
                 return Some(stream);
@@ -80,7 +80,8 @@
     Duration::from_millis(rng.u64(range))
 }
 
-fn request(stream: u32, id: u64, class: &str, function: u64, limit: Duration) -> Vec<u8> {
+/// The frame of a request.
+fn encode_request(stream: u32, id: u64, class: &str, function: u64, limit: Duration) -> Vec<u8> {
     let (txn, unique) = (format!("{id:016x}"), format!("{id:032x}"));
     let (limit, function) = (limit.as_millis().to_string(), format!("{function:016x}"));
     let mut fields = vec![
@@ -92,7 +93,7 @@
     if class == "charge" {
         fields.push(("unique", &unique));
     }
-    ask_with(stream, &fields)
+    request_frame_with_fields(stream, &fields)
 }
 
 /// One client's connection.
@@ -100,56 +101,58 @@
     stream: TcpStream,
     connected: Instant,
     read: Vec<u8>,
-    /// The ids of its requests, by their streams, from 1.
+    /// The ids of its requests, by stream; streams start at 1.
     ids: Vec<u64>,
-    /// The controller takes no new request on it.
+    /// The controller has announced that it accepts no new request.
     is_closing: bool,
     clients: &'a Clients,
 }
 
-enum Heard {
-    Nothing,
+/// What was read from a connection.
+enum Received {
+    Timeout,
     Frame,
     Answer(u64),
     End,
 }
 
 impl Client<'_> {
-    /// Reads until something is heard or the time is over.
-    fn hear(&mut self, until: Instant) -> Heard {
+    /// Reads until a frame arrives, the connection ends or the time is over.
+    fn receive(&mut self, until: Instant) -> Received {
         loop {
-            if let Some(heard) = self.take_frame() {
-                return heard;
+            if let Some(received) = self.take_frame() {
+                return received;
             }
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
-                return Heard::Nothing;
+            let remaining = until.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
+                return Received::Timeout;
             }
-            self.stream.set_read_timeout(Some(left)).unwrap();
+            self.stream.set_read_timeout(Some(remaining)).unwrap();
             let mut bytes = [0; 4_096];
             match self.stream.read(&mut bytes) {
                 Ok(n @ 1..) => self.read.extend_from_slice(&bytes[..n]),
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
-                _ => return Heard::End,
+                _ => return Received::End,
             }
         }
     }
 
-    fn take_frame(&mut self) -> Option<Heard> {
+    /// Handles the next frame if it has arrived completely.
+    fn take_frame(&mut self) -> Option<Received> {
         let length = 4 + u32::from_be_bytes(self.read.get(..4)?.try_into().unwrap()) as usize;
         if self.read.len() < length {
             return None;
         }
         let frame: Vec<u8> = self.read.drain(..length).collect();
-        if frame[4] == NO_NEW_REQUEST {
+        if frame[4] == NO_NEW_REQUEST_FRAME {
             self.is_closing = true;
-            return Some(Heard::Frame);
+            return Some(Received::Frame);
         }
-        assert_eq!(frame[4], ANSWER);
+        assert_eq!(frame[4], ANSWER_FRAME);
         let stream = u32::from_be_bytes(frame[5..9].try_into().unwrap()) as usize;
-        // On stream 0 it is an error that belongs to no request.
+        // Stream 0: an error that belongs to no request.
         let Some(id) = stream.checked_sub(1).map(|n| self.ids[n]) else {
-            return Some(Heard::Frame);
+            return Some(Received::Frame);
         };
         let code = match frame[9] {
             79 => Code::Served,
@@ -157,90 +160,92 @@
             69 => Code::Failed,
             other => panic!("code {other}"),
         };
-        let mut seen = self.clients.seen.lock().unwrap();
-        seen.requests
+        let mut record = self.clients.record.lock().unwrap();
+        record
+            .requests
             .get_mut(&id)
             .unwrap()
             .answers
             .push((Instant::now(), code));
-        Some(Heard::Answer(id))
+        Some(Received::Answer(id))
     }
 
-    /// Asks once and waits for the answer. False: the connection has ended.
-    fn asks(&mut self, rng: &mut fastrand::Rng) -> bool {
+    /// Sends one request and waits for the answer. False: the connection is not used any further.
+    fn send_request(&mut self, rng: &mut fastrand::Rng) -> bool {
         let id = self.clients.next_id.fetch_add(1, Ordering::Relaxed);
         let (class, _, effect) = CLASSES[rng.usize(..CLASSES.len())];
         let limit = random_ms(rng, self.clients.limit_ms.clone());
         self.ids.push(id);
         let stream = self.ids.len() as u32;
-        let asked = Instant::now();
-        let request_made = Request {
+        let began_at = Instant::now();
+        let new_request = Request {
             connected: self.connected,
-            asked,
+            sent_at: began_at,
             limit,
             effect,
             answers: Vec::new(),
-            left: None,
+            abandoned_at: None,
             dropped_at: None,
         };
         self.clients
-            .seen
+            .record
             .lock()
             .unwrap()
             .requests
-            .insert(id, request_made);
-        let bytes = request(stream, id, class, 0x100 + rng.u64(..FUNCTIONS), limit);
-        let pieces = if rng.u32(..10) == 0 {
+            .insert(id, new_request);
+        let bytes = encode_request(stream, id, class, 0x100 + rng.u64(..FUNCTIONS), limit);
+        let first_bytes = if rng.u32(..10) == 0 {
             rng.usize(1..bytes.len())
         } else {
             bytes.len()
         };
-        let written = self.stream.write_all(&bytes[..pieces]).and_then(|()| {
-            sleep(if pieces < bytes.len() {
+        let written = self.stream.write_all(&bytes[..first_bytes]).and_then(|()| {
+            sleep(if first_bytes < bytes.len() {
                 random_ms(rng, 1..60)
             } else {
                 Duration::ZERO
             });
-            self.stream.write_all(&bytes[pieces..])
+            self.stream.write_all(&bytes[first_bytes..])
         });
-        let in_machine = Instant::now();
-        self.of(id, |r| r.asked = in_machine);
+        let sent_at = Instant::now();
+        self.update_record(id, |r| r.sent_at = sent_at);
         if written.is_err() {
-            // Never whole in the machine: it was not taken.
-            self.clients.seen.lock().unwrap().requests.remove(&id);
+            // It was not written completely, so it was not accepted.
+            self.clients.record.lock().unwrap().requests.remove(&id);
             return false;
         }
-        let leaves = match rng.u32(..10) {
-            0 if self.clients.may_leave => Some(in_machine + limit.mul_f64(rng.f64())),
+        let abandons_at = match rng.u32(..10) {
+            0 if self.clients.may_leave => Some(sent_at + limit.mul_f64(rng.f64())),
             _ => None,
         };
-        let until = leaves.unwrap_or(in_machine + limit + LISTENS_LONGER);
+        let until = abandons_at.unwrap_or(sent_at + limit + LISTEN_AFTER_TIMEOUT);
         loop {
-            match self.hear(until) {
-                Heard::Answer(answered) if answered == id => {
+            match self.receive(until) {
+                Received::Answer(answered) if answered == id => {
                     return !self.is_closing || self.clients.keeps_connections;
                 }
-                Heard::Answer(_) | Heard::Frame => {}
-                Heard::End => {
-                    self.of(id, |r| r.dropped_at = Some(Instant::now()));
+                Received::Answer(_) | Received::Frame => {}
+                Received::End => {
+                    self.update_record(id, |r| r.dropped_at = Some(Instant::now()));
                     return false;
                 }
-                Heard::Nothing => break,
+                Received::Timeout => break,
             }
         }
-        let closes = leaves.is_none() || rng.bool();
-        let gone = match closes {
+        let closes = abandons_at.is_none() || rng.bool();
+        let result = match closes {
             true => self.stream.shutdown(Shutdown::Both),
-            false => self.stream.write_all(&frame(CANCEL, stream, &[])),
+            false => self.stream.write_all(&frame(CANCEL_FRAME, stream, &[])),
         };
-        self.of(id, |r| r.left = Some(Instant::now()));
-        gone.is_ok() && !closes
+        self.update_record(id, |r| r.abandoned_at = Some(Instant::now()));
+        result.is_ok() && !closes
     }
 
-    fn of(&self, id: u64, change: impl FnOnce(&mut Request)) {
+    /// Changes the record of a request.
+    fn update_record(&self, id: u64, change: impl FnOnce(&mut Request)) {
         change(
             self.clients
-                .seen
+                .record
                 .lock()
                 .unwrap()
                 .requests
--- a/crates/cli/tests/node_day/invoker.rs
+++ b/crates/cli/tests/node_day/invoker.rs
@@ -1,7 +1,7 @@
-//! An invoker over loopback: sound, or faulty by draws. It can be told to drain, to end and to come back empty.
+//! An invoker over loopback, sound or randomly faulty. It can drain, disappear, and return with no function loaded.
 
 use super::record::{Attempt, Record};
-use crate::node_peers::field;
+use crate::node_peers::header_field;
 use std::collections::BTreeSet;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -9,42 +9,44 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// How often it is looked whether somebody connects.
+/// Interval at which new connections are looked for.
 const ACCEPT_INTERVAL: Duration = Duration::from_millis(2);
-/// A sound invoker takes so long for a request, and for a load.
-const TAKES_MS: std::ops::Range<u64> = 2..25;
-const LOAD_TAKES: Duration = Duration::from_millis(150);
+/// How long a sound invoker takes for a request, and for a load.
+const REQUEST_LATENCY_MS: std::ops::Range<u64> = 2..25;
+const LOAD_LATENCY: Duration = Duration::from_millis(150);
 
-const TURNED_AWAY: &str = "503 Service Unavailable\r\nX-Unrun: 1";
+const REJECTED: &str = "503 Service Unavailable\r\nX-Unrun: 1";
 const NOT_READY: &str = "503 Service Unavailable";
 const MISS: &str = "404 Not Found";
 const SERVED: &str = "200 OK\r\nX-How: resident";
 
+/// Whether an invoker accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
     Ready,
-    /// Ends what it has, turns new work away, and says so when its health is checked.
+    /// Completes running work, rejects new work, and fails health checks.
     Draining,
     /// Refuses connections.
     Gone,
 }
 
+/// Whether an invoker injects faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Conduct {
+pub enum Behavior {
     Sound,
-    /// Draws for each request what becomes of it, and loses instances.
+    /// Draws a random outcome for each request, and loses instances.
     Faulty,
 }
 
-/// What an invoker is at present.
+/// The present state of an invoker.
 struct State {
     status: Status,
-    /// Functions that it has loaded; none: all of them.
+    /// The loaded functions; none: all functions are loaded.
     loaded: Option<BTreeSet<String>>,
     connections: Vec<TcpStream>,
 }
 
-/// A request as it was read, and how it is answered.
+/// A parsed request.
 enum Request {
     HealthCheck,
     Unload,
@@ -59,20 +61,24 @@
     },
 }
 
+/// A running invoker.
 pub struct Invoker {
     number: usize,
     pub address: String,
-    conduct: Conduct,
+    behavior: Behavior,
     state: Mutex<State>,
-    seen: Arc<Mutex<Record>>,
+    record: Arc<Mutex<Record>>,
 }
 
 fn random_ms(rng: &mut fastrand::Rng, from: u64, to: u64) -> Duration {
     Duration::from_millis(rng.u64(from..to))
 }
 
-/// What a faulty invoker does with one request: how long it takes, and its answer, if it gives one.
-fn faulty_end(rng: &mut fastrand::Rng, is_order: bool) -> (Duration, Option<&'static str>) {
+/// Draws how long a faulty invoker takes for one request, and its answer, if any.
+fn draw_faulty_outcome(
+    rng: &mut fastrand::Rng,
+    is_order: bool,
+) -> (Duration, Option<&'static str>) {
     let soon = random_ms(rng, 1, 40);
     match (rng.u32(..100), is_order) {
         (0..3, _) => (soon, None),
@@ -82,7 +88,7 @@
             Some("503 Service Unavailable\r\nX-Unrun: 1\r\nX-Units: 0"),
         ),
         (_, true) => (random_ms(rng, 50, 400), Some("200 OK\r\nX-Units: 1")),
-        (5..15, false) => (soon, Some(TURNED_AWAY)),
+        (5..15, false) => (soon, Some(REJECTED)),
         (15..45, false) => (soon, Some(MISS)),
         (45..50, false) => (soon, Some("500 Internal Server Error\r\nX-How: resident")),
         (50..55, false) => (random_ms(rng, 300, 2_500), Some(SERVED)),
@@ -90,17 +96,17 @@
     }
 }
 
-/// Whether the peer closes before this moment.
+/// Whether the peer closes the connection before this time.
 fn closes_before(stream: &TcpStream, end: Instant) -> bool {
     let mut byte = [0; 1];
     loop {
-        let left = end.saturating_duration_since(Instant::now());
-        if left.is_zero() {
+        let remaining = end.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
             return false;
         }
-        stream.set_read_timeout(Some(left)).unwrap();
+        stream.set_read_timeout(Some(remaining)).unwrap();
         match stream.peek(&mut byte) {
-            Ok(1..) => sleep(left.min(Duration::from_millis(1))),
+            Ok(1..) => sleep(remaining.min(Duration::from_millis(1))),
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
                 return false;
             }
@@ -109,8 +115,8 @@
     }
 }
 
-/// Reads the head of a request; none: it is not whole in a form that the protocol has.
-fn read_request(head: &str) -> Option<Request> {
+/// Parses the head of a request; none: it is not valid in the protocol.
+fn parse_request(head: &str) -> Option<Request> {
     let mut words = head.split(' ');
     let (method, path) = (words.next()?, words.next()?);
     let mut parts = path.split('/').skip(2);
@@ -122,32 +128,32 @@
         "DELETE" => Some(Request::Unload),
         _ if path == "/healthz" || path == "/busy" => Some(Request::HealthCheck),
         _ => Some(Request::Attempt {
-            id: u64::from_str_radix(field(head, "x-txn")?, 16).ok()?,
-            function: field(head, "x-name")?.to_owned(),
-            told_limit: Duration::from_millis(field(head, "x-limit-ms")?.parse().ok()?),
+            id: u64::from_str_radix(header_field(head, "x-txn")?, 16).ok()?,
+            function: header_field(head, "x-name")?.to_owned(),
+            told_limit: Duration::from_millis(header_field(head, "x-limit-ms")?.parse().ok()?),
         }),
     }
 }
 
 impl Invoker {
-    /// An invoker that is ready and has all functions loaded.
+    /// Starts an invoker that is ready and has all functions loaded.
     pub fn start(
         number: usize,
-        conduct: Conduct,
+        behavior: Behavior,
         seed: u64,
-        seen: Arc<Mutex<Record>>,
+        record: Arc<Mutex<Record>>,
     ) -> Arc<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let invoker = Arc::new(Self {
             number,
             address: listener.local_addr().unwrap().to_string(),
-            conduct,
+            behavior,
             state: Mutex::new(State {
                 status: Status::Ready,
                 loaded: None,
                 connections: Vec::new(),
             }),
-            seen,
+            record,
         });
         let accepting = invoker.clone();
         spawn(move || accepting.accept(listener, seed));
@@ -158,8 +164,8 @@
         self.state.lock().unwrap()
     }
 
-    /// It is this from now on. Who is gone loses its connections and all that it had loaded.
-    pub fn become_status(&self, status: Status) {
+    /// Changes the status. A gone invoker loses its connections and all loaded functions.
+    pub fn set_status(&self, status: Status) {
         let mut state = self.state();
         state.status = status;
         if status == Status::Gone {
@@ -170,7 +176,7 @@
         }
     }
 
-    /// Takes connections while it is not gone; nobody listens at its address while it is.
+    /// Accepts connections unless it is gone; then nobody listens at its address.
     fn accept(self: Arc<Self>, listener: TcpListener, seed: u64) {
         let mut listener = Some(listener);
         for connection in 0.. {
@@ -179,7 +185,7 @@
             };
             let rng = fastrand::Rng::with_seed(seed ^ (connection << 8) ^ self.number as u64);
             let invoker = self.clone();
-            spawn(move || invoker.attend(stream, rng));
+            spawn(move || invoker.serve_connection(stream, rng));
         }
     }
 
@@ -199,11 +205,12 @@
         accepted.map(|(stream, _)| stream)
     }
 
-    fn attend(&self, mut stream: TcpStream, mut rng: fastrand::Rng) {
+    /// Serves one connection.
+    fn serve_connection(&self, mut stream: TcpStream, mut rng: fastrand::Rng) {
         stream.set_nonblocking(false).unwrap();
         stream.set_nodelay(true).unwrap();
-        if let Ok(copy) = stream.try_clone() {
-            self.state().connections.push(copy);
+        if let Ok(clone) = stream.try_clone() {
+            self.state().connections.push(clone);
         }
         let (mut read, mut bytes) = (Vec::new(), [0; 4_096]);
         loop {
@@ -214,27 +221,27 @@
             read.extend_from_slice(&bytes[..n]);
             if read.ends_with(b"\r\n\r\n") {
                 let head = String::from_utf8(std::mem::take(&mut read)).unwrap();
-                if !self.serve_one(&head, &mut stream, &mut rng) {
+                if !self.serve_request(&head, &mut stream, &mut rng) {
                     return;
                 }
             }
         }
     }
 
-    /// Serves one request; gives whether the connection goes on.
-    fn serve_one(&self, head: &str, stream: &mut TcpStream, rng: &mut fastrand::Rng) -> bool {
+    /// Serves one request. False: the connection is closed.
+    fn serve_request(&self, head: &str, stream: &mut TcpStream, rng: &mut fastrand::Rng) -> bool {
         let arrived = Instant::now();
-        let Some(request) = read_request(head) else {
+        let Some(request) = parse_request(head) else {
             return false;
         };
         if let Request::Order { count: 1.., .. } = request {
             let order = (arrived, self.number);
-            self.seen.lock().unwrap().orders.push(order);
+            self.record.lock().unwrap().orders.push(order);
         }
-        let (takes, answer) = self.end_of(&request, rng);
-        let given_up = closes_before(stream, arrived + takes);
-        self.record_attempt(&request, arrived, answer.filter(|_| !given_up));
-        let Some(answer) = answer.filter(|_| !given_up) else {
+        let (latency, answer) = self.outcome_of(&request, rng);
+        let is_abandoned = closes_before(stream, arrived + latency);
+        self.record_attempt(&request, arrived, answer.filter(|_| !is_abandoned));
+        let Some(answer) = answer.filter(|_| !is_abandoned) else {
             return false;
         };
         if let (Request::Order { function, .. }, true) = (&request, answer.starts_with("200")) {
@@ -251,8 +258,8 @@
         stream.write_all(text.as_bytes()).is_ok()
     }
 
-    /// How long a request takes, and its answer, if it gets one.
-    fn end_of(
+    /// How long a request takes, and its answer, if any.
+    fn outcome_of(
         &self,
         request: &Request,
         rng: &mut fastrand::Rng,
@@ -263,17 +270,17 @@
             Request::HealthCheck => (Duration::ZERO, Some(NOT_READY)),
             Request::Unload => (Duration::ZERO, Some("204 No Content")),
             Request::Order { count: 0, .. } => (Duration::ZERO, Some("200 OK\r\nX-Units: 0")),
-            _ if !is_ready => (Duration::ZERO, Some(TURNED_AWAY)),
-            _ if self.conduct == Conduct::Faulty => {
-                faulty_end(rng, matches!(request, Request::Order { .. }))
+            _ if !is_ready => (Duration::ZERO, Some(REJECTED)),
+            _ if self.behavior == Behavior::Faulty => {
+                draw_faulty_outcome(rng, matches!(request, Request::Order { .. }))
             }
-            Request::Order { .. } => (LOAD_TAKES, Some("200 OK\r\nX-Units: 1")),
+            Request::Order { .. } => (LOAD_LATENCY, Some("200 OK\r\nX-Units: 1")),
             Request::Attempt { function, .. } if !self.has_loaded(function) => {
                 (Duration::ZERO, Some(MISS))
             }
             Request::Attempt { .. } => {
-                let takes = random_ms(rng, TAKES_MS.start, TAKES_MS.end);
-                (takes, Some(SERVED))
+                let latency = random_ms(rng, REQUEST_LATENCY_MS.start, REQUEST_LATENCY_MS.end);
+                (latency, Some(SERVED))
             }
         }
     }
@@ -295,9 +302,9 @@
             arrived,
             ended: Instant::now(),
             told_limit,
-            provably_never_ran: answer.is_some_and(|a| a == TURNED_AWAY || a == MISS),
+            provably_never_ran: answer.is_some_and(|a| a == REJECTED || a == MISS),
             invoker: self.number,
         };
-        self.seen.lock().unwrap().attempts.push(attempt);
+        self.record.lock().unwrap().attempts.push(attempt);
     }
 }
--- a/crates/cli/tests/node_day/record.rs
+++ b/crates/cli/tests/node_day/record.rs
@@ -1,26 +1,26 @@
-//! What is seen outside of the controller, and the rules it is held to.
+//! The record of what the peers of a controller observe, and the checks of the rules against it.
 
 use super::send_trace::StoppedSend;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// The platform's slack on every limit.
+/// Tolerance of the platform on every time limit.
 pub const SLACK: Duration = Duration::from_millis(50);
-/// An invoker may be told of so much more time than the client has.
+/// The time limit sent to an invoker may exceed the client's remaining time by this.
 const LIMIT_SLACK: Duration = Duration::from_millis(150);
-/// Nothing is sent on for a client that has left for longer.
-const GONE_SLACK: Duration = Duration::from_millis(100);
-/// What the settings of the play state.
+/// No attempt is sent later than this after its client abandoned the request.
+const ABANDONED_SLACK: Duration = Duration::from_millis(100);
+/// As configured for the controller.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(250);
 pub const ORDER_WINDOW: Duration = Duration::from_secs(5);
-/// That an attempt was given up is seen by another thread of the test than the next one's arrival, and so much later.
-const SEEN_LATE: Duration = Duration::from_millis(20);
+/// Another thread of the test observes the end of an abandoned attempt than the arrival of the next; it may lag by this.
+const OBSERVATION_DELAY_MAX: Duration = Duration::from_millis(20);
 const REPEAT_WINDOW: Duration = Duration::from_secs(2);
 const ORDERS_FREE: f64 = 3.0;
 const ORDERS_SHARE: f64 = 0.1;
-/// By which the platform widens the budget of load orders.
-const WIDENED: f64 = 1.15;
-const WIDENED_ORDERS: f64 = 1.0;
+/// Tolerances of the platform on the budget of load orders.
+const BUDGET_FACTOR: f64 = 1.15;
+const BUDGET_EXTRA_ORDERS: f64 = 1.0;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
@@ -36,23 +36,24 @@
     Failed,
 }
 
-/// A request, as its client saw it.
+/// A request as observed by its client.
 #[derive(Debug)]
 pub struct Request {
-    /// When its connection was made.
+    /// When its connection was opened.
     pub connected: Instant,
-    pub asked: Instant,
+    /// When it was written to the socket completely.
+    pub sent_at: Instant,
     pub limit: Duration,
     pub effect: Effect,
-    /// The first is what counts; a second one is a break.
+    /// The first one counts; any further one is a violation.
     pub answers: Vec<(Instant, Code)>,
-    /// It was cancelled, or its client closed.
-    pub left: Option<Instant>,
-    /// When its connection ended without an answer.
+    /// When it was cancelled, or its client closed the connection.
+    pub abandoned_at: Option<Instant>,
+    /// When the controller closed its connection without an answer.
     pub dropped_at: Option<Instant>,
 }
 
-/// A request at an invoker.
+/// An attempt as observed by its invoker.
 #[derive(Debug)]
 pub struct Attempt {
     pub id: u64,
@@ -63,20 +64,20 @@
     pub invoker: usize,
 }
 
-/// A span in which nothing new may come to an invoker.
+/// A time span in which no new work may arrive at an invoker.
 #[derive(Debug)]
-pub struct NotReady {
+pub struct NotReadySpan {
     pub invoker: usize,
-    /// From then on, grace and slack included.
+    /// Start, with grace and slack included.
     pub from: Instant,
-    /// Until then; none: to the end.
+    /// End; none: the end of the test.
     pub until: Option<Instant>,
 }
 
-impl NotReady {
-    /// Since `told`, when the controller was told or counts as told.
-    pub fn since(invoker: usize, told: Instant) -> Self {
-        let from = told + DRAIN_GRACE + SLACK;
+impl NotReadySpan {
+    /// Begins at `reported`, when the status was reported to the controller or counts as reported.
+    pub fn since(invoker: usize, reported: Instant) -> Self {
+        let from = reported + DRAIN_GRACE + SLACK;
         Self {
             invoker,
             from,
@@ -89,118 +90,127 @@
     }
 }
 
+/// All observations of one run.
 #[derive(Default)]
 pub struct Record {
     pub requests: BTreeMap<u64, Request>,
     pub attempts: Vec<Attempt>,
-    /// When each order to load had arrived, and where.
+    /// When each load order arrived, and at which invoker.
     pub orders: Vec<(Instant, usize)>,
-    /// When invokers took no new work.
-    pub not_ready: Vec<NotReady>,
-    /// When the process was stopped, or ran in turns only.
+    /// When invokers may receive no new work.
+    pub not_ready: Vec<NotReadySpan>,
+    /// When the process was stopped, or ran only in short slices.
     pub stops: Vec<(Instant, Instant)>,
-    /// When it was killed: what it held then is no longer its duty, and its budget of load orders begins anew.
+    /// When it was killed: it owes nothing for the requests it had then, and its budget of load orders starts over.
     pub kills: Vec<Instant>,
-    /// Attempts that were sent after a stop of which the process can't know.
+    /// Attempts that were sent after a stop that the process could not detect.
     pub stopped_sends: Vec<StoppedSend>,
-    /// A request that is younger when its connection ends crosses the close, and its client sends it again. None where zero.
+    /// A request that is younger than this when its connection is closed crossed the close, and its client sends it again.
+    /// Zero: no such requests.
     pub close_crossing: Duration,
 }
 
-/// Milliseconds from one moment to another; negative where it was before.
-fn since(at: Instant, from: Instant) -> i128 {
+/// Milliseconds from `from` to `at`; negative if `at` is earlier.
+fn millis_between(at: Instant, from: Instant) -> i128 {
     let later = at.saturating_duration_since(from).as_millis() as i128;
     later - from.saturating_duration_since(at).as_millis() as i128
 }
 
 impl Record {
-    /// Whether the process ran all the time from one moment to another.
-    fn ran(&self, from: Instant, to: Instant) -> bool {
+    /// Whether the process ran without a stop between two times.
+    fn ran_throughout(&self, from: Instant, to: Instant) -> bool {
         self.stops
             .iter()
             .all(|(began, ended)| *ended <= from || *began >= to)
     }
 
-    /// Whether the process was killed between two moments.
+    /// Whether the process was killed between two times.
     fn was_killed(&self, from: Instant, to: Instant) -> bool {
         self.kills.iter().any(|kill| *kill >= from && *kill < to)
     }
 
-    /// What broke a rule, in words.
-    pub fn breaks(&self) -> Vec<String> {
-        let mut breaks = Vec::new();
-        self.answers(&mut breaks);
-        self.effects(&mut breaks);
-        self.attempts_alone(&mut breaks);
-        self.load_orders(&mut breaks);
-        breaks.extend(self.work_past_grace());
-        breaks
+    /// Describes each violation of a rule.
+    pub fn violations(&self) -> Vec<String> {
+        let mut violations = Vec::new();
+        self.check_answers(&mut violations);
+        self.check_effects(&mut violations);
+        self.check_attempts(&mut violations);
+        self.check_load_orders(&mut violations);
+        violations.extend(self.work_past_grace());
+        violations
     }
 
-    /// Of the requests asked within a span: how many there were, and how many were served in time.
+    /// The number of requests within a span, and of those served in time.
     pub fn served_within(&self, from: Instant, to: Instant) -> (usize, usize) {
-        let asked = self
+        let requests = self
             .requests
             .values()
-            .filter(|r| r.asked >= from && r.asked < to && r.left.is_none());
-        let served = asked.clone().filter(|r| {
+            .filter(|r| r.sent_at >= from && r.sent_at < to && r.abandoned_at.is_none());
+        let served = requests.clone().filter(|r| {
             r.answers
                 .first()
-                .is_some_and(|a| a.1 == Code::Served && a.0 <= r.asked + r.limit)
+                .is_some_and(|answer| answer.1 == Code::Served && answer.0 <= r.sent_at + r.limit)
         });
-        (asked.count(), served.count())
+        (requests.count(), served.count())
     }
 
+    /// Whether the request crossed the close of its connection.
     fn crosses_close(&self, request: &Request) -> bool {
-        let age = request.dropped_at.map(|at| at - request.asked);
+        let age = request.dropped_at.map(|at| at - request.sent_at);
         request.answers.is_empty() && age.is_some_and(|age| age < self.close_crossing)
     }
 
-    fn answers(&self, breaks: &mut Vec<String>) {
+    /// Rule 1: one answer in time.
+    fn check_answers(&self, violations: &mut Vec<String>) {
         for (id, request) in &self.requests {
             if request.answers.len() > 1 {
-                breaks.push(format!("{id}: {} answers", request.answers.len()));
+                violations.push(format!("{id}: {} answers", request.answers.len()));
             }
-            let over = request.asked + request.limit + SLACK;
-            // What is written to a connection after its process was killed was never taken.
-            if self.was_killed(request.connected, over) {
+            let deadline = request.sent_at + request.limit + SLACK;
+            // A request on a connection of a killed process was never accepted.
+            if self.was_killed(request.connected, deadline) {
                 continue;
             }
             if self.crosses_close(request) {
                 continue;
             }
-            let is_owed =
-                request.left.is_none_or(|left| left >= over) && self.ran(request.asked, over);
+            let is_owed = request
+                .abandoned_at
+                .is_none_or(|abandoned_at| abandoned_at >= deadline)
+                && self.ran_throughout(request.sent_at, deadline);
             let in_time = request
                 .answers
                 .first()
-                .is_some_and(|answer| answer.0 <= over);
+                .is_some_and(|answer| answer.0 <= deadline);
             if is_owed && !in_time {
-                let took = request
+                let latency = request
                     .answers
                     .first()
-                    .map(|answer| answer.0 - request.asked);
-                breaks.push(format!(
-                    "{id}: limit {:?}, answered after {took:?}",
+                    .map(|answer| answer.0 - request.sent_at);
+                violations.push(format!(
+                    "{id}: limit {:?}, answered after {latency:?}",
                     request.limit
                 ));
             }
-            if request.dropped_at.is_some() && request.answers.is_empty() && request.left.is_none()
+            if request.dropped_at.is_some()
+                && request.answers.is_empty()
+                && request.abandoned_at.is_none()
             {
-                breaks.push(format!("{id}: its connection ended without an answer"));
+                violations.push(format!("{id}: its connection ended without an answer"));
             }
         }
     }
 
-    /// The stops that meet a span, each as milliseconds since the span's begin.
+    /// The stops that overlap a span, in milliseconds since its start.
     fn stops_within(&self, from: Instant, to: Instant) -> Vec<(i128, i128)> {
         let stops = self.stops.iter();
-        let near = stops.filter(|(began, ended)| *began <= to && *ended >= from);
-        near.map(|(began, ended)| (since(*began, from), since(*ended, from)))
+        let overlapping = stops.filter(|(began, ended)| *began <= to && *ended >= from);
+        overlapping
+            .map(|(began, ended)| (millis_between(*began, from), millis_between(*ended, from)))
             .collect()
     }
 
-    /// The attempts of each request in the order in which they arrived. They are recorded in the order in which they ended.
+    /// The attempts of each request in order of arrival. They are recorded in the order in which they ended.
     fn attempts_by_request(&self) -> BTreeMap<u64, Vec<&Attempt>> {
         let mut by_request = BTreeMap::<u64, Vec<&Attempt>>::new();
         for attempt in &self.attempts {
@@ -212,37 +222,38 @@
         by_request
     }
 
-    fn effects(&self, breaks: &mut Vec<String>) {
+    /// Rule 2: no double effect.
+    fn check_effects(&self, violations: &mut Vec<String>) {
         for (id, attempts) in self.attempts_by_request() {
             let request = &self.requests[&id];
             let first_that_may_have_run = attempts.iter().find(|a| !a.provably_never_ran);
-            let refused = request
+            let is_refused = request
                 .answers
                 .iter()
                 .any(|answer| answer.1 == Code::Refused);
-            if refused
+            if is_refused
                 && first_that_may_have_run.is_some()
                 && request.effect == Effect::NonIdempotent
             {
-                breaks.push(format!("{id}: refused, and may have run"));
+                violations.push(format!("{id}: refused, and may have run"));
             }
-            for (n, after) in attempts.iter().enumerate() {
-                let earlier = attempts[..n].iter().max_by_key(|before| before.ended);
+            for (index, after) in attempts.iter().enumerate() {
+                let earlier = attempts[..index].iter().max_by_key(|before| before.ended);
                 if let Some(before) = earlier {
-                    breaks.extend(self.two_in_flight(request.effect, before, after));
+                    violations.extend(self.two_in_flight(request.effect, before, after));
                 }
                 let Some(first) =
                     first_that_may_have_run.filter(|first| first.arrived < after.arrived)
                 else {
                     continue;
                 };
-                let late = after.arrived > first.arrived + REPEAT_WINDOW + SLACK;
+                let is_past_window = after.arrived > first.arrived + REPEAT_WINDOW + SLACK;
                 match request.effect {
                     Effect::NonIdempotent => {
-                        breaks.push(format!("{id}: repeated, and may have run"))
+                        violations.push(format!("{id}: repeated, and may have run"))
                     }
-                    Effect::Tokened if late => {
-                        breaks.push(format!("{id}: repeated after its window"))
+                    Effect::Tokened if is_past_window => {
+                        violations.push(format!("{id}: repeated after its window"))
                     }
                     _ => {}
                 }
@@ -250,58 +261,59 @@
         }
     }
 
-    /// The break of an attempt that arrived while an earlier one of the same request had not ended.
+    /// The violation by an attempt that arrived before an earlier one of the same request had ended.
     fn two_in_flight(&self, effect: Effect, before: &Attempt, after: &Attempt) -> Option<String> {
-        let both_out = before.ended.saturating_duration_since(after.arrived);
-        if both_out <= SEEN_LATE {
+        let overlap = before.ended.saturating_duration_since(after.arrived);
+        if overlap <= OBSERVATION_DELAY_MAX {
             return None;
         }
-        let stops = self.stops_within(before.arrived, after.arrived + both_out);
+        let stops = self.stops_within(before.arrived, after.arrived + overlap);
         Some(format!(
-            "{} ({effect:?}): two out for {both_out:?}: at {} from 0 to {} ms, at {} from {} to {} ms; stops {stops:?}",
+            "{} ({effect:?}): two out for {overlap:?}: at {} from 0 to {} ms, at {} from {} to {} ms; stops {stops:?}",
             before.id,
             before.invoker,
-            since(before.ended, before.arrived),
+            millis_between(before.ended, before.arrived),
             after.invoker,
-            since(after.arrived, before.arrived),
-            since(after.ended, before.arrived),
+            millis_between(after.arrived, before.arrived),
+            millis_between(after.ended, before.arrived),
         ))
     }
 
-    /// When an attempt was worded and sent, as far as the process can know: a stop between its last look at the clock and the
-    /// very call that sent it is taken off, by the trace of that call.
+    /// When an attempt was sent, as far as the process can know: a stop between its last reading of the clock and the system
+    /// call that sent it is subtracted, according to the trace of that call.
     fn sent_at(&self, attempt: &Attempt) -> Instant {
         let stopped = self.stopped_sends.iter().find(|sent| sent.is_of(attempt));
         attempt.arrived - stopped.map_or(Duration::ZERO, |sent| sent.stopped)
     }
 
-    fn attempts_alone(&self, breaks: &mut Vec<String>) {
+    /// Attempts are sent with no more than the remaining time, and not after the client left.
+    fn check_attempts(&self, violations: &mut Vec<String>) {
         for attempt in &self.attempts {
             let (id, request) = (attempt.id, &self.requests[&attempt.id]);
             let sent_at = self.sent_at(attempt);
-            let left = (request.asked + request.limit).saturating_duration_since(sent_at);
-            if attempt.told_limit > left + LIMIT_SLACK {
-                let stops = self.stops_within(request.asked, attempt.arrived);
-                breaks.push(format!(
-                    "{id}: told of {:?}, {left:?} are left {} ms after it was asked; stops {stops:?}",
+            let remaining = (request.sent_at + request.limit).saturating_duration_since(sent_at);
+            if attempt.told_limit > remaining + LIMIT_SLACK {
+                let stops = self.stops_within(request.sent_at, attempt.arrived);
+                violations.push(format!(
+                    "{id}: sent with a limit of {:?}, {remaining:?} remain {} ms after the request; stops {stops:?}",
                     attempt.told_limit,
-                    since(attempt.arrived, request.asked),
+                    millis_between(attempt.arrived, request.sent_at),
                 ));
             }
-            let gone = request
-                .left
-                .map(|left| sent_at.saturating_duration_since(left));
-            if let Some(gone) = gone.filter(|gone| *gone > GONE_SLACK) {
-                breaks.push(format!("{id}: sent on {gone:?} after its client left"));
+            let abandoned_for = request
+                .abandoned_at
+                .map(|abandoned_at| sent_at.saturating_duration_since(abandoned_at));
+            if let Some(late) = abandoned_for.filter(|late| *late > ABANDONED_SLACK) {
+                violations.push(format!("{id}: sent {late:?} after its client left"));
             }
         }
     }
 
-    /// New work at invokers that drain or are gone, past the grace: attempts and load orders alike.
+    /// New work at draining or gone invokers past the grace: attempts and load orders.
     pub fn work_past_grace(&self) -> Vec<String> {
         let attempts = self.attempts.iter().map(|a| (a.arrived, a.invoker));
         let new_work = attempts.chain(self.orders.clone());
-        let broken = new_work.filter_map(|(at, invoker)| {
+        let late_work = new_work.filter_map(|(at, invoker)| {
             let span = self
                 .not_ready
                 .iter()
@@ -311,24 +323,27 @@
                 "invoker {invoker}: new work {late:?} after its grace"
             ))
         });
-        broken.collect()
+        late_work.collect()
     }
 
-    fn load_orders(&self, breaks: &mut Vec<String>) {
+    /// Rule 5: load orders keep within the budget of their window.
+    fn check_load_orders(&self, violations: &mut Vec<String>) {
         for (at, _) in &self.orders {
             let orders = self
                 .orders
                 .iter()
                 .filter(|o| o.0 <= *at && o.0 + ORDER_WINDOW > *at && !self.was_killed(o.0, *at))
                 .count();
-            let came = |r: &&Request| {
-                let is_within = r.asked <= *at && r.asked + ORDER_WINDOW + SLACK > *at;
-                is_within && !self.was_killed(r.asked, *at)
+            let is_counted = |request: &&Request| {
+                let is_within =
+                    request.sent_at <= *at && request.sent_at + ORDER_WINDOW + SLACK > *at;
+                is_within && !self.was_killed(request.sent_at, *at)
             };
-            let requests = self.requests.values().filter(came).count();
-            let most = (ORDERS_FREE + ORDERS_SHARE * requests as f64) * WIDENED + WIDENED_ORDERS;
+            let requests = self.requests.values().filter(is_counted).count();
+            let most = (ORDERS_FREE + ORDERS_SHARE * requests as f64) * BUDGET_FACTOR
+                + BUDGET_EXTRA_ORDERS;
             if orders as f64 > most {
-                breaks.push(format!(
+                violations.push(format!(
                     "{orders} orders in a window of {requests} requests: {most:.1} are allowed"
                 ));
             }
--- a/crates/cli/tests/node_peers/mod.rs
+++ b/crates/cli/tests/node_peers/mod.rs
@@ -1,6 +1,7 @@
-//! What tests of `saltdrum node` as a process share: the process, its file, a feed, and a client's frames.
+//! Shared by the tests of `saltdrum node` as a process: the process, its configuration, a feed, an invoker, and the frames
+//! of the client protocol.
 
-// Each test binary uses its own part.
+// Each test binary uses only some of these.
 #![allow(dead_code)]
 
 use rustix::process::{Pid, Signal, kill_process};
@@ -13,16 +14,17 @@
 use std::sync::mpsc;
 use std::time::Duration;
 
-/// Long past any wait of a sound run; only a broken one meets it.
-pub const LONG: Duration = Duration::from_secs(20);
-/// The type of a client's frame that brings a request.
-const REQUEST: u8 = 16;
-/// The states of an invoker in the feed.
+/// Longer than any wait of a correct run.
+pub const READ_TIMEOUT: Duration = Duration::from_secs(20);
+/// Type of the client's frame that carries a request.
+const REQUEST_FRAME: u8 = 16;
+/// States of an invoker in the feed.
 pub const READY: u8 = 0;
 pub const DRAINING: u8 = 1;
 pub const GONE: u8 = 2;
 
-pub fn saltdrum(config: &Path) -> Command {
+/// The command that runs `saltdrum node` with this configuration file.
+pub fn node_command(config: &Path) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_saltdrum"));
     command
         .arg("node")
@@ -32,28 +34,28 @@
     command
 }
 
-/// A process that ends with the test.
-pub struct Running(pub Child);
+/// Kills its process when dropped, also when the test fails.
+pub struct ProcessGuard(pub Child);
 
-impl Drop for Running {
+impl Drop for ProcessGuard {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-impl Running {
+impl ProcessGuard {
     pub fn signal(&self, signal: Signal) {
         kill_process(Pid::from_raw(self.0.id() as i32).unwrap(), signal).unwrap();
     }
 }
 
-/// An invoker that answers each request after a while, and counts them.
-pub fn invoker(takes: Duration) -> String {
-    let door = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = door.local_addr().unwrap().to_string();
+/// Starts an invoker that answers each request after this time, and returns its address.
+pub fn start_invoker(latency: Duration) -> String {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap().to_string();
     std::thread::spawn(move || {
-        for stream in door.incoming() {
+        for stream in listener.incoming() {
             let mut stream = stream.unwrap();
             std::thread::spawn(move || {
                 let mut read = Vec::new();
@@ -62,7 +64,7 @@
                     read.extend_from_slice(&bytes[..n]);
                     if read.ends_with(b"\r\n\r\n") {
                         read.clear();
-                        std::thread::sleep(takes);
+                        std::thread::sleep(latency);
                         let _ = stream.write_all(
                             b"HTTP/1.1 200 OK\r\nX-How: resident\r\nX-Units: 1\r\nContent-Length: 4\r\n\r\ndone",
                         );
@@ -71,20 +73,21 @@
             });
         }
     });
-    at
+    address
 }
 
-/// A feed with nothing to tell; says which numbers it was asked from.
-pub fn feed() -> (String, mpsc::Receiver<u64>) {
-    let door = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (at, (told, asked)) = (door.local_addr().unwrap().to_string(), mpsc::channel());
+/// Starts a feed without events. Returns its address, and the event numbers from which it is requested.
+pub fn start_feed() -> (String, mpsc::Receiver<u64>) {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let (address, (requested, requests)) =
+        (listener.local_addr().unwrap().to_string(), mpsc::channel());
     std::thread::spawn(move || {
-        for stream in door.incoming() {
-            let (mut stream, told) = (stream.unwrap(), told.clone());
+        for stream in listener.incoming() {
+            let (mut stream, requested) = (stream.unwrap(), requested.clone());
             std::thread::spawn(move || {
                 let mut last = [0; 8];
                 stream.read_exact(&mut last).unwrap();
-                let _ = told.send(u64::from_be_bytes(last));
+                let _ = requested.send(u64::from_be_bytes(last));
                 let empty = [&9u32.to_be_bytes()[..], &last, &[0]].concat();
                 while stream.write_all(&empty).is_ok() {
                     std::thread::sleep(Duration::from_millis(500));
@@ -92,9 +95,10 @@
             });
         }
     });
-    (at, asked)
+    (address, requests)
 }
 
+/// The configuration of a controller with one invoker.
 pub fn configuration(listen: &str, feed: &str, invoker: &str) -> Value {
     json!({
         "name": "n1", "listen": listen, "seed": "8c1f30d27a5be964", "feed": feed,
@@ -117,24 +121,26 @@
     })
 }
 
+/// Writes a configuration to a file in this folder.
 pub fn write(folder: &Path, text: &str) -> PathBuf {
     let path = folder.join("config.json");
     std::fs::write(&path, text).unwrap();
     path
 }
 
-pub fn ask(stream: u32, txn: u64) -> Vec<u8> {
-    ask_for(stream, txn, 0xf1, 7_000)
+/// A request for a fixed function, whose client waits 7 s.
+pub fn request_frame(stream: u32, txn: u64) -> Vec<u8> {
+    request_frame_for(stream, txn, 0xf1, 7_000)
 }
 
-/// A request for a function, whose client waits so long.
-pub fn ask_for(stream: u32, txn: u64, function: u64, limit_ms: u64) -> Vec<u8> {
+/// A request for a function, whose client waits this long.
+pub fn request_frame_for(stream: u32, txn: u64, function: u64, limit_ms: u64) -> Vec<u8> {
     let (txn, limit, function) = (
         format!("{txn:016x}"),
         limit_ms.to_string(),
         format!("{function:016x}"),
     );
-    ask_with(
+    request_frame_with_fields(
         stream,
         &[
             ("verb", "look"),
@@ -146,7 +152,7 @@
 }
 
 /// A request with these fields and no body.
-pub fn ask_with(stream: u32, fields: &[(&str, &str)]) -> Vec<u8> {
+pub fn request_frame_with_fields(stream: u32, fields: &[(&str, &str)]) -> Vec<u8> {
     let mut payload = vec![fields.len() as u8];
     for (name, value) in fields {
         payload.push(name.len() as u8);
@@ -154,7 +160,7 @@
         payload.extend((value.len() as u16).to_be_bytes());
         payload.extend(value.as_bytes());
     }
-    frame(REQUEST, stream, &payload)
+    frame(REQUEST_FRAME, stream, &payload)
 }
 
 /// A frame of a client.
@@ -168,12 +174,12 @@
     .concat()
 }
 
-/// The event of the feed after `number` that says that an invoker, at this address, drains.
+/// The feed's event after `number`, which reports that the invoker at this address is draining.
 pub fn drain_event(number: u64, invoker: u32, address: &str) -> Vec<u8> {
     endpoint_event(number + 1, invoker, address, DRAINING)
 }
 
-/// An event of the feed that gives the state of one invoker, at this address.
+/// An event of the feed with the state of the invoker at this address.
 pub fn endpoint_event(number: u64, invoker: u32, address: &str, state: u8) -> Vec<u8> {
     let SocketAddr::V4(at) = address.parse().unwrap() else {
         panic!("{address}: IPv4 is expected")
@@ -198,8 +204,8 @@
     .concat()
 }
 
-/// The value of a field in an HTTP head.
-pub fn field<'a>(head: &'a str, name: &str) -> Option<&'a str> {
+/// The value of a header field in an HTTP head.
+pub fn header_field<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     head.lines().find_map(|line| {
         line.split_once(": ")
             .filter(|f| f.0.eq_ignore_ascii_case(name))
@@ -207,8 +213,8 @@
     })
 }
 
-/// The next frame: its type, its stream and its payload.
-pub fn hear(stream: &mut TcpStream) -> (u8, u32, Vec<u8>) {
+/// Reads the next frame: its type, its stream and its payload.
+pub fn read_frame(stream: &mut TcpStream) -> (u8, u32, Vec<u8>) {
     let mut head = [0; 9];
     stream.read_exact(&mut head).unwrap();
     let length = u32::from_be_bytes(head[..4].try_into().unwrap()) as usize;
@@ -221,19 +227,20 @@
     )
 }
 
-pub fn dial(at: &str) -> TcpStream {
+/// Connects to an address, and retries while nobody listens.
+pub fn connect(address: &str) -> TcpStream {
     for _ in 0..2_000 {
-        if let Ok(stream) = TcpStream::connect(at) {
-            stream.set_read_timeout(Some(LONG)).unwrap();
+        if let Ok(stream) = TcpStream::connect(address) {
+            stream.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
             return stream;
         }
         std::thread::sleep(Duration::from_millis(10));
     }
-    panic!("nobody listens at {at}");
+    panic!("nobody listens at {address}");
 }
 
-/// An address where nobody listens, of this test process and of this call alone. The kernel gives ports above the range to
-/// whoever asks for any, so that a port that was free a moment ago may have an owner; and it connects from 127.0.0.1.
+/// An address where nobody listens, unique to this test process and this call. It lies outside of the kernel's ephemeral port
+/// range and not on 127.0.0.1, from which the kernel connects: an ephemeral port that was free a moment ago may be taken.
 pub fn free_address() -> String {
     static NEXT_PORT: AtomicU16 = AtomicU16::new(10_000);
     let [.., high, low] = std::process::id().to_be_bytes();
--- a/crates/cli/tests/preloaded/mod.rs
+++ b/crates/cli/tests/preloaded/mod.rs
@@ -1,10 +1,10 @@
-//! The library of faults, built for the tests that load it into the processes they start.
+//! Builds the fault injection library that tests preload into the processes they start.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// Builds the library that lets calls fail.
-pub fn library(folder: &Path) -> PathBuf {
+/// Builds the library in this folder and returns its path.
+pub fn build_library(folder: &Path) -> PathBuf {
     let (source, library) = ("tests/faults/preload.rs", folder.join("libpreload.so"));
     let source = Path::new(env!("CARGO_MANIFEST_DIR")).join(source);
     let mut rustc = Command::new(std::env::var("RUSTC").unwrap_or_else(|_| "rustc".into()));
@@ -14,7 +14,7 @@
         .arg(source);
     assert!(
         rustc.status().unwrap().success(),
-        "the library can't be built"
+        "building the fault injection library failed"
     );
     library
 }
--- a/crates/cli/tests/processes.rs
+++ b/crates/cli/tests/processes.rs
@@ -1,4 +1,4 @@
-//! The binary as its users run it: processes, signals, exit codes.
+//! The binary as its users run it: processes, signals and exit codes.
 
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
@@ -8,7 +8,7 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::time::Duration;
 
-const TERMS: &str = r#"
+const SCRIPT: &str = r#"
 deployment(controllers = 1, keep_alive = "9s", cold_share = 0.3, cold_time = "5s", tip_factor = 2.5, tip_window = "1s")
 machine("big", memory = "20GB", cores = 16)
 invokers(kind = "big", count = 2)
@@ -25,17 +25,18 @@
     saltdrum().args(args).output().unwrap()
 }
 
-/// A process that ends with the test.
-struct Running(Child);
+/// Kills its process when dropped, also when the test fails.
+struct ProcessGuard(Child);
 
-impl Drop for Running {
+impl Drop for ProcessGuard {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-impl Running {
+impl ProcessGuard {
+    /// Starts a process and waits until its socket accepts connections.
     fn start(args: &[&str], socket: &Path) -> Self {
         let running = Self(saltdrum().args(args).stdout(Stdio::null()).spawn().unwrap());
         while UnixStream::connect(socket).is_err() {
@@ -44,7 +45,7 @@
         running
     }
 
-    /// Stops it, and returns when each of its threads stands still.
+    /// Sends SIGSTOP, and waits until all threads are stopped.
     fn stop(&self) {
         self.signal(Signal::STOP);
         let stopped = |task: std::io::Result<std::fs::DirEntry>| {
@@ -68,20 +69,21 @@
     }
 }
 
+/// A store, two invokers, a list and a controller.
 struct Site {
     folder: tempfile::TempDir,
-    running: Vec<Running>,
+    running: Vec<ProcessGuard>,
 }
 
 impl Site {
-    /// Everything up; the controller is the last.
-    fn up() -> Self {
+    /// Starts all processes; the controller is the last of `running`.
+    fn start() -> Self {
         let folder = tempfile::tempdir().unwrap();
         let mut site = Self {
             folder,
             running: Vec::new(),
         };
-        std::fs::write(site.folder.path().join("terms.star"), TERMS).unwrap();
+        std::fs::write(site.folder.path().join("terms.star"), SCRIPT).unwrap();
         let at = |name: &str| format!("unix:{}", site.folder.path().join(name).display());
         let terms = site.folder.path().join("terms.star").display().to_string();
         let (store, list, first, second, clients) =
@@ -133,7 +135,7 @@
         ];
         for (name, args) in all {
             let socket = site.folder.path().join(name);
-            site.running.push(Running::start(&args, &socket));
+            site.running.push(ProcessGuard::start(&args, &socket));
         }
         std::thread::sleep(Duration::from_millis(300));
         site
@@ -144,15 +146,16 @@
     }
 }
 
-fn invoke(id: Value, work_ms: u32, left_ms: u32) -> String {
+/// A JSON-RPC request line.
+fn request_line(id: Value, work_ms: u32, time_left_ms: u32) -> String {
     let params = json!({"function": "voice", "tenant": "hill", "trigger": "narrate",
-        "time_left_ms": left_ms, "input": {"work_ms": work_ms}});
+        "time_left_ms": time_left_ms, "input": {"work_ms": work_ms}});
     json!({"jsonrpc": "2.0", "id": id, "method": "invoke", "params": params}).to_string() + "\n"
 }
 
 #[test]
-fn a_controller_that_was_stopped_sends_nothing_past_a_client_timeout() {
-    let site = Site::up();
+fn controller_resumed_from_a_stop_answers_only_within_client_timeouts() {
+    let site = Site::start();
     let clients = site.clients();
     let call = [
         "call",
@@ -165,23 +168,23 @@
         "--trigger",
         "narrate",
     ];
-    let got = run(&call);
-    assert!(got.status.success(), "{got:?}");
+    let output = run(&call);
+    assert!(output.status.success(), "{output:?}");
     let mut client = UnixStream::connect(site.folder.path().join("clients")).unwrap();
-    for n in 0..10 {
+    for id in 0..10 {
         client
-            .write_all(invoke(json!(n), 1_000, 1_600).as_bytes())
+            .write_all(request_line(json!(id), 1_000, 1_600).as_bytes())
             .unwrap();
     }
     std::thread::sleep(Duration::from_millis(100));
     let controller = site.running.last().unwrap();
     controller.stop();
-    for n in 10..20 {
+    for id in 10..20 {
         client
-            .write_all(invoke(json!(n), 10, 1_500).as_bytes())
+            .write_all(request_line(json!(id), 10, 1_500).as_bytes())
             .unwrap();
         client
-            .write_all(invoke(json!(n + 10), 10, 7_000).as_bytes())
+            .write_all(request_line(json!(id + 10), 10, 7_000).as_bytes())
             .unwrap();
     }
     std::thread::sleep(Duration::from_secs(2));
@@ -197,15 +200,18 @@
     assert_eq!(
         answered,
         (20..30).collect::<Vec<u64>>(),
-        "those still waited for, and no others"
+        "answers differ from the requests still within their timeout"
     );
     client
         .write_all(b"{\"jsonrpc\":\"2.0\",\"id\":\"s\",\"method\":\"status\"}\n")
         .unwrap();
     let reply: Value = serde_json::from_str(&lines.next().unwrap().unwrap()).unwrap();
-    assert_eq!(reply["id"], "s", "nothing else was on its way: {reply}");
+    assert_eq!(
+        reply["id"], "s",
+        "an unexpected line precedes the status: {reply}"
+    );
     let count = |name: &str| reply["result"][name].as_u64().unwrap();
-    // A slow machine may have stopped it before it read the first ten: those are stale then as well.
+    // On a slow machine the process may be stopped before it has read the first ten, which are then stale too.
     assert_eq!(
         (
             count("taken") + count("stale"),
@@ -218,12 +224,12 @@
 }
 
 #[test]
-fn an_invoker_killed_in_mid_run_is_answered_for_and_the_next_call_succeeds() {
-    let mut site = Site::up();
+fn requests_on_a_killed_invoker_are_each_answered_once() {
+    let mut site = Site::start();
     let mut client = UnixStream::connect(site.folder.path().join("clients")).unwrap();
-    for n in 0..6 {
+    for id in 0..6 {
         client
-            .write_all(invoke(json!(n), 1_500, 7_000).as_bytes())
+            .write_all(request_line(json!(id), 1_500, 7_000).as_bytes())
             .unwrap();
     }
     std::thread::sleep(Duration::from_millis(700));
@@ -234,13 +240,13 @@
         .map(|reply| reply["id"].as_u64().unwrap())
         .collect();
     ids.sort_unstable();
-    assert_eq!(ids, [0, 1, 2, 3, 4, 5], "each once");
+    assert_eq!(ids, [0, 1, 2, 3, 4, 5], "not answered exactly once each");
     let status = String::from_utf8(run(&["status", "--to", &site.clients()]).stdout).unwrap();
     assert!(status.contains("\"in_flight\":0"), "{status}");
 }
 
 #[test]
-fn exit_codes_tell_kept_from_broken_from_bad_input() {
+fn exit_codes_distinguish_kept_broken_and_invalid_input() {
     let folder = tempfile::tempdir().unwrap();
     let at = |name: &str| folder.path().join(name).display().to_string();
     let record = at("record.jsonl");
@@ -253,14 +259,14 @@
         &record,
     ]);
     assert_eq!(played.status.code(), Some(0), "{played:?}");
-    let facts: Value = serde_json::from_slice(&played.stdout).unwrap();
-    assert_eq!(facts["rules"].as_array().unwrap().len(), 5);
+    let played_results: Value = serde_json::from_slice(&played.stdout).unwrap();
+    assert_eq!(played_results["rules"].as_array().unwrap().len(), 5);
     let checked = run(&["check", &record, "--json"]);
-    let again: Value = serde_json::from_slice(&checked.stdout).unwrap();
+    let results: Value = serde_json::from_slice(&checked.stdout).unwrap();
     assert_eq!(
-        (checked.status.code(), &again["rows"]),
-        (Some(0), &facts["rows"]),
-        "the record says the same"
+        (checked.status.code(), &results["rows"]),
+        (Some(0), &played_results["rows"]),
+        "checking the record differs from playing the day"
     );
     let lines = std::fs::read_to_string(&record).unwrap();
     let answer = lines.lines().find(|l| l.contains("\"final\"")).unwrap();
@@ -273,7 +279,7 @@
     );
     std::fs::write(at("torn.jsonl"), &lines[..lines.len() - 9]).unwrap();
     std::fs::write(at("day.star"), "day(\"x\", length = 5)\n").unwrap();
-    for (args, say) in [
+    for (args, expected) in [
         (vec!["check", &at("torn.jsonl")], "line "),
         (vec!["check", &at("none")], "No such file"),
         (
@@ -300,11 +306,11 @@
         ),
         (vec!["status", "--to", "unix:/nowhere"], "unix:/nowhere"),
     ] {
-        let got = run(&args);
-        let text = String::from_utf8_lossy(&got.stderr).into_owned();
+        let output = run(&args);
+        let text = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(
-            got.status.code() == Some(2) && text.contains(say),
-            "{args:?}: {got:?}"
+            output.status.code() == Some(2) && text.contains(expected),
+            "{args:?}: {output:?}"
         );
     }
 }
--- a/crates/cli/tests/record_checks.rs
+++ b/crates/cli/tests/record_checks.rs
@@ -1,9 +1,6 @@
-//! The checks of `node_day::record`: each finds what it is there for, and nothing else.
+//! Tests of the checks in `node_day::record`: each reports its violation and nothing else.
 
-#![expect(
-    clippy::disallowed_methods,
-    reason = "records hold times of this machine"
-)]
+#![expect(clippy::disallowed_methods, reason = "records contain real times")]
 
 mod node_day;
 mod node_peers;
@@ -18,7 +15,7 @@
     Duration::from_millis(count)
 }
 
-/// An attempt at an invoker over a span of milliseconds since `base`.
+/// An attempt at an invoker, with its arrival and end in milliseconds since `base`.
 fn attempt(base: Instant, invoker: usize, arrived_ms: u64, ended_ms: u64) -> Attempt {
     Attempt {
         id: REQUEST,
@@ -30,15 +27,15 @@
     }
 }
 
-/// The record of one request whose attempts were recorded in this order. Its client left late enough to be owed nothing.
+/// The record of one request, with its attempts in recording order. Its client has abandoned it, so that no answer is owed.
 fn record_of(effect: Effect, base: Instant, attempts: Vec<Attempt>) -> Record {
     let request = Request {
         connected: base,
-        asked: base,
+        sent_at: base,
         limit: ms(5_000),
         effect,
         answers: Vec::new(),
-        left: Some(base + ms(4_000)),
+        abandoned_at: Some(base + ms(4_000)),
         dropped_at: None,
     };
     Record {
@@ -48,58 +45,62 @@
     }
 }
 
-fn breaks_of(effect: Effect, base: Instant, attempts: Vec<Attempt>) -> Vec<String> {
-    record_of(effect, base, attempts).breaks()
+fn violations_of(effect: Effect, base: Instant, attempts: Vec<Attempt>) -> Vec<String> {
+    record_of(effect, base, attempts).violations()
 }
 
-/// Guards against a retry that ends at once and is recorded before the attempt that was given up for it, whose thread wakes
-/// a moment later: the whole of the first attempt then counted as time in which two were out.
+/// Guards against a retry that ends at once and is recorded before the abandoned attempt that it follows, whose thread wakes
+/// slightly later: the whole duration of the first attempt was then counted as two attempts in flight.
 #[test]
-fn attempts_are_judged_in_the_order_of_their_arrival() {
+fn checks_attempts_in_order_of_arrival() {
     let base = Instant::now();
-    let (given_up, retry) = (attempt(base, 1, 0, 596), attempt(base, 2, 594, 594));
-    let breaks = breaks_of(Effect::Idempotent, base, vec![retry, given_up]);
-    assert!(breaks.is_empty(), "{breaks:?}");
+    let (abandoned, retry) = (attempt(base, 1, 0, 596), attempt(base, 2, 594, 594));
+    let violations = violations_of(Effect::Idempotent, base, vec![retry, abandoned]);
+    assert!(violations.is_empty(), "{violations:?}");
 }
 
 #[test]
-fn finds_two_attempts_in_flight_in_whatever_order_they_were_recorded() {
+fn reports_two_attempts_in_flight_in_any_recording_order() {
     let base = Instant::now();
     for reversed in [false, true] {
         let mut attempts = vec![attempt(base, 1, 0, 200), attempt(base, 2, 100, 300)];
         if reversed {
             attempts.reverse();
         }
-        let breaks = breaks_of(Effect::Idempotent, base, attempts);
-        assert_eq!(breaks.len(), 1, "{breaks:?}");
-        assert!(breaks[0].contains("two out for 100ms"), "{breaks:?}");
+        let violations = violations_of(Effect::Idempotent, base, attempts);
+        assert_eq!(violations.len(), 1, "{violations:?}");
+        assert!(
+            violations[0].contains("two out for 100ms"),
+            "{violations:?}"
+        );
     }
 }
 
-/// The second attempt ends before the third arrives, the first does not.
+/// The second attempt has ended before the latest arrives, the first has not.
 #[test]
-fn finds_an_attempt_in_flight_that_is_not_the_last_before() {
+fn reports_overlap_with_an_attempt_other_than_the_previous_one() {
     let base = Instant::now();
     let attempts = vec![
         attempt(base, 1, 0, 400),
         attempt(base, 2, 390, 395),
         attempt(base, 3, 350, 360),
     ];
-    let breaks = breaks_of(Effect::Idempotent, base, attempts);
-    assert_eq!(breaks.len(), 1, "{breaks:?}");
-    assert!(breaks[0].contains("at 3 from 350"), "{breaks:?}");
+    let violations = violations_of(Effect::Idempotent, base, attempts);
+    assert_eq!(violations.len(), 1, "{violations:?}");
+    assert!(violations[0].contains("at 3 from 350"), "{violations:?}");
 }
 
 #[test]
-fn finds_a_repeat_that_was_recorded_before_the_attempt_it_repeats() {
+fn reports_a_retry_recorded_before_the_attempt_it_repeats() {
     let base = Instant::now();
     let attempts = vec![attempt(base, 2, 594, 594), attempt(base, 1, 0, 596)];
-    let breaks = breaks_of(Effect::NonIdempotent, base, attempts);
-    assert_eq!(breaks, ["7: repeated, and may have run"]);
+    let violations = violations_of(Effect::NonIdempotent, base, attempts);
+    assert_eq!(violations, ["7: repeated, and may have run"]);
 }
 
-/// An attempt that was sent 1,000 ms after its client left, and told of 4,700 ms where none is left, with this trace.
-fn breaks_of_late_send(told_limit_ms: u64, stopped_ms: u64) -> usize {
+/// The number of violations by an attempt that arrived 1,000 ms after its client abandoned the request, with a limit of
+/// 4,700 ms and no time remaining, given this trace.
+fn violations_of_late_send(told_limit_ms: u64, stopped_ms: u64) -> usize {
     let base = Instant::now();
     let mut late = attempt(base, 1, 5_000, 5_010);
     late.told_limit = ms(4_700);
@@ -109,13 +110,21 @@
         told_limit: ms(told_limit_ms),
         stopped: ms(stopped_ms),
     }];
-    record.breaks().len()
+    record.violations().len()
 }
 
 #[test]
-fn traced_stop_before_a_send_excuses_that_send_by_its_length_and_no_more() {
-    assert_eq!(breaks_of_late_send(4_700, 4_800), 0, "all of it");
-    assert_eq!(breaks_of_late_send(4_700, 4_300), 1, "too long a limit");
-    assert_eq!(breaks_of_late_send(4_700, 300), 2, "a part of it");
-    assert_eq!(breaks_of_late_send(4_600, 4_800), 2, "another attempt");
+fn traced_stop_excuses_its_send_by_the_duration_of_the_stop_only() {
+    assert_eq!(violations_of_late_send(4_700, 4_800), 0, "the whole delay");
+    assert_eq!(
+        violations_of_late_send(4_700, 4_300),
+        1,
+        "the limit is too long"
+    );
+    assert_eq!(
+        violations_of_late_send(4_700, 300),
+        2,
+        "a part of the delay"
+    );
+    assert_eq!(violations_of_late_send(4_600, 4_800), 2, "another attempt");
 }
--- a/crates/cli/tests/registry.rs
+++ b/crates/cli/tests/registry.rs
@@ -1,18 +1,19 @@
-//! The registry as processes: published, moved, killed, restored.
+//! The registry as a process: publishing, moving aliases, a kill, and restoring a backup.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output, Stdio};
 use std::time::Duration;
 
+/// A folder with registries and their keys.
 struct Site {
     folder: tempfile::TempDir,
 }
 
-/// Ends with the test, however that ends.
-struct Running(Child);
+/// Kills its process when dropped, also when the test fails.
+struct ProcessGuard(Child);
 
-impl Drop for Running {
+impl Drop for ProcessGuard {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
@@ -20,7 +21,7 @@
 }
 
 impl Site {
-    fn at(&self, name: &str) -> PathBuf {
+    fn path(&self, name: &str) -> PathBuf {
         self.folder.path().join(name)
     }
 
@@ -30,53 +31,55 @@
         command
     }
 
-    fn say(&self, words: &str) -> Output {
+    fn run(&self, arguments: &str) -> Output {
         self.command()
-            .args(words.split_whitespace())
+            .args(arguments.split_whitespace())
             .output()
             .unwrap()
     }
 
-    fn does(&self, words: &str) -> String {
-        let out = self.say(words);
-        let (told, why) = (
-            String::from_utf8_lossy(&out.stdout),
-            String::from_utf8_lossy(&out.stderr),
+    fn run_ok(&self, arguments: &str) -> String {
+        let output = self.run(arguments);
+        let (stdout, stderr) = (
+            String::from_utf8_lossy(&output.stdout),
+            String::from_utf8_lossy(&output.stderr),
         );
-        assert!(out.status.success(), "{words}: {told}{why}");
-        told.into_owned()
+        assert!(output.status.success(), "{arguments}: {stdout}{stderr}");
+        stdout.into_owned()
     }
 
-    fn refuses(&self, words: &str) -> String {
-        let out = self.say(words);
+    fn run_refused(&self, arguments: &str) -> String {
+        let output = self.run(arguments);
         assert_eq!(
-            out.status.code(),
+            output.status.code(),
             Some(2),
-            "{words}: {}",
-            String::from_utf8_lossy(&out.stdout)
+            "{arguments}: {}",
+            String::from_utf8_lossy(&output.stdout)
         );
-        String::from_utf8_lossy(&out.stderr).into_owned()
+        String::from_utf8_lossy(&output.stderr).into_owned()
     }
 
-    fn serve(&self, folder: &str) -> Running {
+    fn start_serving(&self, folder: &str) -> ProcessGuard {
         let mut command = self.command();
         command
             .args(["serve", folder, "--listen", "unix:registry.sock"])
             .stdout(Stdio::null());
-        let running = Running(command.spawn().unwrap());
+        let running = ProcessGuard(command.spawn().unwrap());
         for _ in 0..400 {
-            if self.say(&format!("status {TO}")).status.success() {
+            if self.run(&format!("status {TO}")).status.success() {
                 return running;
             }
             std::thread::sleep(Duration::from_millis(25));
         }
-        panic!("the registry does not come up");
+        panic!("the registry did not come up");
     }
 }
 
+/// Options that name the registry and its key.
 const TO: &str = "--to unix:registry.sock --key owner.key";
 
-fn bend(path: &Path) {
+/// Flips a bit in the middle of a file.
+fn flip_bit(path: &Path) {
     let mut bytes = fs::read(path).unwrap();
     let middle = bytes.len() / 2;
     bytes[middle] ^= 1;
@@ -84,98 +87,102 @@
 }
 
 #[test]
-fn published_moved_killed_and_restored() {
+fn registry_survives_a_kill_and_restores_its_backup() {
     let site = Site {
         folder: tempfile::tempdir().unwrap(),
     };
     let mut rng = fastrand::Rng::with_seed(4);
-    let noise = |n: usize, rng: &mut fastrand::Rng| (0..n).map(|_| rng.u8(..)).collect::<Vec<u8>>();
-    let first = noise(900_000, &mut rng);
-    let second = [&first[..600_000], &noise(300_000, &mut rng)].concat();
-    fs::write(site.at("first"), first).unwrap();
-    fs::write(site.at("second"), second).unwrap();
-    site.does("init models --key owner.key");
+    let random =
+        |count: usize, rng: &mut fastrand::Rng| (0..count).map(|_| rng.u8(..)).collect::<Vec<u8>>();
+    let first = random(900_000, &mut rng);
+    let second = [&first[..600_000], &random(300_000, &mut rng)].concat();
+    fs::write(site.path("first"), first).unwrap();
+    fs::write(site.path("second"), second).unwrap();
+    site.run_ok("init models --key owner.key");
     assert!(
-        site.refuses("init models --key other.key")
+        site.run_refused("init models --key other.key")
             .contains("already")
     );
-    let mut running = site.serve("models");
+    let mut running = site.start_serving("models");
     let push = |version: &str, file: &str| {
         format!(
             "push {TO} voice {version} {file} --folder models --memory-mb 900 --lanes 4 --trigger narrate"
         )
     };
-    site.does(&push("v1", "first"));
-    site.does(&format!("alias {TO} voice-current voice v1"));
+    site.run_ok(&push("v1", "first"));
+    site.run_ok(&format!("alias {TO} voice-current voice v1"));
     assert!(
-        site.refuses(&format!("move {TO} voice-current v2"))
+        site.run_refused(&format!("move {TO} voice-current v2"))
             .contains("is not known")
     );
-    site.does(&push("v2", "second"));
+    site.run_ok(&push("v2", "second"));
     assert!(
-        site.does(&push("v2", "second")).contains("revision 4"),
-        "the same once more is no fault"
+        site.run_ok(&push("v2", "second")).contains("revision 4"),
+        "publishing the same version again is not idempotent"
     );
     assert!(
-        site.refuses(&push("v2", "first"))
+        site.run_refused(&push("v2", "first"))
             .contains("a version never changes")
     );
-    assert!(site.refuses(&push("V3", "first")).contains("lower-case"));
-    site.does(&format!("move {TO} voice-current v2"));
-    // Killed outright: what was told is there.
+    assert!(
+        site.run_refused(&push("V3", "first"))
+            .contains("lower-case")
+    );
+    site.run_ok(&format!("move {TO} voice-current v2"));
+    // After SIGKILL, everything acknowledged is still there.
     drop(running);
-    running = site.serve("models");
+    running = site.start_serving("models");
     assert!(
-        site.does(&format!("show {TO}"))
+        site.run_ok(&format!("show {TO}"))
             .contains("voice-current -> voice@v2")
     );
-    site.does(&format!("backup {TO} backup.lines"));
-    site.does(&format!("rollback {TO} voice-current"));
-    let stale = site.refuses(&format!("move {TO} voice-current v2 --expect 5"));
+    site.run_ok(&format!("backup {TO} backup.lines"));
+    site.run_ok(&format!("rollback {TO} voice-current"));
+    let stale = site.run_refused(&format!("move {TO} voice-current v2 --expect 5"));
     assert!(stale.contains("someone else moved it"), "{stale}");
-    assert!(site.does(&format!("verify {TO}")).contains("0 wrong"));
+    assert!(site.run_ok(&format!("verify {TO}")).contains("0 wrong"));
     assert!(
-        site.refuses(&format!("delete {TO} voice v2"))
+        site.run_refused(&format!("delete {TO} voice v2"))
             .contains("is named by alias")
     );
-    site.does(&format!("unalias {TO} voice-current"));
-    site.does(&format!("delete {TO} voice v2"));
+    site.run_ok(&format!("unalias {TO} voice-current"));
+    site.run_ok(&format!("delete {TO} voice v2"));
     assert!(
-        site.does(&format!("gc {TO} --grace-s 0"))
+        site.run_ok(&format!("gc {TO} --grace-s 0"))
             .contains("blobs gone")
     );
     assert!(
-        site.does(&format!("verify {TO}")).contains("0 wrong"),
-        "what v1 shares is still there"
+        site.run_ok(&format!("verify {TO}")).contains("0 wrong"),
+        "a chunk shared with v1 was deleted"
     );
-    let blobs = fs::read_dir(site.at("models/blobs/sha256"))
+    let blobs = fs::read_dir(site.path("models/blobs/sha256"))
         .unwrap()
         .map(|e| e.unwrap().path());
     let largest = blobs
         .max_by_key(|p| fs::metadata(p).unwrap().len())
         .unwrap();
-    bend(&largest);
-    let out = site.say(&format!("verify {TO}"));
-    assert_eq!(out.status.code(), Some(1));
-    assert!(String::from_utf8_lossy(&out.stdout).contains("voice@v1: chunk"));
+    flip_bit(&largest);
+    let output = site.run(&format!("verify {TO}"));
+    assert_eq!(output.status.code(), Some(1));
+    assert!(String::from_utf8_lossy(&output.stdout).contains("voice@v1: chunk"));
     drop(running);
-    // The backup knows nothing of what came after; it goes over it.
+    // The backup lacks the later changes; the restored revision has to exceed theirs.
     assert!(
-        site.refuses("restore backup.lines models --over 40")
+        site.run_refused("restore backup.lines models --over 40")
             .contains("already")
     );
     assert!(
-        site.refuses("restore backup.lines again --over 2")
+        site.run_refused("restore backup.lines again --over 2")
             .contains("must go over revision 5")
     );
-    site.does("restore backup.lines again --over 40");
-    let _running = site.serve("again");
+    site.run_ok("restore backup.lines again --over 40");
+    let _running = site.start_serving("again");
     assert!(
-        site.does(&format!("show {TO}"))
+        site.run_ok(&format!("show {TO}"))
             .starts_with("revision 41\n")
     );
     assert!(
-        site.does(&format!("history {TO} --after 5"))
+        site.run_ok(&format!("history {TO} --after 5"))
             .contains("\"restored\"")
     );
 }
