--- a/crates/cli/src/collection.rs
+++ b/crates/cli/src/collection.rs
@@ -1,7 +1,7 @@
 //! Garbage collection of the registry: the registry's endpoint for it, the controllers that run it while they hold the
 //! lease, and the command that an operator runs while the lease is paused.
 
-use crate::leases::{COORDINATOR_SILENCE_MAX, lease_holder};
+use crate::leases::{COORDINATOR_CONTACT_TIMEOUT, lease_holder};
 use crate::process::on_this_thread;
 use clap::Args;
 use saltdrum::interface::{SECOND, Ticks};
@@ -10,7 +10,7 @@
 use saltdrum_coordinator::server;
 use saltdrum_fleet::fence::Token;
 use saltdrum_fleet::state::{Epoch, Fleet, LeaseName, LeaseState};
-use saltdrum_leases::holder::EffectFault;
+use saltdrum_leases::holder::EffectError;
 use saltdrum_leases::messages::{Effect, Seal, Sealed};
 use saltdrum_leases::{Effects, Holder, Task};
 use saltdrum_registry::collection::{CollectBlobs, Collected, CollectionResource, RESOURCE, TASK};
@@ -156,11 +156,11 @@
         TASK
     }
 
-    async fn step(&self, effects: &Effects<'_>) -> Result<(), EffectFault> {
+    async fn step(&self, effects: &Effects<'_>) -> Result<(), EffectError> {
         let request = CollectBlobs {
             grace_ms: self.grace_ms,
         };
-        let collected: Collected = effects.make(RESOURCE, "collect", request).await?;
+        let collected: Collected = effects.call(RESOURCE, "collect", request).await?;
         tracing::info!(
             gone = collected.gone,
             bytes = collected.bytes,
@@ -171,7 +171,7 @@
         let next = self.clock.now() + self.every;
         while self.clock.now() < next && effects.is_held() {
             self.clock
-                .sleep_until(next.min(self.clock.now() + COORDINATOR_SILENCE_MAX))
+                .sleep_until(next.min(self.clock.now() + COORDINATOR_CONTACT_TIMEOUT))
                 .await;
         }
         Ok(())
@@ -209,8 +209,8 @@
         };
         let effect = Effect {
             token,
-            by: "operator".to_owned(),
-            what: request,
+            actor: "operator".to_owned(),
+            params: request,
         };
         let collected: Collected = registry
             .call("collect", &effect, CALL_TIMEOUT)
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -9,7 +9,7 @@
 use comfy_table::{Table, presets};
 use saltdrum::interface::{SECOND, Ticks};
 use saltdrum_controller::shutdown::{ShutdownHandle, ShutdownPhase};
-use saltdrum_coordinator::disk::{Disk, Identity, SCHEMA};
+use saltdrum_coordinator::disk::{Disk, Identity, SCHEMA_VERSION};
 use saltdrum_coordinator::member::MembershipEnd;
 use saltdrum_coordinator::rpc_client::{CallError, RpcClient};
 use saltdrum_coordinator::server;
@@ -89,14 +89,14 @@
 }
 
 impl MemberConfig {
-    fn membership(&self, member: MemberId, about: MemberInfo) -> Membership {
+    fn membership(&self, member: MemberId, info: MemberInfo) -> Membership {
         Membership {
             fleet: self.fleet.name.clone(),
             member,
-            about,
-            stewards: self.coordinators.clone(),
-            renew: self.fleet.renew,
-            leases: Default::default(),
+            info,
+            coordinators: self.coordinators.clone(),
+            heartbeat_interval: self.fleet.renew,
+            lease_watch: Default::default(),
         }
     }
 
@@ -116,7 +116,7 @@
         tasks: BTreeSet<String>,
     ) -> (Membership, Rc<dyn MemberRole>) {
         let member = MemberId::controller(number);
-        let about = MemberInfo {
+        let info = MemberInfo {
             incarnation,
             site: terms
                 .zones
@@ -136,7 +136,7 @@
             member,
             incarnation,
             shutdown: shutdown.clone(),
-            // Clients about to connect learn of the drain before any request is throttled.
+            // Clients that are about to connect learn of the drain before any request is throttled.
             redirect_period: 2 * terms.deployment.drain_grace,
             longest_client_timeout: terms
                 .deployment
@@ -148,7 +148,7 @@
             drain_generation: Rc::default(),
             rejecting_since: Rc::default(),
         };
-        (self.membership(member, about), Rc::new(role))
+        (self.membership(member, info), Rc::new(role))
     }
 
     /// The membership of a stand-in invoker.
@@ -160,7 +160,7 @@
         let entry = invoker.entry(Life::Ready);
         let site = &invoker.site;
         let member = MemberId::invoker(entry.invoker);
-        let about = MemberInfo {
+        let info = MemberInfo {
             incarnation: entry.incarnation,
             site: site
                 .terms
@@ -188,7 +188,7 @@
             quiet_period: 2 * site.terms.deployment.drain_grace,
             draining_since: Cell::default(),
         };
-        (self.membership(member, about), Rc::new(role))
+        (self.membership(member, info), Rc::new(role))
     }
 }
 
@@ -208,19 +208,19 @@
 }
 
 impl MemberRole for ControllerRole {
-    fn is_proven(&self) -> bool {
+    fn is_healthy(&self) -> bool {
         let status = self.shutdown.status();
         status.has_endpoint_list && status.connections_up * 2 >= status.connections
     }
 
-    fn seen(&self) -> MemberLoad {
+    fn load(&self) -> MemberLoad {
         MemberLoad {
             busy: self.shutdown.status().in_flight as f64 / 1_000.0,
             last_copies: 0,
         }
     }
 
-    fn drain(&self) {
+    fn start_drain(&self) {
         self.shutdown.set_phase(ShutdownPhase::Redirecting);
         self.drain_generation.set(self.drain_generation.get() + 1);
         let (generation, drain_generation, rejecting_since) = (
@@ -250,14 +250,14 @@
             && (status.unsent_bytes == 0 || unread_expired)
     }
 
-    fn turn_back(&self) -> bool {
+    fn cancel_drain(&self) -> bool {
         self.drain_generation.set(self.drain_generation.get() + 1);
         self.shutdown.set_phase(ShutdownPhase::Serving);
         true
     }
 
-    fn told(&self, what: &'static str, grant: u64) {
-        print_event(self.member, self.incarnation, what, grant);
+    fn record_event(&self, event: &'static str, grant: u64) {
+        print_event(self.member, self.incarnation, event, grant);
     }
 }
 
@@ -272,12 +272,12 @@
 }
 
 impl MemberRole for InvokerRole {
-    fn is_proven(&self) -> bool {
+    fn is_healthy(&self) -> bool {
         let (site, entry) = (&self.invoker.site, self.invoker.entry(Life::Ready));
         entry.age_tenths >= site.terms.deployment.warm_up_time
     }
 
-    fn seen(&self) -> MemberLoad {
+    fn load(&self) -> MemberLoad {
         let size = f64::from(self.invoker.entry(Life::Ready).size).max(1.0);
         MemberLoad {
             busy: self.invoker.in_hand() as f64 / size,
@@ -285,7 +285,7 @@
         }
     }
 
-    fn drain(&self) {
+    fn start_drain(&self) {
         self.draining_since.set(Some(self.invoker.site.clock.now()));
     }
 
@@ -298,13 +298,13 @@
                 .is_some_and(|at| now >= at + self.quiet_period)
     }
 
-    fn turn_back(&self) -> bool {
+    fn cancel_drain(&self) -> bool {
         self.draining_since.set(None);
         true
     }
 
-    fn told(&self, what: &'static str, grant: u64) {
-        print_event(self.member, self.incarnation, what, grant);
+    fn record_event(&self, event: &'static str, grant: u64) {
+        print_event(self.member, self.incarnation, event, grant);
     }
 }
 
@@ -379,8 +379,8 @@
             disk: 0,
         })
         .collect();
-    let config = Config::founding(founders).map_err(|e| format!("--steward: {e}"))?;
-    let mut founding = agreed::Fleet::founded(
+    let config = Config::initial(founders).map_err(|e| format!("--steward: {e}"))?;
+    let mut initial_fleet = agreed::Fleet::new(
         &fleet.name,
         config,
         coordinators,
@@ -392,7 +392,7 @@
             leases: fleet.leases.clone(),
             by: "the script".into(),
         };
-        founding.apply(&state).map_err(|e| e.to_string())?;
+        initial_fleet.apply(&state).map_err(|e| e.to_string())?;
     }
     let disk = if options.found {
         0
@@ -404,18 +404,18 @@
         disk,
     };
     let identity = Identity {
-        schema: SCHEMA,
+        schema: SCHEMA_VERSION,
         fleet: fleet.name.clone(),
         voter,
     };
     let coordinator_config = CoordinatorConfig {
         number: options.number,
-        life: fastrand::u64(1..1 << 48),
+        incarnation: fastrand::u64(1..1 << 48),
         seed: fastrand::u64(..),
-        terms: fleet,
-        founding,
+        fleet_config: fleet,
+        initial_fleet,
         listen: options.listen.parse()?,
-        list: options.list.as_ref().map(|l| l.parse()).transpose()?,
+        invoker_list: options.list.as_ref().map(|l| l.parse()).transpose()?,
     };
     on_this_thread(async {
         handle_file_size_signal()?;
@@ -602,12 +602,12 @@
         for client in self.clients()? {
             match client.call(method, params, CALL_TIMEOUT).await {
                 Ok(reply) => return Ok(reply),
-                Err(CallError::Told { code, message })
+                Err(CallError::ErrorReply { code, message })
                     if code == saltdrum_coordinator::wire::REFUSED =>
                 {
                     return Err(message);
                 }
-                Err(CallError::Told {
+                Err(CallError::ErrorReply {
                     code: OUTCOME_UNKNOWN,
                     message,
                 }) => last_error = message,
@@ -664,7 +664,7 @@
             .next()
             .unwrap_or_default()
             .to_owned();
-        *counts.entry((kind, member.phase.word())).or_default() += 1;
+        *counts.entry((kind, member.phase.name())).or_default() += 1;
     }
     for ((kind, phase), count) in counts {
         println!("  {count} {kind}s {phase}");
@@ -675,23 +675,23 @@
             halt.revision, halt.by, halt.why, halt.ends
         );
     }
-    let out_of_service: Vec<_> = fleet.out().collect();
-    if !out_of_service.is_empty() {
+    let out_members: Vec<_> = fleet.out_members().collect();
+    if !out_members.is_empty() {
         let mut rows = table(&["out", "is", "since revision", "site", "cell", "version"]);
-        for (id, member) in out_of_service {
-            let (phase, site) = (member.phase.word().to_owned(), member.about.site.clone());
+        for (id, member) in out_members {
+            let (phase, site) = (member.phase.name().to_owned(), member.info.site.clone());
             rows.add_row([
                 id.to_string(),
                 phase,
                 member.since.to_string(),
                 site,
-                member.about.cell.to_string(),
-                member.about.version.clone(),
+                member.info.cell.to_string(),
+                member.info.version.clone(),
             ]);
         }
         println!("{rows}");
     }
-    for (id, request) in &fleet.asks {
+    for (id, request) in &fleet.drain_requests {
         let sizes = [
             request.waiting.len(),
             request.under_way.len(),
@@ -715,7 +715,7 @@
         // A coordinator that does not answer now may answer later; the request proceeds without this process.
         if let Ok(status) = to.status().await
             && let Some(fleet) = &status.fleet
-            && let Some(request) = fleet.asks.get(id)
+            && let Some(request) = fleet.drain_requests.get(id)
         {
             let remaining = request.waiting.len() + request.under_way.len();
             let away = request.under_way.iter().filter(|m| {
@@ -740,7 +740,7 @@
                 println!("{progress}");
                 last_progress = progress;
             }
-            if request.is_over() {
+            if request.is_finished() {
                 return Ok(0);
             }
         }
@@ -770,7 +770,7 @@
                 for event in &fleet.history {
                     match json {
                         true => println!("{}", json!(event)),
-                        false => println!("{:>8}  {}", event.revision, event.what),
+                        false => println!("{:>8}  {}", event.revision, event.description),
                     }
                 }
                 Ok(0)
@@ -798,7 +798,8 @@
                     .await?;
                 let mut rows = table(&["step", "out together", "what limits it"]);
                 for (index, batch) in batches.iter().enumerate() {
-                    let members: Vec<String> = batch.go.iter().map(ToString::to_string).collect();
+                    let members: Vec<String> =
+                        batch.members.iter().map(ToString::to_string).collect();
                     rows.add_row([
                         (index + 1).to_string(),
                         members.join(" "),
--- a/crates/cli/src/leases.rs
+++ b/crates/cli/src/leases.rs
@@ -14,7 +14,7 @@
 use saltdrum_faulty_peers::leases::{FaultyJournal, JOURNAL_FAULTS, acts_before_all_seals};
 use saltdrum_fleet::change::Change;
 use saltdrum_fleet::state::{Fleet, Lease, LeaseName, LeaseState};
-use saltdrum_leases::holder::EffectFault;
+use saltdrum_leases::holder::EffectError;
 use saltdrum_leases::journal::{Accepted, Append, Appended, Journal, JournalDisk};
 use saltdrum_leases::{Effects, Holder, Task};
 use saltdrum_transport::{Address, Clock, SocketNetwork};
@@ -31,7 +31,7 @@
 /// Interval between two effects of the task `count`.
 const COUNT_INTERVAL: Ticks = 20 * MILLISECOND;
 /// A holder begins no new effect after this time without an answer from a coordinator.
-pub const COORDINATOR_SILENCE_MAX: Ticks = 2 * SECOND;
+pub const COORDINATOR_CONTACT_TIMEOUT: Ticks = 2 * SECOND;
 /// Timeout of a call for a resource's status.
 const CALL_TIMEOUT: Ticks = 5 * SECOND;
 
@@ -117,7 +117,7 @@
 /// Prints an accepted effect as a line of JSON.
 fn print_effect(accepted: &Accepted) {
     let line = json!({"at_ns": monotonic_ns(), "what": "effect", "lease": accepted.token.lease,
-        "epoch": accepted.token.epoch, "by": accepted.by});
+        "epoch": accepted.token.epoch, "by": accepted.actor});
     let mut out = std::io::stdout().lock();
     let _ = writeln!(out, "{line}");
     let _ = out.flush();
@@ -146,14 +146,14 @@
 pub fn lease_holder(membership: &Membership, resources: BTreeMap<String, Address>) -> Holder {
     let client = |at: Address| RpcClient::new(Rc::new(SocketNetwork), at, &membership.fleet);
     Holder {
-        by: format!("{}/{:x}", membership.member, membership.about.incarnation),
+        actor: format!("{}/{:x}", membership.member, membership.info.incarnation),
         clock: Clock::start(),
-        watch: membership.leases.clone(),
+        lease_watch: membership.lease_watch.clone(),
         resources: resources
             .into_iter()
             .map(|(name, at)| (name, client(at)))
             .collect(),
-        quiet_after: COORDINATOR_SILENCE_MAX,
+        contact_timeout: COORDINATOR_CONTACT_TIMEOUT,
     }
 }
 
@@ -161,13 +161,13 @@
 pub async fn run_count_task(holder: Option<Holder>, acts_before_seals: bool) {
     match holder {
         Some(Holder {
-            by,
+            actor,
             clock,
-            watch,
+            lease_watch,
             resources,
             ..
         }) if acts_before_seals => {
-            acts_before_all_seals(by, COUNT_TASK, clock, watch, resources).await;
+            acts_before_all_seals(actor, COUNT_TASK, clock, lease_watch, resources).await;
         }
         Some(holder) => {
             holder
@@ -190,10 +190,10 @@
         COUNT_TASK
     }
 
-    async fn step(&self, effects: &Effects<'_>) -> Result<(), EffectFault> {
+    async fn step(&self, effects: &Effects<'_>) -> Result<(), EffectError> {
         for resource in effects.resources() {
             let line = format!("epoch {}", effects.epoch());
-            let _: Appended = effects.make(&resource, "append", Append { line }).await?;
+            let _: Appended = effects.call(&resource, "append", Append { line }).await?;
             self.clock
                 .sleep_until(self.clock.now() + COUNT_INTERVAL)
                 .await;
@@ -300,7 +300,7 @@
             let offering = fleet
                 .members
                 .values()
-                .filter(|m| m.about.tasks.contains(task))
+                .filter(|m| m.info.tasks.contains(task))
                 .count();
             match offering {
                 0 => format!("vacant: no member offers the task '{task}'"),
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -36,7 +36,7 @@
 
 use clap::{Parser, Subcommand};
 #[cfg(feature = "whole")]
-use saltdrum_controller::{MakePolicy, dispatch_policy, random_relay};
+use saltdrum_controller::{PolicyFactory, dispatch_policy, random_relay};
 #[cfg(feature = "whole")]
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -275,7 +275,7 @@
             passage_s,
             baseline,
         } => {
-            let make_policy: MakePolicy = if baseline {
+            let policy_factory: PolicyFactory = if baseline {
                 random_relay
             } else {
                 dispatch_policy
@@ -296,7 +296,7 @@
                 seed,
                 &registry_options,
                 &collection,
-                make_policy,
+                policy_factory,
             )
         }
         Command::Node => node::run(),
--- a/crates/cli/src/process.rs
+++ b/crates/cli/src/process.rs
@@ -12,24 +12,24 @@
 /// A failure to open a disk file.
 pub trait OpenFailure: std::fmt::Display {
     /// Whether a later attempt may succeed.
-    fn is_transient(&self) -> bool;
+    fn is_retryable(&self) -> bool;
 }
 
 impl OpenFailure for saltdrum_durable::DiskFailure {
-    fn is_transient(&self) -> bool {
+    fn is_retryable(&self) -> bool {
         self.is_transient
     }
 }
 
 impl OpenFailure for saltdrum_registry::store::StoreError {
-    fn is_transient(&self) -> bool {
+    fn is_retryable(&self) -> bool {
         self.may_pass()
     }
 }
 
-impl OpenFailure for saltdrum_coordinator::disk::Fault {
-    fn is_transient(&self) -> bool {
-        self.may_pass()
+impl OpenFailure for saltdrum_coordinator::disk::DiskError {
+    fn is_retryable(&self) -> bool {
+        self.is_transient()
     }
 }
 
@@ -38,7 +38,7 @@
     let mut delay = OPEN_RETRY_MIN;
     loop {
         match open() {
-            Err(failure) if failure.is_transient() => {
+            Err(failure) if failure.is_retryable() => {
                 warn!(%failure, "opening a disk file failed; retrying");
                 tokio::time::sleep(delay).await;
                 delay = (2 * delay).min(OPEN_RETRY_MAX);
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -7,7 +7,7 @@
 use crate::scripts::{load_terms, load_terms_and_fleet, read_script};
 use saltdrum::interface::SECOND;
 use saltdrum_controller::shutdown::ShutdownHandle;
-use saltdrum_controller::{AliasConfig, ControllerConfig, MakePolicy};
+use saltdrum_controller::{AliasConfig, ControllerConfig, PolicyFactory};
 use saltdrum_deployment::Terms;
 use saltdrum_fakes::invoker::Site;
 use saltdrum_fakes::{Faults, Invoker, List, Record, Registry, Store, record};
@@ -64,7 +64,7 @@
             format!("controller-{controller}"),
             format!("names-{controller}"),
         );
-        let Some(following) = self.follow_config(who, &copy)? else {
+        let Some(registry) = self.follow_config(who, &copy)? else {
             return Ok(None);
         };
         // The clock of a controller starts at one hour, not at zero.
@@ -73,8 +73,8 @@
             .map_or(0, |d| d.as_millis() as u64);
         let epoch_ms = now - now.min(Clock::start().now() / 10);
         Ok(Some(AliasConfig {
-            following,
-            passage: self.passage_s * SECOND,
+            registry,
+            pin_duration: self.passage_s * SECOND,
             epoch_ms,
         }))
     }
@@ -95,7 +95,7 @@
     seed: Option<u64>,
     registry_options: &RegistryOptions,
     collection: &CollectionOptions,
-    make_policy: MakePolicy,
+    policy_factory: PolicyFactory,
 ) -> CommandResult {
     let (terms, fleet) = load_terms_and_fleet(deployment)?;
     if terms.functions.is_empty() && registry_options.registry.is_none() {
@@ -154,7 +154,7 @@
                     biased;
                     ended = crate::fleet::run_membership(membership) => ended,
                     () = collection.run(collector) => Ok(()),
-                    done = saltdrum_controller::serve(config, Rc::new(SocketNetwork), Clock::start(), make_policy) => {
+                    done = saltdrum_controller::serve(config, Rc::new(SocketNetwork), Clock::start(), policy_factory) => {
                         done.map_err(|e| format!("controller {controller}: {e}"))
                     }
                     () = until_interrupted() => Ok(()),
--- a/crates/cli/src/scripts.rs
+++ b/crates/cli/src/scripts.rs
@@ -19,7 +19,7 @@
 pub fn load_terms_and_fleet(path: &Path) -> Result<(Terms, Option<FleetConfig>), String> {
     let (terms, mut statements) =
         Terms::load(&path.to_string_lossy(), &read_script(path)?).map_err(|e| e.to_string())?;
-    let fleet = FleetConfig::take(&mut statements).map_err(|e| e.to_string())?;
+    let fleet = FleetConfig::extract(&mut statements).map_err(|e| e.to_string())?;
     match statements
         .iter()
         .find(|s| !matches!(s.what, "day" | "traffic" | "trouble" | "trial" | "step"))
--- a/crates/platform/src/tests/support.rs
+++ b/crates/platform/src/tests/support.rs
@@ -5,7 +5,7 @@
 use crate::start_times::WallClock;
 use crate::state::ControllerHandle;
 use saltdrum::interface::*;
-use saltdrum_controller::{MakePolicy, Policy};
+use saltdrum_controller::{Policy, PolicyFactory};
 use saltdrum_fakes::platform::{Answered, Call, Feed, FrameClient, Heard, HttpInvoker};
 use saltdrum_fakes::record::{Line, Place, Record, Stated, Trigger, Who};
 use saltdrum_platform_wire::config;
@@ -147,19 +147,19 @@
 }
 
 impl Stage {
-    pub async fn new(make: MakePolicy, invokers: &[u32], sockets: usize) -> Self {
+    pub async fn new(make: PolicyFactory, invokers: &[u32], sockets: usize) -> Self {
         Self::with(make, invokers, &configuration(invokers, sockets)).await
     }
 
     /// With a configuration of its own.
-    pub async fn with(make: MakePolicy, invokers: &[u32], text: &str) -> Self {
+    pub async fn with(make: PolicyFactory, invokers: &[u32], text: &str) -> Self {
         let (network, clock): (Rc<dyn Network>, _) =
             (Rc::new(MemoryNetwork::default()), Clock::start());
         let (record, hops) = (Record::default(), Rc::default());
         record.note(stated());
         let feed = Feed::new(WHO, record.clone(), clock);
         spawn_local(feed.clone().serve(network.clone(), feed_at(1)));
-        let config = config::read(text).unwrap();
+        let config = config::parse(text).unwrap();
         let started = start(config, wall_clock(clock), network.clone(), clock, make).await;
         let handle = started.unwrap_or_else(|e| panic!("{e}"));
         let (next, none) = (Cell::new(0), BTreeMap::new());
@@ -272,10 +272,10 @@
             acts.cancel(call.id, 0);
         }
     }
-    fn client_left(&mut self, _: Ticks, _: InvocationId) {}
+    fn invocation_abandoned(&mut self, _: Ticks, _: InvocationId) {}
     fn attempt_ended(&mut self, _: Ticks, a: AttemptResult, acts: &mut dyn Actions) {
-        TOLD.with_borrow_mut(|told| told.push((a.outcome, a.finished)));
-        match a.finished {
+        TOLD.with_borrow_mut(|told| told.push((a.outcome, a.invocation_finished)));
+        match a.invocation_finished {
             true => {}
             false if a.outcome.never_ran() => acts.throttle(a.invocation, 100),
             false => acts.error(a.invocation),
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -347,7 +347,7 @@
             .map(trigger)
             .collect(),
         places: terms.invokers.iter().map(place).collect(),
-        parallel_dispatches: d.parallel_attempts,
+        parallel_dispatches: d.may_attempt_in_parallel,
         drain_grace: d.drain_grace,
         cold_share: d.initial_capacity_share,
         cold_time: d.warm_up_time,
@@ -582,11 +582,11 @@
         };
         let zone = self.zone_of(controller);
         let names = self.names.as_ref().map(|n| AliasConfig {
-            following: n.following(
+            registry: n.following(
                 format!("controller-{controller}"),
                 Some(self.copies.join(format!("names-{controller}"))),
             ),
-            passage: 120 * SECOND,
+            pin_duration: 120 * SECOND,
             epoch_ms: 0,
         });
         let seat =
