--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -230,7 +230,7 @@
     Store {
         #[arg(long)]
         listen: String,
-        /// Maximum number of fetches under way; further ones are refused.
+        /// Maximum number of concurrent fetches; further ones are refused.
         #[arg(long, default_value_t = 24)]
         limit: usize,
     },
@@ -239,7 +239,7 @@
         folder: PathBuf,
         #[arg(long)]
         listen: String,
-        /// Maximum number of blob transfers under way; further ones are refused.
+        /// Maximum number of concurrent blob transfers; further ones are refused.
         #[arg(long, default_value_t = 64)]
         limit: usize,
     },
