--- a/crates/agent/src/follow.rs
+++ b/crates/agent/src/follow.rs
@@ -14,29 +14,29 @@
 use tracing::info;
 
 /// An invoker that started less than this ago is not yet home to all its chunks.
-const RISES_IN_TENTHS: f64 = 100_000.0;
-const RISEN_FIRST: f64 = 0.2;
+const WARMUP_TICKS: f64 = 100_000.0;
+const INITIAL_CAPACITY_SHARE: f64 = 0.2;
 /// How far the others have risen is looked at so often.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+const UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 /// Lines of the list, and when each was heard.
-type Known = BTreeMap<u32, (Entry, Ticks)>;
-const AGAIN: Duration = Duration::from_millis(500);
+type KnownInvokers = BTreeMap<u32, (Entry, Ticks)>;
+const RECONNECT_DELAY: Duration = Duration::from_millis(500);
 
 /// For as long as it is polled. What the list last said stands while it is away.
 pub async fn follow(agent: Rc<Agent>, network: Rc<dyn Network>, list: Address) {
-    let mut known: Known = BTreeMap::new();
+    let mut known: KnownInvokers = BTreeMap::new();
     loop {
-        let why = followed(&agent, &*network, &list, &mut known).await;
+        let why = follow_until_disconnected(&agent, &*network, &list, &mut known).await;
         info!(%list, why, "invoker list lost; what it said stands");
-        tokio::time::sleep(AGAIN).await;
+        tokio::time::sleep(RECONNECT_DELAY).await;
     }
 }
 
-async fn followed(
+async fn follow_until_disconnected(
     agent: &Rc<Agent>,
     network: &dyn Network,
     list: &Address,
-    known: &mut Known,
+    known: &mut KnownInvokers,
 ) -> String {
     let Ok(mut stream) = network.dial(list).await else {
         return "no connection".into();
@@ -58,14 +58,16 @@
         let message = match cut(&mut read) {
             Err(e) => return e.to_string(),
             Ok(Some((kind, body))) => FromList::read(kind, &body),
-            Ok(None) => match tokio::time::timeout(LOOK_EVERY, stream.read_buf(&mut read)).await {
-                Ok(Ok(n)) if n > 0 => continue,
-                Ok(_) => return "hung up".into(),
-                Err(_) => {
-                    tell(agent, known);
-                    continue;
+            Ok(None) => {
+                match tokio::time::timeout(UPDATE_INTERVAL, stream.read_buf(&mut read)).await {
+                    Ok(Ok(n)) if n > 0 => continue,
+                    Ok(_) => return "hung up".into(),
+                    Err(_) => {
+                        update_peers(agent, known);
+                        continue;
+                    }
                 }
-            },
+            }
         };
         let entries = match message {
             Ok(FromList::Whole(w)) => {
@@ -82,22 +84,22 @@
                 .get(&e.invoker)
                 .is_some_and(|(k, _)| k.incarnation != e.incarnation)
             {
-                agent.state.borrow_mut().fetcher.restarted(e.invoker);
+                agent.state.borrow_mut().fetcher.peer_restarted(e.invoker);
             }
             match e.life {
                 Life::Gone => drop(known.remove(&e.invoker)),
                 _ => drop(known.insert(e.invoker, (e, agent.clock.now()))),
             }
         }
-        tell(agent, known);
+        update_peers(agent, known);
     }
 }
 
-fn tell(agent: &Rc<Agent>, known: &Known) {
+fn update_peers(agent: &Rc<Agent>, known: &KnownInvokers) {
     let now = agent.clock.now();
-    let peer = |(e, heard): &(Entry, Ticks)| {
-        let age = e.age_tenths + (now - heard);
-        let capacity_share = (RISEN_FIRST + age as f64 / RISES_IN_TENTHS).min(1.0);
+    let peer = |(e, received_at): &(Entry, Ticks)| {
+        let age = e.age_tenths + (now - received_at);
+        let capacity_share = (INITIAL_CAPACITY_SHARE + age as f64 / WARMUP_TICKS).min(1.0);
         let ready = e.life == Life::Ready;
         let member = Member {
             invoker: e.invoker,
@@ -112,5 +114,5 @@
     };
     let peers: Vec<Peer> = known.values().filter_map(peer).collect();
     agent.update_peers(&peers);
-    agent.go_on();
+    agent.advance();
 }
--- a/crates/agent/src/http.rs
+++ b/crates/agent/src/http.rs
@@ -13,57 +13,57 @@
 use std::time::Duration;
 
 /// A peer that does not take the connection within this is not there.
-const CONNECT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Nothing comes for so long: broken. A home that fetches for us first may take longer to begin.
-const SILENT: Duration = Duration::from_secs(2);
-const BEGINS: Duration = Duration::from_secs(9);
+const BODY_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(9);
 /// Where a refusal does not say.
-const COME_BACK: Ticks = 200 * MILLISECOND;
-const COME_BACK_MOST: Ticks = 30 * SECOND;
-const KEPT_MOST: usize = 8;
+const DEFAULT_RETRY_AFTER: Ticks = 200 * MILLISECOND;
+const MAX_RETRY_AFTER: Ticks = 30 * SECOND;
+const MAX_IDLE_CONNECTIONS: usize = 8;
 /// How long the chunk is by its manifest; a home that lacks it needs to know.
-pub const STATED_BYTES: &str = "x-saltdrum-bytes";
+pub const STORED_BYTES_HEADER: &str = "x-saltdrum-bytes";
 /// As Retry-After, in milliseconds: seconds are too coarse between neighbours.
-pub const RETRY_AFTER_MS: &str = "x-saltdrum-retry-after-ms";
+pub const RETRY_AFTER_MS_HEADER: &str = "x-saltdrum-retry-after-ms";
 
-pub enum Got {
+pub enum GetOutcome {
     Bytes(Vec<u8>),
     Refused(Ticks),
-    Absent,
-    Broken(String),
+    NotFound,
+    Failed(String),
 }
 
-pub struct Pool {
+pub struct ConnectionPool {
     network: Rc<dyn Network>,
-    kept: RefCell<BTreeMap<Address, Vec<SendRequest<Empty<Bytes>>>>>,
+    idle: RefCell<BTreeMap<Address, Vec<SendRequest<Empty<Bytes>>>>>,
 }
 
-impl Pool {
+impl ConnectionPool {
     pub fn new(network: Rc<dyn Network>) -> Self {
         Self {
             network,
-            kept: RefCell::default(),
+            idle: RefCell::default(),
         }
     }
 
     pub fn clear(&self) {
-        self.kept.borrow_mut().clear();
+        self.idle.borrow_mut().clear();
     }
 
     async fn connection(&self, to: &Address) -> Result<SendRequest<Empty<Bytes>>, String> {
         loop {
-            let kept = self.kept.borrow_mut().get_mut(to).and_then(Vec::pop);
-            match kept {
-                Some(mut c) => {
-                    if c.ready().await.is_ok() {
-                        return Ok(c);
+            let idle = self.idle.borrow_mut().get_mut(to).and_then(Vec::pop);
+            match idle {
+                Some(mut connection) => {
+                    if connection.ready().await.is_ok() {
+                        return Ok(connection);
                     }
                 }
                 None => break,
             }
         }
-        let dialled = tokio::time::timeout(CONNECT, self.network.dial(to)).await;
-        let stream = dialled
+        let dialed = tokio::time::timeout(CONNECT_TIMEOUT, self.network.dial(to)).await;
+        let stream = dialed
             .map_err(|_| "no connection".to_owned())?
             .map_err(|e| e.to_string())?;
         let (sender, connection) = handshake(TokioIo::new(stream))
@@ -81,36 +81,40 @@
         to: &Address,
         path: &str,
         accept: &str,
-        stated: Option<u64>,
-        most: u64,
-    ) -> Got {
-        match self.got(to, path, accept, stated, most).await {
-            Ok(got) => got,
-            Err(why) => Got::Broken(why),
+        stored_bytes: Option<u64>,
+        max_bytes: u64,
+    ) -> GetOutcome {
+        match self
+            .try_get(to, path, accept, stored_bytes, max_bytes)
+            .await
+        {
+            Ok(outcome) => outcome,
+            Err(why) => GetOutcome::Failed(why),
         }
     }
 
-    async fn got(
+    async fn try_get(
         &self,
         to: &Address,
         path: &str,
         accept: &str,
-        stated: Option<u64>,
-        most: u64,
-    ) -> Result<Got, String> {
+        stored_bytes: Option<u64>,
+        max_bytes: u64,
+    ) -> Result<GetOutcome, String> {
         let mut connection = self.connection(to).await?;
         let mut request = Request::get(path)
             .header(header::HOST, "saltdrum")
             .header(header::ACCEPT, accept);
-        if let Some(bytes) = stated {
-            request = request.header(STATED_BYTES, bytes);
+        if let Some(bytes) = stored_bytes {
+            request = request.header(STORED_BYTES_HEADER, bytes);
         }
         let request = request.body(Empty::new()).map_err(|e| e.to_string())?;
-        let answered = tokio::time::timeout(BEGINS, connection.send_request(request)).await;
-        let mut response = answered
+        let response =
+            tokio::time::timeout(RESPONSE_TIMEOUT, connection.send_request(request)).await;
+        let mut response = response
             .map_err(|_| "no answer".to_owned())?
             .map_err(|e| e.to_string())?;
-        let named = |name: &str| {
+        let header_value = |name: &str| {
             response
                 .headers()
                 .get(name)?
@@ -121,37 +125,40 @@
         };
         match response.status() {
             StatusCode::OK => {}
-            StatusCode::NOT_FOUND => return Ok(Got::Absent),
+            StatusCode::NOT_FOUND => return Ok(GetOutcome::NotFound),
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
-                let ms = named(RETRY_AFTER_MS).map(|ms| ms.saturating_mul(MILLISECOND));
-                let seconds = named("retry-after").map(|s| s.saturating_mul(SECOND));
-                return Ok(Got::Refused(
-                    ms.or(seconds).unwrap_or(COME_BACK).min(COME_BACK_MOST),
+                let ms =
+                    header_value(RETRY_AFTER_MS_HEADER).map(|ms| ms.saturating_mul(MILLISECOND));
+                let seconds = header_value("retry-after").map(|s| s.saturating_mul(SECOND));
+                return Ok(GetOutcome::Refused(
+                    ms.or(seconds)
+                        .unwrap_or(DEFAULT_RETRY_AFTER)
+                        .min(MAX_RETRY_AFTER),
                 ));
             }
             other => return Err(format!("status {other}")),
         }
-        if named("content-length").is_some_and(|n| n > most) {
-            return Err(format!("a body of more than the stated {most} bytes"));
+        if header_value("content-length").is_some_and(|n| n > max_bytes) {
+            return Err(format!("a body of more than the stated {max_bytes} bytes"));
         }
         let mut bytes = Vec::new();
         loop {
-            let frame = tokio::time::timeout(SILENT, response.body_mut().frame()).await;
+            let frame = tokio::time::timeout(BODY_IDLE_TIMEOUT, response.body_mut().frame()).await;
             let Some(frame) = frame.map_err(|_| "silence in mid-body".to_owned())? else {
                 break;
             };
             if let Ok(data) = frame.map_err(|e| e.to_string())?.into_data() {
-                if (bytes.len() + data.len()) as u64 > most {
-                    return Err(format!("a body of more than the stated {most} bytes"));
+                if (bytes.len() + data.len()) as u64 > max_bytes {
+                    return Err(format!("a body of more than the stated {max_bytes} bytes"));
                 }
                 bytes.extend_from_slice(&data);
             }
         }
-        let mut kept = self.kept.borrow_mut();
-        let kept = kept.entry(to.clone()).or_default();
-        if kept.len() < KEPT_MOST {
-            kept.push(connection);
+        let mut idle = self.idle.borrow_mut();
+        let idle = idle.entry(to.clone()).or_default();
+        if idle.len() < MAX_IDLE_CONNECTIONS {
+            idle.push(connection);
         }
-        Ok(Got::Bytes(bytes))
+        Ok(GetOutcome::Bytes(bytes))
     }
 }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -10,12 +10,13 @@
 
 pub use follow::follow;
 
-use http::{Got, Pool};
+use http::{ConnectionPool, GetOutcome};
 use saltdrum::interface::{InvokerId, Ticks};
 use saltdrum_layers::cache::Cache;
 use saltdrum_layers::manifest::{MANIFEST_TYPE, MAX_MANIFEST_BYTES};
 use saltdrum_layers::plan::{
-    Ask, Ended, Fetcher, LoadId, Member, Need, STORE_OVER_PEER, Serving, Source,
+    FetchOutcome, FetchRequest, Fetcher, LoadId, Member, MissingChunk, STORE_COST_FACTOR, Source,
+    UploadScheduler,
 };
 use saltdrum_layers::{Chunk, Digest, Manifest, cut};
 use saltdrum_transport::{Address, Clock, Network};
@@ -28,12 +29,12 @@
 use tracing::{debug, warn};
 
 /// Chunks that the cache could not keep, held in memory for the loads that wait: no more than this.
-const UNKEPT_MOST_BYTES: u64 = 512 << 20;
+const MAX_UNCACHED_BYTES: u64 = 512 << 20;
 /// A chunk that comes damaged from the store so often, and whole from nobody meanwhile, ends the load: its source is bad.
-const CORRUPT_AFTER: u32 = 2;
+const MAX_CORRUPT_FETCHES: u32 = 2;
 /// A manifest is asked for so often, with waits that double.
-const MANIFEST_TRIES: u32 = 6;
-const MANIFEST_WAIT: Duration = Duration::from_millis(100);
+const MANIFEST_ATTEMPTS: u32 = 6;
+const MANIFEST_INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum LoadError {
@@ -44,7 +45,7 @@
     #[error("model {model}: the store did not answer for its manifest: {why}")]
     Unreachable { model: String, why: String },
     #[error(
-        "model {model}: chunk {chunk} came damaged from the store {CORRUPT_AFTER} times, and whole from nobody"
+        "model {model}: chunk {chunk} came damaged from the store {MAX_CORRUPT_FETCHES} times, and whole from nobody"
     )]
     Corrupt { model: String, chunk: Digest },
     #[error("model {model}: {0} bytes of its chunks could not be kept: no room on disk", .bytes)]
@@ -103,29 +104,29 @@
     /// One of its chunks, unpacked. `None` only where the disk has lost it since.
     pub fn read(&self, chunk: &Chunk) -> Option<Vec<u8>> {
         self.agent
-            .held(chunk)
+            .stored_chunk(chunk)
             .and_then(|stored| cut::unpack(chunk, &stored).ok())
     }
 }
 
 pub(crate) struct State {
     pub fetcher: Fetcher,
-    pub serving: Serving,
+    pub uploads: UploadScheduler,
     peers: BTreeMap<InvokerId, Address>,
     /// The chunks being fetched, and a repository that has each.
     wanted: BTreeMap<Digest, (Chunk, String)>,
-    asks: BTreeMap<u64, AbortHandle>,
-    whole: BTreeMap<LoadId, oneshot::Sender<()>>,
+    fetch_tasks: BTreeMap<u64, AbortHandle>,
+    load_waiters: BTreeMap<LoadId, oneshot::Sender<()>>,
     /// What the cache did not keep.
-    unkept: BTreeMap<Digest, Rc<Vec<u8>>>,
+    uncached: BTreeMap<Digest, Rc<Vec<u8>>>,
     /// Loads, and what they brought, that use a chunk: it is neither evicted nor forgotten meanwhile.
     claims: BTreeMap<Digest, u32>,
-    unkept_bytes: u64,
+    uncached_bytes: u64,
     /// Of chunks that loads wait for: how often the store sent them damaged.
-    damaged_at_store: BTreeMap<Digest, u32>,
-    wake: Ticks,
-    loads: LoadId,
-    pub busy: f64,
+    corrupt_counts: BTreeMap<Digest, u32>,
+    wake_at: Ticks,
+    last_load: LoadId,
+    pub utilization: f64,
     pub draining: bool,
     pub capacity_share: f64,
 }
@@ -134,45 +135,47 @@
     pub(crate) config: AgentConfig,
     pub cache: Cache,
     pub(crate) clock: Clock,
-    pool: Pool,
+    pool: ConnectionPool,
     pub(crate) state: RefCell<State>,
-    pub(crate) moved: Notify,
+    pub(crate) progress: Notify,
     pub counts: Counts,
     tasks: RefCell<JoinSet<()>>,
 }
 
 /// Abandons a load that is not waited for any more.
-struct Waiting<'a> {
+struct LoadGuard<'a> {
     agent: &'a Rc<Agent>,
     load: LoadId,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for LoadGuard<'_> {
     fn drop(&mut self) {
         {
             let state = &mut *self.agent.state.borrow_mut();
-            state.whole.remove(&self.load);
-            state.fetcher.abandon(self.load);
-            state.wanted.retain(|digest, _| state.fetcher.wants(digest));
+            state.load_waiters.remove(&self.load);
+            state.fetcher.cancel_load(self.load);
             state
-                .damaged_at_store
-                .retain(|digest, _| state.fetcher.wants(digest));
+                .wanted
+                .retain(|digest, _| state.fetcher.is_wanted(digest));
+            state
+                .corrupt_counts
+                .retain(|digest, _| state.fetcher.is_wanted(digest));
         }
-        self.agent.go_on();
+        self.agent.advance();
     }
 }
 
 impl State {
-    fn forget_unkept(&mut self, digest: &Digest) {
-        if let Some(bytes) = self.unkept.remove(digest) {
-            self.unkept_bytes -= bytes.len() as u64;
+    fn release_uncached(&mut self, digest: &Digest) {
+        if let Some(bytes) = self.uncached.remove(digest) {
+            self.uncached_bytes -= bytes.len() as u64;
         }
     }
 
     /// Fetched for a peer alone, and handed on: it need not stay in memory.
-    pub fn forget_unclaimed(&mut self, digest: &Digest) {
+    pub fn release_unclaimed(&mut self, digest: &Digest) {
         if !self.claims.contains_key(digest) {
-            self.forget_unkept(digest);
+            self.release_uncached(digest);
         }
     }
 }
@@ -187,30 +190,30 @@
     ) -> Rc<Self> {
         let state = State {
             fetcher: Fetcher::new(config.invoker, config.seed),
-            serving: Serving::new(clock.now(), config.serve_bytes_per_second),
+            uploads: UploadScheduler::new(clock.now(), config.serve_bytes_per_second),
             peers: BTreeMap::new(),
             wanted: BTreeMap::new(),
-            asks: BTreeMap::new(),
-            whole: BTreeMap::new(),
-            unkept: BTreeMap::new(),
+            fetch_tasks: BTreeMap::new(),
+            load_waiters: BTreeMap::new(),
+            uncached: BTreeMap::new(),
             claims: BTreeMap::new(),
-            unkept_bytes: 0,
-            damaged_at_store: BTreeMap::new(),
-            wake: 0,
-            loads: 0,
-            busy: 0.0,
+            uncached_bytes: 0,
+            corrupt_counts: BTreeMap::new(),
+            wake_at: 0,
+            last_load: 0,
+            utilization: 0.0,
             draining: false,
             capacity_share: 1.0,
         };
-        let (pool, state) = (Pool::new(network), RefCell::new(state));
-        let (moved, counts, tasks) = (Notify::new(), Counts::default(), RefCell::default());
+        let (pool, state) = (ConnectionPool::new(network), RefCell::new(state));
+        let (progress, counts, tasks) = (Notify::new(), Counts::default(), RefCell::default());
         Rc::new(Self {
             config,
             cache,
             clock,
             pool,
             state,
-            moved,
+            progress,
             counts,
             tasks,
         })
@@ -223,19 +226,19 @@
             .iter()
             .map(|p| (p.member.invoker, p.address.clone()))
             .collect();
-        let mine = peers
+        let own_entry = peers
             .iter()
             .find(|p| p.member.invoker == self.config.invoker);
-        state.draining = mine.is_some_and(|p| !p.member.ready);
-        state.capacity_share = mine.map_or(1.0, |p| p.member.capacity_share);
+        state.draining = own_entry.is_some_and(|p| !p.member.ready);
+        state.capacity_share = own_entry.map_or(1.0, |p| p.member.capacity_share);
         state
             .fetcher
-            .listed(peers.iter().map(|p| p.member).collect());
+            .set_members(peers.iter().map(|p| p.member).collect());
     }
 
     /// Share of our cores that invocations use, 0 to 1: the busier, the less is served to peers.
     pub fn set_utilization(&self, share: f64) {
-        self.state.borrow_mut().busy = share;
+        self.state.borrow_mut().utilization = share;
     }
 
     /// Has all chunks of a model here, verified. Dropping the future gives the load up.
@@ -244,7 +247,7 @@
         repository: &str,
         reference: &str,
     ) -> Result<LoadedModel, LoadError> {
-        let (digest, manifest) = self.manifest(repository, reference).await?;
+        let (digest, manifest) = self.fetch_manifest(repository, reference).await?;
         manifest.chunks.iter().for_each(|c| self.claim(&c.digest));
         // From here on the claims are given back however this ends.
         let loaded = LoadedModel {
@@ -252,15 +255,18 @@
             manifest,
             agent: self.clone(),
         };
-        let mut needs = Vec::new();
+        let mut missing = Vec::new();
         for chunk in &loaded.manifest.chunks {
-            if needs.iter().any(|n: &Need| n.digest == chunk.digest) {
+            if missing
+                .iter()
+                .any(|n: &MissingChunk| n.digest == chunk.digest)
+            {
                 continue;
             }
-            if self.held(chunk).is_some() {
+            if self.stored_chunk(chunk).is_some() {
                 add(&self.counts.from_cache, 1);
             } else {
-                needs.push(Need {
+                missing.push(MissingChunk {
                     digest: chunk.digest,
                     bytes: chunk.stored_bytes,
                 });
@@ -270,19 +276,19 @@
         }
         tokio::select! {
             biased;
-            () = self.wait_for(&needs) => {}
-            chunk = self.corrupt(&needs, CORRUPT_AFTER) => {
+            () = self.fetch_all(&missing) => {}
+            chunk = self.wait_for_corruption(&missing, MAX_CORRUPT_FETCHES) => {
                 return Err(LoadError::Corrupt { model: format!("{repository}:{reference}"), chunk });
             }
         }
-        let lacking = |c: &&Chunk| {
-            !self.cache.holds(&c.digest) && !self.state.borrow().unkept.contains_key(&c.digest)
+        let is_missing = |c: &&Chunk| {
+            !self.cache.contains(&c.digest) && !self.state.borrow().uncached.contains_key(&c.digest)
         };
         let bytes = loaded
             .manifest
             .chunks
             .iter()
-            .filter(lacking)
+            .filter(is_missing)
             .map(|c| c.stored_bytes)
             .sum();
         if bytes > 0 {
@@ -295,8 +301,8 @@
     }
 
     /// What is held in memory because the cache did not keep it.
-    pub fn unkept_bytes(&self) -> u64 {
-        self.state.borrow().unkept_bytes
+    pub fn uncached_bytes(&self) -> u64 {
+        self.state.borrow().uncached_bytes
     }
 
     fn claim(&self, digest: &Digest) {
@@ -317,58 +323,58 @@
         if *claims == 0 {
             state.claims.remove(digest);
             self.cache.unpin(digest);
-            state.forget_unkept(digest);
+            state.release_uncached(digest);
         }
     }
 
-    pub(crate) fn held(&self, chunk: &Chunk) -> Option<Rc<Vec<u8>>> {
-        let unkept = self.state.borrow().unkept.get(&chunk.digest).cloned();
-        unkept.or_else(|| self.cache.get(chunk).map(Rc::new))
+    pub(crate) fn stored_chunk(&self, chunk: &Chunk) -> Option<Rc<Vec<u8>>> {
+        let uncached = self.state.borrow().uncached.get(&chunk.digest).cloned();
+        uncached.or_else(|| self.cache.get(chunk).map(Rc::new))
     }
 
     /// Waits until all of these are here.
-    pub(crate) async fn wait_for(self: &Rc<Self>, needs: &[Need]) {
-        let (to, whole) = oneshot::channel();
+    pub(crate) async fn fetch_all(self: &Rc<Self>, missing: &[MissingChunk]) {
+        let (sender, completed) = oneshot::channel();
         let load = {
             let state = &mut *self.state.borrow_mut();
-            state.loads += 1;
-            let load = state.loads;
-            if state.fetcher.want(self.clock.now(), load, needs) {
+            state.last_load += 1;
+            let load = state.last_load;
+            if state.fetcher.start_load(self.clock.now(), load, missing) {
                 return;
             }
-            state.whole.insert(load, to);
+            state.load_waiters.insert(load, sender);
             load
         };
-        let _waiting = Waiting { agent: self, load };
-        self.go_on();
-        let _ = whole.await;
+        let _load_guard = LoadGuard { agent: self, load };
+        self.advance();
+        let _ = completed.await;
     }
 
     /// Comes back when one of these has no source that holds.
-    async fn corrupt(&self, needs: &[Need], after: u32) -> Digest {
+    async fn wait_for_corruption(&self, missing: &[MissingChunk], after: u32) -> Digest {
         loop {
             // Before the look, so that nothing is told between the two.
-            let moved = self.moved.notified();
+            let progress = self.progress.notified();
             let found = {
                 let state = self.state.borrow();
-                let bad = |n: &&Need| {
+                let bad = |n: &&MissingChunk| {
                     state
-                        .damaged_at_store
+                        .corrupt_counts
                         .get(&n.digest)
                         .is_some_and(|t| *t >= after)
                 };
-                needs.iter().find(bad).map(|n| n.digest)
+                missing.iter().find(bad).map(|n| n.digest)
             };
             if let Some(digest) = found {
                 return digest;
             }
-            moved.await;
+            progress.await;
         }
     }
 
     /// As `wait_for`, for one chunk that a peer wants of us as its home.
     pub(crate) async fn fetch_for_peer(self: &Rc<Self>, chunk: Chunk, repository: &str) {
-        let needs = [Need {
+        let missing = [MissingChunk {
             digest: chunk.digest,
             bytes: chunk.stored_bytes,
         }];
@@ -378,22 +384,22 @@
             .insert(chunk.digest, (chunk, repository.to_owned()));
         tokio::select! {
             biased;
-            () = self.wait_for(&needs) => {}
+            () = self.fetch_all(&missing) => {}
             // It had better see for itself, and soon: whoever waits for us can't tell us from a slow one.
-            _ = self.corrupt(&needs, 1) => {}
+            _ = self.wait_for_corruption(&missing, 1) => {}
         }
     }
 
-    async fn manifest(
+    async fn fetch_manifest(
         &self,
         repository: &str,
         reference: &str,
     ) -> Result<(Digest, Manifest), LoadError> {
         let model = format!("{repository}:{reference}");
         let path = format!("/v2/{repository}/manifests/{reference}");
-        let mut wait = MANIFEST_WAIT;
+        let mut wait = MANIFEST_INITIAL_BACKOFF;
         let mut last = String::new();
-        for _ in 0..MANIFEST_TRIES {
+        for _ in 0..MANIFEST_ATTEMPTS {
             match self
                 .pool
                 .get(
@@ -405,7 +411,7 @@
                 )
                 .await
             {
-                Got::Bytes(bytes) => {
+                GetOutcome::Bytes(bytes) => {
                     let digest = Digest::of(&bytes);
                     let asked: Result<Digest, _> = reference.parse();
                     if asked.is_ok_and(|asked| asked != digest) {
@@ -418,12 +424,12 @@
                         });
                     }
                 }
-                Got::Absent => return Err(LoadError::Unknown { model }),
-                Got::Refused(come_back) => {
+                GetOutcome::NotFound => return Err(LoadError::Unknown { model }),
+                GetOutcome::Refused(retry_after) => {
                     last = "refused".into();
-                    wait = wait.max(Duration::from_micros(come_back * 100));
+                    wait = wait.max(Duration::from_micros(retry_after * 100));
                 }
-                Got::Broken(why) => last = why,
+                GetOutcome::Failed(why) => last = why,
             }
             tokio::time::sleep(wait).await;
             wait *= 2;
@@ -444,84 +450,101 @@
     }
 
     /// Lets the plan say what is next, and does it.
-    pub(crate) fn go_on(self: &Rc<Self>) {
+    pub(crate) fn advance(self: &Rc<Self>) {
         let now = self.clock.now();
-        let next = self.state.borrow_mut().fetcher.next(now);
+        let next = self.state.borrow_mut().fetcher.next_actions(now);
         for attempt in next.cancels {
-            if let Some(task) = self.state.borrow_mut().asks.remove(&attempt) {
+            if let Some(task) = self.state.borrow_mut().fetch_tasks.remove(&attempt) {
                 task.abort();
             }
         }
-        for ask in next.asks {
+        for request in next.requests {
             let this = self.clone();
-            let task = self.spawn(async move { this.ask(ask).await });
-            self.state.borrow_mut().asks.insert(ask.attempt, task);
+            let task = self.spawn(async move { this.fetch(request).await });
+            self.state
+                .borrow_mut()
+                .fetch_tasks
+                .insert(request.attempt, task);
         }
         let state = &mut *self.state.borrow_mut();
-        if let Some(at) = next.wake.filter(|at| state.wake <= now || *at < state.wake) {
-            state.wake = at;
+        if let Some(at) = next
+            .wake_at
+            .filter(|at| state.wake_at <= now || *at < state.wake_at)
+        {
+            state.wake_at = at;
             let this = self.clone();
             self.spawn(async move {
                 this.clock.sleep_until(at).await;
-                if this.state.borrow().wake == at {
-                    this.state.borrow_mut().wake = 0;
-                    this.go_on();
+                if this.state.borrow().wake_at == at {
+                    this.state.borrow_mut().wake_at = 0;
+                    this.advance();
                 }
             });
         }
     }
 
-    async fn ask(self: Rc<Self>, ask: Ask) {
+    async fn fetch(self: Rc<Self>, request: FetchRequest) {
         let (known, address) = {
             let state = self.state.borrow();
-            let address = match ask.source {
+            let address = match request.source {
                 Source::Store => Some(self.config.store.clone()),
                 Source::Peer(peer) => state.peers.get(&peer).cloned(),
             };
-            (state.wanted.get(&ask.digest).cloned(), address)
+            (state.wanted.get(&request.digest).cloned(), address)
         };
         let (Some((chunk, repository)), Some(address)) = (known, address) else {
-            return self.ended(ask, Ended::Absent, None);
+            return self.request_ended(request, FetchOutcome::NotFound, None);
         };
         let path = format!("/v2/{repository}/blobs/{}", chunk.digest);
-        let stated = matches!(ask.source, Source::Peer(_)).then_some(chunk.stored_bytes);
+        let stored_bytes = matches!(request.source, Source::Peer(_)).then_some(chunk.stored_bytes);
         match self
             .pool
             .get(
                 &address,
                 &path,
                 "application/octet-stream",
-                stated,
+                stored_bytes,
                 chunk.stored_bytes,
             )
             .await
         {
-            Got::Bytes(bytes) => match cut::verify(&chunk, &bytes) {
-                Ok(()) => self.ended(ask, Ended::Well, Some((chunk, bytes))),
-                Err(cut::ChunkError::Length { .. }) => self.ended(ask, Ended::Broken, None),
+            GetOutcome::Bytes(bytes) => match cut::verify(&chunk, &bytes) {
+                Ok(()) => {
+                    self.request_ended(request, FetchOutcome::Succeeded, Some((chunk, bytes)))
+                }
+                Err(cut::ChunkError::Length { .. }) => {
+                    self.request_ended(request, FetchOutcome::Failed, None)
+                }
                 Err(damage) => {
-                    warn!(source = ?ask.source, %damage, "a damaged chunk is thrown away");
+                    warn!(source = ?request.source, %damage, "a damaged chunk is thrown away");
                     add(&self.counts.damaged, 1);
-                    self.ended(ask, Ended::Damaged, None);
+                    self.request_ended(request, FetchOutcome::Corrupt, None);
                 }
             },
-            Got::Refused(come_back) => self.ended(ask, Ended::Refused(come_back), None),
-            Got::Absent => self.ended(ask, Ended::Absent, None),
-            Got::Broken(why) => {
-                debug!(source = ?ask.source, why, "a fetch broke");
-                self.ended(ask, Ended::Broken, None);
+            GetOutcome::Refused(retry_after) => {
+                self.request_ended(request, FetchOutcome::Refused(retry_after), None)
+            }
+            GetOutcome::NotFound => self.request_ended(request, FetchOutcome::NotFound, None),
+            GetOutcome::Failed(why) => {
+                debug!(source = ?request.source, why, "a fetch broke");
+                self.request_ended(request, FetchOutcome::Failed, None);
             }
         }
     }
 
-    fn ended(self: &Rc<Self>, ask: Ask, how: Ended, came: Option<(Chunk, Vec<u8>)>) {
-        if let Some((chunk, bytes)) = came {
-            let (count, cost) = match ask.source {
-                Source::Store => (&self.counts.from_store, STORE_OVER_PEER),
+    fn request_ended(
+        self: &Rc<Self>,
+        request: FetchRequest,
+        outcome: FetchOutcome,
+        received: Option<(Chunk, Vec<u8>)>,
+    ) {
+        if let Some((chunk, bytes)) = received {
+            let (count, cost) = match request.source {
+                Source::Store => (&self.counts.from_store, STORE_COST_FACTOR),
                 Source::Peer(_) => (&self.counts.from_peers, 1.0),
             };
             add(count, 1);
-            if ask.source == Source::Store {
+            if request.source == Source::Store {
                 add(&self.counts.bytes_from_store, bytes.len() as u64);
             }
             // Homes are asked by others: what they hold is worth a store's fetch to the fleet.
@@ -529,35 +552,37 @@
             let state = &mut *self.state.borrow_mut();
             if kept && state.claims.contains_key(&chunk.digest) {
                 self.cache.pin(&chunk.digest);
-            } else if !kept && state.unkept_bytes + chunk.stored_bytes <= UNKEPT_MOST_BYTES {
-                state.unkept_bytes += bytes.len() as u64;
-                state.unkept.insert(chunk.digest, Rc::new(bytes));
+            } else if !kept && state.uncached_bytes + chunk.stored_bytes <= MAX_UNCACHED_BYTES {
+                state.uncached_bytes += bytes.len() as u64;
+                state.uncached.insert(chunk.digest, Rc::new(bytes));
             }
         }
-        let whole = {
+        let completed = {
             let state = &mut *self.state.borrow_mut();
-            state.asks.remove(&ask.attempt);
-            match (how, ask.source) {
-                (Ended::Well, _) => drop(state.damaged_at_store.remove(&ask.digest)),
-                (Ended::Damaged, Source::Store) => {
-                    *state.damaged_at_store.entry(ask.digest).or_default() += 1;
+            state.fetch_tasks.remove(&request.attempt);
+            match (outcome, request.source) {
+                (FetchOutcome::Succeeded, _) => drop(state.corrupt_counts.remove(&request.digest)),
+                (FetchOutcome::Corrupt, Source::Store) => {
+                    *state.corrupt_counts.entry(request.digest).or_default() += 1;
                 }
                 _ => {}
             }
-            let whole = state.fetcher.ended(self.clock.now(), ask.attempt, how);
-            if how == Ended::Well {
-                state.wanted.remove(&ask.digest);
+            let completed = state
+                .fetcher
+                .request_ended(self.clock.now(), request.attempt, outcome);
+            if outcome == FetchOutcome::Succeeded {
+                state.wanted.remove(&request.digest);
             }
-            whole
+            completed
                 .into_iter()
-                .filter_map(|load| state.whole.remove(&load))
+                .filter_map(|load| state.load_waiters.remove(&load))
                 .collect::<Vec<_>>()
         };
-        for to in whole {
+        for sender in completed {
             // Whoever has given its load up hears nothing.
-            let _ = to.send(());
+            let _ = sender.send(());
         }
-        self.moved.notify_waiters();
-        self.go_on();
+        self.progress.notify_waiters();
+        self.advance();
     }
 }
--- a/crates/agent/src/peers.rs
+++ b/crates/agent/src/peers.rs
@@ -1,6 +1,6 @@
 //! Serving chunks to peers, as a registry would.
 
-use crate::http::{RETRY_AFTER_MS, STATED_BYTES};
+use crate::http::{RETRY_AFTER_MS_HEADER, STORED_BYTES_HEADER};
 use crate::{Agent, add};
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -10,7 +10,7 @@
 use hyper_util::rt::TokioIo;
 use saltdrum::interface::MILLISECOND;
 use saltdrum_layers::manifest::MAX_CHUNK_BYTES;
-use saltdrum_layers::plan::Verdict;
+use saltdrum_layers::plan::UploadDecision;
 use saltdrum_layers::{Chunk, Digest, Packing};
 use saltdrum_transport::Listener;
 use std::convert::Infallible;
@@ -20,32 +20,32 @@
 use std::time::Duration;
 
 /// A place among the transfers, given back when the body is gone, sent or not.
-struct Slot(Rc<Agent>);
+struct TransferSlot(Rc<Agent>);
 
-impl Drop for Slot {
+impl Drop for TransferSlot {
     fn drop(&mut self) {
-        self.0.state.borrow_mut().serving.ended();
-        self.0.moved.notify_waiters();
+        self.0.state.borrow_mut().uploads.transfer_ended();
+        self.0.progress.notify_waiters();
     }
 }
 
 /// A place in line, given up when its peer hangs up.
-struct Place(Rc<Agent>, bool);
+struct QueuePlace(Rc<Agent>, bool);
 
-impl Drop for Place {
+impl Drop for QueuePlace {
     fn drop(&mut self) {
         if !self.1 {
-            self.0.state.borrow_mut().serving.left_line();
+            self.0.state.borrow_mut().uploads.leave_queue();
         }
     }
 }
 
-struct Sending {
+struct ChunkBody {
     bytes: Option<Bytes>,
-    _slot: Option<Slot>,
+    _transfer_slot: Option<TransferSlot>,
 }
 
-impl Body for Sending {
+impl Body for ChunkBody {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -65,56 +65,56 @@
     }
 }
 
-fn plain(status: StatusCode) -> Response<Sending> {
-    let mut response = Response::new(Sending {
+fn empty_response(status: StatusCode) -> Response<ChunkBody> {
+    let mut response = Response::new(ChunkBody {
         bytes: None,
-        _slot: None,
+        _transfer_slot: None,
     });
     *response.status_mut() = status;
     response
 }
 
 /// `/v2/REPOSITORY/blobs/DIGEST`
-fn asked_for(path: &str) -> Option<(&str, Digest)> {
+fn parse_blob_path(path: &str) -> Option<(&str, Digest)> {
     let (repository, digest) = path.strip_prefix("/v2/")?.rsplit_once("/blobs/")?;
     Some((repository, digest.parse().ok()?))
 }
 
 impl Agent {
     /// Takes peers in for as long as it is polled.
-    pub async fn serve(self: Rc<Self>, mut door: Box<dyn Listener>) {
+    pub async fn serve(self: Rc<Self>, mut listener: Box<dyn Listener>) {
         loop {
-            let Ok(stream) = door.accept().await else {
+            let Ok(stream) = listener.accept().await else {
                 tokio::time::sleep(Duration::from_millis(50)).await;
                 continue;
             };
             let this = self.clone();
             self.spawn(async move {
-                let answer = service_fn(move |request| {
+                let service = service_fn(move |request| {
                     let this = this.clone();
-                    async move { Ok::<_, Infallible>(this.answer(request).await) }
+                    async move { Ok::<_, Infallible>(this.handle(request).await) }
                 });
                 let _ = http1::Builder::new()
-                    .serve_connection(TokioIo::new(stream), answer)
+                    .serve_connection(TokioIo::new(stream), service)
                     .await;
             });
         }
     }
 
-    async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Response<Sending> {
+    async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Response<ChunkBody> {
         if request.method() != Method::GET {
-            return plain(StatusCode::METHOD_NOT_ALLOWED);
+            return empty_response(StatusCode::METHOD_NOT_ALLOWED);
         }
-        let Some((repository, digest)) = asked_for(request.uri().path()) else {
-            return plain(StatusCode::NOT_FOUND);
+        let Some((repository, digest)) = parse_blob_path(request.uri().path()) else {
+            return empty_response(StatusCode::NOT_FOUND);
         };
         let stated = request
             .headers()
-            .get(STATED_BYTES)
+            .get(STORED_BYTES_HEADER)
             .and_then(|v| v.to_str().ok()?.parse::<u64>().ok());
         let Some(stored_bytes) = stated.filter(|n| (1..=MAX_CHUNK_BYTES + 1_024).contains(n))
         else {
-            return plain(StatusCode::BAD_REQUEST);
+            return empty_response(StatusCode::BAD_REQUEST);
         };
         // Only length and digest matter for handing it on.
         let chunk = Chunk {
@@ -123,60 +123,64 @@
             bytes: stored_bytes,
             packing: Packing::Plain,
         };
-        let held = self.held(&chunk);
+        let held = self.stored_chunk(&chunk);
         let verdict = {
             let state = &mut *self.state.borrow_mut();
             let home = state.fetcher.is_home(&digest);
-            state.serving.asked(held.is_some(), home, state.draining)
+            state.uploads.admit(held.is_some(), home, state.draining)
         };
         let mut place = match verdict {
-            Verdict::Absent => return plain(StatusCode::NOT_FOUND),
-            Verdict::Later(wait) => {
-                let mut response = plain(StatusCode::TOO_MANY_REQUESTS);
+            UploadDecision::NotFound => return empty_response(StatusCode::NOT_FOUND),
+            UploadDecision::RetryLater(wait) => {
+                let mut response = empty_response(StatusCode::TOO_MANY_REQUESTS);
                 response
                     .headers_mut()
-                    .insert(RETRY_AFTER_MS, (wait / MILLISECOND).into());
+                    .insert(RETRY_AFTER_MS_HEADER, (wait / MILLISECOND).into());
                 return response;
             }
-            Verdict::InLine | Verdict::FetchAndServe => Place(self.clone(), false),
+            UploadDecision::Queued | UploadDecision::FetchAndServe => {
+                QueuePlace(self.clone(), false)
+            }
         };
         let bytes = match held {
             Some(bytes) => bytes,
             None => {
                 self.fetch_for_peer(chunk.clone(), repository).await;
-                match self.held(&chunk) {
+                match self.stored_chunk(&chunk) {
                     Some(bytes) => bytes,
-                    None => return plain(StatusCode::NOT_FOUND),
+                    None => return empty_response(StatusCode::NOT_FOUND),
                 }
             }
         };
         loop {
             // Registered before looking: a slot that comes free in between is not missed.
-            let moved = self.moved.notified();
-            let opens = {
+            let progress = self.progress.notified();
+            let reopens_at = {
                 let state = &mut *self.state.borrow_mut();
-                let (capacity_share, busy) = (state.capacity_share, state.busy);
-                if state
-                    .serving
-                    .may_send(self.clock.now(), stored_bytes, capacity_share, busy)
-                {
+                let (capacity_share, utilization) = (state.capacity_share, state.utilization);
+                if state.uploads.try_start(
+                    self.clock.now(),
+                    stored_bytes,
+                    capacity_share,
+                    utilization,
+                ) {
                     break;
                 }
-                state.serving.opens()
+                state.uploads.reopens_at()
             };
-            match opens {
+            match reopens_at {
                 Some(at) => self.clock.sleep_until(at).await,
-                None => moved.await,
+                None => progress.await,
             }
         }
         place.1 = true;
         add(&self.counts.served, 1);
-        let slot = Slot(self.clone());
-        self.state.borrow_mut().forget_unclaimed(&digest);
+        let slot = TransferSlot(self.clone());
+        self.state.borrow_mut().release_unclaimed(&digest);
         let bytes = Bytes::from(Rc::unwrap_or_clone(bytes));
-        Response::new(Sending {
+        Response::new(ChunkBody {
             bytes: Some(bytes),
-            _slot: Some(slot),
+            _transfer_slot: Some(slot),
         })
     }
 }
--- a/crates/agent/tests/fleet.rs
+++ b/crates/agent/tests/fleet.rs
@@ -69,15 +69,15 @@
     async fn agent(&self, me: u32, at: &Address) -> (Rc<Agent>, JoinHandle<()>, Address) {
         let folder = self.folder.path().join(me.to_string());
         let cache = Cache::open(&folder, self.cache_bytes, Rc::new(RealDisk)).unwrap();
-        let seat = AgentConfig {
+        let config = AgentConfig {
             invoker: me,
             seed: me.into(),
             store: self.store.clone(),
             serve_bytes_per_second: 200e6,
         };
-        let agent = Agent::new(seat, cache, self.network.clone(), self.clock);
-        let (door, address) = self.network.listen(at).await.unwrap();
-        (agent.clone(), spawn_local(agent.serve(door)), address)
+        let agent = Agent::new(config, cache, self.network.clone(), self.clock);
+        let (listener, address) = self.network.listen(at).await.unwrap();
+        (agent.clone(), spawn_local(agent.serve(listener)), address)
     }
 
     /// All load it at about the same time; gives when the last had it.
@@ -238,7 +238,7 @@
             matches!(&told, saltdrum_agent::LoadError::Corrupt { chunk, .. } if *chunk == bad),
             "{told}"
         );
-        assert!(f.damaged() >= 1 && f.agents.iter().all(|(a, _)| !a.cache.holds(&bad)));
+        assert!(f.damaged() >= 1 && f.agents.iter().all(|(a, _)| !a.cache.contains(&bad)));
         f.registry.faults.borrow_mut().damaged.clear();
         f.herd("current").await;
         // On disk, at one who then is asked to load again.
@@ -309,9 +309,9 @@
         let (a, _) = &f.agents[0];
         let loaded = a.load("voices/kinyarwanda", "current").await.unwrap();
         assert_eq!(whole(&loaded), saltdrum_layers::Digest::of(&bytes));
-        assert!(a.unkept_bytes() > 8 << 20 && a.cache.bytes() <= 2 << 20);
+        assert!(a.uncached_bytes() > 8 << 20 && a.cache.bytes() <= 2 << 20);
         drop(loaded);
-        assert_eq!(a.unkept_bytes(), 0);
+        assert_eq!(a.uncached_bytes(), 0);
     });
 }
 
--- a/crates/layers/examples/cost.rs
+++ b/crates/layers/examples/cost.rs
@@ -2,7 +2,7 @@
 //!
 //!     cargo run --release -p saltdrum-layers --example cost
 
-use saltdrum_layers::plan::{Ended, Fetcher, Member, Need};
+use saltdrum_layers::plan::{FetchOutcome, Fetcher, Member, MissingChunk};
 use saltdrum_layers::{Digest, cut};
 use std::time::Instant;
 
@@ -35,20 +35,20 @@
         })
         .collect();
     let mut fetcher = Fetcher::new(1, seed);
-    fetcher.listed(members);
-    let needs: Vec<Need> = (0..2_000u64)
-        .map(|n| Need {
+    fetcher.set_members(members);
+    let chunks: Vec<MissingChunk> = (0..2_000u64)
+        .map(|n| MissingChunk {
             digest: Digest::of(&(n ^ seed << 32).to_le_bytes()),
             bytes: 1 << 19,
         })
         .collect();
     let mut ended = 0;
     let spent = timed(|| {
-        fetcher.want(0, 1, &needs);
+        fetcher.start_load(0, 1, &chunks);
         let mut now = 1;
-        while ended < needs.len() {
-            for ask in fetcher.next(now).asks {
-                fetcher.ended(now + 50, ask.attempt, Ended::Well);
+        while ended < chunks.len() {
+            for request in fetcher.next_actions(now).requests {
+                fetcher.request_ended(now + 50, request.attempt, FetchOutcome::Succeeded);
                 ended += 1;
             }
             now += 100;
--- a/crates/layers/src/cache.rs
+++ b/crates/layers/src/cache.rs
@@ -8,7 +8,7 @@
 //! fetched again or evicted.
 
 use crate::cut;
-use crate::plan::{Kept, Shelf};
+use crate::plan::{CachedChunk, EvictionPolicy};
 use crate::{Chunk, Digest};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use saltdrum_durable::{database, file};
@@ -27,7 +27,7 @@
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
     fn remove(&self, path: &Path) -> io::Result<()>;
     /// So many bytes at the most.
-    fn read(&self, path: &Path, most: u64) -> io::Result<Vec<u8>>;
+    fn read(&self, path: &Path, max_bytes: u64) -> io::Result<Vec<u8>>;
     /// Names and lengths.
     fn list(&self, path: &Path) -> io::Result<Vec<(String, u64)>>;
     fn open_index(&self, path: &Path) -> Result<Database, redb::DatabaseError>;
@@ -54,9 +54,9 @@
         file::remove_if_there(path)
     }
 
-    fn read(&self, path: &Path, most: u64) -> io::Result<Vec<u8>> {
+    fn read(&self, path: &Path, max_bytes: u64) -> io::Result<Vec<u8>> {
         let mut bytes = Vec::new();
-        File::open(path)?.take(most).read_to_end(&mut bytes)?;
+        File::open(path)?.take(max_bytes).read_to_end(&mut bytes)?;
         Ok(bytes)
     }
 
@@ -90,27 +90,27 @@
     pub damaged: Cell<u64>,
     pub evicted: Cell<u64>,
     /// Could not be kept: no room that may be freed, or the disk refused.
-    pub not_kept: Cell<u64>,
+    pub not_cached: Cell<u64>,
     pub index_rebuilt: Cell<u64>,
 }
 
 pub struct Cache {
     folder: PathBuf,
     disk: Rc<dyn Disk>,
-    shelf: RefCell<Shelf>,
+    eviction: RefCell<EvictionPolicy>,
     /// None: the index can't be had; the cache works on and forgets costs at its end.
     index: RefCell<Option<Database>>,
-    parts: Cell<u64>,
+    part_count: Cell<u64>,
     /// Chunks whose files stand and could not be read: not held, and not free room either.
     unreadable: RefCell<BTreeSet<Digest>>,
     /// Files that should be gone and could not be removed.
-    unremoved: RefCell<BTreeSet<PathBuf>>,
+    pending_removals: RefCell<BTreeSet<PathBuf>>,
     pub counts: Counts,
 }
 
 impl Cache {
     /// Opens what is there. Fails only where not even the folder can be read or made.
-    pub fn open(folder: &Path, most_bytes: u64, disk: Rc<dyn Disk>) -> io::Result<Self> {
+    pub fn open(folder: &Path, max_bytes: u64, disk: Rc<dyn Disk>) -> io::Result<Self> {
         let chunks = folder.join("chunks");
         disk.create_dir_all(&chunks)?;
         let counts = Counts::default();
@@ -121,15 +121,15 @@
             disk.open_index(&path)
         });
         let index = index.ok();
-        let known = index
+        let indexed = index
             .as_ref()
             .and_then(|i| read_index(i).ok())
             .unwrap_or_default();
-        let mut shelf = Shelf::new(most_bytes);
-        let mut unremoved = BTreeSet::new();
-        let mut discard = |file: PathBuf| {
+        let mut eviction = EvictionPolicy::new(max_bytes);
+        let mut pending_removals = BTreeSet::new();
+        let mut remove_file = |file: PathBuf| {
             if disk.remove(&file).is_err() {
-                unremoved.insert(file);
+                pending_removals.insert(file);
             }
         };
         for (name, length) in disk.list(&chunks)? {
@@ -137,35 +137,37 @@
             let file = chunks.join(&name);
             let Ok(digest) = digest else {
                 // Begun by one who died: no chunk has such a name.
-                discard(file);
+                remove_file(file);
                 continue;
             };
-            let kept = match known.get(&digest) {
-                Some(kept) if kept.bytes == length => *kept,
+            let cached = match indexed.get(&digest) {
+                Some(cached) if cached.bytes == length => *cached,
                 // Renamed, but its line was not written any more. Its digest is looked at when it is read.
-                _ => Kept {
+                _ => CachedChunk {
                     bytes: length,
                     cost: 1.0,
                     sharers: 1,
                 },
             };
-            match shelf.admit(digest, kept) {
-                Some(gone) => gone.iter().for_each(|d| discard(chunks.join(d.hex()))),
-                None => discard(file),
+            match eviction.admit(digest, cached) {
+                Some(evicted) => evicted
+                    .iter()
+                    .for_each(|d| remove_file(chunks.join(d.hex()))),
+                None => remove_file(file),
             }
         }
         let cache = Self {
             folder: folder.to_owned(),
             disk,
-            shelf: RefCell::new(shelf),
+            eviction: RefCell::new(eviction),
             index: RefCell::new(index),
-            parts: Cell::new(0),
+            part_count: Cell::new(0),
             unreadable: RefCell::default(),
-            unremoved: RefCell::new(unremoved),
+            pending_removals: RefCell::new(pending_removals),
             counts,
         };
-        let stale: Vec<Digest> = known.into_keys().filter(|d| !cache.holds(d)).collect();
-        cache.forget(&stale);
+        let stale: Vec<Digest> = indexed.into_keys().filter(|d| !cache.contains(d)).collect();
+        cache.remove_index_entries(&stale);
         Ok(cache)
     }
 
@@ -173,16 +175,16 @@
         self.folder.join("chunks").join(digest.hex())
     }
 
-    pub fn holds(&self, digest: &Digest) -> bool {
-        self.shelf.borrow().holds(digest) && !self.unreadable.borrow().contains(digest)
+    pub fn contains(&self, digest: &Digest) -> bool {
+        self.eviction.borrow().contains(digest) && !self.unreadable.borrow().contains(digest)
     }
 
     pub fn bytes(&self) -> u64 {
-        self.shelf.borrow().bytes()
+        self.eviction.borrow().bytes()
     }
 
     pub fn digests(&self) -> Vec<Digest> {
-        self.shelf
+        self.eviction
             .borrow()
             .digests()
             .filter(|d| !self.unreadable.borrow().contains(d))
@@ -192,17 +194,17 @@
 
     /// A copy that stands, or a load, uses it: it stays.
     pub fn pin(&self, digest: &Digest) {
-        self.shelf.borrow_mut().pin(digest);
+        self.eviction.borrow_mut().pin(digest);
     }
 
     pub fn unpin(&self, digest: &Digest) {
-        self.shelf.borrow_mut().unpin(digest);
+        self.eviction.borrow_mut().unpin(digest);
     }
 
     /// The chunk as stored, its digest just checked. What does not hold is thrown away and as good as never held.
     pub fn get(&self, chunk: &Chunk) -> Option<Vec<u8>> {
-        if !self.holds(&chunk.digest) {
-            bump(&self.counts.misses);
+        if !self.contains(&chunk.digest) {
+            increment(&self.counts.misses);
             return None;
         }
         // A byte more than stated is enough to see that the file is longer.
@@ -212,20 +214,20 @@
         let bytes = match read {
             Ok(bytes) if cut::verify(chunk, &bytes).is_ok() => bytes,
             Ok(_) => {
-                bump(&self.counts.damaged);
+                increment(&self.counts.damaged);
                 self.drop_chunk(&chunk.digest);
                 return None;
             }
             Err(_) => {
                 // Unreadable now, perhaps not for ever: the file stays until the next start, the chunk is fetched.
-                bump(&self.counts.misses);
-                self.shelf.borrow_mut().unpin_all(&chunk.digest);
+                increment(&self.counts.misses);
+                self.eviction.borrow_mut().unpin_all(&chunk.digest);
                 self.unreadable.borrow_mut().insert(chunk.digest);
                 return None;
             }
         };
-        bump(&self.counts.hits);
-        self.shelf.borrow_mut().used(&chunk.digest);
+        increment(&self.counts.hits);
+        self.eviction.borrow_mut().touch(&chunk.digest);
         Some(bytes)
     }
 
@@ -238,90 +240,90 @@
         sharers: u32,
     ) -> Result<bool, cut::ChunkError> {
         cut::verify(chunk, bytes)?;
-        let kept = Kept {
+        let cached = CachedChunk {
             bytes: chunk.stored_bytes,
             cost,
             sharers,
         };
-        if self.holds(&chunk.digest) {
-            self.shelf.borrow_mut().used(&chunk.digest);
+        if self.contains(&chunk.digest) {
+            self.eviction.borrow_mut().touch(&chunk.digest);
             return Ok(true);
         }
-        if !self.removes_leftovers() || !self.makes_room(chunk.digest, kept) {
-            bump(&self.counts.not_kept);
+        if !self.retry_removals() || !self.make_room(chunk.digest, cached) {
+            increment(&self.counts.not_cached);
             return Ok(false);
         }
-        if self.write(&chunk.digest, bytes).is_err() {
+        if self.write_chunk(&chunk.digest, bytes).is_err() {
             // Whether it was renamed is not known: what a failed sync leaves there goes as well.
             self.drop_chunk(&chunk.digest);
-            bump(&self.counts.not_kept);
+            increment(&self.counts.not_cached);
             return Ok(false);
         }
         self.unreadable.borrow_mut().remove(&chunk.digest);
-        let line = (kept.bytes, kept.cost, kept.sharers);
-        self.write_index(|table| table.insert(chunk.digest.bytes(), line).map(|_| ()));
+        let record = (cached.bytes, cached.cost, cached.sharers);
+        self.write_index(|table| table.insert(chunk.digest.bytes(), record).map(|_| ()));
         Ok(true)
     }
 
     /// Writes a chunk's file, whole or not at all.
-    fn write(&self, digest: &Digest, bytes: &[u8]) -> io::Result<()> {
-        self.parts.set(self.parts.get() + 1);
+    fn write_chunk(&self, digest: &Digest, bytes: &[u8]) -> io::Result<()> {
+        self.part_count.set(self.part_count.get() + 1);
         let part = self
             .folder
             .join("chunks")
-            .join(format!("{}.part", self.parts.get()));
+            .join(format!("{}.part", self.part_count.get()));
         let written = self.disk.write_new(&part, bytes);
         let renamed = written.and_then(|()| self.disk.rename(&part, &self.path(digest)));
         if renamed.is_err() {
-            self.discard(part);
+            self.remove_file(part);
         }
         renamed
     }
 
     /// Evicts what has to go for this chunk. False: it can't be kept.
-    fn makes_room(&self, digest: Digest, kept: Kept) -> bool {
-        let room = self.shelf.borrow_mut().admit(digest, kept);
-        let Some(gone) = room else { return false };
-        for digest in &gone {
-            bump(&self.counts.evicted);
+    fn make_room(&self, digest: Digest, cached: CachedChunk) -> bool {
+        let room = self.eviction.borrow_mut().admit(digest, cached);
+        let Some(evicted) = room else { return false };
+        for digest in &evicted {
+            increment(&self.counts.evicted);
             self.unreadable.borrow_mut().remove(digest);
-            self.discard(self.path(digest));
+            self.remove_file(self.path(digest));
         }
-        self.forget(&gone);
-        let is_free = self.unremoved.borrow().is_empty();
-        if !is_free && !self.unreadable.borrow().contains(&digest) {
-            self.shelf.borrow_mut().remove(&digest);
+        self.remove_index_entries(&evicted);
+        let has_room = self.pending_removals.borrow().is_empty();
+        if !has_room && !self.unreadable.borrow().contains(&digest) {
+            self.eviction.borrow_mut().remove(&digest);
         }
-        is_free
+        has_room
     }
 
     /// Removes a file, now or later.
-    fn discard(&self, file: PathBuf) {
+    fn remove_file(&self, file: PathBuf) {
         if self.disk.remove(&file).is_err() {
-            self.unremoved.borrow_mut().insert(file);
+            self.pending_removals.borrow_mut().insert(file);
         }
     }
 
     /// Tries again to remove what could not be removed. False: some of it is still there.
-    fn removes_leftovers(&self) -> bool {
-        let mut unremoved = self.unremoved.borrow_mut();
-        while let Some(file) = unremoved.first().cloned() {
+    fn retry_removals(&self) -> bool {
+        let mut pending_removals = self.pending_removals.borrow_mut();
+        while let Some(file) = pending_removals.first().cloned() {
             if self.disk.remove(&file).is_err() {
                 return false;
             }
-            unremoved.remove(&file);
+            pending_removals.remove(&file);
         }
         true
     }
 
     fn drop_chunk(&self, digest: &Digest) {
-        self.shelf.borrow_mut().remove(digest);
+        self.eviction.borrow_mut().remove(digest);
         self.unreadable.borrow_mut().remove(digest);
-        self.discard(self.path(digest));
-        self.forget(&[*digest]);
+        self.remove_file(self.path(digest));
+        self.remove_index_entries(&[*digest]);
     }
 
-    fn forget(&self, digests: &[Digest]) {
+    fn remove_index_entries(&self, digests: &[Digest]) {
         if !digests.is_empty() {
             self.write_index(|table| {
                 digests
@@ -339,9 +341,11 @@
         ) -> Result<(), redb::StorageError>,
     ) {
         let mut index = self.index.borrow_mut();
-        let Some(db) = index.as_ref() else { return };
+        let Some(database) = index.as_ref() else {
+            return;
+        };
         let written = (|| -> Result<(), redb::Error> {
-            let mut txn = db.begin_write()?;
+            let mut txn = database.begin_write()?;
             // The line is a hint: it need not be on disk before the next one is.
             txn.set_durability(redb::Durability::None)?;
             change(&mut txn.open_table(CHUNKS)?)?;
@@ -356,8 +360,10 @@
     /// Brings the index to disk. Losing it costs only what it knew of costs.
     pub fn sync(&self) {
         let mut index = self.index.borrow_mut();
-        let Some(db) = index.as_ref() else { return };
-        let synced = db
+        let Some(database) = index.as_ref() else {
+            return;
+        };
+        let synced = database
             .begin_write()
             .map_err(redb::Error::from)
             .and_then(|t| Ok(t.commit()?));
@@ -367,20 +373,20 @@
     }
 }
 
-fn bump(count: &Cell<u64>) {
+fn increment(count: &Cell<u64>) {
     count.set(count.get() + 1);
 }
 
-fn read_index(db: &Database) -> Result<BTreeMap<Digest, Kept>, redb::Error> {
-    let txn = db.begin_read()?;
+fn read_index(database: &Database) -> Result<BTreeMap<Digest, CachedChunk>, redb::Error> {
+    let txn = database.begin_read()?;
     let table = match txn.open_table(CHUNKS) {
         Err(redb::TableError::TableDoesNotExist(_)) => return Ok(BTreeMap::new()),
         table => table?,
     };
     let mut all = BTreeMap::new();
-    for line in table.iter()? {
-        let (digest, kept) = line?;
-        let (bytes, cost, sharers) = kept.value();
+    for record in table.iter()? {
+        let (digest, cached) = record?;
+        let (bytes, cost, sharers) = cached.value();
         let cost = if cost.is_finite() {
             cost.clamp(0.1, 1e3)
         } else {
@@ -388,7 +394,7 @@
         };
         all.insert(
             Digest::from_bytes(*digest.value()),
-            Kept {
+            CachedChunk {
                 bytes,
                 cost,
                 sharers,
--- a/crates/layers/src/digest.rs
+++ b/crates/layers/src/digest.rs
@@ -25,7 +25,7 @@
     }
 
     /// Its first eight bytes, for hashing with.
-    pub fn lead(&self) -> u64 {
+    pub fn prefix(&self) -> u64 {
         u64::from_le_bytes(*self.0.first_chunk().expect("32 bytes"))
     }
 }
--- a/crates/layers/src/layout.rs
+++ b/crates/layers/src/layout.rs
@@ -12,18 +12,18 @@
 use std::path::{Path, PathBuf};
 
 /// Says that a folder is a layout, and of which version.
-const MARKER: &str = "oci-layout";
-const MARKER_CONTENT: &[u8] = br#"{"imageLayoutVersion":"1.0.0"}"#;
-const REF_NAME: &str = "org.opencontainers.image.ref.name";
+const LAYOUT_FILE: &str = "oci-layout";
+const LAYOUT_FILE_CONTENT: &[u8] = br#"{"imageLayoutVersion":"1.0.0"}"#;
+const REF_NAME_ANNOTATION: &str = "org.opencontainers.image.ref.name";
 
 #[derive(Debug, thiserror::Error)]
 pub enum LayoutError {
     #[error("{path}: {why}")]
     File { path: PathBuf, why: io::Error },
     #[error("{path}: {why}")]
-    Shape { path: PathBuf, why: String },
+    Malformed { path: PathBuf, why: String },
     #[error("no model is tagged '{tag}'; there are {known}")]
-    Tag { tag: String, known: String },
+    UnknownTag { tag: String, known: String },
     #[error("{0}")]
     Manifest(#[from] crate::manifest::ManifestError),
 }
@@ -73,13 +73,13 @@
         let layout = Self {
             folder: folder.to_owned(),
         };
-        let marker = folder.join(MARKER);
+        let marker = folder.join(LAYOUT_FILE);
         // A kill in an earlier version may have left a part of it.
         let is_whole = |found: Vec<u8>| serde_json::from_slice::<IgnoredAny>(&found).is_ok();
         if !fs::read(&marker).is_ok_and(is_whole) {
-            let made = fs::create_dir_all(layout.blobs())
-                .and_then(|()| file::write_atomically(&marker, MARKER_CONTENT));
-            made.map_err(|why| LayoutError::File { path: marker, why })?;
+            let created = fs::create_dir_all(layout.blobs())
+                .and_then(|()| file::write_atomically(&marker, LAYOUT_FILE_CONTENT));
+            created.map_err(|why| LayoutError::File { path: marker, why })?;
         }
         Ok(layout)
     }
@@ -95,8 +95,8 @@
 
     fn put_blob(&self, digest: &Digest, bytes: &[u8]) -> io::Result<()> {
         let path = self.path(digest);
-        let there = fs::metadata(&path).is_ok_and(|m| m.len() == bytes.len() as u64);
-        if there {
+        let is_stored = fs::metadata(&path).is_ok_and(|m| m.len() == bytes.len() as u64);
+        if is_stored {
             Ok(())
         } else {
             file::write_atomically(&path, bytes)
@@ -106,7 +106,7 @@
     fn index(&self) -> Result<Index, LayoutError> {
         let path = self.folder.join("index.json");
         match fs::read(&path) {
-            Ok(bytes) => serde_json::from_slice(&bytes).map_err(|e| LayoutError::Shape {
+            Ok(bytes) => serde_json::from_slice(&bytes).map_err(|e| LayoutError::Malformed {
                 path,
                 why: e.to_string(),
             }),
@@ -120,24 +120,26 @@
 
     /// Packs a model's file under a tag, which moves if it was there.
     pub fn pack(&self, model: &Path, tag: &str) -> Result<Manifest, LayoutError> {
-        let file = |why| LayoutError::File {
+        let file_error = |why| LayoutError::File {
             path: model.to_owned(),
             why,
         };
-        let reader = BufReader::with_capacity(1 << 20, File::open(model).map_err(file)?);
+        let reader = BufReader::with_capacity(1 << 20, File::open(model).map_err(file_error)?);
         let manifest = cut::pack(reader, |chunk, stored| self.put_blob(&chunk.digest, stored))
-            .map_err(file)?;
+            .map_err(file_error)?;
         let bytes = manifest.to_json();
         let digest = Digest::of(&bytes);
         let mut index = self.index()?;
-        index
-            .manifests
-            .retain(|e| e.annotations.get(REF_NAME).is_none_or(|t| t != tag));
+        index.manifests.retain(|e| {
+            e.annotations
+                .get(REF_NAME_ANNOTATION)
+                .is_none_or(|t| t != tag)
+        });
         index.manifests.push(Entry {
             media_type: MANIFEST_TYPE.into(),
             digest,
             size: bytes.len() as u64,
-            annotations: BTreeMap::from([(REF_NAME.to_owned(), tag.to_owned())]),
+            annotations: BTreeMap::from([(REF_NAME_ANNOTATION.to_owned(), tag.to_owned())]),
         });
         let path = self.folder.join("index.json");
         let written = serde_json::to_vec(&index).expect("an index is JSON");
@@ -154,7 +156,7 @@
         Ok(index
             .manifests
             .iter()
-            .filter_map(|e| Some((e.annotations.get(REF_NAME)?.clone(), e.digest)))
+            .filter_map(|e| Some((e.annotations.get(REF_NAME_ANNOTATION)?.clone(), e.digest)))
             .collect())
     }
 
@@ -167,7 +169,7 @@
                 .collect::<Vec<_>>()
                 .join(", ")
         };
-        let digest = *tags.get(tag).ok_or_else(|| LayoutError::Tag {
+        let digest = *tags.get(tag).ok_or_else(|| LayoutError::UnknownTag {
             tag: tag.into(),
             known: known(),
         })?;
@@ -177,7 +179,7 @@
             why,
         })?;
         if Digest::of(&bytes) != digest {
-            return Err(LayoutError::Shape {
+            return Err(LayoutError::Malformed {
                 path,
                 why: "its bytes do not have this digest".into(),
             });
@@ -185,7 +187,7 @@
         Ok((digest, Manifest::from_json(&bytes)?))
     }
 
-    fn stored(&self, chunk: &Chunk) -> Result<Vec<u8>, String> {
+    fn read_stored(&self, chunk: &Chunk) -> Result<Vec<u8>, String> {
         let path = self.path(&chunk.digest);
         let mut bytes = Vec::new();
         // One byte more than stated tells of a longer file without reading all of it.
@@ -200,13 +202,13 @@
         let (_, manifest) = self.manifest(tag)?;
         for chunk in &manifest.chunks {
             let path = self.path(&chunk.digest);
-            let shape = |why| LayoutError::Shape {
+            let malformed = |why| LayoutError::Malformed {
                 path: path.clone(),
                 why,
             };
-            let stored = self.stored(chunk).map_err(shape)?;
+            let stored = self.read_stored(chunk).map_err(malformed)?;
             let bytes =
-                cut::unpack(chunk, &stored).map_err(|e: ChunkError| shape(e.to_string()))?;
+                cut::unpack(chunk, &stored).map_err(|e: ChunkError| malformed(e.to_string()))?;
             to.write_all(&bytes).map_err(|why| LayoutError::File {
                 path: path.clone(),
                 why,
@@ -230,12 +232,12 @@
             for chunk in manifest.chunks.iter().filter(|c| seen.insert(c.digest)) {
                 checked.chunks += 1;
                 checked.bytes += chunk.stored_bytes;
-                let fine = self
-                    .stored(chunk)
+                let result = self
+                    .read_stored(chunk)
                     .and_then(|s| cut::unpack(chunk, &s).map_err(|e| e.to_string()));
                 checked
                     .problems
-                    .extend(fine.err().map(|e| format!("{tag}: {e}")));
+                    .extend(result.err().map(|e| format!("{tag}: {e}")));
             }
         }
         Ok(checked)
--- a/crates/layers/src/manifest.rs
+++ b/crates/layers/src/manifest.rs
@@ -9,8 +9,8 @@
 /// No chunk unpacks to more: it is what a peer may make us hold before its digest and size are checked.
 pub const MAX_CHUNK_BYTES: u64 = 4 << 20;
 /// A stored chunk may be so much longer than what it unpacks to.
-const PACKING_MOST_BYTES: u64 = 1 << 10;
-const CHUNKS_MOST: usize = 20_000;
+const MAX_PACKING_OVERHEAD_BYTES: u64 = 1 << 10;
+const MAX_CHUNKS: usize = 20_000;
 
 pub const MANIFEST_TYPE: &str = "application/vnd.oci.image.manifest.v1+json";
 const MODEL_TYPE: &str = "application/vnd.saltdrum.model.v1";
@@ -19,7 +19,7 @@
 pub const EMPTY_CONFIG: &[u8] = b"{}";
 const PLAIN_TYPE: &str = "application/vnd.saltdrum.chunk.v1";
 const ZSTD_TYPE: &str = "application/vnd.saltdrum.chunk.v1+zstd";
-const BYTES: &str = "saltdrum.chunk.bytes";
+const UNPACKED_BYTES_ANNOTATION: &str = "saltdrum.chunk.bytes";
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Packing {
@@ -48,24 +48,24 @@
     #[error("manifest of {0} bytes: {MAX_MANIFEST_BYTES} are allowed")]
     Oversize(usize),
     #[error("manifest: {0}")]
-    Shape(String),
-    #[error("manifest: {place}: {why}")]
-    Value { place: String, why: String },
+    Malformed(String),
+    #[error("manifest: {field}: {why}")]
+    InvalidField { field: String, why: String },
 }
 
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Written {
+struct ManifestDocument {
     schema_version: u32,
     media_type: String,
     artifact_type: String,
-    config: Blob,
-    layers: Vec<Blob>,
+    config: BlobDescriptor,
+    layers: Vec<BlobDescriptor>,
 }
 
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Blob {
+struct BlobDescriptor {
     media_type: String,
     digest: String,
     size: u64,
@@ -85,7 +85,7 @@
 
     /// As a registry keeps it. The same model gives the same bytes.
     pub fn to_json(&self) -> Vec<u8> {
-        let layer = |c: &Chunk| Blob {
+        let layer = |c: &Chunk| BlobDescriptor {
             media_type: match c.packing {
                 Packing::Plain => PLAIN_TYPE,
                 Packing::Zstd => ZSTD_TYPE,
@@ -93,22 +93,25 @@
             .into(),
             digest: c.digest.to_string(),
             size: c.stored_bytes,
-            annotations: BTreeMap::from([(BYTES.to_owned(), c.bytes.to_string())]),
+            annotations: BTreeMap::from([(
+                UNPACKED_BYTES_ANNOTATION.to_owned(),
+                c.bytes.to_string(),
+            )]),
         };
-        let config = Blob {
+        let config = BlobDescriptor {
             media_type: EMPTY_TYPE.into(),
             digest: Digest::of(EMPTY_CONFIG).to_string(),
             size: EMPTY_CONFIG.len() as u64,
             annotations: BTreeMap::new(),
         };
-        let written = Written {
+        let document = ManifestDocument {
             schema_version: 2,
             media_type: MANIFEST_TYPE.into(),
             artifact_type: MODEL_TYPE.into(),
             config,
             layers: self.chunks.iter().map(layer).collect(),
         };
-        serde_json::to_vec(&written).expect("a manifest is JSON")
+        serde_json::to_vec(&document).expect("a manifest is JSON")
     }
 
     /// Reads what a stranger wrote: sizes are bounded before anything is fetched by them.
@@ -116,59 +119,67 @@
         if bytes.len() > MAX_MANIFEST_BYTES {
             return Err(ManifestError::Oversize(bytes.len()));
         }
-        let written: Written =
-            serde_json::from_slice(bytes).map_err(|e| ManifestError::Shape(e.to_string()))?;
-        let value = |place: &str, why: String| ManifestError::Value {
-            place: place.into(),
+        let document: ManifestDocument =
+            serde_json::from_slice(bytes).map_err(|e| ManifestError::Malformed(e.to_string()))?;
+        let invalid_field = |field: &str, why: String| ManifestError::InvalidField {
+            field: field.into(),
             why,
         };
-        if (written.schema_version, written.media_type.as_str()) != (2, MANIFEST_TYPE) {
-            return Err(value(
+        if (document.schema_version, document.media_type.as_str()) != (2, MANIFEST_TYPE) {
+            return Err(invalid_field(
                 "mediaType",
                 format!("schema 2 and {MANIFEST_TYPE} are expected"),
             ));
         }
-        if written.artifact_type != MODEL_TYPE {
-            let why = format!("'{:.80}': {MODEL_TYPE} is expected", written.artifact_type);
-            return Err(value("artifactType", why));
+        if document.artifact_type != MODEL_TYPE {
+            let why = format!("'{:.80}': {MODEL_TYPE} is expected", document.artifact_type);
+            return Err(invalid_field("artifactType", why));
         }
-        if written.layers.len() > CHUNKS_MOST {
-            return Err(value(
+        if document.layers.len() > MAX_CHUNKS {
+            return Err(invalid_field(
                 "layers",
-                format!("{} chunks: {CHUNKS_MOST} are allowed", written.layers.len()),
+                format!("{} chunks: {MAX_CHUNKS} are allowed", document.layers.len()),
             ));
         }
-        let chunk = |(n, blob): (usize, &Blob)| {
-            let at = |field: &str| format!("layers[{n}].{field}");
+        let chunk = |(n, blob): (usize, &BlobDescriptor)| {
+            let field_path = |field: &str| format!("layers[{n}].{field}");
             let packing = match blob.media_type.as_str() {
                 PLAIN_TYPE => Packing::Plain,
                 ZSTD_TYPE => Packing::Zstd,
                 other => {
-                    return Err(value(
-                        &at("mediaType"),
+                    return Err(invalid_field(
+                        &field_path("mediaType"),
                         format!("'{other:.80}': not a chunk of ours"),
                     ));
                 }
             };
-            let digest: Digest = blob.digest.parse().map_err(|e| value(&at("digest"), e))?;
-            let said = blob.annotations.get(BYTES).map_or("", String::as_str);
-            let bytes: u64 = said.parse().map_err(|_| {
-                value(
-                    &at("annotations"),
-                    format!("{BYTES} '{said:.40}': a number of bytes is expected"),
+            let digest: Digest = blob
+                .digest
+                .parse()
+                .map_err(|e| invalid_field(&field_path("digest"), e))?;
+            let annotation = blob
+                .annotations
+                .get(UNPACKED_BYTES_ANNOTATION)
+                .map_or("", String::as_str);
+            let bytes: u64 = annotation.parse().map_err(|_| {
+                invalid_field(
+                    &field_path("annotations"),
+                    format!("{UNPACKED_BYTES_ANNOTATION} '{annotation:.40}': a number of bytes is expected"),
                 )
             })?;
             if bytes == 0 || bytes > MAX_CHUNK_BYTES {
-                let why = format!("{BYTES} {bytes}: 1 to {MAX_CHUNK_BYTES} are allowed");
-                return Err(value(&at("annotations"), why));
+                let why = format!(
+                    "{UNPACKED_BYTES_ANNOTATION} {bytes}: 1 to {MAX_CHUNK_BYTES} are allowed"
+                );
+                return Err(invalid_field(&field_path("annotations"), why));
             }
-            let fits = match packing {
+            let is_valid_size = match packing {
                 Packing::Plain => blob.size == bytes,
-                Packing::Zstd => blob.size > 0 && blob.size <= bytes + PACKING_MOST_BYTES,
+                Packing::Zstd => blob.size > 0 && blob.size <= bytes + MAX_PACKING_OVERHEAD_BYTES,
             };
-            if !fits {
-                return Err(value(
-                    &at("size"),
+            if !is_valid_size {
+                return Err(invalid_field(
+                    &field_path("size"),
                     format!("{} for a chunk of {bytes} bytes", blob.size),
                 ));
             }
@@ -179,7 +190,7 @@
                 packing,
             })
         };
-        let chunks: Vec<Chunk> = written
+        let chunks: Vec<Chunk> = document
             .layers
             .iter()
             .enumerate()
@@ -188,7 +199,7 @@
         let mut seen: BTreeMap<Digest, &Chunk> = BTreeMap::new();
         for (n, c) in chunks.iter().enumerate() {
             if seen.insert(c.digest, c).is_some_and(|other| other != c) {
-                return Err(value(
+                return Err(invalid_field(
                     &format!("layers[{n}].digest"),
                     "named above with another size".into(),
                 ));
--- a/crates/layers/src/plan/evict.rs
+++ b/crates/layers/src/plan/evict.rs
@@ -4,10 +4,10 @@
 use std::collections::BTreeMap;
 
 /// Fetching from the store again costs so many times what a peer costs.
-pub const STORE_OVER_PEER: f64 = 8.0;
+pub const STORE_COST_FACTOR: f64 = 8.0;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Kept {
+pub struct CachedChunk {
     pub bytes: u64,
     /// What fetching it again would cost: 1 from a peer, more from the store. Never 0.
     pub cost: f64,
@@ -17,33 +17,33 @@
 
 #[derive(Clone, Debug)]
 struct Entry {
-    kept: Kept,
+    chunk: CachedChunk,
     priority: f64,
     /// Among equals the one used longest ago goes first.
-    touched: u64,
+    last_touch: u64,
     /// Loads and standing copies that use it: it is not evicted meanwhile.
     pins: u32,
 }
 
 /// The books of one cache. Bytes in it never exceed `most_bytes`.
 #[derive(Clone, Debug)]
-pub struct Shelf {
-    most_bytes: u64,
+pub struct EvictionPolicy {
+    max_bytes: u64,
     bytes: u64,
     entries: BTreeMap<Digest, Entry>,
     /// The priority of the last that went: all that came since stand above it.
-    floor: f64,
-    touches: u64,
+    priority_floor: f64,
+    touch_count: u64,
 }
 
-impl Shelf {
-    pub fn new(most_bytes: u64) -> Self {
+impl EvictionPolicy {
+    pub fn new(max_bytes: u64) -> Self {
         Self {
-            most_bytes,
+            max_bytes,
             bytes: 0,
             entries: BTreeMap::new(),
-            floor: 0.0,
-            touches: 0,
+            priority_floor: 0.0,
+            touch_count: 0,
         }
     }
 
@@ -51,7 +51,7 @@
         self.bytes
     }
 
-    pub fn holds(&self, digest: &Digest) -> bool {
+    pub fn contains(&self, digest: &Digest) -> bool {
         self.entries.contains_key(digest)
     }
 
@@ -59,71 +59,71 @@
         self.entries.keys()
     }
 
-    fn priority(&self, kept: &Kept) -> f64 {
-        let megabytes = (kept.bytes as f64 / 1e6).max(1e-3);
+    fn priority(&self, chunk: &CachedChunk) -> f64 {
+        let megabytes = (chunk.bytes as f64 / 1e6).max(1e-3);
         // What loads a copy uses its chunks together: size must not decide alone, or large ones would never stay.
-        self.floor + kept.cost * f64::from(kept.sharers.max(1)) / megabytes.sqrt()
+        self.priority_floor + chunk.cost * f64::from(chunk.sharers.max(1)) / megabytes.sqrt()
     }
 
     /// Makes room. Gives who has to go, in order; `None` when it can't stay: too large, or all else is dearer or in use.
-    pub fn admit(&mut self, digest: Digest, kept: Kept) -> Option<Vec<Digest>> {
-        if self.holds(&digest) {
-            self.used(&digest);
+    pub fn admit(&mut self, digest: Digest, chunk: CachedChunk) -> Option<Vec<Digest>> {
+        if self.contains(&digest) {
+            self.touch(&digest);
             return Some(Vec::new());
         }
-        let priority = self.priority(&kept);
-        let mut going = Vec::new();
+        let priority = self.priority(&chunk);
+        let mut evicted = Vec::new();
         let mut freed = 0;
-        if self.bytes + kept.bytes > self.most_bytes {
-            let mut cheap: Vec<(f64, u64, Digest, u64)> = self
+        if self.bytes + chunk.bytes > self.max_bytes {
+            let mut candidates: Vec<(f64, u64, Digest, u64)> = self
                 .entries
                 .iter()
                 .filter(|(_, e)| e.pins == 0)
-                .map(|(d, e)| (e.priority, e.touched, *d, e.kept.bytes))
+                .map(|(d, e)| (e.priority, e.last_touch, *d, e.chunk.bytes))
                 .collect();
-            cheap.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-            for (theirs, _, d, bytes) in cheap {
-                if self.bytes - freed + kept.bytes <= self.most_bytes {
+            candidates.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+            for (candidate_priority, _, d, bytes) in candidates {
+                if self.bytes - freed + chunk.bytes <= self.max_bytes {
                     break;
                 }
-                if theirs > priority {
+                if candidate_priority > priority {
                     return None;
                 }
-                going.push((theirs, d));
+                evicted.push((candidate_priority, d));
                 freed += bytes;
             }
-            if self.bytes - freed + kept.bytes > self.most_bytes {
+            if self.bytes - freed + chunk.bytes > self.max_bytes {
                 return None;
             }
         }
-        for (theirs, d) in &going {
-            self.floor = self.floor.max(*theirs);
+        for (candidate_priority, d) in &evicted {
+            self.priority_floor = self.priority_floor.max(*candidate_priority);
             self.remove(d);
         }
-        let priority = self.priority(&kept);
-        self.bytes += kept.bytes;
-        self.touches += 1;
-        let touched = self.touches;
+        let priority = self.priority(&chunk);
+        self.bytes += chunk.bytes;
+        self.touch_count += 1;
+        let last_touch = self.touch_count;
         self.entries.insert(
             digest,
             Entry {
-                kept,
+                chunk,
                 priority,
-                touched,
+                last_touch,
                 pins: 0,
             },
         );
-        Some(going.into_iter().map(|(_, d)| d).collect())
+        Some(evicted.into_iter().map(|(_, d)| d).collect())
     }
 
-    pub fn used(&mut self, digest: &Digest) {
-        let Some(kept) = self.entries.get(digest).map(|e| e.kept) else {
+    pub fn touch(&mut self, digest: &Digest) {
+        let Some(chunk) = self.entries.get(digest).map(|e| e.chunk) else {
             return;
         };
-        let priority = self.priority(&kept);
-        self.touches += 1;
+        let priority = self.priority(&chunk);
+        self.touch_count += 1;
         let e = self.entries.get_mut(digest).expect("it was just there");
-        (e.priority, e.touched) = (priority, self.touches);
+        (e.priority, e.last_touch) = (priority, self.touch_count);
     }
 
     pub fn pin(&mut self, digest: &Digest) {
@@ -136,7 +136,7 @@
         if let Some(e) = self.entries.get_mut(digest) {
             e.pins = e.pins.saturating_sub(1);
         }
-        self.used(digest);
+        self.touch(digest);
     }
 
     /// Nobody can use it any more, though it keeps its place.
@@ -149,7 +149,7 @@
     /// It is gone, or turned out damaged.
     pub fn remove(&mut self, digest: &Digest) {
         if let Some(e) = self.entries.remove(digest) {
-            self.bytes -= e.kept.bytes;
+            self.bytes -= e.chunk.bytes;
         }
     }
 }
--- a/crates/layers/src/plan/homes.rs
+++ b/crates/layers/src/plan/homes.rs
@@ -4,7 +4,7 @@
 use saltdrum::interface::InvokerId;
 
 /// So many invokers are asked for a chunk before the store is.
-pub const HOMES: usize = 2;
+pub const HOMES_PER_CHUNK: usize = 2;
 
 /// An invoker as its list has it.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -19,7 +19,7 @@
 }
 
 /// A hash of both, the same at everybody, as a number in (0, 1).
-fn unit(chunk: u64, invoker: InvokerId, salt: u64) -> f64 {
+fn unit_hash(chunk: u64, invoker: InvokerId, salt: u64) -> f64 {
     let mut x = chunk ^ (u64::from(invoker).wrapping_add(salt)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -28,16 +28,16 @@
 
 /// The chunk's homes, first choice first. Larger invokers are home to more.
 pub fn homes(chunk: &Digest, members: &[Member]) -> Vec<InvokerId> {
-    let lead = chunk.lead();
-    let mut best: Vec<(f64, InvokerId)> = Vec::with_capacity(HOMES + 1);
+    let prefix = chunk.prefix();
+    let mut best: Vec<(f64, InvokerId)> = Vec::with_capacity(HOMES_PER_CHUNK + 1);
     for m in members.iter().filter(|m| {
-        m.ready && (m.capacity_share >= 1.0 || unit(lead, m.invoker, 77) < m.capacity_share)
+        m.ready && (m.capacity_share >= 1.0 || unit_hash(prefix, m.invoker, 77) < m.capacity_share)
     }) {
-        let score = -unit(lead, m.invoker, 0).ln() / m.size.max(0.01);
+        let score = -unit_hash(prefix, m.invoker, 0).ln() / m.size.max(0.01);
         let at = best.partition_point(|b| (b.0, b.1) < (score, m.invoker));
-        if at < HOMES {
+        if at < HOMES_PER_CHUNK {
             best.insert(at, (score, m.invoker));
-            best.truncate(HOMES);
+            best.truncate(HOMES_PER_CHUNK);
         }
     }
     best.into_iter().map(|(_, invoker)| invoker).collect()
--- a/crates/layers/src/plan/limit.rs
+++ b/crates/layers/src/plan/limit.rs
@@ -3,91 +3,98 @@
 use saltdrum::interface::{MILLISECOND, Ticks};
 
 /// A second refusal within this time tells of the same crowd.
-const SAME_CROWD: Ticks = 100 * MILLISECOND;
+const SAME_OVERLOAD_PERIOD: Ticks = 100 * MILLISECOND;
 /// An answer that takes so many times the quickest seen tells of a crowd before it refuses.
-const SLOW: f64 = 4.0;
+const SLOWDOWN_FACTOR: f64 = 4.0;
 
 /// Growth near the brink, in parts of that below it.
-const AT_BRINK: f64 = 0.03;
+const GROWTH_NEAR_THRESHOLD: f64 = 0.03;
 
 /// Grows by one for each window that went well, halves at a refusal, shrinks a little at slowness.
 #[derive(Clone, Debug)]
-pub struct Limit {
+pub struct ConcurrencyLimit {
     window: f64,
-    least: f64,
-    most: f64,
+    min_window: f64,
+    max_window: f64,
     /// The window at the last refusal: from there on it is felt for slowly.
-    brink: f64,
-    out: usize,
-    shrunk: Option<Ticks>,
+    threshold: f64,
+    in_flight: usize,
+    shrunk_at: Option<Ticks>,
     closed_until: Ticks,
     /// Time a KiB, the quickest seen; it fades up, so that one lucky answer does not judge for ever.
-    quickest: Option<f64>,
+    fastest_pace: Option<f64>,
 }
 
-impl Limit {
-    pub fn new(first: f64, most: f64) -> Self {
+impl ConcurrencyLimit {
+    pub fn new(first: f64, max_window: f64) -> Self {
         Self {
             window: first,
-            least: 1.0,
-            most,
-            brink: f64::INFINITY,
-            out: 0,
-            shrunk: None,
+            min_window: 1.0,
+            max_window,
+            threshold: f64::INFINITY,
+            in_flight: 0,
+            shrunk_at: None,
             closed_until: 0,
-            quickest: None,
+            fastest_pace: None,
         }
     }
 
-    pub fn may_ask(&self, now: Ticks) -> bool {
-        now >= self.closed_until && (self.out as f64) < self.window.floor().max(self.least)
+    pub fn has_capacity(&self, now: Ticks) -> bool {
+        now >= self.closed_until
+            && (self.in_flight as f64) < self.window.floor().max(self.min_window)
     }
 
     /// When it opens again, if a refusal closed it.
-    pub fn opens(&self, now: Ticks) -> Option<Ticks> {
+    pub fn reopens_at(&self, now: Ticks) -> Option<Ticks> {
         (now < self.closed_until).then_some(self.closed_until)
     }
 
-    pub fn asked(&mut self) {
-        self.out += 1;
+    pub fn request_sent(&mut self) {
+        self.in_flight += 1;
     }
 
     /// What was asked has ended in some way that says nothing of a crowd.
-    pub fn ended(&mut self) {
-        debug_assert!(self.out > 0, "more ends than asks");
-        self.out = self.out.saturating_sub(1);
+    pub fn request_ended(&mut self) {
+        debug_assert!(self.in_flight > 0, "more ends than asks");
+        self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    pub fn went_well(&mut self, now: Ticks, took: Ticks, bytes: u64) {
-        self.ended();
+    pub fn request_succeeded(&mut self, now: Ticks, took: Ticks, bytes: u64) {
+        self.request_ended();
         let pace = took as f64 / (bytes as f64 / 1_024.0).max(1.0);
-        let quickest = self.quickest.map_or(pace, |q| (q * 1.02).min(pace));
-        self.quickest = Some(quickest);
-        if pace > SLOW * quickest {
+        let fastest_pace = self.fastest_pace.map_or(pace, |q| (q * 1.02).min(pace));
+        self.fastest_pace = Some(fastest_pace);
+        if pace > SLOWDOWN_FACTOR * fastest_pace {
             self.shrink(now, 0.9);
         } else {
-            let step = if self.window + 1.0 >= self.brink {
-                AT_BRINK
+            let step = if self.window + 1.0 >= self.threshold {
+                GROWTH_NEAR_THRESHOLD
             } else {
                 1.0
             };
-            self.window = (self.window + step / self.window).min(self.most);
+            self.window = (self.window + step / self.window).min(self.max_window);
         }
     }
 
-    pub fn refused(&mut self, now: Ticks, come_back: Ticks) {
-        self.ended();
-        self.closed_until = self.closed_until.max(now + come_back);
-        if self.shrunk.is_none_or(|at| now >= at + SAME_CROWD) {
-            self.brink = self.window;
+    pub fn request_refused(&mut self, now: Ticks, retry_after: Ticks) {
+        self.request_ended();
+        self.closed_until = self.closed_until.max(now + retry_after);
+        if self
+            .shrunk_at
+            .is_none_or(|at| now >= at + SAME_OVERLOAD_PERIOD)
+        {
+            self.threshold = self.window;
             self.shrink(now, 0.5);
         }
     }
 
     fn shrink(&mut self, now: Ticks, by: f64) {
-        if self.shrunk.is_none_or(|at| now >= at + SAME_CROWD) {
-            self.window = (self.window * by).max(self.least);
-            self.shrunk = Some(now);
+        if self
+            .shrunk_at
+            .is_none_or(|at| now >= at + SAME_OVERLOAD_PERIOD)
+        {
+            self.window = (self.window * by).max(self.min_window);
+            self.shrunk_at = Some(now);
         }
     }
 }
@@ -100,14 +107,14 @@
     #[test]
     fn several_share_a_source_about_evenly_and_waste_little() {
         let (capacity, mut rng) = (12usize, fastrand::Rng::with_seed(1));
-        let mut limits = vec![Limit::new(4.0, 64.0); 6];
+        let mut limits = vec![ConcurrencyLimit::new(4.0, 64.0); 6];
         let mut under_way: Vec<(Ticks, usize)> = Vec::new();
         let (mut served, mut refused) = (vec![0u32; 6], 0u32);
         for now in (0..600_000).step_by(10) {
             under_way.retain(|(until, who)| {
                 let over = *until <= now;
                 if over {
-                    limits[*who].went_well(now, 500, 1 << 20);
+                    limits[*who].request_succeeded(now, 500, 1 << 20);
                     served[*who] += 1;
                 }
                 !over
@@ -115,13 +122,13 @@
             for turn in 0..limits.len() {
                 // Nobody is always the first to see a free place.
                 let who = (turn + rng.usize(..6)) % limits.len();
-                while limits[who].may_ask(now) {
-                    limits[who].asked();
+                while limits[who].has_capacity(now) {
+                    limits[who].request_sent();
                     if under_way.len() < capacity {
                         under_way.push((now + rng.u64(400..600), who));
                     } else {
                         refused += 1;
-                        limits[who].refused(now, rng.u64(200..400));
+                        limits[who].request_refused(now, rng.u64(200..400));
                     }
                 }
             }
@@ -138,21 +145,24 @@
 
     #[test]
     fn one_crowd_halves_once_and_come_back_is_honoured() {
-        let mut l = Limit::new(8.0, 64.0);
-        (0..8).for_each(|_| l.asked());
-        (0..8).for_each(|_| l.refused(1_000, 700));
-        assert!(!l.may_ask(1_699) && l.opens(1_699) == Some(1_700));
+        let mut l = ConcurrencyLimit::new(8.0, 64.0);
+        (0..8).for_each(|_| l.request_sent());
+        (0..8).for_each(|_| l.request_refused(1_000, 700));
+        assert!(!l.has_capacity(1_699) && l.reopens_at(1_699) == Some(1_700));
         (0..4).for_each(|_| {
-            assert!(l.may_ask(1_700));
-            l.asked();
+            assert!(l.has_capacity(1_700));
+            l.request_sent();
         });
-        assert!(!l.may_ask(1_700), "half of eight");
-        let mut l = Limit::new(8.0, 64.0);
-        (0..8).for_each(|_| l.asked());
-        l.refused(1_000, 0);
-        (0..3).for_each(|_| l.went_well(1_000, 100, 1 << 20));
-        assert!(!l.may_ask(1_000), "half of eight, and four are still out");
-        l.went_well(1_000, 100, 1 << 20);
-        assert!(l.may_ask(1_000));
+        assert!(!l.has_capacity(1_700), "half of eight");
+        let mut l = ConcurrencyLimit::new(8.0, 64.0);
+        (0..8).for_each(|_| l.request_sent());
+        l.request_refused(1_000, 0);
+        (0..3).for_each(|_| l.request_succeeded(1_000, 100, 1 << 20));
+        assert!(
+            !l.has_capacity(1_000),
+            "half of eight, and four are still out"
+        );
+        l.request_succeeded(1_000, 100, 1 << 20);
+        assert!(l.has_capacity(1_000));
     }
 }
--- a/crates/layers/src/plan/mod.rs
+++ b/crates/layers/src/plan/mod.rs
@@ -10,9 +10,9 @@
 mod serve;
 mod suspect;
 
-pub use evict::{Kept, STORE_OVER_PEER, Shelf};
-pub use fetch::{Ask, Ended, Fetcher, LoadId, Need, Next, Source};
-pub use homes::{HOMES, Member, homes};
-pub use limit::Limit;
-pub use serve::{Serving, Verdict};
-pub use suspect::Suspects;
+pub use evict::{CachedChunk, EvictionPolicy, STORE_COST_FACTOR};
+pub use fetch::{FetchActions, FetchOutcome, FetchRequest, Fetcher, LoadId, MissingChunk, Source};
+pub use homes::{HOMES_PER_CHUNK, Member, homes};
+pub use limit::ConcurrencyLimit;
+pub use serve::{UploadDecision, UploadScheduler};
+pub use suspect::SuspectSources;
--- a/crates/layers/tests/cache.rs
+++ b/crates/layers/tests/cache.rs
@@ -14,11 +14,11 @@
 
 /// After so many writes everything fails, and the last one is done by half: what a kill, or power, leaves behind.
 #[derive(Clone, Debug)]
-struct Dying {
+struct FailingAfter {
     left: Arc<AtomicI64>,
 }
 
-impl Dying {
+impl FailingAfter {
     /// Writes left, this one included.
     fn next(&self) -> i64 {
         self.left.fetch_sub(1, SeqCst)
@@ -37,7 +37,7 @@
     }
 }
 
-impl Disk for Dying {
+impl Disk for FailingAfter {
     fn create_dir_all(&self, path: &Path) -> io::Result<()> {
         RealDisk.create_dir_all(path)
     }
@@ -68,20 +68,20 @@
             .truncate(false)
             .open(path)?;
         let file = FileBackend::new(file)?;
-        Database::builder().create_with_backend(DyingIndex {
+        Database::builder().create_with_backend(FailingIndex {
             file,
-            dying: self.clone(),
+            disk: self.clone(),
         })
     }
 }
 
 #[derive(Debug)]
-struct DyingIndex {
+struct FailingIndex {
     file: FileBackend,
-    dying: Dying,
+    disk: FailingAfter,
 }
 
-impl StorageBackend for DyingIndex {
+impl StorageBackend for FailingIndex {
     fn len(&self) -> Result<u64, io::Error> {
         self.file.len()
     }
@@ -89,27 +89,27 @@
         self.file.read(offset, out)
     }
     fn set_len(&self, len: u64) -> Result<(), io::Error> {
-        if self.dying.next() > 0 {
+        if self.disk.next() > 0 {
             self.file.set_len(len)
         } else {
-            Err(Dying::gone())
+            Err(FailingAfter::gone())
         }
     }
     fn sync_data(&self) -> Result<(), io::Error> {
-        if self.dying.next() > 0 {
+        if self.disk.next() > 0 {
             self.file.sync_data()
         } else {
-            Err(Dying::gone())
+            Err(FailingAfter::gone())
         }
     }
     fn write(&self, offset: u64, data: &[u8]) -> Result<(), io::Error> {
-        match self.dying.next() {
+        match self.disk.next() {
             2.. => self.file.write(offset, data),
             1 => self
                 .file
                 .write(offset, &data[..data.len() / 2])
-                .and(Err(Dying::gone())),
-            _ => Err(Dying::gone()),
+                .and(Err(FailingAfter::gone())),
+            _ => Err(FailingAfter::gone()),
         }
     }
 }
@@ -131,7 +131,7 @@
 }
 
 /// A day in a cache's life: twelve chunks through a cache that holds eight, some read again. Gives those kept and said so.
-fn live(cache: &Cache) -> Vec<u32> {
+fn exercise(cache: &Cache) -> Vec<u32> {
     let mut kept = Vec::new();
     for n in 0..12 {
         let (c, bytes) = chunk(n);
@@ -143,26 +143,26 @@
             cache.sync();
         }
     }
-    kept.retain(|n| cache.holds(&chunk(*n).0.digest));
+    kept.retain(|n| cache.contains(&chunk(*n).0.digest));
     kept
 }
 
-const MOST: u64 = 8 * 2_100;
+const MAX_BYTES: u64 = 8 * 2_100;
 
 #[test]
 fn killed_at_any_write_it_comes_back_with_what_was_whole() {
     let mut survived = 0;
     for killed_at in 0.. {
         let folder = tempfile::tempdir().unwrap();
-        let dying = Dying {
+        let disk = FailingAfter {
             left: Arc::new(AtomicI64::new(killed_at)),
         };
-        let kept = Cache::open(folder.path(), MOST, Rc::new(dying.clone()))
-            .map(|c| live(&c))
+        let kept = Cache::open(folder.path(), MAX_BYTES, Rc::new(disk.clone()))
+            .map(|c| exercise(&c))
             .unwrap_or_default();
-        let done = dying.left.load(SeqCst) > 0;
-        let back = Cache::open(folder.path(), MOST, Rc::new(RealDisk)).unwrap();
-        assert!(back.bytes() <= MOST);
+        let done = disk.left.load(SeqCst) > 0;
+        let back = Cache::open(folder.path(), MAX_BYTES, Rc::new(RealDisk)).unwrap();
+        assert!(back.bytes() <= MAX_BYTES);
         let parts = fs::read_dir(folder.path().join("chunks")).unwrap();
         assert_eq!(
             parts.count(),
@@ -171,7 +171,7 @@
         );
         for n in 0..12 {
             let (c, bytes) = chunk(n);
-            let held = back.holds(&c.digest);
+            let held = back.contains(&c.digest);
             let got = back.get(&c);
             assert!(
                 got.as_ref().is_none_or(|g| *g == bytes),
@@ -188,7 +188,7 @@
             survived += u32::from(got.is_some());
         }
         // It goes on as if nothing had been.
-        let again = live(&back);
+        let again = exercise(&back);
         assert!(again.len() >= 7, "{again:?}");
         if done {
             assert!(killed_at > 60, "{killed_at} writes");
@@ -201,20 +201,20 @@
 #[test]
 fn what_changed_on_disk_is_never_served_and_is_fetched_again() {
     let folder = tempfile::tempdir().unwrap();
-    let cache = Cache::open(folder.path(), MOST, Rc::new(RealDisk)).unwrap();
+    let cache = Cache::open(folder.path(), MAX_BYTES, Rc::new(RealDisk)).unwrap();
     for n in 0..4 {
         let (c, bytes) = chunk(n);
         assert_eq!(cache.put(&c, &bytes, 8.0, 1), Ok(true));
     }
     let path = |n| folder.path().join("chunks").join(chunk(n).0.digest.hex());
-    let mut bent = fs::read(path(0)).unwrap();
-    bent[77] ^= 4;
-    fs::write(path(0), &bent).unwrap();
-    fs::write(path(1), &bent[..100]).unwrap();
+    let mut corrupted = fs::read(path(0)).unwrap();
+    corrupted[77] ^= 4;
+    fs::write(path(0), &corrupted).unwrap();
+    fs::write(path(1), &corrupted[..100]).unwrap();
     fs::remove_file(path(2)).unwrap();
     for n in 0..3 {
         assert_eq!(cache.get(&chunk(n).0), None, "{n}");
-        assert!(!cache.holds(&chunk(n).0.digest));
+        assert!(!cache.contains(&chunk(n).0.digest));
     }
     assert_eq!(
         (cache.counts.damaged.get(), cache.counts.misses.get()),
@@ -223,7 +223,7 @@
     assert!(cache.get(&chunk(3).0).is_some());
     let (c, bytes) = chunk(0);
     assert!(
-        cache.put(&c, &bent, 1.0, 1).is_err(),
+        cache.put(&c, &corrupted, 1.0, 1).is_err(),
         "damaged bytes are not taken in either"
     );
     assert_eq!(cache.put(&c, &bytes, 1.0, 1), Ok(true));
@@ -234,14 +234,14 @@
         b"nonsense, and more of it",
     )
     .unwrap();
-    let cache = Cache::open(folder.path(), MOST, Rc::new(RealDisk)).unwrap();
+    let cache = Cache::open(folder.path(), MAX_BYTES, Rc::new(RealDisk)).unwrap();
     assert_eq!(cache.counts.index_rebuilt.get(), 1);
     assert!(cache.get(&chunk(0).0).is_some() && cache.get(&chunk(3).0).is_some());
 }
 
-struct Full;
+struct FullDisk;
 
-impl Disk for Full {
+impl Disk for FullDisk {
     fn create_dir_all(&self, path: &Path) -> io::Result<()> {
         RealDisk.create_dir_all(path)
     }
@@ -269,16 +269,16 @@
 fn a_full_or_unreadable_disk_costs_fetches_and_nothing_else() {
     let folder = tempfile::tempdir().unwrap();
     let (c, bytes) = chunk(1);
-    Cache::open(folder.path(), MOST, Rc::new(RealDisk))
+    Cache::open(folder.path(), MAX_BYTES, Rc::new(RealDisk))
         .unwrap()
         .put(&c, &bytes, 1.0, 1)
         .unwrap();
-    let cache = Cache::open(folder.path(), MOST, Rc::new(Full)).unwrap();
+    let cache = Cache::open(folder.path(), MAX_BYTES, Rc::new(FullDisk)).unwrap();
     assert_eq!(cache.get(&c), None);
     let (other, bytes) = chunk(2);
     assert_eq!(cache.put(&other, &bytes, 1.0, 1), Ok(false));
-    assert!(!cache.holds(&other.digest) && cache.counts.not_kept.get() == 1);
-    let cache = Cache::open(folder.path(), MOST, Rc::new(RealDisk)).unwrap();
+    assert!(!cache.contains(&other.digest) && cache.counts.not_cached.get() == 1);
+    let cache = Cache::open(folder.path(), MAX_BYTES, Rc::new(RealDisk)).unwrap();
     assert!(
         cache.get(&c).is_some(),
         "it was only unreadable for a while"
@@ -288,9 +288,9 @@
 
 /// While it fails, nothing is brought to disk, and nothing can be removed: EIO for a while.
 #[derive(Clone, Default)]
-struct Failing(Rc<Cell<bool>>);
+struct FlakyDisk(Rc<Cell<bool>>);
 
-impl Failing {
+impl FlakyDisk {
     fn or(&self, then: impl FnOnce() -> io::Result<()>) -> io::Result<()> {
         if self.0.get() {
             Err(io::Error::from_raw_os_error(5))
@@ -300,7 +300,7 @@
     }
 }
 
-impl Disk for Failing {
+impl Disk for FlakyDisk {
     fn create_dir_all(&self, path: &Path) -> io::Result<()> {
         RealDisk.create_dir_all(path)
     }
@@ -338,8 +338,8 @@
 #[test]
 fn a_disk_that_fails_a_while_never_makes_the_cache_outgrow_its_bound() {
     let folder = tempfile::tempdir().unwrap();
-    let disk = Failing::default();
-    let cache = Cache::open(folder.path(), MOST, Rc::new(disk.clone())).unwrap();
+    let disk = FlakyDisk::default();
+    let cache = Cache::open(folder.path(), MAX_BYTES, Rc::new(disk.clone())).unwrap();
     // Later ones are dearer, so that they are worth the place of those before.
     let put = |n: u32| {
         cache
@@ -354,8 +354,8 @@
     }
     let one = chunk(140).0.stored_bytes;
     assert!(
-        bytes_in(folder.path()) <= MOST + one,
-        "{} bytes of {MOST}",
+        bytes_in(folder.path()) <= MAX_BYTES + one,
+        "{} bytes of {MAX_BYTES}",
         bytes_in(folder.path())
     );
     disk.0.set(false);
@@ -364,21 +364,21 @@
         assert!(cache.get(&chunk(200 + n).0).is_some());
     }
     assert!(
-        bytes_in(folder.path()) <= MOST,
-        "{} bytes of {MOST}",
+        bytes_in(folder.path()) <= MAX_BYTES,
+        "{} bytes of {MAX_BYTES}",
         bytes_in(folder.path())
     );
     // What could not be read for a while is fetched and kept again, and evicted like any other.
     let (c, bytes) = chunk(219);
     disk.0.set(true);
-    assert!(cache.get(&c).is_none() && !cache.holds(&c.digest));
+    assert!(cache.get(&c).is_none() && !cache.contains(&c.digest));
     disk.0.set(false);
     assert_eq!(cache.put(&c, &bytes, 219.0, 1), Ok(true));
     assert!(cache.get(&c).is_some());
     assert!((300..320).all(put));
     assert!(
-        bytes_in(folder.path()) <= MOST,
-        "{} bytes of {MOST}",
+        bytes_in(folder.path()) <= MAX_BYTES,
+        "{} bytes of {MAX_BYTES}",
         bytes_in(folder.path())
     );
 }
--- a/crates/layers/tests/herd.rs
+++ b/crates/layers/tests/herd.rs
@@ -3,16 +3,18 @@
 
 use saltdrum::interface::{InvokerId, MILLISECOND, SECOND, Ticks};
 use saltdrum_layers::Digest;
-use saltdrum_layers::plan::{Ended, Fetcher, Member, Need, Serving, Source, Verdict};
+use saltdrum_layers::plan::{
+    FetchOutcome, Fetcher, Member, MissingChunk, Source, UploadDecision, UploadScheduler,
+};
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 
-const CHUNK: u64 = 1 << 20;
-const WAY: Ticks = 3;
-const TRANSFER: Ticks = 15 * MILLISECOND;
+const CHUNK_BYTES: u64 = 1 << 20;
+const ONE_WAY_DELAY: Ticks = 3;
+const TRANSFER_TIME: Ticks = 15 * MILLISECOND;
 
-type Due = Box<dyn FnOnce(&mut World)>;
+type Action = Box<dyn FnOnce(&mut World)>;
 
-struct Event(Ticks, u64, Due);
+struct Event(Ticks, u64, Action);
 
 impl PartialEq for Event {
     fn eq(&self, other: &Self) -> bool {
@@ -33,18 +35,18 @@
 
 struct Node {
     fetcher: Fetcher,
-    serving: Serving,
+    uploads: UploadScheduler,
     held: BTreeSet<Digest>,
     /// Requests whose chunk is here, in line for a slot.
-    line: VecDeque<(InvokerId, u64)>,
+    queue: VecDeque<(InvokerId, u64)>,
     /// Peers whose request waits for our own fetch.
-    owed: BTreeMap<Digest, Vec<(InvokerId, u64)>>,
-    alive: bool,
-    hangs: bool,
-    draining: bool,
-    damages: bool,
+    waiting_peers: BTreeMap<Digest, Vec<(InvokerId, u64)>>,
+    is_alive: bool,
+    is_hung: bool,
+    is_draining: bool,
+    sends_corrupt: bool,
     wake: Ticks,
-    done: Option<Ticks>,
+    finished_at: Option<Ticks>,
 }
 
 struct World {
@@ -54,13 +56,13 @@
     nodes: BTreeMap<InvokerId, Node>,
     /// Fetches under way, those beyond which it refuses, and those beyond which it slows down.
     store: (usize, usize, f64),
-    refuses: f64,
+    refusal_share: f64,
     refuses_until: Ticks,
-    damaged: BTreeSet<Digest>,
+    corrupt: BTreeSet<Digest>,
     requests: BTreeMap<Digest, u32>,
     refused: u32,
     from_peers: u32,
-    used_damaged: u32,
+    accepted_corrupt: u32,
     rng: fastrand::Rng,
 }
 
@@ -75,11 +77,11 @@
         .collect()
 }
 
-fn model(name: u32, chunks: u32) -> Vec<Need> {
+fn model(name: u32, chunks: u32) -> Vec<MissingChunk> {
     (0..chunks)
-        .map(|c| Need {
+        .map(|c| MissingChunk {
             digest: Digest::of(format!("{name}/{c}").as_bytes()),
-            bytes: CHUNK,
+            bytes: CHUNK_BYTES,
         })
         .collect()
 }
@@ -88,19 +90,19 @@
     fn new(n: u32, seed: u64) -> Self {
         let node = |id: InvokerId| {
             let mut fetcher = Fetcher::new(id, seed ^ u64::from(id));
-            fetcher.listed(members(1..=n));
+            fetcher.set_members(members(1..=n));
             Node {
                 fetcher,
-                serving: Serving::new(0, 200e6),
+                uploads: UploadScheduler::new(0, 200e6),
                 held: BTreeSet::new(),
-                line: VecDeque::new(),
-                owed: BTreeMap::new(),
-                alive: true,
-                hangs: false,
-                draining: false,
-                damages: false,
+                queue: VecDeque::new(),
+                waiting_peers: BTreeMap::new(),
+                is_alive: true,
+                is_hung: false,
+                is_draining: false,
+                sends_corrupt: false,
                 wake: 0,
-                done: None,
+                finished_at: None,
             }
         };
         Self {
@@ -109,191 +111,211 @@
             events: BinaryHeap::new(),
             nodes: (1..=n).map(|id| (id, node(id))).collect(),
             store: (0, 64, 12.0),
-            refuses: 0.0,
+            refusal_share: 0.0,
             refuses_until: 0,
-            damaged: BTreeSet::new(),
+            corrupt: BTreeSet::new(),
             requests: BTreeMap::new(),
             refused: 0,
             from_peers: 0,
-            used_damaged: 0,
+            accepted_corrupt: 0,
             rng: fastrand::Rng::with_seed(seed),
         }
     }
 
-    fn at(&mut self, after: Ticks, due: impl FnOnce(&mut World) + 'static) {
+    fn at(&mut self, after: Ticks, action: impl FnOnce(&mut World) + 'static) {
         self.seq += 1;
         self.events
-            .push(Event(self.now + after, self.seq, Box::new(due)));
+            .push(Event(self.now + after, self.seq, Box::new(action)));
     }
 
-    fn want(&mut self, after: Ticks, id: InvokerId, load: u64, needs: Vec<Need>) {
+    fn start_load(&mut self, after: Ticks, id: InvokerId, load: u64, chunks: Vec<MissingChunk>) {
         self.at(after, move |w| {
             let now = w.now;
             let node = w.nodes.get_mut(&id).unwrap();
-            if !node.alive {
+            if !node.is_alive {
                 return;
             }
-            let missing: Vec<Need> = needs
+            let missing: Vec<MissingChunk> = chunks
                 .into_iter()
                 .filter(|n| !node.held.contains(&n.digest))
                 .collect();
-            if node.fetcher.want(now, load, &missing) {
-                node.done = Some(now);
+            if node.fetcher.start_load(now, load, &missing) {
+                node.finished_at = Some(now);
             }
-            w.go_on(id);
+            w.advance(id);
         });
     }
 
-    fn go_on(&mut self, id: InvokerId) {
+    fn advance(&mut self, id: InvokerId) {
         let now = self.now;
         let node = self.nodes.get_mut(&id).unwrap();
-        if !node.alive {
+        if !node.is_alive {
             return;
         }
-        let next = node.fetcher.next(now);
-        if let Some(wake) = next.wake {
+        let next = node.fetcher.next_actions(now);
+        if let Some(wake) = next.wake_at {
             assert!(wake > now, "a wake that is due would never end");
             if node.wake <= now || wake < node.wake {
                 node.wake = wake;
                 self.at(wake - now, move |w| {
                     if w.nodes[&id].wake == w.now {
-                        w.go_on(id);
+                        w.advance(id);
                     }
                 });
             }
         }
-        for ask in next.asks {
-            let (digest, attempt) = (ask.digest, ask.attempt);
-            match ask.source {
-                Source::Store => self.at(WAY, move |w| w.ask_store(id, attempt, digest)),
-                Source::Peer(peer) => self.at(WAY, move |w| w.ask_peer(id, attempt, digest, peer)),
+        for request in next.requests {
+            let (digest, attempt) = (request.digest, request.attempt);
+            match request.source {
+                Source::Store => self.at(ONE_WAY_DELAY, move |w| {
+                    w.request_from_store(id, attempt, digest)
+                }),
+                Source::Peer(peer) => self.at(ONE_WAY_DELAY, move |w| {
+                    w.request_from_peer(id, attempt, digest, peer)
+                }),
             }
         }
     }
 
-    fn ask_store(&mut self, id: InvokerId, attempt: u64, digest: Digest) {
+    fn request_from_store(&mut self, id: InvokerId, attempt: u64, digest: Digest) {
         *self.requests.entry(digest).or_default() += 1;
-        let refuses = self.now < self.refuses_until && self.rng.f64() < self.refuses;
-        if refuses || self.store.0 >= self.store.1 {
+        let refusal_share = self.now < self.refuses_until && self.rng.f64() < self.refusal_share;
+        if refusal_share || self.store.0 >= self.store.1 {
             self.refused += 1;
-            return self.at(WAY, move |w| {
-                w.told(id, attempt, Ended::Refused(200 * MILLISECOND))
+            return self.at(ONE_WAY_DELAY, move |w| {
+                w.request_ended(id, attempt, FetchOutcome::Refused(200 * MILLISECOND))
             });
         }
         self.store.0 += 1;
         let crowd = (self.store.0 as f64 / self.store.2).max(1.0);
-        self.at((TRANSFER as f64 * 2.0 * crowd) as Ticks, move |w| {
+        self.at((TRANSFER_TIME as f64 * 2.0 * crowd) as Ticks, move |w| {
             w.store.0 -= 1;
-            let bad = w.damaged.contains(&digest);
-            w.told(id, attempt, if bad { Ended::Damaged } else { Ended::Well });
+            let bad = w.corrupt.contains(&digest);
+            w.request_ended(
+                id,
+                attempt,
+                if bad {
+                    FetchOutcome::Corrupt
+                } else {
+                    FetchOutcome::Succeeded
+                },
+            );
         });
     }
 
-    fn ask_peer(&mut self, id: InvokerId, attempt: u64, digest: Digest, peer: InvokerId) {
+    fn request_from_peer(&mut self, id: InvokerId, attempt: u64, digest: Digest, peer: InvokerId) {
         let now = self.now;
         let node = self.nodes.get_mut(&peer).unwrap();
-        if !node.alive {
+        if !node.is_alive {
             return self.at(250 * MILLISECOND, move |w| {
-                w.told(id, attempt, Ended::Broken)
+                w.request_ended(id, attempt, FetchOutcome::Failed)
             });
         }
-        if node.hangs {
+        if node.is_hung {
             return;
         }
         let held = node.held.contains(&digest);
         let home = node.fetcher.is_home(&digest);
-        match node.serving.asked(held, home, node.draining) {
-            Verdict::InLine => {
-                node.line.push_back((id, attempt));
-                self.send_on(peer);
+        match node.uploads.admit(held, home, node.is_draining) {
+            UploadDecision::Queued => {
+                node.queue.push_back((id, attempt));
+                self.start_transfers(peer);
             }
-            Verdict::FetchAndServe => {
-                node.owed.entry(digest).or_default().push((id, attempt));
-                node.fetcher.want(
+            UploadDecision::FetchAndServe => {
+                node.waiting_peers
+                    .entry(digest)
+                    .or_default()
+                    .push((id, attempt));
+                node.fetcher.start_load(
                     now,
-                    digest.lead() | 1 << 63,
-                    &[Need {
+                    digest.prefix() | 1 << 63,
+                    &[MissingChunk {
                         digest,
-                        bytes: CHUNK,
+                        bytes: CHUNK_BYTES,
                     }],
                 );
-                self.go_on(peer);
+                self.advance(peer);
             }
-            Verdict::Later(wait) => {
-                self.at(WAY, move |w| w.told(id, attempt, Ended::Refused(wait)))
-            }
-            Verdict::Absent => self.at(WAY, move |w| w.told(id, attempt, Ended::Absent)),
+            UploadDecision::RetryLater(wait) => self.at(ONE_WAY_DELAY, move |w| {
+                w.request_ended(id, attempt, FetchOutcome::Refused(wait))
+            }),
+            UploadDecision::NotFound => self.at(ONE_WAY_DELAY, move |w| {
+                w.request_ended(id, attempt, FetchOutcome::NotFound)
+            }),
         }
     }
 
-    fn send_on(&mut self, from: InvokerId) {
+    fn start_transfers(&mut self, from: InvokerId) {
         let now = self.now;
         let node = self.nodes.get_mut(&from).unwrap();
-        while !node.line.is_empty() && node.serving.may_send(now, CHUNK, 1.0, 0.3) {
-            let (to, attempt) = node.line.pop_front().unwrap();
+        while !node.queue.is_empty() && node.uploads.try_start(now, CHUNK_BYTES, 1.0, 0.3) {
+            let (to, attempt) = node.queue.pop_front().unwrap();
             self.seq += 1;
             let sent = move |w: &mut World| {
                 let node = w.nodes.get_mut(&from).unwrap();
-                node.serving.ended();
-                let how = match (node.alive, node.damages) {
-                    (false, _) => Ended::Broken,
-                    (true, true) => Ended::Damaged,
-                    (true, false) => Ended::Well,
+                node.uploads.transfer_ended();
+                let outcome = match (node.is_alive, node.sends_corrupt) {
+                    (false, _) => FetchOutcome::Failed,
+                    (true, true) => FetchOutcome::Corrupt,
+                    (true, false) => FetchOutcome::Succeeded,
                 };
-                w.from_peers += u32::from(how == Ended::Well);
-                w.told(to, attempt, how);
-                w.send_on(from);
+                w.from_peers += u32::from(outcome == FetchOutcome::Succeeded);
+                w.request_ended(to, attempt, outcome);
+                w.start_transfers(from);
             };
             self.events
-                .push(Event(now + TRANSFER, self.seq, Box::new(sent)));
+                .push(Event(now + TRANSFER_TIME, self.seq, Box::new(sent)));
         }
-        if let Some(at) = node.serving.opens().filter(|_| !node.line.is_empty()) {
-            self.at(at.max(now + 1) - now, move |w| w.send_on(from));
+        if let Some(at) = node.uploads.reopens_at().filter(|_| !node.queue.is_empty()) {
+            self.at(at.max(now + 1) - now, move |w| w.start_transfers(from));
         }
     }
 
-    fn told(&mut self, id: InvokerId, attempt: u64, how: Ended) {
+    fn request_ended(&mut self, id: InvokerId, attempt: u64, outcome: FetchOutcome) {
         let now = self.now;
         let node = self.nodes.get_mut(&id).unwrap();
-        if !node.alive {
+        if !node.is_alive {
             return;
         }
-        let digest = node.fetcher.asked_for(attempt);
-        let whole = node.fetcher.ended(now, attempt, how);
-        if let (Some(digest), Ended::Well) = (digest, how) {
-            self.used_damaged += u32::from(self.damaged.contains(&digest));
+        let digest = node.fetcher.requested_chunk(attempt);
+        let whole = node.fetcher.request_ended(now, attempt, outcome);
+        if let (Some(digest), FetchOutcome::Succeeded) = (digest, outcome) {
+            self.accepted_corrupt += u32::from(self.corrupt.contains(&digest));
             node.held.insert(digest);
-            let owed = node.owed.remove(&digest).unwrap_or_default();
-            node.line.extend(owed);
-            self.send_on(id);
+            let waiting_peers = node.waiting_peers.remove(&digest).unwrap_or_default();
+            node.queue.extend(waiting_peers);
+            self.start_transfers(id);
         }
         if whole.iter().any(|load| *load < 1 << 63) {
-            self.nodes.get_mut(&id).unwrap().done = Some(now);
+            self.nodes.get_mut(&id).unwrap().finished_at = Some(now);
         }
-        self.go_on(id);
+        self.advance(id);
     }
 
     fn kill(&mut self, after: Ticks, id: InvokerId) {
         self.at(after, move |w| {
             let node = w.nodes.get_mut(&id).unwrap();
-            node.alive = false;
-            let owed: Vec<_> = std::mem::take(&mut node.owed)
+            node.is_alive = false;
+            let waiting_peers: Vec<_> = std::mem::take(&mut node.waiting_peers)
                 .into_values()
                 .flatten()
-                .chain(std::mem::take(&mut node.line))
+                .chain(std::mem::take(&mut node.queue))
                 .collect();
-            owed.into_iter()
-                .for_each(|(to, attempt)| w.at(WAY, move |w| w.told(to, attempt, Ended::Broken)));
+            waiting_peers.into_iter().for_each(|(to, attempt)| {
+                w.at(ONE_WAY_DELAY, move |w| {
+                    w.request_ended(to, attempt, FetchOutcome::Failed)
+                })
+            });
         });
     }
 
     fn run(&mut self, until: Ticks) {
-        while let Some(Event(at, _, due)) = self.events.pop() {
+        while let Some(Event(at, _, action)) = self.events.pop() {
             if at > until {
                 return;
             }
             self.now = at;
-            due(self);
+            action(self);
         }
     }
 
@@ -302,7 +324,7 @@
         let late: Vec<_> = self
             .nodes
             .iter()
-            .filter(|(_, n)| n.alive && n.done.is_none())
+            .filter(|(_, n)| n.is_alive && n.finished_at.is_none())
             .map(|(id, _)| id)
             .collect();
         assert!(
@@ -313,7 +335,7 @@
         );
         self.nodes
             .values()
-            .filter_map(|n| n.done)
+            .filter_map(|n| n.finished_at)
             .max()
             .unwrap_or(0)
     }
@@ -326,7 +348,7 @@
 fn herd(n: u32, chunks: u32, seed: u64) -> World {
     let mut w = World::new(n, seed);
     for id in 1..=n {
-        w.want(u64::from(id) % 300, id, 1, model(1, chunks));
+        w.start_load(u64::from(id) % 300, id, 1, model(1, chunks));
     }
     w
 }
@@ -336,7 +358,7 @@
     let mut w = herd(n, chunks, seed);
     w.nodes
         .iter_mut()
-        .for_each(|(id, node)| node.fetcher.listed(members([*id])));
+        .for_each(|(id, node)| node.fetcher.set_members(members([*id])));
     w
 }
 
@@ -387,7 +409,7 @@
     for (n, id) in (1..=24u32).step_by(3).enumerate() {
         let at = 20 * MILLISECOND * (n as u64 + 1);
         w.at(at, move |w| {
-            w.nodes.get_mut(&id).unwrap().draining = true;
+            w.nodes.get_mut(&id).unwrap().is_draining = true;
             let list = |me: InvokerId| -> Vec<Member> {
                 members(1..=24)
                     .into_iter()
@@ -400,7 +422,7 @@
             };
             w.nodes
                 .iter_mut()
-                .for_each(|(me, node)| node.fetcher.listed(list(*me)));
+                .for_each(|(me, node)| node.fetcher.set_members(list(*me)));
         });
         w.kill(at + 30 * MILLISECOND, id);
     }
@@ -412,7 +434,7 @@
 #[test]
 fn a_store_that_refuses_half_for_ten_seconds_delays_and_stops_nobody() {
     let mut w = herd(84, 60, 3);
-    (w.refuses, w.refuses_until) = (0.5, 10 * SECOND);
+    (w.refusal_share, w.refuses_until) = (0.5, 10 * SECOND);
     w.run(120 * SECOND);
     w.all_done();
     assert!(
@@ -429,9 +451,9 @@
     for id in [2, 9, 17] {
         w.kill(400 * MILLISECOND, id);
     }
-    w.nodes.get_mut(&4).unwrap().hangs = true;
-    w.nodes.get_mut(&5).unwrap().draining = true;
-    w.nodes.get_mut(&6).unwrap().damages = true;
+    w.nodes.get_mut(&4).unwrap().is_hung = true;
+    w.nodes.get_mut(&5).unwrap().is_draining = true;
+    w.nodes.get_mut(&6).unwrap().sends_corrupt = true;
     w.run(120 * SECOND);
     w.all_done();
     assert!(w.requests_a_chunk() < 4.0, "{}", w.requests_a_chunk());
@@ -441,7 +463,7 @@
 fn split(seen_by: impl Fn(InvokerId) -> std::ops::RangeInclusive<InvokerId>) -> f64 {
     let mut w = herd(40, 60, 9);
     for (id, node) in &mut w.nodes {
-        node.fetcher.listed(members(seen_by(*id)));
+        node.fetcher.set_members(members(seen_by(*id)));
     }
     w.run(120 * SECOND);
     w.all_done();
@@ -466,18 +488,21 @@
 fn a_chunk_damaged_at_the_store_is_asked_for_again_and_again_and_never_used() {
     let mut w = herd(12, 20, 1);
     let bad = model(1, 20)[3].digest;
-    w.damaged.insert(bad);
+    w.corrupt.insert(bad);
     w.run(30 * SECOND);
     let held: Vec<usize> = w.nodes.values().map(|n| n.held.len()).collect();
     assert!(
-        w.nodes.values().all(|n| n.done.is_none()) && held.iter().all(|n| *n == 19),
+        w.nodes.values().all(|n| n.finished_at.is_none()) && held.iter().all(|n| *n == 19),
         "{held:?}"
     );
-    assert_eq!(w.used_damaged, 0);
-    let asked = w.requests[&bad];
-    assert!((3..400).contains(&asked), "{asked} times in 30 s by 12");
+    assert_eq!(w.accepted_corrupt, 0);
+    let request_counts = w.requests[&bad];
+    assert!(
+        (3..400).contains(&request_counts),
+        "{request_counts} times in 30 s by 12"
+    );
     // It is mended, and they have it soon.
-    w.damaged.clear();
+    w.corrupt.clear();
     w.run(60 * SECOND);
     w.all_done();
 }
@@ -485,22 +510,22 @@
 #[test]
 fn a_load_that_is_given_up_stops_what_nobody_else_waits_for() {
     let mut f = Fetcher::new(1, 1);
-    f.listed(members(1..=1));
+    f.set_members(members(1..=1));
     let (a, b) = (model(1, 3), model(2, 3));
-    let shared: Vec<Need> = a[..1].iter().chain(&b).copied().collect();
-    f.want(0, 1, &a);
-    f.want(0, 2, &shared);
-    let asks = f.next(0).asks;
+    let shared: Vec<MissingChunk> = a[..1].iter().chain(&b).copied().collect();
+    f.start_load(0, 1, &a);
+    f.start_load(0, 2, &shared);
+    let requests = f.next_actions(0).requests;
     assert!(
-        !asks.is_empty() && asks[0].digest == a[0].digest,
+        !requests.is_empty() && requests[0].digest == a[0].digest,
         "two wait for it"
     );
-    f.abandon(1);
-    let next = f.next(1);
+    f.cancel_load(1);
+    let next = f.next_actions(1);
     let stopped: Vec<Digest> = next
         .cancels
         .iter()
-        .map(|c| asks.iter().find(|k| k.attempt == *c).unwrap().digest)
+        .map(|c| requests.iter().find(|k| k.attempt == *c).unwrap().digest)
         .collect();
     assert!(
         stopped
@@ -508,29 +533,29 @@
             .all(|d| a[1..].iter().any(|n| n.digest == *d)),
         "{stopped:?}"
     );
-    f.abandon(2);
-    f.next(2);
+    f.cancel_load(2);
+    f.next_actions(2);
     assert!(f.is_idle());
 }
 
 #[test]
 fn two_models_are_fetched_side_by_side() {
     let mut f = Fetcher::new(1, 1);
-    f.listed(members(1..=1));
-    f.want(0, 1, &model(1, 400));
-    let mut asked = [0; 2];
+    f.set_members(members(1..=1));
+    f.start_load(0, 1, &model(1, 400));
+    let mut request_counts = [0; 2];
     let small = model(2, 20);
     for step in 0..40u64 {
         if step == 10 {
-            f.want(step * 100, 2, &small);
+            f.start_load(step * 100, 2, &small);
         }
-        for ask in f.next(step * 100).asks {
-            asked[usize::from(small.iter().any(|n| n.digest == ask.digest))] += 1;
-            f.ended(step * 100 + 90, ask.attempt, Ended::Well);
+        for request in f.next_actions(step * 100).requests {
+            request_counts[usize::from(small.iter().any(|n| n.digest == request.digest))] += 1;
+            f.request_ended(step * 100 + 90, request.attempt, FetchOutcome::Succeeded);
         }
     }
     assert!(
-        asked[1] == 20 && asked[0] > 60,
-        "the one that came later does not wait for all of the other: {asked:?}"
+        request_counts[1] == 20 && request_counts[0] > 60,
+        "the one that came later does not wait for all of the other: {request_counts:?}"
     );
 }
--- a/crates/layers/tests/layers_fixtures.rs
+++ b/crates/layers/tests/layers_fixtures.rs
@@ -54,7 +54,7 @@
     let stored = fixtures.check_text("text", &digest.to_string());
     assert_eq!(stored.parse::<Digest>().unwrap(), digest);
     fixtures.check_text("file-name", &digest.hex());
-    fixtures.check_text("lead", &digest.lead().to_string());
+    fixtures.check_text("lead", &digest.prefix().to_string());
     fixtures.check_json("json", &digest);
     fixtures.finish();
 }
