--- a/crates/layers/src/cache.rs
+++ b/crates/layers/src/cache.rs
@@ -1,11 +1,11 @@
-//! Chunks on disk: bounded, durable, verified at each read.
+//! A bounded, durable chunk cache on disk that verifies chunks at each read.
 //!
-//! A chunk is a file named by its digest, written beside, brought to disk and renamed; the index (in an embedded store)
-//! says what it costs to fetch again and how long it is. Files are the truth: what the index lacks is adopted, what it
-//! has beyond them is dropped, and an index that can't be read is made anew. Killed at any write, the cache comes back
-//! with what was whole. A full or broken disk costs fetches, never an answer, and what it leaves behind counts: while a file
-//! that should be gone can't be removed nothing new is kept, and a chunk that can't be read keeps its place until it is
-//! fetched again or evicted.
+//! Each chunk is a file named by its digest, written to a temporary file, synced and renamed. The index, in an embedded
+//! database, holds the length and refetch cost of each chunk. The files are authoritative: a file without an index entry
+//! is adopted, an entry without a file is dropped, and an unreadable index is rebuilt. After a kill at any write the cache
+//! reopens with all complete chunks. A full or failing disk costs extra fetches but fails no load, and its leftovers count
+//! against the bound: while a file can't be removed nothing new is cached, and a chunk that can't be read keeps its space
+//! until it is fetched again or evicted.
 
 use crate::cut;
 use crate::plan::{CachedChunk, EvictionPolicy};
@@ -19,21 +19,21 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// The file operations that a cache needs, so that tests can let each of them fail.
+/// The file operations of a cache. Tests inject faults into each of them.
 pub trait Disk {
     fn create_dir_all(&self, path: &Path) -> io::Result<()>;
-    /// Creates, writes, brings to disk.
+    /// Creates, writes and syncs a file.
     fn write_new(&self, path: &Path, bytes: &[u8]) -> io::Result<()>;
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
     fn remove(&self, path: &Path) -> io::Result<()>;
-    /// So many bytes at the most.
+    /// Reads at most `max_bytes` from the start of a file.
     fn read(&self, path: &Path, max_bytes: u64) -> io::Result<Vec<u8>>;
-    /// Names and lengths.
+    /// File names and lengths in a folder.
     fn list(&self, path: &Path) -> io::Result<Vec<(String, u64)>>;
     fn open_index(&self, path: &Path) -> Result<Database, redb::DatabaseError>;
 }
 
-/// The machine's own disk.
+/// The local file system.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RealDisk;
 
@@ -76,40 +76,41 @@
     }
 }
 
-/// Of the index's pages, held in memory.
+/// Page cache of the index database.
 const INDEX_CACHE_BYTES: usize = 4 << 20;
-/// Digest to stored bytes, cost, sharers.
+/// Digest to stored bytes, refetch cost and number of sharers.
 const CHUNKS: TableDefinition<&[u8; 32], (u64, f64, u32)> = TableDefinition::new("chunks");
 
-/// What happened so far.
+/// Counters since the cache was opened.
 #[derive(Debug, Default)]
 pub struct Counts {
     pub hits: Cell<u64>,
     pub misses: Cell<u64>,
-    /// Read back and found not to be what they were: thrown away.
+    /// Chunks that failed verification when read, and were removed.
     pub damaged: Cell<u64>,
     pub evicted: Cell<u64>,
-    /// Could not be kept: no room that may be freed, or the disk refused.
+    /// Chunks that were not cached, for lack of evictable space or because of a disk error.
     pub not_cached: Cell<u64>,
     pub index_rebuilt: Cell<u64>,
 }
 
+/// A chunk cache in a folder.
 pub struct Cache {
     folder: PathBuf,
     disk: Rc<dyn Disk>,
     eviction: RefCell<EvictionPolicy>,
-    /// None: the index can't be had; the cache works on and forgets costs at its end.
+    /// `None` if the index can't be opened or written: the cache works without it, and refetch costs are lost on restart.
     index: RefCell<Option<Database>>,
     part_count: Cell<u64>,
-    /// Chunks whose files stand and could not be read: not held, and not free room either.
+    /// Chunks whose files exist but could not be read. They are not available but still take up space.
     unreadable: RefCell<BTreeSet<Digest>>,
-    /// Files that should be gone and could not be removed.
+    /// Files that could not be removed yet.
     pending_removals: RefCell<BTreeSet<PathBuf>>,
     pub counts: Counts,
 }
 
 impl Cache {
-    /// Opens what is there. Fails only where not even the folder can be read or made.
+    /// Opens a cache with the chunks in its folder. Fails only if the folder can't be created or listed.
     pub fn open(folder: &Path, max_bytes: u64, disk: Rc<dyn Disk>) -> io::Result<Self> {
         let chunks = folder.join("chunks");
         disk.create_dir_all(&chunks)?;
@@ -136,13 +137,13 @@
             let digest: Result<Digest, _> = format!("sha256:{name}").parse();
             let file = chunks.join(&name);
             let Ok(digest) = digest else {
-                // Begun by one who died: no chunk has such a name.
+                // A temporary file of a process that died: chunks have digests as names.
                 remove_file(file);
                 continue;
             };
             let cached = match indexed.get(&digest) {
                 Some(cached) if cached.bytes == length => *cached,
-                // Renamed, but its line was not written any more. Its digest is looked at when it is read.
+                // Renamed, but its index entry was not written. Its digest is verified when it is read.
                 _ => CachedChunk {
                     bytes: length,
                     cost: 1.0,
@@ -175,14 +176,17 @@
         self.folder.join("chunks").join(digest.hex())
     }
 
+    /// Whether the chunk is cached and readable as far as known.
     pub fn contains(&self, digest: &Digest) -> bool {
         self.eviction.borrow().contains(digest) && !self.unreadable.borrow().contains(digest)
     }
 
+    /// Total stored length of the cached chunks, unreadable ones included.
     pub fn bytes(&self) -> u64 {
         self.eviction.borrow().bytes()
     }
 
+    /// The cached chunks, without unreadable ones.
     pub fn digests(&self) -> Vec<Digest> {
         self.eviction
             .borrow()
@@ -192,22 +196,23 @@
             .collect()
     }
 
-    /// A copy that stands, or a load, uses it: it stays.
+    /// Protects a chunk from eviction while a load or a loaded instance uses it.
     pub fn pin(&self, digest: &Digest) {
         self.eviction.borrow_mut().pin(digest);
     }
 
+    /// Releases one pin.
     pub fn unpin(&self, digest: &Digest) {
         self.eviction.borrow_mut().unpin(digest);
     }
 
-    /// The chunk as stored, its digest just checked. What does not hold is thrown away and as good as never held.
+    /// Reads and verifies the stored bytes of a chunk. A damaged chunk is removed and counts as not cached.
     pub fn get(&self, chunk: &Chunk) -> Option<Vec<u8>> {
         if !self.contains(&chunk.digest) {
             increment(&self.counts.misses);
             return None;
         }
-        // A byte more than stated is enough to see that the file is longer.
+        // One byte more than stated is enough to detect a longer file.
         let read = self
             .disk
             .read(&self.path(&chunk.digest), chunk.stored_bytes + 1);
@@ -219,7 +224,7 @@
                 return None;
             }
             Err(_) => {
-                // Unreadable now, perhaps not for ever: the file stays until the next start, the chunk is fetched.
+                // The error may be temporary: the file stays for the next start, and the chunk is fetched again.
                 increment(&self.counts.misses);
                 self.eviction.borrow_mut().unpin_all(&chunk.digest);
                 self.unreadable.borrow_mut().insert(chunk.digest);
@@ -231,7 +236,7 @@
         Some(bytes)
     }
 
-    /// Keeps a chunk if it can. False: it could not; the caller uses its bytes all the same.
+    /// Caches a chunk. Returns false if it could not be cached; the caller can still use its bytes.
     pub fn put(
         &self,
         chunk: &Chunk,
@@ -254,7 +259,7 @@
             return Ok(false);
         }
         if self.write_chunk(&chunk.digest, bytes).is_err() {
-            // Whether it was renamed is not known: what a failed sync leaves there goes as well.
+            // The rename may have happened before the sync failed, so the final file is removed too.
             self.drop_chunk(&chunk.digest);
             increment(&self.counts.not_cached);
             return Ok(false);
@@ -265,7 +270,7 @@
         Ok(true)
     }
 
-    /// Writes a chunk's file, whole or not at all.
+    /// Writes the file of a chunk atomically.
     fn write_chunk(&self, digest: &Digest, bytes: &[u8]) -> io::Result<()> {
         self.part_count.set(self.part_count.get() + 1);
         let part = self
@@ -280,7 +285,7 @@
         renamed
     }
 
-    /// Evicts what has to go for this chunk. False: it can't be kept.
+    /// Evicts chunks to make room for this one. Returns false if it can't be cached.
     fn make_room(&self, digest: Digest, cached: CachedChunk) -> bool {
         let room = self.eviction.borrow_mut().admit(digest, cached);
         let Some(evicted) = room else { return false };
@@ -297,14 +302,14 @@
         has_room
     }
 
-    /// Removes a file, now or later.
+    /// Removes a file, or records it for another attempt.
     fn remove_file(&self, file: PathBuf) {
         if self.disk.remove(&file).is_err() {
             self.pending_removals.borrow_mut().insert(file);
         }
     }
 
-    /// Tries again to remove what could not be removed. False: some of it is still there.
+    /// Retries pending removals. Returns false if files remain.
     fn retry_removals(&self) -> bool {
         let mut pending_removals = self.pending_removals.borrow_mut();
         while let Some(file) = pending_removals.first().cloned() {
@@ -333,7 +338,8 @@
         }
     }
 
-    /// An index that can't be written is given up for this life: the files are the truth.
+    /// Applies a change to the index. After an error the index is not used until the next start: the files are
+    /// authoritative.
     fn write_index(
         &self,
         change: impl FnOnce(
@@ -346,7 +352,7 @@
         };
         let written = (|| -> Result<(), redb::Error> {
             let mut txn = database.begin_write()?;
-            // The line is a hint: it need not be on disk before the next one is.
+            // Index entries are hints and need no sync of their own.
             txn.set_durability(redb::Durability::None)?;
             change(&mut txn.open_table(CHUNKS)?)?;
             txn.commit()?;
@@ -357,7 +363,7 @@
         }
     }
 
-    /// Brings the index to disk. Losing it costs only what it knew of costs.
+    /// Syncs the index to disk. If it is lost, only the refetch costs are.
     pub fn sync(&self) {
         let mut index = self.index.borrow_mut();
         let Some(database) = index.as_ref() else {
--- a/crates/layers/src/cut.rs
+++ b/crates/layers/src/cut.rs
@@ -1,4 +1,5 @@
-//! Cuts a model by its content, so that two versions share what they share, and puts it together again.
+//! Content-defined chunking, so that versions of a model share their common chunks, and verification and unpacking of
+//! chunks.
 
 use crate::Digest;
 use crate::manifest::{Chunk, MAX_CHUNK_BYTES, Manifest, Packing};
@@ -8,13 +9,13 @@
 const MIN_CHUNK_BYTES: usize = 128 << 10;
 const MEAN_CHUNK_BYTES: usize = 512 << 10;
 const ZSTD_LEVEL: i32 = 3;
-/// Packed chunks are unpacked at each load: it has to be worth that.
+/// Compressed chunks are decompressed at each load, so a chunk is stored compressed only below this ratio.
 const MAX_COMPRESSED_RATIO: f64 = 0.95;
 
 /// Why a stored chunk can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChunkError {
-    #[error("chunk {digest}: {actual} bytes came, {expected} were stated")]
+    #[error("chunk {digest}: received {actual} bytes, expected {expected}")]
     Length {
         digest: Digest,
         actual: usize,
@@ -22,7 +23,7 @@
     },
     #[error("chunk {expected}: its bytes have digest {actual}")]
     Digest { actual: Digest, expected: Digest },
-    #[error("chunk {digest}: its digest held, but it does not unpack to {expected} bytes: {why}")]
+    #[error("chunk {digest}: digest matches, but it does not unpack to {expected} bytes: {why}")]
     Unpack {
         digest: Digest,
         expected: u64,
@@ -30,7 +31,8 @@
     },
 }
 
-/// Cuts and packs; `keep` gets each chunk as it is to be stored. The same bytes give the same chunks.
+/// Splits and compresses a model, and passes each chunk with its stored bytes to `store_chunk`. The same bytes give the
+/// same chunks.
 pub fn pack(
     model: impl Read,
     mut store_chunk: impl FnMut(&Chunk, &[u8]) -> io::Result<()>,
@@ -64,7 +66,7 @@
     Ok(manifest)
 }
 
-/// Whether these are the chunk's bytes, as stored. The only door by which bytes become a chunk.
+/// Checks that these are the stored bytes of the chunk. All received or read bytes pass this check before use.
 pub fn verify(chunk: &Chunk, stored: &[u8]) -> Result<(), ChunkError> {
     if stored.len() as u64 != chunk.stored_bytes {
         return Err(ChunkError::Length {
@@ -83,7 +85,7 @@
     Ok(())
 }
 
-/// Verifies and unpacks. Never makes more than the stated bytes, whatever the chunk would unpack to.
+/// Verifies and unpacks a chunk. Never allocates more than the stated length, whatever the chunk would unpack to.
 pub fn unpack(chunk: &Chunk, stored: &[u8]) -> Result<Vec<u8>, ChunkError> {
     verify(chunk, stored)?;
     let unpack_error = |why: String| ChunkError::Unpack {
@@ -98,6 +100,6 @@
     };
     match bytes.len() as u64 == chunk.bytes {
         true => Ok(bytes),
-        false => Err(unpack_error(format!("{} came out", bytes.len()))),
+        false => Err(unpack_error(format!("unpacked to {} bytes", bytes.len()))),
     }
 }
--- a/crates/layers/src/digest.rs
+++ b/crates/layers/src/digest.rs
@@ -1,8 +1,10 @@
+//! SHA-256 digests of stored blobs.
+
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use sha2::{Digest as _, Sha256};
 use std::fmt;
 
-/// SHA-256 of a blob as it is stored: the name registries know it by.
+/// SHA-256 of a blob as stored, which is its name in a registry.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Digest([u8; 32]);
 
@@ -19,12 +21,12 @@
         Self(bytes)
     }
 
-    /// The digest alone, in hexadecimal: safe as a file's name, whatever a manifest said.
+    /// The digest without its prefix, in hexadecimal. Safe as a file name for any digest from a manifest.
     pub fn hex(&self) -> String {
         self.0.iter().map(|b| format!("{b:02x}")).collect()
     }
 
-    /// Its first eight bytes, for hashing with.
+    /// The first eight bytes as a little-endian integer, as a hash key.
     pub fn prefix(&self) -> u64 {
         u64::from_le_bytes(*self.0.first_chunk().expect("32 bytes"))
     }
--- a/crates/layers/src/layout.rs
+++ b/crates/layers/src/layout.rs
@@ -1,4 +1,4 @@
-//! A folder of packed models: an OCI image layout, which any tool that speaks it can push.
+//! A folder of packed models: an OCI image layout, which standard tools can push to a registry.
 
 use crate::cut::{self, ChunkError};
 use crate::manifest::{EMPTY_CONFIG, MANIFEST_TYPE, Manifest};
@@ -11,11 +11,12 @@
 use std::io::{self, BufReader, Read, Write};
 use std::path::{Path, PathBuf};
 
-/// Says that a folder is a layout, and of which version.
+/// The file that marks a folder as an image layout and states its version.
 const LAYOUT_FILE: &str = "oci-layout";
 const LAYOUT_FILE_CONTENT: &[u8] = br#"{"imageLayoutVersion":"1.0.0"}"#;
 const REF_NAME_ANNOTATION: &str = "org.opencontainers.image.ref.name";
 
+/// Why a folder of models can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum LayoutError {
     #[error("{path}: {why}")]
@@ -45,17 +46,17 @@
     annotations: BTreeMap<String, String>,
 }
 
-/// What a check of the whole folder found.
+/// Result of verifying a whole folder.
 #[derive(Debug, Default)]
 pub struct VerifyReport {
     pub models: usize,
     pub chunks: usize,
     pub bytes: u64,
-    /// What is wrong, each with its place.
+    /// Each problem, with its tag and path.
     pub problems: Vec<String>,
 }
 
-/// How two models lie to each other, in stored bytes.
+/// Shared and differing stored bytes of two models.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Diff {
     pub shared_bytes: u64,
@@ -63,18 +64,19 @@
     pub only_second_bytes: u64,
 }
 
+/// An open folder of packed models.
 pub struct Layout {
     folder: PathBuf,
 }
 
 impl Layout {
-    /// Opens a folder, or makes one.
+    /// Opens a folder, and creates it if missing.
     pub fn open(folder: &Path) -> Result<Self, LayoutError> {
         let layout = Self {
             folder: folder.to_owned(),
         };
         let marker = folder.join(LAYOUT_FILE);
-        // A kill in an earlier version may have left a part of it.
+        // Earlier versions did not write the file atomically: a kill may have left it incomplete.
         let is_whole = |found: Vec<u8>| serde_json::from_slice::<IgnoredAny>(&found).is_ok();
         if !fs::read(&marker).is_ok_and(is_whole) {
             let created = fs::create_dir_all(layout.blobs())
@@ -88,7 +90,7 @@
         self.folder.join("blobs").join("sha256")
     }
 
-    /// Where a blob lies. Made of a parsed digest alone, so no manifest can name a path elsewhere.
+    /// The path of a blob. Built from a parsed digest only, so a manifest can't name a path outside the folder.
     pub fn path(&self, digest: &Digest) -> PathBuf {
         self.blobs().join(digest.hex())
     }
@@ -118,7 +120,7 @@
         }
     }
 
-    /// Packs a model's file under a tag, which moves if it was there.
+    /// Packs a model file under a tag. An existing tag is moved.
     pub fn pack(&self, model: &Path, tag: &str) -> Result<Manifest, LayoutError> {
         let file_error = |why| LayoutError::File {
             path: model.to_owned(),
@@ -143,7 +145,7 @@
         });
         let path = self.folder.join("index.json");
         let written = serde_json::to_vec(&index).expect("an index is JSON");
-        // The index last: what it names is there.
+        // The index is written last, so that the blobs that it names exist.
         self.put_blob(&Digest::of(EMPTY_CONFIG), EMPTY_CONFIG)
             .and_then(|()| self.put_blob(&digest, &bytes))
             .and_then(|()| file::write_atomically(&path, &written))
@@ -151,6 +153,7 @@
         Ok(manifest)
     }
 
+    /// The tagged models and the digests of their manifests.
     pub fn tags(&self) -> Result<BTreeMap<String, Digest>, LayoutError> {
         let index = self.index()?;
         Ok(index
@@ -160,7 +163,7 @@
             .collect())
     }
 
-    /// The manifest under a tag, its digest checked.
+    /// Reads the manifest of a tag and verifies its digest.
     pub fn manifest(&self, tag: &str) -> Result<(Digest, Manifest), LayoutError> {
         let tags = self.tags()?;
         let known = || {
@@ -181,7 +184,7 @@
         if Digest::of(&bytes) != digest {
             return Err(LayoutError::Malformed {
                 path,
-                why: "its bytes do not have this digest".into(),
+                why: "content does not match the digest".into(),
             });
         }
         Ok((digest, Manifest::from_json(&bytes)?))
@@ -190,14 +193,14 @@
     fn read_stored(&self, chunk: &Chunk) -> Result<Vec<u8>, String> {
         let path = self.path(&chunk.digest);
         let mut bytes = Vec::new();
-        // One byte more than stated tells of a longer file without reading all of it.
+        // One byte more than stated is enough to detect a longer file without reading all of it.
         let read =
             File::open(&path).and_then(|f| f.take(chunk.stored_bytes + 1).read_to_end(&mut bytes));
         read.map_err(|e| format!("{}: {e}", path.display()))?;
         Ok(bytes)
     }
 
-    /// Puts a model together again.
+    /// Unpacks a model to `to`.
     pub fn unpack(&self, tag: &str, to: &mut impl Write) -> Result<(), LayoutError> {
         let (_, manifest) = self.manifest(tag)?;
         for chunk in &manifest.chunks {
@@ -217,7 +220,7 @@
         Ok(())
     }
 
-    /// PollTimes at every byte that a tag leads to.
+    /// Verifies every manifest and chunk that a tag refers to.
     pub fn verify(&self) -> Result<VerifyReport, LayoutError> {
         let (mut checked, mut seen) = (VerifyReport::default(), BTreeSet::new());
         for tag in self.tags()?.keys() {
@@ -243,6 +246,7 @@
         Ok(checked)
     }
 
+    /// Compares the chunks of two models.
     pub fn diff(&self, first: &str, second: &str) -> Result<Diff, LayoutError> {
         let of = |tag| -> Result<BTreeMap<Digest, u64>, LayoutError> {
             Ok(self
--- a/crates/layers/src/lib.rs
+++ b/crates/layers/src/lib.rs
@@ -1,8 +1,9 @@
-//! Models as chunks: cut by content, named by digest, fetched once and shared between invokers.
+//! Models as chunks: split by content-defined chunking, named by digest, fetched once and shared between invokers.
 //!
-//! `manifest` says what a model consists of, `cut` packs and unpacks, `layout` is a folder of packed models, and `plan`
-//! decides, without I/O or clock, who is home to a chunk, whom to ask for it, when again, and what to serve to others.
-//! Nothing is used before its digest held. `docs/design-layers.md` weighs the options.
+//! `manifest` describes the chunks of a model, `cut` splits and compresses, `layout` is a folder of packed models, `cache`
+//! stores chunks on disk, and `plan` decides, without I/O or clock, which invokers are home to a chunk, where to fetch it,
+//! when to retry and what to serve to peers. No chunk is used before its digest is verified. `docs/design-layers.md`
+//! compares the alternatives.
 
 pub mod cache;
 pub mod cut;
--- a/crates/layers/src/manifest.rs
+++ b/crates/layers/src/manifest.rs
@@ -1,48 +1,54 @@
-//! What a model consists of, as an OCI image manifest whose layers are the chunks, so that any registry can hold it.
+//! The manifest of a model: an OCI image manifest whose layers are the chunks, so that any registry can store it.
 
 use crate::Digest;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// No manifest is longer; the distribution specification lets registries refuse longer ones.
+/// Longest manifest. The OCI distribution specification lets registries refuse longer ones.
 pub const MAX_MANIFEST_BYTES: usize = 4 << 20;
-/// No chunk unpacks to more: it is what a peer may make us hold before its digest and size are checked.
+/// Longest unpacked chunk. Bounds the memory that a peer can make an invoker use before digest and size are checked.
 pub const MAX_CHUNK_BYTES: u64 = 4 << 20;
-/// A stored chunk may be so much longer than what it unpacks to.
+/// A compressed chunk may be longer than its unpacked bytes by this much.
 const MAX_PACKING_OVERHEAD_BYTES: u64 = 1 << 10;
+/// Most chunks in a manifest.
 const MAX_CHUNKS: usize = 20_000;
 
+/// Media type of manifests.
 pub const MANIFEST_TYPE: &str = "application/vnd.oci.image.manifest.v1+json";
 const MODEL_TYPE: &str = "application/vnd.saltdrum.model.v1";
 const EMPTY_TYPE: &str = "application/vnd.oci.empty.v1+json";
-/// The blob that stands for a configuration that is not there.
+/// The empty configuration blob that a manifest without a configuration refers to.
 pub const EMPTY_CONFIG: &[u8] = b"{}";
 const PLAIN_TYPE: &str = "application/vnd.saltdrum.chunk.v1";
 const ZSTD_TYPE: &str = "application/vnd.saltdrum.chunk.v1+zstd";
 const UNPACKED_BYTES_ANNOTATION: &str = "saltdrum.chunk.bytes";
 
+/// How a chunk is stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Packing {
     Plain,
     Zstd,
 }
 
+/// One chunk of a model.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Chunk {
-    /// Of the bytes as they are stored.
+    /// Digest of the stored bytes.
     pub digest: Digest,
     pub stored_bytes: u64,
-    /// Unpacked.
+    /// Unpacked length.
     pub bytes: u64,
     pub packing: Packing,
 }
 
+/// The chunks of a model.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
 pub struct Manifest {
-    /// In the order of the model's bytes.
+    /// In the order of the model's bytes. A chunk may occur more than once.
     pub chunks: Vec<Chunk>,
 }
 
+/// Why a manifest can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ManifestError {
     #[error("manifest of {0} bytes: {MAX_MANIFEST_BYTES} are allowed")]
@@ -74,16 +80,17 @@
 }
 
 impl Manifest {
-    /// Unpacked.
+    /// Unpacked length of the model.
     pub fn bytes(&self) -> u64 {
         self.chunks.iter().map(|c| c.bytes).sum()
     }
 
+    /// Total stored length of the chunks, repeated ones included.
     pub fn stored_bytes(&self) -> u64 {
         self.chunks.iter().map(|c| c.stored_bytes).sum()
     }
 
-    /// As a registry keeps it. The same model gives the same bytes.
+    /// Encodes the manifest as a registry stores it. The same manifest gives the same bytes.
     pub fn to_json(&self) -> Vec<u8> {
         let layer = |c: &Chunk| BlobDescriptor {
             media_type: match c.packing {
@@ -114,7 +121,7 @@
         serde_json::to_vec(&document).expect("a manifest is JSON")
     }
 
-    /// Reads what a stranger wrote: sizes are bounded before anything is fetched by them.
+    /// Decodes an untrusted manifest. Checks that all sizes are within bounds, before anything is fetched by them.
     pub fn from_json(bytes: &[u8]) -> Result<Self, ManifestError> {
         if bytes.len() > MAX_MANIFEST_BYTES {
             return Err(ManifestError::Oversize(bytes.len()));
--- a/crates/layers/src/plan/evict.rs
+++ b/crates/layers/src/plan/evict.rs
@@ -1,17 +1,19 @@
-//! What a bounded cache keeps: dear, shared, lately used chunks. Greedy-dual by size, without I/O.
+//! Eviction for a bounded cache, without I/O: Greedy-Dual-Size, which prefers to keep chunks that are expensive to fetch,
+//! shared by models and recently used.
 
 use crate::Digest;
 use std::collections::BTreeMap;
 
-/// Fetching from the store again costs so many times what a peer costs.
+/// Cost of a fetch from the store relative to one from a peer.
 pub const STORE_COST_FACTOR: f64 = 8.0;
 
+/// Size and value of a cached chunk.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CachedChunk {
     pub bytes: u64,
-    /// What fetching it again would cost: 1 from a peer, more from the store. Never 0.
+    /// Relative cost of fetching it again: 1 from a peer, more from the store. Never 0.
     pub cost: f64,
-    /// Models known here that contain it.
+    /// Known models that contain it.
     pub sharers: u32,
 }
 
@@ -19,19 +21,19 @@
 struct Entry {
     chunk: CachedChunk,
     priority: f64,
-    /// Among equals the one used longest ago goes first.
+    /// Sequence number of the last use. At equal priority the least recently used chunk is evicted first.
     last_touch: u64,
-    /// Loads and standing copies that use it: it is not evicted meanwhile.
+    /// Loads and loaded instances that use it. A pinned chunk is not evicted.
     pins: u32,
 }
 
-/// The books of one cache. Bytes in it never exceed `most_bytes`.
+/// Tracks the chunks of one cache and selects those to evict. Their total size never exceeds `max_bytes`.
 #[derive(Clone, Debug)]
 pub struct EvictionPolicy {
     max_bytes: u64,
     bytes: u64,
     entries: BTreeMap<Digest, Entry>,
-    /// The priority of the last that went: all that came since stand above it.
+    /// Highest priority evicted so far. Chunks added or used since then have a higher one.
     priority_floor: f64,
     touch_count: u64,
 }
@@ -61,11 +63,13 @@
 
     fn priority(&self, chunk: &CachedChunk) -> f64 {
         let megabytes = (chunk.bytes as f64 / 1e6).max(1e-3);
-        // What loads a copy uses its chunks together: size must not decide alone, or large ones would never stay.
+        // The square root: a load uses all chunks of a model together, and dividing by the size itself would evict large
+        // chunks first every time.
         self.priority_floor + chunk.cost * f64::from(chunk.sharers.max(1)) / megabytes.sqrt()
     }
 
-    /// Makes room. Gives who has to go, in order; `None` when it can't stay: too large, or all else is dearer or in use.
+    /// Adds a chunk and returns the chunks evicted for it, in order. Returns `None`, without evicting, if the chunk is
+    /// larger than what may be freed: other chunks are pinned or have a higher priority.
     pub fn admit(&mut self, digest: Digest, chunk: CachedChunk) -> Option<Vec<Digest>> {
         if self.contains(&digest) {
             self.touch(&digest);
@@ -122,7 +126,10 @@
         };
         let priority = self.priority(&chunk);
         self.touch_count += 1;
-        let e = self.entries.get_mut(digest).expect("it was just there");
+        let e = self
+            .entries
+            .get_mut(digest)
+            .expect("the entry was just found");
         (e.priority, e.last_touch) = (priority, self.touch_count);
     }
 
@@ -139,14 +146,14 @@
         self.touch(digest);
     }
 
-    /// Nobody can use it any more, though it keeps its place.
+    /// Drops all pins of a chunk that can't be read any more but still takes up space.
     pub fn unpin_all(&mut self, digest: &Digest) {
         if let Some(e) = self.entries.get_mut(digest) {
             e.pins = 0;
         }
     }
 
-    /// It is gone, or turned out damaged.
+    /// Removes a chunk that was deleted or is damaged.
     pub fn remove(&mut self, digest: &Digest) {
         if let Some(e) = self.entries.remove(digest) {
             self.bytes -= e.chunk.bytes;
--- a/crates/layers/src/plan/evict/tests.rs
+++ b/crates/layers/src/plan/evict/tests.rs
@@ -13,76 +13,83 @@
 }
 
 #[test]
-fn the_dear_the_shared_and_the_lately_used_stay() {
-    let mut s = EvictionPolicy::new(5_000_000);
-    s.admit(digest(0), chunk(1_000_000, STORE_COST_FACTOR, 1))
+fn keeps_expensive_shared_and_recently_used_chunks() {
+    let mut policy = EvictionPolicy::new(5_000_000);
+    policy
+        .admit(digest(0), chunk(1_000_000, STORE_COST_FACTOR, 1))
         .unwrap();
-    s.admit(digest(1), chunk(1_000_000, 1.0, 3)).unwrap();
+    policy.admit(digest(1), chunk(1_000_000, 1.0, 3)).unwrap();
     (2..40).for_each(|n| {
-        s.admit(digest(n), chunk(1_000_000, 1.0, 1));
-        s.touch(&digest(2));
+        policy.admit(digest(n), chunk(1_000_000, 1.0, 1));
+        policy.touch(&digest(2));
     });
-    assert!(s.contains(&digest(2)), "used all along");
-    assert!(!s.contains(&digest(3)));
-    let mut s = EvictionPolicy::new(3_000_000);
-    s.admit(digest(0), chunk(1_000_000, STORE_COST_FACTOR, 1))
+    assert!(policy.contains(&digest(2)), "used throughout");
+    assert!(!policy.contains(&digest(3)));
+    let mut policy = EvictionPolicy::new(3_000_000);
+    policy
+        .admit(digest(0), chunk(1_000_000, STORE_COST_FACTOR, 1))
         .unwrap();
-    s.admit(digest(1), chunk(1_000_000, 1.0, 4)).unwrap();
+    policy.admit(digest(1), chunk(1_000_000, 1.0, 4)).unwrap();
     for n in 2..4 {
-        assert!(s.admit(digest(n), chunk(1_000_000, 1.0, 1)).is_some());
+        assert!(policy.admit(digest(n), chunk(1_000_000, 1.0, 1)).is_some());
     }
-    assert!(s.contains(&digest(0)) && s.contains(&digest(1)) && !s.contains(&digest(2)));
+    assert!(
+        policy.contains(&digest(0)) && policy.contains(&digest(1)) && !policy.contains(&digest(2))
+    );
 }
 
 #[test]
-fn what_is_in_use_never_goes_and_what_is_old_does_at_last() {
-    let mut s = EvictionPolicy::new(3_000_000);
+fn never_evicts_pinned_chunks_and_ages_out_unused_ones() {
+    let mut policy = EvictionPolicy::new(3_000_000);
     for n in 0..3 {
-        s.admit(digest(n), chunk(1_000_000, 1.0, 1)).unwrap();
-        s.pin(&digest(n));
+        policy.admit(digest(n), chunk(1_000_000, 1.0, 1)).unwrap();
+        policy.pin(&digest(n));
     }
-    assert_eq!(s.admit(digest(9), chunk(1_000_000, 99.0, 9)), None);
-    s.unpin(&digest(1));
+    assert_eq!(policy.admit(digest(9), chunk(1_000_000, 99.0, 9)), None);
+    policy.unpin(&digest(1));
     assert_eq!(
-        s.admit(digest(9), chunk(1_000_000, 99.0, 1)),
+        policy.admit(digest(9), chunk(1_000_000, 99.0, 1)),
         Some(vec![digest(1)])
     );
-    s.unpin(&digest(0));
-    let mut dear_went = None;
+    policy.unpin(&digest(0));
+    let mut expensive_evicted_at = None;
     for n in 10..2_000 {
-        s.admit(digest(n), chunk(1_000_000, 1.0, 1));
-        if !s.contains(&digest(9)) {
-            dear_went = Some(n);
+        policy.admit(digest(n), chunk(1_000_000, 1.0, 1));
+        if !policy.contains(&digest(9)) {
+            expensive_evicted_at = Some(n);
             break;
         }
     }
     assert!(
-        dear_went.is_some_and(|n| n > 60),
-        "{dear_went:?}: dear, but nobody wanted it any more"
+        expensive_evicted_at.is_some_and(|n| n > 60),
+        "{expensive_evicted_at:?}: expensive but unused"
     );
 }
 
-/// Whatever is asked of it: bytes add up and stay within the bound.
+/// Random operations: the tracked size equals the sum over the entries and stays within the bound.
 #[test]
-fn the_books_add_up() {
+fn tracked_bytes_match_the_entries_and_stay_bounded() {
     let mut rng = fastrand::Rng::with_seed(4);
-    let mut s = EvictionPolicy::new(2_000_000);
+    let mut policy = EvictionPolicy::new(2_000_000);
     let mut pinned = std::collections::BTreeSet::new();
     for _ in 0..20_000 {
         let d = digest(rng.u32(..200));
         match rng.u32(..6) {
-            0 => s.touch(&d),
-            1 if s.contains(&d) && pinned.len() < 5 && pinned.insert(d) => s.pin(&d),
-            2 if pinned.remove(&d) => s.unpin(&d),
-            3 if !pinned.contains(&d) => s.remove(&d),
+            0 => policy.touch(&d),
+            1 if policy.contains(&d) && pinned.len() < 5 && pinned.insert(d) => policy.pin(&d),
+            2 if pinned.remove(&d) => policy.unpin(&d),
+            3 if !pinned.contains(&d) => policy.remove(&d),
             _ => {
                 let k = chunk(rng.u64(1..400_000), rng.f64() * 8.0 + 0.1, rng.u32(0..5));
-                let gone = s.admit(d, k).unwrap_or_default();
-                assert!(gone.iter().all(|g| !pinned.contains(g) && !s.contains(g)));
+                let gone = policy.admit(d, k).unwrap_or_default();
+                assert!(
+                    gone.iter()
+                        .all(|g| !pinned.contains(g) && !policy.contains(g))
+                );
             }
         }
-        let sum: u64 = s.entries.values().map(|e| e.chunk.bytes).sum();
-        assert!(sum == s.bytes() && sum <= 2_000_000);
-        assert!(pinned.iter().all(|p| s.contains(p)));
+        let sum: u64 = policy.entries.values().map(|e| e.chunk.bytes).sum();
+        assert!(sum == policy.bytes() && sum <= 2_000_000);
+        assert!(pinned.iter().all(|p| policy.contains(p)));
     }
 }
--- a/crates/layers/src/plan/fetch.rs
+++ b/crates/layers/src/plan/fetch.rs
@@ -1,30 +1,33 @@
-//! Which chunk to ask whom for next, and what to make of each ask's end.
+//! Chooses the next chunk requests and their sources, and handles the outcome of each request.
 //!
-//! A chunk is out once, whoever waits for it. Its homes before us are asked first, the store when there are none or all
-//! of them failed. Everything that repeats spends from a budget; everything that waits has an end.
+//! A chunk is requested once however many loads wait for it, apart from hedges. The homes ranked above this invoker are
+//! tried first, then the store if there are none or all of them failed. Retries spend from a budget, and every wait is
+//! bounded.
 
 use super::{ConcurrencyLimit, Member, SuspectSources, homes};
 use crate::Digest;
 use saltdrum::interface::{InvokerId, MILLISECOND, SECOND, Ticks};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Identifies a load within one fetcher.
 pub type LoadId = u64;
 
+/// Where a chunk can be fetched from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Source {
     Store,
     Peer(InvokerId),
 }
 
-/// A chunk that a load misses, in the order in which the load uses them.
+/// A chunk that a load needs and that is not cached. Loads list them in the order of use.
 #[derive(Clone, Copy, Debug)]
 pub struct MissingChunk {
     pub digest: Digest,
-    /// As stored.
+    /// Stored (packed) length.
     pub bytes: u64,
 }
 
-/// Ask this source for this chunk. Its end is to be told under this number.
+/// A chunk request to send. Its outcome is reported with [`Fetcher::request_ended`] under `attempt`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FetchRequest {
     pub attempt: u64,
@@ -32,26 +35,26 @@
     pub source: Source,
 }
 
-/// How an ask ended.
+/// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FetchOutcome {
-    /// Its bytes came and their digest held.
+    /// The chunk was received and its digest matched.
     Succeeded,
-    /// Too many are at it; come back after so long.
+    /// The source is overloaded; retry after this time.
     Refused(Ticks),
-    /// It has no such chunk.
+    /// The source does not have the chunk.
     NotFound,
-    /// No connection, cut off, silent, wrong length.
+    /// No connection, connection lost, timeout or wrong length.
     Failed,
-    /// Its bytes came and their digest did not hold.
+    /// The chunk was received and its digest did not match.
     Corrupt,
 }
 
-/// What to do now, and when to ask again at the latest.
+/// What to do now, and the latest time of the next call to [`Fetcher::next_actions`].
 #[derive(Debug, Default)]
 pub struct FetchActions {
     pub requests: Vec<FetchRequest>,
-    /// Stop these; their ends are told already.
+    /// Attempts to abort. Their outcome is already accounted for.
     pub cancels: Vec<u64>,
     pub wake_at: Option<Ticks>,
 }
@@ -60,17 +63,17 @@
 const STORE_MAX_WINDOW: f64 = 32.0;
 const PEER_INITIAL_WINDOW: f64 = 2.0;
 const PEER_MAX_WINDOW: f64 = 6.0;
-/// Homes that put us off are waited for so long before the store is asked past them.
+/// A chunk whose homes are busy waits this long for them before it is requested from the store.
 const MAX_PEER_WAIT: Ticks = 6 * SECOND;
-/// An ask that takes so many times as long as usual gets a second one beside it, within a budget.
+/// A request that takes this many times the mean duration is hedged with a second one, within a budget.
 const HEDGE_DURATION_FACTOR: f64 = 4.0;
 const MIN_HEDGE_DELAY: Ticks = 300 * MILLISECOND;
 const HEDGES_PER_FIRST_REQUEST: f64 = 0.05;
-/// Given up and counted as broken.
+/// A request without an outcome after this time is cancelled and counts as failed.
 const REQUEST_TIMEOUT: Ticks = 10 * SECOND;
 const INITIAL_ROUND_BACKOFF: Ticks = 50 * MILLISECOND;
 const MAX_ROUND_BACKOFF: Ticks = 4 * SECOND;
-/// Repeats that may be spent at once, and how they come back: by time, and by first asks.
+/// Retry budget: a retry spends one token; time and the first request of each chunk earn tokens.
 const MAX_RETRY_TOKENS: f64 = 64.0;
 const RETRY_TOKENS_PER_SECOND: f64 = 8.0;
 const RETRY_TOKENS_PER_FIRST_REQUEST: f64 = 0.25;
@@ -90,7 +93,7 @@
 
 struct PendingLoad {
     missing: BTreeSet<Digest>,
-    /// Bytes asked for on its account: the load with the least goes next.
+    /// Bytes requested on behalf of this load. The load with the fewest is served next.
     requested_bytes: u64,
 }
 
@@ -98,10 +101,11 @@
     digest: Digest,
     source: Source,
     since: Ticks,
-    has_hedge: bool,
+    /// Set on a request that has a hedge, and on the hedge itself.
+    hedged: bool,
 }
 
-/// One invoker's fetching. The same calls give the same asks.
+/// The fetch scheduler of one invoker. Deterministic: the same calls with the same seed give the same requests.
 pub struct Fetcher {
     invoker: InvokerId,
     members: Vec<Member>,
@@ -114,17 +118,18 @@
     last_attempt: u64,
     retry_tokens: (f64, Ticks),
     hedge_tokens: f64,
-    /// Usual time of an ask that went well.
+    /// Moving average over successful requests, in ticks.
     mean_duration: f64,
     cancels: Vec<u64>,
     rng: fastrand::Rng,
 }
 
+/// Result of choosing a source for a chunk.
 enum Choice {
     Send(Source),
-    /// A source there is, but it is full, closed or suspected for now.
+    /// No source is available now. Holds the time when one becomes available, if known.
     Wait(Option<Ticks>),
-    /// All failed in this round.
+    /// All sources failed in this round.
     Exhausted,
 }
 
@@ -148,7 +153,7 @@
         }
     }
 
-    /// The list of invokers as it is now, ourselves among them.
+    /// Replaces the list of invokers, which includes this one.
     pub fn set_members(&mut self, members: Vec<Member>) {
         let gone = self
             .members
@@ -166,7 +171,7 @@
         self.members_version += 1;
     }
 
-    /// A peer has started anew: what was held against it is void.
+    /// Clears the suspicion of a peer that has restarted.
     pub fn peer_restarted(&mut self, peer: InvokerId) {
         self.suspect_sources.forget(Source::Peer(peer));
     }
@@ -175,22 +180,22 @@
         homes(chunk, &self.members).contains(&self.invoker)
     }
 
-    /// A load waits for these chunks, none of which is here. True: it waits for nothing.
+    /// Adds a load that needs these chunks, none of which is cached. Returns true if there is nothing to fetch.
     pub fn start_load(&mut self, now: Ticks, load: LoadId, chunks: &[MissingChunk]) -> bool {
-        // It starts beside the others, not ahead of all that they were granted since they began.
+        // A new load starts level with the others; from zero it would be served alone until it caught up.
         let requested_bytes = self
             .loads
             .values()
             .map(|l| l.requested_bytes)
             .min()
             .unwrap_or(0);
-        let l = self.loads.entry(load).or_insert(PendingLoad {
+        let pending = self.loads.entry(load).or_insert(PendingLoad {
             missing: BTreeSet::new(),
             requested_bytes,
         });
         for (position, chunk) in chunks.iter().enumerate() {
-            l.missing.insert(chunk.digest);
-            let w = self
+            pending.missing.insert(chunk.digest);
+            let want = self
                 .wanted
                 .entry(chunk.digest)
                 .or_insert_with(|| WantedChunk {
@@ -205,33 +210,35 @@
                     not_before: 0,
                     homes: (0, Vec::new()),
                 });
-            w.position = w.position.min(position);
-            w.waiters.insert(load);
+            want.position = want.position.min(position);
+            want.waiters.insert(load);
         }
-        let nothing = l.missing.is_empty();
-        if nothing {
+        let is_complete = pending.missing.is_empty();
+        if is_complete {
             self.loads.remove(&load);
         }
-        nothing
+        is_complete
     }
 
-    /// The load is not wanted any more; what nobody else waits for stops.
+    /// Drops a load and cancels the requests for chunks that no other load needs.
     pub fn cancel_load(&mut self, load: LoadId) {
-        let Some(l) = self.loads.remove(&load) else {
+        let Some(pending) = self.loads.remove(&load) else {
             return;
         };
-        for digest in l.missing {
-            let Some(w) = self.wanted.get_mut(&digest) else {
+        for digest in pending.missing {
+            let Some(want) = self.wanted.get_mut(&digest) else {
                 continue;
             };
-            w.waiters.remove(&load);
-            if w.waiters.is_empty() {
-                let out = self
+            want.waiters.remove(&load);
+            if want.waiters.is_empty() {
+                let attempts = self
                     .wanted
                     .remove(&digest)
-                    .map(|w| w.attempts)
+                    .map(|want| want.attempts)
                     .unwrap_or_default();
-                out.into_iter().for_each(|attempt| self.cancel(attempt));
+                attempts
+                    .into_iter()
+                    .for_each(|attempt| self.cancel(attempt));
             }
         }
     }
@@ -241,8 +248,8 @@
     }
 
     fn cancel(&mut self, attempt: u64) {
-        if let Some(out) = self.in_flight.remove(&attempt) {
-            self.limit(out.source).request_ended();
+        if let Some(request) = self.in_flight.remove(&attempt) {
+            self.limit(request.source).request_ended();
             self.cancels.push(attempt);
         }
     }
@@ -254,26 +261,30 @@
         })
     }
 
-    /// What to ask now.
+    /// Returns the requests to send and to cancel now.
     pub fn next_actions(&mut self, now: Ticks) -> FetchActions {
         self.time_out_requests(now);
-        let mut next = FetchActions::default();
-        self.send_hedges(now, &mut next);
+        let mut actions = FetchActions::default();
+        self.send_hedges(now, &mut actions);
         let mut wake_at: Option<Ticks> = None;
         let mut wake_by =
-            |at: Ticks| wake_at = Some(wake_at.map_or(at, |w| w.min(at)).max(now + 1));
-        // First chunks first, those that many wait for before them.
+            |at: Ticks| wake_at = Some(wake_at.map_or(at, |wake| wake.min(at)).max(now + 1));
+        // Chunks with the most waiting loads come first, then those that the load uses first.
         let mut ready: BTreeMap<LoadId, Vec<(std::cmp::Reverse<usize>, usize, Digest)>> =
             BTreeMap::new();
-        for (digest, w) in self.wanted.iter().filter(|(_, w)| w.attempts.is_empty()) {
-            if w.not_before > now {
-                wake_by(w.not_before);
+        for (digest, want) in self
+            .wanted
+            .iter()
+            .filter(|(_, want)| want.attempts.is_empty())
+        {
+            if want.not_before > now {
+                wake_by(want.not_before);
                 continue;
             }
-            for load in &w.waiters {
+            for load in &want.waiters {
                 ready.entry(*load).or_default().push((
-                    std::cmp::Reverse(w.waiters.len()),
-                    w.position,
+                    std::cmp::Reverse(want.waiters.len()),
+                    want.position,
                     *digest,
                 ));
             }
@@ -286,7 +297,7 @@
             .min_by_key(|l| (self.loads[*l].requested_bytes, **l))
             .copied()
         {
-            let queue = ready.get_mut(&load).expect("it was just found");
+            let queue = ready.get_mut(&load).expect("the load was just selected");
             let Some((_, _, digest)) = queue.pop() else {
                 ready.remove(&load);
                 continue;
@@ -299,45 +310,46 @@
                     Some(at) => wake_by(at),
                     None => {
                         let bytes = self.wanted[&digest].bytes;
-                        self.loads.get_mut(&load).expect("it waits").requested_bytes += bytes;
-                        next.requests.push(self.send(digest, source, now, false));
+                        self.loads
+                            .get_mut(&load)
+                            .expect("a queued load is pending")
+                            .requested_bytes += bytes;
+                        actions.requests.push(self.send(digest, source, now, false));
                     }
                 },
                 Choice::Wait(at) => at.into_iter().for_each(&mut wake_by),
                 Choice::Exhausted => {
                     let jitter = self.rng.f64();
-                    let w = self.wanted.get_mut(&digest).expect("it was just found");
-                    w.failed_sources.clear();
-                    w.failed_rounds += 1;
-                    let most =
-                        MAX_ROUND_BACKOFF.min(INITIAL_ROUND_BACKOFF << w.failed_rounds.min(8));
-                    w.not_before = now + 1 + most / 2 + (most as f64 / 2.0 * jitter) as Ticks;
-                    wake_by(w.not_before);
+                    let want = self
+                        .wanted
+                        .get_mut(&digest)
+                        .expect("the chunk was just selected");
+                    want.failed_sources.clear();
+                    want.failed_rounds += 1;
+                    let backoff =
+                        MAX_ROUND_BACKOFF.min(INITIAL_ROUND_BACKOFF << want.failed_rounds.min(8));
+                    want.not_before =
+                        now + 1 + backoff / 2 + (backoff as f64 / 2.0 * jitter) as Ticks;
+                    wake_by(want.not_before);
                 }
             }
         }
-        for out in self.in_flight.values() {
-            wake_by(out.since + REQUEST_TIMEOUT);
-            if !out.has_hedge && self.hedge_tokens >= 1.0 {
-                wake_by(out.since + self.hedge_delay());
+        for request in self.in_flight.values() {
+            wake_by(request.since + REQUEST_TIMEOUT);
+            if !request.hedged && self.hedge_tokens >= 1.0 {
+                wake_by(request.since + self.hedge_delay());
             }
         }
-        next.cancels = std::mem::take(&mut self.cancels);
-        next.wake_at = wake_at;
-        next
+        actions.cancels = std::mem::take(&mut self.cancels);
+        actions.wake_at = wake_at;
+        actions
     }
 
     fn hedge_delay(&self) -> Ticks {
         MIN_HEDGE_DELAY.max((HEDGE_DURATION_FACTOR * self.mean_duration) as Ticks)
     }
 
-    fn send(
-        &mut self,
-        digest: Digest,
-        source: Source,
-        now: Ticks,
-        has_hedge: bool,
-    ) -> FetchRequest {
+    fn send(&mut self, digest: Digest, source: Source, now: Ticks, hedged: bool) -> FetchRequest {
         self.last_attempt += 1;
         let attempt = self.last_attempt;
         self.limit(source).request_sent();
@@ -347,12 +359,12 @@
                 digest,
                 source,
                 since: now,
-                has_hedge,
+                hedged,
             },
         );
-        if let Some(w) = self.wanted.get_mut(&digest) {
-            w.attempts.push(attempt);
-            w.requested_before = true;
+        if let Some(want) = self.wanted.get_mut(&digest) {
+            want.attempts.push(attempt);
+            want.requested_before = true;
         }
         FetchRequest {
             attempt,
@@ -361,25 +373,26 @@
         }
     }
 
-    /// A first ask is free and earns; a repeat costs. Gives when one will be there, if none is.
+    /// Takes a token for a retry; the first request of a chunk is free and earns tokens. Returns the time of the next
+    /// token if none is available.
     fn take_retry_token(&mut self, digest: &Digest, now: Ticks) -> Option<Ticks> {
-        let passed = now.saturating_sub(self.retry_tokens.1) as f64 / SECOND as f64;
+        let elapsed_s = now.saturating_sub(self.retry_tokens.1) as f64 / SECOND as f64;
         let is_first = !self.wanted[digest].requested_before;
         let earned = if is_first {
             RETRY_TOKENS_PER_FIRST_REQUEST
         } else {
             0.0
         };
-        let left =
-            (self.retry_tokens.0 + passed * RETRY_TOKENS_PER_SECOND + earned).min(MAX_RETRY_TOKENS);
-        self.retry_tokens = (left, now.max(self.retry_tokens.1));
+        let available = (self.retry_tokens.0 + elapsed_s * RETRY_TOKENS_PER_SECOND + earned)
+            .min(MAX_RETRY_TOKENS);
+        self.retry_tokens = (available, now.max(self.retry_tokens.1));
         if is_first {
             self.hedge_tokens = (self.hedge_tokens + HEDGES_PER_FIRST_REQUEST).min(8.0);
             return None;
         }
-        if left < 1.0 {
+        if available < 1.0 {
             return Some(
-                now + ((1.0 - left) / RETRY_TOKENS_PER_SECOND * SECOND as f64) as Ticks + 1,
+                now + ((1.0 - available) / RETRY_TOKENS_PER_SECOND * SECOND as f64) as Ticks + 1,
             );
         }
         self.retry_tokens.0 -= 1.0;
@@ -387,22 +400,22 @@
     }
 
     fn choose_source(&mut self, digest: &Digest, now: Ticks, is_hedge: bool) -> Choice {
-        let w = self
+        let want = self
             .wanted
             .get_mut(digest)
-            .expect("only wanted chunks are chosen for");
-        if w.homes.0 != self.members_version {
-            w.homes = (self.members_version, homes(digest, &self.members));
+            .expect("sources are chosen only for wanted chunks");
+        if want.homes.0 != self.members_version {
+            want.homes = (self.members_version, homes(digest, &self.members));
         }
-        let out: Vec<Source> = w
+        let sources_in_flight: Vec<Source> = want
             .attempts
             .iter()
             .filter_map(|a| self.in_flight.get(a))
             .map(|o| o.source)
             .collect();
-        let rank = w.homes.1.iter().position(|h| *h == self.invoker);
-        // A home asks those before it, so that of all who want the chunk one asks the store.
-        let mut peers: Vec<Source> = w
+        let rank = want.homes.1.iter().position(|h| *h == self.invoker);
+        // A home asks only the homes ranked above it, so that a single invoker requests the chunk from the store.
+        let mut peers: Vec<Source> = want
             .homes
             .1
             .iter()
@@ -413,13 +426,14 @@
             let turn = self.rng.usize(..peers.len());
             peers.rotate_left(turn);
         }
-        let has_waited = now >= w.since + MAX_PEER_WAIT;
-        let fresh = |s: &Source| !w.failed_sources.contains(s) && !out.contains(s);
-        let mut opens: Option<Ticks> = None;
+        let has_waited = now >= want.since + MAX_PEER_WAIT;
+        let is_untried =
+            |s: &Source| !want.failed_sources.contains(s) && !sources_in_flight.contains(s);
+        let mut reopens_at: Option<Ticks> = None;
         let mut is_any_busy = false;
         for peer in peers
             .iter()
-            .filter(|p| fresh(p) && self.suspect_sources.is_trusted(**p, now))
+            .filter(|p| is_untried(p) && self.suspect_sources.is_trusted(**p, now))
         {
             let limit = self.limits.get(peer);
             if limit.is_none_or(|l| l.has_capacity(now)) {
@@ -427,19 +441,19 @@
             }
             is_any_busy = true;
             let at = limit.and_then(|l| l.reopens_at(now));
-            opens = opens.min(at).or(opens).or(at);
+            reopens_at = reopens_at.min(at).or(reopens_at).or(at);
         }
         if is_any_busy && !has_waited {
-            return Choice::Wait(opens);
+            return Choice::Wait(reopens_at);
         }
-        // A second ask goes to a home or nowhere: at the store it would be one more in the crowd that made the first slow.
+        // Hedges go only to homes: at the store they would add to the overload that delayed the first request.
         if is_hedge {
             return Choice::Wait(None);
         }
-        if !fresh(&Source::Store) {
+        if !is_untried(&Source::Store) {
             return Choice::Exhausted;
         }
-        // The store is the last that is left: suspected or not, it is asked, as its limit allows.
+        // The store is the last resort, so it is used even while suspected, within its concurrency limit.
         let limit = self.limits.get(&Source::Store);
         match limit.is_none_or(|l| l.has_capacity(now)) {
             true => Choice::Send(Source::Store),
@@ -447,14 +461,14 @@
         }
     }
 
-    fn send_hedges(&mut self, now: Ticks, next: &mut FetchActions) {
+    fn send_hedges(&mut self, now: Ticks, actions: &mut FetchActions) {
         if self.hedge_tokens < 1.0 {
             return;
         }
-        let (hedge_delay, out) = (self.hedge_delay(), &self.in_flight);
-        let slow: Vec<(u64, Digest)> = out
+        let (hedge_delay, in_flight) = (self.hedge_delay(), &self.in_flight);
+        let slow: Vec<(u64, Digest)> = in_flight
             .iter()
-            .filter(|(_, o)| !o.has_hedge && now >= o.since + hedge_delay)
+            .filter(|(_, o)| !o.hedged && now >= o.since + hedge_delay)
             .map(|(attempt, o)| (*attempt, o.digest))
             .collect();
         for (attempt, digest) in slow {
@@ -462,7 +476,7 @@
                 || self
                     .wanted
                     .get(&digest)
-                    .is_none_or(|w| w.attempts.len() > 1)
+                    .is_none_or(|want| want.attempts.len() > 1)
             {
                 continue;
             }
@@ -470,50 +484,50 @@
                 self.hedge_tokens -= 1.0;
                 self.in_flight
                     .get_mut(&attempt)
-                    .expect("it is out")
-                    .has_hedge = true;
+                    .expect("the request is in flight")
+                    .hedged = true;
                 let request = self.send(digest, source, now, true);
-                next.requests.push(request);
+                actions.requests.push(request);
             }
         }
     }
 
     fn time_out_requests(&mut self, now: Ticks) {
-        let late: Vec<u64> = self
+        let expired: Vec<u64> = self
             .in_flight
             .iter()
             .filter(|(_, o)| now >= o.since + REQUEST_TIMEOUT)
             .map(|(attempt, _)| *attempt)
             .collect();
-        for attempt in late {
+        for attempt in expired {
             self.request_ended(now, attempt, FetchOutcome::Failed);
             self.cancels.push(attempt);
         }
     }
 
-    /// Whether any load waits for it.
+    /// Whether any load waits for this chunk.
     pub fn is_wanted(&self, digest: &Digest) -> bool {
         self.wanted.contains_key(digest)
     }
 
-    /// The chunk that an ask still out is for.
+    /// The chunk that a request in flight is for.
     pub fn requested_chunk(&self, attempt: u64) -> Option<Digest> {
         self.in_flight.get(&attempt).map(|o| o.digest)
     }
 
-    /// An ask has ended. Gives the loads that now have all they wanted.
+    /// Handles the outcome of a request. Returns the loads that it completes.
     pub fn request_ended(
         &mut self,
         now: Ticks,
         attempt: u64,
         outcome: FetchOutcome,
     ) -> Vec<LoadId> {
-        let Some(out) = self.in_flight.remove(&attempt) else {
+        let Some(request) = self.in_flight.remove(&attempt) else {
             return Vec::new();
         };
-        let (digest, source) = (out.digest, out.source);
-        let took = now.saturating_sub(out.since);
-        let bytes = self.wanted.get(&digest).map_or(0, |w| w.bytes);
+        let (digest, source) = (request.digest, request.source);
+        let took = now.saturating_sub(request.since);
+        let bytes = self.wanted.get(&digest).map_or(0, |want| want.bytes);
         match outcome {
             FetchOutcome::Succeeded => {
                 self.limit(source).request_succeeded(now, took, bytes);
@@ -533,41 +547,41 @@
                 self.suspect_sources.sent_corrupt(source, now);
             }
         }
-        let Some(w) = self.wanted.get_mut(&digest) else {
+        let Some(want) = self.wanted.get_mut(&digest) else {
             return Vec::new();
         };
-        w.attempts.retain(|a| *a != attempt);
+        want.attempts.retain(|a| *a != attempt);
         match outcome {
             FetchOutcome::Succeeded => return self.chunk_arrived(digest),
-            // It may be asked again when it opens; it has not failed.
+            // A refusal is not a failure: the source may be tried again in this round.
             FetchOutcome::Refused(retry_after) => {
                 if source == Source::Store {
                     let jitter = 1.0 + self.rng.f64();
-                    w.not_before = now + (retry_after as f64 * jitter) as Ticks;
+                    want.not_before = now + (retry_after as f64 * jitter) as Ticks;
                 }
             }
             FetchOutcome::NotFound | FetchOutcome::Failed | FetchOutcome::Corrupt => {
-                w.failed_sources.push(source)
+                want.failed_sources.push(source)
             }
         }
         Vec::new()
     }
 
-    /// The chunk is here, by whatever way.
+    /// Handles the arrival of a chunk from any source. Returns the loads that it completes.
     pub fn chunk_arrived(&mut self, digest: Digest) -> Vec<LoadId> {
-        let Some(w) = self.wanted.remove(&digest) else {
+        let Some(want) = self.wanted.remove(&digest) else {
             return Vec::new();
         };
-        w.attempts
+        want.attempts
             .into_iter()
             .for_each(|attempt| self.cancel(attempt));
         let mut complete = Vec::new();
-        for load in w.waiters {
-            let Some(l) = self.loads.get_mut(&load) else {
+        for load in want.waiters {
+            let Some(pending) = self.loads.get_mut(&load) else {
                 continue;
             };
-            l.missing.remove(&digest);
-            if l.missing.is_empty() {
+            pending.missing.remove(&digest);
+            if pending.missing.is_empty() {
                 self.loads.remove(&load);
                 complete.push(load);
             }
--- a/crates/layers/src/plan/homes.rs
+++ b/crates/layers/src/plan/homes.rs
@@ -1,24 +1,24 @@
-//! Which invokers are home to a chunk: the first few of a rendezvous order over the list.
+//! The homes of a chunk: the first invokers of its rendezvous ranking. Homes fetch the chunk and serve it to peers.
 
 use crate::Digest;
 use saltdrum::interface::InvokerId;
 
-/// So many invokers are asked for a chunk before the store is.
+/// Invokers that are tried for a chunk before the store.
 pub const HOMES_PER_CHUNK: usize = 2;
 
-/// An invoker as its list has it.
+/// An invoker as stated by the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Member {
     pub invoker: InvokerId,
     pub size: f64,
-    /// Part of its full capacity that it has surely risen to, 0 to 1: a just-started one is home to so many of its
-    /// chunks, and to the others once it has risen.
+    /// Share of full capacity that it has reached since its start, 0 to 1. A warming invoker is home to this share of
+    /// its chunks, and to the rest once it is warm.
     pub capacity_share: f64,
-    /// A draining one is home to nothing.
+    /// False while it drains: it is home to no chunk.
     pub ready: bool,
 }
 
-/// A hash of both, the same at everybody, as a number in (0, 1).
+/// Hashes chunk and invoker to a number in (0, 1), the same on every invoker.
 fn unit_hash(chunk: u64, invoker: InvokerId, salt: u64) -> f64 {
     let mut x = chunk ^ (u64::from(invoker).wrapping_add(salt)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -26,7 +26,7 @@
     ((x ^ (x >> 31)) >> 11) as f64 / (1u64 << 53) as f64 + 1e-17
 }
 
-/// The chunk's homes, first choice first. Larger invokers are home to more.
+/// Returns the homes of a chunk in order of rank. Larger invokers are home to more chunks.
 pub fn homes(chunk: &Digest, members: &[Member]) -> Vec<InvokerId> {
     let prefix = chunk.prefix();
     let mut best: Vec<(f64, InvokerId)> = Vec::with_capacity(HOMES_PER_CHUNK + 1);
@@ -63,7 +63,7 @@
     }
 
     #[test]
-    fn one_that_goes_moves_only_its_own_and_all_carry_alike() {
+    fn removing_an_invoker_moves_only_its_chunks_and_load_is_even() {
         let (all, mut fewer) = (members(20), members(20));
         fewer[6].ready = false;
         let mut carried = [0; 21];
@@ -79,14 +79,14 @@
         }
         assert!(
             carried[1..].iter().all(|n| (320..480).contains(n)),
-            "400 each on the mean: {carried:?}"
+            "mean of 400 chunks each: {carried:?}"
         );
     }
 
     #[test]
-    fn a_just_started_one_becomes_home_bit_by_bit_and_loses_none_again() {
+    fn warming_invoker_gains_chunks_gradually_and_keeps_them() {
         let mut before = 0;
-        let mut had: Vec<Digest> = Vec::new();
+        let mut previous: Vec<Digest> = Vec::new();
         for capacity_share in [0.0, 0.2, 0.6, 1.0] {
             let mut all = members(10);
             all[3].capacity_share = capacity_share;
@@ -94,7 +94,7 @@
                 .into_iter()
                 .filter(|c| homes(c, &all).contains(&4))
                 .collect();
-            assert!(had.iter().all(|c| now.contains(c)));
+            assert!(previous.iter().all(|c| now.contains(c)));
             assert!(
                 now.len() > before || capacity_share == 0.0,
                 "{capacity_share}: {}",
@@ -105,7 +105,7 @@
                 "{capacity_share}: {}",
                 now.len()
             );
-            (before, had) = (now.len(), now);
+            (before, previous) = (now.len(), now);
         }
     }
 }
--- a/crates/layers/src/plan/limit.rs
+++ b/crates/layers/src/plan/limit.rs
@@ -1,27 +1,29 @@
-//! How much one invoker has under way at one source. Each learns alone from refusals and slowness; no counter is shared.
+//! Adaptive limit on the requests that one invoker has in flight at one source. Each invoker adapts on its own, from
+//! refusals and slow responses; no state is shared.
 
 use saltdrum::interface::{MILLISECOND, Ticks};
 
-/// A second refusal within this time tells of the same crowd.
+/// Refusals and slow responses within this time belong to the same overload and shrink the window once.
 const SAME_OVERLOAD_PERIOD: Ticks = 100 * MILLISECOND;
-/// An answer that takes so many times the quickest seen tells of a crowd before it refuses.
+/// A response this many times slower than the fastest seen indicates overload before the source refuses.
 const SLOWDOWN_FACTOR: f64 = 4.0;
 
-/// Growth near the brink, in parts of that below it.
+/// Window growth near the threshold, as a factor of the growth below it.
 const GROWTH_NEAR_THRESHOLD: f64 = 0.03;
 
-/// Grows by one for each window that went well, halves at a refusal, shrinks a little at slowness.
+/// A congestion window: grows by one per window of successful requests, halves on a refusal, and shrinks by a tenth on a
+/// slow response.
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimit {
     window: f64,
     min_window: f64,
     max_window: f64,
-    /// The window at the last refusal: from there on it is felt for slowly.
+    /// The window at the last refusal. Near and above it the window grows slowly.
     threshold: f64,
     in_flight: usize,
     shrunk_at: Option<Ticks>,
     closed_until: Ticks,
-    /// Time a KiB, the quickest seen; it fades up, so that one lucky answer does not judge for ever.
+    /// Least time per KiB seen. Rises by 2% per response, so that one unusually fast response does not count for ever.
     fastest_pace: Option<f64>,
 }
 
@@ -44,7 +46,7 @@
             && (self.in_flight as f64) < self.window.floor().max(self.min_window)
     }
 
-    /// When it opens again, if a refusal closed it.
+    /// When requests are allowed again, if a refusal closed the source.
     pub fn reopens_at(&self, now: Ticks) -> Option<Ticks> {
         (now < self.closed_until).then_some(self.closed_until)
     }
@@ -53,9 +55,9 @@
         self.in_flight += 1;
     }
 
-    /// What was asked has ended in some way that says nothing of a crowd.
+    /// Counts the end of a request that indicates nothing about load.
     pub fn request_ended(&mut self) {
-        debug_assert!(self.in_flight > 0, "more ends than asks");
+        debug_assert!(self.in_flight > 0, "more requests ended than were sent");
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
@@ -103,9 +105,9 @@
 mod tests {
     use super::*;
 
-    /// A source that serves so many at a time and refuses the rest, asked by several that do not know of each other.
+    /// Six clients without shared state send to a source that serves 12 requests at a time and refuses the rest.
     #[test]
-    fn several_share_a_source_about_evenly_and_waste_little() {
+    fn clients_share_a_source_evenly_with_few_refusals() {
         let (capacity, mut rng) = (12usize, fastrand::Rng::with_seed(1));
         let mut limits = vec![ConcurrencyLimit::new(4.0, 64.0); 6];
         let mut under_way: Vec<(Ticks, usize)> = Vec::new();
@@ -120,7 +122,7 @@
                 !over
             });
             for turn in 0..limits.len() {
-                // Nobody is always the first to see a free place.
+                // A random start, so that no client is always the first to see free capacity.
                 let who = (turn + rng.usize(..6)) % limits.len();
                 while limits[who].has_capacity(now) {
                     limits[who].request_sent();
@@ -144,25 +146,25 @@
     }
 
     #[test]
-    fn one_crowd_halves_once_and_come_back_is_honoured() {
-        let mut l = ConcurrencyLimit::new(8.0, 64.0);
-        (0..8).for_each(|_| l.request_sent());
-        (0..8).for_each(|_| l.request_refused(1_000, 700));
-        assert!(!l.has_capacity(1_699) && l.reopens_at(1_699) == Some(1_700));
+    fn one_overload_halves_the_window_once_and_retry_after_is_respected() {
+        let mut limit = ConcurrencyLimit::new(8.0, 64.0);
+        (0..8).for_each(|_| limit.request_sent());
+        (0..8).for_each(|_| limit.request_refused(1_000, 700));
+        assert!(!limit.has_capacity(1_699) && limit.reopens_at(1_699) == Some(1_700));
         (0..4).for_each(|_| {
-            assert!(l.has_capacity(1_700));
-            l.request_sent();
+            assert!(limit.has_capacity(1_700));
+            limit.request_sent();
         });
-        assert!(!l.has_capacity(1_700), "half of eight");
-        let mut l = ConcurrencyLimit::new(8.0, 64.0);
-        (0..8).for_each(|_| l.request_sent());
-        l.request_refused(1_000, 0);
-        (0..3).for_each(|_| l.request_succeeded(1_000, 100, 1 << 20));
+        assert!(!limit.has_capacity(1_700), "half of eight");
+        let mut limit = ConcurrencyLimit::new(8.0, 64.0);
+        (0..8).for_each(|_| limit.request_sent());
+        limit.request_refused(1_000, 0);
+        (0..3).for_each(|_| limit.request_succeeded(1_000, 100, 1 << 20));
         assert!(
-            !l.has_capacity(1_000),
-            "half of eight, and four are still out"
+            !limit.has_capacity(1_000),
+            "half of eight, and four are still in flight"
         );
-        l.request_succeeded(1_000, 100, 1 << 20);
-        assert!(l.has_capacity(1_000));
+        limit.request_succeeded(1_000, 100, 1 << 20);
+        assert!(limit.has_capacity(1_000));
     }
 }
--- a/crates/layers/src/plan/mod.rs
+++ b/crates/layers/src/plan/mod.rs
@@ -1,7 +1,7 @@
-//! Who is home to a chunk, whom to ask for it, how much at once, when again, and what to serve to others.
+//! Decisions of an agent: the homes of a chunk, sources, concurrency limits, retries, uploads and eviction.
 //!
-//! No I/O and no clock: times come in as tenths of a millisecond, asks go out, their ends are told. Each invoker decides
-//! for itself from the list it has; lists differ and lag, and nothing here needs them to agree.
+//! No I/O and no clock: the caller passes times in tenths of a millisecond, sends the returned requests and reports their
+//! outcomes. Each invoker decides from its own endpoint list; lists may differ or lag, and need not agree.
 
 mod evict;
 mod fetch;
--- a/crates/layers/src/plan/serve.rs
+++ b/crates/layers/src/plan/serve.rs
@@ -1,28 +1,29 @@
-//! What to do with a peer's request for a chunk, so that serving others never costs invocations their cores and network.
+//! Admission of chunk requests from peers, so that uploads never take cores and bandwidth from invocations.
 
 use saltdrum::interface::{MILLISECOND, SECOND, Ticks};
 
-/// Transfers to peers at a time, on an invoker that has risen in full.
+/// Concurrent transfers to peers on an invoker at full capacity.
 const MAX_TRANSFERS: f64 = 6.0;
-/// Requests that wait here, for a slot or for our own fetch. A refusal would close us to that peer for all its chunks:
-/// waiting in line is cheaper for both.
+/// Requests that wait for a slot or for the local fetch. The queue is long because a refusal makes the peer stop all its
+/// requests to this invoker for a while, so queueing is cheaper for both.
 const MAX_QUEUED: usize = 256;
-/// A peer that finds the line full comes back after about this.
+/// Retry-after sent to a peer when the queue is full.
 const RETRY_AFTER: Ticks = 150 * MILLISECOND;
 
+/// How to respond to a peer's chunk request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UploadDecision {
-    /// It is here: it takes its place in the line.
+    /// The chunk is cached; the request was queued.
     Queued,
-    /// Not here; we are one of its homes: fetch it, the peer waits for it on this request.
+    /// The chunk is not cached but this invoker is one of its homes: fetch it while the request is queued.
     FetchAndServe,
-    /// Not now.
+    /// The queue is full; the peer may retry after this time.
     RetryLater(Ticks),
-    /// Not here, and not ours to fetch: the peer's list is not ours.
+    /// The chunk is not cached and this invoker is not its home, because the peer's list differs or this invoker drains.
     NotFound,
 }
 
-/// Transfers under way, requests in line, and bytes sent lately.
+/// Bounds the transfers in progress, the queued requests, and the bytes sent per second.
 #[derive(Clone, Debug)]
 pub struct UploadScheduler {
     transfers: usize,
@@ -43,7 +44,7 @@
         }
     }
 
-    /// A peer asks for a chunk that we hold, or are home to, or neither.
+    /// Decides on a peer's request for a chunk that is cached here or not, with this invoker its home or not.
     pub fn admit(&mut self, is_held: bool, is_home: bool, is_draining: bool) -> UploadDecision {
         if !is_held && (is_draining || !is_home) {
             return UploadDecision::NotFound;
@@ -59,8 +60,8 @@
         }
     }
 
-    /// Whether the next in line, whose chunk is here, may be sent; it is then under way. `capacity_share`: our own part of full
-    /// capacity, 0 to 1. `busy`: share of our cores that invocations use.
+    /// Starts the next queued transfer if the bounds allow it. `capacity_share` is this invoker's share of full capacity,
+    /// 0 to 1; `utilization` is the share of its cores that invocations use.
     pub fn try_start(
         &mut self,
         now: Ticks,
@@ -72,7 +73,7 @@
         self.byte_budget =
             (self.byte_budget + elapsed_s * self.bytes_per_second).min(self.bytes_per_second);
         self.refilled_at = self.refilled_at.max(now);
-        // One slot always: a fleet that is busy all over must still get its models somewhere.
+        // Always at least one slot: a fully busy fleet must still be able to fetch models.
         let slots =
             (MAX_TRANSFERS * capacity_share.clamp(0.0, 1.0) * (1.5 - utilization).clamp(0.2, 1.0))
                 .max(1.0) as usize;
@@ -85,7 +86,7 @@
         true
     }
 
-    /// When bytes may be sent again, if it is they that are used up.
+    /// When bytes may be sent again, if the byte budget is exhausted.
     pub fn reopens_at(&self) -> Option<Ticks> {
         (self.byte_budget < 0.0).then(|| {
             self.refilled_at
@@ -94,15 +95,15 @@
         })
     }
 
-    /// A transfer has ended, however.
+    /// Frees the slot of a transfer that ended, whether it succeeded or not.
     pub fn transfer_ended(&mut self) {
-        debug_assert!(self.transfers > 0, "more ends than transfers");
+        debug_assert!(self.transfers > 0, "more transfers ended than were started");
         self.transfers = self.transfers.saturating_sub(1);
     }
 
-    /// One in line hung up, or its chunk could not be had.
+    /// Removes a queued request whose peer disconnected or whose chunk could not be fetched.
     pub fn leave_queue(&mut self) {
-        debug_assert!(self.queued > 0, "nobody is in line");
+        debug_assert!(self.queued > 0, "no request is queued");
         self.queued = self.queued.saturating_sub(1);
     }
 }
@@ -112,61 +113,66 @@
     use super::*;
 
     #[test]
-    fn a_cold_or_busy_one_serves_less_and_a_draining_one_fetches_nothing() {
-        let taken = |capacity_share, utilization| {
-            let mut s = UploadScheduler::new(0, 1e12);
-            (0..20).for_each(|_| assert_eq!(s.admit(true, false, false), UploadDecision::Queued));
+    fn cold_or_busy_invoker_serves_less_and_draining_one_does_not_fetch() {
+        let started = |capacity_share, utilization| {
+            let mut uploads = UploadScheduler::new(0, 1e12);
+            (0..20).for_each(|_| {
+                assert_eq!(uploads.admit(true, false, false), UploadDecision::Queued)
+            });
             (0..20)
-                .filter(|_| s.try_start(0, 1, capacity_share, utilization))
+                .filter(|_| uploads.try_start(0, 1, capacity_share, utilization))
                 .count()
         };
         assert_eq!(
             (
-                taken(1.0, 0.2),
-                taken(1.0, 1.0),
-                taken(0.2, 0.0),
-                taken(0.0, 2.0)
+                started(1.0, 0.2),
+                started(1.0, 1.0),
+                started(0.2, 0.0),
+                started(0.0, 2.0)
             ),
             (6, 3, 1, 1)
         );
-        let mut s = UploadScheduler::new(0, 1e12);
-        assert_eq!(s.admit(false, true, true), UploadDecision::NotFound);
+        let mut uploads = UploadScheduler::new(0, 1e12);
+        assert_eq!(uploads.admit(false, true, true), UploadDecision::NotFound);
         assert_eq!(
-            s.admit(true, true, true),
+            uploads.admit(true, true, true),
             UploadDecision::Queued,
-            "what it holds it may still give"
+            "cached chunks are served while draining"
         );
-        assert_eq!(s.admit(false, true, false), UploadDecision::FetchAndServe);
-        assert_eq!(s.admit(false, false, false), UploadDecision::NotFound);
+        assert_eq!(
+            uploads.admit(false, true, false),
+            UploadDecision::FetchAndServe
+        );
+        assert_eq!(uploads.admit(false, false, false), UploadDecision::NotFound);
     }
 
     #[test]
-    fn the_line_is_bounded() {
-        let mut s = UploadScheduler::new(0, 1e12);
-        let later = (0..MAX_QUEUED + 9)
-            .filter(|_| s.admit(true, true, false) == UploadDecision::RetryLater(RETRY_AFTER))
+    fn queue_is_bounded() {
+        let mut uploads = UploadScheduler::new(0, 1e12);
+        let refused = (0..MAX_QUEUED + 9)
+            .filter(|_| uploads.admit(true, true, false) == UploadDecision::RetryLater(RETRY_AFTER))
             .count();
-        assert_eq!(later, 9);
-        s.leave_queue();
-        assert_eq!(s.admit(true, true, false), UploadDecision::Queued);
+        assert_eq!(refused, 9);
+        uploads.leave_queue();
+        assert_eq!(uploads.admit(true, true, false), UploadDecision::Queued);
     }
 
     #[test]
-    fn bytes_a_second_are_bounded_over_any_long_time() {
-        let (mut s, mut sent) = (UploadScheduler::new(0, 10e6), 0u64);
+    fn upload_rate_is_bounded() {
+        let (mut uploads, mut sent) = (UploadScheduler::new(0, 10e6), 0u64);
         for now in (0..100_000).step_by(20) {
-            assert_eq!(s.admit(true, true, false), UploadDecision::Queued);
-            if s.try_start(now, 1 << 20, 1.0, 0.0) {
-                s.transfer_ended();
+            assert_eq!(uploads.admit(true, true, false), UploadDecision::Queued);
+            if uploads.try_start(now, 1 << 20, 1.0, 0.0) {
+                uploads.transfer_ended();
                 sent += 1 << 20;
             } else {
-                s.leave_queue();
+                uploads.leave_queue();
             }
         }
         assert!(
             (90e6..122e6).contains(&(sent as f64)),
-            "10 s at 10 MB/s and a burst of one second: {sent}"
+            "10 s at 10 MB/s plus a burst of one second: {sent}"
         );
-        assert!(s.reopens_at().is_none_or(|at| at < 110_000));
+        assert!(uploads.reopens_at().is_none_or(|at| at < 110_000));
     }
 }
--- a/crates/layers/src/plan/suspect.rs
+++ b/crates/layers/src/plan/suspect.rs
@@ -1,4 +1,4 @@
-//! Whom not to ask for a while: sources that broke, hung or sent damaged bytes.
+//! Sources to avoid for a while because they failed, timed out or sent corrupt chunks.
 
 use super::Source;
 use saltdrum::interface::{SECOND, Ticks};
@@ -6,10 +6,10 @@
 
 const INITIAL_SUSPICION: Ticks = SECOND / 2;
 const MAX_SUSPICION: Ticks = 60 * SECOND;
-/// Damaged bytes count for so many broken fetches: they cost the fetch and tell of a bad disk or worse.
+/// A corrupt chunk counts as this many failed fetches: the transfer is wasted and it indicates a bad disk or worse.
 const CORRUPTION_WEIGHT: u32 = 3;
 
-/// A time that doubles with each fault in a row.
+/// Suspicion per source. Its duration doubles with each consecutive fault.
 #[derive(Clone, Debug, Default)]
 pub struct SuspectSources {
     faults: BTreeMap<Source, (u32, Ticks)>,
@@ -34,14 +34,14 @@
         self.faults.remove(&source);
     }
 
-    /// It has started anew, or is no more on the list.
+    /// Clears the suspicion of a source that has restarted or left the list.
     pub fn forget(&mut self, source: Source) {
         self.faults.remove(&source);
     }
 
     fn record_fault(&mut self, source: Source, now: Ticks, weight: u32) {
         let (faults, until) = self.faults.entry(source).or_default();
-        // Those asked together fail together: one fault.
+        // Requests that were in flight together fail together and count as one fault.
         if now < *until && weight == 1 {
             return;
         }
@@ -55,26 +55,30 @@
     use super::*;
 
     #[test]
-    fn suspicion_grows_with_faults_in_a_row_and_damage_weighs_more() {
-        let (mut s, a, b) = (SuspectSources::default(), Source::Peer(1), Source::Store);
-        s.fetch_failed(a, 0);
-        s.fetch_failed(a, 1);
+    fn suspicion_doubles_with_consecutive_faults_and_corruption_weighs_more() {
+        let (mut suspects, peer, store) =
+            (SuspectSources::default(), Source::Peer(1), Source::Store);
+        suspects.fetch_failed(peer, 0);
+        suspects.fetch_failed(peer, 1);
         assert!(
-            !s.is_trusted(a, INITIAL_SUSPICION - 1) && s.is_trusted(a, INITIAL_SUSPICION),
-            "two that failed together are one fault"
+            !suspects.is_trusted(peer, INITIAL_SUSPICION - 1)
+                && suspects.is_trusted(peer, INITIAL_SUSPICION),
+            "two concurrent failures count as one fault"
         );
-        s.fetch_failed(a, INITIAL_SUSPICION);
+        suspects.fetch_failed(peer, INITIAL_SUSPICION);
         assert!(
-            !s.is_trusted(a, 3 * INITIAL_SUSPICION - 1) && s.is_trusted(a, 3 * INITIAL_SUSPICION)
+            !suspects.is_trusted(peer, 3 * INITIAL_SUSPICION - 1)
+                && suspects.is_trusted(peer, 3 * INITIAL_SUSPICION)
         );
-        s.sent_corrupt(b, 0);
+        suspects.sent_corrupt(store, 0);
         assert!(
-            !s.is_trusted(b, 4 * INITIAL_SUSPICION - 1) && s.is_trusted(b, 4 * INITIAL_SUSPICION)
+            !suspects.is_trusted(store, 4 * INITIAL_SUSPICION - 1)
+                && suspects.is_trusted(store, 4 * INITIAL_SUSPICION)
         );
-        (0..40).for_each(|n| s.sent_corrupt(b, n));
-        assert!(s.is_trusted(b, MAX_SUSPICION + 40));
-        s.fetch_succeeded(b);
-        s.fetch_failed(b, 100);
-        assert!(s.is_trusted(b, 100 + INITIAL_SUSPICION));
+        (0..40).for_each(|n| suspects.sent_corrupt(store, n));
+        assert!(suspects.is_trusted(store, MAX_SUSPICION + 40));
+        suspects.fetch_succeeded(store);
+        suspects.fetch_failed(store, 100);
+        assert!(suspects.is_trusted(store, 100 + INITIAL_SUSPICION));
     }
 }
