--- a/crates/agent/src/follow.rs
+++ b/crates/agent/src/follow.rs
@@ -1,4 +1,4 @@
-//! Follows the invoker list as controllers do, for an agent that is a process of its own.
+//! Follows the endpoint list as controllers do, for an agent that runs as a separate process.
 
 use crate::{Agent, Peer};
 use bytes::BytesMut;
@@ -13,21 +13,22 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tracing::info;
 
-/// An invoker that started less than this ago is not yet home to all its chunks.
+/// Warm-up time over which the capacity share of an invoker would rise by 1.
 const WARMUP_TICKS: f64 = 100_000.0;
 const INITIAL_CAPACITY_SHARE: f64 = 0.2;
-/// How far the others have risen is looked at so often.
+/// Interval at which capacity shares are recalculated while the list does not change.
 const UPDATE_INTERVAL: Duration = Duration::from_secs(1);
-/// Lines of the list, and when each was heard.
+/// List entries by invoker, with the time each was received.
 type KnownInvokers = BTreeMap<u32, (Entry, Ticks)>;
+/// Delay before reconnecting to the list.
 const RECONNECT_DELAY: Duration = Duration::from_millis(500);
 
-/// For as long as it is polled. What the list last said stands while it is away.
+/// Follows the list for as long as it is polled. The last known entries stay in use while the list is unreachable.
 pub async fn follow(agent: Rc<Agent>, network: Rc<dyn Network>, list: Address) {
     let mut known: KnownInvokers = BTreeMap::new();
     loop {
         let why = follow_until_disconnected(&agent, &*network, &list, &mut known).await;
-        info!(%list, why, "invoker list lost; what it said stands");
+        info!(%list, why, "endpoint list connection lost; last known entries stay in use");
         tokio::time::sleep(RECONNECT_DELAY).await;
     }
 }
@@ -41,7 +42,7 @@
     let Ok(mut stream) = network.dial(list).await else {
         return "no connection".into();
     };
-    // Followers are told apart by their numbers; an agent must not pass for a controller.
+    // The list identifies followers by number: counting down from the top keeps agents apart from controllers.
     let (controller, incarnation) = (u32::MAX - agent.config.invoker, agent.config.seed);
     if let Err(e) = stream
         .write_all(&encode(&Follow {
--- a/crates/agent/src/http.rs
+++ b/crates/agent/src/http.rs
@@ -1,4 +1,5 @@
-//! One GET at a time on a connection, connections kept for the next. Nothing is believed of lengths.
+//! HTTP client: one GET at a time per connection, with idle connections reused. Body lengths are bounded by the caller, not
+//! by what the server states.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
@@ -12,20 +13,22 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A peer that does not take the connection within this is not there.
+/// A peer that does not accept a connection within this time counts as unreachable.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Nothing comes for so long: broken. A home that fetches for us first may take longer to begin.
+/// A response body without data for this long fails the request.
 const BODY_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time until the response headers. Longer than the idle timeout, because a home may first fetch the chunk itself.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(9);
-/// Where a refusal does not say.
+/// Used when a refusal states no retry-after.
 const DEFAULT_RETRY_AFTER: Ticks = 200 * MILLISECOND;
 const MAX_RETRY_AFTER: Ticks = 30 * SECOND;
 const MAX_IDLE_CONNECTIONS: usize = 8;
-/// How long the chunk is by its manifest; a home that lacks it needs to know.
+/// Stored length of the chunk according to its manifest, for a home that has to fetch the chunk first.
 pub const STORED_BYTES_HEADER: &str = "x-saltdrum-bytes";
-/// As Retry-After, in milliseconds: seconds are too coarse between neighbours.
+/// Like Retry-After but in milliseconds, because seconds are too coarse between peers.
 pub const RETRY_AFTER_MS_HEADER: &str = "x-saltdrum-retry-after-ms";
 
+/// How a GET ended.
 pub enum GetOutcome {
     Bytes(Vec<u8>),
     Refused(Ticks),
@@ -33,6 +36,7 @@
     Failed(String),
 }
 
+/// Idle connections by address.
 pub struct ConnectionPool {
     network: Rc<dyn Network>,
     idle: RefCell<BTreeMap<Address, Vec<SendRequest<Empty<Bytes>>>>>,
@@ -75,7 +79,7 @@
         Ok(sender)
     }
 
-    /// At the most so many bytes of body are taken.
+    /// Sends a GET and reads the body, at most `max_bytes` of it.
     pub async fn get(
         &self,
         to: &Address,
@@ -144,7 +148,7 @@
         let mut bytes = Vec::new();
         loop {
             let frame = tokio::time::timeout(BODY_IDLE_TIMEOUT, response.body_mut().frame()).await;
-            let Some(frame) = frame.map_err(|_| "silence in mid-body".to_owned())? else {
+            let Some(frame) = frame.map_err(|_| "response body stalled".to_owned())? else {
                 break;
             };
             if let Ok(data) = frame.map_err(|e| e.to_string())?.into_data() {
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,8 +1,8 @@
-//! The agent of an invoker: has models fetched in chunks and serves what it holds to peers.
+//! The agent of an invoker: fetches models in chunks and serves cached chunks to peers.
 //!
-//! Both sides speak the pull half of the OCI distribution specification over HTTP/1.1, so that the store may be any
-//! registry, and a peer is asked as a registry is. Whom to ask, how much, when again and whom to serve is decided by
-//! `saltdrum_layers::plan`; here are the sockets. Start at [`Agent::load`].
+//! Both directions use the pull API of the OCI distribution specification over HTTP/1.1, so that the store can be any
+//! registry and peers are queried the same way. `saltdrum_layers::plan` decides on sources, limits, retries and uploads;
+//! this crate does the I/O. The entry point is [`Agent::load`].
 
 mod follow;
 mod http;
@@ -28,54 +28,55 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tracing::{debug, warn};
 
-/// Chunks that the cache could not keep, held in memory for the loads that wait: no more than this.
+/// Most bytes of uncached chunks held in memory for pending loads and loaded models.
 const MAX_UNCACHED_BYTES: u64 = 512 << 20;
-/// A chunk that comes damaged from the store so often, and whole from nobody meanwhile, ends the load: its source is bad.
+/// A load fails once the store has sent a chunk corrupt this many times, with no intact copy from any source meanwhile.
 const MAX_CORRUPT_FETCHES: u32 = 2;
-/// A manifest is asked for so often, with waits that double.
+/// Attempts to fetch a manifest, with a backoff that doubles.
 const MANIFEST_ATTEMPTS: u32 = 6;
 const MANIFEST_INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 
+/// Why a model could not be loaded.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum LoadError {
     #[error("model {model}: the store has no such manifest")]
     Unknown { model: String },
     #[error("model {model}: {why}")]
     Manifest { model: String, why: String },
-    #[error("model {model}: the store did not answer for its manifest: {why}")]
+    #[error("model {model}: manifest could not be fetched from the store: {why}")]
     Unreachable { model: String, why: String },
     #[error(
-        "model {model}: chunk {chunk} came damaged from the store {MAX_CORRUPT_FETCHES} times, and whole from nobody"
+        "model {model}: chunk {chunk} was corrupt in {MAX_CORRUPT_FETCHES} fetches from the store; no source has an intact copy"
     )]
     Corrupt { model: String, chunk: Digest },
-    #[error("model {model}: {0} bytes of its chunks could not be kept: no room on disk", .bytes)]
+    #[error("model {model}: {0} bytes of chunks could not be cached: no space on disk", .bytes)]
     NoRoom { model: String, bytes: u64 },
 }
 
-/// A peer as the list has it.
+/// A peer as stated by the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Peer {
     pub member: Member,
     pub address: Address,
 }
 
-/// Where an agent sits.
+/// Settings of an agent.
 pub struct AgentConfig {
     pub invoker: InvokerId,
     pub seed: u64,
     pub store: Address,
-    /// What serving peers may cost, in bytes a second.
+    /// Limit on uploads to peers, in bytes per second.
     pub serve_bytes_per_second: f64,
 }
 
-/// What was asked of whom so far.
+/// Counters since the agent started.
 #[derive(Debug, Default)]
 pub struct Counts {
     pub from_cache: Cell<u64>,
     pub from_peers: Cell<u64>,
     pub from_store: Cell<u64>,
     pub bytes_from_store: Cell<u64>,
-    /// Came, and their digest did not hold: thrown away.
+    /// Received chunks that were discarded because their digest did not match.
     pub damaged: Cell<u64>,
     pub served: Cell<u64>,
 }
@@ -84,7 +85,7 @@
     count.set(count.get() + n);
 }
 
-/// What a load brought. Its chunks stay until it is dropped.
+/// A loaded model. Its chunks stay available until it is dropped.
 pub struct LoadedModel {
     pub digest: Digest,
     pub manifest: Manifest,
@@ -101,7 +102,7 @@
 }
 
 impl LoadedModel {
-    /// One of its chunks, unpacked. `None` only where the disk has lost it since.
+    /// Reads and unpacks a chunk of the model. `None` only if the disk has lost it since the load.
     pub fn read(&self, chunk: &Chunk) -> Option<Vec<u8>> {
         self.agent
             .stored_chunk(chunk)
@@ -113,16 +114,16 @@
     pub fetcher: Fetcher,
     pub uploads: UploadScheduler,
     peers: BTreeMap<InvokerId, Address>,
-    /// The chunks being fetched, and a repository that has each.
+    /// The chunks being fetched, each with a repository that contains it.
     wanted: BTreeMap<Digest, (Chunk, String)>,
     fetch_tasks: BTreeMap<u64, AbortHandle>,
     load_waiters: BTreeMap<LoadId, oneshot::Sender<()>>,
-    /// What the cache did not keep.
+    /// Stored bytes of chunks that the cache could not take.
     uncached: BTreeMap<Digest, Rc<Vec<u8>>>,
-    /// Loads, and what they brought, that use a chunk: it is neither evicted nor forgotten meanwhile.
+    /// Number of pending loads and loaded models that use a chunk. A claimed chunk is not evicted or released.
     claims: BTreeMap<Digest, u32>,
     uncached_bytes: u64,
-    /// Of chunks that loads wait for: how often the store sent them damaged.
+    /// Times that the store sent a wanted chunk corrupt.
     corrupt_counts: BTreeMap<Digest, u32>,
     wake_at: Ticks,
     last_load: LoadId,
@@ -131,6 +132,7 @@
     pub capacity_share: f64,
 }
 
+/// The agent of one invoker.
 pub struct Agent {
     pub(crate) config: AgentConfig,
     pub cache: Cache,
@@ -142,7 +144,7 @@
     tasks: RefCell<JoinSet<()>>,
 }
 
-/// Abandons a load that is not waited for any more.
+/// Cancels a load when its future is dropped.
 struct LoadGuard<'a> {
     agent: &'a Rc<Agent>,
     load: LoadId,
@@ -172,7 +174,7 @@
         }
     }
 
-    /// Fetched for a peer alone, and handed on: it need not stay in memory.
+    /// Releases a chunk that was fetched only for a peer.
     pub fn release_unclaimed(&mut self, digest: &Digest) {
         if !self.claims.contains_key(digest) {
             self.release_uncached(digest);
@@ -181,7 +183,7 @@
 }
 
 impl Agent {
-    /// On the `LocalSet` it is to run on.
+    /// Creates an agent. Must be called on the `LocalSet` that it runs on.
     pub fn new(
         config: AgentConfig,
         cache: Cache,
@@ -219,7 +221,7 @@
         })
     }
 
-    /// The list of invokers as it is now, ourselves among them.
+    /// Replaces the list of invokers, which includes this one.
     pub fn update_peers(self: &Rc<Self>, peers: &[Peer]) {
         let state = &mut *self.state.borrow_mut();
         state.peers = peers
@@ -236,12 +238,12 @@
             .set_members(peers.iter().map(|p| p.member).collect());
     }
 
-    /// Share of our cores that invocations use, 0 to 1: the busier, the less is served to peers.
+    /// Sets the share of this invoker's cores that invocations use, 0 to 1. Uploads to peers decrease as it rises.
     pub fn set_utilization(&self, share: f64) {
         self.state.borrow_mut().utilization = share;
     }
 
-    /// Has all chunks of a model here, verified. Dropping the future gives the load up.
+    /// Loads a model: makes all its chunks available, verified. Dropping the future cancels the load.
     pub async fn load(
         self: &Rc<Self>,
         repository: &str,
@@ -249,7 +251,7 @@
     ) -> Result<LoadedModel, LoadError> {
         let (digest, manifest) = self.fetch_manifest(repository, reference).await?;
         manifest.chunks.iter().for_each(|c| self.claim(&c.digest));
-        // From here on the claims are given back however this ends.
+        // From here on the claims are released on every path.
         let loaded = LoadedModel {
             digest,
             manifest,
@@ -300,7 +302,7 @@
         Ok(loaded)
     }
 
-    /// What is held in memory because the cache did not keep it.
+    /// Bytes of chunks held in memory because they could not be cached.
     pub fn uncached_bytes(&self) -> u64 {
         self.state.borrow().uncached_bytes
     }
@@ -332,7 +334,7 @@
         uncached.or_else(|| self.cache.get(chunk).map(Rc::new))
     }
 
-    /// Waits until all of these are here.
+    /// Fetches these chunks and waits until all have arrived.
     pub(crate) async fn fetch_all(self: &Rc<Self>, missing: &[MissingChunk]) {
         let (sender, completed) = oneshot::channel();
         let load = {
@@ -350,10 +352,10 @@
         let _ = completed.await;
     }
 
-    /// Comes back when one of these has no source that holds.
+    /// Waits until the store has sent one of these chunks corrupt `after` times, and returns its digest.
     async fn wait_for_corruption(&self, missing: &[MissingChunk], after: u32) -> Digest {
         loop {
-            // Before the look, so that nothing is told between the two.
+            // Registered before the check, so that no notification is missed.
             let progress = self.progress.notified();
             let found = {
                 let state = self.state.borrow();
@@ -372,7 +374,7 @@
         }
     }
 
-    /// As `wait_for`, for one chunk that a peer wants of us as its home.
+    /// Like `fetch_all`, for one chunk that a peer requests from this invoker as its home.
     pub(crate) async fn fetch_for_peer(self: &Rc<Self>, chunk: Chunk, repository: &str) {
         let missing = [MissingChunk {
             digest: chunk.digest,
@@ -385,7 +387,7 @@
         tokio::select! {
             biased;
             () = self.fetch_all(&missing) => {}
-            // It had better see for itself, and soon: whoever waits for us can't tell us from a slow one.
+            // Returns after one corrupt fetch, so that the peer retries elsewhere: it can't tell a long wait from a hang.
             _ = self.wait_for_corruption(&missing, 1) => {}
         }
     }
@@ -443,13 +445,13 @@
         tasks.spawn_local(work)
     }
 
-    /// Ends all that it does, as the end of its process would: nothing is said to anybody.
+    /// Aborts all tasks and drops all connections, as if the process were killed.
     pub fn kill(&self) {
         self.tasks.borrow_mut().abort_all();
         self.pool.clear();
     }
 
-    /// Lets the plan say what is next, and does it.
+    /// Gets the next actions from the fetcher and starts them.
     pub(crate) fn advance(self: &Rc<Self>) {
         let now = self.clock.now();
         let next = self.state.borrow_mut().fetcher.next_actions(now);
@@ -516,7 +518,7 @@
                     self.request_ended(request, FetchOutcome::Failed, None)
                 }
                 Err(damage) => {
-                    warn!(source = ?request.source, %damage, "a damaged chunk is thrown away");
+                    warn!(source = ?request.source, %damage, "corrupt chunk discarded");
                     add(&self.counts.damaged, 1);
                     self.request_ended(request, FetchOutcome::Corrupt, None);
                 }
@@ -526,7 +528,7 @@
             }
             GetOutcome::NotFound => self.request_ended(request, FetchOutcome::NotFound, None),
             GetOutcome::Failed(why) => {
-                debug!(source = ?request.source, why, "a fetch broke");
+                debug!(source = ?request.source, why, "chunk fetch failed");
                 self.request_ended(request, FetchOutcome::Failed, None);
             }
         }
@@ -547,7 +549,7 @@
             if request.source == Source::Store {
                 add(&self.counts.bytes_from_store, bytes.len() as u64);
             }
-            // Homes are asked by others: what they hold is worth a store's fetch to the fleet.
+            // A chunk from the store is more expensive to replace than one from a peer, so it is cached at a higher cost.
             let kept = self.cache.put(&chunk, &bytes, cost, 1).unwrap_or(false);
             let state = &mut *self.state.borrow_mut();
             if kept && state.claims.contains_key(&chunk.digest) {
@@ -579,7 +581,7 @@
                 .collect::<Vec<_>>()
         };
         for sender in completed {
-            // Whoever has given its load up hears nothing.
+            // The receiver is gone if the load was cancelled.
             let _ = sender.send(());
         }
         self.progress.notify_waiters();
--- a/crates/agent/src/peers.rs
+++ b/crates/agent/src/peers.rs
@@ -1,4 +1,4 @@
-//! Serving chunks to peers, as a registry would.
+//! Serves chunks to peers over the blob API of a registry.
 
 use crate::http::{RETRY_AFTER_MS_HEADER, STORED_BYTES_HEADER};
 use crate::{Agent, add};
@@ -19,7 +19,7 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// A place among the transfers, given back when the body is gone, sent or not.
+/// A transfer slot, freed when the response body is dropped, sent or not.
 struct TransferSlot(Rc<Agent>);
 
 impl Drop for TransferSlot {
@@ -29,17 +29,21 @@
     }
 }
 
-/// A place in line, given up when its peer hangs up.
-struct QueuePlace(Rc<Agent>, bool);
+/// A place in the upload queue, freed when the peer disconnects before its transfer starts.
+struct QueuePlace {
+    agent: Rc<Agent>,
+    is_started: bool,
+}
 
 impl Drop for QueuePlace {
     fn drop(&mut self) {
-        if !self.1 {
-            self.0.state.borrow_mut().uploads.leave_queue();
+        if !self.is_started {
+            self.agent.state.borrow_mut().uploads.leave_queue();
         }
     }
 }
 
+/// A response body that holds its transfer slot until it is dropped.
 struct ChunkBody {
     bytes: Option<Bytes>,
     _transfer_slot: Option<TransferSlot>,
@@ -74,14 +78,14 @@
     response
 }
 
-/// `/v2/REPOSITORY/blobs/DIGEST`
+/// Parses `/v2/REPOSITORY/blobs/DIGEST`.
 fn parse_blob_path(path: &str) -> Option<(&str, Digest)> {
     let (repository, digest) = path.strip_prefix("/v2/")?.rsplit_once("/blobs/")?;
     Some((repository, digest.parse().ok()?))
 }
 
 impl Agent {
-    /// Takes peers in for as long as it is polled.
+    /// Serves peers for as long as it is polled.
     pub async fn serve(self: Rc<Self>, mut listener: Box<dyn Listener>) {
         loop {
             let Ok(stream) = listener.accept().await else {
@@ -116,7 +120,7 @@
         else {
             return empty_response(StatusCode::BAD_REQUEST);
         };
-        // Only length and digest matter for handing it on.
+        // Only length and digest matter for serving the stored bytes; the packing is not known here.
         let chunk = Chunk {
             digest,
             stored_bytes,
@@ -138,9 +142,10 @@
                     .insert(RETRY_AFTER_MS_HEADER, (wait / MILLISECOND).into());
                 return response;
             }
-            UploadDecision::Queued | UploadDecision::FetchAndServe => {
-                QueuePlace(self.clone(), false)
-            }
+            UploadDecision::Queued | UploadDecision::FetchAndServe => QueuePlace {
+                agent: self.clone(),
+                is_started: false,
+            },
         };
         let bytes = match held {
             Some(bytes) => bytes,
@@ -153,7 +158,7 @@
             }
         };
         loop {
-            // Registered before looking: a slot that comes free in between is not missed.
+            // Registered before the check, so that a slot freed in between is not missed.
             let progress = self.progress.notified();
             let reopens_at = {
                 let state = &mut *self.state.borrow_mut();
@@ -173,7 +178,7 @@
                 None => progress.await,
             }
         }
-        place.1 = true;
+        place.is_started = true;
         add(&self.counts.served, 1);
         let slot = TransferSlot(self.clone());
         self.state.borrow_mut().release_unclaimed(&digest);
--- a/crates/layers/src/cache.rs
+++ b/crates/layers/src/cache.rs
@@ -61,11 +61,11 @@
     }
 
     fn list(&self, path: &Path) -> io::Result<Vec<(String, u64)>> {
-        let entry = |e: io::Result<fs::DirEntry>| {
-            let e = e?;
+        let entry = |entry: io::Result<fs::DirEntry>| {
+            let entry = entry?;
             Ok((
-                e.file_name().to_string_lossy().into_owned(),
-                e.metadata()?.len(),
+                entry.file_name().to_string_lossy().into_owned(),
+                entry.metadata()?.len(),
             ))
         };
         fs::read_dir(path)?.map(entry).collect()
--- a/crates/layers/src/layout.rs
+++ b/crates/layers/src/layout.rs
@@ -248,7 +248,7 @@
 
     /// Compares the chunks of two models.
     pub fn diff(&self, first: &str, second: &str) -> Result<Diff, LayoutError> {
-        let of = |tag| -> Result<BTreeMap<Digest, u64>, LayoutError> {
+        let chunk_sizes = |tag| -> Result<BTreeMap<Digest, u64>, LayoutError> {
             Ok(self
                 .manifest(tag)?
                 .1
@@ -257,17 +257,18 @@
                 .map(|c| (c.digest, c.stored_bytes))
                 .collect())
         };
-        let (a, b) = (of(first)?, of(second)?);
-        let sum = |of: &BTreeMap<Digest, u64>, shared: bool, other: &BTreeMap<Digest, u64>| {
-            of.iter()
+        let (first, second) = (chunk_sizes(first)?, chunk_sizes(second)?);
+        let sum = |sizes: &BTreeMap<Digest, u64>, shared: bool, other: &BTreeMap<Digest, u64>| {
+            sizes
+                .iter()
                 .filter(|(d, _)| other.contains_key(d) == shared)
                 .map(|(_, n)| n)
                 .sum()
         };
         Ok(Diff {
-            shared_bytes: sum(&a, true, &b),
-            only_first_bytes: sum(&a, false, &b),
-            only_second_bytes: sum(&b, false, &a),
+            shared_bytes: sum(&first, true, &second),
+            only_first_bytes: sum(&first, false, &second),
+            only_second_bytes: sum(&second, false, &first),
         })
     }
 }
--- a/crates/layers/src/manifest.rs
+++ b/crates/layers/src/manifest.rs
@@ -148,8 +148,8 @@
                 format!("{} chunks: {MAX_CHUNKS} are allowed", document.layers.len()),
             ));
         }
-        let chunk = |(n, blob): (usize, &BlobDescriptor)| {
-            let field_path = |field: &str| format!("layers[{n}].{field}");
+        let chunk = |(number, blob): (usize, &BlobDescriptor)| {
+            let field_path = |field: &str| format!("layers[{number}].{field}");
             let packing = match blob.media_type.as_str() {
                 PLAIN_TYPE => Packing::Plain,
                 ZSTD_TYPE => Packing::Zstd,
@@ -204,10 +204,13 @@
             .map(chunk)
             .collect::<Result<_, _>>()?;
         let mut seen: BTreeMap<Digest, &Chunk> = BTreeMap::new();
-        for (n, c) in chunks.iter().enumerate() {
-            if seen.insert(c.digest, c).is_some_and(|other| other != c) {
+        for (number, chunk) in chunks.iter().enumerate() {
+            if seen
+                .insert(chunk.digest, chunk)
+                .is_some_and(|other| other != chunk)
+            {
                 return Err(invalid_field(
-                    &format!("layers[{n}].digest"),
+                    &format!("layers[{number}].digest"),
                     "named above with another size".into(),
                 ));
             }
--- a/crates/layers/src/plan/evict.rs
+++ b/crates/layers/src/plan/evict.rs
@@ -126,37 +126,37 @@
         };
         let priority = self.priority(&chunk);
         self.touch_count += 1;
-        let e = self
+        let entry = self
             .entries
             .get_mut(digest)
             .expect("the entry was just found");
-        (e.priority, e.last_touch) = (priority, self.touch_count);
+        (entry.priority, entry.last_touch) = (priority, self.touch_count);
     }
 
     pub fn pin(&mut self, digest: &Digest) {
-        if let Some(e) = self.entries.get_mut(digest) {
-            e.pins += 1;
+        if let Some(entry) = self.entries.get_mut(digest) {
+            entry.pins += 1;
         }
     }
 
     pub fn unpin(&mut self, digest: &Digest) {
-        if let Some(e) = self.entries.get_mut(digest) {
-            e.pins = e.pins.saturating_sub(1);
+        if let Some(entry) = self.entries.get_mut(digest) {
+            entry.pins = entry.pins.saturating_sub(1);
         }
         self.touch(digest);
     }
 
     /// Drops all pins of a chunk that can't be read any more but still takes up space.
     pub fn unpin_all(&mut self, digest: &Digest) {
-        if let Some(e) = self.entries.get_mut(digest) {
-            e.pins = 0;
+        if let Some(entry) = self.entries.get_mut(digest) {
+            entry.pins = 0;
         }
     }
 
     /// Removes a chunk that was deleted or is damaged.
     pub fn remove(&mut self, digest: &Digest) {
-        if let Some(e) = self.entries.remove(digest) {
-            self.bytes -= e.chunk.bytes;
+        if let Some(entry) = self.entries.remove(digest) {
+            self.bytes -= entry.chunk.bytes;
         }
     }
 }
--- a/crates/layers/src/plan/evict/tests.rs
+++ b/crates/layers/src/plan/evict/tests.rs
@@ -73,17 +73,20 @@
     let mut policy = EvictionPolicy::new(2_000_000);
     let mut pinned = std::collections::BTreeSet::new();
     for _ in 0..20_000 {
-        let d = digest(rng.u32(..200));
+        let picked = digest(rng.u32(..200));
         match rng.u32(..6) {
-            0 => policy.touch(&d),
-            1 if policy.contains(&d) && pinned.len() < 5 && pinned.insert(d) => policy.pin(&d),
-            2 if pinned.remove(&d) => policy.unpin(&d),
-            3 if !pinned.contains(&d) => policy.remove(&d),
+            0 => policy.touch(&picked),
+            1 if policy.contains(&picked) && pinned.len() < 5 && pinned.insert(picked) => {
+                policy.pin(&picked)
+            }
+            2 if pinned.remove(&picked) => policy.unpin(&picked),
+            3 if !pinned.contains(&picked) => policy.remove(&picked),
             _ => {
-                let k = chunk(rng.u64(1..400_000), rng.f64() * 8.0 + 0.1, rng.u32(0..5));
-                let gone = policy.admit(d, k).unwrap_or_default();
+                let chunk = chunk(rng.u64(1..400_000), rng.f64() * 8.0 + 0.1, rng.u32(0..5));
+                let evicted = policy.admit(picked, chunk).unwrap_or_default();
                 assert!(
-                    gone.iter()
+                    evicted
+                        .iter()
                         .all(|g| !pinned.contains(g) && !policy.contains(g))
                 );
             }
--- a/crates/layers/src/plan/homes.rs
+++ b/crates/layers/src/plan/homes.rs
@@ -20,23 +20,24 @@
 
 /// Hashes chunk and invoker to a number in (0, 1), the same on every invoker.
 fn unit_hash(chunk: u64, invoker: InvokerId, salt: u64) -> f64 {
-    let mut x = chunk ^ (u64::from(invoker).wrapping_add(salt)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    ((x ^ (x >> 31)) >> 11) as f64 / (1u64 << 53) as f64 + 1e-17
+    let mut hash =
+        chunk ^ (u64::from(invoker).wrapping_add(salt)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    ((hash ^ (hash >> 31)) >> 11) as f64 / (1u64 << 53) as f64 + 1e-17
 }
 
 /// Returns the homes of a chunk in order of rank. Larger invokers are home to more chunks.
 pub fn homes(chunk: &Digest, members: &[Member]) -> Vec<InvokerId> {
     let prefix = chunk.prefix();
     let mut best: Vec<(f64, InvokerId)> = Vec::with_capacity(HOMES_PER_CHUNK + 1);
-    for m in members.iter().filter(|m| {
+    for member in members.iter().filter(|m| {
         m.ready && (m.capacity_share >= 1.0 || unit_hash(prefix, m.invoker, 77) < m.capacity_share)
     }) {
-        let score = -unit_hash(prefix, m.invoker, 0).ln() / m.size.max(0.01);
-        let at = best.partition_point(|b| (b.0, b.1) < (score, m.invoker));
-        if at < HOMES_PER_CHUNK {
-            best.insert(at, (score, m.invoker));
+        let score = -unit_hash(prefix, member.invoker, 0).ln() / member.size.max(0.01);
+        let position = best.partition_point(|b| (b.0, b.1) < (score, member.invoker));
+        if position < HOMES_PER_CHUNK {
+            best.insert(position, (score, member.invoker));
             best.truncate(HOMES_PER_CHUNK);
         }
     }
@@ -66,20 +67,20 @@
     fn removing_an_invoker_moves_only_its_chunks_and_load_is_even() {
         let (all, mut fewer) = (members(20), members(20));
         fewer[6].ready = false;
-        let mut carried = [0; 21];
-        for c in chunks(4_000) {
-            let (a, b) = (homes(&c, &all), homes(&c, &fewer));
-            a.iter().for_each(|i| carried[*i as usize] += 1);
-            if !a.contains(&7) {
-                assert_eq!(a, b);
+        let mut chunk_counts = [0; 21];
+        for chunk in chunks(4_000) {
+            let (before, after) = (homes(&chunk, &all), homes(&chunk, &fewer));
+            before.iter().for_each(|i| chunk_counts[*i as usize] += 1);
+            if !before.contains(&7) {
+                assert_eq!(before, after);
             } else {
-                let kept: Vec<InvokerId> = a.into_iter().filter(|i| *i != 7).collect();
-                assert!(kept.iter().all(|i| b.contains(i)) && !b.contains(&7));
+                let kept: Vec<InvokerId> = before.into_iter().filter(|i| *i != 7).collect();
+                assert!(kept.iter().all(|i| after.contains(i)) && !after.contains(&7));
             }
         }
         assert!(
-            carried[1..].iter().all(|n| (320..480).contains(n)),
-            "mean of 400 chunks each: {carried:?}"
+            chunk_counts[1..].iter().all(|n| (320..480).contains(n)),
+            "mean of 400 chunks each: {chunk_counts:?}"
         );
     }
 
