--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -549,7 +549,7 @@
             if request.source == Source::Store {
                 add(&self.counts.bytes_from_store, bytes.len() as u64);
             }
-            // A chunk from the store is more expensive to replace than one from a peer, so it is cached at a higher cost.
+            // Peers fetch from homes: a home that loses a chunk costs the fleet another fetch from the store.
             let kept = self.cache.put(&chunk, &bytes, cost, 1).unwrap_or(false);
             let state = &mut *self.state.borrow_mut();
             if kept && state.claims.contains_key(&chunk.digest) {
--- a/crates/agent/tests/fleet.rs
+++ b/crates/agent/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Fleets of agents and one store, over HTTP on in-memory streams under a paused clock; one fleet on sockets.
+//! Fleets of agents with one store: HTTP over in-memory streams under a paused clock, and one test over TCP.
 
 use saltdrum_agent::{Agent, AgentConfig, LoadError, Peer};
 use saltdrum_fakes::Registry;
@@ -28,14 +28,14 @@
 }
 
 impl Fleet {
-    async fn up(
+    async fn start(
         network: Rc<dyn Network>,
         n: u32,
         cache_bytes: u64,
-        any: fn(u32) -> Address,
+        address: fn(u32) -> Address,
     ) -> Self {
         let registry = Registry::new(64, 5);
-        let store = registry.open(&*network, &any(0)).await.unwrap();
+        let store = registry.open(&*network, &address(0)).await.unwrap();
         let folder = tempfile::tempdir().unwrap();
         let clock = Clock::start();
         let mut fleet = Self {
@@ -49,7 +49,7 @@
             cache_bytes,
         };
         for me in 1..=n {
-            let (agent, serving, address) = fleet.agent(me, &any(me)).await;
+            let (agent, serving, address) = fleet.agent(me, &address(me)).await;
             let member = Member {
                 invoker: me,
                 size: 1.0,
@@ -80,18 +80,19 @@
         (agent.clone(), spawn_local(agent.serve(listener)), address)
     }
 
-    /// All load it at about the same time; gives when the last had it.
-    async fn herd(&self, reference: &'static str) -> Duration {
+    /// Starts the load on all agents at once. Returns the time until the last one has completed.
+    async fn load_on_all(&self, reference: &'static str) -> Duration {
         let began = Instant::now();
         let loads: Vec<_> = self
             .agents
             .iter()
             .map(|(a, _)| {
-                let a = a.clone();
+                let agent = a.clone();
                 spawn_local(async move {
-                    a.load("voices/kinyarwanda", reference)
+                    agent
+                        .load("voices/kinyarwanda", reference)
                         .await
-                        .map(|l| whole(&l))
+                        .map(|l| model_digest(&l))
                 })
             })
             .collect();
@@ -101,7 +102,7 @@
         began.elapsed()
     }
 
-    fn requests_a_chunk(&self) -> f64 {
+    fn requests_per_chunk(&self) -> f64 {
         let requests = self.registry.requests.borrow();
         f64::from(requests.values().sum::<u32>()) / requests.len() as f64
     }
@@ -114,13 +115,13 @@
     }
 }
 
-/// Puts it together and gives its digest, so that nothing but the right bytes passes.
-fn whole(loaded: &saltdrum_agent::LoadedModel) -> saltdrum_layers::Digest {
+/// Digest of the whole unpacked model, so that only the exact bytes pass.
+fn model_digest(loaded: &saltdrum_agent::LoadedModel) -> saltdrum_layers::Digest {
     let bytes: Vec<u8> = loaded
         .manifest
         .chunks
         .iter()
-        .flat_map(|c| loaded.read(c).expect("it is here"))
+        .flat_map(|c| loaded.read(c).expect("loaded chunks are available"))
         .collect();
     saltdrum_layers::Digest::of(&bytes)
 }
@@ -129,46 +130,51 @@
     Address::Memory(format!("agent-{n}"))
 }
 
-fn virtually(play: impl Future<Output = ()>) {
+fn run_with_paused_clock(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
         .build()
         .unwrap();
-    LocalSet::new().block_on(&runtime, play);
+    LocalSet::new().block_on(&runtime, test);
 }
 
-async fn fleet(n: u32, cache_bytes: u64) -> Fleet {
-    Fleet::up(Rc::new(MemoryNetwork::default()), n, cache_bytes, memory).await
+async fn start_fleet(n: u32, cache_bytes: u64) -> Fleet {
+    Fleet::start(Rc::new(MemoryNetwork::default()), n, cache_bytes, memory).await
 }
 
-const MODEL: usize = 12 << 20;
+const MODEL_BYTES: usize = 12 << 20;
 
 #[test]
-fn twelve_that_want_one_model_ask_the_store_about_once_a_chunk() {
-    virtually(async {
-        let f = fleet(12, 1 << 30).await;
-        let manifest = f
+fn twelve_agents_fetch_each_chunk_from_the_store_about_once() {
+    run_with_paused_clock(async {
+        let fleet = start_fleet(12, 1 << 30).await;
+        let manifest = fleet
             .registry
-            .push("voices/kinyarwanda", "current", &model(1, MODEL))
+            .push("voices/kinyarwanda", "current", &model(1, MODEL_BYTES))
             .unwrap();
-        f.herd("current").await;
-        assert!(f.requests_a_chunk() <= 1.2, "{}", f.requests_a_chunk());
+        fleet.load_on_all("current").await;
+        assert!(
+            fleet.requests_per_chunk() <= 1.2,
+            "{}",
+            fleet.requests_per_chunk()
+        );
         let alone = 12 * manifest.stored_bytes();
         assert!(
-            f.registry.bytes_sent.get() * 10 < alone,
+            fleet.registry.bytes_sent.get() * 10 < alone,
             "{} of {alone}",
-            f.registry.bytes_sent.get()
+            fleet.registry.bytes_sent.get()
         );
-        // A second version that shares most.
-        let mut second = model(1, MODEL);
+        // A second version that shares most chunks.
+        let mut second = model(1, MODEL_BYTES);
         second.splice(5_000_000..5_010_000, model(2, 20_000));
-        f.registry
+        fleet
+            .registry
             .push("voices/kinyarwanda", "next", &second)
             .unwrap();
-        let before = f.registry.bytes_sent.get();
-        f.herd("next").await;
-        let fetched = f.registry.bytes_sent.get() - before;
+        let before = fleet.registry.bytes_sent.get();
+        fleet.load_on_all("next").await;
+        let fetched = fleet.registry.bytes_sent.get() - before;
         assert!(
             fetched * 5 < manifest.stored_bytes(),
             "{fetched} of {}",
@@ -178,195 +184,206 @@
 }
 
 #[test]
-fn a_store_that_refuses_cuts_stalls_and_lies_stops_nobody() {
-    virtually(async {
-        let f = fleet(8, 1 << 30).await;
-        f.registry
-            .push("voices/kinyarwanda", "current", &model(3, MODEL))
+fn loads_complete_despite_a_store_that_refuses_disconnects_stalls_and_corrupts() {
+    run_with_paused_clock(async {
+        let fleet = start_fleet(8, 1 << 30).await;
+        fleet
+            .registry
+            .push("voices/kinyarwanda", "current", &model(3, MODEL_BYTES))
             .unwrap();
         {
-            let faults = &mut *f.registry.faults.borrow_mut();
+            let faults = &mut *fleet.registry.faults.borrow_mut();
             (faults.refuses, faults.cuts, faults.stalls, faults.lies) = (0.4, 0.1, 0.05, 0.1);
         }
-        let took = f.herd("current").await;
+        let elapsed = fleet.load_on_all("current").await;
         assert!(
-            f.registry.refused.get() > 3 && took < Duration::from_secs(60),
-            "{took:?}"
+            fleet.registry.refused.get() > 3 && elapsed < Duration::from_secs(60),
+            "{elapsed:?}"
         );
     });
 }
 
-/// Never silent for long, and never done: the ask is given up, and the next one meets a store that is well.
+/// A response that trickles never reaches the idle timeout and never ends: the request times out and is retried.
 #[test]
-fn a_store_that_trickles_holds_nobody_for_long() {
-    virtually(async {
-        let f = fleet(5, 1 << 30).await;
-        f.registry
-            .push("voices/kinyarwanda", "current", &model(8, MODEL))
+fn trickled_response_times_out_and_is_retried() {
+    run_with_paused_clock(async {
+        let fleet = start_fleet(5, 1 << 30).await;
+        fleet
+            .registry
+            .push("voices/kinyarwanda", "current", &model(8, MODEL_BYTES))
             .unwrap();
-        f.registry.faults.borrow_mut().trickles = 0.3;
-        let took = f.herd("current").await;
+        fleet.registry.faults.borrow_mut().trickles = 0.3;
+        let elapsed = fleet.load_on_all("current").await;
         assert!(
-            took > Duration::from_secs(9) && took < Duration::from_secs(60),
-            "{took:?}"
+            elapsed > Duration::from_secs(9) && elapsed < Duration::from_secs(60),
+            "{elapsed:?}"
         );
     });
 }
 
 #[test]
-fn damage_at_the_store_at_a_home_and_on_disk_is_never_used() {
-    virtually(async {
-        let f = fleet(6, 1 << 30).await;
-        let bytes = model(4, MODEL);
-        let manifest = f
+fn corrupt_chunks_from_store_home_or_disk_are_never_used() {
+    run_with_paused_clock(async {
+        let fleet = start_fleet(6, 1 << 30).await;
+        let bytes = model(4, MODEL_BYTES);
+        let manifest = fleet
             .registry
             .push("voices/kinyarwanda", "current", &bytes)
             .unwrap();
         let bad = manifest.chunks[2].digest;
-        f.registry.faults.borrow_mut().damaged.insert(bad);
-        let (a, _) = &f.agents[0];
-        let given_up = tokio::time::timeout(
+        fleet.registry.faults.borrow_mut().damaged.insert(bad);
+        let (first, _) = &fleet.agents[0];
+        let result = tokio::time::timeout(
             Duration::from_secs(8),
-            a.load("voices/kinyarwanda", "current"),
+            first.load("voices/kinyarwanda", "current"),
         )
         .await;
-        let told = given_up
-            .expect("it is told within seconds")
+        let error = result
+            .expect("the load fails within seconds")
             .err()
-            .expect("it can't be had");
+            .expect("a corrupt chunk can't be loaded");
         assert!(
-            matches!(&told, saltdrum_agent::LoadError::Corrupt { chunk, .. } if *chunk == bad),
-            "{told}"
+            matches!(&error, saltdrum_agent::LoadError::Corrupt { chunk, .. } if *chunk == bad),
+            "{error}"
         );
-        assert!(f.damaged() >= 1 && f.agents.iter().all(|(a, _)| !a.cache.contains(&bad)));
-        f.registry.faults.borrow_mut().damaged.clear();
-        f.herd("current").await;
-        // On disk, at one who then is asked to load again.
-        let path = f
+        assert!(fleet.damaged() >= 1 && fleet.agents.iter().all(|(a, _)| !a.cache.contains(&bad)));
+        fleet.registry.faults.borrow_mut().damaged.clear();
+        fleet.load_on_all("current").await;
+        // Corrupt on disk, on an agent that then loads the model again.
+        let path = fleet
             .folder
             .path()
             .join("1/chunks")
             .join(manifest.chunks[0].digest.hex());
-        let mut bent = std::fs::read(&path).unwrap();
-        bent[9] ^= 1;
-        std::fs::write(&path, bent).unwrap();
-        let loaded = a.load("voices/kinyarwanda", "current").await.unwrap();
-        assert_eq!(whole(&loaded), saltdrum_layers::Digest::of(&bytes));
-        assert_eq!(a.cache.counts.damaged.get(), 1);
+        let mut corrupted = std::fs::read(&path).unwrap();
+        corrupted[9] ^= 1;
+        std::fs::write(&path, corrupted).unwrap();
+        let loaded = first.load("voices/kinyarwanda", "current").await.unwrap();
+        assert_eq!(model_digest(&loaded), saltdrum_layers::Digest::of(&bytes));
+        assert_eq!(first.cache.counts.damaged.get(), 1);
     });
 }
 
 #[test]
-fn homes_that_die_in_mid_transfer_are_gone_round_and_come_back_with_what_they_had() {
-    virtually(async {
-        let mut f = fleet(9, 1 << 30).await;
-        f.registry
-            .push("voices/kinyarwanda", "current", &model(5, MODEL))
+fn homes_killed_during_transfers_are_bypassed_and_restart_with_their_cache() {
+    run_with_paused_clock(async {
+        let mut fleet = start_fleet(9, 1 << 30).await;
+        fleet
+            .registry
+            .push("voices/kinyarwanda", "current", &model(5, MODEL_BYTES))
             .unwrap();
-        let loads: Vec<_> = f.agents[3..]
+        let loads: Vec<_> = fleet.agents[3..]
             .iter()
             .map(|(a, _)| {
-                let a = a.clone();
+                let agent = a.clone();
                 spawn_local(async move {
-                    a.load("voices/kinyarwanda", "current")
+                    agent
+                        .load("voices/kinyarwanda", "current")
                         .await
-                        .map(|l| whole(&l))
+                        .map(|l| model_digest(&l))
                 })
             })
             .collect();
         tokio::time::sleep(Duration::from_millis(60)).await;
-        for (agent, serving) in f.agents.drain(..3) {
+        for (agent, serving) in fleet.agents.drain(..3) {
             serving.abort();
             drop(agent);
         }
         for load in loads {
             load.await.unwrap().unwrap();
         }
-        let peers = f.peers.clone();
+        let peers = fleet.peers.clone();
         for me in 1..=3 {
-            let (agent, serving, _) = f.agent(me, &memory(me)).await;
+            let (agent, serving, _) = fleet.agent(me, &memory(me)).await;
             agent.update_peers(&peers);
-            f.agents.push((agent, serving));
+            fleet.agents.push((agent, serving));
         }
-        let before = f.registry.bytes_sent.get();
-        f.herd("current").await;
-        let refetched = f.registry.bytes_sent.get() - before;
+        let before = fleet.registry.bytes_sent.get();
+        fleet.load_on_all("current").await;
+        let refetched = fleet.registry.bytes_sent.get() - before;
         assert!(
-            refetched * 20 < MODEL as u64 * 3,
+            refetched * 20 < MODEL_BYTES as u64 * 3,
             "{refetched} bytes from the store again"
         );
     });
 }
 
 #[test]
-fn a_cache_far_too_small_works_from_memory_and_lets_go_of_it() {
-    virtually(async {
-        let f = fleet(3, 2 << 20).await;
-        let bytes = model(6, MODEL);
-        f.registry
+fn chunks_beyond_a_small_cache_are_held_in_memory_until_the_model_is_dropped() {
+    run_with_paused_clock(async {
+        let fleet = start_fleet(3, 2 << 20).await;
+        let bytes = model(6, MODEL_BYTES);
+        fleet
+            .registry
             .push("voices/kinyarwanda", "current", &bytes)
             .unwrap();
-        let (a, _) = &f.agents[0];
-        let loaded = a.load("voices/kinyarwanda", "current").await.unwrap();
-        assert_eq!(whole(&loaded), saltdrum_layers::Digest::of(&bytes));
-        assert!(a.uncached_bytes() > 8 << 20 && a.cache.bytes() <= 2 << 20);
+        let (first, _) = &fleet.agents[0];
+        let loaded = first.load("voices/kinyarwanda", "current").await.unwrap();
+        assert_eq!(model_digest(&loaded), saltdrum_layers::Digest::of(&bytes));
+        assert!(first.uncached_bytes() > 8 << 20 && first.cache.bytes() <= 2 << 20);
         drop(loaded);
-        assert_eq!(a.uncached_bytes(), 0);
+        assert_eq!(first.uncached_bytes(), 0);
     });
 }
 
 #[test]
-fn what_is_wrong_with_a_manifest_is_said_at_once() {
-    virtually(async {
-        let f = fleet(1, 1 << 30).await;
-        let (a, _) = &f.agents[0];
-        let fault = a.load("voices/none", "current").await.err().unwrap();
+fn manifest_errors_are_reported_with_the_reason() {
+    run_with_paused_clock(async {
+        let fleet = start_fleet(1, 1 << 30).await;
+        let (first, _) = &fleet.agents[0];
+        let error = first.load("voices/none", "current").await.err().unwrap();
         assert_eq!(
-            fault,
+            error,
             LoadError::Unknown {
                 model: "voices/none:current".into()
             }
         );
-        f.registry.push_manifest(
+        fleet.registry.push_manifest(
             "voices/kinyarwanda",
             "bent",
             b"{\"schemaVersion\":2}".to_vec(),
         );
-        let fault = a
+        let error = first
             .load("voices/kinyarwanda", "bent")
             .await
             .err()
             .unwrap()
             .to_string();
         assert!(
-            fault.starts_with("model voices/kinyarwanda:bent: manifest: missing field"),
-            "{fault}"
+            error.starts_with("model voices/kinyarwanda:bent: manifest: missing field"),
+            "{error}"
         );
-        f.registry
+        fleet
+            .registry
             .push_manifest("voices/kinyarwanda", "huge", vec![b'7'; 5 << 20]);
-        let fault = a
+        let error = first
             .load("voices/kinyarwanda", "huge")
             .await
             .err()
             .unwrap()
             .to_string();
-        assert!(fault.contains("a body of more than the stated"), "{fault}");
+        assert!(error.contains("a body of more than the stated"), "{error}");
     });
 }
 
 #[test]
-fn a_fleet_on_sockets() {
+fn fleet_loads_a_model_over_tcp() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .unwrap();
     LocalSet::new().block_on(&runtime, async {
-        let any = |_| Address::Tcp("127.0.0.1:0".into());
-        let f = Fleet::up(Rc::new(SocketNetwork), 6, 1 << 30, any).await;
-        f.registry
+        let address = |_| Address::Tcp("127.0.0.1:0".into());
+        let fleet = Fleet::start(Rc::new(SocketNetwork), 6, 1 << 30, address).await;
+        fleet
+            .registry
             .push("voices/kinyarwanda", "current", &model(7, 4 << 20))
             .unwrap();
-        f.herd("current").await;
-        assert!(f.requests_a_chunk() < 2.0, "{}", f.requests_a_chunk());
+        fleet.load_on_all("current").await;
+        assert!(
+            fleet.requests_per_chunk() < 2.0,
+            "{}",
+            fleet.requests_per_chunk()
+        );
     });
 }
--- a/crates/layers/tests/cache.rs
+++ b/crates/layers/tests/cache.rs
@@ -1,4 +1,4 @@
-//! The cache killed at each of its writes, on a full disk, with files that change under it.
+//! The cache when killed at each of its writes, on full and failing disks, and with files that change on disk.
 
 use redb::backends::FileBackend;
 use redb::{Database, StorageBackend};
@@ -12,7 +12,8 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicI64, Ordering::SeqCst};
 
-/// After so many writes everything fails, and the last one is done by half: what a kill, or power, leaves behind.
+/// A disk that fails every write after the first `left`, and writes only half of the last one, as a kill or a power cut
+/// does.
 #[derive(Clone, Debug)]
 struct FailingAfter {
     left: Arc<AtomicI64>,
@@ -130,7 +131,8 @@
     )
 }
 
-/// A day in a cache's life: twelve chunks through a cache that holds eight, some read again. Gives those kept and said so.
+/// Puts twelve chunks into a cache with room for eight and reads some again. Returns the chunks reported as cached that
+/// are still there.
 fn exercise(cache: &Cache) -> Vec<u32> {
     let mut kept = Vec::new();
     for n in 0..12 {
@@ -150,7 +152,7 @@
 const MAX_BYTES: u64 = 8 * 2_100;
 
 #[test]
-fn killed_at_any_write_it_comes_back_with_what_was_whole() {
+fn cache_reopens_with_all_complete_chunks_after_a_kill_at_any_write() {
     let mut survived = 0;
     for killed_at in 0.. {
         let folder = tempfile::tempdir().unwrap();
@@ -167,7 +169,7 @@
         assert_eq!(
             parts.count(),
             back.digests().len(),
-            "killed at {killed_at}: nothing half-written is left"
+            "killed at {killed_at}: a partial file is left"
         );
         for n in 0..12 {
             let (c, bytes) = chunk(n);
@@ -179,15 +181,15 @@
             );
             assert!(
                 !kept.contains(&n) || got.is_some(),
-                "killed at {killed_at}: chunk {n} was kept and is gone"
+                "killed at {killed_at}: chunk {n} was cached and is lost"
             );
             assert!(
                 !held || got.is_some(),
-                "killed at {killed_at}: {n} is said to be here and is not whole"
+                "killed at {killed_at}: chunk {n} is reported as cached and is not readable"
             );
             survived += u32::from(got.is_some());
         }
-        // It goes on as if nothing had been.
+        // The reopened cache works as usual.
         let again = exercise(&back);
         assert!(again.len() >= 7, "{again:?}");
         if done {
@@ -199,7 +201,7 @@
 }
 
 #[test]
-fn what_changed_on_disk_is_never_served_and_is_fetched_again() {
+fn chunks_changed_on_disk_are_dropped_and_can_be_cached_again() {
     let folder = tempfile::tempdir().unwrap();
     let cache = Cache::open(folder.path(), MAX_BYTES, Rc::new(RealDisk)).unwrap();
     for n in 0..4 {
@@ -224,10 +226,10 @@
     let (c, bytes) = chunk(0);
     assert!(
         cache.put(&c, &corrupted, 1.0, 1).is_err(),
-        "damaged bytes are not taken in either"
+        "corrupt bytes are not cached"
     );
     assert_eq!(cache.put(&c, &bytes, 1.0, 1), Ok(true));
-    // An index full of nonsense is made anew; the files are the truth.
+    // An unreadable index is rebuilt from the files.
     drop(cache);
     fs::write(
         folder.path().join("index.redb"),
@@ -266,7 +268,7 @@
 }
 
 #[test]
-fn a_full_or_unreadable_disk_costs_fetches_and_nothing_else() {
+fn full_or_unreadable_disk_only_causes_cache_misses() {
     let folder = tempfile::tempdir().unwrap();
     let (c, bytes) = chunk(1);
     Cache::open(folder.path(), MAX_BYTES, Rc::new(RealDisk))
@@ -281,12 +283,12 @@
     let cache = Cache::open(folder.path(), MAX_BYTES, Rc::new(RealDisk)).unwrap();
     assert!(
         cache.get(&c).is_some(),
-        "it was only unreadable for a while"
+        "a temporary read error loses no chunk"
     );
     assert_eq!(cache.digests().len(), 1);
 }
 
-/// While it fails, nothing is brought to disk, and nothing can be removed: EIO for a while.
+/// A disk on which syncs, reads and removals fail with EIO while its flag is set.
 #[derive(Clone, Default)]
 struct FlakyDisk(Rc<Cell<bool>>);
 
@@ -305,7 +307,7 @@
         RealDisk.create_dir_all(path)
     }
     fn write_new(&self, path: &Path, bytes: &[u8]) -> io::Result<()> {
-        // As the machine does it: what was written is there, and its sync fails.
+        // As on a real disk: the file is written and its sync fails.
         fs::write(path, bytes)?;
         self.or(|| Ok(()))
     }
@@ -336,11 +338,11 @@
 }
 
 #[test]
-fn a_disk_that_fails_a_while_never_makes_the_cache_outgrow_its_bound() {
+fn cache_stays_within_its_bound_while_the_disk_fails() {
     let folder = tempfile::tempdir().unwrap();
     let disk = FlakyDisk::default();
     let cache = Cache::open(folder.path(), MAX_BYTES, Rc::new(disk.clone())).unwrap();
-    // Later ones are dearer, so that they are worth the place of those before.
+    // Costs rise, so that each chunk may evict those before it.
     let put = |n: u32| {
         cache
             .put(&chunk(n).0, &chunk(n).1, f64::from(n + 1), 1)
@@ -349,7 +351,7 @@
     assert!((0..8).all(put));
     disk.0.set(true);
     for n in 0..40 {
-        assert!(!put(100 + n), "nothing is kept that may not be on disk");
+        assert!(!put(100 + n), "a chunk whose sync failed is not cached");
         cache.get(&chunk(n % 8).0);
     }
     let one = chunk(140).0.stored_bytes;
@@ -360,7 +362,7 @@
     );
     disk.0.set(false);
     for n in 0..20 {
-        assert!(put(200 + n), "it keeps again");
+        assert!(put(200 + n), "chunks are cached again");
         assert!(cache.get(&chunk(200 + n).0).is_some());
     }
     assert!(
@@ -368,7 +370,7 @@
         "{} bytes of {MAX_BYTES}",
         bytes_in(folder.path())
     );
-    // What could not be read for a while is fetched and kept again, and evicted like any other.
+    // A chunk that was unreadable for a while can be cached again, and is evicted like any other.
     let (c, bytes) = chunk(219);
     disk.0.set(true);
     assert!(cache.get(&c).is_none() && !cache.contains(&c.digest));
--- a/crates/layers/tests/herd.rs
+++ b/crates/layers/tests/herd.rs
@@ -1,5 +1,5 @@
-//! Many fetchers, one store, no shared state: a simulated network round the decisions, with faults. Shares no code with
-//! what it checks but the calls.
+//! Many fetchers that load one model at once from one store, without shared state, on a simulated network with faults. Uses
+//! only the public calls of the code under test.
 
 use saltdrum::interface::{InvokerId, MILLISECOND, SECOND, Ticks};
 use saltdrum_layers::Digest;
@@ -37,9 +37,9 @@
     fetcher: Fetcher,
     uploads: UploadScheduler,
     held: BTreeSet<Digest>,
-    /// Requests whose chunk is here, in line for a slot.
+    /// Requests for cached chunks that wait for a transfer slot.
     queue: VecDeque<(InvokerId, u64)>,
-    /// Peers whose request waits for our own fetch.
+    /// Requests from peers that wait for this node's own fetch.
     waiting_peers: BTreeMap<Digest, Vec<(InvokerId, u64)>>,
     is_alive: bool,
     is_hung: bool,
@@ -54,7 +54,7 @@
     seq: u64,
     events: BinaryHeap<Event>,
     nodes: BTreeMap<InvokerId, Node>,
-    /// Fetches under way, those beyond which it refuses, and those beyond which it slows down.
+    /// The store's fetches in progress, the number from which it refuses, and the number above which it slows down.
     store: (usize, usize, f64),
     refusal_share: f64,
     refuses_until: Ticks,
@@ -129,9 +129,9 @@
     }
 
     fn start_load(&mut self, after: Ticks, id: InvokerId, load: u64, chunks: Vec<MissingChunk>) {
-        self.at(after, move |w| {
-            let now = w.now;
-            let node = w.nodes.get_mut(&id).unwrap();
+        self.at(after, move |world| {
+            let now = world.now;
+            let node = world.nodes.get_mut(&id).unwrap();
             if !node.is_alive {
                 return;
             }
@@ -142,7 +142,7 @@
             if node.fetcher.start_load(now, load, &missing) {
                 node.finished_at = Some(now);
             }
-            w.advance(id);
+            world.advance(id);
         });
     }
 
@@ -154,12 +154,12 @@
         }
         let next = node.fetcher.next_actions(now);
         if let Some(wake) = next.wake_at {
-            assert!(wake > now, "a wake that is due would never end");
+            assert!(wake > now, "a wake time that is due would loop for ever");
             if node.wake <= now || wake < node.wake {
                 node.wake = wake;
-                self.at(wake - now, move |w| {
-                    if w.nodes[&id].wake == w.now {
-                        w.advance(id);
+                self.at(wake - now, move |world| {
+                    if world.nodes[&id].wake == world.now {
+                        world.advance(id);
                     }
                 });
             }
@@ -167,11 +167,11 @@
         for request in next.requests {
             let (digest, attempt) = (request.digest, request.attempt);
             match request.source {
-                Source::Store => self.at(ONE_WAY_DELAY, move |w| {
-                    w.request_from_store(id, attempt, digest)
+                Source::Store => self.at(ONE_WAY_DELAY, move |world| {
+                    world.request_from_store(id, attempt, digest)
                 }),
-                Source::Peer(peer) => self.at(ONE_WAY_DELAY, move |w| {
-                    w.request_from_peer(id, attempt, digest, peer)
+                Source::Peer(peer) => self.at(ONE_WAY_DELAY, move |world| {
+                    world.request_from_peer(id, attempt, digest, peer)
                 }),
             }
         }
@@ -182,33 +182,36 @@
         let refusal_share = self.now < self.refuses_until && self.rng.f64() < self.refusal_share;
         if refusal_share || self.store.0 >= self.store.1 {
             self.refused += 1;
-            return self.at(ONE_WAY_DELAY, move |w| {
-                w.request_ended(id, attempt, FetchOutcome::Refused(200 * MILLISECOND))
+            return self.at(ONE_WAY_DELAY, move |world| {
+                world.request_ended(id, attempt, FetchOutcome::Refused(200 * MILLISECOND))
             });
         }
         self.store.0 += 1;
         let crowd = (self.store.0 as f64 / self.store.2).max(1.0);
-        self.at((TRANSFER_TIME as f64 * 2.0 * crowd) as Ticks, move |w| {
-            w.store.0 -= 1;
-            let bad = w.corrupt.contains(&digest);
-            w.request_ended(
-                id,
-                attempt,
-                if bad {
-                    FetchOutcome::Corrupt
-                } else {
-                    FetchOutcome::Succeeded
-                },
-            );
-        });
+        self.at(
+            (TRANSFER_TIME as f64 * 2.0 * crowd) as Ticks,
+            move |world| {
+                world.store.0 -= 1;
+                let bad = world.corrupt.contains(&digest);
+                world.request_ended(
+                    id,
+                    attempt,
+                    if bad {
+                        FetchOutcome::Corrupt
+                    } else {
+                        FetchOutcome::Succeeded
+                    },
+                );
+            },
+        );
     }
 
     fn request_from_peer(&mut self, id: InvokerId, attempt: u64, digest: Digest, peer: InvokerId) {
         let now = self.now;
         let node = self.nodes.get_mut(&peer).unwrap();
         if !node.is_alive {
-            return self.at(250 * MILLISECOND, move |w| {
-                w.request_ended(id, attempt, FetchOutcome::Failed)
+            return self.at(250 * MILLISECOND, move |world| {
+                world.request_ended(id, attempt, FetchOutcome::Failed)
             });
         }
         if node.is_hung {
@@ -236,11 +239,11 @@
                 );
                 self.advance(peer);
             }
-            UploadDecision::RetryLater(wait) => self.at(ONE_WAY_DELAY, move |w| {
-                w.request_ended(id, attempt, FetchOutcome::Refused(wait))
+            UploadDecision::RetryLater(wait) => self.at(ONE_WAY_DELAY, move |world| {
+                world.request_ended(id, attempt, FetchOutcome::Refused(wait))
             }),
-            UploadDecision::NotFound => self.at(ONE_WAY_DELAY, move |w| {
-                w.request_ended(id, attempt, FetchOutcome::NotFound)
+            UploadDecision::NotFound => self.at(ONE_WAY_DELAY, move |world| {
+                world.request_ended(id, attempt, FetchOutcome::NotFound)
             }),
         }
     }
@@ -251,23 +254,25 @@
         while !node.queue.is_empty() && node.uploads.try_start(now, CHUNK_BYTES, 1.0, 0.3) {
             let (to, attempt) = node.queue.pop_front().unwrap();
             self.seq += 1;
-            let sent = move |w: &mut World| {
-                let node = w.nodes.get_mut(&from).unwrap();
+            let sent = move |world: &mut World| {
+                let node = world.nodes.get_mut(&from).unwrap();
                 node.uploads.transfer_ended();
                 let outcome = match (node.is_alive, node.sends_corrupt) {
                     (false, _) => FetchOutcome::Failed,
                     (true, true) => FetchOutcome::Corrupt,
                     (true, false) => FetchOutcome::Succeeded,
                 };
-                w.from_peers += u32::from(outcome == FetchOutcome::Succeeded);
-                w.request_ended(to, attempt, outcome);
-                w.start_transfers(from);
+                world.from_peers += u32::from(outcome == FetchOutcome::Succeeded);
+                world.request_ended(to, attempt, outcome);
+                world.start_transfers(from);
             };
             self.events
                 .push(Event(now + TRANSFER_TIME, self.seq, Box::new(sent)));
         }
         if let Some(at) = node.uploads.reopens_at().filter(|_| !node.queue.is_empty()) {
-            self.at(at.max(now + 1) - now, move |w| w.start_transfers(from));
+            self.at(at.max(now + 1) - now, move |world| {
+                world.start_transfers(from)
+            });
         }
     }
 
@@ -293,8 +298,8 @@
     }
 
     fn kill(&mut self, after: Ticks, id: InvokerId) {
-        self.at(after, move |w| {
-            let node = w.nodes.get_mut(&id).unwrap();
+        self.at(after, move |world| {
+            let node = world.nodes.get_mut(&id).unwrap();
             node.is_alive = false;
             let waiting_peers: Vec<_> = std::mem::take(&mut node.waiting_peers)
                 .into_values()
@@ -302,8 +307,8 @@
                 .chain(std::mem::take(&mut node.queue))
                 .collect();
             waiting_peers.into_iter().for_each(|(to, attempt)| {
-                w.at(ONE_WAY_DELAY, move |w| {
-                    w.request_ended(to, attempt, FetchOutcome::Failed)
+                world.at(ONE_WAY_DELAY, move |world| {
+                    world.request_ended(to, attempt, FetchOutcome::Failed)
                 })
             });
         });
@@ -319,7 +324,7 @@
         }
     }
 
-    /// Each invoker that lives has the model; gives when the last had it.
+    /// Asserts that each live invoker has the model. Returns the time at which the last one completed.
     fn all_done(&self) -> Ticks {
         let late: Vec<_> = self
             .nodes
@@ -340,76 +345,77 @@
             .unwrap_or(0)
     }
 
-    fn requests_a_chunk(&self) -> f64 {
+    fn requests_per_chunk(&self) -> f64 {
         self.requests.values().sum::<u32>() as f64 / self.requests.len() as f64
     }
 }
 
 fn herd(n: u32, chunks: u32, seed: u64) -> World {
-    let mut w = World::new(n, seed);
+    let mut world = World::new(n, seed);
     for id in 1..=n {
-        w.start_load(u64::from(id) % 300, id, 1, model(1, chunks));
+        world.start_load(u64::from(id) % 300, id, 1, model(1, chunks));
     }
-    w
+    world
 }
 
-/// As `herd`, but everybody's list names nobody else: each asks the store for itself.
+/// As `herd`, but each invoker's list contains only itself, so that each fetches everything from the store.
 fn each_alone(n: u32, chunks: u32, seed: u64) -> World {
-    let mut w = herd(n, chunks, seed);
-    w.nodes
+    let mut world = herd(n, chunks, seed);
+    world
+        .nodes
         .iter_mut()
         .for_each(|(id, node)| node.fetcher.set_members(members([*id])));
-    w
+    world
 }
 
 #[test]
-fn a_herd_asks_the_store_about_once_a_chunk() {
+fn simultaneous_loads_fetch_each_chunk_from_the_store_about_once() {
     println!("invokers, store requests a chunk shared and alone, done after ms shared and alone");
     for n in [12, 84, 840] {
-        let mut w = herd(n, 60, 7);
-        w.run(120 * SECOND);
-        let (took, a_chunk) = (w.all_done(), w.requests_a_chunk());
+        let mut world = herd(n, 60, 7);
+        world.run(120 * SECOND);
+        let (elapsed, per_chunk) = (world.all_done(), world.requests_per_chunk());
         assert!(
-            a_chunk <= 1.2 && w.requests.len() == 60,
-            "{n} invokers: {a_chunk} store requests a chunk"
+            per_chunk <= 1.2 && world.requests.len() == 60,
+            "{n} invokers: {per_chunk} store requests a chunk"
         );
         if n == 840 {
-            // Each alone would take minutes of the store, and of this test.
-            println!("{n} {a_chunk:.2} - {} -", took / MILLISECOND);
+            // Without sharing, this size takes minutes of simulated and of real time.
+            println!("{n} {per_chunk:.2} - {} -", elapsed / MILLISECOND);
             continue;
         }
         let mut alone = each_alone(n, 60, 7);
         alone.run(600 * SECOND);
         let baseline = alone.all_done();
         println!(
-            "{n} {a_chunk:.2} {:.2} {} {}",
-            alone.requests_a_chunk(),
-            took / MILLISECOND,
+            "{n} {per_chunk:.2} {:.2} {} {}",
+            alone.requests_per_chunk(),
+            elapsed / MILLISECOND,
             baseline / MILLISECOND
         );
         assert!(
-            took * 2 < baseline,
+            elapsed * 2 < baseline,
             "{n} invokers: {} ms, alone {} ms",
-            took / MILLISECOND,
+            elapsed / MILLISECOND,
             baseline / MILLISECOND
         );
         let part = if n == 12 { 10.0 } else { 40.0 };
         assert!(
-            a_chunk * part < alone.requests_a_chunk(),
-            "{a_chunk} of {}",
-            alone.requests_a_chunk()
+            per_chunk * part < alone.requests_per_chunk(),
+            "{per_chunk} of {}",
+            alone.requests_per_chunk()
         );
     }
 }
 
-/// Invokers drain and start anew, one after another, while all want the model.
+/// Invokers drain and die one after another while all load the model.
 #[test]
-fn a_rolling_deploy_in_the_midst_of_a_herd() {
-    let mut w = herd(24, 60, 13);
+fn loads_complete_during_a_rolling_deploy() {
+    let mut world = herd(24, 60, 13);
     for (n, id) in (1..=24u32).step_by(3).enumerate() {
         let at = 20 * MILLISECOND * (n as u64 + 1);
-        w.at(at, move |w| {
-            w.nodes.get_mut(&id).unwrap().is_draining = true;
+        world.at(at, move |world| {
+            world.nodes.get_mut(&id).unwrap().is_draining = true;
             let list = |me: InvokerId| -> Vec<Member> {
                 members(1..=24)
                     .into_iter()
@@ -420,108 +426,118 @@
                     .filter(|m| m.ready || m.invoker == me)
                     .collect()
             };
-            w.nodes
+            world
+                .nodes
                 .iter_mut()
                 .for_each(|(me, node)| node.fetcher.set_members(list(*me)));
         });
-        w.kill(at + 30 * MILLISECOND, id);
+        world.kill(at + 30 * MILLISECOND, id);
     }
-    w.run(120 * SECOND);
-    w.all_done();
-    assert!(w.requests_a_chunk() < 2.0, "{}", w.requests_a_chunk());
+    world.run(120 * SECOND);
+    world.all_done();
+    assert!(
+        world.requests_per_chunk() < 2.0,
+        "{}",
+        world.requests_per_chunk()
+    );
 }
 
 #[test]
-fn a_store_that_refuses_half_for_ten_seconds_delays_and_stops_nobody() {
-    let mut w = herd(84, 60, 3);
-    (w.refusal_share, w.refuses_until) = (0.5, 10 * SECOND);
-    w.run(120 * SECOND);
-    w.all_done();
+fn loads_complete_after_the_store_refuses_half_of_requests_for_ten_seconds() {
+    let mut world = herd(84, 60, 3);
+    (world.refusal_share, world.refuses_until) = (0.5, 10 * SECOND);
+    world.run(120 * SECOND);
+    world.all_done();
     assert!(
-        w.refused > 20 && w.requests_a_chunk() < 4.0,
+        world.refused > 20 && world.requests_per_chunk() < 4.0,
         "{} refused, {}",
-        w.refused,
-        w.requests_a_chunk()
+        world.refused,
+        world.requests_per_chunk()
     );
 }
 
 #[test]
-fn homes_that_die_hang_drain_or_send_damage_are_gone_round() {
-    let mut w = herd(24, 60, 5);
+fn dead_hung_draining_or_corrupting_homes_are_bypassed() {
+    let mut world = herd(24, 60, 5);
     for id in [2, 9, 17] {
-        w.kill(400 * MILLISECOND, id);
+        world.kill(400 * MILLISECOND, id);
     }
-    w.nodes.get_mut(&4).unwrap().is_hung = true;
-    w.nodes.get_mut(&5).unwrap().is_draining = true;
-    w.nodes.get_mut(&6).unwrap().sends_corrupt = true;
-    w.run(120 * SECOND);
-    w.all_done();
-    assert!(w.requests_a_chunk() < 4.0, "{}", w.requests_a_chunk());
+    world.nodes.get_mut(&4).unwrap().is_hung = true;
+    world.nodes.get_mut(&5).unwrap().is_draining = true;
+    world.nodes.get_mut(&6).unwrap().sends_corrupt = true;
+    world.run(120 * SECOND);
+    world.all_done();
+    assert!(
+        world.requests_per_chunk() < 4.0,
+        "{}",
+        world.requests_per_chunk()
+    );
 }
 
-/// Lists as they are seen by each, over forty invokers; gives store requests a chunk when all hold the model.
+/// Forty invokers, each with the list that `seen_by` gives. Returns the store requests per chunk once all have the model.
 fn split(seen_by: impl Fn(InvokerId) -> std::ops::RangeInclusive<InvokerId>) -> f64 {
-    let mut w = herd(40, 60, 9);
-    for (id, node) in &mut w.nodes {
+    let mut world = herd(40, 60, 9);
+    for (id, node) in &mut world.nodes {
         node.fetcher.set_members(members(seen_by(*id)));
     }
-    w.run(120 * SECOND);
-    w.all_done();
-    w.requests_a_chunk()
+    world.run(120 * SECOND);
+    world.all_done();
+    world.requests_per_chunk()
 }
 
 #[test]
-fn a_list_split_in_two_halves_doubles_the_store_s_work() {
-    let a_chunk = split(|id| if id <= 20 { 1..=20 } else { 21..=40 });
-    assert!((1.9..2.3).contains(&a_chunk), "{a_chunk}");
+fn list_split_in_two_halves_doubles_store_requests() {
+    let per_chunk = split(|id| if id <= 20 { 1..=20 } else { 21..=40 });
+    assert!((1.9..2.3).contains(&per_chunk), "{per_chunk}");
 }
 
-/// Half of those who are asked do not see themselves as homes; with both homes such, the store is all that is left.
+/// Half of the invokers that are asked do not list themselves as homes. If that holds for both homes of a chunk, only the
+/// store remains.
 #[test]
-fn lists_that_contradict_each_other_cost_the_store_and_stop_nobody() {
-    let a_chunk = split(|id| if id % 2 == 0 { 1..=20 } else { 21..=40 });
-    println!("contradicting lists: {a_chunk:.1} store requests a chunk; each alone 40");
-    assert!(a_chunk < 16.0, "{a_chunk}");
+fn loads_complete_with_contradicting_lists_at_a_bounded_store_load() {
+    let per_chunk = split(|id| if id % 2 == 0 { 1..=20 } else { 21..=40 });
+    println!("contradicting lists: {per_chunk:.1} store requests a chunk; each alone 40");
+    assert!(per_chunk < 16.0, "{per_chunk}");
 }
 
 #[test]
-fn a_chunk_damaged_at_the_store_is_asked_for_again_and_again_and_never_used() {
-    let mut w = herd(12, 20, 1);
+fn chunk_corrupt_at_the_store_is_retried_at_a_bounded_rate_and_never_used() {
+    let mut world = herd(12, 20, 1);
     let bad = model(1, 20)[3].digest;
-    w.corrupt.insert(bad);
-    w.run(30 * SECOND);
-    let held: Vec<usize> = w.nodes.values().map(|n| n.held.len()).collect();
+    world.corrupt.insert(bad);
+    world.run(30 * SECOND);
+    let held: Vec<usize> = world.nodes.values().map(|n| n.held.len()).collect();
     assert!(
-        w.nodes.values().all(|n| n.finished_at.is_none()) && held.iter().all(|n| *n == 19),
+        world.nodes.values().all(|n| n.finished_at.is_none()) && held.iter().all(|n| *n == 19),
         "{held:?}"
     );
-    assert_eq!(w.accepted_corrupt, 0);
-    let request_counts = w.requests[&bad];
+    assert_eq!(world.accepted_corrupt, 0);
+    let request_count = world.requests[&bad];
     assert!(
-        (3..400).contains(&request_counts),
-        "{request_counts} times in 30 s by 12"
+        (3..400).contains(&request_count),
+        "{request_count} times in 30 s by 12"
     );
-    // It is mended, and they have it soon.
-    w.corrupt.clear();
-    w.run(60 * SECOND);
-    w.all_done();
+    // Once the store is repaired, the loads complete soon.
+    world.corrupt.clear();
+    world.run(60 * SECOND);
+    world.all_done();
 }
 
 #[test]
-fn a_load_that_is_given_up_stops_what_nobody_else_waits_for() {
-    let mut f = Fetcher::new(1, 1);
-    f.set_members(members(1..=1));
+fn cancelled_load_cancels_only_requests_that_no_other_load_needs() {
+    let mut fetcher = Fetcher::new(1, 1);
+    fetcher.set_members(members(1..=1));
     let (a, b) = (model(1, 3), model(2, 3));
     let shared: Vec<MissingChunk> = a[..1].iter().chain(&b).copied().collect();
-    f.start_load(0, 1, &a);
-    f.start_load(0, 2, &shared);
-    let requests = f.next_actions(0).requests;
+    fetcher.start_load(0, 1, &a);
+    fetcher.start_load(0, 2, &shared);
+    let requests = fetcher.next_actions(0).requests;
     assert!(
         !requests.is_empty() && requests[0].digest == a[0].digest,
-        "two wait for it"
+        "two loads wait for this chunk"
     );
-    f.cancel_load(1);
-    let next = f.next_actions(1);
+    fetcher.cancel_load(1);
+    let next = fetcher.next_actions(1);
     let stopped: Vec<Digest> = next
         .cancels
         .iter()
@@ -533,29 +549,29 @@
             .all(|d| a[1..].iter().any(|n| n.digest == *d)),
         "{stopped:?}"
     );
-    f.cancel_load(2);
-    f.next_actions(2);
-    assert!(f.is_idle());
+    fetcher.cancel_load(2);
+    fetcher.next_actions(2);
+    assert!(fetcher.is_idle());
 }
 
 #[test]
-fn two_models_are_fetched_side_by_side() {
-    let mut f = Fetcher::new(1, 1);
-    f.set_members(members(1..=1));
-    f.start_load(0, 1, &model(1, 400));
+fn two_models_are_fetched_concurrently() {
+    let mut fetcher = Fetcher::new(1, 1);
+    fetcher.set_members(members(1..=1));
+    fetcher.start_load(0, 1, &model(1, 400));
     let mut request_counts = [0; 2];
     let small = model(2, 20);
     for step in 0..40u64 {
         if step == 10 {
-            f.start_load(step * 100, 2, &small);
+            fetcher.start_load(step * 100, 2, &small);
         }
-        for request in f.next_actions(step * 100).requests {
+        for request in fetcher.next_actions(step * 100).requests {
             request_counts[usize::from(small.iter().any(|n| n.digest == request.digest))] += 1;
-            f.request_ended(step * 100 + 90, request.attempt, FetchOutcome::Succeeded);
+            fetcher.request_ended(step * 100 + 90, request.attempt, FetchOutcome::Succeeded);
         }
     }
     assert!(
         request_counts[1] == 20 && request_counts[0] > 60,
-        "the one that came later does not wait for all of the other: {request_counts:?}"
+        "the later load does not wait for all of the earlier one: {request_counts:?}"
     );
 }
--- a/crates/layers/tests/packing.rs
+++ b/crates/layers/tests/packing.rs
@@ -1,4 +1,4 @@
-//! Models there and back, versions that share, and packed models as they should not be.
+//! Packing and unpacking of models, chunks shared between versions, and malformed or hostile input.
 
 use proptest::prelude::*;
 use saltdrum_layers::cut::{ChunkError, pack, unpack};
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::fs;
 
-/// Half noise, half text: some chunks pack and some do not.
+/// Half random bytes, half text, so that some chunks compress and some do not.
 fn model(seed: u64, bytes: usize) -> Vec<u8> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut out: Vec<u8> = (0..bytes / 2).map(|_| rng.u8(..)).collect();
@@ -31,18 +31,18 @@
 }
 
 #[test]
-fn a_model_comes_back_and_two_versions_share_all_but_the_change() {
+fn model_unpacks_to_its_bytes_and_versions_share_unchanged_chunks() {
     let folder = tempfile::tempdir().unwrap();
     let layout = Layout::open(&folder.path().join("models")).unwrap();
     let first = model(1, 24 << 20);
-    // One place of the model changed, and all behind it moved.
+    // One place of the model is replaced by more bytes, so that everything after it shifts.
     let mut second = first.clone();
     second.splice((9 << 20)..(9 << 20) + 1_000, model(2, 300_000));
-    let (a, b) = (folder.path().join("a"), folder.path().join("b"));
-    fs::write(&a, &first).unwrap();
-    fs::write(&b, &second).unwrap();
-    let manifest = layout.pack(&a, "voice:1").unwrap();
-    layout.pack(&b, "voice:2").unwrap();
+    let (first_file, second_file) = (folder.path().join("a"), folder.path().join("b"));
+    fs::write(&first_file, &first).unwrap();
+    fs::write(&second_file, &second).unwrap();
+    let manifest = layout.pack(&first_file, "voice:1").unwrap();
+    layout.pack(&second_file, "voice:2").unwrap();
     assert!(manifest.chunks.iter().any(|c| c.packing == Packing::Zstd));
     assert!(manifest.chunks.iter().any(|c| c.packing == Packing::Plain));
     assert!(manifest.stored_bytes() < manifest.bytes());
@@ -68,43 +68,43 @@
             .to_string()
             .contains("there are voice:1, voice:2")
     );
-    // One byte of one chunk, and a chunk that is gone.
+    // One byte of a chunk is flipped, and another chunk is missing.
     let path = layout.path(&manifest.chunks[0].digest);
     let mut bytes = fs::read(&path).unwrap();
     bytes[100] ^= 1;
     fs::write(&path, bytes).unwrap();
     fs::remove_file(layout.path(&manifest.chunks[1].digest)).unwrap();
-    let wrong = layout.verify().unwrap().problems;
+    let problems = layout.verify().unwrap().problems;
     assert!(
-        wrong.len() == 2 && wrong[0].contains("its bytes have digest"),
-        "{wrong:?}"
+        problems.len() == 2 && problems[0].contains("its bytes have digest"),
+        "{problems:?}"
     );
 }
 
 #[test]
-fn a_version_that_changed_by_a_twentieth_has_under_a_tenth_of_new_bytes() {
-    // Weights alone, as models are.
+fn version_with_a_twentieth_changed_has_under_a_tenth_of_new_bytes() {
+    // Random bytes only, like the weights of a model.
     let weights = |seed, bytes| model(seed, 2 * bytes)[..bytes].to_vec();
     let first = weights(7, 40 << 20);
     let mut second = first.clone();
     let part = first.len() / 20;
     second[11_111_111..11_111_111 + part].copy_from_slice(&weights(8, part));
     let ((_, old), (new, _)) = (packed(&first), packed(&second));
-    let fresh: u64 = new
+    let new_bytes: u64 = new
         .chunks
         .iter()
         .filter(|c| !old.contains_key(&c.digest))
         .map(|c| c.stored_bytes)
         .sum();
     assert!(
-        fresh * 10 < new.stored_bytes(),
-        "{fresh} of {}",
+        new_bytes * 10 < new.stored_bytes(),
+        "{new_bytes} of {}",
         new.stored_bytes()
     );
 }
 
 #[test]
-fn a_bomb_and_a_lie_about_sizes_make_nothing() {
+fn rejects_decompression_bombs_and_wrong_sizes() {
     let zeros = vec![0; 8 << 20];
     let stored = zstd::bulk::compress(&zeros, 3).unwrap();
     let chunk = |bytes| Chunk {
@@ -125,26 +125,27 @@
         unpack(&chunk(8 << 20), &stored[1..]),
         Err(ChunkError::Length { .. })
     ));
-    let read = Manifest::from_json(
+    let decoded = Manifest::from_json(
         &Manifest {
             chunks: vec![chunk(8 << 20)],
         }
         .to_json(),
     );
     assert!(
-        read.unwrap_err()
+        decoded
+            .unwrap_err()
             .to_string()
             .contains(&format!("1 to {MAX_CHUNK_BYTES} are allowed"))
     );
 }
 
 #[test]
-fn manifests_that_lie_are_refused_in_words() {
+fn invalid_manifests_are_rejected_with_the_field_and_reason() {
     let (manifest, _) = packed(&model(3, 3 << 20));
     let text = String::from_utf8(manifest.to_json()).unwrap();
     let digest = manifest.chunks[0].digest.to_string();
     let size = manifest.chunks[0].stored_bytes;
-    for (from, to, say) in [
+    for (from, to, expected) in [
         (
             digest.as_str(),
             "sha256:../../etc/passwd",
@@ -171,10 +172,10 @@
         ),
     ] {
         assert!(text.contains(from), "{from}");
-        let got = Manifest::from_json(text.replacen(from, to, 1).as_bytes())
+        let error = Manifest::from_json(text.replacen(from, to, 1).as_bytes())
             .unwrap_err()
             .to_string();
-        assert!(got.contains(say), "{got}");
+        assert!(error.contains(expected), "{error}");
     }
     let long = vec![b' '; (4 << 20) + 1];
     assert_eq!(
@@ -192,19 +193,19 @@
     })]
 
     #[test]
-    fn bent_manifests_and_chunks_are_refused_or_the_same(at in 0usize..4_000, bit in 0u8..8, cut in 0usize..4_000) {
+    fn corrupted_manifests_and_chunks_are_rejected_or_within_bounds(at in 0usize..4_000, bit in 0u8..8, cut in 0usize..4_000) {
         let (manifest, kept) = packed(&model(4, 700_000));
         let mut bytes = manifest.to_json();
         let end = bytes.len();
         bytes[at % end] ^= 1 << bit;
-        if let Ok(read) = Manifest::from_json(&bytes[..end - cut % 3]) {
-            prop_assert!(read.chunks.iter().all(|c| c.bytes <= MAX_CHUNK_BYTES));
+        if let Ok(decoded) = Manifest::from_json(&bytes[..end - cut % 3]) {
+            prop_assert!(decoded.chunks.iter().all(|c| c.bytes <= MAX_CHUNK_BYTES));
         }
         let (chunk, stored) = (&manifest.chunks[0], &kept[&manifest.chunks[0].digest]);
-        let mut bent = stored.clone();
-        let end = bent.len();
-        bent[(at * 97) % end] ^= 1 << bit;
-        prop_assert!(unpack(chunk, &bent).is_err());
+        let mut corrupted = stored.clone();
+        let end = corrupted.len();
+        corrupted[(at * 97) % end] ^= 1 << bit;
+        prop_assert!(unpack(chunk, &corrupted).is_err());
         prop_assert!(unpack(chunk, stored).is_ok());
     }
 }
