--- a/crates/wirehost/src/actions.rs
+++ b/crates/wirehost/src/actions.rs
@@ -1,4 +1,4 @@
-//! What a controller asks for, as records of the reply.
+//! Encodes a controller's actions as records of the reply.
 
 use crate::codec::Reply;
 use saltdrum::interface::{Actions, FunctionId, InvocationId, InvokerId, Ticks};
@@ -28,7 +28,7 @@
         self.reply.record(code, self.controller)
     }
 
-    /// The controller panicked.
+    /// Reports that the controller panicked.
     pub(crate) fn panicked(&mut self, text: &str) {
         self.record(code::PANIC).text(text);
     }
--- a/crates/wirehost/src/codec.rs
+++ b/crates/wirehost/src/codec.rs
@@ -1,4 +1,4 @@
-//! Frames and fields of the wire. Nothing here trusts a length before the bytes are there.
+//! Frames and fields of the wire. A stated length is not trusted until its bytes have been read.
 
 use crate::error::WireError;
 use saltdrum::interface::{MILLISECOND, Ticks};
@@ -9,12 +9,12 @@
 const HEADER_BYTES: usize = 16;
 /// Bytes of a reply's header: count of records, length.
 const REPLY_HEADER_BYTES: usize = 8;
-/// A frame is read in pieces of this size, so that a false length takes no memory.
+/// Frames are read in pieces of this size, so that a wrong length allocates no more than this.
 const CHUNK_BYTES: usize = 1 << 16;
-/// Times in milliseconds from here on are no times.
+/// Valid times in milliseconds are below this.
 const MAX_TIME_MS: f64 = 1e15;
 
-/// Reads little-endian fields, and names the place of what is wrong.
+/// Reads little-endian fields and reports the position of errors.
 pub(crate) struct Fields<'a> {
     bytes: &'a [u8],
     at: usize,
@@ -22,23 +22,22 @@
 
 macro_rules! number {
     ($($name:ident: $kind:ty),*) => {$(
-        /// The next field, as a number.
+        /// Reads the next field as a number.
         pub(crate) fn $name(&mut self, field: &str) -> Result<$kind, WireError> {
             let raw = self.take(size_of::<$kind>(), field)?;
-            Ok(<$kind>::from_le_bytes(raw.try_into().expect("take gives the asked length")))
+            Ok(<$kind>::from_le_bytes(raw.try_into().expect("take returns the requested length")))
         }
     )*};
 }
 
 impl<'a> Fields<'a> {
-    /// Reads from the first byte on.
     pub(crate) fn new(bytes: &'a [u8]) -> Self {
         Self { bytes, at: 0 }
     }
 
     number!(u8: u8, u16: u16, u32: u32, u64: u64, f32: f32, f64: f64);
 
-    /// The next bytes.
+    /// Reads the next `count` bytes.
     pub(crate) fn take(&mut self, count: usize, field: &str) -> Result<&'a [u8], WireError> {
         let left = self.bytes.len() - self.at;
         if count > left {
@@ -53,12 +52,12 @@
         Ok(&self.bytes[self.at - count..self.at])
     }
 
-    /// The place of the next field.
+    /// Byte position of the next field.
     pub(crate) fn at(&self) -> usize {
         self.at
     }
 
-    /// The next field, as a time in milliseconds.
+    /// Reads the next field as a time in milliseconds.
     pub(crate) fn time(&mut self, field: &str) -> Result<Ticks, WireError> {
         let at = self.at;
         let ms = self.f64(field)?;
@@ -72,14 +71,14 @@
         Ok(ticks_from_ms(ms))
     }
 
-    /// The values of a load report: a count, then as many values.
+    /// Reads the values of a load report: a count, then as many values.
     pub(crate) fn values(&mut self) -> Result<Vec<f32>, WireError> {
         let count = self.u8("count of report values")?;
         (0..count).map(|_| self.f32("report value")).collect()
     }
 }
 
-/// Reads the next frame, header included. False at the end of the input between two frames.
+/// Reads the next frame, header included. Returns false if the input ended before a frame.
 pub(crate) fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>) -> Result<bool, WireError> {
     frame.clear();
     fill(input, frame, HEADER_BYTES)?;
@@ -126,7 +125,7 @@
     Ok(())
 }
 
-/// One reply, written record by record.
+/// A reply frame, built record by record.
 pub(crate) struct Reply {
     bytes: Vec<u8>,
     records: u32,
@@ -142,7 +141,7 @@
 }
 
 impl Reply {
-    /// Begins a record of this kind, of one controller.
+    /// Starts a record with this code, for one controller.
     pub(crate) fn record(&mut self, code: u8, controller: u32) -> &mut Self {
         self.records += 1;
         self.bytes.push(code);
@@ -161,13 +160,13 @@
         self.put(&ms.to_le_bytes())
     }
 
-    /// Adds a text, cut at the longest that the wire can carry.
+    /// Adds a text, truncated to the longest that the wire can carry.
     pub(crate) fn text(&mut self, text: &str) -> &mut Self {
         let cut = &text.as_bytes()[..text.len().min(usize::from(u16::MAX))];
         self.put(&(cut.len() as u16).to_le_bytes()).put(cut)
     }
 
-    /// Gives the finished frame; the reply starts anew.
+    /// Returns the finished frame and resets the reply.
     pub(crate) fn finish(&mut self) -> Vec<u8> {
         let Self { mut bytes, records } = std::mem::take(self);
         let length = bytes.len() as u32;
--- a/crates/wirehost/src/error.rs
+++ b/crates/wirehost/src/error.rs
@@ -1,8 +1,8 @@
-//! What can be wrong with the input.
+//! Errors in the input.
 
 use saltdrum_settings::SettingError;
 
-/// Why the input cannot be read, and where.
+/// Why the input can't be read, with the position where it applies.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub(crate) enum WireError {
     #[error("byte {at}: {field} needs {needed} bytes, {left} are left")]
@@ -12,7 +12,7 @@
         needed: usize,
         left: usize,
     },
-    #[error("byte {at}: {field} is no time: {found}")]
+    #[error("byte {at}: {field} is not a valid time: {found}")]
     NotATime {
         at: usize,
         field: String,
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -1,4 +1,4 @@
-//! Hosts controllers: each event record is one call of a [`DispatchPolicy`], each action one record of the reply.
+//! Hosts controllers: each event record becomes one call of a [`DispatchPolicy`], and each action one record of the reply.
 
 use crate::actions::ActionWriter;
 use crate::codec::{Fields, Reply};
@@ -14,7 +14,7 @@
 mod code {
     pub(super) const STOP: u8 = 1;
     pub(super) const TIMER: u8 = 2;
-    pub(super) const CLIENT_LEFT: u8 = 3;
+    pub(super) const CLIENT_DISCONNECTED: u8 = 3;
     pub(super) const INVOKERS: u8 = 4;
     pub(super) const PEER_MESSAGE: u8 = 5;
     pub(super) const STREAM_OPENED: u8 = 6;
@@ -25,7 +25,7 @@
     pub(super) const START: u8 = 11;
 }
 
-/// Bytes of a record that tells of an opened stream, after its code and controller.
+/// Length of a stream-opened record after its code and controller.
 const STREAM_OPENED_BYTES: usize = 17;
 
 /// One controller.
@@ -36,7 +36,7 @@
     class_count: usize,
 }
 
-/// All controllers of this process. They share nothing.
+/// All controllers of this process. They share no state.
 #[derive(Default)]
 pub(crate) struct Host {
     instances: BTreeMap<u32, Instance>,
@@ -44,7 +44,7 @@
 }
 
 impl Host {
-    /// Handles one frame, header included, and gives the reply frame.
+    /// Handles one frame, header included, and returns the reply frame.
     pub(crate) fn frame(&mut self, frame: &[u8]) -> Result<Vec<u8>, WireError> {
         let mut fields = Fields::new(frame);
         let records = fields.u32("record count")?;
@@ -82,7 +82,7 @@
         if code == code::STOP {
             return Ok(());
         }
-        // A controller that panicked is not kept: its state cannot be trusted.
+        // A controller that panicked is dropped, because its state may be inconsistent.
         let is_intact = self.event(code, fields, now, id, &mut instance)?;
         if is_intact {
             self.instances.insert(id, instance);
@@ -113,7 +113,7 @@
         Ok(())
     }
 
-    /// Handles one event of a controller. False: it panicked.
+    /// Handles one event of a controller. Returns false if it panicked.
     fn event(
         &mut self,
         code: u8,
@@ -128,7 +128,7 @@
                 let token = fields.u64("cookie")?;
                 self.guard(id, |actions| policy.timer_fired(now, token, actions))
             }
-            code::CLIENT_LEFT => {
+            code::CLIENT_DISCONNECTED => {
                 let invocation = fields.u32("xid")?;
                 self.guard(id, |_| policy.invocation_abandoned(now, invocation))
             }
@@ -165,7 +165,7 @@
         Ok(done.is_some())
     }
 
-    /// Calls a controller. None: it panicked, which the reply tells.
+    /// Calls a controller. If it panics, adds a panic record to the reply and returns `None`.
     fn guard<T>(
         &mut self,
         controller: u32,
@@ -185,7 +185,7 @@
     }
 }
 
-/// Reads past records of peers, streams and probes, none of which are in use.
+/// Skips records of peers, streams and probes, which the policy does not use.
 fn skip_unused(code: u8, fields: &mut Fields) -> Result<(), WireError> {
     match code {
         code::PEER_MESSAGE => {
--- a/crates/wirehost/src/host/tests.rs
+++ b/crates/wirehost/src/host/tests.rs
@@ -27,7 +27,7 @@
     over_share_worth=0.1\nreporting.fields=util\nrules.cold_from=0.19\nrules.cold_ms=16000.0\n\
     rules.drain_grace_ms=250.0\nrules.overload_factor=2.5\nrules.tip_after_ms=1500.0\ntick_ms=4.0\nzone=0\n";
 
-fn born(id: u32, info: &str) -> Vec<u8> {
+fn start_record(id: u32, info: &str) -> Vec<u8> {
     let mut record = vec![11];
     record.extend(id.to_le_bytes());
     record.extend(5u64.to_le_bytes());
@@ -36,14 +36,14 @@
     record
 }
 
-const SYNC: &str = "04 03000000 00 29000000 02000000 \
+const LIST_RECORD: &str = "04 03000000 00 29000000 02000000 \
     074a1203 00 0000 0000 01 0000803f 0000000000000000 \
     f211902c 00 0000 0000 01 0000c03f 0000000000d4b740";
-const KNOCK: &str = "09 03000000 c4913a5d 0000 00000000 010ad2557c000000 0000000020e6c040 \
+const INVOCATION_RECORD: &str = "09 03000000 c4913a5d 0000 00000000 010ad2557c000000 0000000020e6c040 \
     0000000000002840 0000c043 00000040 00006144 01";
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply() {
+fn empty_frame_gets_an_empty_reply() {
     let empty = bytes("00000000 10000000 00000000206ec040");
     assert_eq!(
         Host::default().frame(&empty),
@@ -54,49 +54,53 @@
 #[test]
 fn encodes_the_example_actions_byte_for_byte() {
     let mut reply = Reply::default();
-    let mut w = ActionWriter {
+    let mut writer = ActionWriter {
         reply: &mut reply,
         controller: 3,
     };
-    w.dispatch(0x5d3a91c4, 0x03124a07, 800);
-    w.set_timer(84_165, 77);
-    w.log("two servers known");
-    let want = "03000000 4a000000 01 03000000 c4913a5d 074a1203 0000000000005440 \
+    writer.dispatch(0x5d3a91c4, 0x03124a07, 800);
+    writer.set_timer(84_165, 77);
+    writer.log("two servers known");
+    let expected = "03000000 4a000000 01 03000000 c4913a5d 074a1203 0000000000005440 \
         05 03000000 000000002068c140 4d00000000000000";
-    let mut got = reply.finish();
-    // The example's wake is at 8912.25 ms, between two tenths: the time is rounded down.
-    got[34..42].copy_from_slice(&8_912.25f64.to_le_bytes());
-    assert_eq!(&got[..50], &bytes(want)[..]);
+    let mut actual = reply.finish();
+    // The example's timer is at 8912.25 ms, between two ticks of 0.1 ms: the time is rounded down.
+    actual[34..42].copy_from_slice(&8_912.25f64.to_le_bytes());
+    assert_eq!(&actual[..50], &bytes(expected)[..]);
     assert_eq!(
-        &got[50..],
+        &actual[50..],
         &bytes("09 03000000 1100 74776f2073657276657273206b6e6f776e")[..]
     );
-    let mut w = ActionWriter {
+    let mut writer = ActionWriter {
         reply: &mut reply,
         controller: 3,
     };
-    w.throttle(0x0e6f2b19, 2_500);
-    w.error(0x0e6f2b19);
-    w.cancel(0x5d3a91c4, 0);
-    w.probe(0x2c9011f2);
-    w.unload(0x03124a07, 0x7c55d20a01);
-    w.load(0x2c9011f2, 0x7c55d20a01, 1);
-    let want = "06000000 64000000 02 03000000 192b6f0e 0000000000406f40 03 03000000 192b6f0e \
+    writer.throttle(0x0e6f2b19, 2_500);
+    writer.error(0x0e6f2b19);
+    writer.cancel(0x5d3a91c4, 0);
+    writer.probe(0x2c9011f2);
+    writer.unload(0x03124a07, 0x7c55d20a01);
+    writer.load(0x2c9011f2, 0x7c55d20a01, 1);
+    let expected = "06000000 64000000 02 03000000 192b6f0e 0000000000406f40 03 03000000 192b6f0e \
         04 03000000 c4913a5d 00 06 03000000 f211902c 0e 03000000 074a1203 010ad2557c000000 \
         0d 03000000 010ad2557c000000 01 f211902c";
-    let mut want = bytes(want);
-    want[4] = want.len() as u8;
-    assert_eq!(reply.finish(), want);
+    let mut expected = bytes(expected);
+    expected[4] = expected.len() as u8;
+    assert_eq!(reply.finish(), expected);
 }
 
 #[test]
-fn the_examples_of_events_are_read_and_answered() {
+fn handles_the_example_events() {
     let mut host = Host::default();
-    let first = frame(&[&born(3, INFO), &bytes(SYNC), &bytes(KNOCK)]);
+    let first = frame(&[
+        &start_record(3, INFO),
+        &bytes(LIST_RECORD),
+        &bytes(INVOCATION_RECORD),
+    ]);
     let reply = host.frame(&first).unwrap();
-    let sent = bytes("01 03000000 c4913a5d");
-    assert!(reply.windows(sent.len()).any(|part| part == sent));
-    let rest = [
+    let dispatch = bytes("01 03000000 c4913a5d");
+    assert!(reply.windows(dispatch.len()).any(|part| part == dispatch));
+    let records = [
         "03 03000000 192b6f0e",
         "0a 03000000 0000000000008440 01 00 010ad2557c000000 f211902c",
         "08 03000000 666666666666f63f f211902c 00 01 52b81e3f",
@@ -108,33 +112,38 @@
         "01 03000000",
     ]
     .map(bytes);
-    let mut rest: Vec<&[u8]> = rest.iter().map(Vec::as_slice).collect();
-    let again = born(3, INFO);
-    rest.push(&again);
-    host.frame(&frame(&rest)).unwrap();
+    let mut records: Vec<&[u8]> = records.iter().map(Vec::as_slice).collect();
+    let restart = start_record(3, INFO);
+    records.push(&restart);
+    host.frame(&frame(&records)).unwrap();
     assert_eq!(host.instances.len(), 1);
 }
 
 #[test]
-fn names_the_place_of_bad_input() {
-    let fault = |records: &[&[u8]]| {
+fn errors_state_the_position_of_bad_input() {
+    let error = |records: &[&[u8]]| {
         Host::default()
             .frame(&frame(records))
             .unwrap_err()
             .to_string()
     };
-    let (born, knock) = (born(3, INFO), bytes(KNOCK));
-    assert!(fault(&[&born, &knock[..40]]).starts_with("record 1 at byte"));
-    assert!(fault(&[&knock]).contains("unknown instance 3"));
-    assert!(fault(&[&[77, 3, 0, 0, 0]]).contains("unknown event code 77"));
+    let (start_record, invocation) = (start_record(3, INFO), bytes(INVOCATION_RECORD));
+    assert!(error(&[&start_record, &invocation[..40]]).starts_with("record 1 at byte"));
+    assert!(error(&[&invocation]).contains("unknown instance 3"));
+    assert!(error(&[&[77, 3, 0, 0, 0]]).contains("unknown event code 77"));
     assert!(
-        fault(&[&born, &bytes("04 03000000 00 29000000 ffffffff")])
+        error(&[&start_record, &bytes("04 03000000 00 29000000 ffffffff")])
             .contains("invoker needs 4 bytes")
     );
     let missing = INFO.replace("tick_ms=4.0\n", "");
-    assert!(fault(&[&super::tests::born(3, &missing)]).contains("setting tick_ms: missing"));
+    assert!(
+        error(&[&super::tests::start_record(3, &missing)]).contains("setting tick_ms: missing")
+    );
     let unreadable = INFO.replace("tick_ms=4.0", "tick_ms=soon");
-    assert!(fault(&[&super::tests::born(3, &unreadable)]).contains("setting tick_ms: cannot read"));
+    assert!(
+        error(&[&super::tests::start_record(3, &unreadable)])
+            .contains("setting tick_ms: cannot read")
+    );
     let mut read = Vec::new();
     assert!(
         read_frame(
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -1,7 +1,8 @@
-//! saltdrum's decisions on the simulator's wire: frames in, one reply each out, until the input ends.
+//! Runs the dispatch policy behind the simulator's binary wire: reads frames from standard input and writes one reply for
+//! each to standard output, until the input ends.
 //!
-//! `host` maps event records to calls and actions to records; `codec` holds frames and fields, `records` the events, `actions`
-//! the replies.
+//! `host` maps event records to policy calls, `codec` reads and writes frames and fields, `records` decodes events and
+//! `actions` encodes the replies.
 
 mod actions;
 mod codec;
@@ -34,7 +35,7 @@
 }
 
 fn main() -> ExitCode {
-    // A panic inside a controller is reported on the wire; its text on standard error would only repeat it.
+    // A panic inside a controller is reported on the wire, so the default message on standard error is suppressed.
     std::panic::set_hook(Box::new(|_| {}));
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/wirehost/src/records.rs
+++ b/crates/wirehost/src/records.rs
@@ -1,4 +1,4 @@
-//! Event records of the wire, read into the interface's events.
+//! Decodes event records of the wire into the events of the policy interface.
 
 use crate::codec::Fields;
 use crate::error::WireError;
@@ -8,12 +8,12 @@
 };
 use saltdrum_settings::ticks_from_ms;
 
-/// The remark of an answer holds the kind of start below this, and the concurrency above.
+/// The `remark` field of a result is the concurrency times this radix plus the kind of start.
 const REMARK_RADIX: u8 = 8;
-/// The bit of an invocation's options that says that it carries a prediction.
+/// Bit of an invocation's `options` field that is set if it carries a predicted work time.
 const HAS_PREDICTION: u8 = 1;
 
-/// The endpoint list in one of its forms.
+/// The form of an endpoint list record.
 pub(crate) enum ListForm {
     /// All invokers.
     Complete,
@@ -23,7 +23,7 @@
     Unchanged,
 }
 
-/// Reads the form of an endpoint list.
+/// Decodes the form of an endpoint list.
 pub(crate) fn list_form(code: u8) -> Result<ListForm, WireError> {
     match code {
         0 | 3 => Ok(ListForm::Complete),
@@ -33,7 +33,7 @@
     }
 }
 
-/// Reads how an attempt, a load or a probe ended.
+/// Decodes the outcome of an attempt, a load or a probe.
 pub(crate) fn outcome(code: u8) -> Result<Outcome, WireError> {
     Ok(match code {
         0 => Outcome::Succeeded,
@@ -52,7 +52,7 @@
 /// Reads the entries of an endpoint list.
 pub(crate) fn invoker_records(fields: &mut Fields) -> Result<Vec<InvokerRecord>, WireError> {
     let count = fields.u32("count of nodes_list")?;
-    // The count is not trusted: each entry must be there.
+    // The count is not trusted: memory is allocated only for entries that are present.
     let mut records = Vec::new();
     for _ in 0..count {
         records.push(invoker_record(fields)?);
@@ -90,7 +90,7 @@
     })
 }
 
-/// Reads the end of an attempt. `report_fields` names the values of its load report.
+/// Reads the result of an attempt. `report_fields` names the values of its load report.
 pub(crate) fn attempt_result(
     fields: &mut Fields,
     report_fields: &[String],
@@ -167,7 +167,7 @@
     })
 }
 
-/// Reads the end of a load order.
+/// Reads the result of a load order.
 pub(crate) fn load_result(fields: &mut Fields) -> Result<LoadResult, WireError> {
     let duration = fields.time("time_taken_ms")?;
     let loaded_instances = fields.u8("count")?;
