--- a/crates/agent/src/follow.rs
+++ b/crates/agent/src/follow.rs
@@ -13,7 +13,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tracing::info;
 
-/// Warm-up time over which the capacity share of an invoker would rise by 1.
+/// Ticks (10 s) over which the capacity share rises by 1. From its initial share of 0.2, an invoker is home to all its
+/// chunks after 8 s.
 const WARMUP_TICKS: f64 = 100_000.0;
 const INITIAL_CAPACITY_SHARE: f64 = 0.2;
 /// Interval at which capacity shares are recalculated while the list does not change.
@@ -54,15 +55,15 @@
     {
         return e.to_string();
     }
-    let mut read = BytesMut::new();
+    let mut buffer = BytesMut::new();
     loop {
-        let message = match cut(&mut read) {
+        let message = match cut(&mut buffer) {
             Err(e) => return e.to_string(),
             Ok(Some((kind, body))) => FromList::read(kind, &body),
             Ok(None) => {
-                match tokio::time::timeout(UPDATE_INTERVAL, stream.read_buf(&mut read)).await {
+                match tokio::time::timeout(UPDATE_INTERVAL, stream.read_buf(&mut buffer)).await {
                     Ok(Ok(n)) if n > 0 => continue,
-                    Ok(_) => return "hung up".into(),
+                    Ok(_) => return "connection closed".into(),
                     Err(_) => {
                         update_peers(agent, known);
                         continue;
@@ -71,25 +72,29 @@
             }
         };
         let entries = match message {
-            Ok(FromList::Whole(w)) => {
-                if w.settled {
+            Ok(FromList::Whole(snapshot)) => {
+                if snapshot.settled {
                     known.clear();
                 }
-                w.entries
+                snapshot.entries
             }
-            Ok(FromList::Change(c)) => c.entries,
+            Ok(FromList::Change(change)) => change.entries,
             Err(e) => return e.to_string(),
         };
-        for e in entries {
+        for entry in entries {
             if known
-                .get(&e.invoker)
-                .is_some_and(|(k, _)| k.incarnation != e.incarnation)
+                .get(&entry.invoker)
+                .is_some_and(|(known_entry, _)| known_entry.incarnation != entry.incarnation)
             {
-                agent.state.borrow_mut().fetcher.peer_restarted(e.invoker);
+                agent
+                    .state
+                    .borrow_mut()
+                    .fetcher
+                    .peer_restarted(entry.invoker);
             }
-            match e.life {
-                Life::Gone => drop(known.remove(&e.invoker)),
-                _ => drop(known.insert(e.invoker, (e, agent.clock.now()))),
+            match entry.life {
+                Life::Gone => drop(known.remove(&entry.invoker)),
+                _ => drop(known.insert(entry.invoker, (entry, agent.clock.now()))),
             }
         }
         update_peers(agent, known);
@@ -98,19 +103,19 @@
 
 fn update_peers(agent: &Rc<Agent>, known: &KnownInvokers) {
     let now = agent.clock.now();
-    let peer = |(e, received_at): &(Entry, Ticks)| {
-        let age = e.age_tenths + (now - received_at);
+    let peer = |(entry, received_at): &(Entry, Ticks)| {
+        let age = entry.age_tenths + (now - received_at);
         let capacity_share = (INITIAL_CAPACITY_SHARE + age as f64 / WARMUP_TICKS).min(1.0);
-        let ready = e.life == Life::Ready;
+        let ready = entry.life == Life::Ready;
         let member = Member {
-            invoker: e.invoker,
-            size: f64::from(e.size),
+            invoker: entry.invoker,
+            size: f64::from(entry.size),
             capacity_share,
             ready,
         };
         Some(Peer {
             member,
-            address: e.agent.as_ref()?.parse().ok()?,
+            address: entry.agent.as_ref()?.parse().ok()?,
         })
     };
     let peers: Vec<Peer> = known.values().filter_map(peer).collect();
--- a/crates/agent/src/http.rs
+++ b/crates/agent/src/http.rs
@@ -68,7 +68,7 @@
         }
         let dialed = tokio::time::timeout(CONNECT_TIMEOUT, self.network.dial(to)).await;
         let stream = dialed
-            .map_err(|_| "no connection".to_owned())?
+            .map_err(|_| "connection timed out".to_owned())?
             .map_err(|e| e.to_string())?;
         let (sender, connection) = handshake(TokioIo::new(stream))
             .await
@@ -116,7 +116,7 @@
         let response =
             tokio::time::timeout(RESPONSE_TIMEOUT, connection.send_request(request)).await;
         let mut response = response
-            .map_err(|_| "no answer".to_owned())?
+            .map_err(|_| "response timed out".to_owned())?
             .map_err(|e| e.to_string())?;
         let header_value = |name: &str| {
             response
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -272,8 +272,8 @@
                     digest: chunk.digest,
                     bytes: chunk.stored_bytes,
                 });
-                let known = (chunk.clone(), repository.to_owned());
-                self.state.borrow_mut().wanted.insert(chunk.digest, known);
+                let wanted = (chunk.clone(), repository.to_owned());
+                self.state.borrow_mut().wanted.insert(chunk.digest, wanted);
             }
         }
         tokio::select! {
@@ -359,13 +359,13 @@
             let progress = self.progress.notified();
             let found = {
                 let state = self.state.borrow();
-                let bad = |n: &&MissingChunk| {
+                let is_corrupt = |n: &&MissingChunk| {
                     state
                         .corrupt_counts
                         .get(&n.digest)
-                        .is_some_and(|t| *t >= after)
+                        .is_some_and(|count| *count >= after)
                 };
-                missing.iter().find(bad).map(|n| n.digest)
+                missing.iter().find(is_corrupt).map(|n| n.digest)
             };
             if let Some(digest) = found {
                 return digest;
@@ -399,8 +399,8 @@
     ) -> Result<(Digest, Manifest), LoadError> {
         let model = format!("{repository}:{reference}");
         let path = format!("/v2/{repository}/manifests/{reference}");
-        let mut wait = MANIFEST_INITIAL_BACKOFF;
-        let mut last = String::new();
+        let mut backoff = MANIFEST_INITIAL_BACKOFF;
+        let mut last_error = String::new();
         for _ in 0..MANIFEST_ATTEMPTS {
             match self
                 .pool
@@ -415,28 +415,33 @@
             {
                 GetOutcome::Bytes(bytes) => {
                     let digest = Digest::of(&bytes);
-                    let asked: Result<Digest, _> = reference.parse();
-                    if asked.is_ok_and(|asked| asked != digest) {
-                        last = format!("its bytes have digest {digest}");
+                    let expected: Result<Digest, _> = reference.parse();
+                    if expected.is_ok_and(|expected| expected != digest) {
+                        last_error = format!("received content with digest {digest}");
                     } else {
-                        let read = Manifest::from_json(&bytes);
-                        return read.map(|m| (digest, m)).map_err(|e| LoadError::Manifest {
-                            model,
-                            why: e.to_string(),
-                        });
+                        let decoded = Manifest::from_json(&bytes);
+                        return decoded
+                            .map(|m| (digest, m))
+                            .map_err(|e| LoadError::Manifest {
+                                model,
+                                why: e.to_string(),
+                            });
                     }
                 }
                 GetOutcome::NotFound => return Err(LoadError::Unknown { model }),
                 GetOutcome::Refused(retry_after) => {
-                    last = "refused".into();
-                    wait = wait.max(Duration::from_micros(retry_after * 100));
+                    last_error = "refused".into();
+                    backoff = backoff.max(Duration::from_micros(retry_after * 100));
                 }
-                GetOutcome::Failed(why) => last = why,
+                GetOutcome::Failed(why) => last_error = why,
             }
-            tokio::time::sleep(wait).await;
-            wait *= 2;
+            tokio::time::sleep(backoff).await;
+            backoff *= 2;
         }
-        Err(LoadError::Unreachable { model, why: last })
+        Err(LoadError::Unreachable {
+            model,
+            why: last_error,
+        })
     }
 
     pub(crate) fn spawn(&self, work: impl Future<Output = ()> + 'static) -> AbortHandle {
@@ -454,13 +459,13 @@
     /// Gets the next actions from the fetcher and starts them.
     pub(crate) fn advance(self: &Rc<Self>) {
         let now = self.clock.now();
-        let next = self.state.borrow_mut().fetcher.next_actions(now);
-        for attempt in next.cancels {
+        let actions = self.state.borrow_mut().fetcher.next_actions(now);
+        for attempt in actions.cancels {
             if let Some(task) = self.state.borrow_mut().fetch_tasks.remove(&attempt) {
                 task.abort();
             }
         }
-        for request in next.requests {
+        for request in actions.requests {
             let this = self.clone();
             let task = self.spawn(async move { this.fetch(request).await });
             self.state
@@ -469,7 +474,7 @@
                 .insert(request.attempt, task);
         }
         let state = &mut *self.state.borrow_mut();
-        if let Some(at) = next
+        if let Some(at) = actions
             .wake_at
             .filter(|at| state.wake_at <= now || *at < state.wake_at)
         {
@@ -486,7 +491,7 @@
     }
 
     async fn fetch(self: Rc<Self>, request: FetchRequest) {
-        let (known, address) = {
+        let (wanted, address) = {
             let state = self.state.borrow();
             let address = match request.source {
                 Source::Store => Some(self.config.store.clone()),
@@ -494,7 +499,7 @@
             };
             (state.wanted.get(&request.digest).cloned(), address)
         };
-        let (Some((chunk, repository)), Some(address)) = (known, address) else {
+        let (Some((chunk, repository)), Some(address)) = (wanted, address) else {
             return self.request_ended(request, FetchOutcome::NotFound, None);
         };
         let path = format!("/v2/{repository}/blobs/{}", chunk.digest);
@@ -517,8 +522,8 @@
                 Err(cut::ChunkError::Length { .. }) => {
                     self.request_ended(request, FetchOutcome::Failed, None)
                 }
-                Err(damage) => {
-                    warn!(source = ?request.source, %damage, "corrupt chunk discarded");
+                Err(error) => {
+                    warn!(source = ?request.source, damage = %error, "corrupt chunk discarded");
                     add(&self.counts.damaged, 1);
                     self.request_ended(request, FetchOutcome::Corrupt, None);
                 }
@@ -550,11 +555,12 @@
                 add(&self.counts.bytes_from_store, bytes.len() as u64);
             }
             // Peers fetch from homes: a home that loses a chunk costs the fleet another fetch from the store.
-            let kept = self.cache.put(&chunk, &bytes, cost, 1).unwrap_or(false);
+            let is_cached = self.cache.put(&chunk, &bytes, cost, 1).unwrap_or(false);
             let state = &mut *self.state.borrow_mut();
-            if kept && state.claims.contains_key(&chunk.digest) {
+            if is_cached && state.claims.contains_key(&chunk.digest) {
                 self.cache.pin(&chunk.digest);
-            } else if !kept && state.uncached_bytes + chunk.stored_bytes <= MAX_UNCACHED_BYTES {
+            } else if !is_cached && state.uncached_bytes + chunk.stored_bytes <= MAX_UNCACHED_BYTES
+            {
                 state.uncached_bytes += bytes.len() as u64;
                 state.uncached.insert(chunk.digest, Rc::new(bytes));
             }
--- a/crates/agent/tests/fleet.rs
+++ b/crates/agent/tests/fleet.rs
@@ -230,8 +230,8 @@
             .registry
             .push("voices/kinyarwanda", "current", &bytes)
             .unwrap();
-        let bad = manifest.chunks[2].digest;
-        fleet.registry.faults.borrow_mut().damaged.insert(bad);
+        let corrupt = manifest.chunks[2].digest;
+        fleet.registry.faults.borrow_mut().damaged.insert(corrupt);
         let (first, _) = &fleet.agents[0];
         let result = tokio::time::timeout(
             Duration::from_secs(8),
@@ -243,10 +243,16 @@
             .err()
             .expect("a corrupt chunk can't be loaded");
         assert!(
-            matches!(&error, saltdrum_agent::LoadError::Corrupt { chunk, .. } if *chunk == bad),
+            matches!(&error, saltdrum_agent::LoadError::Corrupt { chunk, .. } if *chunk == corrupt),
             "{error}"
         );
-        assert!(fleet.damaged() >= 1 && fleet.agents.iter().all(|(a, _)| !a.cache.contains(&bad)));
+        assert!(
+            fleet.damaged() >= 1
+                && fleet
+                    .agents
+                    .iter()
+                    .all(|(a, _)| !a.cache.contains(&corrupt))
+        );
         fleet.registry.faults.borrow_mut().damaged.clear();
         fleet.load_on_all("current").await;
         // Corrupt on disk, on an agent that then loads the model again.
--- a/crates/layers/tests/herd.rs
+++ b/crates/layers/tests/herd.rs
@@ -51,7 +51,7 @@
 
 struct World {
     now: Ticks,
-    seq: u64,
+    sequence: u64,
     events: BinaryHeap<Event>,
     nodes: BTreeMap<InvokerId, Node>,
     /// The store's fetches in progress, the number from which it refuses, and the number above which it slows down.
@@ -107,7 +107,7 @@
         };
         Self {
             now: 0,
-            seq: 0,
+            sequence: 0,
             events: BinaryHeap::new(),
             nodes: (1..=n).map(|id| (id, node(id))).collect(),
             store: (0, 64, 12.0),
@@ -123,9 +123,9 @@
     }
 
     fn at(&mut self, after: Ticks, action: impl FnOnce(&mut World) + 'static) {
-        self.seq += 1;
+        self.sequence += 1;
         self.events
-            .push(Event(self.now + after, self.seq, Box::new(action)));
+            .push(Event(self.now + after, self.sequence, Box::new(action)));
     }
 
     fn start_load(&mut self, after: Ticks, id: InvokerId, load: u64, chunks: Vec<MissingChunk>) {
@@ -152,8 +152,8 @@
         if !node.is_alive {
             return;
         }
-        let next = node.fetcher.next_actions(now);
-        if let Some(wake) = next.wake_at {
+        let actions = node.fetcher.next_actions(now);
+        if let Some(wake) = actions.wake_at {
             assert!(wake > now, "a wake time that is due would loop for ever");
             if node.wake <= now || wake < node.wake {
                 node.wake = wake;
@@ -164,7 +164,7 @@
                 });
             }
         }
-        for request in next.requests {
+        for request in actions.requests {
             let (digest, attempt) = (request.digest, request.attempt);
             match request.source {
                 Source::Store => self.at(ONE_WAY_DELAY, move |world| {
@@ -192,11 +192,11 @@
             (TRANSFER_TIME as f64 * 2.0 * crowd) as Ticks,
             move |world| {
                 world.store.0 -= 1;
-                let bad = world.corrupt.contains(&digest);
+                let corrupt = world.corrupt.contains(&digest);
                 world.request_ended(
                     id,
                     attempt,
-                    if bad {
+                    if corrupt {
                         FetchOutcome::Corrupt
                     } else {
                         FetchOutcome::Succeeded
@@ -253,7 +253,7 @@
         let node = self.nodes.get_mut(&from).unwrap();
         while !node.queue.is_empty() && node.uploads.try_start(now, CHUNK_BYTES, 1.0, 0.3) {
             let (to, attempt) = node.queue.pop_front().unwrap();
-            self.seq += 1;
+            self.sequence += 1;
             let sent = move |world: &mut World| {
                 let node = world.nodes.get_mut(&from).unwrap();
                 node.uploads.transfer_ended();
@@ -267,7 +267,7 @@
                 world.start_transfers(from);
             };
             self.events
-                .push(Event(now + TRANSFER_TIME, self.seq, Box::new(sent)));
+                .push(Event(now + TRANSFER_TIME, self.sequence, Box::new(sent)));
         }
         if let Some(at) = node.uploads.reopens_at().filter(|_| !node.queue.is_empty()) {
             self.at(at.max(now + 1) - now, move |world| {
@@ -325,17 +325,17 @@
     }
 
     /// Asserts that each live invoker has the model. Returns the time at which the last one completed.
-    fn all_done(&self) -> Ticks {
-        let late: Vec<_> = self
+    fn assert_all_finished(&self) -> Ticks {
+        let unfinished: Vec<_> = self
             .nodes
             .iter()
             .filter(|(_, n)| n.is_alive && n.finished_at.is_none())
             .map(|(id, _)| id)
             .collect();
         assert!(
-            late.is_empty(),
-            "{} of {} are not done: {late:?}",
-            late.len(),
+            unfinished.is_empty(),
+            "{} of {} are not done: {unfinished:?}",
+            unfinished.len(),
             self.nodes.len()
         );
         self.nodes
@@ -350,7 +350,7 @@
     }
 }
 
-fn herd(n: u32, chunks: u32, seed: u64) -> World {
+fn simultaneous_loads(n: u32, chunks: u32, seed: u64) -> World {
     let mut world = World::new(n, seed);
     for id in 1..=n {
         world.start_load(u64::from(id) % 300, id, 1, model(1, chunks));
@@ -358,9 +358,9 @@
     world
 }
 
-/// As `herd`, but each invoker's list contains only itself, so that each fetches everything from the store.
-fn each_alone(n: u32, chunks: u32, seed: u64) -> World {
-    let mut world = herd(n, chunks, seed);
+/// As `simultaneous_loads`, but each invoker's list contains only itself, so that each fetches everything from the store.
+fn loads_without_peers(n: u32, chunks: u32, seed: u64) -> World {
+    let mut world = simultaneous_loads(n, chunks, seed);
     world
         .nodes
         .iter_mut()
@@ -372,9 +372,9 @@
 fn simultaneous_loads_fetch_each_chunk_from_the_store_about_once() {
     println!("invokers, store requests a chunk shared and alone, done after ms shared and alone");
     for n in [12, 84, 840] {
-        let mut world = herd(n, 60, 7);
+        let mut world = simultaneous_loads(n, 60, 7);
         world.run(120 * SECOND);
-        let (elapsed, per_chunk) = (world.all_done(), world.requests_per_chunk());
+        let (elapsed, per_chunk) = (world.assert_all_finished(), world.requests_per_chunk());
         assert!(
             per_chunk <= 1.2 && world.requests.len() == 60,
             "{n} invokers: {per_chunk} store requests a chunk"
@@ -384,9 +384,9 @@
             println!("{n} {per_chunk:.2} - {} -", elapsed / MILLISECOND);
             continue;
         }
-        let mut alone = each_alone(n, 60, 7);
+        let mut alone = loads_without_peers(n, 60, 7);
         alone.run(600 * SECOND);
-        let baseline = alone.all_done();
+        let baseline = alone.assert_all_finished();
         println!(
             "{n} {per_chunk:.2} {:.2} {} {}",
             alone.requests_per_chunk(),
@@ -411,7 +411,7 @@
 /// Invokers drain and die one after another while all load the model.
 #[test]
 fn loads_complete_during_a_rolling_deploy() {
-    let mut world = herd(24, 60, 13);
+    let mut world = simultaneous_loads(24, 60, 13);
     for (n, id) in (1..=24u32).step_by(3).enumerate() {
         let at = 20 * MILLISECOND * (n as u64 + 1);
         world.at(at, move |world| {
@@ -434,7 +434,7 @@
         world.kill(at + 30 * MILLISECOND, id);
     }
     world.run(120 * SECOND);
-    world.all_done();
+    world.assert_all_finished();
     assert!(
         world.requests_per_chunk() < 2.0,
         "{}",
@@ -444,10 +444,10 @@
 
 #[test]
 fn loads_complete_after_the_store_refuses_half_of_requests_for_ten_seconds() {
-    let mut world = herd(84, 60, 3);
+    let mut world = simultaneous_loads(84, 60, 3);
     (world.refusal_share, world.refuses_until) = (0.5, 10 * SECOND);
     world.run(120 * SECOND);
-    world.all_done();
+    world.assert_all_finished();
     assert!(
         world.refused > 20 && world.requests_per_chunk() < 4.0,
         "{} refused, {}",
@@ -458,7 +458,7 @@
 
 #[test]
 fn dead_hung_draining_or_corrupting_homes_are_bypassed() {
-    let mut world = herd(24, 60, 5);
+    let mut world = simultaneous_loads(24, 60, 5);
     for id in [2, 9, 17] {
         world.kill(400 * MILLISECOND, id);
     }
@@ -466,7 +466,7 @@
     world.nodes.get_mut(&5).unwrap().is_draining = true;
     world.nodes.get_mut(&6).unwrap().sends_corrupt = true;
     world.run(120 * SECOND);
-    world.all_done();
+    world.assert_all_finished();
     assert!(
         world.requests_per_chunk() < 4.0,
         "{}",
@@ -475,19 +475,21 @@
 }
 
 /// Forty invokers, each with the list that `seen_by` gives. Returns the store requests per chunk once all have the model.
-fn split(seen_by: impl Fn(InvokerId) -> std::ops::RangeInclusive<InvokerId>) -> f64 {
-    let mut world = herd(40, 60, 9);
+fn store_requests_with_lists(
+    seen_by: impl Fn(InvokerId) -> std::ops::RangeInclusive<InvokerId>,
+) -> f64 {
+    let mut world = simultaneous_loads(40, 60, 9);
     for (id, node) in &mut world.nodes {
         node.fetcher.set_members(members(seen_by(*id)));
     }
     world.run(120 * SECOND);
-    world.all_done();
+    world.assert_all_finished();
     world.requests_per_chunk()
 }
 
 #[test]
 fn list_split_in_two_halves_doubles_store_requests() {
-    let per_chunk = split(|id| if id <= 20 { 1..=20 } else { 21..=40 });
+    let per_chunk = store_requests_with_lists(|id| if id <= 20 { 1..=20 } else { 21..=40 });
     assert!((1.9..2.3).contains(&per_chunk), "{per_chunk}");
 }
 
@@ -495,16 +497,16 @@
 /// store remains.
 #[test]
 fn loads_complete_with_contradicting_lists_at_a_bounded_store_load() {
-    let per_chunk = split(|id| if id % 2 == 0 { 1..=20 } else { 21..=40 });
+    let per_chunk = store_requests_with_lists(|id| if id % 2 == 0 { 1..=20 } else { 21..=40 });
     println!("contradicting lists: {per_chunk:.1} store requests a chunk; each alone 40");
     assert!(per_chunk < 16.0, "{per_chunk}");
 }
 
 #[test]
 fn chunk_corrupt_at_the_store_is_retried_at_a_bounded_rate_and_never_used() {
-    let mut world = herd(12, 20, 1);
-    let bad = model(1, 20)[3].digest;
-    world.corrupt.insert(bad);
+    let mut world = simultaneous_loads(12, 20, 1);
+    let corrupt = model(1, 20)[3].digest;
+    world.corrupt.insert(corrupt);
     world.run(30 * SECOND);
     let held: Vec<usize> = world.nodes.values().map(|n| n.held.len()).collect();
     assert!(
@@ -512,7 +514,7 @@
         "{held:?}"
     );
     assert_eq!(world.accepted_corrupt, 0);
-    let request_count = world.requests[&bad];
+    let request_count = world.requests[&corrupt];
     assert!(
         (3..400).contains(&request_count),
         "{request_count} times in 30 s by 12"
@@ -520,34 +522,34 @@
     // Once the store is repaired, the loads complete soon.
     world.corrupt.clear();
     world.run(60 * SECOND);
-    world.all_done();
+    world.assert_all_finished();
 }
 
 #[test]
 fn cancelled_load_cancels_only_requests_that_no_other_load_needs() {
     let mut fetcher = Fetcher::new(1, 1);
     fetcher.set_members(members(1..=1));
-    let (a, b) = (model(1, 3), model(2, 3));
-    let shared: Vec<MissingChunk> = a[..1].iter().chain(&b).copied().collect();
-    fetcher.start_load(0, 1, &a);
+    let (first, second) = (model(1, 3), model(2, 3));
+    let shared: Vec<MissingChunk> = first[..1].iter().chain(&second).copied().collect();
+    fetcher.start_load(0, 1, &first);
     fetcher.start_load(0, 2, &shared);
     let requests = fetcher.next_actions(0).requests;
     assert!(
-        !requests.is_empty() && requests[0].digest == a[0].digest,
+        !requests.is_empty() && requests[0].digest == first[0].digest,
         "two loads wait for this chunk"
     );
     fetcher.cancel_load(1);
-    let next = fetcher.next_actions(1);
-    let stopped: Vec<Digest> = next
+    let actions = fetcher.next_actions(1);
+    let cancelled: Vec<Digest> = actions
         .cancels
         .iter()
         .map(|c| requests.iter().find(|k| k.attempt == *c).unwrap().digest)
         .collect();
     assert!(
-        stopped
+        cancelled
             .iter()
-            .all(|d| a[1..].iter().any(|n| n.digest == *d)),
-        "{stopped:?}"
+            .all(|d| first[1..].iter().any(|n| n.digest == *d)),
+        "{cancelled:?}"
     );
     fetcher.cancel_load(2);
     fetcher.next_actions(2);
