--- a/crates/agent/src/follow.rs
+++ b/crates/agent/src/follow.rs
@@ -4,7 +4,7 @@
 use bytes::BytesMut;
 use saltdrum::interface::Ticks;
 use saltdrum_layers::plan::Member;
-use saltdrum_protocol::frame::{cut, encode};
+use saltdrum_protocol::frame::{encode, take_frame};
 use saltdrum_protocol::list::{Entry, Follow, FromList, Life};
 use saltdrum_transport::{Address, Network};
 use std::collections::BTreeMap;
@@ -57,7 +57,7 @@
     }
     let mut buffer = BytesMut::new();
     loop {
-        let message = match cut(&mut buffer) {
+        let message = match take_frame(&mut buffer) {
             Err(e) => return e.to_string(),
             Ok(Some((kind, body))) => FromList::read(kind, &body),
             Ok(None) => {
--- a/crates/agent/tests/fleet.rs
+++ b/crates/agent/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Fleets of agents with one store: HTTP over in-memory streams under a paused clock, and one test over TCP.
 
 use saltdrum_agent::{Agent, AgentConfig, LoadError, Peer};
-use saltdrum_fakes::Registry;
+use saltdrum_fakes::OciRegistry;
 use saltdrum_layers::cache::{Cache, RealDisk};
 use saltdrum_layers::plan::Member;
 use saltdrum_transport::{Address, Clock, MemoryNetwork, Network, SocketNetwork};
@@ -20,7 +20,7 @@
     network: Rc<dyn Network>,
     clock: Clock,
     folder: tempfile::TempDir,
-    registry: Rc<Registry>,
+    registry: Rc<OciRegistry>,
     store: Address,
     agents: Vec<(Rc<Agent>, JoinHandle<()>)>,
     peers: Vec<Peer>,
@@ -34,7 +34,7 @@
         cache_bytes: u64,
         address: fn(u32) -> Address,
     ) -> Self {
-        let registry = Registry::new(64, 5);
+        let registry = OciRegistry::new(64, 5);
         let store = registry.open(&*network, &address(0)).await.unwrap();
         let folder = tempfile::tempdir().unwrap();
         let clock = Clock::start();
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn loads_complete_despite_a_store_that_refuses_disconnects_stalls_and_corrupts() {
+fn loads_complete_despite_a_store_that_refuses_disconnects_stalls_and_sends_wrong_lengths() {
     run_with_paused_clock(async {
         let fleet = start_fleet(8, 1 << 30).await;
         fleet
@@ -193,7 +193,12 @@
             .unwrap();
         {
             let faults = &mut *fleet.registry.faults.borrow_mut();
-            (faults.refuses, faults.cuts, faults.stalls, faults.lies) = (0.4, 0.1, 0.05, 0.1);
+            (
+                faults.refuse_share,
+                faults.cut_share,
+                faults.stall_share,
+                faults.wrong_length_share,
+            ) = (0.4, 0.1, 0.05, 0.1);
         }
         let elapsed = fleet.load_on_all("current").await;
         assert!(
@@ -212,7 +217,7 @@
             .registry
             .push("voices/kinyarwanda", "current", &model(8, MODEL_BYTES))
             .unwrap();
-        fleet.registry.faults.borrow_mut().trickles = 0.3;
+        fleet.registry.faults.borrow_mut().trickle_share = 0.3;
         let elapsed = fleet.load_on_all("current").await;
         assert!(
             elapsed > Duration::from_secs(9) && elapsed < Duration::from_secs(60),
--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -1,10 +1,10 @@
 //! `saltdrum lab`: experiments, their reports, and the search for failing days.
 
 use clap::Subcommand;
-use saltdrum_faulty_peers::{FAULTS, Fault, careless, rogue};
+use saltdrum_faulty_peers::{FAULTS, Fault, fetch_model_unverified, run_faulty_controller};
 use saltdrum_lab::hunt::{Bounds, hunt};
 use saltdrum_lab::{Experiment, Script, report, run};
-use saltdrum_scenario::{Cover, POLICIES, Serve, serve};
+use saltdrum_scenario::{Overrides, POLICIES, Serve, serve};
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::time::Instant;
@@ -82,7 +82,7 @@
                 eprintln!("{over}/{all} {name}")
             })?;
             let seconds = began.elapsed().as_secs_f64();
-            let (played, found, digest) = (sitting.played, sitting.found, &sitting.digest);
+            let (played, found, digest) = (sitting.played, sitting.reused, &sitting.digest);
             println!(
                 "{played} runs played in {seconds:.1} s, {found} were there; results {digest}"
             );
@@ -94,7 +94,7 @@
             html,
             json,
         } => {
-            let report = report::of(results)?;
+            let report = report::load(results)?;
             if let Some(path) = html {
                 fs::write(path, report.html()?).map_err(|e| format!("{}: {e}", path.display()))?;
             }
@@ -123,7 +123,7 @@
             let base = Script::read(day, &script).map_err(|e| e.to_string())?;
             let cover = planted(plant.as_deref())?;
             let bounds = Bounds {
-                least_value: *least_value,
+                min_value: *least_value,
                 only_rule: *rule,
             };
             let began = Instant::now();
@@ -138,11 +138,11 @@
                     tell_found(out, &f)?;
                     println!(
                         "day {} (seed {}) failed; {seconds:.1} s in all: {}",
-                        f.days, f.seed, f.why
+                        f.days_played, f.seed, f.reason
                     );
                     println!(
                         "cut down with {} further days to {}",
-                        f.shrunk.played,
+                        f.shrunk.days_played,
                         out.display()
                     );
                     Ok(1)
@@ -152,8 +152,8 @@
     }
 }
 
-fn tell_found(out: &Path, found: &saltdrum_lab::hunt::Found) -> Result<(), String> {
-    let why = found.why.replace('\n', " ");
+fn tell_found(out: &Path, found: &saltdrum_lab::hunt::FailingDay) -> Result<(), String> {
+    let why = found.reason.replace('\n', " ");
     let text = format!(
         "# Found by a search, cut down. It fails with {why}\n{}",
         found.shrunk.script.text()
@@ -161,18 +161,18 @@
     fs::write(out, text).map_err(|e| format!("{}: {e}", out.display()))
 }
 
-fn planted(name: Option<&str>) -> Result<Cover, String> {
+fn planted(name: Option<&str>) -> Result<Overrides, String> {
     let Some(name) = name else {
-        return Ok(Cover::of(serve));
+        return Ok(Overrides::of(serve));
     };
     if name == "skips-digests" {
-        return Ok(Cover {
+        return Ok(Overrides {
             serve,
-            brings: Some(careless),
+            brings: Some(fetch_model_unverified),
         });
     }
     if let Some((_, serve)) = POLICIES.iter().find(|p| p.0 == name) {
-        return Ok(Cover::of(*serve));
+        return Ok(Overrides::of(*serve));
     }
     let fault = FAULTS.iter().find(|f| f.0 == name).ok_or_else(|| {
         let known: Vec<&str> = FAULTS
@@ -184,16 +184,18 @@
     })?;
     // A seat takes a plain function, so each fault has one of its own.
     let serve: Serve = match fault.1 {
-        Fault::None => |s, n, c| rogue(Fault::None, s, n, c),
-        Fault::AnswersTwice => |s, n, c| rogue(Fault::AnswersTwice, s, n, c),
-        Fault::AnswersNotAll => |s, n, c| rogue(Fault::AnswersNotAll, s, n, c),
-        Fault::AnswersLate => |s, n, c| rogue(Fault::AnswersLate, s, n, c),
-        Fault::RunsTwice => |s, n, c| rogue(Fault::RunsTwice, s, n, c),
-        Fault::ThrottlesWhatRan => |s, n, c| rogue(Fault::ThrottlesWhatRan, s, n, c),
-        Fault::TwoOut => |s, n, c| rogue(Fault::TwoOut, s, n, c),
-        Fault::IgnoresDrains => |s, n, c| rogue(Fault::IgnoresDrains, s, n, c),
-        Fault::FloodsColdOnes => |s, n, c| rogue(Fault::FloodsColdOnes, s, n, c),
-        Fault::LoadsAtWill => |s, n, c| rogue(Fault::LoadsAtWill, s, n, c),
+        Fault::None => |s, n, c| run_faulty_controller(Fault::None, s, n, c),
+        Fault::AnswersTwice => |s, n, c| run_faulty_controller(Fault::AnswersTwice, s, n, c),
+        Fault::AnswersNotAll => |s, n, c| run_faulty_controller(Fault::AnswersNotAll, s, n, c),
+        Fault::AnswersLate => |s, n, c| run_faulty_controller(Fault::AnswersLate, s, n, c),
+        Fault::RunsTwice => |s, n, c| run_faulty_controller(Fault::RunsTwice, s, n, c),
+        Fault::ThrottlesWhatRan => {
+            |s, n, c| run_faulty_controller(Fault::ThrottlesWhatRan, s, n, c)
+        }
+        Fault::TwoOut => |s, n, c| run_faulty_controller(Fault::TwoOut, s, n, c),
+        Fault::IgnoresDrains => |s, n, c| run_faulty_controller(Fault::IgnoresDrains, s, n, c),
+        Fault::FloodsColdOnes => |s, n, c| run_faulty_controller(Fault::FloodsColdOnes, s, n, c),
+        Fault::LoadsAtWill => |s, n, c| run_faulty_controller(Fault::LoadsAtWill, s, n, c),
     };
-    Ok(Cover::of(serve))
+    Ok(Overrides::of(serve))
 }
--- a/crates/controller/src/native/calls.rs
+++ b/crates/controller/src/native/calls.rs
@@ -1,4 +1,4 @@
-//! JSON-RPC calls of clients: one line holds a call or a batch of calls.
+//! Handles JSON-RPC calls of clients. Each line contains one call or a batch of calls.
 
 use crate::native::invoke::{Arrival, invoke};
 use crate::native::reply::{Batch, Client, NO_DEADLINE, Reply};
@@ -6,23 +6,23 @@
 use crate::native::status::status_json;
 use crate::shutdown::ShutdownPhase;
 use saltdrum::interface::{MILLISECOND, Ticks};
-use saltdrum_protocol::rpc::{self, Call, Line, Refusal};
+use saltdrum_protocol::rpc::{self, Call, Line, RejectedCall};
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Error data of an invocation that is rejected because this controller shuts down: it never ran.
+/// Error data of an invocation that is rejected because this controller is shutting down; the invocation never ran.
 const SHUTDOWN_DATA: &str = r#"{"come_back_ms":0,"dispatches":0,"going":true}"#;
 
-/// Handles one line, which arrived at `earliest` or later.
+/// Handles one line, which arrived no earlier than `earliest`.
 pub(crate) fn handle_line(
     handle: &Rc<ControllerHandle>,
     client: &Rc<Client>,
     line: &[u8],
     earliest: Ticks,
 ) {
-    match rpc::read(line) {
+    match rpc::parse_line(line) {
         Err(refusal) => {
-            let text = rpc::error(&refusal.id, refusal.code, &refusal.why, None);
+            let text = rpc::format_error(&refusal.id, refusal.code, &refusal.why, None);
             client.send(text, NO_DEADLINE);
         }
         Ok(Line::Single(call)) => {
@@ -45,8 +45,8 @@
     }
 }
 
-/// The shortest wait that a call of a batch states: it counts for all of them.
-fn shortest_wait(calls: &[Result<Call, Refusal>]) -> Option<Ticks> {
+/// The shortest wait stated by any call of a batch, which applies to the whole batch because its responses are sent together.
+fn shortest_wait(calls: &[Result<Call, RejectedCall>]) -> Option<Ticks> {
     let waits_ms = calls.iter().flatten().filter_map(stated_wait_ms);
     let shortest_ms = waits_ms.min_by(f64::total_cmp)?;
     Some((shortest_ms * MILLISECOND as f64).max(0.0) as Ticks)
@@ -62,7 +62,7 @@
 fn handle_call(
     handle: &Rc<ControllerHandle>,
     client: &Rc<Client>,
-    call: Result<Call, Refusal>,
+    call: Result<Call, RejectedCall>,
     batch: Option<Rc<RefCell<Batch>>>,
     arrival: Arrival,
 ) {
@@ -90,7 +90,7 @@
         }
         "status" => {
             let status = status_json(handle);
-            reply.send(|id| rpc::result(id, &status), NO_DEADLINE);
+            reply.send(|id| rpc::format_result(id, &status), NO_DEADLINE);
         }
         other => reply.reject(
             rpc::METHOD_NOT_FOUND,
@@ -103,7 +103,7 @@
     match serde_json::from_str::<rpc::Invoke>(params) {
         Ok(_) if handle.config.shutdown.phase() == ShutdownPhase::Rejecting => reply.send(
             |id| {
-                rpc::error(
+                rpc::format_error(
                     id,
                     rpc::THROTTLED,
                     "this controller is going",
--- a/crates/controller/src/native/handshake.rs
+++ b/crates/controller/src/native/handshake.rs
@@ -1,17 +1,18 @@
-//! The handshake with an invoker.
+//! The handshake on a new connection to an invoker.
 
 use crate::native::connection_error::ConnectionError;
 use crate::native::state::ControllerHandle;
 use bytes::BytesMut;
 use saltdrum::interface::InvokerId;
-use saltdrum_protocol::frame::{cut, encode};
+use saltdrum_protocol::frame::{encode, take_frame};
 use saltdrum_protocol::invoker as wire;
 use saltdrum_transport::{Address, Stream};
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// Gives the stream, what was received after the handshake, and the invoker's answer.
-pub(crate) async fn shake_hands(
+/// Connects to an invoker and performs the handshake. Returns the stream, the bytes received after the handshake, and the
+/// invoker's answer.
+pub(crate) async fn perform_handshake(
     handle: &Rc<ControllerHandle>,
     invoker: InvokerId,
     address: &str,
@@ -19,7 +20,7 @@
     let address: Address = address.parse()?;
     let mut stream = handle.network.dial(&address).await?;
     let hello = wire::Hello {
-        version_least: wire::VERSION_LEAST,
+        version_least: wire::MIN_VERSION,
         version_most: wire::VERSION,
         controller: handle.config.controller,
         incarnation: handle.config.incarnation,
@@ -28,7 +29,7 @@
     stream.write_all(&encode(&hello)).await?;
     let mut received = BytesMut::new();
     let (kind, body) = loop {
-        if let Some(frame) = cut(&mut received)? {
+        if let Some(frame) = take_frame(&mut received)? {
             break frame;
         }
         if stream.read_buf(&mut received).await? == 0 {
--- a/crates/platform/src/client_connection.rs
+++ b/crates/platform/src/client_connection.rs
@@ -167,7 +167,7 @@
     match end {
         ConnectionEnd::ClosedByClient => open
             .into_iter()
-            .for_each(|id| handle.update(|state| state.client_left(id))),
+            .for_each(|id| handle.update(|state| state.abandon_invocation(id))),
         ConnectionEnd::Malformed(why) => {
             open.into_iter()
                 .for_each(|id| handle.update(|state| state.end_invocation(id)));
@@ -296,7 +296,7 @@
                 ClientFrame::Cancel { stream } => {
                     let id = client.open_streams.borrow().get(&stream).copied();
                     id.into_iter()
-                        .for_each(|id| handle.update(|state| state.client_left(id)));
+                        .for_each(|id| handle.update(|state| state.abandon_invocation(id)));
                     Ok(())
                 }
             };
