--- a/crates/agent/src/peers.rs
+++ b/crates/agent/src/peers.rs
@@ -127,19 +127,21 @@
             bytes: stored_bytes,
             packing: Packing::Plain,
         };
-        let held = self.stored_chunk(&chunk);
-        let verdict = {
+        let stored = self.stored_chunk(&chunk);
+        let decision = {
             let state = &mut *self.state.borrow_mut();
-            let home = state.fetcher.is_home(&digest);
-            state.uploads.admit(held.is_some(), home, state.draining)
+            let is_home = state.fetcher.is_home(&digest);
+            state
+                .uploads
+                .admit(stored.is_some(), is_home, state.draining)
         };
-        let mut place = match verdict {
+        let mut place = match decision {
             UploadDecision::NotFound => return empty_response(StatusCode::NOT_FOUND),
-            UploadDecision::RetryLater(wait) => {
+            UploadDecision::RetryLater(retry_after) => {
                 let mut response = empty_response(StatusCode::TOO_MANY_REQUESTS);
                 response
                     .headers_mut()
-                    .insert(RETRY_AFTER_MS_HEADER, (wait / MILLISECOND).into());
+                    .insert(RETRY_AFTER_MS_HEADER, (retry_after / MILLISECOND).into());
                 return response;
             }
             UploadDecision::Queued | UploadDecision::FetchAndServe => QueuePlace {
@@ -147,7 +149,7 @@
                 is_started: false,
             },
         };
-        let bytes = match held {
+        let bytes = match stored {
             Some(bytes) => bytes,
             None => {
                 self.fetch_for_peer(chunk.clone(), repository).await;
--- a/crates/layers/src/cut.rs
+++ b/crates/layers/src/cut.rs
@@ -39,25 +39,24 @@
 ) -> io::Result<Manifest> {
     let mut manifest = Manifest::default();
     let mut packer = zstd::bulk::Compressor::new(ZSTD_LEVEL)?;
-    for piece in StreamCDC::new(
+    for data in StreamCDC::new(
         model,
         MIN_CHUNK_BYTES,
         MEAN_CHUNK_BYTES,
         MAX_CHUNK_BYTES as usize,
     ) {
-        let piece = piece.map_err(io::Error::from)?.data;
-        let packed = packer.compress(&piece)?;
-        let is_worth_compressing =
-            (packed.len() as f64) < piece.len() as f64 * MAX_COMPRESSED_RATIO;
+        let data = data.map_err(io::Error::from)?.data;
+        let packed = packer.compress(&data)?;
+        let is_worth_compressing = (packed.len() as f64) < data.len() as f64 * MAX_COMPRESSED_RATIO;
         let (stored, packing) = if is_worth_compressing {
             (&packed, Packing::Zstd)
         } else {
-            (&piece, Packing::Plain)
+            (&data, Packing::Plain)
         };
         let chunk = Chunk {
             digest: Digest::of(stored),
             stored_bytes: stored.len() as u64,
-            bytes: piece.len() as u64,
+            bytes: data.len() as u64,
             packing,
         };
         store_chunk(&chunk, stored)?;
--- a/crates/layers/src/digest.rs
+++ b/crates/layers/src/digest.rs
@@ -9,6 +9,7 @@
 pub struct Digest([u8; 32]);
 
 impl Digest {
+    /// Computes the digest of stored bytes.
     pub fn of(bytes: &[u8]) -> Self {
         Self(Sha256::digest(bytes).into())
     }
--- a/crates/layers/src/plan/evict.rs
+++ b/crates/layers/src/plan/evict.rs
@@ -39,6 +39,7 @@
 }
 
 impl EvictionPolicy {
+    /// An empty cache with this bound.
     pub fn new(max_bytes: u64) -> Self {
         Self {
             max_bytes,
@@ -49,14 +50,17 @@
         }
     }
 
+    /// Total size of the tracked chunks.
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
 
+    /// Whether the chunk is tracked.
     pub fn contains(&self, digest: &Digest) -> bool {
         self.entries.contains_key(digest)
     }
 
+    /// The tracked chunks.
     pub fn digests(&self) -> impl Iterator<Item = &Digest> {
         self.entries.keys()
     }
@@ -120,6 +124,7 @@
         Some(evicted.into_iter().map(|(_, d)| d).collect())
     }
 
+    /// Marks a chunk as used now.
     pub fn touch(&mut self, digest: &Digest) {
         let Some(chunk) = self.entries.get(digest).map(|e| e.chunk) else {
             return;
@@ -133,12 +138,14 @@
         (entry.priority, entry.last_touch) = (priority, self.touch_count);
     }
 
+    /// Protects a chunk from eviction until it is unpinned as often.
     pub fn pin(&mut self, digest: &Digest) {
         if let Some(entry) = self.entries.get_mut(digest) {
             entry.pins += 1;
         }
     }
 
+    /// Releases one pin and marks the chunk as used now.
     pub fn unpin(&mut self, digest: &Digest) {
         if let Some(entry) = self.entries.get_mut(digest) {
             entry.pins = entry.pins.saturating_sub(1);
--- a/crates/layers/src/plan/fetch.rs
+++ b/crates/layers/src/plan/fetch.rs
@@ -134,6 +134,7 @@
 }
 
 impl Fetcher {
+    /// Creates a fetcher without members. `seed` drives backoff jitter and the choice between homes.
     pub fn new(invoker: InvokerId, seed: u64) -> Self {
         Self {
             invoker,
@@ -155,11 +156,11 @@
 
     /// Replaces the list of invokers, which includes this one.
     pub fn set_members(&mut self, members: Vec<Member>) {
-        let gone = self
+        let departed = self
             .members
             .iter()
             .filter(|m| !members.iter().any(|n| n.invoker == m.invoker));
-        gone.for_each(|m| self.suspect_sources.forget(Source::Peer(m.invoker)));
+        departed.for_each(|m| self.suspect_sources.forget(Source::Peer(m.invoker)));
         self.limits.retain(|source, _| match source {
             Source::Store => true,
             Source::Peer(p) => {
@@ -176,6 +177,7 @@
         self.suspect_sources.forget(Source::Peer(peer));
     }
 
+    /// Whether this invoker is a home of the chunk.
     pub fn is_home(&self, chunk: &Digest) -> bool {
         homes(chunk, &self.members).contains(&self.invoker)
     }
@@ -243,6 +245,7 @@
         }
     }
 
+    /// Whether no chunk is wanted and no request is in flight.
     pub fn is_idle(&self) -> bool {
         self.wanted.is_empty() && self.in_flight.is_empty()
     }
@@ -423,8 +426,8 @@
             .map(|h| Source::Peer(*h))
             .collect();
         if rank.is_none() && !peers.is_empty() {
-            let turn = self.rng.usize(..peers.len());
-            peers.rotate_left(turn);
+            let offset = self.rng.usize(..peers.len());
+            peers.rotate_left(offset);
         }
         let has_waited = now >= want.since + MAX_PEER_WAIT;
         let is_untried =
@@ -526,13 +529,13 @@
             return Vec::new();
         };
         let (digest, source) = (request.digest, request.source);
-        let took = now.saturating_sub(request.since);
+        let duration = now.saturating_sub(request.since);
         let bytes = self.wanted.get(&digest).map_or(0, |want| want.bytes);
         match outcome {
             FetchOutcome::Succeeded => {
-                self.limit(source).request_succeeded(now, took, bytes);
+                self.limit(source).request_succeeded(now, duration, bytes);
                 self.suspect_sources.fetch_succeeded(source);
-                self.mean_duration += 0.1 * (took as f64 - self.mean_duration);
+                self.mean_duration += 0.1 * (duration as f64 - self.mean_duration);
             }
             FetchOutcome::Refused(retry_after) => {
                 self.limit(source).request_refused(now, retry_after)
--- a/crates/layers/src/plan/limit.rs
+++ b/crates/layers/src/plan/limit.rs
@@ -28,9 +28,10 @@
 }
 
 impl ConcurrencyLimit {
-    pub fn new(first: f64, max_window: f64) -> Self {
+    /// Starts with this window and never grows beyond `max_window`.
+    pub fn new(initial_window: f64, max_window: f64) -> Self {
         Self {
-            window: first,
+            window: initial_window,
             min_window: 1.0,
             max_window,
             threshold: f64::INFINITY,
@@ -41,6 +42,7 @@
         }
     }
 
+    /// Whether another request may be sent now.
     pub fn has_capacity(&self, now: Ticks) -> bool {
         now >= self.closed_until
             && (self.in_flight as f64) < self.window.floor().max(self.min_window)
@@ -51,6 +53,7 @@
         (now < self.closed_until).then_some(self.closed_until)
     }
 
+    /// Counts a request that was sent.
     pub fn request_sent(&mut self) {
         self.in_flight += 1;
     }
@@ -61,10 +64,13 @@
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    pub fn request_succeeded(&mut self, now: Ticks, took: Ticks, bytes: u64) {
+    /// Counts a successful request and adjusts the window by its duration.
+    pub fn request_succeeded(&mut self, now: Ticks, duration: Ticks, bytes: u64) {
         self.request_ended();
-        let pace = took as f64 / (bytes as f64 / 1_024.0).max(1.0);
-        let fastest_pace = self.fastest_pace.map_or(pace, |q| (q * 1.02).min(pace));
+        let pace = duration as f64 / (bytes as f64 / 1_024.0).max(1.0);
+        let fastest_pace = self
+            .fastest_pace
+            .map_or(pace, |previous| (previous * 1.02).min(pace));
         self.fastest_pace = Some(fastest_pace);
         if pace > SLOWDOWN_FACTOR * fastest_pace {
             self.shrink(now, 0.9);
@@ -78,6 +84,7 @@
         }
     }
 
+    /// Counts a refused request and closes the source for `retry_after`.
     pub fn request_refused(&mut self, now: Ticks, retry_after: Ticks) {
         self.request_ended();
         self.closed_until = self.closed_until.max(now + retry_after);
@@ -90,12 +97,12 @@
         }
     }
 
-    fn shrink(&mut self, now: Ticks, by: f64) {
+    fn shrink(&mut self, now: Ticks, factor: f64) {
         if self
             .shrunk_at
             .is_none_or(|at| now >= at + SAME_OVERLOAD_PERIOD)
         {
-            self.window = (self.window * by).max(self.min_window);
+            self.window = (self.window * factor).max(self.min_window);
             self.shrunk_at = Some(now);
         }
     }
@@ -110,35 +117,38 @@
     fn clients_share_a_source_evenly_with_few_refusals() {
         let (capacity, mut rng) = (12usize, fastrand::Rng::with_seed(1));
         let mut limits = vec![ConcurrencyLimit::new(4.0, 64.0); 6];
-        let mut under_way: Vec<(Ticks, usize)> = Vec::new();
+        let mut in_service: Vec<(Ticks, usize)> = Vec::new();
         let (mut served, mut refused) = (vec![0u32; 6], 0u32);
         for now in (0..600_000).step_by(10) {
-            under_way.retain(|(until, who)| {
+            in_service.retain(|(until, client)| {
                 let over = *until <= now;
                 if over {
-                    limits[*who].request_succeeded(now, 500, 1 << 20);
-                    served[*who] += 1;
+                    limits[*client].request_succeeded(now, 500, 1 << 20);
+                    served[*client] += 1;
                 }
                 !over
             });
-            for turn in 0..limits.len() {
+            for offset in 0..limits.len() {
                 // A random start, so that no client is always the first to see free capacity.
-                let who = (turn + rng.usize(..6)) % limits.len();
-                while limits[who].has_capacity(now) {
-                    limits[who].request_sent();
-                    if under_way.len() < capacity {
-                        under_way.push((now + rng.u64(400..600), who));
+                let client = (offset + rng.usize(..6)) % limits.len();
+                while limits[client].has_capacity(now) {
+                    limits[client].request_sent();
+                    if in_service.len() < capacity {
+                        in_service.push((now + rng.u64(400..600), client));
                     } else {
                         refused += 1;
-                        limits[who].request_refused(now, rng.u64(200..400));
+                        limits[client].request_refused(now, rng.u64(200..400));
                     }
                 }
             }
         }
-        let all: u32 = served.iter().sum();
-        let most = 600_000 / 500 * capacity as u32;
-        assert!(all * 10 > most * 7, "{all} of {most} served");
-        assert!(refused * 3 < all, "{refused} refused, {all} served");
+        let total: u32 = served.iter().sum();
+        let capacity_total = 600_000 / 500 * capacity as u32;
+        assert!(
+            total * 10 > capacity_total * 7,
+            "{total} of {capacity_total} served"
+        );
+        assert!(refused * 3 < total, "{refused} refused, {total} served");
         assert!(
             served.iter().min().unwrap() * 3 > *served.iter().max().unwrap(),
             "{served:?}"
--- a/crates/layers/src/plan/serve.rs
+++ b/crates/layers/src/plan/serve.rs
@@ -34,6 +34,7 @@
 }
 
 impl UploadScheduler {
+    /// Starts with a byte budget of one second.
     pub fn new(now: Ticks, bytes_per_second: f64) -> Self {
         Self {
             transfers: 0,
@@ -45,15 +46,15 @@
     }
 
     /// Decides on a peer's request for a chunk that is cached here or not, with this invoker its home or not.
-    pub fn admit(&mut self, is_held: bool, is_home: bool, is_draining: bool) -> UploadDecision {
-        if !is_held && (is_draining || !is_home) {
+    pub fn admit(&mut self, is_cached: bool, is_home: bool, is_draining: bool) -> UploadDecision {
+        if !is_cached && (is_draining || !is_home) {
             return UploadDecision::NotFound;
         }
         if self.queued >= MAX_QUEUED {
             return UploadDecision::RetryLater(RETRY_AFTER);
         }
         self.queued += 1;
-        if is_held {
+        if is_cached {
             UploadDecision::Queued
         } else {
             UploadDecision::FetchAndServe
--- a/crates/layers/src/plan/suspect.rs
+++ b/crates/layers/src/plan/suspect.rs
@@ -4,7 +4,9 @@
 use saltdrum::interface::{SECOND, Ticks};
 use std::collections::BTreeMap;
 
+/// Suspicion after the first fault.
 const INITIAL_SUSPICION: Ticks = SECOND / 2;
+/// Longest suspicion.
 const MAX_SUSPICION: Ticks = 60 * SECOND;
 /// A corrupt chunk counts as this many failed fetches: the transfer is wasted and it indicates a bad disk or worse.
 const CORRUPTION_WEIGHT: u32 = 3;
@@ -16,20 +18,24 @@
 }
 
 impl SuspectSources {
+    /// Whether the source may be used now.
     pub fn is_trusted(&self, source: Source, now: Ticks) -> bool {
         self.faults
             .get(&source)
             .is_none_or(|(_, until)| now >= *until)
     }
 
+    /// Records a failed fetch.
     pub fn fetch_failed(&mut self, source: Source, now: Ticks) {
         self.record_fault(source, now, 1);
     }
 
+    /// Records a corrupt chunk.
     pub fn sent_corrupt(&mut self, source: Source, now: Ticks) {
         self.record_fault(source, now, CORRUPTION_WEIGHT);
     }
 
+    /// Clears the suspicion after a successful fetch.
     pub fn fetch_succeeded(&mut self, source: Source) {
         self.faults.remove(&source);
     }
