--- a/crates/layers/src/cut.rs
+++ b/crates/layers/src/cut.rs
@@ -39,13 +39,13 @@
 ) -> io::Result<Manifest> {
     let mut manifest = Manifest::default();
     let mut packer = zstd::bulk::Compressor::new(ZSTD_LEVEL)?;
-    for data in StreamCDC::new(
+    for segment in StreamCDC::new(
         model,
         MIN_CHUNK_BYTES,
         MEAN_CHUNK_BYTES,
         MAX_CHUNK_BYTES as usize,
     ) {
-        let data = data.map_err(io::Error::from)?.data;
+        let data = segment.map_err(io::Error::from)?.data;
         let packed = packer.compress(&data)?;
         let is_worth_compressing = (packed.len() as f64) < data.len() as f64 * MAX_COMPRESSED_RATIO;
         let (stored, packing) = if is_worth_compressing {
--- a/crates/layers/src/manifest.rs
+++ b/crates/layers/src/manifest.rs
@@ -156,7 +156,7 @@
                 other => {
                     return Err(invalid_field(
                         &field_path("mediaType"),
-                        format!("'{other:.80}': not a chunk of ours"),
+                        format!("'{other:.80}': unknown chunk media type"),
                     ));
                 }
             };
@@ -211,7 +211,7 @@
             {
                 return Err(invalid_field(
                     &format!("layers[{number}].digest"),
-                    "named above with another size".into(),
+                    "repeats the digest of an earlier chunk with a different size".into(),
                 ));
             }
         }
--- a/crates/layers/tests/cache.rs
+++ b/crates/layers/tests/cache.rs
@@ -12,28 +12,28 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicI64, Ordering::SeqCst};
 
-/// A disk that fails every write after the first `left`, and writes only half of the last one, as a kill or a power cut
-/// does.
+/// A disk that fails every write after the first `remaining_writes`, and writes only half of the last one, as a kill or a
+/// power cut does.
 #[derive(Clone, Debug)]
 struct FailingAfter {
-    left: Arc<AtomicI64>,
+    remaining_writes: Arc<AtomicI64>,
 }
 
 impl FailingAfter {
     /// Writes left, this one included.
     fn next(&self) -> i64 {
-        self.left.fetch_sub(1, SeqCst)
+        self.remaining_writes.fetch_sub(1, SeqCst)
     }
 
-    fn gone() -> io::Error {
+    fn killed() -> io::Error {
         io::Error::other("killed")
     }
 
-    fn whole(&self, then: impl FnOnce() -> io::Result<()>) -> io::Result<()> {
+    fn fail_if_spent(&self, operation: impl FnOnce() -> io::Result<()>) -> io::Result<()> {
         if self.next() > 0 {
-            then()
+            operation()
         } else {
-            Err(Self::gone())
+            Err(Self::killed())
         }
     }
 }
@@ -45,18 +45,18 @@
     fn write_new(&self, path: &Path, bytes: &[u8]) -> io::Result<()> {
         match self.next() {
             2.. => RealDisk.write_new(path, bytes),
-            1 => fs::write(path, &bytes[..bytes.len() / 2]).and(Err(Self::gone())),
-            _ => Err(Self::gone()),
+            1 => fs::write(path, &bytes[..bytes.len() / 2]).and(Err(Self::killed())),
+            _ => Err(Self::killed()),
         }
     }
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()> {
-        self.whole(|| RealDisk.rename(from, to))
+        self.fail_if_spent(|| RealDisk.rename(from, to))
     }
     fn remove(&self, path: &Path) -> io::Result<()> {
-        self.whole(|| RealDisk.remove(path))
+        self.fail_if_spent(|| RealDisk.remove(path))
     }
-    fn read(&self, path: &Path, most: u64) -> io::Result<Vec<u8>> {
-        RealDisk.read(path, most)
+    fn read(&self, path: &Path, max_bytes: u64) -> io::Result<Vec<u8>> {
+        RealDisk.read(path, max_bytes)
     }
     fn list(&self, path: &Path) -> io::Result<Vec<(String, u64)>> {
         RealDisk.list(path)
@@ -93,14 +93,14 @@
         if self.disk.next() > 0 {
             self.file.set_len(len)
         } else {
-            Err(FailingAfter::gone())
+            Err(FailingAfter::killed())
         }
     }
     fn sync_data(&self) -> Result<(), io::Error> {
         if self.disk.next() > 0 {
             self.file.sync_data()
         } else {
-            Err(FailingAfter::gone())
+            Err(FailingAfter::killed())
         }
     }
     fn write(&self, offset: u64, data: &[u8]) -> Result<(), io::Error> {
@@ -109,8 +109,8 @@
             1 => self
                 .file
                 .write(offset, &data[..data.len() / 2])
-                .and(Err(FailingAfter::gone())),
-            _ => Err(FailingAfter::gone()),
+                .and(Err(FailingAfter::killed())),
+            _ => Err(FailingAfter::killed()),
         }
     }
 }
@@ -134,19 +134,19 @@
 /// Puts twelve chunks into a cache with room for eight and reads some again. Returns the chunks reported as cached that
 /// are still there.
 fn exercise(cache: &Cache) -> Vec<u32> {
-    let mut kept = Vec::new();
+    let mut cached = Vec::new();
     for n in 0..12 {
         let (c, bytes) = chunk(n);
         if cache.put(&c, &bytes, 1.0, 1).unwrap() {
-            kept.push(n);
+            cached.push(n);
         }
         if n % 3 == 0 {
             cache.get(&chunk(n / 2).0);
             cache.sync();
         }
     }
-    kept.retain(|n| cache.contains(&chunk(*n).0.digest));
-    kept
+    cached.retain(|n| cache.contains(&chunk(*n).0.digest));
+    cached
 }
 
 const MAX_BYTES: u64 = 8 * 2_100;
@@ -157,41 +157,41 @@
     for killed_at in 0.. {
         let folder = tempfile::tempdir().unwrap();
         let disk = FailingAfter {
-            left: Arc::new(AtomicI64::new(killed_at)),
+            remaining_writes: Arc::new(AtomicI64::new(killed_at)),
         };
-        let kept = Cache::open(folder.path(), MAX_BYTES, Rc::new(disk.clone()))
+        let cached = Cache::open(folder.path(), MAX_BYTES, Rc::new(disk.clone()))
             .map(|c| exercise(&c))
             .unwrap_or_default();
-        let done = disk.left.load(SeqCst) > 0;
-        let back = Cache::open(folder.path(), MAX_BYTES, Rc::new(RealDisk)).unwrap();
-        assert!(back.bytes() <= MAX_BYTES);
-        let parts = fs::read_dir(folder.path().join("chunks")).unwrap();
+        let done = disk.remaining_writes.load(SeqCst) > 0;
+        let reopened = Cache::open(folder.path(), MAX_BYTES, Rc::new(RealDisk)).unwrap();
+        assert!(reopened.bytes() <= MAX_BYTES);
+        let files = fs::read_dir(folder.path().join("chunks")).unwrap();
         assert_eq!(
-            parts.count(),
-            back.digests().len(),
+            files.count(),
+            reopened.digests().len(),
             "killed at {killed_at}: a partial file is left"
         );
         for n in 0..12 {
             let (c, bytes) = chunk(n);
-            let held = back.contains(&c.digest);
-            let got = back.get(&c);
+            let is_cached = reopened.contains(&c.digest);
+            let read = reopened.get(&c);
             assert!(
-                got.as_ref().is_none_or(|g| *g == bytes),
+                read.as_ref().is_none_or(|g| *g == bytes),
                 "killed at {killed_at}: an altered chunk was served"
             );
             assert!(
-                !kept.contains(&n) || got.is_some(),
+                !cached.contains(&n) || read.is_some(),
                 "killed at {killed_at}: chunk {n} was cached and is lost"
             );
             assert!(
-                !held || got.is_some(),
+                !is_cached || read.is_some(),
                 "killed at {killed_at}: chunk {n} is reported as cached and is not readable"
             );
-            survived += u32::from(got.is_some());
+            survived += u32::from(read.is_some());
         }
         // The reopened cache works as usual.
-        let again = exercise(&back);
-        assert!(again.len() >= 7, "{again:?}");
+        let cached_again = exercise(&reopened);
+        assert!(cached_again.len() >= 7, "{cached_again:?}");
         if done {
             assert!(killed_at > 60, "{killed_at} writes");
             break;
@@ -293,11 +293,11 @@
 struct FlakyDisk(Rc<Cell<bool>>);
 
 impl FlakyDisk {
-    fn or(&self, then: impl FnOnce() -> io::Result<()>) -> io::Result<()> {
+    fn or(&self, operation: impl FnOnce() -> io::Result<()>) -> io::Result<()> {
         if self.0.get() {
             Err(io::Error::from_raw_os_error(5))
         } else {
-            then()
+            operation()
         }
     }
 }
@@ -318,9 +318,9 @@
     fn remove(&self, path: &Path) -> io::Result<()> {
         self.or(|| RealDisk.remove(path))
     }
-    fn read(&self, path: &Path, most: u64) -> io::Result<Vec<u8>> {
+    fn read(&self, path: &Path, max_bytes: u64) -> io::Result<Vec<u8>> {
         self.or(|| Ok(()))?;
-        RealDisk.read(path, most)
+        RealDisk.read(path, max_bytes)
     }
     fn list(&self, path: &Path) -> io::Result<Vec<(String, u64)>> {
         RealDisk.list(path)
--- a/crates/layers/tests/herd.rs
+++ b/crates/layers/tests/herd.rs
@@ -36,7 +36,7 @@
 struct Node {
     fetcher: Fetcher,
     uploads: UploadScheduler,
-    held: BTreeSet<Digest>,
+    cached: BTreeSet<Digest>,
     /// Requests for cached chunks that wait for a transfer slot.
     queue: VecDeque<(InvokerId, u64)>,
     /// Requests from peers that wait for this node's own fetch.
@@ -94,7 +94,7 @@
             Node {
                 fetcher,
                 uploads: UploadScheduler::new(0, 200e6),
-                held: BTreeSet::new(),
+                cached: BTreeSet::new(),
                 queue: VecDeque::new(),
                 waiting_peers: BTreeMap::new(),
                 is_alive: true,
@@ -137,7 +137,7 @@
             }
             let missing: Vec<MissingChunk> = chunks
                 .into_iter()
-                .filter(|n| !node.held.contains(&n.digest))
+                .filter(|n| !node.cached.contains(&n.digest))
                 .collect();
             if node.fetcher.start_load(now, load, &missing) {
                 node.finished_at = Some(now);
@@ -187,9 +187,9 @@
             });
         }
         self.store.0 += 1;
-        let crowd = (self.store.0 as f64 / self.store.2).max(1.0);
+        let overload = (self.store.0 as f64 / self.store.2).max(1.0);
         self.at(
-            (TRANSFER_TIME as f64 * 2.0 * crowd) as Ticks,
+            (TRANSFER_TIME as f64 * 2.0 * overload) as Ticks,
             move |world| {
                 world.store.0 -= 1;
                 let corrupt = world.corrupt.contains(&digest);
@@ -217,9 +217,9 @@
         if node.is_hung {
             return;
         }
-        let held = node.held.contains(&digest);
+        let cached = node.cached.contains(&digest);
         let home = node.fetcher.is_home(&digest);
-        match node.uploads.admit(held, home, node.is_draining) {
+        match node.uploads.admit(cached, home, node.is_draining) {
             UploadDecision::Queued => {
                 node.queue.push_back((id, attempt));
                 self.start_transfers(peer);
@@ -286,7 +286,7 @@
         let whole = node.fetcher.request_ended(now, attempt, outcome);
         if let (Some(digest), FetchOutcome::Succeeded) = (digest, outcome) {
             self.accepted_corrupt += u32::from(self.corrupt.contains(&digest));
-            node.held.insert(digest);
+            node.cached.insert(digest);
             let waiting_peers = node.waiting_peers.remove(&digest).unwrap_or_default();
             node.queue.extend(waiting_peers);
             self.start_transfers(id);
@@ -508,10 +508,10 @@
     let corrupt = model(1, 20)[3].digest;
     world.corrupt.insert(corrupt);
     world.run(30 * SECOND);
-    let held: Vec<usize> = world.nodes.values().map(|n| n.held.len()).collect();
+    let cached: Vec<usize> = world.nodes.values().map(|n| n.cached.len()).collect();
     assert!(
-        world.nodes.values().all(|n| n.finished_at.is_none()) && held.iter().all(|n| *n == 19),
-        "{held:?}"
+        world.nodes.values().all(|n| n.finished_at.is_none()) && cached.iter().all(|n| *n == 19),
+        "{cached:?}"
     );
     assert_eq!(world.accepted_corrupt, 0);
     let request_count = world.requests[&corrupt];
--- a/crates/layers/tests/packing.rs
+++ b/crates/layers/tests/packing.rs
@@ -22,12 +22,12 @@
 }
 
 fn packed(bytes: &[u8]) -> (Manifest, BTreeMap<Digest, Vec<u8>>) {
-    let mut kept = BTreeMap::new();
+    let mut stored_chunks = BTreeMap::new();
     let manifest = pack(bytes, |c, stored| {
-        kept.insert(c.digest, stored.to_vec());
+        stored_chunks.insert(c.digest, stored.to_vec());
         Ok(())
     });
-    (manifest.unwrap(), kept)
+    (manifest.unwrap(), stored_chunks)
 }
 
 #[test]
@@ -168,7 +168,7 @@
         (
             "vnd.saltdrum.chunk.v1\"",
             "vnd.oci.layer\"",
-            "not a chunk of ours",
+            "unknown chunk media type",
         ),
     ] {
         assert!(text.contains(from), "{from}");
@@ -194,14 +194,14 @@
 
     #[test]
     fn corrupted_manifests_and_chunks_are_rejected_or_within_bounds(at in 0usize..4_000, bit in 0u8..8, cut in 0usize..4_000) {
-        let (manifest, kept) = packed(&model(4, 700_000));
+        let (manifest, stored_chunks) = packed(&model(4, 700_000));
         let mut bytes = manifest.to_json();
         let end = bytes.len();
         bytes[at % end] ^= 1 << bit;
         if let Ok(decoded) = Manifest::from_json(&bytes[..end - cut % 3]) {
             prop_assert!(decoded.chunks.iter().all(|c| c.bytes <= MAX_CHUNK_BYTES));
         }
-        let (chunk, stored) = (&manifest.chunks[0], &kept[&manifest.chunks[0].digest]);
+        let (chunk, stored) = (&manifest.chunks[0], &stored_chunks[&manifest.chunks[0].digest]);
         let mut corrupted = stored.clone();
         let end = corrupted.len();
         corrupted[(at * 97) % end] ^= 1 << bit;
