--- a/crates/layers/src/cache.rs
+++ b/crates/layers/src/cache.rs
@@ -3,7 +3,7 @@
 //! Each chunk is a file named by its digest, written to a temporary file, synced and renamed. The index, in an embedded
 //! database, holds the length and refetch cost of each chunk. The files are authoritative: a file without an index entry
 //! is adopted, an entry without a file is dropped, and an unreadable index is rebuilt. After a kill at any write the cache
-//! reopens with all complete chunks. A full or failing disk costs extra fetches but fails no load, and its leftovers count
+//! reopens with all complete chunks. A full or failing disk costs extra fetches but no error, and its leftovers count
 //! against the bound: while a file can't be removed nothing new is cached, and a chunk that can't be read keeps its space
 //! until it is fetched again or evicted.
 
