--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,8 +1,8 @@
-//! The agent of an invoker: has models fetched in chunks and serves what it holds to peers.
+//! The agent of an invoker: fetches models in chunks and serves cached chunks to peers.
 //!
-//! Both sides speak the pull half of the OCI distribution specification over HTTP/1.1, so that the store may be any
-//! registry, and a peer is asked as a registry is. Whom to ask, how much, when again and whom to serve is decided by
-//! `saltdrum_layers::plan`; here are the sockets. Start at [`Agent::load`].
+//! Both directions use the pull API of the OCI distribution specification over HTTP/1.1, so that the store can be any
+//! registry and peers are queried the same way. `saltdrum_layers::plan` decides on sources, limits, retries and uploads;
+//! this crate does the I/O. The entry point is [`Agent::load`].
 
 mod follow;
 mod http;
@@ -10,12 +10,13 @@
 
 pub use follow::follow;
 
-use http::{Got, Pool};
+use http::{ConnectionPool, GetOutcome};
 use saltdrum::interface::{InvokerId, Ticks};
 use saltdrum_layers::cache::Cache;
 use saltdrum_layers::manifest::{MANIFEST_TYPE, MAX_MANIFEST_BYTES};
 use saltdrum_layers::plan::{
-    Ask, Ended, Fetcher, LoadId, Member, Need, STORE_OVER_PEER, Serving, Source,
+    FetchOutcome, FetchRequest, Fetcher, LoadId, Member, MissingChunk, STORE_COST_FACTOR, Source,
+    UploadScheduler,
 };
 use saltdrum_layers::{Chunk, Digest, Manifest, cut};
 use saltdrum_transport::{Address, Clock, Network};
@@ -27,54 +28,55 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tracing::{debug, warn};
 
-/// Chunks that the cache could not keep, held in memory for the loads that wait: no more than this.
-const UNKEPT_MOST_BYTES: u64 = 512 << 20;
-/// A chunk that comes damaged from the store so often, and whole from nobody meanwhile, ends the load: its source is bad.
-const CORRUPT_AFTER: u32 = 2;
-/// A manifest is asked for so often, with waits that double.
-const MANIFEST_TRIES: u32 = 6;
-const MANIFEST_WAIT: Duration = Duration::from_millis(100);
+/// Most bytes of uncached chunks held in memory for pending loads and loaded models.
+const MAX_UNCACHED_BYTES: u64 = 512 << 20;
+/// A load fails once the store has sent a chunk corrupt this many times, with no intact copy from any source meanwhile.
+const MAX_CORRUPT_FETCHES: u32 = 2;
+/// Attempts to fetch a manifest, with a backoff that doubles.
+const MANIFEST_ATTEMPTS: u32 = 6;
+const MANIFEST_INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 
+/// Why a model could not be loaded.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum LoadError {
     #[error("model {model}: the store has no such manifest")]
     Unknown { model: String },
     #[error("model {model}: {why}")]
     Manifest { model: String, why: String },
-    #[error("model {model}: the store did not answer for its manifest: {why}")]
+    #[error("model {model}: manifest could not be fetched from the store: {why}")]
     Unreachable { model: String, why: String },
     #[error(
-        "model {model}: chunk {chunk} came damaged from the store {CORRUPT_AFTER} times, and whole from nobody"
+        "model {model}: chunk {chunk} was corrupt in {MAX_CORRUPT_FETCHES} fetches from the store; no source has an intact copy"
     )]
     Corrupt { model: String, chunk: Digest },
-    #[error("model {model}: {0} bytes of its chunks could not be kept: no room on disk", .bytes)]
+    #[error("model {model}: {0} bytes of chunks could not be cached: no space on disk", .bytes)]
     NoRoom { model: String, bytes: u64 },
 }
 
-/// A peer as the list has it.
+/// A peer as stated by the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Peer {
     pub member: Member,
     pub address: Address,
 }
 
-/// Where an agent sits.
+/// Settings of an agent.
 pub struct AgentConfig {
     pub invoker: InvokerId,
     pub seed: u64,
     pub store: Address,
-    /// What serving peers may cost, in bytes a second.
+    /// Limit on uploads to peers, in bytes per second.
     pub serve_bytes_per_second: f64,
 }
 
-/// What was asked of whom so far.
+/// Counters since the agent started.
 #[derive(Debug, Default)]
 pub struct Counts {
     pub from_cache: Cell<u64>,
     pub from_peers: Cell<u64>,
     pub from_store: Cell<u64>,
     pub bytes_from_store: Cell<u64>,
-    /// Came, and their digest did not hold: thrown away.
+    /// Received chunks that were discarded because their digest did not match.
     pub damaged: Cell<u64>,
     pub served: Cell<u64>,
 }
@@ -83,7 +85,7 @@
     count.set(count.get() + n);
 }
 
-/// What a load brought. Its chunks stay until it is dropped.
+/// A loaded model. Its chunks stay available until it is dropped.
 pub struct LoadedModel {
     pub digest: Digest,
     pub manifest: Manifest,
@@ -100,85 +102,88 @@
 }
 
 impl LoadedModel {
-    /// One of its chunks, unpacked. `None` only where the disk has lost it since.
+    /// Reads and unpacks a chunk of the model. `None` only if the disk has lost it since the load.
     pub fn read(&self, chunk: &Chunk) -> Option<Vec<u8>> {
         self.agent
-            .held(chunk)
+            .stored_chunk(chunk)
             .and_then(|stored| cut::unpack(chunk, &stored).ok())
     }
 }
 
 pub(crate) struct State {
     pub fetcher: Fetcher,
-    pub serving: Serving,
+    pub uploads: UploadScheduler,
     peers: BTreeMap<InvokerId, Address>,
-    /// The chunks being fetched, and a repository that has each.
+    /// The chunks being fetched, each with a repository that contains it.
     wanted: BTreeMap<Digest, (Chunk, String)>,
-    asks: BTreeMap<u64, AbortHandle>,
-    whole: BTreeMap<LoadId, oneshot::Sender<()>>,
-    /// What the cache did not keep.
-    unkept: BTreeMap<Digest, Rc<Vec<u8>>>,
-    /// Loads, and what they brought, that use a chunk: it is neither evicted nor forgotten meanwhile.
+    fetch_tasks: BTreeMap<u64, AbortHandle>,
+    load_waiters: BTreeMap<LoadId, oneshot::Sender<()>>,
+    /// Stored bytes of chunks that the cache could not take.
+    uncached: BTreeMap<Digest, Rc<Vec<u8>>>,
+    /// Number of pending loads and loaded models that use a chunk. A claimed chunk is not evicted or released.
     claims: BTreeMap<Digest, u32>,
-    unkept_bytes: u64,
-    /// Of chunks that loads wait for: how often the store sent them damaged.
-    damaged_at_store: BTreeMap<Digest, u32>,
-    wake: Ticks,
-    loads: LoadId,
-    pub busy: f64,
+    uncached_bytes: u64,
+    /// Times that the store sent a wanted chunk corrupt.
+    corrupt_counts: BTreeMap<Digest, u32>,
+    wake_at: Ticks,
+    last_load: LoadId,
+    pub utilization: f64,
     pub draining: bool,
     pub capacity_share: f64,
 }
 
+/// The agent of one invoker.
 pub struct Agent {
     pub(crate) config: AgentConfig,
     pub cache: Cache,
     pub(crate) clock: Clock,
-    pool: Pool,
+    pool: ConnectionPool,
     pub(crate) state: RefCell<State>,
-    pub(crate) moved: Notify,
+    pub(crate) progress: Notify,
     pub counts: Counts,
     tasks: RefCell<JoinSet<()>>,
 }
 
-/// Abandons a load that is not waited for any more.
-struct Waiting<'a> {
+/// Cancels a load when its future is dropped.
+struct LoadGuard<'a> {
     agent: &'a Rc<Agent>,
     load: LoadId,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for LoadGuard<'_> {
     fn drop(&mut self) {
         {
             let state = &mut *self.agent.state.borrow_mut();
-            state.whole.remove(&self.load);
-            state.fetcher.abandon(self.load);
-            state.wanted.retain(|digest, _| state.fetcher.wants(digest));
+            state.load_waiters.remove(&self.load);
+            state.fetcher.cancel_load(self.load);
             state
-                .damaged_at_store
-                .retain(|digest, _| state.fetcher.wants(digest));
+                .wanted
+                .retain(|digest, _| state.fetcher.is_wanted(digest));
+            state
+                .corrupt_counts
+                .retain(|digest, _| state.fetcher.is_wanted(digest));
         }
-        self.agent.go_on();
+        self.agent.advance();
     }
 }
 
 impl State {
-    fn forget_unkept(&mut self, digest: &Digest) {
-        if let Some(bytes) = self.unkept.remove(digest) {
-            self.unkept_bytes -= bytes.len() as u64;
+    fn release_uncached(&mut self, digest: &Digest) {
+        if let Some(bytes) = self.uncached.remove(digest) {
+            self.uncached_bytes -= bytes.len() as u64;
         }
     }
 
-    /// Fetched for a peer alone, and handed on: it need not stay in memory.
-    pub fn forget_unclaimed(&mut self, digest: &Digest) {
+    /// Releases a chunk that was fetched only for a peer.
+    pub fn release_unclaimed(&mut self, digest: &Digest) {
         if !self.claims.contains_key(digest) {
-            self.forget_unkept(digest);
+            self.release_uncached(digest);
         }
     }
 }
 
 impl Agent {
-    /// On the `LocalSet` it is to run on.
+    /// Creates an agent. Must be called on the `LocalSet` that it runs on.
     pub fn new(
         config: AgentConfig,
         cache: Cache,
@@ -187,102 +192,105 @@
     ) -> Rc<Self> {
         let state = State {
             fetcher: Fetcher::new(config.invoker, config.seed),
-            serving: Serving::new(clock.now(), config.serve_bytes_per_second),
+            uploads: UploadScheduler::new(clock.now(), config.serve_bytes_per_second),
             peers: BTreeMap::new(),
             wanted: BTreeMap::new(),
-            asks: BTreeMap::new(),
-            whole: BTreeMap::new(),
-            unkept: BTreeMap::new(),
+            fetch_tasks: BTreeMap::new(),
+            load_waiters: BTreeMap::new(),
+            uncached: BTreeMap::new(),
             claims: BTreeMap::new(),
-            unkept_bytes: 0,
-            damaged_at_store: BTreeMap::new(),
-            wake: 0,
-            loads: 0,
-            busy: 0.0,
+            uncached_bytes: 0,
+            corrupt_counts: BTreeMap::new(),
+            wake_at: 0,
+            last_load: 0,
+            utilization: 0.0,
             draining: false,
             capacity_share: 1.0,
         };
-        let (pool, state) = (Pool::new(network), RefCell::new(state));
-        let (moved, counts, tasks) = (Notify::new(), Counts::default(), RefCell::default());
+        let (pool, state) = (ConnectionPool::new(network), RefCell::new(state));
+        let (progress, counts, tasks) = (Notify::new(), Counts::default(), RefCell::default());
         Rc::new(Self {
             config,
             cache,
             clock,
             pool,
             state,
-            moved,
+            progress,
             counts,
             tasks,
         })
     }
 
-    /// The list of invokers as it is now, ourselves among them.
+    /// Replaces the list of invokers, which includes this one.
     pub fn update_peers(self: &Rc<Self>, peers: &[Peer]) {
         let state = &mut *self.state.borrow_mut();
         state.peers = peers
             .iter()
             .map(|p| (p.member.invoker, p.address.clone()))
             .collect();
-        let mine = peers
+        let own_entry = peers
             .iter()
             .find(|p| p.member.invoker == self.config.invoker);
-        state.draining = mine.is_some_and(|p| !p.member.ready);
-        state.capacity_share = mine.map_or(1.0, |p| p.member.capacity_share);
+        state.draining = own_entry.is_some_and(|p| !p.member.ready);
+        state.capacity_share = own_entry.map_or(1.0, |p| p.member.capacity_share);
         state
             .fetcher
-            .listed(peers.iter().map(|p| p.member).collect());
+            .set_members(peers.iter().map(|p| p.member).collect());
     }
 
-    /// Share of our cores that invocations use, 0 to 1: the busier, the less is served to peers.
+    /// Sets the share of this invoker's cores that invocations use, 0 to 1. Uploads to peers decrease as it rises.
     pub fn set_utilization(&self, share: f64) {
-        self.state.borrow_mut().busy = share;
+        self.state.borrow_mut().utilization = share;
     }
 
-    /// Has all chunks of a model here, verified. Dropping the future gives the load up.
+    /// Loads a model: makes all its chunks available, verified. Dropping the future cancels the load.
     pub async fn load(
         self: &Rc<Self>,
         repository: &str,
         reference: &str,
     ) -> Result<LoadedModel, LoadError> {
-        let (digest, manifest) = self.manifest(repository, reference).await?;
+        let (digest, manifest) = self.fetch_manifest(repository, reference).await?;
         manifest.chunks.iter().for_each(|c| self.claim(&c.digest));
-        // From here on the claims are given back however this ends.
+        // From here on the claims are released on every path.
         let loaded = LoadedModel {
             digest,
             manifest,
             agent: self.clone(),
         };
-        let mut needs = Vec::new();
+        let mut missing = Vec::new();
         for chunk in &loaded.manifest.chunks {
-            if needs.iter().any(|n: &Need| n.digest == chunk.digest) {
+            if missing
+                .iter()
+                .any(|n: &MissingChunk| n.digest == chunk.digest)
+            {
                 continue;
             }
-            if self.held(chunk).is_some() {
+            if self.stored_chunk(chunk).is_some() {
                 add(&self.counts.from_cache, 1);
             } else {
-                needs.push(Need {
+                missing.push(MissingChunk {
                     digest: chunk.digest,
                     bytes: chunk.stored_bytes,
                 });
-                let known = (chunk.clone(), repository.to_owned());
-                self.state.borrow_mut().wanted.insert(chunk.digest, known);
+                let wanted = (chunk.clone(), repository.to_owned());
+                self.state.borrow_mut().wanted.insert(chunk.digest, wanted);
             }
         }
         tokio::select! {
             biased;
-            () = self.wait_for(&needs) => {}
-            chunk = self.corrupt(&needs, CORRUPT_AFTER) => {
+            () = self.fetch_all(&missing) => {}
+            chunk = self.wait_for_corruption(&missing, MAX_CORRUPT_FETCHES) => {
                 return Err(LoadError::Corrupt { model: format!("{repository}:{reference}"), chunk });
             }
         }
-        let lacking = |c: &&Chunk| {
-            !self.cache.holds(&c.digest) && !self.state.borrow().unkept.contains_key(&c.digest)
+        let is_missing = |c: &&Chunk| {
+            !self.cache.contains(&c.digest) && !self.state.borrow().uncached.contains_key(&c.digest)
         };
         let bytes = loaded
             .manifest
             .chunks
             .iter()
-            .filter(lacking)
+            .filter(is_missing)
             .map(|c| c.stored_bytes)
             .sum();
         if bytes > 0 {
@@ -294,9 +302,9 @@
         Ok(loaded)
     }
 
-    /// What is held in memory because the cache did not keep it.
-    pub fn unkept_bytes(&self) -> u64 {
-        self.state.borrow().unkept_bytes
+    /// Bytes of chunks held in memory because they could not be cached.
+    pub fn uncached_bytes(&self) -> u64 {
+        self.state.borrow().uncached_bytes
     }
 
     fn claim(&self, digest: &Digest) {
@@ -317,58 +325,58 @@
         if *claims == 0 {
             state.claims.remove(digest);
             self.cache.unpin(digest);
-            state.forget_unkept(digest);
+            state.release_uncached(digest);
         }
     }
 
-    pub(crate) fn held(&self, chunk: &Chunk) -> Option<Rc<Vec<u8>>> {
-        let unkept = self.state.borrow().unkept.get(&chunk.digest).cloned();
-        unkept.or_else(|| self.cache.get(chunk).map(Rc::new))
+    pub(crate) fn stored_chunk(&self, chunk: &Chunk) -> Option<Rc<Vec<u8>>> {
+        let uncached = self.state.borrow().uncached.get(&chunk.digest).cloned();
+        uncached.or_else(|| self.cache.get(chunk).map(Rc::new))
     }
 
-    /// Waits until all of these are here.
-    pub(crate) async fn wait_for(self: &Rc<Self>, needs: &[Need]) {
-        let (to, whole) = oneshot::channel();
+    /// Fetches these chunks and waits until all have arrived.
+    pub(crate) async fn fetch_all(self: &Rc<Self>, missing: &[MissingChunk]) {
+        let (sender, completed) = oneshot::channel();
         let load = {
             let state = &mut *self.state.borrow_mut();
-            state.loads += 1;
-            let load = state.loads;
-            if state.fetcher.want(self.clock.now(), load, needs) {
+            state.last_load += 1;
+            let load = state.last_load;
+            if state.fetcher.start_load(self.clock.now(), load, missing) {
                 return;
             }
-            state.whole.insert(load, to);
+            state.load_waiters.insert(load, sender);
             load
         };
-        let _waiting = Waiting { agent: self, load };
-        self.go_on();
-        let _ = whole.await;
+        let _load_guard = LoadGuard { agent: self, load };
+        self.advance();
+        let _ = completed.await;
     }
 
-    /// Comes back when one of these has no source that holds.
-    async fn corrupt(&self, needs: &[Need], after: u32) -> Digest {
+    /// Waits until the store has sent one of these chunks corrupt `after` times, and returns its digest.
+    async fn wait_for_corruption(&self, missing: &[MissingChunk], after: u32) -> Digest {
         loop {
-            // Before the look, so that nothing is told between the two.
-            let moved = self.moved.notified();
+            // Registered before the check, so that no notification is missed.
+            let progress = self.progress.notified();
             let found = {
                 let state = self.state.borrow();
-                let bad = |n: &&Need| {
+                let is_corrupt = |n: &&MissingChunk| {
                     state
-                        .damaged_at_store
+                        .corrupt_counts
                         .get(&n.digest)
-                        .is_some_and(|t| *t >= after)
+                        .is_some_and(|count| *count >= after)
                 };
-                needs.iter().find(bad).map(|n| n.digest)
+                missing.iter().find(is_corrupt).map(|n| n.digest)
             };
             if let Some(digest) = found {
                 return digest;
             }
-            moved.await;
+            progress.await;
         }
     }
 
-    /// As `wait_for`, for one chunk that a peer wants of us as its home.
+    /// Like `fetch_all`, for one chunk that a peer requests from this invoker as its home.
     pub(crate) async fn fetch_for_peer(self: &Rc<Self>, chunk: Chunk, repository: &str) {
-        let needs = [Need {
+        let missing = [MissingChunk {
             digest: chunk.digest,
             bytes: chunk.stored_bytes,
         }];
@@ -378,22 +386,22 @@
             .insert(chunk.digest, (chunk, repository.to_owned()));
         tokio::select! {
             biased;
-            () = self.wait_for(&needs) => {}
-            // It had better see for itself, and soon: whoever waits for us can't tell us from a slow one.
-            _ = self.corrupt(&needs, 1) => {}
+            () = self.fetch_all(&missing) => {}
+            // Returns after one corrupt fetch, so that the peer retries elsewhere: it can't tell a long wait from a hang.
+            _ = self.wait_for_corruption(&missing, 1) => {}
         }
     }
 
-    async fn manifest(
+    async fn fetch_manifest(
         &self,
         repository: &str,
         reference: &str,
     ) -> Result<(Digest, Manifest), LoadError> {
         let model = format!("{repository}:{reference}");
         let path = format!("/v2/{repository}/manifests/{reference}");
-        let mut wait = MANIFEST_WAIT;
-        let mut last = String::new();
-        for _ in 0..MANIFEST_TRIES {
+        let mut backoff = MANIFEST_INITIAL_BACKOFF;
+        let mut last_error = String::new();
+        for _ in 0..MANIFEST_ATTEMPTS {
             match self
                 .pool
                 .get(
@@ -405,30 +413,35 @@
                 )
                 .await
             {
-                Got::Bytes(bytes) => {
+                GetOutcome::Bytes(bytes) => {
                     let digest = Digest::of(&bytes);
-                    let asked: Result<Digest, _> = reference.parse();
-                    if asked.is_ok_and(|asked| asked != digest) {
-                        last = format!("its bytes have digest {digest}");
+                    let expected: Result<Digest, _> = reference.parse();
+                    if expected.is_ok_and(|expected| expected != digest) {
+                        last_error = format!("received content with digest {digest}");
                     } else {
-                        let read = Manifest::from_json(&bytes);
-                        return read.map(|m| (digest, m)).map_err(|e| LoadError::Manifest {
-                            model,
-                            why: e.to_string(),
-                        });
+                        let decoded = Manifest::from_json(&bytes);
+                        return decoded
+                            .map(|m| (digest, m))
+                            .map_err(|e| LoadError::Manifest {
+                                model,
+                                why: e.to_string(),
+                            });
                     }
                 }
-                Got::Absent => return Err(LoadError::Unknown { model }),
-                Got::Refused(come_back) => {
-                    last = "refused".into();
-                    wait = wait.max(Duration::from_micros(come_back * 100));
+                GetOutcome::NotFound => return Err(LoadError::Unknown { model }),
+                GetOutcome::Refused(retry_after) => {
+                    last_error = "refused".into();
+                    backoff = backoff.max(Duration::from_micros(retry_after * 100));
                 }
-                Got::Broken(why) => last = why,
+                GetOutcome::Failed(why) => last_error = why,
             }
-            tokio::time::sleep(wait).await;
-            wait *= 2;
+            tokio::time::sleep(backoff).await;
+            backoff *= 2;
         }
-        Err(LoadError::Unreachable { model, why: last })
+        Err(LoadError::Unreachable {
+            model,
+            why: last_error,
+        })
     }
 
     pub(crate) fn spawn(&self, work: impl Future<Output = ()> + 'static) -> AbortHandle {
@@ -437,127 +450,147 @@
         tasks.spawn_local(work)
     }
 
-    /// Ends all that it does, as the end of its process would: nothing is said to anybody.
+    /// Aborts all tasks and drops all connections, as if the process were killed.
     pub fn kill(&self) {
         self.tasks.borrow_mut().abort_all();
         self.pool.clear();
     }
 
-    /// Lets the plan say what is next, and does it.
-    pub(crate) fn go_on(self: &Rc<Self>) {
+    /// Gets the next actions from the fetcher and starts them.
+    pub(crate) fn advance(self: &Rc<Self>) {
         let now = self.clock.now();
-        let next = self.state.borrow_mut().fetcher.next(now);
-        for attempt in next.cancels {
-            if let Some(task) = self.state.borrow_mut().asks.remove(&attempt) {
+        let actions = self.state.borrow_mut().fetcher.next_actions(now);
+        for attempt in actions.cancels {
+            if let Some(task) = self.state.borrow_mut().fetch_tasks.remove(&attempt) {
                 task.abort();
             }
         }
-        for ask in next.asks {
+        for request in actions.requests {
             let this = self.clone();
-            let task = self.spawn(async move { this.ask(ask).await });
-            self.state.borrow_mut().asks.insert(ask.attempt, task);
+            let task = self.spawn(async move { this.fetch(request).await });
+            self.state
+                .borrow_mut()
+                .fetch_tasks
+                .insert(request.attempt, task);
         }
         let state = &mut *self.state.borrow_mut();
-        if let Some(at) = next.wake.filter(|at| state.wake <= now || *at < state.wake) {
-            state.wake = at;
+        if let Some(at) = actions
+            .wake_at
+            .filter(|at| state.wake_at <= now || *at < state.wake_at)
+        {
+            state.wake_at = at;
             let this = self.clone();
             self.spawn(async move {
                 this.clock.sleep_until(at).await;
-                if this.state.borrow().wake == at {
-                    this.state.borrow_mut().wake = 0;
-                    this.go_on();
+                if this.state.borrow().wake_at == at {
+                    this.state.borrow_mut().wake_at = 0;
+                    this.advance();
                 }
             });
         }
     }
 
-    async fn ask(self: Rc<Self>, ask: Ask) {
-        let (known, address) = {
+    async fn fetch(self: Rc<Self>, request: FetchRequest) {
+        let (wanted, address) = {
             let state = self.state.borrow();
-            let address = match ask.source {
+            let address = match request.source {
                 Source::Store => Some(self.config.store.clone()),
                 Source::Peer(peer) => state.peers.get(&peer).cloned(),
             };
-            (state.wanted.get(&ask.digest).cloned(), address)
+            (state.wanted.get(&request.digest).cloned(), address)
         };
-        let (Some((chunk, repository)), Some(address)) = (known, address) else {
-            return self.ended(ask, Ended::Absent, None);
+        let (Some((chunk, repository)), Some(address)) = (wanted, address) else {
+            return self.request_ended(request, FetchOutcome::NotFound, None);
         };
         let path = format!("/v2/{repository}/blobs/{}", chunk.digest);
-        let stated = matches!(ask.source, Source::Peer(_)).then_some(chunk.stored_bytes);
+        let stored_bytes = matches!(request.source, Source::Peer(_)).then_some(chunk.stored_bytes);
         match self
             .pool
             .get(
                 &address,
                 &path,
                 "application/octet-stream",
-                stated,
+                stored_bytes,
                 chunk.stored_bytes,
             )
             .await
         {
-            Got::Bytes(bytes) => match cut::verify(&chunk, &bytes) {
-                Ok(()) => self.ended(ask, Ended::Well, Some((chunk, bytes))),
-                Err(cut::ChunkError::Length { .. }) => self.ended(ask, Ended::Broken, None),
-                Err(damage) => {
-                    warn!(source = ?ask.source, %damage, "a damaged chunk is thrown away");
+            GetOutcome::Bytes(bytes) => match cut::verify(&chunk, &bytes) {
+                Ok(()) => {
+                    self.request_ended(request, FetchOutcome::Succeeded, Some((chunk, bytes)))
+                }
+                Err(cut::ChunkError::Length { .. }) => {
+                    self.request_ended(request, FetchOutcome::Failed, None)
+                }
+                Err(error) => {
+                    warn!(source = ?request.source, damage = %error, "corrupt chunk discarded");
                     add(&self.counts.damaged, 1);
-                    self.ended(ask, Ended::Damaged, None);
+                    self.request_ended(request, FetchOutcome::Corrupt, None);
                 }
             },
-            Got::Refused(come_back) => self.ended(ask, Ended::Refused(come_back), None),
-            Got::Absent => self.ended(ask, Ended::Absent, None),
-            Got::Broken(why) => {
-                debug!(source = ?ask.source, why, "a fetch broke");
-                self.ended(ask, Ended::Broken, None);
+            GetOutcome::Refused(retry_after) => {
+                self.request_ended(request, FetchOutcome::Refused(retry_after), None)
+            }
+            GetOutcome::NotFound => self.request_ended(request, FetchOutcome::NotFound, None),
+            GetOutcome::Failed(why) => {
+                debug!(source = ?request.source, why, "chunk fetch failed");
+                self.request_ended(request, FetchOutcome::Failed, None);
             }
         }
     }
 
-    fn ended(self: &Rc<Self>, ask: Ask, how: Ended, came: Option<(Chunk, Vec<u8>)>) {
-        if let Some((chunk, bytes)) = came {
-            let (count, cost) = match ask.source {
-                Source::Store => (&self.counts.from_store, STORE_OVER_PEER),
+    fn request_ended(
+        self: &Rc<Self>,
+        request: FetchRequest,
+        outcome: FetchOutcome,
+        received: Option<(Chunk, Vec<u8>)>,
+    ) {
+        if let Some((chunk, bytes)) = received {
+            let (count, cost) = match request.source {
+                Source::Store => (&self.counts.from_store, STORE_COST_FACTOR),
                 Source::Peer(_) => (&self.counts.from_peers, 1.0),
             };
             add(count, 1);
-            if ask.source == Source::Store {
+            if request.source == Source::Store {
                 add(&self.counts.bytes_from_store, bytes.len() as u64);
             }
-            // Homes are asked by others: what they hold is worth a store's fetch to the fleet.
-            let kept = self.cache.put(&chunk, &bytes, cost, 1).unwrap_or(false);
+            // Peers fetch from homes: a home that loses a chunk costs the fleet another fetch from the store.
+            let is_cached = self.cache.put(&chunk, &bytes, cost, 1).unwrap_or(false);
             let state = &mut *self.state.borrow_mut();
-            if kept && state.claims.contains_key(&chunk.digest) {
+            if is_cached && state.claims.contains_key(&chunk.digest) {
                 self.cache.pin(&chunk.digest);
-            } else if !kept && state.unkept_bytes + chunk.stored_bytes <= UNKEPT_MOST_BYTES {
-                state.unkept_bytes += bytes.len() as u64;
-                state.unkept.insert(chunk.digest, Rc::new(bytes));
+            } else if !is_cached && state.uncached_bytes + chunk.stored_bytes <= MAX_UNCACHED_BYTES
+            {
+                state.uncached_bytes += bytes.len() as u64;
+                state.uncached.insert(chunk.digest, Rc::new(bytes));
             }
         }
-        let whole = {
+        let completed = {
             let state = &mut *self.state.borrow_mut();
-            state.asks.remove(&ask.attempt);
-            match (how, ask.source) {
-                (Ended::Well, _) => drop(state.damaged_at_store.remove(&ask.digest)),
-                (Ended::Damaged, Source::Store) => {
-                    *state.damaged_at_store.entry(ask.digest).or_default() += 1;
+            state.fetch_tasks.remove(&request.attempt);
+            match (outcome, request.source) {
+                (FetchOutcome::Succeeded, _) => drop(state.corrupt_counts.remove(&request.digest)),
+                (FetchOutcome::Corrupt, Source::Store) => {
+                    *state.corrupt_counts.entry(request.digest).or_default() += 1;
                 }
                 _ => {}
             }
-            let whole = state.fetcher.ended(self.clock.now(), ask.attempt, how);
-            if how == Ended::Well {
-                state.wanted.remove(&ask.digest);
+            let completed = state
+                .fetcher
+                .request_ended(self.clock.now(), request.attempt, outcome);
+            if outcome == FetchOutcome::Succeeded {
+                state.wanted.remove(&request.digest);
             }
-            whole
+            completed
                 .into_iter()
-                .filter_map(|load| state.whole.remove(&load))
+                .filter_map(|load| state.load_waiters.remove(&load))
                 .collect::<Vec<_>>()
         };
-        for to in whole {
-            // Whoever has given its load up hears nothing.
-            let _ = to.send(());
+        for sender in completed {
+            // The receiver is gone if the load was cancelled.
+            let _ = sender.send(());
         }
-        self.moved.notify_waiters();
-        self.go_on();
+        self.progress.notify_waiters();
+        self.advance();
     }
 }
--- a/crates/layers/src/cache.rs
+++ b/crates/layers/src/cache.rs
@@ -1,14 +1,14 @@
-//! Chunks on disk: bounded, durable, verified at each read.
+//! A bounded, durable chunk cache on disk that verifies chunks at each read.
 //!
-//! A chunk is a file named by its digest, written beside, brought to disk and renamed; the index (in an embedded store)
-//! says what it costs to fetch again and how long it is. Files are the truth: what the index lacks is adopted, what it
-//! has beyond them is dropped, and an index that can't be read is made anew. Killed at any write, the cache comes back
-//! with what was whole. A full or broken disk costs fetches, never an answer, and what it leaves behind counts: while a file
-//! that should be gone can't be removed nothing new is kept, and a chunk that can't be read keeps its place until it is
-//! fetched again or evicted.
+//! Each chunk is a file named by its digest, written to a temporary file, synced and renamed. The index, in an embedded
+//! database, holds the length and refetch cost of each chunk. The files are authoritative: a file without an index entry
+//! is adopted, an entry without a file is dropped, and an unreadable index is rebuilt. After a kill at any write the cache
+//! reopens with all complete chunks. A full or failing disk costs extra fetches but no error, and its leftovers count
+//! against the bound: while a file can't be removed nothing new is cached, and a chunk that can't be read keeps its space
+//! until it is fetched again or evicted.
 
 use crate::cut;
-use crate::plan::{Kept, Shelf};
+use crate::plan::{CachedChunk, EvictionPolicy};
 use crate::{Chunk, Digest};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use saltdrum_durable::{database, file};
@@ -19,21 +19,21 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// The file operations that a cache needs, so that tests can let each of them fail.
+/// The file operations of a cache. Tests inject faults into each of them.
 pub trait Disk {
     fn create_dir_all(&self, path: &Path) -> io::Result<()>;
-    /// Creates, writes, brings to disk.
+    /// Creates, writes and syncs a file.
     fn write_new(&self, path: &Path, bytes: &[u8]) -> io::Result<()>;
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
     fn remove(&self, path: &Path) -> io::Result<()>;
-    /// So many bytes at the most.
-    fn read(&self, path: &Path, most: u64) -> io::Result<Vec<u8>>;
-    /// Names and lengths.
+    /// Reads at most `max_bytes` from the start of a file.
+    fn read(&self, path: &Path, max_bytes: u64) -> io::Result<Vec<u8>>;
+    /// File names and lengths in a folder.
     fn list(&self, path: &Path) -> io::Result<Vec<(String, u64)>>;
     fn open_index(&self, path: &Path) -> Result<Database, redb::DatabaseError>;
 }
 
-/// The machine's own disk.
+/// The local file system.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RealDisk;
 
@@ -54,18 +54,18 @@
         file::remove_if_exists(path)
     }
 
-    fn read(&self, path: &Path, most: u64) -> io::Result<Vec<u8>> {
+    fn read(&self, path: &Path, max_bytes: u64) -> io::Result<Vec<u8>> {
         let mut bytes = Vec::new();
-        File::open(path)?.take(most).read_to_end(&mut bytes)?;
+        File::open(path)?.take(max_bytes).read_to_end(&mut bytes)?;
         Ok(bytes)
     }
 
     fn list(&self, path: &Path) -> io::Result<Vec<(String, u64)>> {
-        let entry = |e: io::Result<fs::DirEntry>| {
-            let e = e?;
+        let entry = |entry: io::Result<fs::DirEntry>| {
+            let entry = entry?;
             Ok((
-                e.file_name().to_string_lossy().into_owned(),
-                e.metadata()?.len(),
+                entry.file_name().to_string_lossy().into_owned(),
+                entry.metadata()?.len(),
             ))
         };
         fs::read_dir(path)?.map(entry).collect()
@@ -76,41 +76,42 @@
     }
 }
 
-/// Of the index's pages, held in memory.
+/// Page cache of the index database.
 const INDEX_CACHE_BYTES: usize = 4 << 20;
-/// Digest to stored bytes, cost, sharers.
+/// Digest to stored bytes, refetch cost and number of sharers.
 const CHUNKS: TableDefinition<&[u8; 32], (u64, f64, u32)> = TableDefinition::new("chunks");
 
-/// What happened so far.
+/// Counters since the cache was opened.
 #[derive(Debug, Default)]
 pub struct Counts {
     pub hits: Cell<u64>,
     pub misses: Cell<u64>,
-    /// Read back and found not to be what they were: thrown away.
+    /// Chunks that failed verification when read, and were removed.
     pub damaged: Cell<u64>,
     pub evicted: Cell<u64>,
-    /// Could not be kept: no room that may be freed, or the disk refused.
-    pub not_kept: Cell<u64>,
+    /// Chunks that were not cached, for lack of evictable space or because of a disk error.
+    pub not_cached: Cell<u64>,
     pub index_rebuilt: Cell<u64>,
 }
 
+/// A chunk cache in a folder.
 pub struct Cache {
     folder: PathBuf,
     disk: Rc<dyn Disk>,
-    shelf: RefCell<Shelf>,
-    /// None: the index can't be had; the cache works on and forgets costs at its end.
+    eviction: RefCell<EvictionPolicy>,
+    /// `None` if the index can't be opened or written: the cache works without it, and refetch costs are lost on restart.
     index: RefCell<Option<Database>>,
-    parts: Cell<u64>,
-    /// Chunks whose files stand and could not be read: not held, and not free room either.
+    part_count: Cell<u64>,
+    /// Chunks whose files exist but could not be read. They are not available but still take up space.
     unreadable: RefCell<BTreeSet<Digest>>,
-    /// Files that should be gone and could not be removed.
-    unremoved: RefCell<BTreeSet<PathBuf>>,
+    /// Files that could not be removed yet.
+    pending_removals: RefCell<BTreeSet<PathBuf>>,
     pub counts: Counts,
 }
 
 impl Cache {
-    /// Opens what is there. Fails only where not even the folder can be read or made.
-    pub fn open(folder: &Path, most_bytes: u64, disk: Rc<dyn Disk>) -> io::Result<Self> {
+    /// Opens a cache with the chunks in its folder. Fails only if the folder can't be created or listed.
+    pub fn open(folder: &Path, max_bytes: u64, disk: Rc<dyn Disk>) -> io::Result<Self> {
         let chunks = folder.join("chunks");
         disk.create_dir_all(&chunks)?;
         let counts = Counts::default();
@@ -121,51 +122,53 @@
             disk.open_index(&path)
         });
         let index = index.ok();
-        let known = index
+        let indexed = index
             .as_ref()
             .and_then(|i| read_index(i).ok())
             .unwrap_or_default();
-        let mut shelf = Shelf::new(most_bytes);
-        let mut unremoved = BTreeSet::new();
-        let mut discard = |file: PathBuf| {
+        let mut eviction = EvictionPolicy::new(max_bytes);
+        let mut pending_removals = BTreeSet::new();
+        let mut remove_file = |file: PathBuf| {
             if disk.remove(&file).is_err() {
-                unremoved.insert(file);
+                pending_removals.insert(file);
             }
         };
         for (name, length) in disk.list(&chunks)? {
             let digest: Result<Digest, _> = format!("sha256:{name}").parse();
             let file = chunks.join(&name);
             let Ok(digest) = digest else {
-                // Begun by one who died: no chunk has such a name.
-                discard(file);
+                // A temporary file of a process that died: chunks have digests as names.
+                remove_file(file);
                 continue;
             };
-            let kept = match known.get(&digest) {
-                Some(kept) if kept.bytes == length => *kept,
-                // Renamed, but its line was not written any more. Its digest is looked at when it is read.
-                _ => Kept {
+            let cached = match indexed.get(&digest) {
+                Some(cached) if cached.bytes == length => *cached,
+                // Renamed, but its index entry was not written. Its digest is verified when it is read.
+                _ => CachedChunk {
                     bytes: length,
                     cost: 1.0,
                     sharers: 1,
                 },
             };
-            match shelf.admit(digest, kept) {
-                Some(gone) => gone.iter().for_each(|d| discard(chunks.join(d.hex()))),
-                None => discard(file),
+            match eviction.admit(digest, cached) {
+                Some(evicted) => evicted
+                    .iter()
+                    .for_each(|d| remove_file(chunks.join(d.hex()))),
+                None => remove_file(file),
             }
         }
         let cache = Self {
             folder: folder.to_owned(),
             disk,
-            shelf: RefCell::new(shelf),
+            eviction: RefCell::new(eviction),
             index: RefCell::new(index),
-            parts: Cell::new(0),
+            part_count: Cell::new(0),
             unreadable: RefCell::default(),
-            unremoved: RefCell::new(unremoved),
+            pending_removals: RefCell::new(pending_removals),
             counts,
         };
-        let stale: Vec<Digest> = known.into_keys().filter(|d| !cache.holds(d)).collect();
-        cache.forget(&stale);
+        let stale: Vec<Digest> = indexed.into_keys().filter(|d| !cache.contains(d)).collect();
+        cache.remove_index_entries(&stale);
         Ok(cache)
     }
 
@@ -173,16 +176,19 @@
         self.folder.join("chunks").join(digest.hex())
     }
 
-    pub fn holds(&self, digest: &Digest) -> bool {
-        self.shelf.borrow().holds(digest) && !self.unreadable.borrow().contains(digest)
+    /// Whether the chunk is cached and readable as far as known.
+    pub fn contains(&self, digest: &Digest) -> bool {
+        self.eviction.borrow().contains(digest) && !self.unreadable.borrow().contains(digest)
     }
 
+    /// Total stored length of the cached chunks, unreadable ones included.
     pub fn bytes(&self) -> u64 {
-        self.shelf.borrow().bytes()
+        self.eviction.borrow().bytes()
     }
 
+    /// The cached chunks, without unreadable ones.
     pub fn digests(&self) -> Vec<Digest> {
-        self.shelf
+        self.eviction
             .borrow()
             .digests()
             .filter(|d| !self.unreadable.borrow().contains(d))
@@ -190,46 +196,47 @@
             .collect()
     }
 
-    /// A copy that stands, or a load, uses it: it stays.
+    /// Protects a chunk from eviction while a load or a loaded instance uses it.
     pub fn pin(&self, digest: &Digest) {
-        self.shelf.borrow_mut().pin(digest);
+        self.eviction.borrow_mut().pin(digest);
     }
 
+    /// Releases one pin.
     pub fn unpin(&self, digest: &Digest) {
-        self.shelf.borrow_mut().unpin(digest);
+        self.eviction.borrow_mut().unpin(digest);
     }
 
-    /// The chunk as stored, its digest just checked. What does not hold is thrown away and as good as never held.
+    /// Reads and verifies the stored bytes of a chunk. A damaged chunk is removed and counts as not cached.
     pub fn get(&self, chunk: &Chunk) -> Option<Vec<u8>> {
-        if !self.holds(&chunk.digest) {
-            bump(&self.counts.misses);
+        if !self.contains(&chunk.digest) {
+            increment(&self.counts.misses);
             return None;
         }
-        // A byte more than stated is enough to see that the file is longer.
+        // One byte more than stated is enough to detect a longer file.
         let read = self
             .disk
             .read(&self.path(&chunk.digest), chunk.stored_bytes + 1);
         let bytes = match read {
             Ok(bytes) if cut::verify(chunk, &bytes).is_ok() => bytes,
             Ok(_) => {
-                bump(&self.counts.damaged);
+                increment(&self.counts.damaged);
                 self.drop_chunk(&chunk.digest);
                 return None;
             }
             Err(_) => {
-                // Unreadable now, perhaps not for ever: the file stays until the next start, the chunk is fetched.
-                bump(&self.counts.misses);
-                self.shelf.borrow_mut().unpin_all(&chunk.digest);
+                // The error may be temporary: the file stays for the next start, and the chunk is fetched again.
+                increment(&self.counts.misses);
+                self.eviction.borrow_mut().unpin_all(&chunk.digest);
                 self.unreadable.borrow_mut().insert(chunk.digest);
                 return None;
             }
         };
-        bump(&self.counts.hits);
-        self.shelf.borrow_mut().used(&chunk.digest);
+        increment(&self.counts.hits);
+        self.eviction.borrow_mut().touch(&chunk.digest);
         Some(bytes)
     }
 
-    /// Keeps a chunk if it can. False: it could not; the caller uses its bytes all the same.
+    /// Caches a chunk. Returns false if it could not be cached; the caller can still use its bytes.
     pub fn put(
         &self,
         chunk: &Chunk,
@@ -238,90 +245,90 @@
         sharers: u32,
     ) -> Result<bool, cut::ChunkError> {
         cut::verify(chunk, bytes)?;
-        let kept = Kept {
+        let cached = CachedChunk {
             bytes: chunk.stored_bytes,
             cost,
             sharers,
         };
-        if self.holds(&chunk.digest) {
-            self.shelf.borrow_mut().used(&chunk.digest);
+        if self.contains(&chunk.digest) {
+            self.eviction.borrow_mut().touch(&chunk.digest);
             return Ok(true);
         }
-        if !self.removes_leftovers() || !self.makes_room(chunk.digest, kept) {
-            bump(&self.counts.not_kept);
+        if !self.retry_removals() || !self.make_room(chunk.digest, cached) {
+            increment(&self.counts.not_cached);
             return Ok(false);
         }
-        if self.write(&chunk.digest, bytes).is_err() {
-            // Whether it was renamed is not known: what a failed sync leaves there goes as well.
+        if self.write_chunk(&chunk.digest, bytes).is_err() {
+            // The rename may have happened before the sync failed, so the final file is removed too.
             self.drop_chunk(&chunk.digest);
-            bump(&self.counts.not_kept);
+            increment(&self.counts.not_cached);
             return Ok(false);
         }
         self.unreadable.borrow_mut().remove(&chunk.digest);
-        let line = (kept.bytes, kept.cost, kept.sharers);
-        self.write_index(|table| table.insert(chunk.digest.bytes(), line).map(|_| ()));
+        let record = (cached.bytes, cached.cost, cached.sharers);
+        self.write_index(|table| table.insert(chunk.digest.bytes(), record).map(|_| ()));
         Ok(true)
     }
 
-    /// Writes a chunk's file, whole or not at all.
-    fn write(&self, digest: &Digest, bytes: &[u8]) -> io::Result<()> {
-        self.parts.set(self.parts.get() + 1);
+    /// Writes the file of a chunk atomically.
+    fn write_chunk(&self, digest: &Digest, bytes: &[u8]) -> io::Result<()> {
+        self.part_count.set(self.part_count.get() + 1);
         let part = self
             .folder
             .join("chunks")
-            .join(format!("{}.part", self.parts.get()));
+            .join(format!("{}.part", self.part_count.get()));
         let written = self.disk.write_new(&part, bytes);
         let renamed = written.and_then(|()| self.disk.rename(&part, &self.path(digest)));
         if renamed.is_err() {
-            self.discard(part);
+            self.remove_file(part);
         }
         renamed
     }
 
-    /// Evicts what has to go for this chunk. False: it can't be kept.
-    fn makes_room(&self, digest: Digest, kept: Kept) -> bool {
-        let room = self.shelf.borrow_mut().admit(digest, kept);
-        let Some(gone) = room else { return false };
-        for digest in &gone {
-            bump(&self.counts.evicted);
+    /// Evicts chunks to make room for this one. Returns false if it can't be cached.
+    fn make_room(&self, digest: Digest, cached: CachedChunk) -> bool {
+        let room = self.eviction.borrow_mut().admit(digest, cached);
+        let Some(evicted) = room else { return false };
+        for digest in &evicted {
+            increment(&self.counts.evicted);
             self.unreadable.borrow_mut().remove(digest);
-            self.discard(self.path(digest));
+            self.remove_file(self.path(digest));
         }
-        self.forget(&gone);
-        let is_free = self.unremoved.borrow().is_empty();
-        if !is_free && !self.unreadable.borrow().contains(&digest) {
-            self.shelf.borrow_mut().remove(&digest);
+        self.remove_index_entries(&evicted);
+        let has_room = self.pending_removals.borrow().is_empty();
+        if !has_room && !self.unreadable.borrow().contains(&digest) {
+            self.eviction.borrow_mut().remove(&digest);
         }
-        is_free
+        has_room
     }
 
-    /// Removes a file, now or later.
-    fn discard(&self, file: PathBuf) {
+    /// Removes a file, or records it for another attempt.
+    fn remove_file(&self, file: PathBuf) {
         if self.disk.remove(&file).is_err() {
-            self.unremoved.borrow_mut().insert(file);
+            self.pending_removals.borrow_mut().insert(file);
         }
     }
 
-    /// Tries again to remove what could not be removed. False: some of it is still there.
-    fn removes_leftovers(&self) -> bool {
-        let mut unremoved = self.unremoved.borrow_mut();
-        while let Some(file) = unremoved.first().cloned() {
+    /// Retries pending removals. Returns false if files remain.
+    fn retry_removals(&self) -> bool {
+        let mut pending_removals = self.pending_removals.borrow_mut();
+        while let Some(file) = pending_removals.first().cloned() {
             if self.disk.remove(&file).is_err() {
                 return false;
             }
-            unremoved.remove(&file);
+            pending_removals.remove(&file);
         }
         true
     }
 
     fn drop_chunk(&self, digest: &Digest) {
-        self.shelf.borrow_mut().remove(digest);
+        self.eviction.borrow_mut().remove(digest);
         self.unreadable.borrow_mut().remove(digest);
-        self.discard(self.path(digest));
-        self.forget(&[*digest]);
+        self.remove_file(self.path(digest));
+        self.remove_index_entries(&[*digest]);
     }
 
-    fn forget(&self, digests: &[Digest]) {
+    fn remove_index_entries(&self, digests: &[Digest]) {
         if !digests.is_empty() {
             self.write_index(|table| {
                 digests
@@ -331,7 +338,8 @@
         }
     }
 
-    /// An index that can't be written is given up for this life: the files are the truth.
+    /// Applies a change to the index. After an error the index is not used until the next start: the files are
+    /// authoritative.
     fn write_index(
         &self,
         change: impl FnOnce(
@@ -339,10 +347,12 @@
         ) -> Result<(), redb::StorageError>,
     ) {
         let mut index = self.index.borrow_mut();
-        let Some(db) = index.as_ref() else { return };
+        let Some(database) = index.as_ref() else {
+            return;
+        };
         let written = (|| -> Result<(), redb::Error> {
-            let mut txn = db.begin_write()?;
-            // The line is a hint: it need not be on disk before the next one is.
+            let mut txn = database.begin_write()?;
+            // Index entries are hints and need no sync of their own.
             txn.set_durability(redb::Durability::None)?;
             change(&mut txn.open_table(CHUNKS)?)?;
             txn.commit()?;
@@ -353,11 +363,13 @@
         }
     }
 
-    /// Brings the index to disk. Losing it costs only what it knew of costs.
+    /// Syncs the index to disk. If it is lost, only the refetch costs are.
     pub fn sync(&self) {
         let mut index = self.index.borrow_mut();
-        let Some(db) = index.as_ref() else { return };
-        let synced = db
+        let Some(database) = index.as_ref() else {
+            return;
+        };
+        let synced = database
             .begin_write()
             .map_err(redb::Error::from)
             .and_then(|t| Ok(t.commit()?));
@@ -367,20 +379,20 @@
     }
 }
 
-fn bump(count: &Cell<u64>) {
+fn increment(count: &Cell<u64>) {
     count.set(count.get() + 1);
 }
 
-fn read_index(db: &Database) -> Result<BTreeMap<Digest, Kept>, redb::Error> {
-    let txn = db.begin_read()?;
+fn read_index(database: &Database) -> Result<BTreeMap<Digest, CachedChunk>, redb::Error> {
+    let txn = database.begin_read()?;
     let table = match txn.open_table(CHUNKS) {
         Err(redb::TableError::TableDoesNotExist(_)) => return Ok(BTreeMap::new()),
         table => table?,
     };
     let mut all = BTreeMap::new();
-    for line in table.iter()? {
-        let (digest, kept) = line?;
-        let (bytes, cost, sharers) = kept.value();
+    for record in table.iter()? {
+        let (digest, cached) = record?;
+        let (bytes, cost, sharers) = cached.value();
         let cost = if cost.is_finite() {
             cost.clamp(0.1, 1e3)
         } else {
@@ -388,7 +400,7 @@
         };
         all.insert(
             Digest::from_bytes(*digest.value()),
-            Kept {
+            CachedChunk {
                 bytes,
                 cost,
                 sharers,
--- a/crates/layers/src/layout.rs
+++ b/crates/layers/src/layout.rs
@@ -1,4 +1,4 @@
-//! A folder of packed models: an OCI image layout, which any tool that speaks it can push.
+//! A folder of packed models: an OCI image layout, which standard tools can push to a registry.
 
 use crate::cut::{self, ChunkError};
 use crate::manifest::{EMPTY_CONFIG, MANIFEST_TYPE, Manifest};
@@ -11,19 +11,20 @@
 use std::io::{self, BufReader, Read, Write};
 use std::path::{Path, PathBuf};
 
-/// Says that a folder is a layout, and of which version.
-const MARKER: &str = "oci-layout";
-const MARKER_CONTENT: &[u8] = br#"{"imageLayoutVersion":"1.0.0"}"#;
-const REF_NAME: &str = "org.opencontainers.image.ref.name";
+/// The file that marks a folder as an image layout and states its version.
+const LAYOUT_FILE: &str = "oci-layout";
+const LAYOUT_FILE_CONTENT: &[u8] = br#"{"imageLayoutVersion":"1.0.0"}"#;
+const REF_NAME_ANNOTATION: &str = "org.opencontainers.image.ref.name";
 
+/// Why a folder of models can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum LayoutError {
     #[error("{path}: {why}")]
     File { path: PathBuf, why: io::Error },
     #[error("{path}: {why}")]
-    Shape { path: PathBuf, why: String },
+    Malformed { path: PathBuf, why: String },
     #[error("no model is tagged '{tag}'; there are {known}")]
-    Tag { tag: String, known: String },
+    UnknownTag { tag: String, known: String },
     #[error("{0}")]
     Manifest(#[from] crate::manifest::ManifestError),
 }
@@ -45,17 +46,17 @@
     annotations: BTreeMap<String, String>,
 }
 
-/// What a check of the whole folder found.
+/// Result of verifying a whole folder.
 #[derive(Debug, Default)]
 pub struct VerifyReport {
     pub models: usize,
     pub chunks: usize,
     pub bytes: u64,
-    /// What is wrong, each with its place.
+    /// Each problem, with its tag and path.
     pub problems: Vec<String>,
 }
 
-/// How two models lie to each other, in stored bytes.
+/// Shared and differing stored bytes of two models.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Diff {
     pub shared_bytes: u64,
@@ -63,23 +64,24 @@
     pub only_second_bytes: u64,
 }
 
+/// An open folder of packed models.
 pub struct Layout {
     folder: PathBuf,
 }
 
 impl Layout {
-    /// Opens a folder, or makes one.
+    /// Opens a folder, and creates it if missing.
     pub fn open(folder: &Path) -> Result<Self, LayoutError> {
         let layout = Self {
             folder: folder.to_owned(),
         };
-        let marker = folder.join(MARKER);
-        // A kill in an earlier version may have left a part of it.
+        let marker = folder.join(LAYOUT_FILE);
+        // Earlier versions did not write the file atomically: a kill may have left it incomplete.
         let is_whole = |found: Vec<u8>| serde_json::from_slice::<IgnoredAny>(&found).is_ok();
         if !fs::read(&marker).is_ok_and(is_whole) {
-            let made = fs::create_dir_all(layout.blobs())
-                .and_then(|()| file::write_atomically(&marker, MARKER_CONTENT));
-            made.map_err(|why| LayoutError::File { path: marker, why })?;
+            let created = fs::create_dir_all(layout.blobs())
+                .and_then(|()| file::write_atomically(&marker, LAYOUT_FILE_CONTENT));
+            created.map_err(|why| LayoutError::File { path: marker, why })?;
         }
         Ok(layout)
     }
@@ -88,15 +90,15 @@
         self.folder.join("blobs").join("sha256")
     }
 
-    /// Where a blob lies. Made of a parsed digest alone, so no manifest can name a path elsewhere.
+    /// The path of a blob. Built from a parsed digest only, so a manifest can't name a path outside the folder.
     pub fn path(&self, digest: &Digest) -> PathBuf {
         self.blobs().join(digest.hex())
     }
 
     fn put_blob(&self, digest: &Digest, bytes: &[u8]) -> io::Result<()> {
         let path = self.path(digest);
-        let there = fs::metadata(&path).is_ok_and(|m| m.len() == bytes.len() as u64);
-        if there {
+        let is_stored = fs::metadata(&path).is_ok_and(|m| m.len() == bytes.len() as u64);
+        if is_stored {
             Ok(())
         } else {
             file::write_atomically(&path, bytes)
@@ -106,7 +108,7 @@
     fn index(&self) -> Result<Index, LayoutError> {
         let path = self.folder.join("index.json");
         match fs::read(&path) {
-            Ok(bytes) => serde_json::from_slice(&bytes).map_err(|e| LayoutError::Shape {
+            Ok(bytes) => serde_json::from_slice(&bytes).map_err(|e| LayoutError::Malformed {
                 path,
                 why: e.to_string(),
             }),
@@ -118,30 +120,32 @@
         }
     }
 
-    /// Packs a model's file under a tag, which moves if it was there.
+    /// Packs a model file under a tag. An existing tag is moved.
     pub fn pack(&self, model: &Path, tag: &str) -> Result<Manifest, LayoutError> {
-        let file = |why| LayoutError::File {
+        let file_error = |why| LayoutError::File {
             path: model.to_owned(),
             why,
         };
-        let reader = BufReader::with_capacity(1 << 20, File::open(model).map_err(file)?);
+        let reader = BufReader::with_capacity(1 << 20, File::open(model).map_err(file_error)?);
         let manifest = cut::pack(reader, |chunk, stored| self.put_blob(&chunk.digest, stored))
-            .map_err(file)?;
+            .map_err(file_error)?;
         let bytes = manifest.to_json();
         let digest = Digest::of(&bytes);
         let mut index = self.index()?;
-        index
-            .manifests
-            .retain(|e| e.annotations.get(REF_NAME).is_none_or(|t| t != tag));
+        index.manifests.retain(|e| {
+            e.annotations
+                .get(REF_NAME_ANNOTATION)
+                .is_none_or(|t| t != tag)
+        });
         index.manifests.push(Entry {
             media_type: MANIFEST_TYPE.into(),
             digest,
             size: bytes.len() as u64,
-            annotations: BTreeMap::from([(REF_NAME.to_owned(), tag.to_owned())]),
+            annotations: BTreeMap::from([(REF_NAME_ANNOTATION.to_owned(), tag.to_owned())]),
         });
         let path = self.folder.join("index.json");
         let written = serde_json::to_vec(&index).expect("an index is JSON");
-        // The index last: what it names is there.
+        // The index is written last, so that the blobs that it names exist.
         self.put_blob(&Digest::of(EMPTY_CONFIG), EMPTY_CONFIG)
             .and_then(|()| self.put_blob(&digest, &bytes))
             .and_then(|()| file::write_atomically(&path, &written))
@@ -149,16 +153,17 @@
         Ok(manifest)
     }
 
+    /// The tagged models and the digests of their manifests.
     pub fn tags(&self) -> Result<BTreeMap<String, Digest>, LayoutError> {
         let index = self.index()?;
         Ok(index
             .manifests
             .iter()
-            .filter_map(|e| Some((e.annotations.get(REF_NAME)?.clone(), e.digest)))
+            .filter_map(|e| Some((e.annotations.get(REF_NAME_ANNOTATION)?.clone(), e.digest)))
             .collect())
     }
 
-    /// The manifest under a tag, its digest checked.
+    /// Reads the manifest of a tag and verifies its digest.
     pub fn manifest(&self, tag: &str) -> Result<(Digest, Manifest), LayoutError> {
         let tags = self.tags()?;
         let known = || {
@@ -167,7 +172,7 @@
                 .collect::<Vec<_>>()
                 .join(", ")
         };
-        let digest = *tags.get(tag).ok_or_else(|| LayoutError::Tag {
+        let digest = *tags.get(tag).ok_or_else(|| LayoutError::UnknownTag {
             tag: tag.into(),
             known: known(),
         })?;
@@ -177,36 +182,36 @@
             why,
         })?;
         if Digest::of(&bytes) != digest {
-            return Err(LayoutError::Shape {
+            return Err(LayoutError::Malformed {
                 path,
-                why: "its bytes do not have this digest".into(),
+                why: "content does not match the digest".into(),
             });
         }
         Ok((digest, Manifest::from_json(&bytes)?))
     }
 
-    fn stored(&self, chunk: &Chunk) -> Result<Vec<u8>, String> {
+    fn read_stored(&self, chunk: &Chunk) -> Result<Vec<u8>, String> {
         let path = self.path(&chunk.digest);
         let mut bytes = Vec::new();
-        // One byte more than stated tells of a longer file without reading all of it.
+        // One byte more than stated is enough to detect a longer file without reading all of it.
         let read =
             File::open(&path).and_then(|f| f.take(chunk.stored_bytes + 1).read_to_end(&mut bytes));
         read.map_err(|e| format!("{}: {e}", path.display()))?;
         Ok(bytes)
     }
 
-    /// Puts a model together again.
+    /// Unpacks a model to `to`.
     pub fn unpack(&self, tag: &str, to: &mut impl Write) -> Result<(), LayoutError> {
         let (_, manifest) = self.manifest(tag)?;
         for chunk in &manifest.chunks {
             let path = self.path(&chunk.digest);
-            let shape = |why| LayoutError::Shape {
+            let malformed = |why| LayoutError::Malformed {
                 path: path.clone(),
                 why,
             };
-            let stored = self.stored(chunk).map_err(shape)?;
+            let stored = self.read_stored(chunk).map_err(malformed)?;
             let bytes =
-                cut::unpack(chunk, &stored).map_err(|e: ChunkError| shape(e.to_string()))?;
+                cut::unpack(chunk, &stored).map_err(|e: ChunkError| malformed(e.to_string()))?;
             to.write_all(&bytes).map_err(|why| LayoutError::File {
                 path: path.clone(),
                 why,
@@ -215,7 +220,7 @@
         Ok(())
     }
 
-    /// PollTimes at every byte that a tag leads to.
+    /// Verifies every manifest and chunk that a tag refers to.
     pub fn verify(&self) -> Result<VerifyReport, LayoutError> {
         let (mut checked, mut seen) = (VerifyReport::default(), BTreeSet::new());
         for tag in self.tags()?.keys() {
@@ -230,19 +235,20 @@
             for chunk in manifest.chunks.iter().filter(|c| seen.insert(c.digest)) {
                 checked.chunks += 1;
                 checked.bytes += chunk.stored_bytes;
-                let fine = self
-                    .stored(chunk)
+                let result = self
+                    .read_stored(chunk)
                     .and_then(|s| cut::unpack(chunk, &s).map_err(|e| e.to_string()));
                 checked
                     .problems
-                    .extend(fine.err().map(|e| format!("{tag}: {e}")));
+                    .extend(result.err().map(|e| format!("{tag}: {e}")));
             }
         }
         Ok(checked)
     }
 
+    /// Compares the chunks of two models.
     pub fn diff(&self, first: &str, second: &str) -> Result<Diff, LayoutError> {
-        let of = |tag| -> Result<BTreeMap<Digest, u64>, LayoutError> {
+        let chunk_sizes = |tag| -> Result<BTreeMap<Digest, u64>, LayoutError> {
             Ok(self
                 .manifest(tag)?
                 .1
@@ -251,17 +257,18 @@
                 .map(|c| (c.digest, c.stored_bytes))
                 .collect())
         };
-        let (a, b) = (of(first)?, of(second)?);
-        let sum = |of: &BTreeMap<Digest, u64>, shared: bool, other: &BTreeMap<Digest, u64>| {
-            of.iter()
+        let (first, second) = (chunk_sizes(first)?, chunk_sizes(second)?);
+        let sum = |sizes: &BTreeMap<Digest, u64>, shared: bool, other: &BTreeMap<Digest, u64>| {
+            sizes
+                .iter()
                 .filter(|(d, _)| other.contains_key(d) == shared)
                 .map(|(_, n)| n)
                 .sum()
         };
         Ok(Diff {
-            shared_bytes: sum(&a, true, &b),
-            only_first_bytes: sum(&a, false, &b),
-            only_second_bytes: sum(&b, false, &a),
+            shared_bytes: sum(&first, true, &second),
+            only_first_bytes: sum(&first, false, &second),
+            only_second_bytes: sum(&second, false, &first),
         })
     }
 }
--- a/crates/layers/src/plan/mod.rs
+++ b/crates/layers/src/plan/mod.rs
@@ -1,7 +1,7 @@
-//! Who is home to a chunk, whom to ask for it, how much at once, when again, and what to serve to others.
+//! Decisions of an agent: the homes of a chunk, sources, concurrency limits, retries, uploads and eviction.
 //!
-//! No I/O and no clock: times come in as tenths of a millisecond, asks go out, their ends are told. Each invoker decides
-//! for itself from the list it has; lists differ and lag, and nothing here needs them to agree.
+//! No I/O and no clock: the caller passes times in tenths of a millisecond, sends the returned requests and reports their
+//! outcomes. Each invoker decides from its own endpoint list; lists may differ or lag, and need not agree.
 
 mod evict;
 mod fetch;
@@ -10,9 +10,9 @@
 mod serve;
 mod suspect;
 
-pub use evict::{Kept, STORE_OVER_PEER, Shelf};
-pub use fetch::{Ask, Ended, Fetcher, LoadId, Need, Next, Source};
-pub use homes::{HOMES, Member, homes};
-pub use limit::Limit;
-pub use serve::{Serving, Verdict};
-pub use suspect::Suspects;
+pub use evict::{CachedChunk, EvictionPolicy, STORE_COST_FACTOR};
+pub use fetch::{FetchActions, FetchOutcome, FetchRequest, Fetcher, LoadId, MissingChunk, Source};
+pub use homes::{HOMES_PER_CHUNK, Member, homes};
+pub use limit::ConcurrencyLimit;
+pub use serve::{UploadDecision, UploadScheduler};
+pub use suspect::SuspectSources;
--- a/crates/layers/tests/cache.rs
+++ b/crates/layers/tests/cache.rs
@@ -1,4 +1,4 @@
-//! The cache killed at each of its writes, on a full disk, with files that change under it.
+//! The cache when killed at each of its writes, on full and failing disks, and with files that change on disk.
 
 use redb::backends::FileBackend;
 use redb::{Database, StorageBackend};
@@ -12,50 +12,51 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicI64, Ordering::SeqCst};
 
-/// After so many writes everything fails, and the last one is done by half: what a kill, or power, leaves behind.
+/// A disk that fails every write after the first `remaining_writes`, and writes only half of the last one, as a kill or a
+/// power cut does.
 #[derive(Clone, Debug)]
-struct Dying {
-    left: Arc<AtomicI64>,
+struct FailingAfter {
+    remaining_writes: Arc<AtomicI64>,
 }
 
-impl Dying {
+impl FailingAfter {
     /// Writes left, this one included.
     fn next(&self) -> i64 {
-        self.left.fetch_sub(1, SeqCst)
+        self.remaining_writes.fetch_sub(1, SeqCst)
     }
 
-    fn gone() -> io::Error {
+    fn killed() -> io::Error {
         io::Error::other("killed")
     }
 
-    fn whole(&self, then: impl FnOnce() -> io::Result<()>) -> io::Result<()> {
+    fn fail_if_spent(&self, operation: impl FnOnce() -> io::Result<()>) -> io::Result<()> {
         if self.next() > 0 {
-            then()
+            operation()
         } else {
-            Err(Self::gone())
+            Err(Self::killed())
         }
     }
 }
 
-impl Disk for Dying {
+impl Disk for FailingAfter {
     fn create_dir_all(&self, path: &Path) -> io::Result<()> {
         RealDisk.create_dir_all(path)
     }
     fn write_new(&self, path: &Path, bytes: &[u8]) -> io::Result<()> {
         match self.next() {
             2.. => RealDisk.write_new(path, bytes),
-            1 => fs::write(path, &bytes[..bytes.len() / 2]).and(Err(Self::gone())),
-            _ => Err(Self::gone()),
+            1 => fs::write(path, &bytes[..bytes.len() / 2]).and(Err(Self::killed())),
+            _ => Err(Self::killed()),
         }
     }
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()> {
-        self.whole(|| RealDisk.rename(from, to))
+        self.fail_if_spent(|| RealDisk.rename(from, to))
     }
     fn remove(&self, path: &Path) -> io::Result<()> {
-        self.whole(|| RealDisk.remove(path))
+        self.fail_if_spent(|| RealDisk.remove(path))
     }
-    fn read(&self, path: &Path, most: u64) -> io::Result<Vec<u8>> {
-        RealDisk.read(path, most)
+    fn read(&self, path: &Path, max_bytes: u64) -> io::Result<Vec<u8>> {
+        RealDisk.read(path, max_bytes)
     }
     fn list(&self, path: &Path) -> io::Result<Vec<(String, u64)>> {
         RealDisk.list(path)
@@ -68,20 +69,20 @@
             .truncate(false)
             .open(path)?;
         let file = FileBackend::new(file)?;
-        Database::builder().create_with_backend(DyingIndex {
+        Database::builder().create_with_backend(FailingIndex {
             file,
-            dying: self.clone(),
+            disk: self.clone(),
         })
     }
 }
 
 #[derive(Debug)]
-struct DyingIndex {
+struct FailingIndex {
     file: FileBackend,
-    dying: Dying,
+    disk: FailingAfter,
 }
 
-impl StorageBackend for DyingIndex {
+impl StorageBackend for FailingIndex {
     fn len(&self) -> Result<u64, io::Error> {
         self.file.len()
     }
@@ -89,27 +90,27 @@
         self.file.read(offset, out)
     }
     fn set_len(&self, len: u64) -> Result<(), io::Error> {
-        if self.dying.next() > 0 {
+        if self.disk.next() > 0 {
             self.file.set_len(len)
         } else {
-            Err(Dying::gone())
+            Err(FailingAfter::killed())
         }
     }
     fn sync_data(&self) -> Result<(), io::Error> {
-        if self.dying.next() > 0 {
+        if self.disk.next() > 0 {
             self.file.sync_data()
         } else {
-            Err(Dying::gone())
+            Err(FailingAfter::killed())
         }
     }
     fn write(&self, offset: u64, data: &[u8]) -> Result<(), io::Error> {
-        match self.dying.next() {
+        match self.disk.next() {
             2.. => self.file.write(offset, data),
             1 => self
                 .file
                 .write(offset, &data[..data.len() / 2])
-                .and(Err(Dying::gone())),
-            _ => Err(Dying::gone()),
+                .and(Err(FailingAfter::killed())),
+            _ => Err(FailingAfter::killed()),
         }
     }
 }
@@ -130,66 +131,67 @@
     )
 }
 
-/// A day in a cache's life: twelve chunks through a cache that holds eight, some read again. Gives those kept and said so.
-fn live(cache: &Cache) -> Vec<u32> {
-    let mut kept = Vec::new();
+/// Puts twelve chunks into a cache with room for eight and reads some again. Returns the chunks reported as cached that
+/// are still there.
+fn exercise(cache: &Cache) -> Vec<u32> {
+    let mut cached = Vec::new();
     for n in 0..12 {
         let (c, bytes) = chunk(n);
         if cache.put(&c, &bytes, 1.0, 1).unwrap() {
-            kept.push(n);
+            cached.push(n);
         }
         if n % 3 == 0 {
             cache.get(&chunk(n / 2).0);
             cache.sync();
         }
     }
-    kept.retain(|n| cache.holds(&chunk(*n).0.digest));
-    kept
+    cached.retain(|n| cache.contains(&chunk(*n).0.digest));
+    cached
 }
 
-const MOST: u64 = 8 * 2_100;
+const MAX_BYTES: u64 = 8 * 2_100;
 
 #[test]
-fn killed_at_any_write_it_comes_back_with_what_was_whole() {
+fn cache_reopens_with_all_complete_chunks_after_a_kill_at_any_write() {
     let mut survived = 0;
     for killed_at in 0.. {
         let folder = tempfile::tempdir().unwrap();
-        let dying = Dying {
-            left: Arc::new(AtomicI64::new(killed_at)),
+        let disk = FailingAfter {
+            remaining_writes: Arc::new(AtomicI64::new(killed_at)),
         };
-        let kept = Cache::open(folder.path(), MOST, Rc::new(dying.clone()))
-            .map(|c| live(&c))
+        let cached = Cache::open(folder.path(), MAX_BYTES, Rc::new(disk.clone()))
+            .map(|c| exercise(&c))
             .unwrap_or_default();
-        let done = dying.left.load(SeqCst) > 0;
-        let back = Cache::open(folder.path(), MOST, Rc::new(RealDisk)).unwrap();
-        assert!(back.bytes() <= MOST);
-        let parts = fs::read_dir(folder.path().join("chunks")).unwrap();
+        let done = disk.remaining_writes.load(SeqCst) > 0;
+        let reopened = Cache::open(folder.path(), MAX_BYTES, Rc::new(RealDisk)).unwrap();
+        assert!(reopened.bytes() <= MAX_BYTES);
+        let files = fs::read_dir(folder.path().join("chunks")).unwrap();
         assert_eq!(
-            parts.count(),
-            back.digests().len(),
-            "killed at {killed_at}: nothing half-written is left"
+            files.count(),
+            reopened.digests().len(),
+            "killed at {killed_at}: a partial file is left"
         );
         for n in 0..12 {
             let (c, bytes) = chunk(n);
-            let held = back.holds(&c.digest);
-            let got = back.get(&c);
+            let is_cached = reopened.contains(&c.digest);
+            let read = reopened.get(&c);
             assert!(
-                got.as_ref().is_none_or(|g| *g == bytes),
+                read.as_ref().is_none_or(|g| *g == bytes),
                 "killed at {killed_at}: an altered chunk was served"
             );
             assert!(
-                !kept.contains(&n) || got.is_some(),
-                "killed at {killed_at}: chunk {n} was kept and is gone"
+                !cached.contains(&n) || read.is_some(),
+                "killed at {killed_at}: chunk {n} was cached and is lost"
             );
             assert!(
-                !held || got.is_some(),
-                "killed at {killed_at}: {n} is said to be here and is not whole"
+                !is_cached || read.is_some(),
+                "killed at {killed_at}: chunk {n} is reported as cached and is not readable"
             );
-            survived += u32::from(got.is_some());
+            survived += u32::from(read.is_some());
         }
-        // It goes on as if nothing had been.
-        let again = live(&back);
-        assert!(again.len() >= 7, "{again:?}");
+        // The reopened cache works as usual.
+        let cached_again = exercise(&reopened);
+        assert!(cached_again.len() >= 7, "{cached_again:?}");
         if done {
             assert!(killed_at > 60, "{killed_at} writes");
             break;
@@ -199,22 +201,22 @@
 }
 
 #[test]
-fn what_changed_on_disk_is_never_served_and_is_fetched_again() {
+fn chunks_changed_on_disk_are_dropped_and_can_be_cached_again() {
     let folder = tempfile::tempdir().unwrap();
-    let cache = Cache::open(folder.path(), MOST, Rc::new(RealDisk)).unwrap();
+    let cache = Cache::open(folder.path(), MAX_BYTES, Rc::new(RealDisk)).unwrap();
     for n in 0..4 {
         let (c, bytes) = chunk(n);
         assert_eq!(cache.put(&c, &bytes, 8.0, 1), Ok(true));
     }
     let path = |n| folder.path().join("chunks").join(chunk(n).0.digest.hex());
-    let mut bent = fs::read(path(0)).unwrap();
-    bent[77] ^= 4;
-    fs::write(path(0), &bent).unwrap();
-    fs::write(path(1), &bent[..100]).unwrap();
+    let mut corrupted = fs::read(path(0)).unwrap();
+    corrupted[77] ^= 4;
+    fs::write(path(0), &corrupted).unwrap();
+    fs::write(path(1), &corrupted[..100]).unwrap();
     fs::remove_file(path(2)).unwrap();
     for n in 0..3 {
         assert_eq!(cache.get(&chunk(n).0), None, "{n}");
-        assert!(!cache.holds(&chunk(n).0.digest));
+        assert!(!cache.contains(&chunk(n).0.digest));
     }
     assert_eq!(
         (cache.counts.damaged.get(), cache.counts.misses.get()),
@@ -223,25 +225,25 @@
     assert!(cache.get(&chunk(3).0).is_some());
     let (c, bytes) = chunk(0);
     assert!(
-        cache.put(&c, &bent, 1.0, 1).is_err(),
-        "damaged bytes are not taken in either"
+        cache.put(&c, &corrupted, 1.0, 1).is_err(),
+        "corrupt bytes are not cached"
     );
     assert_eq!(cache.put(&c, &bytes, 1.0, 1), Ok(true));
-    // An index full of nonsense is made anew; the files are the truth.
+    // An unreadable index is rebuilt from the files.
     drop(cache);
     fs::write(
         folder.path().join("index.redb"),
         b"nonsense, and more of it",
     )
     .unwrap();
-    let cache = Cache::open(folder.path(), MOST, Rc::new(RealDisk)).unwrap();
+    let cache = Cache::open(folder.path(), MAX_BYTES, Rc::new(RealDisk)).unwrap();
     assert_eq!(cache.counts.index_rebuilt.get(), 1);
     assert!(cache.get(&chunk(0).0).is_some() && cache.get(&chunk(3).0).is_some());
 }
 
-struct Full;
+struct FullDisk;
 
-impl Disk for Full {
+impl Disk for FullDisk {
     fn create_dir_all(&self, path: &Path) -> io::Result<()> {
         RealDisk.create_dir_all(path)
     }
@@ -266,46 +268,46 @@
 }
 
 #[test]
-fn a_full_or_unreadable_disk_costs_fetches_and_nothing_else() {
+fn full_or_unreadable_disk_only_causes_cache_misses() {
     let folder = tempfile::tempdir().unwrap();
     let (c, bytes) = chunk(1);
-    Cache::open(folder.path(), MOST, Rc::new(RealDisk))
+    Cache::open(folder.path(), MAX_BYTES, Rc::new(RealDisk))
         .unwrap()
         .put(&c, &bytes, 1.0, 1)
         .unwrap();
-    let cache = Cache::open(folder.path(), MOST, Rc::new(Full)).unwrap();
+    let cache = Cache::open(folder.path(), MAX_BYTES, Rc::new(FullDisk)).unwrap();
     assert_eq!(cache.get(&c), None);
     let (other, bytes) = chunk(2);
     assert_eq!(cache.put(&other, &bytes, 1.0, 1), Ok(false));
-    assert!(!cache.holds(&other.digest) && cache.counts.not_kept.get() == 1);
-    let cache = Cache::open(folder.path(), MOST, Rc::new(RealDisk)).unwrap();
+    assert!(!cache.contains(&other.digest) && cache.counts.not_cached.get() == 1);
+    let cache = Cache::open(folder.path(), MAX_BYTES, Rc::new(RealDisk)).unwrap();
     assert!(
         cache.get(&c).is_some(),
-        "it was only unreadable for a while"
+        "a temporary read error loses no chunk"
     );
     assert_eq!(cache.digests().len(), 1);
 }
 
-/// While it fails, nothing is brought to disk, and nothing can be removed: EIO for a while.
+/// A disk on which syncs, reads and removals fail with EIO while its flag is set.
 #[derive(Clone, Default)]
-struct Failing(Rc<Cell<bool>>);
+struct FlakyDisk(Rc<Cell<bool>>);
 
-impl Failing {
-    fn or(&self, then: impl FnOnce() -> io::Result<()>) -> io::Result<()> {
+impl FlakyDisk {
+    fn or(&self, operation: impl FnOnce() -> io::Result<()>) -> io::Result<()> {
         if self.0.get() {
             Err(io::Error::from_raw_os_error(5))
         } else {
-            then()
+            operation()
         }
     }
 }
 
-impl Disk for Failing {
+impl Disk for FlakyDisk {
     fn create_dir_all(&self, path: &Path) -> io::Result<()> {
         RealDisk.create_dir_all(path)
     }
     fn write_new(&self, path: &Path, bytes: &[u8]) -> io::Result<()> {
-        // As the machine does it: what was written is there, and its sync fails.
+        // As on a real disk: the file is written and its sync fails.
         fs::write(path, bytes)?;
         self.or(|| Ok(()))
     }
@@ -316,9 +318,9 @@
     fn remove(&self, path: &Path) -> io::Result<()> {
         self.or(|| RealDisk.remove(path))
     }
-    fn read(&self, path: &Path, most: u64) -> io::Result<Vec<u8>> {
+    fn read(&self, path: &Path, max_bytes: u64) -> io::Result<Vec<u8>> {
         self.or(|| Ok(()))?;
-        RealDisk.read(path, most)
+        RealDisk.read(path, max_bytes)
     }
     fn list(&self, path: &Path) -> io::Result<Vec<(String, u64)>> {
         RealDisk.list(path)
@@ -336,11 +338,11 @@
 }
 
 #[test]
-fn a_disk_that_fails_a_while_never_makes_the_cache_outgrow_its_bound() {
+fn cache_stays_within_its_bound_while_the_disk_fails() {
     let folder = tempfile::tempdir().unwrap();
-    let disk = Failing::default();
-    let cache = Cache::open(folder.path(), MOST, Rc::new(disk.clone())).unwrap();
-    // Later ones are dearer, so that they are worth the place of those before.
+    let disk = FlakyDisk::default();
+    let cache = Cache::open(folder.path(), MAX_BYTES, Rc::new(disk.clone())).unwrap();
+    // Costs rise, so that each chunk may evict those before it.
     let put = |n: u32| {
         cache
             .put(&chunk(n).0, &chunk(n).1, f64::from(n + 1), 1)
@@ -349,36 +351,36 @@
     assert!((0..8).all(put));
     disk.0.set(true);
     for n in 0..40 {
-        assert!(!put(100 + n), "nothing is kept that may not be on disk");
+        assert!(!put(100 + n), "a chunk whose sync failed is not cached");
         cache.get(&chunk(n % 8).0);
     }
     let one = chunk(140).0.stored_bytes;
     assert!(
-        bytes_in(folder.path()) <= MOST + one,
-        "{} bytes of {MOST}",
+        bytes_in(folder.path()) <= MAX_BYTES + one,
+        "{} bytes of {MAX_BYTES}",
         bytes_in(folder.path())
     );
     disk.0.set(false);
     for n in 0..20 {
-        assert!(put(200 + n), "it keeps again");
+        assert!(put(200 + n), "chunks are cached again");
         assert!(cache.get(&chunk(200 + n).0).is_some());
     }
     assert!(
-        bytes_in(folder.path()) <= MOST,
-        "{} bytes of {MOST}",
+        bytes_in(folder.path()) <= MAX_BYTES,
+        "{} bytes of {MAX_BYTES}",
         bytes_in(folder.path())
     );
-    // What could not be read for a while is fetched and kept again, and evicted like any other.
+    // A chunk that was unreadable for a while can be cached again, and is evicted like any other.
     let (c, bytes) = chunk(219);
     disk.0.set(true);
-    assert!(cache.get(&c).is_none() && !cache.holds(&c.digest));
+    assert!(cache.get(&c).is_none() && !cache.contains(&c.digest));
     disk.0.set(false);
     assert_eq!(cache.put(&c, &bytes, 219.0, 1), Ok(true));
     assert!(cache.get(&c).is_some());
     assert!((300..320).all(put));
     assert!(
-        bytes_in(folder.path()) <= MOST,
-        "{} bytes of {MOST}",
+        bytes_in(folder.path()) <= MAX_BYTES,
+        "{} bytes of {MAX_BYTES}",
         bytes_in(folder.path())
     );
 }
