--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -43,13 +43,13 @@
     Unknown { model: String },
     #[error("model {model}: {why}")]
     Manifest { model: String, why: String },
-    #[error("model {model}: manifest could not be fetched from the store: {why}")]
+    #[error("model {model}: the store did not answer for its manifest: {why}")]
     Unreachable { model: String, why: String },
     #[error(
-        "model {model}: chunk {chunk} was corrupt in {MAX_CORRUPT_FETCHES} fetches from the store; no source has an intact copy"
+        "model {model}: chunk {chunk} came damaged from the store {MAX_CORRUPT_FETCHES} times, and whole from nobody"
     )]
     Corrupt { model: String, chunk: Digest },
-    #[error("model {model}: {0} bytes of chunks could not be cached: no space on disk", .bytes)]
+    #[error("model {model}: {0} bytes of its chunks could not be kept: no room on disk", .bytes)]
     NoRoom { model: String, bytes: u64 },
 }
 
