--- a/crates/fakes/src/disk.rs
+++ b/crates/fakes/src/disk.rs
@@ -1,4 +1,4 @@
-//! A disk that loses what was written last when the power goes.
+//! A disk that damages recently written files on a power loss.
 
 use saltdrum::interface::Ticks;
 use saltdrum_layers::cache::{Disk, RealDisk};
@@ -8,10 +8,10 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// What a torn write leaves is no longer than this behind its begin.
-const SECTOR: u64 = 4_096;
+/// Size of the block that a torn write leaves zeroed.
+const SECTOR_BYTES: u64 = 4_096;
 
-/// The machine's own disk, whose promise that bytes have reached it is a lie for a while.
+/// The machine's real disk, which reports writes as durable although a power loss may still damage recent ones.
 pub struct TearingDisk {
     disk: RealDisk,
     clock: Clock,
@@ -29,8 +29,8 @@
         }
     }
 
-    /// The power has gone at `at`, and nothing holds the files any more. Of what was written since `since`, each is
-    /// torn with a chance of `part`: cut short, a sector of it blank, or gone. Tells how many.
+    /// Simulates a power loss once no process has the files open. Each file written since `since`, and the index, is
+    /// torn with probability `part`: truncated, one sector zeroed, or removed. Returns the number of torn files.
     pub fn tear(&self, since: Ticks, part: f64, rng: &mut fastrand::Rng) -> io::Result<usize> {
         let written = std::mem::take(&mut *self.written.borrow_mut());
         let index = self.index.borrow().clone().map(|path| (Ticks::MAX, path));
@@ -48,8 +48,8 @@
                     .set_len(rng.u64(..=length.saturating_sub(1)))?,
                 _ => {
                     let mut bytes = fs::read(&path)?;
-                    let first = rng.u64(..=length.saturating_sub(1)) / SECTOR * SECTOR;
-                    let end = (first + SECTOR).min(length);
+                    let first = rng.u64(..=length.saturating_sub(1)) / SECTOR_BYTES * SECTOR_BYTES;
+                    let end = (first + SECTOR_BYTES).min(length);
                     bytes[first as usize..end as usize].fill(0);
                     fs::write(&path, bytes)?;
                 }
@@ -85,7 +85,7 @@
     }
 
     fn list(&self, path: &Path) -> io::Result<Vec<(String, u64)>> {
-        // By name: a folder lists its files in an order of its own.
+        // Sorted by name, because the order in which a real folder lists its files is not deterministic.
         let mut all = self.disk.list(path)?;
         all.sort_unstable();
         Ok(all)
--- a/crates/fakes/src/invoker.rs
+++ b/crates/fakes/src/invoker.rs
@@ -1,4 +1,4 @@
-//! An invoker: sockets round a [`Machine`], and the faults it can be told to show.
+//! A fake invoker: serves the invoker protocol with a [`Machine`], and injects faults.
 
 use crate::disk::TearingDisk;
 use crate::machine::{FunctionSpec, Job, JobSpec, Machine, MachineConfig, MachineHost, Order};
@@ -28,72 +28,72 @@
 use tokio::sync::Notify;
 use tokio::task::JoinSet;
 
-/// What an invoker is told to do wrong. The default is nothing.
+/// Faults that an invoker injects. The default injects none.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// Takes work and answers nothing, until it is over; then nothing of it is answered either.
+    /// Accepts work and sends no responses, not even afterwards for work that ended during the fault.
     pub hangs: bool,
-    /// Share of dispatches that are answered with an error at once.
+    /// Share of dispatches that get an immediate error.
     pub error_share: f64,
-    /// Share of answers that are lost on their way.
+    /// Share of responses that are not delivered.
     pub lost_response_share: f64,
     /// Reads nothing from its sockets.
     pub stops_reading: bool,
-    /// Nothing passes to or from these controllers.
+    /// Controllers from which nothing is read and to which nothing is sent.
     pub partitioned_from: Vec<u32>,
-    /// Of this tenant's dispatches, so many are refused for room.
+    /// A tenant, and the share of its dispatches that are rejected as if the invoker were full.
     pub rejects_tenant: Option<(String, f64)>,
-    /// Of dispatches of functions whose names begin so, this share ends badly at once.
+    /// A function name prefix, and the share of dispatches of these functions that get an immediate error.
     pub fails_functions: Option<(String, f64)>,
-    /// Load reports are so old.
+    /// Age of the load reports that are sent.
     pub load_report_delay: Ticks,
-    /// The next answers are sent by halves, and the link is closed after the half.
+    /// Sends half of each response frame and then closes the connection.
     pub half_frames: bool,
 }
 
-/// Tokens that invokers of one group know together.
+/// Time at which each idempotency token was first seen, by zone, cell and token. Shared by the invokers of a key scope.
 pub type SeenTokens = Rc<RefCell<BTreeMap<(u8, u16, String), Ticks>>>;
 
-/// What an invoker needs to be put up.
+/// Configuration of a fake invoker.
 pub struct InvokerConfig {
     pub terms: Rc<Terms>,
     pub stated: terms::Stated,
     pub network: Rc<dyn Network>,
-    /// Its own, by which it works.
+    /// The invoker's own clock, which may differ from the others'.
     pub clock: Clock,
-    /// The record's, which is the same for all.
+    /// The clock of the record, common to all fakes.
     pub record_clock: Clock,
     pub event_loop: EventLoopClock,
     pub record: Record,
-    /// A port 0 becomes a real one at the first start, and is kept.
+    /// A port 0 is replaced by the assigned port at the first start.
     pub address: RefCell<Address>,
     pub store: Option<Address>,
     pub tokens: SeenTokens,
     pub seed: u64,
-    /// Share of a load that is the fetch.
+    /// Share of the load time spent on the fetch.
     pub fetch_share: f64,
-    /// Functions beyond the terms are versions of this registry.
+    /// The registry that supplies versions of functions that the deployment does not list.
     pub registry_follow: Option<FollowConfig>,
-    /// Models come in chunks through an agent, in place of the plain store.
+    /// Fetches models in chunks through an agent instead of from the plain store.
     pub layers: Option<LayersConfig>,
 }
 
-/// Where an invoker's agent sits.
+/// Configuration of an invoker's agent and its cache.
 pub struct LayersConfig {
-    /// Outlives the process.
+    /// The cache folder, which outlives the process.
     pub folder: PathBuf,
     pub cache_bytes: u64,
     pub registry: Address,
-    /// A port 0 becomes a real one at the first start, and is kept.
+    /// A port 0 is replaced by the assigned port at the first start.
     pub agent_address: RefCell<Address>,
     pub disk: Rc<TearingDisk>,
-    /// By name, what each model is: copies are compared with it, whoever brought them.
+    /// The correct bytes of each model by name; assembled copies are compared with them.
     pub models: Rc<BTreeMap<String, Vec<u8>>>,
-    /// Brings models in place of the agent.
+    /// Fetches models in place of the agent, if set.
     pub fetch_model: Option<FetchModel>,
 }
 
-/// Where something that brings models finds the store, and where it may keep what it likes over its lives.
+/// Where a [`FetchModel`] function finds the store, and a folder that persists across restarts.
 pub struct ModelSource {
     pub network: Rc<dyn Network>,
     pub registry: Address,
@@ -101,7 +101,7 @@
     pub folder: PathBuf,
 }
 
-/// Brings the bytes of the model of this name; none where it could not be had.
+/// Fetches the bytes of the model of this name; `None` if that failed.
 pub type FetchModel = fn(ModelSource, String) -> Pin<Box<dyn Future<Output = Option<Vec<u8>>>>>;
 
 pub struct Invoker {
@@ -110,13 +110,13 @@
     life: RefCell<Life>,
     tasks: RefCell<JoinSet<()>>,
     calm: Notify,
-    /// As the registry last told it.
+    /// The latest state received from the registry.
     book: RefCell<RegistryState>,
-    /// Versions that were asked for: model, and reference at the store.
+    /// Model and version of each function added from the registry.
     models: RefCell<BTreeMap<FunctionId, (String, String)>>,
 }
 
-/// What ends with the process.
+/// State that is lost when the process ends.
 struct Life {
     incarnation: u64,
     started: Ticks,
@@ -126,7 +126,7 @@
     links: BTreeMap<u64, (ControllerId, SendQueue)>,
     links_made: u64,
     jobs: BTreeMap<Job, Held>,
-    /// What jobs of open links were: a cancel may come after the end.
+    /// Invocation and hop of every job of the open links, kept because a cancel may arrive after the job has ended.
     past: BTreeMap<Job, (u32, u8)>,
     reports: Vec<(Ticks, wire::Load)>,
     rng: fastrand::Rng,
@@ -158,7 +158,7 @@
     passage: Option<String>,
 }
 
-/// Hands what the machine says to the sockets and the record.
+/// Sends the machine's outcomes to the controllers and writes them to the record.
 struct Desk<'a> {
     this: &'a Rc<Invoker>,
     links: &'a BTreeMap<u64, (ControllerId, SendQueue)>,
@@ -308,7 +308,7 @@
         self.terms.deployment.trigger_types.get(at)
     }
 
-    /// Whether the token was seen within its window; from now on it is.
+    /// Whether the token was seen within its idempotency window; records it otherwise.
     fn knows(&self, trigger: &str, token: &str, now: Ticks) -> bool {
         let Some(t) = self
             .trigger(trigger)
@@ -400,17 +400,17 @@
         })
     }
 
-    /// Its next life is this one. Lives of separate processes are told apart by a number drawn at each start.
+    /// Sets the incarnation of the next start. Separate processes draw a number at each start to differ.
     pub fn set_next_incarnation(&self, incarnation: u64) {
         self.life.borrow_mut().incarnation = incarnation - 1;
     }
 
-    /// Work in hand: dispatches that are not answered yet.
+    /// The number of dispatches without a response yet.
     pub fn in_flight(&self) -> usize {
         self.life.borrow().jobs.len()
     }
 
-    /// Starts the process: cold and empty, or as if it had long been up and held what it is given.
+    /// Starts the process, either cold and empty, or as if up for long with copies of the given functions loaded.
     pub async fn start(
         self: &Rc<Self>,
         cold: bool,
@@ -479,7 +479,7 @@
         Ok(address)
     }
 
-    /// The registry's book has changed: chunks of versions that a stage will bring are fetched ahead.
+    /// Stores a new registry state and prefetches the chunks of versions that a rollout stage introduces.
     fn told(self: &Rc<Self>, book: RegistryState) {
         let stages = book
             .aliases
@@ -494,17 +494,17 @@
             })
             .collect();
         *self.book.borrow_mut() = book;
-        // Whoever tells us may stand in the very tasks: they can't be added to here.
+        // The caller may itself be one of `tasks`, which are then borrowed, so no task can be added to them here.
         for (model, manifest) in coming {
             let Some(agent) = self.agent() else { return };
             tokio::task::spawn_local(async move {
-                // Not there now: it is fetched with the first copy.
+                // A failed prefetch is repeated with the first copy.
                 let _ = agent.load(&model, &manifest.to_string()).await;
             });
         }
     }
 
-    /// Makes a function known that the terms do not state, by its name `MODEL@VERSION`.
+    /// Adds a function that the deployment does not list, by its name `MODEL@VERSION`.
     fn learn(&self, function: FunctionId, name: &str) {
         if self.models.borrow().contains_key(&function) {
             return;
@@ -516,7 +516,7 @@
             return;
         };
         let book = self.book.borrow();
-        // What the registry has not told us yet is refused for room: it never ran, and may go elsewhere.
+        // A version not yet received from the registry is rejected as full: it never ran, so it may be retried elsewhere.
         let Some(held) = book
             .version(&model, &version)
             .filter(|h| h.standing == Standing::Offered)
@@ -541,7 +541,7 @@
             .insert(function, (model.to_string(), version.to_string()));
     }
 
-    /// Under which name and reference the store has a function's model, and the name it is compared by.
+    /// A function's model name and reference at the store, and the name under which the correct bytes are listed.
     fn model(&self, function: FunctionId) -> (String, String, String) {
         if let Some((model, version)) = self.models.borrow().get(&function).cloned() {
             let (model, version) = (model.parse(), version.parse());
@@ -587,19 +587,19 @@
         Ok(agent)
     }
 
-    /// Its agent, while it is up.
+    /// The agent, while the process is up.
     pub fn agent(&self) -> Option<Rc<Agent>> {
         self.life.borrow().agent.clone()
     }
 
-    /// Tells its agent of the list as it is now.
+    /// Passes the current endpoint list to the agent.
     pub fn set_peers(&self, peers: &[Peer]) {
         if let Some(agent) = &self.life.borrow().agent {
             agent.listed(peers);
         }
     }
 
-    /// The process dies: links, work and copies are gone.
+    /// Kills the process: links, work and copies are lost.
     pub fn crash(&self) {
         self.tasks.borrow_mut().abort_all();
         let at = self.config.record_clock.now();
@@ -620,12 +620,12 @@
         });
     }
 
-    /// As `crash`; of what its disk took in the last `late`, each write is torn with a chance of `part`, once nothing
-    /// holds the files any more. Tells how many were.
+    /// Crashes, then tears each write of the last `late` ticks with probability `part`, once no task has the files open.
+    /// Returns the number of torn files.
     pub async fn lose_power(&self, late: Ticks, part: f64) -> std::io::Result<usize> {
         let since = self.config.clock.now().saturating_sub(late);
         self.crash();
-        // What was aborted is dropped when its turn comes, and with it the files that it holds.
+        // An aborted task is dropped, and its files closed, only when the runtime next schedules it.
         tokio::time::sleep(Duration::from_millis(1)).await;
         let Some(layers) = &self.config.layers else {
             return Ok(0);
@@ -639,7 +639,7 @@
         self.life.borrow().up
     }
 
-    /// Its line on the list, as it is now.
+    /// The current endpoint list entry of this invoker.
     pub fn entry(&self, state: list::Life) -> list::Entry {
         let (life, stated) = (self.life.borrow(), &self.config.stated);
         let age = self.config.clock.now() - life.started;
@@ -665,7 +665,7 @@
         }
     }
 
-    /// Lets faults begin or end.
+    /// Changes the faults and the machine, and wakes the tasks that wait for a fault to end.
     pub fn update_faults(&self, change: impl FnOnce(&mut Faults, &mut Machine)) {
         change(
             &mut self.faults.borrow_mut(),
@@ -679,7 +679,7 @@
         life.machine.flush(share, &mut life.rng);
     }
 
-    /// Lets the machine work on something, and sees to what it asks for.
+    /// Runs `then` on the machine, starts the fetches that it requests and reschedules its next event.
     fn with(self: &Rc<Self>, then: impl FnOnce(&mut Machine, Ticks, &mut Desk)) {
         let (now, faults) = (self.config.clock.now(), self.faults.borrow().clone());
         let life = &mut *self.life.borrow_mut();
@@ -750,7 +750,7 @@
         let usual_tenths = (load * self.config.fetch_share) as Ticks;
         if let Some(layers) = &self.config.layers {
             let (name, reference, known_as) = self.model(function);
-            // The copy is in memory from here on; its chunks need not be pinned any more.
+            // The copy is in memory from here on, so its chunks no longer have to be pinned.
             let Some(copy) = self.bring(layers, &name, &reference).await else {
                 return false;
             };
@@ -804,7 +804,7 @@
         false
     }
 
-    /// A version of which no source holds is told to the registry: someone has to push it again, or withdraw it.
+    /// Reports a version to the registry if no source has intact chunks of it: it has to be pushed again or withdrawn.
     async fn tell_corrupt(&self, why: &saltdrum_agent::Fault, reference: &str) {
         let (saltdrum_agent::Fault::Corrupt { .. }, Some(of)) = (why, &self.config.registry_follow)
         else {
@@ -821,7 +821,7 @@
                 let mut caller = RegistryClient::connect(&network, &of.registry, &of.key).await?;
                 caller.call("corrupt", said).await
             };
-            // The next load that fails tells it again.
+            // A lost report is repeated by the next load that fails.
             let _ = tokio::time::timeout(Duration::from_secs(2), telling).await;
         });
     }
@@ -841,7 +841,7 @@
             )
             .await;
         }
-        // A chunk that the disk loses between load and read is fetched anew, once.
+        // Retries once if the disk lost a chunk between load and read.
         for _ in 0..2 {
             let loaded = match self.agent()?.load(name, reference).await {
                 Ok(loaded) => loaded,
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,8 +1,8 @@
-//! Stand-ins for what a controller talks to: invokers, the model store, the invoker list.
+//! Fakes of the controller's peers: invokers, the model store and the endpoint list.
 //!
-//! `machine` is what an invoker does, without I/O: memory, copies, lanes, cores, loads. `invoker`, `store`, `registry` and `list`
-//! put sockets round it and can be told to fail in stated ways ([`Faults`]). Each notes what crosses its sockets in a
-//! [`Record`], from which the rules are judged. None of this serves real work.
+//! `machine` simulates an invoker without I/O: memory, copies, lanes, cores and loads. `invoker`, `store`, `registry` and
+//! `list` serve the real protocols on sockets and can inject faults ([`Faults`]). Each fake writes what it sends and receives
+//! to a [`Record`], from which the rules are checked. None of this serves production work.
 
 pub mod disk;
 pub mod invoker;
--- a/crates/fakes/src/list.rs
+++ b/crates/fakes/src/list.rs
@@ -1,4 +1,4 @@
-//! The invoker list: whole first, changes after; late by its notice, and lost when told so.
+//! A fake endpoint list: sends a full list first and changes after it, and can be taken out of service.
 
 use crate::record::{ControllerId, Line, Record};
 use bytes::BytesMut;
@@ -12,6 +12,7 @@
 use tokio::io::AsyncReadExt;
 use tokio::task::JoinSet;
 
+/// The fake endpoint list service.
 pub struct EndpointList {
     clock: Clock,
     record: Record,
@@ -32,7 +33,7 @@
 }
 
 impl EndpointList {
-    /// Listens and serves on the `LocalSet` it is called on; gives where.
+    /// Listens and serves on the `LocalSet` it is called on; returns the address.
     pub async fn open(
         network: Rc<dyn Network>,
         clock: Clock,
@@ -53,7 +54,7 @@
         Ok((list, address))
     }
 
-    /// Serves again after [`Self::lose`].
+    /// Serves again after [`Self::stop`].
     pub async fn resume(self: &Rc<Self>) -> std::io::Result<Address> {
         let at = self.at.borrow().clone();
         let (mut door, address) = self.network.listen(&at).await?;
@@ -71,7 +72,7 @@
         Ok(address)
     }
 
-    /// Every follower is cut off, and nobody answers.
+    /// Disconnects every follower and stops serving.
     pub fn stop(&self) {
         self.tasks.borrow_mut().abort_all();
         self.followers.borrow_mut().clear();
@@ -148,7 +149,7 @@
         }
     }
 
-    /// A line is new or other than before; all who follow hear of it.
+    /// Adds, updates or removes an entry and sends the change to all followers.
     pub fn publish(&self, entry: Entry) {
         let now = self.clock.now();
         self.revision.set(self.revision.get() + 1);
--- a/crates/fakes/src/machine.rs
+++ b/crates/fakes/src/machine.rs
@@ -1,29 +1,30 @@
-//! What an invoker does, without I/O: time comes in, and what follows is told to a [`Yard`].
+//! The model of an invoker without I/O: the caller passes in the time, and outcomes are reported to a [`MachineHost`].
 //!
-//! Cores are shared evenly among what runs. A copy takes memory and runs so many invocations at a time; a load fetches
-//! and then starts. A machine that has just started does only part of its work.
+//! Cores are shared evenly among running jobs and starting copies. A copy takes memory and runs a limited number of
+//! invocations at a time (its lanes); a load fetches the model and then starts the copy. A cold machine has only part of its
+//! capacity.
 
 use saltdrum::interface::{FunctionId, MILLISECOND, Ticks};
 use saltdrum_protocol::invoker::{Ended, Found, HoldEnded};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A dispatch, by the link it came on and its number there.
+/// A dispatch, by its link and its number on the link.
 pub type Job = (u64, u64);
-/// An order, likewise.
+/// A load order, by its link and its number on the link.
 pub type Order = (u64, u64);
 
-/// What the machine asks for and answers.
+/// Receives the machine's outcomes and its requests for fetches.
 pub trait MachineHost {
-    /// Begins to run. False: it is known by its token, and is answered without running.
+    /// Called when the job begins to run. Returns false if its idempotency token was seen before: then it ends without running.
     fn begin_job(&mut self, job: Job) -> bool;
     fn job_ended(&mut self, job: Job, ended: Ended, found: Option<Found>, crowd: u8);
     fn order_ended(&mut self, order: Order, ended: HoldEnded, standing: u8);
-    /// [`Machine::fetched`] is to follow.
+    /// Starts a fetch; its end is reported by [`Machine::fetch_ended`].
     fn begin_fetch(&mut self, function: FunctionId);
     fn load_ended(&mut self, function: FunctionId, took: Ticks, ok: bool);
 }
 
-/// What a machine can do, and what it is like.
+/// Capacity and behaviour of a machine.
 #[derive(Clone, Debug)]
 pub struct MachineConfig {
     pub cores: f64,
@@ -33,17 +34,17 @@
     pub queue: usize,
     pub loads_at_once: usize,
     pub keep_alive: Ticks,
-    /// It answers a dispatch without a copy with a miss and loads nothing.
+    /// Ends a dispatch without a copy as a miss instead of loading the function.
     pub misses: bool,
-    /// A cancel stops what runs; otherwise only what waits.
+    /// Whether a cancel also stops running jobs, not only waiting ones.
     pub stops_running: bool,
     pub cold_share: f64,
     pub cold_time: Ticks,
-    /// None: it has long been up.
+    /// Start time of a cold machine; `None` if it is warm.
     pub started: Option<Ticks>,
 }
 
-/// A dispatch as the machine needs it.
+/// What the machine needs to know of a dispatch.
 #[derive(Clone, Debug)]
 pub struct JobSpec {
     pub function: FunctionId,
@@ -63,15 +64,16 @@
 struct Load {
     function: FunctionId,
     began: Ticks,
-    /// None while it is fetched.
+    /// Remaining start work; `None` while the model is being fetched.
     start_left: Option<f64>,
 }
 
+/// What a copy of a function takes.
 #[derive(Clone, Debug)]
 pub struct FunctionSpec {
     pub memory: f64,
     pub lanes: usize,
-    /// Of the load, without the fetch.
+    /// Load time without the fetch.
     pub start_time: Ticks,
 }
 
@@ -92,15 +94,15 @@
     copies: BTreeMap<FunctionId, Copies>,
     loads: Vec<Load>,
     loads_waiting: VecDeque<FunctionId>,
-    /// How many times slower than usual.
+    /// Factor by which work is slowed down; 1 is normal.
     pub slowness: f64,
-    /// Further slowness, growing with each second.
+    /// Slowdown added per second since ageing started.
     pub ageing: f64,
     aged_from: Ticks,
     busy: f64,
 }
 
-/// Capacity that rises is taken as even for so long.
+/// Interval for which changing capacity is approximated as constant.
 const STEP: Ticks = 20 * MILLISECOND;
 
 impl Machine {
@@ -125,12 +127,12 @@
         }
     }
 
-    /// A function that came later than the machine. What is known of one never changes.
+    /// Adds a function after the machine was created. A function's spec never changes.
     pub fn add_function(&mut self, function: FunctionId, shape: FunctionSpec) {
         self.shapes.entry(function).or_insert(shape);
     }
 
-    /// Part of the full capacity it has now.
+    /// Current share of the full capacity, below 1 while cold.
     fn risen(&self) -> f64 {
         let Some(started) = self.config.started else {
             return 1.0;
@@ -143,7 +145,7 @@
         self.copies.values().map(|c| c.running).sum()
     }
 
-    /// Core time that each running task and starting copy gets in a tenth.
+    /// Work done per tick (a tenth of a millisecond) for each running task and starting copy.
     fn pace(&self) -> f64 {
         let users = self.running() + self.loads.iter().filter(|l| l.start_left.is_some()).count();
         let aged = self.ageing * self.now.saturating_sub(self.aged_from) as f64 / 10_000.0;
@@ -151,7 +153,7 @@
         self.config.speed * share / (self.slowness + aged)
     }
 
-    /// When something will change by itself.
+    /// Time of the next change that no call causes; `None` if there is none.
     pub fn next_event_at(&self) -> Option<Ticks> {
         let pace = self.pace().max(1e-6);
         let due = |left: f64| self.now + ((left / pace).ceil() as Ticks).max(1);
@@ -186,12 +188,12 @@
             .map(|at| at.max(self.now + 1))
     }
 
-    /// Cores busy, 0 to 1, and invocations that wait.
+    /// Core utilization, 0 to 1, and the number of waiting invocations.
     pub fn load(&self) -> (f32, f32) {
         (self.busy as f32, self.waiting.len() as f32)
     }
 
-    /// Lets time pass.
+    /// Advances the simulation to `now`.
     pub fn advance(&mut self, now: Ticks, yard: &mut dyn MachineHost) {
         while self.now < now {
             let upto = self.next_event_at().unwrap_or(now).min(now);
@@ -317,7 +319,7 @@
         self.start_what_can(yard);
     }
 
-    /// Stops it if it waits, or runs and the build allows.
+    /// Cancels the job if it waits, or if it runs and the configuration permits that.
     pub fn cancel(&mut self, now: Ticks, job: Job, yard: &mut dyn MachineHost) {
         self.advance(now, yard);
         if self
@@ -359,7 +361,7 @@
         standing + loading.sum::<f64>()
     }
 
-    /// False: no memory to be had, or too many loads wait.
+    /// Queues a load, evicting idle copies as needed. Returns false if memory is short or too many loads are queued.
     fn begin_load(&mut self, function: FunctionId, yard: &mut dyn MachineHost) -> bool {
         let need = self.shapes[&function].memory;
         if self.loads.len() + self.loads_waiting.len() >= 3 * self.config.loads_at_once {
@@ -394,7 +396,7 @@
         }
     }
 
-    /// A fetch that [`Yard::fetch`] asked for has ended.
+    /// Reports the end of a fetch that [`MachineHost::begin_fetch`] started.
     pub fn fetch_ended(
         &mut self,
         now: Ticks,
@@ -452,7 +454,7 @@
         self.next_load(yard);
     }
 
-    /// An order to hold so many copies; 0 only asks.
+    /// Handles a load order for a number of copies; 0 only queries the current number.
     pub fn order_copies(
         &mut self,
         now: Ticks,
@@ -491,7 +493,7 @@
         }
     }
 
-    /// A link is gone: what waits on it is not run. What runs goes on, its answer lost.
+    /// Handles the loss of a link: cancels its waiting jobs. Running jobs continue, and their responses are lost.
     pub fn link_lost(&mut self, now: Ticks, link: u64, yard: &mut dyn MachineHost) {
         self.advance(now, yard);
         let gone: Vec<Job> = self
@@ -504,7 +506,7 @@
             .for_each(|job| self.finish(job, Ended::Cancelled, yard));
     }
 
-    /// So many of the functions are released anew: their idle copies go.
+    /// Drops the idle copies of a random share of the functions, as a new release of these functions does.
     pub fn flush(&mut self, share: f64, rng: &mut fastrand::Rng) {
         for c in self.copies.values_mut().filter(|c| c.running == 0) {
             if rng.f64() < share {
@@ -513,7 +515,7 @@
         }
     }
 
-    /// As if it had stood since long before: copies of these are there.
+    /// Loads one copy of each of these functions at once, as if the machine had been up for long, while memory suffices.
     pub fn preload(&mut self, functions: impl IntoIterator<Item = FunctionId>) {
         for f in functions {
             if self
--- a/crates/fakes/src/platform.rs
+++ b/crates/fakes/src/platform.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the platform's peers on its own protocol: HTTP invokers, the control feed, a client. Faults can be
-//! forced; what crosses the sockets goes into the same record as everywhere, so that the same checker judges it.
+//! Fakes of the platform's peers on the platform's own protocol: HTTP invokers, the endpoint feed and a client. They inject
+//! faults and write to the same kind of record as the other fakes, so that the same checker verifies the rules.
 
 use crate::record::{ClientAttempt, ControllerId, Line, Outcome, Record};
 use bytes::{Buf, Bytes, BytesMut};
@@ -16,10 +16,10 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// By so much more than its client has left an invoker may be told.
+/// Tolerance by which the time limit sent to an invoker may exceed the client's remaining time.
 const LIMIT_SLACK_MS: u64 = 150;
 
-/// What an invoker's answer suffers on its way. The request has run, unless the name says otherwise.
+/// Fault of an invoker's response. The request has run, except with `ClosedUnread`, `Miss`, `Full` and `Expired`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ResponseFault {
     #[default]
@@ -34,16 +34,16 @@
     InformationalFirst,
     GarbageAfterResponse,
     SentTwice,
-    /// Closed when it is accepted: nothing was read.
+    /// The connection is closed on accept, before anything is read.
     ClosedUnread,
-    /// Answered 404, 503, 500 and 504, as the protocol means them.
+    /// Sends 404 (and for the next three 503, 500 and 504) with the protocol's meaning.
     Miss,
     Full,
     Errored,
     Expired,
 }
 
-/// One request as it arrived.
+/// One request as received.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
     pub at: Ticks,
@@ -53,7 +53,7 @@
     pub body: Bytes,
 }
 
-/// An invoker at one address.
+/// A fake HTTP invoker at one address.
 pub struct HttpInvoker {
     pub invoker: u32,
     pub controller: ControllerId,
@@ -62,14 +62,14 @@
     pub requests: RefCell<Vec<ReceivedRequest>>,
     pub connections: Cell<usize>,
     pub accepted: Cell<usize>,
-    /// Requests that said more time was left than their clients had.
+    /// Descriptions of requests whose time limit exceeded the client's remaining time.
     pub time_limit_violations: RefCell<Vec<String>>,
     hops: Rc<RefCell<BTreeMap<u64, u8>>>,
     record: Record,
     clock: Clock,
 }
 
-/// The number and the try that an id was made of.
+/// Decodes a transaction id into the client's invocation number and attempt.
 pub fn decode_txn(txn: u64) -> ClientAttempt {
     ClientAttempt {
         number: txn >> 8,
@@ -78,7 +78,7 @@
 }
 
 impl HttpInvoker {
-    /// `hops` is shared by all invokers of a test, and counts how often each id was sent.
+    /// `hops` is shared by all invokers of a test and counts the dispatches of each transaction id.
     pub fn new(
         invoker: u32,
         controller: ControllerId,
@@ -103,7 +103,7 @@
         })
     }
 
-    /// Takes connections for as long as the test lives.
+    /// Accepts connections until the test ends.
     pub async fn serve(self: Rc<Self>, network: Rc<dyn Network>, at: SocketAddrV4) {
         let listening = network.listen(&Address::Tcp(at.to_string())).await;
         let (mut door, _) = listening.expect("an address of its own");
@@ -160,7 +160,7 @@
         stream.write_all(text.as_bytes()).await.is_ok()
     }
 
-    /// The time that a request says is left is at most what its client has left, by the client's own send time.
+    /// Checks that a request's time limit is at most the client's remaining time, counted from the client's own send.
     fn judge_limit(&self, a: &ReceivedRequest, of: ClientAttempt) {
         let Some(given_up_at) = self.record.given_up_at(of) else {
             return;
@@ -223,7 +223,7 @@
             () = tokio::time::sleep(self.run_time), if !never => {}
             () = async {}, if never => {}
             got = stream.read(&mut byte) => {
-                // Given up, or something out of turn.
+                // The controller closed the connection, or sent data before the response.
                 let at = self.clock.now();
                 self.record.note(Line::Cancelled { at, invoker, who, invocation, hop });
                 assert!(!matches!(got, Ok(1..)), "a second request before the first was answered");
@@ -311,7 +311,7 @@
     }
 }
 
-/// Reads one request, whole.
+/// Reads one complete request.
 async fn request(
     stream: &mut Stream,
     read: &mut BytesMut,
@@ -351,22 +351,22 @@
     }
 }
 
-/// How the feed misbehaves at its next event.
+/// Fault of the feed at its next event.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum FeedFault {
     #[default]
     None,
-    /// Half the event, then a close; whole when it is asked for again.
+    /// Sends half of the event and closes the connection; the event is complete when it is requested again.
     Truncated,
-    /// Written twice.
+    /// Sends the event twice.
     SentTwice,
-    /// Nothing more, and the connection stays.
+    /// Sends nothing more and leaves the connection open.
     Stalled,
-    /// A length that can't be.
+    /// Sends an invalid length.
     InvalidLength,
 }
 
-/// The control feed.
+/// The platform's endpoint feed.
 pub struct Feed {
     pub events: RefCell<Vec<(u64, Event)>>,
     pub fault: Cell<FeedFault>,
@@ -391,7 +391,7 @@
         })
     }
 
-    /// The next event, told from now on.
+    /// Appends an event and sends it to all followers.
     pub fn publish(&self, number: u64, event: Event) {
         if let Event::Snapshot(lines) | Event::Changes(lines) = &event {
             for l in lines {
@@ -469,7 +469,7 @@
     }
 }
 
-/// One line of the feed, as tests write it.
+/// Builds an endpoint record with the defaults of the tests.
 pub fn endpoint_record(
     invoker: u32,
     address: SocketAddrV4,
@@ -488,7 +488,7 @@
     }
 }
 
-/// What a client asks for.
+/// A client's request.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub number: u64,
@@ -501,11 +501,12 @@
 }
 
 impl Call {
+    /// The transaction id: the number and the attempt in hexadecimal.
     pub fn txn(&self) -> String {
         format!("{:016x}", self.number << 8 | u64::from(self.attempt))
     }
 
-    /// The frame of it on a stream.
+    /// Encodes the request as a frame on a stream.
     pub fn frame(&self, stream: u32) -> Bytes {
         let (txn, limit, item) = (
             self.txn(),
@@ -526,7 +527,7 @@
     }
 }
 
-/// An answer as a client reads it.
+/// A final response as a client reads it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
     pub stream: u32,
@@ -535,7 +536,7 @@
     pub body: Bytes,
 }
 
-/// A frame from a controller, or its connection's end.
+/// A frame from a controller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ServerFrame {
     Response(Response),
@@ -543,7 +544,7 @@
     GoAway,
 }
 
-/// A client with one connection.
+/// A fake client with one connection.
 pub struct FrameClient {
     pub stream: Stream,
     read: BytesMut,
@@ -574,6 +575,7 @@
         })
     }
 
+    /// Sends a request on a new stream and returns the stream's number.
     pub async fn invoke(&mut self, call: &Call) -> u32 {
         let stream = self.next;
         self.next += 1;
@@ -598,7 +600,7 @@
         stream
     }
 
-    /// Nobody waits for this stream any more.
+    /// Cancels the request of a stream.
     pub async fn cancel(&mut self, stream: u32) {
         if let Some(of) = self.open.remove(&stream) {
             self.record.note(Line::HungUp {
@@ -612,7 +614,7 @@
             .await;
     }
 
-    /// Closes the connection, whatever is open on it.
+    /// Closes the connection with all streams that are open on it.
     pub fn close(self) {
         for of in self.open.values() {
             self.record.note(Line::HungUp {
@@ -622,7 +624,7 @@
         }
     }
 
-    /// The next frame; `None`: the connection has ended.
+    /// Reads the next frame; `None` at the end of the connection.
     pub async fn next_frame(&mut self) -> Option<ServerFrame> {
         loop {
             if let Some(heard) = self.cut() {
--- a/crates/fakes/src/record.rs
+++ b/crates/fakes/src/record.rs
@@ -1,4 +1,5 @@
-//! What was seen, by whom, when. Times are tenths of a millisecond on one clock for all who write.
+//! Records of a run: events with the time and the actor that observed them. Times are tenths of a millisecond on one clock
+//! common to all actors.
 
 use saltdrum::interface::Ticks;
 use serde::{Deserialize, Serialize};
@@ -6,14 +7,14 @@
 use std::io::{self, BufRead, Write};
 use std::rc::Rc;
 
-/// A controller and which of its lives it is.
+/// A controller and its incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ControllerId {
     pub controller: u32,
     pub incarnation: u64,
 }
 
-/// One try of a client: its number for the invocation, and which try it is.
+/// One attempt of a client: the client's number for the invocation, and the number of the attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ClientAttempt {
     #[serde(rename = "n")]
@@ -21,6 +22,7 @@
     pub attempt: u32,
 }
 
+/// Outcome of a final response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     Succeeded,
@@ -28,19 +30,20 @@
     Errored,
 }
 
-/// A trigger type as the rules see it.
+/// What the rules need to know of a trigger type.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Trigger {
     pub name: String,
     /// `idempotent`, `tokened` or `non-idempotent`.
     pub effect: String,
-    /// `all`, `zone` or `cell`: who drops a token's repeats together.
+    /// `all`, `zone` or `cell`: the key scope, within which repeats of a token are dropped.
     pub scope: String,
     pub repeat_window: Ticks,
     pub objective: Ticks,
     pub billed_value: f64,
 }
 
+/// What the rules need to know of an invoker.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct InvokerInfo {
     pub invoker: u32,
@@ -50,7 +53,7 @@
     pub pace: f64,
 }
 
-/// What the rules are judged by.
+/// The deployment's parameters that the rules are checked against.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RuleParameters {
     pub triggers: Vec<Trigger>,
@@ -66,12 +69,13 @@
     pub orders_share: f64,
 }
 
+/// One line of a record: an event, or the parameters of the run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Line {
     #[serde(rename = "stated")]
     RuleParameters(RuleParameters),
-    /// By the client: the whole call has been written.
+    /// By the client: the whole request was written.
     Sent {
         at: Ticks,
         who: ControllerId,
@@ -82,16 +86,16 @@
         timeout: Ticks,
         work: Ticks,
     },
-    /// By the client: an answer was read, which came at `earliest` or later.
+    /// By the client: the final response was read; it arrived at `earliest` or later.
     Final {
         at: Ticks,
         earliest: Ticks,
         of: ClientAttempt,
         how: Outcome,
     },
-    /// By the client: it closed the connection on purpose before the answer.
+    /// By the client: it deliberately closed the connection before the response.
     HungUp { at: Ticks, of: ClientAttempt },
-    /// By an invoker: the output that it made for this try.
+    /// By an invoker: the output that it produced for this attempt.
     #[serde(rename = "made")]
     OutputProduced {
         at: Ticks,
@@ -99,19 +103,19 @@
         of: ClientAttempt,
         output: String,
     },
-    /// By the client: the output of a final answer that succeeded.
+    /// By the client: the output of a successful final response.
     #[serde(rename = "output")]
     OutputReceived {
         at: Ticks,
         of: ClientAttempt,
         output: String,
     },
-    /// By the client: the controller's side closed the connection before the answer.
+    /// By the client: the controller's side closed the connection before the response.
     #[serde(rename = "cut-off")]
     ConnectionLost { at: Ticks, of: ClientAttempt },
-    /// By the client: it reads this connection late on purpose; what it reads proves nothing of when it came.
+    /// By the client: it deliberately reads this connection late, so its read times say nothing about arrival times.
     ReadsSlowly { at: Ticks, of: ClientAttempt },
-    /// By the invoker: a dispatch was read, which came at `earliest` or later.
+    /// By the invoker: a dispatch was read; it arrived at `earliest` or later.
     Dispatched {
         at: Ticks,
         earliest: Ticks,
@@ -122,7 +126,7 @@
         of: ClientAttempt,
         trigger: String,
     },
-    /// By the invoker: work began. `repeat`: it was known by its token and not done again.
+    /// By the invoker: execution began. `repeat`: its idempotency token was seen before, and it was not executed again.
     #[serde(rename = "ran")]
     Started {
         at: Ticks,
@@ -134,7 +138,7 @@
         token: Option<String>,
         repeat: bool,
     },
-    /// By the invoker, of an invocation that belongs to a passage: which function spoke in it.
+    /// By the invoker, for an invocation that belongs to a passage: which function ran in it.
     #[serde(rename = "spoke")]
     PassageStep {
         at: Ticks,
@@ -143,7 +147,7 @@
         function: u64,
         passage: String,
     },
-    /// By the invoker: a dispatch ended; `told`: the answer went out.
+    /// By the invoker: a dispatch ended; `response_sent`: its response was sent.
     Ended {
         at: Ticks,
         invoker: u32,
@@ -163,7 +167,7 @@
         invocation: u32,
         hop: u8,
     },
-    /// By the invoker: an order to hold was read.
+    /// By the invoker: a load order was read; it arrived at `earliest` or later.
     #[serde(rename = "ordered")]
     LoadOrdered {
         at: Ticks,
@@ -173,7 +177,7 @@
         function: u64,
         count: u8,
     },
-    /// By the invoker: a load came to its end.
+    /// By the invoker: a load ended.
     Loaded {
         at: Ticks,
         invoker: u32,
@@ -181,7 +185,7 @@
         took: Ticks,
         ok: bool,
     },
-    /// By the invoker, with layers: a copy was put together; `sound`: it is the model, byte for byte.
+    /// By the invoker, with layers: a copy was assembled; `matches_model`: it equals the model byte for byte.
     #[serde(rename = "copied")]
     CopyAssembled {
         at: Ticks,
@@ -190,7 +194,7 @@
         #[serde(rename = "sound")]
         matches_model: bool,
     },
-    /// By the list: a line went out to a controller.
+    /// By the endpoint list: an entry was sent to a controller.
     #[serde(rename = "told")]
     EndpointSent {
         at: Ticks,
@@ -199,7 +203,7 @@
         incarnation: u64,
         life: String,
     },
-    /// By the store: a fetch was asked for.
+    /// By the store: a fetch was requested.
     #[serde(rename = "fetched")]
     FetchRequested {
         at: Ticks,
@@ -207,7 +211,7 @@
         function: u64,
         refused: bool,
     },
-    /// By the stage, at the end of a day with layers: what was asked of whom, over all lives of all invokers.
+    /// By the stage, at the end of a scenario with layers: fetch totals over all incarnations of all invokers.
     #[serde(rename = "layers")]
     LayerTotals {
         at: Ticks,
@@ -219,7 +223,7 @@
         from_store: u64,
         damaged: u64,
     },
-    /// By the stage, at the end of a day with versions: the registry as it is then.
+    /// By the stage, at the end of a scenario with versions: the state of the registry.
     #[serde(rename = "registry")]
     RegistryTotals {
         at: Ticks,
@@ -227,10 +231,10 @@
         moves: u64,
         stages_well: u64,
         stages_stopped: u64,
-        /// Versions of which invokers told that no source holds, and since when the first.
+        /// Versions that invokers reported as without an intact source, and the time of the first report.
         corrupt: Vec<(String, u64)>,
     },
-    /// By the stage: an invoker started, or ended.
+    /// By the stage: an invoker started or stopped.
     Invoker {
         at: Ticks,
         invoker: u32,
@@ -238,32 +242,32 @@
         up: bool,
         cold: bool,
     },
-    /// By the stage: a controller started, or was killed.
+    /// By the stage: a controller started or was killed.
     Controller {
         at: Ticks,
         who: ControllerId,
         up: bool,
     },
-    /// By whoever runs on the thread: it stood still.
+    /// By an actor of the thread: the thread stalled.
     #[serde(rename = "disturbed")]
     ThreadStalled {
         at: Ticks,
         until: Ticks,
         thread: String,
     },
-    /// By the stage, from the script.
+    /// By the stage: a fault of the scenario's script.
     #[serde(rename = "trouble")]
     FaultInjected {
         at: Ticks,
         until: Ticks,
         text: String,
     },
-    /// By the stage: nothing new was sent from then on.
+    /// By the stage: clients send nothing new from then on.
     #[serde(rename = "over")]
     TrafficEnded { at: Ticks },
 }
 
-/// Where the actors of one thread write.
+/// The record that the actors of one thread write to.
 #[derive(Clone, Default)]
 pub struct Record(Rc<RefCell<Vec<Line>>>);
 
@@ -272,7 +276,7 @@
         self.0.borrow_mut().push(line);
     }
 
-    /// When the client of a try stops waiting, by its own send; none: it has not sent it, or noted nothing.
+    /// When the client's timeout for this attempt expires, counted from its own send; `None` if no send is recorded.
     pub fn given_up_at(&self, of: ClientAttempt) -> Option<Ticks> {
         let lines = self.0.borrow();
         lines.iter().rev().find_map(|line| match line {
@@ -291,7 +295,7 @@
     }
 }
 
-/// Writes a record, a line of JSON each.
+/// Writes a record as JSON lines.
 pub fn write(lines: &[Line], to: &mut impl Write) -> io::Result<()> {
     for line in lines {
         serde_json::to_writer(&mut *to, line)?;
@@ -300,7 +304,7 @@
     Ok(())
 }
 
-/// Reads a record; a fault names its line.
+/// Reads a record; an error names its line.
 pub fn read(from: impl BufRead) -> Result<Vec<Line>, String> {
     let parse = |(n, line): (usize, io::Result<String>)| {
         let line = line.map_err(|e| format!("line {}: {e}", n + 1))?;
--- a/crates/fakes/src/registry.rs
+++ b/crates/fakes/src/registry.rs
@@ -1,6 +1,6 @@
-//! A model store that speaks the pull half of the OCI distribution specification, and fails as it is told.
+//! A fake model store that implements the pull part of the OCI distribution specification and injects faults.
 //!
-//! Written from the public text: manifests by tag or digest, blobs by digest with ranges, 404 and 429 with Retry-After.
+//! Implements the public specification: manifests by tag or digest, blobs by digest with ranges, 404 and 429 with Retry-After.
 
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -21,37 +21,38 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// What the store is told to do wrong. Shares are of blob requests.
+/// Faults that the store injects. Shares are of blob requests.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// Refused with 429 before a byte.
+    /// Rejected with 429 before any byte of the body.
     pub refuse_share: f64,
-    /// Cut off in mid-body.
+    /// Connection closed after half of the body.
     pub cut_share: f64,
-    /// Nothing more after half the body.
+    /// Stalled after half of the body, with the connection open.
     pub stall_share: f64,
-    /// A byte a second, for ever.
+    /// After half of the body, sends one byte a second.
     pub trickle_share: f64,
-    /// A length that is not the body's.
+    /// Declares a length that is 1,000 bytes too large, and closes the connection after half of the body.
     pub wrong_length_share: f64,
-    /// These come with a byte changed.
+    /// Blobs that are sent with one bit changed.
     pub damaged: BTreeSet<Digest>,
 }
 
+/// A fake OCI registry.
 pub struct OciRegistry {
     manifests: RefCell<BTreeMap<(String, String), Bytes>>,
     blobs: RefCell<BTreeMap<Digest, Bytes>>,
     pub faults: RefCell<Faults>,
-    /// Blobs under way, beyond which it refuses.
+    /// Number of blob requests in flight from which further ones are rejected.
     pub max_in_flight: Cell<usize>,
-    /// Blobs at full pace; beyond, all slow down.
+    /// Number of blob requests in flight up to which each is served at full speed; beyond, all slow down.
     pub full_speed_requests: Cell<f64>,
     pub bytes_per_second: Cell<f64>,
-    /// How many times slower than usual.
+    /// Factor by which requests are slowed down; 1 is normal.
     pub slowness: Cell<f64>,
     in_hand: Cell<usize>,
     rng: RefCell<fastrand::Rng>,
-    /// Requests for each blob, refused ones among them.
+    /// Requests for each blob, including rejected ones.
     pub requests: RefCell<BTreeMap<Digest, u32>>,
     pub refused: Cell<u32>,
     pub bytes_sent: Cell<u64>,
@@ -61,7 +62,7 @@
     Whole,
     CutOff,
     Stalled,
-    /// What is left, and when its next byte goes.
+    /// The remaining bytes, and the timer of the next one.
     Trickles(Bytes, Pin<Box<tokio::time::Sleep>>),
 }
 
@@ -148,7 +149,7 @@
         })
     }
 
-    /// Takes a model in under a tag, which moves if it was there.
+    /// Stores a model under a tag; an existing tag is moved.
     pub fn push(&self, repository: &str, tag: &str, model: &[u8]) -> io::Result<Manifest> {
         let manifest = cut::pack(model, |chunk, stored| {
             self.blobs
@@ -160,12 +161,12 @@
         Ok(manifest)
     }
 
-    /// A chunk as it is stored; its digest is not looked at.
+    /// Stores a chunk without checking its digest.
     pub fn push_blob(&self, digest: Digest, bytes: Vec<u8>) {
         self.blobs.borrow_mut().insert(digest, bytes.into());
     }
 
-    /// As it is, right or wrong.
+    /// Stores a manifest under its digest and a tag without validating it.
     pub fn push_manifest(&self, repository: &str, tag: &str, bytes: Vec<u8>) {
         let (digest, bytes) = (Digest::of(&bytes).to_string(), Bytes::from(bytes));
         let mut manifests = self.manifests.borrow_mut();
@@ -229,7 +230,7 @@
         self.blob(digest, range).await
     }
 
-    /// Of what it holds, each blob comes damaged from now on with a chance of `part`.
+    /// Marks each stored blob as damaged with probability `part`, replacing the previous marks.
     pub fn damage(&self, part: f64) {
         let mut rng = self.rng.borrow_mut();
         let blobs = self.blobs.borrow();
@@ -237,7 +238,7 @@
         self.faults.borrow_mut().damaged = struck;
     }
 
-    /// What a tag has of its own comes damaged from now on; what it shares with others does not.
+    /// Marks the chunks of a tag as damaged, except those shared with other manifests.
     pub fn damage_model(&self, repository: &str, tag: &str) {
         let manifests = self.manifests.borrow();
         let chunks = |bytes: &Bytes| Manifest::read(bytes).map(|m| m.chunks).unwrap_or_default();
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -1,4 +1,4 @@
-//! The model store: slower when many fetch at once, and refusing beyond a limit.
+//! A fake model store: slows down under concurrent fetches and rejects fetches beyond a limit.
 
 use crate::record::{Line, Record};
 use bytes::BytesMut;
@@ -11,13 +11,14 @@
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// Fetches at full pace; beyond, all slow down.
-const FULL_PACE: f64 = 6.0;
-const COME_BACK: Ticks = 200 * MILLISECOND;
+/// Number of concurrent fetches up to which each runs at full speed; beyond, all slow down.
+const FULL_SPEED_FETCHES: f64 = 6.0;
+const RETRY_AFTER: Ticks = 200 * MILLISECOND;
 
+/// The fake model store.
 pub struct ModelStore {
     pub max_in_flight: Cell<usize>,
-    /// How many times slower than usual.
+    /// Factor by which fetches are slowed down; 1 is normal.
     pub slowness: Cell<f64>,
     in_hand: Cell<usize>,
     clock: Clock,
@@ -26,7 +27,7 @@
 }
 
 impl ModelStore {
-    /// Listens and serves on the `LocalSet` it is called on; gives where.
+    /// Listens and serves on the `LocalSet` it is called on; returns the address.
     pub async fn open(
         network: Rc<dyn Network>,
         clock: Clock,
@@ -78,7 +79,7 @@
             let answer = if refused {
                 encode(&wire::Refused {
                     function,
-                    come_back_tenths: COME_BACK,
+                    come_back_tenths: RETRY_AFTER,
                 })
             } else {
                 self.in_hand.set(self.in_hand.get() + 1);
@@ -88,8 +89,8 @@
                     let step = 100.0f64.min(left.max(10.0));
                     let began = self.clock.now();
                     tokio::time::sleep(Duration::from_micros((step * 100.0) as u64)).await;
-                    let crowd = (self.in_hand.get() as f64 / FULL_PACE).max(1.0);
-                    // Timers of a real clock are late; counted by its steps the store would be slower there.
+                    let crowd = (self.in_hand.get() as f64 / FULL_SPEED_FETCHES).max(1.0);
+                    // Counts elapsed time, not timer steps: timers of a real clock fire late and would make the store slower.
                     left -= (self.clock.now() - began) as f64 / (crowd * self.slowness.get());
                 }
                 encode(&wire::Fetched { function })
--- a/crates/faulty-peers/src/leases.rs
+++ b/crates/faulty-peers/src/leases.rs
@@ -1,5 +1,5 @@
-//! Holders and resources of fleet-wide tasks that break one rule each, to try the judge of trials on. They share the
-//! messages with the real ones and none of their decisions.
+//! Lease holders, journals and a coordinator that break one rule each, to test the judge of trials. They use the messages of
+//! the real implementations but none of their decision code.
 
 use redb::{Database, ReadableDatabase, TableDefinition};
 use saltdrum::interface::{MILLISECOND, SECOND, Ticks};
@@ -19,28 +19,28 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// What a journal does wrong.
+/// Fault of a journal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JournalFault {
     /// Accepts effects of any epoch.
     DropsTheEpoch,
-    /// Goes by its own disk at its start, and asks no quorum.
+    /// Trusts the epoch on its own disk at start instead of querying a quorum.
     BelievesItsDisk,
-    /// Keeps its epoch in memory alone.
+    /// Stores its epoch only in memory.
     ForgetsItsEpoch,
 }
 
-/// Faults of journals by the names they go by on a command line.
+/// Faults of journals by their names on the command line.
 pub const JOURNAL_FAULTS: &[(&str, JournalFault)] = &[
     ("drops-the-epoch", JournalFault::DropsTheEpoch),
     ("believes-its-disk", JournalFault::BelievesItsDisk),
     ("forgets-its-epoch", JournalFault::ForgetsItsEpoch),
 ];
 
-const SEALED: TableDefinition<&str, u64> = TableDefinition::new("seals");
-const KEY: &str = "sealed";
-const PATIENCE: Ticks = 5 * SECOND;
-const BETWEEN_EFFECTS: Ticks = 20 * MILLISECOND;
+const SEALS_TABLE: TableDefinition<&str, u64> = TableDefinition::new("seals");
+const SEALED_EPOCH_KEY: &str = "sealed";
+const CALL_TIMEOUT: Ticks = 5 * SECOND;
+const EFFECT_INTERVAL: Ticks = 20 * MILLISECOND;
 
 /// A journal that breaks a rule.
 pub struct FaultyJournal {
@@ -49,16 +49,16 @@
     sealed: Cell<u64>,
     database: Database,
     lines: Cell<u64>,
-    tells: OnAccepted,
+    on_accepted: OnAccepted,
 }
 
 impl FaultyJournal {
-    /// A journal with this fault on a disk of its own.
+    /// Opens a journal with this fault and its own database.
     pub fn open(
         fault: JournalFault,
         fleet: &str,
         database: Database,
-        tells: OnAccepted,
+        on_accepted: OnAccepted,
     ) -> Result<Rc<Self>, redb::Error> {
         let journal = Self {
             fault,
@@ -66,20 +66,22 @@
             sealed: Cell::new(0),
             database,
             lines: Cell::new(0),
-            tells,
+            on_accepted,
         };
         if fault == JournalFault::BelievesItsDisk {
-            journal.sealed.set(journal.on_disk()?);
+            journal.sealed.set(journal.read_sealed_epoch()?);
         }
         Ok(Rc::new(journal))
     }
 
-    fn on_disk(&self) -> Result<u64, redb::Error> {
+    fn read_sealed_epoch(&self) -> Result<u64, redb::Error> {
         let transaction = self.database.begin_write()?;
-        transaction.open_table(SEALED)?;
+        transaction.open_table(SEALS_TABLE)?;
         transaction.commit()?;
-        let table = self.database.begin_read()?.open_table(SEALED)?;
-        Ok(table.get(KEY)?.map_or(0, |epoch| epoch.value()))
+        let table = self.database.begin_read()?.open_table(SEALS_TABLE)?;
+        Ok(table
+            .get(SEALED_EPOCH_KEY)?
+            .map_or(0, |epoch| epoch.value()))
     }
 
     fn seal(&self, epoch: u64) -> Result<(), redb::Error> {
@@ -87,8 +89,8 @@
         if self.fault == JournalFault::BelievesItsDisk {
             let transaction = self.database.begin_write()?;
             transaction
-                .open_table(SEALED)?
-                .insert(KEY, self.sealed.get())?;
+                .open_table(SEALS_TABLE)?
+                .insert(SEALED_EPOCH_KEY, self.sealed.get())?;
             transaction.commit()?;
         }
         Ok(())
@@ -97,25 +99,25 @@
 
 impl CallHandler for FaultyJournal {
     async fn handle_call(self: &Rc<Self>, call: &Call) -> Result<String, RpcError> {
-        let refused = |why: &str| Err((REJECTED, why.to_owned()));
+        let reject = |reason: &str| Err((REJECTED, reason.to_owned()));
         match call.method.as_str() {
             "seal" => {
-                let asked: Seal = read_params(call, &self.fleet)?;
-                if asked.epoch < self.sealed.get() {
-                    return refused("sealed to a later epoch");
+                let request: Seal = read_params(call, &self.fleet)?;
+                if request.epoch < self.sealed.get() {
+                    return reject("sealed to a later epoch");
                 }
-                self.seal(asked.epoch)
+                self.seal(request.epoch)
                     .map_err(|e| (REJECTED, e.to_string()))?;
                 Ok(json!(Sealed { incarnation: 1 }).to_string())
             }
             "append" => {
                 let effect: Effect<Append> = read_params(call, &self.fleet)?;
-                let drops = self.fault == JournalFault::DropsTheEpoch;
-                if !drops && effect.token.epoch < self.sealed.get() {
-                    return refused("sealed to a later epoch");
+                let ignores_epoch = self.fault == JournalFault::DropsTheEpoch;
+                if !ignores_epoch && effect.token.epoch < self.sealed.get() {
+                    return reject("sealed to a later epoch");
                 }
                 self.lines.set(self.lines.get() + 1);
-                (self.tells)(&Accepted {
+                (self.on_accepted)(&Accepted {
                     token: effect.token,
                     actor: effect.actor,
                 });
@@ -132,37 +134,42 @@
     }
 }
 
-/// A holder that seals each resource when it first acts on it, and does not wait for the others. It pauses between reading its
-/// lease and acting on it, so that after a stop it always acts once on the lease that it had before.
+/// Runs a holder that seals each resource when it first acts on it, without waiting for the others to be sealed. It pauses
+/// between reading its lease and acting on it, so that after a process pause it always acts once on its previous lease.
 pub async fn run_holder_without_all_seals(
-    by: String,
+    actor: String,
     task: &str,
     clock: Clock,
     watch: Rc<LeaseWatch>,
     resources: BTreeMap<String, RpcClient>,
 ) {
-    let sealed: RefCell<BTreeMap<(String, u64), u64>> = RefCell::default();
+    let incarnations: RefCell<BTreeMap<(String, u64), u64>> = RefCell::default();
     loop {
-        for (name, caller) in &resources {
+        for (name, client) in &resources {
             let held = watch.held_lease(task);
-            clock.sleep_until(clock.now() + BETWEEN_EFFECTS).await;
+            clock.sleep_until(clock.now() + EFFECT_INTERVAL).await;
             let Some(held) = held else {
                 continue;
             };
-            let known = sealed.borrow().get(&(name.clone(), held.epoch)).copied();
+            let known = incarnations
+                .borrow()
+                .get(&(name.clone(), held.epoch))
+                .copied();
             let incarnation = match known {
                 Some(incarnation) => incarnation,
                 None => {
-                    let asked = Seal {
+                    let request = Seal {
                         lease: held.lease.clone(),
                         epoch: held.epoch,
                     };
-                    let told = caller.call::<Sealed>("seal", &asked, PATIENCE / 20).await;
-                    let Ok(told) = told else { continue };
-                    sealed
+                    let reply = client
+                        .call::<Sealed>("seal", &request, CALL_TIMEOUT / 20)
+                        .await;
+                    let Ok(reply) = reply else { continue };
+                    incarnations
                         .borrow_mut()
-                        .insert((name.clone(), held.epoch), told.incarnation);
-                    told.incarnation
+                        .insert((name.clone(), held.epoch), reply.incarnation);
+                    reply.incarnation
                 }
             };
             let token = Token {
@@ -170,25 +177,26 @@
                 epoch: held.epoch,
                 incarnation,
             };
-            let what = Append {
+            let params = Append {
                 line: String::new(),
             };
             let effect = Effect {
                 token,
-                actor: by.clone(),
-                params: what,
+                actor: actor.clone(),
+                params,
             };
-            let _ = caller
-                .call::<Appended>("append", &effect, PATIENCE / 20)
+            let _ = client
+                .call::<Appended>("append", &effect, CALL_TIMEOUT / 20)
                 .await;
         }
     }
 }
 
-/// A steward that gives each lease to every member that it hears, on its own opinion. It never votes.
+/// A coordinator that grants each lease to every member that sends it a heartbeat, without a decision of the quorum. It never
+/// votes.
 pub struct FaultyCoordinator {
     pub fleet: String,
-    /// An honest one, of which it takes all that is not its own opinion.
+    /// A correct coordinator, from which it reads the rest of the state.
     pub coordinator: RpcClient,
 }
 
@@ -198,26 +206,26 @@
 }
 
 impl FaultyCoordinator {
-    async fn standing(&self, said: &Heartbeat) -> Option<HeartbeatReply> {
+    async fn reply(&self, heartbeat: &Heartbeat) -> Option<HeartbeatReply> {
         let status: Status = self
             .coordinator
-            .call("status", json!({}), PATIENCE)
+            .call("status", json!({}), CALL_TIMEOUT)
             .await
             .ok()?;
         let fleet = status.fleet?;
-        let member = fleet.members.get(&said.member);
-        let given = |(lease, of): (&LeaseName, &Lease)| HeldLease {
-            lease: lease.clone(),
-            task: of.terms.task.clone(),
-            epoch: of.epoch,
-            resources: of.terms.resources.clone(),
+        let member = fleet.members.get(&heartbeat.member);
+        let to_held = |(name, lease): (&LeaseName, &Lease)| HeldLease {
+            lease: name.clone(),
+            task: lease.terms.task.clone(),
+            epoch: lease.epoch,
+            resources: lease.terms.resources.clone(),
         };
         Some(HeartbeatReply {
             revision: fleet.revision,
             incarnation: member.map(|m| m.info.incarnation),
             phase: member.map(|m| m.phase.clone()),
             drain_withdrawn: false,
-            leases: fleet.leases.iter().map(given).collect(),
+            leases: fleet.leases.iter().map(to_held).collect(),
         })
     }
 }
@@ -225,11 +233,11 @@
 impl CallHandler for FaultyCoordinator {
     async fn handle_call(self: &Rc<Self>, call: &Call) -> Result<String, RpcError> {
         if call.method != "renew" {
-            return Err((NOT_VOTING, "it does not vote".to_owned()));
+            return Err((NOT_VOTING, "this coordinator does not vote".to_owned()));
         }
-        let standing = self.standing(&read_params(call, &self.fleet)?).await;
-        standing
-            .map(|told| json!(told).to_string())
-            .ok_or((NOT_VOTING, "nothing is known yet".to_owned()))
+        let reply = self.reply(&read_params(call, &self.fleet)?).await;
+        reply
+            .map(|reply| json!(reply).to_string())
+            .ok_or((NOT_VOTING, "no fleet state is known yet".to_owned()))
     }
 }
--- a/crates/faulty-peers/src/lib.rs
+++ b/crates/faulty-peers/src/lib.rs
@@ -1,5 +1,5 @@
-//! A controller that breaks rules on purpose, one at a time, and a cache that never looks at a digest. They share no code
-//! with the real ones or the checker.
+//! A controller that deliberately breaks one rule at a time, and a model fetcher that never verifies a digest. They share no
+//! code with the real implementations or the checker.
 
 mod careless;
 pub mod leases;
@@ -20,22 +20,31 @@
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// What it does wrong.
+/// Fault of the controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     None,
+    /// Sends each final response twice.
     AnswersTwice,
+    /// Omits every 40th final response.
     AnswersNotAll,
+    /// Sends every 40th final response 5 s late.
     AnswersLate,
+    /// Dispatches an invocation again after it has ended.
     RunsTwice,
+    /// Responds with a throttle to invocations that ran.
     ThrottlesWhatRan,
+    /// Dispatches each invocation to two invokers at once.
     TwoOut,
+    /// Dispatches to draining and gone invokers.
     IgnoresDrains,
+    /// Dispatches only to the invoker with the highest incarnation, which is the coldest.
     FloodsColdOnes,
+    /// Sends a load order with each dispatch.
     LoadsAtWill,
 }
 
-/// Faults by the names they go by on a command line.
+/// Faults by their names on the command line.
 pub const FAULTS: &[(&str, Fault)] = &[
     ("answers-twice", Fault::AnswersTwice),
     ("answers-not-all", Fault::AnswersNotAll),
@@ -48,65 +57,72 @@
     ("loads-at-will", Fault::LoadsAtWill),
 ];
 
-type Running = Pin<Box<dyn Future<Output = io::Result<()>>>>;
-type Then = Box<dyn FnOnce(wire::Answer)>;
+type RunFuture = Pin<Box<dyn Future<Output = io::Result<()>>>>;
+type OnAnswer = Box<dyn FnOnce(wire::Answer)>;
 
-struct Rogue {
+struct FaultyController {
     fault: Fault,
-    seat: ControllerConfig,
+    config: ControllerConfig,
     network: Rc<dyn Network>,
     clock: Clock,
     entries: RefCell<BTreeMap<u32, list::Entry>>,
     links: RefCell<BTreeMap<u32, SendQueue>>,
-    then: RefCell<BTreeMap<(u32, u64), Then>>,
+    on_answer: RefCell<BTreeMap<(u32, u64), OnAnswer>>,
     rng: RefCell<fastrand::Rng>,
-    last: RefCell<u64>,
+    last_dispatch: RefCell<u64>,
 }
 
-/// Runs in a seat as the real one does.
+/// Runs a faulty controller with the configuration of a real one.
 pub fn run_faulty_controller(
     fault: Fault,
-    seat: ControllerConfig,
+    config: ControllerConfig,
     network: Rc<dyn Network>,
     clock: Clock,
-) -> Running {
-    let rng = RefCell::new(fastrand::Rng::with_seed(seat.seed));
-    let (entries, links, then, last) = Default::default();
-    let rogue = Rc::new(Rogue {
+) -> RunFuture {
+    let rng = RefCell::new(fastrand::Rng::with_seed(config.seed));
+    let (entries, links, on_answer, last_dispatch) = Default::default();
+    let controller = Rc::new(FaultyController {
         fault,
-        seat,
+        config,
         network,
         clock,
         entries,
         links,
-        then,
+        on_answer,
         rng,
-        last,
+        last_dispatch,
     });
-    Box::pin(async move { tokio::task::LocalSet::new().run_until(rogue.run()).await })
+    Box::pin(async move {
+        tokio::task::LocalSet::new()
+            .run_until(controller.run())
+            .await
+    })
 }
 
-impl Rogue {
+impl FaultyController {
     async fn run(self: Rc<Self>) -> io::Result<()> {
-        let (mut door, _) = self.network.listen(&self.seat.client_addresses[0]).await?;
+        let (mut listener, _) = self
+            .network
+            .listen(&self.config.client_addresses[0])
+            .await?;
         let following = self.clone();
-        tokio::task::spawn_local(async move { following.follow().await });
+        tokio::task::spawn_local(async move { following.follow_list().await });
         loop {
-            let (input, mut output) = split(door.accept().await?);
+            let (input, mut output) = split(listener.accept().await?);
             let (this, outbox, clock) = (self.clone(), SendQueue::new(1 << 30), self.clock);
             let out = outbox.clone();
             tokio::task::spawn_local(async move {
                 out.write_to(&mut output, || clock.now(), |_| ()).await
             });
-            tokio::task::spawn_local(async move { this.listen(input, outbox).await });
+            tokio::task::spawn_local(async move { this.serve_client(input, outbox).await });
         }
     }
 
-    async fn follow(self: Rc<Self>) {
-        let (controller, incarnation) = (self.seat.controller, self.seat.incarnation);
+    async fn follow_list(self: Rc<Self>) {
+        let (controller, incarnation) = (self.config.controller, self.config.incarnation);
         let mut stream = self
             .network
-            .dial(&self.seat.endpoint_lists[0])
+            .dial(&self.config.endpoint_lists[0])
             .await
             .unwrap();
         stream
@@ -124,16 +140,18 @@
                     list::FromList::Whole(w) => w.entries,
                     list::FromList::Change(c) => c.entries,
                 };
-                for e in entries {
+                for entry in entries {
                     let known = self
                         .entries
                         .borrow()
-                        .get(&e.invoker)
-                        .is_some_and(|k| k.incarnation == e.incarnation);
-                    self.entries.borrow_mut().insert(e.invoker, e.clone());
-                    if !known && e.life == list::Life::Ready {
+                        .get(&entry.invoker)
+                        .is_some_and(|known| known.incarnation == entry.incarnation);
+                    self.entries
+                        .borrow_mut()
+                        .insert(entry.invoker, entry.clone());
+                    if !known && entry.life == list::Life::Ready {
                         let this = self.clone();
-                        tokio::task::spawn_local(async move { this.link(e).await });
+                        tokio::task::spawn_local(async move { this.connect(entry).await });
                     }
                 }
             }
@@ -143,12 +161,15 @@
         }
     }
 
-    async fn link(self: Rc<Self>, entry: list::Entry) {
+    async fn connect(self: Rc<Self>, entry: list::Entry) {
         let Ok(mut stream) = self.network.dial(&entry.address.parse().unwrap()).await else {
             return;
         };
-        let (controller, incarnation, invoker) =
-            (self.seat.controller, self.seat.incarnation, entry.invoker);
+        let (controller, incarnation, invoker) = (
+            self.config.controller,
+            self.config.incarnation,
+            entry.invoker,
+        );
         let hello = wire::Hello {
             version_least: 1,
             version_most: 1,
@@ -168,36 +189,46 @@
         let mut read = BytesMut::new();
         while let Ok(1..) = input.read_buf(&mut read).await {
             while let Some((kind, body)) = cut(&mut read).unwrap() {
-                if let Ok(wire::FromInvoker::Answer(a)) = wire::FromInvoker::read(kind, &body) {
-                    let then = self.then.borrow_mut().remove(&(invoker, a.dispatch));
-                    then.into_iter().for_each(|then| then(a.clone()));
+                if let Ok(wire::FromInvoker::Answer(answer)) = wire::FromInvoker::read(kind, &body)
+                {
+                    let on_answer = self
+                        .on_answer
+                        .borrow_mut()
+                        .remove(&(invoker, answer.dispatch));
+                    on_answer
+                        .into_iter()
+                        .for_each(|on_answer| on_answer(answer.clone()));
                 }
             }
         }
     }
 
-    async fn listen(self: Rc<Self>, mut input: saltdrum_transport::StreamHalf, to: SendQueue) {
+    async fn serve_client(
+        self: Rc<Self>,
+        mut input: saltdrum_transport::StreamHalf,
+        to: SendQueue,
+    ) {
         let mut read = BytesMut::new();
         while let Ok(1..) = input.read_buf(&mut read).await {
             while let Some(end) = read.iter().position(|b| *b == b'\n') {
                 let line = read.split_to(end + 1);
                 if let Ok(rpc::Line::Single(Ok(call))) = rpc::read(line.trim_ascii()) {
                     let invoke = serde_json::from_str(call.params.unwrap().get()).unwrap();
-                    self.take(invoke, call.id.unwrap(), to.clone());
+                    self.invoke(invoke, call.id.unwrap(), to.clone());
                 }
             }
         }
     }
 
-    /// None: nobody is there.
-    fn pick(&self, not: Option<u32>) -> Option<u32> {
+    /// Picks an invoker other than `excluded`; `None` if there is none.
+    fn pick_invoker(&self, excluded: Option<u32>) -> Option<u32> {
         let entries = self.entries.borrow();
         let ready =
             |e: &&list::Entry| e.life == list::Life::Ready || self.fault == Fault::IgnoresDrains;
         let able: Vec<&list::Entry> = entries
             .values()
             .filter(ready)
-            .filter(|e| Some(e.invoker) != not)
+            .filter(|e| Some(e.invoker) != excluded)
             .collect();
         match self.fault {
             Fault::FloodsColdOnes => able.iter().max_by_key(|e| e.incarnation).map(|e| e.invoker),
@@ -206,13 +237,20 @@
         }
     }
 
-    fn dispatch(&self, invoker: u32, inv: u32, hop: u8, call: &rpc::Invoke, then: Then) {
-        *self.last.borrow_mut() += 1;
-        let dispatch = *self.last.borrow();
-        let function = &self.seat.terms.functions[&call.function];
+    fn dispatch(
+        &self,
+        invoker: u32,
+        invocation: u32,
+        hop: u8,
+        call: &rpc::Invoke,
+        on_answer: OnAnswer,
+    ) {
+        *self.last_dispatch.borrow_mut() += 1;
+        let dispatch = *self.last_dispatch.borrow();
+        let function = &self.config.terms.functions[&call.function];
         let frame = wire::Dispatch {
             dispatch,
-            invocation: inv,
+            invocation,
             hop,
             function: function.id,
             name: call.function.clone(),
@@ -233,7 +271,9 @@
         let Some(link) = links.get(&invoker) else {
             return;
         };
-        self.then.borrow_mut().insert((invoker, dispatch), then);
+        self.on_answer
+            .borrow_mut()
+            .insert((invoker, dispatch), on_answer);
         if self.fault == Fault::LoadsAtWill {
             let order = dispatch + 1_000_000;
             let hold = wire::Hold {
@@ -247,26 +287,26 @@
         link.push(encode(&frame), u64::MAX);
     }
 
-    fn take(self: &Rc<Self>, call: rpc::Invoke, id: rpc::Id, to: SendQueue) {
-        let inv = *self.last.borrow() as u32 + 1;
-        let Some(first) = self.pick(None) else {
+    fn invoke(self: &Rc<Self>, call: rpc::Invoke, id: rpc::Id, to: SendQueue) {
+        let invocation = *self.last_dispatch.borrow() as u32 + 1;
+        let Some(first) = self.pick_invoker(None) else {
             to.push(
                 Bytes::from(rpc::error(&id, rpc::THROTTLED, "throttled", None) + "\n"),
                 u64::MAX,
             );
             return;
         };
-        let second = self.pick(Some(first)).unwrap_or(first);
+        let second = self.pick_invoker(Some(first)).unwrap_or(first);
         let (this, again) = (self.clone(), call.clone());
-        let answer = move |text: String, wait_ms: u64| {
+        let respond = move |text: String, delay_ms: u64| {
             let to = to.clone();
             tokio::task::spawn_local(async move {
-                tokio::time::sleep(std::time::Duration::from_millis(wait_ms)).await;
+                tokio::time::sleep(std::time::Duration::from_millis(delay_ms)).await;
                 to.push(Bytes::from(text + "\n"), u64::MAX);
             });
         };
-        let then: Then = Box::new(move |a| {
-            let text = match a.ended {
+        let on_answer: OnAnswer = Box::new(move |received| {
+            let text = match received.ended {
                 _ if this.fault == Fault::ThrottlesWhatRan => {
                     rpc::error(&id, rpc::THROTTLED, "throttled", None)
                 }
@@ -278,20 +318,24 @@
             };
             match this.fault {
                 Fault::AnswersTwice => {
-                    answer(text.clone(), 0);
-                    answer(text, 1);
-                }
-                Fault::AnswersNotAll if inv.is_multiple_of(40) => {}
-                Fault::AnswersLate if inv.is_multiple_of(40) => answer(text, 5_000),
-                Fault::RunsTwice => {
-                    this.dispatch(second, inv, 1, &again, Box::new(move |_| answer(text, 0)))
+                    respond(text.clone(), 0);
+                    respond(text, 1);
                 }
-                _ => answer(text, 0),
+                Fault::AnswersNotAll if invocation.is_multiple_of(40) => {}
+                Fault::AnswersLate if invocation.is_multiple_of(40) => respond(text, 5_000),
+                Fault::RunsTwice => this.dispatch(
+                    second,
+                    invocation,
+                    1,
+                    &again,
+                    Box::new(move |_| respond(text, 0)),
+                ),
+                _ => respond(text, 0),
             }
         });
-        self.dispatch(first, inv, 0, &call, then);
+        self.dispatch(first, invocation, 0, &call, on_answer);
         if self.fault == Fault::TwoOut {
-            self.dispatch(second, inv, 1, &call, Box::new(|_| ()));
+            self.dispatch(second, invocation, 1, &call, Box::new(|_| ()));
         }
     }
 }
--- a/crates/simulated-network/src/lib.rs
+++ b/crates/simulated-network/src/lib.rs
@@ -1,8 +1,9 @@
-//! A network that is only stood in for: named hosts in one process, with delays, jitter, bandwidth and cuts between them.
+//! A simulated network: named hosts in one process, with delay, jitter, bandwidth and partitions between them.
 //!
-//! `lines` decides when bytes pass and knows no streams; `streams` are what controllers and stand-ins read and write in
-//! place of sockets; `stop` holds a whole process still. All of it runs on one thread under tokio's clock, and the same
-//! seed gives the same day. Timers fire at whole milliseconds: shorter delays are rounded up to one, none stays none.
+//! `lines` computes arrival times and does not depend on streams; `streams` provides the streams that controllers and fakes
+//! use in place of sockets; `stop` pauses a whole simulated process. Everything runs on one thread under tokio's clock, and
+//! the same seed gives the same run. Timers fire at whole milliseconds: shorter delays are rounded up to one, and a delay of
+//! zero stays zero.
 
 pub mod lines;
 mod stop;
--- a/crates/simulated-network/src/stop.rs
+++ b/crates/simulated-network/src/stop.rs
@@ -1,3 +1,5 @@
+//! Pausing a simulated process.
+
 use std::cell::Cell;
 use std::future::Future;
 use std::pin::Pin;
@@ -6,11 +8,12 @@
 use std::time::Duration;
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// Holds what is [`stoppable`] still, as a stopped process is: its timers and streams go on around it.
+/// Pauses [`pausable`] futures like a stopped process: time passes and data arrives meanwhile.
 #[derive(Clone, Default)]
 pub struct ProcessPause(Rc<Cell<Option<Instant>>>);
 
 impl ProcessPause {
+    /// Pauses for `span` from now, or until an earlier pause ends if that is later.
     pub fn pause_for(&self, span: Duration) {
         let until = Instant::now() + span;
         self.0
@@ -41,7 +44,7 @@
     }
 }
 
-/// Runs as `inner` does, but not while held. `inner` must spawn nothing outside itself.
+/// Polls `inner`, except during a pause. `inner` must not spawn tasks outside itself.
 pub fn pausable<F: Future>(hold: ProcessPause, inner: F) -> impl Future<Output = F::Output> {
     Stoppable {
         inner: Box::pin(inner),
--- a/crates/simulated-network/src/streams.rs
+++ b/crates/simulated-network/src/streams.rs
@@ -1,3 +1,5 @@
+//! Streams and the [`Network`] implementation of the simulated hosts.
+
 use crate::lines::{Delivery, HostId, Link, Links};
 use bytes::{Buf, Bytes};
 use saltdrum::interface::Ticks;
@@ -14,54 +16,56 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// Under way and unread on one stream, one way.
-const WINDOW: usize = 256 << 10;
-/// A connection that gets no answer is given up after this.
-const DIAL_PATIENCE: Duration = Duration::from_secs(3);
-const DIAL_LOOKS: Duration = Duration::from_millis(50);
+/// Bound of the bytes in flight or unread in one direction of a stream.
+const WINDOW_BYTES: usize = 256 << 10;
+/// A connection attempt fails after this time without a response.
+const DIAL_TIMEOUT: Duration = Duration::from_secs(3);
+/// Interval at which a connection attempt checks whether a cut is healed.
+const DIAL_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-type Door = mpsc::UnboundedSender<Stream>;
-type Later<'a, T> = Pin<Box<dyn Future<Output = io::Result<T>> + 'a>>;
-type SharedWay = Rc<RefCell<Way>>;
-type Ways = BTreeMap<(HostId, HostId), Vec<Weak<RefCell<Way>>>>;
+type ListenerSender = mpsc::UnboundedSender<Stream>;
+type IoFuture<'a, T> = Pin<Box<dyn Future<Output = io::Result<T>> + 'a>>;
+type SharedDirection = Rc<RefCell<Direction>>;
+type DirectionsByHosts = BTreeMap<(HostId, HostId), Vec<Weak<RefCell<Direction>>>>;
 
-/// Every host and every stream between them.
+/// All hosts and the streams between them.
 #[derive(Clone)]
 pub struct SimulatedNetwork {
     clock: Clock,
-    lines: Rc<RefCell<Links>>,
+    links: Rc<RefCell<Links>>,
     hosts: Rc<RefCell<BTreeMap<String, HostId>>>,
-    doors: Rc<RefCell<BTreeMap<Address, (HostId, Door)>>>,
-    /// Streams that a cut may have held something of.
-    ways: Rc<RefCell<Ways>>,
-    /// Told when what is being read was written; the stand-ins' own.
-    turns: EventLoopClock,
+    listeners: Rc<RefCell<BTreeMap<Address, (HostId, ListenerSender)>>>,
+    /// Open directions of streams, whose data a cut may hold back.
+    directions: Rc<RefCell<DirectionsByHosts>>,
+    /// The fakes' event loop clock; receives the write time of the data being read.
+    event_loop: EventLoopClock,
 }
 
-struct Part {
+struct Segment {
     written: Ticks,
-    /// None: a cut holds it.
+    /// Arrival time; `None` while a cut holds it back.
     arrives: Option<Ticks>,
     bytes: Bytes,
 }
 
 /// One direction of a stream.
-struct Way {
+struct Direction {
     from: HostId,
     to: HostId,
-    parts: VecDeque<Part>,
+    segments: VecDeque<Segment>,
     bytes: usize,
-    /// Nothing overtakes on a stream.
-    last: Ticks,
-    /// The writer is gone: its end comes after all parts. Held by a cut as they are.
-    ends: Option<Option<Ticks>>,
-    /// The reader is gone, and the writer hears of it then.
-    refused: Option<Ticks>,
+    /// Latest arrival time so far: data on a stream keeps its order.
+    last_arrival: Ticks,
+    /// Set when the writer has closed: arrival time of the end of stream, after all segments; `Some(None)` while
+    /// a cut holds it back.
+    end_of_stream: Option<Option<Ticks>>,
+    /// Set when the reader has closed: when the writer learns of it.
+    reader_closed_at: Option<Ticks>,
     reader: Option<Waker>,
     writer: Option<Waker>,
 }
 
-impl Way {
+impl Direction {
     fn wake_reader(&mut self) {
         if let Some(waker) = self.reader.take() {
             waker.wake();
@@ -76,16 +80,16 @@
 }
 
 impl SimulatedNetwork {
-    /// `turns` are those of whoever reads as a stand-in: what it reads came when it was written.
-    pub fn new(clock: Clock, lines: Links, turns: EventLoopClock) -> Self {
-        let (hosts, doors, ways) = Default::default();
+    /// `event_loop` is the event loop clock of the fakes: they count data as arrived when it was written.
+    pub fn new(clock: Clock, links: Links, event_loop: EventLoopClock) -> Self {
+        let (hosts, listeners, directions) = Default::default();
         Self {
             clock,
-            lines: Rc::new(RefCell::new(lines)),
+            links: Rc::new(RefCell::new(links)),
             hosts,
-            doors,
-            ways,
-            turns,
+            listeners,
+            directions,
+            event_loop,
         }
     }
 
@@ -95,86 +99,93 @@
         *hosts.entry(name.to_owned()).or_insert(next)
     }
 
-    /// The network as this host sees it.
+    /// The network as seen from this host.
     pub fn host(&self, name: &str) -> Rc<dyn Network> {
-        Rc::new(Seen {
-            ether: self.clone(),
+        Rc::new(HostNetwork {
+            network: self.clone(),
             here: self.number(name),
         })
     }
 
-    /// Lets nothing pass any more, one way. Streams stay open, as they do on a real network.
+    /// Cuts one direction between two hosts. Streams stay open, as on a real network.
     pub fn cut(&self, from: &str, to: &str) {
-        self.lines
+        self.links
             .borrow_mut()
             .cut(self.number(from), self.number(to));
     }
 
-    /// What was held arrives now.
+    /// Removes one cut; with the last one, held data arrives after the usual delay.
     pub fn heal(&self, from: &str, to: &str) {
         let pair = (self.number(from), self.number(to));
-        if !self.lines.borrow_mut().heal(pair.0, pair.1) {
+        if !self.links.borrow_mut().heal(pair.0, pair.1) {
             return;
         }
         let now = self.clock.now();
-        let ways = self.ways.borrow().get(&pair).cloned().unwrap_or_default();
-        for way in ways.iter().filter_map(Weak::upgrade) {
-            let way = &mut *way.borrow_mut();
+        let directions = self
+            .directions
+            .borrow()
+            .get(&pair)
+            .cloned()
+            .unwrap_or_default();
+        for direction in directions.iter().filter_map(Weak::upgrade) {
+            let direction = &mut *direction.borrow_mut();
             let at = self
-                .lines
+                .links
                 .borrow_mut()
                 .arrival_after_heal(now, pair.0, pair.1)
-                .max(way.last);
-            way.parts
+                .max(direction.last_arrival);
+            direction
+                .segments
                 .iter_mut()
                 .filter(|p| p.arrives.is_none())
                 .for_each(|p| p.arrives = Some(at));
-            if way.ends == Some(None) {
-                way.ends = Some(Some(at));
+            if direction.end_of_stream == Some(None) {
+                direction.end_of_stream = Some(Some(at));
             }
-            way.last = at;
-            way.wake_reader();
+            direction.last_arrival = at;
+            direction.wake_reader();
         }
     }
 
-    /// Another line in place of the usual one, one way, until it is quickened by the same.
-    pub fn add_slowdown(&self, from: &str, to: &str, line: Link) {
-        self.lines
+    /// Replaces the usual link of one direction by `line`, until it is removed.
+    pub fn add_slowdown(&self, from: &str, to: &str, link: Link) {
+        self.links
             .borrow_mut()
-            .add_slowdown(self.number(from), self.number(to), line);
+            .add_slowdown(self.number(from), self.number(to), link);
     }
 
-    pub fn remove_slowdown(&self, from: &str, to: &str, line: Link) {
-        self.lines
+    /// Removes one slowdown with this `line`.
+    pub fn remove_slowdown(&self, from: &str, to: &str, link: Link) {
+        self.links
             .borrow_mut()
-            .remove_slowdown(self.number(from), self.number(to), line);
+            .remove_slowdown(self.number(from), self.number(to), link);
     }
 
-    fn way(&self, from: HostId, to: HostId) -> SharedWay {
-        let way = Rc::new(RefCell::new(Way {
+    fn direction(&self, from: HostId, to: HostId) -> SharedDirection {
+        let direction = Rc::new(RefCell::new(Direction {
             from,
             to,
-            parts: VecDeque::new(),
+            segments: VecDeque::new(),
             bytes: 0,
-            last: 0,
-            ends: None,
-            refused: None,
+            last_arrival: 0,
+            end_of_stream: None,
+            reader_closed_at: None,
             reader: None,
             writer: None,
         }));
-        let mut ways = self.ways.borrow_mut();
-        let all = ways.entry((from, to)).or_default();
+        let mut directions = self.directions.borrow_mut();
+        let all = directions.entry((from, to)).or_default();
         if all.len() > 64 && all.len().is_power_of_two() {
             all.retain(|w| w.strong_count() > 0);
         }
-        all.push(Rc::downgrade(&way));
-        way
+        all.push(Rc::downgrade(&direction));
+        direction
     }
 
-    fn end(&self, reads: SharedWay, writes: SharedWay) -> Stream {
+    fn end(&self, reads: SharedDirection, writes: SharedDirection) -> Stream {
         let sleep = || Box::pin(sleep_until(Instant::now()));
-        Box::new(End {
-            ether: self.clone(),
+        Box::new(StreamEnd {
+            network: self.clone(),
             reads,
             writes,
             read_due: sleep(),
@@ -183,86 +194,94 @@
     }
 }
 
-/// The ether from one host.
-struct Seen {
-    ether: SimulatedNetwork,
+/// The network as seen from one host.
+struct HostNetwork {
+    network: SimulatedNetwork,
     here: HostId,
 }
 
-impl Network for Seen {
-    fn dial<'a>(&'a self, address: &'a Address) -> Later<'a, Stream> {
+impl Network for HostNetwork {
+    fn dial<'a>(&'a self, address: &'a Address) -> IoFuture<'a, Stream> {
         Box::pin(async move {
-            let ether = &self.ether;
-            let given_up = Instant::now() + DIAL_PATIENCE;
+            let network = &self.network;
+            let deadline = Instant::now() + DIAL_TIMEOUT;
             let there = loop {
-                // Nobody can tell a silent host from one that is not there.
-                let there = ether.doors.borrow().get(address).map(|(host, _)| *host);
+                // Without a listener the connection is refused; behind a cut the attempt waits, as a silent host can't be
+                // told from an absent one.
+                let there = network
+                    .listeners
+                    .borrow()
+                    .get(address)
+                    .map(|(host, _)| *host);
                 let Some(there) = there else {
                     return Err(io::ErrorKind::ConnectionRefused.into());
                 };
-                let crosses = {
-                    let lines = &mut *ether.lines.borrow_mut();
-                    let cut = lines.is_cut(self.here, there) || lines.is_cut(there, self.here);
-                    let now = ether.clock.now();
-                    let mut way = |a, b| match lines.send(now, a, b, 64) {
+                let round_trip = {
+                    let links = &mut *network.links.borrow_mut();
+                    let cut = links.is_cut(self.here, there) || links.is_cut(there, self.here);
+                    let now = network.clock.now();
+                    let mut delay = |from, to| match links.send(now, from, to, 64) {
                         Delivery::Arrives(at) => at - now,
                         Delivery::Held => 0,
                     };
-                    (!cut).then(|| way(self.here, there) + way(there, self.here))
+                    (!cut).then(|| delay(self.here, there) + delay(there, self.here))
                 };
-                match crosses {
+                match round_trip {
                     Some(0) => break there,
                     Some(span) => {
                         tokio::time::sleep(Duration::from_micros(span * 100)).await;
                         break there;
                     }
-                    None if Instant::now() >= given_up => {
+                    None if Instant::now() >= deadline => {
                         return Err(io::ErrorKind::TimedOut.into());
                     }
-                    None => tokio::time::sleep(DIAL_LOOKS).await,
+                    None => tokio::time::sleep(DIAL_RETRY_INTERVAL).await,
                 }
             };
-            let (to, from) = (ether.way(self.here, there), ether.way(there, self.here));
-            let theirs = ether.end(to.clone(), from.clone());
-            let met = ether
-                .doors
+            let (to, from) = (
+                network.direction(self.here, there),
+                network.direction(there, self.here),
+            );
+            let remote_end = network.end(to.clone(), from.clone());
+            let connected = network
+                .listeners
                 .borrow()
                 .get(address)
-                .is_some_and(|(_, door)| door.send(theirs).is_ok());
-            if met {
-                Ok(ether.end(from, to))
+                .is_some_and(|(_, listener)| listener.send(remote_end).is_ok());
+            if connected {
+                Ok(network.end(from, to))
             } else {
                 Err(io::ErrorKind::ConnectionRefused.into())
             }
         })
     }
 
-    fn listen<'a>(&'a self, address: &'a Address) -> Later<'a, (Box<dyn Listener>, Address)> {
+    fn listen<'a>(&'a self, address: &'a Address) -> IoFuture<'a, (Box<dyn Listener>, Address)> {
         Box::pin(async move {
-            let mut doors = self.ether.doors.borrow_mut();
-            if doors
+            let mut listeners = self.network.listeners.borrow_mut();
+            if listeners
                 .get(address)
-                .is_some_and(|(_, door)| !door.is_closed())
+                .is_some_and(|(_, listener)| !listener.is_closed())
             {
                 return Err(io::ErrorKind::AddrInUse.into());
             }
             let (to, from) = mpsc::unbounded_channel();
-            doors.insert(address.clone(), (self.here, to));
+            listeners.insert(address.clone(), (self.here, to));
             Ok((Box::new(from) as Box<dyn Listener>, address.clone()))
         })
     }
 }
 
 /// One end of a stream.
-struct End {
-    ether: SimulatedNetwork,
-    reads: SharedWay,
-    writes: SharedWay,
+struct StreamEnd {
+    network: SimulatedNetwork,
+    reads: SharedDirection,
+    writes: SharedDirection,
     read_due: Pin<Box<Sleep>>,
     write_due: Pin<Box<Sleep>>,
 }
 
-/// Ready once `at` has come.
+/// Ready from `at` on.
 fn due(sleep: &mut Pin<Box<Sleep>>, clock: Clock, at: Ticks, cx: &mut Context<'_>) -> Poll<()> {
     if clock.now() >= at {
         return Poll::Ready(());
@@ -271,86 +290,96 @@
     sleep.as_mut().poll(cx)
 }
 
-impl AsyncRead for End {
+impl AsyncRead for StreamEnd {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let this = &mut *self;
-        let (clock, way) = (this.ether.clock, &mut *this.reads.borrow_mut());
-        let next = match (way.parts.front(), way.ends) {
-            (Some(part), _) => part.arrives,
+        let (clock, direction) = (this.network.clock, &mut *this.reads.borrow_mut());
+        let next = match (direction.segments.front(), direction.end_of_stream) {
+            (Some(segment), _) => segment.arrives,
             (None, Some(at)) => at,
             (None, None) => None,
         };
         let here = next.is_some_and(|at| due(&mut this.read_due, clock, at, cx).is_ready());
         if !here {
-            way.reader = Some(cx.waker().clone());
+            direction.reader = Some(cx.waker().clone());
             return Poll::Pending;
         }
         let now = clock.now();
-        let mut first = None;
-        while let Some(part) = way
-            .parts
+        let mut written_at = None;
+        while let Some(segment) = direction
+            .segments
             .front_mut()
             .filter(|p| p.arrives.is_some_and(|at| at <= now))
         {
-            let n = part.bytes.len().min(buf.remaining());
-            if n == 0 {
+            let length = segment.bytes.len().min(buf.remaining());
+            if length == 0 {
                 break;
             }
-            first = first.or(Some(part.written));
-            buf.put_slice(&part.bytes[..n]);
-            part.bytes.advance(n);
-            way.bytes -= n;
-            if part.bytes.is_empty() {
-                way.parts.pop_front();
+            written_at = written_at.or(Some(segment.written));
+            buf.put_slice(&segment.bytes[..length]);
+            segment.bytes.advance(length);
+            direction.bytes -= length;
+            if segment.bytes.is_empty() {
+                direction.segments.pop_front();
             }
         }
-        if let Some(written) = first {
-            this.ether.turns.set_written_at(written);
+        if let Some(written) = written_at {
+            this.network.event_loop.set_written_at(written);
         }
-        way.wake_writer();
+        direction.wake_writer();
         Poll::Ready(Ok(()))
     }
 }
 
-impl AsyncWrite for End {
+impl AsyncWrite for StreamEnd {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let this = &mut *self;
-        let (clock, way) = (this.ether.clock, &mut *this.writes.borrow_mut());
+        let (clock, direction) = (this.network.clock, &mut *this.writes.borrow_mut());
         let now = clock.now();
-        if way.ends.is_some() || way.refused.is_some_and(|at| at <= now) {
+        if direction.end_of_stream.is_some()
+            || direction.reader_closed_at.is_some_and(|at| at <= now)
+        {
             return Poll::Ready(Err(io::ErrorKind::BrokenPipe.into()));
         }
-        let n = bytes.len().min(WINDOW.saturating_sub(way.bytes));
-        if n == 0 {
-            way.writer = Some(cx.waker().clone());
-            if let Some(at) = way.refused {
+        let length = bytes
+            .len()
+            .min(WINDOW_BYTES.saturating_sub(direction.bytes));
+        if length == 0 {
+            direction.writer = Some(cx.waker().clone());
+            if let Some(at) = direction.reader_closed_at {
                 let _ = due(&mut this.write_due, clock, at, cx);
             }
             return Poll::Pending;
         }
-        let arrives = match this.ether.lines.borrow_mut().send(now, way.from, way.to, n) {
-            Delivery::Arrives(at) => {
-                way.last = way.last.max(at);
-                Some(way.last)
-            }
-            Delivery::Held => None,
-        };
-        way.parts.push_back(Part {
+        let arrives =
+            match this
+                .network
+                .links
+                .borrow_mut()
+                .send(now, direction.from, direction.to, length)
+            {
+                Delivery::Arrives(at) => {
+                    direction.last_arrival = direction.last_arrival.max(at);
+                    Some(direction.last_arrival)
+                }
+                Delivery::Held => None,
+            };
+        direction.segments.push_back(Segment {
             written: now,
             arrives,
-            bytes: Bytes::copy_from_slice(&bytes[..n]),
+            bytes: Bytes::copy_from_slice(&bytes[..length]),
         });
-        way.bytes += n;
-        way.wake_reader();
-        Poll::Ready(Ok(n))
+        direction.bytes += length;
+        direction.wake_reader();
+        Poll::Ready(Ok(length))
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -363,34 +392,39 @@
     }
 }
 
-impl End {
+impl StreamEnd {
     fn close_writes(&self) {
-        let way = &mut *self.writes.borrow_mut();
-        if way.ends.is_none() {
-            let passage =
-                self.ether
-                    .lines
-                    .borrow_mut()
-                    .send(self.ether.clock.now(), way.from, way.to, 0);
-            way.ends = Some(match passage {
-                Delivery::Arrives(at) => Some(at.max(way.last)),
+        let direction = &mut *self.writes.borrow_mut();
+        if direction.end_of_stream.is_none() {
+            let delivery = self.network.links.borrow_mut().send(
+                self.network.clock.now(),
+                direction.from,
+                direction.to,
+                0,
+            );
+            direction.end_of_stream = Some(match delivery {
+                Delivery::Arrives(at) => Some(at.max(direction.last_arrival)),
                 Delivery::Held => None,
             });
-            way.wake_reader();
+            direction.wake_reader();
         }
     }
 }
 
-impl Drop for End {
+impl Drop for StreamEnd {
     fn drop(&mut self) {
         self.close_writes();
-        let way = &mut *self.reads.borrow_mut();
-        let now = self.ether.clock.now();
-        // Behind a cut the writer fills the window and hears nothing: its own patience must end it.
-        if let Delivery::Arrives(at) = self.ether.lines.borrow_mut().send(now, way.to, way.from, 0)
+        let direction = &mut *self.reads.borrow_mut();
+        let now = self.network.clock.now();
+        // Behind a cut the writer fills the window without an error, and only its own timeout ends it.
+        if let Delivery::Arrives(at) =
+            self.network
+                .links
+                .borrow_mut()
+                .send(now, direction.to, direction.from, 0)
         {
-            way.refused = Some(at);
-            way.wake_writer();
+            direction.reader_closed_at = Some(at);
+            direction.wake_writer();
         }
     }
 }
@@ -400,128 +434,129 @@
     use super::*;
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-    fn ether(line: Link) -> SimulatedNetwork {
+    fn network_with(link: Link) -> SimulatedNetwork {
         SimulatedNetwork::new(
             Clock::start(),
-            Links::new(line, 0.0, 1),
+            Links::new(link, 0.0, 1),
             EventLoopClock::default(),
         )
     }
 
-    async fn pair(e: &SimulatedNetwork) -> (Stream, Stream) {
+    async fn connect(network: &SimulatedNetwork) -> (Stream, Stream) {
         let at = Address::Memory("there".into());
-        let (here, there) = (e.host("here"), e.host("there"));
-        let (mut door, _) = there.listen(&at).await.unwrap();
+        let (here, there) = (network.host("here"), network.host("there"));
+        let (mut listener, _) = there.listen(&at).await.unwrap();
         let stream = here.dial(&at).await.unwrap();
-        (stream, door.accept().await.unwrap())
+        (stream, listener.accept().await.unwrap())
     }
 
     #[tokio::test(start_paused = true)]
-    async fn bytes_take_their_time_and_keep_their_order() {
-        let e = ether(Link {
+    async fn bytes_are_delayed_and_keep_their_order() {
+        let network = network_with(Link {
             delay: 50,
             jitter: 70,
         });
-        let (mut a, mut b) = pair(&e).await;
-        let began = e.clock.now();
+        let (mut client, mut server) = connect(&network).await;
+        let began = network.clock.now();
         for n in 0..100u8 {
-            a.write_all(&[n]).await.unwrap();
+            client.write_all(&[n]).await.unwrap();
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        drop(a);
+        drop(client);
         let mut read = Vec::new();
-        b.read_to_end(&mut read).await.unwrap();
+        server.read_to_end(&mut read).await.unwrap();
         assert_eq!(read, (0..100).collect::<Vec<u8>>());
         assert!(
-            (1_040..=1_140).contains(&(e.clock.now() - began)),
+            (1_040..=1_140).contains(&(network.clock.now() - began)),
             "{}",
-            e.clock.now() - began
+            network.clock.now() - began
         );
     }
 
     #[tokio::test(start_paused = true)]
-    async fn a_cut_one_way_holds_what_is_written_until_it_heals() {
-        let e = ether(Link {
+    async fn one_way_cut_holds_data_back_until_healed() {
+        let network = network_with(Link {
             delay: 10,
             jitter: 0,
         });
-        let (mut a, mut b) = pair(&e).await;
-        e.cut("here", "there");
-        a.write_all(b"held").await.unwrap();
-        b.write_all(b"passes").await.unwrap();
-        let mut six = [0; 6];
-        a.read_exact(&mut six).await.unwrap();
-        let mut four = [0; 4];
+        let (mut client, mut server) = connect(&network).await;
+        network.cut("here", "there");
+        client.write_all(b"held").await.unwrap();
+        server.write_all(b"passes").await.unwrap();
+        let mut passed = [0; 6];
+        client.read_exact(&mut passed).await.unwrap();
+        let mut held_back = [0; 4];
         assert!(
-            tokio::time::timeout(Duration::from_secs(9), b.read_exact(&mut four))
+            tokio::time::timeout(Duration::from_secs(9), server.read_exact(&mut held_back))
                 .await
                 .is_err()
         );
-        e.heal("here", "there");
-        b.read_exact(&mut four).await.unwrap();
-        assert_eq!((&six, &four), (b"passes", b"held"));
+        network.heal("here", "there");
+        server.read_exact(&mut held_back).await.unwrap();
+        assert_eq!((&passed, &held_back), (b"passes", b"held"));
     }
 
     #[tokio::test(start_paused = true)]
-    async fn an_end_that_is_dropped_behind_a_cut_is_heard_of_after_it() {
-        let e = ether(Link::default());
-        let (a, mut b) = pair(&e).await;
-        e.cut("here", "there");
-        drop(a);
-        let mut one = [0; 1];
+    async fn close_behind_a_cut_is_noticed_after_healing() {
+        let network = network_with(Link::default());
+        let (client, mut server) = connect(&network).await;
+        network.cut("here", "there");
+        drop(client);
+        let mut byte = [0; 1];
         assert!(
-            tokio::time::timeout(Duration::from_secs(5), b.read(&mut one))
+            tokio::time::timeout(Duration::from_secs(5), server.read(&mut byte))
                 .await
                 .is_err()
         );
         assert!(
-            b.write_all(b"into the void").await.is_ok(),
-            "nobody has said that it is gone"
+            server.write_all(b"into the void").await.is_ok(),
+            "the close has not been noticed yet"
         );
-        e.heal("here", "there");
-        assert_eq!(b.read(&mut one).await.unwrap(), 0);
+        network.heal("here", "there");
+        assert_eq!(server.read(&mut byte).await.unwrap(), 0);
     }
 
     #[tokio::test(start_paused = true)]
-    async fn a_stuck_reader_fills_the_window_and_its_end_frees_the_writer() {
-        let e = ether(Link {
+    async fn stuck_reader_fills_the_window_and_its_close_fails_the_writer() {
+        let network = network_with(Link {
             delay: 20,
             jitter: 0,
         });
-        let (mut a, b) = pair(&e).await;
+        let (mut client, server) = connect(&network).await;
         let mut sent = 0;
-        while let Ok(n) = tokio::time::timeout(Duration::from_secs(1), a.write(&[7; 10_000])).await
+        while let Ok(n) =
+            tokio::time::timeout(Duration::from_secs(1), client.write(&[7; 10_000])).await
         {
             sent += n.unwrap();
         }
-        assert_eq!(sent, WINDOW);
-        let writing = async { a.write_all(&[7; 10]).await };
-        let (done, ()) = tokio::join!(writing, async { drop(b) });
+        assert_eq!(sent, WINDOW_BYTES);
+        let writing = async { client.write_all(&[7; 10]).await };
+        let (done, ()) = tokio::join!(writing, async { drop(server) });
         assert_eq!(done.unwrap_err().kind(), io::ErrorKind::BrokenPipe);
     }
 
     #[tokio::test(start_paused = true)]
-    async fn dials_wait_for_a_cut_to_heal_and_give_up_when_it_does_not() {
-        let e = ether(Link::default());
+    async fn dial_waits_for_a_cut_to_heal_and_times_out_otherwise() {
+        let network = network_with(Link::default());
         let at = Address::Memory("there".into());
-        let (here, there) = (e.host("here"), e.host("there"));
+        let (here, there) = (network.host("here"), network.host("there"));
         let _door = there.listen(&at).await.unwrap();
-        e.cut("there", "here");
+        network.cut("there", "here");
         let began = Instant::now();
-        let refused = here.dial(&at).await.err().unwrap();
+        let error = here.dial(&at).await.err().unwrap();
         assert_eq!(
-            (refused.kind(), began.elapsed()),
-            (io::ErrorKind::TimedOut, DIAL_PATIENCE)
+            (error.kind(), began.elapsed()),
+            (io::ErrorKind::TimedOut, DIAL_TIMEOUT)
         );
         let (dialled, ()) = tokio::join!(here.dial(&at), async {
             tokio::time::sleep(Duration::from_secs(1)).await;
-            e.heal("there", "here");
+            network.heal("there", "here");
         });
         assert!(dialled.is_ok());
     }
 
     #[tokio::test(start_paused = true)]
-    async fn what_is_held_still_goes_on_where_it_was() {
+    async fn paused_future_resumes_where_it_stopped() {
         let hold = crate::ProcessPause::default();
         let ticks = std::cell::RefCell::new(Vec::new());
         let began = Instant::now();
