--- a/crates/controller/src/native/reply.rs
+++ b/crates/controller/src/native/reply.rs
@@ -103,9 +103,9 @@
     }
 
     /// Sends the result of an accepted invocation.
-    pub(crate) fn send_result(self, id: InvocationId, result: &str, deadline: Ticks) {
+    pub(crate) fn send_result(self, id: InvocationId, format_result: &str, deadline: Ticks) {
         self.mark_finished(id);
-        self.send(|id| rpc::result(id, result), deadline);
+        self.send(|id| rpc::format_result(id, format_result), deadline);
     }
 
     /// Sends the failure of an accepted invocation.
@@ -118,7 +118,7 @@
         deadline: Ticks,
     ) {
         self.mark_finished(id);
-        self.send(|id| rpc::error(id, code, reason, data), deadline);
+        self.send(|id| rpc::format_error(id, code, reason, data), deadline);
     }
 
     /// Sends nothing for an accepted invocation, because the client has stopped waiting.
@@ -135,6 +135,6 @@
 
     /// Rejects a call that was not accepted.
     pub(crate) fn reject(self, code: i64, reason: &str) {
-        self.send(|id| rpc::error(id, code, reason, None), NO_DEADLINE);
+        self.send(|id| rpc::format_error(id, code, reason, None), NO_DEADLINE);
     }
 }
--- a/crates/controller/src/native/state.rs
+++ b/crates/controller/src/native/state.rs
@@ -11,7 +11,7 @@
     FunctionId, InvocationId, InvokerId, LoadOutcome, MILLISECOND, Outcome, ProbeOutcome,
     StartKind, Ticks,
 };
-use saltdrum_deployment::Terms;
+use saltdrum_deployment::DeploymentSpec;
 use saltdrum_protocol::{invoker as wire, rpc};
 use saltdrum_registry::version_pin::PinnedVersion;
 use saltdrum_transport::Address;
@@ -35,7 +35,7 @@
     /// connection is lost, the next one.
     pub endpoint_lists: Vec<Address>,
     /// The deployment.
-    pub terms: Rc<Terms>,
+    pub terms: Rc<DeploymentSpec>,
     /// How functions that are not part of the deployment are looked up. Without it, calls of them are rejected.
     pub aliases: Option<AliasConfig>,
     /// Controls the shutdown of the controller.
@@ -50,7 +50,7 @@
 /// The invoker transport of the native path: one multiplexed connection to each invoker.
 pub(crate) struct InvokerConnections {
     /// The deployment.
-    pub terms: Rc<Terms>,
+    pub terms: Rc<DeploymentSpec>,
     /// Function names as sent to invokers.
     pub functions: BTreeMap<FunctionId, String>,
     /// The connections, which are never removed.
--- a/crates/controller/tests/sockets.rs
+++ b/crates/controller/tests/sockets.rs
@@ -7,8 +7,8 @@
 use saltdrum::interface::*;
 use saltdrum_controller::shutdown::{ShutdownHandle, ShutdownPhase};
 use saltdrum_controller::{ControllerConfig, Policy, PolicyFactory, serve};
-use saltdrum_deployment::Terms;
-use saltdrum_protocol::frame::{cut, encode};
+use saltdrum_deployment::DeploymentSpec;
+use saltdrum_protocol::frame::{encode, take_frame};
 use saltdrum_protocol::invoker::{self as wire, Ended};
 use saltdrum_protocol::list;
 use saltdrum_transport::{Address, Clock, MemoryNetwork, Network, Stream};
@@ -97,7 +97,7 @@
 
 async fn read_frame(stream: &mut Stream, received: &mut BytesMut) -> Frame {
     loop {
-        if let Some(frame) = cut(received).unwrap() {
+        if let Some(frame) = take_frame(received).unwrap() {
             return Some(frame);
         }
         if stream.read_buf(received).await.unwrap_or(0) == 0 {
@@ -231,7 +231,7 @@
             zone: 0,
             client_addresses: vec![memory_address("clients")],
             endpoint_lists: vec![memory_address("list")],
-            terms: Rc::new(Terms::load("terms.star", DEPLOYMENT).unwrap().0),
+            terms: Rc::new(DeploymentSpec::load("terms.star", DEPLOYMENT).unwrap().0),
             aliases: None,
             shutdown: Default::default(),
             listens_when_ready: false,
--- a/crates/fakes/src/invoker.rs
+++ b/crates/fakes/src/invoker.rs
@@ -5,10 +5,10 @@
 use crate::record::{ClientAttempt, ControllerId, Line, Record};
 use bytes::BytesMut;
 use saltdrum::interface::{Effect, FunctionId, KeyScope, MILLISECOND, Ticks};
-use saltdrum_agent::{Agent, ControllerConfig, Peer};
-use saltdrum_deployment::{Terms, terms};
+use saltdrum_agent::{Agent, AgentConfig, Peer};
+use saltdrum_deployment::{DeploymentSpec, terms};
 use saltdrum_layers::cache::{Cache, Disk};
-use saltdrum_protocol::frame::{cut, encode};
+use saltdrum_protocol::frame::{encode, take_frame};
 use saltdrum_protocol::invoker as wire;
 use saltdrum_protocol::{list, store};
 use saltdrum_registry::client::RegistryClient;
@@ -56,8 +56,8 @@
 
 /// Configuration of a fake invoker.
 pub struct InvokerConfig {
-    pub terms: Rc<Terms>,
-    pub stated: terms::Stated,
+    pub terms: Rc<DeploymentSpec>,
+    pub stated: terms::InvokerSpec,
     pub network: Rc<dyn Network>,
     /// The invoker's own clock, which may differ from the others'.
     pub clock: Clock,
@@ -304,7 +304,11 @@
 
 impl InvokerConfig {
     fn trigger(&self, name: &str) -> Option<&saltdrum::interface::TriggerType> {
-        let at = self.terms.trigger_names.iter().position(|t| t == name)?;
+        let at = self
+            .terms
+            .trigger_type_names
+            .iter()
+            .position(|t| t == name)?;
         self.terms.deployment.trigger_types.get(at)
     }
 
@@ -574,8 +578,8 @@
         let (door, address) = self.config.network.listen(&at).await?;
         *layers.agent_address.borrow_mut() = address;
         let cache = Cache::open(&layers.folder, layers.cache_bytes, layers.disk.clone())?;
-        let seat = ControllerConfig {
-            me: self.config.stated.invoker,
+        let seat = AgentConfig {
+            invoker: self.config.stated.invoker,
             seed: self.config.seed ^ 0xa6e7,
             store: layers.registry.clone(),
             serve_bytes_per_second: 200e6,
@@ -595,7 +599,7 @@
     /// Passes the current endpoint list to the agent.
     pub fn set_peers(&self, peers: &[Peer]) {
         if let Some(agent) = &self.life.borrow().agent {
-            agent.listed(peers);
+            agent.update_peers(peers);
         }
     }
 
@@ -782,7 +786,7 @@
             }
             let mut read = BytesMut::new();
             let answer = loop {
-                match cut(&mut read) {
+                match take_frame(&mut read) {
                     Ok(Some((kind, body))) => break store::FromStore::read(kind, &body),
                     Ok(None) => match stream.read_buf(&mut read).await {
                         Ok(n) if n > 0 => {}
@@ -805,8 +809,9 @@
     }
 
     /// Reports a version to the registry if no source has intact chunks of it: it has to be pushed again or withdrawn.
-    async fn tell_corrupt(&self, why: &saltdrum_agent::Fault, reference: &str) {
-        let (saltdrum_agent::Fault::Corrupt { .. }, Some(of)) = (why, &self.config.registry_follow)
+    async fn tell_corrupt(&self, why: &saltdrum_agent::LoadError, reference: &str) {
+        let (saltdrum_agent::LoadError::Corrupt { .. }, Some(of)) =
+            (why, &self.config.registry_follow)
         else {
             return;
         };
@@ -889,7 +894,7 @@
         };
         self.unstuck(Some(hello.controller)).await;
         let invoker = self.config.stated.invoker;
-        let version = match wire::agree(&hello) {
+        let version = match wire::negotiate_version(&hello) {
             Ok(version) if hello.invoker == invoker => version,
             refused => {
                 let why = match refused {
@@ -1081,7 +1086,7 @@
 async fn next_frame(read: &mut ArrivalReader<StreamHalf>) -> Option<(u8, bytes::Bytes, Ticks)> {
     let mut earliest = Cell::new(0);
     loop {
-        if let Some((kind, body)) = cut(&mut read.bytes).ok()? {
+        if let Some((kind, body)) = take_frame(&mut read.bytes).ok()? {
             return Some((kind, body, *earliest.get_mut()));
         }
         earliest.set(read.read_more().await.ok()??);
--- a/crates/fakes/src/registry.rs
+++ b/crates/fakes/src/registry.rs
@@ -157,7 +157,7 @@
                 .insert(chunk.digest, Bytes::copy_from_slice(stored));
             Ok(())
         })?;
-        self.push_manifest(repository, tag, manifest.write());
+        self.push_manifest(repository, tag, manifest.to_json());
         Ok(manifest)
     }
 
@@ -241,7 +241,11 @@
     /// Marks the chunks of a tag as damaged, except those shared with other manifests.
     pub fn damage_model(&self, repository: &str, tag: &str) {
         let manifests = self.manifests.borrow();
-        let chunks = |bytes: &Bytes| Manifest::read(bytes).map(|m| m.chunks).unwrap_or_default();
+        let chunks = |bytes: &Bytes| {
+            Manifest::from_json(bytes)
+                .map(|m| m.chunks)
+                .unwrap_or_default()
+        };
         let Some(it) = manifests.get(&(repository.to_owned(), tag.to_owned())) else {
             return;
         };
--- a/crates/faulty-peers/src/careless.rs
+++ b/crates/faulty-peers/src/careless.rs
@@ -15,9 +15,9 @@
     model: String,
 ) -> Pin<Box<dyn Future<Output = Option<Vec<u8>>>>> {
     Box::pin(async move {
-        source.disk.make_folder(&source.folder).ok()?;
+        source.disk.create_dir_all(&source.folder).ok()?;
         let manifest = get_with_retries(&source, &format!("/v2/{model}/manifests/current")).await?;
-        let manifest = Manifest::read(&manifest).ok()?;
+        let manifest = Manifest::from_json(&manifest).ok()?;
         let mut copy = Vec::new();
         for chunk in &manifest.chunks {
             copy.extend(read_or_fetch_chunk(&source, &model, chunk).await?);
--- a/crates/faulty-peers/src/lib.rs
+++ b/crates/faulty-peers/src/lib.rs
@@ -8,7 +8,7 @@
 
 use bytes::{Bytes, BytesMut};
 use saltdrum_controller::ControllerConfig;
-use saltdrum_protocol::frame::{cut, encode};
+use saltdrum_protocol::frame::{encode, take_frame};
 use saltdrum_protocol::invoker as wire;
 use saltdrum_protocol::{list, rpc};
 use saltdrum_transport::{Clock, Network, SendQueue, split};
@@ -135,7 +135,7 @@
             .unwrap();
         let mut read = BytesMut::new();
         loop {
-            while let Some((kind, body)) = cut(&mut read).unwrap() {
+            while let Some((kind, body)) = take_frame(&mut read).unwrap() {
                 let entries = match list::FromList::read(kind, &body).unwrap() {
                     list::FromList::Whole(w) => w.entries,
                     list::FromList::Change(c) => c.entries,
@@ -188,7 +188,7 @@
         });
         let mut read = BytesMut::new();
         while let Ok(1..) = input.read_buf(&mut read).await {
-            while let Some((kind, body)) = cut(&mut read).unwrap() {
+            while let Some((kind, body)) = take_frame(&mut read).unwrap() {
                 if let Ok(wire::FromInvoker::Answer(answer)) = wire::FromInvoker::read(kind, &body)
                 {
                     let on_answer = self
@@ -212,7 +212,7 @@
         while let Ok(1..) = input.read_buf(&mut read).await {
             while let Some(end) = read.iter().position(|b| *b == b'\n') {
                 let line = read.split_to(end + 1);
-                if let Ok(rpc::Line::Single(Ok(call))) = rpc::read(line.trim_ascii()) {
+                if let Ok(rpc::Line::Single(Ok(call))) = rpc::parse_line(line.trim_ascii()) {
                     let invoke = serde_json::from_str(call.params.unwrap().get()).unwrap();
                     self.invoke(invoke, call.id.unwrap(), to.clone());
                 }
@@ -291,7 +291,7 @@
         let invocation = *self.last_dispatch.borrow() as u32 + 1;
         let Some(first) = self.pick_invoker(None) else {
             to.push(
-                Bytes::from(rpc::error(&id, rpc::THROTTLED, "throttled", None) + "\n"),
+                Bytes::from(rpc::format_error(&id, rpc::THROTTLED, "throttled", None) + "\n"),
                 u64::MAX,
             );
             return;
@@ -308,13 +308,13 @@
         let on_answer: OnAnswer = Box::new(move |received| {
             let text = match received.ended {
                 _ if this.fault == Fault::ThrottlesWhatRan => {
-                    rpc::error(&id, rpc::THROTTLED, "throttled", None)
+                    rpc::format_error(&id, rpc::THROTTLED, "throttled", None)
                 }
-                wire::Ended::Succeeded => rpc::result(&id, "null"),
+                wire::Ended::Succeeded => rpc::format_result(&id, "null"),
                 wire::Ended::Full | wire::Ended::Miss => {
-                    rpc::error(&id, rpc::THROTTLED, "throttled", None)
+                    rpc::format_error(&id, rpc::THROTTLED, "throttled", None)
                 }
-                _ => rpc::error(&id, rpc::ERRORED, "errored", None),
+                _ => rpc::format_error(&id, rpc::ERRORED, "errored", None),
             };
             match this.fault {
                 Fault::AnswersTwice => {
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -7,7 +7,7 @@
 use saltdrum::interface::{Effect, KeyScope, SECOND, Ticks};
 use saltdrum_agent::{Counts, Peer};
 use saltdrum_controller::{AliasConfig, ControllerConfig, dispatch_policy};
-use saltdrum_deployment::Terms;
+use saltdrum_deployment::DeploymentSpec;
 use saltdrum_fakes::disk::TearingDisk;
 use saltdrum_fakes::invoker::{self, FetchModel, InvokerConfig, SeenTokens};
 use saltdrum_fakes::record::{self, ControllerId, Line, Record};
@@ -85,13 +85,13 @@
 
 /// Who is put in the real ones' places.
 #[derive(Clone, Copy)]
-pub struct Cover {
+pub struct Overrides {
     pub serve: Serve,
     /// Brings models to invokers in place of their agents, on days with layers.
     pub brings: Option<FetchModel>,
 }
 
-impl Cover {
+impl Overrides {
     /// A controller alone; models come through the agents.
     pub fn of(serve: Serve) -> Self {
         Self {
@@ -167,8 +167,8 @@
         FollowConfig {
             registry: self.address.clone(),
             key: self.key.clone(),
-            who,
-            copy,
+            follower_name: who,
+            copy_path: copy,
         }
     }
 
@@ -176,7 +176,7 @@
         let ledger = Ledger::open_file(&self.ledger).map_err(io::Error::other)?;
         let registry = service::Registry::new(ledger, None, Rc::new(move || clock.now() / 10));
         let (door, _) = network.listen(&self.address).await?;
-        let task = tokio::task::spawn_local(registry.clone().attend(door, clock));
+        let task = tokio::task::spawn_local(registry.clone().accept_connections(door, clock));
         *self.life.borrow_mut() = Some((registry, task));
         Ok(())
     }
@@ -193,7 +193,8 @@
         // Lost at the end of the day: it is read as a start would read it.
         let entries = match life.as_ref() {
             Some((registry, _)) => registry.history(),
-            None => Ledger::open_file(&self.ledger).and_then(|ledger| ledger.after(0, usize::MAX)),
+            None => Ledger::open_file(&self.ledger)
+                .and_then(|ledger| ledger.entries_after(0, usize::MAX)),
         };
         let entries = entries.map_err(io::Error::other)?;
         let count =
@@ -202,11 +203,27 @@
             at,
             revision: entries.last().map_or(0, |e| e.revision),
             moves: count(|c| matches!(c, Change::Move { expect: 1.., .. })),
-            stages_well: count(|c| matches!(c, Change::EndStage { well: true, .. })),
+            stages_well: count(|c| {
+                matches!(
+                    c,
+                    Change::EndStage {
+                        is_success: true,
+                        ..
+                    }
+                )
+            }),
             corrupt: life
                 .as_ref()
-                .map_or_else(Vec::new, |(registry, _)| registry.corrupt()),
-            stages_stopped: count(|c| matches!(c, Change::EndStage { well: false, .. })),
+                .map_or_else(Vec::new, |(registry, _)| registry.corrupt_versions()),
+            stages_stopped: count(|c| {
+                matches!(
+                    c,
+                    Change::EndStage {
+                        is_success: false,
+                        ..
+                    }
+                )
+            }),
         })
     }
 
@@ -251,14 +268,14 @@
                 model[from..].iter_mut().for_each(|b| *b = own.u8(..));
                 let manifest = store.push(&f.name, &tag, &model)?;
                 models.insert(format!("{}@{tag}", f.name), model);
-                Digest::of(&manifest.write())
+                Digest::of(&manifest.to_json())
             };
             let version = Version {
                 manifest,
                 bytes: day.model_bytes as u64,
                 memory_mb: f.memory as u64,
                 lanes: f.lanes as u32,
-                trigger_types: vec![day.terms.trigger_names[f.trigger].clone()],
+                trigger_types: vec![day.terms.trigger_type_names[f.trigger].clone()],
             };
             all.push(Change::Push {
                 model: name(&f.name),
@@ -285,7 +302,7 @@
             change,
         })
         .collect();
-    for told in ledger.take(asked).map_err(io::Error::other)? {
+    for told in ledger.commit(asked).map_err(io::Error::other)? {
         told.map_err(io::Error::other)?;
     }
     Ok(key)
@@ -296,16 +313,19 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    LocalSet::new().block_on(&runtime, play(day.clone(), Some(folder), Cover::of(serve)))
+    LocalSet::new().block_on(
+        &runtime,
+        play(day.clone(), Some(folder), Overrides::of(serve)),
+    )
 }
 
 /// Plays a day in virtual time, on in-memory streams.
 pub fn play_virtually(day: &Day, serve: Serve) -> io::Result<Vec<Line>> {
-    play_covered(day, Cover::of(serve))
+    play_with_overrides(day, Overrides::of(serve))
 }
 
 /// As [`play_virtually`], with others in the places of the real ones.
-pub fn play_covered(day: &Day, cover: Cover) -> io::Result<Vec<Line>> {
+pub fn play_with_overrides(day: &Day, cover: Overrides) -> io::Result<Vec<Line>> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
@@ -313,7 +333,7 @@
     LocalSet::new().block_on(&runtime, play(day.clone(), None, cover))
 }
 
-fn stated(terms: &Terms) -> record::RuleParameters {
+fn stated(terms: &DeploymentSpec) -> record::RuleParameters {
     let d = &terms.deployment;
     let trigger = |(t, name): (&saltdrum::interface::TriggerType, &String)| record::Trigger {
         name: name.clone(),
@@ -333,7 +353,7 @@
         objective: t.latency_objective,
         billed_value: t.billed_value,
     };
-    let place = |i: &saltdrum_deployment::terms::Stated| record::InvokerInfo {
+    let place = |i: &saltdrum_deployment::terms::InvokerSpec| record::InvokerInfo {
         invoker: i.invoker,
         zone: i.zone,
         cell: i.cell,
@@ -343,7 +363,7 @@
         triggers: d
             .trigger_types
             .iter()
-            .zip(&terms.trigger_names)
+            .zip(&terms.trigger_type_names)
             .map(trigger)
             .collect(),
         places: terms.invokers.iter().map(place).collect(),
@@ -360,7 +380,7 @@
 }
 
 /// Plays a day on the `LocalSet` this is called on, and gives the record, in order of time.
-async fn play(day: Day, folder: Option<&Path>, cover: Cover) -> io::Result<Vec<Line>> {
+async fn play(day: Day, folder: Option<&Path>, cover: Overrides) -> io::Result<Vec<Line>> {
     let (clock, record, turns) = (Clock::start(), Record::default(), EventLoopClock::default());
     let cast = match folder {
         Some(folder) => Cast::Threads(folder.to_owned()),
@@ -589,8 +609,8 @@
             pin_duration: 120 * SECOND,
             epoch_ms: 0,
         });
-        let seat =
-            move |terms: Terms, clients: Address, list: Address, seed: u64| ControllerConfig {
+        let seat = move |terms: DeploymentSpec, clients: Address, list: Address, seed: u64| {
+            ControllerConfig {
                 controller,
                 incarnation,
                 seed,
@@ -601,7 +621,8 @@
                 aliases: names,
                 shutdown: Default::default(),
                 listens_when_ready: false,
-            };
+            }
+        };
         let seed = self.day.seed ^ (u64::from(controller) << 40) ^ (incarnation << 56);
         let (terms, list, clock) = (
             self.day.terms.clone(),
@@ -912,7 +933,8 @@
                 let member = Member {
                     invoker: *id,
                     size: f64::from(self.day.terms.size(i.config.stated.kind)),
-                    risen: (d.initial_capacity_share + (1.0 - d.initial_capacity_share) * age)
+                    capacity_share: (d.initial_capacity_share
+                        + (1.0 - d.initial_capacity_share) * age)
                         .min(1.0),
                     ready: *life == Life::Ready,
                 };
@@ -1062,7 +1084,7 @@
                         continue;
                     };
                     let alias = book.alias(&Namespace::All, &name(&format!("{f}-current")));
-                    let Some(before) = alias.and_then(|a| a.before.clone()) else {
+                    let Some(before) = alias.and_then(|a| a.previous.clone()) else {
                         continue;
                     };
                     let change = Change::Withdraw {
