--- a/crates/fakes/src/invoker.rs
+++ b/crates/fakes/src/invoker.rs
@@ -104,38 +104,40 @@
 /// Fetches the bytes of the model of this name; `None` if that failed.
 pub type FetchModel = fn(ModelSource, String) -> Pin<Box<dyn Future<Output = Option<Vec<u8>>>>>;
 
+/// A fake invoker, which can be started, crashed and restarted.
 pub struct Invoker {
     pub config: InvokerConfig,
     pub faults: RefCell<Faults>,
-    life: RefCell<Life>,
+    process: RefCell<ProcessState>,
     tasks: RefCell<JoinSet<()>>,
-    calm: Notify,
+    faults_changed: Notify,
     /// The latest state received from the registry.
-    book: RefCell<RegistryState>,
+    registry_state: RefCell<RegistryState>,
     /// Model and version of each function added from the registry.
     models: RefCell<BTreeMap<FunctionId, (String, String)>>,
 }
 
 /// State that is lost when the process ends.
-struct Life {
+struct ProcessState {
     incarnation: u64,
     started: Ticks,
     cold: bool,
     up: bool,
     machine: Machine,
     links: BTreeMap<u64, (ControllerId, SendQueue)>,
-    links_made: u64,
-    jobs: BTreeMap<Job, Held>,
+    last_link: u64,
+    jobs: BTreeMap<Job, JobContext>,
     /// Invocation and hop of every job of the open links, kept because a cancel may arrive after the job has ended.
-    past: BTreeMap<Job, (u32, u8)>,
-    reports: Vec<(Ticks, wire::Load)>,
+    job_invocations: BTreeMap<Job, (u32, u8)>,
+    load_reports: Vec<(Ticks, wire::Load)>,
     rng: fastrand::Rng,
-    moved: Rc<Notify>,
+    rescheduled: Rc<Notify>,
     agent: Option<Rc<Agent>>,
 }
 
+/// What the record and the response need to know of a dispatch.
 #[derive(Clone)]
-struct Held {
+struct JobContext {
     who: ControllerId,
     invocation: u32,
     hop: u8,
@@ -146,10 +148,11 @@
     passage: Option<String>,
 }
 
+/// The part of an invocation's input that the fake invoker evaluates.
 #[derive(serde::Deserialize, Default)]
 struct Input {
-    #[serde(default)]
-    n: u64,
+    #[serde(default, rename = "n")]
+    number: u64,
     #[serde(default)]
     attempt: u32,
     #[serde(default)]
@@ -159,43 +162,43 @@
 }
 
 /// Sends the machine's outcomes to the controllers and writes them to the record.
-struct Desk<'a> {
+struct InvokerHost<'a> {
     this: &'a Rc<Invoker>,
     links: &'a BTreeMap<u64, (ControllerId, SendQueue)>,
-    jobs: &'a mut BTreeMap<Job, Held>,
+    jobs: &'a mut BTreeMap<Job, JobContext>,
     load: wire::Load,
     fetches: Vec<FunctionId>,
     rng: &'a mut fastrand::Rng,
 }
 
-impl MachineHost for Desk<'_> {
+impl MachineHost for InvokerHost<'_> {
     fn begin_job(&mut self, job: Job) -> bool {
-        let Some(h) = self.jobs.get(&job).cloned() else {
+        let Some(context) = self.jobs.get(&job).cloned() else {
             return true;
         };
-        let site = &self.this.config;
-        let at = site.record_clock.now();
-        let repeat = h
+        let config = &self.this.config;
+        let at = config.record_clock.now();
+        let repeat = context
             .token
             .as_ref()
-            .is_some_and(|t| site.knows(&h.trigger, t, at));
-        let invoker = site.stated.invoker;
-        site.record.note(Line::Started {
+            .is_some_and(|t| config.is_repeated_token(&context.trigger, t, at));
+        let invoker = config.stated.invoker;
+        config.record.note(Line::Started {
             at,
             invoker,
-            who: h.who,
-            invocation: h.invocation,
-            hop: h.hop,
-            of: h.of,
-            token: h.token,
+            who: context.who,
+            invocation: context.invocation,
+            hop: context.hop,
+            of: context.of,
+            token: context.token,
             repeat,
         });
-        if let Some(passage) = h.passage {
-            site.record.note(Line::PassageStep {
+        if let Some(passage) = context.passage {
+            config.record.note(Line::PassageStep {
                 at,
                 invoker,
-                of: h.of,
-                function: h.function,
+                of: context.of,
+                function: context.function,
                 passage,
             });
         }
@@ -214,8 +217,8 @@
         let faults = self.this.faults.borrow();
         let lost =
             |who: &ControllerId| faults.hangs || faults.partitioned_from.contains(&who.controller);
-        if let Some((_, outbox)) = self.links.get(&link).filter(|(who, _)| !lost(who)) {
-            outbox.push(
+        if let Some((_, send_queue)) = self.links.get(&link).filter(|(who, _)| !lost(who)) {
+            send_queue.push(
                 encode(&wire::Held {
                     order,
                     ended,
@@ -243,7 +246,7 @@
     }
 }
 
-impl Desk<'_> {
+impl InvokerHost<'_> {
     fn answer(
         &mut self,
         job: Job,
@@ -252,14 +255,14 @@
         crowd: Option<u8>,
         output: Vec<u8>,
     ) {
-        let Some(h) = self.jobs.remove(&job) else {
+        let Some(context) = self.jobs.remove(&job) else {
             return;
         };
         let faults = self.this.faults.borrow();
-        let cut = faults.partitioned_from.contains(&h.who.controller);
+        let cut = faults.partitioned_from.contains(&context.who.controller);
         let lost = faults.hangs || cut || self.rng.f64() < faults.lost_response_share;
         let link = self.links.get(&job.0).filter(|_| !lost);
-        if let Some((_, outbox)) = link {
+        if let Some((_, send_queue)) = link {
             let frame = encode(&wire::Answer {
                 dispatch: job.1,
                 ended,
@@ -269,24 +272,24 @@
                 output: output.into(),
             });
             if faults.half_frames {
-                outbox.push(frame.slice(..frame.len() / 2), Ticks::MAX);
-                outbox.close();
+                send_queue.push(frame.slice(..frame.len() / 2), Ticks::MAX);
+                send_queue.close();
             } else {
-                outbox.push(frame, Ticks::MAX);
+                send_queue.push(frame, Ticks::MAX);
             }
         }
-        let told = link.is_some() && !faults.half_frames;
+        let response_sent = link.is_some() && !faults.half_frames;
         let (invoker, ended) = (
             self.this.config.stated.invoker,
             format!("{ended:?}").to_lowercase(),
         );
-        let Held {
+        let JobContext {
             who,
             invocation,
             hop,
             of,
             ..
-        } = h;
+        } = context;
         let at = self.this.config.record_clock.now();
         let line = Line::Ended {
             at,
@@ -296,7 +299,7 @@
             hop,
             of,
             ended,
-            response_sent: told,
+            response_sent,
         };
         self.this.config.record.note(line);
     }
@@ -313,14 +316,14 @@
     }
 
     /// Whether the token was seen within its idempotency window; records it otherwise.
-    fn knows(&self, trigger: &str, token: &str, now: Ticks) -> bool {
-        let Some(t) = self
+    fn is_repeated_token(&self, trigger: &str, token: &str, now: Ticks) -> bool {
+        let Some(trigger_type) = self
             .trigger(trigger)
             .filter(|t| t.effect == Effect::IdempotencyKey)
         else {
             return false;
         };
-        let group = match t.key_scope {
+        let group = match trigger_type.key_scope {
             KeyScope::All => (0, 0),
             KeyScope::Zone => (self.stated.zone, 0),
             KeyScope::Cell => (self.stated.zone, self.stated.cell),
@@ -331,7 +334,7 @@
         );
         let known = tokens
             .get(&key)
-            .is_some_and(|at| now < at + t.idempotency_window);
+            .is_some_and(|at| now < at + trigger_type.idempotency_window);
         if !known {
             tokens.insert(key, now);
         }
@@ -339,23 +342,23 @@
     }
 
     fn machine(&self, now: Ticks, cold: bool) -> Machine {
-        let (kind, d) = (&self.terms.kinds[self.stated.kind], &self.terms.deployment);
+        let (kind, deployment) = (&self.terms.kinds[self.stated.kind], &self.terms.deployment);
         let per_core = |n: u32| (n * kind.cores) as usize;
-        let build = MachineConfig {
+        let machine_config = MachineConfig {
             cores: kind.cores.into(),
             speed: kind.speed,
             memory: kind.memory.0,
             slots: per_core(kind.slots_per_core),
             queue: per_core(kind.queue_per_core),
             loads_at_once: kind.loads_at_once as usize,
-            keep_alive: d.keep_alive,
-            misses: d.reports_misses,
+            keep_alive: deployment.keep_alive,
+            misses: deployment.reports_misses,
             stops_running: false,
-            cold_share: d.initial_capacity_share,
-            cold_time: d.warm_up_time,
+            cold_share: deployment.initial_capacity_share,
+            cold_time: deployment.warm_up_time,
             started: cold.then_some(now),
         };
-        let shape = |f: &terms::Function| {
+        let function_spec = |f: &terms::Function| {
             let load = f.load.unwrap_or(1_000 * MILLISECOND) as f64;
             let start = (load * (1.0 - self.fetch_share)) as Ticks;
             (
@@ -369,49 +372,49 @@
         };
         Machine::new(
             now,
-            build,
-            self.terms.functions.values().map(shape).collect(),
+            machine_config,
+            self.terms.functions.values().map(function_spec).collect(),
         )
     }
 }
 
 impl Invoker {
-    pub fn new(site: InvokerConfig) -> Rc<Self> {
-        let now = site.clock.now();
-        let life = Life {
+    pub fn new(config: InvokerConfig) -> Rc<Self> {
+        let now = config.clock.now();
+        let process = ProcessState {
             incarnation: 0,
             started: now,
             cold: false,
             up: false,
-            machine: site.machine(now, false),
+            machine: config.machine(now, false),
             links: BTreeMap::new(),
-            links_made: 0,
+            last_link: 0,
             jobs: BTreeMap::new(),
-            past: BTreeMap::new(),
-            reports: Vec::new(),
-            rng: fastrand::Rng::with_seed(site.seed),
-            moved: Rc::default(),
+            job_invocations: BTreeMap::new(),
+            load_reports: Vec::new(),
+            rng: fastrand::Rng::with_seed(config.seed),
+            rescheduled: Rc::default(),
             agent: None,
         };
         Rc::new(Self {
-            config: site,
+            config,
             faults: RefCell::default(),
-            life: RefCell::new(life),
+            process: RefCell::new(process),
             tasks: RefCell::default(),
-            calm: Notify::new(),
-            book: RefCell::default(),
+            faults_changed: Notify::new(),
+            registry_state: RefCell::default(),
             models: RefCell::default(),
         })
     }
 
     /// Sets the incarnation of the next start. Separate processes draw a number at each start to differ.
     pub fn set_next_incarnation(&self, incarnation: u64) {
-        self.life.borrow_mut().incarnation = incarnation - 1;
+        self.process.borrow_mut().incarnation = incarnation - 1;
     }
 
     /// The number of dispatches without a response yet.
     pub fn in_flight(&self) -> usize {
-        self.life.borrow().jobs.len()
+        self.process.borrow().jobs.len()
     }
 
     /// Starts the process, either cold and empty, or as if up for long with copies of the given functions loaded.
@@ -421,7 +424,7 @@
         holds: &[FunctionId],
     ) -> std::io::Result<Address> {
         let at = self.config.address.borrow().clone();
-        let (mut door, address) = self.config.network.listen(&at).await?;
+        let (mut listener, address) = self.config.network.listen(&at).await?;
         *self.config.address.borrow_mut() = address.clone();
         let agent = match &self.config.layers {
             None
@@ -433,14 +436,14 @@
         };
         let now = self.config.clock.now();
         let incarnation = {
-            let life = &mut *self.life.borrow_mut();
-            life.incarnation += 1;
-            (life.started, life.cold, life.up) = (now, cold, true);
-            life.machine = self.config.machine(now, cold);
-            life.machine.preload(holds.iter().copied());
-            life.moved = Rc::default();
-            life.agent = agent;
-            life.incarnation
+            let process = &mut *self.process.borrow_mut();
+            process.incarnation += 1;
+            (process.started, process.cold, process.up) = (now, cold, true);
+            process.machine = self.config.machine(now, cold);
+            process.machine.preload(holds.iter().copied());
+            process.rescheduled = Rc::default();
+            process.agent = agent;
+            process.incarnation
         };
         let invoker = self.config.stated.invoker;
         let at = self.config.record_clock.now();
@@ -454,15 +457,15 @@
         let (this, ticking) = (Rc::downgrade(self), self.clone());
         let mut tasks = self.tasks.borrow_mut();
         tasks.spawn_local(async move {
-            while let Ok(stream) = door.accept().await {
+            while let Ok(stream) = listener.accept().await {
                 let Some(invoker) = this.upgrade() else {
                     return;
                 };
-                let attending = invoker.clone();
+                let serving = invoker.clone();
                 invoker
                     .tasks
                     .borrow_mut()
-                    .spawn_local(async move { attending.attend(stream).await });
+                    .spawn_local(async move { serving.serve_connection(stream).await });
             }
         });
         tasks.spawn_local(async move { ticking.run().await });
@@ -473,33 +476,33 @@
                 self.config.seed ^ 0x4e61,
             );
             let this = Rc::downgrade(self);
-            let hear = move |heard| {
-                if let (Some(this), RegistryUpdate::Changed(head)) = (this.upgrade(), heard) {
-                    this.told(head.state);
+            let on_update = move |update| {
+                if let (Some(this), RegistryUpdate::Changed(head)) = (this.upgrade(), update) {
+                    this.registry_changed(head.state);
                 }
             };
-            tasks.spawn_local(follow(of, network, seed, hear));
+            tasks.spawn_local(follow(of, network, seed, on_update));
         }
         Ok(address)
     }
 
     /// Stores a new registry state and prefetches the chunks of versions that a rollout stage introduces.
-    fn told(self: &Rc<Self>, book: RegistryState) {
-        let stages = book
+    fn registry_changed(self: &Rc<Self>, registry_state: RegistryState) {
+        let stages = registry_state
             .aliases
             .values()
             .filter_map(|a| Some((a.model.clone(), a.stage.as_ref()?.to.clone())));
-        let coming: Vec<_> = stages
+        let staged: Vec<_> = stages
             .filter_map(|(model, to)| {
                 Some((
                     model.to_string(),
-                    book.version(&model, &to)?.version.manifest,
+                    registry_state.version(&model, &to)?.version.manifest,
                 ))
             })
             .collect();
-        *self.book.borrow_mut() = book;
+        *self.registry_state.borrow_mut() = registry_state;
         // The caller may itself be one of `tasks`, which are then borrowed, so no task can be added to them here.
-        for (model, manifest) in coming {
+        for (model, manifest) in staged {
             let Some(agent) = self.agent() else { return };
             tokio::task::spawn_local(async move {
                 // A failed prefetch is repeated with the first copy.
@@ -509,7 +512,7 @@
     }
 
     /// Adds a function that the deployment does not list, by its name `MODEL@VERSION`.
-    fn learn(&self, function: FunctionId, name: &str) {
+    fn add_registry_function(&self, function: FunctionId, name: &str) {
         if self.models.borrow().contains_key(&function) {
             return;
         }
@@ -519,11 +522,11 @@
         let (Ok(model), Ok(version)) = (model.parse(), version.parse()) else {
             return;
         };
-        let book = self.book.borrow();
+        let registry_state = self.registry_state.borrow();
         // A version not yet received from the registry is rejected as full: it never ran, so it may be retried elsewhere.
-        let Some(held) = book
+        let Some(held) = registry_state
             .version(&model, &version)
-            .filter(|h| h.standing == Standing::Offered)
+            .filter(|held| held.standing == Standing::Offered)
         else {
             return;
         };
@@ -534,12 +537,15 @@
             &held.version,
             1_000.0 * MILLISECOND as f64 * (1.0 - self.config.fetch_share),
         );
-        let shape = FunctionSpec {
+        let function_spec = FunctionSpec {
             memory: v.memory_mb as f64,
             lanes: v.lanes as usize,
             start_time: start as Ticks,
         };
-        self.life.borrow_mut().machine.add_function(function, shape);
+        self.process
+            .borrow_mut()
+            .machine
+            .add_function(function, function_spec);
         self.models
             .borrow_mut()
             .insert(function, (model.to_string(), version.to_string()));
@@ -551,10 +557,10 @@
             let (model, version) = (model.parse(), version.parse());
             if let (Ok(model), Ok(version)) = (model, version) {
                 let manifest = self
-                    .book
+                    .registry_state
                     .borrow()
                     .version(&model, &version)
-                    .map(|h| h.version.manifest);
+                    .map(|held| held.version.manifest);
                 let reference = manifest.map_or("gone".to_owned(), |m| m.to_string());
                 return (
                     model.to_string(),
@@ -575,30 +581,35 @@
 
     async fn start_agent(&self, layers: &LayersConfig) -> std::io::Result<Rc<Agent>> {
         let at = layers.agent_address.borrow().clone();
-        let (door, address) = self.config.network.listen(&at).await?;
+        let (listener, address) = self.config.network.listen(&at).await?;
         *layers.agent_address.borrow_mut() = address;
         let cache = Cache::open(&layers.folder, layers.cache_bytes, layers.disk.clone())?;
-        let seat = AgentConfig {
+        let agent_config = AgentConfig {
             invoker: self.config.stated.invoker,
             seed: self.config.seed ^ 0xa6e7,
             store: layers.registry.clone(),
             serve_bytes_per_second: 200e6,
         };
-        let agent = Agent::new(seat, cache, self.config.network.clone(), self.config.clock);
+        let agent = Agent::new(
+            agent_config,
+            cache,
+            self.config.network.clone(),
+            self.config.clock,
+        );
         self.tasks
             .borrow_mut()
-            .spawn_local(agent.clone().serve(door));
+            .spawn_local(agent.clone().serve(listener));
         Ok(agent)
     }
 
     /// The agent, while the process is up.
     pub fn agent(&self) -> Option<Rc<Agent>> {
-        self.life.borrow().agent.clone()
+        self.process.borrow().agent.clone()
     }
 
     /// Passes the current endpoint list to the agent.
     pub fn set_peers(&self, peers: &[Peer]) {
-        if let Some(agent) = &self.life.borrow().agent {
+        if let Some(agent) = &self.process.borrow().agent {
             agent.update_peers(peers);
         }
     }
@@ -607,14 +618,14 @@
     pub fn crash(&self) {
         self.tasks.borrow_mut().abort_all();
         let at = self.config.record_clock.now();
-        let life = &mut *self.life.borrow_mut();
-        life.links.clear();
-        life.jobs.clear();
-        if let Some(agent) = life.agent.take() {
+        let process = &mut *self.process.borrow_mut();
+        process.links.clear();
+        process.jobs.clear();
+        if let Some(agent) = process.agent.take() {
             agent.kill();
         }
-        life.up = false;
-        let (invoker, incarnation) = (self.config.stated.invoker, life.incarnation);
+        process.up = false;
+        let (invoker, incarnation) = (self.config.stated.invoker, process.incarnation);
         self.config.record.note(Line::Invoker {
             at,
             invoker,
@@ -636,17 +647,17 @@
         };
         layers
             .disk
-            .tear(since, part, &mut self.life.borrow_mut().rng)
+            .tear(since, part, &mut self.process.borrow_mut().rng)
     }
 
     pub fn is_up(&self) -> bool {
-        self.life.borrow().up
+        self.process.borrow().up
     }
 
     /// The current endpoint list entry of this invoker.
     pub fn entry(&self, state: list::Life) -> list::Entry {
-        let (life, stated) = (self.life.borrow(), &self.config.stated);
-        let age = self.config.clock.now() - life.started;
+        let (process, stated) = (self.process.borrow(), &self.config.stated);
+        let age = self.config.clock.now() - process.started;
         list::Entry {
             invoker: stated.invoker,
             address: self.config.address.borrow().to_string(),
@@ -655,8 +666,8 @@
             cell: stated.cell,
             life: state,
             size: self.config.terms.size(stated.kind),
-            incarnation: life.incarnation,
-            age_tenths: if life.cold {
+            incarnation: process.incarnation,
+            age_tenths: if process.cold {
                 age
             } else {
                 age + 3 * self.config.terms.deployment.warm_up_time
@@ -673,46 +684,47 @@
     pub fn update_faults(&self, change: impl FnOnce(&mut Faults, &mut Machine)) {
         change(
             &mut self.faults.borrow_mut(),
-            &mut self.life.borrow_mut().machine,
+            &mut self.process.borrow_mut().machine,
         );
-        self.calm.notify_waiters();
+        self.faults_changed.notify_waiters();
     }
 
+    /// Drops the idle copies of a random share of the functions.
     pub fn flush(&self, share: f64) {
-        let life = &mut *self.life.borrow_mut();
-        life.machine.flush(share, &mut life.rng);
+        let process = &mut *self.process.borrow_mut();
+        process.machine.flush(share, &mut process.rng);
     }
 
     /// Runs `then` on the machine, starts the fetches that it requests and reschedules its next event.
-    fn with(self: &Rc<Self>, then: impl FnOnce(&mut Machine, Ticks, &mut Desk)) {
+    fn with_machine(self: &Rc<Self>, then: impl FnOnce(&mut Machine, Ticks, &mut InvokerHost)) {
         let (now, faults) = (self.config.clock.now(), self.faults.borrow().clone());
-        let life = &mut *self.life.borrow_mut();
-        let (busy, waiting) = life.machine.load();
+        let process = &mut *self.process.borrow_mut();
+        let (busy, waiting) = process.machine.load();
         let fresh = wire::Load {
             cores_busy: Some(busy),
             waiting: Some(waiting),
         };
-        life.reports.push((now, fresh));
-        let old = life
-            .reports
+        process.load_reports.push((now, fresh));
+        let old = process
+            .load_reports
             .iter()
             .rposition(|(at, _)| at + faults.load_report_delay <= now)
             .unwrap_or(0);
-        life.reports.drain(..old);
-        let load = life.reports[0].1;
-        let mut desk = Desk {
+        process.load_reports.drain(..old);
+        let load = process.load_reports[0].1;
+        let mut host = InvokerHost {
             this: self,
-            links: &life.links,
-            jobs: &mut life.jobs,
+            links: &process.links,
+            jobs: &mut process.jobs,
             load,
             fetches: Vec::new(),
-            rng: &mut life.rng,
+            rng: &mut process.rng,
         };
-        then(&mut life.machine, now, &mut desk);
-        desk.fetches
+        then(&mut process.machine, now, &mut host);
+        host.fetches
             .into_iter()
             .for_each(|function| self.begin_fetch(function));
-        life.moved.notify_one();
+        process.rescheduled.notify_one();
     }
 
     fn begin_fetch(self: &Rc<Self>, function: FunctionId) {
@@ -721,24 +733,24 @@
         while tasks.try_join_next().is_some() {}
         tasks.spawn_local(async move {
             let ok = this.fetch(function).await;
-            this.with(|machine, now, yard| machine.fetch_ended(now, function, ok, yard));
+            this.with_machine(|machine, now, host| machine.fetch_ended(now, function, ok, host));
         });
     }
 
     async fn run(self: Rc<Self>) {
         loop {
-            let (next, moved) = {
-                let life = self.life.borrow();
-                (life.machine.next_event_at(), life.moved.clone())
+            let (next, rescheduled) = {
+                let process = self.process.borrow();
+                (process.machine.next_event_at(), process.rescheduled.clone())
             };
             let at = next.unwrap_or(self.config.clock.now() + 1_000 * MILLISECOND);
             tokio::select! {
                 biased;
                 () = self.config.clock.sleep_until(at) => {
-                    self.with(|machine, now, yard| machine.advance(now, yard));
-                    moved.notified().await;
+                    self.with_machine(|machine, now, host| machine.advance(now, host));
+                    rescheduled.notified().await;
                 }
-                () = moved.notified() => {}
+                () = rescheduled.notified() => {}
             }
         }
     }
@@ -755,7 +767,7 @@
         if let Some(layers) = &self.config.layers {
             let (name, reference, known_as) = self.model(function);
             // The copy is in memory from here on, so its chunks no longer have to be pinned.
-            let Some(copy) = self.bring(layers, &name, &reference).await else {
+            let Some(copy) = self.fetch_layers(layers, &name, &reference).await else {
                 return false;
             };
             let (at, invoker) = (self.config.record_clock.now(), self.config.stated.invoker);
@@ -798,7 +810,7 @@
             match answer {
                 Ok(store::FromStore::Fetched(_)) => return true,
                 Ok(store::FromStore::Refused(r)) => {
-                    let jitter = self.life.borrow_mut().rng.f64() + 0.5;
+                    let jitter = self.process.borrow_mut().rng.f64() + 0.5;
                     let wait = (r.come_back_tenths << tried) as f64 * jitter;
                     tokio::time::sleep(Duration::from_micros((wait * 100.0) as u64)).await;
                 }
@@ -809,33 +821,38 @@
     }
 
     /// Reports a version to the registry if no source has intact chunks of it: it has to be pushed again or withdrawn.
-    async fn tell_corrupt(&self, why: &saltdrum_agent::LoadError, reference: &str) {
+    async fn report_corrupt(&self, why: &saltdrum_agent::LoadError, reference: &str) {
         let (saltdrum_agent::LoadError::Corrupt { .. }, Some(of)) =
             (why, &self.config.registry_follow)
         else {
             return;
         };
-        let said = self.book.borrow().versions.iter().find_map(|((model, version), held)| {
+        let report = self.registry_state.borrow().versions.iter().find_map(|((model, version), held)| {
             let it = held.version.manifest.to_string() == reference;
             it.then(|| serde_json::json!({"model": model, "version": version, "why": why.to_string()}))
         });
-        let Some(said) = said else { return };
+        let Some(report) = report else { return };
         let (of, network) = (of.clone(), self.config.network.clone());
         tokio::task::spawn_local(async move {
-            let telling = async {
-                let mut caller = RegistryClient::connect(&network, &of.registry, &of.key).await?;
-                caller.call("corrupt", said).await
+            let reporting = async {
+                let mut client = RegistryClient::connect(&network, &of.registry, &of.key).await?;
+                client.call("corrupt", report).await
             };
             // A lost report is repeated by the next load that fails.
-            let _ = tokio::time::timeout(Duration::from_secs(2), telling).await;
+            let _ = tokio::time::timeout(Duration::from_secs(2), reporting).await;
         });
     }
 
-    async fn bring(&self, layers: &LayersConfig, name: &str, reference: &str) -> Option<Vec<u8>> {
-        if let Some(brings) = layers.fetch_model {
+    async fn fetch_layers(
+        &self,
+        layers: &LayersConfig,
+        name: &str,
+        reference: &str,
+    ) -> Option<Vec<u8>> {
+        if let Some(fetch_model) = layers.fetch_model {
             let (network, registry) = (self.config.network.clone(), layers.registry.clone());
             let (disk, folder) = (layers.disk.clone(), layers.folder.clone());
-            return brings(
+            return fetch_model(
                 ModelSource {
                     network,
                     registry,
@@ -851,7 +868,7 @@
             let loaded = match self.agent()?.load(name, reference).await {
                 Ok(loaded) => loaded,
                 Err(why) => {
-                    self.tell_corrupt(&why, reference).await;
+                    self.report_corrupt(&why, reference).await;
                     return None;
                 }
             };
@@ -868,16 +885,16 @@
         None
     }
 
-    async fn unstuck(&self, from: Option<u32>) {
-        let stuck =
+    async fn wait_until_reachable(&self, from: Option<u32>) {
+        let unreachable =
             |f: &Faults| f.stops_reading || from.is_some_and(|c| f.partitioned_from.contains(&c));
-        while stuck(&self.faults.borrow()) {
-            self.calm.notified().await;
+        while unreachable(&self.faults.borrow()) {
+            self.faults_changed.notified().await;
         }
     }
 
-    async fn attend(self: Rc<Self>, stream: Stream) {
-        self.unstuck(None).await;
+    async fn serve_connection(self: Rc<Self>, stream: Stream) {
+        self.wait_until_reachable(None).await;
         let (input, mut output) = split(stream);
         let clock = self.config.clock;
         let mut read = ArrivalReader::new(
@@ -889,10 +906,10 @@
             return;
         };
         let hello = match wire::FromController::read(kind, &body) {
-            Ok(wire::FromController::Hello(h)) => h,
+            Ok(wire::FromController::Hello(hello)) => hello,
             _ => return,
         };
-        self.unstuck(Some(hello.controller)).await;
+        self.wait_until_reachable(Some(hello.controller)).await;
         let invoker = self.config.stated.invoker;
         let version = match wire::negotiate_version(&hello) {
             Ok(version) if hello.invoker == invoker => version,
@@ -909,13 +926,15 @@
             controller: hello.controller,
             incarnation: hello.incarnation,
         };
-        let outbox = SendQueue::new(16 << 20);
+        let send_queue = SendQueue::new(16 << 20);
         let link = {
-            let life = &mut *self.life.borrow_mut();
-            life.links_made += 1;
-            life.links.insert(life.links_made, (who, outbox.clone()));
-            let age = clock.now() - life.started;
-            let age_tenths = if life.cold {
+            let process = &mut *self.process.borrow_mut();
+            process.last_link += 1;
+            process
+                .links
+                .insert(process.last_link, (who, send_queue.clone()));
+            let age = clock.now() - process.started;
+            let age_tenths = if process.cold {
                 age
             } else {
                 age + 3 * self.config.terms.deployment.warm_up_time
@@ -923,33 +942,33 @@
             let welcome = wire::Welcome {
                 version,
                 invoker,
-                incarnation: life.incarnation,
+                incarnation: process.incarnation,
                 age_tenths,
             };
-            outbox.push(encode(&welcome), Ticks::MAX);
-            life.links_made
+            send_queue.push(encode(&welcome), Ticks::MAX);
+            process.last_link
         };
         tokio::select! {
             biased;
-            () = self.hear(link, who, &mut read) => {}
-            _ = outbox.write_to(&mut output, || clock.now(), |_| ()) => {}
+            () = self.read_messages(link, who, &mut read) => {}
+            _ = send_queue.write_to(&mut output, || clock.now(), |_| ()) => {}
         }
         {
-            let life = &mut *self.life.borrow_mut();
-            life.links.remove(&link);
-            life.past.retain(|(l, _), _| *l != link);
+            let process = &mut *self.process.borrow_mut();
+            process.links.remove(&link);
+            process.job_invocations.retain(|(l, _), _| *l != link);
         }
-        self.with(|machine, now, yard| machine.link_lost(now, link, yard));
+        self.with_machine(|machine, now, host| machine.link_lost(now, link, host));
     }
 
-    async fn hear(
+    async fn read_messages(
         self: &Rc<Self>,
         link: u64,
         who: ControllerId,
         read: &mut ArrivalReader<StreamHalf>,
     ) {
         loop {
-            self.unstuck(Some(who.controller)).await;
+            self.wait_until_reachable(Some(who.controller)).await;
             let Some((kind, body, earliest)) = next_frame(read).await else {
                 return;
             };
@@ -958,10 +977,16 @@
             };
             let (at, invoker) = (self.config.record_clock.now(), self.config.stated.invoker);
             match message {
-                wire::FromController::Dispatch(d) => self.take(link, who, d, earliest),
+                wire::FromController::Dispatch(dispatch) => {
+                    self.receive_dispatch(link, who, dispatch, earliest)
+                }
                 wire::FromController::Cancel(c) => {
-                    if let Some((invocation, hop)) =
-                        self.life.borrow().past.get(&(link, c.dispatch)).copied()
+                    if let Some((invocation, hop)) = self
+                        .process
+                        .borrow()
+                        .job_invocations
+                        .get(&(link, c.dispatch))
+                        .copied()
                     {
                         self.config.record.note(Line::Cancelled {
                             at,
@@ -971,11 +996,13 @@
                             hop,
                         });
                     }
-                    self.with(|machine, now, yard| machine.cancel(now, (link, c.dispatch), yard));
+                    self.with_machine(|machine, now, host| {
+                        machine.cancel(now, (link, c.dispatch), host)
+                    });
                 }
-                wire::FromController::Hold(h) => {
-                    let (function, count) = (h.function, h.count);
-                    self.learn(function, &h.name);
+                wire::FromController::Hold(order) => {
+                    let (function, count) = (order.function, order.count);
+                    self.add_registry_function(function, &order.name);
                     self.config.record.note(Line::LoadOrdered {
                         at,
                         earliest,
@@ -984,21 +1011,21 @@
                         function,
                         count,
                     });
-                    self.with(|machine, now, yard| {
-                        machine.order_copies(now, (link, h.order), function, count, yard)
+                    self.with_machine(|machine, now, host| {
+                        machine.order_copies(now, (link, order.order), function, count, host)
                     });
                 }
                 wire::FromController::Unload(u) => {
-                    self.with(|machine, now, yard| machine.unload(now, u.function, yard));
+                    self.with_machine(|machine, now, host| machine.unload(now, u.function, host));
                 }
                 wire::FromController::Probe(p) => {
-                    let (busy, waiting) = self.life.borrow().machine.load();
+                    let (busy, waiting) = self.process.borrow().machine.load();
                     let load = wire::Load {
                         cores_busy: Some(busy),
                         waiting: Some(waiting),
                     };
-                    if let Some((_, outbox)) = self.life.borrow().links.get(&link) {
-                        outbox.push(
+                    if let Some((_, send_queue)) = self.process.borrow().links.get(&link) {
+                        send_queue.push(
                             encode(&wire::Probed {
                                 probe: p.probe,
                                 load,
@@ -1012,18 +1039,24 @@
         }
     }
 
-    fn take(self: &Rc<Self>, link: u64, who: ControllerId, d: wire::Dispatch, earliest: Ticks) {
-        let (at, job) = (self.config.record_clock.now(), (link, d.dispatch));
-        let input: Input = serde_json::from_slice(&d.input).unwrap_or_default();
+    fn receive_dispatch(
+        self: &Rc<Self>,
+        link: u64,
+        who: ControllerId,
+        dispatch: wire::Dispatch,
+        earliest: Ticks,
+    ) {
+        let (at, job) = (self.config.record_clock.now(), (link, dispatch.dispatch));
+        let input: Input = serde_json::from_slice(&dispatch.input).unwrap_or_default();
         let of = ClientAttempt {
-            number: input.n,
+            number: input.number,
             attempt: input.attempt,
         };
         let (invoker, invocation, hop, trigger) = (
             self.config.stated.invoker,
-            d.invocation,
-            d.hop,
-            d.trigger.clone(),
+            dispatch.invocation,
+            dispatch.hop,
+            dispatch.trigger.clone(),
         );
         self.config.record.note(Line::Dispatched {
             at,
@@ -1035,41 +1068,44 @@
             of,
             trigger: trigger.clone(),
         });
-        self.learn(d.function, &d.name);
-        let (function, passage) = (d.function, input.passage);
-        let held = Held {
+        self.add_registry_function(dispatch.function, &dispatch.name);
+        let (function, passage) = (dispatch.function, input.passage);
+        let held = JobContext {
             who,
             invocation,
             hop,
             of,
             trigger,
-            token: d.token,
+            token: dispatch.token,
             function,
             passage,
         };
-        self.life.borrow_mut().past.insert(job, (invocation, hop));
+        self.process
+            .borrow_mut()
+            .job_invocations
+            .insert(job, (invocation, hop));
         let faults = self.faults.borrow().clone();
         let fails = faults
             .fails_functions
             .as_ref()
             .is_some_and(|(begin, share)| {
-                d.name.starts_with(begin) && self.life.borrow_mut().rng.f64() < *share
+                dispatch.name.starts_with(begin) && self.process.borrow_mut().rng.f64() < *share
             });
-        let ask = JobSpec {
-            function: d.function,
+        let spec = JobSpec {
+            function: dispatch.function,
             work: input.work_ms * MILLISECOND as f64,
-            expires: self.config.clock.now() + d.left_tenths,
+            expires: self.config.clock.now() + dispatch.left_tenths,
         };
-        self.with(|machine, now, yard| {
-            yard.jobs.insert(job, held);
+        self.with_machine(|machine, now, host| {
+            host.jobs.insert(job, held);
             let refused = faults
                 .rejects_tenant
                 .as_ref()
-                .is_some_and(|(t, share)| *t == d.tenant && yard.rng.f64() < *share);
+                .is_some_and(|(t, share)| *t == dispatch.tenant && host.rng.f64() < *share);
             if refused {
-                yard.answer(job, wire::Ended::Full, None, None, Vec::new());
-            } else if yard.rng.f64() < faults.error_share || fails {
-                yard.answer(
+                host.answer(job, wire::Ended::Full, None, None, Vec::new());
+            } else if host.rng.f64() < faults.error_share || fails {
+                host.answer(
                     job,
                     wire::Ended::Errored,
                     None,
@@ -1077,7 +1113,7 @@
                     b"told to fail".to_vec(),
                 );
             } else {
-                machine.dispatch(now, job, ask, yard);
+                machine.dispatch(now, job, spec, host);
             }
         });
     }
--- a/crates/fakes/src/list.rs
+++ b/crates/fakes/src/list.rs
@@ -24,7 +24,7 @@
     tasks: RefCell<JoinSet<()>>,
 }
 
-fn word(life: Life) -> &'static str {
+fn life_name(life: Life) -> &'static str {
     match life {
         Life::Ready => "ready",
         Life::Draining => "draining",
@@ -57,16 +57,16 @@
     /// Serves again after [`Self::stop`].
     pub async fn resume(self: &Rc<Self>) -> std::io::Result<Address> {
         let at = self.at.borrow().clone();
-        let (mut door, address) = self.network.listen(&at).await?;
+        let (mut listener, address) = self.network.listen(&at).await?;
         *self.at.borrow_mut() = address.clone();
         let this = Rc::downgrade(self);
         self.tasks.borrow_mut().spawn_local(async move {
-            while let Ok(stream) = door.accept().await {
+            while let Ok(stream) = listener.accept().await {
                 let Some(list) = this.upgrade() else { return };
                 let serving = list.clone();
                 list.tasks
                     .borrow_mut()
-                    .spawn_local(async move { serving.attend(stream).await });
+                    .spawn_local(async move { serving.serve_connection(stream).await });
             }
         });
         Ok(address)
@@ -78,7 +78,7 @@
         self.followers.borrow_mut().clear();
     }
 
-    async fn attend(self: Rc<Self>, stream: Stream) {
+    async fn serve_connection(self: Rc<Self>, stream: Stream) {
         let (mut input, mut output) = split(stream);
         let mut read = BytesMut::new();
         let follow = loop {
@@ -98,46 +98,46 @@
             controller: f.controller,
             incarnation: f.incarnation,
         };
-        let outbox = SendQueue::new(16 << 20);
+        let send_queue = SendQueue::new(16 << 20);
         let entries: Vec<Entry> = self
             .entries
             .borrow()
             .values()
-            .map(|(e, since)| self.aged(e, *since))
+            .map(|(e, since)| self.with_current_age(e, *since))
             .collect();
-        self.note_told(who, &entries);
+        self.record_sent(who, &entries);
         let whole = Whole {
             revision: self.revision.get(),
             settled: true,
             entries,
         };
-        outbox.push(encode(&whole), Ticks::MAX);
-        self.followers.borrow_mut().push((who, outbox.clone()));
+        send_queue.push(encode(&whole), Ticks::MAX);
+        self.followers.borrow_mut().push((who, send_queue.clone()));
         let clock = self.clock;
-        let gone = async {
+        let disconnected = async {
             while let Ok(1..) = input.read_buf(&mut read).await {
                 read.clear();
             }
         };
         tokio::select! {
             biased;
-            () = gone => {}
-            _ = outbox.write_to(&mut output, || clock.now(), |_| ()) => {}
+            () = disconnected => {}
+            _ = send_queue.write_to(&mut output, || clock.now(), |_| ()) => {}
         }
         self.followers.borrow_mut().retain(|(w, _)| *w != who);
     }
 
-    fn aged(&self, entry: &Entry, since: Ticks) -> Entry {
+    fn with_current_age(&self, entry: &Entry, since: Ticks) -> Entry {
         Entry {
             age_tenths: entry.age_tenths + (self.clock.now() - since),
             ..entry.clone()
         }
     }
 
-    fn note_told(&self, who: ControllerId, entries: &[Entry]) {
+    fn record_sent(&self, who: ControllerId, entries: &[Entry]) {
         let at = self.clock.now();
         for e in entries {
-            let life = word(e.life).to_owned();
+            let life = life_name(e.life).to_owned();
             let line = Line::EndpointSent {
                 at,
                 who,
@@ -160,9 +160,9 @@
         let FromList::Change(change) = change else {
             return;
         };
-        for (who, outbox) in self.followers.borrow().iter() {
-            outbox.push(encode(&change), Ticks::MAX);
-            self.note_told(*who, &change.entries);
+        for (who, send_queue) in self.followers.borrow().iter() {
+            send_queue.push(encode(&change), Ticks::MAX);
+            self.record_sent(*who, &change.entries);
         }
         if entry.life == Life::Gone {
             self.entries.borrow_mut().remove(&entry.invoker);
--- a/crates/fakes/src/machine.rs
+++ b/crates/fakes/src/machine.rs
@@ -17,8 +17,8 @@
 pub trait MachineHost {
     /// Called when the job begins to run. Returns false if its idempotency token was seen before: then it ends without running.
     fn begin_job(&mut self, job: Job) -> bool;
-    fn job_ended(&mut self, job: Job, ended: Ended, found: Option<Found>, crowd: u8);
-    fn order_ended(&mut self, order: Order, ended: HoldEnded, standing: u8);
+    fn job_ended(&mut self, job: Job, ended: Ended, found: Option<Found>, concurrency: u8);
+    fn order_ended(&mut self, order: Order, ended: HoldEnded, ready: u8);
     /// Starts a fetch; its end is reported by [`Machine::fetch_ended`].
     fn begin_fetch(&mut self, function: FunctionId);
     fn load_ended(&mut self, function: FunctionId, took: Ticks, ok: bool);
@@ -53,19 +53,19 @@
     pub expires: Ticks,
 }
 
-struct Task {
-    ask: JobSpec,
-    left: f64,
+struct JobState {
+    spec: JobSpec,
+    remaining: f64,
     running: bool,
     found: Option<Found>,
-    crowd: u8,
+    concurrency: u8,
 }
 
 struct Load {
     function: FunctionId,
     began: Ticks,
     /// Remaining start work; `None` while the model is being fetched.
-    start_left: Option<f64>,
+    start_remaining: Option<f64>,
 }
 
 /// What a copy of a function takes.
@@ -79,17 +79,17 @@
 
 #[derive(Default)]
 struct Copies {
-    standing: usize,
+    ready: usize,
     running: usize,
     idle_since: Ticks,
-    holds: Vec<(Order, usize)>,
+    pending_orders: Vec<(Order, usize)>,
 }
 
 pub struct Machine {
     pub config: MachineConfig,
-    shapes: BTreeMap<FunctionId, FunctionSpec>,
+    functions: BTreeMap<FunctionId, FunctionSpec>,
     now: Ticks,
-    tasks: BTreeMap<Job, Task>,
+    jobs: BTreeMap<Job, JobState>,
     waiting: VecDeque<Job>,
     copies: BTreeMap<FunctionId, Copies>,
     loads: Vec<Load>,
@@ -98,42 +98,42 @@
     pub slowness: f64,
     /// Slowdown added per second since ageing started.
     pub ageing: f64,
-    aged_from: Ticks,
+    ageing_since: Ticks,
     busy: f64,
 }
 
 /// Interval for which changing capacity is approximated as constant.
-const STEP: Ticks = 20 * MILLISECOND;
+const CAPACITY_STEP: Ticks = 20 * MILLISECOND;
 
 impl Machine {
     pub fn new(
         now: Ticks,
-        build: MachineConfig,
-        shapes: BTreeMap<FunctionId, FunctionSpec>,
+        config: MachineConfig,
+        functions: BTreeMap<FunctionId, FunctionSpec>,
     ) -> Self {
         Self {
-            config: build,
-            shapes,
+            config,
+            functions,
             now,
-            tasks: BTreeMap::new(),
+            jobs: BTreeMap::new(),
             waiting: VecDeque::new(),
             copies: BTreeMap::new(),
             loads: Vec::new(),
             loads_waiting: VecDeque::new(),
             slowness: 1.0,
             ageing: 0.0,
-            aged_from: now,
+            ageing_since: now,
             busy: 0.0,
         }
     }
 
     /// Adds a function after the machine was created. A function's spec never changes.
-    pub fn add_function(&mut self, function: FunctionId, shape: FunctionSpec) {
-        self.shapes.entry(function).or_insert(shape);
+    pub fn add_function(&mut self, function: FunctionId, spec: FunctionSpec) {
+        self.functions.entry(function).or_insert(spec);
     }
 
     /// Current share of the full capacity, below 1 while cold.
-    fn risen(&self) -> f64 {
+    fn capacity_share(&self) -> f64 {
         let Some(started) = self.config.started else {
             return 1.0;
         };
@@ -146,39 +146,44 @@
     }
 
     /// Work done per tick (a tenth of a millisecond) for each running task and starting copy.
-    fn pace(&self) -> f64 {
-        let users = self.running() + self.loads.iter().filter(|l| l.start_left.is_some()).count();
-        let aged = self.ageing * self.now.saturating_sub(self.aged_from) as f64 / 10_000.0;
-        let share = (self.config.cores * self.risen() / users.max(1) as f64).min(1.0);
+    fn work_per_tick(&self) -> f64 {
+        let users = self.running()
+            + self
+                .loads
+                .iter()
+                .filter(|l| l.start_remaining.is_some())
+                .count();
+        let aged = self.ageing * self.now.saturating_sub(self.ageing_since) as f64 / 10_000.0;
+        let share = (self.config.cores * self.capacity_share() / users.max(1) as f64).min(1.0);
         self.config.speed * share / (self.slowness + aged)
     }
 
     /// Time of the next change that no call causes; `None` if there is none.
     pub fn next_event_at(&self) -> Option<Ticks> {
-        let pace = self.pace().max(1e-6);
-        let due = |left: f64| self.now + ((left / pace).ceil() as Ticks).max(1);
-        let tasks = self
-            .tasks
+        let work_per_tick = self.work_per_tick().max(1e-6);
+        let due = |remaining: f64| self.now + ((remaining / work_per_tick).ceil() as Ticks).max(1);
+        let jobs = self
+            .jobs
             .values()
             .filter(|t| t.running)
-            .map(|t| due(t.left));
-        let starts = self.loads.iter().filter_map(|l| l.start_left).map(due);
-        let moving = tasks.chain(starts).min();
-        let step = if self.risen() < 1.0 || self.ageing > 0.0 {
-            self.now + STEP
+            .map(|t| due(t.remaining));
+        let starts = self.loads.iter().filter_map(|l| l.start_remaining).map(due);
+        let moving = jobs.chain(starts).min();
+        let step = if self.capacity_share() < 1.0 || self.ageing > 0.0 {
+            self.now + CAPACITY_STEP
         } else {
             Ticks::MAX
         };
         let idle = self
             .copies
             .values()
-            .filter(|c| c.standing > 0 && c.running == 0);
+            .filter(|c| c.ready > 0 && c.running == 0);
         let idle = idle.map(|c| c.idle_since + self.config.keep_alive).min();
         let expiry = self
             .waiting
             .iter()
-            .filter_map(|j| self.tasks.get(j))
-            .map(|t| t.ask.expires)
+            .filter_map(|j| self.jobs.get(j))
+            .map(|t| t.spec.expires)
             .min();
         let next = moving.map(|at| at.min(step));
         [next, idle, expiry]
@@ -194,31 +199,38 @@
     }
 
     /// Advances the simulation to `now`.
-    pub fn advance(&mut self, now: Ticks, yard: &mut dyn MachineHost) {
+    pub fn advance(&mut self, now: Ticks, host: &mut dyn MachineHost) {
         while self.now < now {
-            let upto = self.next_event_at().unwrap_or(now).min(now);
-            let done = self.pace() * (upto - self.now) as f64;
+            let until = self.next_event_at().unwrap_or(now).min(now);
+            let progress = self.work_per_tick() * (until - self.now) as f64;
             self.busy = (self.running() as f64 / self.config.cores).min(1.0);
-            self.now = upto;
-            self.tasks
+            self.now = until;
+            self.jobs
                 .values_mut()
                 .filter(|t| t.running)
-                .for_each(|t| t.left -= done);
-            let starting = self.loads.iter_mut().filter_map(|l| l.start_left.as_mut());
-            starting.for_each(|left| *left -= done);
-            let over: Vec<Job> = self
-                .tasks
+                .for_each(|t| t.remaining -= progress);
+            let starting = self
+                .loads
+                .iter_mut()
+                .filter_map(|l| l.start_remaining.as_mut());
+            starting.for_each(|remaining| *remaining -= progress);
+            let finished: Vec<Job> = self
+                .jobs
                 .iter()
-                .filter(|(_, t)| t.running && t.left <= 1e-6)
+                .filter(|(_, t)| t.running && t.remaining <= 1e-6)
                 .map(|(j, _)| *j)
                 .collect();
-            over.into_iter()
-                .for_each(|job| self.finish(job, Ended::Succeeded, yard));
+            finished
+                .into_iter()
+                .for_each(|job| self.finish(job, Ended::Succeeded, host));
             let mut at = 0;
             while at < self.loads.len() {
-                if self.loads[at].start_left.is_some_and(|left| left <= 1e-6) {
+                if self.loads[at]
+                    .start_remaining
+                    .is_some_and(|remaining| remaining <= 1e-6)
+                {
                     let load = self.loads.remove(at);
-                    self.stands(load, yard);
+                    self.finish_load(load, host);
                 } else {
                     at += 1;
                 }
@@ -229,114 +241,118 @@
                 .values_mut()
                 .filter(|c| c.running == 0 && now >= c.idle_since + keep)
             {
-                c.standing = 0;
+                c.ready = 0;
             }
-            let late: Vec<Job> = self
+            let expired: Vec<Job> = self
                 .waiting
                 .iter()
-                .filter(|j| self.tasks[j].ask.expires <= now)
+                .filter(|j| self.jobs[j].spec.expires <= now)
                 .copied()
                 .collect();
-            late.into_iter()
-                .for_each(|job| self.finish(job, Ended::Cancelled, yard));
-            self.start_what_can(yard);
+            expired
+                .into_iter()
+                .for_each(|job| self.finish(job, Ended::Cancelled, host));
+            self.start_waiting_jobs(host);
         }
     }
 
-    fn finish(&mut self, job: Job, ended: Ended, yard: &mut dyn MachineHost) {
-        let Some(task) = self.tasks.remove(&job) else {
+    fn finish(&mut self, job: Job, ended: Ended, host: &mut dyn MachineHost) {
+        let Some(task) = self.jobs.remove(&job) else {
             return;
         };
         self.waiting.retain(|j| *j != job);
         if let Some(c) = self
             .copies
-            .get_mut(&task.ask.function)
+            .get_mut(&task.spec.function)
             .filter(|_| task.running)
         {
             c.running -= 1;
             c.idle_since = self.now;
         }
-        yard.job_ended(job, ended, task.found, task.crowd);
+        host.job_ended(job, ended, task.found, task.concurrency);
     }
 
-    fn start_what_can(&mut self, yard: &mut dyn MachineHost) {
+    fn start_waiting_jobs(&mut self, host: &mut dyn MachineHost) {
         let mut at = 0;
         while at < self.waiting.len() && self.running() < self.config.slots {
             let job = self.waiting[at];
-            let function = self.tasks[&job].ask.function;
-            let lanes = self.shapes.get(&function).map_or(1, |s| s.lanes);
+            let function = self.jobs[&job].spec.function;
+            let lanes = self.functions.get(&function).map_or(1, |s| s.lanes);
             let c = self.copies.entry(function).or_default();
-            if c.running >= c.standing * lanes {
+            if c.running >= c.ready * lanes {
                 at += 1;
                 continue;
             }
             self.waiting.remove(at);
             c.running += 1;
-            self.tasks.get_mut(&job).expect("it waits").running = true;
-            if !yard.begin_job(job) {
-                self.finish(job, Ended::Succeeded, yard);
+            self.jobs
+                .get_mut(&job)
+                .expect("a waiting job has a state")
+                .running = true;
+            if !host.begin_job(job) {
+                self.finish(job, Ended::Succeeded, host);
             }
         }
     }
 
-    pub fn dispatch(&mut self, now: Ticks, job: Job, ask: JobSpec, yard: &mut dyn MachineHost) {
-        self.advance(now, yard);
-        let function = ask.function;
-        let held = self
-            .tasks
+    pub fn dispatch(&mut self, now: Ticks, job: Job, spec: JobSpec, host: &mut dyn MachineHost) {
+        self.advance(now, host);
+        let function = spec.function;
+        let in_progress = self
+            .jobs
             .values()
-            .filter(|t| t.ask.function == function)
+            .filter(|t| t.spec.function == function)
             .count();
-        let crowd = held.min(30) as u8;
-        if self.waiting.len() >= self.config.queue || !self.shapes.contains_key(&function) {
-            return yard.job_ended(job, Ended::Full, None, crowd);
+        let concurrency = in_progress.min(30) as u8;
+        if self.waiting.len() >= self.config.queue || !self.functions.contains_key(&function) {
+            return host.job_ended(job, Ended::Full, None, concurrency);
         }
-        let standing = self.copies.get(&function).is_some_and(|c| c.standing > 0);
-        let loading = self.is_loading(function);
-        let found = match (standing, loading) {
+        let ready = self.copies.get(&function).is_some_and(|c| c.ready > 0);
+        let loads_in_progress = self.is_loading(function);
+        let found = match (ready, loads_in_progress) {
             (true, _) => Found::Warm,
             (false, true) => Found::JoinedLoad,
             (false, false) if self.config.misses => {
-                return yard.job_ended(job, Ended::Miss, None, crowd);
+                return host.job_ended(job, Ended::Miss, None, concurrency);
             }
             (false, false) => Found::BeganLoad,
         };
-        if found == Found::BeganLoad && !self.begin_load(function, yard) {
-            return yard.job_ended(job, Ended::Full, None, crowd);
+        if found == Found::BeganLoad && !self.begin_load(function, host) {
+            return host.job_ended(job, Ended::Full, None, concurrency);
         }
-        let left = ask.work.max(1.0);
-        self.tasks.insert(
+        let remaining = spec.work.max(1.0);
+        self.jobs.insert(
             job,
-            Task {
-                ask,
-                left,
+            JobState {
+                spec,
+                remaining,
                 running: false,
                 found: Some(found),
-                crowd,
+                concurrency,
             },
         );
         self.waiting.push_back(job);
-        self.start_what_can(yard);
+        self.start_waiting_jobs(host);
     }
 
     /// Cancels the job if it waits, or if it runs and the configuration permits that.
-    pub fn cancel(&mut self, now: Ticks, job: Job, yard: &mut dyn MachineHost) {
-        self.advance(now, yard);
+    pub fn cancel(&mut self, now: Ticks, job: Job, host: &mut dyn MachineHost) {
+        self.advance(now, host);
         if self
-            .tasks
+            .jobs
             .get(&job)
             .is_some_and(|t| !t.running || self.config.stops_running)
         {
-            self.finish(job, Ended::Cancelled, yard);
-            self.start_what_can(yard);
+            self.finish(job, Ended::Cancelled, host);
+            self.start_waiting_jobs(host);
         }
     }
 
     fn is_loading(&self, function: FunctionId) -> bool {
-        self.loading(function) > 0
+        self.loads_in_progress(function) > 0
     }
 
-    fn loading(&self, function: FunctionId) -> usize {
+    fn loads_in_progress(&self, function: FunctionId) -> usize {
         self.loads.iter().filter(|l| l.function == function).count()
             + self
                 .loads_waiting
@@ -345,44 +361,47 @@
                 .count()
     }
 
-    fn memory_taken(&self) -> f64 {
-        let of = |f: &FunctionId| self.shapes.get(f).map_or(0.0, |s| s.memory);
-        let standing: f64 = self
+    fn memory_used(&self) -> f64 {
+        let of = |f: &FunctionId| self.functions.get(f).map_or(0.0, |s| s.memory);
+        let ready: f64 = self
             .copies
             .iter()
-            .map(|(f, c)| of(f) * c.standing as f64)
+            .map(|(f, c)| of(f) * c.ready as f64)
             .sum();
-        let loading = self
+        let loads_in_progress = self
             .loads
             .iter()
             .map(|l| &l.function)
             .chain(&self.loads_waiting)
             .map(of);
-        standing + loading.sum::<f64>()
+        ready + loads_in_progress.sum::<f64>()
     }
 
     /// Queues a load, evicting idle copies as needed. Returns false if memory is short or too many loads are queued.
-    fn begin_load(&mut self, function: FunctionId, yard: &mut dyn MachineHost) -> bool {
-        let need = self.shapes[&function].memory;
+    fn begin_load(&mut self, function: FunctionId, host: &mut dyn MachineHost) -> bool {
+        let needed = self.functions[&function].memory;
         if self.loads.len() + self.loads_waiting.len() >= 3 * self.config.loads_at_once {
             return false;
         }
-        while self.memory_taken() + need > self.config.memory {
+        while self.memory_used() + needed > self.config.memory {
             let idle = self
                 .copies
                 .iter()
-                .filter(|(f, c)| c.standing > 0 && c.running == 0 && **f != function);
+                .filter(|(f, c)| c.ready > 0 && c.running == 0 && **f != function);
             let Some(oldest) = idle.min_by_key(|(_, c)| c.idle_since).map(|(f, _)| *f) else {
                 return false;
             };
-            self.copies.get_mut(&oldest).expect("it stands").standing -= 1;
+            self.copies
+                .get_mut(&oldest)
+                .expect("an idle function has copies")
+                .ready -= 1;
         }
         self.loads_waiting.push_back(function);
-        self.next_load(yard);
+        self.next_load(host);
         true
     }
 
-    fn next_load(&mut self, yard: &mut dyn MachineHost) {
+    fn next_load(&mut self, host: &mut dyn MachineHost) {
         while self.loads.len() < self.config.loads_at_once {
             let Some(function) = self.loads_waiting.pop_front() else {
                 return;
@@ -390,9 +409,9 @@
             self.loads.push(Load {
                 function,
                 began: self.now,
-                start_left: None,
+                start_remaining: None,
             });
-            yard.begin_fetch(function);
+            host.begin_fetch(function);
         }
     }
 
@@ -402,56 +421,59 @@
         now: Ticks,
         function: FunctionId,
         ok: bool,
-        yard: &mut dyn MachineHost,
+        host: &mut dyn MachineHost,
     ) {
-        self.advance(now, yard);
+        self.advance(now, host);
         let at = self
             .loads
             .iter()
-            .position(|l| l.function == function && l.start_left.is_none());
+            .position(|l| l.function == function && l.start_remaining.is_none());
         let Some(at) = at else { return };
         if ok {
-            self.loads[at].start_left = Some(self.shapes[&function].start_time as f64);
+            self.loads[at].start_remaining = Some(self.functions[&function].start_time as f64);
             return;
         }
         let load = self.loads.remove(at);
-        yard.load_ended(function, self.now - load.began, false);
-        if !self.is_loading(function) && self.copies.get(&function).is_none_or(|c| c.standing == 0)
-        {
+        host.load_ended(function, self.now - load.began, false);
+        if !self.is_loading(function) && self.copies.get(&function).is_none_or(|c| c.ready == 0) {
             let waiting: Vec<Job> = self
                 .waiting
                 .iter()
-                .filter(|j| self.tasks[j].ask.function == function)
+                .filter(|j| self.jobs[j].spec.function == function)
                 .copied()
                 .collect();
             for job in waiting {
-                self.tasks.get_mut(&job).expect("it waits").found = Some(Found::LoadFailed);
-                self.finish(job, Ended::Miss, yard);
+                self.jobs
+                    .get_mut(&job)
+                    .expect("a waiting job has a state")
+                    .found = Some(Found::LoadFailed);
+                self.finish(job, Ended::Miss, host);
             }
         }
         let c = self.copies.entry(function).or_default();
-        let standing = c.standing as u8;
-        std::mem::take(&mut c.holds)
+        let ready = c.ready as u8;
+        std::mem::take(&mut c.pending_orders)
             .into_iter()
-            .for_each(|(o, _)| yard.order_ended(o, HoldEnded::LoadFailed, standing));
-        self.next_load(yard);
+            .for_each(|(o, _)| host.order_ended(o, HoldEnded::LoadFailed, ready));
+        self.next_load(host);
     }
 
-    fn stands(&mut self, load: Load, yard: &mut dyn MachineHost) {
+    fn finish_load(&mut self, load: Load, host: &mut dyn MachineHost) {
         let now = self.now;
         let c = self.copies.entry(load.function).or_default();
-        c.standing += 1;
+        c.ready += 1;
         c.idle_since = now;
-        let standing = c.standing;
-        let (met, unmet) = std::mem::take(&mut c.holds)
+        let ready = c.ready;
+        let (satisfied, pending) = std::mem::take(&mut c.pending_orders)
+            .into_iter()
+            .partition(|(_, count)| *count <= ready);
+        c.pending_orders = pending;
+        host.load_ended(load.function, now - load.began, true);
+        let satisfied: Vec<(Order, usize)> = satisfied;
+        satisfied
             .into_iter()
-            .partition(|(_, count)| *count <= standing);
-        c.holds = unmet;
-        yard.load_ended(load.function, now - load.began, true);
-        let met: Vec<(Order, usize)> = met;
-        met.into_iter()
-            .for_each(|(o, _)| yard.order_ended(o, HoldEnded::Standing, standing as u8));
-        self.next_load(yard);
+            .for_each(|(o, _)| host.order_ended(o, HoldEnded::Standing, ready as u8));
+        self.next_load(host);
     }
 
     /// Handles a load order for a number of copies; 0 only queries the current number.
@@ -461,56 +483,57 @@
         order: Order,
         function: FunctionId,
         count: u8,
-        yard: &mut dyn MachineHost,
+        host: &mut dyn MachineHost,
     ) {
-        self.advance(now, yard);
-        let standing = self.copies.get(&function).map_or(0, |c| c.standing);
-        if standing >= usize::from(count) {
+        self.advance(now, host);
+        let ready = self.copies.get(&function).map_or(0, |c| c.ready);
+        if ready >= usize::from(count) {
             if let Some(c) = self.copies.get_mut(&function).filter(|_| count > 0) {
                 c.idle_since = now;
             }
-            return yard.order_ended(order, HoldEnded::Standing, standing as u8);
+            return host.order_ended(order, HoldEnded::Standing, ready as u8);
         }
-        if !self.shapes.contains_key(&function) {
-            return yard.order_ended(order, HoldEnded::LoadFailed, 0);
+        if !self.functions.contains_key(&function) {
+            return host.order_ended(order, HoldEnded::LoadFailed, 0);
         }
-        while standing + self.loading(function) < usize::from(count) {
-            if !self.begin_load(function, yard) {
-                return yard.order_ended(order, HoldEnded::NoRoom, standing as u8);
+        while ready + self.loads_in_progress(function) < usize::from(count) {
+            if !self.begin_load(function, host) {
+                return host.order_ended(order, HoldEnded::NoRoom, ready as u8);
             }
         }
         self.copies
             .entry(function)
             .or_default()
-            .holds
+            .pending_orders
             .push((order, count.into()));
     }
 
-    pub fn unload(&mut self, now: Ticks, function: FunctionId, yard: &mut dyn MachineHost) {
-        self.advance(now, yard);
+    pub fn unload(&mut self, now: Ticks, function: FunctionId, host: &mut dyn MachineHost) {
+        self.advance(now, host);
         if let Some(c) = self.copies.get_mut(&function).filter(|c| c.running == 0) {
-            c.standing = 0;
+            c.ready = 0;
         }
     }
 
     /// Handles the loss of a link: cancels its waiting jobs. Running jobs continue, and their responses are lost.
-    pub fn link_lost(&mut self, now: Ticks, link: u64, yard: &mut dyn MachineHost) {
-        self.advance(now, yard);
-        let gone: Vec<Job> = self
-            .tasks
+    pub fn link_lost(&mut self, now: Ticks, link: u64, host: &mut dyn MachineHost) {
+        self.advance(now, host);
+        let cancelled: Vec<Job> = self
+            .jobs
             .iter()
             .filter(|((l, _), t)| *l == link && !t.running)
             .map(|(j, _)| *j)
             .collect();
-        gone.into_iter()
-            .for_each(|job| self.finish(job, Ended::Cancelled, yard));
+        cancelled
+            .into_iter()
+            .for_each(|job| self.finish(job, Ended::Cancelled, host));
     }
 
     /// Drops the idle copies of a random share of the functions, as a new release of these functions does.
     pub fn flush(&mut self, share: f64, rng: &mut fastrand::Rng) {
         for c in self.copies.values_mut().filter(|c| c.running == 0) {
             if rng.f64() < share {
-                c.standing = 0;
+                c.ready = 0;
             }
         }
     }
@@ -519,18 +542,18 @@
     pub fn preload(&mut self, functions: impl IntoIterator<Item = FunctionId>) {
         for f in functions {
             if self
-                .shapes
+                .functions
                 .get(&f)
-                .is_some_and(|s| self.memory_taken() + s.memory <= self.config.memory)
+                .is_some_and(|s| self.memory_used() + s.memory <= self.config.memory)
             {
                 let c = self.copies.entry(f).or_default();
-                (c.standing, c.idle_since) = (1, self.now);
+                (c.ready, c.idle_since) = (1, self.now);
             }
         }
     }
 
-    pub fn start_ageing(&mut self, by_second: f64) {
-        (self.ageing, self.aged_from) = (by_second, self.now);
+    pub fn start_ageing(&mut self, slowdown_per_second: f64) {
+        (self.ageing, self.ageing_since) = (slowdown_per_second, self.now);
     }
 }
 
@@ -539,21 +562,21 @@
     use super::*;
 
     #[derive(Default)]
-    struct Seen {
+    struct RecordingHost {
         ended: Vec<(Job, Ended, Option<Found>)>,
         held: Vec<(Order, HoldEnded, u8)>,
         fetches: Vec<FunctionId>,
     }
 
-    impl MachineHost for Seen {
+    impl MachineHost for RecordingHost {
         fn begin_job(&mut self, _: Job) -> bool {
             true
         }
         fn job_ended(&mut self, job: Job, ended: Ended, found: Option<Found>, _: u8) {
             self.ended.push((job, ended, found));
         }
-        fn order_ended(&mut self, order: Order, ended: HoldEnded, standing: u8) {
-            self.held.push((order, ended, standing));
+        fn order_ended(&mut self, order: Order, ended: HoldEnded, ready: u8) {
+            self.held.push((order, ended, ready));
         }
         fn begin_fetch(&mut self, function: FunctionId) {
             self.fetches.push(function);
@@ -561,8 +584,8 @@
         fn load_ended(&mut self, _: FunctionId, _: Ticks, _: bool) {}
     }
 
-    fn machine(started: Option<Ticks>) -> Machine {
-        let build = MachineConfig {
+    fn new_machine(started: Option<Ticks>) -> Machine {
+        let config = MachineConfig {
             cores: 2.0,
             speed: 1.0,
             memory: 2_000.0,
@@ -581,10 +604,10 @@
             lanes: 2,
             start_time: 1_000,
         };
-        Machine::new(0, build, (1..4).map(|f| (f, shape.clone())).collect())
+        Machine::new(0, config, (1..4).map(|f| (f, shape.clone())).collect())
     }
 
-    fn ask(function: FunctionId) -> JobSpec {
+    fn spec(function: FunctionId) -> JobSpec {
         JobSpec {
             function,
             work: 1_000.0,
@@ -593,74 +616,78 @@
     }
 
     #[test]
-    fn a_load_is_fetched_started_and_then_shared_by_its_lanes() {
-        let (mut m, mut y) = (machine(None), Seen::default());
+    fn load_is_fetched_then_started_and_shared_by_its_lanes() {
+        let (mut machine, mut host) = (new_machine(None), RecordingHost::default());
         for n in 0..3 {
-            m.dispatch(0, (0, n), ask(1), &mut y);
+            machine.dispatch(0, (0, n), spec(1), &mut host);
         }
-        m.dispatch(0, (0, 3), ask(1), &mut y);
+        machine.dispatch(0, (0, 3), spec(1), &mut host);
         assert_eq!(
-            y.ended,
+            host.ended,
             [((0, 3), Ended::Full, None)],
-            "three wait, no more"
+            "the queue is full with three"
         );
-        m.fetch_ended(500, 1, true, &mut y);
-        m.advance(2_499, &mut y);
-        assert_eq!(y.ended.len(), 1);
-        m.advance(2_500, &mut y);
+        machine.fetch_ended(500, 1, true, &mut host);
+        machine.advance(2_499, &mut host);
+        assert_eq!(host.ended.len(), 1);
+        machine.advance(2_500, &mut host);
         assert_eq!(
-            y.ended[1..],
+            host.ended[1..],
             [
                 ((0, 0), Ended::Succeeded, Some(Found::BeganLoad)),
                 ((0, 1), Ended::Succeeded, Some(Found::JoinedLoad))
             ]
         );
-        m.advance(3_500, &mut y);
-        assert_eq!((y.ended.len(), y.fetches.len()), (4, 1));
+        machine.advance(3_500, &mut host);
+        assert_eq!((host.ended.len(), host.fetches.len()), (4, 1));
     }
 
     #[test]
-    fn a_cold_machine_does_part_of_its_work() {
-        let (mut m, mut y) = (machine(Some(0)), Seen::default());
-        m.preload([1]);
-        m.dispatch(0, (0, 0), ask(1), &mut y);
-        m.dispatch(0, (0, 1), ask(1), &mut y);
-        m.advance(3_000, &mut y);
-        assert_eq!(y.ended, [], "two on half a core need near 4,000 tenths");
-        m.advance(4_000, &mut y);
-        assert_eq!(y.ended.len(), 2);
+    fn cold_machine_has_part_of_its_capacity() {
+        let (mut machine, mut host) = (new_machine(Some(0)), RecordingHost::default());
+        machine.preload([1]);
+        machine.dispatch(0, (0, 0), spec(1), &mut host);
+        machine.dispatch(0, (0, 1), spec(1), &mut host);
+        machine.advance(3_000, &mut host);
+        assert_eq!(
+            host.ended,
+            [],
+            "two jobs on half a core need about 4,000 ticks"
+        );
+        machine.advance(4_000, &mut host);
+        assert_eq!(host.ended.len(), 2);
     }
 
     #[test]
-    fn room_is_made_of_idle_copies_only_and_failed_loads_are_told() {
-        let (mut m, mut y) = (machine(None), Seen::default());
-        m.preload([1, 2]);
-        m.dispatch(0, (0, 0), ask(1), &mut y);
-        m.order_copies(0, (0, 9), 3, 1, &mut y);
-        assert_eq!(y.fetches, [3], "2 gave way");
-        m.order_copies(0, (0, 10), 2, 1, &mut y);
+    fn loads_evict_only_idle_copies_and_failed_loads_are_reported() {
+        let (mut machine, mut host) = (new_machine(None), RecordingHost::default());
+        machine.preload([1, 2]);
+        machine.dispatch(0, (0, 0), spec(1), &mut host);
+        machine.order_copies(0, (0, 9), 3, 1, &mut host);
+        assert_eq!(host.fetches, [3], "the copy of 2 was evicted");
+        machine.order_copies(0, (0, 10), 2, 1, &mut host);
         assert_eq!(
-            y.held,
+            host.held,
             [((0, 10), HoldEnded::NoRoom, 0)],
-            "1 is at work and 3 loads"
+            "1 is running and 3 is loading"
         );
-        m.fetch_ended(10, 3, false, &mut y);
-        assert_eq!(y.held[1], ((0, 9), HoldEnded::LoadFailed, 0));
-        m.order_copies(20, (0, 11), 1, 1, &mut y);
-        assert_eq!(y.held[2], ((0, 11), HoldEnded::Standing, 1));
+        machine.fetch_ended(10, 3, false, &mut host);
+        assert_eq!(host.held[1], ((0, 9), HoldEnded::LoadFailed, 0));
+        machine.order_copies(20, (0, 11), 1, 1, &mut host);
+        assert_eq!(host.held[2], ((0, 11), HoldEnded::Standing, 1));
     }
 
     #[test]
-    fn a_cancel_stops_what_waits_and_lets_run_what_runs() {
-        let (mut m, mut y) = (machine(None), Seen::default());
-        m.preload([1]);
+    fn cancel_stops_waiting_jobs_and_leaves_running_ones() {
+        let (mut machine, mut host) = (new_machine(None), RecordingHost::default());
+        machine.preload([1]);
         for n in 0..3 {
-            m.dispatch(0, (0, n), ask(1), &mut y);
+            machine.dispatch(0, (0, n), spec(1), &mut host);
         }
-        m.cancel(5, (0, 0), &mut y);
-        m.cancel(5, (0, 2), &mut y);
-        assert_eq!(y.ended, [((0, 2), Ended::Cancelled, Some(Found::Warm))]);
-        m.advance(1_000, &mut y);
-        assert_eq!(y.ended.len(), 3);
+        machine.cancel(5, (0, 0), &mut host);
+        machine.cancel(5, (0, 2), &mut host);
+        assert_eq!(host.ended, [((0, 2), Ended::Cancelled, Some(Found::Warm))]);
+        machine.advance(1_000, &mut host);
+        assert_eq!(host.ended.len(), 3);
     }
 }
--- a/crates/fakes/src/platform.rs
+++ b/crates/fakes/src/platform.rs
@@ -17,7 +17,7 @@
 use tokio::task::spawn_local;
 
 /// Tolerance by which the time limit sent to an invoker may exceed the client's remaining time.
-const LIMIT_SLACK_MS: u64 = 150;
+const TIME_LIMIT_TOLERANCE_MS: u64 = 150;
 
 /// Fault of an invoker's response. The request has run, except with `ClosedUnread`, `Miss`, `Full` and `Expired`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -82,21 +82,21 @@
     pub fn new(
         invoker: u32,
         controller: ControllerId,
-        takes: Duration,
+        run_time: Duration,
         hops: Rc<RefCell<BTreeMap<u64, u8>>>,
         record: Record,
         clock: Clock,
     ) -> Rc<Self> {
-        let (spoilt, arrived, connections, accepted, limit_faults) = Default::default();
+        let (fault, requests, connections, accepted, time_limit_violations) = Default::default();
         Rc::new(Self {
             invoker,
             controller,
-            run_time: takes,
-            fault: spoilt,
-            requests: arrived,
+            run_time,
+            fault,
+            requests,
             connections,
             accepted,
-            time_limit_violations: limit_faults,
+            time_limit_violations,
             hops,
             record,
             clock,
@@ -106,8 +106,8 @@
     /// Accepts connections until the test ends.
     pub async fn serve(self: Rc<Self>, network: Rc<dyn Network>, at: SocketAddrV4) {
         let listening = network.listen(&Address::Tcp(at.to_string())).await;
-        let (mut door, _) = listening.expect("an address of its own");
-        while let Ok(stream) = door.accept().await {
+        let (mut listener, _) = listening.expect("the address is free");
+        while let Ok(stream) = listener.accept().await {
             self.accepted.set(self.accepted.get() + 1);
             if self.fault.get() == ResponseFault::ClosedUnread {
                 continue;
@@ -115,35 +115,36 @@
             let this = self.clone();
             spawn_local(async move {
                 this.connections.set(this.connections.get() + 1);
-                this.attend(stream).await;
+                this.serve_connection(stream).await;
                 this.connections.set(this.connections.get() - 1);
             });
         }
     }
 
-    async fn attend(&self, mut stream: Stream) {
+    async fn serve_connection(&self, mut stream: Stream) {
         let mut read = BytesMut::new();
-        while let Some(arrived) = request(&mut stream, &mut read, self.clock).await {
-            self.requests.borrow_mut().push(arrived.clone());
-            let goes_on = match arrived.fields.get("x-txn") {
-                Some(txn) => self.run(&mut stream, &arrived, txn).await,
-                None => self.order(&mut stream, &arrived).await,
+        while let Some(request) = read_request(&mut stream, &mut read, self.clock).await {
+            self.requests.borrow_mut().push(request.clone());
+            let keep_open = match request.fields.get("x-txn") {
+                Some(txn) => self.handle_invocation(&mut stream, &request, txn).await,
+                None => self.handle_load_order(&mut stream, &request).await,
             };
-            if !goes_on {
+            if !keep_open {
                 return;
             }
         }
     }
 
-    async fn order(&self, stream: &mut Stream, a: &ReceivedRequest) -> bool {
-        let parts: Vec<&str> = a.path.split('/').collect();
+    async fn handle_load_order(&self, stream: &mut Stream, request: &ReceivedRequest) -> bool {
+        let parts: Vec<&str> = request.path.split('/').collect();
         let function = parts
             .get(2)
             .and_then(|f| u64::from_str_radix(f, 16).ok())
             .unwrap_or(0);
         let count: u8 = parts.get(3).and_then(|n| n.parse().ok()).unwrap_or(0);
-        if a.method == "PUT" {
-            let (at, earliest, invoker, who) = (a.at, a.at, self.invoker, self.controller);
+        if request.method == "PUT" {
+            let (at, earliest, invoker, who) =
+                (request.at, request.at, self.invoker, self.controller);
             self.record.note(Line::LoadOrdered {
                 at,
                 earliest,
@@ -153,7 +154,7 @@
                 count,
             });
         }
-        let text = match a.method.as_str() {
+        let text = match request.method.as_str() {
             "DELETE" => "HTTP/1.1 204 No Content\r\n\r\n".to_owned(),
             _ => format!("HTTP/1.1 200 OK\r\nX-Units: {count}\r\nContent-Length: 0\r\n\r\n"),
         };
@@ -161,19 +162,28 @@
     }
 
     /// Checks that a request's time limit is at most the client's remaining time, counted from the client's own send.
-    fn judge_limit(&self, a: &ReceivedRequest, of: ClientAttempt) {
+    fn check_time_limit(&self, request: &ReceivedRequest, of: ClientAttempt) {
         let Some(given_up_at) = self.record.given_up_at(of) else {
             return;
         };
-        let stated: Option<u64> = a.fields.get("x-limit-ms").and_then(|ms| ms.parse().ok());
-        let left_ms = given_up_at.saturating_sub(a.at) / MILLISECOND;
-        if stated.is_none_or(|ms| ms > left_ms + LIMIT_SLACK_MS) {
-            let fault = format!("{of:?}: {stated:?} ms are said to be left, {left_ms} are");
+        let stated: Option<u64> = request
+            .fields
+            .get("x-limit-ms")
+            .and_then(|ms| ms.parse().ok());
+        let left_ms = given_up_at.saturating_sub(request.at) / MILLISECOND;
+        if stated.is_none_or(|ms| ms > left_ms + TIME_LIMIT_TOLERANCE_MS) {
+            let fault =
+                format!("{of:?}: {stated:?} ms time limit, but the client has {left_ms} ms left");
             self.time_limit_violations.borrow_mut().push(fault);
         }
     }
 
-    async fn run(&self, stream: &mut Stream, a: &ReceivedRequest, txn: &str) -> bool {
+    async fn handle_invocation(
+        &self,
+        stream: &mut Stream,
+        request: &ReceivedRequest,
+        txn: &str,
+    ) -> bool {
         let id = u64::from_str_radix(txn, 16).unwrap_or(0);
         let hop = {
             let mut hops = self.hops.borrow_mut();
@@ -187,9 +197,9 @@
             decode_txn(id),
             (id >> 8) as u32,
         );
-        let trigger = a.path.trim_start_matches("/obj/").to_owned();
-        let (at, earliest) = (a.at, a.at);
-        self.judge_limit(a, of);
+        let trigger = request.path.trim_start_matches("/obj/").to_owned();
+        let (at, earliest) = (request.at, request.at);
+        self.check_time_limit(request, of);
         self.record.note(Line::Dispatched {
             at,
             earliest,
@@ -200,13 +210,13 @@
             of,
             trigger,
         });
-        let spoilt = self.fault.get();
-        let never = matches!(
-            spoilt,
+        let fault = self.fault.get();
+        let not_run = matches!(
+            fault,
             ResponseFault::Miss | ResponseFault::Full | ResponseFault::Expired
         );
-        if !never {
-            let (at, token) = (self.clock.now(), a.fields.get("x-dedupe").cloned());
+        if !not_run {
+            let (at, token) = (self.clock.now(), request.fields.get("x-dedupe").cloned());
             self.record.note(Line::Started {
                 at,
                 invoker,
@@ -220,8 +230,8 @@
         }
         let mut byte = [0];
         tokio::select! {
-            () = tokio::time::sleep(self.run_time), if !never => {}
-            () = async {}, if never => {}
+            () = tokio::time::sleep(self.run_time), if !not_run => {}
+            () = async {}, if not_run => {}
             got = stream.read(&mut byte) => {
                 // The controller closed the connection, or sent data before the response.
                 let at = self.clock.now();
@@ -243,7 +253,7 @@
                 response_sent: told,
             });
         };
-        let body = format!("ran {txn} {}", a.body.len());
+        let body = format!("ran {txn} {}", request.body.len());
         let at = self.clock.now();
         self.record.note(Line::OutputProduced {
             at,
@@ -251,24 +261,24 @@
             of,
             output: body.clone(),
         });
-        let well = format!(
+        let success = format!(
             "HTTP/1.1 200 OK\r\nX-How: resident\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
         );
-        let (text, goes_on) = match spoilt {
-            ResponseFault::None => (well, true),
+        let (text, keep_open) = match fault {
+            ResponseFault::None => (success, true),
             ResponseFault::InformationalFirst => {
-                (format!("HTTP/1.1 102 Processing\r\n\r\n{well}"), true)
+                (format!("HTTP/1.1 102 Processing\r\n\r\n{success}"), true)
             }
-            ResponseFault::GarbageAfterResponse => (format!("{well}\u{1}\u{2}noise"), false),
-            ResponseFault::SentTwice => (format!("{well}{well}"), false),
+            ResponseFault::GarbageAfterResponse => (format!("{success}\u{1}\u{2}noise"), false),
+            ResponseFault::SentTwice => (format!("{success}{success}"), false),
             ResponseFault::GarbageHead => ("\u{1}\u{2}\u{3} what is this\r\n\r\n".to_owned(), true),
             ResponseFault::UnterminatedHead => (
                 format!("HTTP/1.1 200 OK\r\nX-A: {}", "a".repeat(100_000)),
                 true,
             ),
             ResponseFault::ConflictingLengths => {
-                (well.replace("X-How", "Content-Length: 3\r\nX-How"), true)
+                (success.replace("X-How", "Content-Length: 3\r\nX-How"), true)
             }
             ResponseFault::ThreeGigabyteLength => (
                 format!(
@@ -277,7 +287,7 @@
                 ),
                 true,
             ),
-            ResponseFault::TruncatedBody => (well[..well.len() - 3].to_owned(), false),
+            ResponseFault::TruncatedBody => (success[..success.len() - 3].to_owned(), false),
             ResponseFault::ClosedAfterReading => (String::new(), false),
             ResponseFault::NeverSent => {
                 ended("lost", false);
@@ -302,17 +312,17 @@
             ),
             ResponseFault::ClosedUnread => return false,
         };
-        match spoilt {
+        match fault {
             ResponseFault::Miss => ended("miss", true),
             ResponseFault::Full | ResponseFault::Expired => ended("full", true),
             _ => ended("run", true),
         }
-        stream.write_all(text.as_bytes()).await.is_ok() && goes_on
+        stream.write_all(text.as_bytes()).await.is_ok() && keep_open
     }
 }
 
 /// Reads one complete request.
-async fn request(
+async fn read_request(
     stream: &mut Stream,
     read: &mut BytesMut,
     clock: Clock,
@@ -372,20 +382,20 @@
     pub fault: Cell<FeedFault>,
     pub resume_points: RefCell<Vec<u64>>,
     controller: ControllerId,
-    more: Notify,
+    events_added: Notify,
     record: Record,
     clock: Clock,
 }
 
 impl Feed {
     pub fn new(controller: ControllerId, record: Record, clock: Clock) -> Rc<Self> {
-        let (events, torn, asked, more) = Default::default();
+        let (events, fault, resume_points, events_added) = Default::default();
         Rc::new(Self {
             events,
-            fault: torn,
-            resume_points: asked,
+            fault,
+            resume_points,
             controller,
-            more,
+            events_added,
             record,
             clock,
         })
@@ -412,18 +422,18 @@
             }
         }
         self.events.borrow_mut().push((number, event));
-        self.more.notify_waiters();
+        self.events_added.notify_waiters();
     }
 
     pub async fn serve(self: Rc<Self>, network: Rc<dyn Network>, at: SocketAddrV4) {
         let listening = network.listen(&Address::Tcp(at.to_string())).await;
-        let (mut door, _) = listening.expect("an address of its own");
-        while let Ok(stream) = door.accept().await {
-            spawn_local(self.clone().attend(stream));
+        let (mut listener, _) = listening.expect("the address is free");
+        while let Ok(stream) = listener.accept().await {
+            spawn_local(self.clone().serve_connection(stream));
         }
     }
 
-    async fn attend(self: Rc<Self>, mut stream: Stream) {
+    async fn serve_connection(self: Rc<Self>, mut stream: Stream) {
         let Ok(mut last) = stream.read_u64().await else {
             return;
         };
@@ -437,7 +447,7 @@
                 .cloned();
             let Some((n, event)) = next else {
                 tokio::select! {
-                    () = self.more.notified() => {}
+                    () = self.events_added.notified() => {}
                     () = tokio::time::sleep(Duration::from_secs(1)) => {
                         if self.fault.get() == FeedFault::Stalled || stream.write_all(&feed::encode(last, &Event::Heartbeat)).await.is_err() {
                             return std::future::pending().await;
@@ -447,8 +457,8 @@
                 continue;
             };
             let bytes = feed::encode(n, &event);
-            let torn = self.fault.replace(FeedFault::None);
-            let wrote = match torn {
+            let fault = self.fault.replace(FeedFault::None);
+            let wrote = match fault {
                 FeedFault::None => stream.write_all(&bytes).await,
                 FeedFault::SentTwice => stream.write_all(&[bytes.clone(), bytes].concat()).await,
                 FeedFault::Truncated => {
@@ -548,8 +558,8 @@
 pub struct FrameClient {
     pub stream: Stream,
     read: BytesMut,
-    next: u32,
-    open: BTreeMap<u32, ClientAttempt>,
+    next_stream: u32,
+    open_streams: BTreeMap<u32, ClientAttempt>,
     controller: ControllerId,
     record: Record,
     clock: Clock,
@@ -567,8 +577,8 @@
         Ok(Self {
             stream,
             read: BytesMut::new(),
-            next: 1,
-            open: BTreeMap::new(),
+            next_stream: 1,
+            open_streams: BTreeMap::new(),
             controller,
             record,
             clock,
@@ -577,13 +587,13 @@
 
     /// Sends a request on a new stream and returns the stream's number.
     pub async fn invoke(&mut self, call: &Call) -> u32 {
-        let stream = self.next;
-        self.next += 1;
+        let stream = self.next_stream;
+        self.next_stream += 1;
         let of = ClientAttempt {
             number: call.number,
             attempt: call.attempt,
         };
-        self.open.insert(stream, of);
+        self.open_streams.insert(stream, of);
         let sent = self.stream.write_all(&call.frame(stream)).await;
         if sent.is_ok() {
             self.record.note(Line::Sent {
@@ -602,7 +612,7 @@
 
     /// Cancels the request of a stream.
     pub async fn cancel(&mut self, stream: u32) {
-        if let Some(of) = self.open.remove(&stream) {
+        if let Some(of) = self.open_streams.remove(&stream) {
             self.record.note(Line::HungUp {
                 at: self.clock.now(),
                 of,
@@ -616,7 +626,7 @@
 
     /// Closes the connection with all streams that are open on it.
     pub fn close(self) {
-        for of in self.open.values() {
+        for of in self.open_streams.values() {
             self.record.note(Line::HungUp {
                 at: self.clock.now(),
                 of: *of,
@@ -627,8 +637,8 @@
     /// Reads the next frame; `None` at the end of the connection.
     pub async fn next_frame(&mut self) -> Option<ServerFrame> {
         loop {
-            if let Some(heard) = self.cut() {
-                return Some(heard);
+            if let Some(frame) = self.decode_frame() {
+                return Some(frame);
             }
             if self.stream.read_buf(&mut self.read).await.unwrap_or(0) == 0 {
                 return None;
@@ -636,7 +646,7 @@
         }
     }
 
-    fn cut(&mut self) -> Option<ServerFrame> {
+    fn decode_frame(&mut self) -> Option<ServerFrame> {
         let length = u32::from_be_bytes(self.read.get(..4)?.try_into().ok()?) as usize;
         if self.read.len() < 4 + length {
             return None;
@@ -653,11 +663,12 @@
             17 => {
                 let code = frame.get_u8();
                 let fields = frames::parse_fields(&mut frame).expect("fields of an answer");
-                let later = fields.iter().find(|(n, _)| n == "later").map(|(_, v)| v);
-                let later_ms = later.and_then(|v| std::str::from_utf8(v).ok()?.parse().ok());
+                let retry_after = fields.iter().find(|(n, _)| n == "later").map(|(_, v)| v);
+                let retry_after_ms =
+                    retry_after.and_then(|v| std::str::from_utf8(v).ok()?.parse().ok());
                 self.note(stream, code);
                 if let Some(of) = self
-                    .open
+                    .open_streams
                     .get(&stream)
                     .filter(|_| code == Code::Succeeded as u8)
                 {
@@ -674,7 +685,7 @@
                 ServerFrame::Response(Response {
                     stream,
                     code,
-                    retry_after_ms: later_ms,
+                    retry_after_ms,
                     body: frame,
                 })
             }
@@ -689,7 +700,7 @@
             _ => Outcome::Errored,
         };
         let at = self.clock.now();
-        if let Some(of) = self.open.get(&stream) {
+        if let Some(of) = self.open_streams.get(&stream) {
             self.record.note(Line::Final {
                 at,
                 earliest: at,
--- a/crates/fakes/src/registry.rs
+++ b/crates/fakes/src/registry.rs
@@ -50,7 +50,7 @@
     pub bytes_per_second: Cell<f64>,
     /// Factor by which requests are slowed down; 1 is normal.
     pub slowness: Cell<f64>,
-    in_hand: Cell<usize>,
+    in_flight: Cell<usize>,
     rng: RefCell<fastrand::Rng>,
     /// Requests for each blob, including rejected ones.
     pub requests: RefCell<BTreeMap<Digest, u32>>,
@@ -58,7 +58,7 @@
     pub bytes_sent: Cell<u64>,
 }
 
-enum Ending {
+enum BodyEnding {
     Whole,
     CutOff,
     Stalled,
@@ -66,22 +66,22 @@
     Trickles(Bytes, Pin<Box<tokio::time::Sleep>>),
 }
 
-struct Sending {
+struct ResponseBody {
     parts: Vec<Bytes>,
     length: u64,
-    ending: Ending,
-    _held: Option<InHand>,
+    ending: BodyEnding,
+    _guard: Option<InFlightGuard>,
 }
 
-struct InHand(Rc<OciRegistry>);
+struct InFlightGuard(Rc<OciRegistry>);
 
-impl Drop for InHand {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.0.in_hand.set(self.0.in_hand.get() - 1);
+        self.0.in_flight.set(self.0.in_flight.get() - 1);
     }
 }
 
-impl Body for Sending {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -93,14 +93,15 @@
             return Poll::Ready(Some(Ok(Frame::data(part))));
         }
         match &mut self.ending {
-            Ending::Whole => Poll::Ready(None),
-            Ending::CutOff => Poll::Ready(Some(Err(io::Error::other("told to cut off")))),
-            Ending::Stalled => Poll::Pending,
-            Ending::Trickles(left, due) => {
-                std::task::ready!(due.as_mut().poll(cx));
-                due.as_mut()
+            BodyEnding::Whole => Poll::Ready(None),
+            BodyEnding::CutOff => Poll::Ready(Some(Err(io::Error::other("told to cut off")))),
+            BodyEnding::Stalled => Poll::Pending,
+            BodyEnding::Trickles(remaining, timer) => {
+                std::task::ready!(timer.as_mut().poll(cx));
+                timer
+                    .as_mut()
                     .reset(tokio::time::Instant::now() + Duration::from_secs(1));
-                let byte = left.split_to(1.min(left.len()));
+                let byte = remaining.split_to(1.min(remaining.len()));
                 Poll::Ready((!byte.is_empty()).then(|| Ok(Frame::data(byte))))
             }
         }
@@ -111,23 +112,23 @@
     }
 }
 
-fn plain(status: StatusCode) -> Response<Sending> {
-    let mut response = Response::new(Sending {
+fn empty_response(status: StatusCode) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody {
         parts: Vec::new(),
         length: 0,
-        ending: Ending::Whole,
-        _held: None,
+        ending: BodyEnding::Whole,
+        _guard: None,
     });
     *response.status_mut() = status;
     response
 }
 
-fn whole(bytes: Bytes) -> Sending {
-    Sending {
+fn complete_body(bytes: Bytes) -> ResponseBody {
+    ResponseBody {
         length: bytes.len() as u64,
         parts: vec![bytes],
-        ending: Ending::Whole,
-        _held: None,
+        ending: BodyEnding::Whole,
+        _guard: None,
     }
 }
 
@@ -141,7 +142,7 @@
             full_speed_requests: Cell::new(8.0),
             bytes_per_second: Cell::new(40e6),
             slowness: Cell::new(1.0),
-            in_hand: Cell::new(0),
+            in_flight: Cell::new(0),
             rng: RefCell::new(fastrand::Rng::with_seed(seed)),
             requests: RefCell::default(),
             refused: Cell::new(0),
@@ -176,18 +177,18 @@
 
     /// Listens and serves on the `LocalSet` it is called on.
     pub async fn open(self: &Rc<Self>, network: &dyn Network, at: &Address) -> io::Result<Address> {
-        let (mut door, address) = network.listen(at).await?;
+        let (mut listener, address) = network.listen(at).await?;
         let this = self.clone();
         tokio::task::spawn_local(async move {
-            while let Ok(stream) = door.accept().await {
+            while let Ok(stream) = listener.accept().await {
                 let this = this.clone();
                 tokio::task::spawn_local(async move {
-                    let answer = service_fn(move |request| {
+                    let service = service_fn(move |request| {
                         let this = this.clone();
-                        async move { Ok::<_, Infallible>(this.answer(request).await) }
+                        async move { Ok::<_, Infallible>(this.respond(request).await) }
                     });
                     let _ = http1::Builder::new()
-                        .serve_connection(TokioIo::new(stream), answer)
+                        .serve_connection(TokioIo::new(stream), service)
                         .await;
                 });
             }
@@ -195,47 +196,49 @@
         Ok(address)
     }
 
-    async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Response<Sending> {
+    async fn respond(self: Rc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
         if !matches!(*request.method(), Method::GET | Method::HEAD) {
-            return plain(StatusCode::METHOD_NOT_ALLOWED);
+            return empty_response(StatusCode::METHOD_NOT_ALLOWED);
         }
         let path = request.uri().path();
         if path == "/v2/" {
-            return plain(StatusCode::OK);
+            return empty_response(StatusCode::OK);
         }
         let Some(rest) = path.strip_prefix("/v2/") else {
-            return plain(StatusCode::NOT_FOUND);
+            return empty_response(StatusCode::NOT_FOUND);
         };
         if let Some((repository, reference)) = rest.rsplit_once("/manifests/") {
             let key = (repository.to_owned(), reference.to_owned());
             let Some(bytes) = self.manifests.borrow().get(&key).cloned() else {
-                return plain(StatusCode::NOT_FOUND);
+                return empty_response(StatusCode::NOT_FOUND);
             };
-            let mut response = Response::new(whole(bytes));
-            let kind = header::HeaderValue::from_static(MANIFEST_TYPE);
-            response.headers_mut().insert(header::CONTENT_TYPE, kind);
+            let mut response = Response::new(complete_body(bytes));
+            let content_type = header::HeaderValue::from_static(MANIFEST_TYPE);
+            response
+                .headers_mut()
+                .insert(header::CONTENT_TYPE, content_type);
             return response;
         }
         let digest: Option<Digest> = rest
             .rsplit_once("/blobs/")
             .and_then(|(_, d)| d.parse().ok());
         let Some(digest) = digest else {
-            return plain(StatusCode::NOT_FOUND);
+            return empty_response(StatusCode::NOT_FOUND);
         };
         let range = request
             .headers()
             .get(header::RANGE)
             .and_then(|v| v.to_str().ok())
             .map(str::to_owned);
-        self.blob(digest, range).await
+        self.respond_with_blob(digest, range).await
     }
 
     /// Marks each stored blob as damaged with probability `part`, replacing the previous marks.
     pub fn damage(&self, part: f64) {
         let mut rng = self.rng.borrow_mut();
         let blobs = self.blobs.borrow();
-        let struck = blobs.keys().filter(|_| rng.f64() < part).copied().collect();
-        self.faults.borrow_mut().damaged = struck;
+        let damaged = blobs.keys().filter(|_| rng.f64() < part).copied().collect();
+        self.faults.borrow_mut().damaged = damaged;
     }
 
     /// Marks the chunks of a tag as damaged, except those shared with other manifests.
@@ -246,31 +249,35 @@
                 .map(|m| m.chunks)
                 .unwrap_or_default()
         };
-        let Some(it) = manifests.get(&(repository.to_owned(), tag.to_owned())) else {
+        let Some(target) = manifests.get(&(repository.to_owned(), tag.to_owned())) else {
             return;
         };
         let others = manifests
             .values()
-            .filter(|bytes| *bytes != it)
+            .filter(|bytes| *bytes != target)
             .flat_map(chunks);
         let shared: BTreeSet<Digest> = others.map(|c| c.digest).collect();
-        let own = chunks(it)
+        let exclusive = chunks(target)
             .into_iter()
             .map(|c| c.digest)
             .filter(|d| !shared.contains(d));
-        self.faults.borrow_mut().damaged.extend(own);
+        self.faults.borrow_mut().damaged.extend(exclusive);
     }
 
-    async fn blob(self: Rc<Self>, digest: Digest, range: Option<String>) -> Response<Sending> {
+    async fn respond_with_blob(
+        self: Rc<Self>,
+        digest: Digest,
+        range: Option<String>,
+    ) -> Response<ResponseBody> {
         *self.requests.borrow_mut().entry(digest).or_default() += 1;
         let Some(mut bytes) = self.blobs.borrow().get(&digest).cloned() else {
-            return plain(StatusCode::NOT_FOUND);
+            return empty_response(StatusCode::NOT_FOUND);
         };
         let faults = self.faults.borrow().clone();
         let chance = |share: f64| share > 0.0 && self.rng.borrow_mut().f64() < share;
-        if chance(faults.refuse_share) || self.in_hand.get() >= self.max_in_flight.get() {
+        if chance(faults.refuse_share) || self.in_flight.get() >= self.max_in_flight.get() {
             self.refused.set(self.refused.get() + 1);
-            let mut response = plain(StatusCode::TOO_MANY_REQUESTS);
+            let mut response = empty_response(StatusCode::TOO_MANY_REQUESTS);
             response.headers_mut().insert(header::RETRY_AFTER, 1.into());
             return response;
         }
@@ -280,17 +287,17 @@
             chance(faults.wrong_length_share),
         );
         let trickles = chance(faults.trickle_share);
-        self.in_hand.set(self.in_hand.get() + 1);
-        let held = Some(InHand(self.clone()));
-        let crowd = (self.in_hand.get() as f64 / self.full_speed_requests.get()).max(1.0)
+        self.in_flight.set(self.in_flight.get() + 1);
+        let guard = Some(InFlightGuard(self.clone()));
+        let slowdown = (self.in_flight.get() as f64 / self.full_speed_requests.get()).max(1.0)
             * self.slowness.get();
-        let seconds = 0.01 + bytes.len() as f64 / self.bytes_per_second.get() * crowd;
+        let seconds = 0.01 + bytes.len() as f64 / self.bytes_per_second.get() * slowdown;
         tokio::time::sleep(Duration::from_secs_f64(seconds)).await;
         if faults.damaged.contains(&digest) {
-            let mut bent = bytes.to_vec();
-            let middle = bent.len() / 2;
-            bent[middle] ^= 1;
-            bytes = bent.into();
+            let mut damaged = bytes.to_vec();
+            let middle = damaged.len() / 2;
+            damaged[middle] ^= 1;
+            bytes = damaged.into();
         }
         let mut status = StatusCode::OK;
         if let Some(from) = range.and_then(|r| {
@@ -300,29 +307,29 @@
                 .ok()
         }) {
             if from >= bytes.len() {
-                return plain(StatusCode::RANGE_NOT_SATISFIABLE);
+                return empty_response(StatusCode::RANGE_NOT_SATISFIABLE);
             }
             (bytes, status) = (bytes.slice(from..), StatusCode::PARTIAL_CONTENT);
         }
         let length = bytes.len() as u64 + if lies { 1_000 } else { 0 };
-        let slowly = || Box::pin(tokio::time::sleep(Duration::from_secs(1)));
+        let trickle_timer = || Box::pin(tokio::time::sleep(Duration::from_secs(1)));
         let ending = match (cut || lies, stalls) {
-            _ if trickles => Ending::Trickles(bytes.slice(bytes.len() / 2..), slowly()),
-            (true, _) => Ending::CutOff,
-            (false, true) => Ending::Stalled,
-            (false, false) => Ending::Whole,
+            _ if trickles => BodyEnding::Trickles(bytes.slice(bytes.len() / 2..), trickle_timer()),
+            (true, _) => BodyEnding::CutOff,
+            (false, true) => BodyEnding::Stalled,
+            (false, false) => BodyEnding::Whole,
         };
-        let sent = if matches!(ending, Ending::Whole) {
+        let sent = if matches!(ending, BodyEnding::Whole) {
             bytes.len()
         } else {
             bytes.len() / 2
         };
         self.bytes_sent.set(self.bytes_sent.get() + sent as u64);
-        let mut response = Response::new(Sending {
+        let mut response = Response::new(ResponseBody {
             parts: vec![bytes.slice(..sent)],
             length,
             ending,
-            _held: held,
+            _guard: guard,
         });
         *response.status_mut() = status;
         response
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -20,7 +20,7 @@
     pub max_in_flight: Cell<usize>,
     /// Factor by which fetches are slowed down; 1 is normal.
     pub slowness: Cell<f64>,
-    in_hand: Cell<usize>,
+    in_flight: Cell<usize>,
     clock: Clock,
     record: Record,
     tasks: RefCell<Vec<tokio::task::JoinHandle<()>>>,
@@ -35,26 +35,26 @@
         at: &Address,
         limit: usize,
     ) -> std::io::Result<(Rc<Self>, Address)> {
-        let (mut door, address) = network.listen(at).await?;
+        let (mut listener, address) = network.listen(at).await?;
         let store = Rc::new(Self {
             max_in_flight: Cell::new(limit),
             slowness: Cell::new(1.0),
-            in_hand: Cell::new(0),
+            in_flight: Cell::new(0),
             clock,
             record,
             tasks: RefCell::default(),
         });
         let this = store.clone();
         let task = tokio::task::spawn_local(async move {
-            while let Ok(stream) = door.accept().await {
-                tokio::task::spawn_local(this.clone().attend(stream));
+            while let Ok(stream) = listener.accept().await {
+                tokio::task::spawn_local(this.clone().serve_connection(stream));
             }
         });
         store.tasks.borrow_mut().push(task);
         Ok((store, address))
     }
 
-    async fn attend(self: Rc<Self>, mut stream: Stream) {
+    async fn serve_connection(self: Rc<Self>, mut stream: Stream) {
         let mut read = BytesMut::new();
         loop {
             let fetch = match take_frame(&mut read) {
@@ -68,7 +68,7 @@
             let Ok(wire::ToStore::Fetch(fetch)) = fetch else {
                 return;
             };
-            let refused = self.in_hand.get() >= self.max_in_flight.get();
+            let refused = self.in_flight.get() >= self.max_in_flight.get();
             let (at, invoker, function) = (self.clock.now(), fetch.invoker, fetch.function);
             self.record.note(Line::FetchRequested {
                 at,
@@ -82,16 +82,17 @@
                     come_back_tenths: RETRY_AFTER,
                 })
             } else {
-                self.in_hand.set(self.in_hand.get() + 1);
-                let _held = InHand(&self.in_hand);
-                let mut left = fetch.usual_tenths as f64;
-                while left > 0.0 {
-                    let step = 100.0f64.min(left.max(10.0));
+                self.in_flight.set(self.in_flight.get() + 1);
+                let _guard = InFlightGuard(&self.in_flight);
+                let mut remaining = fetch.usual_tenths as f64;
+                while remaining > 0.0 {
+                    let step = 100.0f64.min(remaining.max(10.0));
                     let began = self.clock.now();
                     tokio::time::sleep(Duration::from_micros((step * 100.0) as u64)).await;
-                    let crowd = (self.in_hand.get() as f64 / FULL_SPEED_FETCHES).max(1.0);
+                    let slowdown = (self.in_flight.get() as f64 / FULL_SPEED_FETCHES).max(1.0);
                     // Counts elapsed time, not timer steps: timers of a real clock fire late and would make the store slower.
-                    left -= (self.clock.now() - began) as f64 / (crowd * self.slowness.get());
+                    remaining -=
+                        (self.clock.now() - began) as f64 / (slowdown * self.slowness.get());
                 }
                 encode(&wire::Fetched { function })
             };
@@ -102,9 +103,9 @@
     }
 }
 
-struct InHand<'a>(&'a Cell<usize>);
+struct InFlightGuard<'a>(&'a Cell<usize>);
 
-impl Drop for InHand<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
