--- a/crates/fakes/src/machine.rs
+++ b/crates/fakes/src/machine.rs
@@ -15,7 +15,8 @@
 
 /// Receives the machine's outcomes and its requests for fetches.
 pub trait MachineHost {
-    /// Called when the job begins to run. Returns false if its idempotency token was seen before: then it ends without running.
+    /// Called when the job begins to run. Returns false if its idempotency token was seen before: it then ends without
+    /// running.
     fn begin_job(&mut self, job: Job) -> bool;
     fn job_ended(&mut self, job: Job, ended: Ended, found: Option<Found>, concurrency: u8);
     fn order_ended(&mut self, order: Order, ended: HoldEnded, ready: u8);
@@ -77,6 +78,7 @@
     pub start_time: Ticks,
 }
 
+/// The loaded copies of a function.
 #[derive(Default)]
 struct Copies {
     ready: usize,
@@ -85,6 +87,7 @@
     pending_orders: Vec<(Order, usize)>,
 }
 
+/// A simulated invoker machine.
 pub struct Machine {
     pub config: MachineConfig,
     functions: BTreeMap<FunctionId, FunctionSpec>,
@@ -145,7 +148,7 @@
         self.copies.values().map(|c| c.running).sum()
     }
 
-    /// Work done per tick (a tenth of a millisecond) for each running task and starting copy.
+    /// Work done per tick (a tenth of a millisecond) for each running job and starting copy.
     fn work_per_tick(&self) -> f64 {
         let users = self.running()
             + self
--- a/crates/fakes/src/platform.rs
+++ b/crates/fakes/src/platform.rs
@@ -26,20 +26,29 @@
     None,
     GarbageHead,
     UnterminatedHead,
+    /// Sends two contradicting `Content-Length` headers.
     ConflictingLengths,
+    /// Declares a body of 3,000,000,000 bytes and sends 500,000.
     ThreeGigabyteLength,
+    /// Omits the last 3 bytes of the body and closes the connection.
     TruncatedBody,
+    /// Closes the connection without a response.
     ClosedAfterReading,
     NeverSent,
+    /// Sends a 102 response before the final one.
     InformationalFirst,
     GarbageAfterResponse,
+    /// Sends the response twice.
     SentTwice,
-    /// The connection is closed on accept, before anything is read.
+    /// Closes the connection on accept, before anything is read.
     ClosedUnread,
-    /// Sends 404 (and for the next three 503, 500 and 504) with the protocol's meaning.
+    /// Responds with 404: the function is not loaded.
     Miss,
+    /// Responds with 503.
     Full,
+    /// Responds with 500.
     Errored,
+    /// Responds with 504.
     Expired,
 }
 
--- a/crates/simulated-network/src/streams.rs
+++ b/crates/simulated-network/src/streams.rs
@@ -41,6 +41,7 @@
     event_loop: EventLoopClock,
 }
 
+/// The bytes of one write.
 struct Segment {
     written: Ticks,
     /// Arrival time; `None` while a cut holds it back.
