--- a/crates/fakes/src/list.rs
+++ b/crates/fakes/src/list.rs
@@ -1,4 +1,4 @@
-//! The invoker list: whole first, changes after; late by its notice, and lost when told so.
+//! A fake endpoint list: sends a full list first and changes after it, and can be taken out of service.
 
 use crate::record::{ControllerId, Line, Record};
 use bytes::BytesMut;
@@ -12,6 +12,7 @@
 use tokio::io::AsyncReadExt;
 use tokio::task::JoinSet;
 
+/// The fake endpoint list service.
 pub struct EndpointList {
     clock: Clock,
     record: Record,
@@ -23,7 +24,7 @@
     tasks: RefCell<JoinSet<()>>,
 }
 
-fn word(life: Life) -> &'static str {
+fn life_name(life: Life) -> &'static str {
     match life {
         Life::Ready => "ready",
         Life::Draining => "draining",
@@ -32,7 +33,7 @@
 }
 
 impl EndpointList {
-    /// Listens and serves on the `LocalSet` it is called on; gives where.
+    /// Listens and serves on the `LocalSet` it is called on; returns the address.
     pub async fn open(
         network: Rc<dyn Network>,
         clock: Clock,
@@ -53,31 +54,31 @@
         Ok((list, address))
     }
 
-    /// Serves again after [`Self::lose`].
+    /// Serves again after [`Self::stop`].
     pub async fn resume(self: &Rc<Self>) -> std::io::Result<Address> {
         let at = self.at.borrow().clone();
-        let (mut door, address) = self.network.listen(&at).await?;
+        let (mut listener, address) = self.network.listen(&at).await?;
         *self.at.borrow_mut() = address.clone();
         let this = Rc::downgrade(self);
         self.tasks.borrow_mut().spawn_local(async move {
-            while let Ok(stream) = door.accept().await {
+            while let Ok(stream) = listener.accept().await {
                 let Some(list) = this.upgrade() else { return };
                 let serving = list.clone();
                 list.tasks
                     .borrow_mut()
-                    .spawn_local(async move { serving.attend(stream).await });
+                    .spawn_local(async move { serving.serve_connection(stream).await });
             }
         });
         Ok(address)
     }
 
-    /// Every follower is cut off, and nobody answers.
+    /// Disconnects every follower and stops serving.
     pub fn stop(&self) {
         self.tasks.borrow_mut().abort_all();
         self.followers.borrow_mut().clear();
     }
 
-    async fn attend(self: Rc<Self>, stream: Stream) {
+    async fn serve_connection(self: Rc<Self>, stream: Stream) {
         let (mut input, mut output) = split(stream);
         let mut read = BytesMut::new();
         let follow = loop {
@@ -97,46 +98,46 @@
             controller: f.controller,
             incarnation: f.incarnation,
         };
-        let outbox = SendQueue::new(16 << 20);
+        let send_queue = SendQueue::new(16 << 20);
         let entries: Vec<Entry> = self
             .entries
             .borrow()
             .values()
-            .map(|(e, since)| self.aged(e, *since))
+            .map(|(e, since)| self.with_current_age(e, *since))
             .collect();
-        self.note_told(who, &entries);
+        self.record_sent(who, &entries);
         let whole = Whole {
             revision: self.revision.get(),
             settled: true,
             entries,
         };
-        outbox.push(encode(&whole), Ticks::MAX);
-        self.followers.borrow_mut().push((who, outbox.clone()));
+        send_queue.push(encode(&whole), Ticks::MAX);
+        self.followers.borrow_mut().push((who, send_queue.clone()));
         let clock = self.clock;
-        let gone = async {
+        let disconnected = async {
             while let Ok(1..) = input.read_buf(&mut read).await {
                 read.clear();
             }
         };
         tokio::select! {
             biased;
-            () = gone => {}
-            _ = outbox.write_to(&mut output, || clock.now(), |_| ()) => {}
+            () = disconnected => {}
+            _ = send_queue.write_to(&mut output, || clock.now(), |_| ()) => {}
         }
         self.followers.borrow_mut().retain(|(w, _)| *w != who);
     }
 
-    fn aged(&self, entry: &Entry, since: Ticks) -> Entry {
+    fn with_current_age(&self, entry: &Entry, since: Ticks) -> Entry {
         Entry {
             age_tenths: entry.age_tenths + (self.clock.now() - since),
             ..entry.clone()
         }
     }
 
-    fn note_told(&self, who: ControllerId, entries: &[Entry]) {
+    fn record_sent(&self, who: ControllerId, entries: &[Entry]) {
         let at = self.clock.now();
         for e in entries {
-            let life = word(e.life).to_owned();
+            let life = life_name(e.life).to_owned();
             let line = Line::EndpointSent {
                 at,
                 who,
@@ -148,7 +149,7 @@
         }
     }
 
-    /// A line is new or other than before; all who follow hear of it.
+    /// Adds, updates or removes an entry and sends the change to all followers.
     pub fn publish(&self, entry: Entry) {
         let now = self.clock.now();
         self.revision.set(self.revision.get() + 1);
@@ -159,9 +160,9 @@
         let FromList::Change(change) = change else {
             return;
         };
-        for (who, outbox) in self.followers.borrow().iter() {
-            outbox.push(encode(&change), Ticks::MAX);
-            self.note_told(*who, &change.entries);
+        for (who, send_queue) in self.followers.borrow().iter() {
+            send_queue.push(encode(&change), Ticks::MAX);
+            self.record_sent(*who, &change.entries);
         }
         if entry.life == Life::Gone {
             self.entries.borrow_mut().remove(&entry.invoker);
