--- a/crates/faulty-peers/src/leases.rs
+++ b/crates/faulty-peers/src/leases.rs
@@ -233,11 +233,11 @@
 impl CallHandler for FaultyCoordinator {
     async fn handle_call(self: &Rc<Self>, call: &Call) -> Result<String, RpcError> {
         if call.method != "renew" {
-            return Err((NOT_VOTING, "this coordinator does not vote".to_owned()));
+            return Err((NOT_VOTING, "it does not vote".to_owned()));
         }
         let reply = self.reply(&read_params(call, &self.fleet)?).await;
         reply
             .map(|reply| json!(reply).to_string())
-            .ok_or((NOT_VOTING, "no fleet state is known yet".to_owned()))
+            .ok_or((NOT_VOTING, "nothing is known yet".to_owned()))
     }
 }
