--- a/crates/load/src/lag.rs
+++ b/crates/load/src/lag.rs
@@ -1,71 +1,74 @@
-//! Whether the generator itself kept up. A run that it bent does not count.
+//! Measures whether the generator sent invocations on time. A run with a late generator is invalid.
 
 use saltdrum::interface::{MILLISECOND, Ticks};
 use serde::Serialize;
 
-/// An invocation sent so much after its time was sent late: timers are good for a millisecond, threads for a few.
-const LATE: Ticks = 20 * MILLISECOND;
-/// Late ones that a run may have, in parts of all.
-const LATE_SHARE: f64 = 0.001;
-/// No single one may be later than this, and the thread may not stand still for longer.
-const MOST: Ticks = 200 * MILLISECOND;
+/// An invocation sent later than this counts as late. Timers are accurate to a millisecond, thread wake-ups to a few.
+const LATE_LIMIT: Ticks = 20 * MILLISECOND;
+/// Largest share of late invocations in a valid run.
+const MAX_LATE_SHARE: f64 = 0.001;
+/// Longest delay of a single invocation and longest stall of the generator's thread in a valid run.
+const MAX_DELAY: Ticks = 200 * MILLISECOND;
 
-/// What the generator did late.
+/// Send delays and stalls of the generator.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Lag {
     pub sent: u64,
+    /// Invocations sent later than [`LATE_LIMIT`].
     pub late: u64,
-    /// In tenths of a millisecond.
+    /// Longest send delay, in tenths of a millisecond.
     pub worst: Ticks,
-    /// Longest time for which the generator's thread stood still, in tenths of a millisecond.
+    /// Longest stall of the generator's thread, in tenths of a millisecond.
     #[serde(rename = "stood")]
     pub longest_stall: Ticks,
 }
 
-/// Whether a run counts.
+/// Whether the results of a run are valid.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub enum Verdict {
     #[serde(rename = "Counts")]
     Valid,
-    /// With the reason in words.
+    /// With the reason as text.
     GeneratorFellBehind(String),
 }
 
 impl Lag {
-    /// An invocation was handed to its connection.
+    /// Records an invocation queued on its connection at `at`.
     pub fn record_send(&mut self, intended: Ticks, at: Ticks) {
         let lag = at.saturating_sub(intended);
         self.sent += 1;
-        self.late += u64::from(lag > LATE);
+        self.late += u64::from(lag > LATE_LIMIT);
         self.worst = self.worst.max(lag);
     }
 
+    /// Records a stall of the generator's thread.
     pub fn record_stall(&mut self, span: Ticks) {
         self.longest_stall = self.longest_stall.max(span);
     }
 
+    /// Whether the generator was on time.
     pub fn verdict(&self) -> Verdict {
         let ms = |t: Ticks| t as f64 / MILLISECOND as f64;
-        if self.longest_stall > MOST {
+        if self.longest_stall > MAX_DELAY {
             return Verdict::GeneratorFellBehind(format!(
-                "it stood still for {:.0} ms",
+                "its thread stalled for {:.0} ms",
                 ms(self.longest_stall)
             ));
         }
-        if self.worst > MOST {
+        if self.worst > MAX_DELAY {
             return Verdict::GeneratorFellBehind(format!(
-                "it sent one {:.0} ms late",
+                "it sent an invocation {:.0} ms late",
                 ms(self.worst)
             ));
         }
-        if self.late as f64 > LATE_SHARE * self.sent as f64 {
-            let why = format!(
-                "it sent {} of {} over {:.0} ms late",
+        if self.late as f64 > MAX_LATE_SHARE * self.sent as f64 {
+            let reason = format!(
+                "it sent {} of {} invocations more than {:.0} ms late",
                 self.late,
                 self.sent,
-                ms(LATE)
+                ms(LATE_LIMIT)
             );
-            return Verdict::GeneratorFellBehind(why);
+            return Verdict::GeneratorFellBehind(reason);
         }
         Verdict::Valid
     }
@@ -76,29 +79,29 @@
     use super::*;
 
     #[test]
-    fn a_few_late_ones_are_let_pass_and_many_are_not() {
+    fn accepts_late_invocations_up_to_the_allowed_share() {
         let mut lag = Lag::default();
         (0..10_000).for_each(|at| lag.record_send(at, at + 10));
-        (0..10).for_each(|at| lag.record_send(at, at + LATE + 1));
+        (0..10).for_each(|at| lag.record_send(at, at + LATE_LIMIT + 1));
         assert_eq!(lag.verdict(), Verdict::Valid);
-        lag.record_send(0, LATE + 1);
+        lag.record_send(0, LATE_LIMIT + 1);
         assert!(
-            matches!(lag.verdict(), Verdict::GeneratorFellBehind(why) if why.contains("11 of 10011"))
+            matches!(lag.verdict(), Verdict::GeneratorFellBehind(reason) if reason.contains("11 of 10011"))
         );
     }
 
     #[test]
-    fn one_long_stop_is_enough() {
+    fn rejects_run_with_one_long_stall_or_delay() {
         let mut lag = Lag::default();
         (0..10_000).for_each(|at| lag.record_send(at, at));
-        lag.record_stall(MOST + 1);
+        lag.record_stall(MAX_DELAY + 1);
         assert!(
-            matches!(lag.verdict(), Verdict::GeneratorFellBehind(why) if why.contains("stood still"))
+            matches!(lag.verdict(), Verdict::GeneratorFellBehind(reason) if reason.contains("thread stalled"))
         );
         let mut lag = Lag::default();
-        lag.record_send(5, 6 + MOST);
+        lag.record_send(5, 6 + MAX_DELAY);
         assert!(
-            matches!(lag.verdict(), Verdict::GeneratorFellBehind(why) if why.contains("sent one 200 ms"))
+            matches!(lag.verdict(), Verdict::GeneratorFellBehind(reason) if reason.contains("sent an invocation 200 ms"))
         );
     }
 }
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,8 +1,8 @@
-//! Load that can be trusted: what comes does not wait for what was answered, and latency counts from when an invocation
-//! was meant to be sent.
+//! Open-loop load generation: sending does not wait for responses, and latency is measured from the time at which an
+//! invocation was scheduled to be sent.
 //!
-//! `shape`, `popularity`, `retry`, `lag` and `mend` decide and do no I/O; `trace` reads and writes recorded load as
-//! Parquet files; `drive` sends it over whatever [`saltdrum_transport::Network`] it is handed.
+//! `shape`, `popularity`, `retry`, `lag`, `latency` and `mend` do no I/O; `trace` reads and writes recorded load as Parquet
+//! files; `drive` sends load over a given [`saltdrum_transport::Network`].
 
 pub mod drive;
 pub mod lag;
--- a/crates/load/src/retry.rs
+++ b/crates/load/src/retry.rs
@@ -1,60 +1,60 @@
-//! Whether a client tries again, and when.
+//! The retry policy of clients.
 
 use saltdrum::interface::{Effect, KeyScope, Ticks, TriggerType};
 
-/// How a try ended, as the client sees it.
+/// How an attempt ended, as seen by the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Nothing was sent: there was nobody to send it to.
+    /// Nothing was sent, because no controller was reachable.
     Unsent,
-    /// Sent, and no answer came.
+    /// Sent, but no response arrived.
     Unknown,
     Succeeded,
-    /// With when to come back.
+    /// With the retry-after time.
     Throttled(Ticks),
     Errored,
 }
 
-/// What a client does after a try.
+/// What a client does after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
     Stop,
     RetryAfter(Ticks),
 }
 
-/// A client's patience.
+/// How often and when a client retries.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryPolicy {
-    /// Further tries.
+    /// Largest number of retries.
     pub retries: u32,
-    /// About so long before the first of them, and twice as long before each next.
+    /// Mean delay before the first retry; it doubles with each further one.
     pub backoff: Ticks,
 }
 
 impl RetryPolicy {
-    /// After try `attempt`, from 0, of an invocation that began `ago`. Nothing that may have had its effect is done
-    /// twice.
+    /// Decides after attempt `attempt`, counted from 0, of an invocation that started `elapsed` ago. An invocation that may
+    /// have had its effect is not repeated unless that is safe. `jitter` is a random number from 0 to 1.
     pub fn decide(
         &self,
         trigger: &TriggerType,
         attempt: u32,
-        ago: Ticks,
-        end: AttemptOutcome,
-        chance: f64,
+        elapsed: Ticks,
+        outcome: AttemptOutcome,
+        jitter: f64,
     ) -> RetryDecision {
-        if attempt >= self.retries || end == AttemptOutcome::Succeeded {
+        if attempt >= self.retries || outcome == AttemptOutcome::Succeeded {
             return RetryDecision::Stop;
         }
         let backoff = self.backoff << attempt.min(6);
-        let mut wait = backoff / 2 + (chance.clamp(0.0, 1.0) * backoff as f64) as Ticks;
-        match (end, trigger.effect) {
-            (AttemptOutcome::Throttled(come_back), _) => wait = wait.max(come_back),
+        let mut wait = backoff / 2 + (jitter.clamp(0.0, 1.0) * backoff as f64) as Ticks;
+        match (outcome, trigger.effect) {
+            (AttemptOutcome::Throttled(retry_after), _) => wait = wait.max(retry_after),
             (AttemptOutcome::Unsent, _) | (_, Effect::Idempotent) => {}
-            // Repeats are dropped by all only where all know the token, and for as long as they do.
+            // A repeat is deduplicated only if all cells share the idempotency keys, and only within the idempotency window.
             (AttemptOutcome::Unknown, Effect::IdempotencyKey)
                 if trigger.key_scope == KeyScope::All =>
             {
-                if ago + wait > trigger.idempotency_window / 2 {
+                if elapsed + wait > trigger.idempotency_window / 2 {
                     return RetryDecision::Stop;
                 }
             }
@@ -68,12 +68,12 @@
 mod tests {
     use super::*;
 
-    fn then(
+    fn decide(
         effect: Effect,
         scope: KeyScope,
         attempt: u32,
-        ago: Ticks,
-        end: AttemptOutcome,
+        elapsed: Ticks,
+        outcome: AttemptOutcome,
     ) -> RetryDecision {
         let trigger = TriggerType {
             effect,
@@ -88,11 +88,11 @@
             retries: 2,
             backoff: 1_000,
         }
-        .decide(&trigger, attempt, ago, end, 0.5)
+        .decide(&trigger, attempt, elapsed, outcome, 0.5)
     }
 
     #[test]
-    fn nothing_is_done_twice_that_may_have_been_done() {
+    fn does_not_retry_effects_that_may_have_happened() {
         use AttemptOutcome::*;
         use RetryDecision::*;
         let cases = [
@@ -132,19 +132,19 @@
             (Effect::IdempotencyKey, KeyScope::All, Errored, Stop),
             (Effect::Idempotent, KeyScope::All, Succeeded, Stop),
         ];
-        for (effect, scope, end, want) in cases {
+        for (effect, scope, outcome, expected) in cases {
             assert_eq!(
-                then(effect, scope, 0, 0, end),
-                want,
-                "{effect:?} {scope:?} {end:?}"
+                decide(effect, scope, 0, 0, outcome),
+                expected,
+                "{effect:?} {scope:?} {outcome:?}"
             );
         }
     }
 
     #[test]
-    fn patience_ends_and_tokens_grow_old() {
+    fn stops_after_the_last_retry_and_when_the_idempotency_window_runs_out() {
         assert_eq!(
-            then(
+            decide(
                 Effect::Idempotent,
                 KeyScope::All,
                 1,
@@ -154,7 +154,7 @@
             RetryDecision::RetryAfter(2_000)
         );
         assert_eq!(
-            then(
+            decide(
                 Effect::Idempotent,
                 KeyScope::All,
                 2,
@@ -164,7 +164,7 @@
             RetryDecision::Stop
         );
         assert_eq!(
-            then(
+            decide(
                 Effect::IdempotencyKey,
                 KeyScope::All,
                 0,
--- a/crates/load/src/trace.rs
+++ b/crates/load/src/trace.rs
@@ -1,4 +1,4 @@
-//! Recorded load as a Parquet file: one row an invocation, in order of time.
+//! Recorded load as a Parquet file with one row per invocation, in order of time.
 
 use crate::mend::{ClockCorrections, correct_clocks};
 use arrow_array::cast::AsArray;
@@ -15,24 +15,24 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// Version of the columns below.
+/// Version of the columns written by [`write`].
 pub const VERSION: u32 = 1;
 const VERSION_KEY: &str = "saltdrum.trace";
-/// Parquet itself reads damaged pages as if they were good.
+/// Key of the digest of the entries: Parquet readers accept damaged pages without an error.
 const DIGEST_KEY: &str = "saltdrum.digest";
 
-/// One invocation that came, or is to come.
+/// One recorded or scheduled invocation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TraceEntry {
     pub at: Ticks,
     pub tenant: String,
     pub function: String,
     pub work: Ticks,
-    /// Who wrote its time down.
+    /// The host whose clock recorded the time.
     pub source: String,
 }
 
-/// What is wrong with a trace file, and where.
+/// A trace file that cannot be read or written.
 #[derive(Debug, thiserror::Error)]
 #[error("{file}: {reason}")]
 pub struct TraceError {
@@ -40,37 +40,40 @@
     pub reason: String,
 }
 
-fn fault(path: &Path, why: impl ToString) -> TraceError {
+fn trace_error(path: &Path, reason: impl ToString) -> TraceError {
     TraceError {
         file: path.display().to_string(),
-        reason: why.to_string(),
+        reason: reason.to_string(),
     }
 }
 
 fn digest(entries: &[TraceEntry]) -> String {
-    let mut all = blake3::Hasher::new();
+    let mut hasher = blake3::Hasher::new();
     for e in entries {
         for text in [&e.tenant, &e.function, &e.source] {
-            all.update(&(text.len() as u64).to_le_bytes())
+            hasher
+                .update(&(text.len() as u64).to_le_bytes())
                 .update(text.as_bytes());
         }
-        all.update(&e.at.to_le_bytes())
+        hasher
+            .update(&e.at.to_le_bytes())
             .update(&e.work.to_le_bytes());
     }
-    all.finalize().to_hex().to_string()
+    hasher.finalize().to_hex().to_string()
 }
 
-/// Writes a trace whole or not at all: it takes its name when all of it is on the disk.
+/// Writes a trace atomically: the file gets its name after all of it was flushed to the disk. `made_by` is added to the
+/// file's metadata.
 pub fn write(
     path: &Path,
     entries: &[TraceEntry],
     made_by: &[(&str, String)],
 ) -> Result<(), TraceError> {
-    let bad = |e: &dyn std::fmt::Display| fault(path, e);
+    let error = |e: &dyn std::fmt::Display| trace_error(path, e);
     let text = |of: fn(&TraceEntry) -> &str| -> ArrayRef {
         Arc::new(entries.iter().map(|e| Some(of(e))).collect::<StringArray>())
     };
-    // Whole microseconds, as other tools have them.
+    // Other tools expect whole microseconds.
     let micros = |of: fn(&TraceEntry) -> Ticks| -> ArrayRef {
         Arc::new(entries.iter().map(|e| of(e) * 100).collect::<UInt64Array>())
     };
@@ -81,88 +84,97 @@
         ("work_us", micros(|e| e.work)),
         ("source", text(|e| &e.source)),
     ];
-    let batch = RecordBatch::try_from_iter(columns).map_err(|e| bad(&e))?;
-    let mut said = vec![KeyValue::new(VERSION_KEY.into(), VERSION.to_string())];
-    said.push(KeyValue::new(DIGEST_KEY.into(), digest(entries)));
-    said.extend(
+    let batch = RecordBatch::try_from_iter(columns).map_err(|e| error(&e))?;
+    let mut metadata = vec![KeyValue::new(VERSION_KEY.into(), VERSION.to_string())];
+    metadata.push(KeyValue::new(DIGEST_KEY.into(), digest(entries)));
+    metadata.extend(
         made_by
             .iter()
             .map(|(k, v)| KeyValue::new(format!("saltdrum.{k}"), v.clone())),
     );
     let properties = WriterProperties::builder()
         .set_compression(Compression::ZSTD(ZstdLevel::default()))
-        .set_key_value_metadata(Some(said))
+        .set_key_value_metadata(Some(metadata))
         .build();
-    let half = path.with_extension("half");
-    let written = (|| {
-        let file = File::create(&half).map_err(|e| e.to_string())?;
+    let partial = path.with_extension("half");
+    let result = (|| {
+        let file = File::create(&partial).map_err(|e| e.to_string())?;
         let mut writer = ArrowWriter::try_new(file, batch.schema(), Some(properties))
             .map_err(|e| e.to_string())?;
         writer.write(&batch).map_err(|e| e.to_string())?;
         let file = writer.into_inner().map_err(|e| e.to_string())?;
         file.sync_all().map_err(|e| e.to_string())?;
-        std::fs::rename(&half, path).map_err(|e| e.to_string())
+        std::fs::rename(&partial, path).map_err(|e| e.to_string())
     })();
-    written.map_err(|e| {
-        let _ = std::fs::remove_file(&half);
-        bad(&e)
+    result.map_err(|e| {
+        let _ = std::fs::remove_file(&partial);
+        error(&e)
     })
 }
 
-/// Reads a trace, in order of time on one clock. `ahead` names sources whose clocks are known to be ahead.
+/// Reads a trace and returns its entries in order of time on one clock. `ahead` lists the sources whose clocks are known
+/// to be ahead, with their offsets.
 pub fn read(
     path: &Path,
     ahead: &BTreeMap<String, Ticks>,
 ) -> Result<(Vec<TraceEntry>, ClockCorrections), TraceError> {
-    let bad = |e: &dyn std::fmt::Display| fault(path, e);
-    let file = File::open(path).map_err(|e| bad(&e))?;
-    let reader = ParquetRecordBatchReaderBuilder::try_new(file).map_err(|e| bad(&e))?;
-    let said = reader
+    let error = |e: &dyn std::fmt::Display| trace_error(path, e);
+    let file = File::open(path).map_err(|e| error(&e))?;
+    let reader = ParquetRecordBatchReaderBuilder::try_new(file).map_err(|e| error(&e))?;
+    let metadata = reader
         .metadata()
         .file_metadata()
         .key_value_metadata()
         .cloned()
         .unwrap_or_default();
-    let said = |key: &str| {
-        said.iter()
+    let value_of = |key: &str| {
+        metadata
+            .iter()
             .find(|kv| kv.key == key)
             .and_then(|kv| kv.value.clone())
     };
-    let (version, digested) = (said(VERSION_KEY), said(DIGEST_KEY));
-    // A trace from elsewhere says no version; its columns tell whether it will do.
+    let (version, expected_digest) = (value_of(VERSION_KEY), value_of(DIGEST_KEY));
+    // Traces written by other tools have no version; their columns are checked below.
     if let Some(version) = version
         .as_deref()
         .filter(|v| v.parse::<u32>().map_or(true, |v| v > VERSION))
     {
-        return Err(fault(
+        return Err(trace_error(
             path,
-            format!("trace version {version}: {VERSION} is the latest known here"),
+            format!(
+                "trace version {version} is not supported; the latest supported version is {VERSION}"
+            ),
         ));
     }
-    let (mut entries, mut base) = (Vec::new(), 0);
-    for batch in reader.build().map_err(|e| bad(&e))? {
-        let batch = batch.map_err(|e| fault(path, format!("after row {base}: {e}")))?;
+    let (mut entries, mut first_row) = (Vec::new(), 0);
+    for batch in reader.build().map_err(|e| error(&e))? {
+        let batch = batch.map_err(|e| trace_error(path, format!("after row {first_row}: {e}")))?;
         let column = |name: &str| {
             batch
                 .column_by_name(name)
-                .ok_or_else(|| fault(path, format!("column '{name}' is missing")))
+                .ok_or_else(|| trace_error(path, format!("column '{name}' is missing")))
         };
         let number = |name: &str| -> Result<UInt64Array, TraceError> {
-            let c = column(name)?;
-            let kind = c.data_type().clone();
-            let c = c.as_primitive_opt::<UInt64Type>().cloned();
-            c.ok_or_else(|| {
-                fault(
+            let column = column(name)?;
+            let data_type = column.data_type().clone();
+            let numbers = column.as_primitive_opt::<UInt64Type>().cloned();
+            numbers.ok_or_else(|| {
+                trace_error(
                     path,
-                    format!("column '{name}' is {kind}: UInt64 is expected"),
+                    format!("column '{name}' has type {data_type}; expected UInt64"),
                 )
             })
         };
         let text = |name: &str| -> Result<StringArray, TraceError> {
-            let c = column(name)?;
-            let kind = c.data_type().clone();
-            let c = c.as_string_opt::<i32>().cloned();
-            c.ok_or_else(|| fault(path, format!("column '{name}' is {kind}: Utf8 is expected")))
+            let column = column(name)?;
+            let data_type = column.data_type().clone();
+            let texts = column.as_string_opt::<i32>().cloned();
+            texts.ok_or_else(|| {
+                trace_error(
+                    path,
+                    format!("column '{name}' has type {data_type}; expected Utf8"),
+                )
+            })
         };
         let (at, work) = (number("at_us")?, number("work_us")?);
         let (tenant, function) = (text("tenant")?, text("function")?);
@@ -170,9 +182,9 @@
             .column_by_name("source")
             .and_then(|c| c.as_string_opt::<i32>().cloned());
         for n in 0..batch.num_rows() {
-            let row = base + n;
+            let row = first_row + n;
             if at.is_null(n) || work.is_null(n) || tenant.is_null(n) || function.is_null(n) {
-                return Err(fault(path, format!("row {row}: a value is missing")));
+                return Err(trace_error(path, format!("row {row}: a value is missing")));
             }
             let source = source
                 .as_ref()
@@ -186,85 +198,96 @@
                 source: source.unwrap_or_default(),
             });
         }
-        base += batch.num_rows();
+        first_row += batch.num_rows();
     }
-    if digested.is_some_and(|said| said != digest(&entries)) {
-        return Err(fault(path, "damaged: what is read is not what was written"));
+    if expected_digest.is_some_and(|expected| expected != digest(&entries)) {
+        return Err(trace_error(
+            path,
+            "damaged: the digest of the rows does not match the one in the file",
+        ));
     }
     let mut rows: Vec<(String, Ticks)> = entries.iter().map(|e| (e.source.clone(), e.at)).collect();
-    let mended = correct_clocks(&mut rows, ahead);
+    let corrections = correct_clocks(&mut rows, ahead);
     entries
         .iter_mut()
         .zip(rows)
         .for_each(|(e, (_, at))| e.at = at);
     entries.sort_by_key(|e| e.at);
-    Ok((entries, mended))
+    Ok((entries, corrections))
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn some() -> Vec<TraceEntry> {
-        let one = |n: u64| TraceEntry {
+    fn sample_entries() -> Vec<TraceEntry> {
+        let entry = |n: u64| TraceEntry {
             at: n * 37,
             tenant: format!("tenant-{}", n % 3),
             function: "voice".into(),
             work: 900 + n,
             source: "gate".into(),
         };
-        (0..5_000).map(one).collect()
+        (0..5_000).map(entry).collect()
     }
 
     #[test]
-    fn what_is_written_is_read() {
+    fn reads_back_what_was_written() {
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("trace.parquet");
-        write(&path, &some(), &[("seed", "7".into())]).unwrap();
+        write(&path, &sample_entries(), &[("seed", "7".into())]).unwrap();
         assert_eq!(
             read(&path, &BTreeMap::new()).unwrap(),
-            (some(), ClockCorrections::default())
+            (sample_entries(), ClockCorrections::default())
         );
     }
 
     #[test]
-    fn a_bad_file_is_told_by_its_name_and_what_is_wrong() {
+    fn reports_an_unreadable_file_with_its_name_and_the_reason() {
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("trace.parquet");
-        let why = |bytes: &[u8]| {
+        let read_error = |bytes: &[u8]| {
             std::fs::write(&path, bytes).unwrap();
             read(&path, &BTreeMap::new()).unwrap_err().to_string()
         };
-        write(&path, &some(), &[]).unwrap();
+        write(&path, &sample_entries(), &[]).unwrap();
         let whole = std::fs::read(&path).unwrap();
-        let cut = why(&whole[..whole.len() / 2]);
-        assert!(cut.contains("trace.parquet: Parquet error"), "{cut}");
+        let truncated = read_error(&whole[..whole.len() / 2]);
+        assert!(
+            truncated.contains("trace.parquet: Parquet error"),
+            "{truncated}"
+        );
         let mut damaged = whole.clone();
         damaged[600..900].fill(0xee);
-        let damaged = why(&damaged);
+        let damaged = read_error(&damaged);
         assert!(damaged.contains("trace.parquet: damaged"), "{damaged}");
-        let short = RecordBatch::try_from_iter([(
+        let incomplete = RecordBatch::try_from_iter([(
             "at_us",
             Arc::new(UInt64Array::from(vec![1])) as ArrayRef,
         )])
         .unwrap();
-        let said = vec![KeyValue::new(VERSION_KEY.into(), "2".to_owned())];
-        let later = |said| {
-            let with = WriterProperties::builder()
-                .set_key_value_metadata(said)
+        let metadata = vec![KeyValue::new(VERSION_KEY.into(), "2".to_owned())];
+        let file_with = |metadata| {
+            let properties = WriterProperties::builder()
+                .set_key_value_metadata(metadata)
                 .build();
             let mut bytes = Vec::new();
-            let mut w = ArrowWriter::try_new(&mut bytes, short.schema(), Some(with)).unwrap();
-            w.write(&short).unwrap();
-            w.close().unwrap();
+            let mut writer =
+                ArrowWriter::try_new(&mut bytes, incomplete.schema(), Some(properties)).unwrap();
+            writer.write(&incomplete).unwrap();
+            writer.close().unwrap();
             bytes
         };
-        let later_version = why(&later(Some(said)));
+        let later_version = read_error(&file_with(Some(metadata)));
         assert!(
-            later_version.contains("trace version 2: 1 is the latest known here"),
+            later_version
+                .contains("trace version 2 is not supported; the latest supported version is 1"),
             "{later_version}"
         );
-        let lacking = why(&later(None));
-        assert!(lacking.contains("column 'work_us' is missing"), "{lacking}");
+        let missing_column = read_error(&file_with(None));
+        assert!(
+            missing_column.contains("column 'work_us' is missing"),
+            "{missing_column}"
+        );
     }
 }
--- a/crates/load/tests/freeze.rs
+++ b/crates/load/tests/freeze.rs
@@ -1,4 +1,4 @@
-//! A system that stands still can't hide it, and a generator that does is found out.
+//! A server that freezes is visible in the measured latencies, and a generator that freezes invalidates its run.
 
 use saltdrum::interface::{SECOND, Ticks};
 use saltdrum_deployment::Terms;
@@ -22,23 +22,23 @@
 function("voice", trigger = "narrate", memory = "1GB", lanes = 8)
 "#;
 
-/// Answers each call 5 ms after it has read it, the whole of it held still now and then.
-async fn box_of_echoes(network: Rc<dyn Network>, at: Address) {
-    let (mut door, _) = network.listen(&at).await.unwrap();
+/// A server that responds to each request 5 ms after reading it.
+async fn echo_server(network: Rc<dyn Network>, at: Address) {
+    let (mut listener, _) = network.listen(&at).await.unwrap();
     let serving = LocalSet::new();
     let accepting = async {
-        while let Ok(stream) = door.accept().await {
+        while let Ok(stream) = listener.accept().await {
             tokio::task::spawn_local(async move {
                 let (input, output) = split(stream);
                 let mut lines = BufReader::new(input).lines();
                 while let Ok(Some(line)) = lines.next_line().await {
-                    let call: serde_json::Value = serde_json::from_str(&line).unwrap();
+                    let request: serde_json::Value = serde_json::from_str(&line).unwrap();
                     let mut output = output.clone();
                     tokio::task::spawn_local(async move {
                         tokio::time::sleep(Duration::from_millis(5)).await;
                         let reply = format!(
                             "{{\"jsonrpc\":\"2.0\",\"id\":{},\"result\":true}}\n",
-                            call["id"]
+                            request["id"]
                         );
                         let _ = output.write_all(reply.as_bytes()).await;
                     });
@@ -49,8 +49,9 @@
     serving.run_until(accepting).await;
 }
 
-/// 10 s at 200 a second, with the box or the generator held still for 2 s from the fourth second on.
-fn played(box_stops: bool, generator_stops: bool) -> (LoadRun, Ticks) {
+/// Sends 200 invocations per second for 10 s. The server or the generator freezes for 2 s after the first 4 s. Returns the
+/// run and the time of the freeze.
+fn run_load(server_freezes: bool, generator_freezes: bool) -> (LoadRun, Ticks) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
@@ -70,10 +71,10 @@
             ),
             EventLoopClock::default(),
         );
-        let at = Address::Memory("box".into());
-        let (box_hold, generator_hold) = (Hold::default(), Hold::default());
-        let serving = box_of_echoes(ether.host("box"), at.clone());
-        tokio::task::spawn_local(stoppable(box_hold.clone(), serving));
+        let at = Address::Memory("server".into());
+        let (server_hold, generator_hold) = (Hold::default(), Hold::default());
+        let serving = echo_server(ether.host("server"), at.clone());
+        tokio::task::spawn_local(stoppable(server_hold.clone(), serving));
         tokio::time::sleep(Duration::from_millis(10)).await;
         let mut rng = fastrand::Rng::with_seed(4);
         let entry = |at| TraceEntry {
@@ -88,51 +89,51 @@
             .map(entry)
             .collect();
         let (terms, _) = Terms::load("terms.star", TERMS).unwrap();
-        let patience = RetryPolicy {
+        let retry_policy = RetryPolicy {
             retries: 0,
             backoff: 1_000,
         };
-        let (begin, doors) = (clock.now(), [at]);
-        let driving = LocalSet::new();
-        let driven = send_load(
+        let (begin, controllers) = (clock.now(), [at]);
+        let generator_tasks = LocalSet::new();
+        let sending = send_load(
             ether.host("load"),
             clock,
             Rc::new(terms),
-            &doors,
+            &controllers,
             2,
-            patience,
+            retry_policy,
             entries,
         );
-        let stopping = async {
+        let freezing = async {
             tokio::time::sleep(Duration::from_secs(4)).await;
-            if box_stops {
-                box_hold.stop(Duration::from_secs(2));
+            if server_freezes {
+                server_hold.stop(Duration::from_secs(2));
             }
-            if generator_stops {
+            if generator_freezes {
                 generator_hold.stop(Duration::from_secs(2));
             }
         };
         let running = stoppable(generator_hold.clone(), async {
-            driving.run_until(driven).await
+            generator_tasks.run_until(sending).await
         });
-        let (played, ()) = tokio::join!(running, stopping);
-        (played, begin + 4 * SECOND)
+        let (run, ()) = tokio::join!(running, freezing);
+        (run, begin + 4 * SECOND)
     })
 }
 
 #[test]
-fn a_box_that_freezes_shows_it_in_every_invocation_that_arrived_meanwhile() {
-    let (played, frozen) = played(true, false);
+fn frozen_server_delays_every_invocation_that_arrives_meanwhile() {
+    let (run, frozen) = run_load(true, false);
     assert!(
-        played.outcomes.len() > 1_800
-            && played
+        run.outcomes.len() > 1_800
+            && run
                 .outcomes
                 .iter()
                 .all(|o| o.result == AttemptOutcome::Succeeded)
     );
     let thawed = frozen + 2 * SECOND;
     let mut during = 0;
-    for o in &played.outcomes {
+    for o in &run.outcomes {
         if (frozen..thawed).contains(&o.intended) {
             during += 1;
             assert!(o.latency() >= thawed - o.intended, "{o:?}");
@@ -142,33 +143,40 @@
     }
     assert!(during > 300, "{during}");
     assert_eq!(
-        played.lag.verdict(),
+        run.lag.verdict(),
         Verdict::Valid,
-        "the generator went on: {:?}",
-        played.lag
+        "the generator was not stalled: {:?}",
+        run.lag
     );
-    let mut all = Latencies::default();
-    played.outcomes.iter().for_each(|o| all.record(o.latency()));
+    let mut latencies = Latencies::default();
+    run.outcomes
+        .iter()
+        .for_each(|o| latencies.record(o.latency()));
     assert!(
-        all.quantile_ms(0.5) < 15.0 && all.quantile_ms(0.9) > 900.0,
+        latencies.quantile_ms(0.5) < 15.0 && latencies.quantile_ms(0.9) > 900.0,
         "{} {}",
-        all.quantile_ms(0.5),
-        all.quantile_ms(0.9)
+        latencies.quantile_ms(0.5),
+        latencies.quantile_ms(0.9)
     );
 }
 
 #[test]
-fn a_generator_that_stops_says_that_its_run_does_not_count() {
-    let (still, _) = played(false, false);
-    assert_eq!(still.lag.verdict(), Verdict::Valid, "{:?}", still.lag);
-    let (bent, frozen) = played(false, true);
+fn frozen_generator_reports_an_invalid_run() {
+    let (punctual_run, _) = run_load(false, false);
+    assert_eq!(
+        punctual_run.lag.verdict(),
+        Verdict::Valid,
+        "{:?}",
+        punctual_run.lag
+    );
+    let (late_run, frozen) = run_load(false, true);
     assert!(
-        matches!(bent.lag.verdict(), Verdict::GeneratorFellBehind(_)),
+        matches!(late_run.lag.verdict(), Verdict::GeneratorFellBehind(_)),
         "{:?}",
-        bent.lag
+        late_run.lag
     );
-    // Even so nothing is hidden: the time counts from when each was meant.
-    let late = bent
+    // Latency still counts from the scheduled time, so the freeze is visible in it.
+    let late = late_run
         .outcomes
         .iter()
         .filter(|o| (frozen..frozen + 2 * SECOND).contains(&o.intended));
