--- a/crates/controller/src/native/alias_watch.rs
+++ b/crates/controller/src/native/alias_watch.rs
@@ -70,9 +70,9 @@
         RegistryClient::connect(&handle.network, &registry.registry, &registry.key).await?;
     for (rollout, tally) in results {
         let params = json!({
-            "space": rollout.space,
+            "space": rollout.namespace,
             "alias": rollout.alias,
-            "changed": rollout.changed,
+            "changed": rollout.alias_revision,
             "controller": handle.config.controller,
             "incarnation": handle.config.incarnation,
             "tally": tally,
--- a/crates/controller/src/native/clients.rs
+++ b/crates/controller/src/native/clients.rs
@@ -108,7 +108,7 @@
         // policy would mistake the controller's own lag for congestion of the fleet.
         tokio::task::yield_now().await;
         scanned_bytes = reader.bytes.len();
-        if scanned_bytes > rpc::LINE_MOST_BYTES {
+        if scanned_bytes > rpc::MAX_LINE_BYTES {
             reject_long_line(client);
             std::future::pending::<()>().await;
         }
@@ -116,9 +116,9 @@
 }
 
 fn reject_long_line(client: &Client) {
-    let reason = format!("line of over {} bytes", rpc::LINE_MOST_BYTES);
+    let reason = format!("line of over {} bytes", rpc::MAX_LINE_BYTES);
     client.send(
-        rpc::error(&Id::null(), rpc::PARSE_ERROR, &reason, None),
+        rpc::format_error(&Id::null(), rpc::PARSE_ERROR, &reason, None),
         NO_DEADLINE,
     );
     client.send_queue.close();
--- a/crates/coordinator/src/disk.rs
+++ b/crates/coordinator/src/disk.rs
@@ -175,7 +175,7 @@
     /// [`Self::reload`].
     pub fn save(&mut self, acceptor: &Acceptor<Fleet>) -> Result<(), DiskError> {
         let Some(database) = &self.database else {
-            return Err(self.io_error(DiskFailure::lasting("a write failed before")));
+            return Err(self.io_error(DiskFailure::permanent("a write failed before")));
         };
         if let Err(e) = write_record(database, "acceptor", acceptor) {
             let error = self.io_error(e);
--- a/crates/coordinator/src/fleet_config.rs
+++ b/crates/coordinator/src/fleet_config.rs
@@ -3,7 +3,7 @@
 
 use saltdrum::interface::Ticks;
 use saltdrum_deployment::units::{Memory, Span};
-use saltdrum_deployment::{Fault, Statement};
+use saltdrum_deployment::{ScriptError, Statement};
 use saltdrum_fleet::state::{Bound, BoundScope, LeaseName, LeaseTerms, MemberKind};
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -85,7 +85,7 @@
 
 impl FleetConfig {
     /// Removes the fleet's statements from `statements` and reads them; `None` if the script states no fleet.
-    pub fn extract(statements: &mut Vec<Statement>) -> Result<Option<Self>, Fault> {
+    pub fn extract(statements: &mut Vec<Statement>) -> Result<Option<Self>, ScriptError> {
         let (fleet_statements, others): (Vec<_>, Vec<_>) = std::mem::take(statements)
             .into_iter()
             .partition(|s| matches!(s.what, "fleet" | "bound" | "lease"));
@@ -115,7 +115,7 @@
     }
 }
 
-fn read_fleet(statement: &Statement) -> Result<FleetConfig, Fault> {
+fn read_fleet(statement: &Statement) -> Result<FleetConfig, ScriptError> {
     let fleet: FleetStatement = statement.read()?;
     let is_allowed = |c: char| c.is_ascii_alphanumeric() || c == '-';
     if fleet.name.is_empty() || fleet.name.len() > 64 || !fleet.name.chars().all(is_allowed) {
@@ -146,7 +146,7 @@
     name: &str,
     chosen: &str,
     choices: &[(&str, T)],
-) -> Result<T, Fault> {
+) -> Result<T, ScriptError> {
     choices
         .iter()
         .find(|(choice, _)| *choice == chosen)
@@ -160,7 +160,7 @@
         })
 }
 
-fn read_bound(statement: &Statement) -> Result<Bound, Fault> {
+fn read_bound(statement: &Statement) -> Result<Bound, ScriptError> {
     let stated: BoundStatement = statement.read()?;
     let kinds = [
         ("controller", MemberKind::Controller),
@@ -190,7 +190,7 @@
     Ok(bound)
 }
 
-fn read_lease(statement: &Statement) -> Result<(LeaseName, LeaseTerms), Fault> {
+fn read_lease(statement: &Statement) -> Result<(LeaseName, LeaseTerms), ScriptError> {
     let stated: LeaseStatement = statement.read()?;
     let kinds = [
         ("controller", MemberKind::Controller),
--- a/crates/coordinator/src/server.rs
+++ b/crates/coordinator/src/server.rs
@@ -100,10 +100,10 @@
 
 /// Reads the call in a line; the error is the response to a line that is not a valid call.
 fn read_call(line: &[u8]) -> Result<Call, String> {
-    match rpc::read(line) {
+    match rpc::parse_line(line) {
         Ok(Line::Single(Ok(call))) => Ok(call),
-        Ok(Line::Single(Err(r))) | Err(r) => Err(rpc::error(&r.id, r.code, &r.why, None)),
-        Ok(Line::Batch(_)) => Err(rpc::error(
+        Ok(Line::Single(Err(r))) | Err(r) => Err(rpc::format_error(&r.id, r.code, &r.why, None)),
+        Ok(Line::Batch(_)) => Err(rpc::format_error(
             &Id::null(),
             rpc::INVALID_REQUEST,
             "batches are not taken here",
@@ -146,8 +146,8 @@
                 push_line(
                     &outbox,
                     match result {
-                        Ok(result) => rpc::result(id, &result),
-                        Err((code, message)) => rpc::error(id, code, &message, None),
+                        Ok(result) => rpc::format_result(id, &result),
+                        Err((code, message)) => rpc::format_error(id, code, &message, None),
                     },
                 );
             });
@@ -156,7 +156,7 @@
         if scanned > MAX_LINE_BYTES {
             push_line(
                 outbox,
-                rpc::error(&Id::null(), rpc::PARSE_ERROR, "line too long", None),
+                rpc::format_error(&Id::null(), rpc::PARSE_ERROR, "line too long", None),
             );
             return "line too long".into();
         }
--- a/crates/coordinator/src/wire/tests.rs
+++ b/crates/coordinator/src/wire/tests.rs
@@ -24,7 +24,7 @@
         })
         .unwrap();
         let line = format!(r#"{{"jsonrpc":"2.0","id":1,"method":"accept","params":{params}}}"#);
-        let call = match saltdrum_protocol::rpc::read(line.as_bytes()) {
+        let call = match saltdrum_protocol::rpc::parse_line(line.as_bytes()) {
             Ok(saltdrum_protocol::rpc::Line::Single(Ok(call))) => call,
             _ => panic!("expected a call"),
         };
--- a/crates/lab/tests/lab.rs
+++ b/crates/lab/tests/lab.rs
@@ -1,10 +1,10 @@
 //! Experiments and searches on real days, small ones.
 
 use saltdrum_fakes::record::Line;
-use saltdrum_faulty_peers::{Fault, careless, rogue};
+use saltdrum_faulty_peers::{Fault, fetch_model_unverified, run_faulty_controller};
 use saltdrum_lab::hunt::{Bounds, hunt};
 use saltdrum_lab::{Experiment, Script, results, run};
-use saltdrum_scenario::{Cover, DAYS, Serve};
+use saltdrum_scenario::{DAYS, Overrides, Serve};
 use std::fs;
 use std::path::Path;
 
@@ -142,7 +142,7 @@
         min_value: Some(least),
         only_rule: None,
     };
-    let real = Cover::of(saltdrum_scenario::serve);
+    let real = Overrides::of(saltdrum_scenario::serve);
     let found = hunt(&base, real, of(0.9), 1, 40, 40, 4).unwrap().unwrap();
     assert!(
         found.reason.starts_with("value: billed value"),
@@ -159,7 +159,7 @@
     let base = Script::read("small", SMALL).unwrap();
     let found = hunt(
         &base,
-        Cover::of(serve),
+        Overrides::of(serve),
         Bounds {
             only_rule: Some(rule),
             min_value: None,
@@ -203,17 +203,23 @@
 
 #[test]
 fn a_controller_that_answers_twice_is_found() {
-    planted(1, |s, n, c| rogue(Fault::AnswersTwice, s, n, c));
+    planted(1, |s, n, c| {
+        run_faulty_controller(Fault::AnswersTwice, s, n, c)
+    });
 }
 
 #[test]
 fn a_controller_that_runs_effects_twice_is_found() {
-    planted(2, |s, n, c| rogue(Fault::RunsTwice, s, n, c));
+    planted(2, |s, n, c| {
+        run_faulty_controller(Fault::RunsTwice, s, n, c)
+    });
 }
 
 #[test]
 fn a_controller_that_dispatches_after_a_drain_is_found() {
-    planted(3, |s, n, c| rogue(Fault::IgnoresDrains, s, n, c));
+    planted(3, |s, n, c| {
+        run_faulty_controller(Fault::IgnoresDrains, s, n, c)
+    });
 }
 
 const WITH_LAYERS: &str = r#"
@@ -229,10 +235,14 @@
 traffic(tenant = "hill", functions = ["voice", "tour"], per_second = 20, work = "30ms")
 "#;
 
-fn copies(day: &saltdrum_scenario::Day, cover: Cover) -> (usize, usize) {
-    let lines = saltdrum_scenario::play_covered(day, cover).unwrap();
+fn copies(day: &saltdrum_scenario::Day, cover: Overrides) -> (usize, usize) {
+    let lines = saltdrum_scenario::play_with_overrides(day, cover).unwrap();
     let of = |l: &Line| {
-        if let Line::Copied { sound, .. } = l {
+        if let Line::CopyAssembled {
+            matches_model: sound,
+            ..
+        } = l
+        {
             Some(*sound)
         } else {
             None
@@ -245,9 +255,9 @@
 #[test]
 fn a_cache_that_skips_a_digest_is_found() {
     let base = Script::read("layers", WITH_LAYERS).unwrap();
-    let planted = Cover {
+    let planted = Overrides {
         serve: saltdrum_scenario::serve,
-        brings: Some(careless),
+        brings: Some(fetch_model_unverified),
     };
     let found = hunt(&base, planted, Bounds::default(), 1, BUDGET, 60, 4)
         .unwrap()
@@ -256,12 +266,13 @@
     let day = found.shrunk.script.day().unwrap();
     assert!(copies(&day, planted).1 > 0);
     // The real one, on the very day, loads as much and throws away what is damaged.
-    let (all, unsound) = copies(&day, Cover::of(saltdrum_scenario::serve));
+    let (all, unsound) = copies(&day, Overrides::of(saltdrum_scenario::serve));
     assert!(all > 0 && unsound == 0, "{all} {unsound}");
     let kept =
         saltdrum_scenario::Day::load("found", include_str!("found/skips-digests.star")).unwrap();
     assert!(
-        copies(&kept, planted).1 > 0 && copies(&kept, Cover::of(saltdrum_scenario::serve)).1 == 0
+        copies(&kept, planted).1 > 0
+            && copies(&kept, Overrides::of(saltdrum_scenario::serve)).1 == 0
     );
 }
 
@@ -289,7 +300,7 @@
                 .all(|v| v.state != saltdrum_scenario::State::Broken),
             "seed {seed}"
         );
-        let sum = saltdrum_scenario::summary::sum_up("torn", &lines, verdicts)
+        let sum = saltdrum_scenario::summary::summarize("torn", &lines, verdicts)
             .layers
             .unwrap();
         assert_eq!(sum.unsound, 0, "seed {seed}");
@@ -322,55 +333,55 @@
             "answers-twice",
             include_str!("found/answers-twice.star"),
             1,
-            |s, n, c| rogue(Fault::AnswersTwice, s, n, c),
+            |s, n, c| run_faulty_controller(Fault::AnswersTwice, s, n, c),
         ),
         (
             "answers-not-all",
             include_str!("found/answers-not-all.star"),
             1,
-            |s, n, c| rogue(Fault::AnswersNotAll, s, n, c),
+            |s, n, c| run_faulty_controller(Fault::AnswersNotAll, s, n, c),
         ),
         (
             "answers-late",
             include_str!("found/answers-late.star"),
             1,
-            |s, n, c| rogue(Fault::AnswersLate, s, n, c),
+            |s, n, c| run_faulty_controller(Fault::AnswersLate, s, n, c),
         ),
         (
             "runs-twice",
             include_str!("found/runs-twice.star"),
             2,
-            |s, n, c| rogue(Fault::RunsTwice, s, n, c),
+            |s, n, c| run_faulty_controller(Fault::RunsTwice, s, n, c),
         ),
         (
             "throttles-what-ran",
             include_str!("found/throttles-what-ran.star"),
             2,
-            |s, n, c| rogue(Fault::ThrottlesWhatRan, s, n, c),
+            |s, n, c| run_faulty_controller(Fault::ThrottlesWhatRan, s, n, c),
         ),
         (
             "two-out",
             include_str!("found/two-out.star"),
             2,
-            |s, n, c| rogue(Fault::TwoOut, s, n, c),
+            |s, n, c| run_faulty_controller(Fault::TwoOut, s, n, c),
         ),
         (
             "ignores-drains",
             include_str!("found/ignores-drains.star"),
             3,
-            |s, n, c| rogue(Fault::IgnoresDrains, s, n, c),
+            |s, n, c| run_faulty_controller(Fault::IgnoresDrains, s, n, c),
         ),
         (
             "loads-at-will",
             include_str!("found/loads-at-will.star"),
             5,
-            |s, n, c| rogue(Fault::LoadsAtWill, s, n, c),
+            |s, n, c| run_faulty_controller(Fault::LoadsAtWill, s, n, c),
         ),
         (
             "floods-cold-ones",
             include_str!("found/floods-cold-ones.star"),
             4,
-            |s, n, c| rogue(Fault::FloodsColdOnes, s, n, c),
+            |s, n, c| run_faulty_controller(Fault::FloodsColdOnes, s, n, c),
         ),
     ];
     for (name, text, rule, serve) in found {
--- a/crates/leases/src/journal.rs
+++ b/crates/leases/src/journal.rs
@@ -79,7 +79,7 @@
             *slot = Some(database);
         }
         let Some(database) = slot.as_ref() else {
-            return Err(DiskFailure::lasting("not open"));
+            return Err(DiskFailure::permanent("not open"));
         };
         let result = operation(database).map_err(DiskFailure::from);
         if result.is_err() {
--- a/crates/load/src/drive.rs
+++ b/crates/load/src/drive.rs
@@ -5,7 +5,7 @@
 use crate::trace::TraceEntry;
 use bytes::Bytes;
 use saltdrum::interface::{Effect, MILLISECOND, Ticks};
-use saltdrum_deployment::Terms;
+use saltdrum_deployment::DeploymentSpec;
 use saltdrum_protocol::rpc;
 use saltdrum_transport::{
     Address, ArrivalReader, Clock, EventLoopClock, Network, SendQueue, run_event_loop_clock, split,
@@ -65,7 +65,7 @@
     network: Rc<dyn Network>,
     clock: Clock,
     event_loop_clock: EventLoopClock,
-    terms: Rc<Terms>,
+    terms: Rc<DeploymentSpec>,
     retry_policy: RetryPolicy,
     /// One address for each connection.
     addresses: Vec<Address>,
@@ -80,7 +80,7 @@
 pub async fn send_load(
     network: Rc<dyn Network>,
     clock: Clock,
-    terms: Rc<Terms>,
+    terms: Rc<DeploymentSpec>,
     controllers: &[Address],
     connections: usize,
     retry_policy: RetryPolicy,
@@ -132,7 +132,7 @@
 }
 
 /// Describes the first entry whose function or tenant is not part of `terms`.
-pub fn find_unknown_name(terms: &Terms, entries: &[TraceEntry]) -> Option<String> {
+pub fn find_unknown_name(terms: &DeploymentSpec, entries: &[TraceEntry]) -> Option<String> {
     entries.iter().enumerate().find_map(|(n, e)| {
         let unknown =
             |what: &str, name: &str| Some(format!("row {n}: no {what} is named '{name}'"));
@@ -222,7 +222,7 @@
         let mut request = json!({
             "jsonrpc": "2.0", "id": id, "method": "invoke",
             "params": {"function": entry.function, "tenant": entry.tenant,
-                "trigger": self.terms.trigger_names[function.trigger],
+                "trigger": self.terms.trigger_type_names[function.trigger],
                 "input": {"n": n, "attempt": attempt, "work_ms": entry.work as f64 / MILLISECOND as f64},
                 "time_left_ms": timeout as f64 / MILLISECOND as f64},
         });
--- a/crates/load/tests/freeze.rs
+++ b/crates/load/tests/freeze.rs
@@ -1,12 +1,12 @@
 //! A server that freezes is visible in the measured latencies, and a generator that freezes invalidates its run.
 
 use saltdrum::interface::{SECOND, Ticks};
-use saltdrum_deployment::Terms;
+use saltdrum_deployment::DeploymentSpec;
 use saltdrum_load::retry::{AttemptOutcome, RetryPolicy};
 use saltdrum_load::{
     Latencies, LoadRun, Shape, TraceEntry, Verdict, send_load, shape::draw_arrivals,
 };
-use saltdrum_simulated_network::{Ether, Hold, Line, Lines, stoppable};
+use saltdrum_simulated_network::{Link, Links, ProcessPause, SimulatedNetwork, pausable};
 use saltdrum_transport::{Address, Clock, EventLoopClock, Network, split};
 use std::rc::Rc;
 use std::time::Duration;
@@ -59,10 +59,10 @@
         .unwrap();
     LocalSet::new().block_on(&runtime, async {
         let clock = Clock::start();
-        let ether = Ether::new(
+        let network = SimulatedNetwork::new(
             clock,
-            Lines::new(
-                Line {
+            Links::new(
+                Link {
                     delay: 10,
                     jitter: 0,
                 },
@@ -72,9 +72,9 @@
             EventLoopClock::default(),
         );
         let at = Address::Memory("server".into());
-        let (server_hold, generator_hold) = (Hold::default(), Hold::default());
-        let serving = echo_server(ether.host("server"), at.clone());
-        tokio::task::spawn_local(stoppable(server_hold.clone(), serving));
+        let (server_pause, generator_pause) = (ProcessPause::default(), ProcessPause::default());
+        let serving = echo_server(network.host("server"), at.clone());
+        tokio::task::spawn_local(pausable(server_pause.clone(), serving));
         tokio::time::sleep(Duration::from_millis(10)).await;
         let mut rng = fastrand::Rng::with_seed(4);
         let entry = |at| TraceEntry {
@@ -88,7 +88,7 @@
             .into_iter()
             .map(entry)
             .collect();
-        let (terms, _) = Terms::load("terms.star", TERMS).unwrap();
+        let (terms, _) = DeploymentSpec::load("terms.star", TERMS).unwrap();
         let retry_policy = RetryPolicy {
             retries: 0,
             backoff: 1_000,
@@ -96,7 +96,7 @@
         let (begin, controllers) = (clock.now(), [at]);
         let generator_tasks = LocalSet::new();
         let sending = send_load(
-            ether.host("load"),
+            network.host("load"),
             clock,
             Rc::new(terms),
             &controllers,
@@ -107,13 +107,13 @@
         let freezing = async {
             tokio::time::sleep(Duration::from_secs(4)).await;
             if server_freezes {
-                server_hold.stop(Duration::from_secs(2));
+                server_pause.pause_for(Duration::from_secs(2));
             }
             if generator_freezes {
-                generator_hold.stop(Duration::from_secs(2));
+                generator_pause.pause_for(Duration::from_secs(2));
             }
         };
-        let running = stoppable(generator_hold.clone(), async {
+        let running = pausable(generator_pause.clone(), async {
             generator_tasks.run_until(sending).await
         });
         let (run, ()) = tokio::join!(running, freezing);
