--- a/crates/lab/src/draw.rs
+++ b/crates/lab/src/draw.rs
@@ -1,4 +1,4 @@
-//! Troubles drawn at random for a day.
+//! Draws random troubles for a day.
 
 use crate::Script;
 use saltdrum::interface::SECOND;
@@ -6,7 +6,7 @@
 use saltdrum_scenario::Day;
 use serde_json::{Map, Value as Json, json};
 
-/// What a trouble of a kind strikes, and with what.
+/// Kinds of trouble with their arguments.
 const KINDS: &[(&str, &[&str])] = &[
     ("crash", &["invokers"]),
     ("slow", &["invokers", "times"]),
@@ -33,19 +33,20 @@
     ("line_slow", &["controllers", "invokers", "delay"]),
 ];
 
-fn some_of(most: u32, rng: &mut fastrand::Rng) -> Json {
-    let count = rng.u32(1..=most.div_ceil(3).max(1));
-    let mut all: Vec<u32> = (1..=most).collect();
-    rng.shuffle(&mut all);
-    all.truncate(count as usize);
-    all.sort_unstable();
-    json!(all)
+/// Draws up to a third of the numbers 1 to `count`, at least one.
+fn draw_subset(count: u32, rng: &mut fastrand::Rng) -> Json {
+    let subset_size = rng.u32(1..=count.div_ceil(3).max(1));
+    let mut numbers: Vec<u32> = (1..=count).collect();
+    rng.shuffle(&mut numbers);
+    numbers.truncate(subset_size as usize);
+    numbers.sort_unstable();
+    json!(numbers)
 }
 
-/// The script with a seed and some troubles of its own, in place of those that it had.
-pub fn troubled(base: &Script, day: &Day, seed: u64) -> Script {
+/// The script with another seed, and with random troubles in place of its own.
+pub fn with_random_troubles(base: &Script, day: &Day, seed: u64) -> Script {
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x6a75);
-    let mut script = base.clone().seeded(seed);
+    let mut script = base.clone().with_seed(seed);
     script.statements.retain(|s| s.what != "trouble");
     let (invokers, controllers) = (
         day.terms.invokers.len() as u32,
@@ -54,17 +55,17 @@
     let ms = |tenths: u64| json!(format!("{}ms", tenths / 10));
     for _ in 0..rng.usize(1..=6) {
         let (name, arguments) = KINDS[rng.usize(..KINDS.len())];
-        let mut said = Map::new();
-        said.insert("name".into(), json!(name));
-        said.insert("at".into(), ms(rng.u64(0..day.length.max(1) * 8 / 10)));
-        said.insert(
+        let mut trouble_arguments = Map::new();
+        trouble_arguments.insert("name".into(), json!(name));
+        trouble_arguments.insert("at".into(), ms(rng.u64(0..day.length.max(1) * 8 / 10)));
+        trouble_arguments.insert(
             "lasts".into(),
             ms(rng.u64(SECOND / 5..=(day.length / 4).max(SECOND))),
         );
         for argument in arguments {
             let value = match *argument {
-                "invokers" => some_of(invokers, &mut rng),
-                "controllers" => some_of(controllers, &mut rng),
+                "invokers" => draw_subset(invokers, &mut rng),
+                "controllers" => draw_subset(controllers, &mut rng),
                 "times" => json!((rng.f64() * 60.0).round() / 10.0 + 1.5),
                 "part" => json!((rng.f64() * 100.0).round() / 100.0),
                 "delay" => ms(rng.u64(SECOND / 20..SECOND * 3 / 2)),
@@ -75,11 +76,11 @@
                     _ => json!("to_controllers"),
                 },
             };
-            said.insert((*argument).to_owned(), value);
+            trouble_arguments.insert((*argument).to_owned(), value);
         }
         script.statements.push(Statement {
             what: "trouble",
-            said,
+            said: trouble_arguments,
             place: SourceLocation::default(),
         });
     }
@@ -93,18 +94,18 @@
     use std::collections::BTreeSet;
 
     #[test]
-    fn every_kind_is_drawn_and_every_day_loads() {
+    fn draws_every_kind_of_trouble_and_every_drawn_day_loads() {
         let base = Script::read("bad", DAYS[0].1).unwrap();
         let day = base.day().unwrap();
-        let mut seen = BTreeSet::new();
+        let mut drawn_kinds = BTreeSet::new();
         for seed in 0..300 {
-            let drawn = troubled(&base, &day, seed);
-            assert_eq!(drawn.text(), troubled(&base, &day, seed).text());
+            let drawn = with_random_troubles(&base, &day, seed);
+            assert_eq!(drawn.text(), with_random_troubles(&base, &day, seed).text());
             let day = drawn
                 .day()
                 .unwrap_or_else(|e| panic!("{e}\n{}", drawn.text()));
-            seen.extend(day.troubles.iter().map(|t| t.name));
+            drawn_kinds.extend(day.troubles.iter().map(|t| t.name));
         }
-        assert_eq!(seen.len(), KINDS.len(), "{seen:?}");
+        assert_eq!(drawn_kinds.len(), KINDS.len(), "{drawn_kinds:?}");
     }
 }
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -1,4 +1,4 @@
-//! What is to be compared: variants, over days, seeds and sizes.
+//! The description of an experiment: variants to compare over days, seeds and sizes.
 
 use crate::Script;
 use crate::plan::{Cell, cells};
@@ -8,56 +8,58 @@
 use serde_json::{Map, Value as Json};
 use std::path::{Path, PathBuf};
 
+/// A loaded experiment.
 #[derive(Clone, Debug)]
 pub struct Experiment {
     pub name: String,
-    /// Name and script.
+    /// Each with its name.
     pub days: Vec<(String, Script)>,
     pub seeds: Vec<u64>,
     pub sizes: Vec<f64>,
-    /// The first is what the others are compared with.
+    /// The others are compared with the first, the base.
     pub variants: Vec<Variant>,
 }
 
+/// One of the alternatives that an experiment compares.
 #[derive(Clone, Debug)]
 pub struct Variant {
     pub name: String,
     /// One of [`POLICIES`].
     pub policy: String,
-    /// Another build of the program, by path, in place of this one.
+    /// Path of another build of the program, which is run in place of this one.
     pub program: Option<PathBuf>,
-    /// Other arguments for statements of these kinds.
+    /// Arguments to override, by kind of statement.
     pub changes: Vec<(&'static str, Map<String, Json>)>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct SaidExperiment {
+struct ExperimentArguments {
     name: String,
     days: Vec<String>,
-    #[serde(default = "four")]
+    #[serde(default = "default_seed_count")]
     seeds: u64,
     #[serde(default)]
     first_seed: u64,
-    #[serde(default = "once")]
+    #[serde(default = "default_sizes")]
     sizes: Vec<f64>,
 }
 
-fn four() -> u64 {
+fn default_seed_count() -> u64 {
     4
 }
-fn once() -> Vec<f64> {
+fn default_sizes() -> Vec<f64> {
     vec![1.0]
 }
-fn design() -> String {
+fn default_policy() -> String {
     "design".into()
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct SaidVariant {
+struct VariantArguments {
     name: String,
-    #[serde(default = "design")]
+    #[serde(default = "default_policy")]
     policy: String,
     program: Option<PathBuf>,
     #[serde(default)]
@@ -79,10 +81,10 @@
 }
 
 impl Experiment {
-    /// Reads a script. Days are names of days that come with the program, or files beside `file`.
+    /// Loads an experiment's script. Days are names of bundled days, or files in the folder of `file`.
     pub fn load(file: &Path, text: &str) -> Result<Self, ScriptError> {
         let name = file.display().to_string();
-        let nowhere = |why: &str| ScriptError {
+        let script_error = |why: &str| ScriptError {
             place: script::SourceLocation {
                 file: name.clone(),
                 line: 1,
@@ -98,24 +100,24 @@
                 other.fault("belongs to a day; experiment(...) and variant(...) are expected here")
             );
         }
-        let mut stated = statements.iter().filter(|s| s.what == "experiment");
-        let first = stated
+        let mut experiments = statements.iter().filter(|s| s.what == "experiment");
+        let first = experiments
             .next()
-            .ok_or_else(|| nowhere("no experiment(...) is stated"))?;
-        if let Some(second) = stated.next() {
+            .ok_or_else(|| script_error("no experiment(...) is stated"))?;
+        if let Some(second) = experiments.next() {
             return Err(second.fault("stated a second time"));
         }
-        let said: SaidExperiment = first.read()?;
-        if said.days.is_empty()
-            || said.seeds == 0
-            || said.sizes.iter().any(|s| !(0.1..=1_000.0).contains(s))
+        let arguments: ExperimentArguments = first.read()?;
+        if arguments.days.is_empty()
+            || arguments.seeds == 0
+            || arguments.sizes.iter().any(|s| !(0.1..=1_000.0).contains(s))
         {
             return Err(
                 first.fault("days, at least one seed and sizes of 0.1 to 1000 are expected")
             );
         }
         let mut days = Vec::new();
-        for day in &said.days {
+        for day in &arguments.days {
             let (file, text) = match DAYS.iter().find(|d| d.0 == day) {
                 Some((name, text)) => (format!("{name}.star"), (*text).to_owned()),
                 None => {
@@ -132,62 +134,63 @@
         }
         let mut variants: Vec<Variant> = Vec::new();
         for s in statements.iter().filter(|s| s.what == "variant") {
-            let said: SaidVariant = s.read()?;
-            if !POLICIES.iter().any(|(name, _)| *name == said.policy) {
+            let arguments: VariantArguments = s.read()?;
+            if !POLICIES.iter().any(|(name, _)| *name == arguments.policy) {
                 let known: Vec<&str> = POLICIES.iter().map(|p| p.0).collect();
                 return Err(s.fault(format!(
                     "policy '{}': one of {} is expected",
-                    said.policy,
+                    arguments.policy,
                     known.join(", ")
                 )));
             }
-            if said.program.is_some() && said.policy != "design" {
-                return Err(s.fault("another program plays its own design; it takes no policy"));
+            if arguments.program.is_some() && arguments.policy != "design" {
+                return Err(s.fault("a variant with another program cannot set a policy"));
             }
-            if variants.iter().any(|v| v.name == said.name) {
-                return Err(s.fault(format!("'{}' is stated a second time", said.name)));
+            if variants.iter().any(|v| v.name == arguments.name) {
+                return Err(s.fault(format!("'{}' is stated a second time", arguments.name)));
             }
             let changes: Vec<_> = [
-                ("deployment", said.deployment),
-                ("machine", said.machine),
-                ("day", said.day),
-                ("network", said.network),
-                ("traffic", said.traffic),
-                ("tenant", said.tenant),
-                ("function", said.function),
-                ("trigger_type", said.trigger_type),
+                ("deployment", arguments.deployment),
+                ("machine", arguments.machine),
+                ("day", arguments.day),
+                ("network", arguments.network),
+                ("traffic", arguments.traffic),
+                ("tenant", arguments.tenant),
+                ("function", arguments.function),
+                ("trigger_type", arguments.trigger_type),
             ]
             .into_iter()
             .filter(|(_, change)| !change.is_empty())
             .collect();
             let variant = Variant {
-                name: said.name,
-                policy: said.policy,
-                program: said.program,
+                name: arguments.name,
+                policy: arguments.policy,
+                program: arguments.program,
                 changes,
             };
-            // What does not load must not be found out after an hour of other runs.
+            // Scripts that do not load are reported before the first run, not in the middle of a long experiment.
             for (_, script) in &days {
                 variant
-                    .of(script.clone())
+                    .apply(script.clone())
                     .day()
                     .map_err(|e| s.fault(format!("with its changes: {}", e.why)))?;
             }
             variants.push(variant);
         }
         if variants.is_empty() {
-            return Err(nowhere("no variant(...) is stated"));
+            return Err(script_error("no variant(...) is stated"));
         }
-        let seeds = (said.first_seed..said.first_seed + said.seeds).collect();
+        let seeds = (arguments.first_seed..arguments.first_seed + arguments.seeds).collect();
         Ok(Self {
-            name: said.name,
+            name: arguments.name,
             days,
             seeds,
-            sizes: said.sizes,
+            sizes: arguments.sizes,
             variants,
         })
     }
 
+    /// All runs of the experiment.
     pub fn cells(&self) -> Vec<Cell> {
         cells(
             self.sizes.len(),
@@ -197,7 +200,7 @@
         )
     }
 
-    /// The script that a run plays.
+    /// The script of a run.
     pub fn script(&self, cell: Cell) -> Script {
         let (size, (_, script)) = (self.sizes[cell.size], &self.days[cell.day]);
         let scaled = if size == 1.0 {
@@ -206,16 +209,18 @@
             script.clone().scaled(size)
         };
         self.variants[cell.variant]
-            .of(scaled)
-            .seeded(self.seeds[cell.seed])
+            .apply(scaled)
+            .with_seed(self.seeds[cell.seed])
     }
 }
 
 impl Variant {
-    fn of(&self, script: Script) -> Script {
+    fn apply(&self, script: Script) -> Script {
         self.changes
             .iter()
-            .fold(script, |script, (what, said)| script.with(what, said))
+            .fold(script, |script, (what, arguments)| {
+                script.with_arguments(what, arguments)
+            })
     }
 }
 
@@ -228,35 +233,35 @@
     }
 
     #[test]
-    fn pairs_differ_in_what_the_variant_says_and_in_nothing_else() {
-        let x = load(
+    fn paired_runs_differ_only_in_the_changes_of_the_variant() {
+        let experiment = load(
             "experiment('x', days = ['bad-day', 'layers-day'], seeds = 3, first_seed = 7, sizes = [1, 2])\n\
              variant('a')\nvariant('b', day = {'retries': 4}, deployment = {'dispatches': 2})\n",
         )
         .unwrap();
-        assert_eq!(x.cells().len(), 2 * 2 * 3 * 2);
-        for pair in x.cells().chunks(2) {
-            let (a, b) = (
-                x.script(pair[0]).day().unwrap(),
-                x.script(pair[1]).day().unwrap(),
+        assert_eq!(experiment.cells().len(), 2 * 2 * 3 * 2);
+        for pair in experiment.cells().chunks(2) {
+            let (base, changed) = (
+                experiment.script(pair[0]).day().unwrap(),
+                experiment.script(pair[1]).day().unwrap(),
             );
             assert_eq!(
                 (
-                    b.retries,
-                    b.terms.deployment.attempt_limit,
-                    a.seed == b.seed
+                    changed.retries,
+                    changed.terms.deployment.attempt_limit,
+                    base.seed == changed.seed
                 ),
                 (4, 2, true)
             );
             assert_eq!(
-                saltdrum_scenario::traffic::draw(&a),
-                saltdrum_scenario::traffic::draw(&b)
+                saltdrum_scenario::traffic::draw(&base),
+                saltdrum_scenario::traffic::draw(&changed)
             );
         }
     }
 
     #[test]
-    fn what_is_wrong_is_said_with_its_line() {
+    fn errors_name_the_line_of_the_statement() {
         let cases = [
             ("variant('a')", "x.star:1: no experiment(...) is stated"),
             (
@@ -284,9 +289,9 @@
                 "x.star:2: machine: belongs to a day",
             ),
         ];
-        for (text, want) in cases {
-            let told = load(text).unwrap_err();
-            assert!(told.starts_with(want), "{told}");
+        for (text, expected) in cases {
+            let error = load(text).unwrap_err();
+            assert!(error.starts_with(expected), "{error}");
         }
     }
 }
--- a/crates/lab/src/facts.rs
+++ b/crates/lab/src/facts.rs
@@ -1,4 +1,4 @@
-//! What is kept of a run, from its record alone.
+//! Summarises a run from its record.
 
 use saltdrum::interface::{MILLISECOND, Ticks};
 use saltdrum_fakes::record::{ClientAttempt, Line, Outcome, write};
@@ -6,27 +6,27 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// One invocation, by its last try; times in tenths of a millisecond, from the first invocation of the day on.
+/// One invocation with the result of its last attempt. Times are in tenths of a millisecond; `at` is relative to the first
+/// invocation of the day.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Row {
     pub at: Ticks,
     pub tenant: String,
     pub trigger: String,
     pub function: String,
-    /// None: no answer came.
+    /// None if there was no response.
     pub latency: Option<Ticks>,
     pub outcome: String,
     pub in_time: bool,
     pub attempts: u32,
-    /// Where its last dispatch went; 0: nowhere.
+    /// The invoker of its last dispatch; 0 if there was none.
     pub invoker: u32,
 }
 
-/// One figure of a run.
+/// A figure that is measured for every run.
 pub struct Measure {
     pub key: &'static str,
     pub title: &'static str,
-    /// Whether more of it is better.
     pub higher_is_better: bool,
 }
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// Figures that variants are compared by.
+/// The figures by which variants are compared.
 pub const MEASURES: &[Measure] = &[
     measure("value", "billed value in time", true),
     measure("in_time", "invocations in time", true),
@@ -57,6 +57,7 @@
     measure("controllers_us", "of it controllers", false),
 ];
 
+/// Counts of one invoker.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Invoker {
     pub invoker: u32,
@@ -64,15 +65,16 @@
     pub fetches: u64,
 }
 
+/// An injected trouble and its interval.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TroubleSpan {
-    /// From the first invocation on.
+    /// Seconds since the first invocation.
     pub from_s: f64,
     pub to_s: f64,
     pub what: String,
 }
 
-/// One of the slowest, with what became of each of its dispatches.
+/// One of the slowest invocations, with the events of each of its dispatches.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SlowInvocation {
     pub what: String,
@@ -80,36 +82,38 @@
     pub steps: Vec<String>,
 }
 
+/// The summary of a run that is stored with its rows.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Facts {
-    /// By [`MEASURES`]; none where there was nothing to measure.
+    /// By the keys of [`MEASURES`]; none where nothing could be measured.
     pub measures: BTreeMap<String, Option<f64>>,
     pub invokers: Vec<Invoker>,
     pub troubles: Vec<TroubleSpan>,
     pub slow: Vec<SlowInvocation>,
-    /// Of rules: number, state, and what was found first.
+    /// For each rule: number, state and first finding.
     pub rules: Vec<(u8, String, String)>,
-    /// Of the record, byte for byte.
+    /// Digest of the bytes of the record.
     pub digest: String,
 }
 
-const SLOWEST: usize = 6;
+/// How many of the slowest invocations are reported.
+const SLOWEST_COUNT: usize = 6;
 
-/// What a run cost, in seconds of one core.
+/// CPU time of a run, in seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Cost {
     pub total_s: f64,
-    /// Of these, in controllers.
+    /// The controllers' part of the total.
     pub controllers_s: f64,
 }
 
-/// Sums a record up. `cost` is what the run cost, where that was measured.
+/// Summarises a record. `cost` is the CPU time of the run, if it was measured.
 pub fn summarize(lines: &[Line], cost: Option<Cost>) -> Result<(Vec<Row>, Facts), String> {
     let verdicts = check(lines)?;
     let mut bytes = Vec::new();
     write(lines, &mut bytes).map_err(|e| e.to_string())?;
     let digest = blake3::hash(&bytes).to_hex().to_string();
-    let (mut objective, mut all) = (BTreeMap::new(), BTreeMap::<u64, Row>::new());
+    let (mut objectives, mut rows_by_number) = (BTreeMap::new(), BTreeMap::<u64, Row>::new());
     let mut invokers = BTreeMap::<u32, Invoker>::new();
     let first = lines
         .iter()
@@ -123,21 +127,25 @@
         .unwrap_or(0);
     let seconds = |at: Ticks| (at as f64 - first as f64) / (1_000.0 * MILLISECOND as f64);
     let mut troubles = Vec::new();
-    let mut hung_up = std::collections::BTreeSet::new();
+    let mut abandoned = std::collections::BTreeSet::new();
     for line in lines {
         match line {
-            Line::RuleParameters(s) => {
-                objective = s
+            Line::RuleParameters(parameters) => {
+                objectives = parameters
                     .triggers
                     .iter()
                     .map(|t| (t.name.clone(), t.objective))
                     .collect();
-                let none = |p: &saltdrum_fakes::record::InvokerInfo| Invoker {
+                let no_counts = |p: &saltdrum_fakes::record::InvokerInfo| Invoker {
                     invoker: p.invoker,
                     dispatches: 0,
                     fetches: 0,
                 };
-                invokers = s.places.iter().map(|p| (p.invoker, none(p))).collect();
+                invokers = parameters
+                    .places
+                    .iter()
+                    .map(|p| (p.invoker, no_counts(p)))
+                    .collect();
             }
             Line::Sent {
                 at,
@@ -147,7 +155,7 @@
                 function,
                 ..
             } => {
-                let row = all.entry(of.number).or_insert_with(|| {
+                let row = rows_by_number.entry(of.number).or_insert_with(|| {
                     let (tenant, trigger, function) =
                         (tenant.clone(), trigger.clone(), function.clone());
                     Row {
@@ -162,23 +170,23 @@
                 row.outcome = "lost".into();
             }
             Line::Final { at, of, how, .. } => {
-                if let Some(row) = all
+                if let Some(row) = rows_by_number
                     .get_mut(&of.number)
                     .filter(|row| row.attempts == of.attempt + 1)
                 {
                     row.latency = Some(at - row.at.min(*at));
                     row.outcome = format!("{how:?}").to_lowercase();
-                    let most = objective.get(&row.trigger).copied().unwrap_or(Ticks::MAX);
+                    let objective = objectives.get(&row.trigger).copied().unwrap_or(Ticks::MAX);
                     row.in_time =
-                        *how == Outcome::Succeeded && row.latency.is_some_and(|t| t <= most);
+                        *how == Outcome::Succeeded && row.latency.is_some_and(|t| t <= objective);
                 }
             }
             Line::HungUp { of, .. } => {
-                hung_up.insert(of.number);
+                abandoned.insert(of.number);
             }
             Line::Dispatched { invoker, of, .. } => {
                 invokers.entry(*invoker).and_modify(|i| i.dispatches += 1);
-                if let Some(row) = all.get_mut(&of.number) {
+                if let Some(row) = rows_by_number.get_mut(&of.number) {
                     row.invoker = *invoker;
                 }
             }
@@ -193,26 +201,30 @@
             _ => {}
         }
     }
-    for n in &hung_up {
-        if let Some(row) = all.get_mut(n).filter(|row| row.latency.is_none()) {
+    for n in &abandoned {
+        if let Some(row) = rows_by_number
+            .get_mut(n)
+            .filter(|row| row.latency.is_none())
+        {
             row.outcome = "hung up".into();
         }
     }
     let summary = summary::summarize("", lines, verdicts);
-    let slow = slowest(lines, &all, first);
-    let rows: Vec<Row> = all
+    let slow = slowest(lines, &rows_by_number, first);
+    let rows: Vec<Row> = rows_by_number
         .into_values()
         .map(|mut row| {
             row.at -= first.min(row.at);
             row
         })
         .collect();
-    let counted = rows
+    let completed = rows
         .iter()
         .filter(|r| r.outcome != "hung up")
         .count()
         .max(1) as f64;
-    let share = |how: &str| rows.iter().filter(|r| r.outcome == how).count() as f64 / counted;
+    let share =
+        |outcome: &str| rows.iter().filter(|r| r.outcome == outcome).count() as f64 / completed;
     let mut latencies = saltdrum_load::Latencies::default();
     rows.iter()
         .filter(|r| r.outcome == "succeeded")
@@ -222,17 +234,17 @@
     let mean =
         invokers.iter().map(|i| i.dispatches).sum::<u64>() as f64 / invokers.len().max(1) as f64;
     let busiest = invokers.iter().map(|i| i.dispatches).max().unwrap_or(0) as f64 / mean;
-    let store = summary
+    let store_requests = summary
         .layers
         .as_ref()
         .map_or(summary.tries.fetches as f64, |l| l.store_requests as f64);
     let rules = summary.rules.iter().map(|v| {
-        let found = v
+        let finding = v
             .broken
             .first()
             .or(v.cannot_tell.first())
             .map_or(String::new(), |f| f.text.clone());
-        (v.rule, format!("{:?}", v.state).to_lowercase(), found)
+        (v.rule, format!("{:?}", v.state).to_lowercase(), finding)
     });
     let figures = [
         ("value", summary.value_in_time),
@@ -241,8 +253,8 @@
         ("p99_ms", latencies.quantile_ms(0.99)),
         ("throttled", share("throttled")),
         ("errored", share("errored")),
-        ("dispatches", summary.tries.dispatches as f64 / counted),
-        ("store", store),
+        ("dispatches", summary.tries.dispatches as f64 / completed),
+        ("store", store_requests),
         (
             "load_p99_ms",
             if summary.loads.ended_well > 0 {
@@ -276,11 +288,11 @@
         ),
         (
             "cpu_us",
-            cost.map_or(f64::NAN, |c| c.total_s * 1e6 / counted),
+            cost.map_or(f64::NAN, |c| c.total_s * 1e6 / completed),
         ),
         (
             "controllers_us",
-            cost.map_or(f64::NAN, |c| c.controllers_s * 1e6 / counted),
+            cost.map_or(f64::NAN, |c| c.controllers_s * 1e6 / completed),
         ),
     ];
     let measures = figures
@@ -300,29 +312,29 @@
     ))
 }
 
-/// The invocations that took longest, with what became of each of their dispatches.
-fn slowest(lines: &[Line], all: &BTreeMap<u64, Row>, first: Ticks) -> Vec<SlowInvocation> {
-    let mut order: Vec<(Ticks, u64)> = all
+/// The invocations with the longest latency, with the events of each of their dispatches.
+fn slowest(lines: &[Line], rows: &BTreeMap<u64, Row>, first: Ticks) -> Vec<SlowInvocation> {
+    let mut by_latency: Vec<(Ticks, u64)> = rows
         .iter()
         .filter_map(|(n, row)| Some((row.latency?, *n)))
         .collect();
-    order.sort_unstable_by(|a, b| b.cmp(a));
+    by_latency.sort_unstable_by(|a, b| b.cmp(a));
     let ms = |t: Ticks| t as f64 / MILLISECOND as f64;
-    let mut told: BTreeMap<u64, SlowInvocation> = order
+    let mut slowest: BTreeMap<u64, SlowInvocation> = by_latency
         .into_iter()
-        .take(SLOWEST)
-        .map(|(took, n)| {
-            let row = &all[&n];
-            let begun = ms(row.at - first.min(row.at)) / 1e3;
+        .take(SLOWEST_COUNT)
+        .map(|(latency, n)| {
+            let row = &rows[&n];
+            let start_s = ms(row.at - first.min(row.at)) / 1e3;
             let what = format!(
-                "{} of {} for {}, at {begun:.1} s: {}",
+                "{} of {} for {}, at {start_s:.1} s: {}",
                 row.function, row.trigger, row.tenant, row.outcome
             );
             (
                 n,
                 SlowInvocation {
                     what,
-                    took_ms: ms(took),
+                    took_ms: ms(latency),
                     steps: Vec::new(),
                 },
             )
@@ -352,10 +364,10 @@
                 of,
                 invoker,
                 ended,
-                response_sent: told,
+                response_sent,
                 ..
             } => {
-                let lost = if *told { "" } else { ", answer lost" };
+                let lost = if *response_sent { "" } else { ", answer lost" };
                 (*of, *at, format!("{ended} on invoker {invoker}{lost}"))
             }
             Line::Final { at, of, how, .. } => {
@@ -363,12 +375,12 @@
             }
             _ => continue,
         };
-        if let Some(slow) = told.get_mut(&of.number) {
-            let since = ms(at - all[&of.number].at.min(at));
+        if let Some(slow) = slowest.get_mut(&of.number) {
+            let since = ms(at - rows[&of.number].at.min(at));
             slow.steps.push(format!("+{since:.0} ms: {text}"));
         }
     }
-    let mut told: Vec<SlowInvocation> = told.into_values().collect();
-    told.sort_by(|a, b| b.took_ms.total_cmp(&a.took_ms));
-    told
+    let mut slowest: Vec<SlowInvocation> = slowest.into_values().collect();
+    slowest.sort_by(|a, b| b.took_ms.total_cmp(&a.took_ms));
+    slowest
 }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,9 +1,9 @@
-//! Does a change help, how sure is that, and what breaks first.
+//! Experiments that compare variants over the same simulated days, and a search for days that break a rule.
 //!
-//! `script`, `plan`, `compare`, `draw` and `shrink` decide and do no I/O: what a day's script says and how it is changed,
-//! which runs are still to do, what differences mean, which troubles a search tries, how a failing day is cut down.
-//! `experiment` reads what is to be compared, `facts` sums a run up, `results` keeps runs as Parquet files, `run` plays
-//! them on all cores, `report` shows them, `hunt` searches, `meter` says what the controllers cost.
+//! `script`, `plan`, `compare`, `draw` and `shrink` do no I/O: they read and change a day's script, list the remaining runs
+//! of an experiment, evaluate differences, draw random troubles and reduce a failing day. `experiment` loads the
+//! description of an experiment, `facts` summarises a run, `results` stores runs as Parquet files, `run` executes them on
+//! all cores, `report` presents them, `hunt` searches for failing days, and `meter` measures the CPU time of controllers.
 
 pub mod compare;
 pub mod draw;
--- a/crates/lab/src/meter.rs
+++ b/crates/lab/src/meter.rs
@@ -1,4 +1,4 @@
-//! What the controllers of a run cost, apart from all that stands in for the rest of the world.
+//! Measures the CPU time of a run's controllers, excluding the simulated peers.
 
 use saltdrum_controller::ControllerConfig;
 use saltdrum_scenario::Serve;
@@ -10,21 +10,21 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-type Running = Pin<Box<dyn Future<Output = io::Result<()>>>>;
+type ControllerTask = Pin<Box<dyn Future<Output = io::Result<()>>>>;
 
 thread_local! {
-    // A run stays on its thread, and a seat takes a plain function: there is no other way to hand it something.
-    static METERED: Cell<Serve> = const { Cell::new(saltdrum_scenario::serve) };
-    static SPENT_S: Cell<f64> = const { Cell::new(0.0) };
+    // Controllers are started by a plain function, which cannot capture these. A run stays on one thread.
+    static SERVE: Cell<Serve> = const { Cell::new(saltdrum_scenario::serve) };
+    static CONTROLLER_CPU_S: Cell<f64> = const { Cell::new(0.0) };
 }
 
-/// This thread's use of its core, in seconds.
+/// CPU time of this thread, in seconds.
 pub fn cpu_s() -> f64 {
     let t = rustix::time::clock_gettime(rustix::time::ClockId::ThreadCPUTime);
     t.tv_sec as f64 + t.tv_nsec as f64 / 1e9
 }
 
-struct Metered(Running);
+struct Metered(ControllerTask);
 
 impl Future for Metered {
     type Output = io::Result<()>;
@@ -32,19 +32,23 @@
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let before = cpu_s();
         let polled = self.0.as_mut().poll(cx);
-        SPENT_S.set(SPENT_S.get() + cpu_s() - before);
+        CONTROLLER_CPU_S.set(CONTROLLER_CPU_S.get() + cpu_s() - before);
         polled
     }
 }
 
-fn seated(seat: ControllerConfig, network: Rc<dyn Network>, clock: Clock) -> Running {
-    Box::pin(Metered(METERED.get()(seat, network, clock)))
+fn serve_metered(
+    config: ControllerConfig,
+    network: Rc<dyn Network>,
+    clock: Clock,
+) -> ControllerTask {
+    Box::pin(Metered(SERVE.get()(config, network, clock)))
 }
 
-/// Plays with controllers that are metered, and gives what came of it with the seconds they used.
+/// Runs `play` with metered controllers. Returns its result and the CPU time of the controllers in seconds.
 pub fn metered<T>(serve: Serve, play: impl FnOnce(Serve) -> T) -> (T, f64) {
-    METERED.set(serve);
-    SPENT_S.set(0.0);
-    let came = play(seated);
-    (came, SPENT_S.get())
+    SERVE.set(serve);
+    CONTROLLER_CPU_S.set(0.0);
+    let result = play(serve_metered);
+    (result, CONTROLLER_CPU_S.get())
 }
--- a/crates/lab/src/plan.rs
+++ b/crates/lab/src/plan.rs
@@ -1,8 +1,8 @@
-//! Which runs an experiment takes, and which are still to do.
+//! The runs of an experiment and their progress.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// One run: places in the experiment's lists.
+/// One run, by indices into the experiment's lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Cell {
     pub size: usize,
@@ -11,13 +11,14 @@
     pub variant: usize,
 }
 
-/// All cells, so that all variants of one pair stand together: whenever it is stopped, most pairs are whole.
+/// All cells of an experiment. The variants of a day, size and seed are adjacent, so that most pairs are complete whenever
+/// the experiment is interrupted.
 pub fn cells(sizes: usize, days: usize, seeds: usize, variants: usize) -> Vec<Cell> {
-    let mut all = Vec::new();
+    let mut cells = Vec::new();
     for seed in 0..seeds {
         for size in 0..sizes {
             for day in 0..days {
-                all.extend((0..variants).map(|variant| Cell {
+                cells.extend((0..variants).map(|variant| Cell {
                     size,
                     day,
                     seed,
@@ -26,62 +27,64 @@
             }
         }
     }
-    all
+    cells
 }
 
-/// What is known of each run. A run's key says all that its result hangs on, so a result found under it is its own.
+/// The state of each run. A run's key covers everything that its result depends on, so a stored result with the same key
+/// is valid for it.
 #[derive(Debug, Default)]
 pub struct Progress {
     waiting: VecDeque<(Cell, String)>,
-    under_way: BTreeSet<Cell>,
+    running: BTreeSet<Cell>,
     pub done: BTreeSet<Cell>,
-    /// With why. It is not tried again in this sitting.
+    /// With the reason. Failed runs are not repeated in this execution.
     pub failed: BTreeMap<Cell, String>,
-    found: usize,
+    reused: usize,
 }
 
 impl Progress {
-    /// `finished` are the keys of results that are there already and whole.
+    /// `finished` contains the keys of the intact stored results.
     pub fn new(
         cells: impl IntoIterator<Item = (Cell, String)>,
         finished: &BTreeSet<String>,
     ) -> Self {
-        let mut p = Self::default();
+        let mut progress = Self::default();
         for (cell, key) in cells {
             if finished.contains(&key) {
-                p.done.insert(cell);
+                progress.done.insert(cell);
             } else {
-                p.waiting.push_back((cell, key));
+                progress.waiting.push_back((cell, key));
             }
         }
-        p.found = p.done.len();
-        p
+        progress.reused = progress.done.len();
+        progress
     }
 
-    pub fn take(&mut self) -> Option<(Cell, String)> {
+    /// Takes the next waiting run.
+    pub fn start_next(&mut self) -> Option<(Cell, String)> {
         let next = self.waiting.pop_front()?;
-        self.under_way.insert(next.0);
+        self.running.insert(next.0);
         Some(next)
     }
 
-    /// A run came to its end. One that was not under way changes nothing.
-    pub fn ended(&mut self, cell: Cell, how: Result<(), String>) {
-        if !self.under_way.remove(&cell) {
+    /// Records the result of a run. A run that is not running is ignored.
+    pub fn finish(&mut self, cell: Cell, result: Result<(), String>) {
+        if !self.running.remove(&cell) {
             return;
         }
-        match how {
+        match result {
             Ok(()) => drop(self.done.insert(cell)),
-            Err(why) => drop(self.failed.insert(cell, why)),
+            Err(reason) => drop(self.failed.insert(cell, reason)),
         }
     }
 
-    /// Done or failed, of all; and how many of them were there before.
-    pub fn told(&self) -> (usize, usize, usize) {
-        let over = self.done.len() + self.failed.len();
+    /// Numbers of finished runs (done or failed), of all runs, and of reused results.
+    pub fn counts(&self) -> (usize, usize, usize) {
+        let finished = self.done.len() + self.failed.len();
         (
-            over,
-            over + self.waiting.len() + self.under_way.len(),
-            self.found,
+            finished,
+            finished + self.waiting.len() + self.running.len(),
+            self.reused,
         )
     }
 }
@@ -90,12 +93,12 @@
 mod tests {
     use super::*;
 
-    fn keyed(all: &[Cell]) -> Vec<(Cell, String)> {
+    fn with_keys(all: &[Cell]) -> Vec<(Cell, String)> {
         all.iter().map(|c| (*c, format!("{c:?}"))).collect()
     }
 
     #[test]
-    fn variants_of_one_pair_follow_each_other() {
+    fn variants_of_one_pair_are_adjacent() {
         let all = cells(2, 3, 4, 5);
         assert_eq!(
             (all.len(), all.iter().collect::<BTreeSet<_>>().len()),
@@ -109,28 +112,30 @@
         }
     }
 
-    /// Killed after any number of runs and started again, each run is done once and counted once.
+    /// Kills the execution after each number of runs and restarts it: every run is executed once and counted once.
     #[test]
-    fn a_sitting_that_was_killed_is_gone_on_with() {
+    fn resumes_an_execution_that_was_killed() {
         let all = cells(1, 2, 3, 2);
         for killed_after in 0..=all.len() {
-            let (mut finished, mut played) = (BTreeSet::new(), Vec::new());
-            for most in [killed_after, usize::MAX] {
-                let mut p = Progress::new(keyed(&all), &finished);
-                while played.len() < most {
-                    let Some((cell, key)) = p.take() else { break };
-                    played.push(cell);
+            let (mut finished, mut executed) = (BTreeSet::new(), Vec::new());
+            for limit in [killed_after, usize::MAX] {
+                let mut progress = Progress::new(with_keys(&all), &finished);
+                while executed.len() < limit {
+                    let Some((cell, key)) = progress.start_next() else {
+                        break;
+                    };
+                    executed.push(cell);
                     finished.insert(key);
-                    p.ended(cell, Ok(()));
-                    p.ended(cell, Ok(()));
+                    progress.finish(cell, Ok(()));
+                    progress.finish(cell, Ok(()));
                 }
-                // One more was under way when it was killed.
-                let _ = p.take();
+                // One more run was in progress when it was killed.
+                let _ = progress.start_next();
             }
-            let p = Progress::new(keyed(&all), &finished);
-            assert_eq!(p.told(), (all.len(), all.len(), all.len()));
+            let progress = Progress::new(with_keys(&all), &finished);
+            assert_eq!(progress.counts(), (all.len(), all.len(), all.len()));
             assert_eq!(
-                (played.len(), p.done.len()),
+                (executed.len(), progress.done.len()),
                 (all.len(), all.len()),
                 "killed after {killed_after}"
             );
@@ -138,14 +143,17 @@
     }
 
     #[test]
-    fn a_failed_run_is_told_and_not_tried_again() {
+    fn failed_run_is_reported_and_not_repeated() {
         let all = cells(1, 1, 1, 2);
-        let mut p = Progress::new(keyed(&all), &BTreeSet::new());
-        let (first, _) = p.take().unwrap();
-        p.ended(first, Err("it panicked".into()));
-        assert_eq!((p.take().unwrap().0, p.take()), (all[1], None));
+        let mut progress = Progress::new(with_keys(&all), &BTreeSet::new());
+        let (first, _) = progress.start_next().unwrap();
+        progress.finish(first, Err("it panicked".into()));
         assert_eq!(
-            (p.told(), &p.failed[&first]),
+            (progress.start_next().unwrap().0, progress.start_next()),
+            (all[1], None)
+        );
+        assert_eq!(
+            (progress.counts(), &progress.failed[&first]),
             ((1, 2, 0), &"it panicked".to_owned())
         );
     }
--- a/crates/lab/src/plots.rs
+++ b/crates/lab/src/plots.rs
@@ -1,4 +1,4 @@
-//! Plots as SVG. Lines are told apart by letter and dash, never by colour alone.
+//! Plots as SVG. Lines differ in letter and dash pattern, not in colour alone.
 
 use crate::facts::TroubleSpan;
 use crate::report::Column;
@@ -10,18 +10,19 @@
 
 const SIZE: (u32, u32) = (860, 300);
 const FONT: (&str, u32) = ("sans-serif", 13);
-/// Dark enough each to print; dash and letter tell them apart.
-const INKS: [RGBColor; 4] = [
+/// Dark enough to be readable in print.
+const COLOURS: [RGBColor; 4] = [
     RGBColor(0, 60, 130),
     RGBColor(150, 60, 0),
     RGBColor(0, 100, 70),
     RGBColor(90, 30, 110),
 ];
-/// Length and gap of dashes; no gap is a whole line.
+/// Lengths of dash and gap in pixels; a gap of 0 is a solid line.
 const DASHES: [(u32, u32); 4] = [(0, 0), (10, 4), (3, 3), (14, 8)];
-const POINTS: usize = 400;
+/// Largest number of points drawn for a line.
+const MAX_POINTS: usize = 400;
 
-fn drawn(
+fn render(
     size: (u32, u32),
     draw: impl FnOnce(&Area) -> Result<(), String>,
 ) -> Result<String, String> {
@@ -35,40 +36,43 @@
     Ok(svg)
 }
 
-fn fewer(line: &[(f64, f64)]) -> Vec<(f64, f64)> {
-    let step = line.len().div_ceil(POINTS).max(1);
-    let mut all: Vec<(f64, f64)> = line.iter().step_by(step).copied().collect();
-    all.extend(line.last().filter(|_| line.len() > 1));
-    all
+/// Reduces a line to at most about [`MAX_POINTS`] points, including its last one.
+fn downsample(line: &[(f64, f64)]) -> Vec<(f64, f64)> {
+    let step = line.len().div_ceil(MAX_POINTS).max(1);
+    let mut points: Vec<(f64, f64)> = line.iter().step_by(step).copied().collect();
+    points.extend(line.last().filter(|_| line.len() > 1));
+    points
 }
 
-macro_rules! lines {
+macro_rules! draw_lines {
     ($chart:expr, $lines:expr) => {
         for (n, (letter, line)) in $lines.iter().enumerate() {
-            let (ink, (dash, gap)) = (INKS[n % 4], DASHES[n % 4]);
-            let points = fewer(line);
-            let style = ink.stroke_width(2);
+            let (colour, (dash, gap)) = (COLOURS[n % 4], DASHES[n % 4]);
+            let points = downsample(line);
+            let style = colour.stroke_width(2);
             if gap == 0 {
                 $chart.draw_series(LineSeries::new(points.clone(), style)).map_err(|e| e.to_string())?;
             } else {
                 let dashed = DashedLineSeries::new(points.clone(), dash, gap, style);
                 $chart.draw_series(dashed).map_err(|e| e.to_string())?;
             }
-            // Letters stand at different places, so that lines that lie on each other are both named.
+            // Each line has its letters at other positions, so that overlapping lines are both labelled.
             let stride = (points.len() / 5).max(1);
-            let at = points.iter().skip((n + 1) * stride / 4).step_by(stride);
-            let text = (FONT.0, 15).into_font().style(FontStyle::Bold).color(&ink);
-            let named = at.map(|p| Text::new(letter.to_string(), *p, text.clone()));
-            $chart.draw_series(named).map_err(|e| e.to_string())?;
+            let label_points = points.iter().skip((n + 1) * stride / 4).step_by(stride);
+            let text = (FONT.0, 15).into_font().style(FontStyle::Bold).color(&colour);
+            let labels = label_points.map(|p| Text::new(letter.to_string(), *p, text.clone()));
+            $chart.draw_series(labels).map_err(|e| e.to_string())?;
         }
     };
 }
 
-/// Bounds of positive values, for an axis of logarithms.
+/// Range of the positive values, for a logarithmic axis.
 fn bounds<'a>(lines: impl Iterator<Item = &'a f64>) -> (f64, f64) {
     let (low, high) = lines
         .filter(|v| v.is_finite() && **v > 0.0)
-        .fold((f64::MAX, 0.0_f64), |(a, b), v| (a.min(*v), b.max(*v)));
+        .fold((f64::MAX, 0.0_f64), |(low, high), v| {
+            (low.min(*v), high.max(*v))
+        });
     if low > high {
         (1.0, 10.0)
     } else {
@@ -76,25 +80,25 @@
     }
 }
 
-/// Lines over time, with troubles as numbered bands.
+/// Plots lines over time, with troubles as numbered bands.
 pub fn over_time(lines: &[Line], troubles: &[TroubleSpan]) -> Result<String, String> {
-    let most = lines
+    let end_s = lines
         .iter()
         .flat_map(|l| &l.1)
         .map(|p| p.0)
         .fold(1.0, f64::max);
     let (low, high) = bounds(lines.iter().flat_map(|l| &l.1).map(|p| &p.1));
-    drawn(SIZE, |area| {
+    render(SIZE, |area| {
         let mut chart = ChartBuilder::on(area)
             .margin(8)
             .x_label_area_size(34)
             .y_label_area_size(72)
-            .build_cartesian_2d(0.0..most + 1.0, (low..high * 1.4).log_scale())
+            .build_cartesian_2d(0.0..end_s + 1.0, (low..high * 1.4).log_scale())
             .map_err(|e| e.to_string())?;
         let bands = troubles.iter().map(|t| {
-            let to = t.to_s.max(t.from_s + most / 200.0).min(most + 1.0);
+            let to = t.to_s.max(t.from_s + end_s / 200.0).min(end_s + 1.0);
             Rectangle::new(
-                [(t.from_s.min(most), low), (to, high * 1.4)],
+                [(t.from_s.min(end_s), low), (to, high * 1.4)],
                 BLACK.mix(0.07).filled(),
             )
         });
@@ -110,25 +114,25 @@
             .label_style(FONT)
             .draw()
             .map_err(|e| e.to_string())?;
-        let rows = 4;
+        let row_count = 4;
         let numbers = troubles.iter().enumerate().map(|(n, t)| {
-            let y = high * 1.35 * 0.88_f64.powi((n % rows) as i32);
+            let y = high * 1.35 * 0.88_f64.powi((n % row_count) as i32);
             Text::new(
                 (n + 1).to_string(),
-                (t.from_s.min(most), y),
+                (t.from_s.min(end_s), y),
                 (FONT.0, 11).into_font().color(&BLACK),
             )
         });
         chart.draw_series(numbers).map_err(|e| e.to_string())?;
-        lines!(chart, lines);
+        draw_lines!(chart, lines);
         Ok(())
     })
 }
 
-/// Shares up to each latency.
+/// Plots the cumulative distribution of latencies.
 pub fn distribution(lines: &[Line]) -> Result<String, String> {
     let (low, high) = bounds(lines.iter().flat_map(|l| &l.1).map(|p| &p.0));
-    drawn(SIZE, |area| {
+    render(SIZE, |area| {
         let mut chart = ChartBuilder::on(area)
             .margin(8)
             .x_label_area_size(34)
@@ -144,14 +148,14 @@
             .label_style(FONT)
             .draw()
             .map_err(|e| e.to_string())?;
-        lines!(chart, lines);
+        draw_lines!(chart, lines);
         Ok(())
     })
 }
 
-/// Something counted by invoker, the most first.
+/// Plots a count by invoker, in descending order.
 pub fn by_invoker(
-    all: &[(char, Vec<(u64, u64)>)],
+    variants: &[(char, Vec<(u64, u64)>)],
     of: fn(&(u64, u64)) -> u64,
 ) -> Result<String, String> {
     let sorted = |counts: &Vec<(u64, u64)>| {
@@ -163,21 +167,21 @@
             .map(|(n, c)| (n as f64 + 1.0, c as f64))
             .collect::<Vec<_>>()
     };
-    let lines: Vec<Line> = all
+    let lines: Vec<Line> = variants
         .iter()
         .map(|(letter, counts)| (*letter, sorted(counts)))
         .collect();
     let points = || lines.iter().flat_map(|l| &l.1);
-    let (wide, high) = (
+    let (width, high) = (
         points().map(|p| p.0).fold(2.0, f64::max),
         points().map(|p| p.1).fold(1.0, f64::max),
     );
-    drawn((SIZE.0, 220), |area| {
+    render((SIZE.0, 220), |area| {
         let mut chart = ChartBuilder::on(area)
             .margin(8)
             .x_label_area_size(34)
             .y_label_area_size(72)
-            .build_cartesian_2d(1.0..wide, 0.0..high * 1.1)
+            .build_cartesian_2d(1.0..width, 0.0..high * 1.1)
             .map_err(|e| e.to_string())?;
         chart
             .configure_mesh()
@@ -189,12 +193,12 @@
             .label_style(FONT)
             .draw()
             .map_err(|e| e.to_string())?;
-        lines!(chart, &lines);
+        draw_lines!(chart, &lines);
         Ok(())
     })
 }
 
-/// Differences to the first variant in parts of its mean, with their intervals.
+/// Plots the differences to the first variant in percent of its mean, with their confidence intervals.
 pub fn differences(columns: &[Column]) -> Result<String, String> {
     let Some((base, others)) = columns.split_first() else {
         return Ok(String::new());
@@ -206,30 +210,30 @@
                 continue;
             };
             let (low, high) = d.interval.unwrap_or((d.mean, d.mean));
-            let part = |v: f64| (100.0 * v / mean).clamp(-100.0, 100.0);
+            let percent = |v: f64| (100.0 * v / mean).clamp(-100.0, 100.0);
             rows.push((
                 format!("{} {}", c.letter, f.title),
-                part(low),
-                part(d.mean),
-                part(high),
+                percent(low),
+                percent(d.mean),
+                percent(high),
             ));
         }
     }
     if rows.is_empty() {
         return Ok(String::new());
     }
-    let wide = rows
+    let axis_limit = rows
         .iter()
         .map(|r| r.1.abs().max(r.3.abs()))
         .fold(1.0, f64::max)
         * 1.1;
     let count = rows.len() as f64;
-    drawn((SIZE.0, 70 + 20 * rows.len() as u32), |area| {
+    render((SIZE.0, 70 + 20 * rows.len() as u32), |area| {
         let mut chart = ChartBuilder::on(area)
             .margin(8)
             .margin_left(250)
             .x_label_area_size(34)
-            .build_cartesian_2d(-wide..wide, 0.0..count)
+            .build_cartesian_2d(-axis_limit..axis_limit, 0.0..count)
             .map_err(|e| e.to_string())?;
         chart
             .configure_mesh()
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,6 +1,6 @@
-//! What came of an experiment: tables, facts, and a page of its own.
+//! Reports on the results of an experiment: tables, JSON and an HTML page.
 
-use crate::compare::{Difference, Word};
+use crate::compare::{Difference, Direction};
 use crate::facts::{MEASURES, Measure};
 use crate::plots;
 use crate::results::{self, Run};
@@ -12,27 +12,29 @@
 use std::fs;
 use std::path::Path;
 
-/// A variant's mean of one figure, and how it differs from the first variant's.
+/// A variant's mean of one figure, with its difference to the first variant.
 #[derive(Debug, Serialize)]
 pub struct Figure {
     pub key: &'static str,
     pub title: &'static str,
     pub mean: Option<f64>,
     pub difference: Option<Difference>,
-    pub word: Option<Word>,
-    /// `better`, `worse`, or nothing where that can't be told.
+    #[serde(rename = "word")]
+    pub direction: Option<Direction>,
+    /// `better`, `worse`, `same`, or empty if inconclusive.
     pub verdict: &'static str,
 }
 
+/// The figures of one variant.
 #[derive(Debug, Serialize)]
 pub struct Column {
-    /// A letter that stands for it in plots.
+    /// Labels the variant in plots and tables.
     pub letter: char,
     pub variant: String,
     pub figures: Vec<Figure>,
 }
 
-/// Outcomes of one tenant, in parts of its invocations.
+/// Outcomes of one tenant, as shares of its invocations.
 #[derive(Debug, Serialize)]
 pub struct Tenant {
     pub tenant: String,
@@ -45,30 +47,32 @@
     pub lost: f64,
 }
 
-/// A day at a size, over all seeds.
+/// The results of one day at one size, over all seeds.
 #[derive(Debug, Serialize)]
 pub struct Section {
     pub day: String,
     pub size: f64,
     pub columns: Vec<Column>,
     pub tenants: Vec<Tenant>,
-    /// Letter, rule, how many runs kept it, could not tell, broke it, and the first finding.
+    /// For each variant and rule: letter, rule, numbers of runs that kept it, were undecided and broke it, first finding.
     pub rules: Vec<(char, u8, usize, usize, usize, String)>,
     pub slow: Vec<(char, u64, crate::facts::SlowInvocation)>,
     pub troubles: Vec<(usize, String)>,
-    /// Plots as SVG, with what they show.
+    /// Plots as (title, SVG).
     #[serde(skip)]
     pub plots: Vec<(String, String)>,
 }
 
+/// The report on an experiment.
 #[derive(Debug, Serialize)]
 pub struct Report {
     pub experiment: String,
     pub version: String,
     pub runs: usize,
+    /// Number of runs of the experiment, including those without a result yet.
     pub of: usize,
     pub problems: Vec<String>,
-    /// Over all days and sizes.
+    /// Figures over all days and sizes.
     pub overall: Vec<Column>,
     pub sections: Vec<Section>,
 }
@@ -77,9 +81,10 @@
     char::from(b'A' + (n % 26) as u8)
 }
 
-type Pair = (String, String, u64);
+/// Day, size and seed, which the runs of a pair have in common.
+type PairKey = (String, String, u64);
 
-fn pair(run: &Run) -> Pair {
+fn pair_key(run: &Run) -> PairKey {
     (
         run.origin.day.clone(),
         run.origin.size.to_string(),
@@ -87,43 +92,44 @@
     )
 }
 
-fn verdict(m: &Measure, word: Word) -> &'static str {
-    match (word, m.higher_is_better) {
-        (Word::Higher, true) | (Word::Lower, false) => "better",
-        (Word::Higher, false) | (Word::Lower, true) => "worse",
-        (Word::Same, _) => "same",
-        (Word::CannotTell, _) => "",
+fn verdict(measure: &Measure, direction: Direction) -> &'static str {
+    match (direction, measure.higher_is_better) {
+        (Direction::Higher, true) | (Direction::Lower, false) => "better",
+        (Direction::Higher, false) | (Direction::Lower, true) => "worse",
+        (Direction::Same, _) => "same",
+        (Direction::Inconclusive, _) => "",
     }
 }
 
-/// Of these runs, each variant's figures beside the first variant's on the same pairs.
+/// Computes each variant's figures and their differences to the first variant over the same pairs.
 fn columns(variants: &[String], runs: &[&Run]) -> Vec<Column> {
-    let of = |v: &String| -> BTreeMap<Pair, &Run> {
+    let runs_of = |v: &String| -> BTreeMap<PairKey, &Run> {
         runs.iter()
             .filter(|r| r.origin.variant == *v)
-            .map(|r| (pair(r), *r))
+            .map(|r| (pair_key(r), *r))
             .collect()
     };
-    let base = of(&variants[0]);
+    let base = runs_of(&variants[0]);
     let column = |(n, v): (usize, &String)| {
-        let mine = of(v);
-        let figure = |m: &Measure| {
-            let get = |r: &Run| r.facts.measures.get(m.key).copied().flatten();
-            let all: Vec<f64> = mine.values().filter_map(|r| get(r)).collect();
-            let mean = (!all.is_empty()).then(|| all.iter().sum::<f64>() / all.len() as f64);
-            let pairs: Vec<(f64, f64)> = mine
+        let own_runs = runs_of(v);
+        let figure = |measure: &Measure| {
+            let value_of = |r: &Run| r.facts.measures.get(measure.key).copied().flatten();
+            let values: Vec<f64> = own_runs.values().filter_map(|r| value_of(r)).collect();
+            let mean =
+                (!values.is_empty()).then(|| values.iter().sum::<f64>() / values.len() as f64);
+            let pairs: Vec<(f64, f64)> = own_runs
                 .iter()
-                .filter_map(|(p, r)| Some((get(r)?, get(base.get(p)?)?)))
+                .filter_map(|(key, r)| Some((value_of(r)?, value_of(base.get(key)?)?)))
                 .collect();
-            let difference = (n > 0).then(|| Difference::of(&pairs)).flatten();
-            let word = difference.as_ref().map(Difference::word);
-            let verdict = word.map_or("", |w| verdict(m, w));
+            let difference = (n > 0).then(|| Difference::from_pairs(&pairs)).flatten();
+            let direction = difference.as_ref().map(Difference::direction);
+            let verdict = direction.map_or("", |d| verdict(measure, d));
             Figure {
-                key: m.key,
-                title: m.title,
+                key: measure.key,
+                title: measure.title,
                 mean,
                 difference,
-                word,
+                direction,
                 verdict,
             }
         };
@@ -136,75 +142,76 @@
     variants.iter().enumerate().map(column).collect()
 }
 
-fn section(listed: &RunList, day: &str, size: f64, runs: &[&Run]) -> Result<Section, String> {
+fn section(run_list: &RunList, day: &str, size: f64, runs: &[&Run]) -> Result<Section, String> {
     let (mut tenants, mut rules, mut slow) = (Vec::new(), Vec::new(), Vec::new());
-    let (mut over_time, mut spread, mut by_invoker) = (Vec::new(), Vec::new(), Vec::new());
-    for (n, v) in listed.variants.iter().enumerate() {
-        let mine: Vec<&&Run> = runs.iter().filter(|r| r.origin.variant == *v).collect();
+    let (mut over_time, mut distributions, mut by_invoker) = (Vec::new(), Vec::new(), Vec::new());
+    for (n, v) in run_list.variants.iter().enumerate() {
+        let own_runs: Vec<&&Run> = runs.iter().filter(|r| r.origin.variant == *v).collect();
         let mut counts: BTreeMap<&str, [usize; 6]> = BTreeMap::new();
-        let mut all = Latencies::default();
-        let mut seconds: BTreeMap<u64, Latencies> = BTreeMap::new();
-        for row in mine.iter().flat_map(|r| &r.rows) {
+        let mut latencies = Latencies::default();
+        let mut by_second: BTreeMap<u64, Latencies> = BTreeMap::new();
+        for row in own_runs.iter().flat_map(|r| &r.rows) {
             let count = counts.entry(&row.tenant).or_default();
             count[0] += 1;
-            let at = match row.outcome.as_str() {
+            let column = match row.outcome.as_str() {
                 "succeeded" if row.in_time => 1,
                 "succeeded" => 2,
                 "throttled" => 3,
                 "errored" => 4,
                 _ => 5,
             };
-            count[at] += 1;
-            if let (Some(took), "succeeded") = (row.latency, row.outcome.as_str()) {
-                all.record(took);
-                seconds
+            count[column] += 1;
+            if let (Some(latency), "succeeded") = (row.latency, row.outcome.as_str()) {
+                latencies.record(latency);
+                by_second
                     .entry(row.at / saltdrum::interface::SECOND)
                     .or_default()
-                    .record(took);
+                    .record(latency);
             }
         }
         tenants.extend(counts.iter().map(|(tenant, c)| {
-            let part = |n: usize| c[n] as f64 / c[0] as f64;
+            let share = |n: usize| c[n] as f64 / c[0] as f64;
             Tenant {
                 tenant: (*tenant).to_owned(),
                 letter: letter(n),
                 invocations: c[0],
-                in_time: part(1),
-                late: part(2),
-                throttled: part(3),
-                errored: part(4),
-                lost: part(5),
+                in_time: share(1),
+                late: share(2),
+                throttled: share(3),
+                errored: share(4),
+                lost: share(5),
             }
         }));
         over_time.push((
             letter(n),
-            seconds
+            by_second
                 .iter()
                 .map(|(s, l)| (*s as f64, l.quantile_ms(0.99)))
                 .collect::<Vec<_>>(),
         ));
-        let total = all.count().max(1) as f64;
-        spread.push((
+        let total = latencies.count().max(1) as f64;
+        distributions.push((
             letter(n),
-            all.cumulative_counts()
+            latencies
+                .cumulative_counts()
                 .into_iter()
                 .map(|(ms, n)| (ms, n as f64 / total))
                 .collect::<Vec<_>>(),
         ));
         let mut invokers: BTreeMap<u32, (u64, u64)> = BTreeMap::new();
-        for i in mine.iter().flat_map(|r| &r.facts.invokers) {
+        for i in own_runs.iter().flat_map(|r| &r.facts.invokers) {
             let sum = invokers.entry(i.invoker).or_default();
             (sum.0, sum.1) = (sum.0 + i.dispatches, sum.1 + i.fetches);
         }
         by_invoker.push((letter(n), invokers.into_values().collect::<Vec<_>>()));
         for rule in 1..=5u8 {
-            let of: Vec<_> = mine
+            let verdicts: Vec<_> = own_runs
                 .iter()
                 .flat_map(|r| &r.facts.rules)
                 .filter(|r| r.0 == rule)
                 .collect();
-            let count = |state: &str| of.iter().filter(|r| r.1 == state).count();
-            let first = of
+            let count = |state: &str| verdicts.iter().filter(|r| r.1 == state).count();
+            let first = verdicts
                 .iter()
                 .find(|r| !r.2.is_empty())
                 .map_or(String::new(), |r| r.2.clone());
@@ -217,7 +224,7 @@
                 first,
             ));
         }
-        let mut slowest: Vec<_> = mine
+        let mut slowest: Vec<_> = own_runs
             .iter()
             .flat_map(|r| {
                 r.facts
@@ -229,8 +236,8 @@
         slowest.sort_by(|a, b| b.2.took_ms.total_cmp(&a.2.took_ms));
         slow.extend(slowest.into_iter().take(3));
     }
-    let struck = runs.first().map_or(&[][..], |r| &r.facts.troubles);
-    let troubles = struck.iter().enumerate();
+    let trouble_spans = runs.first().map_or(&[][..], |r| &r.facts.troubles);
+    let troubles = trouble_spans.iter().enumerate();
     let troubles = troubles
         .map(|(n, t)| {
             (
@@ -239,15 +246,15 @@
             )
         })
         .collect();
-    let columns = columns(&listed.variants, runs);
+    let columns = columns(&run_list.variants, runs);
     let plots = vec![
         (
             "p99 latency of each second, ms".to_owned(),
-            plots::over_time(&over_time, struck)?,
+            plots::over_time(&over_time, trouble_spans)?,
         ),
         (
             "Share of invocations answered within, ms".to_owned(),
-            plots::distribution(&spread)?,
+            plots::distribution(&distributions)?,
         ),
         (
             "Dispatches by invoker, busiest first".to_owned(),
@@ -270,56 +277,56 @@
     })
 }
 
-/// Reads a folder of results.
+/// Loads the results in a folder and computes the report.
 pub fn load(folder: &Path) -> Result<Report, String> {
     let path = folder.join(LIST);
     let text = fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
-    let listed: RunList =
+    let run_list: RunList =
         serde_json::from_str(&text).map_err(|e| format!("{}: {e}", path.display()))?;
-    let (whole, bad) = results::scan(folder).map_err(|e| e.to_string())?;
-    let mut problems: Vec<String> = bad.iter().map(ToString::to_string).collect();
+    let (intact, unreadable) = results::scan(folder).map_err(|e| e.to_string())?;
+    let mut problems: Vec<String> = unreadable.iter().map(ToString::to_string).collect();
     let mut runs = Vec::new();
-    for key in &listed.keys {
-        match whole.get(key).map(|path| results::read(path)) {
+    for key in &run_list.keys {
+        match intact.get(key).map(|path| results::read(path)) {
             None => {}
             Some(Ok(run)) => runs.push(run),
             Some(Err(e)) => problems.push(e.to_string()),
         }
     }
     if runs.is_empty() {
-        return Err(format!("{}: no run is there yet", folder.display()));
+        return Err(format!("{}: no run has a result yet", folder.display()));
     }
-    if listed.variants.is_empty() {
+    if run_list.variants.is_empty() {
         return Err(format!("{}: no variant is listed", path.display()));
     }
-    let all: Vec<&Run> = runs.iter().collect();
+    let all_runs: Vec<&Run> = runs.iter().collect();
     let mut sections = Vec::new();
-    for size in &listed.sizes {
-        for day in &listed.days {
-            let here: Vec<&Run> = all
+    for size in &run_list.sizes {
+        for day in &run_list.days {
+            let section_runs: Vec<&Run> = all_runs
                 .iter()
                 .filter(|r| r.origin.day == *day && r.origin.size == *size)
                 .copied()
                 .collect();
-            if !here.is_empty() {
-                sections.push(section(&listed, day, *size, &here)?);
+            if !section_runs.is_empty() {
+                sections.push(section(&run_list, day, *size, &section_runs)?);
             }
         }
     }
     let versions: BTreeSet<&str> = runs.iter().map(|r| r.origin.version.as_str()).collect();
     Ok(Report {
-        experiment: listed.experiment.clone(),
+        experiment: run_list.experiment.clone(),
         version: versions.into_iter().collect::<Vec<_>>().join(", "),
         runs: runs.len(),
-        of: listed.keys.len(),
+        of: run_list.keys.len(),
         problems,
-        overall: columns(&listed.variants, &all),
+        overall: columns(&run_list.variants, &all_runs),
         sections,
     })
 }
 
-/// A figure with as many digits as tell something.
-fn plain(n: f64) -> String {
+/// Formats a figure with a number of decimals that fits its size.
+fn format_figure(n: f64) -> String {
     match n.abs() {
         0.0 => "0".into(),
         a if a < 10.0 => format!("{n:.3}"),
@@ -328,21 +335,23 @@
     }
 }
 
-fn told(f: &Figure) -> String {
-    let mean = f.mean.map_or("-".to_owned(), plain);
-    let Some(d) = &f.difference else { return mean };
+fn format_cell(figure: &Figure) -> String {
+    let mean = figure.mean.map_or("-".to_owned(), format_figure);
+    let Some(d) = &figure.difference else {
+        return mean;
+    };
     let sign = if d.mean >= 0.0 { "+" } else { "" };
-    let between = d.interval.map_or(String::new(), |(a, b)| {
-        format!(" [{}, {}]", plain(a), plain(b))
+    let interval = d.interval.map_or(String::new(), |(low, high)| {
+        format!(" [{}, {}]", format_figure(low), format_figure(high))
     });
-    let verdict = if f.verdict.is_empty() {
+    let verdict = if figure.verdict.is_empty() {
         "cannot tell"
     } else {
-        f.verdict
+        figure.verdict
     };
     format!(
-        "{mean}\n{sign}{}{between}\n{verdict}, {}+ {}- of {}",
-        plain(d.mean),
+        "{mean}\n{sign}{}{interval}\n{verdict}, {}+ {}- of {}",
+        format_figure(d.mean),
         d.higher,
         d.lower,
         d.pairs
@@ -350,20 +359,22 @@
 }
 
 fn table(columns: &[Column]) -> Table {
-    let mut t = Table::new();
-    let head = columns
+    let mut table = Table::new();
+    let header = columns
         .iter()
         .map(|c| format!("{} {}", c.letter, c.variant));
-    t.load_preset(presets::UTF8_HORIZONTAL_ONLY)
-        .set_header(std::iter::once(String::new()).chain(head));
-    for (n, m) in MEASURES.iter().enumerate() {
-        let cells = columns.iter().map(|c| told(&c.figures[n]));
-        t.add_row(std::iter::once(m.title.to_owned()).chain(cells));
+    table
+        .load_preset(presets::UTF8_HORIZONTAL_ONLY)
+        .set_header(std::iter::once(String::new()).chain(header));
+    for (n, measure) in MEASURES.iter().enumerate() {
+        let cells = columns.iter().map(|c| format_cell(&c.figures[n]));
+        table.add_row(std::iter::once(measure.title.to_owned()).chain(cells));
     }
-    t.column_iter_mut()
+    table
+        .column_iter_mut()
         .skip(1)
         .for_each(|c| c.set_cell_alignment(CellAlignment::Right));
-    t
+    table
 }
 
 impl Report {
@@ -391,18 +402,18 @@
         out
     }
 
-    /// One page that needs nothing else.
+    /// A self-contained HTML page.
     pub fn html(&self) -> Result<String, String> {
         let mut env = minijinja::Environment::new();
         env.add_template("report.html", include_str!("report.html"))
             .map_err(|e| e.to_string())?;
-        env.add_filter("plain", plain);
+        env.add_filter("plain", format_figure);
         env.add_filter("percent", |n: f64| format!("{:.1}%", n * 100.0));
         let plots: Vec<&Vec<(String, String)>> = self.sections.iter().map(|s| &s.plots).collect();
-        let forest = plots::differences(&self.overall)?;
-        let said = minijinja::context! { report => self, plots => plots, forest => forest };
+        let forest_plot = plots::differences(&self.overall)?;
+        let context = minijinja::context! { report => self, plots => plots, forest => forest_plot };
         env.get_template("report.html")
-            .and_then(|t| t.render(said))
+            .and_then(|t| t.render(context))
             .map_err(|e| e.to_string())
     }
 }
--- a/crates/lab/src/results.rs
+++ b/crates/lab/src/results.rs
@@ -1,7 +1,7 @@
-//! Runs as Parquet files: a row an invocation, and in the footer what made it and what came of it.
+//! Stores runs as Parquet files with one row per invocation; the footer contains the origin and the summary of the run.
 //!
-//! A file takes its name, key and digest of its bytes, when all of it is on the disk: one that is there is whole, and
-//! one that was damaged since is found out and played again.
+//! A file is named after the run's key and the digest of its bytes once all of it is on the disk. Partial files therefore
+//! have no such name, and a file that was damaged later is detected and its run repeated.
 
 use crate::facts::{Facts, Row};
 use arrow_array::builder::{BooleanBuilder, StringDictionaryBuilder, UInt32Builder, UInt64Builder};
@@ -24,7 +24,7 @@
 pub const VERSION: u32 = 1;
 const VERSION_KEY: &str = "saltdrum.run";
 
-/// What made a run.
+/// Everything that identifies a run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RunOrigin {
     pub key: String,
@@ -32,13 +32,13 @@
     pub day: String,
     pub size: f64,
     pub seed: u64,
-    /// As it was played, changes and all.
+    /// The script as executed, with all changes of the variant.
     pub script: String,
     pub policy: String,
     pub version: String,
 }
 
-/// A run that was read back.
+/// A stored run.
 #[derive(Debug)]
 pub struct Run {
     pub origin: RunOrigin,
@@ -46,7 +46,7 @@
     pub rows: Vec<Row>,
 }
 
-/// What is wrong with a results file.
+/// A results file that cannot be read or written.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: {reason}", file.display())]
 pub struct ResultsError {
@@ -54,25 +54,25 @@
     pub reason: String,
 }
 
-fn bytes_of(made: &RunOrigin, facts: &Facts, rows: &[Row]) -> Result<Vec<u8>, String> {
+fn encode(origin: &RunOrigin, facts: &Facts, rows: &[Row]) -> Result<Vec<u8>, String> {
     let text = |of: fn(&Row) -> &str| -> ArrayRef {
-        let mut b = StringDictionaryBuilder::<Int32Type>::new();
-        rows.iter().for_each(|r| b.append_value(of(r)));
-        Arc::new(b.finish())
+        let mut builder = StringDictionaryBuilder::<Int32Type>::new();
+        rows.iter().for_each(|r| builder.append_value(of(r)));
+        Arc::new(builder.finish())
     };
     let number = |of: fn(&Row) -> u32| -> ArrayRef {
-        let mut b = UInt32Builder::new();
-        rows.iter().for_each(|r| b.append_value(of(r)));
-        Arc::new(b.finish())
+        let mut builder = UInt32Builder::new();
+        rows.iter().for_each(|r| builder.append_value(of(r)));
+        Arc::new(builder.finish())
     };
-    let (mut at, mut took, mut in_time) = (
+    let (mut at, mut latency, mut in_time) = (
         UInt64Builder::new(),
         UInt64Builder::new(),
         BooleanBuilder::new(),
     );
     for r in rows {
         at.append_value(r.at * 100);
-        took.append_option(r.latency.map(|t| t * 100));
+        latency.append_option(r.latency.map(|t| t * 100));
         in_time.append_value(r.in_time);
     }
     let batch = RecordBatch::try_from_iter_with_nullable([
@@ -80,28 +80,28 @@
         ("tenant", text(|r| &r.tenant), false),
         ("trigger", text(|r| &r.trigger), false),
         ("function", text(|r| &r.function), false),
-        ("took_us", Arc::new(took.finish()), true),
+        ("took_us", Arc::new(latency.finish()), true),
         ("how", text(|r| &r.outcome), false),
         ("in_time", Arc::new(in_time.finish()), false),
         ("tries", number(|r| r.attempts), false),
         ("invoker", number(|r| r.invoker), false),
     ])
     .map_err(|e| e.to_string())?;
-    let json = |e: serde_json::Error| e.to_string();
-    let said = vec![
+    let json_error = |e: serde_json::Error| e.to_string();
+    let metadata = vec![
         KeyValue::new(VERSION_KEY.into(), VERSION.to_string()),
         KeyValue::new(
             "saltdrum.made".into(),
-            serde_json::to_string(made).map_err(json)?,
+            serde_json::to_string(origin).map_err(json_error)?,
         ),
         KeyValue::new(
             "saltdrum.facts".into(),
-            serde_json::to_string(facts).map_err(json)?,
+            serde_json::to_string(facts).map_err(json_error)?,
         ),
     ];
     let properties = WriterProperties::builder()
         .set_compression(Compression::ZSTD(ZstdLevel::default()))
-        .set_key_value_metadata(Some(said))
+        .set_key_value_metadata(Some(metadata))
         .build();
     let mut bytes = Vec::new();
     let mut writer = ArrowWriter::try_new(&mut bytes, batch.schema(), Some(properties))
@@ -117,41 +117,41 @@
     blake3::hash(bytes).to_hex()[..16].to_owned()
 }
 
-/// Keeps a run. Whatever goes wrong, runs that are there stay as they are.
+/// Stores a run atomically. A failure leaves the other stored runs unchanged.
 pub fn store(
     folder: &Path,
-    made: &RunOrigin,
+    origin: &RunOrigin,
     facts: &Facts,
     rows: &[Row],
 ) -> Result<(), ResultsError> {
-    let half = folder.join(format!("{}.half", made.key));
-    let fault = |why: String| ResultsError {
-        file: half.clone(),
-        reason: why,
+    let partial = folder.join(format!("{}.half", origin.key));
+    let error = |reason: String| ResultsError {
+        file: partial.clone(),
+        reason,
     };
-    let bytes = bytes_of(made, facts, rows).map_err(fault)?;
-    let path = folder.join(format!("{}-{}.parquet", made.key, digest(&bytes)));
-    let kept = (|| {
-        let mut file = fs::File::create(&half)?;
+    let bytes = encode(origin, facts, rows).map_err(error)?;
+    let path = folder.join(format!("{}-{}.parquet", origin.key, digest(&bytes)));
+    let result = (|| {
+        let mut file = fs::File::create(&partial)?;
         file.write_all(&bytes)?;
         file.sync_all()?;
-        fs::rename(&half, &path)
+        fs::rename(&partial, &path)
     })();
-    kept.map_err(|e| {
-        let _ = fs::remove_file(&half);
-        fault(e.to_string())
+    result.map_err(|e| {
+        let _ = fs::remove_file(&partial);
+        error(e.to_string())
     })
 }
 
-/// Runs in a folder that are whole, by key; and what is wrong with others.
+/// Lists the intact runs of a folder by key, and the errors of the others.
 pub fn scan(folder: &Path) -> Result<(BTreeMap<String, PathBuf>, Vec<ResultsError>), ResultsError> {
-    let fault = |e: std::io::Error| ResultsError {
+    let error = |e: std::io::Error| ResultsError {
         file: folder.to_owned(),
         reason: e.to_string(),
     };
-    let (mut whole, mut bad) = (BTreeMap::new(), Vec::new());
-    for entry in fs::read_dir(folder).map_err(fault)? {
-        let path = entry.map_err(fault)?.path();
+    let (mut intact, mut unreadable) = (BTreeMap::new(), Vec::new());
+    for entry in fs::read_dir(folder).map_err(error)? {
+        let path = entry.map_err(error)?.path();
         if path.extension().is_none_or(|e| e != "parquet") {
             continue;
         }
@@ -160,111 +160,109 @@
             .unwrap_or_default()
             .to_string_lossy()
             .into_owned();
-        let Some((key, said)) = name.split_once('-') else {
+        let Some((key, expected_digest)) = name.split_once('-') else {
             continue;
         };
         match fs::read(&path) {
-            Ok(bytes) if digest(&bytes) == said => drop(whole.insert(key.to_owned(), path)),
-            Ok(_) => bad.push(ResultsError {
+            Ok(bytes) if digest(&bytes) == expected_digest => {
+                drop(intact.insert(key.to_owned(), path))
+            }
+            Ok(_) => unreadable.push(ResultsError {
                 file: path,
-                reason: "damaged: its bytes are not those its name says".into(),
+                reason: "damaged: the digest of its bytes does not match its name".into(),
             }),
-            Err(e) => bad.push(ResultsError {
+            Err(e) => unreadable.push(ResultsError {
                 file: path,
                 reason: e.to_string(),
             }),
         }
     }
-    bad.sort_by(|a, b| a.file.cmp(&b.file));
-    Ok((whole, bad))
+    unreadable.sort_by(|a, b| a.file.cmp(&b.file));
+    Ok((intact, unreadable))
 }
 
-/// Reads a run back.
+/// Reads a stored run.
 pub fn read(path: &Path) -> Result<Run, ResultsError> {
-    let fault = |why: &dyn std::fmt::Display| ResultsError {
+    let error = |reason: &dyn std::fmt::Display| ResultsError {
         file: path.to_owned(),
-        reason: why.to_string(),
+        reason: reason.to_string(),
     };
-    let file = fs::File::open(path).map_err(|e| fault(&e))?;
-    let reader = ParquetRecordBatchReaderBuilder::try_new(file).map_err(|e| fault(&e))?;
-    let said = reader
+    let file = fs::File::open(path).map_err(|e| error(&e))?;
+    let reader = ParquetRecordBatchReaderBuilder::try_new(file).map_err(|e| error(&e))?;
+    let metadata = reader
         .metadata()
         .file_metadata()
         .key_value_metadata()
         .cloned()
         .unwrap_or_default();
-    let said = |key: &str| {
-        let found = said
+    let value_of = |key: &str| {
+        let value = metadata
             .iter()
             .find(|kv| kv.key == key)
             .and_then(|kv| kv.value.clone());
-        found.ok_or_else(|| fault(&format!("its footer says no {key}")))
+        value.ok_or_else(|| error(&format!("its footer has no {key}")))
     };
-    let version = said(VERSION_KEY)?;
+    let version = value_of(VERSION_KEY)?;
     if version != VERSION.to_string() {
-        return Err(fault(&format!(
-            "run version {version}: {VERSION} is known here"
+        return Err(error(&format!(
+            "run version {version} is not supported; the supported version is {VERSION}"
         )));
     }
-    let made = serde_json::from_str(&said("saltdrum.made")?).map_err(|e| fault(&e))?;
-    let facts = serde_json::from_str(&said("saltdrum.facts")?).map_err(|e| fault(&e))?;
+    let origin = serde_json::from_str(&value_of("saltdrum.made")?).map_err(|e| error(&e))?;
+    let facts = serde_json::from_str(&value_of("saltdrum.facts")?).map_err(|e| error(&e))?;
     let mut rows = Vec::new();
-    for batch in reader.build().map_err(|e| fault(&e))? {
-        let batch = batch.map_err(|e| fault(&e))?;
+    for batch in reader.build().map_err(|e| error(&e))? {
+        let batch = batch.map_err(|e| error(&e))?;
         let column = |name: &str| {
             batch
                 .column_by_name(name)
-                .ok_or_else(|| fault(&format!("column '{name}' is missing")))
+                .ok_or_else(|| error(&format!("column '{name}' is missing")))
         };
-        let wrong = |name: &str| {
-            fault(&format!(
-                "column '{name}' is of another type than is expected"
-            ))
-        };
-        let text = |name: &str| -> Result<Vec<String>, ResultsError> {
-            let c = column(name)?
+        let type_error = |name: &str| error(&format!("column '{name}' has an unexpected type"));
+        let text_column = |name: &str| -> Result<Vec<String>, ResultsError> {
+            let dictionary = column(name)?
                 .as_dictionary_opt::<Int32Type>()
-                .ok_or_else(|| wrong(name))?;
-            let words = c
+                .ok_or_else(|| type_error(name))?;
+            let values = dictionary
                 .values()
                 .as_string_opt::<i32>()
-                .ok_or_else(|| wrong(name))?;
-            let word = |k: Option<usize>| k.map_or(String::new(), |k| words.value(k).to_owned());
-            Ok(c.keys_iter().map(word).collect())
+                .ok_or_else(|| type_error(name))?;
+            let value = |k: Option<usize>| k.map_or(String::new(), |k| values.value(k).to_owned());
+            Ok(dictionary.keys_iter().map(value).collect())
         };
-        let long = |name: &str| {
+        let u64_column = |name: &str| {
             column(name)?
                 .as_primitive_opt::<UInt64Type>()
-                .ok_or_else(|| wrong(name))
+                .ok_or_else(|| type_error(name))
         };
-        let short = |name: &str| {
+        let u32_column = |name: &str| {
             column(name)?
                 .as_primitive_opt::<UInt32Type>()
-                .ok_or_else(|| wrong(name))
+                .ok_or_else(|| type_error(name))
         };
-        let (at, took) = (long("at_us")?, long("took_us")?);
-        let (tries, invoker) = (short("tries")?, short("invoker")?);
+        let (at, latency) = (u64_column("at_us")?, u64_column("took_us")?);
+        let (attempts, invoker) = (u32_column("tries")?, u32_column("invoker")?);
         let in_time = column("in_time")?
             .as_boolean_opt()
-            .ok_or_else(|| wrong("in_time"))?;
-        let (tenant, trigger) = (text("tenant")?, text("trigger")?);
-        let (function, how) = (text("function")?, text("how")?);
+            .ok_or_else(|| type_error("in_time"))?;
+        let (tenant, trigger) = (text_column("tenant")?, text_column("trigger")?);
+        let (function, outcome) = (text_column("function")?, text_column("how")?);
         for n in 0..batch.num_rows() {
             rows.push(Row {
                 at: at.value(n) / 100,
                 tenant: tenant[n].clone(),
                 trigger: trigger[n].clone(),
                 function: function[n].clone(),
-                latency: (!took.is_null(n)).then(|| took.value(n) / 100),
-                outcome: how[n].clone(),
+                latency: (!latency.is_null(n)).then(|| latency.value(n) / 100),
+                outcome: outcome[n].clone(),
                 in_time: in_time.value(n),
-                attempts: tries.value(n),
+                attempts: attempts.value(n),
                 invoker: invoker.value(n),
             });
         }
     }
     Ok(Run {
-        origin: made,
+        origin,
         facts,
         rows,
     })
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -1,4 +1,4 @@
-//! Plays an experiment's runs on all cores, and keeps each as it ends.
+//! Executes an experiment's runs on all cores and stores each when it ends.
 
 use crate::Experiment;
 use crate::experiment::Variant;
@@ -17,7 +17,7 @@
 use std::process::Command;
 use std::sync::Mutex;
 
-/// What stands in a results folder beside the runs: which of them belong to the experiment as it was last run.
+/// The contents of the file [`LIST`] in a results folder: the runs that belong to the experiment as last executed.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct RunList {
     pub experiment: String,
@@ -28,32 +28,34 @@
     pub keys: Vec<String>,
 }
 
+/// Name of the file with the [`RunList`].
 pub const LIST: &str = "experiment.json";
 
-/// What came of a sitting.
+/// The result of executing an experiment.
 #[derive(Debug, Default)]
 pub struct Execution {
     pub played: usize,
+    /// Runs whose result was already stored.
     pub reused: usize,
     pub failed: Vec<String>,
-    /// Of all results, in the order of their keys.
+    /// Digest of all results, in the order of their keys.
     pub digest: String,
 }
 
-/// All that a run's result hangs on: script, policy, and the program's bytes.
-fn key(script: &str, v: &Variant, programs: &BTreeMap<String, String>) -> String {
-    let program = v
+/// A digest of everything that a run's result depends on: script, policy, and the program's bytes and version.
+fn run_key(script: &str, variant: &Variant, programs: &BTreeMap<String, String>) -> String {
+    let program = variant
         .program
         .as_ref()
         .map_or(String::new(), |p| p.display().to_string());
-    let said = [
+    let inputs = [
         script,
-        &v.policy,
+        &variant.policy,
         &programs[&program],
         env!("CARGO_PKG_VERSION"),
     ]
     .join("\0");
-    blake3::hash(said.as_bytes()).to_hex()[..24].to_owned()
+    blake3::hash(inputs.as_bytes()).to_hex()[..24].to_owned()
 }
 
 fn program_digest(path: &Path) -> Result<String, String> {
@@ -61,14 +63,14 @@
     Ok(blake3::hash(&bytes).to_hex().to_string())
 }
 
-fn play(x: &Experiment, cell: Cell) -> Result<(Vec<Line>, Option<Cost>), String> {
-    let (script, v) = (x.script(cell), &x.variants[cell.variant]);
-    let Some(program) = &v.program else {
+fn play(experiment: &Experiment, cell: Cell) -> Result<(Vec<Line>, Option<Cost>), String> {
+    let (script, variant) = (experiment.script(cell), &experiment.variants[cell.variant]);
+    let Some(program) = &variant.program else {
         let day = script.day().map_err(|e| e.to_string())?;
         let serve = POLICIES
             .iter()
-            .find(|(name, _)| *name == v.policy)
-            .expect("it was looked for at reading")
+            .find(|(name, _)| *name == variant.policy)
+            .expect("the policy was checked when the experiment was loaded")
             .1;
         let before = cpu_s();
         let (lines, controllers_s) = metered(serve, |serve| play_virtually(&day, serve));
@@ -81,7 +83,7 @@
         ));
     };
     let folder = tempfile::tempdir().map_err(|e| e.to_string())?;
-    let (day, kept) = (folder.path().join("day.star"), folder.path().join("record"));
+    let (day, record_path) = (folder.path().join("day.star"), folder.path().join("record"));
     fs::write(&day, script.text()).map_err(|e| e.to_string())?;
     let mut command = Command::new(program);
     command
@@ -90,105 +92,119 @@
         .arg("--virtual")
         .arg("--json")
         .arg("--record")
-        .arg(&kept);
-    let told = command
+        .arg(&record_path);
+    let output = command
         .output()
         .map_err(|e| format!("{}: {e}", program.display()))?;
-    if !matches!(told.status.code(), Some(0 | 1 | 3)) {
-        let why = String::from_utf8_lossy(&told.stderr);
+    if !matches!(output.status.code(), Some(0 | 1 | 3)) {
+        let message = String::from_utf8_lossy(&output.stderr);
         return Err(format!(
             "{}: {}: {}",
             program.display(),
-            told.status,
-            why.trim()
+            output.status,
+            message.trim()
         ));
     }
-    let file = fs::File::open(&kept).map_err(|e| e.to_string())?;
+    let file = fs::File::open(&record_path).map_err(|e| e.to_string())?;
     Ok((record::read(BufReader::new(file))?, None))
 }
 
-fn one(x: &Experiment, cell: Cell, key: &str, folder: &Path) -> Result<(), String> {
-    let (lines, cpu) = play(x, cell)?;
-    let (rows, facts) = facts::summarize(&lines, cpu)?;
-    let v = &x.variants[cell.variant];
-    let made = RunOrigin {
+fn execute(experiment: &Experiment, cell: Cell, key: &str, folder: &Path) -> Result<(), String> {
+    let (lines, cost) = play(experiment, cell)?;
+    let (rows, facts) = facts::summarize(&lines, cost)?;
+    let variant = &experiment.variants[cell.variant];
+    let origin = RunOrigin {
         key: key.to_owned(),
-        variant: v.name.clone(),
-        day: x.days[cell.day].0.clone(),
-        size: x.sizes[cell.size],
-        seed: x.seeds[cell.seed],
-        script: x.script(cell).text(),
-        policy: v.policy.clone(),
+        variant: variant.name.clone(),
+        day: experiment.days[cell.day].0.clone(),
+        size: experiment.sizes[cell.size],
+        seed: experiment.seeds[cell.seed],
+        script: experiment.script(cell).text(),
+        policy: variant.policy.clone(),
         version: env!("CARGO_PKG_VERSION").into(),
     };
-    results::store(folder, &made, &facts, &rows).map_err(|e| e.to_string())
+    results::store(folder, &origin, &facts, &rows).map_err(|e| e.to_string())
 }
 
-/// Plays what is not there yet, on so many threads. `tell` hears of each run: over, of all, and its name.
+/// Executes all runs without a stored result on `threads` threads. `report_progress` is called after each run with the
+/// number of finished runs, the number of all runs, and the name of the run.
 pub fn run(
-    x: &Experiment,
+    experiment: &Experiment,
     folder: &Path,
     threads: usize,
-    tell: impl Fn(usize, usize, &str) + Sync,
+    report_progress: impl Fn(usize, usize, &str) + Sync,
 ) -> Result<Execution, String> {
     fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-    let this = std::env::current_exe().map_err(|e| e.to_string())?;
-    let mut programs = BTreeMap::from([(String::new(), program_digest(&this)?)]);
-    for program in x.variants.iter().filter_map(|v| v.program.as_ref()) {
+    let own_program = std::env::current_exe().map_err(|e| e.to_string())?;
+    let mut programs = BTreeMap::from([(String::new(), program_digest(&own_program)?)]);
+    for program in experiment
+        .variants
+        .iter()
+        .filter_map(|v| v.program.as_ref())
+    {
         programs.insert(program.display().to_string(), program_digest(program)?);
     }
-    let keyed: Vec<(Cell, String)> = x
+    let runs: Vec<(Cell, String)> = experiment
         .cells()
         .into_iter()
         .map(|c| {
             (
                 c,
-                key(&x.script(c).text(), &x.variants[c.variant], &programs),
+                run_key(
+                    &experiment.script(c).text(),
+                    &experiment.variants[c.variant],
+                    &programs,
+                ),
             )
         })
         .collect();
-    let listed = RunList {
-        experiment: x.name.clone(),
-        variants: x.variants.iter().map(|v| v.name.clone()).collect(),
-        days: x.days.iter().map(|d| d.0.clone()).collect(),
-        sizes: x.sizes.clone(),
-        seeds: x.seeds.clone(),
-        keys: keyed.iter().map(|(_, key)| key.clone()).collect(),
+    let run_list = RunList {
+        experiment: experiment.name.clone(),
+        variants: experiment.variants.iter().map(|v| v.name.clone()).collect(),
+        days: experiment.days.iter().map(|d| d.0.clone()).collect(),
+        sizes: experiment.sizes.clone(),
+        seeds: experiment.seeds.clone(),
+        keys: runs.iter().map(|(_, key)| key.clone()).collect(),
     };
-    let (list, half) = (folder.join(LIST), folder.join("experiment.half"));
-    let text = serde_json::to_vec_pretty(&listed).map_err(|e| e.to_string())?;
-    fs::write(&half, text)
-        .and_then(|()| fs::rename(&half, &list))
+    let (list, partial) = (folder.join(LIST), folder.join("experiment.half"));
+    let text = serde_json::to_vec_pretty(&run_list).map_err(|e| e.to_string())?;
+    fs::write(&partial, text)
+        .and_then(|()| fs::rename(&partial, &list))
         .map_err(|e| format!("{}: {e}", list.display()))?;
-    let (whole, bad) = results::scan(folder).map_err(|e| e.to_string())?;
-    bad.iter()
-        .for_each(|e| tracing::warn!("{e}; it is played again"));
-    let finished: BTreeSet<String> = whole.into_keys().collect();
-    let progress = Mutex::new(Progress::new(keyed, &finished));
-    let held = || {
+    let (intact, unreadable) = results::scan(folder).map_err(|e| e.to_string())?;
+    unreadable
+        .iter()
+        .for_each(|error| tracing::warn!(%error, "stored run is unreadable; repeating it"));
+    let finished: BTreeSet<String> = intact.into_keys().collect();
+    let progress = Mutex::new(Progress::new(runs, &finished));
+    let lock = || {
         progress
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     };
-    let found = held().told().2;
+    let reused = lock().counts().2;
     std::thread::scope(|scope| {
         for _ in 0..threads.max(1) {
             scope.spawn(|| {
                 loop {
-                    let Some((cell, key)) = held().take() else {
+                    let Some((cell, key)) = lock().start_next() else {
                         return;
                     };
-                    let played = catch_unwind(AssertUnwindSafe(|| one(x, cell, &key, folder)));
-                    let played = played.unwrap_or_else(|_| Err("it panicked".into()));
-                    held().ended(cell, played);
-                    let (over, all, _) = held().told();
-                    let (day, v) = (&x.days[cell.day].0, &x.variants[cell.variant].name);
-                    tell(
-                        over,
-                        all,
+                    let result =
+                        catch_unwind(AssertUnwindSafe(|| execute(experiment, cell, &key, folder)));
+                    let result = result.unwrap_or_else(|_| Err("the run panicked".into()));
+                    lock().finish(cell, result);
+                    let (finished, total, _) = lock().counts();
+                    let (day, variant) = (
+                        &experiment.days[cell.day].0,
+                        &experiment.variants[cell.variant].name,
+                    );
+                    report_progress(
+                        finished,
+                        total,
                         &format!(
-                            "{day}, seed {}, size {}, {v}",
-                            x.seeds[cell.seed], x.sizes[cell.size]
+                            "{day}, seed {}, size {}, {variant}",
+                            experiment.seeds[cell.seed], experiment.sizes[cell.size]
                         ),
                     );
                 }
@@ -198,28 +214,29 @@
     let progress = progress
         .into_inner()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
-    let failed = progress.failed.iter().map(|(c, why)| {
+    let failed = progress.failed.iter().map(|(c, reason)| {
         format!(
-            "{}, seed {}, {}: {why}",
-            x.days[c.day].0, x.seeds[c.seed], x.variants[c.variant].name
+            "{}, seed {}, {}: {reason}",
+            experiment.days[c.day].0, experiment.seeds[c.seed], experiment.variants[c.variant].name
         )
     });
     Ok(Execution {
-        played: progress.done.len() - found,
-        reused: found,
+        played: progress.done.len() - reused,
+        reused,
         failed: failed.collect(),
-        digest: results_digest(folder, &listed.keys)?,
+        digest: results_digest(folder, &run_list.keys)?,
     })
 }
 
-/// Equal for equal records, whoever played them and however many at a time.
+/// A digest of the keys and records of the runs. It does not depend on the number of threads or the order of execution.
 fn results_digest(folder: &Path, keys: &[String]) -> Result<String, String> {
-    let (whole, _) = results::scan(folder).map_err(|e| e.to_string())?;
-    let mut all = blake3::Hasher::new();
-    for path in keys.iter().filter_map(|key| whole.get(key)) {
+    let (intact, _) = results::scan(folder).map_err(|e| e.to_string())?;
+    let mut hasher = blake3::Hasher::new();
+    for path in keys.iter().filter_map(|key| intact.get(key)) {
         let run = results::read(path).map_err(|e| e.to_string())?;
-        all.update(run.origin.key.as_bytes())
+        hasher
+            .update(run.origin.key.as_bytes())
             .update(run.facts.digest.as_bytes());
     }
-    Ok(all.finalize().to_hex()[..16].to_owned())
+    Ok(hasher.finalize().to_hex()[..16].to_owned())
 }
--- a/crates/lab/src/script.rs
+++ b/crates/lab/src/script.rs
@@ -1,58 +1,62 @@
-//! A day's script as its statements: they can be changed, and written out as a script again.
+//! A day's script as a list of statements, which can be changed and written as a script again.
 
 use saltdrum_deployment::{ScriptError, Statement, script};
 use saltdrum_scenario::Day;
 use serde_json::{Map, Value as Json, json};
 
+/// The statements of a day's script.
 #[derive(Clone, Debug)]
 pub struct Script {
     pub statements: Vec<Statement>,
     file: String,
 }
 
-/// JSON as Starlark writes it.
-fn starlark(value: &Json) -> String {
-    let all = |of: Vec<String>, open: char, close: char| format!("{open}{}{close}", of.join(", "));
+/// Formats a JSON value as a Starlark expression.
+fn to_starlark(value: &Json) -> String {
+    let join =
+        |items: Vec<String>, open: char, close: char| format!("{open}{}{close}", items.join(", "));
     match value {
         Json::Null => "None".into(),
         Json::Bool(true) => "True".into(),
         Json::Bool(false) => "False".into(),
-        Json::Array(of) => all(of.iter().map(starlark).collect(), '[', ']'),
-        Json::Object(of) => all(
-            of.iter()
-                .map(|(k, v)| format!("{}: {}", json!(k), starlark(v)))
+        Json::Array(items) => join(items.iter().map(to_starlark).collect(), '[', ']'),
+        Json::Object(fields) => join(
+            fields
+                .iter()
+                .map(|(k, v)| format!("{}: {}", json!(k), to_starlark(v)))
                 .collect(),
             '{',
             '}',
         ),
-        plain => plain.to_string(),
+        scalar => scalar.to_string(),
     }
 }
 
-/// A whole number where the argument was one; never below one.
-fn times(value: &Json, by: f64) -> Json {
+/// Multiplies a number. A whole number stays whole and at least 1.
+fn multiply(value: &Json, factor: f64) -> Json {
     match value.as_f64() {
-        Some(n) if value.is_u64() => json!(((n * by).round() as u64).max(1)),
-        Some(n) => json!(n * by),
+        Some(n) if value.is_u64() => json!(((n * factor).round() as u64).max(1)),
+        Some(n) => json!(n * factor),
         None => value.clone(),
     }
 }
 
-/// So many stand-ins for each that is named: those with the same place in each copy of the fleet.
-fn copies(value: &Json, of: u64, by: f64) -> Json {
-    let whole = by.floor().max(1.0) as u64;
-    let (Some(named), true) = (value.as_array(), by >= 1.0) else {
+/// Expands a list of member numbers to a fleet `factor` times as large: each number is repeated at the same position in each
+/// copy of a fleet of `count` members.
+fn repeat_members(value: &Json, count: u64, factor: f64) -> Json {
+    let copies = factor.floor().max(1.0) as u64;
+    let (Some(members), true) = (value.as_array(), factor >= 1.0) else {
         return value.clone();
     };
-    let each = |n: &Json| {
+    let numbers_of = |n: &Json| {
         n.as_u64()
-            .map(|n| (0..whole).map(move |k| json!(n + k * of)))
+            .map(|n| (0..copies).map(move |k| json!(n + k * count)))
     };
-    Json::Array(named.iter().filter_map(each).flatten().collect())
+    Json::Array(members.iter().filter_map(numbers_of).flatten().collect())
 }
 
 impl Script {
-    /// Runs a script's text; `file` is its name in faults.
+    /// Evaluates the text of a script; `file` is its name in errors.
     pub fn read(file: &str, text: &str) -> Result<Self, ScriptError> {
         Ok(Self {
             statements: script::run(file, text)?,
@@ -60,30 +64,31 @@
         })
     }
 
-    /// Its statements, one a line.
+    /// The script with one statement per line.
     pub fn text(&self) -> String {
-        let one = |s: &Statement| {
-            let name = s.said.get("name").map(starlark);
+        let line = |s: &Statement| {
+            let name = s.said.get("name").map(to_starlark);
             let rest = s
                 .said
                 .iter()
                 .filter(|(k, _)| *k != "name")
-                .map(|(k, v)| format!("{k} = {}", starlark(v)));
+                .map(|(k, v)| format!("{k} = {}", to_starlark(v)));
             format!(
                 "{}({})\n",
                 s.what,
                 name.into_iter().chain(rest).collect::<Vec<_>>().join(", ")
             )
         };
-        self.statements.iter().map(one).collect()
+        self.statements.iter().map(line).collect()
     }
 
+    /// Loads the day that the script describes.
     pub fn day(&self) -> Result<Day, ScriptError> {
         Day::load(&self.file, &self.text())
     }
 
-    /// Other arguments for every statement of a kind; one that is not there is added.
-    pub fn with(mut self, what: &'static str, said: &Map<String, Json>) -> Self {
+    /// Overrides arguments of every statement of a kind. If there is no such statement, one is added.
+    pub fn with_arguments(mut self, what: &'static str, arguments: &Map<String, Json>) -> Self {
         if !self.statements.iter().any(|s| s.what == what) {
             let place = script::SourceLocation {
                 file: self.file.clone(),
@@ -96,32 +101,36 @@
             });
         }
         for s in self.statements.iter_mut().filter(|s| s.what == what) {
-            s.said.extend(said.clone());
+            s.said.extend(arguments.clone());
         }
         self
     }
 
-    pub fn seeded(self, seed: u64) -> Self {
-        self.with("day", &Map::from_iter([("seed".to_owned(), json!(seed))]))
+    /// Sets the seed of the day.
+    pub fn with_seed(self, seed: u64) -> Self {
+        self.with_arguments("day", &Map::from_iter([("seed".to_owned(), json!(seed))]))
     }
 
-    fn number(&self, what: &str, argument: &str) -> u64 {
-        let of = self.statements.iter().filter(|s| s.what == what);
-        of.filter_map(|s| s.said.get(argument)?.as_u64()).sum()
+    /// The sum of an argument over all statements of a kind.
+    fn sum_of(&self, what: &str, argument: &str) -> u64 {
+        let statements = self.statements.iter().filter(|s| s.what == what);
+        statements
+            .filter_map(|s| s.said.get(argument)?.as_u64())
+            .sum()
     }
 
-    /// A fleet of so many times the size under so many times the load. Troubles strike the same share of it.
-    pub fn scaled(mut self, by: f64) -> Self {
+    /// Multiplies the size of the fleet and its load by `factor`. Troubles affect the same share of the fleet.
+    pub fn scaled(mut self, factor: f64) -> Self {
         let (invokers, controllers) = (
-            self.number("invokers", "count"),
-            self.number("deployment", "controllers"),
+            self.sum_of("invokers", "count"),
+            self.sum_of("deployment", "controllers"),
         );
         if !self
             .statements
             .iter()
             .any(|s| s.what == "day" && s.said.contains_key("store_limit"))
         {
-            self = self.with(
+            self = self.with_arguments(
                 "day",
                 &Map::from_iter([("store_limit".to_owned(), json!(24))]),
             );
@@ -134,9 +143,9 @@
                     | ("day", "store_limit")
                     | ("tenant", "quota_per_s")
                     | ("trouble", "batch")
-                    | ("traffic", "per_second" | "at_once") => times(value, by),
-                    ("trouble", "invokers") => copies(value, invokers, by),
-                    ("trouble", "controllers") => copies(value, controllers, by),
+                    | ("traffic", "per_second" | "at_once") => multiply(value, factor),
+                    ("trouble", "invokers") => repeat_members(value, invokers, factor),
+                    ("trouble", "controllers") => repeat_members(value, controllers, factor),
                     _ => continue,
                 };
             }
@@ -151,19 +160,19 @@
     use saltdrum_scenario::DAYS;
 
     #[test]
-    fn what_is_written_out_is_the_same_day() {
+    fn written_script_loads_to_the_same_day() {
         for (name, text) in DAYS {
             let script = Script::read(name, text).unwrap();
-            let told = |day: &Day| format!("{day:?}");
+            let debug_text = |day: &Day| format!("{day:?}");
             assert_eq!(
-                told(&script.day().unwrap()),
-                told(&Day::load(name, text).unwrap())
+                debug_text(&script.day().unwrap()),
+                debug_text(&Day::load(name, text).unwrap())
             );
         }
     }
 
     #[test]
-    fn a_scaled_day_has_as_many_times_of_all() {
+    fn scaled_day_multiplies_fleet_load_and_troubled_members() {
         let script = Script::read("bad", DAYS[0].1).unwrap();
         let (one, three) = (
             script.clone().day().unwrap(),
@@ -181,15 +190,18 @@
             (3, 9)
         );
         assert!((three.traffic[0].per_second / one.traffic[0].per_second - 3.0).abs() < 1e-9);
-        let struck = |day: &Day| {
+        let troubled_counts = |day: &Day| {
             day.troubles
                 .iter()
                 .map(|t| t.invokers.len())
                 .collect::<Vec<_>>()
         };
         assert_eq!(
-            struck(&three),
-            struck(&one).iter().map(|n| n * 3).collect::<Vec<_>>()
+            troubled_counts(&three),
+            troubled_counts(&one)
+                .iter()
+                .map(|n| n * 3)
+                .collect::<Vec<_>>()
         );
         assert_eq!(three.troubles[1].invokers, [2, 14, 26, 11, 23, 35]);
     }
--- a/crates/lab/src/shrink.rs
+++ b/crates/lab/src/shrink.rs
@@ -1,29 +1,29 @@
-//! Cuts a failing day down to the least that still fails.
+//! Reduces a failing day to a small day that still fails.
 
 use crate::Script;
 use saltdrum_deployment::Statement;
 use saltdrum_deployment::units::span;
 use serde_json::{Value as Json, json};
 
-/// Cut down, and how many days were played for it.
+/// A reduced day, and the number of days played to reduce it.
 #[derive(Debug)]
 pub struct Shrunk {
     pub script: Script,
     pub days_played: usize,
 }
 
-fn without(script: &Script, drop: &[usize]) -> Script {
-    let mut less = script.clone();
+fn without_statements(script: &Script, removed: &[usize]) -> Script {
+    let mut remaining = script.clone();
     let mut n = 0;
-    less.statements.retain(|_| {
+    remaining.statements.retain(|_| {
         n += 1;
-        !drop.contains(&(n - 1))
+        !removed.contains(&(n - 1))
     });
-    less
+    remaining
 }
 
-/// What may be left out: the rest is the deployment, of which some is needed by what stays.
-fn optional(s: &Statement) -> bool {
+/// Whether the script may load without this statement. Candidates that do not load are rejected later.
+fn is_optional(s: &Statement) -> bool {
     matches!(
         s.what,
         "trouble"
@@ -37,8 +37,8 @@
     )
 }
 
-/// Half of an amount; none where it is as small as it should get.
-fn half(value: &Json) -> Option<Json> {
+/// Halves an amount; none if it is already at its lower limit.
+fn halve(value: &Json) -> Option<Json> {
     if let Some(n) = value.as_u64() {
         return (n > 1).then(|| json!(n / 2));
     }
@@ -49,8 +49,8 @@
     (tenths > 2_000).then(|| json!(format!("{}ms", tenths / 20)))
 }
 
-/// Arguments that are tried with half of their amount.
-const HALVED: &[(&str, &[&str])] = &[
+/// Arguments that are halved, by kind of statement.
+const HALVED_ARGUMENTS: &[(&str, &[&str])] = &[
     ("day", &["length"]),
     ("traffic", &["per_second", "at_once"]),
     ("invokers", &["count"]),
@@ -58,12 +58,12 @@
     ("trouble", &["lasts", "at"]),
 ];
 
-/// `fails` plays a script and tells whether it still fails; it is asked `most` times at the most. What does not load is
-/// never played.
-pub fn shrink(script: Script, most: usize, mut fails: impl FnMut(&Script) -> bool) -> Shrunk {
+/// Reduces `script`. `fails` plays a script and returns whether it still fails; it is called at most `max_plays` times, and
+/// never with a script that does not load.
+pub fn shrink(script: Script, max_plays: usize, mut fails: impl FnMut(&Script) -> bool) -> Shrunk {
     let (mut best, mut played) = (script, 0);
-    let mut try_it = |candidate: Script, best: &mut Script| {
-        if played >= most || candidate.day().is_err() {
+    let mut try_candidate = |candidate: Script, best: &mut Script| {
+        if played >= max_plays || candidate.day().is_err() {
             return false;
         }
         played += 1;
@@ -75,34 +75,34 @@
     };
     loop {
         let before = best.text();
-        // In great parts first, then one by one; from the end, where the troubles stand.
-        let mut part = best.statements.len().div_ceil(2);
-        while part > 0 {
+        // Removes large ranges of statements first, then single ones, starting from the end, where the troubles are.
+        let mut range_len = best.statements.len().div_ceil(2);
+        while range_len > 0 {
             let mut end = best.statements.len();
             while end > 0 {
-                let begin = end.saturating_sub(part);
-                let drop: Vec<usize> = (begin..end)
-                    .filter(|n| optional(&best.statements[*n]))
+                let begin = end.saturating_sub(range_len);
+                let removed: Vec<usize> = (begin..end)
+                    .filter(|n| is_optional(&best.statements[*n]))
                     .collect();
-                if !drop.is_empty() {
-                    try_it(without(&best, &drop), &mut best);
+                if !removed.is_empty() {
+                    try_candidate(without_statements(&best, &removed), &mut best);
                 }
                 end = begin.min(best.statements.len());
             }
-            part /= 2;
+            range_len /= 2;
         }
         for n in 0..best.statements.len() {
             let what = best.statements[n].what;
-            let Some((_, arguments)) = HALVED.iter().find(|h| h.0 == what) else {
+            let Some((_, arguments)) = HALVED_ARGUMENTS.iter().find(|h| h.0 == what) else {
                 continue;
             };
             for argument in *arguments {
-                while let Some(less) = best.statements[n].said.get(*argument).and_then(half) {
+                while let Some(halved) = best.statements[n].said.get(*argument).and_then(halve) {
                     let mut candidate = best.clone();
                     candidate.statements[n]
                         .said
-                        .insert((*argument).to_owned(), less);
-                    if !try_it(candidate, &mut best) {
+                        .insert((*argument).to_owned(), halved);
+                    if !try_candidate(candidate, &mut best) {
                         break;
                     }
                 }
@@ -123,17 +123,19 @@
     use saltdrum_scenario::DAYS;
 
     #[test]
-    fn what_does_not_matter_goes_and_what_does_stays() {
+    fn removes_statements_that_do_not_affect_the_failure() {
         let bad = Script::read("bad", DAYS[0].1).unwrap();
-        // Fails as long as there is a flush and a store that is slow for at least 400 ms, and three invokers.
+        // Fails with a flush, a store that is slow for at least 400 ms, and at least three invokers.
         let fails = |s: &Script| {
             let day = s.day().unwrap();
-            let has = |name, least| {
+            let has_trouble = |name, min_duration| {
                 day.troubles
                     .iter()
-                    .any(|t| t.name == name && t.lasts >= least)
+                    .any(|t| t.name == name && t.lasts >= min_duration)
             };
-            has("flush", 0) && has("store_slow", 4_000) && day.terms.invokers.len() >= 3
+            has_trouble("flush", 0)
+                && has_trouble("store_slow", 4_000)
+                && day.terms.invokers.len() >= 3
         };
         let shrunk = shrink(bad, 400, fails);
         let day = shrunk.script.day().unwrap();
@@ -157,13 +159,13 @@
     }
 
     #[test]
-    fn its_budget_is_kept() {
-        let mut asked = 0;
+    fn plays_at_most_the_given_number_of_days() {
+        let mut calls = 0;
         let bad = Script::read("bad", DAYS[0].1).unwrap();
         let shrunk = shrink(bad, 7, |_| {
-            asked += 1;
+            calls += 1;
             true
         });
-        assert_eq!((shrunk.days_played, asked), (7, 7));
+        assert_eq!((shrunk.days_played, calls), (7, 7));
     }
 }
--- a/crates/lab/tests/lab.rs
+++ b/crates/lab/tests/lab.rs
@@ -1,4 +1,4 @@
-//! Experiments and searches on real days, small ones.
+//! Experiments and searches for failing days, on small days with the real controller.
 
 use saltdrum_fakes::record::Line;
 use saltdrum_faulty_peers::{Fault, fetch_model_unverified, run_faulty_controller};
@@ -8,7 +8,7 @@
 use std::fs;
 use std::path::Path;
 
-const SMALL: &str = r#"
+const SMALL_DAY: &str = r#"
 deployment(controllers = 2, keep_alive = "9s", cold_share = 0.3, cold_time = "4s", tip_factor = 2, tip_window = "1s",
     drain_grace = "200ms")
 machine("big", memory = "42GB", cores = 4)
@@ -23,140 +23,160 @@
 traffic(tenant = "hill", functions = ["book"], per_second = 15, work = "40ms")
 "#;
 
-fn experiment(folder: &Path, text: &str) -> Experiment {
-    fs::write(folder.join("small.star"), SMALL).unwrap();
+fn load_experiment(folder: &Path, text: &str) -> Experiment {
+    fs::write(folder.join("small.star"), SMALL_DAY).unwrap();
     Experiment::load(&folder.join("x.star"), text).unwrap()
 }
 
-const TWO: &str = "experiment('two', days = ['small.star'], seeds = 3)\n\
+const TWO_VARIANTS: &str = "experiment('two', days = ['small.star'], seeds = 3)\n\
     variant('design')\nvariant('random', policy = 'random')\n";
 
 #[test]
-fn the_same_results_on_one_thread_and_on_four_and_after_a_kill() {
+fn results_do_not_depend_on_thread_count_or_interruption() {
     let folder = tempfile::tempdir().unwrap();
-    let x = experiment(folder.path(), TWO);
+    let experiment = load_experiment(folder.path(), TWO_VARIANTS);
     let at = |name: &str| folder.path().join(name);
-    let (one, four) = (
-        run::run(&x, &at("one"), 1, |_, _, _| ()),
-        run::run(&x, &at("four"), 4, |_, _, _| ()),
+    let (one_thread, four_threads) = (
+        run::run(&experiment, &at("one"), 1, |_, _, _| ()),
+        run::run(&experiment, &at("four"), 4, |_, _, _| ()),
     );
-    let (one, four) = (one.unwrap(), four.unwrap());
-    assert_eq!((one.played, four.played, one.failed.len()), (6, 6, 0));
-    assert_eq!(one.digest, four.digest);
-    // A kill leaves whole runs, one that is half written, and perhaps a damaged one.
-    let (whole, _) = results::scan(&at("four")).unwrap();
-    let mut paths = whole.values();
+    let (one_thread, four_threads) = (one_thread.unwrap(), four_threads.unwrap());
+    assert_eq!(
+        (
+            one_thread.played,
+            four_threads.played,
+            one_thread.failed.len()
+        ),
+        (6, 6, 0)
+    );
+    assert_eq!(one_thread.digest, four_threads.digest);
+    // A kill leaves intact runs, a partially written one, and possibly a damaged one.
+    let (intact, _) = results::scan(&at("four")).unwrap();
+    let mut paths = intact.values();
     fs::remove_file(paths.next().unwrap()).unwrap();
     fs::write(at("four").join("aaaa.half"), b"PAR1").unwrap();
     let damaged = paths.next().unwrap();
     let mut bytes = fs::read(damaged).unwrap();
     bytes.truncate(bytes.len() / 2);
     fs::write(damaged, bytes).unwrap();
-    let again = run::run(&x, &at("four"), 4, |_, _, _| ()).unwrap();
+    let resumed = run::run(&experiment, &at("four"), 4, |_, _, _| ()).unwrap();
     assert_eq!(
-        (again.played, again.reused, &again.digest),
-        (2, 4, &one.digest)
+        (resumed.played, resumed.reused, &resumed.digest),
+        (2, 4, &one_thread.digest)
     );
-    let third = run::run(&x, &at("four"), 2, |_, _, _| ()).unwrap();
-    assert_eq!((third.played, third.reused), (0, 6));
+    let repeated = run::run(&experiment, &at("four"), 2, |_, _, _| ()).unwrap();
+    assert_eq!((repeated.played, repeated.reused), (0, 6));
 }
 
 #[test]
-fn a_run_is_read_back_as_it_was_kept_and_a_bad_file_is_told() {
+fn reads_back_a_stored_run_and_reports_unreadable_files() {
     let folder = tempfile::tempdir().unwrap();
-    let x = experiment(
+    let experiment = load_experiment(
         folder.path(),
         "experiment('one', days = ['small.star'], seeds = 1)\nvariant('design')\n",
     );
-    run::run(&x, folder.path(), 1, |_, _, _| ()).unwrap();
-    let (whole, _) = results::scan(folder.path()).unwrap();
-    let path = whole.values().next().unwrap();
-    let kept = results::read(path).unwrap();
-    // The script that made it makes it again.
-    let day = Script::read("again", &kept.origin.script)
+    run::run(&experiment, folder.path(), 1, |_, _, _| ()).unwrap();
+    let (intact, _) = results::scan(folder.path()).unwrap();
+    let path = intact.values().next().unwrap();
+    let stored = results::read(path).unwrap();
+    // Playing the stored script reproduces the run.
+    let day = Script::read("again", &stored.origin.script)
         .unwrap()
         .day()
         .unwrap();
     let lines = saltdrum_scenario::play_virtually(&day, saltdrum_scenario::serve).unwrap();
     let (rows, facts) = saltdrum_lab::facts::summarize(&lines, None).unwrap();
-    assert!(kept.rows == rows && rows.len() > 200 && facts.digest == kept.facts.digest);
-    assert_eq!(kept.facts.slow.len(), 6);
+    assert!(stored.rows == rows && rows.len() > 200 && facts.digest == stored.facts.digest);
+    assert_eq!(stored.facts.slow.len(), 6);
     assert!(
-        kept.facts.slow[0]
+        stored.facts.slow[0]
             .steps
             .iter()
             .any(|s| s.contains("dispatch")),
         "{:?}",
-        kept.facts.slow[0]
+        stored.facts.slow[0]
     );
-    for (bytes, want) in [
+    for (bytes, expected) in [
         (&b"PAR1 and nothing"[..], "Parquet error"),
         (b"", "Parquet file too small"),
     ] {
-        let bad = folder.path().join("bad.parquet");
-        fs::write(&bad, bytes).unwrap();
-        let told = results::read(&bad).unwrap_err().to_string();
+        let unreadable = folder.path().join("bad.parquet");
+        fs::write(&unreadable, bytes).unwrap();
+        let error = results::read(&unreadable).unwrap_err().to_string();
         assert!(
-            told.contains("bad.parquet") && told.contains(want),
-            "{told}"
+            error.contains("bad.parquet") && error.contains(expected),
+            "{error}"
         );
     }
-    let text = fs::read(path).unwrap();
-    let at = text.windows(12).position(|w| w == b"saltdrum.run").unwrap();
-    let mut later = text;
-    let one = (at + 12..at + 20).find(|n| later[*n] == b'1').unwrap();
-    later[one] = b'7';
-    fs::write(folder.path().join("later.parquet"), later).unwrap();
-    let told = results::read(&folder.path().join("later.parquet"))
+    let bytes = fs::read(path).unwrap();
+    let at = bytes
+        .windows(12)
+        .position(|w| w == b"saltdrum.run")
+        .unwrap();
+    let mut other_version = bytes;
+    let version_digit = (at + 12..at + 20)
+        .find(|n| other_version[*n] == b'1')
+        .unwrap();
+    other_version[version_digit] = b'7';
+    fs::write(folder.path().join("later.parquet"), other_version).unwrap();
+    let error = results::read(&folder.path().join("later.parquet"))
         .unwrap_err()
         .to_string();
     assert!(
-        told.ends_with("later.parquet: run version 7: 1 is known here"),
-        "{told}"
+        error
+            .ends_with("later.parquet: run version 7 is not supported; the supported version is 1"),
+        "{error}"
     );
 }
 
-/// A full disk is stood in for by a folder that is no folder: what is there stays.
+/// Simulates a failing write with a path that is not a folder. The stored runs stay unchanged.
 #[test]
-fn a_run_that_cannot_be_kept_is_told_and_loses_no_other() {
+fn failure_to_store_a_run_is_reported_and_keeps_the_others() {
     let folder = tempfile::tempdir().unwrap();
-    let x = experiment(folder.path(), TWO);
-    run::run(&x, folder.path(), 2, |_, _, _| ()).unwrap();
+    let experiment = load_experiment(folder.path(), TWO_VARIANTS);
+    run::run(&experiment, folder.path(), 2, |_, _, _| ()).unwrap();
     let (before, _) = results::scan(folder.path()).unwrap();
-    let one = results::read(before.values().next().unwrap()).unwrap();
-    let nowhere = folder.path().join("small.star");
-    let told = results::store(&nowhere, &one.origin, &one.facts, &one.rows)
+    let run = results::read(before.values().next().unwrap()).unwrap();
+    let not_a_folder = folder.path().join("small.star");
+    let error = results::store(&not_a_folder, &run.origin, &run.facts, &run.rows)
         .unwrap_err()
         .to_string();
     assert!(
-        told.contains("small.star") && told.contains(".half"),
-        "{told}"
+        error.contains("small.star") && error.contains(".half"),
+        "{error}"
     );
     assert_eq!(results::scan(folder.path()).unwrap().0, before);
 }
 
 #[test]
-fn a_day_that_goes_below_its_bound_is_found_and_one_that_keeps_all_is_not() {
-    let base = Script::read("small", SMALL).unwrap();
-    let of = |least| Bounds {
-        min_value: Some(least),
+fn finds_a_day_below_its_bound_and_none_if_all_pass() {
+    let base = Script::read("small", SMALL_DAY).unwrap();
+    let at_least = |min_value| Bounds {
+        min_value: Some(min_value),
         only_rule: None,
     };
     let real = Overrides::of(saltdrum_scenario::serve);
-    let found = hunt(&base, real, of(0.9), 1, 40, 40, 4).unwrap().unwrap();
+    let found = hunt(&base, real, at_least(0.9), 1, 40, 40, 4)
+        .unwrap()
+        .unwrap();
     assert!(
         found.reason.starts_with("value: billed value"),
         "{}",
         found.reason
     );
-    assert!(hunt(&base, real, of(0.0), 1, 12, 40, 4).unwrap().is_none());
+    assert!(
+        hunt(&base, real, at_least(0.0), 1, 12, 40, 4)
+            .unwrap()
+            .is_none()
+    );
 }
 
-/// Each must be found in this many days, and be left with little.
-const BUDGET: usize = 40;
+/// Days within which each faulty peer must be detected.
+const MAX_DAYS: usize = 40;
 
-fn planted(rule: u8, serve: Serve) {
-    let base = Script::read("small", SMALL).unwrap();
+/// Checks that a search detects a faulty controller, and that the reduced day is small and passes with the real one.
+fn assert_fault_is_found(rule: u8, serve: Serve) {
+    let base = Script::read("small", SMALL_DAY).unwrap();
     let found = hunt(
         &base,
         Overrides::of(serve),
@@ -165,7 +185,7 @@
             min_value: None,
         },
         1,
-        BUDGET,
+        MAX_DAYS,
         120,
         4,
     )
@@ -176,53 +196,54 @@
         "{}",
         found.reason
     );
-    let again = Script::read("shrunk.star", &found.shrunk.script.text()).unwrap();
-    let day = again.day().unwrap();
+    let reduced = Script::read("shrunk.star", &found.shrunk.script.text()).unwrap();
+    let day = reduced.day().unwrap();
     assert!(
         day.troubles.len() <= 1 && day.traffic.len() == 1,
         "{}",
-        again.text()
+        reduced.text()
     );
     let lines = saltdrum_scenario::play_virtually(&day, serve).unwrap();
-    let broken = saltdrum_scenario::check::check(&lines).unwrap();
+    let verdicts = saltdrum_scenario::check::check(&lines).unwrap();
     assert!(
-        broken
+        verdicts
             .iter()
             .any(|v| v.state == saltdrum_scenario::State::Broken),
         "{}",
-        again.text()
+        reduced.text()
     );
-    let kept = saltdrum_scenario::play_virtually(&day, saltdrum_scenario::serve).unwrap();
-    let kept = saltdrum_scenario::check::check(&kept).unwrap();
+    let lines = saltdrum_scenario::play_virtually(&day, saltdrum_scenario::serve).unwrap();
+    let verdicts = saltdrum_scenario::check::check(&lines).unwrap();
     assert!(
-        kept.iter()
+        verdicts
+            .iter()
             .all(|v| v.state != saltdrum_scenario::State::Broken),
-        "the real one keeps them"
+        "the real controller breaks no rule"
     );
 }
 
 #[test]
-fn a_controller_that_answers_twice_is_found() {
-    planted(1, |s, n, c| {
+fn finds_a_controller_that_responds_twice() {
+    assert_fault_is_found(1, |s, n, c| {
         run_faulty_controller(Fault::AnswersTwice, s, n, c)
     });
 }
 
 #[test]
-fn a_controller_that_runs_effects_twice_is_found() {
-    planted(2, |s, n, c| {
+fn finds_a_controller_that_runs_effects_twice() {
+    assert_fault_is_found(2, |s, n, c| {
         run_faulty_controller(Fault::RunsTwice, s, n, c)
     });
 }
 
 #[test]
-fn a_controller_that_dispatches_after_a_drain_is_found() {
-    planted(3, |s, n, c| {
+fn finds_a_controller_that_dispatches_after_a_drain() {
+    assert_fault_is_found(3, |s, n, c| {
         run_faulty_controller(Fault::IgnoresDrains, s, n, c)
     });
 }
 
-const WITH_LAYERS: &str = r#"
+const LAYERS_DAY: &str = r#"
 deployment(controllers = 1, keep_alive = "2s", cold_share = 0.3, cold_time = "1s", tip_factor = 2, tip_window = "1s",
     drain_grace = "200ms")
 machine("box", memory = "4GB", cores = 2)
@@ -235,51 +256,51 @@
 traffic(tenant = "hill", functions = ["voice", "tour"], per_second = 20, work = "30ms")
 "#;
 
-fn copies(day: &saltdrum_scenario::Day, cover: Overrides) -> (usize, usize) {
-    let lines = saltdrum_scenario::play_with_overrides(day, cover).unwrap();
-    let of = |l: &Line| {
-        if let Line::CopyAssembled {
-            matches_model: sound,
-            ..
-        } = l
-        {
-            Some(*sound)
+/// Numbers of all assembled copies and of those that do not match their model.
+fn count_copies(day: &saltdrum_scenario::Day, overrides: Overrides) -> (usize, usize) {
+    let lines = saltdrum_scenario::play_with_overrides(day, overrides).unwrap();
+    let matches_model = |l: &Line| {
+        if let Line::CopyAssembled { matches_model, .. } = l {
+            Some(*matches_model)
         } else {
             None
         }
     };
-    let all: Vec<bool> = lines.iter().filter_map(of).collect();
-    (all.len(), all.iter().filter(|sound| !**sound).count())
+    let copies: Vec<bool> = lines.iter().filter_map(matches_model).collect();
+    (
+        copies.len(),
+        copies.iter().filter(|matches| !**matches).count(),
+    )
 }
 
 #[test]
-fn a_cache_that_skips_a_digest_is_found() {
-    let base = Script::read("layers", WITH_LAYERS).unwrap();
-    let planted = Overrides {
+fn finds_a_cache_that_does_not_verify_digests() {
+    let base = Script::read("layers", LAYERS_DAY).unwrap();
+    let faulty = Overrides {
         serve: saltdrum_scenario::serve,
         brings: Some(fetch_model_unverified),
     };
-    let found = hunt(&base, planted, Bounds::default(), 1, BUDGET, 60, 4)
+    let found = hunt(&base, faulty, Bounds::default(), 1, MAX_DAYS, 60, 4)
         .unwrap()
         .unwrap();
     assert!(found.reason.starts_with("copy: "), "{}", found.reason);
     let day = found.shrunk.script.day().unwrap();
-    assert!(copies(&day, planted).1 > 0);
-    // The real one, on the very day, loads as much and throws away what is damaged.
-    let (all, unsound) = copies(&day, Overrides::of(saltdrum_scenario::serve));
-    assert!(all > 0 && unsound == 0, "{all} {unsound}");
-    let kept =
+    assert!(count_copies(&day, faulty).1 > 0);
+    // On the same day, the real cache loads models and discards damaged chunks.
+    let (all, mismatched) = count_copies(&day, Overrides::of(saltdrum_scenario::serve));
+    assert!(all > 0 && mismatched == 0, "{all} {mismatched}");
+    let found_day =
         saltdrum_scenario::Day::load("found", include_str!("found/skips-digests.star")).unwrap();
     assert!(
-        copies(&kept, planted).1 > 0
-            && copies(&kept, Overrides::of(saltdrum_scenario::serve)).1 == 0
+        count_copies(&found_day, faulty).1 > 0
+            && count_copies(&found_day, Overrides::of(saltdrum_scenario::serve)).1 == 0
     );
 }
 
 #[test]
-fn torn_disks_and_a_damaged_store_cost_fetches_and_never_a_copy() {
+fn torn_writes_and_damaged_chunks_never_yield_a_wrong_copy() {
     let text = format!(
-        "{WITH_LAYERS}\
+        "{LAYERS_DAY}\
          network(delay = '1ms', clocks_ahead = '2h', clocks_drift_ppm = 200)\n\
          trouble('store_damages', at = '500ms', lasts = '1s', part = 0.6)\n\
          trouble('power_cut', at = '2s', lasts = '500ms', invokers = [1, 2], part = 0.9, delay = '10s')\n\
@@ -308,27 +329,27 @@
     }
     assert!(
         damaged > 0 && all > 20,
-        "{damaged} damaged chunks seen, {all} copies: the day provokes too little"
+        "{damaged} damaged chunks, {all} copies: the day injects too few faults"
     );
 }
 
 #[test]
-fn days_that_come_with_the_program_are_known_to_experiments() {
+fn experiments_accept_every_bundled_day() {
     let text = format!(
         "experiment('all', days = {:?})\nvariant('design')\n",
         DAYS.iter().map(|d| d.0).collect::<Vec<_>>()
     );
     let folder = tempfile::tempdir().unwrap();
     assert_eq!(
-        experiment(folder.path(), &text).cells().len(),
+        load_experiment(folder.path(), &text).cells().len(),
         DAYS.len() * 4
     );
 }
 
-/// Days that searches found with planted controllers, cut down: they still tell the planted from the real one.
+/// Reduced days from earlier searches still fail with the faulty controller and pass with the real one.
 #[test]
-fn found_days_still_fail_with_the_planted_controller_and_not_with_the_real_one() {
-    let found: [(&str, &str, u8, Serve); 9] = [
+fn stored_failing_days_fail_with_the_faulty_controller_only() {
+    let stored_days: [(&str, &str, u8, Serve); 9] = [
         (
             "answers-twice",
             include_str!("found/answers-twice.star"),
@@ -384,9 +405,9 @@
             |s, n, c| run_faulty_controller(Fault::FloodsColdOnes, s, n, c),
         ),
     ];
-    for (name, text, rule, serve) in found {
+    for (name, text, rule, serve) in stored_days {
         let day = saltdrum_scenario::Day::load(name, text).unwrap();
-        let broken = |serve: Serve| {
+        let broken_rules = |serve: Serve| {
             let lines = saltdrum_scenario::play_virtually(&day, serve).unwrap();
             let verdicts = saltdrum_scenario::check::check(&lines).unwrap();
             verdicts
@@ -395,7 +416,11 @@
                 .map(|v| v.rule)
                 .collect::<Vec<_>>()
         };
-        assert!(broken(serve).contains(&rule), "{name}");
-        assert_eq!(broken(saltdrum_scenario::serve), Vec::<u8>::new(), "{name}");
+        assert!(broken_rules(serve).contains(&rule), "{name}");
+        assert_eq!(
+            broken_rules(saltdrum_scenario::serve),
+            Vec::<u8>::new(),
+            "{name}"
+        );
     }
 }
--- a/crates/scale/src/controller.rs
+++ b/crates/scale/src/controller.rs
@@ -1,7 +1,8 @@
-//! A hollow controller: the real module under the real invocations; what crosses no socket ends after a drawn time.
+//! Measures a controller in isolation: the real policy and invocation table, with dispatches and loads that end after a drawn
+//! time instead of crossing a socket.
 
-use crate::meter::{EventLoopClock, TurnsTold, resident_bytes, thread_cpu_ns};
-use crate::world::{Popularity, Workload, World, ZONES, deployment, line};
+use crate::meter::{TurnHistogram, TurnSummary, resident_bytes, thread_cpu_ns};
+use crate::world::{InvokerModel, Popularity, Workload, ZONES, deployment, invoker_record};
 use saltdrum::DispatchPolicy;
 use saltdrum::interface::*;
 use saltdrum_controller::Policy;
@@ -16,19 +17,20 @@
 use tokio::task::{LocalSet, spawn_local};
 use tracing::Span;
 
-/// How long a hollow controller runs, in seconds of virtual time, and what happens to its list.
+/// How long a controller runs, in seconds of virtual time, and how its invoker list changes.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
     pub load_s: u64,
-    /// After the load, without any invocation.
+    /// Time after the load, without invocations.
     pub quiet_s: u64,
-    /// An invoker is replaced each so many seconds.
+    /// Interval at which an invoker is replaced.
     pub event_every_s: u64,
-    /// A zone (a fifth) goes in one event at half of the load, and is back cold in one event a quarter later.
+    /// Whether a zone (a fifth of the invokers) is lost in one event after half of the load time, and comes back cold in one
+    /// event a quarter of the load time later.
     pub zone_outage: bool,
 }
 
-/// What one size came to. CPU is this thread's; that of the module alone is told beside it.
+/// The measurements at one size. CPU time is that of this thread; the policy's part is given separately.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Row {
     pub invokers: u32,
@@ -38,157 +40,183 @@
     pub succeeded: u64,
     pub dispatches: u64,
     pub misses: u64,
-    pub orders: u64,
+    #[serde(rename = "orders")]
+    pub load_orders: u64,
     pub list_events: u64,
-    /// Module and invocations and model together, and the module alone.
-    pub us_an_invocation: f64,
-    pub module_us_an_invocation: f64,
-    /// Of a core under load, all together; and the module's own turns that no invocation asks for (list, timers).
+    /// CPU time of the policy, the invocation table and the model together.
+    #[serde(rename = "us_an_invocation")]
+    pub us_per_invocation: f64,
+    /// CPU time of the policy alone.
+    #[serde(rename = "module_us_an_invocation")]
+    pub policy_us_per_invocation: f64,
+    /// Share of a core used under load.
     pub share: f64,
+    /// Share of a core used by the policy's turns that no invocation causes (list changes, timers).
     pub control_share: f64,
-    /// Of a core, while nothing is called.
-    pub quiet_share: f64,
-    /// Whole lists, and changes of it.
-    pub whole: TurnsTold,
-    pub listed: TurnsTold,
-    pub invoked: TurnsTold,
-    pub answered: TurnsTold,
-    pub timers: TurnsTold,
-    pub held: TurnsTold,
-    /// Of all but whole lists.
+    /// Share of a core used without invocations.
+    #[serde(rename = "quiet_share")]
+    pub idle_share: f64,
+    /// The policy's turns by kind.
+    #[serde(rename = "whole")]
+    pub list_snapshots: TurnSummary,
+    #[serde(rename = "listed")]
+    pub list_changes: TurnSummary,
+    #[serde(rename = "invoked")]
+    pub arrivals: TurnSummary,
+    #[serde(rename = "answered")]
+    pub attempt_results: TurnSummary,
+    pub timers: TurnSummary,
+    #[serde(rename = "held")]
+    pub load_results: TurnSummary,
+    /// Longest turn, except for snapshots of the list.
     pub longest_ms: f64,
-    /// Resident, above what the process had before the controller was made; at half of the load and at its end.
+    /// Growth of the resident memory since before the controller was created, after half of the load time.
     pub memory_half_mb: f64,
+    /// The same at the end of the load.
     pub memory_mb: f64,
-    pub whole_list_bytes: u64,
-    pub a_line_bytes: u64,
-    /// What the module holds at the end of the load, and how many invokers it looked at to rank them.
-    pub functions_held: usize,
-    pub places_held: usize,
-    pub ranked_held: usize,
+    #[serde(rename = "whole_list_bytes")]
+    pub snapshot_bytes: u64,
+    #[serde(rename = "a_line_bytes")]
+    pub entry_bytes: u64,
+    /// Sizes of the policy's tables at the end of the load.
+    #[serde(rename = "functions_held")]
+    pub tracked_functions: usize,
+    #[serde(rename = "places_held")]
+    pub tracked_instances: usize,
+    #[serde(rename = "ranked_held")]
+    pub ranked_invokers: usize,
+    /// Invokers evaluated for rankings.
     pub rank_steps: u64,
 }
 
+/// CPU times of the policy's turns, and the number of successful invocations.
 #[derive(Default)]
-struct Tally {
-    whole: EventLoopClock,
-    listed: EventLoopClock,
-    invoked: EventLoopClock,
-    answered: EventLoopClock,
-    timers: EventLoopClock,
-    held: EventLoopClock,
+struct TurnStats {
+    list_snapshots: TurnHistogram,
+    list_changes: TurnHistogram,
+    arrivals: TurnHistogram,
+    attempt_results: TurnHistogram,
+    timers: TurnHistogram,
+    load_results: TurnHistogram,
     succeeded: u64,
 }
 
-impl Tally {
+impl TurnStats {
     fn total_ns(&self) -> u64 {
-        let all = [
-            &self.whole,
-            &self.listed,
-            &self.invoked,
-            &self.answered,
+        let histograms = [
+            &self.list_snapshots,
+            &self.list_changes,
+            &self.arrivals,
+            &self.attempt_results,
             &self.timers,
-            &self.held,
+            &self.load_results,
         ];
-        all.iter().map(|t| t.total_ns).sum()
+        histograms.iter().map(|t| t.total_ns).sum()
     }
 }
 
-/// The module, with the processor time of each of its turns noted.
-struct Metered {
+/// The policy, with the CPU time of each of its turns recorded.
+struct MeteredPolicy {
     inner: Rc<RefCell<DispatchPolicy>>,
-    tally: Rc<RefCell<Tally>>,
+    stats: Rc<RefCell<TurnStats>>,
 }
 
-impl Metered {
-    fn turn(
+impl MeteredPolicy {
+    fn run_turn(
         &mut self,
-        of: fn(&mut Tally) -> &mut EventLoopClock,
-        then: impl FnOnce(&mut DispatchPolicy),
+        histogram: fn(&mut TurnStats) -> &mut TurnHistogram,
+        turn: impl FnOnce(&mut DispatchPolicy),
     ) {
-        let begun = thread_cpu_ns();
-        then(&mut self.inner.borrow_mut());
-        let took = thread_cpu_ns() - begun;
-        of(&mut self.tally.borrow_mut()).note(took);
+        let start = thread_cpu_ns();
+        turn(&mut self.inner.borrow_mut());
+        let cpu_ns = thread_cpu_ns() - start;
+        histogram(&mut self.stats.borrow_mut()).record(cpu_ns);
     }
 }
 
-impl Policy for Metered {
-    fn invokers_changed(&mut self, now: Ticks, whole: bool, entries: &[InvokerRecord]) {
-        let of: fn(&mut Tally) -> &mut EventLoopClock = if whole {
-            |t| &mut t.whole
+impl Policy for MeteredPolicy {
+    fn invokers_changed(&mut self, now: Ticks, is_snapshot: bool, entries: &[InvokerRecord]) {
+        let histogram: fn(&mut TurnStats) -> &mut TurnHistogram = if is_snapshot {
+            |t| &mut t.list_snapshots
         } else {
-            |t| &mut t.listed
+            |t| &mut t.list_changes
         };
-        self.turn(of, |c| c.invokers_changed(now, whole, entries));
+        self.run_turn(histogram, |p| p.invokers_changed(now, is_snapshot, entries));
     }
-    fn invocation_arrived(&mut self, now: Ticks, call: Invocation, acts: &mut dyn Actions) {
-        self.turn(
-            |t| &mut t.invoked,
-            |c| c.invocation_arrived(now, call, acts),
+    fn invocation_arrived(&mut self, now: Ticks, invocation: Invocation, acts: &mut dyn Actions) {
+        self.run_turn(
+            |t| &mut t.arrivals,
+            |p| p.invocation_arrived(now, invocation, acts),
         );
     }
     fn invocation_abandoned(&mut self, now: Ticks, id: InvocationId) {
         self.inner.borrow_mut().invocation_abandoned(now, id);
     }
-    fn attempt_ended(&mut self, now: Ticks, a: AttemptResult, acts: &mut dyn Actions) {
-        self.turn(|t| &mut t.answered, |c| c.attempt_ended(now, a, acts));
+    fn attempt_ended(&mut self, now: Ticks, result: AttemptResult, acts: &mut dyn Actions) {
+        self.run_turn(
+            |t| &mut t.attempt_results,
+            |p| p.attempt_ended(now, result, acts),
+        );
     }
-    fn load_ended(&mut self, now: Ticks, a: LoadResult, acts: &mut dyn Actions) {
-        self.turn(|t| &mut t.held, |c| c.load_ended(now, a, acts));
+    fn load_ended(&mut self, now: Ticks, result: LoadResult, acts: &mut dyn Actions) {
+        self.run_turn(|t| &mut t.load_results, |p| p.load_ended(now, result, acts));
     }
     fn timer_fired(&mut self, now: Ticks, token: u64, acts: &mut dyn Actions) {
-        self.turn(|t| &mut t.timers, |c| c.timer_fired(now, token, acts));
+        self.run_turn(|t| &mut t.timers, |p| p.timer_fired(now, token, acts));
     }
 }
 
-struct Hollow {
+/// Ends dispatches and loads after the durations of the invoker model.
+struct ModelTransport {
     handle: Weak<ControllerHandle<Self>>,
     clock: Clock,
-    world: World,
-    last: u64,
+    model: InvokerModel,
+    last_id: u64,
 }
 
-/// Nobody waits for an answer: it is counted.
-struct Counts(Rc<RefCell<Tally>>);
+/// Counts successful responses.
+struct CountingResponder(Rc<RefCell<TurnStats>>);
 
-impl Responder for Counts {
-    fn respond(self, _: InvocationId, how: FinalResponse, _: u8, _: Ticks) {
-        self.0.borrow_mut().succeeded += u64::from(matches!(how, FinalResponse::Succeeded(_)));
+impl Responder for CountingResponder {
+    fn respond(self, _: InvocationId, response: FinalResponse, _: u8, _: Ticks) {
+        self.0.borrow_mut().succeeded += u64::from(matches!(response, FinalResponse::Succeeded(_)));
     }
     fn abandon(self, _: InvocationId) {}
 }
 
-impl Hollow {
-    fn after(
+impl ModelTransport {
+    /// Runs `update` on the controller's state after `delay`.
+    fn update_after(
         &mut self,
-        takes: Ticks,
-        then: impl FnOnce(&mut saltdrum_controller::ControllerState<Self>) + 'static,
+        delay: Ticks,
+        update: impl FnOnce(&mut saltdrum_controller::ControllerState<Self>) + 'static,
     ) {
         let Some(handle) = self.handle.upgrade() else {
             return;
         };
-        let at = self.clock.now() + takes;
+        let at = self.clock.now() + delay;
         spawn_local(async move {
             handle.clock.sleep_until(at).await;
-            handle.update(then);
+            handle.update(update);
         });
     }
 }
 
-impl InvokerTransport for Hollow {
+impl InvokerTransport for ModelTransport {
     type Payload = ();
-    type Responder = Counts;
+    type Responder = CountingResponder;
     type Config = ();
 
-    fn dispatch(&mut self, s: &OutgoingDispatch<()>) -> Result<u64, Outcome> {
-        self.last += 1;
-        let (outcome, takes) = self.world.dispatched(s.now, s.invoker, s.function);
-        let (inv, hop) = (s.invocation, s.attempt);
-        self.after(takes, move |state| {
-            state.attempt_ended(inv, hop, outcome, &AttemptReport::default())
+    fn dispatch(&mut self, dispatch: &OutgoingDispatch<()>) -> Result<u64, Outcome> {
+        self.last_id += 1;
+        let (outcome, duration) =
+            self.model
+                .dispatch(dispatch.now, dispatch.invoker, dispatch.function);
+        let (invocation, attempt) = (dispatch.invocation, dispatch.attempt);
+        self.update_after(duration, move |state| {
+            state.attempt_ended(invocation, attempt, outcome, &AttemptReport::default())
         });
-        Ok(self.last)
+        Ok(self.last_id)
     }
     fn withdraw(&mut self, _: InvokerId, _: u64) -> bool {
         false
@@ -205,9 +233,9 @@
         _: u8,
         _: Ticks,
     ) -> Result<u64, LoadOutcome> {
-        self.last += 1;
-        let (order, takes) = (self.last, self.world.ordered(now, invoker, function));
-        self.after(takes, move |state| {
+        self.last_id += 1;
+        let (order, duration) = (self.last_id, self.model.load(now, invoker, function));
+        self.update_after(duration, move |state| {
             state.load_ended(invoker, order, LoadOutcome::Loaded, 1)
         });
         Ok(order)
@@ -219,44 +247,48 @@
     }
 }
 
-/// The list as the platform's feed would carry it: bytes of a whole one, and of an event with one line.
+/// Sizes of the invoker list in the encoding of the platform's feed: a snapshot, and a change of one entry.
 fn list_bytes(invokers: u32) -> (u64, u64) {
     use saltdrum_platform_wire::feed::{EndpointRecord, Event, encode};
-    let line = |w: u32| EndpointRecord {
-        invoker: w,
-        address: std::net::SocketAddrV4::new(std::net::Ipv4Addr::from(0x0a00_0000 + w), 7_001),
-        zone: (w % u32::from(ZONES)) as u8,
+    let entry = |invoker: u32| EndpointRecord {
+        invoker,
+        address: std::net::SocketAddrV4::new(
+            std::net::Ipv4Addr::from(0x0a00_0000 + invoker),
+            7_001,
+        ),
+        zone: (invoker % u32::from(ZONES)) as u8,
         machine_kind: 0,
         cell: 0,
         status: InvokerStatus::Ready,
         capacity: 4.0,
         started_ms: None,
     };
-    let whole = encode(1, &Event::Snapshot((1..=invokers).map(line).collect()));
-    let one = encode(2, &Event::Changes(vec![line(1)]));
-    (whole.len() as u64, one.len() as u64)
+    let snapshot = encode(1, &Event::Snapshot((1..=invokers).map(entry).collect()));
+    let change = encode(2, &Event::Changes(vec![entry(1)]));
+    (snapshot.len() as u64, change.len() as u64)
 }
 
-/// The invokers that are listed, and how they change.
-struct List {
+/// The listed invokers and their changes.
+struct InvokerList {
     ready: Vec<InvokerId>,
-    next: InvokerId,
+    next_id: InvokerId,
     rng: fastrand::Rng,
 }
 
-impl List {
-    /// One goes and another comes, cold.
-    fn replaced(&mut self, now: Ticks) -> Vec<InvokerRecord> {
-        let i = self.rng.usize(..self.ready.len());
-        let gone = std::mem::replace(&mut self.ready[i], self.next);
-        self.next += 1;
+impl InvokerList {
+    /// Replaces a random invoker with a new, cold one.
+    fn replace_one(&mut self, now: Ticks) -> Vec<InvokerRecord> {
+        let index = self.rng.usize(..self.ready.len());
+        let gone = std::mem::replace(&mut self.ready[index], self.next_id);
+        self.next_id += 1;
         vec![
-            line(gone, InvokerStatus::Gone, None),
-            line(self.next - 1, InvokerStatus::Ready, Some(now)),
+            invoker_record(gone, InvokerStatus::Gone, None),
+            invoker_record(self.next_id - 1, InvokerStatus::Ready, Some(now)),
         ]
     }
 
-    fn zone(&self) -> Vec<InvokerId> {
+    /// The invokers of the zone that is lost and comes back.
+    fn zone_members(&self) -> Vec<InvokerId> {
         self.ready
             .iter()
             .copied()
@@ -265,110 +297,124 @@
     }
 }
 
-/// Runs one hollow controller.
-pub fn run(load: &Workload, course: &LoadPlan) -> Row {
+/// Measures one controller.
+pub fn run(load: &Workload, plan: &LoadPlan) -> Row {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
         .build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), play(load, course))
+    LocalSet::new().block_on(&runtime.expect("the runtime starts"), play(load, plan))
 }
 
-async fn play(load: &Workload, course: &LoadPlan) -> Row {
+async fn play(load: &Workload, plan: &LoadPlan) -> Row {
     let (popularity, before) = (Popularity::new(load.functions, load.skew), resident_bytes());
-    let (clock, tally) = (Clock::start(), Rc::new(RefCell::new(Tally::default())));
-    let (mut rng, d) = (
+    let (clock, stats) = (Clock::start(), Rc::new(RefCell::new(TurnStats::default())));
+    let (mut rng, settings) = (
         fastrand::Rng::with_seed(load.seed),
         deployment(load.invokers),
     );
-    let world = World::new(load.seed);
-    let hollow = Hollow {
+    let model = InvokerModel::new(load.seed);
+    let transport = ModelTransport {
         handle: Weak::new(),
         clock,
-        world,
-        last: 0,
+        model,
+        last_id: 0,
     };
-    let mut invocations = InvocationTable::new(clock.now(), hollow, &d, 2 * SECOND);
-    let inner = Rc::new(RefCell::new(DispatchPolicy::new(
+    let mut invocations = InvocationTable::new(clock.now(), transport, &settings, 2 * SECOND);
+    let policy = Rc::new(RefCell::new(DispatchPolicy::new(
         clock.now(),
-        d,
+        settings,
         load.seed,
         &mut invocations,
     )));
-    let module = Box::new(Metered {
-        inner: inner.clone(),
-        tally: tally.clone(),
+    let metered_policy = Box::new(MeteredPolicy {
+        inner: policy.clone(),
+        stats: stats.clone(),
     });
     let handle = Rc::new(ControllerHandle::new(
-        module,
+        metered_policy,
         invocations,
         clock,
         Rc::new(MemoryNetwork::default()),
         (),
     ));
     handle.update(|s| s.invocations.transport.handle = Rc::downgrade(&handle));
-    let mut list = List {
+    let mut list = InvokerList {
         ready: (1..=load.invokers).collect(),
-        next: load.invokers + 1,
+        next_id: load.invokers + 1,
         rng: fastrand::Rng::with_seed(load.seed ^ 0x115),
     };
-    let whole: Vec<InvokerRecord> = list
+    let snapshot: Vec<InvokerRecord> = list
         .ready
         .iter()
-        .map(|w| line(*w, InvokerStatus::Ready, None))
+        .map(|w| invoker_record(*w, InvokerStatus::Ready, None))
         .collect();
-    handle.update(|s| s.policy.invokers_changed(s.invocations.now, true, &whole));
-    drop(whole);
+    handle.update(|s| {
+        s.policy
+            .invokers_changed(s.invocations.now, true, &snapshot)
+    });
+    drop(snapshot);
     let timers = handle.clone();
     spawn_local(async move { timers.run_timers().await });
 
-    let (begun, began_cpu) = (clock.now(), thread_cpu_ns());
-    let end = begun + course.load_s * SECOND;
-    let (mut next, mut event, mut row) = (
-        begun,
-        begun + course.event_every_s * SECOND / 2,
+    let (begin, begin_cpu_ns) = (clock.now(), thread_cpu_ns());
+    let end = begin + plan.load_s * SECOND;
+    let (mut next_arrival, mut next_event, mut row) = (
+        begin,
+        begin + plan.event_every_s * SECOND / 2,
         Row::default(),
     );
-    let (mut zone_goes, mut zone_back) = (
-        begun + course.load_s * SECOND / 2,
-        end - course.load_s * SECOND / 4,
+    let (mut zone_lost_at, mut zone_back_at) = (
+        begin + plan.load_s * SECOND / 2,
+        end - plan.load_s * SECOND / 4,
     );
-    if !course.zone_outage {
-        (zone_goes, zone_back) = (Ticks::MAX, Ticks::MAX);
+    if !plan.zone_outage {
+        (zone_lost_at, zone_back_at) = (Ticks::MAX, Ticks::MAX);
     }
-    let mut half = Some(begun + course.load_s * SECOND / 2);
+    let mut half_time = Some(begin + plan.load_s * SECOND / 2);
     let mut id = 0;
-    while next < end {
-        clock.sleep_until(next.min(event)).await;
+    while next_arrival < end {
+        clock.sleep_until(next_arrival.min(next_event)).await;
         let now = clock.now();
-        if now >= event {
-            let lines = list.replaced(now);
-            handle.update(|s| s.policy.invokers_changed(s.invocations.now, false, &lines));
-            handle.update(|s| s.invocations.transport.world.sweep(s.invocations.now));
-            event += course.event_every_s * SECOND;
+        if now >= next_event {
+            let entries = list.replace_one(now);
+            handle.update(|s| {
+                s.policy
+                    .invokers_changed(s.invocations.now, false, &entries)
+            });
+            handle.update(|s| {
+                s.invocations
+                    .transport
+                    .model
+                    .remove_expired(s.invocations.now)
+            });
+            next_event += plan.event_every_s * SECOND;
             row.list_events += 1;
         }
-        for (at, life) in [
-            (&mut zone_goes, InvokerStatus::Gone),
-            (&mut zone_back, InvokerStatus::Ready),
+        for (at, status) in [
+            (&mut zone_lost_at, InvokerStatus::Gone),
+            (&mut zone_back_at, InvokerStatus::Ready),
         ] {
             if now >= *at {
                 *at = Ticks::MAX;
-                let started = (life == InvokerStatus::Ready).then_some(now);
-                let lines: Vec<InvokerRecord> = list
-                    .zone()
+                let started = (status == InvokerStatus::Ready).then_some(now);
+                let entries: Vec<InvokerRecord> = list
+                    .zone_members()
                     .into_iter()
-                    .map(|w| line(w, life, started))
+                    .map(|w| invoker_record(w, status, started))
                     .collect();
-                handle.update(|s| s.policy.invokers_changed(s.invocations.now, false, &lines));
+                handle.update(|s| {
+                    s.policy
+                        .invokers_changed(s.invocations.now, false, &entries)
+                });
                 row.list_events += 1;
             }
         }
-        if half.is_some_and(|at| now >= at) {
-            half = None;
+        if half_time.is_some_and(|at| now >= at) {
+            half_time = None;
             row.memory_half_mb = resident_bytes().saturating_sub(before) as f64 / 1_048_576.0;
         }
-        if now < next {
+        if now < next_arrival {
             continue;
         }
         id += 1;
@@ -384,49 +430,57 @@
             concurrency_limit: 2.0,
             load_time_hint: Some(500 * MILLISECOND),
         };
-        let owed = Counts(tally.clone());
-        handle.update(|s| s.accept(invocation, now + 3 * SECOND, (), owed, Span::none()));
-        next += ((-(1.0 - rng.f64()).ln()) * SECOND as f64 / load.rate)
+        let responder = CountingResponder(stats.clone());
+        handle.update(|s| s.accept(invocation, now + 3 * SECOND, (), responder, Span::none()));
+        next_arrival += ((-(1.0 - rng.f64()).ln()) * SECOND as f64 / load.rate)
             .round()
             .max(1.0) as Ticks;
     }
-    let cpu_ns = thread_cpu_ns() - began_cpu;
+    let cpu_ns = thread_cpu_ns() - begin_cpu_ns;
     row.memory_mb = resident_bytes().saturating_sub(before) as f64 / 1_048_576.0;
     {
-        let t = tally.borrow();
-        (row.listed, row.invoked, row.answered) =
-            (t.listed.told(), t.invoked.told(), t.answered.told());
-        (row.timers, row.held, row.whole) = (t.timers.told(), t.held.told(), t.whole.told());
+        let t = stats.borrow();
+        (row.list_changes, row.arrivals, row.attempt_results) = (
+            t.list_changes.summary(),
+            t.arrivals.summary(),
+            t.attempt_results.summary(),
+        );
+        (row.timers, row.load_results, row.list_snapshots) = (
+            t.timers.summary(),
+            t.load_results.summary(),
+            t.list_snapshots.summary(),
+        );
         let turns = [
-            &row.listed,
-            &row.invoked,
-            &row.answered,
+            &row.list_changes,
+            &row.arrivals,
+            &row.attempt_results,
             &row.timers,
-            &row.held,
+            &row.load_results,
         ];
         row.longest_ms = turns.iter().map(|t| t.longest_ms).fold(0.0, f64::max);
-        let load_ns = course.load_s as f64 * 1e9;
+        let load_ns = plan.load_s as f64 * 1e9;
         row.share = cpu_ns as f64 / load_ns;
-        row.control_share = (t.listed.total_ns + t.timers.total_ns) as f64 / load_ns;
-        row.us_an_invocation = cpu_ns as f64 / 1e3 / f64::from(id.max(1));
-        row.module_us_an_invocation = t.total_ns() as f64 / 1e3 / f64::from(id.max(1));
+        row.control_share = (t.list_changes.total_ns + t.timers.total_ns) as f64 / load_ns;
+        row.us_per_invocation = cpu_ns as f64 / 1e3 / f64::from(id.max(1));
+        row.policy_us_per_invocation = t.total_ns() as f64 / 1e3 / f64::from(id.max(1));
         row.succeeded = t.succeeded;
-        let c = inner.borrow().table_sizes();
-        (row.functions_held, row.places_held) = (c.functions, c.instances);
-        (row.ranked_held, row.rank_steps) = (c.ranked, c.rank_steps);
+        let sizes = policy.borrow().table_sizes();
+        (row.tracked_functions, row.tracked_instances) = (sizes.functions, sizes.instances);
+        (row.ranked_invokers, row.rank_steps) = (sizes.ranked, sizes.rank_steps);
     }
-    if course.quiet_s > 0 {
-        // What is under way ends first.
+    if plan.quiet_s > 0 {
+        // Wait until the invocations in flight have ended.
         clock.sleep_until(end + 4 * SECOND).await;
-        let began_cpu = thread_cpu_ns();
-        clock.sleep_until(end + (4 + course.quiet_s) * SECOND).await;
-        row.quiet_share = (thread_cpu_ns() - began_cpu) as f64 / (course.quiet_s as f64 * 1e9);
+        let idle_begin_cpu_ns = thread_cpu_ns();
+        clock.sleep_until(end + (4 + plan.quiet_s) * SECOND).await;
+        row.idle_share = (thread_cpu_ns() - idle_begin_cpu_ns) as f64 / (plan.quiet_s as f64 * 1e9);
     }
     (row.invokers, row.functions, row.skew) = (load.invokers, load.functions, load.skew);
-    (row.whole_list_bytes, row.a_line_bytes) = list_bytes(load.invokers);
+    (row.snapshot_bytes, row.entry_bytes) = list_bytes(load.invokers);
     handle.inspect(|s| {
-        let world = &s.invocations.transport.world;
-        (row.dispatches, row.misses, row.orders) = (world.dispatches, world.misses, world.orders);
+        let model = &s.invocations.transport.model;
+        (row.dispatches, row.misses, row.load_orders) =
+            (model.dispatches, model.misses, model.load_orders);
     });
     row.invocations = u64::from(id);
     row
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -1,11 +1,13 @@
-//! What a part of the fleet costs at sizes that no machine holds, measured on the real code with nothing round it.
+//! Measures the CPU time and memory of parts of the fleet at sizes that do not fit on one machine. The parts run their real
+//! code in isolation.
 //!
-//! [`controller`] runs the real module under the real invocations, without sockets, against a model of invokers in the same
-//! process, in virtual time. [`members`] runs real stewards and real members over the emulated network. Both give one row a
-//! size; [`fit`] makes slopes of rows. Processor time is the thread's own ([`meter`]), so that a busy machine stretches it
-//! little; memory is the process's resident set, so each size wants a process of its own.
+//! [`controller`] runs the real policy and invocation table in virtual time, without sockets, against a model of invokers in
+//! the same process. [`members`] runs real coordinators and members over the simulated network. Both yield one row per size;
+//! [`fit`] fits lines to the rows. CPU time is that of the thread ([`meter`]), which a busy machine affects little. Memory is
+//! the resident set of the process, so each size needs a process of its own.
 //!
-//! [`real`] sets a process of the binary beside them. It decides nothing. What the hollow ones do not have: sockets, kernels, schedulers, clients.
+//! [`real`] measures a process of the binary for comparison; no decision depends on it. The isolated parts lack sockets,
+//! kernels, schedulers and clients.
 
 pub mod controller;
 pub mod fit;
--- a/crates/scale/src/members.rs
+++ b/crates/scale/src/members.rs
@@ -1,5 +1,5 @@
-//! Hollow members: real stewards, the members' real code and real followers of the invoker list, over the emulated network
-//! in one process, in virtual time. Disks are in memory, and count what is written to them.
+//! Measures coordinators and members in isolation: real coordinators, the members' real code and real followers of the
+//! invoker list run over the simulated network in one process, in virtual time. Disks are in memory and count written bytes.
 
 use crate::meter::thread_cpu_ns;
 use redb::StorageBackend;
@@ -17,7 +17,7 @@
 };
 use saltdrum_protocol::frame::{encode, take_frame};
 use saltdrum_protocol::list::{Follow, FromList};
-use saltdrum_simulated_network::{Link as Wire, Links, SimulatedNetwork};
+use saltdrum_simulated_network::{Link, Links, SimulatedNetwork};
 use saltdrum_transport::{Address, Clock, EventLoopClock, Listener, Network, Stream};
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
@@ -33,112 +33,124 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, ReadBuf};
 use tokio::task::{LocalSet, spawn_local};
 
-const STEWARDS: u32 = 3;
+const COORDINATORS: u32 = 3;
 const FLEET: &str = "scale";
-const TASK: &str = "count";
-const RENEW: Ticks = 500 * MILLISECOND;
+const LEASE_TASK: &str = "count";
+const HEARTBEAT_INTERVAL: Ticks = 500 * MILLISECOND;
 
-/// How large a hollow fleet is.
+/// The size of a fleet, and how long it is measured.
 #[derive(Clone, Debug)]
 pub struct FleetSize {
-    /// Controllers and invokers that renew with every steward.
+    /// Controllers and invokers that send heartbeats to every coordinator.
     pub members: u32,
-    /// Of the invoker list, over all stewards.
+    /// Followers of the invoker list, spread over all coordinators.
     pub followers: u32,
-    /// Leases of fleet-wide tasks, which all members offer.
+    /// Leases of fleet-wide tasks, whose task every member offers.
     pub leases: u32,
+    /// Time without changes, in seconds of virtual time.
     pub rest_s: u64,
     pub seed: u64,
 }
 
-/// What one size came to. Of a steward: the mean of all.
+/// The measurements at one size. Those of a coordinator are means over all coordinators.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Row {
     pub members: u32,
     pub followers: u32,
     pub leases: u32,
-    /// At rest, of a core, and both ways.
-    pub steward_share: f64,
-    pub steward_bytes_s: f64,
-    /// One member's, at rest, with all stewards together.
+    /// Share of a core used at rest.
+    #[serde(rename = "steward_share")]
+    pub coordinator_share: f64,
+    /// Bytes per second at rest, both directions together.
+    #[serde(rename = "steward_bytes_s")]
+    pub coordinator_bytes_s: f64,
+    /// The same for one member, with all coordinators together.
     pub member_share: f64,
     pub member_bytes_s: f64,
-    /// One change: from asking to its answer, in ms of virtual time, and what it cost a steward beyond rest.
+    /// Virtual time from requesting a change to its response.
     pub change_ms: f64,
+    /// Costs of the change to a coordinator, in addition to those at rest.
     pub change_cpu_ms: f64,
     pub change_bytes: f64,
     pub change_disk_bytes: f64,
-    /// The same of a change that takes a lease from its holder, where there are leases.
+    /// The same for a change that takes a lease from its holder, if there are leases.
     pub handover_ms: f64,
     pub handover_cpu_ms: f64,
     pub handover_bytes: f64,
-    /// Until followers had heard of a changed line: of each hundred the fiftieth, the ninety-ninth, and all.
-    pub heard_p50_ms: f64,
-    pub heard_p99_ms: f64,
-    pub heard_all_ms: f64,
-    /// What a follower was sent when it came, and for a change of one line.
-    pub whole_list_bytes: u64,
-    pub a_line_bytes: u64,
-    /// The fleet as the register carries it.
+    /// Time until half of the followers, 99% of them, and all had received a changed entry.
+    #[serde(rename = "heard_p50_ms")]
+    pub propagation_p50_ms: f64,
+    #[serde(rename = "heard_p99_ms")]
+    pub propagation_p99_ms: f64,
+    #[serde(rename = "heard_all_ms")]
+    pub propagation_max_ms: f64,
+    /// Bytes sent to a follower when it connects.
+    #[serde(rename = "whole_list_bytes")]
+    pub snapshot_bytes: u64,
+    /// Bytes sent to a follower for a change of one entry.
+    #[serde(rename = "a_line_bytes")]
+    pub entry_bytes: u64,
+    /// Size of the fleet's state as the register stores it.
     pub fleet_bytes: u64,
 }
 
+/// CPU time and traffic of a group of tasks.
 #[derive(Clone, Default)]
-struct Spent {
+struct Usage {
     cpu_ns: Rc<Cell<u64>>,
     bytes: Rc<Cell<u64>>,
 }
 
-/// A future with the processor time of its polls noted.
+/// A future with the CPU time of its polls recorded.
 struct Metered<F> {
     inner: Pin<Box<F>>,
-    spent: Spent,
+    usage: Usage,
 }
 
 impl<F: Future> Future for Metered<F> {
     type Output = F::Output;
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<F::Output> {
-        let begun = thread_cpu_ns();
+        let start = thread_cpu_ns();
         let polled = self.inner.as_mut().poll(cx);
-        self.spent
+        self.usage
             .cpu_ns
-            .set(self.spent.cpu_ns.get() + thread_cpu_ns() - begun);
+            .set(self.usage.cpu_ns.get() + thread_cpu_ns() - start);
         polled
     }
 }
 
-/// A network whose streams count what goes over them, both ways.
-struct Counting {
+/// A network whose streams count the bytes of both directions.
+struct CountingNetwork {
     inner: Rc<dyn Network>,
-    spent: Spent,
+    usage: Usage,
 }
 
-struct Counted {
+struct CountingStream {
     stream: Stream,
     bytes: Rc<Cell<u64>>,
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-        b: &mut ReadBuf<'_>,
+        buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let before = b.filled().len();
-        let polled = Pin::new(&mut self.stream).poll_read(cx, b);
+        let before = buffer.filled().len();
+        let polled = Pin::new(&mut self.stream).poll_read(cx, buffer);
         self.bytes
-            .set(self.bytes.get() + (b.filled().len() - before) as u64);
+            .set(self.bytes.get() + (buffer.filled().len() - before) as u64);
         polled
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountingStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-        b: &[u8],
+        buffer: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let polled = Pin::new(&mut self.stream).poll_write(cx, b);
+        let polled = Pin::new(&mut self.stream).poll_write(cx, buffer);
         if let Poll::Ready(Ok(n)) = polled {
             self.bytes.set(self.bytes.get() + n as u64);
         }
@@ -152,18 +164,18 @@
     }
 }
 
-struct Door {
+struct CountingListener {
     inner: Box<dyn Listener>,
     bytes: Rc<Cell<u64>>,
 }
 
-type Later<'a, T> = Pin<Box<dyn Future<Output = io::Result<T>> + 'a>>;
+type BoxedIo<'a, T> = Pin<Box<dyn Future<Output = io::Result<T>> + 'a>>;
 
-impl Listener for Door {
-    fn accept(&mut self) -> Later<'_, Stream> {
+impl Listener for CountingListener {
+    fn accept(&mut self) -> BoxedIo<'_, Stream> {
         Box::pin(async move {
             let stream = self.inner.accept().await?;
-            Ok(Box::new(Counted {
+            Ok(Box::new(CountingStream {
                 stream,
                 bytes: self.bytes.clone(),
             }) as Stream)
@@ -171,23 +183,23 @@
     }
 }
 
-impl Network for Counting {
-    fn dial<'a>(&'a self, address: &'a Address) -> Later<'a, Stream> {
+impl Network for CountingNetwork {
+    fn dial<'a>(&'a self, address: &'a Address) -> BoxedIo<'a, Stream> {
         Box::pin(async move {
             let stream = self.inner.dial(address).await?;
-            Ok(Box::new(Counted {
+            Ok(Box::new(CountingStream {
                 stream,
-                bytes: self.spent.bytes.clone(),
+                bytes: self.usage.bytes.clone(),
             }) as Stream)
         })
     }
-    fn listen<'a>(&'a self, address: &'a Address) -> Later<'a, (Box<dyn Listener>, Address)> {
+    fn listen<'a>(&'a self, address: &'a Address) -> BoxedIo<'a, (Box<dyn Listener>, Address)> {
         Box::pin(async move {
             let (inner, at) = self.inner.listen(address).await?;
             Ok((
-                Box::new(Door {
+                Box::new(CountingListener {
                     inner,
-                    bytes: self.spent.bytes.clone(),
+                    bytes: self.usage.bytes.clone(),
                 }) as Box<dyn Listener>,
                 at,
             ))
@@ -195,13 +207,14 @@
     }
 }
 
+/// An in-memory disk that counts the bytes written to it.
 #[derive(Debug)]
-struct Platter {
+struct CountingDisk {
     inner: InMemoryBackend,
     written: Arc<AtomicU64>,
 }
 
-impl StorageBackend for Platter {
+impl StorageBackend for CountingDisk {
     fn len(&self) -> io::Result<u64> {
         self.inner.len()
     }
@@ -220,14 +233,14 @@
     }
 }
 
-fn at(name: &str) -> Address {
+fn memory_address(name: &str) -> Address {
     Address::Memory(name.into())
 }
 
-fn terms() -> FleetConfig {
+fn fleet_config() -> FleetConfig {
     FleetConfig {
         name: FLEET.into(),
-        renew: RENEW,
+        renew: HEARTBEAT_INTERVAL,
         suspect_level: 8.0,
         grant_for: 2 * SECOND,
         drain_for: 60 * SECOND,
@@ -238,8 +251,8 @@
     }
 }
 
-/// Two of nine members are controllers, as at the target.
-fn id(n: u32) -> MemberId {
+/// Two of nine members are controllers, as in the target fleet.
+fn member_id(n: u32) -> MemberId {
     if n % 9 < 2 {
         MemberId::controller(n)
     } else {
@@ -247,7 +260,7 @@
     }
 }
 
-fn about(n: u32, incarnation: u64) -> MemberInfo {
+fn member_info(n: u32, incarnation: u64) -> MemberInfo {
     MemberInfo {
         incarnation,
         site: if n.is_multiple_of(2) { "east" } else { "west" }.into(),
@@ -258,31 +271,34 @@
         address: format!("tcp:10.{}.{}.{}:7001", n >> 16, n >> 8 & 255, n & 255),
         machine: 0,
         zone: (n % 5) as u8,
-        tasks: BTreeSet::from([TASK.to_owned()]),
+        tasks: BTreeSet::from([LEASE_TASK.to_owned()]),
     }
 }
 
-/// A fleet in which all have joined and are proven: joining one by one costs the square of a fleet.
-fn founded(members: u32, leases: u32) -> Fleet {
-    let stewards = (1..=STEWARDS)
-        .map(|n| (n, at(&format!("steward-{n}")).to_string()))
+/// A fleet that all members have already joined and in which all are up: joining one by one takes time quadratic in the size
+/// of the fleet.
+fn populated_fleet(members: u32, leases: u32) -> Fleet {
+    let stewards = (1..=COORDINATORS)
+        .map(|n| (n, memory_address(&format!("steward-{n}")).to_string()))
         .collect();
-    let voters = (1..=STEWARDS)
+    let voters = (1..=COORDINATORS)
         .map(|steward| Voter { steward, disk: 0 })
         .collect();
-    let config = Config::initial(voters).expect("voters that differ");
+    let config = Config::initial(voters).expect("the voters are distinct");
     let mut fleet = Fleet::new(FLEET, config, stewards, vec![], 0);
-    let up = |n| Member {
-        info: about(n, 1),
+    let up_member = |n| Member {
+        info: member_info(n, 1),
         phase: Phase::Up,
         since: 0,
         past_incarnations: vec![],
     };
-    fleet.members = (1..=members).map(|n| (id(n), up(n))).collect();
+    fleet.members = (1..=members)
+        .map(|n| (member_id(n), up_member(n)))
+        .collect();
     if leases > 0 {
         let resources = BTreeSet::from(["registry".to_owned()]);
         let terms = LeaseTerms {
-            task: TASK.into(),
+            task: LEASE_TASK.into(),
             eligible: MemberKind::Invoker,
             resources,
         };
@@ -294,12 +310,12 @@
                 leases,
                 by: "scale".into(),
             })
-            .expect("leases within their bounds");
+            .expect("the leases are valid");
     }
     fleet
 }
 
-/// Who holds the first lease.
+/// The holder of the first lease.
 fn first_holder(fleet: &Fleet) -> Option<MemberId> {
     match fleet.leases.values().next()?.state {
         LeaseState::Held { holder, .. } => Some(holder),
@@ -307,10 +323,10 @@
     }
 }
 
-/// Serves for ever, and has nothing to do.
-struct Serves;
+/// A healthy member without load.
+struct IdleMember;
 
-impl MemberRole for Serves {
+impl MemberRole for IdleMember {
     fn is_healthy(&self) -> bool {
         true
     }
@@ -327,15 +343,21 @@
     fn record_event(&self, _: &'static str, _: u64) {}
 }
 
-/// What followers of the list heard: bytes of the first and the last message, and when a line last changed.
+/// What the followers of the list received: the sizes of the last snapshot and of the last changed entry, and the times of
+/// changes.
 #[derive(Default)]
-struct Heard {
-    whole_bytes: u64,
-    line_bytes: u64,
-    at: Vec<Ticks>,
+struct ReceivedUpdates {
+    snapshot_bytes: u64,
+    entry_bytes: u64,
+    change_times: Vec<Ticks>,
 }
 
-async fn follow(network: Rc<dyn Network>, list: Address, clock: Clock, heard: Rc<RefCell<Heard>>) {
+async fn follow(
+    network: Rc<dyn Network>,
+    list: Address,
+    clock: Clock,
+    received: Rc<RefCell<ReceivedUpdates>>,
+) {
     let Ok(mut stream) = network.dial(&list).await else {
         return;
     };
@@ -350,63 +372,70 @@
     {
         return;
     }
-    let mut read = bytes::BytesMut::new();
+    let mut buffer = bytes::BytesMut::new();
     loop {
-        while let Ok(Some((kind, body))) = take_frame(&mut read) {
-            let mut heard = heard.borrow_mut();
+        while let Ok(Some((kind, body))) = take_frame(&mut buffer) {
+            let mut received = received.borrow_mut();
             match FromList::read(kind, &body) {
-                Ok(FromList::Whole(_)) => heard.whole_bytes = body.len() as u64,
+                Ok(FromList::Whole(_)) => received.snapshot_bytes = body.len() as u64,
                 Ok(FromList::Change(change)) if !change.entries.is_empty() => {
-                    heard.line_bytes = body.len() as u64 / change.entries.len() as u64;
-                    heard.at.push(clock.now());
+                    received.entry_bytes = body.len() as u64 / change.entries.len() as u64;
+                    received.change_times.push(clock.now());
                 }
                 _ => {}
             }
         }
-        if !matches!(stream.read_buf(&mut read).await, Ok(1..)) {
+        if !matches!(stream.read_buf(&mut buffer).await, Ok(1..)) {
             return;
         }
     }
 }
 
-/// Runs one hollow fleet.
+/// Measures one fleet.
 pub fn run(size: &FleetSize) -> Row {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
         .build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), play(size))
+    LocalSet::new().block_on(&runtime.expect("the runtime starts"), play(size))
 }
 
-async fn pause(span: Ticks) {
-    tokio::time::sleep(Duration::from_micros(span * 100)).await;
+async fn sleep(duration: Ticks) {
+    tokio::time::sleep(Duration::from_micros(duration * 100)).await;
 }
 
 async fn play(size: &FleetSize) -> Row {
     let clock = Clock::start();
-    let usual = Wire {
+    let link = Link {
         delay: MILLISECOND,
         jitter: 2 * MILLISECOND,
     };
-    let ether = SimulatedNetwork::new(
+    let simulated_network = SimulatedNetwork::new(
         clock,
-        Links::new(usual, 0.0, size.seed),
+        Links::new(link, 0.0, size.seed),
         EventLoopClock::default(),
     );
-    let founding = founded(size.members, size.leases);
-    let fleet_bytes = serde_json::to_vec(&founding).map_or(0, |v| v.len() as u64);
-    let (stewards, members) = (Spent::default(), Spent::default());
+    let initial_fleet = populated_fleet(size.members, size.leases);
+    let fleet_bytes = serde_json::to_vec(&initial_fleet).map_or(0, |v| v.len() as u64);
+    let (coordinator_usage, member_usage) = (Usage::default(), Usage::default());
     let written = Arc::new(AtomicU64::new(0));
-    for number in 1..=STEWARDS {
+    for number in 1..=COORDINATORS {
         let name = format!("steward-{number}");
-        let (listen, list) = (at(&name), Some(at(&format!("list-{number}"))));
-        let (life, seed, terms) = (u64::from(number), size.seed + u64::from(number), terms());
-        let seat = CoordinatorConfig {
+        let (listen, list) = (
+            memory_address(&name),
+            Some(memory_address(&format!("list-{number}"))),
+        );
+        let (incarnation, seed, fleet_config) = (
+            u64::from(number),
+            size.seed + u64::from(number),
+            fleet_config(),
+        );
+        let config = CoordinatorConfig {
             number,
-            incarnation: life,
+            incarnation,
             seed,
-            fleet_config: terms,
-            initial_fleet: founding.clone(),
+            fleet_config,
+            initial_fleet: initial_fleet.clone(),
             listen,
             invoker_list: list,
         };
@@ -414,162 +443,174 @@
             steward: number,
             disk: 0,
         };
-        let new = Identity {
+        let identity = Identity {
             schema: SCHEMA_VERSION,
             fleet: FLEET.into(),
             voter,
         };
-        let count = written.clone();
-        let opens = move || {
-            let platter = Platter {
+        let written_counter = written.clone();
+        let open_database = move || {
+            let backend = CountingDisk {
                 inner: InMemoryBackend::new(),
-                written: count.clone(),
+                written: written_counter.clone(),
             };
-            redb::Database::builder().create_with_backend(platter)
+            redb::Database::builder().create_with_backend(backend)
         };
-        let (disk, acceptor) =
-            Disk::open(name.clone(), Box::new(opens), new).expect("a disk in memory");
-        let network = Rc::new(Counting {
-            inner: ether.host(&name),
-            spent: stewards.clone(),
+        let (disk, acceptor) = Disk::open(name.clone(), Box::new(open_database), identity)
+            .expect("the in-memory disk opens");
+        let network = Rc::new(CountingNetwork {
+            inner: simulated_network.host(&name),
+            usage: coordinator_usage.clone(),
         });
-        let inner = Box::pin(service::serve(seat, disk, acceptor, network, clock));
+        let inner = Box::pin(service::serve(config, disk, acceptor, network, clock));
         spawn_local(Metered {
             inner,
-            spent: stewards.clone(),
+            usage: coordinator_usage.clone(),
         });
     }
-    let operator = RpcClient::new(ether.host("operator"), at("steward-1"), FLEET);
-    let change = |change| ChangeRequest { change };
-    // Something has to be agreed before stewards tell anybody of the fleet.
-    let resume = change(Change::Resume { by: "scale".into() });
+    let operator = RpcClient::new(
+        simulated_network.host("operator"),
+        memory_address("steward-1"),
+        FLEET,
+    );
+    let request = |change| ChangeRequest { change };
+    // Coordinators publish the fleet only after the first agreed change.
+    let resume = request(Change::Resume { by: "scale".into() });
     while operator
         .call::<ChangeReply>("change", &resume, 10 * SECOND)
         .await
         .is_err()
     {
-        pause(100 * MILLISECOND).await;
+        sleep(100 * MILLISECOND).await;
     }
-    let heard: Rc<RefCell<Heard>> = Rc::default();
+    let received: Rc<RefCell<ReceivedUpdates>> = Rc::default();
     for n in 0..size.followers {
         let (network, list) = (
-            ether.host(&format!("follower-{n}")),
-            at(&format!("list-{}", 1 + n % STEWARDS)),
+            simulated_network.host(&format!("follower-{n}")),
+            memory_address(&format!("list-{}", 1 + n % COORDINATORS)),
         );
-        spawn_local(follow(network, list, clock, heard.clone()));
+        spawn_local(follow(network, list, clock, received.clone()));
     }
     let mut rng = fastrand::Rng::with_seed(size.seed);
     for n in 1..=size.members {
-        let network = Rc::new(Counting {
-            inner: ether.host(&format!("member-{n}")),
-            spent: members.clone(),
+        let network = Rc::new(CountingNetwork {
+            inner: simulated_network.host(&format!("member-{n}")),
+            usage: member_usage.clone(),
         });
-        let with = Membership {
+        let membership = Membership {
             fleet: FLEET.into(),
-            member: id(n),
-            info: about(n, 1),
-            coordinators: (1..=STEWARDS)
-                .map(|n| at(&format!("steward-{n}")))
+            member: member_id(n),
+            info: member_info(n, 1),
+            coordinators: (1..=COORDINATORS)
+                .map(|n| memory_address(&format!("steward-{n}")))
                 .collect(),
-            heartbeat_interval: RENEW,
+            heartbeat_interval: HEARTBEAT_INTERVAL,
             lease_watch: Default::default(),
         };
-        let (spent, late) = (members.clone(), rng.u64(0..RENEW));
+        let (usage, start_delay) = (member_usage.clone(), rng.u64(0..HEARTBEAT_INTERVAL));
         spawn_local(async move {
-            pause(late).await;
+            sleep(start_delay).await;
             let inner = Box::pin(async move {
                 let local = LocalSet::new();
                 local
-                    .run_until(join(with, network, clock, Rc::new(Serves)))
+                    .run_until(join(membership, network, clock, Rc::new(IdleMember)))
                     .await
             });
-            Metered { inner, spent }.await;
+            Metered { inner, usage }.await;
         });
     }
-    pause(3 * SECOND).await;
-    let read = || {
+    sleep(3 * SECOND).await;
+    let read_usage = || {
         (
-            stewards.cpu_ns.get(),
-            stewards.bytes.get(),
-            members.cpu_ns.get(),
-            members.bytes.get(),
+            coordinator_usage.cpu_ns.get(),
+            coordinator_usage.bytes.get(),
+            member_usage.cpu_ns.get(),
+            member_usage.bytes.get(),
         )
     };
-    let since = |a: (u64, u64, u64, u64), b: (u64, u64, u64, u64)| {
-        [b.0 - a.0, b.1 - a.1, b.2 - a.2, b.3 - a.3].map(|n| n as f64)
+    let difference = |before: (u64, u64, u64, u64), after: (u64, u64, u64, u64)| {
+        [
+            after.0 - before.0,
+            after.1 - before.1,
+            after.2 - before.2,
+            after.3 - before.3,
+        ]
+        .map(|n| n as f64)
     };
-    let before = read();
-    pause(size.rest_s * SECOND).await;
-    let [s_cpu, s_bytes, m_cpu, m_bytes] = since(before, read());
-    let (span, n) = (size.rest_s as f64, f64::from(size.members));
+    let before = read_usage();
+    sleep(size.rest_s * SECOND).await;
+    let [coordinator_cpu, coordinator_bytes, member_cpu, member_bytes] =
+        difference(before, read_usage());
+    let (rest_s, member_count) = (size.rest_s as f64, f64::from(size.members));
     let mut row = Row {
         members: size.members,
         followers: size.followers,
         leases: size.leases,
-        steward_share: s_cpu / 1e9 / span / f64::from(STEWARDS),
-        steward_bytes_s: s_bytes / span / f64::from(STEWARDS),
-        member_share: m_cpu / 1e9 / span / n,
-        member_bytes_s: m_bytes / span / n,
+        coordinator_share: coordinator_cpu / 1e9 / rest_s / f64::from(COORDINATORS),
+        coordinator_bytes_s: coordinator_bytes / rest_s / f64::from(COORDINATORS),
+        member_share: member_cpu / 1e9 / rest_s / member_count,
+        member_bytes_s: member_bytes / rest_s / member_count,
         fleet_bytes,
         ..Row::default()
     };
-    let holder = first_holder(&founding);
-    let is_other = |n: &u32| id(n + 1).kind == MemberKind::Invoker && Some(id(n + 1)) != holder;
-    // One invoker comes back under another life: one line changes.
+    let holder = first_holder(&initial_fleet);
+    let is_other =
+        |n: &u32| member_id(n + 1).kind == MemberKind::Invoker && Some(member_id(n + 1)) != holder;
+    // One invoker rejoins with a new incarnation, which changes one entry of the list.
     let other = 1 + (0..size.members).find(is_other).unwrap_or(0);
-    heard.borrow_mut().at.clear();
-    let comes_back = |n: u32| {
-        change(Change::Join {
-            member: id(n),
-            about: about(n, 2),
+    received.borrow_mut().change_times.clear();
+    let rejoin = |n: u32| {
+        request(Change::Join {
+            member: member_id(n),
+            about: member_info(n, 2),
         })
     };
-    let begun = clock.now();
-    let disk = written.load(Relaxed);
-    let cost = async |asked: ChangeRequest| {
-        let (before, begun) = (read(), clock.now());
-        if let Err(why) = operator
-            .call::<ChangeReply>("change", &asked, 30 * SECOND)
+    let begin = clock.now();
+    let written_before = written.load(Relaxed);
+    let measure_change = async |change: ChangeRequest| {
+        let (before, begin) = (read_usage(), clock.now());
+        if let Err(error) = operator
+            .call::<ChangeReply>("change", &change, 30 * SECOND)
             .await
         {
-            tracing::warn!(%why, "a change was not agreed");
+            tracing::warn!(why = %error, "change was not agreed");
         }
-        let took_ms = (clock.now() - begun) as f64 / MILLISECOND as f64;
-        pause(2 * SECOND).await;
-        let ([cpu, bytes, ..], settle) = (
-            since(before, read()),
-            (clock.now() - begun) as f64 / SECOND as f64,
+        let duration_ms = (clock.now() - begin) as f64 / MILLISECOND as f64;
+        sleep(2 * SECOND).await;
+        let ([cpu, bytes, ..], elapsed_s) = (
+            difference(before, read_usage()),
+            (clock.now() - begin) as f64 / SECOND as f64,
         );
-        let stewards = f64::from(STEWARDS);
-        let cpu_ms = (cpu / stewards / 1e9 - row.steward_share * settle) * 1e3;
+        let coordinators = f64::from(COORDINATORS);
+        let cpu_ms = (cpu / coordinators / 1e9 - row.coordinator_share * elapsed_s) * 1e3;
         (
-            took_ms,
+            duration_ms,
             cpu_ms,
-            bytes / stewards - row.steward_bytes_s * settle,
+            bytes / coordinators - row.coordinator_bytes_s * elapsed_s,
         )
     };
-    let ordinary = cost(comes_back(other)).await;
-    let disk = (written.load(Relaxed) - disk) as f64 / f64::from(STEWARDS);
-    // What followers heard of the ordinary change alone.
-    let heard_of_it = std::mem::take(&mut heard.borrow_mut().at);
+    let ordinary = measure_change(rejoin(other)).await;
+    let disk_bytes = (written.load(Relaxed) - written_before) as f64 / f64::from(COORDINATORS);
+    // Taken before the handover, so that these are the times of the ordinary change only.
+    let change_times = std::mem::take(&mut received.borrow_mut().change_times);
     let handover = match holder {
-        Some(holder) => cost(comes_back(holder.number)).await,
+        Some(holder) => measure_change(rejoin(holder.number)).await,
         None => (0.0, 0.0, 0.0),
     };
     (row.change_ms, row.change_cpu_ms, row.change_bytes) = ordinary;
     (row.handover_ms, row.handover_cpu_ms, row.handover_bytes) = handover;
-    row.change_disk_bytes = disk;
-    let heard = heard.borrow();
-    let mut took: Vec<f64> = heard_of_it
+    row.change_disk_bytes = disk_bytes;
+    let received = received.borrow();
+    let mut delays_ms: Vec<f64> = change_times
         .iter()
-        .map(|t| (t - begun) as f64 / MILLISECOND as f64)
+        .map(|t| (t - begin) as f64 / MILLISECOND as f64)
         .collect();
-    took.sort_by(f64::total_cmp);
-    if let Some(last) = took.last() {
-        row.heard_p50_ms = took[took.len() / 2];
-        row.heard_p99_ms = took[took.len() * 99 / 100];
-        row.heard_all_ms = *last;
+    delays_ms.sort_by(f64::total_cmp);
+    if let Some(last) = delays_ms.last() {
+        row.propagation_p50_ms = delays_ms[delays_ms.len() / 2];
+        row.propagation_p99_ms = delays_ms[delays_ms.len() * 99 / 100];
+        row.propagation_max_ms = *last;
     }
-    (row.whole_list_bytes, row.a_line_bytes) = (heard.whole_bytes, heard.line_bytes);
+    (row.snapshot_bytes, row.entry_bytes) = (received.snapshot_bytes, received.entry_bytes);
     row
 }
--- a/crates/scale/src/meter.rs
+++ b/crates/scale/src/meter.rs
@@ -1,16 +1,16 @@
-//! Processor time and memory by the system's own accounting.
+//! CPU time and memory as accounted by the operating system.
 
 use hdrhistogram::Histogram;
 use rustix::time::{ClockId, clock_gettime};
 use serde::Serialize;
 
-/// Processor time of this thread, in ns.
+/// CPU time of this thread, in ns.
 pub fn thread_cpu_ns() -> u64 {
     let t = clock_gettime(ClockId::ThreadCPUTime);
     t.tv_sec as u64 * 1_000_000_000 + t.tv_nsec as u64
 }
 
-/// Memory of this process that is in the machine's, in bytes, as Linux tells it; 0 where it does not.
+/// Resident memory of this process in bytes, as reported by Linux; 0 where it is not available.
 pub fn resident_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = text
@@ -24,45 +24,51 @@
         * 1_024
 }
 
-/// EventLoopClock of one kind: how many, how long in all and each.
-pub struct EventLoopClock {
-    all: Histogram<u64>,
+/// Durations of the policy's calls of one kind (turns).
+pub struct TurnHistogram {
+    durations: Histogram<u64>,
     pub total_ns: u64,
 }
 
-impl Default for EventLoopClock {
+impl Default for TurnHistogram {
     fn default() -> Self {
-        // Up to a minute, to three digits.
-        let all = Histogram::new_with_bounds(1, 60_000_000_000, 3).expect("bounds that hold");
-        Self { all, total_ns: 0 }
+        // Up to a minute, with three significant digits.
+        let durations =
+            Histogram::new_with_bounds(1, 60_000_000_000, 3).expect("valid histogram bounds");
+        Self {
+            durations,
+            total_ns: 0,
+        }
     }
 }
 
-/// Of one kind of turn.
+/// A summary of the turns of one kind.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct TurnsTold {
+pub struct TurnSummary {
     pub turns: u64,
     pub total_ms: f64,
     pub p99_ms: f64,
     pub longest_ms: f64,
 }
 
-impl EventLoopClock {
-    pub fn note(&mut self, ns: u64) {
+impl TurnHistogram {
+    /// Adds a turn of `ns` nanoseconds.
+    pub fn record(&mut self, ns: u64) {
         self.total_ns += ns;
-        self.all.saturating_record(ns.max(1));
+        self.durations.saturating_record(ns.max(1));
     }
 
-    pub fn told(&self) -> TurnsTold {
+    /// Summarises the recorded turns.
+    pub fn summary(&self) -> TurnSummary {
         let ms = |ns: u64| ns as f64 / 1e6;
-        TurnsTold {
-            turns: self.all.len(),
+        TurnSummary {
+            turns: self.durations.len(),
             total_ms: ms(self.total_ns),
-            p99_ms: ms(self.all.value_at_quantile(0.99)),
-            longest_ms: if self.all.is_empty() {
+            p99_ms: ms(self.durations.value_at_quantile(0.99)),
+            longest_ms: if self.durations.is_empty() {
                 0.0
             } else {
-                ms(self.all.max())
+                ms(self.durations.max())
             },
         }
     }
