--- a/crates/scale/src/real.rs
+++ b/crates/scale/src/real.rs
@@ -1,4 +1,5 @@
-//! A real process beside the hollow one: `saltdrum node` on loopback sockets, its feed from the project's stand-in, no calls.
+//! Measures a real controller process for comparison: `saltdrum node` on loopback sockets, with the project's simulated
+//! platform feed and without invocations.
 
 use crate::world::{ZONES, deployment};
 use saltdrum::interface::{InvokerStatus, MILLISECOND, Ticks};
@@ -15,20 +16,20 @@
 use std::time::Duration;
 use tokio::task::{LocalSet, spawn_local};
 
-/// What a process with so many lines in its list came to, at rest but for a changed line every five seconds.
+/// The measurements of a process with a list of `lines` entries, at rest except for one changed entry every five seconds.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
     pub lines: u32,
     pub seconds: u64,
-    /// Of a core, by the kernel's account of the process's time on a processor.
+    /// Share of a core, from the kernel's accounting of the process's CPU time.
     pub share: f64,
-    /// Resident.
+    /// Resident memory.
     pub memory_mb: f64,
-    /// Processor time from its start until it had the whole list.
+    /// CPU time from the start of the process until it had the complete list.
     pub start_ms: f64,
 }
 
-/// Ends with whoever holds it.
+/// A child process that is killed on drop.
 struct Process(Child);
 
 impl Drop for Process {
@@ -43,21 +44,21 @@
         std::fs::read_to_string(format!("/proc/{}/{file}", self.0.id())).unwrap_or_default()
     }
 
-    /// Time on a processor so far, of all threads, in ns.
+    /// CPU time of all threads so far, in ns.
     fn cpu_ns(&self) -> u64 {
         let threads = std::fs::read_dir(format!("/proc/{}/task", self.0.id()))
             .into_iter()
             .flatten()
             .flatten();
-        let of = |id: String| self.read(&format!("task/{id}/schedstat"));
-        let ns = |text: String| {
+        let schedstat = |id: String| self.read(&format!("task/{id}/schedstat"));
+        let run_time_ns = |text: String| {
             text.split(' ')
                 .next()
                 .and_then(|n| n.parse::<u64>().ok())
                 .unwrap_or(0)
         };
         threads
-            .map(|t| ns(of(t.file_name().to_string_lossy().into_owned())))
+            .map(|t| run_time_ns(schedstat(t.file_name().to_string_lossy().into_owned())))
             .sum()
     }
 
@@ -75,18 +76,19 @@
     }
 }
 
-fn free() -> std::io::Result<SocketAddrV4> {
+/// An unused loopback address.
+fn unused_address() -> std::io::Result<SocketAddrV4> {
     let port = TcpListener::bind("127.0.0.1:0")?.local_addr()?.port();
     Ok(SocketAddrV4::new(Ipv4Addr::LOCALHOST, port))
 }
 
-fn line(invoker: u32, life: InvokerStatus) -> EndpointRecord {
+fn endpoint_record(invoker: u32, status: InvokerStatus) -> EndpointRecord {
     let address = SocketAddrV4::new(Ipv4Addr::from(0x7f01_0000 + (invoker & 0xffff)), 9);
     let zone = (invoker % u32::from(ZONES)) as u8;
     EndpointRecord {
         invoker,
         address,
-        status: life,
+        status,
         zone,
         machine_kind: 0,
         cell: 0,
@@ -95,13 +97,13 @@
     }
 }
 
-fn ms(t: Ticks) -> f64 {
-    t as f64 / MILLISECOND as f64
+fn to_ms(ticks: Ticks) -> f64 {
+    ticks as f64 / MILLISECOND as f64
 }
 
-/// The settings of the hollow controller, as the platform states them.
+/// The settings of [`crate::controller`], in the platform's configuration format.
 fn configuration(lines: u32, listen: SocketAddrV4, feed: SocketAddrV4) -> String {
-    let d = deployment(lines);
+    let settings = deployment(lines);
     let zones: Vec<String> = (0..ZONES).map(|z| format!("zone-{z}")).collect();
     json!({
         "name": "n1", "listen": listen.to_string(), "seed": "8c1f30d27a5be964", "feed": feed.to_string(),
@@ -110,25 +112,25 @@
             {"id": "s-00000001", "host_port": "127.0.0.1:9", "locality": zones[1], "flavor": "std", "cell": 0,
              "phase": "up", "size": 4.0, "up_since_ms": 0}]}}]},
         "settings": {
-            "balancers": d.controllers, "zone": 0, "zones": zones, "kinds": ["std"], "over_share_worth": 0.1,
+            "balancers": settings.controllers, "zone": 0, "zones": zones, "kinds": ["std"], "over_share_worth": 0.1,
             "tick_ms": 1.0,
             "classes": [{"name": "look", "aim_ms": 1000.0, "give_up_ms": 3000.0, "effect": "safe",
                 "key_scope": "all", "repeat_window_ms": 2000.0, "worth": 1.0, "late_share": 0.2, "stream": false}],
             "bounds": {"cancel": true, "connect_timeout_ms": 250.0, "conn_idle_ms": 15000.0,
                 "max_retry_after_ms": 1000.0, "parallel_tries": false, "probing": true, "retry_after": true,
                 "try_limit": 3},
-            "family_info": {"kind_memory_mb": d.machine_memory_mb, "linger_idle_ms": ms(d.keep_alive),
-                "load_share": d.loads_per_invocation, "load_wait_ms": 10000.0, "load_window_ms": ms(d.load_window),
-                "loads_anyway": d.free_loads, "may_order": true, "not_loaded": "miss"},
+            "family_info": {"kind_memory_mb": settings.machine_memory_mb, "linger_idle_ms": to_ms(settings.keep_alive),
+                "load_share": settings.loads_per_invocation, "load_wait_ms": 10000.0, "load_window_ms": to_ms(settings.load_window),
+                "loads_anyway": settings.free_loads, "may_order": true, "not_loaded": "miss"},
             "reporting": {"fields": ["queue", "util"]},
-            "rules": {"drain_grace_ms": ms(d.drain_grace), "cold_from": d.initial_capacity_share, "cold_ms": ms(d.warm_up_time),
-                "overload_factor": d.overload_factor, "tip_after_ms": ms(d.overload_window), "grace_to_answer_ms": 16.0}
+            "rules": {"drain_grace_ms": to_ms(settings.drain_grace), "cold_from": settings.initial_capacity_share, "cold_ms": to_ms(settings.warm_up_time),
+                "overload_factor": settings.overload_factor, "tip_after_ms": to_ms(settings.overload_window), "grace_to_answer_ms": 16.0}
         }
     })
     .to_string()
 }
 
-/// Runs one process of `binary` for so long; `folder` holds its configuration.
+/// Measures one process of `binary` for `seconds`. Its configuration is written to `folder`.
 pub fn run(binary: &Path, folder: &Path, lines: u32, seconds: u64) -> Result<Row, String> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -140,25 +142,35 @@
 }
 
 async fn play(binary: &Path, folder: &Path, lines: u32, seconds: u64) -> std::io::Result<Row> {
-    let (listen, feed_at) = (free()?, free()?);
+    let (listen, feed_address) = (unused_address()?, unused_address()?);
     let who = ControllerId {
         controller: 1,
         incarnation: 1,
     };
     let feed = Feed::new(who, Record::default(), Clock::start());
-    spawn_local(feed.clone().serve(Rc::new(SocketNetwork), feed_at));
+    spawn_local(feed.clone().serve(Rc::new(SocketNetwork), feed_address));
     feed.publish(
         2,
-        Event::Snapshot((1..=lines).map(|w| line(w, InvokerStatus::Ready)).collect()),
+        Event::Snapshot(
+            (1..=lines)
+                .map(|w| endpoint_record(w, InvokerStatus::Ready))
+                .collect(),
+        ),
     );
     let path = folder.join("config.json");
-    std::fs::write(&path, configuration(lines, listen, feed_at))?;
-    let mut node = Command::new(binary);
-    node.arg("node")
+    std::fs::write(&path, configuration(lines, listen, feed_address))?;
+    let mut command = Command::new(binary);
+    command
+        .arg("node")
         .env("RELAY_CONFIG", &path)
         .env_remove("RELAY_LISTEN")
         .env_remove("RELAY_NAME");
-    let process = Process(node.stdout(Stdio::null()).stderr(Stdio::null()).spawn()?);
+    let process = Process(
+        command
+            .stdout(Stdio::null())
+            .stderr(Stdio::null())
+            .spawn()?,
+    );
     for _ in 0..1_000 {
         if !feed.resume_points.borrow().is_empty() {
             break;
@@ -166,24 +178,24 @@
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     tokio::time::sleep(Duration::from_secs(2)).await;
-    let began = process.cpu_ns();
+    let start_cpu_ns = process.cpu_ns();
     for n in 0..seconds {
         if n % 5 == 2 {
-            let life = if n % 2 == 0 {
+            let status = if n % 2 == 0 {
                 InvokerStatus::Gone
             } else {
                 InvokerStatus::Ready
             };
-            feed.publish(3 + n, Event::Changes(vec![line(2, life)]));
+            feed.publish(3 + n, Event::Changes(vec![endpoint_record(2, status)]));
         }
         tokio::time::sleep(Duration::from_secs(1)).await;
     }
-    let share = (process.cpu_ns() - began) as f64 / (seconds as f64 * 1e9);
+    let share = (process.cpu_ns() - start_cpu_ns) as f64 / (seconds as f64 * 1e9);
     Ok(Row {
         lines,
         seconds,
         share,
         memory_mb: process.memory_mb(),
-        start_ms: began as f64 / 1e6,
+        start_ms: start_cpu_ns as f64 / 1e6,
     })
 }
--- a/crates/scale/src/world.rs
+++ b/crates/scale/src/world.rs
@@ -1,35 +1,37 @@
-//! A model of invokers, in the same process: who holds which copies, how long a run takes.
+//! A model of invokers in the same process: which instances they have loaded, and how long invocations and loads take.
 
 use saltdrum::interface::*;
 use std::collections::BTreeMap;
 
-/// How the load is spread and the fleet is made.
+/// The size of the fleet and the distribution of the load.
 #[derive(Clone, Debug)]
 pub struct Workload {
     pub invokers: u32,
     pub functions: u64,
-    /// Invocations a second at this controller.
+    /// Invocations per second at this controller.
     pub rate: f64,
-    /// The n-th function is called as often as 1 / n^skew. 1.5: half of 94,000 are called less than once a minute over a
-    /// whole fleet with 460,000 invocations a second; 1: many more are seen by each controller.
+    /// The n-th function is called with a frequency proportional to 1 / n^skew. With 1.5, half of 94,000 functions are
+    /// called less than once a minute in a whole fleet with 460,000 invocations per second; with 1, each controller sees
+    /// many more functions.
     pub skew: f64,
     pub seed: u64,
 }
 
-const RUN: Ticks = 150 * MILLISECOND;
-const LOADS: Ticks = 500 * MILLISECOND;
-/// An instance that nobody calls stands so long.
+const RUN_TIME: Ticks = 150 * MILLISECOND;
+const LOAD_TIME: Ticks = 500 * MILLISECOND;
+/// How long an idle instance stays loaded.
 const KEEP_ALIVE: Ticks = 9 * SECOND;
-/// Of what this controller did not load itself, others hold so much where it looks first.
-const OTHERS_HOLD: f64 = 0.9;
-/// Controllers and invokers of the target: a smaller fleet has as many controllers less.
-const TARGET: (u32, u32) = (2_900, 10_000);
+/// Probability that the invoker chosen first has the function loaded by another controller.
+const LOADED_BY_OTHERS_SHARE: f64 = 0.9;
+/// Controllers and invokers of the target fleet. Smaller fleets have the same ratio.
+const TARGET_FLEET: (u32, u32) = (2_900, 10_000);
+/// Number of zones over which invokers are spread.
 pub const ZONES: u8 = 5;
 
-/// The settings of the platform's first site, with the fleet's number of controllers.
+/// The settings of the platform's first site, with the number of controllers scaled to the fleet.
 pub fn deployment(invokers: u32) -> Deployment {
     Deployment {
-        controllers: (invokers * TARGET.0 / TARGET.1).max(1),
+        controllers: (invokers * TARGET_FLEET.0 / TARGET_FLEET.1).max(1),
         zone: 0,
         trigger_types: vec![TriggerType {
             latency_objective: SECOND,
@@ -64,89 +66,109 @@
     }
 }
 
-pub fn line(invoker: InvokerId, life: InvokerStatus, started: Option<Ticks>) -> InvokerRecord {
+/// The endpoint list's entry for an invoker.
+pub fn invoker_record(
+    invoker: InvokerId,
+    status: InvokerStatus,
+    started_at: Option<Ticks>,
+) -> InvokerRecord {
     let zone = (invoker % u32::from(ZONES)) as u8;
     InvokerRecord {
         invoker,
         zone,
         machine_kind: 0,
         cell: u16::from(zone),
-        status: life,
+        status,
         capacity: 4.0,
-        started_at: started,
+        started_at,
     }
 }
 
-/// Draws functions by how often they are called.
+/// Draws functions by their call frequency.
 pub struct Popularity {
-    /// Shares up to each function.
-    up_to: Vec<f64>,
+    /// Cumulative shares up to each function.
+    cumulative_shares: Vec<f64>,
 }
 
 impl Popularity {
+    /// A distribution over `functions` functions with the weights 1 / n^`skew`.
     pub fn new(functions: u64, skew: f64) -> Self {
         let mut sum = 0.0;
-        let mut up_to: Vec<f64> = (1..=functions)
+        let mut cumulative_shares: Vec<f64> = (1..=functions)
             .map(|n| {
                 sum += (n as f64).powf(-skew);
                 sum
             })
             .collect();
-        up_to.iter_mut().for_each(|s| *s /= sum);
-        Self { up_to }
+        cumulative_shares.iter_mut().for_each(|s| *s /= sum);
+        Self { cumulative_shares }
     }
 
+    /// Draws a function.
     pub fn draw(&self, rng: &mut fastrand::Rng) -> FunctionId {
-        let at = rng.f64();
-        self.up_to.partition_point(|s| *s < at) as FunctionId
+        let target = rng.f64();
+        self.cumulative_shares.partition_point(|s| *s < target) as FunctionId
     }
 }
 
-/// Copies that this controller had loaded, and a draw for those of others.
-pub struct World {
+/// The instances that this controller has loaded. Those of other controllers are drawn at random.
+pub struct InvokerModel {
     rng: fastrand::Rng,
-    copies: BTreeMap<(InvokerId, FunctionId), Ticks>,
+    /// Expiry times of loaded instances.
+    instances: BTreeMap<(InvokerId, FunctionId), Ticks>,
     pub misses: u64,
     pub dispatches: u64,
-    pub orders: u64,
+    pub load_orders: u64,
 }
 
-impl World {
+impl InvokerModel {
     pub fn new(seed: u64) -> Self {
         let rng = fastrand::Rng::with_seed(seed ^ 0x0707);
         Self {
             rng,
-            copies: BTreeMap::new(),
+            instances: BTreeMap::new(),
             misses: 0,
             dispatches: 0,
-            orders: 0,
+            load_orders: 0,
         }
     }
 
-    /// How a dispatch ends, and after how long.
-    pub fn dispatched(&mut self, now: Ticks, w: InvokerId, f: FunctionId) -> (Outcome, Ticks) {
+    /// The outcome of a dispatch and its duration.
+    pub fn dispatch(
+        &mut self,
+        now: Ticks,
+        invoker: InvokerId,
+        function: FunctionId,
+    ) -> (Outcome, Ticks) {
         self.dispatches += 1;
-        let ours = self.copies.get(&(w, f)).is_some_and(|until| now < *until);
-        if !ours && self.rng.f64() >= OTHERS_HOLD {
+        let is_own = self
+            .instances
+            .get(&(invoker, function))
+            .is_some_and(|expiry| now < *expiry);
+        if !is_own && self.rng.f64() >= LOADED_BY_OTHERS_SHARE {
             self.misses += 1;
             return (Outcome::Miss, MILLISECOND);
         }
-        self.copies.insert((w, f), now + KEEP_ALIVE);
-        let takes = (RUN as f64 * (0.5 + self.rng.f64())) as Ticks;
-        (Outcome::Succeeded, takes)
+        self.instances.insert((invoker, function), now + KEEP_ALIVE);
+        let duration = (RUN_TIME as f64 * (0.5 + self.rng.f64())) as Ticks;
+        (Outcome::Succeeded, duration)
     }
 
-    /// How long an order takes; the copy stands then.
-    pub fn ordered(&mut self, now: Ticks, w: InvokerId, f: FunctionId) -> Ticks {
-        self.orders += 1;
-        let stands = self.copies.get(&(w, f)).is_some_and(|until| now < *until);
-        let takes = if stands { MILLISECOND } else { LOADS };
-        self.copies.insert((w, f), now + takes + KEEP_ALIVE);
-        takes
+    /// Starts a load and returns its duration.
+    pub fn load(&mut self, now: Ticks, invoker: InvokerId, function: FunctionId) -> Ticks {
+        self.load_orders += 1;
+        let is_loaded = self
+            .instances
+            .get(&(invoker, function))
+            .is_some_and(|expiry| now < *expiry);
+        let duration = if is_loaded { MILLISECOND } else { LOAD_TIME };
+        self.instances
+            .insert((invoker, function), now + duration + KEEP_ALIVE);
+        duration
     }
 
-    /// Forgets copies that nobody called: the model is not to grow.
-    pub fn sweep(&mut self, now: Ticks) {
-        self.copies.retain(|_, until| now < *until);
+    /// Removes expired instances, so that the model's memory stays bounded.
+    pub fn remove_expired(&mut self, now: Ticks) {
+        self.instances.retain(|_, expiry| now < *expiry);
     }
 }
--- a/crates/scale/tests/sizes.rs
+++ b/crates/scale/tests/sizes.rs
@@ -1,11 +1,11 @@
-//! Hollow runs at small sizes, judged by count.
+//! Measurements at small sizes, checked by counts and bytes, not by CPU time.
 
 use saltdrum_scale::controller::{self, LoadPlan};
 use saltdrum_scale::fit::fit;
 use saltdrum_scale::members::{self, FleetSize};
 use saltdrum_scale::world::{Popularity, Workload};
 
-fn hollow(invokers: u32, functions: u64, zone: bool) -> controller::Row {
+fn run_controller(invokers: u32, functions: u64, zone: bool) -> controller::Row {
     let load = Workload {
         invokers,
         functions,
@@ -24,44 +24,50 @@
     )
 }
 
-/// A zone lost and back, replacements, copies that are not there: nearly all succeed, and what is held is bounded by the
-/// functions, not by the fleet.
+/// With a lost zone, replaced invokers and misses, nearly all invocations succeed, and the policy's tables are bounded by the
+/// number of functions, not by the size of the fleet.
 #[test]
-fn a_hollow_controller_serves_and_holds_what_its_functions_need() {
+fn controller_serves_with_tables_bounded_by_its_functions() {
     for (invokers, zone) in [(120, true), (1_000, false)] {
-        let row = hollow(invokers, 500, zone);
+        let row = run_controller(invokers, 500, zone);
         assert!(
             row.invocations > 2_500 && row.succeeded * 100 >= row.invocations * 97,
             "{row:?}"
         );
         assert_eq!(row.list_events, if zone { 6 } else { 4 }, "{row:?}");
         assert!(
-            row.functions_held <= 500 && row.places_held < 500 * 120,
+            row.tracked_functions <= 500 && row.tracked_instances < 500 * 120,
+            "{row:?}"
+        );
+        assert!(
+            row.ranked_invokers <= row.tracked_functions * 400,
             "{row:?}"
         );
-        assert!(row.ranked_held <= row.functions_held * 400, "{row:?}");
     }
 }
 
 #[test]
-fn the_same_seed_does_the_same() {
-    let of = |r: controller::Row| {
+fn same_seed_yields_the_same_counts() {
+    let counts = |r: controller::Row| {
         (
             r.invocations,
             r.succeeded,
             r.dispatches,
             r.misses,
-            r.orders,
+            r.load_orders,
             r.rank_steps,
         )
     };
-    assert_eq!(of(hollow(120, 300, false)), of(hollow(120, 300, false)));
+    assert_eq!(
+        counts(run_controller(120, 300, false)),
+        counts(run_controller(120, 300, false))
+    );
 }
 
-/// One change of one line: every follower hears of it, and is sent that line alone.
+/// After a change of one entry, every follower receives that entry and nothing else.
 #[test]
-fn every_follower_of_a_hollow_fleet_hears_of_a_change() {
-    let row = |members| {
+fn every_follower_receives_a_changed_entry() {
+    let run_members = |members| {
         members::run(&FleetSize {
             members,
             followers: 9,
@@ -70,16 +76,16 @@
             seed: 5,
         })
     };
-    let (small, large) = (row(20), row(80));
+    let (small, large) = (run_members(20), run_members(80));
     for r in [&small, &large] {
         assert!(
-            r.heard_all_ms > 0.0 && r.change_disk_bytes > 0.0 && r.member_bytes_s > 0.0,
+            r.propagation_max_ms > 0.0 && r.change_disk_bytes > 0.0 && r.member_bytes_s > 0.0,
             "{r:?}"
         );
     }
-    // By bytes: the whole list and the fleet grow with the members, a line does not, nor what a member says.
+    // The snapshot and the fleet grow with the number of members; an entry and a member's heartbeats do not.
     assert!(
-        large.whole_list_bytes > 3 * small.whole_list_bytes,
+        large.snapshot_bytes > 3 * small.snapshot_bytes,
         "{small:?} {large:?}"
     );
     assert!(
@@ -87,7 +93,7 @@
         "{small:?} {large:?}"
     );
     assert!(
-        large.a_line_bytes < 2 * small.a_line_bytes,
+        large.entry_bytes < 2 * small.entry_bytes,
         "{small:?} {large:?}"
     );
     assert!(
@@ -97,7 +103,7 @@
 }
 
 #[test]
-fn fits_find_the_line_and_the_power() {
+fn fits_a_line_and_a_power_law() {
     let line = fit(&[(1.0, 5.0), (2.0, 8.0), (4.0, 14.0)]).unwrap();
     assert!(
         (line.slope - 3.0).abs() < 1e-9
@@ -110,11 +116,13 @@
 }
 
 #[test]
-fn popularity_is_what_it_says() {
+fn functions_are_drawn_with_their_frequencies() {
     let (flat, steep) = (Popularity::new(1_000, 0.0), Popularity::new(1_000, 1.5));
-    let of_the_first = |p: &Popularity| {
+    let first_function_draws = |p: &Popularity| {
         let mut rng = fastrand::Rng::with_seed(9);
         (0..10_000).filter(|_| p.draw(&mut rng) == 0).count()
     };
-    assert!(of_the_first(&flat) < 40 && (3_600..4_200).contains(&of_the_first(&steep)));
+    assert!(
+        first_function_draws(&flat) < 40 && (3_600..4_200).contains(&first_function_draws(&steep))
+    );
 }
