--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -43,10 +43,10 @@
         let interval = (differences.len() > 1).then(|| {
             let variance =
                 differences.iter().map(|d| (d - mean).powi(2)).sum::<f64>() / (count - 1.0);
-            let t = StudentsT::new(0.0, 1.0, count - 1.0)
+            let t_quantile = StudentsT::new(0.0, 1.0, count - 1.0)
                 .expect("at least one degree of freedom")
                 .inverse_cdf(0.975);
-            let half_width = t * (variance / count).sqrt();
+            let half_width = t_quantile * (variance / count).sqrt();
             (mean - half_width, mean + half_width)
         });
         let count_of = |f: fn(&f64) -> bool| differences.iter().filter(|d| f(d)).count();
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -133,21 +133,26 @@
             days.push((day.trim_end_matches(".star").to_owned(), script));
         }
         let mut variants: Vec<Variant> = Vec::new();
-        for s in statements.iter().filter(|s| s.what == "variant") {
-            let arguments: VariantArguments = s.read()?;
+        for statement in statements
+            .iter()
+            .filter(|statement| statement.what == "variant")
+        {
+            let arguments: VariantArguments = statement.read()?;
             if !POLICIES.iter().any(|(name, _)| *name == arguments.policy) {
                 let known: Vec<&str> = POLICIES.iter().map(|p| p.0).collect();
-                return Err(s.fault(format!(
+                return Err(statement.fault(format!(
                     "policy '{}': one of {} is expected",
                     arguments.policy,
                     known.join(", ")
                 )));
             }
             if arguments.program.is_some() && arguments.policy != "design" {
-                return Err(s.fault("a variant with another program cannot set a policy"));
+                return Err(statement.fault("a variant with another program cannot set a policy"));
             }
             if variants.iter().any(|v| v.name == arguments.name) {
-                return Err(s.fault(format!("'{}' is stated a second time", arguments.name)));
+                return Err(
+                    statement.fault(format!("'{}' is stated a second time", arguments.name))
+                );
             }
             let changes: Vec<_> = [
                 ("deployment", arguments.deployment),
@@ -173,7 +178,7 @@
                 variant
                     .apply(script.clone())
                     .day()
-                    .map_err(|e| s.fault(format!("with its changes: {}", e.why)))?;
+                    .map_err(|e| statement.fault(format!("with its changes: {}", e.why)))?;
             }
             variants.push(variant);
         }
--- a/crates/lab/src/facts.rs
+++ b/crates/lab/src/facts.rs
@@ -6,8 +6,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// One invocation with the result of its last attempt. Times are in tenths of a millisecond; `at` is relative to the first
-/// invocation of the day.
+/// One invocation with the result of its last attempt. Times are in tenths of a millisecond; `at` is relative to the
+/// first invocation of the day.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Row {
     pub at: Ticks,
@@ -201,9 +201,9 @@
             _ => {}
         }
     }
-    for n in &abandoned {
+    for number in &abandoned {
         if let Some(row) = rows_by_number
-            .get_mut(n)
+            .get_mut(number)
             .filter(|row| row.latency.is_none())
         {
             row.outcome = "hung up".into();
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -49,16 +49,16 @@
     if bounds.only_rule.is_some() {
         return None;
     }
-    if let Some(n) = facts.measures["unsound"].filter(|n| *n > 0.0) {
+    if let Some(count) = facts.measures["unsound"].filter(|count| *count > 0.0) {
         return Some((
             "copy".into(),
-            format!("{n} copies that do not match their model were used"),
+            format!("{count} copies that do not match their model were used"),
         ));
     }
-    if let Some(n) = facts.measures["mixed"].filter(|n| *n > 0.0) {
+    if let Some(count) = facts.measures["mixed"].filter(|count| *count > 0.0) {
         return Some((
             "mixed".into(),
-            format!("{n} passages were answered by several versions"),
+            format!("{count} passages were answered by several versions"),
         ));
     }
     let value = facts.measures["value"]?;
@@ -69,8 +69,8 @@
     ))
 }
 
-/// Plays up to `days` days with the seeds `seed`, `seed + 1` and so on. The failing day with the lowest seed is reduced, for
-/// which up to `cuts` further days are played. The result does not depend on the number of threads.
+/// Plays up to `days` days with the seeds `seed`, `seed + 1` and so on. The failing day with the lowest seed is
+/// reduced, for which up to `cuts` further days are played. The result does not depend on the number of threads.
 pub fn hunt(
     base: &Script,
     overrides: Overrides,
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,9 +1,10 @@
 //! Experiments that compare variants over the same simulated days, and a search for days that break a rule.
 //!
-//! `script`, `plan`, `compare`, `draw` and `shrink` do no I/O: they read and change a day's script, list the remaining runs
-//! of an experiment, evaluate differences, draw random troubles and reduce a failing day. `experiment` loads the
-//! description of an experiment, `facts` summarises a run, `results` stores runs as Parquet files, `run` executes them on
-//! all cores, `report` presents them, `hunt` searches for failing days, and `meter` measures the CPU time of controllers.
+//! `script`, `plan`, `compare`, `draw` and `shrink` do no I/O: they read and change a day's script, list the remaining
+//! runs of an experiment, evaluate differences, draw random troubles and reduce a failing day. `experiment` loads the
+//! description of an experiment, `facts` summarises a run, `results` stores runs as Parquet files, `run` executes them
+//! on all cores, `report` presents them, `hunt` searches for failing days, and `meter` measures the CPU time of
+//! controllers.
 
 pub mod compare;
 pub mod draw;
--- a/crates/lab/src/meter.rs
+++ b/crates/lab/src/meter.rs
@@ -20,8 +20,8 @@
 
 /// CPU time of this thread, in seconds.
 pub fn cpu_s() -> f64 {
-    let t = rustix::time::clock_gettime(rustix::time::ClockId::ThreadCPUTime);
-    t.tv_sec as f64 + t.tv_nsec as f64 / 1e9
+    let time = rustix::time::clock_gettime(rustix::time::ClockId::ThreadCPUTime);
+    time.tv_sec as f64 + time.tv_nsec as f64 / 1e9
 }
 
 struct Metered(ControllerTask);
--- a/crates/lab/src/plan.rs
+++ b/crates/lab/src/plan.rs
@@ -11,8 +11,8 @@
     pub variant: usize,
 }
 
-/// All cells of an experiment. The variants of a day, size and seed are adjacent, so that most pairs are complete whenever
-/// the experiment is interrupted.
+/// All cells of an experiment. The variants of a day, size and seed are adjacent, so that most pairs are complete
+/// whenever the experiment is interrupted.
 pub fn cells(sizes: usize, days: usize, seeds: usize, variants: usize) -> Vec<Cell> {
     let mut cells = Vec::new();
     for seed in 0..seeds {
@@ -30,8 +30,8 @@
     cells
 }
 
-/// The state of each run. A run's key covers everything that its result depends on, so a stored result with the same key
-/// is valid for it.
+/// The state of each run. A run's key covers everything that its result depends on, so a stored result with the same
+/// key is valid for it.
 #[derive(Debug, Default)]
 pub struct Progress {
     waiting: VecDeque<(Cell, String)>,
--- a/crates/lab/src/plots.rs
+++ b/crates/lab/src/plots.rs
@@ -204,17 +204,22 @@
         return Ok(String::new());
     };
     let mut rows = Vec::new();
-    for c in others {
-        for (f, b) in c.figures.iter().zip(&base.figures) {
-            let (Some(d), Some(mean)) = (&f.difference, b.mean.filter(|m| m.abs() > 1e-9)) else {
+    for column in others {
+        for (figure, base_figure) in column.figures.iter().zip(&base.figures) {
+            let (Some(difference), Some(mean)) = (
+                &figure.difference,
+                base_figure.mean.filter(|m| m.abs() > 1e-9),
+            ) else {
                 continue;
             };
-            let (low, high) = d.interval.unwrap_or((d.mean, d.mean));
+            let (low, high) = difference
+                .interval
+                .unwrap_or((difference.mean, difference.mean));
             let percent = |v: f64| (100.0 * v / mean).clamp(-100.0, 100.0);
             rows.push((
-                format!("{} {}", c.letter, f.title),
+                format!("{} {}", column.letter, figure.title),
                 percent(low),
-                percent(d.mean),
+                percent(difference.mean),
                 percent(high),
             ));
         }
@@ -246,8 +251,8 @@
             .map_err(|e| e.to_string())?;
         let zero = PathElement::new(vec![(0.0, 0.0), (0.0, count)], BLACK.stroke_width(1));
         chart.draw_series([zero]).map_err(|e| e.to_string())?;
-        for (n, (title, low, mean, high)) in rows.iter().enumerate() {
-            let y = count - n as f64 - 0.5;
+        for (row, (title, low, mean, high)) in rows.iter().enumerate() {
+            let y = count - row as f64 - 0.5;
             let whisker = PathElement::new(vec![(*low, y), (*high, y)], BLACK.stroke_width(2));
             chart.draw_series([whisker]).map_err(|e| e.to_string())?;
             chart
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -54,7 +54,8 @@
     pub size: f64,
     pub columns: Vec<Column>,
     pub tenants: Vec<Tenant>,
-    /// For each variant and rule: letter, rule, numbers of runs that kept it, were undecided and broke it, first finding.
+    /// For each variant and rule: letter, rule, numbers of runs that kept it, were undecided and broke it, first
+    /// finding.
     pub rules: Vec<(char, u8, usize, usize, usize, String)>,
     pub slow: Vec<(char, u64, crate::facts::SlowInvocation)>,
     pub troubles: Vec<(usize, String)>,
@@ -77,8 +78,8 @@
     pub sections: Vec<Section>,
 }
 
-fn letter(n: usize) -> char {
-    char::from(b'A' + (n % 26) as u8)
+fn letter(index: usize) -> char {
+    char::from(b'A' + (index % 26) as u8)
 }
 
 /// Day, size and seed, which the runs of a pair have in common.
@@ -110,8 +111,8 @@
             .collect()
     };
     let base = runs_of(&variants[0]);
-    let column = |(n, v): (usize, &String)| {
-        let own_runs = runs_of(v);
+    let column = |(index, variant): (usize, &String)| {
+        let own_runs = runs_of(variant);
         let figure = |measure: &Measure| {
             let value_of = |r: &Run| r.facts.measures.get(measure.key).copied().flatten();
             let values: Vec<f64> = own_runs.values().filter_map(|r| value_of(r)).collect();
@@ -121,7 +122,9 @@
                 .iter()
                 .filter_map(|(key, r)| Some((value_of(r)?, value_of(base.get(key)?)?)))
                 .collect();
-            let difference = (n > 0).then(|| Difference::from_pairs(&pairs)).flatten();
+            let difference = (index > 0)
+                .then(|| Difference::from_pairs(&pairs))
+                .flatten();
             let direction = difference.as_ref().map(Difference::direction);
             let verdict = direction.map_or("", |d| verdict(measure, d));
             Figure {
@@ -134,8 +137,8 @@
             }
         };
         Column {
-            letter: letter(n),
-            variant: v.clone(),
+            letter: letter(index),
+            variant: variant.clone(),
             figures: MEASURES.iter().map(figure).collect(),
         }
     };
@@ -145,8 +148,11 @@
 fn section(run_list: &RunList, day: &str, size: f64, runs: &[&Run]) -> Result<Section, String> {
     let (mut tenants, mut rules, mut slow) = (Vec::new(), Vec::new(), Vec::new());
     let (mut over_time, mut distributions, mut by_invoker) = (Vec::new(), Vec::new(), Vec::new());
-    for (n, v) in run_list.variants.iter().enumerate() {
-        let own_runs: Vec<&&Run> = runs.iter().filter(|r| r.origin.variant == *v).collect();
+    for (index, variant) in run_list.variants.iter().enumerate() {
+        let own_runs: Vec<&&Run> = runs
+            .iter()
+            .filter(|r| r.origin.variant == *variant)
+            .collect();
         let mut counts: BTreeMap<&str, [usize; 6]> = BTreeMap::new();
         let mut latencies = Latencies::default();
         let mut by_second: BTreeMap<u64, Latencies> = BTreeMap::new();
@@ -173,7 +179,7 @@
             let share = |n: usize| c[n] as f64 / c[0] as f64;
             Tenant {
                 tenant: (*tenant).to_owned(),
-                letter: letter(n),
+                letter: letter(index),
                 invocations: c[0],
                 in_time: share(1),
                 late: share(2),
@@ -183,7 +189,7 @@
             }
         }));
         over_time.push((
-            letter(n),
+            letter(index),
             by_second
                 .iter()
                 .map(|(s, l)| (*s as f64, l.quantile_ms(0.99)))
@@ -191,7 +197,7 @@
         ));
         let total = latencies.count().max(1) as f64;
         distributions.push((
-            letter(n),
+            letter(index),
             latencies
                 .cumulative_counts()
                 .into_iter()
@@ -199,11 +205,11 @@
                 .collect::<Vec<_>>(),
         ));
         let mut invokers: BTreeMap<u32, (u64, u64)> = BTreeMap::new();
-        for i in own_runs.iter().flat_map(|r| &r.facts.invokers) {
-            let sum = invokers.entry(i.invoker).or_default();
-            (sum.0, sum.1) = (sum.0 + i.dispatches, sum.1 + i.fetches);
+        for invoker in own_runs.iter().flat_map(|r| &r.facts.invokers) {
+            let sum = invokers.entry(invoker.invoker).or_default();
+            (sum.0, sum.1) = (sum.0 + invoker.dispatches, sum.1 + invoker.fetches);
         }
-        by_invoker.push((letter(n), invokers.into_values().collect::<Vec<_>>()));
+        by_invoker.push((letter(index), invokers.into_values().collect::<Vec<_>>()));
         for rule in 1..=5u8 {
             let verdicts: Vec<_> = own_runs
                 .iter()
@@ -216,7 +222,7 @@
                 .find(|r| !r.2.is_empty())
                 .map_or(String::new(), |r| r.2.clone());
             rules.push((
-                letter(n),
+                letter(index),
                 rule,
                 count("kept"),
                 count("cannottell"),
@@ -230,7 +236,7 @@
                 r.facts
                     .slow
                     .iter()
-                    .map(|s| (letter(n), r.origin.seed, s.clone()))
+                    .map(|s| (letter(index), r.origin.seed, s.clone()))
             })
             .collect();
         slowest.sort_by(|a, b| b.2.took_ms.total_cmp(&a.2.took_ms));
@@ -326,22 +332,22 @@
 }
 
 /// Formats a figure with a number of decimals that fits its size.
-fn format_figure(n: f64) -> String {
-    match n.abs() {
+fn format_figure(figure: f64) -> String {
+    match figure.abs() {
         0.0 => "0".into(),
-        a if a < 10.0 => format!("{n:.3}"),
-        a if a < 1_000.0 => format!("{n:.1}"),
-        _ => format!("{n:.0}"),
+        magnitude if magnitude < 10.0 => format!("{figure:.3}"),
+        magnitude if magnitude < 1_000.0 => format!("{figure:.1}"),
+        _ => format!("{figure:.0}"),
     }
 }
 
 fn format_cell(figure: &Figure) -> String {
     let mean = figure.mean.map_or("-".to_owned(), format_figure);
-    let Some(d) = &figure.difference else {
+    let Some(difference) = &figure.difference else {
         return mean;
     };
-    let sign = if d.mean >= 0.0 { "+" } else { "" };
-    let interval = d.interval.map_or(String::new(), |(low, high)| {
+    let sign = if difference.mean >= 0.0 { "+" } else { "" };
+    let interval = difference.interval.map_or(String::new(), |(low, high)| {
         format!(" [{}, {}]", format_figure(low), format_figure(high))
     });
     let verdict = if figure.verdict.is_empty() {
@@ -351,10 +357,10 @@
     };
     format!(
         "{mean}\n{sign}{}{interval}\n{verdict}, {}+ {}- of {}",
-        format_figure(d.mean),
-        d.higher,
-        d.lower,
-        d.pairs
+        format_figure(difference.mean),
+        difference.higher,
+        difference.lower,
+        difference.pairs
     )
 }
 
@@ -366,8 +372,8 @@
     table
         .load_preset(presets::UTF8_HORIZONTAL_ONLY)
         .set_header(std::iter::once(String::new()).chain(header));
-    for (n, measure) in MEASURES.iter().enumerate() {
-        let cells = columns.iter().map(|c| format_cell(&c.figures[n]));
+    for (index, measure) in MEASURES.iter().enumerate() {
+        let cells = columns.iter().map(|c| format_cell(&c.figures[index]));
         table.add_row(std::iter::once(measure.title.to_owned()).chain(cells));
     }
     table
@@ -387,15 +393,20 @@
         out += "mean; below it the difference to the first variant on the same days, with its 95% interval\n";
         out += &format!("all days\n{}\n", table(&self.overall));
         if self.sections.len() > 1 {
-            for s in &self.sections {
-                out += &format!("{}, size {}\n{}\n", s.day, s.size, table(&s.columns));
+            for section in &self.sections {
+                out += &format!(
+                    "{}, size {}\n{}\n",
+                    section.day,
+                    section.size,
+                    table(&section.columns)
+                );
             }
         }
-        for s in &self.sections {
-            for (letter, rule, .., broken, first) in s.rules.iter().filter(|r| r.4 > 0) {
+        for section in &self.sections {
+            for (letter, rule, .., broken, first) in section.rules.iter().filter(|r| r.4 > 0) {
                 out += &format!(
                     "{}, size {}: {letter} broke rule {rule} in {broken} runs: {first}\n",
-                    s.day, s.size
+                    section.day, section.size
                 );
             }
         }
--- a/crates/lab/src/results.rs
+++ b/crates/lab/src/results.rs
@@ -1,7 +1,7 @@
 //! Stores runs as Parquet files with one row per invocation; the footer contains the origin and the summary of the run.
 //!
-//! A file is named after the run's key and the digest of its bytes once all of it is on the disk. Partial files therefore
-//! have no such name, and a file that was damaged later is detected and its run repeated.
+//! A file is named after the run's key and the digest of its bytes once all of it is on the disk. Partial files
+//! therefore have no such name, and a file that was damaged later is detected and its run repeated.
 
 use crate::facts::{Facts, Row};
 use arrow_array::builder::{BooleanBuilder, StringDictionaryBuilder, UInt32Builder, UInt64Builder};
@@ -70,10 +70,10 @@
         UInt64Builder::new(),
         BooleanBuilder::new(),
     );
-    for r in rows {
-        at.append_value(r.at * 100);
-        latency.append_option(r.latency.map(|t| t * 100));
-        in_time.append_value(r.in_time);
+    for row in rows {
+        at.append_value(row.at * 100);
+        latency.append_option(row.latency.map(|t| t * 100));
+        in_time.append_value(row.in_time);
     }
     let batch = RecordBatch::try_from_iter_with_nullable([
         ("at_us", Arc::new(at.finish()) as ArrayRef, false),
@@ -247,17 +247,17 @@
             .ok_or_else(|| type_error("in_time"))?;
         let (tenant, trigger) = (text_column("tenant")?, text_column("trigger")?);
         let (function, outcome) = (text_column("function")?, text_column("how")?);
-        for n in 0..batch.num_rows() {
+        for index in 0..batch.num_rows() {
             rows.push(Row {
-                at: at.value(n) / 100,
-                tenant: tenant[n].clone(),
-                trigger: trigger[n].clone(),
-                function: function[n].clone(),
-                latency: (!latency.is_null(n)).then(|| latency.value(n) / 100),
-                outcome: outcome[n].clone(),
-                in_time: in_time.value(n),
-                attempts: attempts.value(n),
-                invoker: invoker.value(n),
+                at: at.value(index) / 100,
+                tenant: tenant[index].clone(),
+                trigger: trigger[index].clone(),
+                function: function[index].clone(),
+                latency: (!latency.is_null(index)).then(|| latency.value(index) / 100),
+                outcome: outcome[index].clone(),
+                in_time: in_time.value(index),
+                attempts: attempts.value(index),
+                invoker: invoker.value(index),
             });
         }
     }
--- a/crates/lab/src/script.rs
+++ b/crates/lab/src/script.rs
@@ -35,14 +35,14 @@
 /// Multiplies a number. A whole number stays whole and at least 1.
 fn multiply(value: &Json, factor: f64) -> Json {
     match value.as_f64() {
-        Some(n) if value.is_u64() => json!(((n * factor).round() as u64).max(1)),
-        Some(n) => json!(n * factor),
+        Some(number) if value.is_u64() => json!(((number * factor).round() as u64).max(1)),
+        Some(number) => json!(number * factor),
         None => value.clone(),
     }
 }
 
-/// Expands a list of member numbers to a fleet `factor` times as large: each number is repeated at the same position in each
-/// copy of a fleet of `count` members.
+/// Expands a list of member numbers to a fleet `factor` times as large: each number is repeated at the same position in
+/// each copy of a fleet of `count` members.
 fn repeat_members(value: &Json, count: u64, factor: f64) -> Json {
     let copies = factor.floor().max(1.0) as u64;
     let (Some(members), true) = (value.as_array(), factor >= 1.0) else {
@@ -100,8 +100,8 @@
                 place,
             });
         }
-        for s in self.statements.iter_mut().filter(|s| s.what == what) {
-            s.said.extend(arguments.clone());
+        for statement in self.statements.iter_mut().filter(|s| s.what == what) {
+            statement.said.extend(arguments.clone());
         }
         self
     }
@@ -135,9 +135,9 @@
                 &Map::from_iter([("store_limit".to_owned(), json!(24))]),
             );
         }
-        for s in &mut self.statements {
-            for (argument, value) in s.said.iter_mut() {
-                *value = match (s.what, argument.as_str()) {
+        for statement in &mut self.statements {
+            for (argument, value) in statement.said.iter_mut() {
+                *value = match (statement.what, argument.as_str()) {
                     ("invokers", "count")
                     | ("deployment", "controllers")
                     | ("day", "store_limit")
--- a/crates/lab/src/shrink.rs
+++ b/crates/lab/src/shrink.rs
@@ -14,18 +14,18 @@
 
 fn without_statements(script: &Script, removed: &[usize]) -> Script {
     let mut remaining = script.clone();
-    let mut n = 0;
+    let mut visited = 0;
     remaining.statements.retain(|_| {
-        n += 1;
-        !removed.contains(&(n - 1))
+        visited += 1;
+        !removed.contains(&(visited - 1))
     });
     remaining
 }
 
 /// Whether the script may load without this statement. Candidates that do not load are rejected later.
-fn is_optional(s: &Statement) -> bool {
+fn is_optional(statement: &Statement) -> bool {
     matches!(
-        s.what,
+        statement.what,
         "trouble"
             | "traffic"
             | "network"
@@ -39,11 +39,11 @@
 
 /// Halves an amount; none if it is already at its lower limit.
 fn halve(value: &Json) -> Option<Json> {
-    if let Some(n) = value.as_u64() {
-        return (n > 1).then(|| json!(n / 2));
+    if let Some(number) = value.as_u64() {
+        return (number > 1).then(|| json!(number / 2));
     }
-    if let Some(n) = value.as_f64() {
-        return (n > 1.0).then(|| json!(n / 2.0));
+    if let Some(number) = value.as_f64() {
+        return (number > 1.0).then(|| json!(number / 2.0));
     }
     let tenths = span(value.as_str()?).ok()?.0;
     (tenths > 2_000).then(|| json!(format!("{}ms", tenths / 20)))
@@ -58,8 +58,8 @@
     ("trouble", &["lasts", "at"]),
 ];
 
-/// Reduces `script`. `fails` plays a script and returns whether it still fails; it is called at most `max_plays` times, and
-/// never with a script that does not load.
+/// Reduces `script`. `fails` plays a script and returns whether it still fails; it is called at most `max_plays` times,
+/// and never with a script that does not load.
 pub fn shrink(script: Script, max_plays: usize, mut fails: impl FnMut(&Script) -> bool) -> Shrunk {
     let (mut best, mut played) = (script, 0);
     let mut try_candidate = |candidate: Script, best: &mut Script| {
@@ -91,15 +91,16 @@
             }
             range_len /= 2;
         }
-        for n in 0..best.statements.len() {
-            let what = best.statements[n].what;
+        for index in 0..best.statements.len() {
+            let what = best.statements[index].what;
             let Some((_, arguments)) = HALVED_ARGUMENTS.iter().find(|h| h.0 == what) else {
                 continue;
             };
             for argument in *arguments {
-                while let Some(halved) = best.statements[n].said.get(*argument).and_then(halve) {
+                while let Some(halved) = best.statements[index].said.get(*argument).and_then(halve)
+                {
                     let mut candidate = best.clone();
-                    candidate.statements[n]
+                    candidate.statements[index]
                         .said
                         .insert((*argument).to_owned(), halved);
                     if !try_candidate(candidate, &mut best) {
--- a/crates/load/src/drive.rs
+++ b/crates/load/src/drive.rs
@@ -75,8 +75,8 @@
     next_request_id: Cell<u64>,
 }
 
-/// Sends `entries` over `connections` connections to each of `controllers` and waits until all invocations have finished.
-/// Every function and tenant must be known to `terms`: check with [`find_unknown_name`] first.
+/// Sends `entries` over `connections` connections to each of `controllers` and waits until all invocations have
+/// finished. Every function and tenant must be known to `terms`: check with [`find_unknown_name`] first.
 pub async fn send_load(
     network: Rc<dyn Network>,
     clock: Clock,
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,8 +1,8 @@
 //! Open-loop load generation: sending does not wait for responses, and latency is measured from the time at which an
 //! invocation was scheduled to be sent.
 //!
-//! `shape`, `popularity`, `retry`, `lag`, `latency` and `mend` do no I/O; `trace` reads and writes recorded load as Parquet
-//! files; `drive` sends load over a given [`saltdrum_transport::Network`].
+//! `shape`, `popularity`, `retry`, `lag`, `latency` and `mend` do no I/O; `trace` reads and writes recorded load as
+//! Parquet files; `drive` sends load over a given [`saltdrum_transport::Network`].
 
 pub mod drive;
 pub mod lag;
--- a/crates/load/src/mend.rs
+++ b/crates/load/src/mend.rs
@@ -18,8 +18,8 @@
     pub backward_steps: Vec<(String, usize, Ticks)>,
 }
 
-/// Converts the times of rows, each with its source, to one clock that starts at 0. `ahead` lists the sources whose clocks
-/// are known to be ahead, with their offsets. The order of the rows does not change.
+/// Converts the times of rows, each with its source, to one clock that starts at 0. `ahead` lists the sources whose
+/// clocks are known to be ahead, with their offsets. The order of the rows does not change.
 pub fn correct_clocks(
     rows: &mut [(String, Ticks)],
     ahead: &BTreeMap<String, Ticks>,
--- a/crates/load/src/popularity.rs
+++ b/crates/load/src/popularity.rs
@@ -7,7 +7,8 @@
 pub struct Popularity {
     /// Cumulative weights up to each rank.
     cumulative_weights: Vec<f64>,
-    /// Interval after which the least popular function takes the top rank and all others move down by one; 0 means never.
+    /// Interval after which the least popular function takes the top rank and all others move down by one; 0 means
+    /// never.
     turnover: Ticks,
 }
 
--- a/crates/load/src/retry.rs
+++ b/crates/load/src/retry.rs
@@ -32,8 +32,8 @@
 }
 
 impl RetryPolicy {
-    /// Decides after attempt `attempt`, counted from 0, of an invocation that started `elapsed` ago. An invocation that may
-    /// have had its effect is not repeated unless that is safe. `jitter` is a random number from 0 to 1.
+    /// Decides after attempt `attempt`, counted from 0, of an invocation that started `elapsed` ago. An invocation that
+    /// may have had its effect is not repeated unless that is safe. `jitter` is a random number from 0 to 1.
     pub fn decide(
         &self,
         trigger: &TriggerType,
@@ -50,7 +50,8 @@
         match (outcome, trigger.effect) {
             (AttemptOutcome::Throttled(retry_after), _) => wait = wait.max(retry_after),
             (AttemptOutcome::Unsent, _) | (_, Effect::Idempotent) => {}
-            // A repeat is deduplicated only if all cells share the idempotency keys, and only within the idempotency window.
+            // A repeat is deduplicated only if all cells share the idempotency keys, and only within the idempotency
+            // window.
             (AttemptOutcome::Unknown, Effect::IdempotencyKey)
                 if trigger.key_scope == KeyScope::All =>
             {
--- a/crates/load/src/trace.rs
+++ b/crates/load/src/trace.rs
@@ -49,15 +49,15 @@
 
 fn digest(entries: &[TraceEntry]) -> String {
     let mut hasher = blake3::Hasher::new();
-    for e in entries {
-        for text in [&e.tenant, &e.function, &e.source] {
+    for entry in entries {
+        for text in [&entry.tenant, &entry.function, &entry.source] {
             hasher
                 .update(&(text.len() as u64).to_le_bytes())
                 .update(text.as_bytes());
         }
         hasher
-            .update(&e.at.to_le_bytes())
-            .update(&e.work.to_le_bytes());
+            .update(&entry.at.to_le_bytes())
+            .update(&entry.work.to_le_bytes());
     }
     hasher.finalize().to_hex().to_string()
 }
@@ -112,8 +112,8 @@
     })
 }
 
-/// Reads a trace and returns its entries in order of time on one clock. `ahead` lists the sources whose clocks are known
-/// to be ahead, with their offsets.
+/// Reads a trace and returns its entries in order of time on one clock. `ahead` lists the sources whose clocks are
+/// known to be ahead, with their offsets.
 pub fn read(
     path: &Path,
     ahead: &BTreeMap<String, Ticks>,
--- a/crates/load/tests/freeze.rs
+++ b/crates/load/tests/freeze.rs
@@ -49,8 +49,8 @@
     serving.run_until(accepting).await;
 }
 
-/// Sends 200 invocations per second for 10 s. The server or the generator freezes for 2 s after the first 4 s. Returns the
-/// run and the time of the freeze.
+/// Sends 200 invocations per second for 10 s. The server or the generator freezes for 2 s after the first 4 s. Returns
+/// the run and the time of the freeze.
 fn run_load(server_freezes: bool, generator_freezes: bool) -> (LoadRun, Ticks) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
@@ -133,12 +133,15 @@
     );
     let thawed = frozen + 2 * SECOND;
     let mut during = 0;
-    for o in &run.outcomes {
-        if (frozen..thawed).contains(&o.intended) {
+    for outcome in &run.outcomes {
+        if (frozen..thawed).contains(&outcome.intended) {
             during += 1;
-            assert!(o.latency() >= thawed - o.intended, "{o:?}");
-        } else if o.intended >= thawed {
-            assert!(o.latency() <= 200, "{o:?}");
+            assert!(
+                outcome.latency() >= thawed - outcome.intended,
+                "{outcome:?}"
+            );
+        } else if outcome.intended >= thawed {
+            assert!(outcome.latency() <= 200, "{outcome:?}");
         }
     }
     assert!(during > 300, "{during}");
--- a/crates/scale/src/controller.rs
+++ b/crates/scale/src/controller.rs
@@ -1,5 +1,5 @@
-//! Measures a controller in isolation: the real policy and invocation table, with dispatches and loads that end after a drawn
-//! time instead of crossing a socket.
+//! Measures a controller in isolation: the real policy and invocation table, with dispatches and loads that end after a
+//! drawn time instead of crossing a socket.
 
 use crate::meter::{TurnHistogram, TurnSummary, resident_bytes, thread_cpu_ns};
 use crate::world::{InvokerModel, Popularity, Workload, ZONES, deployment, invoker_record};
@@ -25,8 +25,8 @@
     pub quiet_s: u64,
     /// Interval at which an invoker is replaced.
     pub event_every_s: u64,
-    /// Whether a zone (a fifth of the invokers) is lost in one event after half of the load time, and comes back cold in one
-    /// event a quarter of the load time later.
+    /// Whether a zone (a fifth of the invokers) is lost in one event after half of the load time, and comes back cold
+    /// in one event a quarter of the load time later.
     pub zone_outage: bool,
 }
 
@@ -439,16 +439,16 @@
     let cpu_ns = thread_cpu_ns() - begin_cpu_ns;
     row.memory_mb = resident_bytes().saturating_sub(before) as f64 / 1_048_576.0;
     {
-        let t = stats.borrow();
+        let turn_stats = stats.borrow();
         (row.list_changes, row.arrivals, row.attempt_results) = (
-            t.list_changes.summary(),
-            t.arrivals.summary(),
-            t.attempt_results.summary(),
+            turn_stats.list_changes.summary(),
+            turn_stats.arrivals.summary(),
+            turn_stats.attempt_results.summary(),
         );
         (row.timers, row.load_results, row.list_snapshots) = (
-            t.timers.summary(),
-            t.load_results.summary(),
-            t.list_snapshots.summary(),
+            turn_stats.timers.summary(),
+            turn_stats.load_results.summary(),
+            turn_stats.list_snapshots.summary(),
         );
         let turns = [
             &row.list_changes,
@@ -460,10 +460,11 @@
         row.longest_ms = turns.iter().map(|t| t.longest_ms).fold(0.0, f64::max);
         let load_ns = plan.load_s as f64 * 1e9;
         row.share = cpu_ns as f64 / load_ns;
-        row.control_share = (t.list_changes.total_ns + t.timers.total_ns) as f64 / load_ns;
+        row.control_share =
+            (turn_stats.list_changes.total_ns + turn_stats.timers.total_ns) as f64 / load_ns;
         row.us_per_invocation = cpu_ns as f64 / 1e3 / f64::from(id.max(1));
-        row.policy_us_per_invocation = t.total_ns() as f64 / 1e3 / f64::from(id.max(1));
-        row.succeeded = t.succeeded;
+        row.policy_us_per_invocation = turn_stats.total_ns() as f64 / 1e3 / f64::from(id.max(1));
+        row.succeeded = turn_stats.succeeded;
         let sizes = policy.borrow().table_sizes();
         (row.tracked_functions, row.tracked_instances) = (sizes.functions, sizes.instances);
         (row.ranked_invokers, row.rank_steps) = (sizes.ranked, sizes.rank_steps);
--- a/crates/scale/src/members.rs
+++ b/crates/scale/src/members.rs
@@ -1,5 +1,6 @@
 //! Measures coordinators and members in isolation: real coordinators, the members' real code and real followers of the
-//! invoker list run over the simulated network in one process, in virtual time. Disks are in memory and count written bytes.
+//! invoker list run over the simulated network in one process, in virtual time. Disks are in memory and count written
+//! bytes.
 
 use crate::meter::thread_cpu_ns;
 use redb::StorageBackend;
@@ -275,8 +276,8 @@
     }
 }
 
-/// A fleet that all members have already joined and in which all are up: joining one by one takes time quadratic in the size
-/// of the fleet.
+/// A fleet that all members have already joined and in which all are up: joining one by one takes time quadratic in the
+/// size of the fleet.
 fn populated_fleet(members: u32, leases: u32) -> Fleet {
     let stewards = (1..=COORDINATORS)
         .map(|n| (n, memory_address(&format!("steward-{n}")).to_string()))
@@ -343,8 +344,8 @@
     fn record_event(&self, _: &'static str, _: u64) {}
 }
 
-/// What the followers of the list received: the sizes of the last snapshot and of the last changed entry, and the times of
-/// changes.
+/// What the followers of the list received: the sizes of the last snapshot and of the last changed entry, and the times
+/// of changes.
 #[derive(Default)]
 struct ReceivedUpdates {
     snapshot_bytes: u64,
--- a/crates/scale/src/meter.rs
+++ b/crates/scale/src/meter.rs
@@ -6,8 +6,8 @@
 
 /// CPU time of this thread, in ns.
 pub fn thread_cpu_ns() -> u64 {
-    let t = clock_gettime(ClockId::ThreadCPUTime);
-    t.tv_sec as u64 * 1_000_000_000 + t.tv_nsec as u64
+    let time = clock_gettime(ClockId::ThreadCPUTime);
+    time.tv_sec as u64 * 1_000_000_000 + time.tv_nsec as u64
 }
 
 /// Resident memory of this process in bytes, as reported by Linux; 0 where it is not available.
--- a/crates/scale/src/real.rs
+++ b/crates/scale/src/real.rs
@@ -16,7 +16,8 @@
 use std::time::Duration;
 use tokio::task::{LocalSet, spawn_local};
 
-/// The measurements of a process with a list of `lines` entries, at rest except for one changed entry every five seconds.
+/// The measurements of a process with a list of `lines` entries, at rest except for one changed entry every five
+/// seconds.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
     pub lines: u32,
@@ -119,12 +120,16 @@
             "bounds": {"cancel": true, "connect_timeout_ms": 250.0, "conn_idle_ms": 15000.0,
                 "max_retry_after_ms": 1000.0, "parallel_tries": false, "probing": true, "retry_after": true,
                 "try_limit": 3},
-            "family_info": {"kind_memory_mb": settings.machine_memory_mb, "linger_idle_ms": to_ms(settings.keep_alive),
-                "load_share": settings.loads_per_invocation, "load_wait_ms": 10000.0, "load_window_ms": to_ms(settings.load_window),
+            "family_info": {"kind_memory_mb": settings.machine_memory_mb,
+                "linger_idle_ms": to_ms(settings.keep_alive),
+                "load_share": settings.loads_per_invocation, "load_wait_ms": 10000.0,
+                "load_window_ms": to_ms(settings.load_window),
                 "loads_anyway": settings.free_loads, "may_order": true, "not_loaded": "miss"},
             "reporting": {"fields": ["queue", "util"]},
-            "rules": {"drain_grace_ms": to_ms(settings.drain_grace), "cold_from": settings.initial_capacity_share, "cold_ms": to_ms(settings.warm_up_time),
-                "overload_factor": settings.overload_factor, "tip_after_ms": to_ms(settings.overload_window), "grace_to_answer_ms": 16.0}
+            "rules": {"drain_grace_ms": to_ms(settings.drain_grace), "cold_from": settings.initial_capacity_share,
+                "cold_ms": to_ms(settings.warm_up_time),
+                "overload_factor": settings.overload_factor, "tip_after_ms": to_ms(settings.overload_window),
+                "grace_to_answer_ms": 16.0}
         }
     })
     .to_string()
--- a/crates/scale/src/world.rs
+++ b/crates/scale/src/world.rs
@@ -11,8 +11,8 @@
     /// Invocations per second at this controller.
     pub rate: f64,
     /// The n-th function is called with a frequency proportional to 1 / n^skew. With 1.5, half of 94,000 functions are
-    /// called less than once a minute in a whole fleet with 460,000 invocations per second; with 1, each controller sees
-    /// many more functions.
+    /// called less than once a minute in a whole fleet with 460,000 invocations per second; with 1, each controller
+    /// sees many more functions.
     pub skew: f64,
     pub seed: u64,
 }
--- a/crates/scale/tests/sizes.rs
+++ b/crates/scale/tests/sizes.rs
@@ -24,8 +24,8 @@
     )
 }
 
-/// With a lost zone, replaced invokers and misses, nearly all invocations succeed, and the policy's tables are bounded by the
-/// number of functions, not by the size of the fleet.
+/// With a lost zone, replaced invokers and misses, nearly all invocations succeed, and the policy's tables are bounded
+/// by the number of functions, not by the size of the fleet.
 #[test]
 fn controller_serves_with_tables_bounded_by_its_functions() {
     for (invokers, zone) in [(120, true), (1_000, false)] {
