--- a/crates/durable/src/database.rs
+++ b/crates/durable/src/database.rs
@@ -1,4 +1,4 @@
-//! Databases of one file each.
+//! Single-file redb databases.
 
 use crate::file;
 use redb::{Database, DatabaseError, StorageError};
@@ -10,7 +10,7 @@
     DatabaseError::Storage(StorageError::Io(error))
 }
 
-/// Whether there is a file that is not empty.
+/// Whether the file exists and is not empty.
 fn has_content(path: &Path) -> io::Result<bool> {
     match fs::metadata(path) {
         Ok(found) => Ok(found.len() > 0),
@@ -19,7 +19,7 @@
     }
 }
 
-/// An error on the way to a new database.
+/// An error while a new database is created.
 struct CreateError(DatabaseError);
 
 impl From<io::Error> for CreateError {
@@ -28,17 +28,17 @@
     }
 }
 
-/// Opens the database at `path`. Where there is none, an empty one is made first, complete or not at all: redb's own
-/// way of creating one leaves, after a kill, a file that it never opens again.
+/// Opens the database at `path`. If there is none, an empty one is created atomically first: a kill while redb creates a
+/// database in place leaves a file that it can never open again.
 pub fn open(path: &Path, cache_bytes: usize) -> Result<Database, DatabaseError> {
     if !has_content(path).map_err(storage_error)? {
-        let made = file::create_atomically(path, |unfinished| {
+        let created = file::create_atomically(path, |unfinished| {
             Database::builder()
                 .create(unfinished)
                 .map(drop)
                 .map_err(CreateError)
         });
-        made.map_err(|CreateError(error)| error)?;
+        created.map_err(|CreateError(error)| error)?;
     }
     Database::builder().set_cache_size(cache_bytes).open(path)
 }
--- a/crates/durable/src/failure.rs
+++ b/crates/durable/src/failure.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::io;
 
-/// EIO: the standard library has no kind for it.
+/// EIO, for which the standard library has no error kind.
 const EIO: i32 = 5;
 
 /// A failure of a disk.
@@ -11,12 +11,12 @@
 pub struct DiskFailure {
     /// Text of the failure.
     pub reason: String,
-    /// The same may succeed a while later: there was no space, or the device did not answer.
+    /// A retry may succeed later: the disk was full, or the device did not respond.
     pub is_transient: bool,
 }
 
 impl DiskFailure {
-    /// A failure that a retry does not mend.
+    /// A failure for which a retry is useless.
     pub fn permanent(reason: impl Into<String>) -> Self {
         Self {
             reason: reason.into(),
@@ -26,14 +26,14 @@
 }
 
 impl fmt::Display for DiskFailure {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.reason)
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(&self.reason)
     }
 }
 
 impl std::error::Error for DiskFailure {}
 
-/// Whether the same call may succeed a while later.
+/// Whether a retry of the call may succeed later.
 pub fn is_transient(error: &io::Error) -> bool {
     let is_full = matches!(
         error.kind(),
@@ -55,7 +55,7 @@
     fn from(error: redb::Error) -> Self {
         let is_transient = match &error {
             redb::Error::Io(error) => is_transient(error),
-            // A write failed before: what is on disk is known once it is opened anew.
+            // An earlier write failed. Reopening the database shows what is on disk.
             redb::Error::PreviousIo => true,
             _ => false,
         };
@@ -66,7 +66,7 @@
     }
 }
 
-/// Conversions of redb's errors of one kind of call.
+/// Converts redb's errors of individual operations.
 macro_rules! from_redb_errors {
     ($($error:ident),*) => {
         $(impl From<redb::$error> for DiskFailure {
--- a/crates/durable/src/file/tests.rs
+++ b/crates/durable/src/file/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn names(folder: &Path) -> Vec<String> {
+fn file_names(folder: &Path) -> Vec<String> {
     let mut names: Vec<_> = fs::read_dir(folder)
         .unwrap()
         .map(|entry| entry.unwrap().file_name().into_string().unwrap())
@@ -20,7 +20,7 @@
     });
     assert!(failed.is_err());
     assert_eq!(
-        (fs::read(&path).unwrap(), names(folder.path())),
+        (fs::read(&path).unwrap(), file_names(folder.path())),
         (b"first".to_vec(), vec!["file".into()])
     );
 }
@@ -32,7 +32,7 @@
     fs::write(unfinished_path(&path), b"more than is written now").unwrap();
     create_atomically(&path, |unfinished| write_synced(unfinished, b"new")).unwrap();
     assert_eq!(
-        (fs::read(&path).unwrap(), names(folder.path())),
+        (fs::read(&path).unwrap(), file_names(folder.path())),
         (b"new".to_vec(), vec!["file".into()])
     );
 }
--- a/crates/durable/src/lib.rs
+++ b/crates/durable/src/lib.rs
@@ -1,7 +1,8 @@
 //! Files and databases that outlive the process.
 //!
-//! What is written here is there complete or not at all, wherever the process is killed: it is written beside its place, brought to
-//! disk and renamed. A failure tells whether it is transient, as that of a full disk, so that a caller can try again.
+//! Files are written atomically: content goes to a temporary file in the same folder, is synced to disk and renamed, so a kill at any
+//! point leaves the complete file or none. A failure reports whether it is transient, as that of a full disk is, so that a caller can
+//! retry.
 //!
 //! Start with [`database::open`] and [`file::write_atomically`].
 
--- a/crates/protocol/src/frame.rs
+++ b/crates/protocol/src/frame.rs
@@ -1,40 +1,44 @@
-//! Frames: a length (u32, little-endian, counting what follows), a kind (u8), a body of MessagePack.
+//! Frames: a length (u32, little-endian, excluding itself), a kind (u8) and a MessagePack body.
 
 use crate::Malformed;
 use bytes::{Buf, Bytes, BytesMut};
 use serde::{Serialize, de::DeserializeOwned};
 
-/// No frame is longer, its kind byte included.
+/// Longest frame, including its kind byte.
 pub const MAX_FRAME_BYTES: usize = 4 << 20;
-const HEAD: usize = 4;
+/// Size of the length prefix.
+const HEADER_BYTES: usize = 4;
 
-/// A message that has a frame kind of its own.
+/// A message with its own frame kind.
 pub trait Message: Serialize + DeserializeOwned {
+    /// The kind byte of its frames.
     const KIND: u8;
+    /// The name of the message, for error texts.
     const NAME: &'static str;
 }
 
-/// A whole frame as it goes out.
+/// Encodes a message as a complete frame.
 pub fn encode<M: Message>(message: &M) -> Bytes {
     encode_as(M::KIND, message)
 }
 
 pub(crate) fn encode_as(kind: u8, body: &impl Serialize) -> Bytes {
     let mut out = Vec::with_capacity(256);
-    out.extend_from_slice(&[0; HEAD]);
+    out.extend_from_slice(&[0; HEADER_BYTES]);
     out.push(kind);
-    rmp_serde::encode::write(&mut out, body).expect("messages hold nothing that MessagePack lacks");
-    let length = (out.len() - HEAD) as u32;
-    out[..HEAD].copy_from_slice(&length.to_le_bytes());
+    rmp_serde::encode::write(&mut out, body)
+        .expect("every message type is representable in MessagePack");
+    let length = (out.len() - HEADER_BYTES) as u32;
+    out[..HEADER_BYTES].copy_from_slice(&length.to_le_bytes());
     out.into()
 }
 
-/// Takes the first whole frame off the front of `read`; `None` while it is not all there.
-pub fn take_frame(read: &mut BytesMut) -> Result<Option<(u8, Bytes)>, Malformed> {
-    let Some(head) = read.first_chunk::<HEAD>() else {
+/// Removes the first complete frame from the front of `buffer` and returns its kind and body; `None` if it is incomplete.
+pub fn take_frame(buffer: &mut BytesMut) -> Result<Option<(u8, Bytes)>, Malformed> {
+    let Some(header) = buffer.first_chunk::<HEADER_BYTES>() else {
         return Ok(None);
     };
-    let length = u32::from_le_bytes(*head) as usize;
+    let length = u32::from_le_bytes(*header) as usize;
     if length > MAX_FRAME_BYTES {
         return Err(Malformed::Oversize {
             got: length,
@@ -44,32 +48,32 @@
     if length == 0 {
         return Err(Malformed::Empty);
     }
-    if read.len() < HEAD + length {
+    if buffer.len() < HEADER_BYTES + length {
         return Ok(None);
     }
-    let mut frame = read.split_to(HEAD + length).freeze();
-    frame.advance(HEAD);
+    let mut frame = buffer.split_to(HEADER_BYTES + length).freeze();
+    frame.advance(HEADER_BYTES);
     let kind = frame.get_u8();
     Ok(Some((kind, frame)))
 }
 
-/// Reads a body; bytes left over are an error, as they would be another meaning.
+/// Decodes a body. Trailing bytes are an error, because they would carry meaning that this build does not know.
 pub fn decode_body<M: Message>(body: &[u8]) -> Result<M, Malformed> {
-    let mut rest = body;
-    let read = rmp_serde::decode::from_read(&mut rest).map_err(|e| Malformed::Body {
+    let mut remaining = body;
+    let message = rmp_serde::decode::from_read(&mut remaining).map_err(|e| Malformed::Body {
         what: M::NAME,
         why: e.to_string(),
     })?;
-    match rest.len() {
-        0 => Ok(read),
-        n => Err(Malformed::Body {
+    match remaining.len() {
+        0 => Ok(message),
+        count => Err(Malformed::Body {
             what: M::NAME,
-            why: format!("{n} bytes after its end"),
+            why: format!("{count} bytes after its end"),
         }),
     }
 }
 
-/// Declares the messages that one side of a link sends, and an enum to read them into.
+/// Declares the messages that one side of a link sends, and an enum that they are decoded into.
 #[macro_export]
 macro_rules! messages {
     ($(#[$doc:meta])* $all:ident { $($kind:literal => $name:ident),+ $(,)? }) => {
@@ -81,7 +85,7 @@
         #[derive(Debug, Clone, PartialEq)]
         pub enum $all { $($name($name)),+ }
         impl $all {
-            /// Reads a frame as [`take_frame`]($crate::frame::take_frame) gives it.
+            /// Decodes a frame that [`take_frame`]($crate::frame::take_frame) returned.
             pub fn read(kind: u8, body: &[u8]) -> Result<Self, $crate::Malformed> {
                 match kind {
                     $($kind => $crate::frame::decode_body::<$name>(body).map(Self::$name),)+
--- a/crates/protocol/src/invoker.rs
+++ b/crates/protocol/src/invoker.rs
@@ -1,15 +1,16 @@
-//! Between a controller and an invoker. Times are whole tenths of a millisecond, always spans, never clock times:
-//! the two clocks need not agree.
+//! Messages between a controller and an invoker. Times are whole tenths of a millisecond and always durations, never
+//! clock times, because the two clocks need not agree.
 
 use crate::{Malformed, messages};
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
 
-/// The version this side speaks, and the oldest it still understands.
+/// Protocol version of this build.
 pub const VERSION: u16 = 1;
+/// Oldest protocol version that this build accepts.
 pub const MIN_VERSION: u16 = 1;
 
-/// First frame of a controller.
+/// First frame from a controller.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Hello {
     pub version_least: u16,
@@ -17,32 +18,32 @@
     pub controller: u32,
     /// Differs at each start of the controller.
     pub incarnation: u64,
-    /// The invoker that the controller believes to be here.
+    /// The invoker that the controller expects at this address.
     pub invoker: u32,
 }
 
-/// Run an invocation.
+/// Runs an invocation.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Dispatch {
-    /// Numbered from 1 on each link, without gaps.
+    /// Sequence number on this link, from 1 without gaps.
     pub dispatch: u64,
-    /// The controller's number for the invocation; the same for its repeats.
+    /// The controller's number for the invocation; the same for all its attempts.
     pub invocation: u32,
-    /// Which repeat it is, from 0.
+    /// Number of the attempt, from 0.
     pub hop: u8,
     pub function: u64,
     pub name: String,
     pub tenant: String,
     pub trigger: String,
-    /// Until the client gives up.
+    /// Time left until the client timeout.
     pub left_tenths: u64,
-    /// By which a repeat is known.
+    /// Idempotency key.
     pub token: Option<String>,
-    /// JSON.
+    /// Input as JSON.
     pub input: ByteBuf,
 }
 
-/// A [`Dispatch`] on its way out, its parts where they lie.
+/// A borrowed [`Dispatch`], which is encoded without copying its parts first.
 #[derive(Debug, Clone, Serialize)]
 pub struct DispatchOut<'a> {
     pub dispatch: u64,
@@ -58,18 +59,19 @@
 }
 
 impl DispatchOut<'_> {
+    /// Encodes it as a frame of a [`Dispatch`].
     pub fn encode(&self) -> bytes::Bytes {
         crate::frame::encode_as(<Dispatch as crate::frame::Message>::KIND, self)
     }
 }
 
-/// Stop a dispatch; its answer says what came of it.
+/// Cancels a dispatch; the dispatch's [`Answer`] reports the outcome.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Cancel {
     pub dispatch: u64,
 }
 
-/// Hold at least so many copies loaded. 0 only asks.
+/// A load order: keeps at least `count` instances loaded. A `count` of 0 only queries the number loaded.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Hold {
     pub order: u64,
@@ -78,53 +80,56 @@
     pub count: u8,
 }
 
-/// Unload the idle copies; no answer.
+/// Unloads idle instances. It has no response.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Unload {
     pub function: u64,
 }
 
+/// A health check, answered by [`Probed`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Probe {
     pub probe: u64,
 }
 
 messages! {
-    /// All that a controller says.
+    /// Messages from a controller to an invoker.
     FromController { 1 => Hello, 2 => Dispatch, 3 => Cancel, 4 => Hold, 5 => Unload, 6 => Probe }
 }
 
-/// First frame of an invoker, when it takes the link.
+/// First frame from an invoker that accepts the link.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Welcome {
     pub version: u16,
     pub invoker: u32,
     /// Differs at each start of the invoker.
     pub incarnation: u64,
-    /// Since it started.
+    /// Time since the invoker started.
     pub age_tenths: u64,
 }
 
-/// First and last frame of an invoker that does not take the link.
+/// First and last frame from an invoker that rejects the link.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Unwelcome {
     pub why: String,
 }
 
+/// Outcome of a dispatch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[repr(u8)]
 pub enum Ended {
     Succeeded = 0,
-    /// Possibly ran.
+    /// It may have run.
     Errored = 1,
-    /// Turned away unseen.
+    /// Rejected before it ran, because the invoker is at its limit.
     Full = 2,
-    /// Not loaded here and no load under way, or the load it waited for failed; never ran.
+    /// The function is not loaded and not being loaded, or the load that it waited for failed; it never ran.
     Miss = 3,
-    /// Possibly ran.
+    /// It may have run.
     Cancelled = 4,
 }
 
+/// State of the function at the invoker when a dispatch arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Found {
     Warm,
@@ -133,41 +138,48 @@
     LoadFailed,
 }
 
-/// How things stand at the invoker. May lag.
+/// Load report of an invoker, which may be stale.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct Load {
-    /// Share of its cores that is busy, 0 to 1.
+    /// Utilization of its cores, 0 to 1.
     pub cores_busy: Option<f32>,
-    /// Invocations that wait.
+    /// Queued invocations.
     pub waiting: Option<f32>,
 }
 
+/// The result of a dispatch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Answer {
     pub dispatch: u64,
     pub ended: Ended,
     pub found: Option<Found>,
-    /// Invocations of the function that the invoker held when this one arrived.
+    /// Concurrency of the function at the invoker when this dispatch arrived.
     pub crowd: Option<u8>,
     pub load: Load,
-    /// JSON of the result, or plain text of what went wrong.
+    /// The result as JSON, or an error message as plain text.
     pub output: ByteBuf,
 }
 
+/// Outcome of a load order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HoldEnded {
+    /// The instances are loaded.
     Standing,
+    /// There is no room for the instances.
     NoRoom,
     LoadFailed,
 }
 
+/// The response to a load order.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Held {
     pub order: u64,
     pub ended: HoldEnded,
+    /// Instances of the function that are loaded.
     pub standing: u8,
 }
 
+/// The response to a health check.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Probed {
     pub probe: u64,
@@ -175,11 +187,11 @@
 }
 
 messages! {
-    /// All that an invoker says.
+    /// Messages from an invoker to a controller.
     FromInvoker { 65 => Welcome, 66 => Unwelcome, 67 => Answer, 68 => Held, 69 => Probed }
 }
 
-/// The version both sides speak, as the invoker chooses it from a hello.
+/// Chooses, for the invoker, the protocol version to use with the sender of a hello.
 pub fn negotiate_version(hello: &Hello) -> Result<u16, Malformed> {
     let version = hello.version_most.min(VERSION);
     if version >= hello.version_least && version >= MIN_VERSION {
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,8 +1,8 @@
-//! What crosses saltdrum's sockets: message types and their codecs.
+//! Message types of saltdrum's sockets, and their codecs.
 //!
-//! Bytes in, messages out, and the reverse; nothing here opens a socket, keeps time or decides. `frame` cuts a byte
-//! stream into frames, `invoker`, `list` and `store` say what the frames mean, `rpc` is JSON-RPC 2.0 by lines.
-//! `docs/protocol.md` is the page for those who implement a peer.
+//! Converts between bytes and messages; opens no socket, reads no clock and makes no decisions. `frame` splits a byte
+//! stream into frames, `invoker`, `list` and `store` define the messages of each link, `rpc` is line-delimited
+//! JSON-RPC 2.0. `docs/protocol.md` documents the protocol for implementers of a peer.
 
 pub mod frame;
 pub mod invoker;
@@ -10,7 +10,7 @@
 pub mod rpc;
 pub mod store;
 
-/// Why bytes could not be read as a message. The link they came on is not to be trusted any more.
+/// Why bytes could not be decoded as a message. The link that they came from must be closed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Malformed {
     #[error("frame of {got} bytes: at most {most} are allowed")]
--- a/crates/protocol/src/list.rs
+++ b/crates/protocol/src/list.rs
@@ -1,8 +1,9 @@
-//! Between a controller and the invoker list: the whole list first, changes after.
+//! Messages between a controller and the invoker list: first the complete list, then its changes.
 
 use crate::messages;
 use serde::{Deserialize, Serialize};
 
+/// Subscribes to the list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Follow {
     pub version: u16,
@@ -10,6 +11,7 @@
     pub incarnation: u64,
 }
 
+/// Lifecycle state of an invoker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Life {
     Ready,
@@ -17,6 +19,7 @@
     Gone,
 }
 
+/// One invoker of the list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
     pub invoker: u32,
@@ -26,18 +29,18 @@
     pub kind: u16,
     pub cell: u16,
     pub life: Life,
-    /// Without unit, comparable across invokers.
+    /// Capacity without a unit, comparable across invokers.
     pub size: f32,
     /// Differs at each start of the invoker.
     pub incarnation: u64,
-    /// Since it started, when this line left.
+    /// Time since the invoker started, as of when this entry was sent.
     pub age_tenths: u64,
-    /// Where its agent serves chunks to peers, as `address`; none where it has no agent.
+    /// Where its agent serves chunks to peers, in the form of `address`; `None` if it has no agent.
     pub agent: Option<String>,
 }
 
-/// The list as it is. What it does not name is gone, if it is settled; a list that has only just started says what
-/// it knows without saying that this is all.
+/// The complete list. An invoker that it does not name is gone only if `settled` is set: a list that has just started
+/// sends the entries that it knows so far, which may not be all.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Whole {
     pub revision: u64,
@@ -45,7 +48,7 @@
     pub entries: Vec<Entry>,
 }
 
-/// Lines that are new or other than before. `revision` is one above that of the message before.
+/// Entries that are new or have changed. `revision` is one above that of the previous message.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Change {
     pub revision: u64,
@@ -53,10 +56,10 @@
 }
 
 messages! {
-    /// All that a controller says to the list.
+    /// Messages from a controller to the list.
     ToList { 33 => Follow }
 }
 messages! {
-    /// All that the list says.
+    /// Messages from the list to a controller.
     FromList { 97 => Whole, 98 => Change }
 }
--- a/crates/protocol/src/store.rs
+++ b/crates/protocol/src/store.rs
@@ -1,33 +1,36 @@
-//! Between an invoker and the model store: one fetch after another on a connection.
+//! Messages between an invoker and the model store: sequential fetches on one connection.
 
 use crate::messages;
 use serde::{Deserialize, Serialize};
 
+/// Requests a function's model.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Fetch {
     pub invoker: u32,
     pub function: u64,
-    /// How long the fetch takes while the store is not crowded.
+    /// How long the fetch takes while the store is not overloaded.
     pub usual_tenths: u64,
 }
 
+/// The fetch succeeded.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Fetched {
     pub function: u64,
 }
 
-/// Too many fetches are under way.
+/// The fetch was rejected because too many are in progress.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Refused {
     pub function: u64,
+    /// Delay after which to retry.
     pub come_back_tenths: u64,
 }
 
 messages! {
-    /// All that an invoker says to the store.
+    /// Messages from an invoker to the store.
     ToStore { 49 => Fetch }
 }
 messages! {
-    /// All that the store says.
+    /// Messages from the store to an invoker.
     FromStore { 113 => Fetched, 114 => Refused }
 }
--- a/crates/protocol/tests/codecs.rs
+++ b/crates/protocol/tests/codecs.rs
@@ -1,4 +1,4 @@
-//! Both codecs under arbitrary bytes, and there and back.
+//! The codecs of frames and JSON-RPC lines: arbitrary and corrupted input, and round trips.
 
 use bytes::{BufMut, BytesMut};
 use proptest::prelude::*;
@@ -9,7 +9,7 @@
 use saltdrum_protocol::{Malformed, list, rpc, store};
 use serde_bytes::ByteBuf;
 
-fn fixed() -> ProptestConfig {
+fn fixed_seed_config() -> ProptestConfig {
     ProptestConfig {
         cases: 400,
         failure_persistence: None,
@@ -19,12 +19,12 @@
 }
 
 proptest! {
-    #![proptest_config(fixed())]
+    #![proptest_config(fixed_seed_config())]
 
     #[test]
-    fn arbitrary_bytes_are_read_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-        let mut read = BytesMut::from(&bytes[..]);
-        while let Ok(Some((kind, body))) = take_frame(&mut read) {
+    fn decodes_or_rejects_arbitrary_bytes_without_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+        let mut buffer = BytesMut::from(&bytes[..]);
+        while let Ok(Some((kind, body))) = take_frame(&mut buffer) {
             let _ = FromController::read(kind, &body);
             let _ = FromInvoker::read(kind, &body);
             let _ = list::FromList::read(kind, &body);
@@ -34,32 +34,32 @@
     }
 
     #[test]
-    fn bent_frames_are_read_or_refused(at in 5usize..60, bit in 0u8..8, end in 5usize..90) {
-        let mut bytes = dispatch(7).to_vec();
-        let at = at % bytes.len();
-        bytes[at] ^= 1 << bit;
+    fn decodes_or_rejects_corrupted_frames_without_panic(position in 5usize..60, bit in 0u8..8, end in 5usize..90) {
+        let mut bytes = encoded_dispatch(7).to_vec();
+        let position = position % bytes.len();
+        bytes[position] ^= 1 << bit;
         bytes.truncate(end);
         let _ = FromController::read(bytes[4], &bytes[5..]);
     }
 
     #[test]
-    fn frames_come_through_any_cut_of_the_stream(ids in proptest::collection::vec(1u64..9, 1..8), step in 1usize..40) {
-        let sent: Vec<u8> = ids.iter().flat_map(|id| dispatch(*id)).collect();
-        let (mut read, mut got) = (BytesMut::new(), Vec::new());
+    fn decodes_frames_from_a_stream_split_anywhere(ids in proptest::collection::vec(1u64..9, 1..8), step in 1usize..40) {
+        let sent: Vec<u8> = ids.iter().flat_map(|id| encoded_dispatch(*id)).collect();
+        let (mut buffer, mut received) = (BytesMut::new(), Vec::new());
         for part in sent.chunks(step) {
-            read.put_slice(part);
-            while let Some((kind, body)) = take_frame(&mut read).unwrap() {
+            buffer.put_slice(part);
+            while let Some((kind, body)) = take_frame(&mut buffer).unwrap() {
                 match FromController::read(kind, &body).unwrap() {
-                    FromController::Dispatch(d) => got.push(d.dispatch),
+                    FromController::Dispatch(dispatch) => received.push(dispatch.dispatch),
                     other => panic!("{other:?}"),
                 }
             }
         }
-        prop_assert_eq!(got, ids);
+        prop_assert_eq!(received, ids);
     }
 
     #[test]
-    fn json_like_lines_are_answered_with_their_id(id in "(-?[1-9][0-9]{0,6}(\\.[0-9])?|\"[a-z ]{0,5}\"|null)") {
+    fn error_response_repeats_the_request_id(id in "(-?[1-9][0-9]{0,6}(\\.[0-9])?|\"[a-z ]{0,5}\"|null)") {
         let line = format!(r#"{{"jsonrpc":"2.0","method":"status","id":{id}}}"#);
         let Ok(rpc::Line::Single(Ok(call))) = rpc::parse_line(line.as_bytes()) else { panic!("{line}") };
         let id_read = call.id.expect("an id, null included");
@@ -70,7 +70,7 @@
     }
 }
 
-fn dispatch(id: u64) -> bytes::Bytes {
+fn encoded_dispatch(id: u64) -> bytes::Bytes {
     encode(&Dispatch {
         dispatch: id,
         invocation: 3,
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn an_answer_comes_back_as_it_was() {
+fn answer_round_trips_through_its_encoding() {
     let load = Load {
         cores_busy: Some(0.5),
         waiting: None,
@@ -107,30 +107,30 @@
 }
 
 #[test]
-fn what_is_wrong_with_a_frame_is_said() {
-    let cut_of = |bytes: &[u8]| {
+fn frame_errors_name_the_problem_and_its_place() {
+    let frame_error = |bytes: &[u8]| {
         take_frame(&mut BytesMut::from(bytes))
             .unwrap_err()
             .to_string()
     };
     assert_eq!(
-        cut_of(&[0, 0, 0, 0, 1]),
+        frame_error(&[0, 0, 0, 0, 1]),
         "frame of 0 bytes: a kind byte is expected"
     );
-    assert!(cut_of(&[255, 255, 255, 255]).contains(&format!("at most {MAX_FRAME_BYTES}")));
+    assert!(frame_error(&[255, 255, 255, 255]).contains(&format!("at most {MAX_FRAME_BYTES}")));
     assert!(
         FromInvoker::read(2, &[])
             .unwrap_err()
             .to_string()
             .contains("kind 2")
     );
-    let long = FromController::read(3, &[0x91, 5, 5])
+    let trailing = FromController::read(3, &[0x91, 5, 5])
         .unwrap_err()
         .to_string();
-    assert_eq!(long, "body of a 'Cancel' frame: 1 bytes after its end");
-    let hello = |least, most| Hello {
-        version_least: least,
-        version_most: most,
+    assert_eq!(trailing, "body of a 'Cancel' frame: 1 bytes after its end");
+    let hello = |min, max| Hello {
+        version_least: min,
+        version_most: max,
         controller: 0,
         incarnation: 0,
         invoker: 0,
@@ -147,28 +147,33 @@
 }
 
 #[test]
-fn calls_follow_the_specification() {
-    let refusal = |line: &str| match rpc::parse_line(line.as_bytes()) {
-        Err(r) | Ok(rpc::Line::Single(Err(r))) => (r.code, r.id.as_str().to_owned()),
+fn rejects_calls_that_violate_json_rpc_and_repeats_their_id() {
+    let rejection = |line: &str| match rpc::parse_line(line.as_bytes()) {
+        Err(rejected) | Ok(rpc::Line::Single(Err(rejected))) => {
+            (rejected.code, rejected.id.as_str().to_owned())
+        }
         other => panic!("{line}: {other:?}"),
     };
-    assert_eq!(refusal("{\"jsonrpc\":"), (rpc::PARSE_ERROR, "null".into()));
-    assert_eq!(refusal("[]"), (rpc::INVALID_REQUEST, "null".into()));
-    assert_eq!(refusal("7"), (rpc::INVALID_REQUEST, "null".into()));
     assert_eq!(
-        refusal(r#"{"jsonrpc":"1.0","method":"a","id":4}"#),
+        rejection("{\"jsonrpc\":"),
+        (rpc::PARSE_ERROR, "null".into())
+    );
+    assert_eq!(rejection("[]"), (rpc::INVALID_REQUEST, "null".into()));
+    assert_eq!(rejection("7"), (rpc::INVALID_REQUEST, "null".into()));
+    assert_eq!(
+        rejection(r#"{"jsonrpc":"1.0","method":"a","id":4}"#),
         (rpc::INVALID_REQUEST, "4".into())
     );
     assert_eq!(
-        refusal(r#"{"jsonrpc":"2.0","method":7,"id":"x"}"#),
+        rejection(r#"{"jsonrpc":"2.0","method":7,"id":"x"}"#),
         (rpc::INVALID_REQUEST, "\"x\"".into())
     );
     assert_eq!(
-        refusal(r#"{"jsonrpc":"2.0","method":"a","id":{}}"#),
+        rejection(r#"{"jsonrpc":"2.0","method":"a","id":{}}"#),
         (rpc::INVALID_REQUEST, "null".into())
     );
     assert_eq!(
-        refusal(r#"{"jsonrpc":"2.0","method":"a","params":3,"id":1}"#),
+        rejection(r#"{"jsonrpc":"2.0","method":"a","params":3,"id":1}"#),
         (rpc::INVALID_REQUEST, "1".into())
     );
     let Ok(rpc::Line::Single(Ok(call))) = rpc::parse_line(br#"{"jsonrpc":"2.0","method":"a"}"#)
@@ -181,5 +186,5 @@
     else {
         panic!()
     };
-    assert!(parts[0].is_err() && parts[1].as_ref().is_ok_and(|c| c.id.is_some()));
+    assert!(parts[0].is_err() && parts[1].as_ref().is_ok_and(|call| call.id.is_some()));
 }
