--- a/crates/registry/src/blob_collector.rs
+++ b/crates/registry/src/blob_collector.rs
@@ -1,5 +1,6 @@
-//! Which blobs may go. A push holds a lease on what it needs before it asks what is there, so that nothing it was told to
-//! be there is collected under it; a load is outlasted by the grace. Times are of a clock that is never stepped.
+//! Decides which blobs may be removed. A push takes a lease on the blobs that it needs before it queries which of them are
+//! present, so that none of these is collected during the push. Loads are protected by the grace, which is longer than any
+//! load. Times are of a clock that is never stepped.
 
 use saltdrum_layers::Digest;
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,17 +13,17 @@
     digests: BTreeSet<Digest>,
 }
 
-/// What is known of blobs beside the state. It ends with the process: leases then have to be taken anew, and every grace
-/// begins again.
+/// Leases and idle times of blobs. They end with the process: pushes then have to take new leases, and every grace starts
+/// again.
 #[derive(Default)]
 pub struct BlobCollector {
     leases: BTreeMap<LeaseId, Lease>,
-    last: LeaseId,
-    /// Seen without a reference, and since when.
-    idle: BTreeMap<Digest, u64>,
+    last_lease: LeaseId,
+    /// Since when each unreferenced blob has been so.
+    unreferenced_since: BTreeMap<Digest, u64>,
 }
 
-/// Why a push can't be ended.
+/// Why a push can't be completed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PushLeaseError {
     /// The lease is unknown or has expired.
@@ -34,40 +35,41 @@
 }
 
 impl BlobCollector {
-    /// Before a push looks at what is there.
+    /// Leases blobs for a push, before it queries which of them are present.
     pub fn begin_lease(
         &mut self,
         now_ms: u64,
         digests: BTreeSet<Digest>,
-        lasts_ms: u64,
+        duration_ms: u64,
     ) -> LeaseId {
-        self.last += 1;
-        self.idle.retain(|d, _| !digests.contains(d));
+        self.last_lease += 1;
+        self.unreferenced_since.retain(|d, _| !digests.contains(d));
         self.leases.insert(
-            self.last,
+            self.last_lease,
             Lease {
-                until_ms: now_ms + lasts_ms,
+                until_ms: now_ms + duration_ms,
                 digests,
             },
         );
-        self.last
+        self.last_lease
     }
 
-    /// Whether a push that needs these still holds them. It is asked with the version's change, in the same turn.
+    /// Checks that a push's lease is valid and covers the blobs that it needs. Called in the same turn as the version's change
+    /// is committed.
     pub fn check_lease(
         &self,
         now_ms: u64,
         lease: LeaseId,
-        needs: &[Digest],
+        needed: &[Digest],
     ) -> Result<(), PushLeaseError> {
-        let held = self
+        let valid_lease = self
             .leases
             .get(&lease)
-            .filter(|l| now_ms < l.until_ms)
+            .filter(|lease| now_ms < lease.until_ms)
             .ok_or(PushLeaseError::UnknownLease(lease))?;
-        needs
+        needed
             .iter()
-            .find(|d| !held.digests.contains(d))
+            .find(|d| !valid_lease.digests.contains(d))
             .map_or(Ok(()), |d| Err(PushLeaseError::NotCovered(*d)))
     }
 
@@ -76,31 +78,32 @@
         self.leases.remove(&lease);
     }
 
-    /// Looks at all blobs present, and gives those that may be removed: neither named by a manifest that counts nor leased for all of
-    /// the grace, which is longer than the longest load.
+    /// Returns the blobs that may be removed: those that were neither referenced by a manifest nor leased for the whole grace,
+    /// which is longer than the longest load.
     pub fn collect(
         &mut self,
         now_ms: u64,
         present: impl IntoIterator<Item = Digest>,
-        named: &BTreeSet<Digest>,
+        referenced: &BTreeSet<Digest>,
         grace_ms: u64,
     ) -> Vec<Digest> {
-        self.leases.retain(|_, l| now_ms < l.until_ms);
-        let leased = |d: &Digest| self.leases.values().any(|l| l.digests.contains(d));
+        self.leases.retain(|_, lease| now_ms < lease.until_ms);
+        let leased = |d: &Digest| self.leases.values().any(|lease| lease.digests.contains(d));
         let present: BTreeSet<Digest> = present.into_iter().collect();
-        let free: BTreeSet<Digest> = present
+        let unreferenced: BTreeSet<Digest> = present
             .into_iter()
-            .filter(|d| !named.contains(d) && !leased(d))
+            .filter(|d| !referenced.contains(d) && !leased(d))
             .collect();
-        self.idle.retain(|d, _| free.contains(d));
-        let mut gone = Vec::new();
-        for digest in free {
-            let since = *self.idle.entry(digest).or_insert(now_ms);
+        self.unreferenced_since
+            .retain(|d, _| unreferenced.contains(d));
+        let mut removable = Vec::new();
+        for digest in unreferenced {
+            let since = *self.unreferenced_since.entry(digest).or_insert(now_ms);
             if now_ms >= since.saturating_add(grace_ms) {
-                self.idle.remove(&digest);
-                gone.push(digest);
+                self.unreferenced_since.remove(&digest);
+                removable.push(digest);
             }
         }
-        gone
+        removable
     }
 }
--- a/crates/registry/src/blobs.rs
+++ b/crates/registry/src/blobs.rs
@@ -1,4 +1,4 @@
-//! The folder in which the versions' manifests and chunks lie: an OCI image layout.
+//! The folder that contains the versions' manifests and chunks, as an OCI image layout.
 
 use crate::state::RegistryState;
 use saltdrum_layers::manifest::{EMPTY, MANIFEST_MOST_BYTES};
@@ -8,27 +8,27 @@
 use std::io::{self, Read};
 use std::path::{Path, PathBuf};
 
-/// Made of a parsed digest alone: no name leads elsewhere.
+/// Path of a blob. Built only from a parsed digest, so it can't lead outside the folder.
 pub fn blob_path(folder: &Path, digest: &Digest) -> PathBuf {
     folder.join("blobs").join("sha256").join(digest.hex())
 }
 
 /// Reads and verifies a manifest.
 pub fn read_manifest(folder: &Path, digest: &Digest) -> Result<Manifest, String> {
-    let at = blob_path(folder, digest);
-    let told = |why: String| format!("manifest {digest}: {why}");
-    let file = fs::File::open(at).map_err(|e| told(e.to_string()))?;
+    let path = blob_path(folder, digest);
+    let error_text = |why: String| format!("manifest {digest}: {why}");
+    let file = fs::File::open(path).map_err(|e| error_text(e.to_string()))?;
     let mut bytes = Vec::new();
     file.take(MANIFEST_MOST_BYTES as u64 + 1)
         .read_to_end(&mut bytes)
-        .map_err(|e| told(e.to_string()))?;
+        .map_err(|e| error_text(e.to_string()))?;
     if Digest::of(&bytes) != *digest {
-        return Err(told(format!(
+        return Err(error_text(format!(
             "its bytes have digest {}",
             Digest::of(&bytes)
         )));
     }
-    Manifest::read(&bytes).map_err(|e| told(e.to_string()))
+    Manifest::read(&bytes).map_err(|e| error_text(e.to_string()))
 }
 
 /// Digests of all blobs of the folder, in order.
@@ -36,14 +36,15 @@
     let mut all = Vec::new();
     for entry in fs::read_dir(folder.join("blobs").join("sha256"))? {
         let name = entry?.file_name();
-        // What is being written has another name, and is not ours to take.
+        // A blob that is being written has another name, and must not be collected.
         all.extend(format!("sha256:{}", name.to_string_lossy()).parse::<Digest>());
     }
     all.sort_unstable();
     Ok(all)
 }
 
-/// All that versions need. A manifest that can't be read stops a collection: what it needs is not known.
+/// Digests of all blobs that versions need. Fails if a manifest can't be read, because the blobs that it needs are then unknown
+/// and no blob may be collected.
 pub fn referenced_blobs(folder: &Path, state: &RegistryState) -> Result<BTreeSet<Digest>, String> {
     let mut all = BTreeSet::from([Digest::of(EMPTY)]);
     for digest in state.manifests() {
@@ -58,25 +59,25 @@
     Ok(all)
 }
 
-/// Reads every byte that a version leads to, and tells what is wrong, each with its place.
+/// Reads and verifies every blob that versions need, and returns a line for each problem, with the version and the digest.
 pub fn verify_blobs(folder: &Path, state: &RegistryState) -> Vec<String> {
-    let mut wrong = Vec::new();
+    let mut problems = Vec::new();
     let mut seen = BTreeSet::new();
-    for ((model, name), held) in &state.versions {
-        let read = match read_manifest(folder, &held.version.manifest) {
-            Ok(read) => read,
+    for ((model, name), record) in &state.versions {
+        let manifest = match read_manifest(folder, &record.version.manifest) {
+            Ok(manifest) => manifest,
             Err(why) => {
-                wrong.push(format!("{model}@{name}: {why}"));
+                problems.push(format!("{model}@{name}: {why}"));
                 continue;
             }
         };
-        for chunk in read.chunks.iter().filter(|c| seen.insert(c.digest)) {
-            let looked = fs::read(blob_path(folder, &chunk.digest))
+        for chunk in manifest.chunks.iter().filter(|c| seen.insert(c.digest)) {
+            let verified = fs::read(blob_path(folder, &chunk.digest))
                 .map_err(|e| format!("chunk {}: {e}", chunk.digest));
-            let looked =
-                looked.and_then(|bytes| cut::verify(chunk, &bytes).map_err(|e| e.to_string()));
-            wrong.extend(looked.err().map(|why| format!("{model}@{name}: {why}")));
+            let verified =
+                verified.and_then(|bytes| cut::verify(chunk, &bytes).map_err(|e| e.to_string()));
+            problems.extend(verified.err().map(|why| format!("{model}@{name}: {why}")));
         }
     }
-    wrong
+    problems
 }
--- a/crates/registry/src/chain.rs
+++ b/crates/registry/src/chain.rs
@@ -1,5 +1,5 @@
-//! The history as a chain: each entry holds the hash of the one before, so that none can be changed, left out or put in
-//! without all later ones telling.
+//! The history as a hash chain: each entry contains the hash of the previous one, so that a changed, missing or inserted
+//! entry breaks the chain from there on.
 
 use crate::state::{Change, ChangeError, RegistryState, Revision};
 use serde::{Deserialize, Serialize};
@@ -7,12 +7,12 @@
 /// Hash of an entry; 32 bytes in hexadecimal.
 pub type Hash = String;
 
-/// Before the first entry.
+/// The hash before the first entry.
 pub fn initial_hash() -> Hash {
     "0".repeat(64)
 }
 
-/// One change that was taken: who, when, what.
+/// One committed change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Entry {
@@ -20,22 +20,22 @@
     pub revision: Revision,
     /// Milliseconds since 1970, by the registry's clock.
     pub at_ms: u64,
-    /// The key that asked.
+    /// Identifier of the key that requested the change.
     pub who: String,
-    /// What is changed.
+    /// The change.
     pub change: Change,
-    /// Hash of the entry before.
+    /// Hash of the previous entry.
     #[serde(rename = "before")]
     pub previous_hash: Hash,
 }
 
 impl Entry {
-    /// Of its bytes as they are written.
+    /// Hash of the entry's bytes as they are written to disk.
     pub fn hash(&self) -> Hash {
         hash(&self.bytes())
     }
 
-    /// As written to disk.
+    /// The entry as it is written to disk.
     pub fn bytes(&self) -> Vec<u8> {
         serde_json::to_vec(self).expect("an entry is JSON")
     }
@@ -46,13 +46,13 @@
     blake3::hash(bytes).to_hex().to_string()
 }
 
-/// A state and where its history has come to.
+/// A state, and the hash of the history that leads to it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
     /// The state.
     #[serde(rename = "book")]
     pub state: RegistryState,
-    /// Hash, in hexadecimal.
+    /// Hash of the last entry, in hexadecimal.
     pub hash: Hash,
 }
 
@@ -65,7 +65,7 @@
     }
 }
 
-/// Why an entry does not follow.
+/// Why an entry can't be appended to a history.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChainError {
     /// It does not follow the entry before.
@@ -75,7 +75,7 @@
     OtherHistory {
         /// Revision of the entry.
         revision: Revision,
-        /// Where it is, or was expected to be.
+        /// Revision of the history.
         at: Revision,
     },
     /// The revision is not the next one.
@@ -102,7 +102,7 @@
         self.state.revision
     }
 
-    /// What a change would become, without taking it.
+    /// The entry of a change and the head after it; `self` is unchanged.
     pub fn prepare_entry(
         &self,
         who: &str,
@@ -121,7 +121,7 @@
         Ok((entry, Head { state, hash }))
     }
 
-    /// The head after an entry that someone else has decided.
+    /// The head after an existing entry, whose place in the chain is checked.
     pub fn with_entry(&self, entry: &Entry) -> Result<Head, ChainError> {
         let (revision, at) = (entry.revision, self.revision());
         if entry.previous_hash != self.hash {
--- a/crates/registry/src/client.rs
+++ b/crates/registry/src/client.rs
@@ -1,4 +1,4 @@
-//! The administrator's side of the socket: one call after another.
+//! The administrator's client of the registry: sequential calls on one connection.
 
 use bytes::BytesMut;
 use saltdrum_protocol::rpc::ReplyError;
@@ -14,12 +14,12 @@
     /// The connection failed.
     #[error("{at}: {why}")]
     Connection {
-        /// Where it is, or was expected to be.
+        /// Address of the registry.
         at: Address,
         /// The reason.
         why: String,
     },
-    /// What the registry answered.
+    /// The registry answered with an error.
     #[error("{message}")]
     Response {
         /// JSON-RPC error code.
@@ -29,12 +29,12 @@
     },
 }
 
-/// A connection to the registry that has logged in.
+/// A logged-in connection to the registry.
 pub struct RegistryClient {
-    at: Address,
+    address: Address,
     stream: Stream,
-    read: BytesMut,
-    last: u64,
+    buffer: BytesMut,
+    last_id: u64,
 }
 
 #[derive(Deserialize)]
@@ -46,60 +46,69 @@
 }
 
 impl RegistryClient {
-    /// Dials and logs in.
+    /// Connects and logs in.
     pub async fn connect(
         network: &Rc<dyn Network>,
-        at: &Address,
+        address: &Address,
         key: &str,
     ) -> Result<Self, ClientError> {
-        let dialled = network.dial(at).await;
+        let dialled = network.dial(address).await;
         let stream = dialled.map_err(|e| ClientError::Connection {
-            at: at.clone(),
+            at: address.clone(),
             why: e.to_string(),
         })?;
-        let mut caller = Self {
-            at: at.clone(),
+        let mut client = Self {
+            address: address.clone(),
             stream,
-            read: BytesMut::new(),
-            last: 0,
+            buffer: BytesMut::new(),
+            last_id: 0,
         };
-        caller.call("login", json!({ "key": key })).await?;
-        Ok(caller)
+        client.call("login", json!({ "key": key })).await?;
+        Ok(client)
     }
 
     /// Calls a method and waits for its answer.
     pub async fn call(&mut self, method: &str, params: Json) -> Result<Json, ClientError> {
-        let fault = |at: &Address, why: String| ClientError::Connection {
-            at: at.clone(),
+        let connection_error = |address: &Address, why: String| ClientError::Connection {
+            at: address.clone(),
             why,
         };
-        self.last += 1;
-        let ask = json!({"jsonrpc": "2.0", "id": self.last, "method": method, "params": params});
-        let written = self.stream.write_all(format!("{ask}\n").as_bytes()).await;
-        written.map_err(|e| fault(&self.at, e.to_string()))?;
+        self.last_id += 1;
+        let request =
+            json!({"jsonrpc": "2.0", "id": self.last_id, "method": method, "params": params});
+        let written = self
+            .stream
+            .write_all(format!("{request}\n").as_bytes())
+            .await;
+        written.map_err(|e| connection_error(&self.address, e.to_string()))?;
         let mut searched = 0;
         loop {
-            if let Some(end) = self.read[searched..].iter().position(|b| *b == b'\n') {
-                let line = self.read.split_to(searched + end + 1);
+            if let Some(end) = self.buffer[searched..].iter().position(|b| *b == b'\n') {
+                let line = self.buffer.split_to(searched + end + 1);
                 searched = 0;
-                let reply: Reply =
-                    serde_json::from_slice(&line).map_err(|e| fault(&self.at, e.to_string()))?;
-                if reply.id != json!(self.last) {
+                let reply: Reply = serde_json::from_slice(&line)
+                    .map_err(|e| connection_error(&self.address, e.to_string()))?;
+                if reply.id != json!(self.last_id) {
                     continue;
                 }
                 return match reply.error {
-                    Some(e) => Err(ClientError::Response {
-                        code: e.code,
-                        message: e.message,
+                    Some(error) => Err(ClientError::Response {
+                        code: error.code,
+                        message: error.message,
                     }),
                     None => Ok(reply.result),
                 };
             }
-            searched = self.read.len();
-            match self.stream.read_buf(&mut self.read).await {
-                Ok(0) => return Err(fault(&self.at, "it hung up".into())),
+            searched = self.buffer.len();
+            match self.stream.read_buf(&mut self.buffer).await {
+                Ok(0) => {
+                    return Err(connection_error(
+                        &self.address,
+                        "connection closed by the registry".into(),
+                    ));
+                }
                 Ok(_) => {}
-                Err(e) => return Err(fault(&self.at, e.to_string())),
+                Err(e) => return Err(connection_error(&self.address, e.to_string())),
             }
         }
     }
--- a/crates/registry/src/collection.rs
+++ b/crates/registry/src/collection.rs
@@ -1,4 +1,5 @@
-//! The registry as a resource of the fleet's lease of its collection: sealed to one epoch, and collected by its holder alone.
+//! The registry as a resource of the fleet's lease for blob collection: sealed to one epoch, and collected only by the lease
+//! holder.
 
 use crate::service::Registry;
 use saltdrum_coordinator::rpc_client::RpcClient;
@@ -12,30 +13,30 @@
 use std::rc::Rc;
 use tracing::info;
 
-/// The task that members offer who collect.
+/// Task offered by members that can collect the registry's blobs.
 pub const TASK: &str = "registry-collection";
-/// As leases name the registry.
+/// Name of the registry as a resource of leases.
 pub const RESOURCE: &str = "registry";
 
-/// `collect`: remove what nothing has named for so long.
+/// `collect`: removes blobs that have been unreferenced for the grace period.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CollectBlobs {
-    /// How long a blob has to be unreferenced, in milliseconds.
+    /// The grace period, in milliseconds.
     pub grace_ms: u64,
 }
 
-/// What a collection came to.
+/// Result of a collection.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Collected {
     /// Blobs removed.
     #[serde(rename = "gone")]
     pub removed: u64,
-    /// Sum of their sizes.
+    /// Total size of the removed blobs.
     pub bytes: u64,
 }
 
-/// The registry's door for fleet-wide tasks.
+/// Serves the registry to the holders of leases for fleet-wide tasks.
 pub struct CollectionResource {
     fleet: String,
     registry: Rc<Registry>,
@@ -43,7 +44,7 @@
 }
 
 impl CollectionResource {
-    /// From now on the registry is collected by the fleet alone. `incarnation` was never used before.
+    /// From now on only the fleet collects the registry. `incarnation` must not have been used before.
     pub fn new(
         fleet: &str,
         incarnation: u64,
@@ -59,25 +60,25 @@
         })
     }
 
-    /// Epoch and effect are one transaction: no seal comes between them.
+    /// Checks the epoch and removes the blobs in one transaction, so that no seal can come between them.
     fn collect(&self, effect: &Effect<CollectBlobs>) -> Result<String, RpcError> {
         let token = &effect.token;
         self.guard
             .admit(token)
-            .map_err(|why| (REJECTED, rejection_text(&why)))?;
-        let gone = self.registry.collectable(effect.params.grace_ms)?;
-        let remove = || self.registry.remove_blobs(&gone);
-        let done =
+            .map_err(|rejection| (REJECTED, rejection_text(&rejection)))?;
+        let collectable = self.registry.collectable(effect.params.grace_ms)?;
+        let remove = || self.registry.remove_blobs(&collectable);
+        let result =
             self.registry
                 .store()
                 .borrow_mut()
                 .run_if_sealed(&token.lease.0, token.epoch, remove);
-        let done = done.map_err(|fault| (UNWRITABLE, fault.to_string()))?;
-        let collected = done.ok_or((
+        let result = result.map_err(|error| (UNWRITABLE, error.to_string()))?;
+        let collected = result.ok_or((
             UNWRITABLE,
             "the disk has another seal than this life".to_owned(),
         ))??;
-        info!(epoch = token.epoch, by = effect.actor, %collected, "collected");
+        info!(epoch = token.epoch, by = effect.actor, %collected, "registry blobs collected");
         Ok(collected.to_string())
     }
 }
@@ -88,7 +89,7 @@
             .store()
             .borrow()
             .sealed_epoch(&lease.0)
-            .map_err(|fault| fault.to_string())
+            .map_err(|error| error.to_string())
     }
 
     fn write_seal(&self, lease: &LeaseName, epoch: Epoch) -> Result<(), String> {
@@ -96,7 +97,7 @@
             .store()
             .borrow_mut()
             .write_seal(&lease.0, epoch)
-            .map_err(|fault| fault.to_string())
+            .map_err(|error| error.to_string())
     }
 }
 
@@ -104,9 +105,12 @@
     async fn handle_call(self: &Rc<Self>, call: &Call) -> Result<String, RpcError> {
         match call.method.as_str() {
             "seal" => {
-                let asked: Seal = read_params(call, &self.fleet)?;
-                let sealed = self.guard.seal(&**self, &asked.lease, asked.epoch).await;
-                let incarnation = sealed.map_err(|fault| fault.to_rpc_error())?;
+                let request: Seal = read_params(call, &self.fleet)?;
+                let sealed = self
+                    .guard
+                    .seal(&**self, &request.lease, request.epoch)
+                    .await;
+                let incarnation = sealed.map_err(|error| error.to_rpc_error())?;
                 Ok(json!(Sealed { incarnation }).to_string())
             }
             "collect" => self.collect(&read_params(call, &self.fleet)?),
--- a/crates/registry/src/follow.rs
+++ b/crates/registry/src/follow.rs
@@ -1,4 +1,4 @@
-//! A follower of the registry: it writes what it learns to disk before it applies it, and goes on from there.
+//! A follower of the registry. It writes each update to disk before it applies it, and resumes from there.
 
 use crate::chain::Head;
 pub use crate::local_copy::LocalCopy;
@@ -16,32 +16,32 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tracing::{info, warn};
 
-/// Nothing received for so long: the connection is down.
+/// A connection on which nothing is received for this long is considered lost.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(3 * HEARTBEAT_INTERVAL.as_millis() as u64);
 const RECONNECT_DELAY_MIN: Duration = Duration::from_millis(100);
 const RECONNECT_DELAY_MAX: Duration = Duration::from_secs(5);
 
-/// Which registry to follow, and as whom.
+/// Which registry to follow, and with which key and name.
 #[derive(Clone, Debug)]
 pub struct FollowConfig {
-    /// Where the registry listens.
+    /// Address of the registry.
     pub registry: Address,
     /// Text of the key to log in with.
     pub key: String,
     /// Reported to the registry, for its list of followers.
     pub follower_name: String,
-    /// File in which the state is kept over restarts; none: it is not kept.
+    /// File that keeps the state across restarts; `None`: the state is not kept.
     pub copy_path: Option<PathBuf>,
 }
 
-/// What a follower learned.
+/// An update from the registry.
 #[derive(Clone, Debug)]
 pub enum RegistryUpdate {
-    /// A new state, which is on disk.
+    /// The state has changed; the new one is on disk.
     Changed(Head),
-    /// The registry was heard; nothing is new.
+    /// The registry is reachable, and nothing has changed.
     Unchanged,
-    /// What the registry sent is not applied, and why.
+    /// An update was not applied, with the reason.
     Rejected(String),
 }
 
@@ -50,13 +50,13 @@
 enum ConnectionEnd {
     #[error("{0}")]
     Network(#[from] io::Error),
-    #[error("hung up")]
+    #[error("connection closed by the registry")]
     Closed,
-    #[error("silence")]
+    #[error("nothing received within the timeout")]
     Silence,
-    #[error("a line that is none: {0}")]
+    #[error("invalid line: {0}")]
     InvalidLine(serde_json::Error),
-    #[error("something that is not known here: {0}")]
+    #[error("unknown event: {0}")]
     UnknownEvent(serde_json::Error),
     #[error("{0}")]
     ErrorResponse(String),
@@ -74,9 +74,9 @@
     error: Option<saltdrum_protocol::rpc::ReplyError>,
 }
 
-/// Follows until dropped. `on_update` gets first what was kept, then all that comes.
+/// Follows the registry until dropped. `on_update` receives the kept state first, then each update.
 ///
-/// A copy that can't be read is reported once, and nothing is followed: an operator has to remove it.
+/// A local copy that can't be read is reported once, and the registry is not followed until an operator removes the copy.
 pub async fn follow(
     config: FollowConfig,
     network: Rc<dyn Network>,
@@ -107,13 +107,13 @@
     }
 }
 
-/// The head that was kept, or an empty one; none: there is a copy, and it can't be used.
+/// The head of the local copy, or an empty one without a copy; `None` if the copy is unusable.
 fn read_copy(config: &FollowConfig, on_update: &mut impl FnMut(RegistryUpdate)) -> Option<Head> {
     let Some(path) = &config.copy_path else {
         return Some(Head::default());
     };
     let kept = LocalCopy::read(path).unwrap_or_else(|error| {
-        // Starting without it could lead back to an older state.
+        // Starting without the copy could go back to an older state.
         warn!(%error, "local copy of the registry is unreadable");
         on_update(RegistryUpdate::Rejected(format!(
             "what was kept can't be read: {error}"
@@ -219,7 +219,7 @@
         Ok(())
     }
 
-    /// Writes the head before it is applied, so that a restart never goes back behind what was answered by.
+    /// Writes an update before it is applied, so that a restart never goes back to an older state than was used.
     fn write_copy(
         &mut self,
         entry: Option<&crate::Entry>,
--- a/crates/registry/src/keys.rs
+++ b/crates/registry/src/keys.rs
@@ -1,23 +1,23 @@
-//! Keys: `ID.SECRET`. What is kept tells whether one is right, and no more.
+//! Access keys of the form `ID.SECRET`. Only a hash is stored, from which the secret can't be recovered.
 
 use crate::names::Name;
 use crate::state::{RegistryState, Role};
 
-/// Why a key opens nothing. It does not say which part was wrong.
+/// Why access is denied. It does not say which part of a key was wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AccessError {
     /// The key is unknown or wrong.
     #[error("this key opens nothing here")]
     InvalidKey,
-    /// There was no login.
+    /// The connection has not logged in.
     #[error("log in first")]
     NotLoggedIn,
     /// The role is too low.
     #[error("role {has:?} may not do this: {needs:?} is needed")]
     RoleTooLow {
-        /// What there is.
+        /// Role of the key.
         has: Role,
-        /// What is needed.
+        /// Role that the call requires.
         needs: Role,
     },
 }
@@ -31,28 +31,29 @@
     hasher.finalize()
 }
 
-/// A key's text, and what is kept of it. The secret is 256 bits of chance: there is nothing to guess a word of.
-pub fn generate(id: &Name, chance: [u8; 32]) -> (String, String) {
-    let secret: String = chance.iter().map(|b| format!("{b:02x}")).collect();
-    let kept = hash(&id.to_string(), &secret).to_hex().to_string();
-    (format!("{id}.{secret}"), kept)
+/// The text of a new key and the hash to store. The secret is 256 random bits, which no
+/// dictionary attack can guess.
+pub fn generate(id: &Name, random: [u8; 32]) -> (String, String) {
+    let secret: String = random.iter().map(|b| format!("{b:02x}")).collect();
+    let stored_hash = hash(&id.to_string(), &secret).to_hex().to_string();
+    (format!("{id}.{secret}"), stored_hash)
 }
 
-/// Who comes with this text.
+/// The identifier and role of a key's text.
 pub fn authenticate(state: &RegistryState, text: &str) -> Result<(Name, Role), AccessError> {
     let (id, secret) = text.rsplit_once('.').ok_or(AccessError::InvalidKey)?;
     let id: Name = id.parse().map_err(|_| AccessError::InvalidKey)?;
     let key = state.keys.get(&id).ok_or(AccessError::InvalidKey)?;
-    let kept = blake3::Hash::from_hex(&key.hash).map_err(|_| AccessError::InvalidKey)?;
-    // Compared in constant time, as the library's hashes are.
-    if kept == hash(&id.to_string(), secret) {
+    let stored_hash = blake3::Hash::from_hex(&key.hash).map_err(|_| AccessError::InvalidKey)?;
+    // The library compares hashes in constant time.
+    if stored_hash == hash(&id.to_string(), secret) {
         Ok((id, key.role))
     } else {
         Err(AccessError::InvalidKey)
     }
 }
 
-/// Whether a key that once opened the door still does, and may do this.
+/// Checks that a logged-in key is still valid and has the required role.
 pub fn authorize(
     state: &RegistryState,
     id: Option<&Name>,
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,10 +1,10 @@
-//! Models, their versions and the aliases that stand for them.
+//! The model registry: models, their versions, and the aliases that refer to versions.
 //!
-//! `state` (what is known, and which changes are valid), `chain` (the history, which shows tampering), `watch` (what a
-//! follower accepts), `version_pin` (which version an invocation runs), `rollout` (when a staged rollout ends),
-//! `blob_collector` (which blobs may be removed) and `keys` decide and do no I/O. `store` keeps the history on disk,
-//! `service` is the registry on its socket, `follow` a follower with its `local_copy`, `client` the administrator's side,
-//! `collection` the resource of the fleet's lease of collecting. Start with [`state::RegistryState`] and
+//! These modules decide and do no I/O: `state` (the state and which changes are valid), `chain` (the tamper-evident
+//! history), `watch` (what a follower accepts), `version_pin` (which version an invocation runs), `rollout` (when a staged
+//! rollout ends), `blob_collector` (which blobs may be removed) and `keys`. `store` writes the history to disk, `service`
+//! serves the registry on a socket, `follow` is a follower with its `local_copy`, `client` the administrator's client, and
+//! `collection` the resource behind the fleet's lease for blob collection. Start with [`state::RegistryState`] and
 //! [`service::Registry`].
 
 pub mod blob_collector;
--- a/crates/registry/src/local_copy.rs
+++ b/crates/registry/src/local_copy.rs
@@ -1,4 +1,4 @@
-//! A follower's copy of the state on disk, from which it goes on after a restart.
+//! A follower's copy of the state on disk, from which it resumes after a restart.
 
 use crate::chain::{Entry, Head};
 use saltdrum_durable::file;
@@ -6,7 +6,7 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// A follower's copy of the state on disk: a head, then the entries since. It is rewritten when it has grown.
+/// A follower's copy of the state on disk: a head, followed by the entries since. Rewritten after a bounded number of entries.
 pub struct LocalCopy {
     path: PathBuf,
     file: File,
@@ -17,7 +17,7 @@
 const MAX_ENTRIES: usize = 4_096;
 
 impl LocalCopy {
-    /// The head as of the last complete line: an incomplete one was never applied. None: there is no copy.
+    /// The head as of the last complete line; an incomplete line was never applied. `None`: there is no copy.
     ///
     /// # Errors
     /// The file can't be read, or is not a copy.
@@ -45,7 +45,7 @@
         Ok(Some(head))
     }
 
-    /// Replaces the copy by a head.
+    /// Replaces the copy with a head.
     pub fn write(path: &Path, head: &Head) -> io::Result<Self> {
         let mut line = serde_json::to_vec(head)?;
         line.push(b'\n');
@@ -58,7 +58,7 @@
         })
     }
 
-    /// Adds an entry that leads to `head`; it is on disk when this returns.
+    /// Appends an entry that leads to `head`; it is on disk when this returns.
     pub fn append(&mut self, entry: &Entry, head: &Head) -> io::Result<()> {
         if self.entries >= MAX_ENTRIES {
             *self = Self::write(&self.path, head)?;
--- a/crates/registry/src/names.rs
+++ b/crates/registry/src/names.rs
@@ -1,4 +1,4 @@
-//! Names that go into paths, logs and answers as they are, so that only plain ones are taken.
+//! Names that appear verbatim in paths, logs and responses, and are therefore restricted to safe characters.
 
 use saltdrum_layers::Digest;
 use serde::{Deserialize, Serialize};
@@ -6,22 +6,23 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
-const MOST_BYTES: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
 
-/// Of a model, a version, an alias or a key: lower-case letters, digits, and `.`, `-`, `_` between them.
+/// Name of a model, version, alias or key: lower-case letters and digits, with `.`, `-` and `_` between them.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Name(Arc<str>);
 
-/// Why a text is no name.
+/// A text is not a valid name.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("name '{}': {why}; lower-case letters, digits, and . - _ between them are expected", shown(.name))]
+#[error("name '{}': {why}; lower-case letters, digits, and . - _ between them are expected", escaped(.name))]
 pub struct InvalidName {
     name: String,
     why: &'static str,
 }
 
-fn shown(name: &str) -> String {
+/// At most 80 characters of the name, escaped.
+fn escaped(name: &str) -> String {
     name.chars()
         .take(80)
         .flat_map(char::escape_default)
@@ -32,28 +33,28 @@
     type Err = InvalidName;
 
     fn from_str(text: &str) -> Result<Self, InvalidName> {
-        let bad = |why| {
+        let invalid = |why| {
             Err(InvalidName {
                 name: text.to_owned(),
                 why,
             })
         };
-        let plain = |c: u8| c.is_ascii_lowercase() || c.is_ascii_digit();
+        let is_alphanumeric = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit();
         let (Some(first), Some(last)) = (text.bytes().next(), text.bytes().last()) else {
-            return bad("empty");
+            return invalid("empty");
         };
-        if text.len() > MOST_BYTES {
-            return bad("longer than 64 bytes");
+        if text.len() > MAX_NAME_BYTES {
+            return invalid("longer than 64 bytes");
         }
-        if !plain(first) || !plain(last) {
-            return bad("begins or ends with something else");
+        if !is_alphanumeric(first) || !is_alphanumeric(last) {
+            return invalid("begins or ends with something else");
         }
         if !text
             .bytes()
-            .all(|c| plain(c) || matches!(c, b'.' | b'-' | b'_'))
+            .all(|byte| is_alphanumeric(byte) || matches!(byte, b'.' | b'-' | b'_'))
             || text.contains("..")
         {
-            return bad("something else in it");
+            return invalid("something else in it");
         }
         Ok(Self(text.into()))
     }
@@ -85,18 +86,18 @@
     }
 }
 
-/// Whose aliases: a tenant's own, or those that all see.
+/// A namespace of aliases: that of one tenant, or the one that all tenants share.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Namespace {
-    /// Aliases that all tenants see.
+    /// Aliases of all tenants.
     All,
     /// Aliases of one tenant.
     Tenant(Name),
 }
 
 impl Namespace {
-    /// For error texts.
+    /// Description for error texts.
     pub fn describe(&self) -> String {
         match self {
             Self::All => "all tenants".into(),
@@ -105,7 +106,7 @@
     }
 }
 
-/// A digest as its text.
+/// Serialises a digest as its text.
 pub mod digest {
     use super::*;
     use serde::{Deserializer, Serializer, de::Error};
@@ -121,7 +122,7 @@
     }
 }
 
-/// Maps whose keys are not texts, as lists of pairs.
+/// Serialises maps with structured keys as lists of pairs.
 pub mod pairs {
     use imbl::OrdMap;
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
--- a/crates/registry/src/state.rs
+++ b/crates/registry/src/state.rs
@@ -1,11 +1,11 @@
-//! What the registry knows, and which changes are valid. No I/O, no clock.
+//! The registry's state, and which changes of it are valid. No I/O, no clock.
 
 use crate::names::{Name, Namespace};
 use imbl::{OrdMap, OrdSet};
 use saltdrum_layers::Digest;
 use serde::{Deserialize, Serialize};
 
-/// Counts changes; never goes back. 0: nothing was ever changed.
+/// Number of the last change; never decreases. 0: there was no change yet.
 pub type Revision = u64;
 
 /// One version of a model; immutable once pushed.
@@ -15,13 +15,13 @@
     /// Digest of the manifest that lists its chunks.
     #[serde(with = "crate::names::digest")]
     pub manifest: Digest,
-    /// Sum of its chunks, uncompressed.
+    /// Total uncompressed size of its chunks.
     pub bytes: u64,
-    /// Memory of one instance.
+    /// Memory that one instance needs.
     pub memory_mb: u64,
     /// Concurrency limit of one instance.
     pub lanes: u32,
-    /// Types of triggers that may invoke it.
+    /// Trigger types that may invoke it.
     pub trigger_types: Vec<String>,
 }
 
@@ -29,43 +29,43 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Standing {
-    /// May be named by aliases and used.
+    /// Aliases may refer to it and invocations may use it.
     Offered,
-    /// Nobody may use it any more, whoever holds it; its name is never used again.
+    /// Nobody may use it any more, not even clients that have pinned it; its name is never reused.
     Withdrawn,
 }
 
-/// A staged rollout: a move that is tried on a share of version pins first.
+/// A staged rollout: a move of an alias that applies to a share of new version pins first.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Stage {
-    /// The version that is tried.
+    /// The new version.
     pub to: Name,
-    /// Of a thousand new pins, so many get it.
+    /// How many of a thousand new pins get the new version.
     pub per_mille: u16,
     /// How many more of a thousand answers may fail than with the old version.
     pub errors_per_mille: u16,
-    /// Answers of the new version that are needed for success.
+    /// Answers of the new version that are needed to complete the rollout.
     pub answers: u64,
 }
 
-/// A name that stands for a version of a model, and may be moved.
+/// A name that refers to a version of a model, and can be moved to another version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Alias {
     /// The model, which never changes.
     pub model: Name,
-    /// The version it stands for.
+    /// The version it refers to.
     pub version: Name,
-    /// The version it stood for before, for a roll back.
+    /// The version it referred to before, for a rollback.
     #[serde(rename = "before")]
     pub previous: Option<Name>,
-    /// The rollout under way.
+    /// The staged rollout in progress.
     pub stage: Option<Stage>,
-    /// Revision at which it last changed: what a move is compared with.
+    /// Revision at which it last changed, which a move must name.
     pub changed: Revision,
 }
 
-/// A version and what became of it.
+/// A version with its status.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionRecord {
     /// As it was pushed.
@@ -76,7 +76,7 @@
     pub pushed: Revision,
 }
 
-/// A change of the state, as a caller requests it and as the history keeps it.
+/// A change of the state, as a caller requests it and as the history records it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "change", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Change {
@@ -96,15 +96,15 @@
         /// The version's name.
         name: Name,
     },
-    /// Only what no alias names.
+    /// Deletes a version that no alias names.
     Delete {
         /// The model.
         model: Name,
         /// The version's name.
         name: Name,
     },
-    /// Moves an alias, or makes it where `expect` is 0. With a stage, it goes on standing for what it did and a share of
-    /// passages begin with the new one.
+    /// Moves an alias, or creates it if `expect` is 0. With a stage, the alias still refers to the old version while a
+    /// share of new passages starts with the new one.
     Move {
         /// Namespace of the alias.
         space: Namespace,
@@ -114,18 +114,18 @@
         model: Name,
         /// The version.
         version: Name,
-        /// Revision at which the caller saw the alias; it has to be still there.
+        /// Revision at which the caller read the alias; the alias must not have changed since.
         expect: Revision,
-        /// Present: the move is tried on a share of pins first.
+        /// If present, the move applies to a share of new pins first.
         stage: Option<Stage>,
     },
-    /// Ends a stage: all passages begin with the new version, or none.
+    /// Ends a staged rollout: new passages all start with the new version, or none do.
     EndStage {
         /// Namespace of the alias.
         space: Namespace,
         /// The alias.
         alias: Name,
-        /// Revision at which the caller saw the alias; it has to be still there.
+        /// Revision at which the caller read the alias; the alias must not have changed since.
         expect: Revision,
         /// Whether the new version succeeded.
         #[serde(rename = "well")]
@@ -133,13 +133,13 @@
         /// The reason.
         why: String,
     },
-    /// Moves an alias back to the version before, or gives its rollout up.
+    /// Moves an alias back to the previous version, or aborts its staged rollout.
     RollBack {
         /// Namespace of the alias.
         space: Namespace,
         /// The alias.
         alias: Name,
-        /// Revision at which the caller saw the alias; it has to be still there.
+        /// Revision at which the caller read the alias; the alias must not have changed since.
         expect: Revision,
     },
     /// Removes an alias.
@@ -148,7 +148,7 @@
         space: Namespace,
         /// The alias.
         alias: Name,
-        /// Revision at which the caller saw the alias; it has to be still there.
+        /// Revision at which the caller read the alias; the alias must not have changed since.
         expect: Revision,
     },
     /// Adds a key.
@@ -165,9 +165,10 @@
         /// Identifier of the key.
         id: Name,
     },
-    /// The state came from a backup; whoever obeyed revisions up to `over` is told to obey this one.
+    /// The state was restored from a backup. Followers that applied revisions up to `over` of the lost history accept this
+    /// entry.
     Restored {
-        /// Revision that the restored history goes over.
+        /// Highest revision that the lost history may have reached.
         over: Revision,
     },
 }
@@ -182,11 +183,11 @@
     Publisher,
     /// Also moves aliases, withdraws and deletes.
     Mover,
-    /// Also hands keys out, restores and collects.
+    /// Also issues keys, restores and collects blobs.
     Owner,
 }
 
-/// What is kept of a key.
+/// The stored part of a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Key {
     /// What it permits.
@@ -195,18 +196,18 @@
     pub hash: String,
 }
 
-/// Why a change is rejected. Nothing has changed.
+/// Why a change was rejected. The state is unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChangeError {
-    /// It is not known.
+    /// There is no such version, alias or key.
     #[error("{what} '{name}' is not known")]
     NotFound {
-        /// Kind of the thing.
+        /// `version`, `alias` or `key`.
         what: &'static str,
-        /// The version's name.
+        /// Its name.
         name: String,
     },
-    /// The name is taken by another version.
+    /// The name belongs to another version.
     #[error(
         "model '{model}' has a version '{name}' already, with manifest {has}: a version never changes"
     )]
@@ -215,20 +216,20 @@
         model: Name,
         /// The version's name.
         name: Name,
-        /// What there is.
+        /// Manifest of the existing version.
         has: Digest,
     },
-    /// Another change came first.
+    /// The alias has changed since the caller read it.
     #[error("alias '{alias}' is at revision {at}, {expected} was expected: someone else moved it")]
     AliasChanged {
         /// The alias.
         alias: Name,
-        /// Where it is, or was expected to be.
+        /// Revision at which the alias last changed.
         at: Revision,
-        /// What the caller expected.
+        /// Revision that the caller named.
         expected: Revision,
     },
-    /// The version may not be used.
+    /// The version was withdrawn or deleted.
     #[error("version '{name}' of model '{model}' was withdrawn")]
     VersionWithdrawn {
         /// The model.
@@ -248,44 +249,44 @@
         /// Namespace of the alias.
         space: String,
     },
-    /// An alias stays with its model.
+    /// An alias can't be moved to another model.
     #[error(
         "alias '{alias}' stands for model '{has}': a move to model '{asked}' needs another alias"
     )]
     ModelMismatch {
         /// The alias.
         alias: Name,
-        /// What there is.
+        /// Model of the alias.
         has: Name,
-        /// What was requested.
+        /// Model that was requested.
         asked: Name,
     },
-    /// There is nothing to roll back to.
+    /// The alias has no previous version.
     #[error("alias '{0}' has nothing to go back to")]
     NoPreviousVersion(Name),
-    /// No rollout is under way.
+    /// No staged rollout is in progress.
     #[error("alias '{0}' has no stage to end")]
     NoRollout(Name),
     /// A value is out of bounds.
     #[error("{place}: {why}")]
     InvalidValue {
-        /// Where it was found.
+        /// Name of the field.
         place: &'static str,
         /// The reason.
         why: String,
     },
-    /// The identifier is taken.
+    /// The key identifier is in use.
     #[error("key '{0}' is there already")]
     KeyExists(Name),
-    /// Without it no key could be added.
+    /// The last owner key can't be removed: without it no key could be added.
     #[error("key '{0}' is the last owner's: no one could hand out another")]
     LastOwner(Name),
-    /// The revision to go over is below the history's, or too high.
+    /// The revision to restore over is below that of the history, or too high.
     #[error("a restored book must go over revision {at} at least, {over} was said")]
     RestoreBelowHead {
-        /// Revision that the restored history goes over.
+        /// Highest revision that the lost history may have reached.
         over: Revision,
-        /// Where it is, or was expected to be.
+        /// Revision of the history.
         at: Revision,
     },
     /// Revisions are exhausted.
@@ -293,15 +294,15 @@
     RevisionTooHigh(Revision),
 }
 
-/// All that is known as of a revision. Cheap to clone: clones share what is equal.
+/// The state as of a revision. Cheap to clone, because clones share their unchanged parts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegistryState {
-    /// Changes so far, and jumps after restores.
+    /// Number of changes so far, plus the jumps of restores.
     pub revision: Revision,
     /// By model and version.
     #[serde(with = "crate::names::pairs")]
     pub versions: OrdMap<(Name, Name), VersionRecord>,
-    /// Names of versions that were deleted: a version's name never comes to mean another.
+    /// Names of deleted versions, which are never reused for other versions.
     #[serde(rename = "gone")]
     pub deleted: OrdSet<(Name, Name)>,
     /// By namespace and alias.
@@ -311,41 +312,46 @@
     pub keys: OrdMap<Name, Key>,
 }
 
-/// Bounds on what may be pushed, so that one mistake can't exhaust the fleet or the registry.
+/// Bounds on a pushed version, so that one mistake can't exhaust the fleet or the registry.
 const MAX_LANES: u32 = 1_024;
 const MAX_MEMORY_MB: u64 = 1 << 20;
-const MAX_BYTES: u64 = 1 << 42;
+const MAX_VERSION_BYTES: u64 = 1 << 42;
 const MAX_TRIGGER_TYPES: usize = 32;
-/// Highest revision. Leaves room for a jump over what a lost registry may have given out.
+const MAX_TRIGGER_TYPE_BYTES: usize = 64;
+/// Highest revision. Leaves room for a jump over revisions that a lost registry may have issued.
 pub const MAX_REVISION: Revision = 1 << 53;
 
 impl Version {
     fn check(&self) -> Result<(), ChangeError> {
-        let bad = |place, why: String| Err(ChangeError::InvalidValue { place, why });
+        let invalid = |place, why: String| Err(ChangeError::InvalidValue { place, why });
         if !(1..=MAX_LANES).contains(&self.lanes) {
-            return bad(
+            return invalid(
                 "lanes",
                 format!("{}: 1 to {MAX_LANES} are expected", self.lanes),
             );
         }
         if !(1..=MAX_MEMORY_MB).contains(&self.memory_mb) {
-            return bad(
+            return invalid(
                 "memory_mb",
                 format!("{}: 1 to {MAX_MEMORY_MB} are expected", self.memory_mb),
             );
         }
-        if !(1..=MAX_BYTES).contains(&self.bytes) {
-            return bad(
+        if !(1..=MAX_VERSION_BYTES).contains(&self.bytes) {
+            return invalid(
                 "bytes",
-                format!("{}: 1 to {MAX_BYTES} are expected", self.bytes),
+                format!("{}: 1 to {MAX_VERSION_BYTES} are expected", self.bytes),
             );
         }
-        let n = self.trigger_types.len();
-        if !(1..=MAX_TRIGGER_TYPES).contains(&n) || self.trigger_types.iter().any(|t| t.len() > 64)
+        let count = self.trigger_types.len();
+        if !(1..=MAX_TRIGGER_TYPES).contains(&count)
+            || self
+                .trigger_types
+                .iter()
+                .any(|t| t.len() > MAX_TRIGGER_TYPE_BYTES)
         {
-            return bad(
+            return invalid(
                 "trigger_types",
-                format!("{n} of them: 1 to {MAX_TRIGGER_TYPES} short ones are expected"),
+                format!("{count} of them: 1 to {MAX_TRIGGER_TYPES} short ones are expected"),
             );
         }
         Ok(())
@@ -380,7 +386,7 @@
         self.aliases.get(&(namespace.clone(), alias.clone()))
     }
 
-    fn offered(&self, model: &Name, name: &Name) -> Result<(), ChangeError> {
+    fn check_offered(&self, model: &Name, name: &Name) -> Result<(), ChangeError> {
         let record = self
             .version(model, name)
             .ok_or_else(|| unknown_version(model, name))?;
@@ -393,7 +399,7 @@
         }
     }
 
-    /// The alias, where it is still at the revision that the caller expects.
+    /// The alias, provided that it is still at the revision that the caller expects.
     fn expected_alias(
         &self,
         namespace: &Namespace,
@@ -412,7 +418,7 @@
         })
     }
 
-    /// The state with the change, or why it is rejected. The one place where anything changes: replays go through it as well.
+    /// The state after the change, or why the change is rejected. Every change goes through here, those of a replay included.
     pub fn with_change(&self, change: &Change) -> Result<RegistryState, ChangeError> {
         let revision = self.revision + 1;
         if revision > MAX_REVISION {
@@ -426,7 +432,7 @@
         Ok(next)
     }
 
-    /// Changes a state whose revision is already that of the change.
+    /// Applies a change to a state whose revision has already been advanced.
     fn apply(&mut self, change: &Change) -> Result<(), ChangeError> {
         match change {
             Change::Push {
@@ -497,7 +503,7 @@
     }
 
     fn withdraw(&mut self, model: &Name, name: &Name) -> Result<(), ChangeError> {
-        self.offered(model, name)?;
+        self.check_offered(model, name)?;
         let record = self.versions.get_mut(&(model.clone(), name.clone()));
         record.expect("it was looked up").standing = Standing::Withdrawn;
         Ok(())
@@ -530,7 +536,7 @@
         expected: Revision,
         stage: Option<&Stage>,
     ) -> Result<(), ChangeError> {
-        self.offered(model, version)?;
+        self.check_offered(model, version)?;
         let moved = match self.alias(namespace, alias) {
             None if expected != 0 || stage.is_some() => return Err(unknown_alias(alias)),
             None => self.new_alias(model, version),
@@ -553,7 +559,7 @@
         }
     }
 
-    /// The alias after a move: at once, or with a stage that tries the version first.
+    /// The alias after a move, which is either immediate or starts a staged rollout.
     fn moved_alias(
         &self,
         current: Alias,
@@ -586,7 +592,7 @@
         })
     }
 
-    /// The alias with another version, and without a stage.
+    /// The alias with another version and without a staged rollout.
     fn with_version(&self, current: Alias, version: Name) -> Alias {
         Alias {
             version,
@@ -597,7 +603,7 @@
         }
     }
 
-    /// The alias as it was before its stage.
+    /// The alias with its staged rollout removed.
     fn without_stage(&self, current: Alias) -> Alias {
         Alias {
             stage: None,
@@ -618,7 +624,7 @@
             return Err(ChangeError::NoRollout(alias.clone()));
         };
         let next = if is_success {
-            self.offered(&current.model, &stage.to)?;
+            self.check_offered(&current.model, &stage.to)?;
             self.with_version(current, stage.to)
         } else {
             self.without_stage(current)
@@ -634,14 +640,14 @@
         expected: Revision,
     ) -> Result<(), ChangeError> {
         let current = self.expected_alias(namespace, alias, expected)?;
-        // A stage is a move under way: to roll it back is to give it up.
+        // A staged rollout is a move in progress: rolling it back aborts it.
         let next = if current.stage.is_some() {
             self.without_stage(current)
         } else {
             let Some(previous) = current.previous.clone() else {
                 return Err(ChangeError::NoPreviousVersion(alias.clone()));
             };
-            self.offered(&current.model, &previous)?;
+            self.check_offered(&current.model, &previous)?;
             self.with_version(current, previous)
         };
         self.set_alias(namespace, alias, next);
@@ -677,32 +683,38 @@
         Ok(())
     }
 
-    /// Goes over all revisions that may have been given out after the backup.
+    /// Jumps over all revisions that may have been issued after the backup.
     fn restore_over(&mut self, over: Revision) -> Result<(), ChangeError> {
-        let before = self.revision - 1;
-        if over < before || over >= MAX_REVISION {
-            return Err(ChangeError::RestoreBelowHead { over, at: before });
+        let backup_revision = self.revision - 1;
+        if over < backup_revision || over >= MAX_REVISION {
+            return Err(ChangeError::RestoreBelowHead {
+                over,
+                at: backup_revision,
+            });
         }
         self.revision = over + 1;
         Ok(())
     }
 
-    /// An alias that stands for the version, would go back to it, or tries it.
+    /// An alias that refers to the version, has it as its previous version, or is being rolled out to it.
     pub fn alias_using(&self, model: &Name, name: &Name) -> Option<(Namespace, Name)> {
-        let names = |a: &Alias| {
-            let tried = a.stage.as_ref().map(|s| &s.to);
-            a.model == *model
-                && [Some(&a.version), a.previous.as_ref(), tried].contains(&Some(name))
+        let uses_version = |alias: &Alias| {
+            let rolled_out = alias.stage.as_ref().map(|s| &s.to);
+            alias.model == *model
+                && [Some(&alias.version), alias.previous.as_ref(), rolled_out].contains(&Some(name))
         };
         self.aliases
             .iter()
-            .find(|(_, a)| names(a))
+            .find(|(_, alias)| uses_version(alias))
             .map(|(key, _)| key.clone())
     }
 
-    /// Manifests that something may still ask for.
+    /// Manifests of all versions that are not deleted.
     pub fn manifests(&self) -> OrdSet<Digest> {
-        self.versions.values().map(|h| h.version.manifest).collect()
+        self.versions
+            .values()
+            .map(|record| record.version.manifest)
+            .collect()
     }
 }
 
@@ -721,7 +733,7 @@
 }
 
 impl Change {
-    /// The least role that may ask for it.
+    /// The lowest role that may request the change.
     pub fn required_role(&self) -> Role {
         match self {
             Self::Push { .. } => Role::Publisher,
--- a/crates/registry/src/version_pin.rs
+++ b/crates/registry/src/version_pin.rs
@@ -1,25 +1,25 @@
-//! Which version an invocation runs: a name becomes a version here, before the policy sees the invocation.
+//! Resolves the name in an invocation to a version, before the policy sees the invocation.
 //!
-//! A client pins a version under a name of its own; in the protocol this is a passage. Controllers share nothing and may be
-//! at different revisions, so the version travels with the client: the first answer names it and until when it holds, and
-//! the client sends both back. A version that was sent back is used or rejected, never replaced.
+//! A client pins a version under a name of its own; the protocol calls this a passage. Controllers share no state and may
+//! be at different revisions, so the client carries the version: the first response names it and when the pin ends, and the
+//! client sends both back. A version that was sent back is used or rejected, never replaced.
 
 use crate::names::{Name, Namespace};
 use crate::state::{Alias, RegistryState, Revision, Stage, Standing, Version};
 use std::collections::BTreeMap;
 
-/// What an invocation asks for.
+/// The version that an invocation requests.
 #[derive(Clone, Debug, Default)]
 pub struct PinRequest<'a> {
-    /// The client's name for its pin.
+    /// The client's name for the pin.
     pub passage: Option<&'a str>,
-    /// As the answer before gave it: `MODEL@VERSION`.
+    /// The version as the previous response returned it: `MODEL@VERSION`.
     pub version: Option<&'a str>,
-    /// Milliseconds since 1970, as the answer before gave it.
+    /// Unix time in milliseconds when the pin ends, as the previous response returned it.
     pub until_ms: Option<u64>,
 }
 
-/// What an invocation runs.
+/// The version that an invocation runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PinnedVersion {
     /// The model.
@@ -28,38 +28,38 @@
     pub version: Name,
     /// Unix time in milliseconds when the pin ends.
     pub until_ms: u64,
-    /// Where the alias is being moved in a stage: which one, and which rollout_side this is on.
+    /// The staged rollout of the alias, if one is in progress.
     pub staged: Option<StagedRollout>,
 }
 
-/// A rollout_side of a stage, for counting how it does.
+/// One side of a staged rollout, whose results are counted.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StagedRollout {
     /// Namespace of the alias.
     pub namespace: Namespace,
     /// The alias.
     pub alias: Name,
-    /// Revision at which the stage began.
+    /// Revision of the alias at which the rollout started.
     pub alias_revision: Revision,
-    /// Of the new version.
+    /// Whether this is the new version.
     pub is_new_version: bool,
 }
 
-/// Why an invocation gets no version.
+/// Why a name can't be resolved to a version.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ResolveError {
-    /// There is no such version or alias.
+    /// The version or alias does not exist.
     #[error("'{0}': not one of this deployment, no alias and no MODEL@VERSION of the registry")]
     Unknown(String),
     /// The version was withdrawn.
     #[error("version '{0}' was withdrawn: begin the passage anew")]
     Withdrawn(String),
-    /// The version is of another model than the alias.
+    /// The version belongs to another model than the alias.
     #[error("version '{version}' is not one of '{name}'")]
     OtherModel {
         /// The version.
         version: String,
-        /// The version's name.
+        /// The name in the invocation.
         name: String,
     },
     /// The pin has ended.
@@ -71,24 +71,29 @@
 }
 
 const MAX_PIN_NAME_BYTES: usize = 128;
-/// VersionPins that are remembered here, for clients that do not hand the version back.
-const MAX_REMEMBERED: usize = 50_000;
-/// A clock that runs ahead elsewhere may have made an end that seems too far: it is cut to this many lengths.
-const MAX_LENGTHS: u64 = 2;
+/// Pins that are stored here for clients that do not send the version back.
+const MAX_STORED_PINS: usize = 50_000;
+/// The end of a pin is limited to this many pin durations from now, because the clock of the controller that set it may
+/// run ahead.
+const MAX_PIN_DURATIONS: u64 = 2;
 
-type Key = (String, String, String);
+/// Tenant, name in the invocation, and the client's name for the pin.
+type PinKey = (String, String, String);
 
-/// VersionPins that began here. Bounded; the oldest is forgotten first.
+/// The pins that this controller knows. Bounded; the pin that ends first is removed first.
 pub struct VersionPins {
     duration_ms: u64,
-    pins: BTreeMap<Key, PinnedVersion>,
-    by_end: BTreeMap<(u64, u64), Key>,
-    ends: BTreeMap<Key, (u64, u64)>,
+    pins: BTreeMap<PinKey, PinnedVersion>,
+    /// Keys by the end of the pin and its number.
+    by_end: BTreeMap<(u64, u64), PinKey>,
+    /// The inverse of `by_end`.
+    ends: BTreeMap<PinKey, (u64, u64)>,
+    /// Numbers the pins, so that keys of `by_end` are unique.
     count: u64,
 }
 
 impl VersionPins {
-    /// `duration_ms`: how long a pin holds, in milliseconds.
+    /// `duration_ms`: how long a pin is valid, in milliseconds.
     pub fn new(duration_ms: u64) -> Self {
         let (pins, by_end, ends, count) = Default::default();
         Self {
@@ -111,38 +116,39 @@
     ) -> Result<PinnedVersion, ResolveError> {
         if request
             .passage
-            .is_some_and(|p| p.is_empty() || p.len() > MAX_PIN_NAME_BYTES)
+            .is_some_and(|passage| passage.is_empty() || passage.len() > MAX_PIN_NAME_BYTES)
         {
             return Err(ResolveError::InvalidPin);
         }
         if let Some(version) = request.version {
-            let pinned = self.resume(state, now_ms, tenant, name, version, request.until_ms)?;
-            // A client that does not send it back the next time is kept to it here.
+            let pinned =
+                self.resolve_requested(state, now_ms, tenant, name, version, request.until_ms)?;
+            // Stored in case the client does not send the version back the next time.
             if let Some(passage) = request.passage {
                 let key = (tenant.to_owned(), name.to_owned(), passage.to_owned());
-                let same = |f: &PinnedVersion| {
-                    f.version == pinned.version && f.until_ms == pinned.until_ms
+                let same = |stored: &PinnedVersion| {
+                    stored.version == pinned.version && stored.until_ms == pinned.until_ms
                 };
                 if !self.pins.get(&key).is_some_and(same) {
-                    self.remember(key, &pinned);
+                    self.store_pin(key, &pinned);
                 }
             }
             return Ok(pinned);
         }
         let Some(passage) = request.passage else {
-            return self.start(state, now_ms, tenant, name, None);
+            return self.start_pin(state, now_ms, tenant, name, None);
         };
         let key = (tenant.to_owned(), name.to_owned(), passage.to_owned());
-        if let Some(pinned) = self.pins.get(&key).filter(|f| now_ms < f.until_ms) {
+        if let Some(pinned) = self.pins.get(&key).filter(|pin| now_ms < pin.until_ms) {
             check_usable(state, &pinned.model, &pinned.version)?;
             return Ok(pinned.clone());
         }
-        let pinned = self.start(state, now_ms, tenant, name, Some(passage))?;
-        self.remember(key, &pinned);
+        let pinned = self.start_pin(state, now_ms, tenant, name, Some(passage))?;
+        self.store_pin(key, &pinned);
         Ok(pinned)
     }
 
-    fn resume(
+    fn resolve_requested(
         &self,
         state: &RegistryState,
         now_ms: u64,
@@ -151,34 +157,37 @@
         requested: &str,
         until_ms: Option<u64>,
     ) -> Result<PinnedVersion, ResolveError> {
-        let (model, version) =
-            direct(requested).ok_or_else(|| ResolveError::Unknown(requested.to_owned()))?;
-        // The name may have moved on, or gone; what must fit is the model.
-        let alias = named(state, tenant, name);
-        let of_it = match &alias {
+        let (model, version) = parse_full_name(requested)
+            .ok_or_else(|| ResolveError::Unknown(requested.to_owned()))?;
+        // The alias may have been moved or removed since; only the model must match.
+        let alias = find_alias(state, tenant, name);
+        let matches_name = match &alias {
             Some((_, _, alias)) => alias.model == model,
-            None => direct(name).is_some_and(|(m, v)| m == model && v == version),
+            None => parse_full_name(name).is_some_and(|(named_model, named_version)| {
+                named_model == model && named_version == version
+            }),
         };
-        if !of_it {
+        if !matches_name {
             return Err(ResolveError::OtherModel {
                 version: requested.to_owned(),
                 name: name.to_owned(),
             });
         }
-        let latest_ms = now_ms + MAX_LENGTHS * self.duration_ms;
+        let latest_ms = now_ms + MAX_PIN_DURATIONS * self.duration_ms;
         let until_ms = until_ms.unwrap_or(now_ms + self.duration_ms).min(latest_ms);
         if now_ms >= until_ms {
             return Err(ResolveError::Expired(requested.to_owned()));
         }
         check_usable(state, &model, &version)?;
-        let staged = alias.and_then(|(space, name, alias)| {
-            let new = alias.stage.as_ref().is_some_and(|s| s.to == version);
-            let rollout_side = alias.stage.is_some() && (new || version == alias.version);
-            rollout_side.then_some(StagedRollout {
-                namespace: space,
+        let staged = alias.and_then(|(namespace, name, alias)| {
+            let is_new_version = alias.stage.as_ref().is_some_and(|s| s.to == version);
+            let is_in_rollout =
+                alias.stage.is_some() && (is_new_version || version == alias.version);
+            is_in_rollout.then_some(StagedRollout {
+                namespace,
                 alias: name,
                 alias_revision: alias.changed,
-                is_new_version: new,
+                is_new_version,
             })
         });
         Ok(PinnedVersion {
@@ -189,7 +198,7 @@
         })
     }
 
-    fn start(
+    fn start_pin(
         &self,
         state: &RegistryState,
         now_ms: u64,
@@ -198,19 +207,19 @@
         passage: Option<&str>,
     ) -> Result<PinnedVersion, ResolveError> {
         let until_ms = now_ms + self.duration_ms;
-        if let Some((space, name, alias)) = named(state, tenant, name) {
-            // Without a pin the old version is used: nothing would hold the client to the new one.
-            let drawn = |stage: &Stage| {
-                passage.is_some_and(|p| draw_per_mille(&alias.model, p) < stage.per_mille)
+        if let Some((namespace, name, alias)) = find_alias(state, tenant, name) {
+            // Without a pin the old version is used, because nothing would keep the client on the new one.
+            let is_selected = |stage: &Stage| {
+                passage.is_some_and(|p| hash_per_mille(&alias.model, p) < stage.per_mille)
             };
-            let new = alias.stage.as_ref().filter(|stage| drawn(stage));
-            let version = new.map_or(&alias.version, |stage| &stage.to);
+            let selected = alias.stage.as_ref().filter(|stage| is_selected(stage));
+            let version = selected.map_or(&alias.version, |stage| &stage.to);
             check_usable(state, &alias.model, version)?;
             let rollout_side = StagedRollout {
-                namespace: space,
+                namespace,
                 alias: name,
                 alias_revision: alias.changed,
-                is_new_version: new.is_some(),
+                is_new_version: selected.is_some(),
             };
             let staged = alias.stage.is_some().then_some(rollout_side);
             return Ok(PinnedVersion {
@@ -221,7 +230,7 @@
             });
         }
         let (model, version) =
-            direct(name).ok_or_else(|| ResolveError::Unknown(name.to_owned()))?;
+            parse_full_name(name).ok_or_else(|| ResolveError::Unknown(name.to_owned()))?;
         check_usable(state, &model, &version)?;
         Ok(PinnedVersion {
             model,
@@ -231,9 +240,9 @@
         })
     }
 
-    fn remember(&mut self, key: Key, pinned: &PinnedVersion) {
-        self.forget(&key);
-        while self.pins.len() >= MAX_REMEMBERED {
+    fn store_pin(&mut self, key: PinKey, pinned: &PinnedVersion) {
+        self.remove_pin(&key);
+        while self.pins.len() >= MAX_STORED_PINS {
             let Some((_, oldest)) = self.by_end.pop_first() else {
                 break;
             };
@@ -247,38 +256,38 @@
         self.pins.insert(key, pinned.clone());
     }
 
-    fn forget(&mut self, key: &Key) {
+    fn remove_pin(&mut self, key: &PinKey) {
         if let Some(end) = self.ends.remove(key) {
             self.by_end.remove(&end);
             self.pins.remove(key);
         }
     }
 
-    /// Pins that are remembered.
+    /// Number of pins that are stored.
     pub fn pin_count(&self) -> usize {
         self.pins.len()
     }
 }
 
-/// A tenant's own alias goes before one that all see.
-fn named<'a>(
+/// The alias of a name: a tenant's own alias takes precedence over one of all tenants.
+fn find_alias<'a>(
     state: &'a RegistryState,
     tenant: &str,
     name: &str,
 ) -> Option<(Namespace, Name, &'a Alias)> {
     let name: Name = name.parse().ok()?;
-    let in_space = |space: Namespace| {
-        let alias = state.alias(&space, &name)?;
-        Some((space, name.clone(), alias))
+    let in_namespace = |namespace: Namespace| {
+        let alias = state.alias(&namespace, &name)?;
+        Some((namespace, name.clone(), alias))
     };
     let own = tenant
         .parse()
         .ok()
-        .and_then(|t| in_space(Namespace::Tenant(t)));
-    own.or_else(|| in_space(Namespace::All))
+        .and_then(|tenant| in_namespace(Namespace::Tenant(tenant)));
+    own.or_else(|| in_namespace(Namespace::All))
 }
 
-fn direct(name: &str) -> Option<(Name, Name)> {
+fn parse_full_name(name: &str) -> Option<(Name, Name)> {
     let (model, version) = name.split_once('@')?;
     Some((model.parse().ok()?, version.parse().ok()?))
 }
@@ -286,7 +295,7 @@
 fn check_usable(state: &RegistryState, model: &Name, version: &Name) -> Result<(), ResolveError> {
     let full_name = || format!("{model}@{version}");
     match state.version(model, version) {
-        Some(held) if held.standing == Standing::Offered => Ok(()),
+        Some(record) if record.standing == Standing::Offered => Ok(()),
         Some(_) => Err(ResolveError::Withdrawn(full_name())),
         None if state.deleted.contains(&(model.clone(), version.clone())) => {
             Err(ResolveError::Withdrawn(full_name()))
@@ -295,8 +304,8 @@
     }
 }
 
-/// A number from 0 to 999, the same for a pin at each controller.
-fn draw_per_mille(model: &Name, passage: &str) -> u16 {
+/// A number from 0 to 999 that every controller computes alike for a pin.
+fn hash_per_mille(model: &Name, passage: &str) -> u16 {
     let mut hash = blake3::Hasher::new();
     hash.update(model.to_string().as_bytes())
         .update(b"\0")
@@ -306,10 +315,10 @@
     (first % 1_000) as u16
 }
 
-/// What a version is called on the wire between controllers and invokers, and so to the decisions.
+/// The function number of a version, on the wire between controllers and invokers and in the policy.
 pub fn function_id(model: &Name, version: &Name) -> u64 {
     let full_name = format!("{model}@{version}");
-    // Small numbers are those of the deployment's own functions.
+    // The highest bit is set: small numbers belong to the functions of the deployment file.
     u64::from_le_bytes(
         *blake3::hash(full_name.as_bytes())
             .as_bytes()
@@ -318,14 +327,14 @@
     ) | 1 << 63
 }
 
-/// As the wire names it.
+/// The function name of a version on the wire.
 pub fn function_name(model: &Name, version: &Name) -> String {
     format!("{model}@{version}")
 }
 
-/// A version for use: what the policy needs to know of it.
+/// The pushed version that a pin refers to.
 pub fn pinned_version<'a>(state: &'a RegistryState, pinned: &PinnedVersion) -> Option<&'a Version> {
     state
         .version(&pinned.model, &pinned.version)
-        .map(|h| &h.version)
+        .map(|record| &record.version)
 }
--- a/crates/registry/src/watch.rs
+++ b/crates/registry/src/watch.rs
@@ -1,10 +1,10 @@
-//! What a watcher takes of what the registry tells it. It never goes back, and never hears a change twice or not at all.
+//! Which events of the registry a watcher accepts. A watcher never goes back, and applies each change exactly once.
 
 use crate::chain::{ChainError, Entry, Hash, Head};
 use crate::state::{Change, Revision};
 use serde::{Deserialize, Serialize};
 
-/// The Rust name of a type shows in serde's error texts, which go to clients: it stays as clients know it.
+/// Serde puts the type's name into error texts that go to clients, so the type keeps registry name here.
 mod wire {
     use super::{Deserialize, Hash, Revision, Serialize};
 
@@ -20,41 +20,41 @@
 }
 pub use wire::Mark as Cursor;
 
-/// What the registry says to a watcher.
+/// An event that the registry sends to a watcher.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "told", rename_all = "kebab-case")]
 pub enum WatchEvent {
-    /// The whole state. `restored` is the entry that lets those on another history come over.
+    /// The complete state.
     #[serde(rename = "whole")]
     Snapshot {
-        /// The complete state.
+        /// The state and registry hash.
         head: Head,
         /// The entry of the last restore, by which followers of another history may accept it.
         restored: Option<Entry>,
     },
-    /// One change, the next.
+    /// The next change.
     Next {
         /// The entry.
         entry: Entry,
     },
-    /// Nothing is new.
+    /// There is no new change.
     #[serde(rename = "still")]
     Heartbeat {
-        /// Where it is, or was expected to be.
+        /// The registry's position.
         at: Cursor,
     },
-    /// The registry does not know the mark, and nobody said that it may be left behind.
+    /// The watcher's cursor is not in the registry's history, and no restore covers it.
     #[serde(rename = "behind")]
     UnknownCursor {
-        /// Where it is, or was expected to be.
+        /// The registry's position.
         at: Cursor,
     },
 }
 
-/// Why a watcher keeps what it has.
+/// Why a watcher rejects an event and keeps registry state.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WatchError {
-    /// The registry's history lacks what was applied here.
+    /// The registry's history does not contain the revision that was applied here.
     #[error(
         "the registry is at revision {registry}, revision {local} was obeyed here and is not in its history: it came back from \
          an older backup, or it is another one. What was known stands, until an operator restores over revision {local}"
@@ -65,29 +65,29 @@
         /// Revision applied here.
         local: Revision,
     },
-    /// An entry does not follow.
+    /// An entry can't be appended.
     #[error("{0}")]
     BrokenChain(#[from] ChainError),
 }
 
-/// A watcher's own copy.
+/// A watcher's copy of the registry's state.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Watcher {
     head: Head,
 }
 
 impl Watcher {
-    /// Goes on from what was kept.
+    /// Resumes from a head that was kept.
     pub fn from(head: Head) -> Self {
         Self { head }
     }
 
-    /// What was accepted so far.
+    /// The head that was last accepted.
     pub fn head(&self) -> &Head {
         &self.head
     }
 
-    /// Where to go on from.
+    /// The position from which to continue.
     pub fn cursor(&self) -> Cursor {
         Cursor {
             revision: self.head.revision(),
@@ -95,19 +95,19 @@
         }
     }
 
-    /// Takes one message in. True: something is new, and is to be kept before it is obeyed.
-    pub fn apply(&mut self, told: WatchEvent) -> Result<bool, WatchError> {
-        let mine = self.head.revision();
-        match told {
+    /// Applies an event. Returns whether the state has changed; a changed state must be written to disk before it is used.
+    pub fn apply(&mut self, event: WatchEvent) -> Result<bool, WatchError> {
+        let local = self.head.revision();
+        match event {
             WatchEvent::Next { entry } => {
-                // A message that comes a second time after a gap changes nothing.
-                if entry.revision <= mine {
-                    return if entry.revision < mine || entry.hash() == self.head.hash {
+                // An entry that is repeated after a reconnect changes nothing.
+                if entry.revision <= local {
+                    return if entry.revision < local || entry.hash() == self.head.hash {
                         Ok(false)
                     } else {
                         Err(WatchError::HistoryMismatch {
                             registry: entry.revision,
-                            local: mine,
+                            local,
                         })
                     };
                 }
@@ -118,53 +118,52 @@
                 if head == self.head {
                     return Ok(false);
                 }
-                let its = head.revision();
+                let registry = head.revision();
                 let over = restored.and_then(|e| match e.change {
-                    // The jump must lie on this side of the head that it is to explain.
-                    Change::Restored { over } if e.revision == over + 1 && e.revision <= its => {
+                    // The jump must not be after the head that it explains.
+                    Change::Restored { over }
+                        if e.revision == over + 1 && e.revision <= registry =>
+                    {
                         Some(over)
                     }
                     _ => None,
                 });
-                if its <= mine || (mine > 0 && over.is_none_or(|over| over < mine)) {
-                    return Err(WatchError::HistoryMismatch {
-                        registry: its,
-                        local: mine,
-                    });
+                if registry <= local || (local > 0 && over.is_none_or(|over| over < local)) {
+                    return Err(WatchError::HistoryMismatch { registry, local });
                 }
                 self.head = head;
                 Ok(true)
             }
             WatchEvent::Heartbeat { at } if at == self.cursor() => Ok(false),
-            // Changes are under way, or something was missed: the former come, the latter shows when they do.
-            WatchEvent::Heartbeat { at } if at.revision > mine => Ok(false),
+            // Changes are in flight or were missed. A missed one shows when the next entry does not fit the chain.
+            WatchEvent::Heartbeat { at } if at.revision > local => Ok(false),
             WatchEvent::Heartbeat { at } | WatchEvent::UnknownCursor { at } => {
                 Err(WatchError::HistoryMismatch {
                     registry: at.revision,
-                    local: mine,
+                    local,
                 })
             }
         }
     }
 }
 
-/// What the registry answers a watcher at `mark` with, from its history: the entries it lacks, or the whole.
-/// `hash_at` knows the hash after a revision of the history, none where there is no such revision.
+/// How the registry answers a watcher at `cursor`: with the entries that the watcher lacks, or with the complete state.
+/// `hash_at` returns the hash after a revision of the history, `None` if there is no such revision.
 pub fn reply_to(
     head: &Head,
-    mark: &Cursor,
+    cursor: &Cursor,
     hash_at: impl FnOnce(Revision) -> Option<Hash>,
     last_restored: Option<Entry>,
 ) -> WatchReply {
-    if mark.revision == 0 {
+    if cursor.revision == 0 {
         return WatchReply::Snapshot(None);
     }
-    if hash_at(mark.revision).as_ref() == Some(&mark.hash) {
-        return WatchReply::EntriesAfter(mark.revision);
+    if hash_at(cursor.revision).as_ref() == Some(&cursor.hash) {
+        return WatchReply::EntriesAfter(cursor.revision);
     }
     match last_restored {
-        Some(e) if matches!(e.change, Change::Restored { over } if over >= mark.revision) => {
-            WatchReply::Snapshot(Some(e))
+        Some(entry) if matches!(entry.change, Change::Restored { over } if over >= cursor.revision) => {
+            WatchReply::Snapshot(Some(entry))
         }
         _ => WatchReply::UnknownCursor(Cursor {
             revision: head.revision(),
@@ -178,7 +177,7 @@
 pub enum WatchReply {
     /// The entries after a revision.
     EntriesAfter(Revision),
-    /// The complete state, and the restore that explains it.
+    /// The complete state, and the restore by which a watcher on another history may accept it.
     Snapshot(Option<Entry>),
     /// The cursor is not in the history.
     UnknownCursor(Cursor),
