--- a/crates/registry/src/service.rs
+++ b/crates/registry/src/service.rs
@@ -1,7 +1,7 @@
-//! The registry on its socket: JSON-RPC by lines.
+//! The registry's service: line-delimited JSON-RPC on a socket.
 //!
-//! `connection` reads calls, `methods` answers them; `commit` writes changes, `push` and `rollouts` make those that the
-//! registry checks itself, `watchers` serves followers and `status` what operators look at.
+//! `connection` reads calls and `methods` answers them. `commit` writes changes; `push` and `rollouts` prepare changes that need
+//! checks beyond the state. `watchers` serves followers, and `status` operators.
 
 mod commit;
 mod connection;
@@ -37,21 +37,21 @@
 use tracing::{info, warn};
 use watchers::Follower;
 
-/// Followers hear this often that nothing is new, so that silence means that the connection is down.
+/// Interval of heartbeats to followers, so that a follower that receives nothing can conclude that the connection is lost.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// Pause after a connection could not be accepted.
+/// Delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Unix time in milliseconds: for the history, and for the ends of version pins.
+/// Unix time in milliseconds, for the history and the ends of version pins.
 pub type WallClock = Rc<dyn Fn() -> u64>;
 
-/// What a method answers.
+/// The result of a method.
 pub(crate) type RpcResult = Result<Json, RpcError>;
 
-/// The registry: its history on disk, and what it knows beside that until it ends.
+/// The registry: its history on disk, and state in memory that is lost when the process ends.
 pub struct Registry {
     store: RefCell<Store>,
-    /// Where blobs lie, if they lie here.
+    /// Folder of the blobs, if the registry stores them itself.
     blob_folder: Option<PathBuf>,
     blob_collector: RefCell<BlobCollector>,
     rollout_tallies: RefCell<RolloutTallies>,
@@ -62,14 +62,14 @@
     change_submitted: Notify,
     head_revision: tokio::sync::watch::Sender<Revision>,
     wall_clock: WallClock,
-    /// Leases and grace periods are measured from here, on a clock that is never stepped; the wall clock may be.
+    /// Origin of the times of leases and grace periods: unlike the wall clock, this clock is never stepped.
     started_at: Instant,
-    /// Collections are done by the holder of the fleet's lease, or by operators who have paused it.
+    /// Whether only the holder of the fleet's lease, or an operator who has paused the lease, may collect blobs.
     collected_by_fleet: Cell<bool>,
 }
 
 impl Registry {
-    /// `blob_folder`: where blobs lie, as an OCI image layout; none where they are kept by another store.
+    /// `blob_folder`: folder of the blobs, an OCI image layout; `None` if another store has them.
     pub fn new(store: Store, blob_folder: Option<&Path>, wall_clock: WallClock) -> Rc<Self> {
         let (head_revision, _) = tokio::sync::watch::channel(store.head().revision());
         Rc::new(Self {
@@ -88,7 +88,7 @@
         })
     }
 
-    /// Milliseconds of a clock that is never stepped.
+    /// Milliseconds since the start, by a clock that is never stepped.
     fn elapsed_ms(&self) -> u64 {
         self.started_at.elapsed().as_millis() as u64
     }
@@ -103,7 +103,7 @@
         self.store.borrow().entries_after(0, usize::MAX)
     }
 
-    /// Versions reported corrupt, as `MODEL@VERSION`, and when first, in Unix milliseconds.
+    /// Versions reported corrupt, as `MODEL@VERSION`, and the Unix time in milliseconds of the first report.
     pub fn corrupt_versions(&self) -> Vec<(String, u64)> {
         let reports = self.corruption_reports.borrow();
         reports
@@ -112,7 +112,7 @@
             .collect()
     }
 
-    /// Listens until dropped.
+    /// Listens on an address and serves connections until dropped.
     pub async fn serve(
         self: Rc<Self>,
         network: Rc<dyn Network>,
@@ -126,7 +126,7 @@
         Ok(())
     }
 
-    /// Accepts connections for as long as it is polled; all of them end with it.
+    /// Accepts and serves connections while it is polled; dropping it ends all of them.
     pub async fn accept_connections(self: Rc<Self>, mut listener: Box<dyn Listener>, clock: Clock) {
         let mut tasks = tokio::task::JoinSet::new();
         tasks.spawn_local(self.clone().commit_changes());
@@ -142,7 +142,7 @@
         }
     }
 
-    /// From now on a collection needs the epoch of the fleet's lease.
+    /// From now on a collection requires the epoch of the fleet's lease.
     pub(crate) fn set_collected_by_fleet(&self) {
         self.collected_by_fleet.set(true);
     }
@@ -152,7 +152,7 @@
     }
 }
 
-/// Adds the first owner's key to a registry that has no owner, and gives the key's text.
+/// Adds the first owner's key to a registry without an owner, and returns the key's text.
 pub fn create_first_owner(
     store: &mut Store,
     id: &Name,
--- a/crates/registry/src/service/commit.rs
+++ b/crates/registry/src/service/commit.rs
@@ -1,4 +1,4 @@
-//! Changes that wait together go to disk in one write.
+//! Commits pending changes in batches, with one disk write each.
 
 use super::Registry;
 use super::errors::RpcError;
@@ -13,7 +13,7 @@
 use tokio::sync::oneshot;
 use tracing::warn;
 
-/// Pending changes beyond this are rejected at once.
+/// Further changes are rejected immediately.
 const MAX_PENDING_CHANGES: usize = 10_000;
 
 type CommitResult = Result<Entry, RpcError>;
@@ -24,17 +24,17 @@
     pub(super) blobs: Vec<Digest>,
 }
 
-/// A change whose caller waits for it.
+/// A change whose caller waits for the result.
 pub(super) struct PendingChange {
     request: ChangeRequest,
     required_role: Role,
-    /// Of a push.
+    /// The lease, if the change completes a push.
     push_lease: Option<PushLease>,
     reply: oneshot::Sender<CommitResult>,
 }
 
 impl Registry {
-    /// Submits a change, from inside or from a caller, and waits until it is on disk.
+    /// Submits a change, of a caller or of the registry itself, and waits until it is on disk.
     pub(super) async fn submit(
         &self,
         who: &Name,
@@ -67,7 +67,7 @@
             .unwrap_or_else(|_| Err(RpcError::disk_failure("the registry is ending")))
     }
 
-    /// Commits changes as they are submitted, for as long as it is polled.
+    /// Commits changes as they are submitted, while it is polled.
     pub(super) async fn commit_changes(self: Rc<Self>) {
         loop {
             self.change_submitted.notified().await;
@@ -99,7 +99,7 @@
                     if let Some(push) = push_lease {
                         self.blob_collector.borrow_mut().end_lease(push.lease);
                     }
-                    // A caller that has hung up gets no answer; the change stands.
+                    // The caller may have disconnected; the change is committed nevertheless.
                     let _ = reply.send(result.map_err(RpcError::rejected));
                 }
                 self.head_revision
@@ -114,27 +114,27 @@
         }
     }
 
-    /// Whether the caller may still make the change, and its blobs are there.
+    /// Checks that the caller is still authorized, and that the blobs of a push are present.
     fn check_pending(&self, now_ms: u64, pending: &PendingChange) -> Result<(), RpcError> {
         let store = self.store.borrow();
         let state = &store.head().state;
-        // The key may have been withdrawn while its change waited.
+        // The key may have been withdrawn while its change was pending.
         let key: Option<Name> = pending.request.who.parse().ok();
         let authorized = keys::authorize(state, key.as_ref(), pending.required_role)
             .map_err(RpcError::access_denied);
-        let blobs_held = match &pending.push_lease {
+        let blobs_checked = match &pending.push_lease {
             Some(push) => self.check_blobs(now_ms, push),
             None => Ok(()),
         };
-        authorized.and(blobs_held)
+        authorized.and(blobs_checked)
     }
 
     fn check_blobs(&self, now_ms: u64, push: &PushLease) -> Result<(), RpcError> {
-        let held = self
-            .blob_collector
-            .borrow()
-            .check_lease(now_ms, push.lease, &push.blobs);
-        held.map_err(RpcError::rejected)?;
+        let lease_checked =
+            self.blob_collector
+                .borrow()
+                .check_lease(now_ms, push.lease, &push.blobs);
+        lease_checked.map_err(RpcError::rejected)?;
         let Some(folder) = &self.blob_folder else {
             return Ok(());
         };
--- a/crates/registry/src/service/connection.rs
+++ b/crates/registry/src/service/connection.rs
@@ -12,19 +12,19 @@
 use tokio::task::JoinSet;
 use tracing::{debug, warn};
 
-/// Bytes that a peer may leave unread before its connection is closed. A complete snapshot has to fit.
+/// Limit on bytes queued for a peer, beyond which its connection is closed. A complete snapshot must fit.
 const MAX_UNREAD_BYTES: usize = 256 << 20;
 
-/// What the tasks of one connection share.
+/// State that the tasks of one connection share.
 pub(super) struct Connection {
     send_queue: SendQueue,
-    /// The key that has logged in.
+    /// Identifier of the key that has logged in.
     pub(super) key: RefCell<Option<Name>>,
     overflowed: Notify,
 }
 
 impl Connection {
-    /// Queues a line. A peer that leaves too much unread is disconnected.
+    /// Queues a line. A peer that reads too slowly is disconnected.
     pub(super) fn send(&self, mut text: String) {
         text.push('\n');
         if self.send_queue.push(Bytes::from(text), u64::MAX).is_none() {
@@ -52,12 +52,12 @@
             reason = self.read_calls(&connection, input) => debug!(reason, "connection closed"),
             _ = connection.send_queue.write_to(&mut output, || clock.now(), |_| ()) => {}
             () = connection.overflowed.notified() => {
-                warn!(reason = "too much unread", "connection closed");
+                warn!(reason = "send queue overflow", "connection closed");
             }
         }
     }
 
-    /// Answers calls one after another, while a watch goes on beside them. Gives why the connection ended.
+    /// Answers calls sequentially, while a watch runs concurrently. Returns why the connection ended.
     async fn read_calls(
         self: &Rc<Self>,
         connection: &Rc<Connection>,
@@ -76,7 +76,7 @@
                 return "line too long".into();
             }
             match input.read_buf(&mut buffer).await {
-                Ok(0) => return "hung up".into(),
+                Ok(0) => return "closed by the peer".into(),
                 Ok(_) => {}
                 Err(error) => return error.to_string(),
             }
--- a/crates/registry/src/service/errors.rs
+++ b/crates/registry/src/service/errors.rs
@@ -1,12 +1,12 @@
-//! Errors that the service answers calls with.
+//! Errors in the service's responses.
 
 use saltdrum_protocol::rpc;
 
-/// Error code: the change was rejected, and nothing has changed.
+/// Error code: the change was rejected, and the state is unchanged.
 pub const REJECTED: i64 = -32_010;
 /// Error code: the caller's key does not permit the call.
 pub const ACCESS_DENIED: i64 = -32_011;
-/// Error code: the disk write failed; whether the change is there after the next start is not known.
+/// Error code: the disk write failed; whether the change is on disk after the next start is unknown.
 pub const DISK_FAILURE: i64 = -32_012;
 
 /// A JSON-RPC error response.
@@ -47,7 +47,7 @@
     }
 }
 
-/// The form in which the coordinator's server answers errors.
+/// The form of errors in the coordinator's server.
 impl From<RpcError> for (i64, String) {
     fn from(error: RpcError) -> Self {
         (error.code, error.message)
--- a/crates/registry/src/service/methods.rs
+++ b/crates/registry/src/service/methods.rs
@@ -1,4 +1,4 @@
-//! The methods of the service: who may call them, and what they answer.
+//! The methods of the service, with the role that each requires.
 
 use super::connection::Connection;
 use super::errors::RpcError;
@@ -12,15 +12,15 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// A push has to be completed within this, or starts again.
+/// A push that is not completed within this time must start again.
 const PUSH_LEASE_MS: u64 = 600_000;
 const MAX_PUSH_DIGESTS: usize = 20_001;
-/// Entries that one `history` answers with at the most.
+/// Maximum number of entries in a response to `history`.
 const MAX_HISTORY_ENTRIES: usize = 10_000;
 const COLLECTED_BY_FLEET: &str = "collections are the holder's of the fleet's lease: pause it, then registry gc with --steward and --tasks";
 
 impl Registry {
-    /// The key of the connection, where it has the role.
+    /// The connection's key, if it has the required role.
     pub(super) fn authorize(
         &self,
         connection: &Connection,
@@ -32,7 +32,7 @@
             .map_err(RpcError::access_denied)
     }
 
-    /// Answers a call of any method but `watch`.
+    /// Answers a call of any method except `watch`.
     pub(super) async fn dispatch(
         self: &Rc<Self>,
         connection: &Connection,
@@ -81,8 +81,8 @@
     }
 
     fn log_in(&self, connection: &Connection, login: &params::Login) -> RpcResult {
-        let known = keys::authenticate(&self.store.borrow().head().state, &login.key);
-        let (id, role) = known.map_err(RpcError::access_denied)?;
+        let authenticated = keys::authenticate(&self.store.borrow().head().state, &login.key);
+        let (id, role) = authenticated.map_err(RpcError::access_denied)?;
         *connection.key.borrow_mut() = Some(id.clone());
         Ok(json!({"id": id, "role": role}))
     }
--- a/crates/registry/src/service/params.rs
+++ b/crates/registry/src/service/params.rs
@@ -1,6 +1,6 @@
 //! Parameters of the service's methods.
 //!
-//! Names of types and fields are part of the protocol: serde puts both into the error texts that callers get.
+//! Names of types and fields are part of the protocol, because serde puts both into error texts that callers receive.
 
 use super::errors::RpcError;
 use crate::blob_collector::LeaseId;
@@ -14,13 +14,13 @@
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 
-/// Reads the parameters of a call; without any, those of an empty object.
+/// Parses the parameters of a call; missing ones are read as an empty object.
 pub(super) fn parse<'a, T: Deserialize<'a>>(call: &'a Call) -> Result<T, RpcError> {
     let text = call.params.as_ref().map_or("{}", |params| params.get());
     serde_json::from_str(text).map_err(RpcError::invalid_params)
 }
 
-/// `login`: identifies the connection by a key.
+/// `login`: authenticates the connection with a key.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct Login {
@@ -34,7 +34,7 @@
     pub(super) change: Change,
 }
 
-/// `begin`: starts a push of a version that needs these blobs.
+/// `begin`: starts the push of a version that needs these blobs.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct Begin {
@@ -56,7 +56,7 @@
     pub(super) trigger_types: Vec<String>,
 }
 
-/// `watch`: follows the history from a cursor on.
+/// `watch`: follows the history from a cursor.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct Watch {
--- a/crates/registry/src/service/push.rs
+++ b/crates/registry/src/service/push.rs
@@ -10,7 +10,7 @@
 use serde_json::json;
 
 impl Registry {
-    /// Completes a push: the version is there when its change is on disk.
+    /// Completes a push. The version exists once its change is on disk.
     pub(super) async fn push(&self, connection: &Connection, request: params::Push) -> RpcResult {
         let who = self.authorize(connection, Role::Publisher)?;
         let Some(folder) = &self.blob_folder else {
@@ -29,7 +29,7 @@
             lanes: request.lanes,
             trigger_types: request.trigger_types,
         };
-        // A repeated push, whose first answer was lost, is no error.
+        // A repeated push, whose first response was lost, succeeds.
         let state = self.state();
         let existing = state.version(&request.model, &request.name);
         if let Some(record) = existing.filter(|record| record.version == version) {
@@ -68,7 +68,7 @@
         ))
     }
 
-    /// Removes blobs. Called in the turn in which they were found to be collectable: no push comes between.
+    /// Removes blobs. Must be called in the same turn in which they were found to be collectable, so that no push comes between.
     pub(crate) fn remove_blobs(&self, digests: &[Digest]) -> RpcResult {
         let Some(folder) = &self.blob_folder else {
             return Err(RpcError::invalid_params("blobs are not kept here"));
--- a/crates/registry/src/service/rollouts.rs
+++ b/crates/registry/src/service/rollouts.rs
@@ -1,4 +1,4 @@
-//! Results of staged rollouts, as controllers count them; a rollout ends here when they say so.
+//! Results of staged rollouts, which controllers report. Ends a rollout once the results decide it.
 
 use super::errors::REJECTED;
 use super::{Registry, RpcResult, params};
@@ -9,17 +9,17 @@
 use std::collections::BTreeMap;
 use tracing::info;
 
-/// By alias: the revision at which its rollout started, and its results.
+/// The revision at which the rollout of each alias started, and its results.
 pub(super) type RolloutTallies = BTreeMap<(Namespace, Name), (Revision, Tallies)>;
 
-/// How a rollout ends. The reason goes into the history: its wording stays.
+/// How a rollout ends. The reason is stored in the history, so its wording must not change.
 struct RolloutEnd {
     is_success: bool,
     reason: String,
 }
 
 impl RolloutEnd {
-    /// None: more answers are needed.
+    /// `None`: more answers are needed.
     fn from_verdict(verdict: Verdict) -> Option<Self> {
         match verdict {
             Verdict::Undecided => None,
@@ -41,7 +41,7 @@
 }
 
 impl Registry {
-    /// Adds what a controller has counted of a rollout, and ends the rollout when the counts decide it.
+    /// Records the results that a controller reports, and ends the rollout if they decide it.
     pub(super) async fn add_rollout_results(&self, who: &Name, report: params::Tells) -> RpcResult {
         let Some(stage) = self.current_stage(&report) else {
             return Ok(json!({"over": true}));
@@ -60,7 +60,7 @@
             is_success: end.is_success,
             why: end.reason,
         };
-        // The registry decides this itself, in the name of whoever reported last.
+        // The registry makes this change itself, in the name of the last reporter.
         match self.submit(who, Role::Reader, change, None).await {
             Ok(_) => Ok(json!({"over": true})),
             Err(error) if error.code == REJECTED => Ok(json!({"over": true})),
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The rollout that the report is of, where it is still under way.
+    /// The rollout that the report belongs to, if it is still in progress.
     fn current_stage(&self, report: &params::Tells) -> Option<Stage> {
         let store = self.store.borrow();
         let alias = store.head().state.alias(&report.namespace, &report.alias)?;
--- a/crates/registry/src/service/status.rs
+++ b/crates/registry/src/service/status.rs
@@ -1,4 +1,4 @@
-//! What the service tells of itself: its status, the state, and versions found corrupt.
+//! Reports for operators: the service's status, the registry's state, and versions reported corrupt.
 
 use super::errors::RpcError;
 use super::{Registry, RpcResult, params};
@@ -6,10 +6,10 @@
 use serde_json::{Value as Json, json};
 use tracing::warn;
 
-/// Characters kept of the reason for which a version is said to be corrupt.
+/// Longer reasons of corruption reports are truncated.
 const MAX_REASON_CHARS: usize = 300;
 
-/// What invokers reported of a version of which they found no intact copy.
+/// Reports by invokers that found no intact copy of a version.
 #[derive(Clone, Debug)]
 pub(super) struct CorruptionReport {
     count: u64,
@@ -67,7 +67,7 @@
         json!({"revision": state.revision, "versions": versions, "aliases": aliases, "keys": keys})
     }
 
-    /// Records a corrupt version. Only of versions that are known, which bounds what is recorded.
+    /// Records a corrupt version. Only known versions are recorded, which bounds memory.
     pub(super) fn report_corruption(&self, who: &Name, request: params::SaysCorrupt) -> RpcResult {
         let (model, version) = (request.model, request.version);
         let is_known = {
--- a/crates/registry/src/service/watchers.rs
+++ b/crates/registry/src/service/watchers.rs
@@ -1,4 +1,4 @@
-//! Watches: a follower gets the entries it lacks, then each new one, and a heartbeat in between.
+//! Watches: a follower receives the entries that it lacks, then each new entry, and heartbeats in between.
 
 use super::connection::Connection;
 use super::errors::RpcError;
@@ -11,13 +11,13 @@
 use tokio::task::JoinSet;
 use tracing::{debug, warn};
 
-/// Entries that are read from disk at a time.
+/// Number of entries per read from disk.
 const READ_BATCH_ENTRIES: usize = 512;
 const MAX_FOLLOWER_NAME_BYTES: usize = 64;
-/// Followers that the status lists: names are the followers' own, and many of them must not exhaust memory.
+/// Maximum number of followers in the status. Followers choose their names, which must not exhaust memory.
 const MAX_FOLLOWERS: usize = 10_000;
 
-/// How far a follower has come.
+/// Progress of a follower.
 #[derive(Clone, Debug)]
 pub(super) struct Follower {
     pub(super) sent: Revision,
@@ -32,7 +32,7 @@
 }
 
 impl Registry {
-    /// Starts a watch in place of the connection's earlier one.
+    /// Starts a watch, which replaces the connection's earlier one.
     pub(super) fn start_watch(
         self: &Rc<Self>,
         connection: &Rc<Connection>,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The revision that the follower has after the first answer; none: it can't be served.
+    /// Sends the first event, and returns the revision that the follower then has; `None`: it can't be served.
     fn send_first(
         &self,
         connection: &Connection,
@@ -114,19 +114,19 @@
         }
     }
 
-    /// Sends the next entries, and gives the revision of the last one sent; none: there is no new entry.
+    /// Sends the next entries, and returns the revision of the last one sent; `None`: there is no new entry.
     fn send_entries(&self, connection: &Connection, sent: Revision) -> Option<Revision> {
         let entries = match self.store.borrow().entries_after(sent, READ_BATCH_ENTRIES) {
             Ok(entries) => entries,
             Err(error) => {
-                debug!(%error, "disk read failed, watch waits");
+                debug!(%error, "disk read failed, watch delayed");
                 return None;
             }
         };
         if entries.is_empty() {
             return None;
         }
-        // An entry that was read is on disk, but it may not be acknowledged yet.
+        // An entry that was read is on disk, but may not have been acknowledged yet.
         let acknowledged = self.store.borrow().head().revision();
         let mut last = sent;
         for entry in entries
--- a/crates/registry/src/store.rs
+++ b/crates/registry/src/store.rs
@@ -1,5 +1,5 @@
-//! The history on disk. The log is the truth: each start reads it whole and checks its chain, and what is not in it was
-//! never acknowledged.
+//! The history on disk. The log is authoritative: each start reads all of it and checks its chain, and a change that is not in
+//! the log was never acknowledged.
 
 use crate::chain::{ChainError, Entry, Hash, Head};
 use crate::state::{Change, ChangeError, Revision};
@@ -10,16 +10,16 @@
 use std::io::{BufRead, BufReader, BufWriter, Write};
 use std::path::Path;
 
-/// Of the database's pages, held in memory.
+/// Size of the database's page cache in memory.
 const CACHE_BYTES: usize = 16 << 20;
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
 const ABOUT: TableDefinition<&str, u64> = TableDefinition::new("about");
-/// For each lease the epoch that the registry is sealed to.
+/// The epoch that the registry is sealed to, by lease.
 const SEALS: TableDefinition<&str, u64> = TableDefinition::new("seals");
-/// Of what is written here. A later one is not touched.
+/// Version of the database's layout. A database with a later one is not modified.
 pub const SCHEMA: u64 = 1;
-/// An entry is no longer: a change is bounded by what its names and digests are.
-const ENTRY_MOST_BYTES: usize = 64 << 10;
+/// Largest entry. Larger than any valid change, whose names and digests are bounded.
+const MAX_ENTRY_BYTES: usize = 64 << 10;
 
 /// Why the history could not be read or written.
 #[derive(Debug, thiserror::Error)]
@@ -27,23 +27,23 @@
     /// The disk failed.
     #[error("{place}: {why}")]
     Disk {
-        /// Where it was found.
+        /// Path or name of the database or file.
         place: String,
         /// The reason.
         why: DiskFailure,
     },
-    /// It was written by a later build.
+    /// The database was written by a later build.
     #[error("{place}: schema {found}: this program knows up to {SCHEMA}")]
     SchemaTooNew {
-        /// Where it was found.
+        /// Path or name of the database or file.
         place: String,
-        /// What was found.
+        /// Version of its layout.
         found: u64,
     },
     /// An entry is damaged.
     #[error("{place}: revision {revision}: {why}")]
     Damaged {
-        /// Where it was found.
+        /// Path or name of the database or file.
         place: String,
         /// Revision of the entry.
         revision: Revision,
@@ -53,7 +53,7 @@
     /// A line of a backup is invalid.
     #[error("{place}: line {line}: {why}")]
     InvalidLine {
-        /// Where it was found.
+        /// Path or name of the database or file.
         place: String,
         /// Number of the line, from 1.
         line: usize,
@@ -63,25 +63,25 @@
     /// The change was rejected.
     #[error("{0}")]
     Rejected(#[from] ChangeError),
-    /// Nothing is overwritten.
+    /// The target exists, and is not overwritten.
     #[error("{place}: there is a registry already")]
     AlreadyExists {
-        /// Where it was found.
+        /// Path or name of the database or file.
         place: String,
     },
 }
 
 impl StoreError {
-    /// Whether the same may succeed a while later.
+    /// Whether a retry may succeed later.
     pub fn is_transient(&self) -> bool {
         matches!(self, Self::Disk { why, .. } if why.is_transient)
     }
 }
 
-/// Makes the database, at each start and after each failure.
+/// Opens the database, at each start and after each failure.
 pub type OpenDatabase = Box<dyn Fn() -> Result<Database, redb::DatabaseError>>;
 
-/// A change somebody waits for.
+/// A change that a caller requests.
 pub struct ChangeRequest {
     /// Identifier of the key that requests it.
     pub who: String,
@@ -94,8 +94,8 @@
 /// The history on disk, and the head that it leads to.
 pub struct Store {
     place: String,
-    opens: OpenDatabase,
-    /// None: a write failed, and what the disk has is not known until it is read again.
+    open_database: OpenDatabase,
+    /// `None` after a failed write: the content of the disk is unknown until it is read again.
     database: Option<Database>,
     head: Head,
     /// Hash after each revision.
@@ -103,19 +103,20 @@
     last_restored: Option<Entry>,
 }
 
-/// Why a registry was not made.
-enum Unmade {
-    StoreError(StoreError),
+/// Why a registry could not be created.
+enum CreateError {
+    Store(StoreError),
     File(std::io::Error),
 }
 
-impl From<std::io::Error> for Unmade {
+impl From<std::io::Error> for CreateError {
     fn from(error: std::io::Error) -> Self {
         Self::File(error)
     }
 }
 
-struct Read {
+/// What is read from disk at a start.
+struct StoredHistory {
     head: Head,
     hashes: BTreeMap<Revision, Hash>,
     last_restored: Option<Entry>,
@@ -124,24 +125,24 @@
 impl Store {
     /// Opens the database at a path.
     pub fn open_file(path: &Path) -> Result<Self, StoreError> {
-        let at = path.to_owned();
-        let opens = move || database::open(&at, CACHE_BYTES);
-        Self::open(path.display().to_string(), Box::new(opens))
+        let database_path = path.to_owned();
+        let open_database = move || database::open(&database_path, CACHE_BYTES);
+        Self::open(path.display().to_string(), Box::new(open_database))
     }
 
-    /// Makes a registry at `path`, where there is none: with all that `fill` puts into it, or not at all.
+    /// Creates a registry at `path`, where there is none, atomically with everything that `fill` writes to it.
     pub fn create_file<T>(
         path: &Path,
         fill: impl FnOnce(&mut Self) -> Result<T, StoreError>,
     ) -> Result<T, StoreError> {
         let place = || path.display().to_string();
         let filled = file::create_atomically(path, |unfinished| {
-            let mut store = Self::open_file(unfinished).map_err(Unmade::StoreError)?;
-            fill(&mut store).map_err(Unmade::StoreError)
+            let mut store = Self::open_file(unfinished).map_err(CreateError::Store)?;
+            fill(&mut store).map_err(CreateError::Store)
         });
-        filled.map_err(|unmade| match unmade {
-            Unmade::StoreError(fault) => fault,
-            Unmade::File(why) => StoreError::Disk {
+        filled.map_err(|error| match error {
+            CreateError::Store(error) => error,
+            CreateError::File(why) => StoreError::Disk {
                 place: place(),
                 why: why.into(),
             },
@@ -149,53 +150,58 @@
     }
 
     /// Opens a database; `place` names it in errors.
-    pub fn open(place: String, opens: OpenDatabase) -> Result<Self, StoreError> {
+    pub fn open(place: String, open_database: OpenDatabase) -> Result<Self, StoreError> {
         let mut store = Self {
             place,
-            opens,
+            open_database,
             database: None,
             head: Head::default(),
             hashes: BTreeMap::new(),
             last_restored: None,
         };
-        store.come_back()?;
+        store.reopen()?;
         Ok(store)
     }
 
-    fn disk(&self, why: impl Into<DiskFailure>) -> StoreError {
+    fn disk_error(&self, why: impl Into<DiskFailure>) -> StoreError {
         StoreError::Disk {
             place: self.place.clone(),
             why: why.into(),
         }
     }
 
-    /// Reads all that the disk has, and goes on from there.
-    fn come_back(&mut self) -> Result<(), StoreError> {
+    /// Reads the complete history from disk, and continues from there.
+    fn reopen(&mut self) -> Result<(), StoreError> {
         self.database = None;
-        let database = (self.opens)().map_err(|e| self.disk(e))?;
-        let read = self.read(&database)?;
-        // What was acknowledged stands; a disk that has less has lost it, and nothing is to be built upon that.
-        let mine = self.head.revision();
-        if mine > 0 && read.hashes.get(&mine) != Some(&self.head.hash) {
-            let why = format!("revision {mine} was acknowledged and is not there any more");
-            return Err(self.disk(DiskFailure::permanent(why)));
+        let database = (self.open_database)().map_err(|e| self.disk_error(e))?;
+        let stored = self.read(&database)?;
+        // A disk that lacks an acknowledged change has lost it, and nothing may be appended to such a history.
+        let acknowledged = self.head.revision();
+        if acknowledged > 0 && stored.hashes.get(&acknowledged) != Some(&self.head.hash) {
+            let why = format!("revision {acknowledged} was acknowledged and is not there any more");
+            return Err(self.disk_error(DiskFailure::permanent(why)));
         }
-        (self.head, self.hashes, self.last_restored) = (read.head, read.hashes, read.last_restored);
+        (self.head, self.hashes, self.last_restored) =
+            (stored.head, stored.hashes, stored.last_restored);
         self.database = Some(database);
         Ok(())
     }
 
-    /// Makes the tables where they are missing. Fails where a later build wrote them.
+    /// Creates missing tables. Fails if a later build wrote the database.
     fn prepare_tables(&self, database: &Database) -> Result<(), StoreError> {
-        let txn = database.begin_write().map_err(|e| self.disk(e))?;
+        let txn = database.begin_write().map_err(|e| self.disk_error(e))?;
         {
-            let mut about = txn.open_table(ABOUT).map_err(|e| self.disk(e))?;
+            let mut about = txn.open_table(ABOUT).map_err(|e| self.disk_error(e))?;
             let found = about
                 .get("schema")
-                .map_err(|e| self.disk(e))?
+                .map_err(|e| self.disk_error(e))?
                 .map(|v| v.value());
             match found {
-                None => drop(about.insert("schema", SCHEMA).map_err(|e| self.disk(e))?),
+                None => drop(
+                    about
+                        .insert("schema", SCHEMA)
+                        .map_err(|e| self.disk_error(e))?,
+                ),
                 Some(found) if found > SCHEMA => {
                     return Err(StoreError::SchemaTooNew {
                         place: self.place.clone(),
@@ -204,24 +210,24 @@
                 }
                 Some(_) => {}
             }
-            txn.open_table(LOG).map_err(|e| self.disk(e))?;
-            txn.open_table(SEALS).map_err(|e| self.disk(e))?;
+            txn.open_table(LOG).map_err(|e| self.disk_error(e))?;
+            txn.open_table(SEALS).map_err(|e| self.disk_error(e))?;
         }
-        txn.commit().map_err(|e| self.disk(e))
+        txn.commit().map_err(|e| self.disk_error(e))
     }
 
     /// Reads the complete history and checks its chain.
-    fn read(&self, database: &Database) -> Result<Read, StoreError> {
+    fn read(&self, database: &Database) -> Result<StoredHistory, StoreError> {
         self.prepare_tables(database)?;
-        let txn = database.begin_read().map_err(|e| self.disk(e))?;
-        let log = txn.open_table(LOG).map_err(|e| self.disk(e))?;
-        let mut read = Read {
+        let txn = database.begin_read().map_err(|e| self.disk_error(e))?;
+        let log = txn.open_table(LOG).map_err(|e| self.disk_error(e))?;
+        let mut stored = StoredHistory {
             head: Head::default(),
             hashes: BTreeMap::new(),
             last_restored: None,
         };
-        for line in log.iter().map_err(|e| self.disk(e))? {
-            let (revision, bytes) = line.map_err(|e| self.disk(e))?;
+        for row in log.iter().map_err(|e| self.disk_error(e))? {
+            let (revision, bytes) = row.map_err(|e| self.disk_error(e))?;
             let damaged = |why: String| StoreError::Damaged {
                 place: self.place.clone(),
                 revision: revision.value(),
@@ -235,19 +241,21 @@
                     entry.revision
                 )));
             }
-            read.head = read
+            stored.head = stored
                 .head
                 .with_entry(&entry)
                 .map_err(|e: ChainError| damaged(e.to_string()))?;
-            read.hashes.insert(entry.revision, read.head.hash.clone());
+            stored
+                .hashes
+                .insert(entry.revision, stored.head.hash.clone());
             if matches!(entry.change, Change::Restored { .. }) {
-                read.last_restored = Some(entry);
+                stored.last_restored = Some(entry);
             }
         }
-        Ok(read)
+        Ok(stored)
     }
 
-    /// As it was last acknowledged; it stands while the disk does not.
+    /// The head as it was last acknowledged. Stays available while the disk fails.
     pub fn head(&self) -> &Head {
         &self.head
     }
@@ -262,61 +270,61 @@
         self.last_restored.clone()
     }
 
-    /// Whether the last write went well.
+    /// Whether the last write succeeded.
     pub fn is_writable(&self) -> bool {
         self.database.is_some()
     }
 
-    /// Takes changes that came together, with one write for all. Each is told apart: refused, or on disk when this
-    /// returns. After a failed write nothing of it is acknowledged, and the next call reads the disk anew.
+    /// Commits a batch of changes with one write. Returns a result for each: rejected, or on disk. After a failed write no
+    /// change of the batch is acknowledged, and the next call reads the history from disk again.
     pub fn commit(
         &mut self,
-        all: Vec<ChangeRequest>,
+        requests: Vec<ChangeRequest>,
     ) -> Result<Vec<Result<Entry, ChangeError>>, StoreError> {
         if self.database.is_none() {
-            self.come_back()?;
+            self.reopen()?;
         }
-        let (mut head, mut told, mut taken) = (self.head.clone(), Vec::new(), Vec::new());
-        for asked in all {
-            match head.prepare_entry(&asked.who, asked.at_ms, asked.change) {
+        let (mut head, mut results, mut accepted) = (self.head.clone(), Vec::new(), Vec::new());
+        for request in requests {
+            match head.prepare_entry(&request.who, request.at_ms, request.change) {
                 Ok((entry, next)) => {
-                    if entry.bytes().len() > ENTRY_MOST_BYTES {
-                        let why = format!("over {ENTRY_MOST_BYTES} bytes");
-                        told.push(Err(ChangeError::InvalidValue {
+                    if entry.bytes().len() > MAX_ENTRY_BYTES {
+                        let why = format!("over {MAX_ENTRY_BYTES} bytes");
+                        results.push(Err(ChangeError::InvalidValue {
                             place: "change",
                             why,
                         }));
                         continue;
                     }
                     head = next;
-                    taken.push((entry.clone(), head.hash.clone()));
-                    told.push(Ok(entry));
+                    accepted.push((entry.clone(), head.hash.clone()));
+                    results.push(Ok(entry));
                 }
-                Err(refusal) => told.push(Err(refusal)),
+                Err(error) => results.push(Err(error)),
             }
         }
-        if taken.is_empty() {
-            return Ok(told);
+        if accepted.is_empty() {
+            return Ok(results);
         }
-        if let Err(why) = self.write(taken.iter().map(|t| &t.0)) {
+        if let Err(why) = self.write(accepted.iter().map(|(entry, _)| entry)) {
             self.database = None;
-            return Err(self.disk(why));
+            return Err(self.disk_error(why));
         }
-        for (entry, hash) in taken {
+        for (entry, hash) in accepted {
             self.hashes.insert(entry.revision, hash);
             if matches!(entry.change, Change::Restored { .. }) {
                 self.last_restored = Some(entry);
             }
         }
         self.head = head;
-        Ok(told)
+        Ok(results)
     }
 
     fn write<'a>(&self, entries: impl Iterator<Item = &'a Entry>) -> Result<(), redb::Error> {
         let Some(database) = &self.database else {
             return Ok(());
         };
-        // The default durability: on disk before commit returns.
+        // With the default durability, the entries are on disk before commit returns.
         let txn = database.begin_write()?;
         {
             let mut log = txn.open_table(LOG)?;
@@ -328,10 +336,10 @@
         Ok(())
     }
 
-    /// The epoch that is on the disk for a lease of the fleet; 0: none.
+    /// The epoch on disk that a lease of the fleet is sealed to; 0: none.
     pub fn sealed_epoch(&self, lease: &str) -> Result<u64, StoreError> {
         let Some(database) = &self.database else {
-            return Err(self.disk(DiskFailure::permanent(
+            return Err(self.disk_error(DiskFailure::permanent(
                 "a write failed; it is not read before the next",
             )));
         };
@@ -339,26 +347,26 @@
             let seals = database.begin_read()?.open_table(SEALS)?;
             Ok(seals.get(lease)?.map_or(0, |epoch| epoch.value()))
         };
-        read().map_err(|e| self.disk(e))
+        read().map_err(|e| self.disk_error(e))
     }
 
-    /// Seals the registry to an epoch of a lease: on disk when this returns.
+    /// Seals the registry to an epoch of a lease. The seal is on disk when this returns.
     pub fn write_seal(&mut self, lease: &str, epoch: u64) -> Result<(), StoreError> {
-        self.with_writing(|txn| {
+        self.write_transaction(|txn| {
             txn.open_table(SEALS)?.insert(lease, epoch)?;
             Ok(())
         })
     }
 
-    /// Does `work` in a write transaction in which the disk has this epoch for the lease; none: it has another, and
-    /// nothing was done. No seal comes between the look and the end of the work.
+    /// Runs `work` in a write transaction if the disk has this epoch for the lease, so that no seal can come between the check
+    /// and the end of `work`. `None`: the disk has another epoch, and `work` was not run.
     pub fn run_if_sealed<T>(
         &mut self,
         lease: &str,
         epoch: u64,
         work: impl FnOnce() -> T,
     ) -> Result<Option<T>, StoreError> {
-        self.with_writing(|txn| {
+        self.write_transaction(|txn| {
             let sealed = txn
                 .open_table(SEALS)?
                 .get(lease)?
@@ -367,66 +375,71 @@
         })
     }
 
-    /// One write transaction. After a failure the next call reads the disk anew.
-    fn with_writing<T>(
+    /// Runs `work` in a write transaction. After a failure the next call reads the history from disk again.
+    fn write_transaction<T>(
         &mut self,
         work: impl FnOnce(&redb::WriteTransaction) -> Result<T, redb::Error>,
     ) -> Result<T, StoreError> {
         if self.database.is_none() {
-            self.come_back()?;
+            self.reopen()?;
         }
         let Some(database) = &self.database else {
-            return Err(self.disk(DiskFailure::permanent("not open")));
+            return Err(self.disk_error(DiskFailure::permanent("not open")));
         };
         let write = || -> Result<T, redb::Error> {
             let txn = database.begin_write()?;
-            let done = work(&txn)?;
+            let value = work(&txn)?;
             txn.commit()?;
-            Ok(done)
+            Ok(value)
         };
-        let done = write().map_err(|e| self.disk(e));
-        if done.is_err() {
+        let result = write().map_err(|e| self.disk_error(e));
+        if result.is_err() {
             self.database = None;
         }
-        done
+        result
     }
 
-    /// Entries after a revision, so many at the most, oldest first.
-    pub fn entries_after(&self, revision: Revision, most: usize) -> Result<Vec<Entry>, StoreError> {
+    /// Entries after a revision, oldest first, at most `limit` of them.
+    pub fn entries_after(
+        &self,
+        revision: Revision,
+        limit: usize,
+    ) -> Result<Vec<Entry>, StoreError> {
         let Some(database) = &self.database else {
-            return Err(self.disk(DiskFailure::permanent(
+            return Err(self.disk_error(DiskFailure::permanent(
                 "a write failed; it is not read before the next",
             )));
         };
-        let txn = database.begin_read().map_err(|e| self.disk(e))?;
-        let log = txn.open_table(LOG).map_err(|e| self.disk(e))?;
-        let mut all = Vec::new();
-        for line in log
+        let txn = database.begin_read().map_err(|e| self.disk_error(e))?;
+        let log = txn.open_table(LOG).map_err(|e| self.disk_error(e))?;
+        let mut entries = Vec::new();
+        for row in log
             .range(revision + 1..)
-            .map_err(|e| self.disk(e))?
-            .take(most)
+            .map_err(|e| self.disk_error(e))?
+            .take(limit)
         {
-            let (at, bytes) = line.map_err(|e| self.disk(e))?;
+            let (entry_revision, bytes) = row.map_err(|e| self.disk_error(e))?;
             let entry = serde_json::from_slice(bytes.value());
             let damaged = |e: serde_json::Error| StoreError::Damaged {
                 place: self.place.clone(),
-                revision: at.value(),
+                revision: entry_revision.value(),
                 why: e.to_string(),
             };
-            all.push(entry.map_err(damaged)?);
+            entries.push(entry.map_err(damaged)?);
         }
-        Ok(all)
+        Ok(entries)
     }
 
-    /// Reads all that is on disk as a start would, and compares it with what is told to others. Tells how many entries.
+    /// Reads the complete history from disk as a start does, and compares it with the head in memory. Returns the number of
+    /// entries.
     pub fn verify(&self) -> Result<u64, StoreError> {
         let Some(database) = &self.database else {
-            return Err(self.disk(DiskFailure::permanent(
+            return Err(self.disk_error(DiskFailure::permanent(
                 "a write failed; it is not read before the next",
             )));
         };
-        let read = self.read(database)?;
-        if read.head != self.head {
+        let stored = self.read(database)?;
+        if stored.head != self.head {
             let why = "the disk has another book than the one that is told".into();
             return Err(StoreError::Damaged {
                 place: self.place.clone(),
@@ -436,13 +449,13 @@
         }
         let count =
             || -> Result<u64, redb::Error> { Ok(database.begin_read()?.open_table(LOG)?.len()?) };
-        count().map_err(|e| self.disk(e))
+        count().map_err(|e| self.disk_error(e))
     }
 
-    /// Writes the whole history to a file of lines: whole or not at all.
+    /// Writes the complete history atomically to a file with one entry per line. Returns the number of entries.
     pub fn back_up(&self, to: &Path) -> Result<u64, StoreError> {
         let entries = self.entries_after(0, usize::MAX)?;
-        let fault = |e: std::io::Error| StoreError::Disk {
+        let disk_error = |e: std::io::Error| StoreError::Disk {
             place: to.display().to_string(),
             why: e.into(),
         };
@@ -452,16 +465,16 @@
                 file.write_all(&entry.bytes())?;
                 file.write_all(b"\n")?;
             }
-            // A backup cut short at an entry's end would look whole.
+            // Without this line, a backup that was truncated at the end of an entry would look complete.
             writeln!(file, "end {} {}", entries.len(), self.head.hash)?;
             file.into_inner().map_err(|e| e.into_error())?.sync_all()
         };
-        file::create_atomically(to, write).map_err(fault)?;
+        file::create_atomically(to, write).map_err(disk_error)?;
         Ok(entries.len() as u64)
     }
 }
 
-/// Reads a backup whole, and checks its chain.
+/// Reads a complete backup and checks its chain.
 pub fn read_backup(from: &Path) -> Result<(Vec<Entry>, Head), StoreError> {
     let place = from.display().to_string();
     let file = File::open(from).map_err(|e| StoreError::Disk {
@@ -469,30 +482,32 @@
         why: e.into(),
     })?;
     let (mut entries, mut head) = (Vec::new(), Head::default());
-    let mut ended = false;
-    for (n, line) in BufReader::new(file).lines().enumerate() {
-        let fault = |why: String| StoreError::InvalidLine {
+    let mut is_complete = false;
+    for (index, line) in BufReader::new(file).lines().enumerate() {
+        let invalid = |why: String| StoreError::InvalidLine {
             place: place.clone(),
-            line: n + 1,
+            line: index + 1,
             why,
         };
-        let line = line.map_err(|e| fault(e.to_string()))?;
-        if ended {
-            return Err(fault("something after the end".into()));
+        let line = line.map_err(|e| invalid(e.to_string()))?;
+        if is_complete {
+            return Err(invalid("something after the end".into()));
         }
         if let Some(end) = line.strip_prefix("end ") {
             let expected = format!("{} {}", entries.len(), head.hash);
             if end != expected {
-                return Err(fault(format!("end {end}: end {expected} is expected")));
+                return Err(invalid(format!("end {end}: end {expected} is expected")));
             }
-            ended = true;
+            is_complete = true;
             continue;
         }
-        let entry: Entry = serde_json::from_str(&line).map_err(|e| fault(e.to_string()))?;
-        head = head.with_entry(&entry).map_err(|e| fault(e.to_string()))?;
+        let entry: Entry = serde_json::from_str(&line).map_err(|e| invalid(e.to_string()))?;
+        head = head
+            .with_entry(&entry)
+            .map_err(|e| invalid(e.to_string()))?;
         entries.push(entry);
     }
-    if !ended {
+    if !is_complete {
         return Err(StoreError::InvalidLine {
             place,
             line: entries.len() + 1,
@@ -502,8 +517,8 @@
     Ok((entries, head))
 }
 
-/// Makes a registry of a backup, in a place where there is none, and goes over revisions that may have been given out
-/// since: watchers that obeyed up to `over` come along.
+/// Creates a registry from a backup, at a path where there is none. Its head jumps over `over`, the highest revision that the
+/// lost registry may have issued, so that watchers that applied revisions up to it accept the restored history.
 pub fn restore(
     from: &Path,
     to: &Path,
@@ -517,12 +532,12 @@
             place: to.display().to_string(),
         });
     }
-    // What could not be taken is found before anything is made.
-    let (last, after) = head.prepare_entry(who, at_ms, Change::Restored { over })?;
+    // An invalid restore is rejected before any file is created.
+    let (restore_entry, restored) = head.prepare_entry(who, at_ms, Change::Restored { over })?;
     Store::create_file(to, |store| {
         store
-            .write(entries.iter().chain([&last]))
-            .map_err(|e| store.disk(e))
+            .write(entries.iter().chain([&restore_entry]))
+            .map_err(|e| store.disk_error(e))
     })?;
-    Ok(after)
+    Ok(restored)
 }
