--- a/crates/registry/tests/all/interleave.rs
+++ b/crates/registry/tests/all/interleave.rs
@@ -1,6 +1,6 @@
-//! Every order in which two movers, two watchers on lines that break, a push and a collector can come.
+//! Exhaustive interleavings: of two administrators and a watcher with a breaking connection, and of a push and a collector.
 
-use crate::support::{moves, name, push};
+use crate::support::{move_alias, name, push};
 use saltdrum_layers::Digest;
 use saltdrum_registry::Namespace;
 use saltdrum_registry::blob_collector::BlobCollector;
@@ -9,34 +9,34 @@
 use saltdrum_registry::watch::{WatchEvent, WatchReply, Watcher, reply_to};
 use std::collections::BTreeSet;
 
-/// Two movers read the alias, then move it; a watcher dials, hears and is cut off, and the registry forgets its last
-/// change once, as one does that came back from a backup.
+/// Two administrators read an alias and then move it. A watcher connects, receives events and is disconnected, and once the
+/// registry loses its last change, as after the restore of an old backup.
 #[derive(Clone)]
 struct World {
     heads: Vec<Head>,
     entries: Vec<Entry>,
-    /// What each mover read, once it has.
-    movers: [Option<u64>; 2],
-    moved: [u8; 2],
-    took: u8,
+    /// The revision of the alias that each administrator has read.
+    read_revisions: [Option<u64>; 2],
+    move_attempts: [u8; 2],
+    moves: u8,
     watcher: Watcher,
-    /// On its way to the watcher; none: it is not connected.
-    line: Option<Vec<WatchEvent>>,
-    /// Up to where the registry has told this line.
-    told: usize,
-    refused: bool,
-    cuts: u8,
+    /// Events in flight to the watcher; `None`: it is not connected.
+    connection: Option<Vec<WatchEvent>>,
+    /// Number of entries that were sent on this connection.
+    sent: usize,
+    rejected: bool,
+    disconnects: u8,
     backups: u8,
-    /// Highest revision the watcher has obeyed.
-    obeyed: u64,
+    /// Highest revision that the watcher has applied.
+    applied: u64,
 }
 
-const STEPS: usize = 8;
+const STEP_KINDS: usize = 8;
 
 impl World {
-    fn begin() -> Self {
+    fn new() -> Self {
         let (mut heads, mut entries) = (vec![Head::default()], Vec::new());
-        for change in [push(1), push(2), moves(1, 0, None)] {
+        for change in [push(1), push(2), move_alias(1, 0, None)] {
             let (entry, head) = heads
                 .last()
                 .unwrap()
@@ -48,273 +48,303 @@
         World {
             heads,
             entries,
-            movers: [None; 2],
-            moved: [0; 2],
-            took: 0,
+            read_revisions: [None; 2],
+            move_attempts: [0; 2],
+            moves: 0,
             watcher: Watcher::default(),
-            line: None,
-            told: 0,
-            refused: false,
-            cuts: 0,
+            connection: None,
+            sent: 0,
+            rejected: false,
+            disconnects: 0,
             backups: 0,
-            obeyed: 0,
+            applied: 0,
         }
     }
 
-    /// One step, where it can be made.
-    fn step(&self, n: usize) -> Option<World> {
-        let mut w = self.clone();
-        let head = w.heads.last().unwrap().clone();
+    /// The world after a step of one kind; `None` if the step is not possible.
+    fn step(&self, kind: usize) -> Option<World> {
+        let mut world = self.clone();
+        let head = world.heads.last().unwrap().clone();
         let alias = head
             .state
             .alias(&Namespace::All, &name("kinyarwanda-current"))
             .unwrap()
             .clone();
-        match n {
-            0 | 1 if w.moved[n] < 2 && w.movers[n].is_none() => w.movers[n] = Some(alias.changed),
-            2 | 3 if w.movers[n - 2].is_some() => {
-                let expect = w.movers[n - 2].take().unwrap();
-                w.moved[n - 2] += 1;
-                match head.prepare_entry("tests", n as u64, moves(n as u64 - 1, expect, None)) {
+        match kind {
+            0 | 1 if world.move_attempts[kind] < 2 && world.read_revisions[kind].is_none() => {
+                world.read_revisions[kind] = Some(alias.changed)
+            }
+            2 | 3 if world.read_revisions[kind - 2].is_some() => {
+                let expect = world.read_revisions[kind - 2].take().unwrap();
+                world.move_attempts[kind - 2] += 1;
+                match head.prepare_entry(
+                    "tests",
+                    kind as u64,
+                    move_alias(kind as u64 - 1, expect, None),
+                ) {
                     Ok((entry, next)) => {
                         assert_eq!(
                             expect, alias.changed,
-                            "moved by someone who knew an older one"
+                            "a move with a stale revision was accepted"
                         );
-                        w.took += 1;
-                        w.heads.push(next);
-                        w.entries.push(entry);
+                        world.moves += 1;
+                        world.heads.push(next);
+                        world.entries.push(entry);
                     }
-                    Err(_) => assert_ne!(expect, alias.changed, "nobody had moved it"),
+                    Err(_) => assert_ne!(
+                        expect, alias.changed,
+                        "a move with the current revision was rejected"
+                    ),
                 }
             }
-            4 if w.line.is_none() => {
+            4 if world.connection.is_none() => {
                 let hash_at = |r| {
-                    w.heads
+                    world
+                        .heads
                         .iter()
                         .find(|h| h.revision() == r)
                         .map(|h| h.hash.clone())
                 };
-                let mut line = Vec::new();
-                match reply_to(&head, &w.watcher.cursor(), hash_at, None) {
+                let mut connection = Vec::new();
+                match reply_to(&head, &world.watcher.cursor(), hash_at, None) {
                     WatchReply::Snapshot(restored) => {
-                        line.push(WatchEvent::Snapshot {
+                        connection.push(WatchEvent::Snapshot {
                             head: head.clone(),
                             restored,
                         });
-                        w.told = w.entries.len();
+                        world.sent = world.entries.len();
                     }
-                    WatchReply::EntriesAfter(r) => {
-                        w.told = w.entries.iter().filter(|e| e.revision <= r).count()
+                    WatchReply::EntriesAfter(revision) => {
+                        world.sent = world
+                            .entries
+                            .iter()
+                            .filter(|entry| entry.revision <= revision)
+                            .count()
                     }
                     WatchReply::UnknownCursor(at) => {
-                        line.push(WatchEvent::UnknownCursor { at });
-                        w.told = usize::MAX;
+                        connection.push(WatchEvent::UnknownCursor { at });
+                        world.sent = usize::MAX;
                     }
                 }
-                w.line = Some(line);
+                world.connection = Some(connection);
             }
-            5 if w.line.is_some() => {
-                let line = w.line.as_mut().unwrap();
-                if let Some(entry) = w.entries.get(w.told) {
-                    line.push(WatchEvent::Next {
+            5 if world.connection.is_some() => {
+                let connection = world.connection.as_mut().unwrap();
+                if let Some(entry) = world.entries.get(world.sent) {
+                    connection.push(WatchEvent::Next {
                         entry: entry.clone(),
                     });
-                    w.told += 1;
-                } else if line.is_empty() {
+                    world.sent += 1;
+                } else if connection.is_empty() {
                     return None;
                 }
-                let told = line.remove(0);
-                let before = w.watcher.clone();
-                match w.watcher.apply(told) {
+                let event = connection.remove(0);
+                let before = world.watcher.clone();
+                match world.watcher.apply(event) {
                     Ok(true) => {
                         assert!(
-                            w.watcher.head().revision() > w.obeyed,
-                            "it went back, or obeyed one twice"
+                            world.watcher.head().revision() > world.applied,
+                            "the watcher went back or applied a revision twice"
                         );
-                        w.obeyed = w.watcher.head().revision();
-                        w.refused = false;
+                        world.applied = world.watcher.head().revision();
+                        world.rejected = false;
                     }
-                    Ok(false) => assert_eq!(w.watcher, before),
+                    Ok(false) => assert_eq!(world.watcher, before),
                     Err(_) => {
-                        assert_eq!(w.watcher, before, "refused, and yet something changed");
-                        (w.refused, w.line) = (true, None);
+                        assert_eq!(
+                            world.watcher, before,
+                            "a rejected event changed the watcher"
+                        );
+                        (world.rejected, world.connection) = (true, None);
                     }
                 }
             }
-            6 if w.line.is_some() && w.cuts < 2 => {
-                (w.line, w.cuts) = (None, w.cuts + 1);
+            6 if world.connection.is_some() && world.disconnects < 2 => {
+                (world.connection, world.disconnects) = (None, world.disconnects + 1);
             }
-            7 if w.backups < 1 && w.entries.len() > 3 => {
-                w.backups += 1;
-                w.entries.pop();
-                w.heads.pop();
-                w.line = None;
-                w.movers = [None; 2];
+            7 if world.backups < 1 && world.entries.len() > 3 => {
+                world.backups += 1;
+                world.entries.pop();
+                world.heads.pop();
+                world.connection = None;
+                world.read_revisions = [None; 2];
             }
             _ => return None,
         }
-        Some(w)
+        Some(world)
     }
 }
 
 #[test]
-fn movers_watchers_cuts_and_an_old_backup_in_every_order() {
-    let mut ends = 0u64;
-    let (mut refusals, mut lost) = (0u64, 0u64);
-    let mut open = vec![(World::begin(), 0)];
+fn no_interleaving_accepts_a_stale_move_or_takes_a_watcher_back() {
+    let mut runs = 0u64;
+    let (mut rejections, mut stale_moves) = (0u64, 0u64);
+    let mut open = vec![(World::new(), 0)];
     while let Some((world, depth)) = open.pop() {
-        // What the watcher holds was once the registry's, whole.
+        // The watcher's head was the registry's head at some time.
         let known = world.watcher.head();
         if world.backups == 0 {
             assert!(
                 world.heads.contains(known),
-                "the watcher holds what never was"
+                "the watcher has a head that the registry never had"
+            );
+            assert!(
+                !world.rejected,
+                "the watcher rejected an event although the registry lost nothing"
             );
-            assert!(!world.refused, "nothing went back, and yet it refused");
         }
-        refusals += u64::from(world.refused);
-        lost += u64::from(world.moved[0] + world.moved[1] > world.took);
-        let mut ended = true;
+        rejections += u64::from(world.rejected);
+        stale_moves += u64::from(world.move_attempts[0] + world.move_attempts[1] > world.moves);
+        let mut is_final = true;
         if depth < 9 {
-            for next in (0..STEPS).filter_map(|n| world.step(n)) {
-                ended = false;
+            for next in (0..STEP_KINDS).filter_map(|kind| world.step(kind)) {
+                is_final = false;
                 open.push((next, depth + 1));
             }
         }
-        if ended {
-            ends += 1;
-            // Told all that is left, it holds what the registry holds, or has refused for good.
-            let mut w = world.clone();
+        if is_final {
+            runs += 1;
+            // After all remaining events, the watcher has the registry's head, or has rejected its history for good.
+            let mut settled = world.clone();
             for _ in 0..12 {
-                w = w.step(4).or_else(|| w.step(5)).unwrap_or(w);
+                settled = settled
+                    .step(4)
+                    .or_else(|| settled.step(5))
+                    .unwrap_or(settled);
             }
-            let same = w.watcher.head() == w.heads.last().unwrap();
-            let forked = w.backups > 0 && w.obeyed > 3;
+            let is_current = settled.watcher.head() == settled.heads.last().unwrap();
+            let is_forked = settled.backups > 0 && settled.applied > 3;
             assert!(
-                same || forked,
-                "it missed something: at {}, the registry at {}",
-                w.obeyed,
-                w.heads.len() - 1
+                is_current || is_forked,
+                "the watcher missed a change: it is at {}, the registry at {}",
+                settled.applied,
+                settled.heads.len() - 1
             );
         }
     }
     assert!(
-        ends > 5_000 && refusals > 50 && lost > 500,
-        "{ends} ends, {refusals} refusals, {lost} lost moves"
+        runs > 5_000 && rejections > 50 && stale_moves > 500,
+        "{runs} runs, {rejections} rejections, {stale_moves} with a rejected move"
     );
 }
 
-/// A push whose chunks are partly there already, deletions, and a collector that may come at any moment.
+/// A push some of whose chunks are already present, a deletion, and a collector that may run at any moment.
 #[test]
-fn a_collector_takes_nothing_from_under_a_push_in_any_order() {
+fn collector_removes_no_blob_of_a_push_in_any_interleaving() {
     let digest = |n: u8| Digest::of(&[n]);
     let (shared, own) = (digest(1), digest(2));
     #[derive(Clone)]
-    struct BlobStore {
-        at: usize,
+    struct Schedule {
+        push_step: usize,
         collected: u8,
         deleted: bool,
         now: u64,
         log: Vec<(u64, char)>,
     }
-    let (mut runs, mut ended, mut denied) = (0, 0, 0);
-    let mut open = vec![BlobStore {
-        at: 0,
+    let (mut runs, mut completed, mut rejected) = (0, 0, 0);
+    let mut open = vec![Schedule {
+        push_step: 0,
         collected: 0,
         deleted: false,
         now: 0,
         log: Vec::new(),
     }];
-    while let Some(yard) = open.pop() {
+    while let Some(schedule) = open.pop() {
         let mut next = Vec::new();
-        let mut with = |what: char, change: &dyn Fn(&mut BlobStore)| {
-            let mut y = yard.clone();
-            y.now += 60;
-            y.log.push((y.now, what));
-            change(&mut y);
-            next.push(y);
+        let mut add_step = |step: char, change: &dyn Fn(&mut Schedule)| {
+            let mut extended = schedule.clone();
+            extended.now += 60;
+            extended.log.push((extended.now, step));
+            change(&mut extended);
+            next.push(extended);
         };
-        if yard.at < 4 {
-            with(['b', 'l', 'u', 'p'][yard.at], &|y| y.at += 1);
+        if schedule.push_step < 4 {
+            add_step(['b', 'l', 'u', 'p'][schedule.push_step], &|s| {
+                s.push_step += 1
+            });
         }
-        if yard.collected < 4 {
-            with('c', &|y| y.collected += 1);
+        if schedule.collected < 4 {
+            add_step('c', &|s| s.collected += 1);
         }
-        if !yard.deleted {
-            with('d', &|y| y.deleted = true);
+        if !schedule.deleted {
+            add_step('d', &|s| s.deleted = true);
         }
         if !next.is_empty() {
             open.extend(next);
             continue;
         }
         runs += 1;
-        // The same order, on the real keeper: an old version holds the shared chunk until it is deleted.
-        let mut keeper = BlobCollector::default();
-        let mut there = BTreeSet::from([shared]);
-        let (mut named, mut lease, mut lacks) = (BTreeSet::from([shared]), 0, BTreeSet::new());
-        let mut pushed = false;
-        for (now, what) in yard.log {
-            match what {
-                'b' => lease = keeper.begin_lease(now, BTreeSet::from([shared, own]), 300),
+        // Replays the schedule on a real collector. An old version references the shared chunk until it is deleted. Steps of the
+        // push: begin, list missing blobs, upload, push. The others are delete and collect.
+        let mut collector = BlobCollector::default();
+        let mut present = BTreeSet::from([shared]);
+        let (mut referenced, mut lease, mut missing) =
+            (BTreeSet::from([shared]), 0, BTreeSet::new());
+        let mut is_pushed = false;
+        for (now, step) in schedule.log {
+            match step {
+                'b' => lease = collector.begin_lease(now, BTreeSet::from([shared, own]), 300),
                 'l' => {
-                    lacks = [shared, own]
+                    missing = [shared, own]
                         .into_iter()
-                        .filter(|d| !there.contains(d))
+                        .filter(|d| !present.contains(d))
                         .collect()
                 }
-                'u' => there.extend(lacks.iter().copied()),
-                'd' if !pushed => drop(named.remove(&shared)),
+                'u' => present.extend(missing.iter().copied()),
+                'd' if !is_pushed => drop(referenced.remove(&shared)),
                 'd' => {}
                 'c' => {
-                    for gone in keeper.collect(now, there.clone(), &named, 50) {
-                        assert!(!named.contains(&gone), "it was named");
-                        there.remove(&gone);
+                    for removed in collector.collect(now, present.clone(), &referenced, 50) {
+                        assert!(
+                            !referenced.contains(&removed),
+                            "a referenced blob was removed"
+                        );
+                        present.remove(&removed);
                     }
                 }
-                _ => match keeper.check_lease(now, lease, &[shared, own]) {
+                _ => match collector.check_lease(now, lease, &[shared, own]) {
                     Ok(()) => {
                         assert!(
-                            there.contains(&shared) && there.contains(&own),
-                            "pushed without its chunks"
+                            present.contains(&shared) && present.contains(&own),
+                            "the push completed without its chunks"
                         );
-                        (pushed, named) = (true, BTreeSet::from([shared, own]));
-                        keeper.end_lease(lease);
+                        (is_pushed, referenced) = (true, BTreeSet::from([shared, own]));
+                        collector.end_lease(lease);
                     }
-                    Err(_) => denied += 1,
+                    Err(_) => rejected += 1,
                 },
             }
-            if pushed {
+            if is_pushed {
                 assert!(
-                    there.contains(&shared) && there.contains(&own),
-                    "taken after the push"
+                    present.contains(&shared) && present.contains(&own),
+                    "a blob was removed after the push"
                 );
             }
         }
-        ended += u64::from(pushed);
+        completed += u64::from(is_pushed);
     }
     assert!(
-        runs > 500 && ended > 100 && denied > 100,
-        "{runs} orders, {ended} pushed, {denied} too late"
+        runs > 500 && completed > 100 && rejected > 100,
+        "{runs} schedules, {completed} pushes completed, {rejected} rejected as too late"
     );
 }
 
 #[test]
-fn the_world_of_the_first_test_would_show_a_mover_that_does_not_compare() {
-    let head = World::begin().heads.pop().unwrap();
-    let at = head
+fn change_with_a_stale_revision_is_rejected() {
+    let head = World::new().heads.pop().unwrap();
+    let revision = head
         .state
         .alias(&Namespace::All, &name("kinyarwanda-current"))
         .unwrap()
         .changed;
-    let once = head
-        .prepare_entry("tests", 0, moves(2, at, None))
+    let moved = head
+        .prepare_entry("tests", 0, move_alias(2, revision, None))
         .unwrap()
         .1;
-    let blind = Change::RollBack {
+    let stale = Change::RollBack {
         space: Namespace::All,
         alias: name("kinyarwanda-current"),
-        expect: at,
+        expect: revision,
     };
-    assert!(once.prepare_entry("tests", 0, blind).is_err());
+    assert!(moved.prepare_entry("tests", 0, stale).is_err());
 }
--- a/crates/registry/tests/all/kills.rs
+++ b/crates/registry/tests/all/kills.rs
@@ -1,126 +1,131 @@
-//! The store killed at each of its writes, its disk losing, tearing and reordering what was not synced.
+//! The store with a disk that fails at each write, and then loses, truncates and reorders unsynced writes.
 
 use crate::support::disk::Disk;
-use crate::support::{asked, moves, push};
+use crate::support::{move_alias, push, request};
 use saltdrum_registry::Store;
 use saltdrum_registry::store::{read_backup, restore};
 
-/// The changes of a short life, as a pure function of how many were taken.
-fn nth(n: u64) -> saltdrum_registry::Change {
-    match n % 3 {
-        _ if n < 3 => push(n),
-        0 => push(n),
-        // Each move expects the one before, two or so changes ago; the first makes the alias.
-        1 => moves(n % 3, if n == 4 { 0 } else { n - 2 }, None),
-        _ => push(n),
+/// The change with a given index of a fixed sequence of valid changes.
+fn sample_change(index: u64) -> saltdrum_registry::Change {
+    match index % 3 {
+        _ if index < 3 => push(index),
+        0 => push(index),
+        // Each move expects the revision of the previous move; the first one creates the alias.
+        1 => move_alias(index % 3, if index == 4 { 0 } else { index - 2 }, None),
+        _ => push(index),
     }
 }
 
 fn open(disk: &Disk) -> Result<Store, saltdrum_registry::store::StoreError> {
-    Store::open("disk".into(), disk.opens())
+    Store::open("disk".into(), disk.open_database())
 }
 
 #[test]
-fn nothing_acknowledged_is_lost_wherever_it_is_killed() {
-    // How many operations a whole life needs.
-    let whole = Disk::default();
-    let mut store = open(&whole).unwrap();
-    let begun = whole.operations();
+fn acknowledged_changes_survive_a_power_cut_at_any_write() {
+    // Counts the disk operations of a run without a fault.
+    let healthy = Disk::default();
+    let mut store = open(&healthy).unwrap();
+    let first_operation = healthy.operations();
     for n in 0..12 {
         store
-            .commit(vec![asked(nth(n))])
+            .commit(vec![request(sample_change(n))])
             .unwrap()
             .remove(0)
             .unwrap();
     }
-    let all = whole.operations();
+    let operations = healthy.operations();
     drop(store);
-    let (mut rng, mut kills, mut behind) = (fastrand::Rng::with_seed(7), 0, 0);
-    for dies_at in begun..all {
+    let (mut rng, mut kills, mut unacknowledged) = (fastrand::Rng::with_seed(7), 0, 0);
+    for fails_from in first_operation..operations {
         for _ in 0..8 {
             let disk = Disk::default();
             let mut store = open(&disk).unwrap();
-            disk.dies_at(Some(dies_at));
-            let (mut told, mut entries) = (0, Vec::new());
+            disk.fail_from(Some(fails_from));
+            let (mut acknowledged, mut entries) = (0, Vec::new());
             for n in 0..12 {
-                match store.commit(vec![asked(nth(n))]) {
+                match store.commit(vec![request(sample_change(n))]) {
                     Ok(mut all) => entries.push(all.remove(0).unwrap()),
                     Err(_) => break,
                 }
-                told += 1;
+                acknowledged += 1;
             }
-            // Readers go on with what was acknowledged.
-            assert_eq!(store.head().revision(), told);
+            // Readers still get the acknowledged state.
+            assert_eq!(store.head().revision(), acknowledged);
             drop(store);
             let found = disk.after_power_cut(&mut rng);
-            let store =
-                open(&found).unwrap_or_else(|e| panic!("killed at {dies_at}, {told} told: {e}"));
-            let kept = store.entries_after(0, 100).unwrap();
+            let store = open(&found).unwrap_or_else(|e| {
+                panic!("power cut at {fails_from}, {acknowledged} acknowledged: {e}")
+            });
+            let stored = store.entries_after(0, 100).unwrap();
             assert!(
-                kept.len() as u64 >= told,
-                "killed at {dies_at}: {told} told, {} kept",
-                kept.len()
+                stored.len() as u64 >= acknowledged,
+                "power cut at {fails_from}: {acknowledged} acknowledged, {} stored",
+                stored.len()
             );
             assert!(
-                kept.len() as u64 <= told + 1,
-                "at most the one under way is there unacknowledged"
+                stored.len() as u64 <= acknowledged + 1,
+                "at most the change in flight is stored without being acknowledged"
+            );
+            assert_eq!(
+                stored[..acknowledged as usize],
+                entries[..],
+                "stored entries differ from the acknowledged ones"
             );
-            assert_eq!(kept[..told as usize], entries[..], "the very entries");
             store.verify().unwrap();
             kills += 1;
-            behind += u64::from(kept.len() as u64 > told);
+            unacknowledged += u64::from(stored.len() as u64 > acknowledged);
         }
     }
     assert!(
-        kills > 500 && behind > 0,
-        "{kills} kills, {behind} found more than was told: the disk is too kind"
+        kills > 500 && unacknowledged > 0,
+        "{kills} power cuts, {unacknowledged} with an unacknowledged change stored: the disk simulates too few faults"
     );
 }
 
-/// The same with a disk whose syncs are lies: it must show, or the test above proves nothing.
+/// Checks that the test above detects lost changes: a disk that ignores syncs loses some.
 #[test]
-fn a_disk_that_lies_about_syncs_is_caught() {
+fn lost_syncs_lose_changes_visibly() {
     let disk = Disk::default();
     let mut store = open(&disk).unwrap();
-    let early = disk.after_power_cut(&mut fastrand::Rng::with_seed(1));
+    let unsynced = disk.after_power_cut(&mut fastrand::Rng::with_seed(1));
     for n in 0..5 {
         store
-            .commit(vec![asked(nth(n))])
+            .commit(vec![request(sample_change(n))])
             .unwrap()
             .remove(0)
             .unwrap();
     }
     drop(store);
-    let lost = open(&early).map(|s| s.head().revision());
-    assert!(lost.is_err() || lost.unwrap() < 5);
+    let revision = open(&unsynced).map(|s| s.head().revision());
+    assert!(revision.is_err() || revision.unwrap() < 5);
 }
 
 #[test]
-fn a_full_disk_refuses_changes_and_goes_on_reading() {
+fn full_disk_rejects_changes_and_keeps_serving_reads() {
     let disk = Disk::default();
     let mut store = open(&disk).unwrap();
     for n in 0..5 {
         store
-            .commit(vec![asked(nth(n))])
+            .commit(vec![request(sample_change(n))])
             .unwrap()
             .remove(0)
             .unwrap();
     }
     let head = store.head().clone();
-    disk.room(Some(disk.length()));
+    disk.limit_capacity(Some(disk.length()));
     for _ in 0..3 {
-        let told = store
-            .commit(vec![asked(push(77))])
+        let error = store
+            .commit(vec![request(push(77))])
             .map(|_| ())
             .unwrap_err()
             .to_string();
-        assert!(told.contains("disk"), "{told}");
+        assert!(error.contains("disk"), "{error}");
         assert_eq!(store.head(), &head);
         assert!(!store.is_writable());
     }
-    disk.room(None);
+    disk.limit_capacity(None);
     store
-        .commit(vec![asked(push(78))])
+        .commit(vec![request(push(78))])
         .unwrap()
         .remove(0)
         .unwrap();
@@ -129,18 +134,21 @@
 }
 
 #[test]
-fn a_change_that_is_refused_costs_the_others_of_its_write_nothing() {
+fn rejected_change_does_not_affect_others_of_its_batch() {
     let mut store = open(&Disk::default()).unwrap();
-    let told = store
+    let results = store
         .commit(vec![
-            asked(push(1)),
-            asked(push(1)),
-            asked(moves(9, 0, None)),
-            asked(push(2)),
+            request(push(1)),
+            request(push(1)),
+            request(move_alias(9, 0, None)),
+            request(push(2)),
         ])
         .unwrap();
     assert_eq!(
-        told.iter().map(|t| t.is_ok()).collect::<Vec<_>>(),
+        results
+            .iter()
+            .map(|result| result.is_ok())
+            .collect::<Vec<_>>(),
         [true, false, false, true]
     );
     assert_eq!(store.head().revision(), 2);
@@ -148,7 +156,7 @@
 }
 
 #[test]
-fn a_history_that_was_tampered_with_is_refused_with_its_place() {
+fn tampered_backup_is_rejected_with_the_line() {
     let folder = tempfile::tempdir().unwrap();
     let (path, backup) = (
         folder.path().join("registry.redb"),
@@ -157,7 +165,7 @@
     let mut store = Store::open_file(&path).unwrap();
     for n in 0..6 {
         store
-            .commit(vec![asked(nth(n))])
+            .commit(vec![request(sample_change(n))])
             .unwrap()
             .remove(0)
             .unwrap();
@@ -167,45 +175,45 @@
     assert_eq!((entries.len(), &head), (6, store.head()));
     let text = std::fs::read_to_string(&backup).unwrap();
     let lines: Vec<&str> = text.lines().collect();
-    let forged = |lines: Vec<String>| {
+    let restore_error = |lines: Vec<String>| {
         let path = folder.path().join("forged");
         std::fs::write(&path, lines.join("\n") + "\n").unwrap();
         let to = folder.path().join("restored.redb");
-        let told = restore(&path, &to, 100, "root", 5).unwrap_err().to_string();
-        assert!(!to.exists(), "nothing is made of it");
-        told
+        let error = restore(&path, &to, 100, "root", 5).unwrap_err().to_string();
+        assert!(!to.exists(), "no registry may be created from it");
+        error
     };
-    let own = |keep: &dyn Fn(usize) -> bool| -> Vec<String> {
+    let original_lines = |keep: &dyn Fn(usize) -> bool| -> Vec<String> {
         lines
             .iter()
             .enumerate()
-            .filter(|(n, _)| keep(*n))
-            .map(|(_, l)| (*l).to_owned())
+            .filter(|(index, _)| keep(*index))
+            .map(|(_, line)| (*line).to_owned())
             .collect()
     };
-    let mut other = own(&|_| true);
-    other[1] = other[1].replace("tests", "nobody");
+    let mut altered = original_lines(&|_| true);
+    altered[1] = altered[1].replace("tests", "nobody");
     for (lines, place) in [
-        (other, "line 3"),
-        (own(&|n| n != 2), "line 3"),
-        (own(&|n| n != 6), "the end is missing"),
-        (own(&|n| n != 5), "line 6"),
+        (altered, "line 3"),
+        (original_lines(&|index| index != 2), "line 3"),
+        (original_lines(&|index| index != 6), "the end is missing"),
+        (original_lines(&|index| index != 5), "line 6"),
     ] {
-        let told = forged(lines);
-        assert!(told.contains(place), "{told}");
+        let error = restore_error(lines);
+        assert!(error.contains(place), "{error}");
     }
-    // Not below what may have been given out, and nothing in a place that is taken.
-    let told = restore(&backup, &folder.path().join("low.redb"), 3, "root", 5)
+    // Restoring below an issued revision, or over an existing registry, is rejected.
+    let error = restore(&backup, &folder.path().join("low.redb"), 3, "root", 5)
         .unwrap_err()
         .to_string();
     assert!(
-        told.contains("revision 6") && !folder.path().join("low.redb").exists(),
-        "{told}"
+        error.contains("revision 6") && !folder.path().join("low.redb").exists(),
+        "{error}"
     );
-    let told = restore(&backup, &path, 100, "root", 5)
+    let error = restore(&backup, &path, 100, "root", 5)
         .unwrap_err()
         .to_string();
-    assert!(told.contains("already"), "{told}");
+    assert!(error.contains("already"), "{error}");
     let to = folder.path().join("good.redb");
     let restored = restore(&backup, &to, 100, "root", 5).unwrap();
     assert_eq!(Store::open_file(&to).unwrap().head(), &restored);
@@ -213,26 +221,29 @@
 }
 
 #[test]
-fn bent_bytes_on_disk_never_pass_for_the_history() {
+fn corrupted_bytes_on_disk_are_detected_or_unused() {
     let disk = Disk::default();
     let mut store = open(&disk).unwrap();
     for n in 0..6 {
         store
-            .commit(vec![asked(nth(n))])
+            .commit(vec![request(sample_change(n))])
             .unwrap()
             .remove(0)
             .unwrap();
     }
     let (head, length) = (store.head().clone(), disk.length());
     drop(store);
-    let (mut rng, mut caught) = (fastrand::Rng::with_seed(3), 0);
+    let (mut rng, mut detected) = (fastrand::Rng::with_seed(3), 0);
     for _ in 0..400 {
-        let bent = disk.bent(rng.u64(..length));
-        match std::panic::catch_unwind(|| open(&bent).map(|s| s.head().clone())) {
-            // The store's own blank space: nothing that is read.
+        let corrupted = disk.with_corrupted_byte(rng.u64(..length));
+        match std::panic::catch_unwind(|| open(&corrupted).map(|s| s.head().clone())) {
+            // The byte is in unused space of the database.
             Ok(Ok(found)) => assert_eq!(found, head),
-            Ok(Err(_)) | Err(_) => caught += 1,
+            Ok(Err(_)) | Err(_) => detected += 1,
         }
     }
-    assert!(caught > 0, "no bent byte was met: the disk is all blank");
+    assert!(
+        detected > 0,
+        "no corrupted byte was detected: all of them were in unused space"
+    );
 }
--- a/crates/registry/tests/all/main.rs
+++ b/crates/registry/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! The registry under faults of disk, network and administrators.
+//! Tests of the registry with faults of disks, networks and administrators.
 
 mod interleave;
 mod kills;
--- a/crates/registry/tests/all/service.rs
+++ b/crates/registry/tests/all/service.rs
@@ -1,7 +1,7 @@
-//! The registry on its socket, with callers and watchers round it, in virtual time.
+//! The registry's service with clients and watchers, in virtual time.
 
 use crate::support::disk::Disk;
-use crate::support::{moves, name, push};
+use crate::support::{move_alias, name, push};
 use saltdrum_registry::client::{ClientError, RegistryClient};
 use saltdrum_registry::follow::{FollowConfig, LocalCopy, RegistryUpdate, follow};
 use saltdrum_registry::service::{ACCESS_DENIED, REJECTED, Registry, create_first_owner};
@@ -26,29 +26,29 @@
 
 struct Site {
     network: Rc<dyn Network>,
-    at: Address,
+    address: Address,
     key: String,
     task: Option<JoinHandle<()>>,
     registry: Rc<Registry>,
     disk: Disk,
 }
 
-fn hour() -> Rc<dyn Fn() -> u64> {
+fn virtual_wall_clock() -> Rc<dyn Fn() -> u64> {
     let clock = Clock::start();
     Rc::new(move || clock.now() / 10)
 }
 
 impl Site {
-    async fn up() -> Self {
+    async fn start_new() -> Self {
         let disk = Disk::default();
-        let mut store = Store::open("disk".into(), disk.opens()).unwrap();
+        let mut store = Store::open("disk".into(), disk.open_database()).unwrap();
         let key = create_first_owner(&mut store, &name("anna"), [7; 32], 0).unwrap();
         let network: Rc<dyn Network> = Rc::new(MemoryNetwork::default());
-        let at = Address::Memory("registry".into());
-        let registry = Registry::new(store, None, hour());
+        let address = Address::Memory("registry".into());
+        let registry = Registry::new(store, None, virtual_wall_clock());
         let mut site = Site {
             network,
-            at,
+            address,
             key,
             task: None,
             registry,
@@ -60,16 +60,16 @@
 
     async fn start(&mut self, store: Option<Store>) {
         if let Some(store) = store {
-            self.registry = Registry::new(store, None, hour());
+            self.registry = Registry::new(store, None, virtual_wall_clock());
         }
-        let (door, _) = self.network.listen(&self.at).await.unwrap();
+        let (listener, _) = self.network.listen(&self.address).await.unwrap();
         let registry = self.registry.clone();
         self.task = Some(spawn_local(async move {
-            registry.accept_connections(door, Clock::start()).await
+            registry.accept_connections(listener, Clock::start()).await
         }));
     }
 
-    /// As a kill: callers and watchers lose their lines, what was not synced is lost.
+    /// Kills the registry as by a power cut: connections break, and unsynced writes are lost. Returns the disk.
     async fn kill(&mut self) -> Disk {
         let task = self.task.take().unwrap();
         task.abort();
@@ -77,25 +77,25 @@
         self.disk.after_power_cut(&mut fastrand::Rng::with_seed(5))
     }
 
-    async fn caller(&self) -> RegistryClient {
-        RegistryClient::connect(&self.network, &self.at, &self.key)
+    async fn client(&self) -> RegistryClient {
+        RegistryClient::connect(&self.network, &self.address, &self.key)
             .await
             .unwrap()
     }
 
-    fn following(&self, who: &str) -> FollowConfig {
+    fn follow_config(&self, follower_name: &str) -> FollowConfig {
         FollowConfig {
-            registry: self.at.clone(),
+            registry: self.address.clone(),
             key: self.key.clone(),
-            follower_name: who.into(),
+            follower_name: follower_name.into(),
             copy_path: None,
         }
     }
 }
 
-async fn change(caller: &mut RegistryClient, change: &Change) -> Result<u64, (i64, String)> {
-    match caller.call("change", json!({ "change": change })).await {
-        Ok(told) => Ok(told["revision"].as_u64().unwrap()),
+async fn submit(client: &mut RegistryClient, change: &Change) -> Result<u64, (i64, String)> {
+    match client.call("change", json!({ "change": change })).await {
+        Ok(response) => Ok(response["revision"].as_u64().unwrap()),
         Err(ClientError::Response { code, message }) => Err((code, message)),
         Err(e) => panic!("{e}"),
     }
@@ -104,68 +104,67 @@
 #[derive(Default)]
 struct Seen {
     heads: Vec<Head>,
-    refused: Vec<String>,
-    still: u64,
+    rejections: Vec<String>,
+    heartbeats: u64,
 }
 
-fn watch(of: FollowConfig, network: Rc<dyn Network>) -> (Rc<RefCell<Seen>>, JoinHandle<()>) {
+fn watch(config: FollowConfig, network: Rc<dyn Network>) -> (Rc<RefCell<Seen>>, JoinHandle<()>) {
     let seen = Rc::new(RefCell::new(Seen::default()));
-    let noted = seen.clone();
-    let hear = move |heard| {
-        let mut seen = noted.borrow_mut();
-        match heard {
+    let recorded = seen.clone();
+    let on_update = move |update| {
+        let mut seen = recorded.borrow_mut();
+        match update {
             RegistryUpdate::Changed(head) => seen.heads.push(head),
-            RegistryUpdate::Unchanged => seen.still += 1,
-            RegistryUpdate::Rejected(why) => seen.refused.push(why),
+            RegistryUpdate::Unchanged => seen.heartbeats += 1,
+            RegistryUpdate::Rejected(why) => seen.rejections.push(why),
         }
     };
-    (seen, spawn_local(follow(of, network, 1, hear)))
+    (seen, spawn_local(follow(config, network, 1, on_update)))
 }
 
-async fn ms(ms: u64) {
+async fn sleep_ms(ms: u64) {
     tokio::time::sleep(Duration::from_millis(ms)).await;
 }
 
-/// Revisions as a watcher obeyed them: only up.
-fn went_up(seen: &Seen) {
+fn assert_revisions_increase(seen: &Seen) {
     let revisions: Vec<u64> = seen.heads.iter().map(Head::revision).collect();
     assert!(revisions.windows(2).all(|w| w[0] < w[1]), "{revisions:?}");
 }
 
 #[test]
-fn a_watcher_that_was_cut_off_over_fifty_changes_hears_each_once() {
+fn watcher_receives_each_change_once_after_an_outage() {
     on_paused_time(async {
-        let mut site = Site::up().await;
-        let (seen, task) = watch(site.following("box-1"), site.network.clone());
-        let mut caller = site.caller().await;
-        change(&mut caller, &push(0)).await.unwrap();
-        ms(50).await;
+        let mut site = Site::start_new().await;
+        let (seen, task) = watch(site.follow_config("box-1"), site.network.clone());
+        let mut client = site.client().await;
+        submit(&mut client, &push(0)).await.unwrap();
+        sleep_ms(50).await;
         assert_eq!(seen.borrow().heads.last().unwrap().revision(), 2);
-        // The door stays shut for 30 s; the registry goes on.
+        // The registry is unreachable for 30 s, during which 50 changes are committed.
         let disk = site.kill().await;
-        let mut store = Store::open("disk".into(), disk.opens()).unwrap();
+        let mut store = Store::open("disk".into(), disk.open_database()).unwrap();
         site.disk = disk;
-        let asked = |n| saltdrum_registry::store::ChangeRequest {
+        let request = |number| saltdrum_registry::store::ChangeRequest {
             who: "anna".into(),
             at_ms: 0,
-            change: push(n),
+            change: push(number),
         };
-        store.commit((1..=50).map(asked).collect()).unwrap();
-        ms(30_000).await;
+        store.commit((1..=50).map(request).collect()).unwrap();
+        sleep_ms(30_000).await;
         assert_eq!(
             seen.borrow().heads.last().unwrap().revision(),
             2,
-            "what it said stands"
+            "the watcher must keep its state"
         );
         site.start(Some(store)).await;
-        ms(10_000).await;
-        went_up(&seen.borrow());
+        sleep_ms(10_000).await;
+        assert_revisions_increase(&seen.borrow());
         let heads = seen.borrow().heads.clone();
         let last: Vec<u64> = heads.iter().rev().take(50).map(Head::revision).collect();
         assert_eq!(
             last,
             (3..=52).rev().collect::<Vec<_>>(),
-            "none left out, none twice"
+            "no change may be missed or repeated"
         );
         assert_eq!(
             heads.last().unwrap(),
@@ -179,68 +178,72 @@
 }
 
 async fn last_hash(site: &Site) -> String {
-    let told = site.caller().await.call("status", json!({})).await.unwrap();
-    told["hash"].as_str().unwrap().to_owned()
+    let status = site.client().await.call("status", json!({})).await.unwrap();
+    status["hash"].as_str().unwrap().to_owned()
 }
 
 #[test]
-fn killed_between_changes_by_many_nothing_told_is_lost_and_watchers_agree() {
+fn acknowledged_changes_survive_kills_under_concurrent_callers() {
     on_paused_time(async {
-        let mut site = Site::up().await;
+        let mut site = Site::start_new().await;
         let mut watchers = Vec::new();
         for n in 0..20 {
             watchers.push(watch(
-                site.following(&format!("box-{n}")),
+                site.follow_config(&format!("box-{n}")),
                 site.network.clone(),
             ));
         }
-        let (mut told, mut tries) = (0, 0u64);
-        for life in 0..12 {
-            let callers = (0..4).map(|c| {
-                let (network, at, key) = (site.network.clone(), site.at.clone(), site.key.clone());
+        let (mut acknowledged, mut attempts) = (0, 0u64);
+        for incarnation in 0..12 {
+            let clients = (0..4).map(|number| {
+                let (network, address, key) =
+                    (site.network.clone(), site.address.clone(), site.key.clone());
                 spawn_local(async move {
-                    let mut caller = RegistryClient::connect(&network, &at, &key).await.unwrap();
-                    let mut told = 0;
+                    let mut client = RegistryClient::connect(&network, &address, &key)
+                        .await
+                        .unwrap();
+                    let mut acknowledged = 0;
                     for n in 0..10 {
-                        let asked = json!({ "change": push(life * 100 + c * 10 + n) });
-                        match caller.call("change", asked).await {
-                            Ok(_) => told += 1,
+                        let request =
+                            json!({ "change": push(incarnation * 100 + number * 10 + n) });
+                        match client.call("change", request).await {
+                            Ok(_) => acknowledged += 1,
                             Err(_) => break,
                         }
                     }
-                    told
+                    acknowledged
                 })
             });
-            let callers: Vec<_> = callers.collect();
-            // In mid-work, at another moment each life.
-            let dies_at = site.disk.operations() + 8 + life * 7;
-            site.disk.dies_at(Some(dies_at));
-            for caller in callers {
-                told += caller.await.unwrap();
-                tries += 10;
+            let clients: Vec<_> = clients.collect();
+            // The disk fails while changes are in flight, at another operation for each incarnation.
+            let fails_from = site.disk.operations() + 8 + incarnation * 7;
+            site.disk.fail_from(Some(fails_from));
+            for client in clients {
+                acknowledged += client.await.unwrap();
+                attempts += 10;
             }
             let disk = site.kill().await;
-            let store = Store::open("disk".into(), disk.opens()).unwrap();
+            let store = Store::open("disk".into(), disk.open_database()).unwrap();
             assert!(
-                store.head().state.versions.len() as u64 >= told,
-                "life {life}: {told} were told"
+                store.head().state.versions.len() as u64 >= acknowledged,
+                "incarnation {incarnation}: {acknowledged} changes were acknowledged"
             );
             site.disk = disk;
             site.start(Some(store)).await;
-            ms(15_000).await;
+            sleep_ms(15_000).await;
         }
         let state = site.registry.state();
         assert!(
-            told > 20 && told < tries,
-            "{told} of {tries}: some were to be cut off"
+            acknowledged > 20 && acknowledged < attempts,
+            "{acknowledged} of {attempts} were acknowledged: the kills must interrupt some"
         );
         for (seen, task) in &watchers {
-            went_up(&seen.borrow());
+            assert_revisions_increase(&seen.borrow());
             assert_eq!(seen.borrow().heads.last().unwrap().state, state);
             assert!(
-                seen.borrow().refused.is_empty(),
+                seen.borrow().rejections.is_empty(),
                 "{:?}",
-                seen.borrow().refused
+                seen.borrow().rejections
             );
             task.abort();
         }
@@ -248,102 +251,113 @@
 }
 
 #[test]
-fn what_a_watcher_kept_serves_while_the_registry_is_away_and_turns_it_back_never() {
+fn local_copy_serves_without_the_registry_and_rejects_an_older_one() {
     on_paused_time(async {
         let folder = tempfile::tempdir().unwrap();
         let copy = folder.path().join("registry.copy");
-        let mut site = Site::up().await;
-        let mut caller = site.caller().await;
+        let mut site = Site::start_new().await;
+        let mut client = site.client().await;
         let old = site.disk.after_power_cut(&mut fastrand::Rng::with_seed(1));
         for n in 0..8 {
-            change(&mut caller, &push(n)).await.unwrap();
+            submit(&mut client, &push(n)).await.unwrap();
         }
-        let of = FollowConfig {
+        let config = FollowConfig {
             copy_path: Some(copy.clone()),
-            ..site.following("box")
+            ..site.follow_config("box")
         };
-        let (seen, task) = watch(of.clone(), site.network.clone());
-        ms(100).await;
-        change(&mut caller, &push(8)).await.unwrap();
-        ms(100).await;
+        let (seen, task) = watch(config.clone(), site.network.clone());
+        sleep_ms(100).await;
+        submit(&mut client, &push(8)).await.unwrap();
+        sleep_ms(100).await;
         let known = seen.borrow().heads.last().unwrap().clone();
         assert_eq!(known.revision(), 10);
         task.abort();
         site.kill().await;
-        // Started without a registry: at once where it was.
-        let (seen, task) = watch(of.clone(), site.network.clone());
-        ms(1).await;
+        // Without a registry, the follower starts at the revision of its copy.
+        let (seen, task) = watch(config.clone(), site.network.clone());
+        sleep_ms(1).await;
         assert_eq!(seen.borrow().heads, vec![known.clone()]);
-        // One that came back with the first change alone is refused, in words.
-        site.start(Some(Store::open("disk".into(), old.opens()).unwrap()))
-            .await;
-        ms(10_000).await;
+        // A registry that has only the first change is rejected, with a reason.
+        site.start(Some(
+            Store::open("disk".into(), old.open_database()).unwrap(),
+        ))
+        .await;
+        sleep_ms(10_000).await;
         assert_eq!(seen.borrow().heads, vec![known.clone()]);
-        let why = seen.borrow().refused.last().unwrap().clone();
+        let why = seen.borrow().rejections.last().unwrap().clone();
         assert!(
             why.contains("revision 1, revision 10 was obeyed here") && why.contains("older backup"),
             "{why}"
         );
-        let told = site.caller().await.call("status", json!({})).await.unwrap();
+        let status = site.client().await.call("status", json!({})).await.unwrap();
         assert_eq!(
-            told["followers"],
+            status["followers"],
             json!([{"who": "box", "revision": 1, "refused": true, "behind": 0}])
         );
         task.abort();
-        // A line that was being written when the power went was never obeyed.
-        let mut half = std::fs::read(&copy).unwrap();
-        let whole = half.len();
-        half.extend_from_slice(b"{\"revision\":11,\"at_ms\"");
-        std::fs::write(&copy, &half).unwrap();
+        // An incomplete last line, as after a power cut, was never applied and is ignored.
+        let mut bytes = std::fs::read(&copy).unwrap();
+        let length = bytes.len();
+        bytes.extend_from_slice(b"{\"revision\":11,\"at_ms\"");
+        std::fs::write(&copy, &bytes).unwrap();
         assert_eq!(LocalCopy::read(&copy).unwrap().unwrap(), known);
-        // What is bent within is not gone on from, and nothing is taken in its place.
-        half.truncate(whole);
-        half[whole / 2] ^= 1;
-        std::fs::write(&copy, &half).unwrap();
-        let (seen, task) = watch(of, site.network.clone());
-        ms(5_000).await;
+        // A corrupted copy is rejected, and no state is used in its place.
+        bytes.truncate(length);
+        bytes[length / 2] ^= 1;
+        std::fs::write(&copy, &bytes).unwrap();
+        let (seen, task) = watch(config, site.network.clone());
+        sleep_ms(5_000).await;
         assert!(seen.borrow().heads.is_empty());
         assert!(
-            seen.borrow().refused[0].contains("registry.copy: line"),
+            seen.borrow().rejections[0].contains("registry.copy: line"),
             "{:?}",
-            seen.borrow().refused
+            seen.borrow().rejections
         );
         task.abort();
     });
 }
 
 #[test]
-fn a_hundred_watchers_hear_of_a_move_and_silence_is_told_from_calm() {
+fn watchers_receive_a_move_promptly_and_heartbeats_when_idle() {
     on_paused_time(async {
-        let site = Site::up().await;
+        let site = Site::start_new().await;
         let watchers: Vec<_> = (0..100)
-            .map(|n| watch(site.following(&format!("box-{n}")), site.network.clone()))
+            .map(|n| {
+                watch(
+                    site.follow_config(&format!("box-{n}")),
+                    site.network.clone(),
+                )
+            })
             .collect();
-        let mut caller = site.caller().await;
-        for c in [push(1), push(2), moves(1, 0, None)] {
-            change(&mut caller, &c).await.unwrap();
+        let mut client = site.client().await;
+        for change in [push(1), push(2), move_alias(1, 0, None)] {
+            submit(&mut client, &change).await.unwrap();
         }
-        ms(5).await;
-        change(&mut caller, &moves(2, 4, None)).await.unwrap();
-        ms(1).await;
+        sleep_ms(5).await;
+        submit(&mut client, &move_alias(2, 4, None)).await.unwrap();
+        sleep_ms(1).await;
         for (seen, _) in &watchers {
             assert_eq!(seen.borrow().heads.last().unwrap().revision(), 5);
         }
-        ms(20_000).await;
+        sleep_ms(20_000).await;
         for (seen, task) in &watchers {
-            assert!(seen.borrow().still >= 18, "{}", seen.borrow().still);
+            assert!(
+                seen.borrow().heartbeats >= 18,
+                "{}",
+                seen.borrow().heartbeats
+            );
             task.abort();
         }
     });
 }
 
 #[test]
-fn forged_and_foolish_calls_get_plain_errors_and_change_nothing() {
+fn invalid_and_unauthorized_calls_are_rejected_without_a_change() {
     on_paused_time(async {
-        let site = Site::up().await;
-        let mut owner = site.caller().await;
+        let site = Site::start_new().await;
+        let mut owner = site.client().await;
         let (reader, hash) = keys::generate(&name("box"), [9; 32]);
-        change(
+        submit(
             &mut owner,
             &Change::AddKey {
                 id: name("box"),
@@ -354,7 +368,7 @@
         .await
         .unwrap();
         let before = site.registry.state();
-        let wrong = RegistryClient::connect(&site.network, &site.at, "anna.00").await;
+        let wrong = RegistryClient::connect(&site.network, &site.address, "anna.00").await;
         assert!(matches!(
             wrong,
             Err(ClientError::Response {
@@ -362,13 +376,13 @@
                 ..
             })
         ));
-        let mut caller = RegistryClient::connect(&site.network, &site.at, &reader)
+        let mut client = RegistryClient::connect(&site.network, &site.address, &reader)
             .await
             .unwrap();
-        let told = change(&mut caller, &push(1)).await.unwrap_err();
-        assert_eq!(told.0, ACCESS_DENIED);
-        assert!(told.1.contains("Publisher is needed"), "{}", told.1);
-        let asks = [
+        let (code, message) = submit(&mut client, &push(1)).await.unwrap_err();
+        assert_eq!(code, ACCESS_DENIED);
+        assert!(message.contains("Publisher is needed"), "{message}");
+        let calls = [
             (
                 "change",
                 json!({"change": {"change": "restored", "over": 9}}),
@@ -386,7 +400,7 @@
             ),
             (
                 "change",
-                json!({"change": moves(1, 99, None)}),
+                json!({"change": move_alias(1, 99, None)}),
                 "is not known",
             ),
             (
@@ -406,60 +420,62 @@
             ),
             ("fly", json!({}), "not known here"),
         ];
-        for (method, params, why) in asks {
-            let told = owner.call(method, params).await.unwrap_err().to_string();
-            assert!(told.contains(why), "{method}: {told}");
+        for (method, params, why) in calls {
+            let error = owner.call(method, params).await.unwrap_err().to_string();
+            assert!(error.contains(why), "{method}: {error}");
         }
         assert_eq!(site.registry.state(), before);
-        // A key that is withdrawn while its line is open.
-        assert!(caller.call("status", json!({})).await.is_ok());
-        change(&mut owner, &Change::WithdrawKey { id: name("box") })
+        // A key that is withdrawn loses access on an open connection.
+        assert!(client.call("status", json!({})).await.is_ok());
+        submit(&mut owner, &Change::WithdrawKey { id: name("box") })
             .await
             .unwrap();
-        let told = caller.call("status", json!({})).await.unwrap_err();
+        let error = client.call("status", json!({})).await.unwrap_err();
         assert!(
             matches!(
-                told,
+                error,
                 ClientError::Response {
                     code: ACCESS_DENIED,
                     ..
                 }
             ),
-            "{told}"
+            "{error}"
         );
     });
 }
 
 #[test]
-fn two_administrators_move_one_alias_a_hundred_times_and_each_move_knew_the_one_before() {
+fn concurrent_moves_of_an_alias_never_overwrite_each_other() {
     on_paused_time(async {
-        let site = Site::up().await;
-        let mut caller = site.caller().await;
-        for c in [push(1), push(2), moves(1, 0, None)] {
-            change(&mut caller, &c).await.unwrap();
+        let site = Site::start_new().await;
+        let mut client = site.client().await;
+        for change in [push(1), push(2), move_alias(1, 0, None)] {
+            submit(&mut client, &change).await.unwrap();
         }
-        let lost = Rc::new(Cell::new(0));
+        let rejected = Rc::new(Cell::new(0));
         let movers = [1, 2].map(|to| {
-            let (network, at, key, lost) = (
+            let (network, address, key, rejected) = (
                 site.network.clone(),
-                site.at.clone(),
+                site.address.clone(),
                 site.key.clone(),
-                lost.clone(),
+                rejected.clone(),
             );
             spawn_local(async move {
-                let mut caller = RegistryClient::connect(&network, &at, &key).await.unwrap();
+                let mut client = RegistryClient::connect(&network, &address, &key)
+                    .await
+                    .unwrap();
                 for _ in 0..50 {
                     loop {
-                        let told: Json = caller.call("show", json!({})).await.unwrap();
-                        let expect = told["aliases"][0]["is"]["changed"].as_u64().unwrap();
-                        match change(&mut caller, &moves(to, expect, None)).await {
+                        let state: Json = client.call("show", json!({})).await.unwrap();
+                        let expect = state["aliases"][0]["is"]["changed"].as_u64().unwrap();
+                        match submit(&mut client, &move_alias(to, expect, None)).await {
                             Ok(_) => break,
                             Err((REJECTED, why)) => {
                                 assert!(why.contains("someone else moved it"), "{why}")
                             }
                             Err(e) => panic!("{e:?}"),
                         }
-                        lost.set(lost.get() + 1);
+                        rejected.set(rejected.get() + 1);
                     }
                 }
             })
@@ -469,20 +485,25 @@
         }
         assert_eq!(site.registry.state().revision, 104);
         assert!(
-            lost.get() > 10,
-            "{} were refused: they never met",
-            lost.get()
+            rejected.get() > 10,
+            "{} moves were rejected: the administrators did not conflict",
+            rejected.get()
         );
     });
 }
 
 #[test]
-fn a_staged_move_to_a_version_that_fails_is_stopped_by_what_controllers_count() {
+fn staged_rollout_ends_by_the_results_that_controllers_report() {
     on_paused_time(async {
-        let site = Site::up().await;
-        let mut caller = site.caller().await;
-        for c in [push(1), push(2), moves(1, 0, None), moves(2, 4, Some(100))] {
-            change(&mut caller, &c).await.unwrap();
+        let site = Site::start_new().await;
+        let mut client = site.client().await;
+        for change in [
+            push(1),
+            push(2),
+            move_alias(1, 0, None),
+            move_alias(2, 4, Some(100)),
+        ] {
+            submit(&mut client, &change).await.unwrap();
         }
         let alias = || {
             site.registry
@@ -491,27 +512,27 @@
                 .unwrap()
                 .clone()
         };
-        let tally = |controller: u32, well: u64, erred: u64, changed: u64| {
-            json!({"space": "all", "alias": "kinyarwanda-current", "changed": changed, "controller": controller,
-                "incarnation": 1, "tally": {"new_well": well, "new_erred": erred, "old_well": 500, "old_erred": 0}})
+        let tally = |controller: u32, succeeded: u64, failed: u64, revision: u64| {
+            json!({"space": "all", "alias": "kinyarwanda-current", "changed": revision, "controller": controller,
+                "incarnation": 1, "tally": {"new_well": succeeded, "new_erred": failed, "old_well": 500, "old_erred": 0}})
         };
-        // An older stage's counts do not touch this one.
+        // Results of an earlier rollout are ignored.
         assert_eq!(
-            caller.call("tally", tally(1, 0, 90, 4)).await.unwrap(),
+            client.call("tally", tally(1, 0, 90, 4)).await.unwrap(),
             json!({"over": true})
         );
         assert_eq!(
-            caller.call("tally", tally(1, 30, 2, 5)).await.unwrap(),
+            client.call("tally", tally(1, 30, 2, 5)).await.unwrap(),
             json!({"over": false})
         );
         assert!(matches!(alias().stage, Some(Stage { per_mille: 100, .. })));
         assert_eq!(
-            caller.call("tally", tally(2, 20, 9, 5)).await.unwrap(),
+            client.call("tally", tally(2, 20, 9, 5)).await.unwrap(),
             json!({"over": true})
         );
         assert_eq!((alias().version, alias().stage), (name("v1"), None));
-        let told = caller.call("history", json!({"after": 5})).await.unwrap();
-        let why = told["entries"][0]["change"]["why"]
+        let history = client.call("history", json!({"after": 5})).await.unwrap();
+        let why = history["entries"][0]["change"]["why"]
             .as_str()
             .unwrap()
             .to_owned();
@@ -519,10 +540,12 @@
             why.contains("18.0% of the new version's answers erred"),
             "{why}"
         );
-        // The next stage of the same alias begins at nothing, and ends well.
-        change(&mut caller, &moves(2, 6, Some(100))).await.unwrap();
+        // The next rollout of the same alias starts without results, and completes.
+        submit(&mut client, &move_alias(2, 6, Some(100)))
+            .await
+            .unwrap();
         assert_eq!(
-            caller.call("tally", tally(1, 99, 1, 7)).await.unwrap(),
+            client.call("tally", tally(1, 99, 1, 7)).await.unwrap(),
             json!({"over": true})
         );
         assert_eq!(
@@ -533,29 +556,29 @@
 }
 
 #[test]
-fn a_full_disk_refuses_changes_in_words_and_watchers_go_on() {
+fn full_disk_rejects_changes_with_a_reason_and_watchers_are_served() {
     on_paused_time(async {
-        let site = Site::up().await;
-        let mut caller = site.caller().await;
-        change(&mut caller, &push(1)).await.unwrap();
-        site.disk.room(Some(site.disk.length()));
-        let (code, why) = change(&mut caller, &push(2)).await.unwrap_err();
+        let site = Site::start_new().await;
+        let mut client = site.client().await;
+        submit(&mut client, &push(1)).await.unwrap();
+        site.disk.limit_capacity(Some(site.disk.length()));
+        let (code, why) = submit(&mut client, &push(2)).await.unwrap_err();
         assert!(
             code == saltdrum_registry::service::DISK_FAILURE && why.contains("no space left"),
             "{code} {why}"
         );
-        let told = caller.call("status", json!({})).await.unwrap();
+        let status = client.call("status", json!({})).await.unwrap();
         assert_eq!(
-            (&told["revision"], &told["writable"]),
+            (&status["revision"], &status["writable"]),
             (&json!(2), &json!(false))
         );
-        // One that comes new is told the state as it was acknowledged.
-        let (seen, task) = watch(site.following("late"), site.network.clone());
-        ms(50).await;
+        // A new watcher receives the acknowledged state.
+        let (seen, task) = watch(site.follow_config("late"), site.network.clone());
+        sleep_ms(50).await;
         assert_eq!(seen.borrow().heads.last().unwrap().revision(), 2);
-        site.disk.room(None);
-        change(&mut caller, &push(2)).await.unwrap();
-        ms(50).await;
+        site.disk.limit_capacity(None);
+        submit(&mut client, &push(2)).await.unwrap();
+        sleep_ms(50).await;
         assert_eq!(seen.borrow().heads.last().unwrap().revision(), 3);
         task.abort();
     });
--- a/crates/registry/tests/all/state.rs
+++ b/crates/registry/tests/all/state.rs
@@ -1,6 +1,6 @@
-//! What the state takes and what it refuses, watchers, passages, stages, collections.
+//! Changes of the state, keys, watchers, version pins, staged rollouts and blob collection.
 
-use crate::support::{moves, name, push, version};
+use crate::support::{move_alias, name, push, sample_version};
 use proptest::prelude::*;
 use saltdrum_layers::Digest;
 use saltdrum_registry::blob_collector::BlobCollector;
@@ -13,99 +13,102 @@
 use saltdrum_registry::{Name, Namespace};
 use std::collections::BTreeSet;
 
-fn after(changes: impl IntoIterator<Item = Change>) -> RegistryState {
+fn state_after(changes: impl IntoIterator<Item = Change>) -> RegistryState {
     changes
         .into_iter()
-        .fold(RegistryState::default(), |state, c| {
-            state.with_change(&c).unwrap()
+        .fold(RegistryState::default(), |state, change| {
+            state.with_change(&change).unwrap()
         })
 }
 
-fn two() -> RegistryState {
-    after([push(1), push(2), moves(1, 0, None)])
+/// Versions `v1` and `v2`, and the alias `kinyarwanda-current` at `v1`.
+fn two_versions() -> RegistryState {
+    state_after([push(1), push(2), move_alias(1, 0, None)])
 }
 
-fn current(state: &RegistryState) -> &saltdrum_registry::state::Alias {
+fn current_alias(state: &RegistryState) -> &saltdrum_registry::state::Alias {
     state
         .alias(&Namespace::All, &name("kinyarwanda-current"))
         .unwrap()
 }
 
 #[test]
-fn of_two_administrators_who_move_one_alias_one_is_told_that_the_other_did() {
-    let state = two();
-    let at = current(&state).changed;
-    let first = state.with_change(&moves(2, at, None)).unwrap();
-    let told = first.with_change(&moves(1, at, None)).unwrap_err();
+fn concurrent_move_of_an_alias_is_rejected_with_the_current_revision() {
+    let state = two_versions();
+    let revision = current_alias(&state).changed;
+    let moved = state.with_change(&move_alias(2, revision, None)).unwrap();
+    let error = moved
+        .with_change(&move_alias(1, revision, None))
+        .unwrap_err();
     assert!(
         matches!(
-            told,
+            error,
             ChangeError::AliasChanged {
                 at: 4,
                 expected: 3,
                 ..
             }
         ),
-        "{told}"
+        "{error}"
     );
-    assert_eq!(current(&first).previous, Some(name("v1")));
-    let back = Change::RollBack {
+    assert_eq!(current_alias(&moved).previous, Some(name("v1")));
+    let roll_back = Change::RollBack {
         space: Namespace::All,
         alias: name("kinyarwanda-current"),
         expect: 4,
     };
     assert_eq!(
-        current(&first.with_change(&back).unwrap()).version,
+        current_alias(&moved.with_change(&roll_back).unwrap()).version,
         name("v1")
     );
 }
 
 #[test]
-fn versions_never_change_and_their_names_are_never_used_again() {
-    let state = two();
+fn versions_are_immutable_and_their_names_are_never_reused() {
+    let state = two_versions();
     let other = Change::Push {
         model: name("kinyarwanda"),
         name: name("v2"),
-        version: version(99),
+        version: sample_version(99),
     };
     assert!(matches!(
         state.with_change(&other),
         Err(ChangeError::VersionExists { .. })
     ));
-    let gone = Change::Delete {
+    let delete = Change::Delete {
         model: name("kinyarwanda"),
         name: name("v1"),
     };
     assert!(
         matches!(
-            state.with_change(&gone),
+            state.with_change(&delete),
             Err(ChangeError::VersionInUse { .. })
         ),
         "an alias names it"
     );
-    let gone = state
+    let deleted = state
         .with_change(&Change::Delete {
             model: name("kinyarwanda"),
             name: name("v2"),
         })
         .unwrap();
     assert!(matches!(
-        gone.with_change(&other),
+        deleted.with_change(&other),
         Err(ChangeError::VersionWithdrawn { .. })
     ));
-    let unused = Change::Withdraw {
+    let withdraw = Change::Withdraw {
         model: name("kinyarwanda"),
         name: name("v1"),
     };
-    let withdrawn = state.with_change(&unused).unwrap();
+    let withdrawn = state.with_change(&withdraw).unwrap();
     assert!(matches!(
-        withdrawn.with_change(&moves(1, 3, None)),
+        withdrawn.with_change(&move_alias(1, 3, None)),
         Err(ChangeError::VersionWithdrawn { .. })
     ));
 }
 
 #[test]
-fn bad_input_is_told_in_plain_words_and_changes_nothing() {
+fn rejects_invalid_names_versions_stages_and_unknown_fields() {
     for text in [
         "",
         "Kinyarwanda",
@@ -120,10 +123,13 @@
         "a/b",
         "a@b",
     ] {
-        let told = text.parse::<Name>().unwrap_err().to_string();
-        assert!(told.starts_with("name '") && !told.contains('\n'), "{told}");
+        let error = text.parse::<Name>().unwrap_err().to_string();
+        assert!(
+            error.starts_with("name '") && !error.contains('\n'),
+            "{error}"
+        );
     }
-    let state = two();
+    let state = two_versions();
     for (lanes, memory, bytes, place) in [
         (0, 1, 1, "lanes"),
         (1, 0, 1, "memory_mb"),
@@ -133,27 +139,27 @@
             lanes,
             memory_mb: memory,
             bytes,
-            ..version(5)
+            ..sample_version(5)
         };
-        let told = state
+        let error = state
             .with_change(&Change::Push {
                 model: name("m"),
                 name: name("v"),
                 version,
             })
             .unwrap_err();
-        assert!(told.to_string().starts_with(place), "{told}");
+        assert!(error.to_string().starts_with(place), "{error}");
     }
-    let mut bent = Stage {
+    let mut invalid_stage = Stage {
         to: name("v2"),
         per_mille: 0,
         errors_per_mille: 1,
         answers: 1,
     };
     for per_mille in [0, 1_000, 5_000] {
-        bent.per_mille = per_mille;
+        invalid_stage.per_mille = per_mille;
         let (alias, model) = (name("kinyarwanda-current"), name("kinyarwanda"));
-        let stage = Some(bent.clone());
+        let stage = Some(invalid_stage.clone());
         let change = Change::Move {
             space: Namespace::All,
             alias,
@@ -179,10 +185,10 @@
 }
 
 #[test]
-fn keys_open_what_their_role_may_and_nothing_once_withdrawn() {
+fn key_authorizes_its_role_until_it_is_withdrawn() {
     let (text, hash) = keys::generate(&name("anna"), [7; 32]);
     assert!(!hash.contains(&text[5..]));
-    let state = after([Change::AddKey {
+    let state = state_after([Change::AddKey {
         id: name("anna"),
         role: Role::Owner,
         hash,
@@ -205,10 +211,10 @@
             "{wrong}"
         );
     }
-    let last = Change::WithdrawKey { id: name("anna") };
+    let withdraw = Change::WithdrawKey { id: name("anna") };
     assert!(
-        matches!(state.with_change(&last), Err(ChangeError::LastOwner(_))),
-        "no one could hand out another"
+        matches!(state.with_change(&withdraw), Err(ChangeError::LastOwner(_))),
+        "no one could issue another key"
     );
     let (reader, hash) = keys::generate(&name("box"), [8; 32]);
     let state = state
@@ -235,14 +241,14 @@
     );
 }
 
-/// A history of so many changes, with the head after each; the first is the empty one.
-fn history(salt: u64, many: u64) -> (Vec<Entry>, Vec<Head>) {
+/// A history of `count` changes, and the heads after each, starting with the empty head. Another `at_ms` gives other hashes.
+fn history(at_ms: u64, count: u64) -> (Vec<Entry>, Vec<Head>) {
     let (mut entries, mut heads) = (Vec::new(), vec![Head::default()]);
-    for n in 1..=many {
+    for number in 1..=count {
         let (entry, head) = heads
             .last()
             .unwrap()
-            .prepare_entry("tests", salt, push(n))
+            .prepare_entry("tests", at_ms, push(number))
             .unwrap();
         entries.push(entry);
         heads.push(head);
@@ -258,7 +264,7 @@
 }
 
 #[test]
-fn a_watcher_never_goes_back_and_an_old_backup_is_refused_until_it_is_restored_over() {
+fn watcher_rejects_an_old_backup_until_a_restore_covers_its_revision() {
     let (entries, heads) = history(1, 52);
     let mut watcher = Watcher::default();
     assert!(
@@ -279,91 +285,96 @@
         );
     }
     let known = watcher.clone();
-    // The registry comes back with the first 40, and goes on to other changes.
-    let mut later = vec![heads[40].clone()];
+    // The registry comes back with the first 40 entries, and continues with other changes.
+    let mut forked = vec![heads[40].clone()];
     for n in 100..120 {
-        let next = later
+        let next = forked
             .last()
             .unwrap()
             .prepare_entry("tests", 2, push(n))
             .unwrap()
             .1;
-        later.push(next);
+        forked.push(next);
     }
-    for (back, at) in [(&heads[40], 40), (later.last().unwrap(), 60)] {
-        let all = [&heads[..41], &later[..]].concat();
-        let told = reply_to(back, &watcher.cursor(), |r| hash_at(&all, r), None);
+    for (head, revision) in [(&heads[40], 40), (forked.last().unwrap(), 60)] {
+        let all = [&heads[..41], &forked[..]].concat();
+        let reply = reply_to(
+            head,
+            &watcher.cursor(),
+            |revision| hash_at(&all, revision),
+            None,
+        );
         assert!(
-            matches!(&told, WatchReply::UnknownCursor(m) if m.revision == at),
-            "{told:?}"
+            matches!(&reply, WatchReply::UnknownCursor(cursor) if cursor.revision == revision),
+            "{reply:?}"
         );
-        let refused = watcher.apply(WatchEvent::UnknownCursor {
+        let rejected = watcher.apply(WatchEvent::UnknownCursor {
             at: saltdrum_registry::watch::Cursor {
-                revision: at,
-                hash: back.hash.clone(),
+                revision,
+                hash: head.hash.clone(),
             },
         });
         assert!(matches!(
-            refused,
+            rejected,
             Err(WatchError::HistoryMismatch { local: 52, .. })
         ));
-        // Whatever a registry that does not know better says, it is not obeyed.
-        let whole = WatchEvent::Snapshot {
-            head: back.clone(),
+        // A snapshot of such a registry without a restore is rejected as well.
+        let snapshot = WatchEvent::Snapshot {
+            head: head.clone(),
             restored: None,
         };
         assert!(matches!(
-            watcher.apply(whole),
+            watcher.apply(snapshot),
             Err(WatchError::HistoryMismatch { .. })
         ));
         assert_eq!(watcher, known);
     }
-    // An operator restores over too little, then over enough.
-    for (over, obeyed) in [(51, false), (52, true), (500, true)] {
+    // An operator restores over too low a revision, then over sufficient ones.
+    for (over, is_accepted) in [(51, false), (52, true), (500, true)] {
         let (entry, head) = heads[40]
             .prepare_entry("root", 3, Change::Restored { over })
             .unwrap();
         let mut watcher = known.clone();
-        let told = watcher.apply(WatchEvent::Snapshot {
+        let applied = watcher.apply(WatchEvent::Snapshot {
             head: head.clone(),
             restored: Some(entry.clone()),
         });
-        assert_eq!(told.is_ok(), obeyed, "over {over}");
+        assert_eq!(applied.is_ok(), is_accepted, "over {over}");
         assert_eq!(
             watcher.head().revision(),
-            if obeyed { over + 1 } else { 52 }
+            if is_accepted { over + 1 } else { 52 }
         );
-        let said = reply_to(
+        let reply = reply_to(
             &head,
             &known.cursor(),
-            |r| hash_at(&heads[..41], r),
+            |revision| hash_at(&heads[..41], revision),
             Some(entry),
         );
         assert_eq!(
-            matches!(said, WatchReply::Snapshot(Some(_))),
-            obeyed,
+            matches!(reply, WatchReply::Snapshot(Some(_))),
+            is_accepted,
             "over {over}"
         );
     }
 }
 
 #[test]
-fn a_forged_entry_is_not_followed() {
+fn watcher_rejects_forged_missing_and_ignores_repeated_entries() {
     let (entries, heads) = history(1, 5);
     let mut watcher = Watcher::from(heads[3].clone());
-    let bent: [fn(&mut Entry); 4] = [
+    let forgeries: [fn(&mut Entry); 4] = [
         |e| e.previous_hash = initial_hash(),
         |e| e.revision += 1,
         |e| e.change = push(1),
         |e| e.previous_hash.make_ascii_uppercase(),
     ];
-    for bend in bent {
+    for forge in forgeries {
         let mut entry = entries[3].clone();
-        bend(&mut entry);
+        forge(&mut entry);
         assert!(watcher.apply(WatchEvent::Next { entry }).is_err());
         assert_eq!(watcher.head(), &heads[3]);
     }
-    // Left one out, then the same twice.
+    // An entry is missing, then one is repeated.
     assert!(
         watcher
             .apply(WatchEvent::Next {
@@ -388,9 +399,9 @@
     assert_eq!(watcher.head(), &heads[4]);
 }
 
-const HOUR: u64 = 3_600_000;
+const HOUR_MS: u64 = 3_600_000;
 
-fn say<'a>(passage: &'a str, version: Option<&'a str>) -> PinRequest<'a> {
+fn pin_request<'a>(passage: &'a str, version: Option<&'a str>) -> PinRequest<'a> {
     PinRequest {
         passage: Some(passage),
         version,
@@ -399,91 +410,124 @@
 }
 
 #[test]
-fn a_passage_holds_over_moves_and_controllers_that_share_nothing() {
-    let state = two();
-    let (mut here, mut there) = (VersionPins::new(HOUR), VersionPins::new(HOUR));
+fn pinned_version_survives_moves_and_a_change_of_controller() {
+    let state = two_versions();
+    let (mut here, mut there) = (VersionPins::new(HOUR_MS), VersionPins::new(HOUR_MS));
     let first = here
-        .resolve(&state, 0, "hill", "kinyarwanda-current", &say("p", None))
+        .resolve(
+            &state,
+            0,
+            "hill",
+            "kinyarwanda-current",
+            &pin_request("p", None),
+        )
         .unwrap();
     assert_eq!(first.version, name("v1"));
-    let moved = state.with_change(&moves(2, 3, None)).unwrap();
-    // Another controller, told of the move: by what the client hands back.
-    let handed = say("p", Some("kinyarwanda@v1"));
+    let moved = state.with_change(&move_alias(2, 3, None)).unwrap();
+    // Another controller, which knows of the move, uses the version that the client sends back.
+    let sent_back = pin_request("p", Some("kinyarwanda@v1"));
     assert_eq!(
         there
-            .resolve(&moved, 5, "hill", "kinyarwanda-current", &handed)
+            .resolve(&moved, 5, "hill", "kinyarwanda-current", &sent_back)
             .unwrap()
             .version,
         name("v1")
     );
-    // And once it has been, by its own memory too.
+    // After that it has stored the pin itself.
     assert_eq!(
         there
-            .resolve(&moved, 5, "hill", "kinyarwanda-current", &say("p", None))
+            .resolve(
+                &moved,
+                5,
+                "hill",
+                "kinyarwanda-current",
+                &pin_request("p", None)
+            )
             .unwrap()
             .version,
         name("v1")
     );
-    // The same one, not told by the client: by its own memory.
+    // The first controller uses its own stored pin if the client sends no version.
     assert_eq!(
-        here.resolve(&moved, 5, "hill", "kinyarwanda-current", &say("p", None))
-            .unwrap(),
+        here.resolve(
+            &moved,
+            5,
+            "hill",
+            "kinyarwanda-current",
+            &pin_request("p", None)
+        )
+        .unwrap(),
         first
     );
     assert_eq!(
-        here.resolve(&moved, 5, "hill", "kinyarwanda-current", &say("q", None))
-            .unwrap()
-            .version,
+        here.resolve(
+            &moved,
+            5,
+            "hill",
+            "kinyarwanda-current",
+            &pin_request("q", None)
+        )
+        .unwrap()
+        .version,
         name("v2")
     );
-    // Withdrawn: a clean error in both, never the other version.
-    let gone = moved
+    // If the version is withdrawn, both controllers return an error, never the other version.
+    let withdrawn = moved
         .with_change(&Change::Withdraw {
             model: name("kinyarwanda"),
             name: name("v1"),
         })
         .unwrap();
-    for told in [
-        here.resolve(&gone, 6, "hill", "kinyarwanda-current", &say("p", None)),
-        there.resolve(&gone, 6, "hill", "kinyarwanda-current", &handed),
+    for result in [
+        here.resolve(
+            &withdrawn,
+            6,
+            "hill",
+            "kinyarwanda-current",
+            &pin_request("p", None),
+        ),
+        there.resolve(&withdrawn, 6, "hill", "kinyarwanda-current", &sent_back),
     ] {
-        assert_eq!(told, Err(ResolveError::Withdrawn("kinyarwanda@v1".into())));
+        assert_eq!(
+            result,
+            Err(ResolveError::Withdrawn("kinyarwanda@v1".into()))
+        );
     }
-    // Its time is over; a client that makes its end up gains twice the length at most.
+    // The pin has expired; a client that forges the end gains at most twice the duration.
     let late = PinRequest {
         until_ms: Some(first.until_ms),
-        ..handed.clone()
+        ..sent_back.clone()
     };
-    let told = there.resolve(&moved, HOUR, "hill", "kinyarwanda-current", &late);
-    assert_eq!(told, Err(ResolveError::Expired("kinyarwanda@v1".into())));
+    let result = there.resolve(&moved, HOUR_MS, "hill", "kinyarwanda-current", &late);
+    assert_eq!(result, Err(ResolveError::Expired("kinyarwanda@v1".into())));
     let forged = PinRequest {
         until_ms: Some(u64::MAX),
-        ..handed
+        ..sent_back
     };
     assert_eq!(
         there
             .resolve(&moved, 0, "hill", "kinyarwanda-current", &forged)
             .unwrap()
             .until_ms,
-        2 * HOUR
+        2 * HOUR_MS
     );
-    let other = say("p", Some("swahili@v1"));
-    let told = there.resolve(&moved, 0, "hill", "kinyarwanda-current", &other);
+    let other = pin_request("p", Some("swahili@v1"));
+    let result = there.resolve(&moved, 0, "hill", "kinyarwanda-current", &other);
     assert!(
-        matches!(told, Err(ResolveError::OtherModel { .. })),
-        "{told:?}"
+        matches!(result, Err(ResolveError::OtherModel { .. })),
+        "{result:?}"
     );
     assert!(matches!(
-        there.resolve(&moved, 0, "hill", "nothing", &say("p", None)),
+        there.resolve(&moved, 0, "hill", "nothing", &pin_request("p", None)),
         Err(ResolveError::Unknown(_))
     ));
     assert!(
-        matches!(there.resolve(&moved, 0, "hill", "kinyarwanda@v2", &say("p", None)), Ok(f) if f.staged.is_none())
+        matches!(there.resolve(&moved, 0, "hill", "kinyarwanda@v2", &pin_request("p", None)), Ok(pinned) if pinned.staged.is_none())
     );
 }
 
 #[test]
-fn a_tenants_own_alias_goes_before_that_of_all() {
+fn alias_of_a_tenant_takes_precedence_over_that_of_all_tenants() {
     let (alias, model) = (name("kinyarwanda-current"), name("kinyarwanda"));
     let space = Namespace::Tenant(name("hill"));
     let own = Change::Move {
@@ -494,34 +538,45 @@
         expect: 0,
         stage: None,
     };
-    let state = two().with_change(&own).unwrap();
-    let mut passages = VersionPins::new(HOUR);
-    let mut of = |tenant| {
-        passages
-            .resolve(&state, 0, tenant, "kinyarwanda-current", &say("p", None))
-            .unwrap()
-            .version
+    let state = two_versions().with_change(&own).unwrap();
+    let mut pins = VersionPins::new(HOUR_MS);
+    let mut version_for = |tenant| {
+        pins.resolve(
+            &state,
+            0,
+            tenant,
+            "kinyarwanda-current",
+            &pin_request("p", None),
+        )
+        .unwrap()
+        .version
     };
     assert_eq!(
-        (of("hill"), of("lake"), of("Not A Name")),
+        (
+            version_for("hill"),
+            version_for("lake"),
+            version_for("Not A Name")
+        ),
         (name("v2"), name("v1"), name("v1"))
     );
 }
 
 #[test]
-fn a_stage_takes_its_share_of_passages_the_same_at_each_controller() {
-    let state = two().with_change(&moves(2, 3, Some(200))).unwrap();
-    let (mut here, mut there) = (VersionPins::new(HOUR), VersionPins::new(HOUR));
-    let mut new = 0;
+fn rollout_selects_the_same_share_of_pins_at_every_controller() {
+    let state = two_versions()
+        .with_change(&move_alias(2, 3, Some(200)))
+        .unwrap();
+    let (mut here, mut there) = (VersionPins::new(HOUR_MS), VersionPins::new(HOUR_MS));
+    let mut new_count = 0;
     for n in 0..2_000 {
         let passage = format!("visitor {n}");
-        let fixed = here
+        let pinned = here
             .resolve(
                 &state,
                 0,
                 "hill",
                 "kinyarwanda-current",
-                &say(&passage, None),
+                &pin_request(&passage, None),
             )
             .unwrap();
         assert_eq!(
@@ -531,24 +586,26 @@
                     0,
                     "hill",
                     "kinyarwanda-current",
-                    &say(&passage, None)
+                    &pin_request(&passage, None)
                 )
                 .unwrap(),
-            fixed
+            pinned
         );
         assert_eq!(
-            fixed.staged.map(|s| (s.is_new_version, s.alias_revision)),
-            Some((fixed.version == name("v2"), 4))
+            pinned
+                .staged
+                .map(|side| (side.is_new_version, side.alias_revision)),
+            Some((pinned.version == name("v2"), 4))
         );
-        new += u32::from(fixed.version == name("v2"));
+        new_count += u32::from(pinned.version == name("v2"));
     }
     assert!(
-        (330..470).contains(&new),
-        "{new} of 2,000 began with the new version"
+        (330..470).contains(&new_count),
+        "{new_count} of 2,000 began with the new version"
     );
-    let none = PinRequest::default();
+    let without_pin = PinRequest::default();
     assert_eq!(
-        here.resolve(&state, 0, "hill", "kinyarwanda-current", &none)
+        here.resolve(&state, 0, "hill", "kinyarwanda-current", &without_pin)
             .unwrap()
             .version,
         name("v1")
@@ -556,44 +613,43 @@
 }
 
 #[test]
-fn passages_that_are_remembered_are_bounded() {
-    let (state, mut passages) = (two(), VersionPins::new(HOUR));
+fn number_of_stored_pins_is_bounded() {
+    let (state, mut pins) = (two_versions(), VersionPins::new(HOUR_MS));
     for n in 0..50_200 {
-        passages
-            .resolve(
-                &state,
-                n,
-                "hill",
-                "kinyarwanda-current",
-                &say(&n.to_string(), None),
-            )
-            .unwrap();
+        pins.resolve(
+            &state,
+            n,
+            "hill",
+            "kinyarwanda-current",
+            &pin_request(&n.to_string(), None),
+        )
+        .unwrap();
     }
-    assert_eq!(passages.pin_count(), 50_000);
+    assert_eq!(pins.pin_count(), 50_000);
 }
 
 #[test]
-fn a_stage_stops_early_by_more_errors_than_chance_makes_and_ends_well_otherwise() {
+fn rollout_aborts_early_only_on_a_significant_excess_of_errors() {
     let stage = Stage {
         to: name("v2"),
         per_mille: 100,
         errors_per_mille: 20,
         answers: 1_000,
     };
-    let judge = |new_well, new_erred, old_well, old_erred| {
+    let verdict = |new_succeeded, new_failed, old_succeeded, old_failed| {
         let mut tallies = Tallies::default();
-        // Told in halves by two controllers, one of them twice, once out of order.
+        // Two controllers report half each; one repeats its report, the other sends an outdated one.
         let half = Tally {
-            new_succeeded: new_well / 2,
-            new_failed: new_erred / 2,
-            old_succeeded: old_well / 2,
-            old_failed: old_erred / 2,
+            new_succeeded: new_succeeded / 2,
+            new_failed: new_failed / 2,
+            old_succeeded: old_succeeded / 2,
+            old_failed: old_failed / 2,
         };
         let rest = Tally {
-            new_succeeded: new_well - half.new_succeeded,
-            new_failed: new_erred - half.new_failed,
-            old_succeeded: old_well - half.old_succeeded,
-            old_failed: old_erred - half.old_failed,
+            new_succeeded: new_succeeded - half.new_succeeded,
+            new_failed: new_failed - half.new_failed,
+            old_succeeded: old_succeeded - half.old_succeeded,
+            old_failed: old_failed - half.old_failed,
         };
         for (controller, tally) in [(1, half), (2, rest), (1, half), (2, Tally::default())] {
             tallies.record(controller, 1, tally);
@@ -601,67 +657,68 @@
         assert_eq!(
             tallies.sum(),
             Tally {
-                new_succeeded: new_well,
-                new_failed: new_erred,
-                old_succeeded: old_well,
-                old_failed: old_erred
+                new_succeeded,
+                new_failed,
+                old_succeeded,
+                old_failed
             }
         );
         tallies.verdict(&stage)
     };
-    assert_eq!(judge(40, 0, 400, 0), Verdict::Undecided);
+    assert_eq!(verdict(40, 0, 400, 0), Verdict::Undecided);
     assert!(
-        matches!(judge(40, 10, 400, 0), Verdict::Abort { .. }),
+        matches!(verdict(40, 10, 400, 0), Verdict::Abort { .. }),
         "a fifth of fifty"
     );
     assert_eq!(
-        judge(40, 4, 400, 0),
+        verdict(40, 4, 400, 0),
         Verdict::Undecided,
         "four errors prove nothing"
     );
     assert_eq!(
-        judge(990, 10, 9_000, 0),
+        verdict(990, 10, 9_000, 0),
         Verdict::Complete,
         "within the bound"
     );
     assert!(
-        matches!(judge(970, 30, 9_000, 0), Verdict::Abort { .. }),
+        matches!(verdict(970, 30, 9_000, 0), Verdict::Abort { .. }),
         "over the bound, all counted"
     );
     assert_eq!(
-        judge(970, 30, 9_000, 500),
+        verdict(970, 30, 9_000, 500),
         Verdict::Complete,
         "the old one errs as much"
     );
-    assert_eq!(judge(0, 0, u64::MAX / 2, 3), Verdict::Undecided);
+    assert_eq!(verdict(0, 0, u64::MAX / 2, 3), Verdict::Undecided);
 }
 
 #[test]
-fn collections_spare_what_a_push_was_told_to_be_there() {
+fn collection_spares_blobs_leased_by_a_push() {
     let digest = |n: u8| Digest::of(&[n]);
     let (a, b, c) = (digest(1), digest(2), digest(3));
-    let mut keeper = BlobCollector::default();
-    let named = BTreeSet::from([a]);
-    let collect = |keeper: &mut BlobCollector, now| keeper.collect(now, [a, b, c], &named, 100);
-    assert!(collect(&mut keeper, 0).is_empty());
-    let lease = keeper.begin_lease(50, BTreeSet::from([b]), 500);
-    assert_eq!(collect(&mut keeper, 150), [c], "b is leased");
-    assert!(keeper.check_lease(549, lease, &[b]).is_ok());
+    let mut collector = BlobCollector::default();
+    let referenced = BTreeSet::from([a]);
+    let collect =
+        |collector: &mut BlobCollector, now| collector.collect(now, [a, b, c], &referenced, 100);
+    assert!(collect(&mut collector, 0).is_empty());
+    let lease = collector.begin_lease(50, BTreeSet::from([b]), 500);
+    assert_eq!(collect(&mut collector, 150), [c], "b is leased");
+    assert!(collector.check_lease(549, lease, &[b]).is_ok());
     assert!(
-        keeper.check_lease(549, lease, &[c]).is_err(),
-        "not what it began with"
+        collector.check_lease(549, lease, &[c]).is_err(),
+        "the lease does not cover c"
     );
     assert!(
-        keeper.check_lease(550, lease, &[b]).is_err(),
-        "it has run out"
+        collector.check_lease(550, lease, &[b]).is_err(),
+        "the lease has expired"
     );
     assert!(
-        collect(&mut keeper, 560).is_empty(),
-        "the grace begins when the lease ends"
+        collect(&mut collector, 560).is_empty(),
+        "the grace starts when the lease ends"
     );
-    let last = collect(&mut keeper, 660);
+    let removed = collect(&mut collector, 660);
     assert_eq!(
-        last.into_iter().collect::<BTreeSet<_>>(),
+        removed.into_iter().collect::<BTreeSet<_>>(),
         BTreeSet::from([b, c])
     );
 }
@@ -671,20 +728,20 @@
         cases: 128, rng_seed: proptest::test_runner::RngSeed::Fixed(13), failure_persistence: None, ..Default::default()
     })]
 
-    /// Whatever is asked, an alias names a version that is there, revisions go up by one, and a replay makes the same state.
+    /// After any changes, aliases name existing versions, revisions increase by one, and a replay produces the same state.
     #[test]
-    fn any_changes_keep_the_book_whole(asks in prop::collection::vec((0u8..7, 1u64..5, 0u64..12, any::<bool>()), 1..60)) {
+    fn any_sequence_of_changes_keeps_the_state_consistent(requests in prop::collection::vec((0u8..7, 1u64..5, 0u64..12, any::<bool>()), 1..60)) {
         let (mut head, mut replayed) = (Head::default(), Head::default());
-        for (what, n, expect, flag) in asks {
-            let (model, version) = (name("kinyarwanda"), name(&format!("v{n}")));
+        for (kind, number, expect, flag) in requests {
+            let (model, version) = (name("kinyarwanda"), name(&format!("v{number}")));
             let (space, alias) = (Namespace::All, name("kinyarwanda-current"));
-            // Half of those who move know what is current.
+            // Half of the requests name the current revision of the alias.
             let known = head.state.alias(&space, &alias).map_or(0, |a| a.changed);
             let expect = if flag { known } else { expect };
-            let change = match what {
-                0 | 1 => push(n),
-                2 => moves(n, expect, None),
-                3 => moves(n, expect, Some(100)),
+            let change = match kind {
+                0 | 1 => push(number),
+                2 => move_alias(number, expect, None),
+                3 => move_alias(number, expect, Some(100)),
                 4 => Change::EndStage { space, alias, expect, is_success: flag, why: String::new() },
                 5 => Change::RollBack { space, alias, expect },
                 _ => Change::Delete { model, name: version },
@@ -698,10 +755,10 @@
                 }
                 Err(_) => prop_assert_eq!(&before, &head),
             }
-            for ((_, _), a) in &head.state.aliases {
-                prop_assert!(head.state.version(&a.model, &a.version).is_some());
-                prop_assert!(a.stage.as_ref().is_none_or(|s| head.state.version(&a.model, &s.to).is_some()));
-                prop_assert!(a.changed <= head.revision());
+            for ((_, _), alias) in &head.state.aliases {
+                prop_assert!(head.state.version(&alias.model, &alias.version).is_some());
+                prop_assert!(alias.stage.as_ref().is_none_or(|s| head.state.version(&alias.model, &s.to).is_some()));
+                prop_assert!(alias.changed <= head.revision());
             }
             prop_assert_eq!(&replayed, &head);
         }
--- a/crates/registry/tests/all/support/mod.rs
+++ b/crates/registry/tests/all/support/mod.rs
@@ -1,3 +1,5 @@
+//! Helpers shared by the tests.
+
 pub mod disk;
 
 use saltdrum_layers::Digest;
@@ -9,7 +11,7 @@
     text.parse().unwrap()
 }
 
-pub(crate) fn version(seed: u64) -> Version {
+pub(crate) fn sample_version(seed: u64) -> Version {
     Version {
         manifest: Digest::of(&seed.to_le_bytes()),
         bytes: 1_000,
@@ -19,15 +21,16 @@
     }
 }
 
-pub(crate) fn push(n: u64) -> Change {
+pub(crate) fn push(number: u64) -> Change {
     Change::Push {
         model: name("kinyarwanda"),
-        name: name(&format!("v{n}")),
-        version: version(n),
+        name: name(&format!("v{number}")),
+        version: sample_version(number),
     }
 }
 
-pub(crate) fn moves(to: u64, expect: Revision, stage: Option<u16>) -> Change {
+/// Moves the alias `kinyarwanda-current` to version `v{to}`.
+pub(crate) fn move_alias(to: u64, expect: Revision, stage: Option<u16>) -> Change {
     let version = name(&format!("v{to}"));
     let stage = stage.map(|per_mille| Stage {
         to: version.clone(),
@@ -46,7 +49,7 @@
     }
 }
 
-pub(crate) fn asked(change: Change) -> ChangeRequest {
+pub(crate) fn request(change: Change) -> ChangeRequest {
     ChangeRequest {
         who: "tests".into(),
         at_ms: 1_000,
