--- a/crates/registry/src/follow.rs
+++ b/crates/registry/src/follow.rs
@@ -74,7 +74,7 @@
     error: Option<saltdrum_protocol::rpc::ReplyError>,
 }
 
-/// Follows the registry until dropped. `on_update` receives the kept state first, then each update.
+/// Follows the registry until dropped. `on_update` receives the saved state first, then each update.
 ///
 /// A local copy that can't be read is reported once, and the registry is not followed until an operator removes the copy.
 pub async fn follow(
@@ -84,16 +84,16 @@
     mut on_update: impl FnMut(RegistryUpdate),
 ) {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let Some(kept) = read_copy(&config, &mut on_update) else {
+    let Some(saved_head) = read_copy(&config, &mut on_update) else {
         return std::future::pending().await;
     };
     let mut follower = Follower {
         config,
-        watcher: Watcher::from(kept),
+        watcher: Watcher::from(saved_head),
         copy: None,
         on_update,
     };
-    follower.report_kept();
+    follower.report_local_copy();
     let mut delay = RECONNECT_DELAY_MIN;
     loop {
         let before = follower.watcher.head().revision();
@@ -112,7 +112,7 @@
     let Some(path) = &config.copy_path else {
         return Some(Head::default());
     };
-    let kept = LocalCopy::read(path).unwrap_or_else(|error| {
+    let saved_head = LocalCopy::read(path).unwrap_or_else(|error| {
         // Starting without the copy could go back to an older state.
         warn!(%error, "local copy of the registry is unreadable");
         on_update(RegistryUpdate::Rejected(format!(
@@ -120,10 +120,10 @@
         )));
         None
     });
-    if kept.is_none() && path.exists() {
+    if saved_head.is_none() && path.exists() {
         return None;
     }
-    Some(kept.unwrap_or_default())
+    Some(saved_head.unwrap_or_default())
 }
 
 struct Follower<F> {
@@ -134,7 +134,7 @@
 }
 
 impl<F: FnMut(RegistryUpdate)> Follower<F> {
-    fn report_kept(&mut self) {
+    fn report_local_copy(&mut self) {
         let head = self.watcher.head();
         if head.revision() > 0 {
             info!(
--- a/crates/registry/src/watch.rs
+++ b/crates/registry/src/watch.rs
@@ -4,7 +4,7 @@
 use crate::state::{Change, Revision};
 use serde::{Deserialize, Serialize};
 
-/// Serde puts the type's name into error texts that go to clients, so the type keeps registry name here.
+/// Serde puts the type's name into error texts that go to clients, so the type keeps its name here.
 mod wire {
     use super::{Deserialize, Hash, Revision, Serialize};
 
@@ -27,7 +27,7 @@
     /// The complete state.
     #[serde(rename = "whole")]
     Snapshot {
-        /// The state and registry hash.
+        /// The state and its hash.
         head: Head,
         /// The entry of the last restore, by which followers of another history may accept it.
         restored: Option<Entry>,
@@ -51,7 +51,7 @@
     },
 }
 
-/// Why a watcher rejects an event and keeps registry state.
+/// Why a watcher rejects an event and keeps its state.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WatchError {
     /// The registry's history does not contain the revision that was applied here.
@@ -77,7 +77,7 @@
 }
 
 impl Watcher {
-    /// Resumes from a head that was kept.
+    /// Resumes from a saved head.
     pub fn from(head: Head) -> Self {
         Self { head }
     }
