--- a/crates/controller/src/native/status.rs
+++ b/crates/controller/src/native/status.rs
@@ -1,4 +1,4 @@
-//! A controller's status, for clients that ask for it and for shutdown.
+//! A controller's status, for `status` calls of clients and for graceful shutdown.
 
 use crate::native::state::ControllerHandle;
 use crate::shutdown::ControllerStatus;
@@ -21,7 +21,7 @@
             "succeeded": counters.succeeded,
             "throttled": counters.throttled,
             "errored": counters.errored,
-            "left": counters.client_left,
+            "left": counters.abandoned,
             "stale": counters.expired_on_arrival,
             "too_late": counters.answered_too_late,
             "dispatches": counters.attempts,
@@ -34,7 +34,7 @@
     })
 }
 
-/// The status that shutdown goes by.
+/// The status that graceful shutdown depends on.
 pub(crate) fn shutdown_status(handle: &ControllerHandle) -> ControllerStatus {
     handle.inspect(|state| {
         let transport = &state.invocations.transport;
