--- a/crates/coordinator/tests/all/world.rs
+++ b/crates/coordinator/tests/all/world.rs
@@ -290,7 +290,8 @@
             },
         };
         // A process that can't read or write its disk ends at once and is started again later.
-        let Ok((disk, acceptor)) = Disk::open(name.clone(), simulated_disk.opens(), new_identity)
+        let Ok((disk, acceptor)) =
+            Disk::open(name.clone(), simulated_disk.open_database(), new_identity)
         else {
             return;
         };
@@ -424,7 +425,7 @@
             address(name),
         );
         let serving = pausable(hold.clone(), async move {
-            let Ok(disk) = JournalDisk::open(disks.current.opens()) else {
+            let Ok(disk) = JournalDisk::open(disks.current.open_database()) else {
                 return;
             };
             let local = tokio::task::LocalSet::new();
@@ -466,14 +467,14 @@
     /// Sets whether a journal's disk is full.
     pub fn set_journal_disk_full(&self, name: &str, is_full: bool) {
         if let Some(disks) = self.journals.borrow().get(name) {
-            disks.current.room(is_full.then_some(0));
+            disks.current.limit_capacity(is_full.then_some(0));
         }
     }
 
     /// Sets whether a coordinator's disk is full.
     pub fn set_coordinator_disk_full(&self, number: u32, is_full: bool) {
         if let Some(disk) = self.disks.borrow().get(&number) {
-            disk.room(is_full.then_some(0));
+            disk.limit_capacity(is_full.then_some(0));
         }
     }
 
