--- a/crates/deployment/src/lib.rs
+++ b/crates/deployment/src/lib.rs
@@ -1,7 +1,8 @@
-//! A deployment as its Starlark script states it: read, checked, typed.
+//! Parses and validates the Starlark script that describes a deployment.
 //!
-//! `script` runs a script and gives its statements with their places; `terms` makes a [`DeploymentSpec`] of those that describe
-//! the deployment and hands back the rest, for a scripted day. Every fault names file, line and what was expected.
+//! `script` evaluates a script into statements with their source locations; `terms` builds a [`DeploymentSpec`] from those that
+//! describe the deployment and returns the others, for example those of a scripted day. Every error names file, line and what
+//! was expected.
 
 pub mod script;
 pub mod terms;
--- a/crates/deployment/src/script.rs
+++ b/crates/deployment/src/script.rs
@@ -1,4 +1,5 @@
-//! Runs a script. Every call of a statement function is kept with its arguments and its place; nothing is looked at.
+//! Evaluates a script and records every call of a statement function with its arguments and its source location, without
+//! validating the arguments.
 
 use serde_json::{Map, Value as Json};
 use starlark::environment::{Globals, GlobalsBuilder, LibraryExtension, Module};
@@ -9,7 +10,7 @@
 use std::cell::RefCell;
 use std::fmt;
 
-/// What is wrong with a script: where, and what was expected.
+/// An error in a script, with its source location and what was expected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{place}: {why}")]
 pub struct ScriptError {
@@ -17,6 +18,7 @@
     pub why: String,
 }
 
+/// A file and a line, counted from 1.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SourceLocation {
     pub file: String,
@@ -38,6 +40,7 @@
 }
 
 impl Statement {
+    /// Creates an error at this statement's location.
     pub fn fault(&self, why: impl fmt::Display) -> ScriptError {
         ScriptError {
             place: self.place.clone(),
@@ -45,19 +48,19 @@
         }
     }
 
-    /// The arguments as a typed value; unknown and missing ones are faults.
+    /// Deserializes the arguments into a typed value; unknown and missing arguments are errors.
     pub fn read<T: serde::de::DeserializeOwned>(&self) -> Result<T, ScriptError> {
-        // One at a time first, so that a fault names its argument.
+        // serde's message holds the offending value only; the argument with that value is named in the error.
         serde_json::from_value(Json::Object(self.said.clone())).map_err(|e| {
-            let told = self.said.iter().find(|(_, v)| {
-                let said = match v {
-                    Json::String(s) => s.clone(),
+            let offending = self.said.iter().find(|(_, value)| {
+                let text = match value {
+                    Json::String(text) => text.clone(),
                     other => other.to_string(),
                 };
-                e.to_string().contains(&format!("'{said}'"))
-                    || e.to_string().starts_with(&format!("{said}:"))
+                e.to_string().contains(&format!("'{text}'"))
+                    || e.to_string().starts_with(&format!("{text}:"))
             });
-            match told {
+            match offending {
                 Some((name, _)) => self.fault(format!("{name} = {e}")),
                 None => self.fault(e),
             }
@@ -66,9 +69,10 @@
 }
 
 #[derive(ProvidesStaticType, Default)]
-struct Said(RefCell<Vec<Statement>>);
+struct RecordedStatements(RefCell<Vec<Statement>>);
 
-fn say<'v>(
+/// Appends a call of statement function `what` to the recorded statements.
+fn record_statement<'v>(
     what: &'static str,
     first: Option<Value<'v>>,
     named: Value<'v>,
@@ -78,26 +82,29 @@
         file: span.file.filename().to_owned(),
         line: span.resolve_span().begin.line + 1,
     });
-    let mut said = Map::new();
+    let mut arguments = Map::new();
     if let Some(first) = first {
-        said.insert("name".into(), first.to_json_value()?);
+        arguments.insert("name".into(), first.to_json_value()?);
     }
     for (name, value) in DictRef::from_value(named)
         .iter()
         .flat_map(|d| d.iter().collect::<Vec<_>>())
     {
-        said.insert(
+        arguments.insert(
             name.unpack_str().unwrap_or_default().to_owned(),
             value.to_json_value()?,
         );
     }
-    let kept = eval.extra.and_then(|e| e.downcast_ref::<Said>());
+    let recorded = eval
+        .extra
+        .and_then(|e| e.downcast_ref::<RecordedStatements>());
     let statement = Statement {
         what,
-        said,
+        said: arguments,
         place: place.unwrap_or_default(),
     };
-    kept.expect("scripts run with a place to keep what they say")
+    recorded
+        .expect("scripts are evaluated with a list for recorded statements")
         .0
         .borrow_mut()
         .push(statement);
@@ -116,7 +123,7 @@
                 #[starlark(kwargs)] named: Value<'v>,
                 eval: &mut Evaluator<'v, '_, '_>,
             ) -> starlark::Result<NoneType> {
-                say(stringify!($name), first, named, eval)
+                record_statement(stringify!($name), first, named, eval)
             })+
         }
     };
@@ -142,10 +149,10 @@
     step
 );
 
-/// Runs a script's text; `file` is its name in faults.
+/// Evaluates a script's text; `file` is its name in errors.
 pub fn run(file: &str, text: &str) -> Result<Vec<Statement>, ScriptError> {
-    let fault = |e: starlark::Error| {
-        let (at, line) = match e.span() {
+    let script_error = |e: starlark::Error| {
+        let (error_file, line) = match e.span() {
             Some(span) => (
                 span.file.filename().to_owned(),
                 span.resolve_span().begin.line + 1,
@@ -153,7 +160,10 @@
             None => (file.to_owned(), 1),
         };
         ScriptError {
-            place: SourceLocation { file: at, line },
+            place: SourceLocation {
+                file: error_file,
+                line,
+            },
             why: e.without_diagnostic().to_string(),
         }
     };
@@ -162,17 +172,17 @@
         enable_load: false,
         ..Dialect::Standard
     };
-    let ast = AstModule::parse(file, text.to_owned(), &dialect).map_err(fault)?;
+    let ast = AstModule::parse(file, text.to_owned(), &dialect).map_err(script_error)?;
     let globals: Globals =
         GlobalsBuilder::extended_by(&[LibraryExtension::Json, LibraryExtension::StructType])
             .with(statement_functions)
             .build();
-    let said = Said::default();
+    let recorded = RecordedStatements::default();
     Module::with_temp_heap(|module| {
         let mut eval = Evaluator::new(&module);
-        eval.extra = Some(&said);
+        eval.extra = Some(&recorded);
         eval.eval_module(ast, &globals).map(|_| ())
     })
-    .map_err(fault)?;
-    Ok(said.0.into_inner())
+    .map_err(script_error)?;
+    Ok(recorded.0.into_inner())
 }
--- a/crates/deployment/src/terms.rs
+++ b/crates/deployment/src/terms.rs
@@ -1,4 +1,4 @@
-//! The deployment's terms: what controllers, invokers and stand-ins are told of it at start.
+//! The deployment's specification, which controllers, invokers and stand-ins receive at start.
 
 use crate::script::{ScriptError, Statement};
 use crate::units::{Memory, Span};
@@ -6,54 +6,57 @@
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// One function, named as clients name it.
+/// A function, under the name that clients use.
 #[derive(Clone, Debug)]
 pub struct Function {
     pub name: String,
     pub id: FunctionId,
+    /// Index into [`DeploymentSpec::trigger_type_names`].
     pub trigger: usize,
-    /// Of one copy, in MB.
+    /// Memory of one instance, in MB.
     pub memory: f64,
-    /// Invocations that one copy runs at a time.
+    /// Concurrent invocations per instance.
     pub lanes: f64,
+    /// Expected load time, if the script states one.
     pub load: Option<Ticks>,
 }
 
-/// A kind of machine that invokers run on. What only a stand-in needs is here too.
+/// A kind of machine that invokers run on, including the parameters that only stand-in invokers use.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MachineKind {
     pub name: String,
     pub memory: Memory,
     pub cores: u32,
-    #[serde(default = "one")]
+    #[serde(default = "default_one")]
     pub speed: f64,
-    #[serde(default = "four")]
+    #[serde(default = "default_four")]
     pub slots_per_core: u32,
-    #[serde(default = "four")]
+    #[serde(default = "default_four")]
     pub queue_per_core: u32,
-    #[serde(default = "four")]
+    #[serde(default = "default_four")]
     pub loads_at_once: u32,
 }
 
-fn one() -> f64 {
+fn default_one() -> f64 {
     1.0
 }
 
-fn four() -> u32 {
+fn default_four() -> u32 {
     4
 }
 
-/// So many invokers alike, numbered from 1 on in the script's order.
+/// One invoker. Invokers are numbered from 1 in the script's order.
 #[derive(Clone, Debug)]
 pub struct InvokerSpec {
     pub invoker: u32,
+    /// Index into [`DeploymentSpec::kinds`].
     pub kind: usize,
     pub zone: u8,
     pub cell: u16,
 }
 
-/// All that is stated of a deployment.
+/// A deployment as its script describes it.
 #[derive(Clone, Debug, Default)]
 pub struct DeploymentSpec {
     pub deployment: Deployment,
@@ -63,29 +66,29 @@
     pub kinds: Vec<MachineKind>,
     pub invokers: Vec<InvokerSpec>,
     pub zones: Vec<String>,
-    /// Taken off what a client says it will wait, for the answer's way back.
+    /// Subtracted from the client's timeout to leave time for the response to reach the client.
     pub answer_margin: Ticks,
-    /// An order to hold that is not answered within this is given up.
+    /// A load order without a reply within this time is abandoned.
     pub order_timeout: Ticks,
-    /// A link that does not come up within this is none.
+    /// A connection that is not established within this time has failed.
     pub connect_timeout: Ticks,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct SaidDeployment {
+struct DeploymentArguments {
     controllers: u32,
     #[serde(default)]
     zones: Vec<String>,
-    #[serde(default = "most_dispatches")]
+    #[serde(default = "default_dispatch_limit")]
     dispatches: u8,
     #[serde(default)]
     parallel_dispatches: bool,
-    #[serde(default = "yes")]
+    #[serde(default = "default_true")]
     cancel: bool,
-    #[serde(default = "yes")]
+    #[serde(default = "default_true")]
     orders: bool,
-    #[serde(default = "on_miss")]
+    #[serde(default = "default_on_miss")]
     on_miss: String,
     keep_alive: Span,
     come_back_most: Option<Span>,
@@ -95,118 +98,119 @@
     orders_free: f64,
     #[serde(default)]
     orders_share: f64,
-    #[serde(default = "order_timeout")]
+    #[serde(default = "default_load_order_timeout")]
     order_timeout: Span,
-    #[serde(default = "grace")]
+    #[serde(default = "default_grace")]
     drain_grace: Span,
     cold_share: f64,
     cold_time: Span,
     tip_factor: f64,
     tip_window: Span,
-    #[serde(default = "over_share")]
+    #[serde(default = "default_over_share_value")]
     over_share_value: f64,
-    #[serde(default = "margin")]
+    #[serde(default = "default_answer_margin")]
     answer_margin: Span,
-    #[serde(default = "grace")]
+    #[serde(default = "default_grace")]
     connect_timeout: Span,
 }
 
-fn most_dispatches() -> u8 {
+fn default_dispatch_limit() -> u8 {
     6
 }
-fn yes() -> bool {
+fn default_true() -> bool {
     true
 }
-fn on_miss() -> String {
+fn default_on_miss() -> String {
     "load".into()
 }
-fn order_timeout() -> Span {
+fn default_load_order_timeout() -> Span {
     Span(100_000)
 }
-fn grace() -> Span {
+fn default_grace() -> Span {
     Span(2_500)
 }
-fn margin() -> Span {
+fn default_answer_margin() -> Span {
     Span(500)
 }
-fn over_share() -> f64 {
+fn default_over_share_value() -> f64 {
     0.1
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct SaidTrigger {
+struct TriggerTypeArguments {
     name: String,
     objective: Span,
     client_timeout: Span,
-    #[serde(default = "idempotent")]
+    #[serde(default = "default_effect")]
     effect: String,
-    #[serde(default = "all")]
+    #[serde(default = "default_scope")]
     scope: String,
     #[serde(default)]
     repeat_window: Span,
-    #[serde(default = "one")]
+    #[serde(default = "default_one")]
     billed_value: f64,
     #[serde(default)]
     late_share: f64,
 }
 
-fn idempotent() -> String {
+fn default_effect() -> String {
     "idempotent".into()
 }
-fn all() -> String {
+fn default_scope() -> String {
     "all".into()
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct SaidTenant {
+struct TenantArguments {
     name: String,
     quota_per_s: f64,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct SaidFunction {
+struct FunctionArguments {
     name: String,
     trigger: String,
     memory: Memory,
-    #[serde(default = "one")]
+    #[serde(default = "default_one")]
     lanes: f64,
     load_time: Option<Span>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct SaidInvokers {
+struct InvokersArguments {
     kind: String,
     count: u32,
     #[serde(default)]
     zone: Option<String>,
-    #[serde(default = "four")]
+    #[serde(default = "default_four")]
     cell_size: u32,
 }
 
-fn word<T: Copy>(
-    s: &Statement,
+/// Returns the meaning of an argument that is one of several words.
+fn parse_choice<T: Copy>(
+    statement: &Statement,
     name: &str,
-    said: &str,
-    words: &[(&str, T)],
+    value: &str,
+    choices: &[(&str, T)],
 ) -> Result<T, ScriptError> {
-    words
+    choices
         .iter()
-        .find(|(word, _)| *word == said)
-        .map(|(_, is)| *is)
+        .find(|(word, _)| *word == value)
+        .map(|(_, meaning)| *meaning)
         .ok_or_else(|| {
-            let known: Vec<&str> = words.iter().map(|w| w.0).collect();
-            s.fault(format!(
-                "{name} '{said}': one of {} is expected",
+            let known: Vec<&str> = choices.iter().map(|choice| choice.0).collect();
+            statement.fault(format!(
+                "{name} '{value}': one of {} is expected",
                 known.join(", ")
             ))
         })
 }
 
-/// The same name is the same function at every controller and invoker.
+/// Derives a function's id from its name, so that every controller and invoker computes the same one.
 pub fn function_id(name: &str) -> FunctionId {
     let digest = blake3::hash(name.as_bytes());
     u64::from_le_bytes(
@@ -217,88 +221,96 @@
     )
 }
 
-fn named<T>(
-    s: &Statement,
+/// Returns the index of the item with this name among those stated above the statement.
+fn index_of<T>(
+    statement: &Statement,
     what: &str,
     name: &str,
     all: &[T],
     of: impl Fn(&T) -> &str,
 ) -> Result<usize, ScriptError> {
     all.iter()
-        .position(|t| of(t) == name)
-        .ok_or_else(|| s.fault(format!("no {what} is named '{name}' above this line")))
+        .position(|item| of(item) == name)
+        .ok_or_else(|| statement.fault(format!("no {what} is named '{name}' above this line")))
 }
 
-fn share(s: &Statement, name: &str, x: f64, least: f64, most: f64) -> Result<f64, ScriptError> {
-    let fits = x.is_finite() && (least..=most).contains(&x);
-    fits.then_some(x)
-        .ok_or_else(|| s.fault(format!("{name} = {x}: {least} to {most} is expected")))
+/// Returns the value if it lies between the two bounds, inclusive.
+fn check_range(
+    statement: &Statement,
+    name: &str,
+    value: f64,
+    min: f64,
+    max: f64,
+) -> Result<f64, ScriptError> {
+    let fits = value.is_finite() && (min..=max).contains(&value);
+    fits.then_some(value)
+        .ok_or_else(|| statement.fault(format!("{name} = {value}: {min} to {max} is expected")))
 }
 
 impl DeploymentSpec {
-    /// Takes the statements that describe the deployment and hands back the others.
+    /// Builds the specification from the statements that describe the deployment and returns the others.
     pub fn from(
         file: &str,
         statements: Vec<Statement>,
     ) -> Result<(Self, Vec<Statement>), ScriptError> {
-        let (mut t, mut rest, mut seen) = (Self::default(), Vec::new(), false);
-        for s in statements {
-            match s.what {
+        let (mut spec, mut rest, mut has_deployment) = (Self::default(), Vec::new(), false);
+        for statement in statements {
+            match statement.what {
                 "deployment" => {
-                    if std::mem::replace(&mut seen, true) {
-                        return Err(s.fault("stated a second time"));
+                    if std::mem::replace(&mut has_deployment, true) {
+                        return Err(statement.fault("stated a second time"));
                     }
-                    t.deployment(&s)?;
+                    spec.add_deployment(&statement)?;
                 }
                 "machine" => {
-                    let kind: MachineKind = s.read()?;
-                    share(&s, "speed", kind.speed, 0.01, 100.0)?;
-                    share(&s, "cores", kind.cores.into(), 1.0, 4_096.0)?;
-                    t.deployment.machine_memory_mb.push(kind.memory.0);
-                    t.kinds.push(kind);
+                    let kind: MachineKind = statement.read()?;
+                    check_range(&statement, "speed", kind.speed, 0.01, 100.0)?;
+                    check_range(&statement, "cores", kind.cores.into(), 1.0, 4_096.0)?;
+                    spec.deployment.machine_memory_mb.push(kind.memory.0);
+                    spec.kinds.push(kind);
                 }
-                "trigger_type" => t.trigger_type(&s)?,
+                "trigger_type" => spec.add_trigger_type(&statement)?,
                 "tenant" => {
-                    let said: SaidTenant = s.read()?;
-                    share(&s, "quota_per_s", said.quota_per_s, 0.0, 1e9)?;
-                    t.deployment.tenants.push(Tenant {
-                        quota_per_second: said.quota_per_s,
+                    let args: TenantArguments = statement.read()?;
+                    check_range(&statement, "quota_per_s", args.quota_per_s, 0.0, 1e9)?;
+                    spec.deployment.tenants.push(Tenant {
+                        quota_per_second: args.quota_per_s,
                     });
-                    t.tenant_names.push(said.name);
+                    spec.tenant_names.push(args.name);
                 }
                 "function" => {
-                    let said: SaidFunction = s.read()?;
-                    let trigger = named(
-                        &s,
+                    let args: FunctionArguments = statement.read()?;
+                    let trigger = index_of(
+                        &statement,
                         "trigger_type",
-                        &said.trigger,
-                        &t.trigger_type_names,
+                        &args.trigger,
+                        &spec.trigger_type_names,
                         |n| n,
                     )?;
-                    let (id, name) = (function_id(&said.name), said.name);
-                    let lanes = share(&s, "lanes", said.lanes, 1.0, 1_024.0)?;
-                    let load = said.load_time.map(|l| l.0);
+                    let (id, name) = (function_id(&args.name), args.name);
+                    let lanes = check_range(&statement, "lanes", args.lanes, 1.0, 1_024.0)?;
+                    let load = args.load_time.map(|l| l.0);
                     let function = Function {
                         name: name.clone(),
                         id,
                         trigger,
-                        memory: said.memory.0,
+                        memory: args.memory.0,
                         lanes,
                         load,
                     };
-                    if t.functions.insert(name, function).is_some() {
-                        return Err(s.fault("a function of this name is stated above"));
+                    if spec.functions.insert(name, function).is_some() {
+                        return Err(statement.fault("a function of this name is stated above"));
                     }
                 }
-                "invokers" => t.invokers(&s)?,
-                _ => rest.push(s),
+                "invokers" => spec.add_invokers(&statement)?,
+                _ => rest.push(statement),
             }
         }
         let missing = [
-            ("deployment", !seen),
-            ("machine", t.kinds.is_empty()),
-            ("trigger_type", t.trigger_type_names.is_empty()),
-            ("tenant", t.tenant_names.is_empty()),
+            ("deployment", !has_deployment),
+            ("machine", spec.kinds.is_empty()),
+            ("trigger_type", spec.trigger_type_names.is_empty()),
+            ("tenant", spec.tenant_names.is_empty()),
         ];
         if let Some((what, _)) = missing.iter().find(|m| m.1) {
             let place = crate::script::SourceLocation {
@@ -310,53 +322,59 @@
                 why: format!("no {what}(...) is stated"),
             });
         }
-        Ok((t, rest))
+        Ok((spec, rest))
     }
 
-    fn deployment(&mut self, s: &Statement) -> Result<(), ScriptError> {
-        let said: SaidDeployment = s.read()?;
-        let misses = word(
-            s,
+    fn add_deployment(&mut self, statement: &Statement) -> Result<(), ScriptError> {
+        let args: DeploymentArguments = statement.read()?;
+        let misses = parse_choice(
+            statement,
             "on_miss",
-            &said.on_miss,
+            &args.on_miss,
             &[("load", false), ("miss", true)],
         )?;
-        share(s, "cold_share", said.cold_share, 0.0, 1.0)?;
-        share(s, "tip_factor", said.tip_factor, 0.01, 1e6)?;
-        share(s, "controllers", said.controllers.into(), 1.0, 10_000.0)?;
-        self.zones = if said.zones.is_empty() {
+        check_range(statement, "cold_share", args.cold_share, 0.0, 1.0)?;
+        check_range(statement, "tip_factor", args.tip_factor, 0.01, 1e6)?;
+        check_range(
+            statement,
+            "controllers",
+            args.controllers.into(),
+            1.0,
+            10_000.0,
+        )?;
+        self.zones = if args.zones.is_empty() {
             vec!["one".into()]
         } else {
-            said.zones
+            args.zones
         };
-        (self.answer_margin, self.order_timeout) = (said.answer_margin.0, said.order_timeout.0);
-        self.connect_timeout = said.connect_timeout.0;
+        (self.answer_margin, self.order_timeout) = (args.answer_margin.0, args.order_timeout.0);
+        self.connect_timeout = args.connect_timeout.0;
         self.deployment = Deployment {
-            controllers: said.controllers,
-            attempt_limit: said.dispatches,
-            may_attempt_in_parallel: said.parallel_dispatches,
-            may_cancel: said.cancel,
-            may_load: said.orders,
+            controllers: args.controllers,
+            attempt_limit: args.dispatches,
+            may_attempt_in_parallel: args.parallel_dispatches,
+            may_cancel: args.cancel,
+            may_load: args.orders,
             reports_misses: misses,
-            keep_alive: said.keep_alive.0,
-            max_retry_after: said.come_back_most.map(|s| s.0),
-            load_window: said.order_window.0,
-            free_loads: said.orders_free,
-            loads_per_invocation: said.orders_share,
-            drain_grace: said.drain_grace.0,
-            initial_capacity_share: said.cold_share,
-            warm_up_time: said.cold_time.0,
-            overload_factor: said.tip_factor,
-            overload_window: said.tip_window.0,
-            over_quota_value_share: said.over_share_value,
+            keep_alive: args.keep_alive.0,
+            max_retry_after: args.come_back_most.map(|s| s.0),
+            load_window: args.order_window.0,
+            free_loads: args.orders_free,
+            loads_per_invocation: args.orders_share,
+            drain_grace: args.drain_grace.0,
+            initial_capacity_share: args.cold_share,
+            warm_up_time: args.cold_time.0,
+            overload_factor: args.tip_factor,
+            overload_window: args.tip_window.0,
+            over_quota_value_share: args.over_share_value,
             max_event_interval: 10,
             ..std::mem::take(&mut self.deployment)
         };
         Ok(())
     }
 
-    fn trigger_type(&mut self, s: &Statement) -> Result<(), ScriptError> {
-        let said: SaidTrigger = s.read()?;
+    fn add_trigger_type(&mut self, statement: &Statement) -> Result<(), ScriptError> {
+        let args: TriggerTypeArguments = statement.read()?;
         let effects = [
             ("idempotent", Effect::Idempotent),
             ("tokened", Effect::IdempotencyKey),
@@ -368,30 +386,36 @@
             ("cell", KeyScope::Cell),
         ];
         self.deployment.trigger_types.push(TriggerType {
-            latency_objective: said.objective.0,
-            client_timeout: said.client_timeout.0,
-            effect: word(s, "effect", &said.effect, &effects)?,
-            key_scope: word(s, "scope", &said.scope, &scopes)?,
-            idempotency_window: said.repeat_window.0,
-            billed_value: share(s, "billed_value", said.billed_value, 0.0, 1e9)?,
-            late_value_share: share(s, "late_share", said.late_share, 0.0, 1.0)?,
+            latency_objective: args.objective.0,
+            client_timeout: args.client_timeout.0,
+            effect: parse_choice(statement, "effect", &args.effect, &effects)?,
+            key_scope: parse_choice(statement, "scope", &args.scope, &scopes)?,
+            idempotency_window: args.repeat_window.0,
+            billed_value: check_range(statement, "billed_value", args.billed_value, 0.0, 1e9)?,
+            late_value_share: check_range(statement, "late_share", args.late_share, 0.0, 1.0)?,
         });
-        self.trigger_type_names.push(said.name);
+        self.trigger_type_names.push(args.name);
         Ok(())
     }
 
-    fn invokers(&mut self, s: &Statement) -> Result<(), ScriptError> {
-        let said: SaidInvokers = s.read()?;
-        let kind = named(s, "machine", &said.kind, &self.kinds, |k| &k.name)?;
-        let zone = match &said.zone {
+    fn add_invokers(&mut self, statement: &Statement) -> Result<(), ScriptError> {
+        let args: InvokersArguments = statement.read()?;
+        let kind = index_of(statement, "machine", &args.kind, &self.kinds, |k| &k.name)?;
+        let zone = match &args.zone {
             None => 0,
-            Some(zone) => named(s, "zone of the deployment", zone, &self.zones, |z| z)?,
+            Some(zone) => index_of(
+                statement,
+                "zone of the deployment",
+                zone,
+                &self.zones,
+                |z| z,
+            )?,
         };
-        share(s, "count", said.count.into(), 1.0, 100_000.0)?;
+        check_range(statement, "count", args.count.into(), 1.0, 100_000.0)?;
         let first_cell = self.invokers.last().map_or(0, |i| i.cell + 1);
-        for n in 0..said.count {
+        for n in 0..args.count {
             let invoker = self.invokers.len() as u32 + 1;
-            let cell = first_cell + (n / said.cell_size.max(1)) as u16;
+            let cell = first_cell + (n / args.cell_size.max(1)) as u16;
             self.invokers.push(InvokerSpec {
                 invoker,
                 kind,
@@ -402,12 +426,14 @@
         Ok(())
     }
 
-    /// What an invoker of a kind counts for beside others.
+    /// The relative capacity of an invoker on this kind of machine: cores times speed.
     pub fn size(&self, kind: usize) -> f32 {
         let kind = &self.kinds[kind];
         (f64::from(kind.cores) * kind.speed) as f32
     }
 
+    /// Evaluates a script's text and builds the specification; `file` is its name in errors. Also returns the statements that
+    /// do not describe the deployment.
     pub fn load(file: &str, text: &str) -> Result<(Self, Vec<Statement>), ScriptError> {
         Self::from(file, crate::script::run(file, text)?)
     }
--- a/crates/deployment/src/units.rs
+++ b/crates/deployment/src/units.rs
@@ -1,22 +1,22 @@
-//! Amounts as scripts write them: a number and its unit, never a bare number.
+//! Parses quantities in scripts, which always have a number and a unit.
 
 use saltdrum::interface::{MILLISECOND, SECOND, Ticks};
 use serde::{Deserialize, Deserializer, de::Error};
 
-/// A span of time: "250ms", "1.5s", "2m", "1h".
+/// A duration, in ticks: "250ms", "1.5s", "2m", "1h".
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(pub Ticks);
 
-/// Memory in MB: "3200MB", "4GB".
+/// An amount of memory, in MB: "3200MB", "4GB".
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
 pub struct Memory(pub f64);
 
-fn amount(text: &str, units: &[(&str, f64)], example: &str) -> Result<f64, String> {
+fn parse_quantity(text: &str, units: &[(&str, f64)], example: &str) -> Result<f64, String> {
     let split = text
         .find(|c: char| !c.is_ascii_digit() && c != '.' && c != '-')
         .unwrap_or(text.len());
     let (number, unit) = text.split_at(split);
-    let n: f64 = number
+    let value: f64 = number
         .parse()
         .map_err(|_| format!("'{text}': a number and a unit are expected, as in {example}"))?;
     let names: Vec<&str> = units.iter().map(|u| u.0).collect();
@@ -31,14 +31,14 @@
                 names.join(", ")
             ),
         })?;
-    if n < 0.0 {
+    if value < 0.0 {
         Err(format!("'{text}': cannot be negative"))
     } else {
-        Ok(n * factor)
+        Ok(value * factor)
     }
 }
 
-/// Reads a span, rounded down to whole tenths of a millisecond.
+/// Parses a duration, rounded down to whole tenths of a millisecond.
 pub fn span(text: &str) -> Result<Span, String> {
     let units = [
         ("ms", MILLISECOND as f64),
@@ -46,16 +46,16 @@
         ("m", 60.0 * SECOND as f64),
         ("h", 3_600.0 * SECOND as f64),
     ];
-    // A hair above, since 0.3 s is a little under 3,000 tenths in binary.
-    amount(text, &units, "\"250ms\" or \"2s\"").map(|t| Span((t + 1e-6) as Ticks))
+    // The offset compensates for binary rounding: 0.3 s is slightly less than 3,000 tenths of a millisecond.
+    parse_quantity(text, &units, "\"250ms\" or \"2s\"").map(|t| Span((t + 1e-6) as Ticks))
 }
 
-/// Reads an amount of memory.
+/// Parses an amount of memory.
 pub fn memory(text: &str) -> Result<Memory, String> {
-    amount(text, &[("MB", 1.0), ("GB", 1_000.0)], "\"3200MB\"").map(Memory)
+    parse_quantity(text, &[("MB", 1.0), ("GB", 1_000.0)], "\"3200MB\"").map(Memory)
 }
 
-fn text<'de, D: Deserializer<'de>>(d: D, example: &str) -> Result<String, D::Error> {
+fn deserialize_text<'de, D: Deserializer<'de>>(d: D, example: &str) -> Result<String, D::Error> {
     match serde_json::Value::deserialize(d)? {
         serde_json::Value::String(text) => Ok(text),
         serde_json::Value::Number(n) => Err(D::Error::custom(format!(
@@ -69,12 +69,12 @@
 
 impl<'de> Deserialize<'de> for Span {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        span(&text(d, "\"250ms\"")?).map_err(D::Error::custom)
+        span(&deserialize_text(d, "\"250ms\"")?).map_err(D::Error::custom)
     }
 }
 
 impl<'de> Deserialize<'de> for Memory {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        memory(&text(d, "\"3200MB\"")?).map_err(D::Error::custom)
+        memory(&deserialize_text(d, "\"3200MB\"")?).map_err(D::Error::custom)
     }
 }
--- a/crates/deployment/tests/scripts.rs
+++ b/crates/deployment/tests/scripts.rs
@@ -1,9 +1,9 @@
-//! Scripts as they should not be, and what is said of them.
+//! Valid and invalid deployment scripts, and the errors for the invalid ones.
 
 use proptest::prelude::*;
 use saltdrum_deployment::{DeploymentSpec, units};
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 deployment(controllers = 3, keep_alive = "9s", cold_share = 0.2, cold_time = "16s",
     tip_factor = 2.5, tip_window = "1.5s", come_back_most = "500ms")
 machine("big", memory = "42GB", cores = 5)
@@ -15,8 +15,8 @@
 "#;
 
 #[test]
-fn a_deployment_is_read_with_its_units_and_the_rest_is_handed_back() {
-    let (terms, rest) = DeploymentSpec::load("day.star", GOOD).unwrap();
+fn parses_deployment_with_units_and_returns_other_statements() {
+    let (terms, rest) = DeploymentSpec::load("day.star", VALID).unwrap();
     assert_eq!(terms.deployment.overload_window, 15_000);
     assert_eq!(terms.kinds[0].memory.0, 42_000.0);
     assert_eq!(
@@ -31,14 +31,14 @@
 }
 
 #[test]
-fn faults_name_file_line_and_what_was_expected() {
-    let fault = |from: &str, to: &str| {
-        assert!(GOOD.contains(from), "{from}");
-        DeploymentSpec::load("day.star", &GOOD.replace(from, to))
+fn errors_name_file_line_and_expected_value() {
+    let error = |from: &str, to: &str| {
+        assert!(VALID.contains(from), "{from}");
+        DeploymentSpec::load("day.star", &VALID.replace(from, to))
             .unwrap_err()
             .to_string()
     };
-    for (from, to, say) in [
+    for (from, to, expected) in [
         (
             "\"9s\"",
             "9",
@@ -81,8 +81,8 @@
         ),
         ("range(3)]", "range(3)", "day.star:"),
     ] {
-        let got = fault(from, to);
-        assert!(got.starts_with(say), "{got}\n  instead of\n{say}");
+        let got = error(from, to);
+        assert!(got.starts_with(expected), "{got}\n  instead of\n{expected}");
     }
     assert_eq!(
         DeploymentSpec::load("d", "").unwrap_err().to_string(),
@@ -99,16 +99,16 @@
     })]
 
     #[test]
-    fn a_script_with_a_hole_is_read_or_refused(at in 0usize..500, len in 1usize..30) {
-        let at = at % GOOD.len();
-        let text = format!("{}{}", &GOOD[..at], &GOOD[(at + len).min(GOOD.len())..]);
-        if let Err(fault) = DeploymentSpec::load("day.star", &text) {
-            prop_assert!(fault.place.line >= 1 && !fault.why.is_empty());
+    fn script_with_a_gap_is_parsed_or_rejected_with_a_location(at in 0usize..500, len in 1usize..30) {
+        let at = at % VALID.len();
+        let text = format!("{}{}", &VALID[..at], &VALID[(at + len).min(VALID.len())..]);
+        if let Err(error) = DeploymentSpec::load("day.star", &text) {
+            prop_assert!(error.place.line >= 1 && !error.why.is_empty());
         }
     }
 
     #[test]
-    fn spans_are_never_rounded_up(ms in 0u64..1_000_000) {
+    fn durations_are_never_rounded_up(ms in 0u64..1_000_000) {
         let text = format!("{}.{:03}s", ms / 1_000, ms % 1_000);
         prop_assert_eq!(units::span(&text).unwrap().0, ms * 10);
     }
--- a/crates/scenario/src/clients.rs
+++ b/crates/scenario/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that wait for answers, hang up, read late, try again, as the script says.
+//! Clients that wait for responses, hang up, read slowly and retry as the script says.
 
 use crate::script::Day;
 use crate::traffic::Arrival;
@@ -18,40 +18,40 @@
 use tokio::io::AsyncWriteExt;
 use tokio::sync::oneshot;
 
-/// The answer, or none when the connection broke first.
-type Waiting = Rc<RefCell<BTreeMap<u64, oneshot::Sender<Told>>>>;
+/// Senders for the responses in flight, by request id; dropped when the connection closes first.
+type PendingResponses = Rc<RefCell<BTreeMap<u64, oneshot::Sender<Response>>>>;
 
 #[derive(Clone)]
-struct Told {
+struct Response {
     how: How,
-    come_back: Ticks,
-    /// What the passage goes on with.
-    holds: Option<Holds>,
-    /// The passage can't go on.
-    over: bool,
+    retry_after: Ticks,
+    /// The version with which the passage continues.
+    pinned: Option<PinnedVersion>,
+    /// Whether the controller ended the passage.
+    passage_ended: bool,
 }
 
-/// A version and its end, to be handed back.
+/// A version and the time until which it is pinned, which the client returns with its next invocation.
 #[derive(Clone)]
-struct Holds {
+struct PinnedVersion {
     version: String,
     until_ms: u64,
 }
 
-/// What a client knows of its passage.
+/// A passage, that is a sequence of invocations on one model version, as its client sees it.
 #[derive(Default)]
 struct Passage {
     name: String,
-    holds: Option<Holds>,
-    over: bool,
+    pinned: Option<PinnedVersion>,
+    ended: bool,
 }
 
-/// A connection to one controller's life.
+/// A connection to one incarnation of a controller.
 #[derive(Clone)]
 struct Connection {
     who: Who,
     outbox: SendQueue,
-    waiting: Waiting,
+    pending: PendingResponses,
     open: Rc<Cell<bool>>,
 }
 
@@ -61,18 +61,18 @@
     pub clock: Clock,
     pub turns: EventLoopClock,
     pub record: Record,
-    /// Where controllers take clients in: its life, its address, and whether the front door still sends there.
-    pub fronts: RefCell<Vec<(Who, Address, bool)>>,
-    lines: RefCell<BTreeMap<(u32, u32), Connection>>,
+    /// Client endpoints of the controllers: incarnation, address and whether new attempts are sent there.
+    pub endpoints: RefCell<Vec<(Who, Address, bool)>>,
+    connections: RefCell<BTreeMap<(u32, u32), Connection>>,
     next: Cell<usize>,
-    /// Passages that go on.
-    pub passages: Cell<usize>,
+    /// Number of passages in progress.
+    pub active_passages: Cell<usize>,
 }
 
-/// Between the invocations of a passage.
-const PAUSE: Duration = Duration::from_millis(150);
+/// Pause between the invocations of a passage.
+const PASSAGE_PAUSE: Duration = Duration::from_millis(150);
 
-fn id_of(of: Try) -> u64 {
+fn request_id(of: Try) -> u64 {
     of.n * 16 + u64::from(of.attempt)
 }
 
@@ -84,25 +84,25 @@
         turns: EventLoopClock,
         record: Record,
     ) -> Rc<Self> {
-        let (fronts, lines, next, passages) = Default::default();
+        let (endpoints, connections, next, active_passages) = Default::default();
         Rc::new(Self {
             day,
             network,
             clock,
             turns,
             record,
-            fronts,
-            lines,
+            endpoints,
+            connections,
             next,
-            passages,
+            active_passages,
         })
     }
 
-    fn next_front(&self) -> Option<(Who, Address)> {
-        let fronts = self.fronts.borrow();
-        for _ in 0..fronts.len() {
+    fn next_endpoint(&self) -> Option<(Who, Address)> {
+        let endpoints = self.endpoints.borrow();
+        for _ in 0..endpoints.len() {
             self.next.set(self.next.get() + 1);
-            let (who, address, open) = &fronts[self.next.get() % fronts.len()];
+            let (who, address, open) = &endpoints[self.next.get() % endpoints.len()];
             if *open {
                 return Some((*who, address.clone()));
             }
@@ -110,27 +110,27 @@
         None
     }
 
-    /// One invocation with all its tries; where there are versions, a passage of some, one after another.
+    /// Sends one invocation with all its attempts; on a day with model versions, a passage of several invocations in sequence.
     pub async fn invoke(self: Rc<Self>, n: u64, a: Arrival) {
         if self.day.versions == 0 {
             return self.invoke_once(n, &a, None).await;
         }
-        self.passages.set(self.passages.get() + 1);
+        self.active_passages.set(self.active_passages.get() + 1);
         let mut passage = Passage {
             name: format!("{n}"),
             ..Default::default()
         };
         for part in 0..u64::from(self.day.passage) {
             if part > 0 {
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(PASSAGE_PAUSE).await;
             }
             self.invoke_once(n * 1_000 + part, &a, Some(&mut passage))
                 .await;
-            if passage.over {
+            if passage.ended {
                 break;
             }
         }
-        self.passages.set(self.passages.get() - 1);
+        self.active_passages.set(self.active_passages.get() - 1);
     }
 
     async fn invoke_once(self: &Rc<Self>, n: u64, a: &Arrival, mut passage: Option<&mut Passage>) {
@@ -144,32 +144,32 @@
         };
         for attempt in 0.. {
             let of = Try { n, attempt };
-            let mut rng = fastrand::Rng::with_seed(self.day.seed ^ id_of(of));
+            let mut rng = fastrand::Rng::with_seed(self.day.seed ^ request_id(of));
             let end = match self
-                .one_try(of, a, stated.client_timeout, passage.as_deref())
+                .send_attempt(of, a, stated.client_timeout, passage.as_deref())
                 .await
             {
                 Err(()) => End::Unsent,
                 Ok(None) => {
-                    // Nothing was heard, and what may have spoken is not known: that passage is over before it began.
-                    if let Some(p) = passage.as_deref_mut().filter(|p| p.holds.is_none()) {
+                    // Without a response the client cannot know which version ran, so it starts a new passage under another name.
+                    if let Some(p) = passage.as_deref_mut().filter(|p| p.pinned.is_none()) {
                         p.name += "'";
                     }
                     End::Unknown
                 }
-                Ok(Some(told)) => {
+                Ok(Some(response)) => {
                     if let Some(p) = passage.as_deref_mut() {
-                        p.over |= told.over;
+                        p.ended |= response.passage_ended;
                         if self.day.hands_back {
-                            p.holds = told.holds.or(p.holds.take());
+                            p.pinned = response.pinned.or(p.pinned.take());
                         }
-                        if p.over {
+                        if p.ended {
                             return;
                         }
                     }
-                    match told.how {
+                    match response.how {
                         How::Succeeded => End::Succeeded,
-                        How::Throttled => End::Throttled(told.come_back),
+                        How::Throttled => End::Throttled(response.retry_after),
                         How::Errored => End::Errored,
                     }
                 }
@@ -183,17 +183,18 @@
         }
     }
 
-    /// Err: nothing was sent. None: sent, and not answered.
-    async fn one_try(
+    /// Sends one attempt and waits for its response. Returns `Err` if nothing was sent, and `None` if it was sent without a
+    /// response in time.
+    async fn send_attempt(
         self: &Rc<Self>,
         of: Try,
         a: &Arrival,
         timeout: Ticks,
         passage: Option<&Passage>,
-    ) -> Result<Option<Told>, ()> {
-        let (who, address) = self.next_front().ok_or(())?;
-        let alone = a.hangs_up.is_some() || a.reads_late.is_some();
-        let line = if alone {
+    ) -> Result<Option<Response>, ()> {
+        let (who, address) = self.next_endpoint().ok_or(())?;
+        let needs_own_connection = a.hangs_up.is_some() || a.reads_late.is_some();
+        let connection = if needs_own_connection {
             self.connect(who, &address, a.reads_late).await?
         } else {
             let key = (
@@ -201,17 +202,19 @@
                 self.next.get() as u32 / 7 % self.day.connections,
             );
             let open = self
-                .lines
+                .connections
                 .borrow()
                 .get(&key)
                 .filter(|l| l.open.get() && l.who == who)
                 .cloned();
             match open {
-                Some(line) => line,
+                Some(connection) => connection,
                 None => {
-                    let line = self.connect(who, &address, None).await?;
-                    self.lines.borrow_mut().insert(key, line.clone());
-                    line
+                    let connection = self.connect(who, &address, None).await?;
+                    self.connections
+                        .borrow_mut()
+                        .insert(key, connection.clone());
+                    connection
                 }
             }
         };
@@ -222,7 +225,7 @@
         let token = (stated.effect == Effect::IdempotencyKey).then(|| format!("token-{}", of.n));
         let input = json!({"n": of.n, "attempt": of.attempt, "work_ms": a.work as f64 / MILLISECOND as f64});
         let mut call = json!({
-            "jsonrpc": "2.0", "id": id_of(of), "method": "invoke",
+            "jsonrpc": "2.0", "id": request_id(of), "method": "invoke",
             "params": {"function": a.function, "tenant": tenant, "trigger": trigger, "input": input,
                 "time_left_ms": timeout as f64 / MILLISECOND as f64},
         });
@@ -230,18 +233,18 @@
             call["params"]["function"] = format!("{}-current", a.function).into();
             call["params"]["input"]["passage"] = p.name.clone().into();
             call["params"]["passage"] = p.name.clone().into();
-            if let Some(holds) = &p.holds {
-                call["params"]["version"] = holds.version.clone().into();
-                call["params"]["passage_until_ms"] = holds.until_ms.into();
+            if let Some(pinned) = &p.pinned {
+                call["params"]["version"] = pinned.version.clone().into();
+                call["params"]["passage_until_ms"] = pinned.until_ms.into();
             }
         }
         if let Some(token) = token {
             call["params"]["token"] = token.into();
         }
         let (to, answer) = oneshot::channel();
-        line.waiting.borrow_mut().insert(id_of(of), to);
+        connection.pending.borrow_mut().insert(request_id(of), to);
         let at = self.clock.now();
-        if line
+        if connection
             .outbox
             .push(Bytes::from(format!("{call}\n")), at + timeout)
             .is_none()
@@ -263,27 +266,28 @@
         }
         if let Some(after) = a.hangs_up {
             tokio::time::sleep(Duration::from_micros(after * 100)).await;
-            let answered = !line.waiting.borrow().contains_key(&id_of(of));
+            let answered = !connection.pending.borrow().contains_key(&request_id(of));
             if !answered {
                 self.record.note(Line::HungUp {
                     at: self.clock.now(),
                     of,
                 });
             }
-            line.outbox.close();
-            self.passages.set(self.passages.get().saturating_sub(1));
-            // Whoever hangs up does not come back.
+            connection.outbox.close();
+            self.active_passages
+                .set(self.active_passages.get().saturating_sub(1));
+            // A client that hung up does not retry.
             std::future::pending::<()>().await;
         }
         let patience = Duration::from_micros((timeout + a.reads_late.unwrap_or(0)) * 100);
-        let told = match tokio::time::timeout(patience, answer).await {
-            Ok(Ok(told)) => Some(told),
+        let response = match tokio::time::timeout(patience, answer).await {
+            Ok(Ok(response)) => Some(response),
             Ok(Err(_)) | Err(_) => None,
         };
-        if alone {
-            line.outbox.close();
+        if needs_own_connection {
+            connection.outbox.close();
         }
-        Ok(told)
+        Ok(response)
     }
 
     async fn connect(
@@ -294,28 +298,28 @@
     ) -> Result<Connection, ()> {
         let stream = self.network.dial(address).await.map_err(|_| ())?;
         let (input, mut output) = split(stream);
-        let (outbox, waiting) = (SendQueue::new(64 << 20), Waiting::default());
+        let (outbox, pending) = (SendQueue::new(64 << 20), PendingResponses::default());
         let open = Rc::new(Cell::new(true));
-        let line = Connection {
+        let connection = Connection {
             who,
             outbox: outbox.clone(),
-            waiting: waiting.clone(),
+            pending: pending.clone(),
             open: open.clone(),
         };
         let this = self.clone();
         tokio::task::spawn_local(async move {
             let clock = this.clock;
             let mut read = ArrivalReader::new(input, clock, this.turns.clone());
-            let said_goodbye = tokio::select! {
+            let closed_by_client = tokio::select! {
                 biased;
-                () = this.listen(&mut read, &waiting, late) => false,
+                () = this.read_responses(&mut read, &pending, late) => false,
                 done = outbox.write_to(&mut output, || clock.now(), |_| ()) => done.is_ok(),
             };
             open.set(false);
             outbox.close();
-            let left = std::mem::take(&mut *waiting.borrow_mut());
-            if !said_goodbye {
-                for id in left.keys() {
+            let unanswered = std::mem::take(&mut *pending.borrow_mut());
+            if !closed_by_client {
+                for id in unanswered.keys() {
                     let of = Try {
                         n: id / 16,
                         attempt: (id % 16) as u32,
@@ -327,13 +331,13 @@
                 }
             }
         });
-        Ok(line)
+        Ok(connection)
     }
 
-    async fn listen(
+    async fn read_responses(
         &self,
         read: &mut ArrivalReader<saltdrum_transport::StreamHalf>,
-        waiting: &Waiting,
+        pending: &PendingResponses,
         late: Option<Ticks>,
     ) {
         if let Some(late) = late {
@@ -342,12 +346,12 @@
         while let Ok(Some(earliest)) = read.read_more().await {
             while let Some(end) = read.bytes.iter().position(|b| *b == b'\n') {
                 let line = read.bytes.split_to(end + 1);
-                self.hear(&line, earliest, waiting);
+                self.handle_response(&line, earliest, pending);
             }
         }
     }
 
-    fn hear(&self, line: &BytesMut, earliest: Ticks, waiting: &Waiting) {
+    fn handle_response(&self, line: &BytesMut, earliest: Ticks, pending: &PendingResponses) {
         let Ok(reply) = serde_json::from_slice::<rpc::Reply>(line) else {
             return;
         };
@@ -359,27 +363,27 @@
             Some(e) if e.code == rpc::THROTTLED => How::Throttled,
             Some(_) => How::Errored,
         };
-        let come_back = reply
+        let retry_after_ms = reply
             .error
             .as_ref()
             .and_then(|e| e.data.get("come_back_ms")?.as_u64());
-        let told = match (&reply.error, reply.result) {
+        let data = match (&reply.error, reply.result) {
             (Some(e), _) => e.data.clone(),
             (None, Some(result)) => serde_json::from_str(result.get()).unwrap_or_default(),
             _ => serde_json::Value::Null,
         };
-        let holds = || {
-            let version = told.get("version")?.as_str()?.to_owned();
-            Some(Holds {
+        let pinned = || {
+            let version = data.get("version")?.as_str()?.to_owned();
+            Some(PinnedVersion {
                 version,
-                until_ms: told.get("passage_until_ms")?.as_u64()?,
+                until_ms: data.get("passage_until_ms")?.as_u64()?,
             })
         };
-        let over = reply
+        let passage_ended = reply
             .error
             .as_ref()
             .is_some_and(|e| e.code == rpc::PASSAGE_OVER);
-        let come_back = come_back.unwrap_or(0) * MILLISECOND;
+        let retry_after = retry_after_ms.unwrap_or(0) * MILLISECOND;
         let of = Try {
             n: id / 16,
             attempt: (id % 16) as u32,
@@ -390,22 +394,22 @@
             of,
             how,
         });
-        if let Some(to) = waiting.borrow_mut().remove(&id) {
-            let _ = to.send(Told {
+        if let Some(to) = pending.borrow_mut().remove(&id) {
+            let _ = to.send(Response {
                 how,
-                come_back,
-                holds: holds(),
-                over,
+                retry_after,
+                pinned: pinned(),
+                passage_ended,
             });
         }
     }
 
-    /// Lines that no client should write; the connection they come on is the only one to suffer.
-    pub async fn talk_nonsense(&self) {
-        let Some((_, address)) = self.next_front() else {
+    /// Sends malformed requests, each on a connection of its own, the only one that they may affect.
+    pub async fn send_malformed_requests(&self) {
+        let Some((_, address)) = self.next_endpoint() else {
             return;
         };
-        let nonsense: [&[u8]; 6] = [
+        let malformed: [&[u8]; 6] = [
             b"{\"jsonrpc\":\"2.0\",\"method\":\"invoke\",\"id\":1,\"params\":{\"function\":3}}\n",
             b"{\"jsonrpc\":\"2.0\",\"method\":\"fly\",\"id\":2}\n",
             b"[[[[\n",
@@ -413,7 +417,7 @@
             b"{\"jsonrpc\":\"2.0\",\"method\":\"invoke\",\"id\":3,\"par",
             &[b'x'; 100_000],
         ];
-        for bytes in nonsense {
+        for bytes in malformed {
             let Ok(mut stream) = self.network.dial(&address).await else {
                 return;
             };
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -1,8 +1,8 @@
-//! Scripted days: a deployment, its load and its troubles, played on the real controller and judged by the records.
+//! Scripted days: a deployment, its load and its faults (troubles), run against the real controller and judged by the records.
 //!
-//! `script` reads a day, `traffic` draws its load, `clients` sends it, `stage` puts everything up and brings the
-//! troubles, `check` judges the five rules and `summary` tells what came of it. `check` and `summary` know records
-//! only: nothing of the module, the controller or the script.
+//! `script` parses a day, `traffic` generates its load, `clients` send it, `stage` starts all components and injects the
+//! troubles, `check` judges the five rules and `summary` aggregates the outcomes. `check` and `summary` read records
+//! only and do not depend on the policy, the controller or the script.
 
 pub mod check;
 mod clients;
@@ -18,7 +18,7 @@
     Overrides, POLICIES, Serve, play_on_sockets, play_virtually, play_with_overrides, serve,
 };
 
-/// Days that come with the program, by name.
+/// Built-in days: their names and scripts.
 pub const DAYS: &[(&str, &str)] = &[
     ("bad-day", include_str!("../days/bad-day.star")),
     (
--- a/crates/scenario/src/passages.rs
+++ b/crates/scenario/src/passages.rs
@@ -1,21 +1,22 @@
-//! Whether passages were answered by one version each, by what the invokers ran. Knows nothing of the registry.
+//! Checks from the invokers' records that each passage ran on one model version only. Does not depend on the registry.
 
 use saltdrum_fakes::record::Line;
 use std::collections::BTreeMap;
 
+/// Counts of passages and of those that mixed versions.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Passages {
     pub passages: usize,
-    /// With more than one invocation that ran.
+    /// Passages in which more than one invocation ran.
     pub longer: usize,
     pub invocations: usize,
-    /// Functions that spoke, over all.
+    /// Distinct functions that ran over all passages.
     pub functions: usize,
-    /// Passages in which more than one spoke, each in words.
+    /// A description of each passage in which more than one function ran.
     pub mixed: Vec<String>,
 }
 
-/// None where nothing belongs to a passage.
+/// Groups the runs in a record by passage. Returns `None` if no run belongs to a passage.
 pub fn look(lines: &[Line]) -> Option<Passages> {
     let mut all = BTreeMap::<&str, Vec<(u64, u64, u32)>>::new();
     for line in lines {
@@ -40,12 +41,12 @@
         ..Default::default()
     };
     let mut functions = std::collections::BTreeSet::new();
-    for (passage, spoke) in all {
-        found.invocations += spoke.len();
-        found.longer += usize::from(spoke.len() > 1);
-        functions.extend(spoke.iter().map(|s| s.1));
-        let first = spoke[0];
-        if let Some(other) = spoke.iter().find(|s| s.1 != first.1) {
+    for (passage, runs) in all {
+        found.invocations += runs.len();
+        found.longer += usize::from(runs.len() > 1);
+        functions.extend(runs.iter().map(|s| s.1));
+        let first = runs[0];
+        if let Some(other) = runs.iter().find(|s| s.1 != first.1) {
             found.mixed.push(format!(
                 "passage {passage}: function {} on invoker {} at {} ms, then function {} on invoker {} at {} ms",
                 first.1,
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -691,10 +691,10 @@
             who,
             up: true,
         });
-        let mut fronts = self.clients.fronts.borrow_mut();
-        fronts.retain(|(w, ..)| w.controller != controller);
-        fronts.push((who, address, true));
-        fronts.sort_by_key(|(w, ..)| *w);
+        let mut endpoints = self.clients.endpoints.borrow_mut();
+        endpoints.retain(|(w, ..)| w.controller != controller);
+        endpoints.push((who, address, true));
+        endpoints.sort_by_key(|(w, ..)| *w);
         Ok(())
     }
 
@@ -719,14 +719,14 @@
             }
             Chair::Task { task, .. } => task.abort(),
         }
-        for front in self
+        for endpoint in self
             .clients
-            .fronts
+            .endpoints
             .borrow_mut()
             .iter_mut()
             .filter(|f| f.0 == who)
         {
-            front.2 = false;
+            endpoint.2 = false;
         }
     }
 
@@ -814,7 +814,7 @@
         tokio::time::sleep(Duration::from_micros(rest * 100)).await;
         // Passages go on for as long as all of their invocations may take.
         let most = self.clock.now() + rest * Ticks::from(self.day.passage);
-        while self.clients.passages.get() > 0 && self.clock.now() < most {
+        while self.clients.active_passages.get() > 0 && self.clock.now() < most {
             self.sleep(SECOND / 10).await;
         }
     }
@@ -1220,7 +1220,7 @@
                 }
             }
             Kind::ControllerStall => t.controllers.iter().for_each(|c| self.stall(*c, t.lasts)),
-            Kind::BadInput => self.clients.talk_nonsense().await,
+            Kind::BadInput => self.clients.send_malformed_requests().await,
             // These change what clients send, before the day begins.
             Kind::HotFunction | Kind::HeavyTail | Kind::ClientHangUps | Kind::SlowReaders => {}
         }
