--- a/crates/agent/src/follow.rs
+++ b/crates/agent/src/follow.rs
@@ -4,7 +4,7 @@
 use bytes::BytesMut;
 use saltdrum::interface::Ticks;
 use saltdrum_layers::plan::Member;
-use saltdrum_protocol::frame::{cut, encode};
+use saltdrum_protocol::frame::{encode, take_frame};
 use saltdrum_protocol::list::{Entry, Follow, FromList, Life};
 use saltdrum_transport::{Address, Network};
 use std::collections::BTreeMap;
@@ -42,7 +42,7 @@
         return "no connection".into();
     };
     // Followers are told apart by their numbers; an agent must not pass for a controller.
-    let (controller, incarnation) = (u32::MAX - agent.seat.me, agent.seat.seed);
+    let (controller, incarnation) = (u32::MAX - agent.config.invoker, agent.config.seed);
     if let Err(e) = stream
         .write_all(&encode(&Follow {
             version: 1,
@@ -55,7 +55,7 @@
     }
     let mut read = BytesMut::new();
     loop {
-        let message = match cut(&mut read) {
+        let message = match take_frame(&mut read) {
             Err(e) => return e.to_string(),
             Ok(Some((kind, body))) => FromList::read(kind, &body),
             Ok(None) => match tokio::time::timeout(LOOK_EVERY, stream.read_buf(&mut read)).await {
@@ -97,12 +97,12 @@
     let now = agent.clock.now();
     let peer = |(e, heard): &(Entry, Ticks)| {
         let age = e.age_tenths + (now - heard);
-        let risen = (RISEN_FIRST + age as f64 / RISES_IN_TENTHS).min(1.0);
+        let capacity_share = (RISEN_FIRST + age as f64 / RISES_IN_TENTHS).min(1.0);
         let ready = e.life == Life::Ready;
         let member = Member {
             invoker: e.invoker,
             size: f64::from(e.size),
-            risen,
+            capacity_share,
             ready,
         };
         Some(Peer {
@@ -111,6 +111,6 @@
         })
     };
     let peers: Vec<Peer> = known.values().filter_map(peer).collect();
-    agent.listed(&peers);
+    agent.update_peers(&peers);
     agent.go_on();
 }
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -9,8 +9,8 @@
 use saltdrum_controller::shutdown::ShutdownHandle;
 use saltdrum_controller::{AliasConfig, ControllerConfig, PolicyFactory};
 use saltdrum_deployment::DeploymentSpec;
-use saltdrum_fakes::invoker::Site;
-use saltdrum_fakes::{Faults, Invoker, List, Record, Registry, Store, record};
+use saltdrum_fakes::invoker::InvokerConfig;
+use saltdrum_fakes::{EndpointList, Faults, Invoker, ModelStore, OciRegistry, Record, record};
 use saltdrum_layers::cache::{Cache, RealDisk};
 use saltdrum_layers::layout::Layout;
 use saltdrum_protocol::list::{Entry, Life};
@@ -52,8 +52,8 @@
         Ok(Some(FollowConfig {
             registry: registry.parse()?,
             key: crate::registry::read_key(key)?,
-            who,
-            copy,
+            follower_name: who,
+            copy_path: copy,
         }))
     }
 
@@ -198,27 +198,27 @@
     on_this_thread(async {
         let (clock, turns, record) = (Clock::start(), EventLoopClock::default(), Record::default());
         tokio::task::spawn_local(run_event_loop_clock(turns.clone(), clock, |_, _| ()));
-        let site = Site {
+        let site = InvokerConfig {
             terms,
             stated,
             network: Rc::new(SocketNetwork),
             clock,
-            hour: clock,
-            turns,
+            record_clock: clock,
+            event_loop: turns,
             record: record.clone(),
-            at,
+            address: at,
             store,
             tokens: Default::default(),
             seed: fastrand::u64(..),
             fetch_share: 0.6,
-            versions,
+            registry_follow: versions,
             layers: None,
         };
         let invoker = Invoker::new(site);
-        invoker.fault(|f, _| *f = faults);
+        invoker.update_faults(|f, _| *f = faults);
         if joined.is_some() {
             // Below the sign bit: JSON readers elsewhere take no more.
-            invoker.next_life(fastrand::u64(2..1 << 48));
+            invoker.set_next_incarnation(fastrand::u64(2..1 << 48));
         }
         let address = invoker
             .start(joined.is_some() && joins.cold, &[])
@@ -266,7 +266,7 @@
     let at: Address = listen.parse()?;
     on_this_thread(async {
         let record = Record::default();
-        let opened = Store::open(
+        let opened = ModelStore::open(
             Rc::new(SocketNetwork),
             Clock::start(),
             record.clone(),
@@ -316,9 +316,10 @@
     }
     on_this_thread(async {
         let record = Record::default();
-        let opened = List::open(Rc::new(SocketNetwork), Clock::start(), record.clone(), &at).await;
+        let opened =
+            EndpointList::open(Rc::new(SocketNetwork), Clock::start(), record.clone(), &at).await;
         let (list, address) = opened.map_err(|e| format!("{listen}: {e}"))?;
-        entries.into_iter().for_each(|e| list.say(e));
+        entries.into_iter().for_each(|e| list.publish(e));
         println!("list at {address}");
         print_until_interrupted(&record).await;
         Ok(0)
@@ -464,7 +465,7 @@
         Layout::open(folder).map_err(|e| e.to_string())?,
         listen.parse()?,
     );
-    let registry = Registry::new(limit, fastrand::u64(..));
+    let registry = OciRegistry::new(limit, fastrand::u64(..));
     for (tag, digest) in layout.tags().map_err(|e| e.to_string())? {
         let (_, manifest) = layout.manifest(&tag).map_err(|e| e.to_string())?;
         let read =
@@ -512,8 +513,8 @@
         let clock = Clock::start();
         let cache = Cache::open(at.folder, at.cache_mb * 1_000_000, Rc::new(RealDisk));
         let cache = cache.map_err(|e| format!("{}: {e}", at.folder.display()))?;
-        let seat = saltdrum_agent::ControllerConfig {
-            me: at.me,
+        let seat = saltdrum_agent::AgentConfig {
+            invoker: at.me,
             seed: fastrand::u64(..),
             store,
             serve_bytes_per_second: 200e6,
@@ -555,7 +556,7 @@
     let mut stream = tokio::io::BufStream::new(stream);
     let mut line = String::new();
     while stream.read_line(&mut line).await.is_ok_and(|n| n > 0) {
-        let answer = match rpc::read(line.trim().as_bytes()) {
+        let answer = match rpc::parse_line(line.trim().as_bytes()) {
             Ok(rpc::Line::Single(Ok(call))) => {
                 let id = call.id.unwrap_or_else(rpc::Id::null);
                 let params = call.params.as_ref().map_or("{}", |p| p.get());
@@ -564,32 +565,36 @@
                         Ok(loaded) => {
                             let told = serde_json::json!({"digest": loaded.digest.to_string(),
                                 "chunks": loaded.manifest.chunks.len(), "bytes": loaded.manifest.bytes()});
-                            rpc::result(&id, &told.to_string())
+                            rpc::format_result(&id, &told.to_string())
                         }
-                        Err(e) => rpc::error(&id, rpc::ERRORED, &e.to_string(), None),
+                        Err(e) => rpc::format_error(&id, rpc::ERRORED, &e.to_string(), None),
                     },
-                    ("load", Err(e)) => rpc::error(&id, rpc::INVALID_PARAMS, &e.to_string(), None),
+                    ("load", Err(e)) => {
+                        rpc::format_error(&id, rpc::INVALID_PARAMS, &e.to_string(), None)
+                    }
                     ("status", _) => {
                         let c = &agent.counts;
                         let told = serde_json::json!({"from_cache": c.from_cache.get(),
                             "from_peers": c.from_peers.get(), "from_store": c.from_store.get(),
                             "bytes_from_store": c.bytes_from_store.get(), "damaged": c.damaged.get(),
                             "served": c.served.get(), "held_bytes": agent.cache.bytes()});
-                        rpc::result(&id, &told.to_string())
+                        rpc::format_result(&id, &told.to_string())
                     }
                     (other, _) => {
                         let why = format!("method '{other}': load or status is expected");
-                        rpc::error(&id, rpc::METHOD_NOT_FOUND, &why, None)
+                        rpc::format_error(&id, rpc::METHOD_NOT_FOUND, &why, None)
                     }
                 }
             }
-            Ok(rpc::Line::Batch(_)) => rpc::error(
+            Ok(rpc::Line::Batch(_)) => rpc::format_error(
                 &rpc::Id::null(),
                 rpc::INVALID_REQUEST,
                 "no batches here",
                 None,
             ),
-            Ok(rpc::Line::Single(Err(r))) | Err(r) => rpc::error(&r.id, r.code, &r.why, None),
+            Ok(rpc::Line::Single(Err(r))) | Err(r) => {
+                rpc::format_error(&r.id, r.code, &r.why, None)
+            }
         };
         line.clear();
         let written = async {
--- a/crates/lab/tests/lab.rs
+++ b/crates/lab/tests/lab.rs
@@ -1,7 +1,7 @@
 //! Experiments and searches on real days, small ones.
 
 use saltdrum_fakes::record::Line;
-use saltdrum_faulty_peers::{Fault, careless, rogue};
+use saltdrum_faulty_peers::{Fault, fetch_model_unverified, run_faulty_controller};
 use saltdrum_lab::hunt::{Bounds, hunt};
 use saltdrum_lab::{Experiment, Script, results, run};
 use saltdrum_scenario::{DAYS, Overrides, Serve};
@@ -44,7 +44,7 @@
     assert_eq!((one.played, four.played, one.failed.len()), (6, 6, 0));
     assert_eq!(one.digest, four.digest);
     // A kill leaves whole runs, one that is half written, and perhaps a damaged one.
-    let (whole, _) = results::find(&at("four")).unwrap();
+    let (whole, _) = results::scan(&at("four")).unwrap();
     let mut paths = whole.values();
     fs::remove_file(paths.next().unwrap()).unwrap();
     fs::write(at("four").join("aaaa.half"), b"PAR1").unwrap();
@@ -54,11 +54,11 @@
     fs::write(damaged, bytes).unwrap();
     let again = run::run(&x, &at("four"), 4, |_, _, _| ()).unwrap();
     assert_eq!(
-        (again.played, again.found, &again.digest),
+        (again.played, again.reused, &again.digest),
         (2, 4, &one.digest)
     );
     let third = run::run(&x, &at("four"), 2, |_, _, _| ()).unwrap();
-    assert_eq!((third.played, third.found), (0, 6));
+    assert_eq!((third.played, third.reused), (0, 6));
 }
 
 #[test]
@@ -69,16 +69,16 @@
         "experiment('one', days = ['small.star'], seeds = 1)\nvariant('design')\n",
     );
     run::run(&x, folder.path(), 1, |_, _, _| ()).unwrap();
-    let (whole, _) = results::find(folder.path()).unwrap();
+    let (whole, _) = results::scan(folder.path()).unwrap();
     let path = whole.values().next().unwrap();
     let kept = results::read(path).unwrap();
     // The script that made it makes it again.
-    let day = Script::read("again", &kept.made.script)
+    let day = Script::read("again", &kept.origin.script)
         .unwrap()
         .day()
         .unwrap();
     let lines = saltdrum_scenario::play_virtually(&day, saltdrum_scenario::serve).unwrap();
-    let (rows, facts) = saltdrum_lab::facts::of(&lines, None).unwrap();
+    let (rows, facts) = saltdrum_lab::facts::summarize(&lines, None).unwrap();
     assert!(kept.rows == rows && rows.len() > 200 && facts.digest == kept.facts.digest);
     assert_eq!(kept.facts.slow.len(), 6);
     assert!(
@@ -122,32 +122,32 @@
     let folder = tempfile::tempdir().unwrap();
     let x = experiment(folder.path(), TWO);
     run::run(&x, folder.path(), 2, |_, _, _| ()).unwrap();
-    let (before, _) = results::find(folder.path()).unwrap();
+    let (before, _) = results::scan(folder.path()).unwrap();
     let one = results::read(before.values().next().unwrap()).unwrap();
     let nowhere = folder.path().join("small.star");
-    let told = results::keep(&nowhere, &one.made, &one.facts, &one.rows)
+    let told = results::store(&nowhere, &one.origin, &one.facts, &one.rows)
         .unwrap_err()
         .to_string();
     assert!(
         told.contains("small.star") && told.contains(".half"),
         "{told}"
     );
-    assert_eq!(results::find(folder.path()).unwrap().0, before);
+    assert_eq!(results::scan(folder.path()).unwrap().0, before);
 }
 
 #[test]
 fn a_day_that_goes_below_its_bound_is_found_and_one_that_keeps_all_is_not() {
     let base = Script::read("small", SMALL).unwrap();
     let of = |least| Bounds {
-        least_value: Some(least),
+        min_value: Some(least),
         only_rule: None,
     };
     let real = Overrides::of(saltdrum_scenario::serve);
     let found = hunt(&base, real, of(0.9), 1, 40, 40, 4).unwrap().unwrap();
     assert!(
-        found.why.starts_with("value: billed value"),
+        found.reason.starts_with("value: billed value"),
         "{}",
-        found.why
+        found.reason
     );
     assert!(hunt(&base, real, of(0.0), 1, 12, 40, 4).unwrap().is_none());
 }
@@ -162,7 +162,7 @@
         Overrides::of(serve),
         Bounds {
             only_rule: Some(rule),
-            least_value: None,
+            min_value: None,
         },
         1,
         BUDGET,
@@ -172,9 +172,9 @@
     .unwrap()
     .unwrap();
     assert!(
-        found.why.starts_with(&format!("rule {rule}: ")),
+        found.reason.starts_with(&format!("rule {rule}: ")),
         "{}",
-        found.why
+        found.reason
     );
     let again = Script::read("shrunk.star", &found.shrunk.script.text()).unwrap();
     let day = again.day().unwrap();
@@ -203,17 +203,23 @@
 
 #[test]
 fn a_controller_that_answers_twice_is_found() {
-    planted(1, |s, n, c| rogue(Fault::AnswersTwice, s, n, c));
+    planted(1, |s, n, c| {
+        run_faulty_controller(Fault::AnswersTwice, s, n, c)
+    });
 }
 
 #[test]
 fn a_controller_that_runs_effects_twice_is_found() {
-    planted(2, |s, n, c| rogue(Fault::RunsTwice, s, n, c));
+    planted(2, |s, n, c| {
+        run_faulty_controller(Fault::RunsTwice, s, n, c)
+    });
 }
 
 #[test]
 fn a_controller_that_dispatches_after_a_drain_is_found() {
-    planted(3, |s, n, c| rogue(Fault::IgnoresDrains, s, n, c));
+    planted(3, |s, n, c| {
+        run_faulty_controller(Fault::IgnoresDrains, s, n, c)
+    });
 }
 
 const WITH_LAYERS: &str = r#"
@@ -232,7 +238,11 @@
 fn copies(day: &saltdrum_scenario::Day, cover: Overrides) -> (usize, usize) {
     let lines = saltdrum_scenario::play_with_overrides(day, cover).unwrap();
     let of = |l: &Line| {
-        if let Line::Copied { sound, .. } = l {
+        if let Line::CopyAssembled {
+            matches_model: sound,
+            ..
+        } = l
+        {
             Some(*sound)
         } else {
             None
@@ -247,12 +257,12 @@
     let base = Script::read("layers", WITH_LAYERS).unwrap();
     let planted = Overrides {
         serve: saltdrum_scenario::serve,
-        brings: Some(careless),
+        brings: Some(fetch_model_unverified),
     };
     let found = hunt(&base, planted, Bounds::default(), 1, BUDGET, 60, 4)
         .unwrap()
         .unwrap();
-    assert!(found.why.starts_with("copy: "), "{}", found.why);
+    assert!(found.reason.starts_with("copy: "), "{}", found.reason);
     let day = found.shrunk.script.day().unwrap();
     assert!(copies(&day, planted).1 > 0);
     // The real one, on the very day, loads as much and throws away what is damaged.
@@ -323,55 +333,55 @@
             "answers-twice",
             include_str!("found/answers-twice.star"),
             1,
-            |s, n, c| rogue(Fault::AnswersTwice, s, n, c),
+            |s, n, c| run_faulty_controller(Fault::AnswersTwice, s, n, c),
         ),
         (
             "answers-not-all",
             include_str!("found/answers-not-all.star"),
             1,
-            |s, n, c| rogue(Fault::AnswersNotAll, s, n, c),
+            |s, n, c| run_faulty_controller(Fault::AnswersNotAll, s, n, c),
         ),
         (
             "answers-late",
             include_str!("found/answers-late.star"),
             1,
-            |s, n, c| rogue(Fault::AnswersLate, s, n, c),
+            |s, n, c| run_faulty_controller(Fault::AnswersLate, s, n, c),
         ),
         (
             "runs-twice",
             include_str!("found/runs-twice.star"),
             2,
-            |s, n, c| rogue(Fault::RunsTwice, s, n, c),
+            |s, n, c| run_faulty_controller(Fault::RunsTwice, s, n, c),
         ),
         (
             "throttles-what-ran",
             include_str!("found/throttles-what-ran.star"),
             2,
-            |s, n, c| rogue(Fault::ThrottlesWhatRan, s, n, c),
+            |s, n, c| run_faulty_controller(Fault::ThrottlesWhatRan, s, n, c),
         ),
         (
             "two-out",
             include_str!("found/two-out.star"),
             2,
-            |s, n, c| rogue(Fault::TwoOut, s, n, c),
+            |s, n, c| run_faulty_controller(Fault::TwoOut, s, n, c),
         ),
         (
             "ignores-drains",
             include_str!("found/ignores-drains.star"),
             3,
-            |s, n, c| rogue(Fault::IgnoresDrains, s, n, c),
+            |s, n, c| run_faulty_controller(Fault::IgnoresDrains, s, n, c),
         ),
         (
             "loads-at-will",
             include_str!("found/loads-at-will.star"),
             5,
-            |s, n, c| rogue(Fault::LoadsAtWill, s, n, c),
+            |s, n, c| run_faulty_controller(Fault::LoadsAtWill, s, n, c),
         ),
         (
             "floods-cold-ones",
             include_str!("found/floods-cold-ones.star"),
             4,
-            |s, n, c| rogue(Fault::FloodsColdOnes, s, n, c),
+            |s, n, c| run_faulty_controller(Fault::FloodsColdOnes, s, n, c),
         ),
     ];
     for (name, text, rule, serve) in found {
--- a/crates/scenario/src/clients.rs
+++ b/crates/scenario/src/clients.rs
@@ -4,8 +4,8 @@
 use crate::traffic::Arrival;
 use bytes::{Bytes, BytesMut};
 use saltdrum::interface::{Effect, MILLISECOND, Ticks};
-use saltdrum_fakes::record::{How, Line, Record, Try, Who};
-use saltdrum_load::retry::{End, Patience, Then};
+use saltdrum_fakes::record::{ClientAttempt, ControllerId, Line, Outcome, Record};
+use saltdrum_load::retry::{AttemptOutcome, RetryDecision, RetryPolicy};
 use saltdrum_protocol::rpc;
 use saltdrum_transport::{
     Address, ArrivalReader, Clock, EventLoopClock, Network, SendQueue, split,
@@ -23,7 +23,7 @@
 
 #[derive(Clone)]
 struct Response {
-    how: How,
+    how: Outcome,
     retry_after: Ticks,
     /// The version with which the passage continues.
     pinned: Option<PinnedVersion>,
@@ -49,7 +49,7 @@
 /// A connection to one incarnation of a controller.
 #[derive(Clone)]
 struct Connection {
-    who: Who,
+    who: ControllerId,
     outbox: SendQueue,
     pending: PendingResponses,
     open: Rc<Cell<bool>>,
@@ -62,7 +62,7 @@
     pub turns: EventLoopClock,
     pub record: Record,
     /// Client endpoints of the controllers: incarnation, address and whether new attempts are sent there.
-    pub endpoints: RefCell<Vec<(Who, Address, bool)>>,
+    pub endpoints: RefCell<Vec<(ControllerId, Address, bool)>>,
     connections: RefCell<BTreeMap<(u32, u32), Connection>>,
     next: Cell<usize>,
     /// Number of passages in progress.
@@ -72,8 +72,8 @@
 /// Pause between the invocations of a passage.
 const PASSAGE_PAUSE: Duration = Duration::from_millis(150);
 
-fn request_id(of: Try) -> u64 {
-    of.n * 16 + u64::from(of.attempt)
+fn request_id(of: ClientAttempt) -> u64 {
+    of.number * 16 + u64::from(of.attempt)
 }
 
 impl Clients {
@@ -98,7 +98,7 @@
         })
     }
 
-    fn next_endpoint(&self) -> Option<(Who, Address)> {
+    fn next_endpoint(&self) -> Option<(ControllerId, Address)> {
         let endpoints = self.endpoints.borrow();
         for _ in 0..endpoints.len() {
             self.next.set(self.next.get() + 1);
@@ -138,24 +138,24 @@
         let function = &terms.functions[&a.function];
         let stated = &terms.deployment.trigger_types[function.trigger];
         let first = self.clock.now();
-        let patience = Patience {
+        let patience = RetryPolicy {
             retries: self.day.retries,
             backoff: self.day.backoff,
         };
         for attempt in 0.. {
-            let of = Try { n, attempt };
+            let of = ClientAttempt { number: n, attempt };
             let mut rng = fastrand::Rng::with_seed(self.day.seed ^ request_id(of));
             let end = match self
                 .send_attempt(of, a, stated.client_timeout, passage.as_deref())
                 .await
             {
-                Err(()) => End::Unsent,
+                Err(()) => AttemptOutcome::Unsent,
                 Ok(None) => {
                     // Without a response the client cannot know which version ran, so it starts a new passage under another name.
                     if let Some(p) = passage.as_deref_mut().filter(|p| p.pinned.is_none()) {
                         p.name += "'";
                     }
-                    End::Unknown
+                    AttemptOutcome::Unknown
                 }
                 Ok(Some(response)) => {
                     if let Some(p) = passage.as_deref_mut() {
@@ -168,15 +168,15 @@
                         }
                     }
                     match response.how {
-                        How::Succeeded => End::Succeeded,
-                        How::Throttled => End::Throttled(response.retry_after),
-                        How::Errored => End::Errored,
+                        Outcome::Succeeded => AttemptOutcome::Succeeded,
+                        Outcome::Throttled => AttemptOutcome::Throttled(response.retry_after),
+                        Outcome::Errored => AttemptOutcome::Errored,
                     }
                 }
             };
-            match patience.then(stated, attempt, self.clock.now() - first, end, rng.f64()) {
-                Then::Over => return,
-                Then::AgainAfter(wait) => {
+            match patience.decide(stated, attempt, self.clock.now() - first, end, rng.f64()) {
+                RetryDecision::Stop => return,
+                RetryDecision::RetryAfter(wait) => {
                     tokio::time::sleep(Duration::from_micros(wait * 100)).await
                 }
             }
@@ -187,7 +187,7 @@
     /// response in time.
     async fn send_attempt(
         self: &Rc<Self>,
-        of: Try,
+        of: ClientAttempt,
         a: &Arrival,
         timeout: Ticks,
         passage: Option<&Passage>,
@@ -222,8 +222,9 @@
         let trigger = &self.day.terms.trigger_type_names[function.trigger];
         let stated = &self.day.terms.deployment.trigger_types[function.trigger];
         let tenant = &self.day.terms.tenant_names[a.tenant];
-        let token = (stated.effect == Effect::IdempotencyKey).then(|| format!("token-{}", of.n));
-        let input = json!({"n": of.n, "attempt": of.attempt, "work_ms": a.work as f64 / MILLISECOND as f64});
+        let token =
+            (stated.effect == Effect::IdempotencyKey).then(|| format!("token-{}", of.number));
+        let input = json!({"n": of.number, "attempt": of.attempt, "work_ms": a.work as f64 / MILLISECOND as f64});
         let mut call = json!({
             "jsonrpc": "2.0", "id": request_id(of), "method": "invoke",
             "params": {"function": a.function, "tenant": tenant, "trigger": trigger, "input": input,
@@ -292,7 +293,7 @@
 
     async fn connect(
         self: &Rc<Self>,
-        who: Who,
+        who: ControllerId,
         address: &Address,
         late: Option<Ticks>,
     ) -> Result<Connection, ()> {
@@ -320,11 +321,11 @@
             let unanswered = std::mem::take(&mut *pending.borrow_mut());
             if !closed_by_client {
                 for id in unanswered.keys() {
-                    let of = Try {
-                        n: id / 16,
+                    let of = ClientAttempt {
+                        number: id / 16,
                         attempt: (id % 16) as u32,
                     };
-                    this.record.note(Line::CutOff {
+                    this.record.note(Line::ConnectionLost {
                         at: clock.now(),
                         of,
                     });
@@ -359,9 +360,9 @@
             return;
         };
         let how = match &reply.error {
-            None => How::Succeeded,
-            Some(e) if e.code == rpc::THROTTLED => How::Throttled,
-            Some(_) => How::Errored,
+            None => Outcome::Succeeded,
+            Some(e) if e.code == rpc::THROTTLED => Outcome::Throttled,
+            Some(_) => Outcome::Errored,
         };
         let retry_after_ms = reply
             .error
@@ -384,8 +385,8 @@
             .as_ref()
             .is_some_and(|e| e.code == rpc::PASSAGE_OVER);
         let retry_after = retry_after_ms.unwrap_or(0) * MILLISECOND;
-        let of = Try {
-            n: id / 16,
+        let of = ClientAttempt {
+            number: id / 16,
             attempt: (id % 16) as u32,
         };
         self.record.note(Line::Final {
