--- a/crates/scenario/src/check.rs
+++ b/crates/scenario/src/check.rs
@@ -1,28 +1,31 @@
-//! The five rules, judged by what clients, stand-ins and the list wrote down. Knows nothing of module or controller.
+//! Judges the five rules by the records of clients, stand-ins and the endpoint list. Independent of the policy and the controller.
 //!
-//! Each bound is on what the records prove: a frame that was read late may have come early, and counts by its earliest
-//! time. Where a thread stood still across the moment in question, the finding is "cannot tell", never "kept".
+//! A rule is reported as broken only where the records prove it: a frame that was read late may have arrived early, so its
+//! earliest possible arrival time counts. Where a thread stalled across the moment in question, the finding is "cannot tell",
+//! never "kept".
 
 use saltdrum::interface::{MILLISECOND, Ticks};
 use saltdrum_fakes::record::{ClientAttempt, ControllerId, Line, Outcome, RuleParameters};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A thread that stood still for longer around the moment in question makes it undecidable.
+/// A thread that stalled for longer than this around the moment in question makes a finding inconclusive.
 pub const DISTURBED: Ticks = 40 * MILLISECOND;
-/// What lies between writing a line of the record and writing to the socket, on an undisturbed thread.
+/// Longest time between writing a line of the record and writing to the socket, on a thread that did not stall.
 const SLACK: Ticks = 20 * MILLISECOND;
-/// Rule 4: slack for chance, in parts of the bound and in mean invocations.
-const COLD_SLACK: f64 = 0.1;
-const COLD_SLACK_INVS: f64 = 2.0;
+/// Rule 4: tolerance for random variation, as a share of the bound.
+const COLD_TOLERANCE_SHARE: f64 = 0.1;
+/// Rule 4: additional tolerance, in mean invocations.
+const COLD_TOLERANCE_INVOCATIONS: f64 = 2.0;
 
-/// One breach, or one thing that can't be decided.
+/// One violation of a rule, or one case that can't be decided.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Finding {
     pub at: Ticks,
     pub text: String,
 }
 
+/// Whether a rule was kept. `CannotTell` means that no violation is proven but some cases can't be decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
@@ -31,19 +34,20 @@
     Broken,
 }
 
+/// The verdict on one rule.
 #[derive(Clone, Debug, Serialize)]
 pub struct Verdict {
     pub rule: u8,
     pub name: &'static str,
     pub state: State,
-    /// How many cases were looked at.
+    /// Number of cases that were checked.
     pub looked_at: usize,
     pub broken: Vec<Finding>,
     pub cannot_tell: Vec<Finding>,
 }
 
 #[derive(Clone, Debug, Default)]
-struct OneTry {
+struct AttemptRecord {
     sent: Ticks,
     who: Option<ControllerId>,
     trigger: String,
@@ -63,33 +67,33 @@
     of: ClientAttempt,
     trigger: String,
     ran: Option<Ticks>,
-    /// When, how, and whether the controller was told.
+    /// When it ended, how, and whether the controller received the result.
     ended: Option<(Ticks, String, bool)>,
     cancelled: bool,
 }
 
-/// When, whether ready, and in the list's word.
-type News = (Ticks, bool, String);
-type Rule = fn(&Seen, &RuleParameters) -> Findings;
+/// When a controller received an entry of the endpoint list, whether it was ready, and the life it stated.
+type LifeUpdate = (Ticks, bool, String);
+type Rule = fn(&Observations, &RuleParameters) -> Findings;
 
 #[derive(Default)]
-struct Seen {
+struct Observations {
     stated: Option<RuleParameters>,
-    tries: BTreeMap<ClientAttempt, OneTry>,
-    /// By invocation, in the order of hops.
+    tries: BTreeMap<ClientAttempt, AttemptRecord>,
+    /// Dispatches of each invocation, in order of hops.
     dispatches: BTreeMap<(ControllerId, u32), Vec<Dispatch>>,
-    /// Real runs (not dropped as repeats) of an invocation's effect.
+    /// Executions of each invocation's effect, without those that were dropped as duplicates.
     runs: BTreeMap<u64, Vec<(Ticks, u32, ClientAttempt)>>,
     orders: Vec<(Ticks, Ticks, u32, ControllerId, u64)>,
-    told: BTreeMap<(ControllerId, u32), Vec<News>>,
+    told: BTreeMap<(ControllerId, u32), Vec<LifeUpdate>>,
     lives: BTreeMap<u32, Vec<(Ticks, bool, bool)>>,
     killed: BTreeMap<ControllerId, Ticks>,
     disturbed: Vec<(Ticks, Ticks, String)>,
     work: BTreeMap<String, (f64, f64)>,
 }
 
-impl Seen {
-    fn of(lines: &[Line]) -> Self {
+impl Observations {
+    fn from_record(lines: &[Line]) -> Self {
         let mut s = Self::default();
         for line in lines {
             match line.clone() {
@@ -232,7 +236,7 @@
                 _ => {}
             }
         }
-        // A stuck invoker reads an earlier dispatch after a later one has come elsewhere.
+        // A stuck invoker may read an earlier dispatch after a later one was read by another invoker.
         s.dispatches
             .values_mut()
             .for_each(|all| all.sort_by_key(|d| d.hop));
@@ -252,7 +256,7 @@
             .find(|d| d.invoker == invoker && d.hop == hop)
     }
 
-    /// Whether the stage, or this controller, stood still somewhere in the span.
+    /// Whether the test driver's thread or this controller's stalled within the time span.
     fn was_disturbed(&self, who: Option<ControllerId>, from: Ticks, to: Ticks) -> bool {
         let theirs = who.map(|w| format!("controller-{}", w.controller));
         self.disturbed.iter().any(|(a, b, thread)| {
@@ -269,8 +273,8 @@
 }
 
 impl Findings {
-    fn found(&mut self, sure: bool, at: Ticks, text: String) {
-        if sure {
+    fn add(&mut self, certain: bool, at: Ticks, text: String) {
+        if certain {
             &mut self.broken
         } else {
             &mut self.cannot_tell
@@ -279,19 +283,19 @@
     }
 }
 
-/// Judges all five rules. A record that does not state the deployment can't be judged.
+/// Judges all five rules. Returns an error if the record does not state the deployment.
 pub fn check(lines: &[Line]) -> Result<Vec<Verdict>, String> {
-    let seen = Seen::of(lines);
+    let seen = Observations::from_record(lines);
     let stated = seen
         .stated
         .clone()
         .ok_or("the record does not state the deployment in its first line")?;
     let rules: [(&str, Rule); 5] = [
-        ("one final answer in time", one_answer),
-        ("no double effect", no_double_effect),
-        ("drains are kept", drains),
-        ("cold invokers are not pushed over", cold),
-        ("orders to load are rationed", ration),
+        ("one final answer in time", check_single_response),
+        ("no double effect", check_no_double_effect),
+        ("drains are kept", check_drains),
+        ("cold invokers are not pushed over", check_cold_invokers),
+        ("orders to load are rationed", check_load_budget),
     ];
     let judge = |(n, (name, rule)): (usize, &(&'static str, Rule))| {
         let f = rule(&seen, &stated);
@@ -313,13 +317,13 @@
     Ok(rules.iter().enumerate().map(judge).collect())
 }
 
-/// So long after its client has left nothing of an invocation is sent on any more, by the operators' terms.
+/// Time after a client hung up during which its invocation may still be dispatched, by the operators' terms.
 pub const HANG_UP_GRACE: Ticks = 100 * MILLISECOND;
 
-/// What was sent on later than that, by the earliest time at which it can have come. A term of the platform's days, beside
-/// the five rules.
+/// Finds dispatches later than [`HANG_UP_GRACE`] after the client hung up, by their earliest possible arrival time. This
+/// requirement of the platform's days is additional to the five rules.
 pub fn dispatches_after_hang_up(lines: &[Line]) -> Vec<Finding> {
-    let seen = Seen::of(lines);
+    let seen = Observations::from_record(lines);
     let mut found = Vec::new();
     for line in lines {
         let Line::HungUp { at: left, of } = line else {
@@ -344,7 +348,7 @@
     found
 }
 
-/// Outputs that no invoker made for the try they were answered to.
+/// Finds responses whose output no invoker produced for that attempt.
 pub fn mismatched_outputs(lines: &[Line]) -> Vec<Finding> {
     let mut made = BTreeSet::new();
     let mut found = Vec::new();
@@ -370,61 +374,64 @@
     t as f64 / MILLISECOND as f64
 }
 
-fn one_answer(seen: &Seen, _: &RuleParameters) -> Findings {
-    let mut f = Findings::default();
+fn check_single_response(seen: &Observations, _: &RuleParameters) -> Findings {
+    let mut findings = Findings::default();
     for (of, t) in &seen.tries {
         let Some(who) = t.who else { continue };
-        f.looked_at += 1;
+        findings.looked_at += 1;
         let name = format!(
             "invocation {}.{} at controller {}",
             of.number, of.attempt, who.controller
         );
-        let due = t.sent + t.timeout;
+        let deadline = t.sent + t.timeout;
         if t.finals.len() > 1 {
             let all: Vec<String> = t
                 .finals
                 .iter()
                 .map(|(at, _, how)| format!("{how:?} at {} ms", ms(*at)))
                 .collect();
-            f.found(
+            findings.add(
                 true,
                 t.finals[1].0,
                 format!("{name} got {}", all.join(" and ")),
             );
         }
-        let killed = seen.killed.get(&who).is_some_and(|at| *at <= due + SLACK);
+        let killed = seen
+            .killed
+            .get(&who)
+            .is_some_and(|at| *at <= deadline + SLACK);
         match t.finals.first() {
-            // What is read late proves nothing; what came after the client's end is sure.
-            Some((at, earliest, _)) if *earliest > due && !t.reads_slowly => {
-                let sure = !seen.was_disturbed(Some(who), t.sent, *at);
-                f.found(
-                    sure,
+            // A late read by a slow reader proves nothing; an earliest possible arrival after the timeout is certain.
+            Some((at, earliest, _)) if *earliest > deadline && !t.reads_slowly => {
+                let certain = !seen.was_disturbed(Some(who), t.sent, *at);
+                findings.add(
+                    certain,
                     *at,
                     format!(
                         "{name}, sent at {} ms, was answered {} ms after its client timeout",
                         ms(t.sent),
-                        ms(earliest - due)
+                        ms(earliest - deadline)
                     ),
                 );
             }
             Some(_) => {}
             None if t.hung_up
-                || t.cut_off.is_some_and(|at| killed && at <= due + SLACK)
+                || t.cut_off.is_some_and(|at| killed && at <= deadline + SLACK)
                 || killed => {}
             None => {
-                let sure = !seen.was_disturbed(
+                let certain = !seen.was_disturbed(
                     Some(who),
-                    due.saturating_sub(t.timeout / 4 + DISTURBED),
-                    due + DISTURBED,
+                    deadline.saturating_sub(t.timeout / 4 + DISTURBED),
+                    deadline + DISTURBED,
                 ) && !t.reads_slowly;
                 let how = if t.cut_off.is_some() {
                     "was cut off"
                 } else {
                     "got no answer"
                 };
-                f.found(
-                    sure,
-                    due,
+                findings.add(
+                    certain,
+                    deadline,
                     format!(
                         "{name}, sent at {} ms with {} ms to go, {how}",
                         ms(t.sent),
@@ -434,18 +441,18 @@
             }
         }
     }
-    f
+    findings
 }
 
-fn no_double_effect(seen: &Seen, stated: &RuleParameters) -> Findings {
-    let mut f = Findings::default();
+fn check_no_double_effect(seen: &Observations, stated: &RuleParameters) -> Findings {
+    let mut findings = Findings::default();
     let trigger = |name: &str| stated.triggers.iter().find(|t| t.name == name);
     let place = |invoker: u32| stated.places.iter().find(|p| p.invoker == invoker);
     for (of, t) in &seen.tries {
         let Some(terms) = trigger(&t.trigger).filter(|t| t.effect != "idempotent") else {
             continue;
         };
-        f.looked_at += 1;
+        findings.looked_at += 1;
         let runs = seen
             .runs
             .get(&of.number)
@@ -458,7 +465,7 @@
                     format!("invoker {invoker} at {} ms (try {})", ms(*at), of.attempt)
                 })
                 .collect();
-            f.found(
+            findings.add(
                 true,
                 runs[1].0,
                 format!(
@@ -481,12 +488,12 @@
                 of.attempt,
                 ms(*ran)
             );
-            f.found(true, *at, text);
+            findings.add(true, *at, text);
         }
     }
     for ((who, invocation), all) in &seen.dispatches {
         for (i, later) in all.iter().enumerate().skip(1) {
-            f.looked_at += 1;
+            findings.looked_at += 1;
             let Some(terms) = trigger(&later.trigger) else {
                 continue;
             };
@@ -511,9 +518,9 @@
                     .as_ref()
                     .filter(|(at, _, told)| *told && *at <= later.at);
                 let never_ran = ended.is_some_and(|(_, how, _)| how == "full" || how == "miss");
-                let sure = !seen.was_disturbed(Some(*who), earlier.at, later.at);
+                let certain = !seen.was_disturbed(Some(*who), earlier.at, later.at);
                 if !never_ran && terms.effect == "non-idempotent" {
-                    f.found(
+                    findings.add(
                         true,
                         later.at,
                         format!("non-idempotent {name}, though {before}"),
@@ -528,28 +535,29 @@
                         })
                     };
                     if group(earlier.invoker) != group(later.invoker) {
-                        f.found(
+                        findings.add(
                             true,
                             later.at,
                             format!("tokened {name}, outside the {} where {before}", terms.scope),
                         );
                     }
                     if later.earliest > earlier.at + terms.repeat_window + SLACK {
-                        f.found(
-                            sure,
+                        findings.add(
+                            certain,
                             later.at,
                             format!("tokened {name}, past the repeat window since {before}"),
                         );
                     }
                 }
-                // An answer on the same link after the later dispatch came, and no cancel: it was still out.
-                let still_out = earlier
+                // A result on the same connection after the later dispatch arrived, without a cancel, proves that the earlier
+                // attempt was still in flight.
+                let still_in_flight = earlier
                     .ended
                     .as_ref()
                     .is_some_and(|(at, _, told)| *told && *at > later.at + SLACK);
-                if still_out && !earlier.cancelled && !stated.parallel_dispatches {
-                    f.found(
-                        sure,
+                if still_in_flight && !earlier.cancelled && !stated.parallel_dispatches {
+                    findings.add(
+                        certain,
                         later.at,
                         format!("{name}, while {before} and was still out"),
                     );
@@ -557,11 +565,11 @@
             }
         }
     }
-    f
+    findings
 }
 
-fn drains(seen: &Seen, stated: &RuleParameters) -> Findings {
-    let mut f = Findings::default();
+fn check_drains(seen: &Observations, stated: &RuleParameters) -> Findings {
+    let mut findings = Findings::default();
     let dispatches = seen.dispatches.iter().flat_map(|((who, inv), all)| {
         all.iter().map(move |d| {
             (
@@ -586,35 +594,37 @@
             )
         });
     for (at, earliest, invoker, who, what) in dispatches.chain(orders) {
-        f.looked_at += 1;
+        findings.looked_at += 1;
         let told = seen
             .told
             .get(&(who, invoker))
             .map(Vec::as_slice)
             .unwrap_or_default();
-        // The latest news that was older than the grace when this came, and nothing better since.
-        let old = told
+        // The latest update that was older than the grace when this frame arrived, if no ready update followed.
+        let expired = told
             .iter()
             .rposition(|(t, ..)| t + stated.drain_grace + SLACK < earliest);
-        let Some(old) = old else { continue };
-        let better = told[old..].iter().any(|(t, ready, _)| *ready && *t <= at);
-        if !better {
-            // The first of an unbroken run of bad news counts: it was told then.
-            let first = told[..=old]
+        let Some(expired) = expired else { continue };
+        let ready_again = told[expired..]
+            .iter()
+            .any(|(t, ready, _)| *ready && *t <= at);
+        if !ready_again {
+            // The grace starts with the first of consecutive updates that are not ready.
+            let first = told[..=expired]
                 .iter()
                 .rposition(|(_, ready, _)| *ready)
                 .map_or(0, |r| r + 1);
             let (t, _, life) = &told[first];
-            let sure = !seen.was_disturbed(Some(who), *t, at);
+            let certain = !seen.was_disturbed(Some(who), *t, at);
             let late = ms(earliest.saturating_sub(*t));
-            f.found(sure, at, format!("{what} of controller {} came to invoker {invoker} at {} ms, {late} ms after the controller was told it was {life}", who.controller, ms(at)));
+            findings.add(certain, at, format!("{what} of controller {} came to invoker {invoker} at {} ms, {late} ms after the controller was told it was {life}", who.controller, ms(at)));
         }
     }
-    f
+    findings
 }
 
-fn cold(seen: &Seen, stated: &RuleParameters) -> Findings {
-    let mut f = Findings::default();
+fn check_cold_invokers(seen: &Observations, stated: &RuleParameters) -> Findings {
+    let mut findings = Findings::default();
     let mean = |trigger: &str| {
         seen.work
             .get(trigger)
@@ -650,7 +660,7 @@
                 .copied()
                 .collect();
             for (i, (at, work)) in life.iter().enumerate() {
-                f.looked_at += 1;
+                findings.looked_at += 1;
                 let from = at.saturating_sub(stated.tip_window);
                 let sum: f64 = life[..=i]
                     .iter()
@@ -660,20 +670,20 @@
                 let age = (at - start) as f64 / stated.cold_time.max(1) as f64;
                 let risen = (stated.cold_share + (1.0 - stated.cold_share) * age).min(1.0);
                 let bound = stated.tip_factor * risen * pace * stated.tip_window as f64;
-                if sum > bound * (1.0 + COLD_SLACK) + COLD_SLACK_INVS * work {
-                    let sure = !seen.was_disturbed(None, from, *at);
-                    f.found(sure, *at, format!("invoker {invoker}, up since {} ms, was sent {} ms of work within {} ms up to {} ms; {} ms would be its bound", ms(*start), ms(sum as Ticks), ms(stated.tip_window), ms(*at), ms(bound as Ticks)));
+                if sum > bound * (1.0 + COLD_TOLERANCE_SHARE) + COLD_TOLERANCE_INVOCATIONS * work {
+                    let certain = !seen.was_disturbed(None, from, *at);
+                    findings.add(certain, *at, format!("invoker {invoker}, up since {} ms, was sent {} ms of work within {} ms up to {} ms; {} ms would be its bound", ms(*start), ms(sum as Ticks), ms(stated.tip_window), ms(*at), ms(bound as Ticks)));
                 }
             }
         }
     }
-    f
+    findings
 }
 
-fn ration(seen: &Seen, stated: &RuleParameters) -> Findings {
-    let mut f = Findings::default();
+fn check_load_budget(seen: &Observations, stated: &RuleParameters) -> Findings {
+    let mut findings = Findings::default();
     if stated.order_window == 0 {
-        return f;
+        return findings;
     }
     let all: BTreeSet<ControllerId> = seen.orders.iter().map(|o| o.3).collect();
     for who in all {
@@ -692,8 +702,8 @@
             .collect();
         sent.sort_unstable();
         for (i, (earliest, at)) in orders.iter().enumerate() {
-            f.looked_at += 1;
-            // Those that surely were within one window, against all that may have been taken within it.
+            findings.looked_at += 1;
+            // Load orders that certainly lie within one window, against all invocations that may have been received in it.
             let within = orders[..=i]
                 .iter()
                 .filter(|(e, _)| e + stated.order_window > *at + SLACK)
@@ -703,10 +713,10 @@
                 sent.partition_point(|t| *t <= at + SLACK) - sent.partition_point(|t| *t < from);
             let most = stated.orders_free + stated.orders_share * taken as f64;
             if within as f64 > most + 1e-9 {
-                let sure = !seen.was_disturbed(Some(who), from, *at);
-                f.found(sure, *at, format!("controller {} sent {within} orders to load within {} ms up to {} ms, with {taken} invocations taken: {most:.1} are allowed", who.controller, ms(stated.order_window), ms(*at)));
+                let certain = !seen.was_disturbed(Some(who), from, *at);
+                findings.add(certain, *at, format!("controller {} sent {within} orders to load within {} ms up to {} ms, with {taken} invocations taken: {most:.1} are allowed", who.controller, ms(stated.order_window), ms(*at)));
             }
         }
     }
-    f
+    findings
 }
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -1,4 +1,4 @@
-//! A day as its script states it.
+//! Parses the script of a day: the deployment, its traffic, its network and its troubles (injected faults).
 
 use saltdrum::interface::{SECOND, Ticks};
 use saltdrum_deployment::units::{Memory, Span};
@@ -7,81 +7,84 @@
 use saltdrum_registry::Name;
 use serde::Deserialize;
 
-/// How models reach invokers.
+/// How invokers obtain models.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Layers {
-    /// Whole, from the plain store.
+    /// As one file from the plain store.
     Off,
-    /// In chunks; every invoker asks the store for itself. The baseline.
+    /// In chunks, where every invoker fetches from the store on its own. The baseline.
     Alone,
-    /// In chunks, each fetched once and shared.
+    /// In chunks, each fetched once from the store and shared between invokers.
     Shared,
 }
 
+/// A scripted day.
 #[derive(Clone, Debug)]
 pub struct Day {
     pub name: String,
     pub terms: DeploymentSpec,
     pub length: Ticks,
     pub seed: u64,
-    /// Connections that clients keep to each controller.
+    /// Client connections to each controller.
     pub connections: u32,
-    /// Further tries of a client.
+    /// Maximum number of client retries.
     pub retries: u32,
     pub backoff: Ticks,
-    /// So late is the list with what happens.
+    /// Delay with which the endpoint list reports a change.
     pub list_notice: Ticks,
     pub store_limit: usize,
     pub layers: Layers,
-    /// Of a model that stands for each function's, which would be thousands of times larger.
+    /// Size of the model that stands for each function's. Real models are thousands of times larger.
     pub model_bytes: usize,
-    /// Each function is a model of the registry with so many versions, called by an alias; 0: no registry.
+    /// Versions of each function's model in the registry, which clients invoke by an alias; 0: no registry.
     pub versions: u32,
-    /// Aliases move to the next version so often; 0: never.
+    /// Interval at which aliases move to the next version; 0: never.
     pub moves: Ticks,
-    /// Each move is tried on a share of passages first.
+    /// Whether each move starts with a stage, that is on a share of passages only.
     pub staged: bool,
-    /// Invocations of a passage.
+    /// Invocations per passage.
     pub passage: u32,
-    /// Whether clients hand versions back; without it, passages mix.
+    /// Whether clients return the version of a passage with its next invocation; otherwise passages mix versions.
     pub hands_back: bool,
     pub network: Network,
     pub traffic: Vec<Traffic>,
     pub troubles: Vec<Trouble>,
 }
 
-/// What lies between hosts in virtual time. On the machine's own sockets it is what it is.
+/// The emulated network between hosts in virtual time. A day on the machine's own sockets does not use it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Network {
     pub delay: Ticks,
-    /// Up to so much more.
+    /// Maximum additional random delay.
     pub jitter: Ticks,
-    /// Of each host's way out; 0: no bound.
+    /// Outgoing bandwidth of each host; 0: unlimited.
     pub bytes_per_second: f64,
-    /// Controllers' clocks are ahead by up to so much,
+    /// Maximum offset of the clocks of controllers and invokers.
     pub clocks_ahead: Ticks,
-    /// and run fast or slow by up to so many millionths.
+    /// Maximum drift of these clocks in either direction, in parts per million.
     pub clocks_drift: u32,
 }
 
-/// Load of one tenant.
+/// The load of one tenant.
 #[derive(Clone, Debug)]
 pub struct Traffic {
     pub tenant: usize,
-    /// Names; the first is called most.
+    /// Function names in order of popularity.
     pub functions: Vec<String>,
     pub zipf: f64,
     pub per_second: f64,
     pub shape: Shape,
-    /// So often the last of the functions becomes the first; 0: never.
+    /// Interval at which the least popular function becomes the most popular; 0: never.
     pub turnover: Ticks,
+    /// Mean work per invocation.
     pub work: Ticks,
-    /// Standard deviation of work over its mean.
+    /// Coefficient of variation of work: standard deviation over mean.
     pub spread: f64,
     pub from: Ticks,
     pub to: Ticks,
 }
 
+/// The kinds of troubles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     Crash,
@@ -118,6 +121,7 @@
     VersionErrs,
 }
 
+/// Names of the kinds of troubles in scripts.
 const KINDS: &[(&str, Kind)] = &[
     ("crash", Kind::Crash),
     ("slow", Kind::Slow),
@@ -153,50 +157,51 @@
     ("version_errs", Kind::VersionErrs),
 ];
 
+/// A fault that is injected for a time.
 #[derive(Clone, Debug)]
 pub struct Trouble {
     pub kind: Kind,
     pub name: &'static str,
     pub at: Ticks,
     pub lasts: Ticks,
-    /// Struck invokers.
+    /// Affected invokers.
     pub invokers: Vec<u32>,
-    /// Struck controllers.
+    /// Affected controllers.
     pub controllers: Vec<u32>,
     pub zone: Option<u8>,
     pub tenant: Option<String>,
     pub functions: Vec<String>,
-    /// Share of what it strikes: dispatches, answers, functions, invocations.
+    /// Affected share of dispatches, responses, functions or invocations.
     pub part: f64,
-    /// How many times slower, or more work.
+    /// Factor of the slowdown, or of the additional work.
     pub times: f64,
     pub delay: Ticks,
-    /// Struck at a time, in a deploy or a roll.
+    /// Number of processes restarted at a time in a deploy or a roll.
     pub batch: usize,
-    /// Of a line's two ways, from controllers to invokers and back.
+    /// Affected directions of a connection: from controllers to invokers, and back.
     pub ways: (bool, bool),
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct SaidDay {
+struct DayArguments {
     name: String,
     length: Span,
     #[serde(default)]
     seed: u64,
-    #[serde(default = "four")]
+    #[serde(default = "default_connections")]
     connections: u32,
     #[serde(default)]
     retries: u32,
-    #[serde(default = "backoff")]
+    #[serde(default = "default_backoff")]
     backoff: Span,
-    #[serde(default = "notice")]
+    #[serde(default = "default_list_delay")]
     list_notice: Span,
-    #[serde(default = "limit")]
+    #[serde(default = "default_store_limit")]
     store_limit: usize,
-    #[serde(default = "off")]
+    #[serde(default = "default_layers")]
     layers: String,
-    #[serde(default = "model")]
+    #[serde(default = "default_model_size")]
     model: Memory,
     #[serde(default)]
     versions: u32,
@@ -204,73 +209,73 @@
     moves: Span,
     #[serde(default)]
     staged: bool,
-    #[serde(default = "three")]
+    #[serde(default = "default_passage_length")]
     passage: u32,
-    #[serde(default = "yes")]
+    #[serde(default = "default_true")]
     hands_back: bool,
 }
 
-fn three() -> u32 {
+fn default_passage_length() -> u32 {
     3
 }
-fn yes() -> bool {
+fn default_true() -> bool {
     true
 }
 
-fn off() -> String {
+fn default_layers() -> String {
     "off".into()
 }
-fn model() -> Memory {
+fn default_model_size() -> Memory {
     Memory(2.0)
 }
 
-fn four() -> u32 {
+fn default_connections() -> u32 {
     4
 }
-fn backoff() -> Span {
+fn default_backoff() -> Span {
     Span(1_000)
 }
-fn notice() -> Span {
+fn default_list_delay() -> Span {
     Span(3_000)
 }
-fn limit() -> usize {
+fn default_store_limit() -> usize {
     24
 }
-fn one() -> f64 {
+fn default_one() -> f64 {
     1.0
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct SaidTraffic {
+struct TrafficArguments {
     tenant: String,
     functions: Vec<String>,
-    #[serde(default = "one")]
+    #[serde(default = "default_one")]
     zipf: f64,
     #[serde(default)]
     per_second: f64,
     #[serde(default)]
     at_once: u32,
     work: Span,
-    #[serde(default = "one")]
+    #[serde(default = "default_one")]
     spread: f64,
     #[serde(default)]
     begin: Span,
     end: Option<Span>,
     /// steady, bursty, afternoon, ramp, season
     shape: Option<String>,
-    /// Of bursts and seasons: by how much.
+    /// Factor of bursts, least share of an afternoon, or swing of a season.
     times: Option<f64>,
-    /// Of a burst, or of a season's period; for `at_once`, within what they come.
+    /// Length of a burst, period of a season, or, with `at_once`, the time over which the invocations are spread.
     lasts: Option<Span>,
     #[serde(default)]
     turnover: Span,
 }
 
-impl SaidTraffic {
+impl TrafficArguments {
     fn shape(&self) -> Result<Shape, String> {
         if self.at_once > 0 {
-            // A class is told to press play; nobody does within the same moment.
+            // People who start at the same signal, such as a class, do not act at the same instant.
             let spread = self.lasts.map_or(SECOND / 2, |s| s.0);
             return Ok(Shape::Group {
                 count: self.at_once,
@@ -307,7 +312,7 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct SaidTrouble {
+struct TroubleArguments {
     name: String,
     at: Span,
     lasts: Option<Span>,
@@ -320,19 +325,19 @@
     part: Option<f64>,
     times: Option<f64>,
     delay: Option<Span>,
-    #[serde(default = "batch")]
+    #[serde(default = "default_batch")]
     batch: usize,
     one_way: Option<String>,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(deny_unknown_fields)]
-struct SaidNetwork {
+struct NetworkArguments {
     #[serde(default)]
     delay: Span,
     #[serde(default)]
     jitter: Span,
-    /// In a second.
+    /// Bandwidth, per second.
     #[serde(default)]
     bandwidth: Memory,
     #[serde(default)]
@@ -341,11 +346,16 @@
     clocks_drift_ppm: u32,
 }
 
-fn batch() -> usize {
+fn default_batch() -> usize {
     1
 }
 
-fn known(s: &Statement, terms: &DeploymentSpec, functions: &[String]) -> Result<(), ScriptError> {
+/// Returns an error if one of the functions is not stated.
+fn check_functions(
+    s: &Statement,
+    terms: &DeploymentSpec,
+    functions: &[String],
+) -> Result<(), ScriptError> {
     match functions.iter().find(|f| !terms.functions.contains_key(*f)) {
         Some(f) => Err(s.fault(format!("no function is named '{f}'"))),
         None => Ok(()),
@@ -353,7 +363,7 @@
 }
 
 impl Day {
-    /// Reads a script's text; `file` is its name in faults.
+    /// Parses a script's text; `file` is its name in errors.
     pub fn load(file: &str, text: &str) -> Result<Self, ScriptError> {
         let (terms, rest) = DeploymentSpec::load(file, text)?;
         let at = |why: &str| ScriptError {
@@ -368,11 +378,11 @@
         if let Some(second) = days.next() {
             return Err(second.fault("stated a second time"));
         }
-        let said: SaidDay = stated.read()?;
+        let args: DayArguments = stated.read()?;
         if terms.invokers.is_empty() {
             return Err(at("no invokers(...) are stated"));
         }
-        let layers = match said.layers.as_str() {
+        let layers = match args.layers.as_str() {
             "off" => Layers::Off,
             "alone" => Layers::Alone,
             "shared" => Layers::Shared,
@@ -382,68 +392,68 @@
                 )));
             }
         };
-        if !(0.1..=64.0).contains(&said.model.0) {
+        if !(0.1..=64.0).contains(&args.model.0) {
             return Err(stated.fault("model: 0.1MB to 64MB are expected"));
         }
-        if said.versions > 100 || !(1..=1_000).contains(&said.passage) {
+        if args.versions > 100 || !(1..=1_000).contains(&args.passage) {
             return Err(stated.fault("versions: up to 100, passage: 1 to 1000 are expected"));
         }
-        if said.versions < 2 && said.moves.0 > 0 {
+        if args.versions < 2 && args.moves.0 > 0 {
             return Err(stated.fault("moves: at least two versions are expected"));
         }
         if let Some(odd) = terms
             .functions
             .keys()
-            .find(|f| said.versions > 0 && f.parse::<Name>().is_err())
+            .find(|f| args.versions > 0 && f.parse::<Name>().is_err())
         {
             return Err(stated.fault(format!(
                 "versions: function '{odd}' can't be the name of a model"
             )));
         }
         let mut day = Self {
-            versions: said.versions,
-            moves: said.moves.0,
-            staged: said.staged,
-            passage: said.passage,
-            hands_back: said.hands_back,
+            versions: args.versions,
+            moves: args.moves.0,
+            staged: args.staged,
+            passage: args.passage,
+            hands_back: args.hands_back,
             layers,
-            model_bytes: (said.model.0 * 1e6) as usize,
+            model_bytes: (args.model.0 * 1e6) as usize,
             network: Network::default(),
-            name: said.name,
-            length: said.length.0,
-            seed: said.seed,
-            connections: said.connections.max(1),
-            retries: said.retries,
-            backoff: said.backoff.0,
-            list_notice: said.list_notice.0,
-            store_limit: said.store_limit,
+            name: args.name,
+            length: args.length.0,
+            seed: args.seed,
+            connections: args.connections.max(1),
+            retries: args.retries,
+            backoff: args.backoff.0,
+            list_notice: args.list_notice.0,
+            store_limit: args.store_limit,
             traffic: Vec::new(),
             troubles: Vec::new(),
             terms,
         };
         let mut networks = rest.iter().filter(|s| s.what == "network");
         if let Some(s) = networks.next() {
-            let said: SaidNetwork = s.read()?;
-            if said.clocks_drift_ppm > 10_000 {
+            let args: NetworkArguments = s.read()?;
+            if args.clocks_drift_ppm > 10_000 {
                 return Err(s.fault("clocks_drift_ppm: 0 to 10000 are expected"));
             }
             day.network = Network {
-                delay: said.delay.0,
-                jitter: said.jitter.0,
-                bytes_per_second: said.bandwidth.0 * 1e6,
-                clocks_ahead: said.clocks_ahead.0,
-                clocks_drift: said.clocks_drift_ppm,
+                delay: args.delay.0,
+                jitter: args.jitter.0,
+                bytes_per_second: args.bandwidth.0 * 1e6,
+                clocks_ahead: args.clocks_ahead.0,
+                clocks_drift: args.clocks_drift_ppm,
             };
         }
         if let Some(second) = networks.next() {
             return Err(second.fault("stated a second time"));
         }
         for s in rest.iter().filter(|s| s.what == "traffic") {
-            let traffic = day.one_traffic(s)?;
+            let traffic = day.parse_traffic(s)?;
             day.traffic.push(traffic);
         }
         for s in rest.iter().filter(|s| s.what == "trouble") {
-            let trouble = day.one_trouble(s)?;
+            let trouble = day.parse_trouble(s)?;
             day.troubles.push(trouble);
         }
         day.troubles.sort_by_key(|t| t.at);
@@ -454,46 +464,46 @@
         }
     }
 
-    fn one_traffic(&self, s: &Statement) -> Result<Traffic, ScriptError> {
-        let said: SaidTraffic = s.read()?;
+    fn parse_traffic(&self, s: &Statement) -> Result<Traffic, ScriptError> {
+        let args: TrafficArguments = s.read()?;
         let tenant = self
             .terms
             .tenant_names
             .iter()
-            .position(|t| *t == said.tenant);
+            .position(|t| *t == args.tenant);
         let tenant =
-            tenant.ok_or_else(|| s.fault(format!("no tenant is named '{}'", said.tenant)))?;
-        known(s, &self.terms, &said.functions)?;
-        if said.functions.is_empty() || (said.per_second <= 0.0) == (said.at_once == 0) {
+            tenant.ok_or_else(|| s.fault(format!("no tenant is named '{}'", args.tenant)))?;
+        check_functions(s, &self.terms, &args.functions)?;
+        if args.functions.is_empty() || (args.per_second <= 0.0) == (args.at_once == 0) {
             return Err(s.fault("functions and either per_second or at_once are expected"));
         }
-        let shape = said.shape().map_err(|why| s.fault(why))?;
+        let shape = args.shape().map_err(|why| s.fault(why))?;
         Ok(Traffic {
             tenant,
             shape,
-            turnover: said.turnover.0,
-            functions: said.functions,
-            zipf: said.zipf,
-            per_second: said.per_second,
-            work: said.work.0,
-            spread: said.spread,
-            from: said.begin.0,
-            to: said.end.map_or(self.length, |t| t.0.min(self.length)),
+            turnover: args.turnover.0,
+            functions: args.functions,
+            zipf: args.zipf,
+            per_second: args.per_second,
+            work: args.work.0,
+            spread: args.spread,
+            from: args.begin.0,
+            to: args.end.map_or(self.length, |t| t.0.min(self.length)),
         })
     }
 
-    fn one_trouble(&self, s: &Statement) -> Result<Trouble, ScriptError> {
-        let said: SaidTrouble = s.read()?;
-        let known_kind = KINDS.iter().find(|(name, _)| *name == said.name);
+    fn parse_trouble(&self, s: &Statement) -> Result<Trouble, ScriptError> {
+        let args: TroubleArguments = s.read()?;
+        let known_kind = KINDS.iter().find(|(name, _)| *name == args.name);
         let (name, kind) = *known_kind.ok_or_else(|| {
             let all: Vec<&str> = KINDS.iter().map(|k| k.0).collect();
             s.fault(format!(
                 "'{}' is no trouble; known are {}",
-                said.name,
+                args.name,
                 all.join(", ")
             ))
         })?;
-        known(s, &self.terms, &said.functions)?;
+        check_functions(s, &self.terms, &args.functions)?;
         if self.versions == 0
             && matches!(
                 kind,
@@ -502,16 +512,16 @@
         {
             return Err(s.fault(format!("{name}: versions are expected in day(...)")));
         }
-        let need = |what: &str| s.fault(format!("{name}: {what} is expected"));
+        let missing = |what: &str| s.fault(format!("{name}: {what} is expected"));
         if !matches!(
             kind,
             Kind::Flush | Kind::BadInput | Kind::Deploy | Kind::Withdrawn
-        ) && said.lasts.is_none()
+        ) && args.lasts.is_none()
         {
-            return Err(need("lasts"));
+            return Err(missing("lasts"));
         }
-        // Those that strike all where none are named would end the day.
-        let strikes_invokers = matches!(
+        // Without a list, these kinds would affect all processes and end the day, so a list is required.
+        let requires_invokers = matches!(
             kind,
             Kind::Crash
                 | Kind::PowerCut
@@ -521,7 +531,7 @@
                 | Kind::StuckSockets
                 | Kind::HalfFrames
         );
-        let strikes_controllers = matches!(
+        let requires_controllers = matches!(
             kind,
             Kind::ControllerCrash
                 | Kind::ControllerRoll
@@ -529,16 +539,16 @@
                 | Kind::LineCut
                 | Kind::RegistryCut
         );
-        if strikes_invokers && said.invokers.is_none() {
-            return Err(need("invokers = [...]"));
+        if requires_invokers && args.invokers.is_none() {
+            return Err(missing("invokers = [...]"));
         }
-        if strikes_controllers && said.controllers.is_none() {
-            return Err(need("controllers = [...]"));
+        if requires_controllers && args.controllers.is_none() {
+            return Err(missing("controllers = [...]"));
         }
-        if kind == Kind::LineSlow && said.delay.is_none() {
-            return Err(need("delay"));
+        if kind == Kind::LineSlow && args.delay.is_none() {
+            return Err(missing("delay"));
         }
-        let ways = match said.one_way.as_deref() {
+        let ways = match args.one_way.as_deref() {
             None => (true, true),
             Some("to_invokers") => (true, false),
             Some("to_controllers") => (false, true),
@@ -547,33 +557,33 @@
                 return Err(s.fault(why));
             }
         };
-        if matches!(kind, Kind::Slow | Kind::StoreSlow | Kind::HeavyTail) && said.times.is_none() {
-            return Err(need("times"));
+        if matches!(kind, Kind::Slow | Kind::StoreSlow | Kind::HeavyTail) && args.times.is_none() {
+            return Err(missing("times"));
         }
-        if kind == Kind::HotFunction && said.functions.is_empty() {
-            return Err(need("functions = [...]"));
+        if kind == Kind::HotFunction && args.functions.is_empty() {
+            return Err(missing("functions = [...]"));
         }
-        if kind == Kind::RefusedForRoom && said.tenant.is_none() {
-            return Err(need("tenant"));
+        if kind == Kind::RefusedForRoom && args.tenant.is_none() {
+            return Err(missing("tenant"));
         }
-        if let Some(tenant) = said
+        if let Some(tenant) = args
             .tenant
             .iter()
             .find(|t| !self.terms.tenant_names.contains(t))
         {
             return Err(s.fault(format!("no tenant is named '{tenant}'")));
         }
-        let zone = match &said.zone {
+        let zone = match &args.zone {
             Some(zone) => {
                 let at = self.terms.zones.iter().position(|z| z == zone);
                 Some(at.ok_or_else(|| s.fault(format!("no zone is named '{zone}'")))? as u8)
             }
-            None if kind == Kind::ZoneCut => return Err(need("zone")),
+            None if kind == Kind::ZoneCut => return Err(missing("zone")),
             None => None,
         };
         let most = self.terms.invokers.len() as u32;
         let all: Vec<u32> = (1..=most).collect();
-        let invokers = said.invokers.unwrap_or(all);
+        let invokers = args.invokers.unwrap_or(all);
         if let Some(bad) = invokers.iter().find(|i| !(1..=most).contains(i)) {
             return Err(s.fault(format!("invoker {bad}: 1 to {most} are stated")));
         }
@@ -583,24 +593,24 @@
         } else {
             Vec::new()
         };
-        let controllers = said.controllers.unwrap_or(all);
+        let controllers = args.controllers.unwrap_or(all);
         if let Some(bad) = controllers.iter().find(|c| !(1..=most).contains(c)) {
             return Err(s.fault(format!("controller {bad}: 1 to {most} are stated")));
         }
         Ok(Trouble {
             kind,
             name,
-            at: said.at.0,
-            lasts: said.lasts.unwrap_or_default().0,
+            at: args.at.0,
+            lasts: args.lasts.unwrap_or_default().0,
             invokers,
             controllers,
             zone,
-            tenant: said.tenant,
-            functions: said.functions,
-            part: said.part.unwrap_or(1.0),
-            times: said.times.unwrap_or(1.0),
-            delay: said.delay.unwrap_or_default().0,
-            batch: said.batch.max(1),
+            tenant: args.tenant,
+            functions: args.functions,
+            part: args.part.unwrap_or(1.0),
+            times: args.times.unwrap_or(1.0),
+            delay: args.delay.unwrap_or_default().0,
+            batch: args.batch.max(1),
             ways,
         })
     }
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -1,5 +1,5 @@
-//! Puts a day up: stand-ins and clients on one thread, controllers on threads of their own or, in virtual time, all on
-//! one. Brings the troubles when their time comes.
+//! Runs a day: stand-ins and clients on one thread, controllers on threads of their own or, in virtual time, all on one
+//! thread. Injects the troubles at their times.
 
 use crate::clients::Clients;
 use crate::script::{Day, Kind, Layers, Trouble};
@@ -36,16 +36,16 @@
 use tokio::task::{JoinHandle, LocalSet};
 use tracing::{info, warn};
 
-/// Where controllers sit, and so how they are killed and stopped.
-enum Cast {
-    /// Each on a thread of its own, on the machine's sockets; files for sockets go into the folder.
+/// How controllers are run, which determines how they are killed and stalled.
+enum Runtime {
+    /// Each controller on a thread of its own, on the machine's sockets. Socket files are created in the folder.
     Threads(std::path::PathBuf),
-    /// All on this thread, on streams of an emulated network.
+    /// All controllers on this thread, on streams of an emulated network.
     Virtual(SimulatedNetwork),
 }
 
-impl Cast {
-    /// The network as a host of this name sees it.
+impl Runtime {
+    /// Returns the network interface of the host with this name.
     fn host(&self, name: &str) -> Rc<dyn Network> {
         match self {
             Self::Threads(_) => Rc::new(SocketNetwork),
@@ -54,7 +54,8 @@
     }
 }
 
-enum Chair {
+/// A running controller.
+enum ControllerProcess {
     Thread {
         stop: mpsc::UnboundedSender<Duration>,
         thread: std::thread::JoinHandle<Vec<Line>>,
@@ -65,34 +66,34 @@
     },
 }
 
-/// Runs a controller in its seat until dropped.
+/// Runs a controller until the future is dropped.
 pub type Serve =
     fn(ControllerConfig, Rc<dyn Network>, Clock) -> Pin<Box<dyn Future<Output = io::Result<()>>>>;
 
-/// The controller that a day is played on, unless a test puts another in its place.
+/// Runs the real controller, which days use unless a test replaces it.
 pub fn serve(
-    seat: ControllerConfig,
+    config: ControllerConfig,
     network: Rc<dyn Network>,
     clock: Clock,
 ) -> Pin<Box<dyn Future<Output = io::Result<()>>>> {
     Box::pin(saltdrum_controller::serve(
-        seat,
+        config,
         network,
         clock,
         dispatch_policy,
     ))
 }
 
-/// Who is put in the real ones' places.
+/// Replacements for real components.
 #[derive(Clone, Copy)]
 pub struct Overrides {
     pub serve: Serve,
-    /// Brings models to invokers in place of their agents, on days with layers.
+    /// Fetches models for invokers in place of their agents, on days with layers.
     pub brings: Option<FetchModel>,
 }
 
 impl Overrides {
-    /// A controller alone; models come through the agents.
+    /// Replaces the controller only; invokers fetch models through their agents.
     pub fn of(serve: Serve) -> Self {
         Self {
             serve,
@@ -101,7 +102,7 @@
     }
 }
 
-/// Controllers by how they decide: the design, and baselines for comparison.
+/// Controllers by policy name: the design, and baselines for comparison.
 pub const POLICIES: &[(&str, Serve)] = &[
     ("design", serve),
     ("random", |s, n, c| {
@@ -130,10 +131,11 @@
     }),
 ];
 
+/// All components of a running day.
 struct Stage {
     serve: Serve,
     day: Rc<Day>,
-    cast: Cast,
+    runtime: Runtime,
     clock: Clock,
     record: Record,
     start: Ticks,
@@ -141,28 +143,29 @@
     store: Rc<ModelStore>,
     list: Rc<EndpointList>,
     registry: Rc<OciRegistry>,
-    names: Option<Names>,
-    /// Where controllers keep what the registry told them.
+    names: Option<RegistryService>,
+    /// Folder for the controllers' copies of the registry's state.
     copies: PathBuf,
-    /// What invokers hear of each other, as late as controllers do.
+    /// The lives that invokers know of each other, updated with the same delay as for controllers.
     known: RefCell<BTreeMap<u32, Life>>,
+    /// Counts of crashed invokers' agents: chunks from cache, peers and store, bytes from the store, damaged chunks.
     layers: Cell<[u64; 5]>,
     list_address: Address,
     clients: Rc<Clients>,
-    chairs: RefCell<BTreeMap<u32, Chair>>,
-    lives: RefCell<BTreeMap<u32, u64>>,
-    ended: RefCell<Vec<std::thread::JoinHandle<Vec<Line>>>>,
+    controllers: RefCell<BTreeMap<u32, ControllerProcess>>,
+    incarnations: RefCell<BTreeMap<u32, u64>>,
+    ended_threads: RefCell<Vec<std::thread::JoinHandle<Vec<Line>>>>,
 }
 
-/// The registry of versions: a service in a life of its own.
-struct Names {
+/// The registry of model versions, a service that can be killed and restarted.
+struct RegistryService {
     ledger: PathBuf,
     address: Address,
     key: String,
     life: RefCell<Option<(Rc<service::Registry>, JoinHandle<()>)>>,
 }
 
-impl Names {
+impl RegistryService {
     fn following(&self, who: String, copy: Option<PathBuf>) -> FollowConfig {
         FollowConfig {
             registry: self.address.clone(),
@@ -187,10 +190,10 @@
         }
     }
 
-    /// What was moved, by the history.
-    fn sum_up(&self, at: Ticks) -> io::Result<Line> {
+    /// Summarizes the moves in the registry's history.
+    fn summarize(&self, at: Ticks) -> io::Result<Line> {
         let life = self.life.borrow();
-        // Lost at the end of the day: it is read as a start would read it.
+        // If the registry is down at the end of the day, its file is read as at a restart.
         let entries = match life.as_ref() {
             Some((registry, _)) => registry.history(),
             None => Ledger::open_file(&self.ledger)
@@ -227,7 +230,7 @@
         })
     }
 
-    /// As a kill: nothing is said to anybody.
+    /// Ends the registry as a kill does, without notifying clients.
     async fn kill(&self) {
         let life = self.life.borrow_mut().take();
         if let Some((registry, task)) = life {
@@ -240,11 +243,12 @@
 
 fn name(text: &str) -> Name {
     text.parse()
-        .expect("it was looked at when the script was read")
+        .expect("names are validated when the script is parsed")
 }
 
-/// A model for each function, in versions, pushed to the store and the ledger, with an alias for the first.
-fn versions(
+/// Pushes all versions of each function's model to the store and the registry's ledger, with an alias for the first version.
+/// Returns the key of the registry's owner.
+fn push_versions(
     day: &Day,
     ledger: &Path,
     store: &OciRegistry,
@@ -262,7 +266,7 @@
             } else {
                 let mut rng = fastrand::Rng::with_seed(f.id);
                 let mut model: Vec<u8> = (0..day.model_bytes).map(|_| rng.u8(..)).collect();
-                // Versions of one model have most in common.
+                // Versions of a model share three quarters of their bytes.
                 let from = day.model_bytes * 3 / 4;
                 let mut own = fastrand::Rng::with_seed(f.id ^ u64::from(n) << 32);
                 model[from..].iter_mut().for_each(|b| *b = own.u8(..));
@@ -294,7 +298,7 @@
             stage: None,
         });
     }
-    let asked = all
+    let requests = all
         .into_iter()
         .map(|change| ChangeRequest {
             who: "stage".into(),
@@ -302,13 +306,13 @@
             change,
         })
         .collect();
-    for told in ledger.commit(asked).map_err(io::Error::other)? {
+    for told in ledger.commit(requests).map_err(io::Error::other)? {
         told.map_err(io::Error::other)?;
     }
     Ok(key)
 }
 
-/// Plays a day on the machine's sockets.
+/// Runs a day on the machine's sockets and returns the record.
 pub fn play_on_sockets(day: &Day, folder: &Path) -> io::Result<Vec<Line>> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -319,12 +323,12 @@
     )
 }
 
-/// Plays a day in virtual time, on in-memory streams.
+/// Runs a day in virtual time, on in-memory streams, and returns the record.
 pub fn play_virtually(day: &Day, serve: Serve) -> io::Result<Vec<Line>> {
     play_with_overrides(day, Overrides::of(serve))
 }
 
-/// As [`play_virtually`], with others in the places of the real ones.
+/// Like [`play_virtually`], with replaced components.
 pub fn play_with_overrides(day: &Day, cover: Overrides) -> io::Result<Vec<Line>> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
@@ -333,6 +337,7 @@
     LocalSet::new().block_on(&runtime, play(day.clone(), None, cover))
 }
 
+/// Converts the specification to the line of the record that states the deployment.
 fn stated(terms: &DeploymentSpec) -> record::RuleParameters {
     let d = &terms.deployment;
     let trigger = |(t, name): (&saltdrum::interface::TriggerType, &String)| record::Trigger {
@@ -379,11 +384,11 @@
     }
 }
 
-/// Plays a day on the `LocalSet` this is called on, and gives the record, in order of time.
+/// Runs a day on the current `LocalSet` and returns the record, in order of time.
 async fn play(day: Day, folder: Option<&Path>, cover: Overrides) -> io::Result<Vec<Line>> {
     let (clock, record, turns) = (Clock::start(), Record::default(), EventLoopClock::default());
-    let cast = match folder {
-        Some(folder) => Cast::Threads(folder.to_owned()),
+    let runtime = match folder {
+        Some(folder) => Runtime::Threads(folder.to_owned()),
         None => {
             let n = &day.network;
             let line = Wire {
@@ -391,7 +396,7 @@
                 jitter: n.jitter,
             };
             let lines = Links::new(line, n.bytes_per_second, day.seed ^ 0xe7e4);
-            Cast::Virtual(SimulatedNetwork::new(clock, lines, turns.clone()))
+            Runtime::Virtual(SimulatedNetwork::new(clock, lines, turns.clone()))
         }
     };
     record.note(Line::RuleParameters(stated(&day.terms)));
@@ -407,12 +412,12 @@
             });
         },
     ));
-    let any = |name: &str| match &cast {
-        Cast::Threads(_) => Address::Tcp("127.0.0.1:0".into()),
-        Cast::Virtual(_) => Address::Memory(name.into()),
+    let any = |name: &str| match &runtime {
+        Runtime::Threads(_) => Address::Tcp("127.0.0.1:0".into()),
+        Runtime::Virtual(_) => Address::Memory(name.into()),
     };
     let (store, store_address) = ModelStore::open(
-        cast.host("store"),
+        runtime.host("store"),
         clock,
         record.clone(),
         &any("store"),
@@ -420,20 +425,20 @@
     )
     .await?;
     let (list, list_address) =
-        EndpointList::open(cast.host("list"), clock, record.clone(), &any("list")).await?;
+        EndpointList::open(runtime.host("list"), clock, record.clone(), &any("list")).await?;
     let registry = OciRegistry::new(day.store_limit, day.seed);
     let registry_address = registry
-        .open(&*cast.host("store"), &any("registry"))
+        .open(&*runtime.host("store"), &any("registry"))
         .await?;
-    // What folders hold is gone with the day.
-    let cellar = tempfile::Builder::new()
+    // The folder is deleted at the end of the day.
+    let day_folder = tempfile::Builder::new()
         .prefix("saltdrum-layers-")
         .tempdir()?;
-    let names_address = match &cast {
-        Cast::Threads(folder) => {
+    let names_address = match &runtime {
+        Runtime::Threads(folder) => {
             Address::Unix(folder.join("registry.sock").to_string_lossy().into_owned())
         }
-        Cast::Virtual(_) => Address::Memory("names".into()),
+        Runtime::Virtual(_) => Address::Memory("names".into()),
     };
     let mut models = BTreeMap::new();
     if day.layers != Layers::Off {
@@ -443,7 +448,7 @@
             registry.push(&f.name, "current", &model)?;
             models.insert(f.name.clone(), model);
         }
-        // One model at full pace takes as long as the fetch of a mean load.
+        // At full bandwidth, fetching one model takes as long as the fetch in a mean load.
         let loads = day
             .terms
             .functions
@@ -453,20 +458,20 @@
         registry
             .bytes_per_second
             .set(day.model_bytes as f64 / (FETCH_SHARE * mean));
-        registry.full_speed_requests.set(FULL_PACE);
+        registry.full_speed_requests.set(MAX_FULL_SPEED_FETCHES);
     }
     let names = if day.versions == 0 {
         None
     } else {
-        let ledger = cellar.path().join("registry.redb");
-        let key = versions(&day, &ledger, &registry, &mut models)?;
-        let names = Names {
+        let ledger = day_folder.path().join("registry.redb");
+        let key = push_versions(&day, &ledger, &registry, &mut models)?;
+        let names = RegistryService {
             ledger,
             address: names_address,
             key,
             life: RefCell::default(),
         };
-        names.start(&*cast.host("registry"), clock).await?;
+        names.start(&*runtime.host("registry"), clock).await?;
         Some(names)
     };
     let (terms, tokens, models) = (
@@ -476,11 +481,11 @@
     );
     let mut invokers = BTreeMap::new();
     for stated in &day.terms.invokers {
-        let own = clock_of(&day, &cast, clock, 0x1c10c, stated.invoker);
+        let own = clock_of(&day, &runtime, clock, 0x1c10c, stated.invoker);
         let site = InvokerConfig {
             terms: terms.clone(),
             stated: stated.clone(),
-            network: cast.host(&format!("invoker-{}", stated.invoker)),
+            network: runtime.host(&format!("invoker-{}", stated.invoker)),
             clock: own,
             record_clock: clock,
             event_loop: turns.clone(),
@@ -494,7 +499,7 @@
                 .as_ref()
                 .map(|n| n.following(format!("invoker-{}", stated.invoker), None)),
             layers: (day.layers != Layers::Off).then(|| invoker::LayersConfig {
-                folder: cellar.path().join(stated.invoker.to_string()),
+                folder: day_folder.path().join(stated.invoker.to_string()),
                 cache_bytes: 1 << 30,
                 registry: registry_address.clone(),
                 agent_address: RefCell::new(any(&format!("agent-{}", stated.invoker))),
@@ -504,7 +509,7 @@
             }),
         };
         let invoker = Invoker::new(site);
-        // It has been up for long: some of what is asked for stands already.
+        // The invoker has been up for a long time, so half of the functions are warm on it.
         let all: Vec<u64> = day.terms.functions.values().map(|f| f.id).collect();
         let first = stated.invoker as usize * 5 % all.len();
         let held: Vec<u64> = all
@@ -521,7 +526,7 @@
     let day = Rc::new(day);
     let clients = Clients::new(
         day.clone(),
-        cast.host("clients"),
+        runtime.host("clients"),
         clock,
         turns,
         record.clone(),
@@ -530,7 +535,7 @@
         serve: cover.serve,
         start: clock.now() + SECOND / 2,
         day,
-        cast,
+        runtime,
         clock,
         record,
         invokers,
@@ -538,34 +543,34 @@
         list,
         registry,
         names,
-        copies: cellar.path().to_owned(),
+        copies: day_folder.path().to_owned(),
         known: RefCell::default(),
         layers: Cell::default(),
         list_address,
         clients,
-        chairs: RefCell::default(),
-        lives: RefCell::default(),
-        ended: RefCell::default(),
+        controllers: RefCell::default(),
+        incarnations: RefCell::default(),
+        ended_threads: RefCell::default(),
     });
     for invoker in stage.invokers.keys() {
         stage.known.borrow_mut().insert(*invoker, Life::Ready);
     }
-    let telling = stage.clone();
-    let telling = tokio::task::spawn_local(async move { telling.tell_peers().await });
+    let peer_updates = stage.clone();
+    let peer_updates = tokio::task::spawn_local(async move { peer_updates.update_peers().await });
     for controller in 1..=stage.day.terms.deployment.controllers {
-        stage.seat(controller)?;
+        stage.start_controller(controller)?;
     }
     stage.clone().run().await;
-    telling.abort();
-    let lines = stage.strike();
-    drop(cellar);
+    peer_updates.abort();
+    let lines = stage.tear_down();
+    drop(day_folder);
     lines
 }
 
-/// The own clock of a controller or invoker. Nothing that one says to others may hang on the hour. On the machine's
-/// sockets all have the machine's.
-fn clock_of(day: &Day, cast: &Cast, clock: Clock, salt: u64, of: u32) -> Clock {
-    if matches!(cast, Cast::Threads(_)) {
+/// Creates the clock of a controller or invoker. Clocks are skewed because messages between processes must not depend on
+/// absolute time. On the machine's sockets, all share the machine's clock.
+fn clock_of(day: &Day, runtime: &Runtime, clock: Clock, salt: u64, of: u32) -> Clock {
+    if matches!(runtime, Runtime::Threads(_)) {
         return clock;
     }
     let n = &day.network;
@@ -575,30 +580,39 @@
     clock.skewed(ahead, rng.i64(-drift..=drift))
 }
 
-/// Share of a load that is the fetch, and fetches that the store serves at full pace.
+/// Share of a load's duration that is the fetch.
 const FETCH_SHARE: f64 = 0.6;
-const FULL_PACE: f64 = 6.0;
+/// Concurrent fetches that the store serves at full bandwidth.
+const MAX_FULL_SPEED_FETCHES: f64 = 6.0;
 
 impl Stage {
     fn at(&self, offset: Ticks) -> Ticks {
         self.start + offset
     }
 
-    /// Controllers are spread evenly over the zones.
+    /// Returns a controller's zone. Controllers are spread evenly over the zones.
     fn zone_of(&self, controller: u32) -> u8 {
         ((controller - 1) % self.day.terms.zones.len().max(1) as u32) as u8
     }
 
-    /// Lets a controller begin a new life.
-    fn seat(&self, controller: u32) -> io::Result<()> {
-        let incarnation = self.lives.borrow().get(&controller).map_or(1, |i| i + 1);
-        self.lives.borrow_mut().insert(controller, incarnation);
-        let address = match &self.cast {
-            Cast::Threads(folder) => {
+    /// Starts a new incarnation of a controller.
+    fn start_controller(&self, controller: u32) -> io::Result<()> {
+        let incarnation = self
+            .incarnations
+            .borrow()
+            .get(&controller)
+            .map_or(1, |i| i + 1);
+        self.incarnations
+            .borrow_mut()
+            .insert(controller, incarnation);
+        let address = match &self.runtime {
+            Runtime::Threads(folder) => {
                 let path = folder.join(format!("controller-{controller}-{incarnation}.sock"));
                 Address::Unix(path.to_string_lossy().into_owned())
             }
-            Cast::Virtual(_) => Address::Memory(format!("controller-{controller}-{incarnation}")),
+            Runtime::Virtual(_) => {
+                Address::Memory(format!("controller-{controller}-{incarnation}"))
+            }
         };
         let zone = self.zone_of(controller);
         let names = self.names.as_ref().map(|n| AliasConfig {
@@ -630,8 +644,8 @@
             self.clock,
         );
         let serve = self.serve;
-        let chair = match &self.cast {
-            Cast::Threads(_) => {
+        let process = match &self.runtime {
+            Runtime::Threads(_) => {
                 let (stop, mut stops) = mpsc::unbounded_channel::<Duration>();
                 let clients = address.clone();
                 let builder = std::thread::Builder::new().name(format!("controller-{controller}"));
@@ -658,7 +672,7 @@
                             biased;
                             done = serve(seat(terms, clients, list, seed), Rc::new(SocketNetwork), clock) => {
                                 if let Err(e) = done {
-                                    warn!(controller, %e, "a controller could not serve");
+                                    warn!(controller, %e, "controller failed to serve");
                                 }
                             }
                             () = watch => {}
@@ -667,13 +681,13 @@
                     });
                     seen.take()
                 })?;
-                Chair::Thread { stop, thread }
+                ControllerProcess::Thread { stop, thread }
             }
-            Cast::Virtual(ether) => {
+            Runtime::Virtual(ether) => {
                 let network = ether.host(&format!("controller-{controller}"));
                 let seat = seat(terms, address.clone(), list, seed);
                 let (hold, noted) = (ProcessPause::default(), self.record.clone());
-                let skewed = clock_of(&self.day, &self.cast, clock, 0xc10c, controller);
+                let skewed = clock_of(&self.day, &self.runtime, clock, 0xc10c, controller);
                 let living = async move {
                     let watch =
                         run_event_loop_clock(EventLoopClock::default(), clock, move |now, gap| {
@@ -688,17 +702,17 @@
                         biased;
                         done = serve(seat, network, skewed) => {
                             if let Err(e) = done {
-                                warn!(controller, %e, "a controller could not serve");
+                                warn!(controller, %e, "controller failed to serve");
                             }
                         }
                         () = watch => {}
                     }
                 };
                 let task = tokio::task::spawn_local(pausable(hold.clone(), living));
-                Chair::Task { hold, task }
+                ControllerProcess::Task { hold, task }
             }
         };
-        self.chairs.borrow_mut().insert(controller, chair);
+        self.controllers.borrow_mut().insert(controller, process);
         let who = ControllerId {
             controller,
             incarnation,
@@ -715,26 +729,26 @@
         Ok(())
     }
 
-    /// Ends a controller's life as a kill does: sockets close, nothing is said.
-    fn kill(&self, controller: u32) {
-        let Some(chair) = self.chairs.borrow_mut().remove(&controller) else {
+    /// Ends a controller as a kill does: its sockets close without any message.
+    fn kill_controller(&self, controller: u32) {
+        let Some(process) = self.controllers.borrow_mut().remove(&controller) else {
             return;
         };
         let who = ControllerId {
             controller,
-            incarnation: self.lives.borrow()[&controller],
+            incarnation: self.incarnations.borrow()[&controller],
         };
         self.record.note(Line::Controller {
             at: self.clock.now(),
             who,
             up: false,
         });
-        match chair {
-            Chair::Thread { stop, thread } => {
+        match process {
+            ControllerProcess::Thread { stop, thread } => {
                 drop(stop);
-                self.ended.borrow_mut().push(thread);
+                self.ended_threads.borrow_mut().push(thread);
             }
-            Chair::Task { task, .. } => task.abort(),
+            ControllerProcess::Task { task, .. } => task.abort(),
         }
         for endpoint in self
             .clients
@@ -747,22 +761,19 @@
         }
     }
 
-    fn stall(&self, controller: u32, span: Ticks) {
+    fn stall_controller(&self, controller: u32, span: Ticks) {
         let span = Duration::from_micros(span * 100);
-        match self.chairs.borrow().get(&controller) {
-            Some(Chair::Thread { stop, .. }) => drop(stop.send(span)),
-            Some(Chair::Task { hold, .. }) => hold.pause_for(span),
+        match self.controllers.borrow().get(&controller) {
+            Some(ControllerProcess::Thread { stop, .. }) => drop(stop.send(span)),
+            Some(ControllerProcess::Task { hold, .. }) => hold.pause_for(span),
             None => {}
         }
     }
 
-    /// Does something to the lines between the struck controllers and invokers, one way or both.
-    fn lines(&self, t: &Trouble, change: impl Fn(&SimulatedNetwork, &str, &str)) {
-        let Cast::Virtual(ether) = &self.cast else {
-            return warn!(
-                t.name,
-                "the machine's own sockets can't be told to: left out"
-            );
+    /// Changes the connections between the affected controllers and invokers, in one direction or both.
+    fn change_connections(&self, t: &Trouble, change: impl Fn(&SimulatedNetwork, &str, &str)) {
+        let Runtime::Virtual(ether) = &self.runtime else {
+            return warn!(t.name, "trouble skipped: it requires the emulated network");
         };
         for c in t.controllers.iter().map(|c| format!("controller-{c}")) {
             for i in t.invokers.iter().map(|i| format!("invoker-{i}")) {
@@ -782,7 +793,7 @@
             tokio::task::spawn_local(async move {
                 this.clock.sleep_until(this.at(t.at)).await;
                 let (at, until) = (this.clock.now(), this.at(t.at + t.lasts));
-                let struck = match t.kind {
+                let affected = match t.kind {
                     Kind::ControllerCrash | Kind::ControllerRoll | Kind::ControllerStall => {
                         format!(" of controllers {:?}", t.controllers)
                     }
@@ -799,17 +810,17 @@
                     }
                     _ => String::new(),
                 };
-                let text = format!("{}{struck}", t.name);
+                let text = format!("{}{affected}", t.name);
                 info!(text, "trouble");
                 this.record.note(Line::FaultInjected { at, until, text });
-                this.bring(t).await;
+                this.inject(t).await;
             });
         }
         if self.day.moves > 0 {
             tokio::task::spawn_local(self.clone().move_aliases());
         }
         let arrivals = traffic::draw(&self.day);
-        info!(invocations = arrivals.len(), "a day begins");
+        info!(invocations = arrivals.len(), "day started");
         for (n, arrival) in arrivals.into_iter().enumerate() {
             self.clock.sleep_until(self.at(arrival.at)).await;
             tokio::task::spawn_local(self.clients.clone().invoke(n as u64 + 1, arrival));
@@ -829,19 +840,20 @@
         let tries = u64::from(self.day.retries) + 1;
         let rest = tries * (longest.unwrap_or(0) + 4 * self.day.backoff) + SECOND;
         tokio::time::sleep(Duration::from_micros(rest * 100)).await;
-        // Passages go on for as long as all of their invocations may take.
+        // Waits for the passages in progress, at most for as long as all of their invocations may take.
         let most = self.clock.now() + rest * Ticks::from(self.day.passage);
         while self.clients.active_passages.get() > 0 && self.clock.now() < most {
             self.sleep(SECOND / 10).await;
         }
     }
 
-    async fn ask(&self, change: Change) -> Result<(), String> {
+    /// Requests a change from the registry.
+    async fn change_registry(&self, change: Change) -> Result<(), String> {
         let Some(names) = &self.names else {
             return Ok(());
         };
         let dialled =
-            RegistryClient::connect(&self.cast.host("admin"), &names.address, &names.key).await;
+            RegistryClient::connect(&self.runtime.host("admin"), &names.address, &names.key).await;
         let mut caller = dialled.map_err(|e| e.to_string())?;
         let asked = caller.call("change", serde_json::json!({ "change": change }));
         let told = tokio::time::timeout(Duration::from_secs(2), asked)
@@ -850,7 +862,7 @@
         told.map(|_| ()).map_err(|e| e.to_string())
     }
 
-    /// Each alias to the next version, in turns, all within one period.
+    /// Moves each alias to its next version once per period.
     async fn move_aliases(self: Rc<Self>) {
         let functions: Vec<String> = self.day.terms.functions.keys().cloned().collect();
         for turn in 1u32.. {
@@ -865,7 +877,7 @@
                     .names
                     .as_ref()
                     .and_then(|n| Some(n.life.borrow().as_ref()?.0.clone()));
-                // Lost for now: nobody can move anything.
+                // While the registry is down, no alias can be moved.
                 let Some(book) = life.map(|registry| registry.state()) else {
                     break;
                 };
@@ -887,7 +899,7 @@
                     answers: 40,
                 };
                 let change = match (&is.stage, self.day.staged) {
-                    // Still on trial: there are too few answers to tell.
+                    // A stage is still in progress, with too few responses to end it.
                     (Some(_), _) => continue,
                     (None, true) => {
                         let stage = Some(stage(&version));
@@ -909,8 +921,8 @@
                         stage: None,
                     },
                 };
-                if let Err(why) = self.ask(change).await {
-                    info!(f, why, "an alias was not moved");
+                if let Err(why) = self.change_registry(change).await {
+                    info!(f, why, "alias move failed");
                 }
             }
         }
@@ -920,8 +932,8 @@
         tokio::time::sleep(Duration::from_micros(span * 100)).await;
     }
 
-    /// Invokers follow the list too; here they are told what it says twice a second.
-    async fn tell_peers(&self) {
+    /// Updates the agents' peers twice a second. Real agents follow the endpoint list themselves.
+    async fn update_peers(&self) {
         let d = &self.day.terms.deployment;
         if self.day.layers == Layers::Off {
             return;
@@ -959,7 +971,8 @@
         }
     }
 
-    fn say(&self, invoker: u32, life: Life) {
+    /// Publishes an invoker's life to the endpoint list and the agents.
+    fn publish_life(&self, invoker: u32, life: Life) {
         self.list.publish(self.invokers[&invoker].entry(life));
         match life {
             Life::Gone => drop(self.known.borrow_mut().remove(&invoker)),
@@ -967,13 +980,13 @@
         }
     }
 
-    /// The process dies; what its agent counted is kept.
+    /// Kills an invoker's process after adding up its agent's counts.
     fn crash(&self, invoker: u32) {
         self.count_agent(invoker);
         self.invokers[&invoker].crash();
     }
 
-    /// What its agent counted goes with it otherwise.
+    /// Adds the counts of an invoker's agent to the totals, since they are lost with the process.
     fn count_agent(&self, invoker: u32) {
         if let Some(agent) = self.invokers[&invoker].agent() {
             let c: &Counts = &agent.counts;
@@ -988,21 +1001,21 @@
         }
     }
 
-    /// Tells the list, which is late with what it knows.
-    fn list_later(self: &Rc<Self>, invoker: u32, life: Life) {
+    /// Publishes an invoker's life after the delay of the endpoint list.
+    fn publish_life_later(self: &Rc<Self>, invoker: u32, life: Life) {
         let this = self.clone();
         tokio::task::spawn_local(async move {
             this.sleep(this.day.list_notice).await;
-            this.say(invoker, life);
+            this.publish_life(invoker, life);
         });
     }
 
     async fn restart(self: &Rc<Self>, invoker: u32) {
         if let Err(e) = self.invokers[&invoker].start(true, &[]).await {
-            warn!(invoker, %e, "an invoker could not come back");
+            warn!(invoker, %e, "invoker restart failed");
             return;
         }
-        self.list_later(invoker, Life::Ready);
+        self.publish_life_later(invoker, Life::Ready);
     }
 
     fn fault(&self, invokers: &[u32], change: impl Fn(&mut saltdrum_fakes::Faults)) {
@@ -1011,14 +1024,14 @@
             .for_each(|i| self.invokers[i].update_faults(|f, _| change(f)));
     }
 
-    /// Plays a trouble from its begin to its end.
-    async fn bring(self: &Rc<Self>, t: Trouble) {
+    /// Injects a trouble and removes it after its duration.
+    async fn inject(self: &Rc<Self>, t: Trouble) {
         let struck = || t.invokers.iter().map(|i| &self.invokers[i]);
         match t.kind {
             Kind::Crash => {
                 for i in t.invokers.iter().filter(|i| self.invokers[i].is_up()) {
                     self.crash(*i);
-                    self.list_later(*i, Life::Gone);
+                    self.publish_life_later(*i, Life::Gone);
                 }
                 self.sleep(t.lasts).await;
                 for i in &t.invokers {
@@ -1029,10 +1042,10 @@
                 for i in t.invokers.iter().filter(|i| self.invokers[i].is_up()) {
                     self.count_agent(*i);
                     match self.invokers[i].lose_power(t.delay, t.part).await {
-                        Ok(torn) => info!(invoker = *i, torn, "the power goes"),
-                        Err(e) => warn!(invoker = *i, %e, "its disk could not be torn"),
+                        Ok(torn) => info!(invoker = *i, torn, "invoker lost power"),
+                        Err(e) => warn!(invoker = *i, %e, "tearing the invoker's disk failed"),
                     }
-                    self.list_later(*i, Life::Gone);
+                    self.publish_life_later(*i, Life::Gone);
                 }
                 self.sleep(t.lasts).await;
                 for i in &t.invokers {
@@ -1043,17 +1056,17 @@
                 if let Some(names) = &self.names {
                     names.kill().await;
                     self.sleep(t.lasts).await;
-                    if let Err(e) = names.start(&*self.cast.host("registry"), self.clock).await {
-                        warn!(%e, "the registry could not come back");
+                    if let Err(e) = names
+                        .start(&*self.runtime.host("registry"), self.clock)
+                        .await
+                    {
+                        warn!(%e, "registry restart failed");
                     }
                 }
             }
             Kind::RegistryCut => {
-                let Cast::Virtual(ether) = &self.cast else {
-                    return warn!(
-                        t.name,
-                        "the machine's own sockets can't be told to: left out"
-                    );
+                let Runtime::Virtual(ether) = &self.runtime else {
+                    return warn!(t.name, "trouble skipped: it requires the emulated network");
                 };
                 let both = |change: &dyn Fn(&SimulatedNetwork, &str, &str)| {
                     for c in t.controllers.iter().map(|c| format!("controller-{c}")) {
@@ -1065,7 +1078,7 @@
                 self.sleep(t.lasts).await;
                 both(&SimulatedNetwork::heal);
             }
-            // The second version of a model, wherever it runs.
+            // Affects the second version of the first named model, on all affected invokers.
             Kind::VersionErrs => {
                 let begin = t.functions.first().map(|f| format!("{f}@v2"));
                 self.fault(&t.invokers, |f| {
@@ -1091,12 +1104,12 @@
                         model: name(f),
                         name: before,
                     };
-                    if let Err(why) = self.ask(change).await {
-                        warn!(f, why, "a version was not withdrawn");
+                    if let Err(why) = self.change_registry(change).await {
+                        warn!(f, why, "withdrawing a version failed");
                     }
                 }
             }
-            // Of certain models only: their latest versions' own chunks, for which nobody has another source.
+            // With named models, only the chunks of their latest versions are damaged, for which there is no other source.
             Kind::StoreDamages
                 if t.functions.len() < self.day.terms.functions.len()
                     && !t.functions.is_empty() =>
@@ -1183,7 +1196,7 @@
                 self.registry.slowness.set(1.0);
             }
             Kind::StoreRefuses => {
-                // Of single chunks a share is refused; of whole models all.
+                // The store of chunks refuses a share of requests, the store of whole models refuses all.
                 let limit = self.store.max_in_flight.replace(0);
                 self.registry.faults.borrow_mut().refuse_share = t.part;
                 self.sleep(t.lasts).await;
@@ -1191,33 +1204,37 @@
                 self.registry.faults.borrow_mut().refuse_share = 0.0;
             }
             Kind::LineCut => {
-                self.lines(&t, SimulatedNetwork::cut);
+                self.change_connections(&t, SimulatedNetwork::cut);
                 self.sleep(t.lasts).await;
-                self.lines(&t, SimulatedNetwork::heal);
+                self.change_connections(&t, SimulatedNetwork::heal);
             }
             Kind::LineSlow => {
                 let line = Wire {
                     delay: t.delay,
                     jitter: t.delay / 2,
                 };
-                self.lines(&t, |ether, from, to| ether.add_slowdown(from, to, line));
+                self.change_connections(&t, |ether, from, to| ether.add_slowdown(from, to, line));
                 self.sleep(t.lasts).await;
-                self.lines(&t, |ether, from, to| ether.remove_slowdown(from, to, line));
+                self.change_connections(&t, |ether, from, to| {
+                    ether.remove_slowdown(from, to, line)
+                });
             }
             Kind::ListLost => {
                 self.list.stop();
                 self.sleep(t.lasts).await;
                 if let Err(e) = self.list.resume().await {
-                    warn!(%e, "the list could not come back");
+                    warn!(%e, "endpoint list restart failed");
                 }
             }
             Kind::Deploy => {
                 for batch in t.invokers.chunks(t.batch) {
-                    batch.iter().for_each(|i| self.say(*i, Life::Draining));
+                    batch
+                        .iter()
+                        .for_each(|i| self.publish_life(*i, Life::Draining));
                     self.sleep(t.delay.max(SECOND)).await;
                     for i in batch {
                         self.crash(*i);
-                        self.say(*i, Life::Gone);
+                        self.publish_life(*i, Life::Gone);
                     }
                     self.sleep(SECOND / 2).await;
                     for i in batch {
@@ -1227,44 +1244,49 @@
                 }
             }
             Kind::ControllerCrash => {
-                t.controllers.iter().for_each(|c| self.kill(*c));
+                t.controllers.iter().for_each(|c| self.kill_controller(*c));
                 self.sleep(t.lasts).await;
-                t.controllers.iter().for_each(|c| self.reseat(*c));
+                t.controllers
+                    .iter()
+                    .for_each(|c| self.restart_controller(*c));
             }
             Kind::ControllerRoll => {
                 for batch in t.controllers.chunks(t.batch) {
-                    batch.iter().for_each(|c| self.kill(*c));
+                    batch.iter().for_each(|c| self.kill_controller(*c));
                     self.sleep(t.lasts).await;
-                    batch.iter().for_each(|c| self.reseat(*c));
+                    batch.iter().for_each(|c| self.restart_controller(*c));
                     self.sleep(SECOND).await;
                 }
             }
-            Kind::ControllerStall => t.controllers.iter().for_each(|c| self.stall(*c, t.lasts)),
+            Kind::ControllerStall => t
+                .controllers
+                .iter()
+                .for_each(|c| self.stall_controller(*c, t.lasts)),
             Kind::BadInput => self.clients.send_malformed_requests().await,
-            // These change what clients send, before the day begins.
+            // These kinds are applied to the arrivals before the day begins.
             Kind::HotFunction | Kind::HeavyTail | Kind::ClientHangUps | Kind::SlowReaders => {}
         }
     }
 
-    fn reseat(&self, controller: u32) {
-        if let Err(e) = self.seat(controller) {
-            warn!(controller, %e, "a controller could not come back");
+    fn restart_controller(&self, controller: u32) {
+        if let Err(e) = self.start_controller(controller) {
+            warn!(controller, %e, "controller restart failed");
         }
     }
 
-    /// Ends everything and gathers what was seen.
-    fn strike(&self) -> io::Result<Vec<Line>> {
+    /// Stops all components and returns the record.
+    fn tear_down(&self) -> io::Result<Vec<Line>> {
         let mut lines = self.record.take();
-        for (_, chair) in std::mem::take(&mut *self.chairs.borrow_mut()) {
-            match chair {
-                Chair::Thread { stop, thread } => {
+        for (_, process) in std::mem::take(&mut *self.controllers.borrow_mut()) {
+            match process {
+                ControllerProcess::Thread { stop, thread } => {
                     drop(stop);
-                    self.ended.borrow_mut().push(thread);
+                    self.ended_threads.borrow_mut().push(thread);
                 }
-                Chair::Task { task, .. } => task.abort(),
+                ControllerProcess::Task { task, .. } => task.abort(),
             }
         }
-        for thread in self.ended.borrow_mut().drain(..) {
+        for thread in self.ended_threads.borrow_mut().drain(..) {
             lines.extend(
                 thread
                     .join()
@@ -1281,7 +1303,7 @@
         }
         if let Some(names) = &self.names {
             names.kill_now();
-            lines.push(names.sum_up(self.clock.now())?);
+            lines.push(names.summarize(self.clock.now())?);
         }
         if self.day.layers != Layers::Off {
             let requests = self.registry.requests.borrow();
--- a/crates/scenario/src/summary.rs
+++ b/crates/scenario/src/summary.rs
@@ -1,4 +1,4 @@
-//! What came of a day: for a person as tables, for a program as JSON. From the record alone.
+//! Summarizes a day from its record alone, as tables for people and as JSON for programs.
 
 use crate::check::{State, Verdict};
 use comfy_table::{CellAlignment, Table, presets};
@@ -8,35 +8,36 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// What came of the invocations of one tenant and trigger type. An invocation counts once, by its last try.
+/// Outcomes of the invocations of one tenant and trigger type. An invocation counts once, by its last attempt.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Row {
     pub tenant: String,
     pub trigger: String,
     pub taken: usize,
-    /// Within the latency objective, counted from the first try.
+    /// Succeeded within the latency objective, measured from the first attempt.
     pub succeeded: usize,
     pub late: usize,
     pub throttled: usize,
     pub errored: usize,
     pub hung_up: usize,
-    /// The controller was killed, or stood still, with it in hand.
+    /// The controller was killed or stalled while the invocation was in flight.
     pub lost: usize,
     pub p50_ms: f64,
     pub p99_ms: f64,
 }
 
+/// Outcomes during one trouble.
 #[derive(Clone, Debug, Serialize)]
 pub struct TroubleOutcome {
     pub at_ms: f64,
     pub lasts_ms: f64,
     pub what: String,
-    /// Invocations that began meanwhile, and the share of them in time.
+    /// Invocations that began during the trouble. `in_time` is the share of them that succeeded in time.
     pub invocations: usize,
     pub in_time: f64,
 }
 
-/// All tries, not invocations: what controllers took and what they answered.
+/// Counts of attempts, not of invocations: what clients sent and controllers answered.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct TryCounts {
     pub sent: usize,
@@ -50,25 +51,25 @@
     pub fetches_refused: usize,
 }
 
-/// How models reached invokers, on a day with layers.
+/// How invokers obtained models, on a day with layers.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Layers {
-    /// Distinct ones asked of the store.
+    /// Distinct chunks that were requested from the store.
     pub chunks: u64,
     pub store_requests: u64,
     pub mb_from_store: f64,
     pub from_cache: u64,
     pub from_peers: u64,
     pub from_store: u64,
-    /// Seen and thrown away.
+    /// Damaged chunks that were detected and discarded.
     pub damaged: u64,
-    /// Put together and compared with their models by the invokers.
+    /// Copies that invokers assembled and compared with their models.
     pub copies: u64,
-    /// Of these, not the model: none may be.
+    /// Copies that differ from their model; must be 0.
     pub unsound: u64,
 }
 
-/// Loads of copies, however their models came.
+/// Statistics of function loads, from every source.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Loads {
     pub ended_well: usize,
@@ -77,20 +78,21 @@
     pub p99_ms: f64,
 }
 
+/// The summary of a day.
 #[derive(Clone, Debug, Serialize)]
 pub struct Summary {
-    /// Moves of aliases, stages that ended well, and that were stopped.
+    /// Alias moves, stages that completed, and stages that were stopped.
     pub moves: Option<(u64, u64, u64)>,
-    /// Passages, and those that mixed versions; none may.
+    /// Passages, those with more than one invocation, and a description of each that mixed versions; there must be none.
     pub passages: Option<(usize, usize, Vec<String>)>,
     pub loads: Loads,
     pub layers: Option<Layers>,
     pub day: String,
     pub rows: Vec<Row>,
-    /// Share in time of invocations that began while no trouble was on.
+    /// Share in time of invocations that began while no trouble was active.
     pub in_time_calm: f64,
     pub in_time: f64,
-    /// As `in_time`, each invocation weighed by its trigger type's billed value.
+    /// Like `in_time`, with each invocation weighted by its trigger type's billed value.
     pub value_in_time: f64,
     pub troubles: Vec<TroubleOutcome>,
     pub tries: TryCounts,
@@ -98,7 +100,7 @@
 }
 
 #[derive(Default)]
-struct One {
+struct InvocationRecord {
     tenant: String,
     trigger: String,
     first: Ticks,
@@ -116,9 +118,9 @@
     }
 }
 
-/// Sums up a record.
+/// Summarizes a record.
 pub fn summarize(day: &str, lines: &[Line], rules: Vec<Verdict>) -> Summary {
-    let mut all: BTreeMap<u64, One> = BTreeMap::new();
+    let mut all: BTreeMap<u64, InvocationRecord> = BTreeMap::new();
     let mut moves = None;
     let (mut copies, mut unsound) = (0, 0);
     let (mut loads, mut layers) = (Loads::default(), None);
@@ -224,7 +226,7 @@
             _ => tries.unanswered += 1,
         }
     }
-    let in_time = |one: &One| {
+    let in_time = |one: &InvocationRecord| {
         let most = objective.get(&one.trigger).copied().unwrap_or(Ticks::MAX);
         one.how == Some(Outcome::Succeeded) && one.took.is_some_and(|t| t <= most)
     };
@@ -264,7 +266,7 @@
             ..row
         }
     });
-    let of_interest: Vec<&One> = all.values().filter(|one| !one.hung_up).collect();
+    let not_hung_up: Vec<&InvocationRecord> = all.values().filter(|one| !one.hung_up).collect();
     let mut troubles = Vec::new();
     let mut spans = Vec::new();
     for line in lines {
@@ -272,7 +274,7 @@
             continue;
         };
         spans.push((*at, *until));
-        let during: Vec<&&One> = of_interest
+        let during: Vec<&&InvocationRecord> = not_hung_up
             .iter()
             .filter(|o| o.first >= *at && o.first < (*until).max(at + 10_000))
             .collect();
@@ -284,10 +286,14 @@
             in_time: share(during.iter().filter(|o| in_time(o)).count(), during.len()),
         });
     }
-    let worth = |one: &&One| value.get(&one.trigger).copied().unwrap_or(1.0);
-    let offered: f64 = of_interest.iter().map(worth).sum();
-    let earned: f64 = of_interest.iter().filter(|o| in_time(o)).map(worth).sum();
-    let calm: Vec<&&One> = of_interest
+    let billed_value = |one: &&InvocationRecord| value.get(&one.trigger).copied().unwrap_or(1.0);
+    let offered: f64 = not_hung_up.iter().map(billed_value).sum();
+    let earned: f64 = not_hung_up
+        .iter()
+        .filter(|o| in_time(o))
+        .map(billed_value)
+        .sum();
+    let calm: Vec<&&InvocationRecord> = not_hung_up
         .iter()
         .filter(|o| spans.iter().all(|(a, b)| o.first < *a || o.first >= *b))
         .collect();
@@ -302,8 +308,8 @@
         rows: rows.collect(),
         in_time_calm: share(calm.iter().filter(|o| in_time(o)).count(), calm.len()),
         in_time: share(
-            of_interest.iter().filter(|o| in_time(o)).count(),
-            of_interest.len(),
+            not_hung_up.iter().filter(|o| in_time(o)).count(),
+            not_hung_up.len(),
         ),
         value_in_time: earned / offered.max(1e-9),
         troubles,
@@ -312,21 +318,21 @@
     }
 }
 
-fn table(head: &[&str]) -> Table {
+fn new_table(head: &[&str]) -> Table {
     let mut t = Table::new();
     t.load_preset(presets::UTF8_HORIZONTAL_ONLY)
         .set_header(head.to_vec());
     t
 }
 
-fn right_from(t: &mut Table, column: usize) {
+fn align_right_from(t: &mut Table, column: usize) {
     for c in t.column_iter_mut().skip(column) {
         c.set_cell_alignment(CellAlignment::Right);
     }
 }
 
 impl Summary {
-    /// Broken beats undecided beats kept.
+    /// The worst state of any rule: broken, then undecided, then kept.
     pub fn state(&self) -> State {
         let any = |s| self.rules.iter().any(|r| r.state == s);
         [State::Broken, State::CannotTell]
@@ -335,9 +341,9 @@
             .unwrap_or(State::Kept)
     }
 
-    /// Tables for a person.
+    /// Renders the summary as tables.
     pub fn text(&self) -> String {
-        let mut t = table(&[
+        let mut t = new_table(&[
             "tenant",
             "trigger type",
             "taken",
@@ -365,10 +371,10 @@
             row.extend([format!("{:.0}", r.p50_ms), format!("{:.0}", r.p99_ms)]);
             t.add_row(row);
         }
-        right_from(&mut t, 2);
+        align_right_from(&mut t, 2);
         let mut out = format!("{}\n{t}\n", self.day);
         if !self.troubles.is_empty() {
-            let mut t = table(&["at s", "lasts s", "trouble", "invocations", "in time"]);
+            let mut t = new_table(&["at s", "lasts s", "trouble", "invocations", "in time"]);
             for s in &self.troubles {
                 t.add_row(vec![
                     format!("{:.1}", s.at_ms / 1e3),
@@ -378,7 +384,7 @@
                     format!("{:.1}%", 100.0 * s.in_time),
                 ]);
             }
-            right_from(&mut t, 3);
+            align_right_from(&mut t, 3);
             out += &format!(
                 "{t}\nin time while calm {:.1}%, ",
                 100.0 * self.in_time_calm
--- a/crates/scenario/tests/days.rs
+++ b/crates/scenario/tests/days.rs
@@ -1,4 +1,4 @@
-//! Whole days through the real controller: on loopback sockets, and in virtual time.
+//! Whole days with the real controller, on loopback sockets and in virtual time.
 
 use proptest::prelude::*;
 use saltdrum_fakes::record::{ClientAttempt, Line, write};
@@ -18,21 +18,21 @@
     out
 }
 
-/// No rule is broken, and what was taken was answered but for what the script took away.
-fn holds(name: &str, lines: &[Line]) -> summary::Summary {
+/// Asserts that no rule is broken and that every attempt was answered, except those that the script's faults explain.
+fn assert_rules_hold(name: &str, lines: &[Line]) -> summary::Summary {
     let s = summary::summarize(name, lines, check(lines).unwrap());
     assert_ne!(s.state(), State::Broken, "{}", s.text());
     let t = &s.tries;
-    // What a disturbed machine leaves unanswered is told by rule 1, never passed over.
+    // Attempts left unanswered because the machine stalled are reported as inconclusive by rule 1, never ignored.
     assert!(t.unanswered <= s.rules[0].cannot_tell.len(), "{}", s.text());
     s
 }
 
 #[test]
-fn the_bad_day_on_loopback_sockets() {
+fn bad_day_keeps_the_rules_on_loopback_sockets() {
     let folder = tempfile::tempdir().unwrap();
     let lines = play_on_sockets(&builtin("bad-day"), folder.path()).unwrap();
-    let s = holds("bad day", &lines);
+    let s = assert_rules_hold("bad day", &lines);
     assert!(
         s.tries.sent > 5_000 && s.tries.hung_up > 0 && s.tries.fetches_refused > 0,
         "{}",
@@ -61,11 +61,11 @@
     assert_eq!(lives.len(), 4, "three controllers, one of which came back");
 }
 
-/// An order to load that reached an invoker, and no load of the function ended there before the list said it drains.
+/// Counts load orders that reached an invoker whose load had not ended when the list reported the invoker draining.
 #[test]
-fn the_bad_day_marks_a_drain_while_an_order_waits() {
+fn bad_day_includes_a_drain_with_a_pending_load_order() {
     let lines = play_virtually(&builtin("bad-day"), serve).unwrap();
-    holds("bad day", &lines);
+    assert_rules_hold("bad day", &lines);
     let mut waiting: BTreeSet<(u32, u64)> = BTreeSet::new();
     let mut seen = 0;
     for line in &lines {
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_day_and_another_seed_another() {
+fn same_seed_repeats_the_day_and_another_seed_differs() {
     let play = |seed| {
         let day = Day {
             seed,
@@ -106,9 +106,9 @@
     assert!(first != play(22));
 }
 
-/// A controller that reads the machine's own clock, as a mistake would: its seed hangs on it.
-fn careless(
-    mut seat: saltdrum_controller::ControllerConfig,
+/// A controller that mistakenly reads the machine's own clock: its seed depends on it.
+fn controller_reading_system_clock(
+    mut config: saltdrum_controller::ControllerConfig,
     network: std::rc::Rc<dyn saltdrum_transport::Network>,
     clock: saltdrum_transport::Clock,
 ) -> std::pin::Pin<Box<dyn Future<Output = std::io::Result<()>>>> {
@@ -119,20 +119,20 @@
     let now = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap();
-    seat.seed ^= now.as_nanos() as u64;
-    serve(seat, network, clock)
+    config.seed ^= now.as_nanos() as u64;
+    serve(config, network, clock)
 }
 
 #[test]
-fn whoever_reads_the_machines_own_clock_is_given_away_by_a_second_run() {
+fn second_run_reveals_a_read_of_the_system_clock() {
     let play = |serve| bytes(&play_virtually(&builtin("bad-network"), serve).unwrap());
     assert!(play(serve) == play(serve));
-    assert!(play(careless) != play(careless));
+    assert!(play(controller_reading_system_clock) != play(controller_reading_system_clock));
 }
 
-/// Timers of one moment and streams that are ready together have an order of their own, and it is the same each time.
+/// Timers that expire at the same instant and streams that are ready together are processed in a deterministic order.
 #[test]
-fn what_falls_together_in_virtual_time_keeps_its_order() {
+fn simultaneous_events_in_virtual_time_keep_their_order() {
     let script = DAYS.iter().find(|d| d.0 == "answers-lost").unwrap().1;
     let play = || {
         let mut day = Day::load("ties", script).unwrap();
@@ -163,27 +163,28 @@
 }
 
 #[test]
-fn days_that_come_with_the_program_keep_the_rules_in_virtual_time() {
+fn built_in_days_keep_the_rules_in_virtual_time() {
     for (name, _) in DAYS {
-        let s = holds(name, &play_virtually(&builtin(name), serve).unwrap());
+        let s = assert_rules_hold(name, &play_virtually(&builtin(name), serve).unwrap());
         assert!(
             s.rules[1..].iter().all(|r| r.state == State::Kept),
             "{}",
             s.text()
         );
-        // A controller that is stopped for 2 s can leave one whose time ran out meanwhile; `holds` has it told by rule 1.
+        // A controller that stalls for 2 s can miss the timeout of one invocation; `assert_rules_hold` requires that rule 1
+        // reports it.
         assert!(s.rules[0].cannot_tell.len() <= 1, "{}", s.text());
         assert!(s.in_time > 0.6, "{}", s.text());
     }
 }
 
-/// Counted at the stand-ins, whatever the checker says.
+/// Counts effects at the stand-in invokers, independently of the checker.
 #[test]
-fn lost_answers_double_no_effect() {
+fn lost_responses_cause_no_double_effect() {
     let lines = play_virtually(&builtin("answers-lost"), serve).unwrap();
     let mut triggers: BTreeMap<ClientAttempt, &str> = BTreeMap::new();
     let mut effects: BTreeMap<u64, u32> = BTreeMap::new();
-    let (mut lost, mut again) = (0, 0);
+    let (mut lost, mut retried) = (0, 0);
     for line in &lines {
         match line {
             Line::Sent { of, trigger, .. } => drop(triggers.insert(*of, trigger)),
@@ -193,7 +194,7 @@
             } => lost += 1,
             Line::Dispatched {
                 hop: 1.., trigger, ..
-            } if trigger == "note" => again += 1,
+            } if trigger == "note" => retried += 1,
             Line::Started {
                 of, repeat: false, ..
             } if triggers[of] != "score" => {
@@ -203,8 +204,8 @@
         }
     }
     assert!(
-        lost > 50 && again > 5 && effects.len() > 800,
-        "{lost} {again} {}",
+        lost > 50 && retried > 5 && effects.len() > 800,
+        "{lost} {retried} {}",
         effects.len()
     );
     assert!(effects.values().all(|n| *n == 1));
@@ -228,15 +229,15 @@
 "#;
 
 #[test]
-fn a_short_day_comes_out_alike_on_sockets_and_in_virtual_time() {
+fn short_day_has_equal_results_on_sockets_and_in_virtual_time() {
     let script = format!(
         "{SHORT}trouble(\"crash\", at = \"2s\", lasts = \"1s\", invokers = [2])\n\
          trouble(\"answers_lost\", at = \"3s\", lasts = \"1s\", part = 0.2)\n"
     );
     let day = Day::load("short.star", &script).unwrap();
     let folder = tempfile::tempdir().unwrap();
-    let real = holds("sockets", &play_on_sockets(&day, folder.path()).unwrap());
-    let virtually = holds("virtual", &play_virtually(&day, serve).unwrap());
+    let real = assert_rules_hold("sockets", &play_on_sockets(&day, folder.path()).unwrap());
+    let virtually = assert_rules_hold("virtual", &play_virtually(&day, serve).unwrap());
     let taken = |s: &summary::Summary| {
         s.rows
             .iter()
@@ -312,8 +313,8 @@
 }
 
 #[test]
-fn what_is_wrong_with_a_day_is_said_with_its_line() {
-    for (line, say) in [
+fn errors_in_a_day_name_their_line() {
+    for (line, expected) in [
         (
             "trouble(\"plague\", at = \"1s\")",
             "short.star:16: trouble: 'plague' is no trouble; known are crash",
@@ -346,22 +347,22 @@
         let got = Day::load("short.star", &format!("{SHORT}{line}\n"))
             .unwrap_err()
             .to_string();
-        assert!(got.starts_with(say), "{got}");
+        assert!(got.starts_with(expected), "{got}");
     }
 }
 
-/// The layers day beside the same day with every invoker asking the store for itself.
+/// Compares the layers day with the same day where every invoker fetches from the store on its own.
 #[test]
-fn shared_layers_ask_the_store_a_fraction_of_what_each_alone_does() {
+fn sharing_layers_sends_a_fraction_of_the_store_requests() {
     let script = DAYS.iter().find(|d| d.0 == "layers-day").unwrap().1;
     let play = |script: &str| {
         let day = Day::load("layers", script).unwrap();
-        let s = holds("layers", &play_virtually(&day, serve).unwrap());
+        let s = assert_rules_hold("layers", &play_virtually(&day, serve).unwrap());
         (s.layers.clone().unwrap(), s.loads.clone())
     };
     let (shared, loads) = play(script);
     let (alone, _) = play(&script.replace("layers = \"shared\"", "layers = \"alone\""));
-    // Crashes, a store that refuses and a list that is lost are in the day: a herd alone stays under 1.2.
+    // The day includes crashes, a refusing store and a lost list; without them, simultaneous loads stay under 1.2.
     assert!(
         shared.store_requests * 10 <= shared.chunks * 13,
         "{shared:?}"
--- a/crates/scenario/tests/models.rs
+++ b/crates/scenario/tests/models.rs
@@ -1,4 +1,4 @@
-//! Models in versions: passages never mix them, whatever moves, dies or is cut off.
+//! Days with model versions: no passage mixes versions while aliases move, processes crash and connections are cut.
 
 use saltdrum_fakes::record::{Line, Outcome, write};
 use saltdrum_scenario::{
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn no_passage_mixes_versions_while_aliases_move_every_second() {
+fn passages_keep_their_version_while_aliases_move_every_second() {
     for seed in 0..2 {
         let day = Day {
             seed,
@@ -24,16 +24,16 @@
         };
         let lines = play_virtually(&day, serve).unwrap();
         let s = judged(&lines);
-        let spoke = saltdrum_scenario::passages::look(&lines).unwrap();
-        assert_eq!(spoke.mixed, Vec::<String>::new());
+        let runs = saltdrum_scenario::passages::look(&lines).unwrap();
+        assert_eq!(runs.mixed, Vec::<String>::new());
         assert!(
-            spoke.passages > 700 && spoke.longer > 600 && spoke.invocations > 2_500,
-            "{spoke:?}"
+            runs.passages > 700 && runs.longer > 600 && runs.invocations > 2_500,
+            "{runs:?}"
         );
         assert!(
-            spoke.functions > 100,
-            "{} versions spoke: nothing moved",
-            spoke.functions
+            runs.functions > 100,
+            "{} versions runs: nothing moved",
+            runs.functions
         );
         let layers = s.layers.clone().unwrap();
         assert!(layers.unsound == 0 && layers.copies > 100, "{}", s.text());
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn on_sockets_too() {
+fn passages_keep_their_version_on_sockets() {
     let folder = tempfile::tempdir().unwrap();
     let day = Day::load(
         "models",
@@ -51,26 +51,26 @@
     .unwrap();
     let lines = play_on_sockets(&day, folder.path()).unwrap();
     judged(&lines);
-    let spoke = saltdrum_scenario::passages::look(&lines).unwrap();
-    assert!(spoke.mixed.is_empty() && spoke.longer > 200, "{spoke:?}");
+    let runs = saltdrum_scenario::passages::look(&lines).unwrap();
+    assert!(runs.mixed.is_empty() && runs.longer > 200, "{runs:?}");
 }
 
-/// Clients that hand nothing back are what the judge must catch.
+/// Clients that do not return the version of their passage mix versions, which the check must report.
 #[test]
-fn passages_that_are_not_handed_back_are_seen_to_mix() {
+fn reports_mixed_versions_when_clients_do_not_return_the_version() {
     let text = script().replace("passage = 4", "passage = 4, hands_back = False");
     let lines = play_virtually(&Day::load("models", &text).unwrap(), serve).unwrap();
-    let spoke = saltdrum_scenario::passages::look(&lines).unwrap();
+    let runs = saltdrum_scenario::passages::look(&lines).unwrap();
     assert!(
-        spoke.mixed.len() > 100,
+        runs.mixed.len() > 100,
         "{} of {}",
-        spoke.mixed.len(),
-        spoke.passages
+        runs.mixed.len(),
+        runs.passages
     );
 }
 
 #[test]
-fn the_same_seed_gives_the_same_bytes_with_a_registry_too() {
+fn same_seed_gives_identical_records_with_a_registry() {
     let text = script().replace("length = \"30s\"", "length = \"7s\"");
     let play = || {
         let mut out = Vec::new();
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn corrupt_copies_at_store_peers_and_disks_are_never_used() {
+fn corrupt_copies_from_store_peers_and_disks_are_never_used() {
     let text = format!(
         "{}\ntrouble('store_damages', at = '3s', lasts = '4s', part = 1.0)\n\
          trouble('power_cut', at = '12s', lasts = '2s', invokers = [1, 2, 3, 7], part = 0.8, delay = '20s')\n\
@@ -105,9 +105,9 @@
     );
 }
 
-/// A version that fails, brought at once to all and brought in a stage.
+/// Compares a move to a failing version with and without a stage.
 #[test]
-fn a_staged_move_to_a_version_that_fails_is_stopped_before_most_meet_it() {
+fn staged_move_to_a_failing_version_is_stopped_early() {
     let day = |staged: &str| {
         let text = script()
             .lines()
@@ -147,9 +147,9 @@
     );
 }
 
-/// A version that is corrupt at the store, so at every source: it is told within seconds, and never used.
+/// A version that is corrupt at the store, and so at every source, is reported within seconds and never used.
 #[test]
-fn a_version_without_a_sound_source_is_reported_and_its_invocations_end_plainly() {
+fn version_without_an_intact_source_is_reported_and_its_invocations_are_answered() {
     let text = script()
         .lines()
         .filter(|l| !l.starts_with("trouble("))
@@ -166,20 +166,23 @@
     let lines = play_virtually(&Day::load("models", &text).unwrap(), serve).unwrap();
     let s = judged(&lines);
     assert_eq!(s.layers.as_ref().unwrap().unsound, 0);
-    let told = lines.iter().find_map(|l| {
+    let corrupt = lines.iter().find_map(|l| {
         if let Line::RegistryTotals { corrupt, .. } = l {
             Some(corrupt.clone())
         } else {
             None
         }
     });
-    let told = told.unwrap();
-    // Aliases move 5 s after the day's begin, which is half a second after the hour that clocks begin with.
+    let corrupt = corrupt.unwrap();
+    // Aliases move 5 s after the day begins. Clocks start at one hour, and the day begins half a second later.
     let moved_ms = 3_600_500 + 5_000;
-    assert!(told.len() == 1 && told[0].0 == "voice-0@v2", "{told:?}");
     assert!(
-        (moved_ms..moved_ms + 10_000).contains(&told[0].1),
-        "{told:?}"
+        corrupt.len() == 1 && corrupt[0].0 == "voice-0@v2",
+        "{corrupt:?}"
+    );
+    assert!(
+        (moved_ms..moved_ms + 10_000).contains(&corrupt[0].1),
+        "{corrupt:?}"
     );
     assert!(
         s.tries.unanswered == 0 && s.loads.failed > 0,
--- a/crates/scenario/tests/planted.rs
+++ b/crates/scenario/tests/planted.rs
@@ -1,4 +1,5 @@
-//! For each rule a controller that breaks it, and the checker's word on it. A checker that finds nothing proves nothing.
+//! Runs faulty controllers that break each rule and checks that the judge reports it. Without these tests, a judge that never
+//! finds anything would pass.
 
 use saltdrum_faulty_peers::{Fault, run_faulty_controller};
 use saltdrum_scenario::{Day, State, Verdict, check::check, play_virtually};
@@ -27,8 +28,8 @@
     check(&play_virtually(&day, serve).unwrap()).unwrap()
 }
 
-/// The rule is found broken, in words that name who and when.
-fn caught(rule: usize, names: &[&str], serve: saltdrum_scenario::Serve) {
+/// Asserts that the rule is reported as broken, with findings that name the parties and the time.
+fn assert_broken(rule: usize, names: &[&str], serve: saltdrum_scenario::Serve) {
     let verdicts = judged(serve);
     let v = &verdicts[rule - 1];
     assert_eq!(v.state, State::Broken, "rule {rule}: {v:?}");
@@ -43,21 +44,21 @@
 }
 
 #[test]
-fn the_real_controller_breaks_none_and_every_rule_is_looked_at() {
+fn real_controller_keeps_all_rules_and_every_rule_has_cases() {
     for v in judged(saltdrum_scenario::serve) {
         assert!(v.state == State::Kept && (v.looked_at > 0), "{v:?}");
     }
 }
 
 #[test]
-fn a_rogue_without_a_fault_answers_all() {
+fn faulty_controller_without_a_fault_answers_every_invocation() {
     let v = &judged(|s, n, c| run_faulty_controller(Fault::None, s, n, c))[0];
     assert!(v.state == State::Kept && v.looked_at > 500, "{v:?}");
 }
 
 #[test]
-fn two_answers() {
-    caught(
+fn reports_second_response() {
+    assert_broken(
         1,
         &["invocation", "controller", "Succeeded at"],
         |s, n, c| run_faulty_controller(Fault::AnswersTwice, s, n, c),
@@ -65,22 +66,22 @@
 }
 
 #[test]
-fn no_answer() {
-    caught(1, &["invocation", "got no answer"], |s, n, c| {
+fn reports_missing_response() {
+    assert_broken(1, &["invocation", "got no answer"], |s, n, c| {
         run_faulty_controller(Fault::AnswersNotAll, s, n, c)
     });
 }
 
 #[test]
-fn an_answer_past_the_client_timeout() {
-    caught(1, &["ms after its client timeout"], |s, n, c| {
+fn reports_response_after_client_timeout() {
+    assert_broken(1, &["ms after its client timeout"], |s, n, c| {
         run_faulty_controller(Fault::AnswersLate, s, n, c)
     });
 }
 
 #[test]
-fn an_effect_twice() {
-    caught(
+fn reports_double_effect() {
+    assert_broken(
         2,
         &[
             "non-idempotent invocation",
@@ -92,22 +93,22 @@
 }
 
 #[test]
-fn a_throttle_for_what_ran() {
-    caught(2, &["ran on invoker", "was throttled"], |s, n, c| {
+fn reports_throttle_of_an_invocation_that_ran() {
+    assert_broken(2, &["ran on invoker", "was throttled"], |s, n, c| {
         run_faulty_controller(Fault::ThrottlesWhatRan, s, n, c)
     });
 }
 
 #[test]
-fn two_dispatches_out() {
-    caught(2, &["was still out"], |s, n, c| {
+fn reports_forbidden_parallel_attempts() {
+    assert_broken(2, &["was still out"], |s, n, c| {
         run_faulty_controller(Fault::TwoOut, s, n, c)
     });
 }
 
 #[test]
-fn work_for_an_invoker_that_drains() {
-    caught(
+fn reports_dispatch_to_a_draining_invoker() {
+    assert_broken(
         3,
         &["dispatch", "came to invoker", "was told it was draining"],
         |s, n, c| run_faulty_controller(Fault::IgnoresDrains, s, n, c),
@@ -115,15 +116,15 @@
 }
 
 #[test]
-fn a_cold_invoker_pushed_over() {
-    caught(4, &["invoker", "of work within"], |s, n, c| {
+fn reports_overloaded_cold_invoker() {
+    assert_broken(4, &["invoker", "of work within"], |s, n, c| {
         run_faulty_controller(Fault::FloodsColdOnes, s, n, c)
     });
 }
 
 #[test]
-fn orders_beyond_the_ration() {
-    caught(5, &["controller", "orders to load within"], |s, n, c| {
+fn reports_load_orders_beyond_the_budget() {
+    assert_broken(5, &["controller", "orders to load within"], |s, n, c| {
         run_faulty_controller(Fault::LoadsAtWill, s, n, c)
     });
 }
