--- a/crates/trial/src/judge.rs
+++ b/crates/trial/src/judge.rs
@@ -1,15 +1,17 @@
-//! Judges a trial by its record alone.
+//! Judges the rules on drains, grants and invocations by the record of a trial alone.
 
 use crate::record::{How, Line};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// A rule and the violations of it, one text each.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Verdict {
     pub rule: &'static str,
     pub broken: Vec<String>,
 }
 
+/// The rules in the order of the verdicts.
 pub const RULES: [&str; 6] = [
     "planned out never above the bound",
     "no drain begins while true out is at the bound",
@@ -19,16 +21,16 @@
     "no invocation is lost to a planned drain",
 ];
 
-/// Who is out, as far as processes showed it.
+/// The members out of service, as far as the record shows.
 #[derive(Default)]
-struct Out {
-    /// Began to drain and not yet up again.
+struct OutOfService {
+    /// Members that began to drain and are not up again.
     planned: BTreeSet<String>,
-    /// Dead without having drained, and since when; not yet up again.
+    /// Members that ended without draining and are not up again, with the times of their ends.
     dead: BTreeMap<String, u64>,
 }
 
-fn at(line: &Line) -> u64 {
+fn time_ns(line: &Line) -> u64 {
     match line {
         Line::Bound { .. } | Line::History { .. } => 0,
         Line::Told { at_ns, .. }
@@ -43,33 +45,36 @@
     }
 }
 
-/// Whether stewards tell of this begin, and of no halt before it that stood then.
-fn agreed_before_halt(lines: &[Line], member: &str, grant: u64) -> bool {
+/// Whether the coordinators' history contains the start of this drain with no halt in force before it.
+fn began_before_halt(lines: &[Line], member: &str, grant: u64) -> bool {
     let begin = format!("{member} began to drain, grant {grant}");
-    let told = |want: &dyn Fn(&str) -> bool| -> BTreeSet<u64> {
-        let at = lines.iter().filter_map(|l| match l {
+    let revisions = |want: &dyn Fn(&str) -> bool| -> BTreeSet<u64> {
+        let matching = lines.iter().filter_map(|l| match l {
             Line::History { revision, what, .. } if want(what) => Some(*revision),
             _ => None,
         });
-        at.collect()
+        matching.collect()
     };
     let (halts, resumes) = (
-        told(&|w| w.starts_with("halt by")),
-        told(&|w| w.starts_with("resumed by")),
+        revisions(&|w| w.starts_with("halt by")),
+        revisions(&|w| w.starts_with("resumed by")),
     );
-    let Some(begun) = told(&|w| w == begin).first().copied() else {
+    let Some(begun) = revisions(&|w| w == begin).first().copied() else {
         return false;
     };
     let last = |all: &BTreeSet<u64>| all.range(..begun).next_back().copied().unwrap_or(0);
     last(&halts) <= last(&resumes)
 }
 
-/// Each rule, with what breaks it.
+/// Judges all rules and returns one verdict for each.
 pub fn judge(lines: &[Line]) -> Vec<Verdict> {
     let mut broken: [Vec<String>; 6] = Default::default();
     let mut sorted: Vec<&Line> = lines.iter().collect();
-    sorted.sort_by_key(|l| at(l));
-    let (mut out, mut begun) = (Out::default(), BTreeMap::<u64, (String, u64)>::new());
+    sorted.sort_by_key(|l| time_ns(l));
+    let (mut out, mut begun) = (
+        OutOfService::default(),
+        BTreeMap::<u64, (String, u64)>::new(),
+    );
     let mut halted: Option<u64> = None;
     let mut history = BTreeMap::<u64, &str>::new();
     let mut faults = false;
@@ -83,9 +88,9 @@
                 grant,
             } => match what.as_str() {
                 "began" => {
-                    // It may hear of its begin after the halt: what was agreed first began first.
-                    let agreed = || agreed_before_halt(lines, member, *grant);
-                    if let Some(since) = halted.filter(|since| at_ns > since && !agreed()) {
+                    // A member may learn of its drain after the halt although the drain was agreed before it.
+                    let began_first = || began_before_halt(lines, member, *grant);
+                    if let Some(since) = halted.filter(|since| at_ns > since && !began_first()) {
                         let late = (at_ns - since) / 1_000_000;
                         broken[2].push(format!(
                             "{member} began {late} ms after the halt was acknowledged"
@@ -170,7 +175,7 @@
             Line::Stopped { still: true, .. } => faults = true,
             _ => {}
         }
-        // From the moment at which a resume was sent, drains may begin again.
+        // Drains may begin again as soon as a resume was sent.
         if let Line::Asked { what, .. } = line
             && what == "resume"
         {
@@ -195,7 +200,7 @@
         .collect()
 }
 
-/// Whether the machine stood still for so long that what was seen decides nothing.
+/// Whether the machine stalled for longer than 500 ms, which makes the record inconclusive.
 pub fn cannot_tell(lines: &[Line]) -> bool {
     lines
         .iter()
--- a/crates/trial/src/judge/tests.rs
+++ b/crates/trial/src/judge/tests.rs
@@ -2,7 +2,7 @@
 
 const MS: u64 = 1_000_000;
 
-fn told(at: u64, member: &str, what: &str, grant: u64) -> Line {
+fn member_event(at: u64, member: &str, what: &str, grant: u64) -> Line {
     let (member, what) = (member.to_owned(), what.to_owned());
     Line::Told {
         at_ns: at * MS,
@@ -13,7 +13,7 @@
     }
 }
 
-fn asked(at: u64, what: &str) -> Line {
+fn operator_call(at: u64, what: &str) -> Line {
     let (sent_ns, at_ns) = ((at - 1) * MS, at * MS);
     Line::Asked {
         sent_ns,
@@ -24,7 +24,7 @@
     }
 }
 
-fn found(lines: &[Line]) -> Vec<usize> {
+fn broken_rules(lines: &[Line]) -> Vec<usize> {
     let members = (1..=4).map(|n| format!("invoker-{n}")).collect();
     let bound = Line::Bound {
         group: "invokers".into(),
@@ -39,23 +39,23 @@
         .collect()
 }
 
-/// A good trial, and for each rule a record in which it is broken.
+/// Judges a valid record and, for each rule, a record that breaks it.
 #[test]
-fn each_rule_is_seen_to_be_broken() {
+fn reports_violation_of_each_rule() {
     let one = [
-        told(10, "invoker-1", "began", 1),
-        told(20, "invoker-1", "up", 0),
+        member_event(10, "invoker-1", "began", 1),
+        member_event(20, "invoker-1", "up", 0),
     ];
-    assert_eq!(found(&one), [0usize; 0]);
-    let next = told(30, "invoker-2", "began", 2);
+    assert_eq!(broken_rules(&one), [0usize; 0]);
+    let next = member_event(30, "invoker-2", "began", 2);
     assert_eq!(
-        found(&[&one[..], std::slice::from_ref(&next)].concat()),
+        broken_rules(&[&one[..], std::slice::from_ref(&next)].concat()),
         [0usize; 0]
     );
-    assert_eq!(found(&[one[0].clone(), next.clone()]), [0, 1]);
-    let other = told(30, "controller-2", "began", 2);
+    assert_eq!(broken_rules(&[one[0].clone(), next.clone()]), [0, 1]);
+    let other = member_event(30, "controller-2", "began", 2);
     assert_eq!(
-        found(&[one[0].clone(), other]),
+        broken_rules(&[one[0].clone(), other]),
         [0usize; 0],
         "another kind has its own bound"
     );
@@ -66,34 +66,40 @@
         killed: true,
     };
     assert_eq!(
-        found(&[dead.clone(), next.clone()]),
+        broken_rules(&[dead.clone(), next.clone()]),
         [0usize; 0],
-        "nobody can know it so soon"
+        "the loss is not detected so soon"
+    );
+    assert_eq!(
+        broken_rules(&[dead, member_event(1_100, "invoker-2", "began", 2)]),
+        [1]
+    );
+    assert_eq!(
+        broken_rules(&[operator_call(15, "halt"), next.clone()]),
+        [2]
     );
-    assert_eq!(found(&[dead, told(1_100, "invoker-2", "began", 2)]), [1]);
-    assert_eq!(found(&[asked(15, "halt"), next.clone()]), [2]);
     let agreed = |revision, what: &str| Line::History {
         steward: 1,
         revision,
         what: what.into(),
     };
     let begun = agreed(5, "invoker-2 began to drain, grant 2");
-    let late = [asked(15, "halt"), next.clone(), begun];
+    let late = [operator_call(15, "halt"), next.clone(), begun];
     assert_eq!(
-        found(&[&late[..], &[agreed(6, "halt by ada: x")]].concat()),
+        broken_rules(&[&late[..], &[agreed(6, "halt by ada: x")]].concat()),
         [0usize; 0],
-        "heard late of it"
+        "the drain was agreed before the halt"
     );
     assert_eq!(
-        found(&[&late[..], &[agreed(4, "halt by ada: x")]].concat()),
+        broken_rules(&[&late[..], &[agreed(4, "halt by ada: x")]].concat()),
         [2]
     );
     assert_eq!(
-        found(&[asked(15, "halt"), asked(25, "resume"), next]),
+        broken_rules(&[operator_call(15, "halt"), operator_call(25, "resume"), next]),
         [0usize; 0]
     );
     assert_eq!(
-        found(&[&one[..], &[told(30, "invoker-1", "began", 1)]].concat()),
+        broken_rules(&[&one[..], &[member_event(30, "invoker-1", "began", 1)]].concat()),
         [3]
     );
     let history = |steward, what: &str| Line::History {
@@ -101,15 +107,18 @@
         revision: 4,
         what: what.into(),
     };
-    assert_eq!(found(&[history(1, "a"), history(2, "a")]), [0usize; 0]);
-    assert_eq!(found(&[history(1, "a"), history(2, "b")]), [4]);
+    assert_eq!(
+        broken_rules(&[history(1, "a"), history(2, "a")]),
+        [0usize; 0]
+    );
+    assert_eq!(broken_rules(&[history(1, "a"), history(2, "b")]), [4]);
     let lost = Line::Invoked {
         sent_ns: 0,
         at_ns: 1,
         controller: 1,
         how: How::Lost,
     };
-    assert_eq!(found(std::slice::from_ref(&lost)), [5]);
+    assert_eq!(broken_rules(std::slice::from_ref(&lost)), [5]);
     let kill = Line::Ended {
         at_ns: 5,
         process: "controller-1".into(),
@@ -117,8 +126,8 @@
         killed: true,
     };
     assert_eq!(
-        found(&[lost, kill]),
+        broken_rules(&[lost, kill]),
         [0usize; 0],
-        "who was killed may lose what it took"
+        "a killed controller may lose its invocations"
     );
 }
--- a/crates/trial/src/lease_judge.rs
+++ b/crates/trial/src/lease_judge.rs
@@ -1,18 +1,18 @@
-//! Judges fleet-wide tasks by records alone: which effects were accepted where, with which epoch, by whom, and what the
-//! stewards say was agreed.
+//! Judges fleet-wide tasks by the record alone: which resource accepted an effect, with which epoch, from which holder, and
+//! which holders the coordinators' history states.
 
 use crate::judge::Verdict;
 use crate::record::Line;
 use std::collections::BTreeMap;
 
-/// What has to hold of the effects of fleet-wide tasks.
+/// The rules for effects of fleet-wide tasks, in the order of the verdicts.
 pub const LEASE_RULES: [&str; 3] = [
     "no effect of an earlier epoch after one of a later epoch, on any resource",
     "the effects of one epoch are one holder's",
     "the holder of an epoch is the one that was agreed",
 ];
 
-/// An accepted effect.
+/// An effect that a resource accepted.
 #[derive(Clone, Copy)]
 struct Effect<'a> {
     at_ns: u64,
@@ -42,15 +42,15 @@
     })
 }
 
-/// All effects in the order of their times; what one process wrote in one instant stays in its order.
+/// Returns all effects in order of time; the order of effects of one instant is kept.
 fn effects(lines: &[Line]) -> Vec<Effect<'_>> {
     let mut all: Vec<Effect> = lines.iter().filter_map(effect).collect();
     all.sort_by_key(|effect| effect.at_ns);
     all
 }
 
-/// Who was given an epoch, if a line of the history tells it.
-fn grant(line: &Line) -> Option<(u64, &str)> {
+/// Returns the epoch and the holder if the line is the history entry of a lease grant.
+fn lease_grant(line: &Line) -> Option<(u64, &str)> {
     let Line::History { what, .. } = line else {
         return None;
     };
@@ -58,14 +58,14 @@
     Some((epoch.parse().ok()?, holder))
 }
 
-fn agreed(lines: &[Line]) -> BTreeMap<u64, &str> {
-    lines.iter().filter_map(grant).collect()
+fn agreed_holders(lines: &[Line]) -> BTreeMap<u64, &str> {
+    lines.iter().filter_map(lease_grant).collect()
 }
 
-/// What is broken of each rule.
+/// Judges all lease rules and returns one verdict for each.
 pub fn judge_leases(lines: &[Line]) -> Vec<Verdict> {
     let mut broken: [Vec<String>; 3] = Default::default();
-    let (effects, agreed) = (effects(lines), agreed(lines));
+    let (effects, agreed) = (effects(lines), agreed_holders(lines));
     let mut latest: BTreeMap<&str, Effect> = BTreeMap::new();
     let mut holders: BTreeMap<(&str, u64), &str> = BTreeMap::new();
     for effect in effects {
@@ -92,7 +92,7 @@
                 "{lease}: epoch {epoch} was used by {holder} and by {by}"
             ));
         }
-        // A holder is told by its name and its life.
+        // A holder is identified by its name and its incarnation, separated by a slash.
         let member = by.split('/').next().unwrap_or(by);
         if let Some(given) = agreed.get(&epoch).filter(|given| **given != member) {
             broken[2].push(format!(
--- a/crates/trial/src/lease_judge/tests.rs
+++ b/crates/trial/src/lease_judge/tests.rs
@@ -11,7 +11,7 @@
     }
 }
 
-fn broken(lines: &[Line]) -> Vec<usize> {
+fn broken_rules(lines: &[Line]) -> Vec<usize> {
     let verdicts = judge_leases(lines).into_iter().enumerate();
     verdicts
         .filter(|(_, v)| !v.broken.is_empty())
@@ -20,35 +20,38 @@
 }
 
 #[test]
-fn each_rule_is_seen_to_be_broken() {
+fn reports_violation_of_each_rule() {
     let history = |what: &str| Line::History {
         steward: 1,
         revision: 9,
         what: what.into(),
     };
-    let told = history("lease collection goes to invoker-2, epoch 2");
+    let granted = history("lease collection goes to invoker-2, epoch 2");
     let sound = [
         effect(1, "a", 1, "invoker-1/7"),
-        told.clone(),
+        granted.clone(),
         effect(3, "b", 2, "invoker-2/8"),
     ];
-    assert_eq!(broken(&sound), [0usize; 0]);
+    assert_eq!(broken_rules(&sound), [0usize; 0]);
     let overlap = [
         effect(5, "a", 2, "invoker-2/8"),
         effect(6, "b", 1, "invoker-1/7"),
     ];
-    assert_eq!(broken(&overlap), [0]);
-    // A record of another process, later in the file and earlier in time.
+    assert_eq!(broken_rules(&overlap), [0]);
+    // The second effect is from another process: later in the file and earlier in time.
     assert_eq!(
-        broken(&[effect(6, "a", 2, "x"), effect(5, "b", 1, "y")]),
+        broken_rules(&[effect(6, "a", 2, "x"), effect(5, "b", 1, "y")]),
         [0usize; 0]
     );
     assert_eq!(
-        broken(&[
+        broken_rules(&[
             effect(1, "a", 1, "invoker-1/7"),
             effect(2, "b", 1, "invoker-1/9")
         ]),
         [1]
     );
-    assert_eq!(broken(&[told, effect(3, "b", 2, "invoker-1/7")]), [2]);
+    assert_eq!(
+        broken_rules(&[granted, effect(3, "b", 2, "invoker-1/7")]),
+        [2]
+    );
 }
--- a/crates/trial/src/lib.rs
+++ b/crates/trial/src/lib.rs
@@ -1,11 +1,11 @@
-//! Trials of a fleet on real processes: each steward, controller, invoker and store is a process of the shipped binary, each
-//! stream between two of them goes through a wire of the trial's own, and a script says what happens to them.
+//! Trials of a fleet on real processes: each coordinator (steward), controller, invoker and store is a process of the shipped
+//! binary, each stream between two of them passes through a proxy of the trial, and a script lists the steps.
 //!
-//! `script` reads a trial, `wires` carries streams and cuts them, `stage` starts, signals and ends processes and plays the
-//! steps, `load` invokes meanwhile, `record` is what was seen, `judge` decides by that alone: it knows nothing of stewards,
-//! members or the script, but the bounds and spans that the record states.
+//! `script` parses a trial, `wires` forwards streams and cuts them, `stage` starts, signals and ends processes and performs the
+//! steps, `load` sends invocations meanwhile, `record` holds the observations, and `judge` and `lease_judge` decide by the
+//! record alone: they depend on no coordinator, member or script, only on the bounds and durations that the record states.
 //!
-//! Steps wait for what is seen, never for a span to be long enough. Every process ends with the trial.
+//! Steps wait for an observed condition, never for a fixed time. Every process ends with the trial.
 
 pub mod judge;
 pub mod lease_judge;
@@ -18,7 +18,7 @@
 pub use script::Trial;
 pub use stage::play;
 
-/// Trials that come with the program, by name.
+/// Built-in trials: their names and scripts.
 pub const TRIALS: &[(&str, &str)] = &[
     ("one-drain", include_str!("../trials/one-drain.star")),
     (
--- a/crates/trial/src/load.rs
+++ b/crates/trial/src/load.rs
@@ -1,4 +1,4 @@
-//! Invokes while a trial goes on, one after another at even spans, and goes elsewhere when a controller says that it goes.
+//! Sends invocations at a constant rate during a trial and switches to another controller when one announces its shutdown.
 
 use crate::record::{How, Line, now_ns};
 use serde_json::{Value as Json, json};
@@ -11,18 +11,20 @@
 use tokio::net::UnixStream;
 use tokio::net::unix::OwnedWriteHalf;
 
-/// One controller, as clients meet it.
-struct Door {
+/// The client endpoint of one controller.
+struct Endpoint {
     controller: u32,
     at: PathBuf,
-    line: RefCell<Option<OwnedWriteHalf>>,
-    going: Cell<bool>,
+    connection: RefCell<Option<OwnedWriteHalf>>,
+    shutting_down: Cell<bool>,
 }
 
-type Open = Rc<RefCell<BTreeMap<u64, (u64, u32)>>>;
+/// Invocations in flight: the send time and the controller, by request id.
+type InFlight = Rc<RefCell<BTreeMap<u64, (u64, u32)>>>;
 
+/// The load of a trial: the same invocation at a constant rate.
 pub struct Load {
-    pub doors: Vec<(u32, PathBuf)>,
+    pub endpoints: Vec<(u32, PathBuf)>,
     pub per_second: f64,
     pub call: Json,
     pub timeout_ms: u64,
@@ -30,75 +32,79 @@
 }
 
 impl Load {
+    /// Sends invocations until `over` is set, then waits for the responses in flight.
     pub async fn run(self, over: Rc<Cell<bool>>) {
-        let doors: Vec<Rc<Door>> = self
-            .doors
+        let endpoints: Vec<Rc<Endpoint>> = self
+            .endpoints
             .iter()
             .map(|(controller, at)| {
                 let (controller, at) = (*controller, at.clone());
-                Rc::new(Door {
+                Rc::new(Endpoint {
                     controller,
                     at,
-                    line: RefCell::default(),
-                    going: Cell::new(false),
+                    connection: RefCell::default(),
+                    shutting_down: Cell::new(false),
                 })
             })
             .collect();
-        let open = Open::default();
+        let in_flight = InFlight::default();
         let (mut n, span) = (0u64, Duration::from_secs_f64(1.0 / self.per_second));
         let mut due = tokio::time::interval(span);
         let mut readers = tokio::task::JoinSet::new();
         while !over.get() {
             due.tick().await;
             n += 1;
-            // One that goes, or is not there, is passed over; it is tried again at its next turn.
-            for turn in 0..doors.len() as u64 {
-                let door = &doors[((n + turn) % doors.len() as u64) as usize];
-                if door.line.borrow().is_none() {
-                    let Ok(stream) = UnixStream::connect(&door.at).await else {
+            // A controller that is shutting down or unreachable is skipped and tried again at its next turn.
+            for turn in 0..endpoints.len() as u64 {
+                let endpoint = &endpoints[((n + turn) % endpoints.len() as u64) as usize];
+                if endpoint.connection.borrow().is_none() {
+                    let Ok(stream) = UnixStream::connect(&endpoint.at).await else {
                         continue;
                     };
                     let (input, output) = stream.into_split();
-                    *door.line.borrow_mut() = Some(output);
-                    door.going.set(false);
-                    readers.spawn_local(read(
-                        door.clone(),
+                    *endpoint.connection.borrow_mut() = Some(output);
+                    endpoint.shutting_down.set(false);
+                    readers.spawn_local(read_responses(
+                        endpoint.clone(),
                         input,
-                        open.clone(),
+                        in_flight.clone(),
                         self.lines.clone(),
                     ));
                 }
-                if door.going.get() {
+                if endpoint.shutting_down.get() {
                     continue;
                 }
                 let text =
                     json!({"jsonrpc": "2.0", "id": n, "method": "invoke", "params": self.call});
-                let Some(mut line) = door.line.borrow_mut().take() else {
+                let Some(mut line) = endpoint.connection.borrow_mut().take() else {
                     continue;
                 };
-                open.borrow_mut().insert(n, (now_ns(), door.controller));
+                in_flight
+                    .borrow_mut()
+                    .insert(n, (now_ns(), endpoint.controller));
                 let sent = line.write_all(format!("{text}\n").as_bytes()).await;
                 if sent.is_ok() {
-                    *door.line.borrow_mut() = Some(line);
+                    *endpoint.connection.borrow_mut() = Some(line);
                     break;
                 }
-                // Not written whole: it was never read.
-                open.borrow_mut().remove(&n);
+                // The request was not written completely, so the controller did not read it.
+                in_flight.borrow_mut().remove(&n);
             }
-            self.late(&open);
+            self.record_lost(&in_flight);
         }
         let until = now_ns() + self.timeout_ms * 1_000_000 + 500_000_000;
-        while !open.borrow().is_empty() && now_ns() < until {
+        while !in_flight.borrow().is_empty() && now_ns() < until {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        self.late(&open);
+        self.record_lost(&in_flight);
     }
 
-    fn late(&self, open: &Open) {
+    /// Records invocations without a response in time as lost.
+    fn record_lost(&self, in_flight: &InFlight) {
         let now = now_ns();
-        let gone = |sent: u64| now > sent + self.timeout_ms * 1_000_000 + 400_000_000;
-        open.borrow_mut().retain(|_, (sent, controller)| {
-            if gone(*sent) {
+        let timed_out = |sent: u64| now > sent + self.timeout_ms * 1_000_000 + 400_000_000;
+        in_flight.borrow_mut().retain(|_, (sent, controller)| {
+            if timed_out(*sent) {
                 let line = Line::Invoked {
                     sent_ns: *sent,
                     at_ns: now,
@@ -107,29 +113,29 @@
                 };
                 self.lines.borrow_mut().push(line);
             }
-            !gone(*sent)
+            !timed_out(*sent)
         });
     }
 }
 
-async fn read(
-    door: Rc<Door>,
+async fn read_responses(
+    endpoint: Rc<Endpoint>,
     input: tokio::net::unix::OwnedReadHalf,
-    open: Open,
+    in_flight: InFlight,
     lines: Rc<RefCell<Vec<Line>>>,
 ) {
-    let mut said = BufReader::new(input).lines();
-    while let Ok(Some(text)) = said.next_line().await {
+    let mut responses = BufReader::new(input).lines();
+    while let Ok(Some(text)) = responses.next_line().await {
         let Ok(reply) = serde_json::from_str::<Json>(&text) else {
             continue;
         };
         if reply["method"] == "going" {
-            door.going.set(true);
+            endpoint.shutting_down.set(true);
             continue;
         }
         let Some((sent_ns, controller)) = reply["id"]
             .as_u64()
-            .and_then(|id| open.borrow_mut().remove(&id))
+            .and_then(|id| in_flight.borrow_mut().remove(&id))
         else {
             continue;
         };
@@ -145,10 +151,10 @@
             how,
         });
     }
-    // What was open on this line is answered no more.
-    *door.line.borrow_mut() = None;
-    let controller = door.controller;
-    open.borrow_mut().retain(|_, (sent_ns, of)| {
+    // The invocations in flight on this connection will not be answered.
+    *endpoint.connection.borrow_mut() = None;
+    let controller = endpoint.controller;
+    in_flight.borrow_mut().retain(|_, (sent_ns, of)| {
         if *of == controller {
             lines.borrow_mut().push(Line::Invoked {
                 sent_ns: *sent_ns,
--- a/crates/trial/src/record.rs
+++ b/crates/trial/src/record.rs
@@ -1,19 +1,20 @@
-//! What was seen in a trial. Times are nanoseconds of the machine's monotonic clock, which is one for all its processes.
+//! The record of a trial. Times are nanoseconds of the machine's monotonic clock, which all its processes share.
 
 use serde::{Deserialize, Serialize};
 use std::io::{self, BufRead, Write};
 
+/// One observation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "line", rename_all = "kebab-case")]
 pub enum Line {
-    /// At most so many of these may be out. `detect_ns`: a loss is known to all after that.
+    /// At most `out` of these members may be out of service. A loss is known to all coordinators after `detect_ns`.
     Bound {
         group: String,
         members: Vec<String>,
         out: usize,
         detect_ns: u64,
     },
-    /// By a member's process, of itself: `began`, `drained`, `turned-back`, `up`, `replaced`.
+    /// An event that a member's process reported of itself: `began`, `drained`, `turned-back`, `up`, `replaced`.
     Told {
         at_ns: u64,
         member: String,
@@ -21,22 +22,22 @@
         what: String,
         grant: u64,
     },
-    /// By the trial: a process was started.
+    /// The trial started a process.
     Started { at_ns: u64, process: String },
-    /// By the trial: it ended, by itself (`code`) or killed.
+    /// A process ended, either by itself with an exit code or killed by the trial.
     Ended {
         at_ns: u64,
         process: String,
         code: Option<i32>,
         killed: bool,
     },
-    /// By the trial: stopped, or woken.
+    /// The trial stopped a process (`still`) or continued it.
     Stopped {
         at_ns: u64,
         process: String,
         still: bool,
     },
-    /// By the trial: an operator's call was sent, and answered as done.
+    /// The trial made an operator's call. `done` is whether it succeeded.
     Asked {
         sent_ns: u64,
         at_ns: u64,
@@ -44,7 +45,7 @@
         done: bool,
         answer: String,
     },
-    /// By a resource: an effect of a fleet-wide task was accepted, and is on its disk.
+    /// A resource accepted an effect of a fleet-wide task and wrote it to its disk.
     Effect {
         at_ns: u64,
         resource: String,
@@ -52,40 +53,43 @@
         epoch: u64,
         by: String,
     },
-    /// What a steward told of the history at the end.
+    /// One entry of the history that a coordinator returned at the end.
     History {
         steward: u32,
         revision: u64,
         what: String,
     },
-    /// Of the load: what came of an invocation.
+    /// The outcome of an invocation of the load.
     Invoked {
         sent_ns: u64,
         at_ns: u64,
         controller: u32,
         how: How,
     },
-    /// The machine gave the trial itself no turn.
+    /// The trial's own process was not scheduled during this time.
     Disturbed { at_ns: u64, until_ns: u64 },
-    /// A step of the script that could not be done.
+    /// A step of the script failed.
     Failed { at_ns: u64, why: String },
 }
 
+/// The outcome of an invocation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum How {
     Succeeded,
     Throttled,
     Errored,
-    /// The line broke before an answer, or none came in time.
+    /// The connection closed before a response, or there was no response in time.
     Lost,
 }
 
+/// The current time of the monotonic clock, in nanoseconds.
 pub fn now_ns() -> u64 {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
     now.tv_sec as u64 * 1_000_000_000 + now.tv_nsec as u64
 }
 
+/// Writes a record as one JSON value per line.
 pub fn write(lines: &[Line], to: &mut impl Write) -> io::Result<()> {
     for line in lines {
         serde_json::to_writer(&mut *to, line)?;
@@ -94,7 +98,7 @@
     Ok(())
 }
 
-/// Reads a record; a fault names its line.
+/// Parses a record; an error names its line.
 pub fn read(from: impl BufRead) -> Result<Vec<Line>, String> {
     let parse = |(n, line): (usize, io::Result<String>)| {
         let line = line.map_err(|e| format!("line {}: {e}", n + 1))?;
--- a/crates/trial/src/script.rs
+++ b/crates/trial/src/script.rs
@@ -1,4 +1,4 @@
-//! A trial as its script states it: a deployment with a fleet, `trial(...)` once, and `step(...)` after `step(...)`.
+//! Parses the script of a trial: a deployment with a fleet, one `trial(...)` and a sequence of `step(...)`.
 
 use saltdrum_coordinator::FleetConfig;
 use saltdrum_deployment::units::Span;
@@ -7,49 +7,52 @@
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
+/// A trial.
 #[derive(Clone, Debug)]
 pub struct Trial {
     pub name: String,
-    /// The script's own text, which the processes are given.
+    /// The script's text, which the processes read.
     pub text: String,
     pub terms: DeploymentSpec,
     pub fleet: FleetConfig,
     pub stewards: u32,
     pub controllers: u32,
-    /// Append-only resources of fleet-wide tasks, on which invokers count.
+    /// Number of append-only resources (journals) to which the holders of fleet-wide tasks write.
     pub journals: u32,
-    /// A planted fault of the journals, by its name.
+    /// Name of a fault to inject into the journals.
     pub journal_fault: Option<String>,
-    /// Planted: holders act before all journals are sealed.
+    /// Injected fault: holders act before all journals are sealed.
     pub acts_before_seals: bool,
-    /// Planted: a steward that is started again gives leases away on its own opinion.
+    /// Injected fault: a restarted coordinator grants leases without agreement.
     pub steward_gives_away: bool,
     pub seed: u64,
-    /// Invocations a second over all controllers; 0: none.
+    /// Invocations per second over all controllers; 0: none.
     pub per_second: f64,
-    /// Drained members are started again after this.
+    /// Delay after which drained members are started again.
     pub returns_ms: u64,
-    /// A loss is to be known after this.
+    /// Time within which the loss of a member must be detected.
     pub detect_ms: u64,
-    /// A step that waits gives up after this, and the trial has failed.
+    /// Timeout of a step that waits, after which the trial fails.
     pub patience_ms: u64,
     pub steps: Vec<Step>,
 }
 
+/// The action of a step.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Do {
-    /// Waits until `of` told `event`, counted from the trial's begin, `times` times in all.
+pub enum Action {
+    /// Waits until the processes reported `event` at least `times` times in all since the trial began.
     Await {
         event: String,
         times: usize,
     },
-    /// Waits until every member that should be is up.
+    /// Waits until all members are up.
     AllUp,
-    /// Waits until an ask is over.
-    Over {
+    /// Waits until a drain request has no member left that is waiting or draining.
+    AwaitDrainRequest {
         id: String,
     },
-    Ask {
+    /// Requests a drain.
+    RequestDrain {
         id: String,
     },
     Halt,
@@ -59,12 +62,13 @@
     Stop,
     Wake,
     Start,
-    /// Keeps a copy of a steward's disk, or puts the copy in its place.
+    /// Copies a coordinator's disk.
     CopyDisk,
-    OldDisk,
+    /// Replaces a coordinator's disk with the copy.
+    RestoreDisk,
     LoseDisk,
-    /// Puts a steward with another disk in its own place.
-    Replace,
+    /// Replaces a coordinator's voter by that of its new disk.
+    ReplaceVoter,
     Cut {
         to: Vec<String>,
         one_way: bool,
@@ -78,45 +82,48 @@
     Pause {
         ms: u64,
     },
-    /// An operator takes a lease from its holder, or lets it be given again.
+    /// Revokes a lease and pauses granting it.
     PauseLease {
         lease: String,
     },
+    /// Resumes granting a lease.
     ResumeLease {
         lease: String,
     },
-    /// Waits until an effect of a later epoch than any before was accepted.
-    Handover,
-    /// Waits until so many more effects were accepted.
-    Effects {
+    /// Waits until an effect of a later epoch than all previous ones was accepted.
+    AwaitHandover,
+    /// Waits until `times` more effects were accepted.
+    AwaitEffects {
         times: usize,
     },
-    /// Files of these processes grow no more, as on a full disk; and do again.
-    DiskFull,
-    DiskSpace,
+    /// Limits the file size of processes so that writes fail, as on a full disk.
+    FillDisk,
+    /// Removes that limit.
+    FreeDisk,
 }
 
-/// In place of a process: whoever holds the first lease now, and whoever was last named so.
+/// Placeholder for the process that holds the first lease now.
 pub const HOLDER: &str = "holder";
-/// The process that was last named as the holder.
+/// Placeholder for the process that [`HOLDER`] was last resolved to.
 pub const LAST_HOLDER: &str = "last-holder";
-/// In place of processes: all invokers but the holder that was last named.
+/// Placeholder for all invokers except [`LAST_HOLDER`].
 pub const OTHERS: &str = "others";
 
+/// One step: an action and the processes it applies to.
 #[derive(Clone, Debug)]
 pub struct Step {
-    pub what: Do,
-    pub of: Vec<String>,
+    pub action: Action,
+    pub processes: Vec<String>,
     pub place: script::SourceLocation,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct SaidTrial {
+struct TrialArguments {
     name: String,
-    #[serde(default = "three")]
+    #[serde(default = "default_stewards")]
     stewards: u32,
-    #[serde(default = "two")]
+    #[serde(default = "default_controllers")]
     controllers: u32,
     #[serde(default)]
     journals: u32,
@@ -129,33 +136,33 @@
     seed: u64,
     #[serde(default)]
     per_second: f64,
-    #[serde(default = "soon")]
+    #[serde(default = "default_return_delay")]
     returns: Span,
-    #[serde(default = "second")]
+    #[serde(default = "default_detection_time")]
     detect: Span,
-    #[serde(default = "patience")]
+    #[serde(default = "default_step_timeout")]
     patience: Span,
 }
 
-fn two() -> u32 {
+fn default_controllers() -> u32 {
     2
 }
-fn three() -> u32 {
+fn default_stewards() -> u32 {
     3
 }
-fn soon() -> Span {
+fn default_return_delay() -> Span {
     Span(1_000)
 }
-fn second() -> Span {
+fn default_detection_time() -> Span {
     Span(50_000)
 }
-fn patience() -> Span {
+fn default_step_timeout() -> Span {
     Span(600_000)
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct SaidStep {
+struct StepArguments {
     name: String,
     #[serde(default)]
     of: Vec<String>,
@@ -175,6 +182,7 @@
 }
 
 impl Trial {
+    /// Parses a script's text; `file` is its name in errors.
     pub fn load(file: &str, text: &str) -> Result<Self, ScriptError> {
         let (terms, mut rest) = DeploymentSpec::load(file, text)?;
         let at = |why: &str| ScriptError {
@@ -191,36 +199,36 @@
         if let Some(second) = trials.next() {
             return Err(second.fault("stated a second time"));
         }
-        let said: SaidTrial = stated.read()?;
-        if said.stewards.is_multiple_of(2) || said.stewards > 9 {
+        let args: TrialArguments = stated.read()?;
+        if args.stewards.is_multiple_of(2) || args.stewards > 9 {
             return Err(stated.fault("stewards: an odd number up to 9 is expected"));
         }
-        if said.controllers != terms.deployment.controllers {
+        if args.controllers != terms.deployment.controllers {
             return Err(stated.fault(format!(
                 "controllers = {}: the deployment states {}",
-                said.controllers, terms.deployment.controllers
+                args.controllers, terms.deployment.controllers
             )));
         }
         let mut trial = Self {
-            name: said.name,
+            name: args.name,
             text: text.to_owned(),
             terms,
             fleet,
-            stewards: said.stewards,
-            controllers: said.controllers,
-            journals: said.journals,
-            journal_fault: said.journal_fault,
-            acts_before_seals: said.acts_before_seals,
-            steward_gives_away: said.steward_gives_away,
-            seed: said.seed,
-            per_second: said.per_second,
-            returns_ms: said.returns.0 / 10,
-            detect_ms: said.detect.0 / 10,
-            patience_ms: said.patience.0 / 10,
+            stewards: args.stewards,
+            controllers: args.controllers,
+            journals: args.journals,
+            journal_fault: args.journal_fault,
+            acts_before_seals: args.acts_before_seals,
+            steward_gives_away: args.steward_gives_away,
+            seed: args.seed,
+            per_second: args.per_second,
+            returns_ms: args.returns.0 / 10,
+            detect_ms: args.detect.0 / 10,
+            patience_ms: args.patience.0 / 10,
             steps: Vec::new(),
         };
         for s in rest.iter().filter(|s| s.what == "step") {
-            let step = trial.step(s)?;
+            let step = trial.parse_step(s)?;
             trial.steps.push(step);
         }
         match rest.iter().find(|s| !matches!(s.what, "trial" | "step")) {
@@ -229,6 +237,7 @@
         }
     }
 
+    /// Names of all processes of the trial except the store.
     pub fn processes(&self) -> Vec<String> {
         let stewards = (1..=self.stewards).map(|n| format!("steward-{n}"));
         let controllers = (1..=self.controllers).map(|n| format!("controller-{n}"));
@@ -244,14 +253,15 @@
             .collect()
     }
 
-    /// The journals that are started, as leases name them.
+    /// Names of the journals, as leases refer to them.
     pub fn journal_names(&self) -> Vec<String> {
         (1..=self.journals)
             .map(|n| format!("journal-{n}"))
             .collect()
     }
 
-    /// Each bound by number or share, for each group that it is counted for: its name, its members, how many may be out.
+    /// Each bound by number or share, for each group it applies to: the group's name, its members and how many of them may be
+    /// out of service.
     pub fn bounds(&self) -> Vec<(String, Vec<String>, usize)> {
         let zone = |zone: u8| {
             self.terms
@@ -260,7 +270,7 @@
                 .cloned()
                 .unwrap_or_default()
         };
-        // Controllers are started without a zone, which is the first.
+        // Controllers are started without a zone and so are in the first one.
         let controllers = (1..=self.controllers).map(|n| {
             (
                 format!("controller-{n}"),
@@ -279,7 +289,7 @@
             )
         });
         let all: Vec<_> = controllers.chain(invokers).collect();
-        let mut told = Vec::new();
+        let mut bounds = Vec::new();
         for b in &self.fleet.bounds {
             let mut groups = BTreeMap::<(String, u16), Vec<String>>::new();
             for (name, kind, site, cell) in &all {
@@ -299,14 +309,14 @@
                 let Some(out) = b.out.map(|o| o as usize).into_iter().chain(share).min() else {
                     continue;
                 };
-                told.push((format!("{:?} {site} {cell}", b.kind), members, out));
+                bounds.push((format!("{:?} {site} {cell}", b.kind), members, out));
             }
         }
-        told
+        bounds
     }
 
-    fn step(&self, s: &Statement) -> Result<Step, ScriptError> {
-        let said: SaidStep = s.read()?;
+    fn parse_step(&self, s: &Statement) -> Result<Step, ScriptError> {
+        let args: StepArguments = s.read()?;
         let mut known = self.processes();
         known.extend(
             (self.journals > 0)
@@ -314,79 +324,79 @@
                 .into_iter()
                 .flatten(),
         );
-        if let Some(odd) = said.of.iter().chain(&said.to).find(|p| !known.contains(p)) {
+        if let Some(odd) = args.of.iter().chain(&args.to).find(|p| !known.contains(p)) {
             return Err(s.fault(format!("no process is named '{odd}' here")));
         }
-        let id = || said.id.clone().ok_or_else(|| s.fault("id is missing"));
-        let what = match said.name.as_str() {
+        let id = || args.id.clone().ok_or_else(|| s.fault("id is missing"));
+        let what = match args.name.as_str() {
             "await" => {
                 let events = ["began", "drained", "up", "granted"];
-                let event = said.event.clone().filter(|e| events.contains(&e.as_str()));
+                let event = args.event.clone().filter(|e| events.contains(&e.as_str()));
                 let event = event.ok_or_else(|| {
                     s.fault(format!("event: one of {} is expected", events.join(", ")))
                 })?;
-                Do::Await {
+                Action::Await {
                     event,
-                    times: said.times.unwrap_or(1),
+                    times: args.times.unwrap_or(1),
                 }
             }
-            "all_up" => Do::AllUp,
-            "over" => Do::Over { id: id()? },
-            "ask" => Do::Ask { id: id()? },
-            "halt" => Do::Halt,
-            "resume" => Do::Resume,
-            "back" => Do::Back,
-            "kill" => Do::Kill,
-            "stop" => Do::Stop,
-            "wake" => Do::Wake,
-            "start" => Do::Start,
-            "copy_disk" => Do::CopyDisk,
-            "old_disk" => Do::OldDisk,
-            "lose_disk" => Do::LoseDisk,
-            "replace" => Do::Replace,
-            "cut" => Do::Cut {
-                to: said.to.clone(),
-                one_way: said.one_way,
+            "all_up" => Action::AllUp,
+            "over" => Action::AwaitDrainRequest { id: id()? },
+            "ask" => Action::RequestDrain { id: id()? },
+            "halt" => Action::Halt,
+            "resume" => Action::Resume,
+            "back" => Action::Back,
+            "kill" => Action::Kill,
+            "stop" => Action::Stop,
+            "wake" => Action::Wake,
+            "start" => Action::Start,
+            "copy_disk" => Action::CopyDisk,
+            "old_disk" => Action::RestoreDisk,
+            "lose_disk" => Action::LoseDisk,
+            "replace" => Action::ReplaceVoter,
+            "cut" => Action::Cut {
+                to: args.to.clone(),
+                one_way: args.one_way,
             },
-            "heal" => Do::Heal,
-            "delay" => Do::Delay {
-                ms: said.delay.0 / 10,
-                jitter_ms: said.jitter.0 / 10,
+            "heal" => Action::Heal,
+            "delay" => Action::Delay {
+                ms: args.delay.0 / 10,
+                jitter_ms: args.jitter.0 / 10,
             },
-            "reset" => Do::Reset,
-            "pause" => Do::Pause {
-                ms: said.span.0 / 10,
+            "reset" => Action::Reset,
+            "pause" => Action::Pause {
+                ms: args.span.0 / 10,
             },
-            "pause_lease" => Do::PauseLease { lease: id()? },
-            "resume_lease" => Do::ResumeLease { lease: id()? },
-            "handover" => Do::Handover,
-            "effects" => Do::Effects {
-                times: said.times.unwrap_or(1),
+            "pause_lease" => Action::PauseLease { lease: id()? },
+            "resume_lease" => Action::ResumeLease { lease: id()? },
+            "handover" => Action::AwaitHandover,
+            "effects" => Action::AwaitEffects {
+                times: args.times.unwrap_or(1),
             },
-            "disk_full" => Do::DiskFull,
-            "disk_space" => Do::DiskSpace,
+            "disk_full" => Action::FillDisk,
+            "disk_space" => Action::FreeDisk,
             other => return Err(s.fault(format!("'{other}' is no step"))),
         };
-        let needs = !matches!(
+        let requires_processes = !matches!(
             what,
-            Do::AllUp
-                | Do::Over { .. }
-                | Do::Halt
-                | Do::Resume
-                | Do::Heal
-                | Do::Pause { .. }
-                | Do::Reset
-                | Do::PauseLease { .. }
-                | Do::ResumeLease { .. }
-                | Do::Handover
-                | Do::Effects { .. }
+            Action::AllUp
+                | Action::AwaitDrainRequest { .. }
+                | Action::Halt
+                | Action::Resume
+                | Action::Heal
+                | Action::Pause { .. }
+                | Action::Reset
+                | Action::PauseLease { .. }
+                | Action::ResumeLease { .. }
+                | Action::AwaitHandover
+                | Action::AwaitEffects { .. }
         );
-        if needs && said.of.is_empty() {
+        if requires_processes && args.of.is_empty() {
             return Err(s.fault("of: processes are expected"));
         }
         Ok(Step {
-            what,
-            of: said.of,
+            action: what,
+            processes: args.of,
             place: s.place.clone(),
         })
     }
--- a/crates/trial/src/stage.rs
+++ b/crates/trial/src/stage.rs
@@ -1,8 +1,8 @@
-//! Starts, signals and ends the processes, and plays the steps.
+//! Starts, signals and ends the processes of a trial and performs its steps.
 
 use crate::load::Load;
 use crate::record::{How, Line, now_ns};
-use crate::script::{Do, HOLDER, LAST_HOLDER, OTHERS, Step, Trial};
+use crate::script::{Action, HOLDER, LAST_HOLDER, OTHERS, Step, Trial};
 use crate::wires::{Way, Wires};
 use rustix::process::{Pid, Resource, Rlimit, Signal, kill_process, prlimit};
 use serde_json::{Value as Json, json};
@@ -15,20 +15,23 @@
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::process::{Child, Command};
 
-/// Invocations that succeed one after another before the steps begin.
-const WARM: usize = 20;
+/// Consecutive successful invocations that are required before the steps begin.
+const WARM_UP_SUCCESSES: usize = 20;
 
-const LOOK: Duration = Duration::from_millis(30);
-/// The trial itself took no turn for so long: the machine stood still.
-const STOOD_NS: u64 = 300_000_000;
-/// Of an operator's call.
-const CALL: Duration = Duration::from_secs(25);
+/// Interval between checks of an awaited condition and between retries of an operator's call.
+const POLL_INTERVAL: Duration = Duration::from_millis(30);
+/// A gap of the trial's own event loop above this is recorded as a stall of the machine.
+const MIN_RECORDED_STALL_NS: u64 = 300_000_000;
+/// Timeout of an operator's call.
+const OPERATOR_CALL_TIMEOUT: Duration = Duration::from_secs(25);
 
+/// A running process.
 struct Running {
     pid: u32,
     killed: Rc<Cell<bool>>,
 }
 
+/// The state of a running trial.
 struct Stage {
     trial: Trial,
     binary: PathBuf,
@@ -36,19 +39,20 @@
     wires: Rc<Wires>,
     lines: Rc<RefCell<Vec<Line>>>,
     running: RefCell<BTreeMap<String, Running>>,
-    /// Members that have drained in this life.
+    /// Members that have drained in their current incarnation.
     drained: RefCell<BTreeSet<String>>,
+    /// Processes that were started at least once.
     started: RefCell<BTreeSet<String>>,
-    /// Stewards as they last said that they vote.
+    /// The voter name that each coordinator last printed.
     voters: RefCell<BTreeMap<String, String>>,
-    /// Stewards whose disk was taken away: they found no fleet any more.
+    /// Coordinators whose disk was deleted, which must not found a fleet again.
     diskless: RefCell<BTreeSet<String>>,
-    /// Who was named last as the holder of the first lease.
+    /// The process that was last found to hold the first lease.
     last_holder: RefCell<Option<String>>,
     over: Rc<Cell<bool>>,
 }
 
-/// Plays a trial with the binary given, in an empty folder; gives the record.
+/// Runs a trial with the given binary in an empty folder and returns the record.
 pub async fn play(trial: &Trial, binary: &Path, folder: &Path) -> Result<Vec<Line>, String> {
     let stage = Rc::new(Stage {
         trial: trial.clone(),
@@ -65,11 +69,11 @@
         over: Rc::default(),
     });
     let local = tokio::task::LocalSet::new();
-    let played = local.run_until(stage.clone().played()).await;
-    // Whatever is still running is killed when its handle goes.
+    let outcome = local.run_until(stage.clone().run()).await;
+    // Processes that are still running are killed when their handles are dropped.
     drop(local);
     let lines = std::mem::take(&mut *stage.lines.borrow_mut());
-    played.map(|()| lines)
+    outcome.map(|()| lines)
 }
 
 impl Stage {
@@ -77,12 +81,12 @@
         self.lines.borrow_mut().push(line);
     }
 
-    fn at(&self, name: &str) -> PathBuf {
+    fn path(&self, name: &str) -> PathBuf {
         self.folder.join(name)
     }
 
-    async fn played(self: Rc<Self>) -> Result<(), String> {
-        std::fs::write(self.at("trial.star"), &self.trial.text).map_err(|e| e.to_string())?;
+    async fn run(self: Rc<Self>) -> Result<(), String> {
+        std::fs::write(self.path("trial.star"), &self.trial.text).map_err(|e| e.to_string())?;
         for (group, members, out) in self.trial.bounds() {
             let detect_ns = self.trial.detect_ms * 1_000_000;
             self.note(Line::Bound {
@@ -98,7 +102,7 @@
             loop {
                 tokio::time::sleep(Duration::from_millis(10)).await;
                 let now = now_ns();
-                if now - last > STOOD_NS {
+                if now - last > MIN_RECORDED_STALL_NS {
                     watched.note(Line::Disturbed {
                         at_ns: last,
                         until_ns: now,
@@ -111,25 +115,25 @@
         for process in self.trial.processes() {
             self.start(&process)?;
         }
-        for step in [Do::AllUp].into_iter().map(|what| Step {
-            what,
-            of: Vec::new(),
+        for step in [Action::AllUp].into_iter().map(|action| Step {
+            action,
+            processes: Vec::new(),
             place: Default::default(),
         }) {
-            self.one(&step).await?;
+            self.perform(&step).await?;
         }
         let load = (self.trial.per_second > 0.0)
             .then(|| tokio::task::spawn_local(self.load().run(self.over.clone())));
         if load.is_some() {
-            // The first copies are loaded before anything is done to the fleet: what that costs is not the steps' doing.
-            self.until("invocations that succeed", async || {
+            // The first instances are loaded before the steps begin, so that the cost of loading is not attributed to them.
+            self.wait_until("invocations that succeed", async || {
                 let lines = self.lines.borrow();
                 let how = lines.iter().rev().filter_map(|l| match l {
                     Line::Invoked { how, .. } => Some(*how == How::Succeeded),
                     _ => None,
                 });
-                let last: Vec<bool> = how.take(WARM).collect();
-                last.len() == WARM && last.iter().all(|well| *well)
+                let last: Vec<bool> = how.take(WARM_UP_SUCCESSES).collect();
+                last.len() == WARM_UP_SUCCESSES && last.iter().all(|well| *well)
             })
             .await?;
             self.lines
@@ -137,7 +141,7 @@
                 .retain(|l| !matches!(l, Line::Invoked { .. }));
         }
         for step in self.trial.steps.clone() {
-            if let Err(why) = self.one(&step).await {
+            if let Err(why) = self.perform(&step).await {
                 self.note(Line::Failed {
                     at_ns: now_ns(),
                     why: format!("{}: {why}", step.place),
@@ -149,7 +153,7 @@
         if let Some(load) = load {
             let _ = load.await;
         }
-        self.histories().await;
+        self.record_histories().await;
         Ok(())
     }
 
@@ -167,8 +171,8 @@
             "trigger": trigger, "input": {"work_ms": 20},
         });
         Load {
-            doors: (1..=self.trial.controllers)
-                .map(|n| (n, self.at(&format!("controller-{n}"))))
+            endpoints: (1..=self.trial.controllers)
+                .map(|n| (n, self.path(&format!("controller-{n}"))))
                 .collect(),
             per_second: self.trial.per_second,
             call,
@@ -177,123 +181,128 @@
         }
     }
 
-    /// Where `from` dials what listens at `name`, which is `to`'s.
-    fn through(&self, from: &str, to: &str, name: &str) -> Result<String, String> {
-        let laid = self.at(&format!("{from}--{name}"));
-        let at = if laid.exists() {
-            laid
+    /// Returns the address of the proxy from `from` to the socket `name` of `to`, which is opened if necessary.
+    fn proxy_address(&self, from: &str, to: &str, name: &str) -> Result<String, String> {
+        let path = self.path(&format!("{from}--{name}"));
+        let at = if path.exists() {
+            path
         } else {
             self.wires
-                .lay(from, to, &self.at(name))
+                .open_proxy(from, to, &self.path(name))
                 .map_err(|e| format!("{from} to {name}: {e}"))?
         };
         Ok(format!("unix:{}", at.display()))
     }
 
-    /// Where a process keeps what it has to remember.
+    /// Returns the path of a process's durable state.
     fn disk(&self, process: &str) -> PathBuf {
-        self.at(&format!("disk-{process}"))
+        self.path(&format!("disk-{process}"))
     }
 
-    fn unix(&self, name: &str) -> String {
-        format!("unix:{}", self.at(name).display())
+    fn socket_address(&self, name: &str) -> String {
+        format!("unix:{}", self.path(name).display())
     }
 
     fn arguments(&self, process: &str) -> Result<Vec<String>, String> {
-        let script = self.at("trial.star").display().to_string();
+        let script = self.path("trial.star").display().to_string();
         let (kind, number) = process.rsplit_once('-').unwrap_or((process, ""));
         let mut args: Vec<String> = Vec::new();
-        let mut say = |all: &[&str]| args.extend(all.iter().map(|a| (*a).to_owned()));
-        let again = self.started.borrow().contains(process);
+        let mut add = |all: &[&str]| args.extend(all.iter().map(|a| (*a).to_owned()));
+        let restarted = self.started.borrow().contains(process);
         match kind {
-            "store" => say(&["standin", "store", "--listen", &self.unix("store")]),
+            "store" => add(&[
+                "standin",
+                "store",
+                "--listen",
+                &self.socket_address("store"),
+            ]),
             "steward" => {
-                say(&[
+                add(&[
                     "steward",
                     &script,
                     "--number",
                     number,
                     "--listen",
-                    &self.unix(process),
+                    &self.socket_address(process),
                 ]);
-                say(&["--list", &self.unix(&format!("list-{number}"))]);
-                say(&["--disk", &self.disk(process).display().to_string()]);
+                add(&["--list", &self.socket_address(&format!("list-{number}"))]);
+                add(&["--disk", &self.disk(process).display().to_string()]);
                 if !self.diskless.borrow().contains(process) {
-                    say(&["--found"]);
+                    add(&["--found"]);
                 }
-                // A fleet is founded by all its stewards: this one is honest in its first life.
-                if self.trial.steward_gives_away && again {
-                    say(&["--gives-leases-away"]);
+                // All coordinators found the fleet together, so the fault is injected only after a restart.
+                if self.trial.steward_gives_away && restarted {
+                    add(&["--gives-leases-away"]);
                 }
                 for n in 1..=self.trial.stewards {
                     let other = format!("steward-{n}");
                     let at = match other == process {
-                        true => self.unix(process),
-                        false => self.through(process, &other, &other)?,
+                        true => self.socket_address(process),
+                        false => self.proxy_address(process, &other, &other)?,
                     };
-                    say(&["--steward", &format!("{n}={at}")]);
+                    add(&["--steward", &format!("{n}={at}")]);
                 }
             }
             "invoker" => {
-                say(&[
+                add(&[
                     "standin",
                     "invoker",
                     &script,
                     "--number",
                     number,
                     "--listen",
-                    &self.unix(process),
+                    &self.socket_address(process),
                 ]);
-                say(&["--store", &self.unix("store")]);
-                say(&[
+                add(&["--store", &self.socket_address("store")]);
+                add(&[
                     "--reached-at",
-                    &self.through("controllers", process, process)?,
+                    &self.proxy_address("controllers", process, process)?,
                 ]);
-                if again {
-                    say(&["--cold"]);
+                if restarted {
+                    add(&["--cold"]);
                 }
                 for journal in self.trial.journal_names() {
-                    let at = self.through(process, &journal, &journal)?;
-                    say(&["--count-on", &format!("{journal}={at}")]);
+                    let at = self.proxy_address(process, &journal, &journal)?;
+                    add(&["--count-on", &format!("{journal}={at}")]);
                 }
                 if self.trial.acts_before_seals {
-                    say(&["--acts-before-seals"]);
+                    add(&["--acts-before-seals"]);
                 }
             }
             "journal" => {
-                say(&[
+                add(&[
                     "standin",
                     "journal",
                     &script,
                     "--name",
                     process,
                     "--listen",
-                    &self.unix(process),
+                    &self.socket_address(process),
                 ]);
-                say(&["--disk", &self.disk(process).display().to_string()]);
+                add(&["--disk", &self.disk(process).display().to_string()]);
                 if let Some(fault) = &self.trial.journal_fault {
-                    say(&["--fault", fault]);
+                    add(&["--fault", fault]);
                 }
             }
             _ => {
-                say(&[
+                add(&[
                     "serve",
                     &script,
                     "--first",
                     number,
                     "--clients",
-                    &self.unix(process),
+                    &self.socket_address(process),
                 ]);
                 for n in 1..=self.trial.stewards {
                     let (list, steward) = (format!("list-{n}"), format!("steward-{n}"));
-                    say(&["--list", &self.through(process, &steward, &list)?]);
+                    add(&["--list", &self.proxy_address(process, &steward, &list)?]);
                 }
             }
         }
         if matches!(kind, "invoker" | "controller" | "journal") {
             for n in 1..=self.trial.stewards {
                 let steward = format!("steward-{n}");
-                let at = self.through(process, &steward, &steward)?;
+                let at = self.proxy_address(process, &steward, &steward)?;
                 args.extend(["--steward".to_owned(), at]);
             }
         }
@@ -307,7 +316,7 @@
         let log = std::fs::OpenOptions::new()
             .create(true)
             .append(true)
-            .open(self.at(&format!("{process}.log")));
+            .open(self.path(&format!("{process}.log")));
         let mut child = Command::new(&self.binary)
             .args(self.arguments(process)?)
             .env(
@@ -339,7 +348,7 @@
         Ok(())
     }
 
-    /// Reads what the process tells until it ends; one that drained is started again, as its host would.
+    /// Records the events that the process reports until it ends. A process that drained is started again, as a host would.
     async fn watch(
         self: Rc<Self>,
         process: String,
@@ -355,15 +364,15 @@
                         .borrow_mut()
                         .insert(process.clone(), voter.to_owned());
                 }
-                let Ok(said) = serde_json::from_str::<Json>(&text) else {
+                let Ok(event) = serde_json::from_str::<Json>(&text) else {
                     continue;
                 };
-                let (Some(what), Some(at_ns)) = (said["what"].as_str(), said["at_ns"].as_u64())
+                let (Some(what), Some(at_ns)) = (event["what"].as_str(), event["at_ns"].as_u64())
                 else {
                     continue;
                 };
                 if what == "effect" {
-                    self.note_effect(&process, at_ns, &said);
+                    self.note_effect(&process, at_ns, &event);
                     continue;
                 }
                 if what == "drained" {
@@ -372,9 +381,9 @@
                 self.note(Line::Told {
                     at_ns,
                     member: process.clone(),
-                    incarnation: said["incarnation"].as_u64().unwrap_or(0),
+                    incarnation: event["incarnation"].as_u64().unwrap_or(0),
                     what: what.to_owned(),
-                    grant: said["grant"].as_u64().unwrap_or(0),
+                    grant: event["grant"].as_u64().unwrap_or(0),
                 });
             }
         }
@@ -397,18 +406,18 @@
         }
     }
 
-    fn note_effect(&self, resource: &str, at_ns: u64, said: &Json) {
+    fn note_effect(&self, resource: &str, at_ns: u64, event: &Json) {
         self.note(Line::Effect {
             at_ns,
             resource: resource.to_owned(),
-            lease: said["lease"].as_str().unwrap_or_default().to_owned(),
-            epoch: said["epoch"].as_u64().unwrap_or(0),
-            by: said["by"].as_str().unwrap_or_default().to_owned(),
+            lease: event["lease"].as_str().unwrap_or_default().to_owned(),
+            epoch: event["epoch"].as_u64().unwrap_or(0),
+            by: event["by"].as_str().unwrap_or_default().to_owned(),
         });
     }
 
-    /// Epochs of the effects so far.
-    fn effects(&self) -> Vec<u64> {
+    /// Returns the epochs of all effects so far.
+    fn effect_epochs(&self) -> Vec<u64> {
         let lines = self.lines.borrow();
         let epoch = |line: &Line| {
             if let Line::Effect { epoch, .. } = line {
@@ -420,8 +429,8 @@
         lines.iter().filter_map(epoch).collect()
     }
 
-    /// The processes that a step names, with whoever holds the first lease in the holder's place.
-    async fn named(&self, of: &[String]) -> Result<Vec<String>, String> {
+    /// Resolves the process names of a step, including the placeholders for lease holders.
+    async fn resolve_processes(&self, of: &[String]) -> Result<Vec<String>, String> {
         let mut all = Vec::new();
         for name in of {
             if name == OTHERS {
@@ -435,7 +444,7 @@
                 continue;
             }
             all.push(match name.as_str() {
-                HOLDER => self.holder().await?,
+                HOLDER => self.find_holder().await?,
                 LAST_HOLDER => self
                     .last_holder
                     .borrow()
@@ -447,9 +456,10 @@
         Ok(all)
     }
 
-    async fn holder(&self) -> Result<String, String> {
+    /// Waits until a lease has a holder and returns the holder.
+    async fn find_holder(&self) -> Result<String, String> {
         let mut found = None;
-        self.until("a holder", async || {
+        self.wait_until("a holder", async || {
             let Some(status) = self.status().await else {
                 return false;
             };
@@ -469,15 +479,15 @@
         Ok(found)
     }
 
-    /// Files of a process may grow to so many bytes; none: without a limit.
-    fn limit_files(&self, process: &str, most_bytes: Option<u64>) -> Result<(), String> {
+    /// Sets the maximum file size of a process; `None` removes the limit.
+    fn limit_file_size(&self, process: &str, max_bytes: Option<u64>) -> Result<(), String> {
         let running = self.running.borrow();
         let running = running
             .get(process)
             .ok_or_else(|| format!("{process} is not running"))?;
         let pid = Pid::from_raw(running.pid as i32).ok_or("no process id")?;
         let limit = Rlimit {
-            current: most_bytes,
+            current: max_bytes,
             maximum: None,
         };
         prlimit(Some(pid), Resource::Fsize, limit)
@@ -497,29 +507,34 @@
         kill_process(pid, signal).map_err(|e| format!("{process}: {e}"))
     }
 
-    async fn until(&self, what: &str, mut seen: impl AsyncFnMut() -> bool) -> Result<(), String> {
-        let until = now_ns() + self.trial.patience_ms * 1_000_000;
-        while !seen().await {
-            if now_ns() > until {
+    /// Polls a condition until it holds or the step times out.
+    async fn wait_until(
+        &self,
+        what: &str,
+        mut condition: impl AsyncFnMut() -> bool,
+    ) -> Result<(), String> {
+        let deadline_ns = now_ns() + self.trial.patience_ms * 1_000_000;
+        while !condition().await {
+            if now_ns() > deadline_ns {
                 return Err(format!(
                     "not seen within {} ms: {what}",
                     self.trial.patience_ms
                 ));
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
 
-    /// An operator's call, through the binary. Gives what it printed, if it ended well.
-    async fn operator(&self, args: &[String]) -> Result<String, String> {
+    /// Makes an operator's call through the binary and returns its output if it succeeded.
+    async fn call_operator(&self, args: &[String]) -> Result<String, String> {
         let mut all = vec![
             "fleet".to_owned(),
             args[0].clone(),
             "--fleet".into(),
             self.trial.fleet.name.clone(),
         ];
-        // Those that run are asked; a stopped one would only make the operator wait.
+        // Only running coordinators are contacted, since one that is down would only delay the call.
         let running: Vec<String> = self
             .running
             .borrow()
@@ -528,7 +543,7 @@
             .cloned()
             .collect();
         for steward in running {
-            all.extend(["--to".to_owned(), self.unix(&steward)]);
+            all.extend(["--to".to_owned(), self.socket_address(&steward)]);
         }
         all.extend(args[1..].iter().cloned());
         let child = Command::new(&self.binary)
@@ -536,7 +551,7 @@
             .stdin(Stdio::null())
             .kill_on_drop(true)
             .output();
-        match tokio::time::timeout(CALL, child).await {
+        match tokio::time::timeout(OPERATOR_CALL_TIMEOUT, child).await {
             Err(_) => Err("no answer in time".into()),
             Ok(Err(e)) => Err(e.to_string()),
             Ok(Ok(out)) if out.status.success() => {
@@ -546,14 +561,14 @@
         }
     }
 
-    /// A change that an operator asks for again until it is told as done: each is safe to ask for twice.
-    async fn ask(&self, what: &str, args: &[String]) -> Result<(), String> {
-        let until = now_ns() + self.trial.patience_ms * 1_000_000;
+    /// Requests a change and retries it until it succeeds or the step times out. All these changes are idempotent.
+    async fn request_change(&self, what: &str, args: &[String]) -> Result<(), String> {
+        let deadline_ns = now_ns() + self.trial.patience_ms * 1_000_000;
         loop {
             let sent_ns = now_ns();
-            let told = self.operator(args).await;
+            let result = self.call_operator(args).await;
             let at_ns = now_ns();
-            let (done, answer) = match &told {
+            let (done, answer) = match &result {
                 Ok(text) => (true, text.trim().to_owned()),
                 Err(why) => (false, why.clone()),
             };
@@ -564,28 +579,29 @@
                 done,
                 answer,
             });
-            match told {
+            match result {
                 Ok(_) => return Ok(()),
-                Err(why) if now_ns() > until => return Err(why),
-                Err(_) => tokio::time::sleep(LOOK).await,
+                Err(why) if now_ns() > deadline_ns => return Err(why),
+                Err(_) => tokio::time::sleep(POLL_INTERVAL).await,
             }
         }
     }
 
     async fn status(&self) -> Option<Json> {
-        let told = self
-            .operator(&["status".into(), "--json".into()])
+        let status = self
+            .call_operator(&["status".into(), "--json".into()])
             .await
             .ok()?;
-        serde_json::from_str(&told).ok()
+        serde_json::from_str(&status).ok()
     }
 
-    async fn one(self: &Rc<Self>, step: &Step) -> Result<(), String> {
-        let of = &self.named(&step.of).await?;
-        match &step.what {
-            Do::Await { event, times } if event == "granted" => {
+    /// Performs one step.
+    async fn perform(self: &Rc<Self>, step: &Step) -> Result<(), String> {
+        let of = &self.resolve_processes(&step.processes).await?;
+        match &step.action {
+            Action::Await { event, times } if event == "granted" => {
                 let what = format!("{times} of {of:?} granted");
-                self.until(&what, async || {
+                self.wait_until(&what, async || {
                     let Some(s) = self.status().await else {
                         return false;
                     };
@@ -595,18 +611,18 @@
                 })
                 .await
             }
-            Do::Await { event, times } => {
+            Action::Await { event, times } => {
                 let what = format!("{event} of {of:?}, {times} times");
-                self.until(&what, async || {
+                self.wait_until(&what, async || {
                     let lines = self.lines.borrow();
-                    let told = lines.iter().filter(|l| {
+                    let reported = lines.iter().filter(|l| {
                         matches!(l, Line::Told { member, what, .. } if of.contains(member) && what == event)
                     });
-                    told.count() >= *times
+                    reported.count() >= *times
                 })
                 .await
             }
-            Do::AllUp => {
+            Action::AllUp => {
                 let is_member =
                     |p: &String| p.starts_with("invoker") || p.starts_with("controller");
                 let members: Vec<String> = self
@@ -615,7 +631,7 @@
                     .into_iter()
                     .filter(is_member)
                     .collect();
-                self.until("all members up", async || {
+                self.wait_until("all members up", async || {
                     let Some(s) = self.status().await else {
                         return false;
                     };
@@ -625,46 +641,46 @@
                 })
                 .await
             }
-            Do::Over { id } => {
-                self.until(&format!("ask '{id}' over"), async || {
+            Action::AwaitDrainRequest { id } => {
+                self.wait_until(&format!("ask '{id}' over"), async || {
                     let Some(s) = self.status().await else {
                         return false;
                     };
                     let ask = &s["fleet"]["asks"][id];
-                    let none = |list: &str| ask[list].as_array().is_some_and(Vec::is_empty);
-                    none("waiting") && none("under_way")
+                    let is_empty = |list: &str| ask[list].as_array().is_some_and(Vec::is_empty);
+                    is_empty("waiting") && is_empty("under_way")
                 })
                 .await
             }
-            Do::Ask { id } => {
+            Action::RequestDrain { id } => {
                 let mut args = vec!["drain".to_owned(), "--id".into(), id.clone()];
                 args.extend(of.iter().cloned());
-                self.ask("drain", &args).await
+                self.request_change("drain", &args).await
             }
-            Do::Halt => {
-                self.ask(
+            Action::Halt => {
+                self.request_change(
                     "halt",
                     &["halt", "--why", "the trial says so"].map(str::to_owned),
                 )
                 .await
             }
-            Do::Resume => self.ask("resume", &["resume".to_owned()]).await,
-            Do::Back => {
+            Action::Resume => self.request_change("resume", &["resume".to_owned()]).await,
+            Action::Back => {
                 let args: Vec<String> = ["back".to_owned()]
                     .into_iter()
                     .chain(of.iter().cloned())
                     .collect();
-                self.ask("back", &args).await
+                self.request_change("back", &args).await
             }
-            Do::Kill => {
+            Action::Kill => {
                 of.iter().try_for_each(|p| self.signal(p, Signal::KILL))?;
-                self.until("the killed gone", async || {
+                self.wait_until("the killed gone", async || {
                     of.iter().all(|p| !self.running.borrow().contains_key(p))
                 })
                 .await
             }
-            Do::Stop | Do::Wake => {
-                let still = step.what == Do::Stop;
+            Action::Stop | Action::Wake => {
+                let still = step.action == Action::Stop;
                 for p in of {
                     self.signal(p, if still { Signal::STOP } else { Signal::CONT })?;
                     self.note(Line::Stopped {
@@ -675,27 +691,31 @@
                 }
                 Ok(())
             }
-            Do::Start => of.iter().try_for_each(|p| self.start(p)),
-            Do::CopyDisk => self.disks(of, |disk, copy| std::fs::copy(disk, copy).map(|_| ())),
-            Do::OldDisk => self.disks(of, |disk, copy| std::fs::copy(copy, disk).map(|_| ())),
-            Do::LoseDisk => {
+            Action::Start => of.iter().try_for_each(|p| self.start(p)),
+            Action::CopyDisk => {
+                self.for_each_disk(of, |disk, copy| std::fs::copy(disk, copy).map(|_| ()))
+            }
+            Action::RestoreDisk => {
+                self.for_each_disk(of, |disk, copy| std::fs::copy(copy, disk).map(|_| ()))
+            }
+            Action::LoseDisk => {
                 self.diskless.borrow_mut().extend(of.iter().cloned());
                 of.iter()
                     .for_each(|p| drop(self.voters.borrow_mut().remove(p)));
-                self.disks(of, |disk, _| std::fs::remove_file(disk))
+                self.for_each_disk(of, |disk, _| std::fs::remove_file(disk))
             }
-            Do::Replace => {
-                self.until("the new disk's voter", async || {
+            Action::ReplaceVoter => {
+                self.wait_until("the new disk's voter", async || {
                     of.iter().all(|p| self.voters.borrow().contains_key(p))
                 })
                 .await?;
                 let voters = self.voters.borrow().clone();
                 let named = voters
                     .iter()
-                    .map(|(p, voter)| format!("{voter}={}", self.unix(p)));
+                    .map(|(p, voter)| format!("{voter}={}", self.socket_address(p)));
                 let args: Vec<String> = ["stewards".to_owned()].into_iter().chain(named).collect();
-                self.ask("stewards", &args).await?;
-                self.until("the new stewards alone", async || {
+                self.request_change("stewards", &args).await?;
+                self.wait_until("the new stewards alone", async || {
                     let Some(s) = self.status().await else {
                         return false;
                     };
@@ -706,73 +726,77 @@
                 })
                 .await
             }
-            Do::PauseLease { lease } => {
+            Action::PauseLease { lease } => {
                 let args =
                     ["lease", "pause", lease, "--why", "the trial says so"].map(str::to_owned);
-                self.ask("pause-lease", &args).await
+                self.request_change("pause-lease", &args).await
             }
-            Do::ResumeLease { lease } => {
-                self.ask(
+            Action::ResumeLease { lease } => {
+                self.request_change(
                     "resume-lease",
                     &["lease", "resume", lease].map(str::to_owned),
                 )
                 .await
             }
-            Do::Handover => {
-                let before = self.effects().into_iter().max().unwrap_or(0);
-                self.until("an effect of a later epoch", async || {
-                    self.effects().iter().any(|e| *e > before)
+            Action::AwaitHandover => {
+                let before = self.effect_epochs().into_iter().max().unwrap_or(0);
+                self.wait_until("an effect of a later epoch", async || {
+                    self.effect_epochs().iter().any(|e| *e > before)
                 })
                 .await
             }
-            Do::Effects { times } => {
-                let before = self.effects().len();
-                self.until("more effects", async || {
-                    self.effects().len() >= before + times
+            Action::AwaitEffects { times } => {
+                let before = self.effect_epochs().len();
+                self.wait_until("more effects", async || {
+                    self.effect_epochs().len() >= before + times
                 })
                 .await
             }
-            Do::DiskFull => of.iter().try_for_each(|p| self.limit_files(p, Some(0))),
-            Do::DiskSpace => of.iter().try_for_each(|p| self.limit_files(p, None)),
-            Do::Cut { to, one_way } => {
+            Action::FillDisk => of.iter().try_for_each(|p| self.limit_file_size(p, Some(0))),
+            Action::FreeDisk => of.iter().try_for_each(|p| self.limit_file_size(p, None)),
+            Action::Cut { to, one_way } => {
                 self.wires
-                    .change(of, &self.named(to).await?, !one_way, |w| w.cut = true);
+                    .change(of, &self.resolve_processes(to).await?, !one_way, |w| {
+                        w.cut = true
+                    });
                 Ok(())
             }
-            Do::Heal => {
+            Action::Heal => {
                 self.wires.change(&[], &[], true, |w| *w = Way::default());
                 Ok(())
             }
-            Do::Delay { ms, jitter_ms } => {
+            Action::Delay { ms, jitter_ms } => {
                 self.wires.change(of, &[], true, |w| {
                     (w.delay_ms, w.jitter_ms) = (*ms, *jitter_ms)
                 });
                 Ok(())
             }
-            Do::Reset => {
+            Action::Reset => {
                 self.wires.reset(of);
                 Ok(())
             }
-            Do::Pause { ms } => {
+            Action::Pause { ms } => {
                 tokio::time::sleep(Duration::from_millis(*ms)).await;
                 Ok(())
             }
         }
     }
 
-    fn disks(
+    /// Applies an operation to the disk of each process and to the path of its copy.
+    fn for_each_disk(
         &self,
         of: &[String],
         act: impl Fn(&Path, &Path) -> std::io::Result<()>,
     ) -> Result<(), String> {
         for p in of {
-            let (disk, copy) = (self.disk(p), self.at(&format!("copy-{p}")));
+            let (disk, copy) = (self.disk(p), self.path(&format!("copy-{p}")));
             act(&disk, &copy).map_err(|e| format!("{p}'s disk: {e}"))?;
         }
         Ok(())
     }
 
-    async fn histories(&self) {
+    /// Records the history that each coordinator returns.
+    async fn record_histories(&self) {
         for n in 1..=self.trial.stewards {
             let args = [
                 "fleet",
@@ -782,16 +806,16 @@
                 &self.trial.fleet.name,
                 "--to",
             ];
-            let at = self.unix(&format!("steward-{n}"));
-            let told = Command::new(&self.binary)
+            let at = self.socket_address(&format!("steward-{n}"));
+            let output = Command::new(&self.binary)
                 .args(args)
                 .arg(at)
                 .kill_on_drop(true)
                 .output();
-            let Ok(Ok(told)) = tokio::time::timeout(Duration::from_secs(3), told).await else {
+            let Ok(Ok(output)) = tokio::time::timeout(Duration::from_secs(3), output).await else {
                 continue;
             };
-            for line in String::from_utf8_lossy(&told.stdout).lines() {
+            for line in String::from_utf8_lossy(&output.stdout).lines() {
                 let Ok(event) = serde_json::from_str::<Json>(line) else {
                     continue;
                 };
--- a/crates/trial/src/wires.rs
+++ b/crates/trial/src/wires.rs
@@ -1,4 +1,4 @@
-//! Streams between two named processes go through here: late, held back, or cut off, each way for itself.
+//! Proxies for the streams between two named processes, which delay or cut each direction independently.
 
 use crate::record::now_ns;
 use std::cell::{Cell, RefCell};
@@ -11,7 +11,7 @@
 use tokio::net::{UnixListener, UnixStream};
 use tokio::sync::{Notify, mpsc, watch};
 
-/// One way of a wire. What is held when it heals goes on in its order: nothing is lost within a stream.
+/// The state of one direction. Bytes held during a cut are forwarded in order after it heals: a stream loses nothing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Way {
     pub cut: bool,
@@ -19,17 +19,17 @@
     pub jitter_ms: u64,
 }
 
-/// All streams that one process dials to another.
+/// All streams that one process opens to another.
 pub struct Wire {
     pub from: String,
     pub to: String,
-    forth: watch::Sender<Way>,
-    back: watch::Sender<Way>,
+    forward: watch::Sender<Way>,
+    backward: watch::Sender<Way>,
     resets: Notify,
 }
 
-/// Bytes under way on one stream, one way, by parts.
-const PARTS_MOST: usize = 64;
+/// Maximum number of chunks in flight in one direction of a stream.
+const MAX_CHUNKS_IN_FLIGHT: usize = 64;
 
 pub struct Wires {
     folder: PathBuf,
@@ -50,8 +50,8 @@
         })
     }
 
-    /// Where `from` has to dial to reach what listens at `real`, which belongs to `to`.
-    pub fn lay(self: &Rc<Self>, from: &str, to: &str, real: &Path) -> io::Result<PathBuf> {
+    /// Opens a proxy from `from` to the socket `real` of `to` and returns the path that `from` connects to.
+    pub fn open_proxy(self: &Rc<Self>, from: &str, to: &str, real: &Path) -> io::Result<PathBuf> {
         let name = real
             .file_name()
             .map(|n| n.to_string_lossy().into_owned())
@@ -64,8 +64,8 @@
             Rc::new(Wire {
                 from: from.into(),
                 to: to.into(),
-                forth: watch::channel(Way::default()).0,
-                back: watch::channel(Way::default()).0,
+                forward: watch::channel(Way::default()).0,
+                backward: watch::channel(Way::default()).0,
                 resets: Notify::new(),
             })
         });
@@ -73,33 +73,38 @@
         self.tasks.borrow_mut().spawn_local(async move {
             let mut streams = tokio::task::JoinSet::new();
             while let Ok((stream, _)) = listener.accept().await {
-                streams.spawn_local(carry(this.clone(), wire.clone(), stream, real.clone()));
+                streams.spawn_local(forward_stream(
+                    this.clone(),
+                    wire.clone(),
+                    stream,
+                    real.clone(),
+                ));
                 while streams.try_join_next().is_some() {}
             }
         });
         Ok(at)
     }
 
-    /// Changes ways from `from` to `to`, and back where `both`. Either may be empty: all.
+    /// Changes the direction from `from` to `to`, and the opposite one if `both`. An empty list means all processes.
     pub fn change(&self, from: &[String], to: &[String], both: bool, change: impl Fn(&mut Way)) {
-        let is = |all: &[String], one: &String| all.is_empty() || all.contains(one);
+        let matches = |all: &[String], one: &String| all.is_empty() || all.contains(one);
         for wire in self.all.borrow().values() {
-            if is(from, &wire.from) && is(to, &wire.to) {
-                wire.forth.send_modify(&change);
+            if matches(from, &wire.from) && matches(to, &wire.to) {
+                wire.forward.send_modify(&change);
                 if both {
-                    wire.back.send_modify(&change);
+                    wire.backward.send_modify(&change);
                 }
             }
-            if is(from, &wire.to) && is(to, &wire.from) {
-                wire.back.send_modify(&change);
+            if matches(from, &wire.to) && matches(to, &wire.from) {
+                wire.backward.send_modify(&change);
                 if both {
-                    wire.forth.send_modify(&change);
+                    wire.forward.send_modify(&change);
                 }
             }
         }
     }
 
-    /// Every stream of these is closed, whoever dialled.
+    /// Closes every stream of these processes, in whichever direction it was opened.
     pub fn reset(&self, of: &[String]) {
         for wire in self.all.borrow().values() {
             if of.is_empty() || of.contains(&wire.from) || of.contains(&wire.to) {
@@ -108,20 +113,22 @@
         }
     }
 
+    /// Bytes forwarded so far, over all streams.
     pub fn carried_bytes(&self) -> u64 {
         self.carried.get()
     }
 }
 
-async fn passes(way: &mut watch::Receiver<Way>) {
-    // The sender is the wire's, and the wire outlives its streams.
+/// Waits until the direction is not cut.
+async fn wait_until_healed(way: &mut watch::Receiver<Way>) {
+    // Waiting can't fail: the sender belongs to the wire, which outlives its streams.
     let _ = way.wait_for(|w| !w.cut).await;
 }
 
-async fn carry(wires: Rc<Wires>, wire: Rc<Wire>, near: UnixStream, real: PathBuf) {
-    // A dial through a cut hangs, as one into a silent network does.
-    passes(&mut wire.forth.subscribe()).await;
-    passes(&mut wire.back.subscribe()).await;
+async fn forward_stream(wires: Rc<Wires>, wire: Rc<Wire>, near: UnixStream, real: PathBuf) {
+    // Connecting through a cut hangs, as it does on a network that drops packets.
+    wait_until_healed(&mut wire.forward.subscribe()).await;
+    wait_until_healed(&mut wire.backward.subscribe()).await;
     let Ok(far) = UnixStream::connect(&real).await else {
         return;
     };
@@ -131,55 +138,55 @@
         () = wire.resets.notified() => {}
         () = async {
             tokio::join!(
-                one_way(&wires, near_in, far_out, wire.forth.subscribe()),
-                one_way(&wires, far_in, near_out, wire.back.subscribe()),
+                forward_direction(&wires, near_in, far_out, wire.forward.subscribe()),
+                forward_direction(&wires, far_in, near_out, wire.backward.subscribe()),
             );
         } => {}
     }
 }
 
-async fn one_way(
+async fn forward_direction(
     wires: &Rc<Wires>,
     mut input: tokio::net::unix::OwnedReadHalf,
     mut output: tokio::net::unix::OwnedWriteHalf,
     mut way: watch::Receiver<Way>,
 ) {
-    let (to, mut parts) = mpsc::channel::<(u64, Vec<u8>)>(PARTS_MOST);
-    let looks = way.clone();
+    let (chunk_sender, mut chunks) = mpsc::channel::<(u64, Vec<u8>)>(MAX_CHUNKS_IN_FLIGHT);
+    let state = way.clone();
     let reading = async move {
         let mut last = 0;
         loop {
-            let mut part = vec![0; 64 << 10];
-            let Ok(n @ 1..) = input.read(&mut part).await else {
+            let mut chunk = vec![0; 64 << 10];
+            let Ok(n @ 1..) = input.read(&mut chunk).await else {
                 return;
             };
-            part.truncate(n);
-            let late = *looks.borrow();
-            let jitter = match late.jitter_ms {
+            chunk.truncate(n);
+            let current = *state.borrow();
+            let jitter = match current.jitter_ms {
                 0 => 0,
                 most => wires.rng.borrow_mut().u64(..=most),
             };
-            // Nothing overtakes on a stream.
-            last = (now_ns() + (late.delay_ms + jitter) * 1_000_000).max(last);
+            // A stream keeps its order, so no chunk is due before the previous one.
+            last = (now_ns() + (current.delay_ms + jitter) * 1_000_000).max(last);
             wires.carried.set(wires.carried.get() + n as u64);
-            if to.send((last, part)).await.is_err() {
+            if chunk_sender.send((last, chunk)).await.is_err() {
                 return;
             }
         }
     };
     let writing = async move {
-        while let Some((due, part)) = parts.recv().await {
+        while let Some((due, chunk)) = chunks.recv().await {
             let wait = due.saturating_sub(now_ns());
             if wait > 0 {
                 tokio::time::sleep(Duration::from_nanos(wait)).await;
             }
-            passes(&mut way).await;
-            if output.write_all(&part).await.is_err() {
+            wait_until_healed(&mut way).await;
+            if output.write_all(&chunk).await.is_err() {
                 return;
             }
         }
-        // The end of a stream does not pass a cut either.
-        passes(&mut way).await;
+        // The end of a stream is held during a cut as well.
+        wait_until_healed(&mut way).await;
     };
     tokio::join!(reading, writing);
 }
--- a/crates/trial/tests/trial_script_fixtures.rs
+++ b/crates/trial/tests/trial_script_fixtures.rs
@@ -7,7 +7,7 @@
 
 use saltdrum_coordinator::FleetConfig;
 use saltdrum_deployment::script;
-use saltdrum_trial::script::{Do, Step};
+use saltdrum_trial::script::{Action, Step};
 use saltdrum_trial::{TRIALS, Trial};
 use serde_json::{Value as Json, json};
 use std::collections::BTreeSet;
@@ -41,39 +41,41 @@
 }
 
 /// A step as a script names it, with what it takes besides processes.
-fn what_summary(what: &Do) -> Json {
+fn what_summary(what: &Action) -> Json {
     match what {
-        Do::Await { event, times } => json!({"step": "await", "event": event, "times": times}),
-        Do::AllUp => json!({"step": "all_up"}),
-        Do::Over { id } => json!({"step": "over", "id": id}),
-        Do::Ask { id } => json!({"step": "ask", "id": id}),
-        Do::Halt => json!({"step": "halt"}),
-        Do::Resume => json!({"step": "resume"}),
-        Do::Back => json!({"step": "back"}),
-        Do::Kill => json!({"step": "kill"}),
-        Do::Stop => json!({"step": "stop"}),
-        Do::Wake => json!({"step": "wake"}),
-        Do::Start => json!({"step": "start"}),
-        Do::CopyDisk => json!({"step": "copy_disk"}),
-        Do::OldDisk => json!({"step": "old_disk"}),
-        Do::LoseDisk => json!({"step": "lose_disk"}),
-        Do::Replace => json!({"step": "replace"}),
-        Do::Cut { to, one_way } => json!({"step": "cut", "to": to, "one_way": one_way}),
-        Do::Heal => json!({"step": "heal"}),
-        Do::Delay { ms, jitter_ms } => json!({"step": "delay", "ms": ms, "jitter_ms": jitter_ms}),
-        Do::Reset => json!({"step": "reset"}),
-        Do::Pause { ms } => json!({"step": "pause", "ms": ms}),
-        Do::PauseLease { lease } => json!({"step": "pause_lease", "lease": lease}),
-        Do::ResumeLease { lease } => json!({"step": "resume_lease", "lease": lease}),
-        Do::Handover => json!({"step": "handover"}),
-        Do::Effects { times } => json!({"step": "effects", "times": times}),
-        Do::DiskFull => json!({"step": "disk_full"}),
-        Do::DiskSpace => json!({"step": "disk_space"}),
+        Action::Await { event, times } => json!({"step": "await", "event": event, "times": times}),
+        Action::AllUp => json!({"step": "all_up"}),
+        Action::AwaitDrainRequest { id } => json!({"step": "over", "id": id}),
+        Action::RequestDrain { id } => json!({"step": "ask", "id": id}),
+        Action::Halt => json!({"step": "halt"}),
+        Action::Resume => json!({"step": "resume"}),
+        Action::Back => json!({"step": "back"}),
+        Action::Kill => json!({"step": "kill"}),
+        Action::Stop => json!({"step": "stop"}),
+        Action::Wake => json!({"step": "wake"}),
+        Action::Start => json!({"step": "start"}),
+        Action::CopyDisk => json!({"step": "copy_disk"}),
+        Action::RestoreDisk => json!({"step": "old_disk"}),
+        Action::LoseDisk => json!({"step": "lose_disk"}),
+        Action::ReplaceVoter => json!({"step": "replace"}),
+        Action::Cut { to, one_way } => json!({"step": "cut", "to": to, "one_way": one_way}),
+        Action::Heal => json!({"step": "heal"}),
+        Action::Delay { ms, jitter_ms } => {
+            json!({"step": "delay", "ms": ms, "jitter_ms": jitter_ms})
+        }
+        Action::Reset => json!({"step": "reset"}),
+        Action::Pause { ms } => json!({"step": "pause", "ms": ms}),
+        Action::PauseLease { lease } => json!({"step": "pause_lease", "lease": lease}),
+        Action::ResumeLease { lease } => json!({"step": "resume_lease", "lease": lease}),
+        Action::AwaitHandover => json!({"step": "handover"}),
+        Action::AwaitEffects { times } => json!({"step": "effects", "times": times}),
+        Action::FillDisk => json!({"step": "disk_full"}),
+        Action::FreeDisk => json!({"step": "disk_space"}),
     }
 }
 
 fn step_summary(step: &Step) -> Json {
-    json!({"line": step.place.line, "what": what_summary(&step.what), "of": step.of})
+    json!({"line": step.place.line, "what": what_summary(&step.action), "of": step.processes})
 }
 
 fn summary(trial: &Trial) -> Json {
@@ -141,7 +143,7 @@
     let used: BTreeSet<String> = trial
         .steps
         .iter()
-        .map(|step| what_summary(&step.what)["step"].to_string())
+        .map(|step| what_summary(&step.action)["step"].to_string())
         .collect();
     assert_eq!(used.len(), STEPS, "{used:?}");
 }
