--- a/crates/scenario/src/check.rs
+++ b/crates/scenario/src/check.rs
@@ -1,4 +1,5 @@
-//! Judges the five rules by the records of clients, stand-ins and the endpoint list. Independent of the policy and the controller.
+//! Judges the five rules by the records of clients, stand-ins and the endpoint list. Independent of the policy and the
+//! controller.
 //!
 //! A rule is reported as broken only where the records prove it: a frame that was read late may have arrived early, so its
 //! earliest possible arrival time counts. Where a thread stalled across the moment in question, the finding is "cannot tell",
@@ -85,7 +86,7 @@
     /// Executions of each invocation's effect, without those that were dropped as duplicates.
     runs: BTreeMap<u64, Vec<(Ticks, u32, ClientAttempt)>>,
     orders: Vec<(Ticks, Ticks, u32, ControllerId, u64)>,
-    told: BTreeMap<(ControllerId, u32), Vec<LifeUpdate>>,
+    life_updates: BTreeMap<(ControllerId, u32), Vec<LifeUpdate>>,
     lives: BTreeMap<u32, Vec<(Ticks, bool, bool)>>,
     killed: BTreeMap<ControllerId, Ticks>,
     disturbed: Vec<(Ticks, Ticks, String)>,
@@ -178,11 +179,11 @@
                     invocation,
                     hop,
                     ended,
-                    response_sent: told,
+                    response_sent: received,
                     ..
                 } => {
                     if let Some(d) = s.find(who, invocation, invoker, hop) {
-                        d.ended = Some((at, ended, told));
+                        d.ended = Some((at, ended, received));
                     }
                 }
                 Line::Cancelled {
@@ -213,10 +214,11 @@
                     life,
                     ..
                 } => {
-                    s.told
-                        .entry((who, invoker))
-                        .or_default()
-                        .push((at, life == "ready", life));
+                    s.life_updates.entry((who, invoker)).or_default().push((
+                        at,
+                        life == "ready",
+                        life,
+                    ));
                 }
                 Line::Invoker {
                     at,
@@ -516,7 +518,7 @@
                 let ended = earlier
                     .ended
                     .as_ref()
-                    .filter(|(at, _, told)| *told && *at <= later.at);
+                    .filter(|(at, _, received)| *received && *at <= later.at);
                 let never_ran = ended.is_some_and(|(_, how, _)| how == "full" || how == "miss");
                 let certain = !seen.was_disturbed(Some(*who), earlier.at, later.at);
                 if !never_ran && terms.effect == "non-idempotent" {
@@ -554,7 +556,7 @@
                 let still_in_flight = earlier
                     .ended
                     .as_ref()
-                    .is_some_and(|(at, _, told)| *told && *at > later.at + SLACK);
+                    .is_some_and(|(at, _, received)| *received && *at > later.at + SLACK);
                 if still_in_flight && !earlier.cancelled && !stated.parallel_dispatches {
                     findings.add(
                         certain,
@@ -595,26 +597,26 @@
         });
     for (at, earliest, invoker, who, what) in dispatches.chain(orders) {
         findings.looked_at += 1;
-        let told = seen
-            .told
+        let updates = seen
+            .life_updates
             .get(&(who, invoker))
             .map(Vec::as_slice)
             .unwrap_or_default();
         // The latest update that was older than the grace when this frame arrived, if no ready update followed.
-        let expired = told
+        let expired = updates
             .iter()
             .rposition(|(t, ..)| t + stated.drain_grace + SLACK < earliest);
         let Some(expired) = expired else { continue };
-        let ready_again = told[expired..]
+        let ready_again = updates[expired..]
             .iter()
             .any(|(t, ready, _)| *ready && *t <= at);
         if !ready_again {
             // The grace starts with the first of consecutive updates that are not ready.
-            let first = told[..=expired]
+            let first = updates[..=expired]
                 .iter()
                 .rposition(|(_, ready, _)| *ready)
                 .map_or(0, |r| r + 1);
-            let (t, _, life) = &told[first];
+            let (t, _, life) = &updates[first];
             let certain = !seen.was_disturbed(Some(who), *t, at);
             let late = ms(earliest.saturating_sub(*t));
             findings.add(certain, at, format!("{what} of controller {} came to invoker {invoker} at {} ms, {late} ms after the controller was told it was {life}", who.controller, ms(at)));
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -306,8 +306,8 @@
             change,
         })
         .collect();
-    for told in ledger.commit(requests).map_err(io::Error::other)? {
-        told.map_err(io::Error::other)?;
+    for result in ledger.commit(requests).map_err(io::Error::other)? {
+        result.map_err(io::Error::other)?;
     }
     Ok(key)
 }
@@ -623,20 +623,21 @@
             pin_duration: 120 * SECOND,
             epoch_ms: 0,
         });
-        let seat = move |terms: DeploymentSpec, clients: Address, list: Address, seed: u64| {
-            ControllerConfig {
-                controller,
-                incarnation,
-                seed,
-                zone,
-                client_addresses: vec![clients],
-                endpoint_lists: vec![list],
-                terms: Rc::new(terms),
-                aliases: names,
-                shutdown: Default::default(),
-                listens_when_ready: false,
-            }
-        };
+        let make_config =
+            move |terms: DeploymentSpec, clients: Address, list: Address, seed: u64| {
+                ControllerConfig {
+                    controller,
+                    incarnation,
+                    seed,
+                    zone,
+                    client_addresses: vec![clients],
+                    endpoint_lists: vec![list],
+                    terms: Rc::new(terms),
+                    aliases: names,
+                    shutdown: Default::default(),
+                    listens_when_ready: false,
+                }
+            };
         let seed = self.day.seed ^ (u64::from(controller) << 40) ^ (incarnation << 56);
         let (terms, list, clock) = (
             self.day.terms.clone(),
@@ -670,7 +671,7 @@
                     runtime.block_on(async {
                         tokio::select! {
                             biased;
-                            done = serve(seat(terms, clients, list, seed), Rc::new(SocketNetwork), clock) => {
+                            done = serve(make_config(terms, clients, list, seed), Rc::new(SocketNetwork), clock) => {
                                 if let Err(e) = done {
                                     warn!(controller, %e, "controller failed to serve");
                                 }
@@ -685,7 +686,7 @@
             }
             Runtime::Virtual(ether) => {
                 let network = ether.host(&format!("controller-{controller}"));
-                let seat = seat(terms, address.clone(), list, seed);
+                let config = make_config(terms, address.clone(), list, seed);
                 let (hold, noted) = (ProcessPause::default(), self.record.clone());
                 let skewed = clock_of(&self.day, &self.runtime, clock, 0xc10c, controller);
                 let living = async move {
@@ -700,7 +701,7 @@
                         });
                     tokio::select! {
                         biased;
-                        done = serve(seat, network, skewed) => {
+                        done = serve(config, network, skewed) => {
                             if let Err(e) = done {
                                 warn!(controller, %e, "controller failed to serve");
                             }
@@ -852,14 +853,14 @@
         let Some(names) = &self.names else {
             return Ok(());
         };
-        let dialled =
+        let connection =
             RegistryClient::connect(&self.runtime.host("admin"), &names.address, &names.key).await;
-        let mut caller = dialled.map_err(|e| e.to_string())?;
-        let asked = caller.call("change", serde_json::json!({ "change": change }));
-        let told = tokio::time::timeout(Duration::from_secs(2), asked)
+        let mut caller = connection.map_err(|e| e.to_string())?;
+        let request = caller.call("change", serde_json::json!({ "change": change }));
+        let response = tokio::time::timeout(Duration::from_secs(2), request)
             .await
             .map_err(|e| e.to_string())?;
-        told.map(|_| ()).map_err(|e| e.to_string())
+        response.map(|_| ()).map_err(|e| e.to_string())
     }
 
     /// Moves each alias to its next version once per period.
@@ -1026,7 +1027,7 @@
 
     /// Injects a trouble and removes it after its duration.
     async fn inject(self: &Rc<Self>, t: Trouble) {
-        let struck = || t.invokers.iter().map(|i| &self.invokers[i]);
+        let affected = || t.invokers.iter().map(|i| &self.invokers[i]);
         match t.kind {
             Kind::Crash => {
                 for i in t.invokers.iter().filter(|i| self.invokers[i].is_up()) {
@@ -1140,14 +1141,14 @@
                 self.fault(&cut, |f| f.partitioned_from.clear());
             }
             Kind::Slow => {
-                struck().for_each(|i| i.update_faults(|_, m| m.slowness = t.times));
+                affected().for_each(|i| i.update_faults(|_, m| m.slowness = t.times));
                 self.sleep(t.lasts).await;
-                struck().for_each(|i| i.update_faults(|_, m| m.slowness = 1.0));
+                affected().for_each(|i| i.update_faults(|_, m| m.slowness = 1.0));
             }
             Kind::Ageing => {
-                struck().for_each(|i| i.update_faults(|_, m| m.start_ageing(t.times)));
+                affected().for_each(|i| i.update_faults(|_, m| m.start_ageing(t.times)));
                 self.sleep(t.lasts).await;
-                struck().for_each(|i| i.update_faults(|_, m| m.start_ageing(0.0)));
+                affected().for_each(|i| i.update_faults(|_, m| m.start_ageing(0.0)));
             }
             Kind::Hang => {
                 self.fault(&t.invokers, |f| f.hangs = true);
@@ -1187,7 +1188,7 @@
                 self.sleep(t.lasts).await;
                 self.fault(&t.invokers, |f| f.half_frames = false);
             }
-            Kind::Flush => struck().for_each(|i| i.flush(t.part)),
+            Kind::Flush => affected().for_each(|i| i.flush(t.part)),
             Kind::StoreSlow => {
                 self.store.slowness.set(t.times);
                 self.registry.slowness.set(t.times);
