--- a/crates/scenario/src/check.rs
+++ b/crates/scenario/src/check.rs
@@ -68,12 +68,12 @@
     of: ClientAttempt,
     trigger: String,
     ran: Option<Ticks>,
-    /// When it ended, how, and whether the controller received the result.
+    /// When it ended, how, and whether the response was sent to the controller.
     ended: Option<(Ticks, String, bool)>,
     cancelled: bool,
 }
 
-/// When a controller received an entry of the endpoint list, whether it was ready, and the life it stated.
+/// When the endpoint list sent an entry to a controller, whether it was ready, and the life it stated.
 type LifeUpdate = (Ticks, bool, String);
 type Rule = fn(&Observations, &RuleParameters) -> Findings;
 
@@ -179,11 +179,11 @@
                     invocation,
                     hop,
                     ended,
-                    response_sent: received,
+                    response_sent,
                     ..
                 } => {
                     if let Some(d) = s.find(who, invocation, invoker, hop) {
-                        d.ended = Some((at, ended, received));
+                        d.ended = Some((at, ended, response_sent));
                     }
                 }
                 Line::Cancelled {
@@ -518,7 +518,7 @@
                 let ended = earlier
                     .ended
                     .as_ref()
-                    .filter(|(at, _, received)| *received && *at <= later.at);
+                    .filter(|(at, _, response_sent)| *response_sent && *at <= later.at);
                 let never_ran = ended.is_some_and(|(_, how, _)| how == "full" || how == "miss");
                 let certain = !seen.was_disturbed(Some(*who), earlier.at, later.at);
                 if !never_ran && terms.effect == "non-idempotent" {
@@ -556,7 +556,7 @@
                 let still_in_flight = earlier
                     .ended
                     .as_ref()
-                    .is_some_and(|(at, _, received)| *received && *at > later.at + SLACK);
+                    .is_some_and(|(at, _, response_sent)| *response_sent && *at > later.at + SLACK);
                 if still_in_flight && !earlier.cancelled && !stated.parallel_dispatches {
                     findings.add(
                         certain,
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -17,10 +17,10 @@
 use saltdrum_protocol::list::Life;
 use saltdrum_registry::client::RegistryClient;
 use saltdrum_registry::follow::FollowConfig;
-use saltdrum_registry::state::{Change, Stage as Trial, Version};
+use saltdrum_registry::state::{Change, Stage as MoveStage, Version};
 use saltdrum_registry::store::ChangeRequest;
 use saltdrum_registry::{Name, Namespace, Store as Ledger, service};
-use saltdrum_simulated_network::{Link as Wire, Links, ProcessPause, SimulatedNetwork, pausable};
+use saltdrum_simulated_network::{Link, Links, ProcessPause, SimulatedNetwork, pausable};
 use saltdrum_transport::{
     Address, Clock, EventLoopClock, Network, SocketNetwork, run_event_loop_clock,
 };
@@ -391,7 +391,7 @@
         Some(folder) => Runtime::Threads(folder.to_owned()),
         None => {
             let n = &day.network;
-            let line = Wire {
+            let line = Link {
                 delay: n.delay,
                 jitter: n.jitter,
             };
@@ -893,7 +893,7 @@
                     .unwrap_or(1);
                 let version = name(&format!("v{}", at % self.day.versions + 1));
                 let (space, model, expect) = (Namespace::All, is.model.clone(), is.changed);
-                let stage = |to: &Name| Trial {
+                let stage = |to: &Name| MoveStage {
                     to: to.clone(),
                     per_mille: 100,
                     errors_per_mille: 100,
@@ -990,14 +990,20 @@
     /// Adds the counts of an invoker's agent to the totals, since they are lost with the process.
     fn count_agent(&self, invoker: u32) {
         if let Some(agent) = self.invokers[&invoker].agent() {
-            let c: &Counts = &agent.counts;
-            let [a, b, d, e, f] = self.layers.get();
+            let counts: &Counts = &agent.counts;
+            let [
+                from_cache,
+                from_peers,
+                from_store,
+                bytes_from_store,
+                damaged,
+            ] = self.layers.get();
             self.layers.set([
-                a + c.from_cache.get(),
-                b + c.from_peers.get(),
-                d + c.from_store.get(),
-                e + c.bytes_from_store.get(),
-                f + c.damaged.get() + agent.cache.counts.damaged.get(),
+                from_cache + counts.from_cache.get(),
+                from_peers + counts.from_peers.get(),
+                from_store + counts.from_store.get(),
+                bytes_from_store + counts.bytes_from_store.get(),
+                damaged + counts.damaged.get() + agent.cache.counts.damaged.get(),
             ]);
         }
     }
@@ -1210,7 +1216,7 @@
                 self.change_connections(&t, SimulatedNetwork::heal);
             }
             Kind::LineSlow => {
-                let line = Wire {
+                let line = Link {
                     delay: t.delay,
                     jitter: t.delay / 2,
                 };
