--- a/crates/trial/src/wires.rs
+++ b/crates/trial/src/wires.rs
@@ -11,7 +11,8 @@
 use tokio::net::{UnixListener, UnixStream};
 use tokio::sync::{Notify, mpsc, watch};
 
-/// The state of one direction. Bytes held during a cut are forwarded in order after it heals: a stream loses nothing.
+/// The state of one direction of a wire. Bytes that are received during a cut are buffered and forwarded in order after
+/// it heals, so a stream loses nothing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Way {
     pub cut: bool,
@@ -31,33 +32,35 @@
 /// Maximum number of chunks in flight in one direction of a stream.
 const MAX_CHUNKS_IN_FLIGHT: usize = 64;
 
+/// All wires of a trial, with the proxies that forward their streams.
 pub struct Wires {
     folder: PathBuf,
     all: RefCell<BTreeMap<(String, String), Rc<Wire>>>,
     rng: RefCell<fastrand::Rng>,
     tasks: RefCell<tokio::task::JoinSet<()>>,
-    carried: Cell<u64>,
+    forwarded_bytes: Cell<u64>,
 }
 
 impl Wires {
+    /// Creates an empty set whose sockets are placed in `folder`; `seed` determines the jitter.
     pub fn new(folder: &Path, seed: u64) -> Rc<Self> {
         Rc::new(Self {
             folder: folder.to_owned(),
             all: RefCell::default(),
             rng: RefCell::new(fastrand::Rng::with_seed(seed)),
             tasks: RefCell::default(),
-            carried: Cell::new(0),
+            forwarded_bytes: Cell::new(0),
         })
     }
 
-    /// Opens a proxy from `from` to the socket `real` of `to` and returns the path that `from` connects to.
-    pub fn open_proxy(self: &Rc<Self>, from: &str, to: &str, real: &Path) -> io::Result<PathBuf> {
-        let name = real
+    /// Opens a proxy from `from` to the socket `target` of `to` and returns the path that `from` connects to.
+    pub fn open_proxy(self: &Rc<Self>, from: &str, to: &str, target: &Path) -> io::Result<PathBuf> {
+        let name = target
             .file_name()
             .map(|n| n.to_string_lossy().into_owned())
             .unwrap_or_default();
-        let at = self.folder.join(format!("{from}--{name}"));
-        let listener = UnixListener::bind(&at)?;
+        let proxy_path = self.folder.join(format!("{from}--{name}"));
+        let listener = UnixListener::bind(&proxy_path)?;
         let key = (from.to_owned(), to.to_owned());
         let mut all = self.all.borrow_mut();
         let wire = all.entry(key).or_insert_with(|| {
@@ -69,7 +72,7 @@
                 resets: Notify::new(),
             })
         });
-        let (this, wire, real) = (self.clone(), wire.clone(), real.to_owned());
+        let (this, wire, target) = (self.clone(), wire.clone(), target.to_owned());
         self.tasks.borrow_mut().spawn_local(async move {
             let mut streams = tokio::task::JoinSet::new();
             while let Ok((stream, _)) = listener.accept().await {
@@ -77,17 +80,17 @@
                     this.clone(),
                     wire.clone(),
                     stream,
-                    real.clone(),
+                    target.clone(),
                 ));
                 while streams.try_join_next().is_some() {}
             }
         });
-        Ok(at)
+        Ok(proxy_path)
     }
 
     /// Changes the direction from `from` to `to`, and the opposite one if `both`. An empty list means all processes.
     pub fn change(&self, from: &[String], to: &[String], both: bool, change: impl Fn(&mut Way)) {
-        let matches = |all: &[String], one: &String| all.is_empty() || all.contains(one);
+        let matches = |names: &[String], name: &String| names.is_empty() || names.contains(name);
         for wire in self.all.borrow().values() {
             if matches(from, &wire.from) && matches(to, &wire.to) {
                 wire.forward.send_modify(&change);
@@ -104,7 +107,7 @@
         }
     }
 
-    /// Closes every stream of these processes, in whichever direction it was opened.
+    /// Closes every stream of these processes, in whichever direction it was opened. An empty list means all processes.
     pub fn reset(&self, of: &[String]) {
         for wire in self.all.borrow().values() {
             if of.is_empty() || of.contains(&wire.from) || of.contains(&wire.to) {
@@ -115,7 +118,7 @@
 
     /// Bytes forwarded so far, over all streams.
     pub fn carried_bytes(&self) -> u64 {
-        self.carried.get()
+        self.forwarded_bytes.get()
     }
 }
 
@@ -125,21 +128,27 @@
     let _ = way.wait_for(|w| !w.cut).await;
 }
 
-async fn forward_stream(wires: Rc<Wires>, wire: Rc<Wire>, near: UnixStream, real: PathBuf) {
+async fn forward_stream(
+    wires: Rc<Wires>,
+    wire: Rc<Wire>,
+    from_stream: UnixStream,
+    target: PathBuf,
+) {
     // Connecting through a cut hangs, as it does on a network that drops packets.
     wait_until_healed(&mut wire.forward.subscribe()).await;
     wait_until_healed(&mut wire.backward.subscribe()).await;
-    let Ok(far) = UnixStream::connect(&real).await else {
+    let Ok(to_stream) = UnixStream::connect(&target).await else {
         return;
     };
-    let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
+    let ((from_input, from_output), (to_input, to_output)) =
+        (from_stream.into_split(), to_stream.into_split());
     tokio::select! {
         biased;
         () = wire.resets.notified() => {}
         () = async {
             tokio::join!(
-                forward_direction(&wires, near_in, far_out, wire.forward.subscribe()),
-                forward_direction(&wires, far_in, near_out, wire.backward.subscribe()),
+                forward_direction(&wires, from_input, to_output, wire.forward.subscribe()),
+                forward_direction(&wires, to_input, from_output, wire.backward.subscribe()),
             );
         } => {}
     }
@@ -152,40 +161,42 @@
     mut way: watch::Receiver<Way>,
 ) {
     let (chunk_sender, mut chunks) = mpsc::channel::<(u64, Vec<u8>)>(MAX_CHUNKS_IN_FLIGHT);
-    let state = way.clone();
+    let reader_way = way.clone();
     let reading = async move {
-        let mut last = 0;
+        let mut last_due_ns = 0;
         loop {
             let mut chunk = vec![0; 64 << 10];
-            let Ok(n @ 1..) = input.read(&mut chunk).await else {
+            let Ok(length @ 1..) = input.read(&mut chunk).await else {
                 return;
             };
-            chunk.truncate(n);
-            let current = *state.borrow();
-            let jitter = match current.jitter_ms {
+            chunk.truncate(length);
+            let current = *reader_way.borrow();
+            let jitter_ms = match current.jitter_ms {
                 0 => 0,
-                most => wires.rng.borrow_mut().u64(..=most),
+                max_ms => wires.rng.borrow_mut().u64(..=max_ms),
             };
             // A stream keeps its order, so no chunk is due before the previous one.
-            last = (now_ns() + (current.delay_ms + jitter) * 1_000_000).max(last);
-            wires.carried.set(wires.carried.get() + n as u64);
-            if chunk_sender.send((last, chunk)).await.is_err() {
+            last_due_ns = (now_ns() + (current.delay_ms + jitter_ms) * 1_000_000).max(last_due_ns);
+            wires
+                .forwarded_bytes
+                .set(wires.forwarded_bytes.get() + length as u64);
+            if chunk_sender.send((last_due_ns, chunk)).await.is_err() {
                 return;
             }
         }
     };
     let writing = async move {
-        while let Some((due, chunk)) = chunks.recv().await {
-            let wait = due.saturating_sub(now_ns());
-            if wait > 0 {
-                tokio::time::sleep(Duration::from_nanos(wait)).await;
+        while let Some((due_ns, chunk)) = chunks.recv().await {
+            let wait_ns = due_ns.saturating_sub(now_ns());
+            if wait_ns > 0 {
+                tokio::time::sleep(Duration::from_nanos(wait_ns)).await;
             }
             wait_until_healed(&mut way).await;
             if output.write_all(&chunk).await.is_err() {
                 return;
             }
         }
-        // The end of a stream is held during a cut as well.
+        // The end of a stream is forwarded only after the cut heals, too.
         wait_until_healed(&mut way).await;
     };
     tokio::join!(reading, writing);
