--- a/crates/trial/src/load.rs
+++ b/crates/trial/src/load.rs
@@ -14,7 +14,7 @@
 /// The client endpoint of one controller.
 struct Endpoint {
     controller: u32,
-    at: PathBuf,
+    socket: PathBuf,
     connection: RefCell<Option<OwnedWriteHalf>>,
     shutting_down: Cell<bool>,
 }
@@ -24,10 +24,14 @@
 
 /// The load of a trial: the same invocation at a constant rate.
 pub struct Load {
+    /// The number and the client socket of each controller.
     pub endpoints: Vec<(u32, PathBuf)>,
     pub per_second: f64,
+    /// The parameters of each invocation.
     pub call: Json,
+    /// Time after which an invocation without a response is lost.
     pub timeout_ms: u64,
+    /// The record that the outcomes are appended to.
     pub lines: Rc<RefCell<Vec<Line>>>,
 }
 
@@ -37,28 +41,28 @@
         let endpoints: Vec<Rc<Endpoint>> = self
             .endpoints
             .iter()
-            .map(|(controller, at)| {
-                let (controller, at) = (*controller, at.clone());
+            .map(|(controller, socket)| {
+                let (controller, socket) = (*controller, socket.clone());
                 Rc::new(Endpoint {
                     controller,
-                    at,
+                    socket,
                     connection: RefCell::default(),
                     shutting_down: Cell::new(false),
                 })
             })
             .collect();
         let in_flight = InFlight::default();
-        let (mut n, span) = (0u64, Duration::from_secs_f64(1.0 / self.per_second));
-        let mut due = tokio::time::interval(span);
+        let (mut request_id, interval) = (0u64, Duration::from_secs_f64(1.0 / self.per_second));
+        let mut timer = tokio::time::interval(interval);
         let mut readers = tokio::task::JoinSet::new();
         while !over.get() {
-            due.tick().await;
-            n += 1;
+            timer.tick().await;
+            request_id += 1;
             // A controller that is shutting down or unreachable is skipped and tried again at its next turn.
             for turn in 0..endpoints.len() as u64 {
-                let endpoint = &endpoints[((n + turn) % endpoints.len() as u64) as usize];
+                let endpoint = &endpoints[((request_id + turn) % endpoints.len() as u64) as usize];
                 if endpoint.connection.borrow().is_none() {
-                    let Ok(stream) = UnixStream::connect(&endpoint.at).await else {
+                    let Ok(stream) = UnixStream::connect(&endpoint.socket).await else {
                         continue;
                     };
                     let (input, output) = stream.into_split();
@@ -74,50 +78,50 @@
                 if endpoint.shutting_down.get() {
                     continue;
                 }
-                let text =
-                    json!({"jsonrpc": "2.0", "id": n, "method": "invoke", "params": self.call});
-                let Some(mut line) = endpoint.connection.borrow_mut().take() else {
+                let request = json!({"jsonrpc": "2.0", "id": request_id, "method": "invoke", "params": self.call});
+                let Some(mut output) = endpoint.connection.borrow_mut().take() else {
                     continue;
                 };
                 in_flight
                     .borrow_mut()
-                    .insert(n, (now_ns(), endpoint.controller));
-                let sent = line.write_all(format!("{text}\n").as_bytes()).await;
+                    .insert(request_id, (now_ns(), endpoint.controller));
+                let sent = output.write_all(format!("{request}\n").as_bytes()).await;
                 if sent.is_ok() {
-                    *endpoint.connection.borrow_mut() = Some(line);
+                    *endpoint.connection.borrow_mut() = Some(output);
                     break;
                 }
                 // The request was not written completely, so the controller did not read it.
-                in_flight.borrow_mut().remove(&n);
+                in_flight.borrow_mut().remove(&request_id);
             }
             self.record_lost(&in_flight);
         }
-        let until = now_ns() + self.timeout_ms * 1_000_000 + 500_000_000;
-        while !in_flight.borrow().is_empty() && now_ns() < until {
+        let deadline_ns = now_ns() + self.timeout_ms * 1_000_000 + 500_000_000;
+        while !in_flight.borrow().is_empty() && now_ns() < deadline_ns {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         self.record_lost(&in_flight);
     }
 
-    /// Records invocations without a response in time as lost.
+    /// Records invocations that had no response in time as lost.
     fn record_lost(&self, in_flight: &InFlight) {
         let now = now_ns();
-        let timed_out = |sent: u64| now > sent + self.timeout_ms * 1_000_000 + 400_000_000;
-        in_flight.borrow_mut().retain(|_, (sent, controller)| {
-            if timed_out(*sent) {
+        let timed_out = |sent_ns: u64| now > sent_ns + self.timeout_ms * 1_000_000 + 400_000_000;
+        in_flight.borrow_mut().retain(|_, (sent_ns, controller)| {
+            if timed_out(*sent_ns) {
                 let line = Line::Invoked {
-                    sent_ns: *sent,
+                    sent_ns: *sent_ns,
                     at_ns: now,
                     controller: *controller,
                     how: How::Lost,
                 };
                 self.lines.borrow_mut().push(line);
             }
-            !timed_out(*sent)
+            !timed_out(*sent_ns)
         });
     }
 }
 
+/// Records the responses of one connection until it closes, then its invocations in flight as lost.
 async fn read_responses(
     endpoint: Rc<Endpoint>,
     input: tokio::net::unix::OwnedReadHalf,
@@ -154,8 +158,8 @@
     // The invocations in flight on this connection will not be answered.
     *endpoint.connection.borrow_mut() = None;
     let controller = endpoint.controller;
-    in_flight.borrow_mut().retain(|_, (sent_ns, of)| {
-        if *of == controller {
+    in_flight.borrow_mut().retain(|_, (sent_ns, sent_to)| {
+        if *sent_to == controller {
             lines.borrow_mut().push(Line::Invoked {
                 sent_ns: *sent_ns,
                 at_ns: now_ns(),
@@ -163,6 +167,6 @@
                 how: How::Lost,
             });
         }
-        *of != controller
+        *sent_to != controller
     });
 }
