--- a/crates/trial/src/lease_judge.rs
+++ b/crates/trial/src/lease_judge.rs
@@ -19,10 +19,11 @@
     resource: &'a str,
     lease: &'a str,
     epoch: u64,
+    /// The holder's name and incarnation, separated by a slash.
     by: &'a str,
 }
 
-fn effect(line: &Line) -> Option<Effect<'_>> {
+fn as_effect(line: &Line) -> Option<Effect<'_>> {
     let Line::Effect {
         at_ns,
         resource,
@@ -43,14 +44,14 @@
 }
 
 /// Returns all effects in order of time; the order of effects of one instant is kept.
-fn effects(lines: &[Line]) -> Vec<Effect<'_>> {
-    let mut all: Vec<Effect> = lines.iter().filter_map(effect).collect();
-    all.sort_by_key(|effect| effect.at_ns);
-    all
+fn effects_in_time_order(lines: &[Line]) -> Vec<Effect<'_>> {
+    let mut effects: Vec<Effect> = lines.iter().filter_map(as_effect).collect();
+    effects.sort_by_key(|effect| effect.at_ns);
+    effects
 }
 
 /// Returns the epoch and the holder if the line is the history entry of a lease grant.
-fn lease_grant(line: &Line) -> Option<(u64, &str)> {
+fn parse_lease_grant(line: &Line) -> Option<(u64, &str)> {
     let Line::History { what, .. } = line else {
         return None;
     };
@@ -58,14 +59,15 @@
     Some((epoch.parse().ok()?, holder))
 }
 
+/// Returns the holder of each epoch according to the coordinators' history.
 fn agreed_holders(lines: &[Line]) -> BTreeMap<u64, &str> {
-    lines.iter().filter_map(lease_grant).collect()
+    lines.iter().filter_map(parse_lease_grant).collect()
 }
 
 /// Judges all lease rules and returns one verdict for each.
 pub fn judge_leases(lines: &[Line]) -> Vec<Verdict> {
     let mut broken: [Vec<String>; 3] = Default::default();
-    let (effects, agreed) = (effects(lines), agreed_holders(lines));
+    let (effects, agreed) = (effects_in_time_order(lines), agreed_holders(lines));
     let mut latest: BTreeMap<&str, Effect> = BTreeMap::new();
     let mut holders: BTreeMap<(&str, u64), &str> = BTreeMap::new();
     for effect in effects {
@@ -92,11 +94,11 @@
                 "{lease}: epoch {epoch} was used by {holder} and by {by}"
             ));
         }
-        // A holder is identified by its name and its incarnation, separated by a slash.
+        // The history states the holder's name without its incarnation.
         let member = by.split('/').next().unwrap_or(by);
-        if let Some(given) = agreed.get(&epoch).filter(|given| **given != member) {
+        if let Some(agreed_holder) = agreed.get(&epoch).filter(|holder| **holder != member) {
             broken[2].push(format!(
-                "{lease}: epoch {epoch} was used by {by}, and given to {given}"
+                "{lease}: epoch {epoch} was used by {by}, and given to {agreed_holder}"
             ));
         }
     }
