--- a/crates/trial/src/judge.rs
+++ b/crates/trial/src/judge.rs
@@ -48,22 +48,23 @@
 /// Whether the coordinators' history contains the start of this drain with no halt in force before it.
 fn began_before_halt(lines: &[Line], member: &str, grant: u64) -> bool {
     let begin = format!("{member} began to drain, grant {grant}");
-    let revisions = |want: &dyn Fn(&str) -> bool| -> BTreeSet<u64> {
+    let revisions_of = |is_wanted: &dyn Fn(&str) -> bool| -> BTreeSet<u64> {
         let matching = lines.iter().filter_map(|l| match l {
-            Line::History { revision, what, .. } if want(what) => Some(*revision),
+            Line::History { revision, what, .. } if is_wanted(what) => Some(*revision),
             _ => None,
         });
         matching.collect()
     };
     let (halts, resumes) = (
-        revisions(&|w| w.starts_with("halt by")),
-        revisions(&|w| w.starts_with("resumed by")),
+        revisions_of(&|what| what.starts_with("halt by")),
+        revisions_of(&|what| what.starts_with("resumed by")),
     );
-    let Some(begun) = revisions(&|w| w == begin).first().copied() else {
+    let Some(begun) = revisions_of(&|what| what == begin).first().copied() else {
         return false;
     };
-    let last = |all: &BTreeSet<u64>| all.range(..begun).next_back().copied().unwrap_or(0);
-    last(&halts) <= last(&resumes)
+    let last_before =
+        |revisions: &BTreeSet<u64>| revisions.range(..begun).next_back().copied().unwrap_or(0);
+    last_before(&halts) <= last_before(&resumes)
 }
 
 /// Judges all rules and returns one verdict for each.
@@ -75,9 +76,9 @@
         OutOfService::default(),
         BTreeMap::<u64, (String, u64)>::new(),
     );
-    let mut halted: Option<u64> = None;
+    let mut halted_at_ns: Option<u64> = None;
     let mut history = BTreeMap::<u64, &str>::new();
-    let mut faults = false;
+    let mut fault_seen = false;
     for line in &sorted {
         match line {
             Line::Told {
@@ -89,28 +90,30 @@
             } => match what.as_str() {
                 "began" => {
                     // A member may learn of its drain after the halt although the drain was agreed before it.
-                    let began_first = || began_before_halt(lines, member, *grant);
-                    if let Some(since) = halted.filter(|since| at_ns > since && !began_first()) {
-                        let late = (at_ns - since) / 1_000_000;
+                    let began_before = || began_before_halt(lines, member, *grant);
+                    if let Some(halt_ns) =
+                        halted_at_ns.filter(|halt_ns| at_ns > halt_ns && !began_before())
+                    {
+                        let late_ms = (at_ns - halt_ns) / 1_000_000;
                         broken[2].push(format!(
-                            "{member} began {late} ms after the halt was acknowledged"
+                            "{member} began {late_ms} ms after the halt was acknowledged"
                         ));
                     }
-                    let mine = (member.clone(), *incarnation);
-                    if let Some(other) = begun.insert(*grant, mine.clone()) {
+                    let process = (member.clone(), *incarnation);
+                    if let Some(other) = begun.insert(*grant, process.clone()) {
                         broken[3].push(format!(
                             "grant {grant}: begun by {} and by {member}",
                             other.0
                         ));
                     }
                     out.planned.insert(member.clone());
-                    for b in lines {
+                    for bound in lines {
                         let Line::Bound {
                             group,
                             members,
-                            out: most,
+                            out: max_out,
                             detect_ns,
-                        } = b
+                        } = bound
                         else {
                             continue;
                         };
@@ -118,20 +121,20 @@
                             continue;
                         }
                         let planned = out.planned.iter().filter(|m| members.contains(m)).count();
-                        if planned > *most {
+                        if planned > *max_out {
                             broken[0].push(format!(
-                                "{member} began with {planned} of {group} out by plan: {most} is the bound"
+                                "{member} began with {planned} of {group} out by plan: {max_out} is the bound"
                             ));
                         }
-                        let known = |(m, since): &(&String, &u64)| {
-                            members.contains(m)
-                                && !out.planned.contains(*m)
-                                && at_ns.saturating_sub(**since) > *detect_ns
+                        let is_detected = |(dead, ended_ns): &(&String, &u64)| {
+                            members.contains(dead)
+                                && !out.planned.contains(*dead)
+                                && at_ns.saturating_sub(**ended_ns) > *detect_ns
                         };
-                        let dead = out.dead.iter().filter(known).count();
-                        if planned + dead > *most {
+                        let dead = out.dead.iter().filter(is_detected).count();
+                        if planned + dead > *max_out {
                             broken[1].push(format!(
-                                "{member} began with {planned} of {group} out by plan and {dead} long dead: {most} is the bound"
+                                "{member} began with {planned} of {group} out by plan and {dead} long dead: {max_out} is the bound"
                             ));
                         }
                     }
@@ -148,7 +151,7 @@
                 code,
                 killed,
             } => {
-                faults |= *killed || *code != Some(0);
+                fault_seen |= *killed || *code != Some(0);
                 if !out.planned.contains(process) {
                     out.dead.insert(process.clone(), *at_ns);
                 }
@@ -159,30 +162,33 @@
                 done: true,
                 ..
             } if what == "halt" => {
-                halted = halted.or(Some(*at_ns));
+                halted_at_ns = halted_at_ns.or(Some(*at_ns));
             }
             Line::History {
                 steward,
                 revision,
                 what,
             } => {
-                if let Some(other) = history.insert(*revision, what).filter(|o| o != what) {
+                if let Some(other) = history
+                    .insert(*revision, what)
+                    .filter(|other| other != what)
+                {
                     broken[4].push(format!(
                         "revision {revision}: '{other}', and '{what}' by steward {steward}"
                     ));
                 }
             }
-            Line::Stopped { still: true, .. } => faults = true,
+            Line::Stopped { still: true, .. } => fault_seen = true,
             _ => {}
         }
         // Drains may begin again as soon as a resume was sent.
         if let Line::Asked { what, .. } = line
             && what == "resume"
         {
-            halted = None;
+            halted_at_ns = None;
         }
     }
-    if !faults {
+    if !fault_seen {
         let lost = lines
             .iter()
             .filter(|l| matches!(l, Line::Invoked { how: How::Lost, .. }))
