--- a/crates/trial/src/stage.rs
+++ b/crates/trial/src/stage.rs
@@ -26,8 +26,9 @@
 const OPERATOR_CALL_TIMEOUT: Duration = Duration::from_secs(25);
 
 /// A running process.
-struct Running {
+struct RunningProcess {
     pid: u32,
+    /// Whether the trial killed it.
     killed: Rc<Cell<bool>>,
 }
 
@@ -38,7 +39,7 @@
     folder: PathBuf,
     wires: Rc<Wires>,
     lines: Rc<RefCell<Vec<Line>>>,
-    running: RefCell<BTreeMap<String, Running>>,
+    running: RefCell<BTreeMap<String, RunningProcess>>,
     /// Members that have drained in their current incarnation.
     drained: RefCell<BTreeSet<String>>,
     /// Processes that were started at least once.
@@ -49,7 +50,8 @@
     diskless: RefCell<BTreeSet<String>>,
     /// The process that was last found to hold the first lease.
     last_holder: RefCell<Option<String>>,
-    over: Rc<Cell<bool>>,
+    /// Set when all steps were performed, so that no more load is sent.
+    steps_done: Rc<Cell<bool>>,
 }
 
 /// Runs a trial with the given binary in an empty folder and returns the record.
@@ -66,7 +68,7 @@
         voters: RefCell::default(),
         diskless: RefCell::default(),
         last_holder: RefCell::default(),
-        over: Rc::default(),
+        steps_done: Rc::default(),
     });
     let local = tokio::task::LocalSet::new();
     let outcome = local.run_until(stage.clone().run()).await;
@@ -77,38 +79,41 @@
 }
 
 impl Stage {
-    fn note(&self, line: Line) {
+    /// Appends a line to the record.
+    fn record(&self, line: Line) {
         self.lines.borrow_mut().push(line);
     }
 
+    /// Returns the path of a file or socket in the trial's folder.
     fn path(&self, name: &str) -> PathBuf {
         self.folder.join(name)
     }
 
+    /// Starts the processes, performs the steps while the load runs, and records the histories at the end.
     async fn run(self: Rc<Self>) -> Result<(), String> {
         std::fs::write(self.path("trial.star"), &self.trial.text).map_err(|e| e.to_string())?;
         for (group, members, out) in self.trial.bounds() {
             let detect_ns = self.trial.detect_ms * 1_000_000;
-            self.note(Line::Bound {
+            self.record(Line::Bound {
                 group,
                 members,
                 out,
                 detect_ns,
             });
         }
-        let watched = self.clone();
+        let stage = self.clone();
         tokio::task::spawn_local(async move {
-            let mut last = now_ns();
+            let mut last_ns = now_ns();
             loop {
                 tokio::time::sleep(Duration::from_millis(10)).await;
-                let now = now_ns();
-                if now - last > MIN_RECORDED_STALL_NS {
-                    watched.note(Line::Disturbed {
-                        at_ns: last,
-                        until_ns: now,
+                let current_ns = now_ns();
+                if current_ns - last_ns > MIN_RECORDED_STALL_NS {
+                    stage.record(Line::Disturbed {
+                        at_ns: last_ns,
+                        until_ns: current_ns,
                     });
                 }
-                last = now;
+                last_ns = current_ns;
             }
         });
         self.start("store")?;
@@ -123,33 +128,33 @@
             self.perform(&step).await?;
         }
         let load = (self.trial.per_second > 0.0)
-            .then(|| tokio::task::spawn_local(self.load().run(self.over.clone())));
+            .then(|| tokio::task::spawn_local(self.load().run(self.steps_done.clone())));
         if load.is_some() {
             // The first instances are loaded before the steps begin, so that the cost of loading is not attributed to them.
             self.wait_until("invocations that succeed", async || {
                 let lines = self.lines.borrow();
-                let how = lines.iter().rev().filter_map(|l| match l {
+                let outcomes = lines.iter().rev().filter_map(|line| match line {
                     Line::Invoked { how, .. } => Some(*how == How::Succeeded),
                     _ => None,
                 });
-                let last: Vec<bool> = how.take(WARM_UP_SUCCESSES).collect();
-                last.len() == WARM_UP_SUCCESSES && last.iter().all(|well| *well)
+                let successes: Vec<bool> = outcomes.take(WARM_UP_SUCCESSES).collect();
+                successes.len() == WARM_UP_SUCCESSES && successes.iter().all(|success| *success)
             })
             .await?;
             self.lines
                 .borrow_mut()
-                .retain(|l| !matches!(l, Line::Invoked { .. }));
+                .retain(|line| !matches!(line, Line::Invoked { .. }));
         }
         for step in self.trial.steps.clone() {
             if let Err(why) = self.perform(&step).await {
-                self.note(Line::Failed {
+                self.record(Line::Failed {
                     at_ns: now_ns(),
                     why: format!("{}: {why}", step.place),
                 });
                 break;
             }
         }
-        self.over.set(true);
+        self.steps_done.set(true);
         if let Some(load) = load {
             let _ = load.await;
         }
@@ -157,6 +162,7 @@
         Ok(())
     }
 
+    /// Returns the load of the trial: invocations of its first function by its first tenant.
     fn load(&self) -> Load {
         let function = self.trial.terms.functions.values().next();
         let trigger = function.map_or("", |f| {
@@ -184,14 +190,14 @@
     /// Returns the address of the proxy from `from` to the socket `name` of `to`, which is opened if necessary.
     fn proxy_address(&self, from: &str, to: &str, name: &str) -> Result<String, String> {
         let path = self.path(&format!("{from}--{name}"));
-        let at = if path.exists() {
+        let proxy_path = if path.exists() {
             path
         } else {
             self.wires
                 .open_proxy(from, to, &self.path(name))
                 .map_err(|e| format!("{from} to {name}: {e}"))?
         };
-        Ok(format!("unix:{}", at.display()))
+        Ok(format!("unix:{}", proxy_path.display()))
     }
 
     /// Returns the path of a process's durable state.
@@ -199,15 +205,17 @@
         self.path(&format!("disk-{process}"))
     }
 
+    /// Returns the address of a socket without a proxy.
     fn socket_address(&self, name: &str) -> String {
         format!("unix:{}", self.path(name).display())
     }
 
+    /// Returns the command line of a process.
     fn arguments(&self, process: &str) -> Result<Vec<String>, String> {
         let script = self.path("trial.star").display().to_string();
         let (kind, number) = process.rsplit_once('-').unwrap_or((process, ""));
         let mut args: Vec<String> = Vec::new();
-        let mut add = |all: &[&str]| args.extend(all.iter().map(|a| (*a).to_owned()));
+        let mut add = |values: &[&str]| args.extend(values.iter().map(|value| (*value).to_owned()));
         let restarted = self.started.borrow().contains(process);
         match kind {
             "store" => add(&[
@@ -234,13 +242,13 @@
                 if self.trial.steward_gives_away && restarted {
                     add(&["--gives-leases-away"]);
                 }
-                for n in 1..=self.trial.stewards {
-                    let other = format!("steward-{n}");
-                    let at = match other == process {
+                for number in 1..=self.trial.stewards {
+                    let other = format!("steward-{number}");
+                    let address = match other == process {
                         true => self.socket_address(process),
                         false => self.proxy_address(process, &other, &other)?,
                     };
-                    add(&["--steward", &format!("{n}={at}")]);
+                    add(&["--steward", &format!("{number}={address}")]);
                 }
             }
             "invoker" => {
@@ -262,8 +270,8 @@
                     add(&["--cold"]);
                 }
                 for journal in self.trial.journal_names() {
-                    let at = self.proxy_address(process, &journal, &journal)?;
-                    add(&["--count-on", &format!("{journal}={at}")]);
+                    let address = self.proxy_address(process, &journal, &journal)?;
+                    add(&["--count-on", &format!("{journal}={address}")]);
                 }
                 if self.trial.acts_before_seals {
                     add(&["--acts-before-seals"]);
@@ -293,22 +301,23 @@
                     "--clients",
                     &self.socket_address(process),
                 ]);
-                for n in 1..=self.trial.stewards {
-                    let (list, steward) = (format!("list-{n}"), format!("steward-{n}"));
+                for number in 1..=self.trial.stewards {
+                    let (list, steward) = (format!("list-{number}"), format!("steward-{number}"));
                     add(&["--list", &self.proxy_address(process, &steward, &list)?]);
                 }
             }
         }
         if matches!(kind, "invoker" | "controller" | "journal") {
-            for n in 1..=self.trial.stewards {
-                let steward = format!("steward-{n}");
-                let at = self.proxy_address(process, &steward, &steward)?;
-                args.extend(["--steward".to_owned(), at]);
+            for number in 1..=self.trial.stewards {
+                let steward = format!("steward-{number}");
+                let address = self.proxy_address(process, &steward, &steward)?;
+                args.extend(["--steward".to_owned(), address]);
             }
         }
         Ok(args)
     }
 
+    /// Starts a process and records the events that it reports.
     fn start(self: &Rc<Self>, process: &str) -> Result<(), String> {
         if self.running.borrow().contains_key(process) {
             return Err(format!("{process} is running"));
@@ -330,12 +339,12 @@
             .spawn()
             .map_err(|e| format!("{}: {e}", self.binary.display()))?;
         self.started.borrow_mut().insert(process.to_owned());
-        self.note(Line::Started {
+        self.record(Line::Started {
             at_ns: now_ns(),
             process: process.to_owned(),
         });
         let killed = Rc::new(Cell::new(false));
-        let running = Running {
+        let running = RunningProcess {
             pid: child.id().unwrap_or(0),
             killed: killed.clone(),
         };
@@ -372,13 +381,13 @@
                     continue;
                 };
                 if what == "effect" {
-                    self.note_effect(&process, at_ns, &event);
+                    self.record_effect(&process, at_ns, &event);
                     continue;
                 }
                 if what == "drained" {
                     self.drained.borrow_mut().insert(process.clone());
                 }
-                self.note(Line::Told {
+                self.record(Line::Told {
                     at_ns,
                     member: process.clone(),
                     incarnation: event["incarnation"].as_u64().unwrap_or(0),
@@ -389,7 +398,7 @@
         }
         let code = child.wait().await.ok().and_then(|s| s.code());
         self.running.borrow_mut().remove(&process);
-        self.note(Line::Ended {
+        self.record(Line::Ended {
             at_ns: now_ns(),
             process: process.clone(),
             code,
@@ -398,7 +407,7 @@
         if self.drained.borrow_mut().remove(&process) && code == Some(0) {
             tokio::time::sleep(Duration::from_millis(self.trial.returns_ms)).await;
             if let Err(why) = self.start(&process) {
-                self.note(Line::Failed {
+                self.record(Line::Failed {
                     at_ns: now_ns(),
                     why,
                 });
@@ -406,8 +415,9 @@
         }
     }
 
-    fn note_effect(&self, resource: &str, at_ns: u64, event: &Json) {
-        self.note(Line::Effect {
+    /// Records an effect that a resource reported.
+    fn record_effect(&self, resource: &str, at_ns: u64, event: &Json) {
+        self.record(Line::Effect {
             at_ns,
             resource: resource.to_owned(),
             lease: event["lease"].as_str().unwrap_or_default().to_owned(),
@@ -430,20 +440,20 @@
     }
 
     /// Resolves the process names of a step, including the placeholders for lease holders.
-    async fn resolve_processes(&self, of: &[String]) -> Result<Vec<String>, String> {
-        let mut all = Vec::new();
-        for name in of {
+    async fn resolve_processes(&self, names: &[String]) -> Result<Vec<String>, String> {
+        let mut resolved = Vec::new();
+        for name in names {
             if name == OTHERS {
-                let last = self.last_holder.borrow().clone();
+                let last_holder = self.last_holder.borrow().clone();
                 let invokers = self
                     .trial
                     .processes()
                     .into_iter()
                     .filter(|p| p.starts_with("invoker"));
-                all.extend(invokers.filter(|p| Some(p) != last.as_ref()));
+                resolved.extend(invokers.filter(|invoker| Some(invoker) != last_holder.as_ref()));
                 continue;
             }
-            all.push(match name.as_str() {
+            resolved.push(match name.as_str() {
                 HOLDER => self.find_holder().await?,
                 LAST_HOLDER => self
                     .last_holder
@@ -453,12 +463,12 @@
                 process => process.to_owned(),
             });
         }
-        Ok(all)
+        Ok(resolved)
     }
 
     /// Waits until a lease has a holder and returns the holder.
     async fn find_holder(&self) -> Result<String, String> {
-        let mut found = None;
+        let mut holder = None;
         self.wait_until("a holder", async || {
             let Some(status) = self.status().await else {
                 return false;
@@ -467,16 +477,16 @@
                 .as_object()
                 .cloned()
                 .unwrap_or_default();
-            let holder = leases
+            let lease_holder = leases
                 .values()
                 .find_map(|lease| lease["state"]["holder"].as_str().map(str::to_owned));
-            found = holder;
-            found.is_some()
+            holder = lease_holder;
+            holder.is_some()
         })
         .await?;
-        let found = found.ok_or("nobody holds a lease")?;
-        *self.last_holder.borrow_mut() = Some(found.clone());
-        Ok(found)
+        let holder = holder.ok_or("nobody holds a lease")?;
+        *self.last_holder.borrow_mut() = Some(holder.clone());
+        Ok(holder)
     }
 
     /// Sets the maximum file size of a process; `None` removes the limit.
@@ -495,6 +505,7 @@
             .map_err(|e| format!("{process}: {e}"))
     }
 
+    /// Sends a signal to a process.
     fn signal(&self, process: &str, signal: Signal) -> Result<(), String> {
         let running = self.running.borrow();
         let running = running
@@ -528,7 +539,7 @@
 
     /// Makes an operator's call through the binary and returns its output if it succeeded.
     async fn call_operator(&self, args: &[String]) -> Result<String, String> {
-        let mut all = vec![
+        let mut command_line = vec![
             "fleet".to_owned(),
             args[0].clone(),
             "--fleet".into(),
@@ -543,21 +554,21 @@
             .cloned()
             .collect();
         for steward in running {
-            all.extend(["--to".to_owned(), self.socket_address(&steward)]);
+            command_line.extend(["--to".to_owned(), self.socket_address(&steward)]);
         }
-        all.extend(args[1..].iter().cloned());
-        let child = Command::new(&self.binary)
-            .args(&all)
+        command_line.extend(args[1..].iter().cloned());
+        let output = Command::new(&self.binary)
+            .args(&command_line)
             .stdin(Stdio::null())
             .kill_on_drop(true)
             .output();
-        match tokio::time::timeout(OPERATOR_CALL_TIMEOUT, child).await {
+        match tokio::time::timeout(OPERATOR_CALL_TIMEOUT, output).await {
             Err(_) => Err("no answer in time".into()),
             Ok(Err(e)) => Err(e.to_string()),
-            Ok(Ok(out)) if out.status.success() => {
-                Ok(String::from_utf8_lossy(&out.stdout).into_owned())
+            Ok(Ok(output)) if output.status.success() => {
+                Ok(String::from_utf8_lossy(&output.stdout).into_owned())
             }
-            Ok(Ok(out)) => Err(String::from_utf8_lossy(&out.stderr).trim().to_owned()),
+            Ok(Ok(output)) => Err(String::from_utf8_lossy(&output.stderr).trim().to_owned()),
         }
     }
 
@@ -572,7 +583,7 @@
                 Ok(text) => (true, text.trim().to_owned()),
                 Err(why) => (false, why.clone()),
             };
-            self.note(Line::Asked {
+            self.record(Line::Asked {
                 sent_ns,
                 at_ns,
                 what: what.to_owned(),
@@ -587,6 +598,7 @@
         }
     }
 
+    /// Queries the status of the fleet, which is `None` if the call failed.
     async fn status(&self) -> Option<Json> {
         let status = self
             .call_operator(&["status".into(), "--json".into()])
@@ -597,26 +609,27 @@
 
     /// Performs one step.
     async fn perform(self: &Rc<Self>, step: &Step) -> Result<(), String> {
-        let of = &self.resolve_processes(&step.processes).await?;
+        let targets = &self.resolve_processes(&step.processes).await?;
         match &step.action {
             Action::Await { event, times } if event == "granted" => {
-                let what = format!("{times} of {of:?} granted");
+                let what = format!("{times} of {targets:?} granted");
                 self.wait_until(&what, async || {
-                    let Some(s) = self.status().await else {
+                    let Some(status) = self.status().await else {
                         return false;
                     };
-                    let granted =
-                        |m: &&String| s["fleet"]["members"][m.as_str()]["phase"]["is"] == "granted";
-                    of.iter().filter(granted).count() >= *times
+                    let granted = |member: &&String| {
+                        status["fleet"]["members"][member.as_str()]["phase"]["is"] == "granted"
+                    };
+                    targets.iter().filter(granted).count() >= *times
                 })
                 .await
             }
             Action::Await { event, times } => {
-                let what = format!("{event} of {of:?}, {times} times");
+                let what = format!("{event} of {targets:?}, {times} times");
                 self.wait_until(&what, async || {
                     let lines = self.lines.borrow();
-                    let reported = lines.iter().filter(|l| {
-                        matches!(l, Line::Told { member, what, .. } if of.contains(member) && what == event)
+                    let reported = lines.iter().filter(|line| {
+                        matches!(line, Line::Told { member, what, .. } if targets.contains(member) && what == event)
                     });
                     reported.count() >= *times
                 })
@@ -624,7 +637,7 @@
             }
             Action::AllUp => {
                 let is_member =
-                    |p: &String| p.starts_with("invoker") || p.starts_with("controller");
+                    |name: &String| name.starts_with("invoker") || name.starts_with("controller");
                 let members: Vec<String> = self
                     .trial
                     .processes()
@@ -632,29 +645,30 @@
                     .filter(is_member)
                     .collect();
                 self.wait_until("all members up", async || {
-                    let Some(s) = self.status().await else {
+                    let Some(status) = self.status().await else {
                         return false;
                     };
                     members
                         .iter()
-                        .all(|m| s["fleet"]["members"][m]["phase"]["is"] == "up")
+                        .all(|member| status["fleet"]["members"][member]["phase"]["is"] == "up")
                 })
                 .await
             }
             Action::AwaitDrainRequest { id } => {
                 self.wait_until(&format!("ask '{id}' over"), async || {
-                    let Some(s) = self.status().await else {
+                    let Some(status) = self.status().await else {
                         return false;
                     };
-                    let ask = &s["fleet"]["asks"][id];
-                    let is_empty = |list: &str| ask[list].as_array().is_some_and(Vec::is_empty);
+                    let drain_request = &status["fleet"]["asks"][id];
+                    let is_empty =
+                        |list: &str| drain_request[list].as_array().is_some_and(Vec::is_empty);
                     is_empty("waiting") && is_empty("under_way")
                 })
                 .await
             }
             Action::RequestDrain { id } => {
                 let mut args = vec!["drain".to_owned(), "--id".into(), id.clone()];
-                args.extend(of.iter().cloned());
+                args.extend(targets.iter().cloned());
                 self.request_change("drain", &args).await
             }
             Action::Halt => {
@@ -668,61 +682,73 @@
             Action::Back => {
                 let args: Vec<String> = ["back".to_owned()]
                     .into_iter()
-                    .chain(of.iter().cloned())
+                    .chain(targets.iter().cloned())
                     .collect();
                 self.request_change("back", &args).await
             }
             Action::Kill => {
-                of.iter().try_for_each(|p| self.signal(p, Signal::KILL))?;
+                targets
+                    .iter()
+                    .try_for_each(|process| self.signal(process, Signal::KILL))?;
                 self.wait_until("the killed gone", async || {
-                    of.iter().all(|p| !self.running.borrow().contains_key(p))
+                    targets
+                        .iter()
+                        .all(|process| !self.running.borrow().contains_key(process))
                 })
                 .await
             }
             Action::Stop | Action::Wake => {
-                let still = step.action == Action::Stop;
-                for p in of {
-                    self.signal(p, if still { Signal::STOP } else { Signal::CONT })?;
-                    self.note(Line::Stopped {
+                let is_stop = step.action == Action::Stop;
+                for process in targets {
+                    self.signal(process, if is_stop { Signal::STOP } else { Signal::CONT })?;
+                    self.record(Line::Stopped {
                         at_ns: now_ns(),
-                        process: p.clone(),
-                        still,
+                        process: process.clone(),
+                        still: is_stop,
                     });
                 }
                 Ok(())
             }
-            Action::Start => of.iter().try_for_each(|p| self.start(p)),
+            Action::Start => targets.iter().try_for_each(|process| self.start(process)),
             Action::CopyDisk => {
-                self.for_each_disk(of, |disk, copy| std::fs::copy(disk, copy).map(|_| ()))
+                self.for_each_disk(targets, |disk, copy| std::fs::copy(disk, copy).map(|_| ()))
             }
             Action::RestoreDisk => {
-                self.for_each_disk(of, |disk, copy| std::fs::copy(copy, disk).map(|_| ()))
+                self.for_each_disk(targets, |disk, copy| std::fs::copy(copy, disk).map(|_| ()))
             }
             Action::LoseDisk => {
-                self.diskless.borrow_mut().extend(of.iter().cloned());
-                of.iter()
-                    .for_each(|p| drop(self.voters.borrow_mut().remove(p)));
-                self.for_each_disk(of, |disk, _| std::fs::remove_file(disk))
+                self.diskless.borrow_mut().extend(targets.iter().cloned());
+                targets
+                    .iter()
+                    .for_each(|process| drop(self.voters.borrow_mut().remove(process)));
+                self.for_each_disk(targets, |disk, _| std::fs::remove_file(disk))
             }
             Action::ReplaceVoter => {
                 self.wait_until("the new disk's voter", async || {
-                    of.iter().all(|p| self.voters.borrow().contains_key(p))
+                    targets
+                        .iter()
+                        .all(|process| self.voters.borrow().contains_key(process))
                 })
                 .await?;
                 let voters = self.voters.borrow().clone();
-                let named = voters
+                let voter_addresses = voters
                     .iter()
-                    .map(|(p, voter)| format!("{voter}={}", self.socket_address(p)));
-                let args: Vec<String> = ["stewards".to_owned()].into_iter().chain(named).collect();
+                    .map(|(process, voter)| format!("{voter}={}", self.socket_address(process)));
+                let args: Vec<String> = ["stewards".to_owned()]
+                    .into_iter()
+                    .chain(voter_addresses)
+                    .collect();
                 self.request_change("stewards", &args).await?;
                 self.wait_until("the new stewards alone", async || {
-                    let Some(s) = self.status().await else {
+                    let Some(status) = self.status().await else {
                         return false;
                     };
-                    s["fleet"]["config"]["now"].as_array().is_some_and(|now| {
-                        s["fleet"]["config"]["next"].is_null()
-                            && now.iter().any(|v| v["disk"].as_u64() != Some(0))
-                    })
+                    status["fleet"]["config"]["now"]
+                        .as_array()
+                        .is_some_and(|now| {
+                            status["fleet"]["config"]["next"].is_null()
+                                && now.iter().any(|voter| voter["disk"].as_u64() != Some(0))
+                        })
                 })
                 .await
             }
@@ -739,40 +765,49 @@
                 .await
             }
             Action::AwaitHandover => {
-                let before = self.effect_epochs().into_iter().max().unwrap_or(0);
+                let latest_epoch = self.effect_epochs().into_iter().max().unwrap_or(0);
                 self.wait_until("an effect of a later epoch", async || {
-                    self.effect_epochs().iter().any(|e| *e > before)
+                    self.effect_epochs()
+                        .iter()
+                        .any(|epoch| *epoch > latest_epoch)
                 })
                 .await
             }
             Action::AwaitEffects { times } => {
-                let before = self.effect_epochs().len();
+                let effects_before = self.effect_epochs().len();
                 self.wait_until("more effects", async || {
-                    self.effect_epochs().len() >= before + times
+                    self.effect_epochs().len() >= effects_before + times
                 })
                 .await
             }
-            Action::FillDisk => of.iter().try_for_each(|p| self.limit_file_size(p, Some(0))),
-            Action::FreeDisk => of.iter().try_for_each(|p| self.limit_file_size(p, None)),
+            Action::FillDisk => targets
+                .iter()
+                .try_for_each(|process| self.limit_file_size(process, Some(0))),
+            Action::FreeDisk => targets
+                .iter()
+                .try_for_each(|process| self.limit_file_size(process, None)),
             Action::Cut { to, one_way } => {
-                self.wires
-                    .change(of, &self.resolve_processes(to).await?, !one_way, |w| {
-                        w.cut = true
-                    });
+                self.wires.change(
+                    targets,
+                    &self.resolve_processes(to).await?,
+                    !one_way,
+                    |way| way.cut = true,
+                );
                 Ok(())
             }
             Action::Heal => {
-                self.wires.change(&[], &[], true, |w| *w = Way::default());
+                self.wires
+                    .change(&[], &[], true, |way| *way = Way::default());
                 Ok(())
             }
             Action::Delay { ms, jitter_ms } => {
-                self.wires.change(of, &[], true, |w| {
-                    (w.delay_ms, w.jitter_ms) = (*ms, *jitter_ms)
+                self.wires.change(targets, &[], true, |way| {
+                    (way.delay_ms, way.jitter_ms) = (*ms, *jitter_ms)
                 });
                 Ok(())
             }
             Action::Reset => {
-                self.wires.reset(of);
+                self.wires.reset(targets);
                 Ok(())
             }
             Action::Pause { ms } => {
@@ -785,19 +820,19 @@
     /// Applies an operation to the disk of each process and to the path of its copy.
     fn for_each_disk(
         &self,
-        of: &[String],
-        act: impl Fn(&Path, &Path) -> std::io::Result<()>,
+        processes: &[String],
+        operation: impl Fn(&Path, &Path) -> std::io::Result<()>,
     ) -> Result<(), String> {
-        for p in of {
-            let (disk, copy) = (self.disk(p), self.path(&format!("copy-{p}")));
-            act(&disk, &copy).map_err(|e| format!("{p}'s disk: {e}"))?;
+        for process in processes {
+            let (disk, copy) = (self.disk(process), self.path(&format!("copy-{process}")));
+            operation(&disk, &copy).map_err(|e| format!("{process}'s disk: {e}"))?;
         }
         Ok(())
     }
 
     /// Records the history that each coordinator returns.
     async fn record_histories(&self) {
-        for n in 1..=self.trial.stewards {
+        for number in 1..=self.trial.stewards {
             let args = [
                 "fleet",
                 "history",
@@ -806,10 +841,10 @@
                 &self.trial.fleet.name,
                 "--to",
             ];
-            let at = self.socket_address(&format!("steward-{n}"));
+            let address = self.socket_address(&format!("steward-{number}"));
             let output = Command::new(&self.binary)
                 .args(args)
-                .arg(at)
+                .arg(address)
                 .kill_on_drop(true)
                 .output();
             let Ok(Ok(output)) = tokio::time::timeout(Duration::from_secs(3), output).await else {
@@ -819,8 +854,8 @@
                 let Ok(event) = serde_json::from_str::<Json>(line) else {
                     continue;
                 };
-                self.note(Line::History {
-                    steward: n,
+                self.record(Line::History {
+                    steward: number,
                     revision: event["revision"].as_u64().unwrap_or(0),
                     what: event["what"].as_str().unwrap_or_default().to_owned(),
                 });
