--- a/crates/trial/src/script.rs
+++ b/crates/trial/src/script.rs
@@ -7,14 +7,16 @@
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// A trial.
+/// A trial, as its script describes it.
 #[derive(Clone, Debug)]
 pub struct Trial {
     pub name: String,
     /// The script's text, which the processes read.
     pub text: String,
+    /// The deployment that the processes run.
     pub terms: DeploymentSpec,
     pub fleet: FleetConfig,
+    /// Number of coordinators.
     pub stewards: u32,
     pub controllers: u32,
     /// Number of append-only resources (journals) to which the holders of fleet-wide tasks write.
@@ -25,6 +27,7 @@
     pub acts_before_seals: bool,
     /// Injected fault: a restarted coordinator grants leases without agreement.
     pub steward_gives_away: bool,
+    /// Seed of the jitter on the proxied streams.
     pub seed: u64,
     /// Invocations per second over all controllers; 0: none.
     pub per_second: f64,
@@ -41,61 +44,53 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Waits until the processes reported `event` at least `times` times in all since the trial began.
-    Await {
-        event: String,
-        times: usize,
-    },
+    Await { event: String, times: usize },
     /// Waits until all members are up.
     AllUp,
     /// Waits until a drain request has no member left that is waiting or draining.
-    AwaitDrainRequest {
-        id: String,
-    },
+    AwaitDrainRequest { id: String },
     /// Requests a drain.
-    RequestDrain {
-        id: String,
-    },
+    RequestDrain { id: String },
+    /// Halts the fleet, so that no further drain begins.
     Halt,
+    /// Lifts a halt.
     Resume,
+    /// Withdraws the drain requests for members.
     Back,
+    /// Kills processes.
     Kill,
+    /// Stops processes with `SIGSTOP`.
     Stop,
+    /// Continues stopped processes.
     Wake,
+    /// Starts processes.
     Start,
     /// Copies a coordinator's disk.
     CopyDisk,
     /// Replaces a coordinator's disk with the copy.
     RestoreDisk,
+    /// Deletes a coordinator's disk.
     LoseDisk,
     /// Replaces a coordinator's voter by that of its new disk.
     ReplaceVoter,
-    Cut {
-        to: Vec<String>,
-        one_way: bool,
-    },
+    /// Cuts the streams between the step's processes and those in `to`, in one direction or in both.
+    Cut { to: Vec<String>, one_way: bool },
+    /// Ends all cuts and delays, of every process.
     Heal,
-    Delay {
-        ms: u64,
-        jitter_ms: u64,
-    },
+    /// Delays the streams of processes.
+    Delay { ms: u64, jitter_ms: u64 },
+    /// Closes the streams of processes, or all streams if none is named.
     Reset,
-    Pause {
-        ms: u64,
-    },
+    /// Waits for a fixed time.
+    Pause { ms: u64 },
     /// Revokes a lease and pauses granting it.
-    PauseLease {
-        lease: String,
-    },
+    PauseLease { lease: String },
     /// Resumes granting a lease.
-    ResumeLease {
-        lease: String,
-    },
+    ResumeLease { lease: String },
     /// Waits until an effect of a later epoch than all previous ones was accepted.
     AwaitHandover,
     /// Waits until `times` more effects were accepted.
-    AwaitEffects {
-        times: usize,
-    },
+    AwaitEffects { times: usize },
     /// Limits the file size of processes so that writes fail, as on a full disk.
     FillDisk,
     /// Removes that limit.
@@ -184,19 +179,23 @@
 impl Trial {
     /// Parses a script's text; `file` is its name in errors.
     pub fn load(file: &str, text: &str) -> Result<Self, ScriptError> {
-        let (terms, mut rest) = DeploymentSpec::load(file, text)?;
-        let at = |why: &str| ScriptError {
+        let (terms, mut statements) = DeploymentSpec::load(file, text)?;
+        let script_error = |why: &str| ScriptError {
             place: script::SourceLocation {
                 file: file.into(),
                 line: 1,
             },
             why: why.into(),
         };
-        let fleet =
-            FleetConfig::extract(&mut rest)?.ok_or_else(|| at("no fleet(...) is stated"))?;
-        let mut trials = rest.iter().filter(|s| s.what == "trial");
-        let stated = trials.next().ok_or_else(|| at("no trial(...) is stated"))?;
-        if let Some(second) = trials.next() {
+        let fleet = FleetConfig::extract(&mut statements)?
+            .ok_or_else(|| script_error("no fleet(...) is stated"))?;
+        let mut trial_statements = statements
+            .iter()
+            .filter(|statement| statement.what == "trial");
+        let stated = trial_statements
+            .next()
+            .ok_or_else(|| script_error("no trial(...) is stated"))?;
+        if let Some(second) = trial_statements.next() {
             return Err(second.fault("stated a second time"));
         }
         let args: TrialArguments = stated.read()?;
@@ -227,12 +226,18 @@
             patience_ms: args.patience.0 / 10,
             steps: Vec::new(),
         };
-        for s in rest.iter().filter(|s| s.what == "step") {
-            let step = trial.parse_step(s)?;
+        for statement in statements
+            .iter()
+            .filter(|statement| statement.what == "step")
+        {
+            let step = trial.parse_step(statement)?;
             trial.steps.push(step);
         }
-        match rest.iter().find(|s| !matches!(s.what, "trial" | "step")) {
-            Some(s) => Err(s.fault("does not belong to a trial")),
+        match statements
+            .iter()
+            .find(|statement| !matches!(statement.what, "trial" | "step"))
+        {
+            Some(statement) => Err(statement.fault("does not belong to a trial")),
             None => Ok(trial),
         }
     }
@@ -263,7 +268,7 @@
     /// Each bound by number or share, for each group it applies to: the group's name, its members and how many of them may be
     /// out of service.
     pub fn bounds(&self) -> Vec<(String, Vec<String>, usize)> {
-        let zone = |zone: u8| {
+        let zone_name = |zone: u8| {
             self.terms
                 .zones
                 .get(usize::from(zone))
@@ -271,33 +276,34 @@
                 .unwrap_or_default()
         };
         // Controllers are started without a zone and so are in the first one.
-        let controllers = (1..=self.controllers).map(|n| {
+        let controllers = (1..=self.controllers).map(|number| {
             (
-                format!("controller-{n}"),
+                format!("controller-{number}"),
                 MemberKind::Controller,
-                zone(0),
+                zone_name(0),
                 0,
             )
         });
         let invokers = &self.terms.invokers;
-        let invokers = invokers.iter().map(|i| {
+        let invokers = invokers.iter().map(|invoker| {
             (
-                format!("invoker-{}", i.invoker),
+                format!("invoker-{}", invoker.invoker),
                 MemberKind::Invoker,
-                zone(i.zone),
-                i.cell,
+                zone_name(invoker.zone),
+                invoker.cell,
             )
         });
-        let all: Vec<_> = controllers.chain(invokers).collect();
+        let all_members: Vec<_> = controllers.chain(invokers).collect();
         let mut bounds = Vec::new();
-        for b in &self.fleet.bounds {
+        for bound in &self.fleet.bounds {
             let mut groups = BTreeMap::<(String, u16), Vec<String>>::new();
-            for (name, kind, site, cell) in &all {
-                if b.kind.is_some_and(|k| k != *kind) || b.site.as_ref().is_some_and(|s| s != site)
+            for (name, kind, site, cell) in &all_members {
+                if bound.kind.is_some_and(|wanted| wanted != *kind)
+                    || bound.site.as_ref().is_some_and(|wanted| wanted != site)
                 {
                     continue;
                 }
-                let group = match b.per {
+                let group = match bound.per {
                     BoundScope::Fleet => (String::new(), 0),
                     BoundScope::Site => (site.clone(), 0),
                     BoundScope::Cell => (site.clone(), *cell),
@@ -305,18 +311,26 @@
                 groups.entry(group).or_default().push(name.clone());
             }
             for ((site, cell), members) in groups {
-                let share = b.share.map(|s| (s * members.len() as f64 + 1e-9) as usize);
-                let Some(out) = b.out.map(|o| o as usize).into_iter().chain(share).min() else {
+                let max_by_share = bound
+                    .share
+                    .map(|share| (share * members.len() as f64 + 1e-9) as usize);
+                let Some(max_out) = bound
+                    .out
+                    .map(|out| out as usize)
+                    .into_iter()
+                    .chain(max_by_share)
+                    .min()
+                else {
                     continue;
                 };
-                bounds.push((format!("{:?} {site} {cell}", b.kind), members, out));
+                bounds.push((format!("{:?} {site} {cell}", bound.kind), members, max_out));
             }
         }
         bounds
     }
 
-    fn parse_step(&self, s: &Statement) -> Result<Step, ScriptError> {
-        let args: StepArguments = s.read()?;
+    fn parse_step(&self, statement: &Statement) -> Result<Step, ScriptError> {
+        let args: StepArguments = statement.read()?;
         let mut known = self.processes();
         known.extend(
             (self.journals > 0)
@@ -324,16 +338,25 @@
                 .into_iter()
                 .flatten(),
         );
-        if let Some(odd) = args.of.iter().chain(&args.to).find(|p| !known.contains(p)) {
-            return Err(s.fault(format!("no process is named '{odd}' here")));
+        if let Some(unknown) = args
+            .of
+            .iter()
+            .chain(&args.to)
+            .find(|name| !known.contains(name))
+        {
+            return Err(statement.fault(format!("no process is named '{unknown}' here")));
         }
-        let id = || args.id.clone().ok_or_else(|| s.fault("id is missing"));
-        let what = match args.name.as_str() {
+        let id = || {
+            args.id
+                .clone()
+                .ok_or_else(|| statement.fault("id is missing"))
+        };
+        let action = match args.name.as_str() {
             "await" => {
                 let events = ["began", "drained", "up", "granted"];
                 let event = args.event.clone().filter(|e| events.contains(&e.as_str()));
                 let event = event.ok_or_else(|| {
-                    s.fault(format!("event: one of {} is expected", events.join(", ")))
+                    statement.fault(format!("event: one of {} is expected", events.join(", ")))
                 })?;
                 Action::Await {
                     event,
@@ -375,10 +398,10 @@
             },
             "disk_full" => Action::FillDisk,
             "disk_space" => Action::FreeDisk,
-            other => return Err(s.fault(format!("'{other}' is no step"))),
+            other => return Err(statement.fault(format!("'{other}' is no step"))),
         };
         let requires_processes = !matches!(
-            what,
+            action,
             Action::AllUp
                 | Action::AwaitDrainRequest { .. }
                 | Action::Halt
@@ -392,12 +415,12 @@
                 | Action::AwaitEffects { .. }
         );
         if requires_processes && args.of.is_empty() {
-            return Err(s.fault("of: processes are expected"));
+            return Err(statement.fault("of: processes are expected"));
         }
         Ok(Step {
-            action: what,
+            action,
             processes: args.of,
-            place: s.place.clone(),
+            place: statement.place.clone(),
         })
     }
 }
--- a/crates/trial/src/script/tests.rs
+++ b/crates/trial/src/script/tests.rs
@@ -11,7 +11,7 @@
     let sizes: Vec<(usize, usize)> = trial
         .bounds()
         .iter()
-        .map(|(_, m, out)| (m.len(), *out))
+        .map(|(_, members, out)| (members.len(), *out))
         .collect();
     assert_eq!(
         sizes,
