--- a/crates/trial/src/load.rs
+++ b/crates/trial/src/load.rs
@@ -36,8 +36,8 @@
 }
 
 impl Load {
-    /// Sends invocations until `over` is set, then waits for the responses in flight.
-    pub async fn run(self, over: Rc<Cell<bool>>) {
+    /// Sends invocations until `steps_done` is set, then waits for the responses in flight.
+    pub async fn run(self, steps_done: Rc<Cell<bool>>) {
         let endpoints: Vec<Rc<Endpoint>> = self
             .endpoints
             .iter()
@@ -55,7 +55,7 @@
         let (mut request_id, interval) = (0u64, Duration::from_secs_f64(1.0 / self.per_second));
         let mut timer = tokio::time::interval(interval);
         let mut readers = tokio::task::JoinSet::new();
-        while !over.get() {
+        while !steps_done.get() {
             timer.tick().await;
             request_id += 1;
             // A controller that is shutting down or unreachable is skipped and tried again at its next turn.
