--- a/crates/trial/src/record.rs
+++ b/crates/trial/src/record.rs
@@ -100,9 +100,9 @@
 
 /// Parses a record; an error names its line.
 pub fn read(from: impl BufRead) -> Result<Vec<Line>, String> {
-    let parse = |(n, line): (usize, io::Result<String>)| {
-        let line = line.map_err(|e| format!("line {}: {e}", n + 1))?;
-        serde_json::from_str(&line).map_err(|e| format!("line {}: {e}", n + 1))
+    let parse = |(index, line): (usize, io::Result<String>)| {
+        let line = line.map_err(|e| format!("line {}: {e}", index + 1))?;
+        serde_json::from_str(&line).map_err(|e| format!("line {}: {e}", index + 1))
     };
     from.lines().enumerate().map(parse).collect()
 }
