--- a/crates/trial/src/judge/tests.rs
+++ b/crates/trial/src/judge/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-const MS: u64 = 1_000_000;
+const NS_PER_MS: u64 = 1_000_000;
 
-fn member_event(at: u64, member: &str, what: &str, grant: u64) -> Line {
+fn member_event(at_ms: u64, member: &str, what: &str, grant: u64) -> Line {
     let (member, what) = (member.to_owned(), what.to_owned());
     Line::Told {
-        at_ns: at * MS,
+        at_ns: at_ms * NS_PER_MS,
         member,
         incarnation: 7,
         what,
@@ -13,8 +13,8 @@
     }
 }
 
-fn operator_call(at: u64, what: &str) -> Line {
-    let (sent_ns, at_ns) = ((at - 1) * MS, at * MS);
+fn operator_call(at_ms: u64, what: &str) -> Line {
+    let (sent_ns, at_ns) = ((at_ms - 1) * NS_PER_MS, at_ms * NS_PER_MS);
     Line::Asked {
         sent_ns,
         at_ns,
@@ -30,43 +30,46 @@
         group: "invokers".into(),
         members,
         out: 1,
-        detect_ns: 1_000 * MS,
+        detect_ns: 1_000 * NS_PER_MS,
     };
-    let all: Vec<Line> = [bound].into_iter().chain(lines.iter().cloned()).collect();
-    let verdicts = judge(&all);
+    let record: Vec<Line> = [bound].into_iter().chain(lines.iter().cloned()).collect();
+    let verdicts = judge(&record);
     (0..RULES.len())
-        .filter(|n| !verdicts[*n].broken.is_empty())
+        .filter(|rule| !verdicts[*rule].broken.is_empty())
         .collect()
 }
 
 /// Judges a valid record and, for each rule, a record that breaks it.
 #[test]
 fn reports_violation_of_each_rule() {
-    let one = [
+    let drained_and_up = [
         member_event(10, "invoker-1", "began", 1),
         member_event(20, "invoker-1", "up", 0),
     ];
-    assert_eq!(broken_rules(&one), [0usize; 0]);
-    let next = member_event(30, "invoker-2", "began", 2);
+    assert_eq!(broken_rules(&drained_and_up), [0usize; 0]);
+    let next_drain = member_event(30, "invoker-2", "began", 2);
     assert_eq!(
-        broken_rules(&[&one[..], std::slice::from_ref(&next)].concat()),
+        broken_rules(&[&drained_and_up[..], std::slice::from_ref(&next_drain)].concat()),
         [0usize; 0]
     );
-    assert_eq!(broken_rules(&[one[0].clone(), next.clone()]), [0, 1]);
-    let other = member_event(30, "controller-2", "began", 2);
     assert_eq!(
-        broken_rules(&[one[0].clone(), other]),
+        broken_rules(&[drained_and_up[0].clone(), next_drain.clone()]),
+        [0, 1]
+    );
+    let controller_drain = member_event(30, "controller-2", "began", 2);
+    assert_eq!(
+        broken_rules(&[drained_and_up[0].clone(), controller_drain]),
         [0usize; 0],
         "another kind has its own bound"
     );
     let dead = Line::Ended {
-        at_ns: 5 * MS,
+        at_ns: 5 * NS_PER_MS,
         process: "invoker-3".into(),
         code: None,
         killed: true,
     };
     assert_eq!(
-        broken_rules(&[dead.clone(), next.clone()]),
+        broken_rules(&[dead.clone(), next_drain.clone()]),
         [0usize; 0],
         "the loss is not detected so soon"
     );
@@ -75,31 +78,41 @@
         [1]
     );
     assert_eq!(
-        broken_rules(&[operator_call(15, "halt"), next.clone()]),
+        broken_rules(&[operator_call(15, "halt"), next_drain.clone()]),
         [2]
     );
-    let agreed = |revision, what: &str| Line::History {
+    let history_entry = |revision, what: &str| Line::History {
         steward: 1,
         revision,
         what: what.into(),
     };
-    let begun = agreed(5, "invoker-2 began to drain, grant 2");
-    let late = [operator_call(15, "halt"), next.clone(), begun];
+    let agreed_drain = history_entry(5, "invoker-2 began to drain, grant 2");
+    let drain_after_halt = [operator_call(15, "halt"), next_drain.clone(), agreed_drain];
     assert_eq!(
-        broken_rules(&[&late[..], &[agreed(6, "halt by ada: x")]].concat()),
+        broken_rules(&[&drain_after_halt[..], &[history_entry(6, "halt by ada: x")]].concat()),
         [0usize; 0],
         "the drain was agreed before the halt"
     );
     assert_eq!(
-        broken_rules(&[&late[..], &[agreed(4, "halt by ada: x")]].concat()),
+        broken_rules(&[&drain_after_halt[..], &[history_entry(4, "halt by ada: x")]].concat()),
         [2]
     );
     assert_eq!(
-        broken_rules(&[operator_call(15, "halt"), operator_call(25, "resume"), next]),
+        broken_rules(&[
+            operator_call(15, "halt"),
+            operator_call(25, "resume"),
+            next_drain
+        ]),
         [0usize; 0]
     );
     assert_eq!(
-        broken_rules(&[&one[..], &[member_event(30, "invoker-1", "began", 1)]].concat()),
+        broken_rules(
+            &[
+                &drained_and_up[..],
+                &[member_event(30, "invoker-1", "began", 1)]
+            ]
+            .concat()
+        ),
         [3]
     );
     let history = |steward, what: &str| Line::History {
@@ -119,14 +132,14 @@
         how: How::Lost,
     };
     assert_eq!(broken_rules(std::slice::from_ref(&lost)), [5]);
-    let kill = Line::Ended {
+    let killed = Line::Ended {
         at_ns: 5,
         process: "controller-1".into(),
         code: None,
         killed: true,
     };
     assert_eq!(
-        broken_rules(&[lost, kill]),
+        broken_rules(&[lost, killed]),
         [0usize; 0],
         "a killed controller may lose its invocations"
     );
