--- a/crates/trial/src/lease_judge/tests.rs
+++ b/crates/trial/src/lease_judge/tests.rs
@@ -14,7 +14,7 @@
 fn broken_rules(lines: &[Line]) -> Vec<usize> {
     let verdicts = judge_leases(lines).into_iter().enumerate();
     verdicts
-        .filter(|(_, v)| !v.broken.is_empty())
+        .filter(|(_, verdict)| !verdict.broken.is_empty())
         .map(|(rule, _)| rule)
         .collect()
 }
@@ -27,12 +27,12 @@
         what: what.into(),
     };
     let granted = history("lease collection goes to invoker-2, epoch 2");
-    let sound = [
+    let valid = [
         effect(1, "a", 1, "invoker-1/7"),
         granted.clone(),
         effect(3, "b", 2, "invoker-2/8"),
     ];
-    assert_eq!(broken_rules(&sound), [0usize; 0]);
+    assert_eq!(broken_rules(&valid), [0usize; 0]);
     let overlap = [
         effect(5, "a", 2, "invoker-2/8"),
         effect(6, "b", 1, "invoker-1/7"),
