--- a/crates/deployment/src/script.rs
+++ b/crates/deployment/src/script.rs
@@ -14,7 +14,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{place}: {why}")]
 pub struct ScriptError {
+    /// Location of the statement or expression at fault.
     pub place: SourceLocation,
+    /// What is wrong and what was expected.
     pub why: String,
 }
 
@@ -34,8 +36,11 @@
 /// One call of a statement function.
 #[derive(Clone, Debug)]
 pub struct Statement {
+    /// Name of the statement function.
     pub what: &'static str,
+    /// Arguments by name; the positional one is called `name`.
     pub said: Map<String, Json>,
+    /// Location of the call.
     pub place: SourceLocation,
 }
 
@@ -50,24 +55,25 @@
 
     /// Deserializes the arguments into a typed value; unknown and missing arguments are errors.
     pub fn read<T: serde::de::DeserializeOwned>(&self) -> Result<T, ScriptError> {
-        // serde's message holds the offending value only; the argument with that value is named in the error.
-        serde_json::from_value(Json::Object(self.said.clone())).map_err(|e| {
+        // serde's message contains the offending value but not the argument, which is found by that value.
+        serde_json::from_value(Json::Object(self.said.clone())).map_err(|error| {
             let offending = self.said.iter().find(|(_, value)| {
                 let text = match value {
                     Json::String(text) => text.clone(),
                     other => other.to_string(),
                 };
-                e.to_string().contains(&format!("'{text}'"))
-                    || e.to_string().starts_with(&format!("{text}:"))
+                error.to_string().contains(&format!("'{text}'"))
+                    || error.to_string().starts_with(&format!("{text}:"))
             });
             match offending {
-                Some((name, _)) => self.fault(format!("{name} = {e}")),
-                None => self.fault(e),
+                Some((name, _)) => self.fault(format!("{name} = {error}")),
+                None => self.fault(error),
             }
         })
     }
 }
 
+/// The statements of a script, in the order in which they were evaluated.
 #[derive(ProvidesStaticType, Default)]
 struct RecordedStatements(RefCell<Vec<Statement>>);
 
@@ -88,7 +94,7 @@
     }
     for (name, value) in DictRef::from_value(named)
         .iter()
-        .flat_map(|d| d.iter().collect::<Vec<_>>())
+        .flat_map(|arguments| arguments.iter().collect::<Vec<_>>())
     {
         arguments.insert(
             name.unpack_str().unwrap_or_default().to_owned(),
@@ -97,7 +103,7 @@
     }
     let recorded = eval
         .extra
-        .and_then(|e| e.downcast_ref::<RecordedStatements>());
+        .and_then(|extra| extra.downcast_ref::<RecordedStatements>());
     let statement = Statement {
         what,
         said: arguments,
@@ -151,8 +157,8 @@
 
 /// Evaluates a script's text; `file` is its name in errors.
 pub fn run(file: &str, text: &str) -> Result<Vec<Statement>, ScriptError> {
-    let script_error = |e: starlark::Error| {
-        let (error_file, line) = match e.span() {
+    let script_error = |error: starlark::Error| {
+        let (error_file, line) = match error.span() {
             Some(span) => (
                 span.file.filename().to_owned(),
                 span.resolve_span().begin.line + 1,
@@ -164,7 +170,7 @@
                 file: error_file,
                 line,
             },
-            why: e.without_diagnostic().to_string(),
+            why: error.without_diagnostic().to_string(),
         }
     };
     let dialect = Dialect {
