--- a/crates/deployment/src/terms.rs
+++ b/crates/deployment/src/terms.rs
@@ -6,9 +6,10 @@
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// A function, under the name that clients use.
+/// A function of the deployment.
 #[derive(Clone, Debug)]
 pub struct Function {
+    /// The name that clients use.
     pub name: String,
     pub id: FunctionId,
     /// Index into [`DeploymentSpec::trigger_type_names`].
@@ -28,6 +29,7 @@
     pub name: String,
     pub memory: Memory,
     pub cores: u32,
+    /// Relative speed of a core.
     #[serde(default = "default_one")]
     pub speed: f64,
     #[serde(default = "default_four")]
@@ -60,11 +62,15 @@
 #[derive(Clone, Debug, Default)]
 pub struct DeploymentSpec {
     pub deployment: Deployment,
+    /// Names of the trigger types, in the order of the deployment's.
     pub trigger_type_names: Vec<String>,
+    /// Names of the tenants, in the order of the deployment's.
     pub tenant_names: Vec<String>,
+    /// Functions by name.
     pub functions: BTreeMap<String, Function>,
     pub kinds: Vec<MachineKind>,
     pub invokers: Vec<InvokerSpec>,
+    /// Names of the zones; an invoker's zone is an index into them.
     pub zones: Vec<String>,
     /// Subtracted from the client's timeout to leave time for the response to reach the client.
     pub answer_margin: Ticks,
@@ -226,11 +232,12 @@
     statement: &Statement,
     what: &str,
     name: &str,
-    all: &[T],
-    of: impl Fn(&T) -> &str,
+    items: &[T],
+    name_of: impl Fn(&T) -> &str,
 ) -> Result<usize, ScriptError> {
-    all.iter()
-        .position(|item| of(item) == name)
+    items
+        .iter()
+        .position(|item| name_of(item) == name)
         .ok_or_else(|| statement.fault(format!("no {what} is named '{name}' above this line")))
 }
 
@@ -242,8 +249,9 @@
     min: f64,
     max: f64,
 ) -> Result<f64, ScriptError> {
-    let fits = value.is_finite() && (min..=max).contains(&value);
-    fits.then_some(value)
+    let is_in_range = value.is_finite() && (min..=max).contains(&value);
+    is_in_range
+        .then_some(value)
         .ok_or_else(|| statement.fault(format!("{name} = {value}: {min} to {max} is expected")))
 }
 
@@ -253,7 +261,8 @@
         file: &str,
         statements: Vec<Statement>,
     ) -> Result<(Self, Vec<Statement>), ScriptError> {
-        let (mut spec, mut rest, mut has_deployment) = (Self::default(), Vec::new(), false);
+        let (mut spec, mut other_statements, mut has_deployment) =
+            (Self::default(), Vec::new(), false);
         for statement in statements {
             match statement.what {
                 "deployment" => {
@@ -285,11 +294,11 @@
                         "trigger_type",
                         &args.trigger,
                         &spec.trigger_type_names,
-                        |n| n,
+                        |name| name,
                     )?;
                     let (id, name) = (function_id(&args.name), args.name);
                     let lanes = check_range(&statement, "lanes", args.lanes, 1.0, 1_024.0)?;
-                    let load = args.load_time.map(|l| l.0);
+                    let load = args.load_time.map(|time| time.0);
                     let function = Function {
                         name: name.clone(),
                         id,
@@ -303,7 +312,7 @@
                     }
                 }
                 "invokers" => spec.add_invokers(&statement)?,
-                _ => rest.push(statement),
+                _ => other_statements.push(statement),
             }
         }
         let missing = [
@@ -312,7 +321,7 @@
             ("trigger_type", spec.trigger_type_names.is_empty()),
             ("tenant", spec.tenant_names.is_empty()),
         ];
-        if let Some((what, _)) = missing.iter().find(|m| m.1) {
+        if let Some((what, _)) = missing.iter().find(|(_, is_missing)| *is_missing) {
             let place = crate::script::SourceLocation {
                 file: file.into(),
                 line: 1,
@@ -322,12 +331,12 @@
                 why: format!("no {what}(...) is stated"),
             });
         }
-        Ok((spec, rest))
+        Ok((spec, other_statements))
     }
 
     fn add_deployment(&mut self, statement: &Statement) -> Result<(), ScriptError> {
         let args: DeploymentArguments = statement.read()?;
-        let misses = parse_choice(
+        let reports_misses = parse_choice(
             statement,
             "on_miss",
             &args.on_miss,
@@ -355,9 +364,9 @@
             may_attempt_in_parallel: args.parallel_dispatches,
             may_cancel: args.cancel,
             may_load: args.orders,
-            reports_misses: misses,
+            reports_misses,
             keep_alive: args.keep_alive.0,
-            max_retry_after: args.come_back_most.map(|s| s.0),
+            max_retry_after: args.come_back_most.map(|time| time.0),
             load_window: args.order_window.0,
             free_loads: args.orders_free,
             loads_per_invocation: args.orders_share,
@@ -400,7 +409,9 @@
 
     fn add_invokers(&mut self, statement: &Statement) -> Result<(), ScriptError> {
         let args: InvokersArguments = statement.read()?;
-        let kind = index_of(statement, "machine", &args.kind, &self.kinds, |k| &k.name)?;
+        let kind = index_of(statement, "machine", &args.kind, &self.kinds, |kind| {
+            &kind.name
+        })?;
         let zone = match &args.zone {
             None => 0,
             Some(zone) => index_of(
@@ -408,14 +419,14 @@
                 "zone of the deployment",
                 zone,
                 &self.zones,
-                |z| z,
+                |zone| zone,
             )?,
         };
         check_range(statement, "count", args.count.into(), 1.0, 100_000.0)?;
-        let first_cell = self.invokers.last().map_or(0, |i| i.cell + 1);
-        for n in 0..args.count {
+        let first_cell = self.invokers.last().map_or(0, |invoker| invoker.cell + 1);
+        for index in 0..args.count {
             let invoker = self.invokers.len() as u32 + 1;
-            let cell = first_cell + (n / args.cell_size.max(1)) as u16;
+            let cell = first_cell + (index / args.cell_size.max(1)) as u16;
             self.invokers.push(InvokerSpec {
                 invoker,
                 kind,
