--- a/crates/deployment/tests/scripts.rs
+++ b/crates/deployment/tests/scripts.rs
@@ -16,23 +16,30 @@
 
 #[test]
 fn parses_deployment_with_units_and_returns_other_statements() {
-    let (terms, rest) = DeploymentSpec::load("day.star", VALID).unwrap();
-    assert_eq!(terms.deployment.overload_window, 15_000);
-    assert_eq!(terms.kinds[0].memory.0, 42_000.0);
+    let (spec, other_statements) = DeploymentSpec::load("day.star", VALID).unwrap();
+    assert_eq!(spec.deployment.overload_window, 15_000);
+    assert_eq!(spec.kinds[0].memory.0, 42_000.0);
     assert_eq!(
-        terms.invokers.iter().map(|i| i.cell).collect::<Vec<_>>(),
+        spec.invokers
+            .iter()
+            .map(|invoker| invoker.cell)
+            .collect::<Vec<_>>(),
         [0, 0, 0, 1]
     );
-    assert_eq!(terms.functions.len(), 3);
+    assert_eq!(spec.functions.len(), 3);
     assert_eq!(
-        (rest.len(), rest[0].what, rest[0].place.line),
+        (
+            other_statements.len(),
+            other_statements[0].what,
+            other_statements[0].place.line
+        ),
         (1, "trouble", 9)
     );
 }
 
 #[test]
 fn errors_name_file_line_and_expected_value() {
-    let error = |from: &str, to: &str| {
+    let error_after_replacing = |from: &str, to: &str| {
         assert!(VALID.contains(from), "{from}");
         DeploymentSpec::load("day.star", &VALID.replace(from, to))
             .unwrap_err()
@@ -81,8 +88,11 @@
         ),
         ("range(3)]", "range(3)", "day.star:"),
     ] {
-        let got = error(from, to);
-        assert!(got.starts_with(expected), "{got}\n  instead of\n{expected}");
+        let error = error_after_replacing(from, to);
+        assert!(
+            error.starts_with(expected),
+            "{error}\n  instead of\n{expected}"
+        );
     }
     assert_eq!(
         DeploymentSpec::load("d", "").unwrap_err().to_string(),
@@ -99,9 +109,9 @@
     })]
 
     #[test]
-    fn script_with_a_gap_is_parsed_or_rejected_with_a_location(at in 0usize..500, len in 1usize..30) {
-        let at = at % VALID.len();
-        let text = format!("{}{}", &VALID[..at], &VALID[(at + len).min(VALID.len())..]);
+    fn script_with_a_gap_is_parsed_or_rejected_with_a_location(drawn_offset in 0usize..500, length in 1usize..30) {
+        let offset = drawn_offset % VALID.len();
+        let text = format!("{}{}", &VALID[..offset], &VALID[(offset + length).min(VALID.len())..]);
         if let Err(error) = DeploymentSpec::load("day.star", &text) {
             prop_assert!(error.place.line >= 1 && !error.why.is_empty());
         }
