--- a/crates/trial/src/judge.rs
+++ b/crates/trial/src/judge.rs
@@ -4,10 +4,11 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A rule and the violations of it, one text each.
+/// A rule and its violations in a record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Verdict {
     pub rule: &'static str,
+    /// One text for each violation.
     pub broken: Vec<String>,
 }
 
@@ -21,7 +22,7 @@
     "no invocation is lost to a planned drain",
 ];
 
-/// The members out of service, as far as the record shows.
+/// The members out of service according to the record.
 #[derive(Default)]
 struct OutOfService {
     /// Members that began to drain and are not up again.
@@ -30,6 +31,7 @@
     dead: BTreeMap<String, u64>,
 }
 
+/// Returns the time of an observation; bounds and history entries have none and sort first.
 fn time_ns(line: &Line) -> u64 {
     match line {
         Line::Bound { .. } | Line::History { .. } => 0,
@@ -47,9 +49,9 @@
 
 /// Whether the coordinators' history contains the start of this drain with no halt in force before it.
 fn began_before_halt(lines: &[Line], member: &str, grant: u64) -> bool {
-    let begin = format!("{member} began to drain, grant {grant}");
+    let begin_text = format!("{member} began to drain, grant {grant}");
     let revisions_of = |is_wanted: &dyn Fn(&str) -> bool| -> BTreeSet<u64> {
-        let matching = lines.iter().filter_map(|l| match l {
+        let matching = lines.iter().filter_map(|line| match line {
             Line::History { revision, what, .. } if is_wanted(what) => Some(*revision),
             _ => None,
         });
@@ -59,11 +61,16 @@
         revisions_of(&|what| what.starts_with("halt by")),
         revisions_of(&|what| what.starts_with("resumed by")),
     );
-    let Some(begun) = revisions_of(&|what| what == begin).first().copied() else {
+    let Some(begin_revision) = revisions_of(&|what| what == begin_text).first().copied() else {
         return false;
     };
-    let last_before =
-        |revisions: &BTreeSet<u64>| revisions.range(..begun).next_back().copied().unwrap_or(0);
+    let last_before = |revisions: &BTreeSet<u64>| {
+        revisions
+            .range(..begin_revision)
+            .next_back()
+            .copied()
+            .unwrap_or(0)
+    };
     last_before(&halts) <= last_before(&resumes)
 }
 
