--- a/crates/trial/src/stage.rs
+++ b/crates/trial/src/stage.rs
@@ -36,8 +36,10 @@
 struct Stage {
     trial: Trial,
     binary: PathBuf,
+    /// Contains the sockets, logs and disks of the processes.
     folder: PathBuf,
     wires: Rc<Wires>,
+    /// The record so far.
     lines: Rc<RefCell<Vec<Line>>>,
     running: RefCell<BTreeMap<String, RunningProcess>>,
     /// Members that have drained in their current incarnation.
@@ -50,7 +52,7 @@
     diskless: RefCell<BTreeSet<String>>,
     /// The process that was last found to hold the first lease.
     last_holder: RefCell<Option<String>>,
-    /// Set when all steps were performed, so that no more load is sent.
+    /// Set when the last step was performed or one failed; the load ends then.
     steps_done: Rc<Cell<bool>>,
 }
 
@@ -165,20 +167,20 @@
     /// Returns the load of the trial: invocations of its first function by its first tenant.
     fn load(&self) -> Load {
         let function = self.trial.terms.functions.values().next();
-        let trigger = function.map_or("", |f| {
-            self.trial.terms.trigger_type_names[f.trigger].as_str()
+        let trigger = function.map_or("", |function| {
+            self.trial.terms.trigger_type_names[function.trigger].as_str()
         });
-        let timeout_ms = function.map_or(8_000, |f| {
-            self.trial.terms.deployment.trigger_types[f.trigger].client_timeout / 10
+        let timeout_ms = function.map_or(8_000, |function| {
+            self.trial.terms.deployment.trigger_types[function.trigger].client_timeout / 10
         });
         let call = json!({
-            "function": function.map_or("", |f| f.name.as_str()),
+            "function": function.map_or("", |function| function.name.as_str()),
             "tenant": self.trial.terms.tenant_names.first(),
             "trigger": trigger, "input": {"work_ms": 20},
         });
         Load {
             endpoints: (1..=self.trial.controllers)
-                .map(|n| (n, self.path(&format!("controller-{n}"))))
+                .map(|number| (number, self.path(&format!("controller-{number}"))))
                 .collect(),
             per_second: self.trial.per_second,
             call,
