--- a/crates/trial/src/wires.rs
+++ b/crates/trial/src/wires.rs
@@ -24,8 +24,11 @@
 pub struct Wire {
     pub from: String,
     pub to: String,
+    /// State of the direction from `from` to `to`.
     forward: watch::Sender<Way>,
+    /// State of the direction from `to` to `from`.
     backward: watch::Sender<Way>,
+    /// Closes the streams that are open when it is notified.
     resets: Notify,
 }
 
@@ -35,7 +38,8 @@
 /// All wires of a trial, with the proxies that forward their streams.
 pub struct Wires {
     folder: PathBuf,
-    all: RefCell<BTreeMap<(String, String), Rc<Wire>>>,
+    /// Wires by the process that opens the streams and the process that accepts them.
+    wires: RefCell<BTreeMap<(String, String), Rc<Wire>>>,
     rng: RefCell<fastrand::Rng>,
     tasks: RefCell<tokio::task::JoinSet<()>>,
     forwarded_bytes: Cell<u64>,
@@ -46,7 +50,7 @@
     pub fn new(folder: &Path, seed: u64) -> Rc<Self> {
         Rc::new(Self {
             folder: folder.to_owned(),
-            all: RefCell::default(),
+            wires: RefCell::default(),
             rng: RefCell::new(fastrand::Rng::with_seed(seed)),
             tasks: RefCell::default(),
             forwarded_bytes: Cell::new(0),
@@ -62,8 +66,8 @@
         let proxy_path = self.folder.join(format!("{from}--{name}"));
         let listener = UnixListener::bind(&proxy_path)?;
         let key = (from.to_owned(), to.to_owned());
-        let mut all = self.all.borrow_mut();
-        let wire = all.entry(key).or_insert_with(|| {
+        let mut wires = self.wires.borrow_mut();
+        let wire = wires.entry(key).or_insert_with(|| {
             Rc::new(Wire {
                 from: from.into(),
                 to: to.into(),
@@ -88,10 +92,10 @@
         Ok(proxy_path)
     }
 
-    /// Changes the direction from `from` to `to`, and the opposite one if `both`. An empty list means all processes.
+    /// Changes the state of the direction from `from` to `to`, and the opposite one if `both`. An empty list means all processes.
     pub fn change(&self, from: &[String], to: &[String], both: bool, change: impl Fn(&mut Way)) {
         let matches = |names: &[String], name: &String| names.is_empty() || names.contains(name);
-        for wire in self.all.borrow().values() {
+        for wire in self.wires.borrow().values() {
             if matches(from, &wire.from) && matches(to, &wire.to) {
                 wire.forward.send_modify(&change);
                 if both {
@@ -109,7 +113,7 @@
 
     /// Closes every stream of these processes, in whichever direction it was opened. An empty list means all processes.
     pub fn reset(&self, of: &[String]) {
-        for wire in self.all.borrow().values() {
+        for wire in self.wires.borrow().values() {
             if of.is_empty() || of.contains(&wire.from) || of.contains(&wire.to) {
                 wire.resets.notify_waiters();
             }
@@ -128,6 +132,7 @@
     let _ = way.wait_for(|w| !w.cut).await;
 }
 
+/// Connects to the target and forwards both directions of a stream until they end or the wire is reset.
 async fn forward_stream(
     wires: Rc<Wires>,
     wire: Rc<Wire>,
@@ -154,6 +159,7 @@
     }
 }
 
+/// Forwards one direction of a stream with its delay, and holds it back during a cut.
 async fn forward_direction(
     wires: &Rc<Wires>,
     mut input: tokio::net::unix::OwnedReadHalf,
