--- a/crates/trial/src/wires.rs
+++ b/crates/trial/src/wires.rs
@@ -112,9 +112,12 @@
     }
 
     /// Closes every stream of these processes, in whichever direction it was opened. An empty list means all processes.
-    pub fn reset(&self, of: &[String]) {
+    pub fn reset(&self, processes: &[String]) {
         for wire in self.wires.borrow().values() {
-            if of.is_empty() || of.contains(&wire.from) || of.contains(&wire.to) {
+            if processes.is_empty()
+                || processes.contains(&wire.from)
+                || processes.contains(&wire.to)
+            {
                 wire.resets.notify_waiters();
             }
         }
