--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -34,7 +34,7 @@
     pub list_notice: Ticks,
     pub store_limit: usize,
     pub layers: Layers,
-    /// Size of the model that stands for each function's. Real models are thousands of times larger.
+    /// Size of each function's synthetic model. Real models are thousands of times larger.
     pub model_bytes: usize,
     /// Versions of each function's model in the registry, which clients invoke by an alias; 0: no registry.
     pub versions: u32,
@@ -262,7 +262,7 @@
     #[serde(default)]
     begin: Span,
     end: Option<Span>,
-    /// steady, bursty, afternoon, ramp, season
+    /// One of steady, bursty, afternoon, ramp and season.
     shape: Option<String>,
     /// Factor of bursts, least share of an afternoon, or swing of a season.
     times: Option<f64>,
@@ -282,13 +282,13 @@
                 spread,
             });
         }
-        let times = |least: f64, most: f64, usual: f64| match self.times.unwrap_or(usual) {
-            n if (least..=most).contains(&n) => Ok(n),
-            n => Err(format!(
-                "times {n}: {least} to {most} are expected for this shape"
+        let times = |min: f64, max: f64, default: f64| match self.times.unwrap_or(default) {
+            factor if (min..=max).contains(&factor) => Ok(factor),
+            factor => Err(format!(
+                "times {factor}: {min} to {max} are expected for this shape"
             )),
         };
-        let lasts = |usual: Ticks| self.lasts.map_or(usual, |s| s.0);
+        let lasts = |default: Ticks| self.lasts.map_or(default, |s| s.0);
         match self.shape.as_deref() {
             None | Some("steady") => Ok(Shape::Steady),
             Some("bursty") => Ok(Shape::Bursty {
@@ -352,12 +352,15 @@
 
 /// Returns an error if one of the functions is not stated.
 fn check_functions(
-    s: &Statement,
+    statement: &Statement,
     terms: &DeploymentSpec,
     functions: &[String],
 ) -> Result<(), ScriptError> {
-    match functions.iter().find(|f| !terms.functions.contains_key(*f)) {
-        Some(f) => Err(s.fault(format!("no function is named '{f}'"))),
+    match functions
+        .iter()
+        .find(|function| !terms.functions.contains_key(*function))
+    {
+        Some(function) => Err(statement.fault(format!("no function is named '{function}'"))),
         None => Ok(()),
     }
 }
@@ -365,49 +368,53 @@
 impl Day {
     /// Parses a script's text; `file` is its name in errors.
     pub fn load(file: &str, text: &str) -> Result<Self, ScriptError> {
-        let (terms, rest) = DeploymentSpec::load(file, text)?;
-        let at = |why: &str| ScriptError {
+        let (terms, statements) = DeploymentSpec::load(file, text)?;
+        let file_error = |why: &str| ScriptError {
             place: script::SourceLocation {
                 file: file.into(),
                 line: 1,
             },
             why: why.into(),
         };
-        let mut days = rest.iter().filter(|s| s.what == "day");
-        let stated = days.next().ok_or_else(|| at("no day(...) is stated"))?;
-        if let Some(second) = days.next() {
-            return Err(second.fault("stated a second time"));
+        let mut day_statements = statements
+            .iter()
+            .filter(|statement| statement.what == "day");
+        let day_statement = day_statements
+            .next()
+            .ok_or_else(|| file_error("no day(...) is stated"))?;
+        if let Some(duplicate) = day_statements.next() {
+            return Err(duplicate.fault("stated a second time"));
         }
-        let args: DayArguments = stated.read()?;
+        let args: DayArguments = day_statement.read()?;
         if terms.invokers.is_empty() {
-            return Err(at("no invokers(...) are stated"));
+            return Err(file_error("no invokers(...) are stated"));
         }
         let layers = match args.layers.as_str() {
             "off" => Layers::Off,
             "alone" => Layers::Alone,
             "shared" => Layers::Shared,
             other => {
-                return Err(stated.fault(format!(
+                return Err(day_statement.fault(format!(
                     "layers '{other}': one of off, alone, shared is expected"
                 )));
             }
         };
         if !(0.1..=64.0).contains(&args.model.0) {
-            return Err(stated.fault("model: 0.1MB to 64MB are expected"));
+            return Err(day_statement.fault("model: 0.1MB to 64MB are expected"));
         }
         if args.versions > 100 || !(1..=1_000).contains(&args.passage) {
-            return Err(stated.fault("versions: up to 100, passage: 1 to 1000 are expected"));
+            return Err(day_statement.fault("versions: up to 100, passage: 1 to 1000 are expected"));
         }
         if args.versions < 2 && args.moves.0 > 0 {
-            return Err(stated.fault("moves: at least two versions are expected"));
+            return Err(day_statement.fault("moves: at least two versions are expected"));
         }
-        if let Some(odd) = terms
+        if let Some(invalid_name) = terms
             .functions
             .keys()
             .find(|f| args.versions > 0 && f.parse::<Name>().is_err())
         {
-            return Err(stated.fault(format!(
-                "versions: function '{odd}' can't be the name of a model"
+            return Err(day_statement.fault(format!(
+                "versions: function '{invalid_name}' can't be the name of a model"
             )));
         }
         let mut day = Self {
@@ -431,11 +438,13 @@
             troubles: Vec::new(),
             terms,
         };
-        let mut networks = rest.iter().filter(|s| s.what == "network");
-        if let Some(s) = networks.next() {
-            let args: NetworkArguments = s.read()?;
+        let mut network_statements = statements
+            .iter()
+            .filter(|statement| statement.what == "network");
+        if let Some(statement) = network_statements.next() {
+            let args: NetworkArguments = statement.read()?;
             if args.clocks_drift_ppm > 10_000 {
-                return Err(s.fault("clocks_drift_ppm: 0 to 10000 are expected"));
+                return Err(statement.fault("clocks_drift_ppm: 0 to 10000 are expected"));
             }
             day.network = Network {
                 delay: args.delay.0,
@@ -445,39 +454,45 @@
                 clocks_drift: args.clocks_drift_ppm,
             };
         }
-        if let Some(second) = networks.next() {
-            return Err(second.fault("stated a second time"));
+        if let Some(duplicate) = network_statements.next() {
+            return Err(duplicate.fault("stated a second time"));
         }
-        for s in rest.iter().filter(|s| s.what == "traffic") {
-            let traffic = day.parse_traffic(s)?;
+        for statement in statements
+            .iter()
+            .filter(|statement| statement.what == "traffic")
+        {
+            let traffic = day.parse_traffic(statement)?;
             day.traffic.push(traffic);
         }
-        for s in rest.iter().filter(|s| s.what == "trouble") {
-            let trouble = day.parse_trouble(s)?;
+        for statement in statements
+            .iter()
+            .filter(|statement| statement.what == "trouble")
+        {
+            let trouble = day.parse_trouble(statement)?;
             day.troubles.push(trouble);
         }
         day.troubles.sort_by_key(|t| t.at);
         if day.traffic.is_empty() {
-            Err(at("no traffic(...) is stated"))
+            Err(file_error("no traffic(...) is stated"))
         } else {
             Ok(day)
         }
     }
 
-    fn parse_traffic(&self, s: &Statement) -> Result<Traffic, ScriptError> {
-        let args: TrafficArguments = s.read()?;
+    fn parse_traffic(&self, statement: &Statement) -> Result<Traffic, ScriptError> {
+        let args: TrafficArguments = statement.read()?;
         let tenant = self
             .terms
             .tenant_names
             .iter()
             .position(|t| *t == args.tenant);
-        let tenant =
-            tenant.ok_or_else(|| s.fault(format!("no tenant is named '{}'", args.tenant)))?;
-        check_functions(s, &self.terms, &args.functions)?;
+        let tenant = tenant
+            .ok_or_else(|| statement.fault(format!("no tenant is named '{}'", args.tenant)))?;
+        check_functions(statement, &self.terms, &args.functions)?;
         if args.functions.is_empty() || (args.per_second <= 0.0) == (args.at_once == 0) {
-            return Err(s.fault("functions and either per_second or at_once are expected"));
+            return Err(statement.fault("functions and either per_second or at_once are expected"));
         }
-        let shape = args.shape().map_err(|why| s.fault(why))?;
+        let shape = args.shape().map_err(|why| statement.fault(why))?;
         Ok(Traffic {
             tenant,
             shape,
@@ -492,27 +507,27 @@
         })
     }
 
-    fn parse_trouble(&self, s: &Statement) -> Result<Trouble, ScriptError> {
-        let args: TroubleArguments = s.read()?;
+    fn parse_trouble(&self, statement: &Statement) -> Result<Trouble, ScriptError> {
+        let args: TroubleArguments = statement.read()?;
         let known_kind = KINDS.iter().find(|(name, _)| *name == args.name);
         let (name, kind) = *known_kind.ok_or_else(|| {
-            let all: Vec<&str> = KINDS.iter().map(|k| k.0).collect();
-            s.fault(format!(
+            let known_names: Vec<&str> = KINDS.iter().map(|k| k.0).collect();
+            statement.fault(format!(
                 "'{}' is no trouble; known are {}",
                 args.name,
-                all.join(", ")
+                known_names.join(", ")
             ))
         })?;
-        check_functions(s, &self.terms, &args.functions)?;
+        check_functions(statement, &self.terms, &args.functions)?;
         if self.versions == 0
             && matches!(
                 kind,
                 Kind::RegistryLost | Kind::RegistryCut | Kind::Withdrawn | Kind::VersionErrs
             )
         {
-            return Err(s.fault(format!("{name}: versions are expected in day(...)")));
+            return Err(statement.fault(format!("{name}: versions are expected in day(...)")));
         }
-        let missing = |what: &str| s.fault(format!("{name}: {what} is expected"));
+        let missing = |what: &str| statement.fault(format!("{name}: {what} is expected"));
         if !matches!(
             kind,
             Kind::Flush | Kind::BadInput | Kind::Deploy | Kind::Withdrawn
@@ -554,7 +569,7 @@
             Some("to_controllers") => (false, true),
             Some(other) => {
                 let why = format!("one_way '{other}': to_invokers or to_controllers is expected");
-                return Err(s.fault(why));
+                return Err(statement.fault(why));
             }
         };
         if matches!(kind, Kind::Slow | Kind::StoreSlow | Kind::HeavyTail) && args.times.is_none() {
@@ -571,31 +586,41 @@
             .iter()
             .find(|t| !self.terms.tenant_names.contains(t))
         {
-            return Err(s.fault(format!("no tenant is named '{tenant}'")));
+            return Err(statement.fault(format!("no tenant is named '{tenant}'")));
         }
         let zone = match &args.zone {
             Some(zone) => {
-                let at = self.terms.zones.iter().position(|z| z == zone);
-                Some(at.ok_or_else(|| s.fault(format!("no zone is named '{zone}'")))? as u8)
+                let position = self.terms.zones.iter().position(|z| z == zone);
+                Some(
+                    position.ok_or_else(|| statement.fault(format!("no zone is named '{zone}'")))?
+                        as u8,
+                )
             }
             None if kind == Kind::ZoneCut => return Err(missing("zone")),
             None => None,
         };
-        let most = self.terms.invokers.len() as u32;
-        let all: Vec<u32> = (1..=most).collect();
+        let invoker_count = self.terms.invokers.len() as u32;
+        let all: Vec<u32> = (1..=invoker_count).collect();
         let invokers = args.invokers.unwrap_or(all);
-        if let Some(bad) = invokers.iter().find(|i| !(1..=most).contains(i)) {
-            return Err(s.fault(format!("invoker {bad}: 1 to {most} are stated")));
+        if let Some(invalid) = invokers.iter().find(|i| !(1..=invoker_count).contains(i)) {
+            return Err(statement.fault(format!(
+                "invoker {invalid}: 1 to {invoker_count} are stated"
+            )));
         }
-        let most = self.terms.deployment.controllers;
+        let controller_count = self.terms.deployment.controllers;
         let all = if kind == Kind::LineSlow {
-            (1..=most).collect()
+            (1..=controller_count).collect()
         } else {
             Vec::new()
         };
         let controllers = args.controllers.unwrap_or(all);
-        if let Some(bad) = controllers.iter().find(|c| !(1..=most).contains(c)) {
-            return Err(s.fault(format!("controller {bad}: 1 to {most} are stated")));
+        if let Some(invalid) = controllers
+            .iter()
+            .find(|c| !(1..=controller_count).contains(c))
+        {
+            return Err(statement.fault(format!(
+                "controller {invalid}: 1 to {controller_count} are stated"
+            )));
         }
         Ok(Trouble {
             kind,
