--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -49,7 +49,7 @@
     fn host(&self, name: &str) -> Rc<dyn Network> {
         match self {
             Self::Threads(_) => Rc::new(SocketNetwork),
-            Self::Virtual(ether) => ether.host(name),
+            Self::Virtual(network) => network.host(name),
         }
     }
 }
@@ -57,11 +57,11 @@
 /// A running controller.
 enum ControllerProcess {
     Thread {
-        stop: mpsc::UnboundedSender<Duration>,
+        stall_sender: mpsc::UnboundedSender<Duration>,
         thread: std::thread::JoinHandle<Vec<Line>>,
     },
     Task {
-        hold: ProcessPause,
+        pause: ProcessPause,
         task: JoinHandle<()>,
     },
 }
@@ -105,27 +105,27 @@
 /// Controllers by policy name: the design, and baselines for comparison.
 pub const POLICIES: &[(&str, Serve)] = &[
     ("design", serve),
-    ("random", |s, n, c| {
+    ("random", |config, network, clock| {
         Box::pin(saltdrum_controller::serve(
-            s,
-            n,
-            c,
+            config,
+            network,
+            clock,
             saltdrum_controller::random_relay,
         ))
     }),
-    ("fewest-out", |s, n, c| {
+    ("fewest-out", |config, network, clock| {
         Box::pin(saltdrum_controller::serve(
-            s,
-            n,
-            c,
+            config,
+            network,
+            clock,
             saltdrum_controller::least_in_flight_relay,
         ))
     }),
-    ("rendezvous", |s, n, c| {
+    ("rendezvous", |config, network, clock| {
         Box::pin(saltdrum_controller::serve(
-            s,
-            n,
-            c,
+            config,
+            network,
+            clock,
             saltdrum_controller::rendezvous_relay,
         ))
     }),
@@ -143,13 +143,13 @@
     store: Rc<ModelStore>,
     list: Rc<EndpointList>,
     registry: Rc<OciRegistry>,
-    names: Option<RegistryService>,
+    registry_service: Option<RegistryService>,
     /// Folder for the controllers' copies of the registry's state.
-    copies: PathBuf,
-    /// The lives that invokers know of each other, updated with the same delay as for controllers.
-    known: RefCell<BTreeMap<u32, Life>>,
+    copies_folder: PathBuf,
+    /// Lives of the invokers as their agents know them, updated with the same delay as for controllers.
+    peer_lives: RefCell<BTreeMap<u32, Life>>,
     /// Counts of crashed invokers' agents: chunks from cache, peers and store, bytes from the store, damaged chunks.
-    layers: Cell<[u64; 5]>,
+    agent_counts: Cell<[u64; 5]>,
     list_address: Address,
     clients: Rc<Clients>,
     controllers: RefCell<BTreeMap<u32, ControllerProcess>>,
@@ -162,11 +162,11 @@
     ledger: PathBuf,
     address: Address,
     key: String,
-    life: RefCell<Option<(Rc<service::Registry>, JoinHandle<()>)>>,
+    running: RefCell<Option<(Rc<service::Registry>, JoinHandle<()>)>>,
 }
 
 impl RegistryService {
-    fn following(&self, who: String, copy: Option<PathBuf>) -> FollowConfig {
+    fn follow_config(&self, who: String, copy: Option<PathBuf>) -> FollowConfig {
         FollowConfig {
             registry: self.address.clone(),
             key: self.key.clone(),
@@ -180,21 +180,21 @@
         let registry = service::Registry::new(ledger, None, Rc::new(move || clock.now() / 10));
         let (door, _) = network.listen(&self.address).await?;
         let task = tokio::task::spawn_local(registry.clone().accept_connections(door, clock));
-        *self.life.borrow_mut() = Some((registry, task));
+        *self.running.borrow_mut() = Some((registry, task));
         Ok(())
     }
 
-    fn kill_now(&self) {
-        if let Some((_, task)) = self.life.borrow().as_ref() {
+    fn abort(&self) {
+        if let Some((_, task)) = self.running.borrow().as_ref() {
             task.abort();
         }
     }
 
     /// Summarizes the moves in the registry's history.
     fn summarize(&self, at: Ticks) -> io::Result<Line> {
-        let life = self.life.borrow();
+        let running = self.running.borrow();
         // If the registry is down at the end of the day, its file is read as at a restart.
-        let entries = match life.as_ref() {
+        let entries = match running.as_ref() {
             Some((registry, _)) => registry.history(),
             None => Ledger::open_file(&self.ledger)
                 .and_then(|ledger| ledger.entries_after(0, usize::MAX)),
@@ -215,7 +215,7 @@
                     }
                 )
             }),
-            corrupt: life
+            corrupt: running
                 .as_ref()
                 .map_or_else(Vec::new, |(registry, _)| registry.corrupt_versions()),
             stages_stopped: count(|c| {
@@ -232,8 +232,8 @@
 
     /// Ends the registry as a kill does, without notifying clients.
     async fn kill(&self) {
-        let life = self.life.borrow_mut().take();
-        if let Some((registry, task)) = life {
+        let running = self.running.borrow_mut().take();
+        if let Some((registry, task)) = running {
             task.abort();
             let _ = task.await;
             drop(registry);
@@ -241,7 +241,7 @@
     }
 }
 
-fn name(text: &str) -> Name {
+fn parse_name(text: &str) -> Name {
     text.parse()
         .expect("names are validated when the script is parsed")
 }
@@ -255,42 +255,48 @@
     models: &mut BTreeMap<String, Vec<u8>>,
 ) -> io::Result<String> {
     let mut ledger = Ledger::open_file(ledger).map_err(io::Error::other)?;
-    let key = service::create_first_owner(&mut ledger, &name("stage"), [7; 32], 0)
+    let key = service::create_first_owner(&mut ledger, &parse_name("stage"), [7; 32], 0)
         .map_err(io::Error::other)?;
-    let mut all = Vec::new();
-    for f in day.terms.functions.values() {
-        for n in 1..=day.versions {
-            let tag = format!("v{n}");
+    let mut changes = Vec::new();
+    for function in day.terms.functions.values() {
+        for number in 1..=day.versions {
+            let tag = format!("v{number}");
             let manifest = if day.layers == Layers::Off {
-                Digest::of(format!("{}@{tag}", f.name).as_bytes())
+                Digest::of(format!("{}@{tag}", function.name).as_bytes())
             } else {
-                let mut rng = fastrand::Rng::with_seed(f.id);
+                let mut rng = fastrand::Rng::with_seed(function.id);
                 let mut model: Vec<u8> = (0..day.model_bytes).map(|_| rng.u8(..)).collect();
                 // Versions of a model share three quarters of their bytes.
-                let from = day.model_bytes * 3 / 4;
-                let mut own = fastrand::Rng::with_seed(f.id ^ u64::from(n) << 32);
-                model[from..].iter_mut().for_each(|b| *b = own.u8(..));
-                let manifest = store.push(&f.name, &tag, &model)?;
-                models.insert(format!("{}@{tag}", f.name), model);
+                let shared_bytes = day.model_bytes * 3 / 4;
+                let mut version_rng =
+                    fastrand::Rng::with_seed(function.id ^ u64::from(number) << 32);
+                model[shared_bytes..]
+                    .iter_mut()
+                    .for_each(|b| *b = version_rng.u8(..));
+                let manifest = store.push(&function.name, &tag, &model)?;
+                models.insert(format!("{}@{tag}", function.name), model);
                 Digest::of(&manifest.to_json())
             };
             let version = Version {
                 manifest,
                 bytes: day.model_bytes as u64,
-                memory_mb: f.memory as u64,
-                lanes: f.lanes as u32,
-                trigger_types: vec![day.terms.trigger_type_names[f.trigger].clone()],
+                memory_mb: function.memory as u64,
+                lanes: function.lanes as u32,
+                trigger_types: vec![day.terms.trigger_type_names[function.trigger].clone()],
             };
-            all.push(Change::Push {
-                model: name(&f.name),
-                name: name(&tag),
+            changes.push(Change::Push {
+                model: parse_name(&function.name),
+                name: parse_name(&tag),
                 version,
             });
         }
-        let (space, alias) = (Namespace::All, name(&format!("{}-current", f.name)));
-        let (model, version) = (name(&f.name), name("v1"));
-        all.push(Change::Move {
-            space,
+        let (namespace, alias) = (
+            Namespace::All,
+            parse_name(&format!("{}-current", function.name)),
+        );
+        let (model, version) = (parse_name(&function.name), parse_name("v1"));
+        changes.push(Change::Move {
+            space: namespace,
             alias,
             model,
             version,
@@ -298,7 +304,7 @@
             stage: None,
         });
     }
-    let requests = all
+    let requests = changes
         .into_iter()
         .map(|change| ChangeRequest {
             who: "stage".into(),
@@ -329,90 +335,96 @@
 }
 
 /// Like [`play_virtually`], with replaced components.
-pub fn play_with_overrides(day: &Day, cover: Overrides) -> io::Result<Vec<Line>> {
+pub fn play_with_overrides(day: &Day, overrides: Overrides) -> io::Result<Vec<Line>> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
         .build()?;
-    LocalSet::new().block_on(&runtime, play(day.clone(), None, cover))
+    LocalSet::new().block_on(&runtime, play(day.clone(), None, overrides))
 }
 
 /// Converts the specification to the line of the record that states the deployment.
-fn stated(terms: &DeploymentSpec) -> record::RuleParameters {
-    let d = &terms.deployment;
-    let trigger = |(t, name): (&saltdrum::interface::TriggerType, &String)| record::Trigger {
-        name: name.clone(),
-        effect: match t.effect {
-            Effect::Idempotent => "idempotent",
-            Effect::IdempotencyKey => "tokened",
-            Effect::NonIdempotent => "non-idempotent",
-        }
-        .into(),
-        scope: match t.key_scope {
-            KeyScope::All => "all",
-            KeyScope::Zone => "zone",
-            KeyScope::Cell => "cell",
-        }
-        .into(),
-        repeat_window: t.idempotency_window,
-        objective: t.latency_objective,
-        billed_value: t.billed_value,
-    };
-    let place = |i: &saltdrum_deployment::terms::InvokerSpec| record::InvokerInfo {
-        invoker: i.invoker,
-        zone: i.zone,
-        cell: i.cell,
-        pace: f64::from(terms.size(i.kind)),
+fn rule_parameters(terms: &DeploymentSpec) -> record::RuleParameters {
+    let deployment = &terms.deployment;
+    let trigger =
+        |(trigger_type, name): (&saltdrum::interface::TriggerType, &String)| record::Trigger {
+            name: name.clone(),
+            effect: match trigger_type.effect {
+                Effect::Idempotent => "idempotent",
+                Effect::IdempotencyKey => "tokened",
+                Effect::NonIdempotent => "non-idempotent",
+            }
+            .into(),
+            scope: match trigger_type.key_scope {
+                KeyScope::All => "all",
+                KeyScope::Zone => "zone",
+                KeyScope::Cell => "cell",
+            }
+            .into(),
+            repeat_window: trigger_type.idempotency_window,
+            objective: trigger_type.latency_objective,
+            billed_value: trigger_type.billed_value,
+        };
+    let place = |spec: &saltdrum_deployment::terms::InvokerSpec| record::InvokerInfo {
+        invoker: spec.invoker,
+        zone: spec.zone,
+        cell: spec.cell,
+        pace: f64::from(terms.size(spec.kind)),
     };
     record::RuleParameters {
-        triggers: d
+        triggers: deployment
             .trigger_types
             .iter()
             .zip(&terms.trigger_type_names)
             .map(trigger)
             .collect(),
         places: terms.invokers.iter().map(place).collect(),
-        parallel_dispatches: d.may_attempt_in_parallel,
-        drain_grace: d.drain_grace,
-        cold_share: d.initial_capacity_share,
-        cold_time: d.warm_up_time,
-        tip_factor: d.overload_factor,
-        tip_window: d.overload_window,
-        order_window: d.load_window,
-        orders_free: d.free_loads,
-        orders_share: d.loads_per_invocation,
+        parallel_dispatches: deployment.may_attempt_in_parallel,
+        drain_grace: deployment.drain_grace,
+        cold_share: deployment.initial_capacity_share,
+        cold_time: deployment.warm_up_time,
+        tip_factor: deployment.overload_factor,
+        tip_window: deployment.overload_window,
+        order_window: deployment.load_window,
+        orders_free: deployment.free_loads,
+        orders_share: deployment.loads_per_invocation,
     }
 }
 
 /// Runs a day on the current `LocalSet` and returns the record, in order of time.
-async fn play(day: Day, folder: Option<&Path>, cover: Overrides) -> io::Result<Vec<Line>> {
-    let (clock, record, turns) = (Clock::start(), Record::default(), EventLoopClock::default());
+async fn play(day: Day, folder: Option<&Path>, overrides: Overrides) -> io::Result<Vec<Line>> {
+    let (clock, record, event_loop_clock) =
+        (Clock::start(), Record::default(), EventLoopClock::default());
     let runtime = match folder {
         Some(folder) => Runtime::Threads(folder.to_owned()),
         None => {
-            let n = &day.network;
-            let line = Link {
-                delay: n.delay,
-                jitter: n.jitter,
+            let network = &day.network;
+            let link = Link {
+                delay: network.delay,
+                jitter: network.jitter,
             };
-            let lines = Links::new(line, n.bytes_per_second, day.seed ^ 0xe7e4);
-            Runtime::Virtual(SimulatedNetwork::new(clock, lines, turns.clone()))
+            let links = Links::new(link, network.bytes_per_second, day.seed ^ 0xe7e4);
+            Runtime::Virtual(SimulatedNetwork::new(
+                clock,
+                links,
+                event_loop_clock.clone(),
+            ))
         }
     };
-    record.note(Line::RuleParameters(stated(&day.terms)));
-    let noted = record.clone();
+    record.note(Line::RuleParameters(rule_parameters(&day.terms)));
+    let stall_record = record.clone();
     tokio::task::spawn_local(run_event_loop_clock(
-        turns.clone(),
+        event_loop_clock.clone(),
         clock,
         move |now, gap| {
-            noted.note(Line::ThreadStalled {
+            stall_record.note(Line::ThreadStalled {
                 at: now - gap,
                 until: now,
                 thread: "stage".into(),
             });
         },
     ));
-    let any = |name: &str| match &runtime {
+    let listen_address = |name: &str| match &runtime {
         Runtime::Threads(_) => Address::Tcp("127.0.0.1:0".into()),
         Runtime::Virtual(_) => Address::Memory(name.into()),
     };
@@ -420,21 +432,26 @@
         runtime.host("store"),
         clock,
         record.clone(),
-        &any("store"),
+        &listen_address("store"),
         day.store_limit,
     )
     .await?;
-    let (list, list_address) =
-        EndpointList::open(runtime.host("list"), clock, record.clone(), &any("list")).await?;
+    let (list, list_address) = EndpointList::open(
+        runtime.host("list"),
+        clock,
+        record.clone(),
+        &listen_address("list"),
+    )
+    .await?;
     let registry = OciRegistry::new(day.store_limit, day.seed);
     let registry_address = registry
-        .open(&*runtime.host("store"), &any("registry"))
+        .open(&*runtime.host("store"), &listen_address("registry"))
         .await?;
     // The folder is deleted at the end of the day.
     let day_folder = tempfile::Builder::new()
         .prefix("saltdrum-layers-")
         .tempdir()?;
-    let names_address = match &runtime {
+    let registry_service_address = match &runtime {
         Runtime::Threads(folder) => {
             Address::Unix(folder.join("registry.sock").to_string_lossy().into_owned())
         }
@@ -460,19 +477,21 @@
             .set(day.model_bytes as f64 / (FETCH_SHARE * mean));
         registry.full_speed_requests.set(MAX_FULL_SPEED_FETCHES);
     }
-    let names = if day.versions == 0 {
+    let registry_service = if day.versions == 0 {
         None
     } else {
         let ledger = day_folder.path().join("registry.redb");
         let key = push_versions(&day, &ledger, &registry, &mut models)?;
-        let names = RegistryService {
+        let registry_service = RegistryService {
             ledger,
-            address: names_address,
+            address: registry_service_address,
             key,
-            life: RefCell::default(),
+            running: RefCell::default(),
         };
-        names.start(&*runtime.host("registry"), clock).await?;
-        Some(names)
+        registry_service
+            .start(&*runtime.host("registry"), clock)
+            .await?;
+        Some(registry_service)
     };
     let (terms, tokens, models) = (
         Rc::new(day.terms.clone()),
@@ -481,45 +500,45 @@
     );
     let mut invokers = BTreeMap::new();
     for stated in &day.terms.invokers {
-        let own = clock_of(&day, &runtime, clock, 0x1c10c, stated.invoker);
-        let site = InvokerConfig {
+        let invoker_clock = skewed_clock(&day, &runtime, clock, 0x1c10c, stated.invoker);
+        let config = InvokerConfig {
             terms: terms.clone(),
             stated: stated.clone(),
             network: runtime.host(&format!("invoker-{}", stated.invoker)),
-            clock: own,
+            clock: invoker_clock,
             record_clock: clock,
-            event_loop: turns.clone(),
+            event_loop: event_loop_clock.clone(),
             record: record.clone(),
-            address: RefCell::new(any(&format!("invoker-{}", stated.invoker))),
+            address: RefCell::new(listen_address(&format!("invoker-{}", stated.invoker))),
             store: Some(store_address.clone()),
             tokens: tokens.clone(),
             seed: day.seed ^ (u64::from(stated.invoker) << 32),
             fetch_share: FETCH_SHARE,
-            registry_follow: names
+            registry_follow: registry_service
                 .as_ref()
-                .map(|n| n.following(format!("invoker-{}", stated.invoker), None)),
+                .map(|n| n.follow_config(format!("invoker-{}", stated.invoker), None)),
             layers: (day.layers != Layers::Off).then(|| invoker::LayersConfig {
                 folder: day_folder.path().join(stated.invoker.to_string()),
                 cache_bytes: 1 << 30,
                 registry: registry_address.clone(),
-                agent_address: RefCell::new(any(&format!("agent-{}", stated.invoker))),
-                disk: Rc::new(TearingDisk::new(own)),
+                agent_address: RefCell::new(listen_address(&format!("agent-{}", stated.invoker))),
+                disk: Rc::new(TearingDisk::new(invoker_clock)),
                 models: models.clone(),
-                fetch_model: cover.brings,
+                fetch_model: overrides.brings,
             }),
         };
-        let invoker = Invoker::new(site);
+        let invoker = Invoker::new(config);
         // The invoker has been up for a long time, so half of the functions are warm on it.
         let all: Vec<u64> = day.terms.functions.values().map(|f| f.id).collect();
         let first = stated.invoker as usize * 5 % all.len();
-        let held: Vec<u64> = all
+        let warm_functions: Vec<u64> = all
             .iter()
             .cycle()
             .skip(first)
             .take(all.len().div_ceil(2))
             .copied()
             .collect();
-        invoker.start(false, &held).await?;
+        invoker.start(false, &warm_functions).await?;
         list.publish(invoker.entry(Life::Ready));
         invokers.insert(stated.invoker, invoker);
     }
@@ -528,11 +547,11 @@
         day.clone(),
         runtime.host("clients"),
         clock,
-        turns,
+        event_loop_clock,
         record.clone(),
     );
     let stage = Rc::new(Stage {
-        serve: cover.serve,
+        serve: overrides.serve,
         start: clock.now() + SECOND / 2,
         day,
         runtime,
@@ -542,10 +561,10 @@
         store,
         list,
         registry,
-        names,
-        copies: day_folder.path().to_owned(),
-        known: RefCell::default(),
-        layers: Cell::default(),
+        registry_service,
+        copies_folder: day_folder.path().to_owned(),
+        peer_lives: RefCell::default(),
+        agent_counts: Cell::default(),
         list_address,
         clients,
         controllers: RefCell::default(),
@@ -553,7 +572,7 @@
         ended_threads: RefCell::default(),
     });
     for invoker in stage.invokers.keys() {
-        stage.known.borrow_mut().insert(*invoker, Life::Ready);
+        stage.peer_lives.borrow_mut().insert(*invoker, Life::Ready);
     }
     let peer_updates = stage.clone();
     let peer_updates = tokio::task::spawn_local(async move { peer_updates.update_peers().await });
@@ -569,14 +588,14 @@
 
 /// Creates the clock of a controller or invoker. Clocks are skewed because messages between processes must not depend on
 /// absolute time. On the machine's sockets, all share the machine's clock.
-fn clock_of(day: &Day, runtime: &Runtime, clock: Clock, salt: u64, of: u32) -> Clock {
+fn skewed_clock(day: &Day, runtime: &Runtime, clock: Clock, salt: u64, number: u32) -> Clock {
     if matches!(runtime, Runtime::Threads(_)) {
         return clock;
     }
-    let n = &day.network;
-    let mut rng = fastrand::Rng::with_seed(day.seed ^ salt ^ (u64::from(of) << 20));
-    let ahead = Duration::from_micros(rng.u64(0..=n.clocks_ahead) * 100);
-    let drift = i64::from(n.clocks_drift);
+    let network = &day.network;
+    let mut rng = fastrand::Rng::with_seed(day.seed ^ salt ^ (u64::from(number) << 20));
+    let ahead = Duration::from_micros(rng.u64(0..=network.clocks_ahead) * 100);
+    let drift = i64::from(network.clocks_drift);
     clock.skewed(ahead, rng.i64(-drift..=drift))
 }
 
@@ -615,10 +634,10 @@
             }
         };
         let zone = self.zone_of(controller);
-        let names = self.names.as_ref().map(|n| AliasConfig {
-            registry: n.following(
+        let aliases = self.registry_service.as_ref().map(|n| AliasConfig {
+            registry: n.follow_config(
                 format!("controller-{controller}"),
-                Some(self.copies.join(format!("names-{controller}"))),
+                Some(self.copies_folder.join(format!("names-{controller}"))),
             ),
             pin_duration: 120 * SECOND,
             epoch_ms: 0,
@@ -633,7 +652,7 @@
                     client_addresses: vec![clients],
                     endpoint_lists: vec![list],
                     terms: Rc::new(terms),
-                    aliases: names,
+                    aliases,
                     shutdown: Default::default(),
                     listens_when_ready: false,
                 }
@@ -647,25 +666,25 @@
         let serve = self.serve;
         let process = match &self.runtime {
             Runtime::Threads(_) => {
-                let (stop, mut stops) = mpsc::unbounded_channel::<Duration>();
+                let (stall_sender, mut stall_receiver) = mpsc::unbounded_channel::<Duration>();
                 let clients = address.clone();
                 let builder = std::thread::Builder::new().name(format!("controller-{controller}"));
                 let thread = builder.spawn(move || {
                     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
                     let Ok(runtime) = runtime else { return Vec::new() };
-                    let seen = Record::default();
-                    let noted = seen.clone();
-                    let watch = async move {
+                    let thread_record = Record::default();
+                    let stall_record = thread_record.clone();
+                    let stall_watch = async move {
                         let thread = format!("controller-{controller}");
                         run_event_loop_clock(EventLoopClock::default(), clock, move |now, gap| {
                             let thread = thread.clone();
-                            noted.note(Line::ThreadStalled { at: now - gap, until: now, thread });
+                            stall_record.note(Line::ThreadStalled { at: now - gap, until: now, thread });
                         })
                         .await;
                     };
-                    let orders = async {
-                        while let Some(stop) = stops.recv().await {
-                            std::thread::sleep(stop);
+                    let injected_stalls = async {
+                        while let Some(stall) = stall_receiver.recv().await {
+                            std::thread::sleep(stall);
                         }
                     };
                     runtime.block_on(async {
@@ -676,24 +695,27 @@
                                     warn!(controller, %e, "controller failed to serve");
                                 }
                             }
-                            () = watch => {}
-                            () = orders => {}
+                            () = stall_watch => {}
+                            () = injected_stalls => {}
                         }
                     });
-                    seen.take()
+                    thread_record.take()
                 })?;
-                ControllerProcess::Thread { stop, thread }
+                ControllerProcess::Thread {
+                    stall_sender,
+                    thread,
+                }
             }
-            Runtime::Virtual(ether) => {
-                let network = ether.host(&format!("controller-{controller}"));
+            Runtime::Virtual(network) => {
+                let network = network.host(&format!("controller-{controller}"));
                 let config = make_config(terms, address.clone(), list, seed);
-                let (hold, noted) = (ProcessPause::default(), self.record.clone());
-                let skewed = clock_of(&self.day, &self.runtime, clock, 0xc10c, controller);
-                let living = async move {
-                    let watch =
+                let (pause, stall_record) = (ProcessPause::default(), self.record.clone());
+                let skewed = skewed_clock(&self.day, &self.runtime, clock, 0xc10c, controller);
+                let controller_run = async move {
+                    let stall_watch =
                         run_event_loop_clock(EventLoopClock::default(), clock, move |now, gap| {
                             let thread = format!("controller-{controller}");
-                            noted.note(Line::ThreadStalled {
+                            stall_record.note(Line::ThreadStalled {
                                 at: now - gap,
                                 until: now,
                                 thread,
@@ -706,11 +728,11 @@
                                 warn!(controller, %e, "controller failed to serve");
                             }
                         }
-                        () = watch => {}
+                        () = stall_watch => {}
                     }
                 };
-                let task = tokio::task::spawn_local(pausable(hold.clone(), living));
-                ControllerProcess::Task { hold, task }
+                let task = tokio::task::spawn_local(pausable(pause.clone(), controller_run));
+                ControllerProcess::Task { pause, task }
             }
         };
         self.controllers.borrow_mut().insert(controller, process);
@@ -745,8 +767,11 @@
             up: false,
         });
         match process {
-            ControllerProcess::Thread { stop, thread } => {
-                drop(stop);
+            ControllerProcess::Thread {
+                stall_sender,
+                thread,
+            } => {
+                drop(stall_sender);
                 self.ended_threads.borrow_mut().push(thread);
             }
             ControllerProcess::Task { task, .. } => task.abort(),
@@ -765,56 +790,73 @@
     fn stall_controller(&self, controller: u32, span: Ticks) {
         let span = Duration::from_micros(span * 100);
         match self.controllers.borrow().get(&controller) {
-            Some(ControllerProcess::Thread { stop, .. }) => drop(stop.send(span)),
-            Some(ControllerProcess::Task { hold, .. }) => hold.pause_for(span),
+            Some(ControllerProcess::Thread { stall_sender, .. }) => drop(stall_sender.send(span)),
+            Some(ControllerProcess::Task { pause, .. }) => pause.pause_for(span),
             None => {}
         }
     }
 
     /// Changes the connections between the affected controllers and invokers, in one direction or both.
-    fn change_connections(&self, t: &Trouble, change: impl Fn(&SimulatedNetwork, &str, &str)) {
-        let Runtime::Virtual(ether) = &self.runtime else {
-            return warn!(t.name, "trouble skipped: it requires the emulated network");
+    fn change_connections(
+        &self,
+        trouble: &Trouble,
+        change: impl Fn(&SimulatedNetwork, &str, &str),
+    ) {
+        let Runtime::Virtual(network) = &self.runtime else {
+            return warn!(
+                t.name = trouble.name,
+                "trouble skipped: it requires the emulated network"
+            );
         };
-        for c in t.controllers.iter().map(|c| format!("controller-{c}")) {
-            for i in t.invokers.iter().map(|i| format!("invoker-{i}")) {
-                if t.ways.0 {
-                    change(ether, &c, &i);
+        for controller in trouble
+            .controllers
+            .iter()
+            .map(|controller| format!("controller-{controller}"))
+        {
+            for invoker in trouble
+                .invokers
+                .iter()
+                .map(|invoker| format!("invoker-{invoker}"))
+            {
+                if trouble.ways.0 {
+                    change(network, &controller, &invoker);
                 }
-                if t.ways.1 {
-                    change(ether, &i, &c);
+                if trouble.ways.1 {
+                    change(network, &invoker, &controller);
                 }
             }
         }
     }
 
     async fn run(self: Rc<Self>) {
-        for t in self.day.troubles.clone() {
+        for trouble in self.day.troubles.clone() {
             let this = self.clone();
             tokio::task::spawn_local(async move {
-                this.clock.sleep_until(this.at(t.at)).await;
-                let (at, until) = (this.clock.now(), this.at(t.at + t.lasts));
-                let affected = match t.kind {
+                this.clock.sleep_until(this.at(trouble.at)).await;
+                let (at, until) = (this.clock.now(), this.at(trouble.at + trouble.lasts));
+                let affected = match trouble.kind {
                     Kind::ControllerCrash | Kind::ControllerRoll | Kind::ControllerStall => {
-                        format!(" of controllers {:?}", t.controllers)
+                        format!(" of controllers {:?}", trouble.controllers)
                     }
                     Kind::LineCut | Kind::LineSlow => {
                         format!(
                             " of controllers {:?} and invokers {:?}",
-                            t.controllers, t.invokers
+                            trouble.controllers, trouble.invokers
                         )
                     }
-                    Kind::HotFunction => format!(" {:?}", t.functions),
-                    Kind::RefusedForRoom => format!(" of {}", t.tenant.clone().unwrap_or_default()),
-                    _ if t.invokers.len() < this.invokers.len() => {
-                        format!(" of invokers {:?}", t.invokers)
+                    Kind::HotFunction => format!(" {:?}", trouble.functions),
+                    Kind::RefusedForRoom => {
+                        format!(" of {}", trouble.tenant.clone().unwrap_or_default())
+                    }
+                    _ if trouble.invokers.len() < this.invokers.len() => {
+                        format!(" of invokers {:?}", trouble.invokers)
                     }
                     _ => String::new(),
                 };
-                let text = format!("{}{affected}", t.name);
+                let text = format!("{}{affected}", trouble.name);
                 info!(text, "trouble");
                 this.record.note(Line::FaultInjected { at, until, text });
-                this.inject(t).await;
+                this.inject(trouble).await;
             });
         }
         if self.day.moves > 0 {
@@ -822,15 +864,15 @@
         }
         let arrivals = traffic::draw(&self.day);
         info!(invocations = arrivals.len(), "day started");
-        for (n, arrival) in arrivals.into_iter().enumerate() {
+        for (index, arrival) in arrivals.into_iter().enumerate() {
             self.clock.sleep_until(self.at(arrival.at)).await;
-            tokio::task::spawn_local(self.clients.clone().invoke(n as u64 + 1, arrival));
+            tokio::task::spawn_local(self.clients.clone().invoke(index as u64 + 1, arrival));
         }
         self.clock.sleep_until(self.at(self.day.length)).await;
         self.record.note(Line::TrafficEnded {
             at: self.clock.now(),
         });
-        let longest = self
+        let longest_timeout = self
             .day
             .terms
             .deployment
@@ -838,23 +880,28 @@
             .iter()
             .map(|t| t.client_timeout)
             .max();
-        let tries = u64::from(self.day.retries) + 1;
-        let rest = tries * (longest.unwrap_or(0) + 4 * self.day.backoff) + SECOND;
-        tokio::time::sleep(Duration::from_micros(rest * 100)).await;
+        let attempts = u64::from(self.day.retries) + 1;
+        let longest_invocation =
+            attempts * (longest_timeout.unwrap_or(0) + 4 * self.day.backoff) + SECOND;
+        tokio::time::sleep(Duration::from_micros(longest_invocation * 100)).await;
         // Waits for the passages in progress, at most for as long as all of their invocations may take.
-        let most = self.clock.now() + rest * Ticks::from(self.day.passage);
-        while self.clients.active_passages.get() > 0 && self.clock.now() < most {
+        let deadline = self.clock.now() + longest_invocation * Ticks::from(self.day.passage);
+        while self.clients.active_passages.get() > 0 && self.clock.now() < deadline {
             self.sleep(SECOND / 10).await;
         }
     }
 
     /// Requests a change from the registry.
     async fn change_registry(&self, change: Change) -> Result<(), String> {
-        let Some(names) = &self.names else {
+        let Some(registry_service) = &self.registry_service else {
             return Ok(());
         };
-        let connection =
-            RegistryClient::connect(&self.runtime.host("admin"), &names.address, &names.key).await;
+        let connection = RegistryClient::connect(
+            &self.runtime.host("admin"),
+            &registry_service.address,
+            &registry_service.key,
+        )
+        .await;
         let mut caller = connection.map_err(|e| e.to_string())?;
         let request = caller.call("change", serde_json::json!({ "change": change }));
         let response = tokio::time::timeout(Duration::from_secs(2), request)
@@ -872,34 +919,35 @@
                 return;
             }
             self.clock.sleep_until(period).await;
-            for f in &functions {
-                let alias = name(&format!("{f}-current"));
-                let life = self
-                    .names
+            for function in &functions {
+                let alias = parse_name(&format!("{function}-current"));
+                let running = self
+                    .registry_service
                     .as_ref()
-                    .and_then(|n| Some(n.life.borrow().as_ref()?.0.clone()));
+                    .and_then(|n| Some(n.running.borrow().as_ref()?.0.clone()));
                 // While the registry is down, no alias can be moved.
-                let Some(book) = life.map(|registry| registry.state()) else {
+                let Some(registry_state) = running.map(|registry| registry.state()) else {
                     break;
                 };
-                let Some(is) = book.alias(&Namespace::All, &alias).cloned() else {
+                let Some(current) = registry_state.alias(&Namespace::All, &alias).cloned() else {
                     continue;
                 };
-                let at: u32 = is
+                let current_number: u32 = current
                     .version
                     .to_string()
                     .trim_start_matches('v')
                     .parse()
                     .unwrap_or(1);
-                let version = name(&format!("v{}", at % self.day.versions + 1));
-                let (space, model, expect) = (Namespace::All, is.model.clone(), is.changed);
+                let version = parse_name(&format!("v{}", current_number % self.day.versions + 1));
+                let (space, model, expect) =
+                    (Namespace::All, current.model.clone(), current.changed);
                 let stage = |to: &Name| MoveStage {
                     to: to.clone(),
                     per_mille: 100,
                     errors_per_mille: 100,
                     answers: 40,
                 };
-                let change = match (&is.stage, self.day.staged) {
+                let change = match (&current.stage, self.day.staged) {
                     // A stage is still in progress, with too few responses to end it.
                     (Some(_), _) => continue,
                     (None, true) => {
@@ -923,7 +971,7 @@
                     },
                 };
                 if let Err(why) = self.change_registry(change).await {
-                    info!(f, why, "alias move failed");
+                    info!(f = function, why, "alias move failed");
                 }
             }
         }
@@ -935,33 +983,41 @@
 
     /// Updates the agents' peers twice a second. Real agents follow the endpoint list themselves.
     async fn update_peers(&self) {
-        let d = &self.day.terms.deployment;
+        let deployment = &self.day.terms.deployment;
         if self.day.layers == Layers::Off {
             return;
         }
         loop {
             let peer = |(id, life): (&u32, &Life)| {
-                let i = &self.invokers[id];
-                let age = i.entry(*life).age_tenths as f64 / d.warm_up_time.max(1) as f64;
+                let invoker = &self.invokers[id];
+                let age =
+                    invoker.entry(*life).age_tenths as f64 / deployment.warm_up_time.max(1) as f64;
                 let member = Member {
                     invoker: *id,
-                    size: f64::from(self.day.terms.size(i.config.stated.kind)),
-                    capacity_share: (d.initial_capacity_share
-                        + (1.0 - d.initial_capacity_share) * age)
+                    size: f64::from(self.day.terms.size(invoker.config.stated.kind)),
+                    capacity_share: (deployment.initial_capacity_share
+                        + (1.0 - deployment.initial_capacity_share) * age)
                         .min(1.0),
                     ready: *life == Life::Ready,
                 };
                 Some(Peer {
                     member,
-                    address: i.config.layers.as_ref()?.agent_address.borrow().clone(),
+                    address: invoker
+                        .config
+                        .layers
+                        .as_ref()?
+                        .agent_address
+                        .borrow()
+                        .clone(),
                 })
             };
-            let all: Vec<Peer> = self.known.borrow().iter().filter_map(peer).collect();
-            for (id, i) in &self.invokers {
+            let peers: Vec<Peer> = self.peer_lives.borrow().iter().filter_map(peer).collect();
+            for (id, invoker) in &self.invokers {
                 match self.day.layers {
-                    Layers::Shared => i.set_peers(&all),
-                    _ => i.set_peers(
-                        &all.iter()
+                    Layers::Shared => invoker.set_peers(&peers),
+                    _ => invoker.set_peers(
+                        &peers
+                            .iter()
                             .filter(|p| p.member.invoker == *id)
                             .cloned()
                             .collect::<Vec<_>>(),
@@ -976,8 +1032,8 @@
     fn publish_life(&self, invoker: u32, life: Life) {
         self.list.publish(self.invokers[&invoker].entry(life));
         match life {
-            Life::Gone => drop(self.known.borrow_mut().remove(&invoker)),
-            life => drop(self.known.borrow_mut().insert(invoker, life)),
+            Life::Gone => drop(self.peer_lives.borrow_mut().remove(&invoker)),
+            life => drop(self.peer_lives.borrow_mut().insert(invoker, life)),
         }
     }
 
@@ -997,8 +1053,8 @@
                 from_store,
                 bytes_from_store,
                 damaged,
-            ] = self.layers.get();
-            self.layers.set([
+            ] = self.agent_counts.get();
+            self.agent_counts.set([
                 from_cache + counts.from_cache.get(),
                 from_peers + counts.from_peers.get(),
                 from_store + counts.from_store.get(),
@@ -1025,45 +1081,63 @@
         self.publish_life_later(invoker, Life::Ready);
     }
 
-    fn fault(&self, invokers: &[u32], change: impl Fn(&mut saltdrum_fakes::Faults)) {
+    fn update_faults(&self, invokers: &[u32], change: impl Fn(&mut saltdrum_fakes::Faults)) {
         invokers
             .iter()
             .for_each(|i| self.invokers[i].update_faults(|f, _| change(f)));
     }
 
     /// Injects a trouble and removes it after its duration.
-    async fn inject(self: &Rc<Self>, t: Trouble) {
-        let affected = || t.invokers.iter().map(|i| &self.invokers[i]);
-        match t.kind {
+    async fn inject(self: &Rc<Self>, trouble: Trouble) {
+        let affected = || {
+            trouble
+                .invokers
+                .iter()
+                .map(|invoker| &self.invokers[invoker])
+        };
+        match trouble.kind {
             Kind::Crash => {
-                for i in t.invokers.iter().filter(|i| self.invokers[i].is_up()) {
-                    self.crash(*i);
-                    self.publish_life_later(*i, Life::Gone);
+                for invoker in trouble
+                    .invokers
+                    .iter()
+                    .filter(|invoker| self.invokers[invoker].is_up())
+                {
+                    self.crash(*invoker);
+                    self.publish_life_later(*invoker, Life::Gone);
                 }
-                self.sleep(t.lasts).await;
-                for i in &t.invokers {
-                    self.restart(*i).await;
+                self.sleep(trouble.lasts).await;
+                for invoker in &trouble.invokers {
+                    self.restart(*invoker).await;
                 }
             }
             Kind::PowerCut => {
-                for i in t.invokers.iter().filter(|i| self.invokers[i].is_up()) {
-                    self.count_agent(*i);
-                    match self.invokers[i].lose_power(t.delay, t.part).await {
-                        Ok(torn) => info!(invoker = *i, torn, "invoker lost power"),
-                        Err(e) => warn!(invoker = *i, %e, "tearing the invoker's disk failed"),
+                for invoker in trouble
+                    .invokers
+                    .iter()
+                    .filter(|invoker| self.invokers[invoker].is_up())
+                {
+                    self.count_agent(*invoker);
+                    match self.invokers[invoker]
+                        .lose_power(trouble.delay, trouble.part)
+                        .await
+                    {
+                        Ok(torn) => info!(invoker = *invoker, torn, "invoker lost power"),
+                        Err(e) => {
+                            warn!(invoker = *invoker, %e, "tearing the invoker's disk failed")
+                        }
                     }
-                    self.publish_life_later(*i, Life::Gone);
+                    self.publish_life_later(*invoker, Life::Gone);
                 }
-                self.sleep(t.lasts).await;
-                for i in &t.invokers {
-                    self.restart(*i).await;
+                self.sleep(trouble.lasts).await;
+                for invoker in &trouble.invokers {
+                    self.restart(*invoker).await;
                 }
             }
             Kind::RegistryLost => {
-                if let Some(names) = &self.names {
-                    names.kill().await;
-                    self.sleep(t.lasts).await;
-                    if let Err(e) = names
+                if let Some(registry_service) = &self.registry_service {
+                    registry_service.kill().await;
+                    self.sleep(trouble.lasts).await;
+                    if let Err(e) = registry_service
                         .start(&*self.runtime.host("registry"), self.clock)
                         .await
                     {
@@ -1072,203 +1146,228 @@
                 }
             }
             Kind::RegistryCut => {
-                let Runtime::Virtual(ether) = &self.runtime else {
-                    return warn!(t.name, "trouble skipped: it requires the emulated network");
+                let Runtime::Virtual(network) = &self.runtime else {
+                    return warn!(
+                        t.name = trouble.name,
+                        "trouble skipped: it requires the emulated network"
+                    );
                 };
-                let both = |change: &dyn Fn(&SimulatedNetwork, &str, &str)| {
-                    for c in t.controllers.iter().map(|c| format!("controller-{c}")) {
-                        change(ether, &c, "registry");
-                        change(ether, "registry", &c);
+                let change_both_ways = |change: &dyn Fn(&SimulatedNetwork, &str, &str)| {
+                    for controller in trouble
+                        .controllers
+                        .iter()
+                        .map(|controller| format!("controller-{controller}"))
+                    {
+                        change(network, &controller, "registry");
+                        change(network, "registry", &controller);
                     }
                 };
-                both(&SimulatedNetwork::cut);
-                self.sleep(t.lasts).await;
-                both(&SimulatedNetwork::heal);
+                change_both_ways(&SimulatedNetwork::cut);
+                self.sleep(trouble.lasts).await;
+                change_both_ways(&SimulatedNetwork::heal);
             }
             // Affects the second version of the first named model, on all affected invokers.
             Kind::VersionErrs => {
-                let begin = t.functions.first().map(|f| format!("{f}@v2"));
-                self.fault(&t.invokers, |f| {
-                    f.fails_functions = begin.clone().map(|b| (b, t.part))
+                let function_prefix = trouble.functions.first().map(|f| format!("{f}@v2"));
+                self.update_faults(&trouble.invokers, |f| {
+                    f.fails_functions = function_prefix.clone().map(|b| (b, trouble.part))
                 });
-                self.sleep(t.lasts).await;
-                self.fault(&t.invokers, |f| f.fails_functions = None);
+                self.sleep(trouble.lasts).await;
+                self.update_faults(&trouble.invokers, |f| f.fails_functions = None);
             }
             Kind::Withdrawn => {
-                for f in &t.functions {
-                    let life = self
-                        .names
+                for function in &trouble.functions {
+                    let running = self
+                        .registry_service
                         .as_ref()
-                        .and_then(|n| Some(n.life.borrow().as_ref()?.0.clone()));
-                    let Some(book) = life.map(|registry| registry.state()) else {
+                        .and_then(|n| Some(n.running.borrow().as_ref()?.0.clone()));
+                    let Some(registry_state) = running.map(|registry| registry.state()) else {
                         continue;
                     };
-                    let alias = book.alias(&Namespace::All, &name(&format!("{f}-current")));
-                    let Some(before) = alias.and_then(|a| a.previous.clone()) else {
+                    let alias = registry_state
+                        .alias(&Namespace::All, &parse_name(&format!("{function}-current")));
+                    let Some(previous_version) = alias.and_then(|a| a.previous.clone()) else {
                         continue;
                     };
                     let change = Change::Withdraw {
-                        model: name(f),
-                        name: before,
+                        model: parse_name(function),
+                        name: previous_version,
                     };
                     if let Err(why) = self.change_registry(change).await {
-                        warn!(f, why, "withdrawing a version failed");
+                        warn!(f = function, why, "withdrawing a version failed");
                     }
                 }
             }
             // With named models, only the chunks of their latest versions are damaged, for which there is no other source.
             Kind::StoreDamages
-                if t.functions.len() < self.day.terms.functions.len()
-                    && !t.functions.is_empty() =>
+                if trouble.functions.len() < self.day.terms.functions.len()
+                    && !trouble.functions.is_empty() =>
             {
-                for f in &t.functions {
+                for function in &trouble.functions {
                     self.registry
-                        .damage_model(f, &format!("v{}", self.day.versions));
+                        .damage_model(function, &format!("v{}", self.day.versions));
                 }
-                self.sleep(t.lasts).await;
+                self.sleep(trouble.lasts).await;
                 self.registry.faults.borrow_mut().damaged.clear();
             }
             Kind::StoreDamages => {
-                self.registry.damage(t.part);
-                self.sleep(t.lasts).await;
+                self.registry.damage(trouble.part);
+                self.sleep(trouble.lasts).await;
                 self.registry.faults.borrow_mut().damaged.clear();
             }
             Kind::ZoneCut => {
-                let cut: Vec<u32> = self
+                let cut_invokers: Vec<u32> = self
                     .invokers
                     .values()
-                    .filter(|i| Some(i.config.stated.zone) == t.zone)
-                    .map(|i| i.config.stated.invoker)
+                    .filter(|invoker| Some(invoker.config.stated.zone) == trouble.zone)
+                    .map(|invoker| invoker.config.stated.invoker)
                     .collect();
                 let all = 1..=self.day.terms.deployment.controllers;
-                let beyond: Vec<u32> = all.filter(|c| Some(self.zone_of(*c)) != t.zone).collect();
-                self.fault(&cut, |f| f.partitioned_from.clone_from(&beyond));
-                self.sleep(t.lasts).await;
-                self.fault(&cut, |f| f.partitioned_from.clear());
+                let other_controllers: Vec<u32> = all
+                    .filter(|controller| Some(self.zone_of(*controller)) != trouble.zone)
+                    .collect();
+                self.update_faults(&cut_invokers, |f| {
+                    f.partitioned_from.clone_from(&other_controllers)
+                });
+                self.sleep(trouble.lasts).await;
+                self.update_faults(&cut_invokers, |f| f.partitioned_from.clear());
             }
             Kind::Slow => {
-                affected().for_each(|i| i.update_faults(|_, m| m.slowness = t.times));
-                self.sleep(t.lasts).await;
-                affected().for_each(|i| i.update_faults(|_, m| m.slowness = 1.0));
+                affected()
+                    .for_each(|invoker| invoker.update_faults(|_, m| m.slowness = trouble.times));
+                self.sleep(trouble.lasts).await;
+                affected().for_each(|invoker| invoker.update_faults(|_, m| m.slowness = 1.0));
             }
             Kind::Ageing => {
-                affected().for_each(|i| i.update_faults(|_, m| m.start_ageing(t.times)));
-                self.sleep(t.lasts).await;
-                affected().for_each(|i| i.update_faults(|_, m| m.start_ageing(0.0)));
+                affected().for_each(|invoker| {
+                    invoker.update_faults(|_, m| m.start_ageing(trouble.times))
+                });
+                self.sleep(trouble.lasts).await;
+                affected().for_each(|invoker| invoker.update_faults(|_, m| m.start_ageing(0.0)));
             }
             Kind::Hang => {
-                self.fault(&t.invokers, |f| f.hangs = true);
-                self.sleep(t.lasts).await;
-                self.fault(&t.invokers, |f| f.hangs = false);
+                self.update_faults(&trouble.invokers, |f| f.hangs = true);
+                self.sleep(trouble.lasts).await;
+                self.update_faults(&trouble.invokers, |f| f.hangs = false);
             }
             Kind::FastErrors => {
-                self.fault(&t.invokers, |f| f.error_share = t.part);
-                self.sleep(t.lasts).await;
-                self.fault(&t.invokers, |f| f.error_share = 0.0);
+                self.update_faults(&trouble.invokers, |f| f.error_share = trouble.part);
+                self.sleep(trouble.lasts).await;
+                self.update_faults(&trouble.invokers, |f| f.error_share = 0.0);
             }
             Kind::LateReports => {
-                self.fault(&t.invokers, |f| f.load_report_delay = t.delay);
-                self.sleep(t.lasts).await;
-                self.fault(&t.invokers, |f| f.load_report_delay = 0);
+                self.update_faults(&trouble.invokers, |f| f.load_report_delay = trouble.delay);
+                self.sleep(trouble.lasts).await;
+                self.update_faults(&trouble.invokers, |f| f.load_report_delay = 0);
             }
             Kind::AnswersLost => {
-                self.fault(&t.invokers, |f| f.lost_response_share = t.part);
-                self.sleep(t.lasts).await;
-                self.fault(&t.invokers, |f| f.lost_response_share = 0.0);
+                self.update_faults(&trouble.invokers, |f| f.lost_response_share = trouble.part);
+                self.sleep(trouble.lasts).await;
+                self.update_faults(&trouble.invokers, |f| f.lost_response_share = 0.0);
             }
             Kind::RefusedForRoom => {
-                let tenant = t.tenant.clone().unwrap_or_default();
-                self.fault(&t.invokers, |f| {
-                    f.rejects_tenant = Some((tenant.clone(), t.part))
+                let tenant = trouble.tenant.clone().unwrap_or_default();
+                self.update_faults(&trouble.invokers, |f| {
+                    f.rejects_tenant = Some((tenant.clone(), trouble.part))
                 });
-                self.sleep(t.lasts).await;
-                self.fault(&t.invokers, |f| f.rejects_tenant = None);
+                self.sleep(trouble.lasts).await;
+                self.update_faults(&trouble.invokers, |f| f.rejects_tenant = None);
             }
             Kind::StuckSockets => {
-                self.fault(&t.invokers, |f| f.stops_reading = true);
-                self.sleep(t.lasts).await;
-                self.fault(&t.invokers, |f| f.stops_reading = false);
+                self.update_faults(&trouble.invokers, |f| f.stops_reading = true);
+                self.sleep(trouble.lasts).await;
+                self.update_faults(&trouble.invokers, |f| f.stops_reading = false);
             }
             Kind::HalfFrames => {
-                self.fault(&t.invokers, |f| f.half_frames = true);
-                self.sleep(t.lasts).await;
-                self.fault(&t.invokers, |f| f.half_frames = false);
+                self.update_faults(&trouble.invokers, |f| f.half_frames = true);
+                self.sleep(trouble.lasts).await;
+                self.update_faults(&trouble.invokers, |f| f.half_frames = false);
             }
-            Kind::Flush => affected().for_each(|i| i.flush(t.part)),
+            Kind::Flush => affected().for_each(|invoker| invoker.flush(trouble.part)),
             Kind::StoreSlow => {
-                self.store.slowness.set(t.times);
-                self.registry.slowness.set(t.times);
-                self.sleep(t.lasts).await;
+                self.store.slowness.set(trouble.times);
+                self.registry.slowness.set(trouble.times);
+                self.sleep(trouble.lasts).await;
                 self.store.slowness.set(1.0);
                 self.registry.slowness.set(1.0);
             }
             Kind::StoreRefuses => {
                 // The store of chunks refuses a share of requests, the store of whole models refuses all.
                 let limit = self.store.max_in_flight.replace(0);
-                self.registry.faults.borrow_mut().refuse_share = t.part;
-                self.sleep(t.lasts).await;
+                self.registry.faults.borrow_mut().refuse_share = trouble.part;
+                self.sleep(trouble.lasts).await;
                 self.store.max_in_flight.set(limit);
                 self.registry.faults.borrow_mut().refuse_share = 0.0;
             }
             Kind::LineCut => {
-                self.change_connections(&t, SimulatedNetwork::cut);
-                self.sleep(t.lasts).await;
-                self.change_connections(&t, SimulatedNetwork::heal);
+                self.change_connections(&trouble, SimulatedNetwork::cut);
+                self.sleep(trouble.lasts).await;
+                self.change_connections(&trouble, SimulatedNetwork::heal);
             }
             Kind::LineSlow => {
                 let line = Link {
-                    delay: t.delay,
-                    jitter: t.delay / 2,
+                    delay: trouble.delay,
+                    jitter: trouble.delay / 2,
                 };
-                self.change_connections(&t, |ether, from, to| ether.add_slowdown(from, to, line));
-                self.sleep(t.lasts).await;
-                self.change_connections(&t, |ether, from, to| {
-                    ether.remove_slowdown(from, to, line)
+                self.change_connections(&trouble, |network, from, to| {
+                    network.add_slowdown(from, to, line)
+                });
+                self.sleep(trouble.lasts).await;
+                self.change_connections(&trouble, |network, from, to| {
+                    network.remove_slowdown(from, to, line)
                 });
             }
             Kind::ListLost => {
                 self.list.stop();
-                self.sleep(t.lasts).await;
+                self.sleep(trouble.lasts).await;
                 if let Err(e) = self.list.resume().await {
                     warn!(%e, "endpoint list restart failed");
                 }
             }
             Kind::Deploy => {
-                for batch in t.invokers.chunks(t.batch) {
+                for batch in trouble.invokers.chunks(trouble.batch) {
                     batch
                         .iter()
-                        .for_each(|i| self.publish_life(*i, Life::Draining));
-                    self.sleep(t.delay.max(SECOND)).await;
-                    for i in batch {
-                        self.crash(*i);
-                        self.publish_life(*i, Life::Gone);
+                        .for_each(|invoker| self.publish_life(*invoker, Life::Draining));
+                    self.sleep(trouble.delay.max(SECOND)).await;
+                    for invoker in batch {
+                        self.crash(*invoker);
+                        self.publish_life(*invoker, Life::Gone);
                     }
                     self.sleep(SECOND / 2).await;
-                    for i in batch {
-                        self.restart(*i).await;
+                    for invoker in batch {
+                        self.restart(*invoker).await;
                     }
                     self.sleep(self.day.list_notice).await;
                 }
             }
             Kind::ControllerCrash => {
-                t.controllers.iter().for_each(|c| self.kill_controller(*c));
-                self.sleep(t.lasts).await;
-                t.controllers
+                trouble
+                    .controllers
+                    .iter()
+                    .for_each(|controller| self.kill_controller(*controller));
+                self.sleep(trouble.lasts).await;
+                trouble
+                    .controllers
                     .iter()
-                    .for_each(|c| self.restart_controller(*c));
+                    .for_each(|controller| self.restart_controller(*controller));
             }
             Kind::ControllerRoll => {
-                for batch in t.controllers.chunks(t.batch) {
-                    batch.iter().for_each(|c| self.kill_controller(*c));
-                    self.sleep(t.lasts).await;
-                    batch.iter().for_each(|c| self.restart_controller(*c));
+                for batch in trouble.controllers.chunks(trouble.batch) {
+                    batch
+                        .iter()
+                        .for_each(|controller| self.kill_controller(*controller));
+                    self.sleep(trouble.lasts).await;
+                    batch
+                        .iter()
+                        .for_each(|controller| self.restart_controller(*controller));
                     self.sleep(SECOND).await;
                 }
             }
-            Kind::ControllerStall => t
+            Kind::ControllerStall => trouble
                 .controllers
                 .iter()
-                .for_each(|c| self.stall_controller(*c, t.lasts)),
+                .for_each(|controller| self.stall_controller(*controller, trouble.lasts)),
             Kind::BadInput => self.clients.send_malformed_requests().await,
             // These kinds are applied to the arrivals before the day begins.
             Kind::HotFunction | Kind::HeavyTail | Kind::ClientHangUps | Kind::SlowReaders => {}
@@ -1286,8 +1385,11 @@
         let mut lines = self.record.take();
         for (_, process) in std::mem::take(&mut *self.controllers.borrow_mut()) {
             match process {
-                ControllerProcess::Thread { stop, thread } => {
-                    drop(stop);
+                ControllerProcess::Thread {
+                    stall_sender,
+                    thread,
+                } => {
+                    drop(stall_sender);
                     self.ended_threads.borrow_mut().push(thread);
                 }
                 ControllerProcess::Task { task, .. } => task.abort(),
@@ -1308,9 +1410,9 @@
         {
             self.crash(i);
         }
-        if let Some(names) = &self.names {
-            names.kill_now();
-            lines.push(names.summarize(self.clock.now())?);
+        if let Some(registry_service) = &self.registry_service {
+            registry_service.abort();
+            lines.push(registry_service.summarize(self.clock.now())?);
         }
         if self.day.layers != Layers::Off {
             let requests = self.registry.requests.borrow();
@@ -1320,7 +1422,7 @@
                 from_store,
                 bytes_from_store,
                 damaged,
-            ] = self.layers.get();
+            ] = self.agent_counts.get();
             lines.push(Line::LayerTotals {
                 at: self.clock.now(),
                 chunks: requests.len() as u64,
