--- a/crates/scenario/src/check.rs
+++ b/crates/scenario/src/check.rs
@@ -13,7 +13,7 @@
 /// A thread that stalled for longer than this around the moment in question makes a finding inconclusive.
 pub const DISTURBED: Ticks = 40 * MILLISECOND;
 /// Longest time between writing a line of the record and writing to the socket, on a thread that did not stall.
-const SLACK: Ticks = 20 * MILLISECOND;
+const MAX_WRITE_DELAY: Ticks = 20 * MILLISECOND;
 /// Rule 4: tolerance for random variation, as a share of the bound.
 const COLD_TOLERANCE_SHARE: f64 = 0.1;
 /// Rule 4: additional tolerance, in mean invocations.
@@ -53,9 +53,9 @@
     who: Option<ControllerId>,
     trigger: String,
     timeout: Ticks,
-    finals: Vec<(Ticks, Ticks, Outcome)>,
+    responses: Vec<(Ticks, Ticks, Outcome)>,
     hung_up: bool,
-    cut_off: Option<Ticks>,
+    connection_lost_at: Option<Ticks>,
     reads_slowly: bool,
 }
 
@@ -65,9 +65,9 @@
     earliest: Ticks,
     invoker: u32,
     hop: u8,
-    of: ClientAttempt,
+    client_attempt: ClientAttempt,
     trigger: String,
-    ran: Option<Ticks>,
+    started_at: Option<Ticks>,
     /// When it ended, how, and whether the response was sent to the controller.
     ended: Option<(Ticks, String, bool)>,
     cancelled: bool,
@@ -79,26 +79,26 @@
 
 #[derive(Default)]
 struct Observations {
-    stated: Option<RuleParameters>,
-    tries: BTreeMap<ClientAttempt, AttemptRecord>,
+    rule_parameters: Option<RuleParameters>,
+    attempts: BTreeMap<ClientAttempt, AttemptRecord>,
     /// Dispatches of each invocation, in order of hops.
     dispatches: BTreeMap<(ControllerId, u32), Vec<Dispatch>>,
     /// Executions of each invocation's effect, without those that were dropped as duplicates.
-    runs: BTreeMap<u64, Vec<(Ticks, u32, ClientAttempt)>>,
-    orders: Vec<(Ticks, Ticks, u32, ControllerId, u64)>,
+    effects: BTreeMap<u64, Vec<(Ticks, u32, ClientAttempt)>>,
+    load_orders: Vec<(Ticks, Ticks, u32, ControllerId, u64)>,
     life_updates: BTreeMap<(ControllerId, u32), Vec<LifeUpdate>>,
-    lives: BTreeMap<u32, Vec<(Ticks, bool, bool)>>,
-    killed: BTreeMap<ControllerId, Ticks>,
-    disturbed: Vec<(Ticks, Ticks, String)>,
-    work: BTreeMap<String, (f64, f64)>,
+    invoker_lives: BTreeMap<u32, Vec<(Ticks, bool, bool)>>,
+    killed_controllers: BTreeMap<ControllerId, Ticks>,
+    stalls: Vec<(Ticks, Ticks, String)>,
+    work_by_trigger: BTreeMap<String, (f64, f64)>,
 }
 
 impl Observations {
     fn from_record(lines: &[Line]) -> Self {
-        let mut s = Self::default();
+        let mut observations = Self::default();
         for line in lines {
             match line.clone() {
-                Line::RuleParameters(stated) => s.stated = Some(stated),
+                Line::RuleParameters(parameters) => observations.rule_parameters = Some(parameters),
                 Line::Sent {
                     at,
                     who,
@@ -108,10 +108,14 @@
                     work,
                     ..
                 } => {
-                    let mean = s.work.entry(trigger.clone()).or_default();
+                    let mean = observations
+                        .work_by_trigger
+                        .entry(trigger.clone())
+                        .or_default();
                     *mean = (mean.0 + work as f64, mean.1 + 1.0);
-                    let t = s.tries.entry(of).or_default();
-                    (t.sent, t.who, t.trigger, t.timeout) = (at, Some(who), trigger, timeout);
+                    let attempt = observations.attempts.entry(of).or_default();
+                    (attempt.sent, attempt.who, attempt.trigger, attempt.timeout) =
+                        (at, Some(who), trigger, timeout);
                 }
                 Line::Final {
                     at,
@@ -119,17 +123,26 @@
                     of,
                     how,
                 } => {
-                    s.tries
+                    observations
+                        .attempts
                         .entry(of)
                         .or_default()
-                        .finals
+                        .responses
                         .push((at, earliest, how));
                 }
-                Line::HungUp { of, .. } => s.tries.entry(of).or_default().hung_up = true,
+                Line::HungUp { of, .. } => {
+                    observations.attempts.entry(of).or_default().hung_up = true
+                }
                 Line::ConnectionLost { at, of } => {
-                    s.tries.entry(of).or_default().cut_off = Some(at)
+                    observations
+                        .attempts
+                        .entry(of)
+                        .or_default()
+                        .connection_lost_at = Some(at)
+                }
+                Line::ReadsSlowly { of, .. } => {
+                    observations.attempts.entry(of).or_default().reads_slowly = true
                 }
-                Line::ReadsSlowly { of, .. } => s.tries.entry(of).or_default().reads_slowly = true,
                 Line::Dispatched {
                     at,
                     earliest,
@@ -140,7 +153,8 @@
                     of,
                     trigger,
                 } => {
-                    s.dispatches
+                    observations
+                        .dispatches
                         .entry((who, invocation))
                         .or_default()
                         .push(Dispatch {
@@ -148,9 +162,9 @@
                             earliest,
                             invoker,
                             hop,
-                            of,
+                            client_attempt: of,
                             trigger,
-                            ran: None,
+                            started_at: None,
                             ended: None,
                             cancelled: false,
                         });
@@ -165,11 +179,17 @@
                     repeat,
                     ..
                 } => {
-                    if let Some(d) = s.find(who, invocation, invoker, hop) {
-                        d.ran = Some(at);
+                    if let Some(dispatch) =
+                        observations.find_dispatch(who, invocation, invoker, hop)
+                    {
+                        dispatch.started_at = Some(at);
                     }
                     if !repeat {
-                        s.runs.entry(of.number).or_default().push((at, invoker, of));
+                        observations
+                            .effects
+                            .entry(of.number)
+                            .or_default()
+                            .push((at, invoker, of));
                     }
                 }
                 Line::Ended {
@@ -182,8 +202,10 @@
                     response_sent,
                     ..
                 } => {
-                    if let Some(d) = s.find(who, invocation, invoker, hop) {
-                        d.ended = Some((at, ended, response_sent));
+                    if let Some(dispatch) =
+                        observations.find_dispatch(who, invocation, invoker, hop)
+                    {
+                        dispatch.ended = Some((at, ended, response_sent));
                     }
                 }
                 Line::Cancelled {
@@ -193,8 +215,10 @@
                     hop,
                     ..
                 } => {
-                    if let Some(d) = s.find(who, invocation, invoker, hop) {
-                        d.cancelled = true;
+                    if let Some(dispatch) =
+                        observations.find_dispatch(who, invocation, invoker, hop)
+                    {
+                        dispatch.cancelled = true;
                     }
                 }
                 Line::LoadOrdered {
@@ -205,7 +229,9 @@
                     function,
                     count,
                 } if count > 0 => {
-                    s.orders.push((at, earliest, invoker, who, function));
+                    observations
+                        .load_orders
+                        .push((at, earliest, invoker, who, function));
                 }
                 Line::EndpointSent {
                     at,
@@ -214,11 +240,11 @@
                     life,
                     ..
                 } => {
-                    s.life_updates.entry((who, invoker)).or_default().push((
-                        at,
-                        life == "ready",
-                        life,
-                    ));
+                    observations
+                        .life_updates
+                        .entry((who, invoker))
+                        .or_default()
+                        .push((at, life == "ready", life));
                 }
                 Line::Invoker {
                     at,
@@ -227,25 +253,30 @@
                     cold,
                     ..
                 } => {
-                    s.lives.entry(invoker).or_default().push((at, up, cold));
+                    observations
+                        .invoker_lives
+                        .entry(invoker)
+                        .or_default()
+                        .push((at, up, cold));
                 }
                 Line::Controller { at, who, up: false } => {
-                    s.killed.insert(who, at);
+                    observations.killed_controllers.insert(who, at);
                 }
                 Line::ThreadStalled { at, until, thread } if until > at + DISTURBED => {
-                    s.disturbed.push((at, until, thread));
+                    observations.stalls.push((at, until, thread));
                 }
                 _ => {}
             }
         }
         // A stuck invoker may read an earlier dispatch after a later one was read by another invoker.
-        s.dispatches
+        observations
+            .dispatches
             .values_mut()
-            .for_each(|all| all.sort_by_key(|d| d.hop));
-        s
+            .for_each(|all| all.sort_by_key(|dispatch| dispatch.hop));
+        observations
     }
 
-    fn find(
+    fn find_dispatch(
         &mut self,
         who: ControllerId,
         invocation: u32,
@@ -259,10 +290,12 @@
     }
 
     /// Whether the test driver's thread or this controller's stalled within the time span.
-    fn was_disturbed(&self, who: Option<ControllerId>, from: Ticks, to: Ticks) -> bool {
-        let theirs = who.map(|w| format!("controller-{}", w.controller));
-        self.disturbed.iter().any(|(a, b, thread)| {
-            *a <= to && *b >= from && (thread == "stage" || Some(thread) == theirs.as_ref())
+    fn overlaps_stall(&self, who: Option<ControllerId>, from: Ticks, to: Ticks) -> bool {
+        let controller_thread = who.map(|w| format!("controller-{}", w.controller));
+        self.stalls.iter().any(|(start, end, thread)| {
+            *start <= to
+                && *end >= from
+                && (thread == "stage" || Some(thread) == controller_thread.as_ref())
         })
     }
 }
@@ -287,9 +320,9 @@
 
 /// Judges all five rules. Returns an error if the record does not state the deployment.
 pub fn check(lines: &[Line]) -> Result<Vec<Verdict>, String> {
-    let seen = Observations::from_record(lines);
-    let stated = seen
-        .stated
+    let observations = Observations::from_record(lines);
+    let parameters = observations
+        .rule_parameters
         .clone()
         .ok_or("the record does not state the deployment in its first line")?;
     let rules: [(&str, Rule); 5] = [
@@ -299,19 +332,19 @@
         ("cold invokers are not pushed over", check_cold_invokers),
         ("orders to load are rationed", check_load_budget),
     ];
-    let judge = |(n, (name, rule)): (usize, &(&'static str, Rule))| {
-        let f = rule(&seen, &stated);
-        let state = match (f.broken.is_empty(), f.cannot_tell.is_empty()) {
+    let judge = |(index, (name, rule)): (usize, &(&'static str, Rule))| {
+        let findings = rule(&observations, &parameters);
+        let state = match (findings.broken.is_empty(), findings.cannot_tell.is_empty()) {
             (false, _) => State::Broken,
             (true, false) => State::CannotTell,
             (true, true) => State::Kept,
         };
-        let (broken, cannot_tell) = (f.broken, f.cannot_tell);
+        let (broken, cannot_tell) = (findings.broken, findings.cannot_tell);
         Verdict {
-            rule: n as u8 + 1,
+            rule: index as u8 + 1,
             name,
             state,
-            looked_at: f.looked_at,
+            looked_at: findings.looked_at,
             broken,
             cannot_tell,
         }
@@ -319,22 +352,26 @@
     Ok(rules.iter().enumerate().map(judge).collect())
 }
 
-/// Time after a client hung up during which its invocation may still be dispatched, by the operators' terms.
+/// Time after a client hung up during which its invocation may still be dispatched, as the operators require.
 pub const HANG_UP_GRACE: Ticks = 100 * MILLISECOND;
 
 /// Finds dispatches later than [`HANG_UP_GRACE`] after the client hung up, by their earliest possible arrival time. This
 /// requirement of the platform's days is additional to the five rules.
 pub fn dispatches_after_hang_up(lines: &[Line]) -> Vec<Finding> {
-    let seen = Observations::from_record(lines);
+    let observations = Observations::from_record(lines);
     let mut found = Vec::new();
     for line in lines {
-        let Line::HungUp { at: left, of } = line else {
+        let Line::HungUp { at: hung_up_at, of } = line else {
             continue;
         };
-        let sent_on = seen.dispatches.values().flatten().filter(|d| d.of == *of);
+        let dispatches = observations
+            .dispatches
+            .values()
+            .flatten()
+            .filter(|d| d.client_attempt == *of);
         found.extend(
-            sent_on
-                .filter(|d| d.earliest > left + HANG_UP_GRACE)
+            dispatches
+                .filter(|d| d.earliest > hung_up_at + HANG_UP_GRACE)
                 .map(|d| Finding {
                     at: d.at,
                     text: format!(
@@ -342,7 +379,7 @@
                         of.number,
                         of.attempt,
                         d.invoker,
-                        ms(d.earliest - left)
+                        to_ms(d.earliest - hung_up_at)
                     ),
                 }),
         );
@@ -352,14 +389,16 @@
 
 /// Finds responses whose output no invoker produced for that attempt.
 pub fn mismatched_outputs(lines: &[Line]) -> Vec<Finding> {
-    let mut made = BTreeSet::new();
+    let mut produced = BTreeSet::new();
     let mut found = Vec::new();
     for line in lines {
         match line {
             Line::OutputProduced { of, output, .. } => {
-                made.insert((*of, output.as_str()));
+                produced.insert((*of, output.as_str()));
             }
-            Line::OutputReceived { at, of, output } if !made.contains(&(*of, output.as_str())) => {
+            Line::OutputReceived { at, of, output }
+                if !produced.contains(&(*of, output.as_str())) =>
+            {
                 let text = format!(
                     "invocation {}.{} was answered '{output}', made for another",
                     of.number, of.attempt
@@ -372,61 +411,63 @@
     found
 }
 
-fn ms(t: Ticks) -> f64 {
+fn to_ms(t: Ticks) -> f64 {
     t as f64 / MILLISECOND as f64
 }
 
-fn check_single_response(seen: &Observations, _: &RuleParameters) -> Findings {
+fn check_single_response(observations: &Observations, _: &RuleParameters) -> Findings {
     let mut findings = Findings::default();
-    for (of, t) in &seen.tries {
-        let Some(who) = t.who else { continue };
+    for (of, attempt) in &observations.attempts {
+        let Some(who) = attempt.who else { continue };
         findings.looked_at += 1;
         let name = format!(
             "invocation {}.{} at controller {}",
             of.number, of.attempt, who.controller
         );
-        let deadline = t.sent + t.timeout;
-        if t.finals.len() > 1 {
-            let all: Vec<String> = t
-                .finals
+        let deadline = attempt.sent + attempt.timeout;
+        if attempt.responses.len() > 1 {
+            let responses: Vec<String> = attempt
+                .responses
                 .iter()
-                .map(|(at, _, how)| format!("{how:?} at {} ms", ms(*at)))
+                .map(|(at, _, how)| format!("{how:?} at {} ms", to_ms(*at)))
                 .collect();
             findings.add(
                 true,
-                t.finals[1].0,
-                format!("{name} got {}", all.join(" and ")),
+                attempt.responses[1].0,
+                format!("{name} got {}", responses.join(" and ")),
             );
         }
-        let killed = seen
-            .killed
+        let killed = observations
+            .killed_controllers
             .get(&who)
-            .is_some_and(|at| *at <= deadline + SLACK);
-        match t.finals.first() {
+            .is_some_and(|at| *at <= deadline + MAX_WRITE_DELAY);
+        match attempt.responses.first() {
             // A late read by a slow reader proves nothing; an earliest possible arrival after the timeout is certain.
-            Some((at, earliest, _)) if *earliest > deadline && !t.reads_slowly => {
-                let certain = !seen.was_disturbed(Some(who), t.sent, *at);
+            Some((at, earliest, _)) if *earliest > deadline && !attempt.reads_slowly => {
+                let certain = !observations.overlaps_stall(Some(who), attempt.sent, *at);
                 findings.add(
                     certain,
                     *at,
                     format!(
                         "{name}, sent at {} ms, was answered {} ms after its client timeout",
-                        ms(t.sent),
-                        ms(earliest - deadline)
+                        to_ms(attempt.sent),
+                        to_ms(earliest - deadline)
                     ),
                 );
             }
             Some(_) => {}
-            None if t.hung_up
-                || t.cut_off.is_some_and(|at| killed && at <= deadline + SLACK)
+            None if attempt.hung_up
+                || attempt
+                    .connection_lost_at
+                    .is_some_and(|at| killed && at <= deadline + MAX_WRITE_DELAY)
                 || killed => {}
             None => {
-                let certain = !seen.was_disturbed(
+                let certain = !observations.overlaps_stall(
                     Some(who),
-                    deadline.saturating_sub(t.timeout / 4 + DISTURBED),
+                    deadline.saturating_sub(attempt.timeout / 4 + DISTURBED),
                     deadline + DISTURBED,
-                ) && !t.reads_slowly;
-                let how = if t.cut_off.is_some() {
+                ) && !attempt.reads_slowly;
+                let how = if attempt.connection_lost_at.is_some() {
                     "was cut off"
                 } else {
                     "got no answer"
@@ -436,8 +477,8 @@
                     deadline,
                     format!(
                         "{name}, sent at {} ms with {} ms to go, {how}",
-                        ms(t.sent),
-                        ms(t.timeout)
+                        to_ms(attempt.sent),
+                        to_ms(attempt.timeout)
                     ),
                 );
             }
@@ -446,25 +487,30 @@
     findings
 }
 
-fn check_no_double_effect(seen: &Observations, stated: &RuleParameters) -> Findings {
+fn check_no_double_effect(observations: &Observations, parameters: &RuleParameters) -> Findings {
     let mut findings = Findings::default();
-    let trigger = |name: &str| stated.triggers.iter().find(|t| t.name == name);
-    let place = |invoker: u32| stated.places.iter().find(|p| p.invoker == invoker);
-    for (of, t) in &seen.tries {
-        let Some(terms) = trigger(&t.trigger).filter(|t| t.effect != "idempotent") else {
+    let trigger = |name: &str| parameters.triggers.iter().find(|t| t.name == name);
+    let invoker_info = |invoker: u32| parameters.places.iter().find(|p| p.invoker == invoker);
+    for (of, attempt) in &observations.attempts {
+        let Some(trigger_type) = trigger(&attempt.trigger).filter(|t| t.effect != "idempotent")
+        else {
             continue;
         };
         findings.looked_at += 1;
-        let runs = seen
-            .runs
+        let runs = observations
+            .effects
             .get(&of.number)
             .map(Vec::as_slice)
             .unwrap_or_default();
         if of.attempt == 0 && runs.len() > 1 {
-            let all: Vec<String> = runs
+            let executions: Vec<String> = runs
                 .iter()
                 .map(|(at, invoker, of)| {
-                    format!("invoker {invoker} at {} ms (try {})", ms(*at), of.attempt)
+                    format!(
+                        "invoker {invoker} at {} ms (try {})",
+                        to_ms(*at),
+                        of.attempt
+                    )
                 })
                 .collect();
             findings.add(
@@ -472,78 +518,84 @@
                 runs[1].0,
                 format!(
                     "{} invocation {} took effect at {}",
-                    terms.effect,
+                    trigger_type.effect,
                     of.number,
-                    all.join(" and ")
+                    executions.join(" and ")
                 ),
             );
         }
         let ran = runs.iter().find(|(.., by)| by == of);
-        let throttled = t.finals.iter().find(|(.., how)| *how == Outcome::Throttled);
+        let throttled = attempt
+            .responses
+            .iter()
+            .find(|(.., how)| *how == Outcome::Throttled);
         if let (Some((ran, invoker, _)), Some((at, ..))) = (ran, throttled)
-            && (terms.effect == "non-idempotent" || terms.scope != "all")
+            && (trigger_type.effect == "non-idempotent" || trigger_type.scope != "all")
         {
             let text = format!(
                 "{} invocation {}.{} ran on invoker {invoker} at {} ms and was throttled",
-                terms.effect,
+                trigger_type.effect,
                 of.number,
                 of.attempt,
-                ms(*ran)
+                to_ms(*ran)
             );
             findings.add(true, *at, text);
         }
     }
-    for ((who, invocation), all) in &seen.dispatches {
-        for (i, later) in all.iter().enumerate().skip(1) {
+    for ((who, invocation), dispatches) in &observations.dispatches {
+        for (i, later) in dispatches.iter().enumerate().skip(1) {
             findings.looked_at += 1;
-            let Some(terms) = trigger(&later.trigger) else {
+            let Some(trigger_type) = trigger(&later.trigger) else {
                 continue;
             };
-            for earlier in &all[..i] {
+            for earlier in &dispatches[..i] {
                 let name = format!(
                     "invocation {}.{} (number {invocation} of controller {}): dispatch {} came to invoker {} at {} ms",
-                    later.of.number,
-                    later.of.attempt,
+                    later.client_attempt.number,
+                    later.client_attempt.attempt,
                     who.controller,
                     later.hop,
                     later.invoker,
-                    ms(later.at)
+                    to_ms(later.at)
                 );
                 let before = format!(
                     "dispatch {} had come to invoker {} at {} ms",
                     earlier.hop,
                     earlier.invoker,
-                    ms(earlier.at)
+                    to_ms(earlier.at)
                 );
                 let ended = earlier
                     .ended
                     .as_ref()
                     .filter(|(at, _, response_sent)| *response_sent && *at <= later.at);
                 let never_ran = ended.is_some_and(|(_, how, _)| how == "full" || how == "miss");
-                let certain = !seen.was_disturbed(Some(*who), earlier.at, later.at);
-                if !never_ran && terms.effect == "non-idempotent" {
+                let certain = !observations.overlaps_stall(Some(*who), earlier.at, later.at);
+                if !never_ran && trigger_type.effect == "non-idempotent" {
                     findings.add(
                         true,
                         later.at,
                         format!("non-idempotent {name}, though {before}"),
                     );
                 }
-                if !never_ran && terms.effect == "tokened" {
-                    let group = |w: u32| {
-                        place(w).map(|p| match terms.scope.as_str() {
+                if !never_ran && trigger_type.effect == "tokened" {
+                    let scope_group = |invoker: u32| {
+                        invoker_info(invoker).map(|p| match trigger_type.scope.as_str() {
                             "all" => (0, 0),
                             "zone" => (p.zone, 0),
                             _ => (p.zone, p.cell),
                         })
                     };
-                    if group(earlier.invoker) != group(later.invoker) {
+                    if scope_group(earlier.invoker) != scope_group(later.invoker) {
                         findings.add(
                             true,
                             later.at,
-                            format!("tokened {name}, outside the {} where {before}", terms.scope),
+                            format!(
+                                "tokened {name}, outside the {} where {before}",
+                                trigger_type.scope
+                            ),
                         );
                     }
-                    if later.earliest > earlier.at + terms.repeat_window + SLACK {
+                    if later.earliest > earlier.at + trigger_type.repeat_window + MAX_WRITE_DELAY {
                         findings.add(
                             certain,
                             later.at,
@@ -553,11 +605,14 @@
                 }
                 // A result on the same connection after the later dispatch arrived, without a cancel, proves that the earlier
                 // attempt was still in flight.
-                let still_in_flight = earlier
-                    .ended
-                    .as_ref()
-                    .is_some_and(|(at, _, response_sent)| *response_sent && *at > later.at + SLACK);
-                if still_in_flight && !earlier.cancelled && !stated.parallel_dispatches {
+                let still_in_flight =
+                    earlier
+                        .ended
+                        .as_ref()
+                        .is_some_and(|(at, _, response_sent)| {
+                            *response_sent && *at > later.at + MAX_WRITE_DELAY
+                        });
+                if still_in_flight && !earlier.cancelled && !parameters.parallel_dispatches {
                     findings.add(
                         certain,
                         later.at,
@@ -570,21 +625,24 @@
     findings
 }
 
-fn check_drains(seen: &Observations, stated: &RuleParameters) -> Findings {
+fn check_drains(observations: &Observations, parameters: &RuleParameters) -> Findings {
     let mut findings = Findings::default();
-    let dispatches = seen.dispatches.iter().flat_map(|((who, inv), all)| {
-        all.iter().map(move |d| {
-            (
-                d.at,
-                d.earliest,
-                d.invoker,
-                *who,
-                format!("dispatch {} of invocation {inv}", d.hop),
-            )
-        })
-    });
-    let orders = seen
-        .orders
+    let dispatches = observations
+        .dispatches
+        .iter()
+        .flat_map(|((who, invocation), dispatches)| {
+            dispatches.iter().map(move |dispatch| {
+                (
+                    dispatch.at,
+                    dispatch.earliest,
+                    dispatch.invoker,
+                    *who,
+                    format!("dispatch {} of invocation {invocation}", dispatch.hop),
+                )
+            })
+        });
+    let orders = observations
+        .load_orders
         .iter()
         .map(|(at, earliest, invoker, who, function)| {
             (
@@ -595,86 +653,89 @@
                 format!("an order to load {function:x}"),
             )
         });
-    for (at, earliest, invoker, who, what) in dispatches.chain(orders) {
+    for (at, earliest, invoker, who, frame) in dispatches.chain(orders) {
         findings.looked_at += 1;
-        let updates = seen
+        let updates = observations
             .life_updates
             .get(&(who, invoker))
             .map(Vec::as_slice)
             .unwrap_or_default();
         // The latest update that was older than the grace when this frame arrived, if no ready update followed.
-        let expired = updates
-            .iter()
-            .rposition(|(t, ..)| t + stated.drain_grace + SLACK < earliest);
+        let expired = updates.iter().rposition(|(updated_at, ..)| {
+            updated_at + parameters.drain_grace + MAX_WRITE_DELAY < earliest
+        });
         let Some(expired) = expired else { continue };
         let ready_again = updates[expired..]
             .iter()
-            .any(|(t, ready, _)| *ready && *t <= at);
+            .any(|(updated_at, ready, _)| *ready && *updated_at <= at);
         if !ready_again {
             // The grace starts with the first of consecutive updates that are not ready.
             let first = updates[..=expired]
                 .iter()
                 .rposition(|(_, ready, _)| *ready)
                 .map_or(0, |r| r + 1);
-            let (t, _, life) = &updates[first];
-            let certain = !seen.was_disturbed(Some(who), *t, at);
-            let late = ms(earliest.saturating_sub(*t));
-            findings.add(certain, at, format!("{what} of controller {} came to invoker {invoker} at {} ms, {late} ms after the controller was told it was {life}", who.controller, ms(at)));
+            let (updated_at, _, life) = &updates[first];
+            let certain = !observations.overlaps_stall(Some(who), *updated_at, at);
+            let late = to_ms(earliest.saturating_sub(*updated_at));
+            findings.add(certain, at, format!("{frame} of controller {} came to invoker {invoker} at {} ms, {late} ms after the controller was told it was {life}", who.controller, to_ms(at)));
         }
     }
     findings
 }
 
-fn check_cold_invokers(seen: &Observations, stated: &RuleParameters) -> Findings {
+fn check_cold_invokers(observations: &Observations, parameters: &RuleParameters) -> Findings {
     let mut findings = Findings::default();
     let mean = |trigger: &str| {
-        seen.work
+        observations
+            .work_by_trigger
             .get(trigger)
-            .map_or(0.0, |(sum, n)| sum / n.max(1.0))
+            .map_or(0.0, |(sum, count)| sum / count.max(1.0))
     };
     let mut sent: BTreeMap<u32, Vec<(Ticks, f64)>> = BTreeMap::new();
-    for d in seen.dispatches.values().flatten() {
-        sent.entry(d.invoker)
+    for dispatch in observations.dispatches.values().flatten() {
+        sent.entry(dispatch.invoker)
             .or_default()
-            .push((d.at, mean(&d.trigger)));
+            .push((dispatch.at, mean(&dispatch.trigger)));
     }
     sent.values_mut()
-        .for_each(|all| all.sort_by_key(|(at, _)| *at));
-    for (invoker, lives) in &seen.lives {
-        let pace = stated
+        .for_each(|dispatches| dispatches.sort_by_key(|(at, _)| *at));
+    for (invoker, lives) in &observations.invoker_lives {
+        let pace = parameters
             .places
             .iter()
             .find(|p| p.invoker == *invoker)
             .map_or(1.0, |p| p.pace);
-        for (n, (start, up, is_cold)) in lives.iter().enumerate() {
+        for (index, (start, up, is_cold)) in lives.iter().enumerate() {
             if !up || !is_cold {
                 continue;
             }
-            let end = lives[n + 1..]
+            let end = lives[index + 1..]
                 .iter()
                 .find(|l| !l.1)
                 .map_or(Ticks::MAX, |l| l.0)
-                .min(start + stated.cold_time);
-            let all = sent.get(invoker).map(Vec::as_slice).unwrap_or_default();
-            let life: Vec<(Ticks, f64)> = all
+                .min(start + parameters.cold_time);
+            let dispatches = sent.get(invoker).map(Vec::as_slice).unwrap_or_default();
+            let dispatches_in_life: Vec<(Ticks, f64)> = dispatches
                 .iter()
                 .filter(|(at, _)| at >= start && *at < end)
                 .copied()
                 .collect();
-            for (i, (at, work)) in life.iter().enumerate() {
+            for (i, (at, work)) in dispatches_in_life.iter().enumerate() {
                 findings.looked_at += 1;
-                let from = at.saturating_sub(stated.tip_window);
-                let sum: f64 = life[..=i]
+                let from = at.saturating_sub(parameters.tip_window);
+                let sum: f64 = dispatches_in_life[..=i]
                     .iter()
                     .filter(|(t, _)| *t > from)
                     .map(|(_, w)| w)
                     .sum();
-                let age = (at - start) as f64 / stated.cold_time.max(1) as f64;
-                let risen = (stated.cold_share + (1.0 - stated.cold_share) * age).min(1.0);
-                let bound = stated.tip_factor * risen * pace * stated.tip_window as f64;
+                let age = (at - start) as f64 / parameters.cold_time.max(1) as f64;
+                let capacity_share =
+                    (parameters.cold_share + (1.0 - parameters.cold_share) * age).min(1.0);
+                let bound =
+                    parameters.tip_factor * capacity_share * pace * parameters.tip_window as f64;
                 if sum > bound * (1.0 + COLD_TOLERANCE_SHARE) + COLD_TOLERANCE_INVOCATIONS * work {
-                    let certain = !seen.was_disturbed(None, from, *at);
-                    findings.add(certain, *at, format!("invoker {invoker}, up since {} ms, was sent {} ms of work within {} ms up to {} ms; {} ms would be its bound", ms(*start), ms(sum as Ticks), ms(stated.tip_window), ms(*at), ms(bound as Ticks)));
+                    let certain = !observations.overlaps_stall(None, from, *at);
+                    findings.add(certain, *at, format!("invoker {invoker}, up since {} ms, was sent {} ms of work within {} ms up to {} ms; {} ms would be its bound", to_ms(*start), to_ms(sum as Ticks), to_ms(parameters.tip_window), to_ms(*at), to_ms(bound as Ticks)));
                 }
             }
         }
@@ -682,25 +743,29 @@
     findings
 }
 
-fn check_load_budget(seen: &Observations, stated: &RuleParameters) -> Findings {
+fn check_load_budget(observations: &Observations, parameters: &RuleParameters) -> Findings {
     let mut findings = Findings::default();
-    if stated.order_window == 0 {
+    if parameters.order_window == 0 {
         return findings;
     }
-    let all: BTreeSet<ControllerId> = seen.orders.iter().map(|o| o.3).collect();
-    for who in all {
-        let mut orders: Vec<(Ticks, Ticks)> = seen
-            .orders
+    let controllers: BTreeSet<ControllerId> = observations
+        .load_orders
+        .iter()
+        .map(|order| order.3)
+        .collect();
+    for who in controllers {
+        let mut orders: Vec<(Ticks, Ticks)> = observations
+            .load_orders
             .iter()
-            .filter(|o| o.3 == who)
-            .map(|o| (o.1, o.0))
+            .filter(|order| order.3 == who)
+            .map(|order| (order.1, order.0))
             .collect();
         orders.sort_unstable();
-        let mut sent: Vec<Ticks> = seen
-            .tries
+        let mut sent: Vec<Ticks> = observations
+            .attempts
             .values()
-            .filter(|t| t.who == Some(who))
-            .map(|t| t.sent)
+            .filter(|attempt| attempt.who == Some(who))
+            .map(|attempt| attempt.sent)
             .collect();
         sent.sort_unstable();
         for (i, (earliest, at)) in orders.iter().enumerate() {
@@ -708,15 +773,17 @@
             // Load orders that certainly lie within one window, against all invocations that may have been received in it.
             let within = orders[..=i]
                 .iter()
-                .filter(|(e, _)| e + stated.order_window > *at + SLACK)
+                .filter(|(order_earliest, _)| {
+                    order_earliest + parameters.order_window > *at + MAX_WRITE_DELAY
+                })
                 .count();
-            let from = earliest.saturating_sub(stated.order_window + SLACK);
-            let taken =
-                sent.partition_point(|t| *t <= at + SLACK) - sent.partition_point(|t| *t < from);
-            let most = stated.orders_free + stated.orders_share * taken as f64;
-            if within as f64 > most + 1e-9 {
-                let certain = !seen.was_disturbed(Some(who), from, *at);
-                findings.add(certain, *at, format!("controller {} sent {within} orders to load within {} ms up to {} ms, with {taken} invocations taken: {most:.1} are allowed", who.controller, ms(stated.order_window), ms(*at)));
+            let from = earliest.saturating_sub(parameters.order_window + MAX_WRITE_DELAY);
+            let received = sent.partition_point(|sent_at| *sent_at <= at + MAX_WRITE_DELAY)
+                - sent.partition_point(|sent_at| *sent_at < from);
+            let budget = parameters.orders_free + parameters.orders_share * received as f64;
+            if within as f64 > budget + 1e-9 {
+                let certain = !observations.overlaps_stall(Some(who), from, *at);
+                findings.add(certain, *at, format!("controller {} sent {within} orders to load within {} ms up to {} ms, with {received} invocations taken: {budget:.1} are allowed", who.controller, to_ms(parameters.order_window), to_ms(*at)));
             }
         }
     }
