--- a/crates/scenario/src/summary.rs
+++ b/crates/scenario/src/summary.rs
@@ -103,10 +103,10 @@
 struct InvocationRecord {
     tenant: String,
     trigger: String,
-    first: Ticks,
-    last: u32,
-    took: Option<Ticks>,
-    how: Option<Outcome>,
+    first_sent: Ticks,
+    last_attempt: u32,
+    duration: Option<Ticks>,
+    outcome: Option<Outcome>,
     hung_up: bool,
 }
 
@@ -120,21 +120,32 @@
 
 /// Summarizes a record.
 pub fn summarize(day: &str, lines: &[Line], rules: Vec<Verdict>) -> Summary {
-    let mut all: BTreeMap<u64, InvocationRecord> = BTreeMap::new();
+    let mut invocations: BTreeMap<u64, InvocationRecord> = BTreeMap::new();
     let mut moves = None;
     let (mut copies, mut unsound) = (0, 0);
     let (mut loads, mut layers) = (Loads::default(), None);
-    let mut value: BTreeMap<String, f64> = BTreeMap::new();
+    let mut billed_values: BTreeMap<String, f64> = BTreeMap::new();
     let mut load_times = Histogram::<u64>::new(3).expect("three digits are allowed");
-    let (mut tries, mut objective, mut start) = (TryCounts::default(), BTreeMap::new(), Ticks::MAX);
+    let (mut tries, mut objectives, mut start) =
+        (TryCounts::default(), BTreeMap::new(), Ticks::MAX);
     let mut fates: BTreeMap<ClientAttempt, u8> = BTreeMap::new();
     let mut killed = BTreeMap::new();
-    let mut whose = BTreeMap::new();
+    let mut controllers = BTreeMap::new();
     for line in lines {
         match line {
-            Line::RuleParameters(s) => {
-                objective.extend(s.triggers.iter().map(|t| (t.name.clone(), t.objective)));
-                value.extend(s.triggers.iter().map(|t| (t.name.clone(), t.billed_value)));
+            Line::RuleParameters(parameters) => {
+                objectives.extend(
+                    parameters
+                        .triggers
+                        .iter()
+                        .map(|t| (t.name.clone(), t.objective)),
+                );
+                billed_values.extend(
+                    parameters
+                        .triggers
+                        .iter()
+                        .map(|t| (t.name.clone(), t.billed_value)),
+                );
             }
             Line::Sent {
                 at,
@@ -147,24 +158,29 @@
                 start = start.min(*at);
                 tries.sent += 1;
                 fates.entry(*of).or_insert(0);
-                whose.insert(*of, *who);
-                let one = all.entry(of.number).or_default();
-                if one.last == 0 && one.first == 0 {
-                    (one.tenant, one.trigger, one.first) = (tenant.clone(), trigger.clone(), *at);
+                controllers.insert(*of, *who);
+                let invocation = invocations.entry(of.number).or_default();
+                if invocation.last_attempt == 0 && invocation.first_sent == 0 {
+                    (invocation.tenant, invocation.trigger, invocation.first_sent) =
+                        (tenant.clone(), trigger.clone(), *at);
                 }
-                (one.last, one.how, one.took) = (of.attempt, None, None);
+                (
+                    invocation.last_attempt,
+                    invocation.outcome,
+                    invocation.duration,
+                ) = (of.attempt, None, None);
             }
             Line::Final { at, of, how, .. } => {
                 fates.insert(*of, 1);
-                let one = all.entry(of.number).or_default();
-                if of.attempt == one.last {
-                    one.how = Some(*how);
-                    one.took = Some(at - one.first.min(*at));
+                let invocation = invocations.entry(of.number).or_default();
+                if of.attempt == invocation.last_attempt {
+                    invocation.outcome = Some(*how);
+                    invocation.duration = Some(at - invocation.first_sent.min(*at));
                 }
             }
             Line::HungUp { of, .. } => {
                 fates.insert(*of, 2);
-                all.entry(of.number).or_default().hung_up = true;
+                invocations.entry(of.number).or_default().hung_up = true;
             }
             Line::Controller { at, who, up: false } => drop(killed.insert(*who, *at)),
             Line::Loaded { took, ok: true, .. } => {
@@ -195,12 +211,12 @@
                 });
             }
             Line::RegistryTotals {
-                moves: m,
+                moves: alias_moves,
                 stages_well,
                 stages_stopped,
                 ..
             } => {
-                moves = Some((*m, *stages_well, *stages_stopped));
+                moves = Some((*alias_moves, *stages_well, *stages_stopped));
             }
             Line::CopyAssembled {
                 matches_model: sound,
@@ -222,35 +238,39 @@
         match fate {
             1 => tries.answered += 1,
             2 => tries.hung_up += 1,
-            _ if killed.contains_key(&whose[of]) => tries.lost_with_a_killed_controller += 1,
+            _ if killed.contains_key(&controllers[of]) => tries.lost_with_a_killed_controller += 1,
             _ => tries.unanswered += 1,
         }
     }
-    let in_time = |one: &InvocationRecord| {
-        let most = objective.get(&one.trigger).copied().unwrap_or(Ticks::MAX);
-        one.how == Some(Outcome::Succeeded) && one.took.is_some_and(|t| t <= most)
+    let in_time = |invocation: &InvocationRecord| {
+        let objective = objectives
+            .get(&invocation.trigger)
+            .copied()
+            .unwrap_or(Ticks::MAX);
+        invocation.outcome == Some(Outcome::Succeeded)
+            && invocation.duration.is_some_and(|t| t <= objective)
     };
     let mut rows: BTreeMap<(String, String), (Row, Histogram<u64>)> = BTreeMap::new();
-    for one in all.values() {
+    for invocation in invocations.values() {
         let (row, times) = rows
-            .entry((one.tenant.clone(), one.trigger.clone()))
+            .entry((invocation.tenant.clone(), invocation.trigger.clone()))
             .or_insert_with(|| {
                 let row = Row {
-                    tenant: one.tenant.clone(),
-                    trigger: one.trigger.clone(),
+                    tenant: invocation.tenant.clone(),
+                    trigger: invocation.trigger.clone(),
                     ..Default::default()
                 };
                 (row, Histogram::new(3).expect("three digits are allowed"))
             });
         row.taken += 1;
-        match (one.how, one.hung_up) {
+        match (invocation.outcome, invocation.hung_up) {
             (Some(Outcome::Succeeded), _) => {
-                if in_time(one) {
+                if in_time(invocation) {
                     row.succeeded += 1
                 } else {
                     row.late += 1
                 }
-                *times += one.took.unwrap_or(0).max(1);
+                *times += invocation.duration.unwrap_or(0).max(1);
             }
             (Some(Outcome::Throttled), _) => row.throttled += 1,
             (Some(Outcome::Errored), _) => row.errored += 1,
@@ -259,14 +279,17 @@
         }
     }
     let rows = rows.into_values().map(|(row, times)| {
-        let at = |q: f64| times.value_at_quantile(q) as f64 / MILLISECOND as f64;
+        let at = |quantile: f64| times.value_at_quantile(quantile) as f64 / MILLISECOND as f64;
         Row {
             p50_ms: at(0.5),
             p99_ms: at(0.99),
             ..row
         }
     });
-    let not_hung_up: Vec<&InvocationRecord> = all.values().filter(|one| !one.hung_up).collect();
+    let not_hung_up: Vec<&InvocationRecord> = invocations
+        .values()
+        .filter(|invocation| !invocation.hung_up)
+        .collect();
     let mut troubles = Vec::new();
     let mut spans = Vec::new();
     for line in lines {
@@ -276,28 +299,45 @@
         spans.push((*at, *until));
         let during: Vec<&&InvocationRecord> = not_hung_up
             .iter()
-            .filter(|o| o.first >= *at && o.first < (*until).max(at + 10_000))
+            .filter(|invocation| {
+                invocation.first_sent >= *at && invocation.first_sent < (*until).max(at + 10_000)
+            })
             .collect();
         troubles.push(TroubleOutcome {
             at_ms: at.saturating_sub(start) as f64 / MILLISECOND as f64,
             lasts_ms: until.saturating_sub(*at) as f64 / MILLISECOND as f64,
             what: text.clone(),
             invocations: during.len(),
-            in_time: share(during.iter().filter(|o| in_time(o)).count(), during.len()),
+            in_time: share(
+                during
+                    .iter()
+                    .filter(|invocation| in_time(invocation))
+                    .count(),
+                during.len(),
+            ),
         });
     }
-    let billed_value = |one: &&InvocationRecord| value.get(&one.trigger).copied().unwrap_or(1.0);
+    let billed_value = |invocation: &&InvocationRecord| {
+        billed_values
+            .get(&invocation.trigger)
+            .copied()
+            .unwrap_or(1.0)
+    };
     let offered: f64 = not_hung_up.iter().map(billed_value).sum();
     let earned: f64 = not_hung_up
         .iter()
-        .filter(|o| in_time(o))
+        .filter(|invocation| in_time(invocation))
         .map(billed_value)
         .sum();
     let calm: Vec<&&InvocationRecord> = not_hung_up
         .iter()
-        .filter(|o| spans.iter().all(|(a, b)| o.first < *a || o.first >= *b))
+        .filter(|invocation| {
+            spans
+                .iter()
+                .all(|(a, b)| invocation.first_sent < *a || invocation.first_sent >= *b)
+        })
         .collect();
-    let at = |q: f64| load_times.value_at_quantile(q) as f64 / MILLISECOND as f64;
+    let at = |quantile: f64| load_times.value_at_quantile(quantile) as f64 / MILLISECOND as f64;
     (loads.p50_ms, loads.p99_ms) = (at(0.5), at(0.99));
     Summary {
         loads,
@@ -306,9 +346,15 @@
         passages: crate::passages::look(lines).map(|p| (p.passages, p.longer, p.mixed)),
         day: day.into(),
         rows: rows.collect(),
-        in_time_calm: share(calm.iter().filter(|o| in_time(o)).count(), calm.len()),
+        in_time_calm: share(
+            calm.iter().filter(|invocation| in_time(invocation)).count(),
+            calm.len(),
+        ),
         in_time: share(
-            not_hung_up.iter().filter(|o| in_time(o)).count(),
+            not_hung_up
+                .iter()
+                .filter(|invocation| in_time(invocation))
+                .count(),
             not_hung_up.len(),
         ),
         value_in_time: earned / offered.max(1e-9),
@@ -319,15 +365,16 @@
 }
 
 fn new_table(head: &[&str]) -> Table {
-    let mut t = Table::new();
-    t.load_preset(presets::UTF8_HORIZONTAL_ONLY)
+    let mut table = Table::new();
+    table
+        .load_preset(presets::UTF8_HORIZONTAL_ONLY)
         .set_header(head.to_vec());
-    t
+    table
 }
 
-fn align_right_from(t: &mut Table, column: usize) {
-    for c in t.column_iter_mut().skip(column) {
-        c.set_cell_alignment(CellAlignment::Right);
+fn align_right_from(table: &mut Table, first_column: usize) {
+    for column in table.column_iter_mut().skip(first_column) {
+        column.set_cell_alignment(CellAlignment::Right);
     }
 }
 
@@ -343,7 +390,7 @@
 
     /// Renders the summary as tables.
     pub fn text(&self) -> String {
-        let mut t = new_table(&[
+        let mut table = new_table(&[
             "tenant",
             "trigger type",
             "taken",
@@ -356,75 +403,75 @@
             "p50 ms",
             "p99 ms",
         ]);
-        for r in &self.rows {
+        for row in &self.rows {
             let counts = [
-                r.taken,
-                r.succeeded,
-                r.late,
-                r.throttled,
-                r.errored,
-                r.hung_up,
-                r.lost,
+                row.taken,
+                row.succeeded,
+                row.late,
+                row.throttled,
+                row.errored,
+                row.hung_up,
+                row.lost,
             ];
-            let mut row = vec![r.tenant.clone(), r.trigger.clone()];
-            row.extend(counts.iter().map(ToString::to_string));
-            row.extend([format!("{:.0}", r.p50_ms), format!("{:.0}", r.p99_ms)]);
-            t.add_row(row);
+            let mut cells = vec![row.tenant.clone(), row.trigger.clone()];
+            cells.extend(counts.iter().map(ToString::to_string));
+            cells.extend([format!("{:.0}", row.p50_ms), format!("{:.0}", row.p99_ms)]);
+            table.add_row(cells);
         }
-        align_right_from(&mut t, 2);
-        let mut out = format!("{}\n{t}\n", self.day);
+        align_right_from(&mut table, 2);
+        let mut out = format!("{}\n{table}\n", self.day);
         if !self.troubles.is_empty() {
-            let mut t = new_table(&["at s", "lasts s", "trouble", "invocations", "in time"]);
-            for s in &self.troubles {
-                t.add_row(vec![
-                    format!("{:.1}", s.at_ms / 1e3),
-                    format!("{:.1}", s.lasts_ms / 1e3),
-                    s.what.clone(),
-                    s.invocations.to_string(),
-                    format!("{:.1}%", 100.0 * s.in_time),
+            let mut table = new_table(&["at s", "lasts s", "trouble", "invocations", "in time"]);
+            for trouble in &self.troubles {
+                table.add_row(vec![
+                    format!("{:.1}", trouble.at_ms / 1e3),
+                    format!("{:.1}", trouble.lasts_ms / 1e3),
+                    trouble.what.clone(),
+                    trouble.invocations.to_string(),
+                    format!("{:.1}%", 100.0 * trouble.in_time),
                 ]);
             }
-            align_right_from(&mut t, 3);
+            align_right_from(&mut table, 3);
             out += &format!(
-                "{t}\nin time while calm {:.1}%, ",
+                "{table}\nin time while calm {:.1}%, ",
                 100.0 * self.in_time_calm
             );
         }
-        let n = &self.tries;
+        let tries = &self.tries;
         out += &format!(
             "over the day {:.1}%, by billed value {:.1}%\n{} tries: {} answered, {} hung up, {} lost with a killed controller, {} unanswered\n\
              {} dispatches, {} orders to load, {} fetches ({} refused)\n",
             100.0 * self.in_time,
             100.0 * self.value_in_time,
-            n.sent,
-            n.answered,
-            n.hung_up,
-            n.lost_with_a_killed_controller,
-            n.unanswered,
-            n.dispatches,
-            n.orders_to_load,
-            n.fetches,
-            n.fetches_refused,
+            tries.sent,
+            tries.answered,
+            tries.hung_up,
+            tries.lost_with_a_killed_controller,
+            tries.unanswered,
+            tries.dispatches,
+            tries.orders_to_load,
+            tries.fetches,
+            tries.fetches_refused,
         );
-        let l = &self.loads;
+        let loads = &self.loads;
         out += &format!(
             "{} loads, {} failed, p50 {:.0} ms, p99 {:.0} ms\n",
-            l.ended_well, l.failed, l.p50_ms, l.p99_ms
+            loads.ended_well, loads.failed, loads.p50_ms, loads.p99_ms
         );
-        if let Some(l) = &self.layers {
+        if let Some(layers) = &self.layers {
             out += &format!(
                 "{} chunks: {} store requests ({:.2} a chunk, {:.1} MB); had from cache {}, peers {}, store {}; {} damaged\n\
                  {} copies compared with their models, {} of them not the model\n",
-                l.chunks,
-                l.store_requests,
-                l.store_requests as f64 / l.chunks.max(1) as f64,
-                l.mb_from_store,
-                l.from_cache,
-                l.from_peers,
-                l.from_store,
-                l.damaged,
-                l.copies,
-                l.unsound
+                layers.chunks,
+                layers.store_requests,
+                layers.store_requests as f64 / layers.chunks.max(1) as f64,
+                layers.mb_from_store,
+                layers.from_cache,
+                layers.from_peers,
+                layers.from_store,
+                layers.damaged,
+                layers.copies,
+                layers.unsound
             );
         }
         if let Some((moves, well, stopped)) = self.moves {
@@ -442,22 +489,26 @@
                 .take(5)
                 .for_each(|m| out += &format!("  {m}\n"));
         }
-        for r in &self.rules {
-            let state = match r.state {
+        for verdict in &self.rules {
+            let state = match verdict.state {
                 State::Kept => "kept",
                 State::CannotTell => "cannot tell",
                 State::Broken => "BROKEN",
             };
             out += &format!(
                 "rule {} ({}): {state}, {} cases\n",
-                r.rule, r.name, r.looked_at
+                verdict.rule, verdict.name, verdict.looked_at
             );
-            for (what, all) in [("broken", &r.broken), ("cannot tell", &r.cannot_tell)] {
-                all.iter()
+            for (what, findings) in [
+                ("broken", &verdict.broken),
+                ("cannot tell", &verdict.cannot_tell),
+            ] {
+                findings
+                    .iter()
                     .take(5)
                     .for_each(|f| out += &format!("  {what}: {}\n", f.text));
-                if all.len() > 5 {
-                    out += &format!("  {what}: {} more\n", all.len() - 5);
+                if findings.len() > 5 {
+                    out += &format!("  {what}: {} more\n", findings.len() - 5);
                 }
             }
         }
