--- a/crates/scenario/src/clients.rs
+++ b/crates/scenario/src/clients.rs
@@ -59,12 +59,12 @@
     pub day: Rc<Day>,
     pub network: Rc<dyn Network>,
     pub clock: Clock,
-    pub turns: EventLoopClock,
+    pub event_loop_clock: EventLoopClock,
     pub record: Record,
     /// Client endpoints of the controllers: incarnation, address and whether new attempts are sent there.
     pub endpoints: RefCell<Vec<(ControllerId, Address, bool)>>,
     connections: RefCell<BTreeMap<(u32, u32), Connection>>,
-    next: Cell<usize>,
+    endpoint_cursor: Cell<usize>,
     /// Number of passages in progress.
     pub active_passages: Cell<usize>,
 }
@@ -81,19 +81,19 @@
         day: Rc<Day>,
         network: Rc<dyn Network>,
         clock: Clock,
-        turns: EventLoopClock,
+        event_loop_clock: EventLoopClock,
         record: Record,
     ) -> Rc<Self> {
-        let (endpoints, connections, next, active_passages) = Default::default();
+        let (endpoints, connections, endpoint_cursor, active_passages) = Default::default();
         Rc::new(Self {
             day,
             network,
             clock,
-            turns,
+            event_loop_clock,
             record,
             endpoints,
             connections,
-            next,
+            endpoint_cursor,
             active_passages,
         })
     }
@@ -101,8 +101,8 @@
     fn next_endpoint(&self) -> Option<(ControllerId, Address)> {
         let endpoints = self.endpoints.borrow();
         for _ in 0..endpoints.len() {
-            self.next.set(self.next.get() + 1);
-            let (who, address, open) = &endpoints[self.next.get() % endpoints.len()];
+            self.endpoint_cursor.set(self.endpoint_cursor.get() + 1);
+            let (who, address, open) = &endpoints[self.endpoint_cursor.get() % endpoints.len()];
             if *open {
                 return Some((*who, address.clone()));
             }
@@ -111,20 +111,20 @@
     }
 
     /// Sends one invocation with all its attempts; on a day with model versions, a passage of several invocations in sequence.
-    pub async fn invoke(self: Rc<Self>, n: u64, a: Arrival) {
+    pub async fn invoke(self: Rc<Self>, number: u64, arrival: Arrival) {
         if self.day.versions == 0 {
-            return self.invoke_once(n, &a, None).await;
+            return self.invoke_once(number, &arrival, None).await;
         }
         self.active_passages.set(self.active_passages.get() + 1);
         let mut passage = Passage {
-            name: format!("{n}"),
+            name: format!("{number}"),
             ..Default::default()
         };
-        for part in 0..u64::from(self.day.passage) {
-            if part > 0 {
+        for step in 0..u64::from(self.day.passage) {
+            if step > 0 {
                 tokio::time::sleep(PASSAGE_PAUSE).await;
             }
-            self.invoke_once(n * 1_000 + part, &a, Some(&mut passage))
+            self.invoke_once(number * 1_000 + step, &arrival, Some(&mut passage))
                 .await;
             if passage.ended {
                 break;
@@ -133,37 +133,45 @@
         self.active_passages.set(self.active_passages.get() - 1);
     }
 
-    async fn invoke_once(self: &Rc<Self>, n: u64, a: &Arrival, mut passage: Option<&mut Passage>) {
+    async fn invoke_once(
+        self: &Rc<Self>,
+        number: u64,
+        arrival: &Arrival,
+        mut passage: Option<&mut Passage>,
+    ) {
         let terms = &self.day.terms;
-        let function = &terms.functions[&a.function];
+        let function = &terms.functions[&arrival.function];
         let stated = &terms.deployment.trigger_types[function.trigger];
         let first = self.clock.now();
-        let patience = RetryPolicy {
+        let retry_policy = RetryPolicy {
             retries: self.day.retries,
             backoff: self.day.backoff,
         };
         for attempt in 0.. {
-            let of = ClientAttempt { number: n, attempt };
+            let of = ClientAttempt { number, attempt };
             let mut rng = fastrand::Rng::with_seed(self.day.seed ^ request_id(of));
             let end = match self
-                .send_attempt(of, a, stated.client_timeout, passage.as_deref())
+                .send_attempt(of, arrival, stated.client_timeout, passage.as_deref())
                 .await
             {
                 Err(()) => AttemptOutcome::Unsent,
                 Ok(None) => {
                     // Without a response the client cannot know which version ran, so it starts a new passage under another name.
-                    if let Some(p) = passage.as_deref_mut().filter(|p| p.pinned.is_none()) {
-                        p.name += "'";
+                    if let Some(passage) = passage
+                        .as_deref_mut()
+                        .filter(|passage| passage.pinned.is_none())
+                    {
+                        passage.name += "'";
                     }
                     AttemptOutcome::Unknown
                 }
                 Ok(Some(response)) => {
-                    if let Some(p) = passage.as_deref_mut() {
-                        p.ended |= response.passage_ended;
+                    if let Some(passage) = passage.as_deref_mut() {
+                        passage.ended |= response.passage_ended;
                         if self.day.hands_back {
-                            p.pinned = response.pinned.or(p.pinned.take());
+                            passage.pinned = response.pinned.or(passage.pinned.take());
                         }
-                        if p.ended {
+                        if passage.ended {
                             return;
                         }
                     }
@@ -174,7 +182,7 @@
                     }
                 }
             };
-            match patience.decide(stated, attempt, self.clock.now() - first, end, rng.f64()) {
+            match retry_policy.decide(stated, attempt, self.clock.now() - first, end, rng.f64()) {
                 RetryDecision::Stop => return,
                 RetryDecision::RetryAfter(wait) => {
                     tokio::time::sleep(Duration::from_micros(wait * 100)).await
@@ -188,18 +196,18 @@
     async fn send_attempt(
         self: &Rc<Self>,
         of: ClientAttempt,
-        a: &Arrival,
+        arrival: &Arrival,
         timeout: Ticks,
         passage: Option<&Passage>,
     ) -> Result<Option<Response>, ()> {
         let (who, address) = self.next_endpoint().ok_or(())?;
-        let needs_own_connection = a.hangs_up.is_some() || a.reads_late.is_some();
+        let needs_own_connection = arrival.hangs_up.is_some() || arrival.reads_late.is_some();
         let connection = if needs_own_connection {
-            self.connect(who, &address, a.reads_late).await?
+            self.connect(who, &address, arrival.reads_late).await?
         } else {
             let key = (
                 who.controller,
-                self.next.get() as u32 / 7 % self.day.connections,
+                self.endpoint_cursor.get() as u32 / 7 % self.day.connections,
             );
             let open = self
                 .connections
@@ -218,36 +226,39 @@
                 }
             }
         };
-        let function = &self.day.terms.functions[&a.function];
+        let function = &self.day.terms.functions[&arrival.function];
         let trigger = &self.day.terms.trigger_type_names[function.trigger];
         let stated = &self.day.terms.deployment.trigger_types[function.trigger];
-        let tenant = &self.day.terms.tenant_names[a.tenant];
+        let tenant = &self.day.terms.tenant_names[arrival.tenant];
         let token =
             (stated.effect == Effect::IdempotencyKey).then(|| format!("token-{}", of.number));
-        let input = json!({"n": of.number, "attempt": of.attempt, "work_ms": a.work as f64 / MILLISECOND as f64});
-        let mut call = json!({
+        let input = json!({"n": of.number, "attempt": of.attempt, "work_ms": arrival.work as f64 / MILLISECOND as f64});
+        let mut request = json!({
             "jsonrpc": "2.0", "id": request_id(of), "method": "invoke",
-            "params": {"function": a.function, "tenant": tenant, "trigger": trigger, "input": input,
+            "params": {"function": arrival.function, "tenant": tenant, "trigger": trigger, "input": input,
                 "time_left_ms": timeout as f64 / MILLISECOND as f64},
         });
-        if let Some(p) = passage {
-            call["params"]["function"] = format!("{}-current", a.function).into();
-            call["params"]["input"]["passage"] = p.name.clone().into();
-            call["params"]["passage"] = p.name.clone().into();
-            if let Some(pinned) = &p.pinned {
-                call["params"]["version"] = pinned.version.clone().into();
-                call["params"]["passage_until_ms"] = pinned.until_ms.into();
+        if let Some(passage) = passage {
+            request["params"]["function"] = format!("{}-current", arrival.function).into();
+            request["params"]["input"]["passage"] = passage.name.clone().into();
+            request["params"]["passage"] = passage.name.clone().into();
+            if let Some(pinned) = &passage.pinned {
+                request["params"]["version"] = pinned.version.clone().into();
+                request["params"]["passage_until_ms"] = pinned.until_ms.into();
             }
         }
         if let Some(token) = token {
-            call["params"]["token"] = token.into();
+            request["params"]["token"] = token.into();
         }
-        let (to, answer) = oneshot::channel();
-        connection.pending.borrow_mut().insert(request_id(of), to);
+        let (response_sender, response_receiver) = oneshot::channel();
+        connection
+            .pending
+            .borrow_mut()
+            .insert(request_id(of), response_sender);
         let at = self.clock.now();
         if connection
             .outbox
-            .push(Bytes::from(format!("{call}\n")), at + timeout)
+            .push(Bytes::from(format!("{request}\n")), at + timeout)
             .is_none()
         {
             return Err(());
@@ -258,14 +269,14 @@
             of,
             tenant: tenant.clone(),
             trigger: trigger.clone(),
-            function: a.function.clone(),
+            function: arrival.function.clone(),
             timeout,
-            work: a.work,
+            work: arrival.work,
         });
-        if a.reads_late.is_some() {
+        if arrival.reads_late.is_some() {
             self.record.note(Line::ReadsSlowly { at, of });
         }
-        if let Some(after) = a.hangs_up {
+        if let Some(after) = arrival.hangs_up {
             tokio::time::sleep(Duration::from_micros(after * 100)).await;
             let answered = !connection.pending.borrow().contains_key(&request_id(of));
             if !answered {
@@ -280,8 +291,9 @@
             // A client that hung up does not retry.
             std::future::pending::<()>().await;
         }
-        let patience = Duration::from_micros((timeout + a.reads_late.unwrap_or(0)) * 100);
-        let response = match tokio::time::timeout(patience, answer).await {
+        let response_timeout =
+            Duration::from_micros((timeout + arrival.reads_late.unwrap_or(0)) * 100);
+        let response = match tokio::time::timeout(response_timeout, response_receiver).await {
             Ok(Ok(response)) => Some(response),
             Ok(Err(_)) | Err(_) => None,
         };
@@ -295,7 +307,7 @@
         self: &Rc<Self>,
         who: ControllerId,
         address: &Address,
-        late: Option<Ticks>,
+        read_delay: Option<Ticks>,
     ) -> Result<Connection, ()> {
         let stream = self.network.dial(address).await.map_err(|_| ())?;
         let (input, mut output) = split(stream);
@@ -310,10 +322,10 @@
         let this = self.clone();
         tokio::task::spawn_local(async move {
             let clock = this.clock;
-            let mut read = ArrivalReader::new(input, clock, this.turns.clone());
+            let mut reader = ArrivalReader::new(input, clock, this.event_loop_clock.clone());
             let closed_by_client = tokio::select! {
                 biased;
-                () = this.read_responses(&mut read, &pending, late) => false,
+                () = this.read_responses(&mut reader, &pending, read_delay) => false,
                 done = outbox.write_to(&mut output, || clock.now(), |_| ()) => done.is_ok(),
             };
             open.set(false);
@@ -337,16 +349,16 @@
 
     async fn read_responses(
         &self,
-        read: &mut ArrivalReader<saltdrum_transport::StreamHalf>,
+        reader: &mut ArrivalReader<saltdrum_transport::StreamHalf>,
         pending: &PendingResponses,
-        late: Option<Ticks>,
+        read_delay: Option<Ticks>,
     ) {
-        if let Some(late) = late {
-            tokio::time::sleep(Duration::from_micros(late * 100)).await;
+        if let Some(read_delay) = read_delay {
+            tokio::time::sleep(Duration::from_micros(read_delay * 100)).await;
         }
-        while let Ok(Some(earliest)) = read.read_more().await {
-            while let Some(end) = read.bytes.iter().position(|b| *b == b'\n') {
-                let line = read.bytes.split_to(end + 1);
+        while let Ok(Some(earliest)) = reader.read_more().await {
+            while let Some(end) = reader.bytes.iter().position(|b| *b == b'\n') {
+                let line = reader.bytes.split_to(end + 1);
                 self.handle_response(&line, earliest, pending);
             }
         }
@@ -361,15 +373,15 @@
         };
         let how = match &reply.error {
             None => Outcome::Succeeded,
-            Some(e) if e.code == rpc::THROTTLED => Outcome::Throttled,
+            Some(error) if error.code == rpc::THROTTLED => Outcome::Throttled,
             Some(_) => Outcome::Errored,
         };
         let retry_after_ms = reply
             .error
             .as_ref()
-            .and_then(|e| e.data.get("come_back_ms")?.as_u64());
+            .and_then(|error| error.data.get("come_back_ms")?.as_u64());
         let data = match (&reply.error, reply.result) {
-            (Some(e), _) => e.data.clone(),
+            (Some(error), _) => error.data.clone(),
             (None, Some(result)) => serde_json::from_str(result.get()).unwrap_or_default(),
             _ => serde_json::Value::Null,
         };
@@ -383,7 +395,7 @@
         let passage_ended = reply
             .error
             .as_ref()
-            .is_some_and(|e| e.code == rpc::PASSAGE_OVER);
+            .is_some_and(|error| error.code == rpc::PASSAGE_OVER);
         let retry_after = retry_after_ms.unwrap_or(0) * MILLISECOND;
         let of = ClientAttempt {
             number: id / 16,
@@ -395,8 +407,8 @@
             of,
             how,
         });
-        if let Some(to) = pending.borrow_mut().remove(&id) {
-            let _ = to.send(Response {
+        if let Some(response_sender) = pending.borrow_mut().remove(&id) {
+            let _ = response_sender.send(Response {
                 how,
                 retry_after,
                 pinned: pinned(),
