--- a/crates/scenario/src/passages.rs
+++ b/crates/scenario/src/passages.rs
@@ -18,7 +18,7 @@
 
 /// Groups the runs in a record by passage. Returns `None` if no run belongs to a passage.
 pub fn look(lines: &[Line]) -> Option<Passages> {
-    let mut all = BTreeMap::<&str, Vec<(u64, u64, u32)>>::new();
+    let mut runs_by_passage = BTreeMap::<&str, Vec<(u64, u64, u32)>>::new();
     for line in lines {
         if let Line::PassageStep {
             at,
@@ -28,20 +28,21 @@
             ..
         } = line
         {
-            all.entry(passage)
+            runs_by_passage
+                .entry(passage)
                 .or_default()
                 .push((*at, *function, *invoker));
         }
     }
-    if all.is_empty() {
+    if runs_by_passage.is_empty() {
         return None;
     }
     let mut found = Passages {
-        passages: all.len(),
+        passages: runs_by_passage.len(),
         ..Default::default()
     };
     let mut functions = std::collections::BTreeSet::new();
-    for (passage, runs) in all {
+    for (passage, runs) in runs_by_passage {
         found.invocations += runs.len();
         found.longer += usize::from(runs.len() > 1);
         functions.extend(runs.iter().map(|s| s.1));
