--- a/crates/scenario/src/traffic.rs
+++ b/crates/scenario/src/traffic.rs
@@ -19,45 +19,54 @@
 
 /// Generates the arrivals of a day in order of time. The result depends on nothing but the day.
 pub fn draw(day: &Day) -> Vec<Arrival> {
-    let mut all = Vec::new();
-    for (n, t) in day.traffic.iter().enumerate() {
-        let mut rng = fastrand::Rng::with_seed(day.seed.wrapping_mul(31) ^ n as u64);
-        generate_traffic(t, &mut rng, &mut all);
+    let mut arrivals = Vec::new();
+    for (index, traffic) in day.traffic.iter().enumerate() {
+        let mut rng = fastrand::Rng::with_seed(day.seed.wrapping_mul(31) ^ index as u64);
+        generate_traffic(traffic, &mut rng, &mut arrivals);
     }
     let mut rng = fastrand::Rng::with_seed(day.seed ^ 0xdead);
-    for arrival in &mut all {
-        let during = |t: &&Trouble| arrival.at >= t.at && arrival.at < t.at + t.lasts;
-        for t in day.troubles.iter().filter(during) {
-            let affected = rng.f64() < t.part;
-            match t.kind {
+    for arrival in &mut arrivals {
+        let during = |trouble: &&Trouble| {
+            arrival.at >= trouble.at && arrival.at < trouble.at + trouble.lasts
+        };
+        for trouble in day.troubles.iter().filter(during) {
+            let affected = rng.f64() < trouble.part;
+            match trouble.kind {
                 Kind::HotFunction if affected => {
-                    arrival.function = t.functions[rng.usize(..t.functions.len())].clone()
+                    arrival.function =
+                        trouble.functions[rng.usize(..trouble.functions.len())].clone()
                 }
                 Kind::HeavyTail if affected => {
-                    arrival.work = (arrival.work as f64 * t.times) as Ticks
+                    arrival.work = (arrival.work as f64 * trouble.times) as Ticks
                 }
                 Kind::ClientHangUps if affected => {
-                    arrival.hangs_up = Some(rng.u64(0..=t.delay.max(1)))
+                    arrival.hangs_up = Some(rng.u64(0..=trouble.delay.max(1)))
                 }
-                Kind::SlowReaders if affected => arrival.reads_late = Some(t.delay.max(1)),
+                Kind::SlowReaders if affected => arrival.reads_late = Some(trouble.delay.max(1)),
                 _ => {}
             }
         }
     }
-    all.sort_by_key(|a| a.at);
-    all
+    arrivals.sort_by_key(|a| a.at);
+    arrivals
 }
 
-fn generate_traffic(t: &Traffic, rng: &mut fastrand::Rng, all: &mut Vec<Arrival>) {
-    let popularity = Popularity::new(t.functions.len(), t.zipf, t.turnover);
-    for at in draw_arrivals(t.shape, t.per_second, t.from, t.to, rng) {
-        let function = t.functions[popularity.draw(at, rng)].clone();
-        let sigma = (1.0 + t.spread * t.spread).ln().sqrt();
-        let work = t.work as f64 * (sigma * standard_normal(rng) - 0.5 * sigma * sigma).exp();
+fn generate_traffic(traffic: &Traffic, rng: &mut fastrand::Rng, arrivals: &mut Vec<Arrival>) {
+    let popularity = Popularity::new(traffic.functions.len(), traffic.zipf, traffic.turnover);
+    for at in draw_arrivals(
+        traffic.shape,
+        traffic.per_second,
+        traffic.from,
+        traffic.to,
+        rng,
+    ) {
+        let function = traffic.functions[popularity.draw(at, rng)].clone();
+        let sigma = (1.0 + traffic.spread * traffic.spread).ln().sqrt();
+        let work = traffic.work as f64 * (sigma * standard_normal(rng) - 0.5 * sigma * sigma).exp();
         let work = (work as Ticks).max(1);
-        all.push(Arrival {
+        arrivals.push(Arrival {
             at,
-            tenant: t.tenant,
+            tenant: traffic.tenant,
             function,
             work,
             hangs_up: None,
