--- a/crates/scenario/tests/planted.rs
+++ b/crates/scenario/tests/planted.rs
@@ -23,21 +23,21 @@
 trouble("deploy", at = "2s", invokers = [1, 2], delay = "1500ms")
 "#;
 
-fn judged(serve: saltdrum_scenario::Serve) -> Vec<Verdict> {
+fn play_and_check(serve: saltdrum_scenario::Serve) -> Vec<Verdict> {
     let day = Day::load("planted.star", DAY).unwrap();
     check(&play_virtually(&day, serve).unwrap()).unwrap()
 }
 
 /// Asserts that the rule is reported as broken, with findings that name the parties and the time.
 fn assert_broken(rule: usize, names: &[&str], serve: saltdrum_scenario::Serve) {
-    let verdicts = judged(serve);
-    let v = &verdicts[rule - 1];
-    assert_eq!(v.state, State::Broken, "rule {rule}: {v:?}");
-    let text = &v.broken[0].text;
+    let verdicts = play_and_check(serve);
+    let verdict = &verdicts[rule - 1];
+    assert_eq!(verdict.state, State::Broken, "rule {rule}: {verdict:?}");
+    let text = &verdict.broken[0].text;
     assert!(
         names
             .iter()
-            .all(|n| v.broken.iter().any(|f| f.text.contains(n)))
+            .all(|n| verdict.broken.iter().any(|f| f.text.contains(n)))
             && text.contains(" ms"),
         "{text}"
     );
@@ -45,15 +45,21 @@
 
 #[test]
 fn real_controller_keeps_all_rules_and_every_rule_has_cases() {
-    for v in judged(saltdrum_scenario::serve) {
-        assert!(v.state == State::Kept && (v.looked_at > 0), "{v:?}");
+    for verdict in play_and_check(saltdrum_scenario::serve) {
+        assert!(
+            verdict.state == State::Kept && (verdict.looked_at > 0),
+            "{verdict:?}"
+        );
     }
 }
 
 #[test]
 fn faulty_controller_without_a_fault_answers_every_invocation() {
-    let v = &judged(|s, n, c| run_faulty_controller(Fault::None, s, n, c))[0];
-    assert!(v.state == State::Kept && v.looked_at > 500, "{v:?}");
+    let verdict = &play_and_check(|s, n, c| run_faulty_controller(Fault::None, s, n, c))[0];
+    assert!(
+        verdict.state == State::Kept && verdict.looked_at > 500,
+        "{verdict:?}"
+    );
 }
 
 #[test]
