--- a/crates/scenario/tests/models.rs
+++ b/crates/scenario/tests/models.rs
@@ -9,10 +9,10 @@
     DAYS.iter().find(|d| d.0 == "models-day").unwrap().1
 }
 
-fn judged(lines: &[Line]) -> summary::Summary {
-    let s = summary::summarize("models", lines, check(lines).unwrap());
-    assert_ne!(s.state(), State::Broken, "{}", s.text());
-    s
+fn assert_no_rule_broken(lines: &[Line]) -> summary::Summary {
+    let summary = summary::summarize("models", lines, check(lines).unwrap());
+    assert_ne!(summary.state(), State::Broken, "{}", summary.text());
+    summary
 }
 
 #[test]
@@ -23,7 +23,7 @@
             ..Day::load("models", script()).unwrap()
         };
         let lines = play_virtually(&day, serve).unwrap();
-        let s = judged(&lines);
+        let summary = assert_no_rule_broken(&lines);
         let runs = saltdrum_scenario::passages::look(&lines).unwrap();
         assert_eq!(runs.mixed, Vec::<String>::new());
         assert!(
@@ -32,12 +32,16 @@
         );
         assert!(
             runs.functions > 100,
-            "{} versions runs: nothing moved",
+            "only {} versions ran: the aliases did not move",
             runs.functions
         );
-        let layers = s.layers.clone().unwrap();
-        assert!(layers.unsound == 0 && layers.copies > 100, "{}", s.text());
-        assert!(s.value_in_time > 0.95, "{}", s.text());
+        let layers = summary.layers.clone().unwrap();
+        assert!(
+            layers.unsound == 0 && layers.copies > 100,
+            "{}",
+            summary.text()
+        );
+        assert!(summary.value_in_time > 0.95, "{}", summary.text());
     }
 }
 
@@ -50,7 +54,7 @@
     )
     .unwrap();
     let lines = play_on_sockets(&day, folder.path()).unwrap();
-    judged(&lines);
+    assert_no_rule_broken(&lines);
     let runs = saltdrum_scenario::passages::look(&lines).unwrap();
     assert!(runs.mixed.is_empty() && runs.longer > 200, "{runs:?}");
 }
@@ -93,10 +97,14 @@
         script()
     );
     let lines = play_virtually(&Day::load("models", &text).unwrap(), serve).unwrap();
-    let s = judged(&lines);
-    let layers = s.layers.clone().unwrap();
+    let summary = assert_no_rule_broken(&lines);
+    let layers = summary.layers.clone().unwrap();
     assert_eq!(layers.unsound, 0);
-    assert!(layers.damaged > 20 && layers.copies > 100, "{}", s.text());
+    assert!(
+        layers.damaged > 20 && layers.copies > 100,
+        "{}",
+        summary.text()
+    );
     assert!(
         saltdrum_scenario::passages::look(&lines)
             .unwrap()
@@ -123,8 +131,8 @@
             "{text}\ntrouble('version_errs', at = '0s', lasts = '60s', functions = ['voice-0'], part = 0.9)\n"
         );
         let lines = play_virtually(&Day::load("models", &text).unwrap(), serve).unwrap();
-        let (moves, _, stopped) = judged(&lines).moves.unwrap();
-        assert!(moves >= 7, "one for each model at least");
+        let (moves, _, stopped) = assert_no_rule_broken(&lines).moves.unwrap();
+        assert!(moves >= 7, "at least one move for each model");
         let unserved = lines
             .iter()
             .filter(|l| {
@@ -140,10 +148,14 @@
         (unserved, stopped)
     };
     let ((at_once, none), (staged, stopped)) = (day("False"), day("True"));
-    assert_eq!((none, stopped), (0, 1), "the one that fails, and no other");
+    assert_eq!(
+        (none, stopped),
+        (0, 1),
+        "only the stage of the failing version is stopped"
+    );
     assert!(
         at_once > 100 && staged * 4 < at_once,
-        "{at_once} not served at once, {staged} in a stage"
+        "{at_once} not served without a stage, {staged} with one"
     );
 }
 
@@ -164,8 +176,8 @@
         "{text}\ntrouble('store_damages', at = '0s', lasts = '60s', functions = ['voice-0'])\n"
     );
     let lines = play_virtually(&Day::load("models", &text).unwrap(), serve).unwrap();
-    let s = judged(&lines);
-    assert_eq!(s.layers.as_ref().unwrap().unsound, 0);
+    let summary = assert_no_rule_broken(&lines);
+    assert_eq!(summary.layers.as_ref().unwrap().unsound, 0);
     let corrupt = lines.iter().find_map(|l| {
         if let Line::RegistryTotals { corrupt, .. } = l {
             Some(corrupt.clone())
@@ -185,8 +197,8 @@
         "{corrupt:?}"
     );
     assert!(
-        s.tries.unanswered == 0 && s.loads.failed > 0,
+        summary.tries.unanswered == 0 && summary.loads.failed > 0,
         "{}",
-        s.text()
+        summary.text()
     );
 }
