--- a/crates/scenario/tests/days.rs
+++ b/crates/scenario/tests/days.rs
@@ -20,33 +20,39 @@
 
 /// Asserts that no rule is broken and that every attempt was answered, except those that the script's faults explain.
 fn assert_rules_hold(name: &str, lines: &[Line]) -> summary::Summary {
-    let s = summary::summarize(name, lines, check(lines).unwrap());
-    assert_ne!(s.state(), State::Broken, "{}", s.text());
-    let t = &s.tries;
+    let summary = summary::summarize(name, lines, check(lines).unwrap());
+    assert_ne!(summary.state(), State::Broken, "{}", summary.text());
+    let tries = &summary.tries;
     // Attempts left unanswered because the machine stalled are reported as inconclusive by rule 1, never ignored.
-    assert!(t.unanswered <= s.rules[0].cannot_tell.len(), "{}", s.text());
-    s
+    assert!(
+        tries.unanswered <= summary.rules[0].cannot_tell.len(),
+        "{}",
+        summary.text()
+    );
+    summary
 }
 
 #[test]
 fn bad_day_keeps_the_rules_on_loopback_sockets() {
     let folder = tempfile::tempdir().unwrap();
     let lines = play_on_sockets(&builtin("bad-day"), folder.path()).unwrap();
-    let s = assert_rules_hold("bad day", &lines);
+    let summary = assert_rules_hold("bad day", &lines);
     assert!(
-        s.tries.sent > 5_000 && s.tries.hung_up > 0 && s.tries.fetches_refused > 0,
+        summary.tries.sent > 5_000
+            && summary.tries.hung_up > 0
+            && summary.tries.fetches_refused > 0,
         "{}",
-        s.text()
+        summary.text()
     );
     assert!(
-        s.rules[..4].iter().all(|r| r.looked_at > 50),
+        summary.rules[..4].iter().all(|r| r.looked_at > 50),
         "{}",
-        s.text()
+        summary.text()
     );
     assert!(
-        s.in_time > 0.5,
-        "most is served, whatever the machine does: {}",
-        s.text()
+        summary.in_time > 0.5,
+        "most invocations succeed, even on a busy machine: {}",
+        summary.text()
     );
     let lives: BTreeSet<_> = lines
         .iter()
@@ -58,7 +64,7 @@
             }
         })
         .collect();
-    assert_eq!(lives.len(), 4, "three controllers, one of which came back");
+    assert_eq!(lives.len(), 4, "three controllers, one of which restarted");
 }
 
 /// Counts load orders that reached an invoker whose load had not ended when the list reported the invoker draining.
@@ -66,8 +72,8 @@
 fn bad_day_includes_a_drain_with_a_pending_load_order() {
     let lines = play_virtually(&builtin("bad-day"), serve).unwrap();
     assert_rules_hold("bad day", &lines);
-    let mut waiting: BTreeSet<(u32, u64)> = BTreeSet::new();
-    let mut seen = 0;
+    let mut pending_loads: BTreeSet<(u32, u64)> = BTreeSet::new();
+    let mut pending_at_drain = 0;
     for line in &lines {
         match line {
             Line::LoadOrdered {
@@ -76,20 +82,20 @@
                 count: 1..,
                 ..
             } => {
-                waiting.insert((*invoker, *function));
+                pending_loads.insert((*invoker, *function));
             }
             Line::Loaded {
                 invoker, function, ..
             } => {
-                waiting.remove(&(*invoker, *function));
+                pending_loads.remove(&(*invoker, *function));
             }
             Line::EndpointSent { invoker, life, .. } if life == "draining" => {
-                seen += waiting.iter().filter(|(w, _)| w == invoker).count();
+                pending_at_drain += pending_loads.iter().filter(|(w, _)| w == invoker).count();
             }
             _ => {}
         }
     }
-    assert!(seen > 0);
+    assert!(pending_at_drain > 0);
 }
 
 #[test]
@@ -114,7 +120,7 @@
 ) -> std::pin::Pin<Box<dyn Future<Output = std::io::Result<()>>>> {
     #[expect(
         clippy::disallowed_methods,
-        reason = "the mistake that is to be caught"
+        reason = "the mistake that the test must detect"
     )]
     let now = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
@@ -158,23 +164,30 @@
         )
     };
     let (ties, first) = play();
-    assert!(ties > 50, "only {ties} were sent in the moment of another");
+    assert!(
+        ties > 50,
+        "only {ties} attempts were sent at the same instant as another"
+    );
     assert!(first == play().1);
 }
 
 #[test]
 fn built_in_days_keep_the_rules_in_virtual_time() {
     for (name, _) in DAYS {
-        let s = assert_rules_hold(name, &play_virtually(&builtin(name), serve).unwrap());
+        let summary = assert_rules_hold(name, &play_virtually(&builtin(name), serve).unwrap());
         assert!(
-            s.rules[1..].iter().all(|r| r.state == State::Kept),
+            summary.rules[1..].iter().all(|r| r.state == State::Kept),
             "{}",
-            s.text()
+            summary.text()
         );
         // A controller that stalls for 2 s can miss the timeout of one invocation; `assert_rules_hold` requires that rule 1
         // reports it.
-        assert!(s.rules[0].cannot_tell.len() <= 1, "{}", s.text());
-        assert!(s.in_time > 0.6, "{}", s.text());
+        assert!(
+            summary.rules[0].cannot_tell.len() <= 1,
+            "{}",
+            summary.text()
+        );
+        assert!(summary.in_time > 0.6, "{}", summary.text());
     }
 }
 
@@ -236,21 +249,22 @@
     );
     let day = Day::load("short.star", &script).unwrap();
     let folder = tempfile::tempdir().unwrap();
-    let real = assert_rules_hold("sockets", &play_on_sockets(&day, folder.path()).unwrap());
-    let virtually = assert_rules_hold("virtual", &play_virtually(&day, serve).unwrap());
-    let taken = |s: &summary::Summary| {
-        s.rows
+    let on_sockets = assert_rules_hold("sockets", &play_on_sockets(&day, folder.path()).unwrap());
+    let in_virtual_time = assert_rules_hold("virtual", &play_virtually(&day, serve).unwrap());
+    let taken = |summary: &summary::Summary| {
+        summary
+            .rows
             .iter()
             .map(|r| (r.trigger.clone(), r.taken))
             .collect::<Vec<_>>()
     };
-    assert_eq!(taken(&real), taken(&virtually));
-    for s in [real, virtually] {
-        assert!(s.in_time > 0.75, "{}", s.text());
+    assert_eq!(taken(&on_sockets), taken(&in_virtual_time));
+    for summary in [on_sockets, in_virtual_time] {
+        assert!(summary.in_time > 0.75, "{}", summary.text());
     }
 }
 
-fn trouble() -> impl Strategy<Value = String> {
+fn trouble_strategy() -> impl Strategy<Value = String> {
     let invokers = proptest::collection::btree_set(1u32..5, 1..4);
     let kinds = prop_oneof![
         Just("crash"),
@@ -302,13 +316,13 @@
     })]
 
     #[test]
-    fn random_troubles_break_no_rule(troubles in proptest::collection::vec(trouble(), 1..6), seed in 0u64..1_000) {
+    fn random_troubles_break_no_rule(troubles in proptest::collection::vec(trouble_strategy(), 1..6), seed in 0u64..1_000) {
         let script = format!("{SHORT}{}", troubles.concat());
         let day = Day { seed, ..Day::load("random.star", &script).unwrap() };
         let lines = play_virtually(&day, serve).unwrap();
-        let s = summary::summarize("random", &lines, check(&lines).unwrap());
-        prop_assert_eq!(s.state(), State::Kept, "{}\n{}", script, s.text());
-        prop_assert_eq!(s.tries.unanswered, 0, "{}\n{}", script, s.text());
+        let summary = summary::summarize("random", &lines, check(&lines).unwrap());
+        prop_assert_eq!(summary.state(), State::Kept, "{}\n{}", script, summary.text());
+        prop_assert_eq!(summary.tries.unanswered, 0, "{}\n{}", script, summary.text());
     }
 }
 
@@ -357,8 +371,8 @@
     let script = DAYS.iter().find(|d| d.0 == "layers-day").unwrap().1;
     let play = |script: &str| {
         let day = Day::load("layers", script).unwrap();
-        let s = assert_rules_hold("layers", &play_virtually(&day, serve).unwrap());
-        (s.layers.clone().unwrap(), s.loads.clone())
+        let summary = assert_rules_hold("layers", &play_virtually(&day, serve).unwrap());
+        (summary.layers.clone().unwrap(), summary.loads.clone())
     };
     let (shared, loads) = play(script);
     let (alone, _) = play(&script.replace("layers = \"shared\"", "layers = \"alone\""));
